--- a/gateway/schedule/away.go
+++ b/gateway/schedule/away.go
@@ -7,9 +7,10 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Refuses takes in that an engine refused what it had promised: a request for which
-// it had reserved memory, or the fetching of a prefill result that it had just
-// computed. It is passed over for a while, also by peers.
+// Refuses records that an engine rejected a request for which it had reserved memory, or the
+// transfer of a prefill result that it had just computed. The engine gets no requests for a
+// while, from this instance and from its peers. The time doubles with each rejection in a row,
+// from refusingFirst to refusingMost.
 func (b *Books) Refuses(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -21,15 +22,16 @@
 	k.refusals++
 }
 
-// Kept takes in that an engine kept a promise.
+// Kept records that an engine accepted a request or transfer that it had reserved. It resets
+// the count of rejections in a row.
 func (b *Books) Kept(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(u).refusals = 0
 }
 
-// Switching takes in that an engine was ordered to change its stage: it accepts
-// reservations and refuses requests until it is done.
+// Switching records that an engine was ordered to change its stage. Until the change is
+// complete the engine accepts reservations but rejects requests.
 func (b *Books) Switching(now time.Time, id ident.UpstreamID, to dialect.Stage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,8 +40,8 @@
 	}
 }
 
-// away reports whether an engine can't be expected to keep its promises now. The
-// caller holds mu.
+// away reports whether an engine is expected to reject requests now, since it did so recently
+// or is changing its stage. The caller holds mu.
 func (k *book) away(now time.Time) bool {
 	if now.Before(k.refusingUntil) || now.Before(k.peerRefusing) {
 		return true
@@ -52,15 +54,17 @@
 	return k.switching != "" && k.switching != k.up.Stage && now.Before(k.switchingUntil)
 }
 
-// Away is what an instance tells its peers of engines that don't keep promises.
+// Away lists the engines that get no new requests at present, as instances exchange it with
+// their peers.
 type Away struct {
-	// Refusing is how much longer engines are passed over.
+	// Refusing holds how much longer each engine gets no requests.
 	Refusing map[ident.UpstreamID]time.Duration
-	// Switching names the stages that engines were ordered to take.
+	// Switching holds the stage that each engine was ordered to change to.
 	Switching map[ident.UpstreamID]dialect.Stage
 }
 
-// Away returns what this instance itself found of engines.
+// Away returns the unavailable engines that this instance itself has detected. What peers
+// reported is not passed on, except for ordered stage changes.
 func (b *Books) Away(now time.Time) Away {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,7 +85,7 @@
 	return a
 }
 
-// SetAway takes in what peers found of engines.
+// SetAway records the unavailable engines that peers have detected.
 func (b *Books) SetAway(now time.Time, a Away) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,8 +101,8 @@
 	}
 }
 
-// Staged returns a list with the engines' stages as they will be once their
-// orders are carried out.
+// Staged returns a copy of list in which engines with a pending stage change have their new
+// stage.
 func (b *Books) Staged(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/books.go
+++ b/gateway/schedule/books.go
@@ -1,6 +1,7 @@
-// Package schedule decides which upstream gets a request: from what this
-// instance has in flight there, what its peers say they have, and how the
-// upstream did lately. It does no I/O; time is passed in.
+// Package schedule decides which upstream gets a request. The decision rests on the requests
+// that this instance has in flight at each upstream, on those that its peers report, and on the
+// upstream's recent latency and failures. The package does no I/O, and callers pass in the
+// current time.
 package schedule
 
 import (
@@ -13,59 +14,62 @@
 )
 
 const (
-	// successWeight is the weight of one outcome in the moving share of
-	// successes: ten outcomes count for two thirds.
+	// successWeight is the weight of one outcome in the moving average of the success ratio.
+	// The last ten outcomes make up about two thirds of it.
 	successWeight = 0.1
-	// latencyWeight is the weight of one answer in the moving latency.
+	// latencyWeight is the weight of one response in the moving average of the latency.
 	latencyWeight = 0.1
-	// initialLatency stands for upstreams that have not answered yet.
+	// initialLatency is assumed for upstreams that have not responded yet.
 	initialLatency = 60 * time.Millisecond
-	// ejectAfter is how many hard failures in a row eject an upstream; a refused
-	// connection ejects at once.
+	// ejectAfter is the number of consecutive hard failures after which an upstream is ejected.
+	// A refused connection ejects it at once.
 	ejectAfter = 2
-	// ejectFirst and ejectMost bound how long an upstream stays ejected; the time
-	// doubles with each failure of a trial.
+	// ejectFirst and ejectMost are the minimum and maximum ejection times. The time doubles
+	// with each failed retry of the upstream.
 	ejectFirst = 500 * time.Millisecond
 	ejectMost  = 4 * time.Second
-	// refusingFirst and refusingMost bound how long an engine is passed over that
-	// refused what it had promised.
+	// refusingFirst and refusingMost are the minimum and maximum times for which an engine gets
+	// no requests after it rejected one despite a reservation.
 	refusingFirst = 800 * time.Millisecond
 	refusingMost  = 4 * time.Second
-	// switchingMost bounds how long an ordered change of stage is waited for:
-	// running streams end first, at most some 14 s, then the switch takes 6 s.
+	// switchingMost is the longest time for which an ordered stage change is considered
+	// pending. Running streams end first, which takes up to about 14 s, and then the change
+	// itself takes 6 s.
 	switchingMost = 20 * time.Second
-	// overdueFactor is how many times its usual latency an upstream may leave a
-	// request unanswered before it counts as silent.
+	// overdueFactor is the multiple of an upstream's mean latency after which a request without
+	// a response is overdue.
 	overdueFactor = 8
-	// overdueLeast is the shortest time that counts as silence.
+	// overdueLeast is the shortest time after which a request is overdue.
 	overdueLeast = 400 * time.Millisecond
-	// otherZone is what a placement in another zone costs, as a factor: bytes
-	// between zones are priced, and take 1 to 3 ms more.
+	// otherZone is the factor by which placing a request in another zone costs more. Traffic
+	// between zones is charged for and adds 1 to 3 ms of latency.
 	otherZone = 1.15
 )
 
-// book is what is known of one upstream.
+// book is the load and health of one upstream as known to this instance.
 type book struct {
 	up dialect.Upstream
-	// requests and tokens are this instance's own in flight.
+	// requests and tokens are the requests that this instance has in flight and the prompt
+	// tokens still to be computed for them.
 	requests int
 	tokens   int
-	// peerRequests and peerTokens are those that peers say they have.
+	// peerRequests and peerTokens are the same as reported by peers.
 	peerRequests int
 	peerTokens   int
-	// streams are the own requests at a decode engine, by number; peerForecast is
-	// the memory that peers foresee for theirs.
+	// streams holds this instance's requests at a decode engine, by ticket number. peerForecast
+	// is the memory forecast that peers report for their requests.
 	streams      map[uint64]running
 	peerForecast Forecast
-	// known is the memory that all instances' requests took lately; unexplained is
-	// what the engine reported beyond it, peerUnexplained what a peer was told.
+	// known holds recent samples of the memory taken by all instances' known requests.
+	// unexplained is the memory that the engine reported beyond that, at unexplainedAt.
+	// peerUnexplained is the same as reported by peers.
 	known           []knownMemory
 	unexplained     int
 	unexplainedAt   time.Time
 	peerUnexplained int
-	// usedAt is when InUse last found requests at an engine.
+	// usedAt is the last time at which InUse found the engine in use.
 	usedAt time.Time
-	// ownPace is the prefill pace measured by this instance, peerPace the one reported by
+	// ownPace is the prefill throughput measured by this instance, peerPace the one reported by
 	// peers.
 	ownPace, peerPace enginePace
 	success           float64
@@ -73,38 +77,43 @@
 	failures          int
 	ejections         int
 	ejectedUntil      time.Time
-	// computing are the lengths of the own prompts that the engine computes, by
-	// number; a decode engine does so only while prefill engines are out of reach or
-	// busy, and for what a resumed stream lacks.
+	// computing holds the number of tokens that the engine has to compute for each of this
+	// instance's requests, by ticket number. A decode engine computes prompts only while
+	// prefill engines are unreachable or busy, and otherwise only the tokens that a resumed
+	// stream lacks.
 	computing map[uint64]int
-	// unreachable means that the last failure was that no connection came about.
+	// unreachable means that the last failure was a connection that could not be established,
+	// or that reached another incarnation or an engine of another stage.
 	unreachable bool
-	// attested means that the last failure came from there, not from the way.
+	// attested means that the last failure is a response from the upstream's address
+	// (connection refused, or another incarnation) and not a possible fault of the network
+	// path.
 	attested bool
-	// readmitted means that a probe found it answering since it was ejected.
+	// readmitted means that the upstream has answered a probe since it was ejected.
 	readmitted bool
-	// lastGood is when it last answered well, or sent an event.
+	// lastGood is the time of the last successful response, stream event or answered probe.
 	lastGood time.Time
-	// replaced means that another incarnation has its address.
+	// replaced means that another incarnation now uses the upstream's address.
 	replaced bool
-	// starts are when the own requests in flight began, by number.
+	// starts holds the start times of this instance's requests in flight, by ticket number.
 	starts map[uint64]time.Time
-	// refusingUntil is until when an engine is passed over because it refuses what
-	// it promised; refusals counts how often in a row. peerRefusing is what peers
-	// say of it.
+	// refusingUntil is the time until which the engine gets no requests because it rejected one
+	// despite a reservation. refusals counts such rejections in a row. peerRefusing is the same
+	// time as reported by peers.
 	refusingUntil time.Time
 	refusals      int
 	peerRefusing  time.Time
-	// switching is the stage that the engine was ordered to take, until it is
-	// listed with it, or switchingUntil.
+	// switching is the stage that the engine was ordered to change to. It applies until the
+	// engine is listed with that stage, or until switchingUntil.
 	switching      dialect.Stage
 	switchingUntil time.Time
-	// fullUntil is until when requests of fullTokens and more find no room.
+	// fullUntil is the time until which the engine has no memory for reservations of fullTokens
+	// or more.
 	fullUntil  time.Time
 	fullTokens int
 }
 
-// Books are the books of all upstreams of an instance. They are safe for
+// Books holds the load and health of all upstreams and places requests on them. It is safe for
 // concurrent use.
 type Books struct {
 	zone ident.Zone
@@ -117,25 +126,26 @@
 	demands map[string]*demand
 	doubts  map[ident.Zone]*doubt
 	arrived map[string]*arrivals
-	// active are the upstreams that may not be idle. Own and SetPeers iterate only over these,
-	// since usually few of thousands of upstreams are in use.
+	// active holds the upstreams that may not be idle. Own and SetPeers iterate only over
+	// these, since usually only a few of thousands of upstreams are in use.
 	active map[ident.UpstreamID]bool
-	// peersSince is when peers' loads first came.
+	// peersSince is when the first load report from peers arrived.
 	peersSince time.Time
-	// overflow are the decode engines that this instance may have compute prompts while
+	// overflow holds the decode engines on which this instance may have prompts computed while
 	// prefill engines are busy.
 	overflow map[ident.UpstreamID]bool
 	// cold limits this instance's request rate to cold upstreams.
 	cold map[ident.UpstreamID]*coldLimit
-	// offered is how many requests a second the others offer, by service.
+	// offered is the request rate of all other instances, in requests per second by service.
 	offered map[string]float64
-	// others is how many further instances there are, age that of what is known of
-	// their requests.
+	// others is the number of other instances. age is the mean age of the load reports from
+	// them.
 	others int
 	age    time.Duration
 }
 
-// NewBooks returns empty books of an instance in the given zone.
+// NewBooks returns Books without any upstreams for an instance in the given zone. seed seeds
+// the random choice between similar upstreams.
 func NewBooks(zone ident.Zone, seed uint64) *Books {
 	return &Books{
 		zone: zone, books: map[ident.UpstreamID]*book{}, active: map[ident.UpstreamID]bool{},
@@ -143,13 +153,14 @@
 	}
 }
 
-// of returns the book of an upstream. One that started again under its ID has a new
-// book: it holds nothing of what it had, and nothing that was found of it counts. The
+// of returns the book of an upstream and creates it if needed. A newer incarnation of the same
+// ID gets a new book, without the requests and failures of the former one. For an older
+// incarnation it returns a book that is not stored, so that late results of it are dropped. The
 // caller holds mu.
 func (b *Books) of(u dialect.Upstream) *book {
 	k := b.books[u.ID]
 	if k != nil && u.Restarted(k.up.Incarnation) {
-		// What is found of an incarnation that has ended counts for nothing.
+		// Results of a former incarnation are dropped.
 		return newBook(u)
 	}
 	if k == nil || k.up.Restarted(u.Incarnation) {
@@ -160,28 +171,30 @@
 	return k
 }
 
-// newBook returns the book of an upstream of which nothing is known.
+// newBook returns the initial book of an upstream.
 func newBook(u dialect.Upstream) *book {
 	return &book{up: u, success: 1, starts: map[uint64]time.Time{}, streams: map[uint64]running{}, computing: map[uint64]int{}}
 }
 
-// Restarted takes in that an upstream has started again under its ID.
+// Restarted records that an upstream has restarted under the same ID.
 func (b *Books) Restarted(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(u)
 }
 
-// Ticket is a placement of one request, until Done.
+// Ticket is the placement of one request on an upstream. It is valid until it is passed to
+// Done.
 type Ticket struct {
 	Upstream dialect.Upstream
 	number   uint64
 }
 
-// Number tells an instance's placements apart.
+// Number returns the number of the placement, which is unique within the instance.
 func (t Ticket) Number() uint64 { return t.number }
 
-// place books a request. The caller holds mu.
+// place adds a request with the given number of tokens to compute to an upstream's load. The
+// caller holds mu.
 func (b *Books) place(now time.Time, k *book, tokens int) Ticket {
 	b.next++
 	b.active[k.up.ID] = true
@@ -193,7 +206,8 @@
 	return Ticket{Upstream: k.up, number: b.next}
 }
 
-// Done ends a placement.
+// Done removes a placement from its upstream's load. Further calls for the same ticket have no
+// effect.
 func (b *Books) Done(t Ticket) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -211,7 +225,8 @@
 	delete(k.computing, t.number)
 }
 
-// usable reports whether an upstream takes new work and is not excluded. The caller holds mu.
+// usable reports whether an upstream accepts new requests, has quota left if it is cold, and is
+// not excluded. The caller holds mu.
 func (b *Books) usable(now time.Time, u dialect.Upstream, exclude []ident.UpstreamID) bool {
 	if u.Leaving || !b.cold[u.ID].allows(now) {
 		return false
@@ -224,20 +239,22 @@
 	return true
 }
 
-// InFlight is what one or several instances have in flight at an upstream.
+// InFlight is the load that one or several instances have in flight at an upstream.
 type InFlight struct {
 	Requests int
 	// Tokens are the prompt tokens queued at a prefill engine.
 	Tokens int
-	// Memory is what requests take of a decode engine.
+	// Memory is the forecast of the memory that requests take at a decode engine.
 	Memory Forecast
-	// Unexplained is memory that an engine reported beyond that, in tokens.
+	// Unexplained is the memory that an engine reported beyond that of all known requests, in
+	// tokens.
 	Unexplained int
-	// Pace is the recent pace of a prefill engine, as a 1-based bucket of Paces; 0 if unknown.
+	// Pace is the recent throughput of a prefill engine, as a 1-based bucket of Paces; 0 if
+	// unknown.
 	Pace int
 }
 
-// SetPeers takes in what peers have in flight.
+// SetPeers records the load that peers have in flight. It replaces the former report.
 func (b *Books) SetPeers(now time.Time, peers map[ident.UpstreamID]*InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -273,7 +290,8 @@
 		k.peerUnexplained == 0 && k.peerForecast == Forecast{} && k.ownUnexplained(now) == 0 && !k.ownPace.fresh(now)
 }
 
-// Own returns what this instance has in flight at each upstream.
+// Own returns the load that this instance has in flight, by upstream. Upstreams without any are
+// left out.
 func (b *Books) Own(now time.Time) map[ident.UpstreamID]InFlight {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -294,7 +312,7 @@
 	return own
 }
 
-// ownForecast foresees the memory of the own requests at an engine. The caller
+// ownForecast returns the memory forecast of this instance's requests at an engine. The caller
 // holds mu.
 func (b *Books) ownForecast(k *book) Forecast {
 	var f Forecast
@@ -305,7 +323,8 @@
 	return f
 }
 
-// Keep forgets upstreams that are no longer listed and have nothing in flight.
+// Keep removes the upstreams that are no longer listed and have no requests of this instance in
+// flight.
 func (b *Books) Keep(listed map[ident.UpstreamID]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -316,7 +335,8 @@
 	}
 }
 
-// Busy returns how many requests are known to be at an upstream.
+// Busy returns the number of requests known to be in flight at an upstream, including those of
+// peers.
 func (b *Books) Busy(id ident.UpstreamID) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/books_test.go
+++ b/gateway/schedule/books_test.go
@@ -74,9 +74,9 @@
 	assert.Assert(t, !ok)
 }
 
-// TestFailedUpstreamIsTriedByRepeatableRequestsFirst: an upstream that broke off
-// connections is ejected; after a while only a request that may be repeated tries
-// it, and success brings it back.
+// TestFailedUpstreamIsTriedByRepeatableRequestsFirst guards against the loss of requests that
+// must not be repeated. An upstream that reset connections is ejected. Once the ejection time
+// has passed, only a repeatable request retries it, and a success ends the ejection.
 func TestFailedUpstreamIsTriedByRepeatableRequestsFirst(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := service("x", "y")
@@ -102,7 +102,7 @@
 	assert.Assert(t, seen["x"])
 }
 
-// TestEjectionGrows: a trial that fails keeps the upstream out for longer.
+// TestEjectionGrows checks that a failed retry ejects the upstream again, for longer.
 func TestEjectionGrows(t *testing.T) {
 	b := NewBooks("a", 1)
 	u := service("x")[0]
@@ -114,8 +114,8 @@
 	assert.Equal(t, b.books["x"].state(at(1502)), stateTrial)
 }
 
-// TestAllEjectedStillServes: with nothing else left, the upstream that is due first
-// is tried.
+// TestAllEjectedStillServes checks that with all upstreams ejected, the one whose ejection ends
+// first is used.
 func TestAllEjectedStillServes(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := service("x", "y")
@@ -126,8 +126,8 @@
 	assert.Equal(t, ticket.Upstream.ID, ident.UpstreamID("x"))
 }
 
-// TestSilentUpstreamIsAvoided: an upstream that leaves a request unanswered for
-// long gets no further ones, before any of them has failed.
+// TestSilentUpstreamIsAvoided checks that an upstream with an overdue request gets no further
+// ones, before any request to it has failed.
 func TestSilentUpstreamIsAvoided(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := service("x", "y")
@@ -149,8 +149,9 @@
 	assert.Equal(t, b.Busy("x"), 0)
 }
 
-// TestRefusingEngineIsPassedOver: an engine that refused what it had promised gets
-// nothing for a while, from this instance and from peers that hear of it.
+// TestRefusingEngineIsPassedOver checks that an engine that rejected a request despite a
+// reservation gets none for a while, from this instance and from peers to which it was
+// reported.
 func TestRefusingEngineIsPassedOver(t *testing.T) {
 	list := engines(0, 2)
 	here, peer := NewBooks("a", 1), NewBooks("a", 2)
@@ -171,12 +172,13 @@
 			b.Done(ticket)
 		}
 		ticket, ok := b.PlaceDecode(at(1200), list[:1], engine, size, nil)
-		assert.Assert(t, ok, "it is tried again")
+		assert.Assert(t, ok, "engine not retried after the refusal time")
 		b.Done(ticket)
 	}
 }
 
-// TestSwitchingEngineIsPassedOver until the store lists it with its new stage.
+// TestSwitchingEngineIsPassedOver checks that an engine that was ordered to change its stage
+// gets no requests until the store lists it with the new stage.
 func TestSwitchingEngineIsPassedOver(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(1, 1)
@@ -193,8 +195,8 @@
 	assert.Assert(t, ok)
 }
 
-// TestFewEnginesOfACutZoneAreProbed guards against an instance probing every engine of a zone that
-// seems cut off.
+// TestFewEnginesOfACutZoneAreProbed guards against an instance probing every engine of a zone
+// that is suspected to be unreachable.
 func TestFewEnginesOfACutZoneAreProbed(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 1000)
@@ -217,8 +219,9 @@
 	assert.Equal(t, len(b.Trials(at(400), list)), 0)
 }
 
-// TestZoneThatSeemsCutOff: two unreachable upstreams of another zone are enough for
-// the rest of it to be avoided until one answers; the own zone is never doubted.
+// TestZoneThatSeemsCutOff checks that after two unreachable upstreams in another zone the whole
+// zone is avoided until one of its upstreams responds. The instance's own zone is never
+// suspected.
 func TestZoneThatSeemsCutOff(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 5)
@@ -233,7 +236,7 @@
 		assert.Assert(t, ok)
 		assert.Equal(t, ticket.Upstream.ID, list[4].ID)
 	}
-	assert.Equal(t, len(b.Trials(at(200), list)), 2, "those not ejected themselves are probed")
+	assert.Equal(t, len(b.Trials(at(200), list)), 2, "engines probed in the suspected zone")
 	b.Readmit(at(300), list[2])
 	_, ok := b.PlaceDecode(at(400), list[2:3], engine, size, nil)
 	assert.Assert(t, ok)
@@ -245,8 +248,8 @@
 	assert.Assert(t, ok)
 }
 
-// TestReadmittedEngineIsEjectedBySingleFailures: an engine that answers probes and
-// fails requests stays out for longer and longer.
+// TestReadmittedEngineIsEjectedBySingleFailures guards against an engine that answers probes
+// but fails requests. Each failure ejects it for longer.
 func TestReadmittedEngineIsEjectedBySingleFailures(t *testing.T) {
 	b := NewBooks("a", 1)
 	u := engines(0, 1)[0]
@@ -258,9 +261,9 @@
 	assert.Equal(t, b.books[u.ID].state(at(1600)), stateEjected)
 }
 
-// TestOutOfReachIsRefusedAtOnce: while one request finds out whether the only
-// upstream can be reached again, others are not made to wait for its time-out. One
-// that answers badly, but answers, goes on being used.
+// TestOutOfReachIsRefusedAtOnce guards against requests waiting for a connection time-out.
+// While one request retries the only upstream, to which a connection has failed, others are
+// refused at once. An upstream that fails in other ways remains in use.
 func TestOutOfReachIsRefusedAtOnce(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := service("x")
@@ -281,8 +284,8 @@
 	assert.Assert(t, ok)
 }
 
-// TestReplacedUpstreamGetsNothing, even if nothing else is left and the list still
-// names it.
+// TestReplacedUpstreamGetsNothing checks that an upstream whose address another incarnation
+// uses gets no requests or probes, even if it is the only one and still listed.
 func TestReplacedUpstreamGetsNothing(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := service("x")
@@ -296,8 +299,9 @@
 	assert.Equal(t, len(b.Trials(at(0), prefill)), 0)
 }
 
-// TestPeersHearOfDeadEngines but not of time-outs, which may lie on the way; a probe
-// ends it.
+// TestPeersHearOfDeadEngines checks that engines that refused a connection or were replaced are
+// reported to peers until a probe succeeds. Time-outs are not reported, since they may be
+// caused by the network path.
 func TestPeersHearOfDeadEngines(t *testing.T) {
 	b, peer := NewBooks("a", 1), NewBooks("b", 1)
 	list := engines(3, 0)
@@ -319,8 +323,9 @@
 	assert.Equal(t, len(b.Away(at(600)).Refusing), 1)
 }
 
-// TestRestartedUpstreamHasANewBook: what it had in flight, what refused, failed or was
-// ordered is of its former incarnation; what is still found of that counts for nothing.
+// TestRestartedUpstreamHasANewBook checks that load, rejections, failures and stage changes of
+// a former incarnation do not apply to the new one, and that later results for the former
+// incarnation are dropped.
 func TestRestartedUpstreamHasANewBook(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 1)
@@ -346,7 +351,7 @@
 	first, ok := b.PlaceDecode(at(30), fresh, engine, size, nil)
 	assert.Assert(t, ok)
 	b.Done(old)
-	assert.Equal(t, b.Busy(former.ID), 1, "the former's end frees nothing of the new one")
+	assert.Equal(t, b.Busy(former.ID), 1, "the end of a request of the former incarnation changed the load of the new one")
 	b.Done(first)
 	assert.Equal(t, b.Busy(former.ID), 0)
 }
--- a/gateway/schedule/budget.go
+++ b/gateway/schedule/budget.go
@@ -5,59 +5,62 @@
 	"time"
 )
 
-// BudgetOptions bound how often requests are sent again.
+// BudgetOptions limits how often requests are sent again.
 type BudgetOptions struct {
-	// Ratio is how many extra sends are allowed for each request of a service.
+	// Ratio is the number of extra sends allowed for each request to a service.
 	Ratio float64
-	// Window is the time over which both are counted.
+	// Window is the sliding time window over which requests and extra sends are counted.
 	Window time.Duration
-	// Slack is how many more extra sends all instances together may make in a
+	// Slack is the number of further extra sends that all instances together may make in one
 	// window.
 	Slack float64
 }
 
-// budgetMargin is the share of the budget that is used: windows slide, and
-// instances that restart forget what they spent.
+// budgetMargin is the share of the budget that is used. The rest covers the counting in steps
+// of the sliding window, and restarted instances, which lose their count of extra sends.
 const budgetMargin = 0.6
 
-// underWayMargin is the same for streams under way: without another send their answers are
-// lost, where other requests can be refused.
+// underWayMargin is the same for streams that have already started. Without another send their
+// output is lost, whereas other requests can be refused.
 const underWayMargin = 0.8
 
 const (
-	// quietShare is the share of the slack under which all instances together spend little:
-	// each may then use the whole of its part. In a large fleet the part is some two sends,
-	// and a stream that starts anew takes two.
+	// quietShare is the share of the slack up to which the spending of all instances together
+	// counts as low. Each instance may then use its whole part. In a large fleet that part is
+	// about two sends, and restarting a stream takes two.
 	quietShare = 0.3
-	// spentFresh is how long it is believed what the others spent: loads of large fleets
-	// come by two hubs, each 0.3 s.
+	// spentFresh is how long the reported spending of the other instances stays valid. In large
+	// fleets load reports pass through two hubs, each of which adds 0.3 s.
 	spentFresh = 1500 * time.Millisecond
 )
 
-// budgetSteps is into how many steps a window is divided; one more is counted, so that
-// what is counted is never shorter than a window.
+// budgetSteps is the number of steps into which a window is divided. One more step is counted,
+// so that the counted time is never shorter than a window.
 const (
 	budgetSteps  = 20
 	countedSteps = budgetSteps + 1
 )
 
-// Budget bounds extra sends to each service. Every instance spends its own part, so that
-// the sum stays in bounds without a word between them; what the others are heard to spend
-// only says how much of its part an instance may use. It is safe for concurrent use.
+// Budget limits the extra sends to each service. Every instance spends only its own part of the
+// budget, so that the total stays within the limit without coordination. The spending reported
+// by other instances only determines how much of its part an instance may use. Budget is safe
+// for concurrent use.
 type Budget struct {
 	options   BudgetOptions
 	instances func() int
-	// origin is what steps are counted from: the time of day may jump.
+	// origin is the time from which steps are counted by elapsed time. The time of day is not
+	// used since it may jump.
 	origin time.Time
 
 	mu       sync.Mutex
 	services map[string]*spending
-	// others is what the others spent by service, as of heard.
+	// others is the number of extra sends of the other instances by service, as reported at
+	// heard.
 	others map[string]int
 	heard  time.Time
 }
 
-// spending counts a service's requests and extra sends, by step of time.
+// spending counts a service's requests and extra sends in a ring of time steps.
 type spending struct {
 	step     int64
 	requests [countedSteps]int
@@ -73,15 +76,15 @@
 	return requests, extra
 }
 
-// spend counts extra sends.
+// spend adds extra sends to the current step.
 func (s *spending) spend(sends int) { s.extra[s.step%countedSteps] += sends }
 
-// NewBudget returns a budget; instances returns how many share it.
+// NewBudget returns a budget. instances returns the number of instances that share it.
 func NewBudget(now time.Time, o BudgetOptions, instances func() int) *Budget {
 	return &Budget{options: o, instances: instances, origin: now, services: map[string]*spending{}}
 }
 
-// of returns a service's spending, moved on to now. The caller holds mu.
+// of returns a service's spending, advanced to the current step. The caller holds mu.
 func (b *Budget) of(now time.Time, service string) *spending {
 	s := b.services[service]
 	if s == nil {
@@ -98,7 +101,7 @@
 	return s
 }
 
-// Request counts a caller's request.
+// Request counts a request from a client.
 func (b *Budget) Request(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,15 +122,16 @@
 	return spent
 }
 
-// SetOthers takes in what the other instances spent.
+// SetOthers records the extra sends of the other instances, by service.
 func (b *Budget) SetOthers(now time.Time, spent map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.others, b.heard = spent, now
 }
 
-// quiet reports whether all instances together spend little, as far as is known. One that
-// has just started is not sure: it forgot what it spent before. The caller holds mu.
+// quiet reports whether the known spending of all instances together is low. It is false
+// without a recent report of the others, and during the first window after a start, since an
+// instance that restarted does not know what it spent before. The caller holds mu.
 func (b *Budget) quiet(now time.Time, service string, extra int) bool {
 	if now.Sub(b.heard) > spentFresh || now.Sub(b.origin) < b.options.Window {
 		return false
@@ -135,33 +139,35 @@
 	return float64(b.others[service]+extra) <= quietShare*b.options.Slack
 }
 
-// Extra reports whether so many more sends beyond the first are allowed, and counts
-// them.
+// Extra reports whether the given number of extra sends is within the budget, and counts them
+// if so.
 func (b *Budget) Extra(now time.Time, service string, sends int) bool {
 	return b.take(now, service, sends, budgetMargin, 1)
 }
 
-// Continue is Extra for a stream that is under way.
+// Continue is like Extra for a stream that has already started.
 func (b *Budget) Continue(now time.Time, service string, sends int) bool {
 	return b.take(now, service, sends, underWayMargin, 1)
 }
 
-// Spare is Extra for sends without which nothing is lost: they leave half of the
-// budget to the others.
+// Spare is like Extra for optional sends, such as those of a migration. They use at most half
+// of the budget, which leaves the rest to necessary ones.
 func (b *Budget) Spare(now time.Time, service string, sends int) bool {
 	return b.take(now, service, sends, budgetMargin/2, budgetMargin/2)
 }
 
-// Owed counts sends that Spare sends have made necessary. At most as many can follow, so that
-// both stay within the budget.
+// Owed counts sends that became necessary because of Spare sends, without checking the budget.
+// At most as many can follow as were granted by Spare, so that both together stay within the
+// budget.
 func (b *Budget) Owed(now time.Time, service string, sends int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(now, service).spend(sends)
 }
 
-// take counts sends if with them a share of the instance's part is not exceeded: share, or
-// whileQuiet while all instances spend little.
+// take counts sends and returns true if this instance then stays within a share of its part of
+// the budget. The share is whileQuiet while all instances together spend little, and share
+// otherwise.
 func (b *Budget) take(now time.Time, service string, sends int, share, whileQuiet float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/budget_test.go
+++ b/gateway/schedule/budget_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSumStaysInBudget: instances that spend all they may, without a word between
-// them, stay under the bound in every window.
+// TestSumStaysInBudget checks that instances that each spend their whole part, without
+// coordination, together stay within the budget in every window.
 func TestSumStaysInBudget(t *testing.T) {
 	const instances = 8
 	o := BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Slack: 56}
@@ -38,14 +38,15 @@
 			requests += w.requests
 			extra += w.extra
 		}
-		assert.Assert(t, float64(extra) <= o.Ratio*float64(requests)+o.Slack, "second %d: %d of %d", s, extra, requests)
+		assert.Assert(t, float64(extra) <= o.Ratio*float64(requests)+o.Slack, "second %d: %d extra sends for %d requests", s, extra, requests)
 	}
 }
 
-// TestStreamsStartAnewInALargeFleet: a stream that broke off takes two sends. While others
-// spend little an instance of 295 may make them; when streams break off everywhere at once,
-// and each instance learns a second late what the others spent, the sum stays under the
-// bound in every window.
+// TestStreamsStartAnewInALargeFleet guards against streams that cannot be restarted in a large
+// fleet, where an instance's part of the budget is about the two sends that a restart takes.
+// While the total spending is low, each of 295 instances may restart a stream. When streams
+// fail at all instances at once, and each instance learns of the others' spending one second
+// late, the total stays within the budget in every window.
 func TestStreamsStartAnewInALargeFleet(t *testing.T) {
 	const instances = 295
 	o := BudgetOptions{Ratio: 0.2, Window: 10 * time.Second, Slack: 630}
@@ -61,7 +62,8 @@
 		sum, spent := 0, map[string]int{}
 		for i, b := range budgets {
 			b.SetOthers(now, told[0])
-			// One stream of the fleet breaks off each 0.2 s, all from 20 s on.
+			// One stream of the fleet fails every 0.2 s, and those of all instances from 20 s
+			// on.
 			if step > 100 || (step+i)%300 == 0 {
 				if b.Extra(now, "s", 2) {
 					sum += 2
@@ -78,26 +80,27 @@
 		}
 		most = max(most, window)
 		if step == 100 {
-			assert.Assert(t, started >= 25, "%d streams started anew in quiet", started)
+			assert.Assert(t, started >= 25, "%d streams restarted while spending was low", started)
 		}
 	}
-	assert.Assert(t, float64(most) <= o.Slack, "%d in 10 s", most)
+	assert.Assert(t, float64(most) <= o.Slack, "%d extra sends in 10 s", most)
 }
 
-// TestWholePartOnlyIfTheOthersAreHeard, and not by an instance that has just started.
+// TestWholePartOnlyIfTheOthersAreHeard checks that an instance uses its whole part of the
+// budget only with a recent report of low spending, and not right after its start.
 func TestWholePartOnlyIfTheOthersAreHeard(t *testing.T) {
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
 	b.SetOthers(at(0), nil)
 	assert.Assert(t, b.Extra(at(0), "s", 6))
-	assert.Assert(t, !b.Extra(at(100), "s", 1), "it has just started")
+	assert.Assert(t, !b.Extra(at(100), "s", 1), "whole part used right after the start")
 	assert.Assert(t, b.Extra(at(21000), "s", 3))
 	assert.Assert(t, b.Extra(at(21000), "s", 3))
-	assert.Assert(t, !b.Extra(at(21000), "s", 1), "nothing was heard of the others")
+	assert.Assert(t, !b.Extra(at(21000), "s", 1), "whole part used without a recent report")
 	b.SetOthers(at(40000), map[string]int{"s": 1})
 	assert.Assert(t, b.Extra(at(40000), "s", 2))
-	assert.Assert(t, b.Extra(at(40000), "s", 8), "they spend little")
+	assert.Assert(t, b.Extra(at(40000), "s", 8), "whole part refused at low spending")
 	b.SetOthers(at(60000), map[string]int{"s": 9})
-	assert.Assert(t, !b.Extra(at(60000), "s", 7), "they spend much")
+	assert.Assert(t, !b.Extra(at(60000), "s", 7), "whole part used at high spending")
 }
 
 func TestSeveralSendsCountAsMany(t *testing.T) {
@@ -105,10 +108,11 @@
 	assert.Assert(t, b.Extra(at(0), "s", 4))
 	assert.Assert(t, !b.Extra(at(0), "s", 3))
 	assert.Assert(t, b.Extra(at(0), "s", 2))
-	assert.Assert(t, b.Extra(at(11000), "s", 4), "the window has passed")
+	assert.Assert(t, b.Extra(at(11000), "s", 4), "sends still counted after the window")
 }
 
-// TestSpareSendsLeaveHalfOfTheBudget.
+// TestSpareSendsLeaveHalfOfTheBudget checks that optional sends leave half of the budget to
+// necessary ones.
 func TestSpareSendsLeaveHalfOfTheBudget(t *testing.T) {
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
 	assert.Assert(t, b.Spare(at(0), "s", 3))
@@ -124,7 +128,7 @@
 	assert.Assert(t, b.Extra(at(0), "other", 1))
 }
 
-// TestOwedSendsCount, and leave room for as much less.
+// TestOwedSendsCount checks that owed sends reduce the budget left for others.
 func TestOwedSendsCount(t *testing.T) {
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
 	b.Owed(at(0), "s", 6)
@@ -132,7 +136,8 @@
 	assert.Assert(t, !b.Extra(at(0), "s", 1))
 }
 
-// TestStreamsUnderWayMaySpendMore: what other requests leave.
+// TestStreamsUnderWayMaySpendMore checks that streams that have already started may use a part
+// of the budget that is closed to other requests.
 func TestStreamsUnderWayMaySpendMore(t *testing.T) {
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
 	assert.Assert(t, b.Extra(at(0), "s", 6))
--- a/gateway/schedule/cold.go
+++ b/gateway/schedule/cold.go
@@ -7,12 +7,12 @@
 	"github.com/wardspool/wardspool/internal/tokenbucket"
 )
 
-// ColdQuota is the rate at which an instance may send to a cold upstream, in requests a second;
-// 0 means that it may send none.
+// ColdQuota is the rate at which an instance may send to a cold upstream, in requests per
+// second; 0 means that it may send none.
 type ColdQuota float64
 
-// coldBurst is how many requests an instance may send to a cold upstream at once. All instances
-// with a quota may send their bursts at the same time.
+// coldBurst is the number of requests that an instance may send to a cold upstream at once. All
+// instances with a quota may send their bursts at the same time.
 const coldBurst = 1
 
 // SetCold sets this instance's quotas for cold upstreams. Upstreams without a quota are not
--- a/gateway/schedule/cold_test.go
+++ b/gateway/schedule/cold_test.go
@@ -76,9 +76,10 @@
 }
 
 // TestColdUpstreamsGetWhatTheyTolerate guards against overloading a cold upstream when a burst
-// follows a quiet period, and against leaving it unused. At any fleet size all instances together
-// stay within 1.5 times the tolerated rate, plus 5 requests, in any second. During the burst, when
-// each instance that may send has enough requests, the upstream gets at least half of that rate.
+// follows a period of low load, and against leaving it unused. At any fleet size all instances
+// together stay within 1.5 times the tolerated rate, plus 5 requests, in any second. During the
+// burst, when each instance that may send has enough requests, the upstream gets at least half
+// of that rate.
 func TestColdUpstreamsGetWhatTheyTolerate(t *testing.T) {
 	const rate, most, share = 21, 1.5*21 + 5, 0.75
 	for _, n := range []int{7, 60, 300, 585} {
--- a/gateway/schedule/compute.go
+++ b/gateway/schedule/compute.go
@@ -7,11 +7,12 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// selfSpeed is the speed at which decode engines compute prompts, as a share of a
-// prefill engine's; they do it in between their streams' tokens.
+// selfSpeed is the throughput of decode engines when they compute prompts, relative to that of
+// a prefill engine. They compute prompts between the output tokens of their streams.
 const selfSpeed = 0.5
 
-// compute is what the decode engine has to compute before it can go on.
+// compute returns the number of tokens that the decode engine has to compute before it can
+// continue the output.
 func (s Size) compute() int {
 	switch {
 	case s.Copied:
@@ -23,9 +24,10 @@
 	}
 }
 
-// mayCompute reports whether a decode engine may compute what a request needs itself:
-// only if its running streams stay within their pace objective, or it has none. More
-// than that at once makes all of its streams late. The caller holds mu.
+// mayCompute reports whether a decode engine may compute the tokens that a request needs: if
+// its running streams are then not paused for longer than size.MaxPause, if there is no such
+// limit, or if the engine has no requests. A longer computation would delay all of the engine's
+// streams. The caller holds mu.
 func (b *Books) mayCompute(k *book, e *routing.Engine, size Size) bool {
 	if size.compute() == 0 || size.MaxPause <= 0 || k.requests+k.peerRequests == 0 {
 		return true
@@ -36,8 +38,8 @@
 	return computing/(selfSpeed*r.prefill.rate())+event <= size.MaxPause.Seconds()
 }
 
-// OverflowTime is how long a decode engine takes for a prompt; false if none falls to this
-// instance while prefill engines are busy.
+// OverflowTime returns how long a decode engine takes to compute a prompt. It reports false if
+// this instance may not use any decode engine for prompts while prefill engines are busy.
 func (b *Books) OverflowTime(service string, tokens int) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,18 +49,17 @@
 	return time.Duration(float64(b.rateOf(service).prefill.time(tokens)) / selfSpeed), true
 }
 
-// SetOverflow says at which decode engines this instance may have prompts computed while
-// prefill engines are busy. Each falls to one instance: a prompt takes 200 ms there, and
-// what peers do is known after 300, so that two would meet at one engine and pause its
-// streams for longer than their pace objective.
+// SetOverflow sets the decode engines on which this instance may have prompts computed while
+// prefill engines are busy. Each engine is assigned to one instance only. A prompt takes 200 ms
+// there, but the load of peers is known only after 300 ms, so that two instances could choose
+// the same engine and pause its streams for longer than their limit.
 func (b *Books) SetOverflow(engines map[ident.UpstreamID]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.overflow = engines
 }
 
-// Computed takes in that a decode engine is done with a prompt that it computed
-// itself.
+// Computed records that a decode engine has finished computing a prompt itself.
 func (b *Books) Computed(t Ticket) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/compute_test.go
+++ b/gateway/schedule/compute_test.go
@@ -9,8 +9,9 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// TestOnePromptAtATimeAtADecodeEngine, counting peers', and none that would make its
-// running streams late.
+// TestOnePromptAtATimeAtADecodeEngine guards against pausing the running streams of a decode
+// engine for longer than permitted, by computing several prompts at once, including those of
+// peers, or one that is too long.
 func TestOnePromptAtATimeAtADecodeEngine(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 1)
@@ -28,24 +29,25 @@
 	long := self
 	long.Prompt = 9000
 	_, ok = b.PlaceDecode(at(30), list, engine, long, nil)
-	assert.Assert(t, !ok, "325 ms and an event")
+	assert.Assert(t, !ok, "placed although it takes 325 ms and the time of an event")
 	resumed := Size{Prompt: 9000, Estimate: 5000, Produced: 3000, MaxPause: self.MaxPause}
 	reading, ok := b.PlaceDecode(at(30), list, engine, resumed, nil)
-	assert.Assert(t, ok, "only what was generated is read in")
+	assert.Assert(t, ok, "refused although only the output so far has to be computed")
 	_, ok = b.PlaceDecode(at(30), list, engine, self, nil)
 	assert.Assert(t, !ok)
 	b.Done(reading)
 	b.Done(first)
 	alone, ok := b.PlaceDecode(at(40), list, engine, long, nil)
-	assert.Assert(t, ok, "no stream is there to be late")
+	assert.Assert(t, ok, "refused although the engine has no streams")
 	b.Done(alone)
 	b.SetPeers(at(50), map[ident.UpstreamID]*InFlight{"a": {Requests: 1, Tokens: 3000}})
 	_, ok = b.PlaceDecode(at(50), list, engine, self, nil)
 	assert.Assert(t, !ok)
 }
 
-// TestOverflowGoesToEnginesOfTheInstance only, and to these only while their streams stay
-// within the pace objective.
+// TestOverflowGoesToEnginesOfTheInstance checks that, while prefill engines are busy, prompts
+// are computed only at the decode engines assigned to this instance, and only as long as the
+// pauses of their streams stay within the limit.
 func TestOverflowGoesToEnginesOfTheInstance(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 2)
@@ -57,5 +59,5 @@
 	assert.Assert(t, ok)
 	assert.Equal(t, ticket.Upstream.ID, ident.UpstreamID("b"))
 	_, ok = b.PlaceDecode(at(10), list, engine, size, nil)
-	assert.Assert(t, !ok, "two prompts would pause its stream for over 300 ms")
+	assert.Assert(t, !ok, "placed although two prompts pause the stream for over 300 ms")
 }
--- a/gateway/schedule/demand.go
+++ b/gateway/schedule/demand.go
@@ -6,45 +6,49 @@
 )
 
 const (
-	// demandHalfLife is how fast old demand is forgotten: as fast as the memory of a
-	// decode engine follows it, whose streams last 2.7 to 3.5 s, so that a burst of
-	// 4 s shows. What a burst showed is remembered by Peaks.
+	// demandHalfLife is the half-life of old demand. It matches how fast the memory use of a
+	// decode engine follows the demand, with streams of 2.7 to 3.5 s, so that a burst of 4 s is
+	// visible. Peaks retains the demand of bursts for longer.
 	demandHalfLife = 2 * time.Second
-	// leastDemandAge keeps a first request from counting as a high rate.
+	// leastDemandAge is the shortest time over which demand is averaged. It keeps the first
+	// request from counting as a high rate.
 	leastDemandAge = time.Second
-	// defaultTokenTime stands until the second event of a first stream: known engines
-	// take 0.6 to 5.3 ms.
+	// defaultTokenTime is assumed until the second event of the first stream arrives. Known
+	// engines take 0.6 to 5.3 ms per token.
 	defaultTokenTime = 650 * time.Microsecond
-	// tokenTimeWeight is the weight of one event in the moving time of a token: with
-	// 100 events a second at an instance, two thirds of it are of the last 0.5 s.
+	// tokenTimeWeight is the weight of one event in the moving average of the time per token.
+	// With 100 events per second at an instance, two thirds of the average come from the last
+	// 0.5 s.
 	tokenTimeWeight = 0.02
 )
 
-// rate is what was measured of a service's engines.
+// rate holds the measured performance of a service's engines.
 type rate struct {
-	// prefill is the pace of prefill engines.
+	// prefill is the throughput of prefill engines.
 	prefill prefillPace
-	// tokenTime is the mean time of one output token, in seconds, tokenMeasured
-	// whether it was seen or is the default.
+	// tokenTime is the mean time per output token, in seconds. tokenMeasured is false while it
+	// is the default.
 	tokenTime     float64
 	tokenMeasured bool
-	// firstEvent is the mean time to a stream's first event, in seconds.
+	// firstEvent is the mean time until a stream's first event, in seconds.
 	firstEvent float64
-	// variance is that of the logarithm of output length over its estimate.
+	// variance is that of the logarithm of the ratio of output length to its estimate.
 	variance float64
 }
 
-// demand is the work that callers asked for, decaying.
+// demand is the exponentially decaying sum of the work that clients requested from a service.
 type demand struct {
-	// since is when the first request came.
+	// since is when the first request arrived.
 	since time.Time
 	at    time.Time
-	// work has memory in tokens held times tokens generated meanwhile, and streams in
-	// tokens generated: what a token takes is known better when they are read.
+	// work holds memory as tokens held multiplied by output tokens generated meanwhile, and
+	// streams as output tokens. Both are converted with the time per token when they are read,
+	// since that is known more precisely by then.
 	work Work
 }
 
-// rateOf returns the measured rates of a service. The caller holds mu.
+// rateOf returns the measured performance of a service, with defaults before any measurement.
+// The caller holds mu.
 func (b *Books) rateOf(service string) *rate {
 	r := b.rates[service]
 	if r == nil {
@@ -54,14 +58,14 @@
 	return r
 }
 
-// PrefillDone takes in how long a prefill took.
+// PrefillDone records how long a prefill engine took for a prompt.
 func (b *Books) PrefillDone(service string, tokens int, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rateOf(service).prefill.learn(tokens, took)
 }
 
-// StreamStarted takes in how long a decode engine took for the first event.
+// StreamStarted records how long a decode engine took until the first event.
 func (b *Books) StreamStarted(service string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,16 +73,17 @@
 	r.firstEvent += latencyWeight * (took.Seconds() - r.firstEvent)
 }
 
-// StreamDone takes in a stream that ended: what its length was estimated to be, what
-// it was.
+// StreamDone records the estimated and the actual output length of a completed stream, in
+// tokens.
 func (b *Books) StreamDone(service string, estimate, output int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rateOf(service).learnSpread(estimate, output)
 }
 
-// learnTokenTime takes in how long a running stream took for some tokens. Streams that have
-// ended would tell too late: after a start the first orders need it.
+// learnTokenTime records how long a running stream took for a number of tokens. Completed
+// streams alone would give the value too late, since it is needed for the first stage changes
+// after a start.
 func (r *rate) learnTokenTime(took time.Duration, tokens int) {
 	if took <= 0 || tokens <= 0 {
 		return
@@ -91,15 +96,15 @@
 	r.tokenTime += tokenTimeWeight * (seen - r.tokenTime)
 }
 
-// FirstEvent returns how long a decode engine is expected to take for the first
-// event.
+// FirstEvent returns how long a decode engine is expected to take until the first event.
 func (b *Books) FirstEvent(service string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return time.Duration(b.rateOf(service).firstEvent * float64(time.Second))
 }
 
-// Asked counts a caller's request in the demand of a service.
+// Asked adds a client's request to the demand of a service. prompt and output are in tokens,
+// output being an estimate.
 func (b *Books) Asked(now time.Time, service string, prompt, output int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,7 +120,7 @@
 	d.work.Memory += (float64(prompt) + float64(output)/2) * float64(output)
 }
 
-// decay forgets demand as time passes.
+// decay reduces the sums according to the time that has passed.
 func (d *demand) decay(now time.Time) {
 	passed := now.Sub(d.at)
 	if passed <= 0 {
@@ -126,14 +131,15 @@
 	d.at = now
 }
 
-// scale turns the decaying sums into rates a second, also while they still build up.
+// scale returns the factor that converts the decaying sums into rates per second. It accounts
+// for sums that still build up after the first request.
 func (d *demand) scale(now time.Time) float64 {
 	age := max(leastDemandAge, now.Sub(d.since))
 	full := 1 - math.Exp2(-age.Seconds()/demandHalfLife.Seconds())
 	return math.Ln2 / demandHalfLife.Seconds() / full
 }
 
-// Demand returns what this instance's callers ask of a service.
+// Demand returns the demand of this instance's clients for a service.
 func (b *Books) Demand(now time.Time, service string) Need {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -148,13 +154,13 @@
 	n.Memory *= r.tokenTime
 	n.Streams *= r.tokenTime
 	if r.tokenMeasured {
-		// Of long prompts: their fixed time counts in, as it does in the work.
+		// Only long prompts count. Their fixed time is included, as it is in the demand.
 		n.Paces = r.prefill.long.paces()
 	}
 	return n
 }
 
-// DemandServices lists the services with demand.
+// DemandServices returns the services with demand.
 func (b *Books) DemandServices() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/demand_test.go
+++ b/gateway/schedule/demand_test.go
@@ -22,8 +22,8 @@
 	assert.Assert(t, math.Abs(need.Streams-want/1000) < want/20000, "%v", need.Streams)
 }
 
-// TestTokenTimeIsLearnedWhileStreamsRun: not only when the first has ended, 3.5 s after
-// a start.
+// TestTokenTimeIsLearnedWhileStreamsRun guards against learning the time per token only from
+// the first completed stream, 3.5 s after a start.
 func TestTokenTimeIsLearnedWhileStreamsRun(t *testing.T) {
 	b := NewBooks("a", 1)
 	ticket, ok := b.PlaceDecode(at(0), engines(0, 1), engine, Size{Prompt: 3000, Estimate: 640}, nil)
@@ -34,5 +34,5 @@
 	assert.Assert(t, math.Abs(b.rateOf("m").tokenTime-0.0053) < 0.0001, "%v", b.rateOf("m").tokenTime)
 	need := b.Demand(at(1000), "m")
 	want := 640 * 0.0053 * need.Prefill / 3000
-	assert.Assert(t, math.Abs(need.Streams-want) < want/50, "what was asked before counts with it: %v, want %v", need.Streams, want)
+	assert.Assert(t, math.Abs(need.Streams-want) < want/50, "earlier requests do not use the measured time per token: %v, want %v", need.Streams, want)
 }
--- a/gateway/schedule/doubt.go
+++ b/gateway/schedule/doubt.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// doubtWindow is the time within which failures in one zone belong together.
+	// doubtWindow is the time within which failures in one zone count as related.
 	doubtWindow = 1500 * time.Millisecond
-	// doubtAfter is how many upstreams of a zone must have been unreachable.
+	// doubtAfter is the number of a zone's upstreams that must have been unreachable for the
+	// zone to be suspected.
 	doubtAfter = 2
-	// doubtFor is how long a zone is doubted after the last failure.
+	// doubtFor is how long a zone remains suspected after the last failure.
 	doubtFor = 3 * time.Second
 )
 
-// doubt is what speaks for a zone being cut off from this instance. Finding that
-// out upstream by upstream costs each a request that waits for a time-out.
+// doubt is the evidence that a zone is unreachable from this instance. Detecting that for each
+// upstream separately would cost one request per upstream that waits for a time-out.
 type doubt struct {
 	since time.Time
 	last  time.Time
-	// failed are the upstreams that were unreachable since.
+	// failed holds the upstreams that were unreachable since then.
 	failed map[ident.UpstreamID]bool
 }
 
-// doubt notes that an upstream was unreachable. The caller holds mu.
+// doubt records that an upstream was unreachable. The instance's own zone is never suspected.
+// The caller holds mu.
 func (b *Books) doubt(now time.Time, k *book) {
 	zone := k.up.Zone
 	if zone == b.zone {
@@ -39,9 +41,9 @@
 	d.failed[k.up.ID] = true
 }
 
-// doubtQuiet notes the engines of other zones that fell silent in the middle of
-// streams: a cut shows there within quietAfter, and not only when the first new
-// requests have waited for time-outs of 400 to 500 ms. The caller holds mu.
+// doubtQuiet records the engines of other zones whose streams have stalled. This detects a
+// network partition within quietAfter, instead of only after the first new requests have waited
+// for time-outs of 400 to 500 ms. The caller holds mu.
 func (b *Books) doubtQuiet(now time.Time) {
 	for id := range b.active {
 		if k := b.books[id]; k != nil && k.quiet(now) {
@@ -50,8 +52,8 @@
 	}
 }
 
-// doubted reports whether an upstream is in a zone that seems cut off, and has not
-// answered since that began. The caller holds mu.
+// doubted reports whether an upstream is in a zone that is suspected to be unreachable, and has
+// not responded since the first failure there. The caller holds mu.
 func (b *Books) doubted(now time.Time, k *book) bool {
 	d := b.doubts[k.up.Zone]
 	if d == nil || len(d.failed) < doubtAfter || now.Sub(d.last) > doubtFor {
--- a/gateway/schedule/engines.go
+++ b/gateway/schedule/engines.go
@@ -12,70 +12,71 @@
 )
 
 const (
-	// usableMemory is the share of an engine's memory that is planned with: peers'
-	// forecasts are some 300 ms old, and outputs may all turn out long. An engine
-	// that runs out preempts a request, which costs its prompt a second time and
-	// a pause of about 300 ms.
+	// usableMemory is the share of an engine's memory that requests are planned into. The rest
+	// allows for peers' forecasts, which are about 300 ms old, and for outputs that are all
+	// longer than estimated. An engine that runs out of memory preempts a request, whose prompt
+	// then has to be computed again, and pauses for about 300 ms.
 	usableMemory = 0.92
-	// unseenRoom is the share of what others are expected to have placed unseen for which the
-	// engines must have room. Were it all, more streams would be refused than are saved from
-	// being preempted.
+	// unseenRoom is the share of the unseen placements, those that other instances are expected
+	// to have made but not yet reported, for which the engines must have free memory. With the
+	// full amount more streams would be refused than are saved from preemption.
 	unseenRoom = 0.25
-	// ownZone is how much more of its memory a decode engine of another zone must
-	// have left to be preferred: streams within the zone outlive a cut between
-	// zones, and bytes between zones are priced.
+	// ownZone is how much more of its memory, as a share, a decode engine of another zone must
+	// have free to be preferred. Streams within the zone survive a network partition between
+	// zones, and traffic between zones is charged for.
 	ownZone = 0.12
-	// zoneRoom is the share of its memory that a decode engine of the own zone must
-	// have left for the others not to be looked at: among many engines that are all nearly
-	// as good, most streams would run in other zones.
+	// zoneRoom is the share of its memory that a decode engine of the instance's zone must have
+	// free for other zones to be disregarded. Otherwise most streams would run in other zones
+	// in a large fleet, where many engines are about equally good.
 	zoneRoom = 0.3
-	// holdShare is the share of the estimated output that is reserved: what is reserved and
-	// not yet used is refused to others.
+	// holdShare is the share of the estimated output for which memory is reserved. Memory that
+	// is reserved but not yet used is not available to other requests.
 	holdShare = 0.25
-	// fullFor is how long an engine that refused a reservation is not asked for as
-	// much again: a stream ends somewhere every 50 to 80 ms at the peak.
+	// fullFor is how long an engine that rejected a reservation is not asked again for as much
+	// memory. At peak load a stream ends somewhere every 50 to 80 ms.
 	fullFor = 60 * time.Millisecond
-	// closeEnough is the share of memory by which two engines count as equally
-	// free; between them the choice is random, so that instances that see the
-	// same don't all choose the same.
+	// closeEnough is the difference in free memory, as a share, below which two engines count
+	// as equally free. The choice between them is random, so that instances with the same view
+	// do not all choose the same engine.
 	closeEnough = 0.08
 )
 
-// Size is the memory that a request is expected to take, in tokens.
+// Size describes the memory and computation that a request is expected to need. Lengths are in
+// tokens.
 type Size struct {
 	Prompt int
 	// Estimate is the expected length of the whole output.
 	Estimate int
-	// Produced is the part of the output that was generated elsewhere before, which
-	// the decode engine has to read in.
+	// Produced is the length of the output that another engine has already generated. The
+	// decode engine has to compute its KV cache unless Copied is set.
 	Produced int
-	// Copied means that what was produced comes with a copy of the KV cache.
+	// Copied means that the KV cache of the output so far is transferred to the engine.
 	Copied bool
-	// Kept is what the engine At itself keeps of prompt and output; no other engine
-	// will do then.
+	// Kept is the number of tokens of prompt and output whose KV cache the engine At still
+	// holds. With At set the request can be placed only there.
 	Kept int
 	At   ident.UpstreamID
-	// Self means that the decode engine has to compute the prompt itself, for
-	// which it pauses its streams; by MaxPause at most, 0 for any time.
+	// Self means that the decode engine has to compute the prompt itself, which pauses its
+	// streams. MaxPause is the longest permitted pause, 0 for no limit.
 	Self     bool
 	MaxPause time.Duration
-	// Overflow means that prefill engines are only busy: the decode engine must be one
-	// at which this instance alone may do so.
+	// Overflow means that prefill engines are reachable but busy. The request can then only be
+	// placed on an engine given to SetOverflow.
 	Overflow bool
-	// Apart means that the request may crash its engine: it gets the one with the fewest
-	// neighbours, in whatever zone.
+	// Apart means that the request may crash its engine. It is placed on the engine with the
+	// fewest other requests, in any zone.
 	Apart bool
 }
 
-// HoldTokens is the memory to reserve for a request. What the reservation doesn't
-// cover is left to the forecast.
+// HoldTokens returns the memory to reserve for a request, in tokens. Memory beyond the
+// reservation is accounted for only by the forecast.
 func (s Size) HoldTokens() int {
 	return s.Prompt + s.Produced + int(holdShare*float64(max(0, s.Estimate-s.Produced)))
 }
 
-// PlaceDecode chooses the decode engine for a request: of those whose memory is
-// expected to suffice until the request ends, the one with the most left. It
-// reports false if there is none.
+// PlaceDecode places a request on a decode engine: among those whose memory is expected to
+// suffice until the request ends, one with the most free memory. It reports false if there is
+// none.
 func (b *Books) PlaceDecode(now time.Time, list []dialect.Upstream, e *routing.Engine, size Size, exclude []ident.UpstreamID) (Ticket, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,8 +96,8 @@
 	return t, true
 }
 
-// openDecode returns the decode engines with room, for what other instances may have placed
-// unseen too. The caller holds mu.
+// openDecode returns the decode engines with enough memory for the request and for unseen
+// placements of other instances. The caller holds mu.
 func (b *Books) openDecode(now time.Time, list []dialect.Upstream, e *routing.Engine, size Size, run running, exclude []ident.UpstreamID, unseen float64) []candidate {
 	b.doubtQuiet(now)
 	var open []candidate
@@ -124,9 +125,10 @@
 	return withRoomFor(open, unseenRoom*unseen*run.share(e))
 }
 
-// withRoomFor returns the most engines that can each take an equal part of what others are
-// expected to have placed there, a share of an engine's memory: they too place it only where
-// there is room.
+// withRoomFor returns the largest set of engines that can each hold an equal part of the
+// placements expected from other instances. placed and the free memory are shares of one
+// engine's memory. Other instances, too, place requests only where memory is free. It sorts
+// open in place.
 func withRoomFor(open []candidate, placed float64) []candidate {
 	slices.SortFunc(open, func(a, c candidate) int { return cmp.Compare(c.left, a.left) })
 	for len(open) > 0 && open[len(open)-1].left < placed/float64(len(open)) {
@@ -135,9 +137,9 @@
 	return open
 }
 
-// preferOwn leaves out the engines of other zones while one of the own has plenty of
-// room; of the unseen placements, only those at what is left count then. The caller
-// holds mu.
+// preferOwn removes the engines of other zones if one of the instance's zone has more than
+// zoneRoom of its memory free. It returns the remaining engines and their part of the unseen
+// placements. The caller holds mu.
 func (b *Books) preferOwn(open []candidate, unseen float64) ([]candidate, float64) {
 	var own []candidate
 	roomy := false
@@ -153,7 +155,7 @@
 	return own, unseen * float64(len(own)) / float64(len(open))
 }
 
-// serviceOf returns the service of a list of upstreams.
+// serviceOf returns the service of a list of upstreams, all of which belong to the same one.
 func serviceOf(list []dialect.Upstream) string {
 	if len(list) == 0 {
 		return ""
@@ -161,15 +163,14 @@
 	return list[0].Service
 }
 
-// open reports whether an engine may be given a request now: it keeps promises,
-// and if it failed lately, a probe has found it answering since. The caller holds
-// mu.
+// open reports whether an engine may get a request now: it is not expected to reject it, and
+// has answered a probe since its last failure. The caller holds mu.
 func (b *Books) open(now time.Time, k *book) bool {
 	return !k.away(now) && b.stateIn(now, k) == stateGood
 }
 
-// left returns the share of an engine's memory that is expected to stay unused
-// with one more request, and whether the request fits. The caller holds mu.
+// left returns the share of an engine's usable memory that is expected to stay free with one
+// more request, and whether the request fits. The caller holds mu.
 func (b *Books) left(now time.Time, k *book, e *routing.Engine, run running) (float64, bool) {
 	if !b.open(now, k) {
 		return 0, false
@@ -186,7 +187,7 @@
 	return left / total, left >= 0
 }
 
-// Progress takes in how many tokens a request's output has.
+// Progress records the number of output tokens that a request has produced so far.
 func (b *Books) Progress(now time.Time, t Ticket, produced int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -204,7 +205,7 @@
 	}
 }
 
-// Full takes in that an engine refused a reservation.
+// Full records that an engine rejected a reservation of the given number of tokens.
 func (b *Books) Full(now time.Time, u dialect.Upstream, tokens int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -216,13 +217,14 @@
 	k.fullTokens = tokens
 }
 
-// PlacePrefill chooses the prefill engine for a prompt: the one that is expected
-// to be done with it first. near is the zone of the decode engine. With all of them
-// failing, the one that is due to be tried first is taken, since decode engines that
-// compute prompts themselves pause all their streams. It reports false if none is in
-// reach: each request would wait for two time-outs of 400 ms, with memory reserved,
-// before a decode engine of its own zone computed its prompt. Probes find out when
-// one is back.
+// PlacePrefill places a prompt on the prefill engine that is expected to complete it first, as
+// far as the other instances' placements are known. near is the zone of the decode engine. If
+// all prefill engines fail, it uses the one whose ejection ends first, since a decode engine
+// that computes a prompt itself pauses all of its streams.
+//
+// It reports false if no prefill engine is reachable. Otherwise each request would wait for two
+// time-outs of 400 ms, with memory reserved, before a decode engine of its zone computed the
+// prompt. Probes detect when an engine is reachable again.
 func (b *Books) PlacePrefill(now time.Time, list []dialect.Upstream, tokens int, near ident.Zone, exclude []ident.UpstreamID) (Ticket, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -237,8 +239,8 @@
 	return b.place(now, best, tokens), true
 }
 
-// PrefillWait returns how long a prompt is expected to take at the prefill engine
-// that would be done with it first; false if none may be used.
+// PrefillWait returns how long a prompt is expected to take at the prefill engine that would
+// complete it first, including the queue. It reports false if no engine is available.
 func (b *Books) PrefillWait(now time.Time, list []dialect.Upstream, tokens int) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -249,19 +251,18 @@
 	return b.prefillTime(now, best, tokens), true
 }
 
-// prefillTime is how long a prompt takes at an engine behind what is queued there.
-// The caller holds mu.
+// prefillTime returns how long an engine takes to complete a prompt, including those queued
+// before it. The caller holds mu.
 func (b *Books) prefillTime(now time.Time, k *book, tokens int) time.Duration {
 	usual := b.rateOf(k.up.Service).prefill.time(k.tokens + k.peerTokens + tokens)
 	return time.Duration(b.slowdown(now, k) * float64(usual))
 }
 
-// openPrefill returns the open prefill engines with their costs. The caller holds
-// mu.
+// openPrefill returns the available prefill engines with their costs. The caller holds mu.
 func (b *Books) openPrefill(now time.Time, list []dialect.Upstream, tokens int, near ident.Zone, exclude []ident.UpstreamID) []candidate {
 	usual := b.usualLatency(dialect.StagePrefill)
-	// A prompt of unknown length has 0 tokens, which would make its request cost 0 and the
-	// water level NaN.
+	// A prompt of unknown length has 0 tokens. Its request cost would be 0 and the water level
+	// NaN.
 	tokens = max(1, tokens)
 	b.doubtQuiet(now)
 	var open []candidate
@@ -289,9 +290,9 @@
 	return out
 }
 
-// prefillCost is the work before a prompt's result at an engine, in tokens scaled by the
-// engine's slowdown. It is higher for engines that fail, and for engines of unknown pace whose
-// latency exceeds usual, in seconds. The caller holds mu.
+// prefillCost returns the number of tokens that an engine has to compute to complete a prompt,
+// scaled by the engine's slowdown. The cost is higher for engines that fail, and for engines of
+// unknown throughput whose latency exceeds usual, in seconds. The caller holds mu.
 func (b *Books) prefillCost(now time.Time, k *book, tokens int, near ident.Zone, usual float64) float64 {
 	c := float64(k.tokens+k.peerTokens+tokens) * b.slowdown(now, k)
 	if k.pace(now) == 0 && k.latency > 0 {
@@ -300,8 +301,8 @@
 	return b.weigh(now, k, c, near)
 }
 
-// usualLatency returns the lowest latency of the engines of a stage, in seconds.
-// The caller holds mu.
+// usualLatency returns the lowest mean latency among the engines of a stage, in seconds. The
+// caller holds mu.
 func (b *Books) usualLatency(s dialect.Stage) float64 {
 	lowest := math.Inf(1)
 	for _, k := range b.books {
--- a/gateway/schedule/engines_test.go
+++ b/gateway/schedule/engines_test.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// TestDecodeEnginesAreNotOverfilled: the forecast of all requests stays within the
-// planned memory, and the load is spread.
+// TestDecodeEnginesAreNotOverfilled checks that the memory forecast of all requests stays
+// within the usable memory, and that requests are spread over the engines.
 func TestDecodeEnginesAreNotOverfilled(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 2)
@@ -29,14 +29,14 @@
 	for id, n := range placed {
 		total += n
 		f := b.ownForecast(b.books[id])
-		assert.Assert(t, f.peak() <= int(usableMemory*float64(engine.KVTokens)), "%s: %d", id, f.peak())
+		assert.Assert(t, f.peak() <= int(usableMemory*float64(engine.KVTokens)), "%s: forecast peak %d", id, f.peak())
 	}
-	assert.Assert(t, total >= 16 && total <= 20, "%d", total)
+	assert.Assert(t, total >= 16 && total <= 20, "%d placed", total)
 	assert.Assert(t, math.Abs(float64(placed["a"]-placed["b"])) <= 2, "%v", placed)
 }
 
-// TestPeersForecastLeavesNoRoom: memory that peers foresee for their requests is
-// not given away here.
+// TestPeersForecastLeavesNoRoom checks that memory that peers forecast for their requests is
+// not planned for others.
 func TestPeersForecastLeavesNoRoom(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 1)
@@ -48,10 +48,11 @@
 	full.Memory.Add([]int{60000, 70000, 80000, 85000, 0, 0, 0, 0, 0, 0})
 	b.SetPeers(at(0), map[ident.UpstreamID]*InFlight{"a": full})
 	_, ok = b.PlaceDecode(at(0), list, engine, size, nil)
-	assert.Assert(t, !ok, "the peak is 0.9 s ahead")
+	assert.Assert(t, !ok, "placed although the forecast peak in 0.9 s leaves no memory")
 }
 
-// TestRefusedReservationIsNotRepeatedAtOnce, but a smaller one may fit.
+// TestRefusedReservationIsNotRepeatedAtOnce checks that after a rejected reservation the engine
+// is briefly not asked for as much memory again, while smaller reservations are still possible.
 func TestRefusedReservationIsNotRepeatedAtOnce(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 1)
@@ -87,15 +88,15 @@
 	}
 }
 
-// TestForecastGrowsAndEnds: a request's memory grows by its output and is free when
-// the output is expected to end.
+// TestForecastGrowsAndEnds checks that a request's forecast memory grows with its output and is
+// released when the output is expected to end.
 func TestForecastGrowsAndEnds(t *testing.T) {
 	f := running{prompt: 1000, estimate: 900}.forecast(0.001, 0.1)
 	assert.Equal(t, f[0], 1000)
 	assert.Equal(t, f[2], 1600)
 	assert.Equal(t, f[4], 0)
 	long := running{prompt: 1000, estimate: 900, produced: 2000}.forecast(0.001, 0.5)
-	assert.Assert(t, long[0] == 3000 && long[1] > 3000, "one that outgrew its estimate goes on: %v", long)
+	assert.Assert(t, long[0] == 3000 && long[1] > 3000, "output longer than estimated not expected to continue: %v", long)
 }
 
 func TestExpectedOutputRisesWithWhatWasProduced(t *testing.T) {
@@ -116,11 +117,10 @@
 	assert.Assert(t, b.rateOf("m").spread() == leastSpread)
 }
 
-// TestStagesFollowDemand: an idle prefill engine becomes a decode engine when
-// memory is short, and the other way round; a balanced service stays as it is.
-// TestUnexplainedMemoryLeavesNoRoom: what an engine reports beyond all known
-// requests, such as streams of an instance that died, is not given away; reports
-// lag, so that whatever was known lately explains them.
+// TestUnexplainedMemoryLeavesNoRoom guards against filling an engine beyond its memory. Memory
+// that an engine reports beyond that of all known requests, such as that of streams of a
+// crashed instance, is not available. Since reports are delayed, the highest recently known
+// memory use accounts for them.
 func TestUnexplainedMemoryLeavesNoRoom(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 1)
@@ -128,7 +128,7 @@
 	ticket, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, ok)
 	b.SetPeers(at(100), nil)
-	assert.Equal(t, b.Reported(at(200), list[0], dialect.Report{UsedTokens: 90000}), 0, "it has just started")
+	assert.Equal(t, b.Reported(at(200), list[0], dialect.Report{UsedTokens: 90000}), 0, "report used right after the start")
 	b.SetPeers(at(1200), nil)
 	b.Done(ticket)
 	assert.Equal(t, b.Reported(at(2000), list[0], dialect.Report{UsedTokens: 40000}), 0)
@@ -142,11 +142,12 @@
 	_, ok = peer.PlaceDecode(at(3100), list, engine, size, nil)
 	assert.Assert(t, !ok)
 	_, ok = b.PlaceDecode(at(7000), list, engine, size, nil)
-	assert.Assert(t, ok, "an old report is not believed")
+	assert.Assert(t, ok, "outdated report still used")
 }
 
-// TestPrefillEnginesAreUsedWhileThereAreAny: with all of them ejected the one due
-// first is tried, and only without any in reach does a decode engine have to do it.
+// TestPrefillEnginesAreUsedWhileThereAreAny checks that with all prefill engines ejected, the
+// one whose ejection ends first is used, and that PlacePrefill fails for a list without prefill
+// engines.
 func TestPrefillEnginesAreUsedWhileThereAreAny(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(2, 1)
@@ -164,7 +165,8 @@
 	assert.Assert(t, !ok)
 }
 
-// TestPrefillWaitGrowsWithTheQueue, peers' included.
+// TestPrefillWaitGrowsWithTheQueue checks that the expected wait includes the queued prompts of
+// this instance and of its peers.
 func TestPrefillWaitGrowsWithTheQueue(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(1, 0)
@@ -179,8 +181,9 @@
 	assert.Equal(t, busier, 4*idle)
 }
 
-// TestPrefillOutOfReachIsNotWaitedFor: no request waits for the time-outs of prefill
-// engines that can't be connected to; a probe brings them back.
+// TestPrefillOutOfReachIsNotWaitedFor guards against requests waiting for the time-outs of
+// prefill engines to which no connection can be established. A successful probe puts an engine
+// back into use.
 func TestPrefillOutOfReachIsNotWaitedFor(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(2, 1)
@@ -198,8 +201,8 @@
 	assert.Equal(t, ticket.Upstream.ID, list[1].ID)
 }
 
-// TestResumedStreamTakesWhatItHas: the output so far counts in the reservation and in
-// the forecast.
+// TestResumedStreamTakesWhatItHas checks that the output so far counts in the reservation and
+// in the forecast of a resumed stream.
 func TestResumedStreamTakesWhatItHas(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 1)
@@ -211,8 +214,8 @@
 	assert.Assert(t, b.ownForecast(b.books["a"])[0] >= 8000)
 }
 
-// TestQuietEngineGetsNoMoreRequests: one that sends nothing in the middle of streams
-// is not given further ones until something comes from it.
+// TestQuietEngineGetsNoMoreRequests checks that an engine whose running streams have stalled
+// gets no further requests until it sends something.
 func TestQuietEngineGetsNoMoreRequests(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 1)
@@ -221,21 +224,21 @@
 	assert.Assert(t, ok)
 	later := 1000 + int(quietAfter.Milliseconds())
 	waiting, ok := b.PlaceDecode(at(later), list, engine, size, nil)
-	assert.Assert(t, ok, "a stream that has not begun says nothing yet")
+	assert.Assert(t, ok, "engine avoided because of a stream that has not started")
 	b.Done(waiting)
 	b.Progress(at(1000), running, 64)
 	_, ok = b.PlaceDecode(at(later), list, engine, size, nil)
 	assert.Assert(t, ok)
 	_, ok = b.PlaceDecode(at(later+1), list, engine, size, nil)
 	assert.Assert(t, !ok)
-	assert.Equal(t, len(b.Trials(at(later+1), list)), 1, "it is probed")
+	assert.Equal(t, len(b.Trials(at(later+1), list)), 1, "engines to probe")
 	b.Progress(at(later+2), running, 128)
 	_, ok = b.PlaceDecode(at(later+3), list, engine, size, nil)
 	assert.Assert(t, ok)
 }
 
-// TestQuietEnginesShowACut: two engines of a zone that fall silent in the middle of
-// streams have the whole zone avoided, prefill engines too.
+// TestQuietEnginesShowACut checks that stalled streams at two engines of a zone cause the whole
+// zone to be avoided, including its prefill engines.
 func TestQuietEnginesShowACut(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(2, 3)
@@ -257,7 +260,8 @@
 	assert.Assert(t, !b.PrefillReachable(now, list[:1]))
 }
 
-// TestLikelihoodOfEndingInTime follows the estimate, what was produced, and the bound.
+// TestLikelihoodOfEndingInTime checks that the probability follows the output estimate, the
+// output so far, and the output limit.
 func TestLikelihoodOfEndingInTime(t *testing.T) {
 	b := NewBooks("a", 1)
 	second := 1000 * defaultTokenTime
@@ -265,7 +269,7 @@
 		return b.EndsWithin("s", size, bound, within)
 	}
 	of1000 := Size{Estimate: 1000}
-	assert.Assert(t, math.Abs(at(second, of1000, 0)-0.5) < 0.01, "the estimate is the median")
+	assert.Assert(t, math.Abs(at(second, of1000, 0)-0.5) < 0.01, "the estimate is not the median")
 	assert.Assert(t, at(4*second, of1000, 0) > 0.95)
 	assert.Assert(t, at(second/4, of1000, 0) < 0.05)
 	assert.Equal(t, at(second, of1000, 900), 1.0)
--- a/gateway/schedule/fleet_test.go
+++ b/gateway/schedule/fleet_test.go
@@ -15,37 +15,37 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// fleetLoad is a load of streams that a fleet of instances places at decode engines, each by
-// what it knows.
+// fleetLoad is a simulated load of streams. Each instance of a fleet places its streams on
+// decode engines based on its own view.
 type fleetLoad struct {
 	instances, zones, engines int
 	perSecond                 float64
-	// burst multiplies the load for 4 s of each 10.
+	// burst is the factor by which the load rises for 4 s of every 10 s.
 	burst float64
-	// prompt and output are the mean lengths, in tokens.
+	// prompt and output are mean lengths, in tokens.
 	prompt, output float64
 	memory         int
-	// tokenTime is that of an engine with few streams.
+	// tokenTime is the time per token of an engine with few streams.
 	tokenTime time.Duration
-	// age is how old what instances hear of each other is on average.
+	// age is the mean age of the load reports that instances have of each other.
 	age time.Duration
-	// lasts is how long the load is played.
+	// lasts is the simulated duration.
 	lasts time.Duration
 }
 
-// fleetResult is what callers got.
+// fleetResult is the outcome of a simulation.
 type fleetResult struct {
 	streams, refused, preempted int
-	// again are the tokens that engines read once more after a preemption, per stream.
+	// again is the number of tokens that engines computed again after preemptions, per stream.
 	again float64
 }
 
 func (r fleetResult) String() string {
-	return fmt.Sprintf("%d streams, %.3f refused, %.3f preempted, %.0f tokens read again a stream", r.streams,
+	return fmt.Sprintf("%d streams, %.3f refused, %.3f preempted, %.0f tokens computed again per stream", r.streams,
 		float64(r.refused)/float64(r.streams), float64(r.preempted)/float64(r.streams), r.again)
 }
 
-// playedStream is a stream at an engine.
+// playedStream is a simulated stream.
 type playedStream struct {
 	instance         int
 	ticket           Ticket
@@ -59,7 +59,7 @@
 	prompt, estimate int
 }
 
-// memory is what it takes of its engine.
+// memory returns the memory that the stream takes at its engine, in tokens.
 func (s *playedStream) memory() int {
 	if s.paused {
 		return 0
@@ -67,7 +67,7 @@
 	return max(s.hold, s.prompt+int(s.produced))
 }
 
-// playedEngine is a decode engine.
+// playedEngine is a simulated decode engine.
 type playedEngine struct {
 	up      dialect.Upstream
 	streams []*playedStream
@@ -81,7 +81,7 @@
 	return n
 }
 
-// arrivalsHeap orders streams by when they look for a place next.
+// arrivalsHeap orders streams by the time of their next placement attempt.
 type arrivalsHeap []*playedStream
 
 func (h arrivalsHeap) Len() int           { return len(h) }
@@ -95,12 +95,13 @@
 	return s
 }
 
-// lengthOf draws a length around a mean, at most three times as long.
+// lengthOf returns a random length with a log-normal distribution around the mean, at most
+// three times the mean.
 func lengthOf(random *rand.Rand, mean, spread float64) float64 {
 	return min(3*mean, mean*math.Exp(spread*random.NormFloat64()-spread*spread/2))
 }
 
-// play plays the load.
+// play simulates the load.
 func (l fleetLoad) play(seed uint64) fleetResult {
 	const tick = 10 * time.Millisecond
 	const patience, reading, report = 600 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond
@@ -150,7 +151,8 @@
 			books[i].Asked(now, "m", s.prompt, s.estimate)
 			heap.Push(&waiting, s)
 		}
-		// Peers hear of each other, each at its own time, what is as old as the load says.
+		// Instances exchange load reports, each at its own time. The reports have the age that
+		// the load specifies.
 		for i, b := range books {
 			if int(since/tick)%int(report/tick) != i%int(report/tick) {
 				continue
@@ -206,8 +208,8 @@
 	return r
 }
 
-// run has an engine work for a tick. One that runs out of memory preempts its newest stream,
-// which is read in again when there is room.
+// run simulates an engine for one tick. An engine that runs out of memory preempts its newest
+// stream, which continues once there is enough free memory.
 func (l fleetLoad) run(d *playedEngine, now time.Time, since, tick time.Duration, books []*Books, r *fleetResult) {
 	pace := l.tokenTime.Seconds() * (1 + 0.033*float64(len(d.streams)))
 	left := d.streams[:0]
@@ -245,7 +247,7 @@
 	}
 }
 
-// The loads of the users' deployments, in bursts.
+// Loads of known deployments, with bursts.
 var (
 	shiftedLoad = fleetLoad{
 		instances: 60, zones: 3, engines: 26, perSecond: 30, burst: 2, prompt: 3200, output: 4480, memory: 43654,
@@ -261,13 +263,13 @@
 	}
 )
 
-// mostLost bounds what a fleet may lose on each load: the streams that find no room, and twice
-// those that are preempted since an engine ran out of memory, which costs callers and engines
-// about twice as much.
+// mostLost is the maximum weighted share of streams that a fleet may lose on each load: those
+// refused for lack of memory, plus twice those preempted because an engine ran out of memory,
+// which costs clients and engines about twice as much.
 const mostLost = 0.4
 
-// TestFleetsPlaceStreams: instances that each place streams by what they heard a moment ago
-// don't fill the same engines.
+// TestFleetsPlaceStreams guards against instances that all fill the same engines because they
+// place streams by the same slightly outdated load reports.
 func TestFleetsPlaceStreams(t *testing.T) {
 	for name, load := range map[string]fleetLoad{"shifted": shiftedLoad, "small": smallLoad, "short outputs": shortLoad} {
 		var sum fleetResult
@@ -280,6 +282,6 @@
 		}
 		t.Logf("%s: %v", name, sum)
 		lost := float64(sum.refused+2*sum.preempted) / float64(sum.streams)
-		assert.Check(t, lost <= mostLost, "%s: %.3f", name, lost)
+		assert.Check(t, lost <= mostLost, "%s: lost %.3f", name, lost)
 	}
 }
--- a/gateway/schedule/forecast.go
+++ b/gateway/schedule/forecast.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// forecastSteps and forecastStep are how far ahead the memory of engines is
-	// foreseen: as long as a stream takes, in steps of a few events.
+	// forecastSteps and forecastStep set how far ahead the memory use of engines is forecast:
+	// about the duration of a stream, in steps of a few events.
 	forecastSteps = 10
 	forecastStep  = 300 * time.Millisecond
-	// initialSpread is the spread of the logarithm of output length over its
-	// estimate until it was measured.
+	// initialSpread is assumed for the standard deviation of the logarithm of the ratio of
+	// output length to its estimate, until it has been measured.
 	initialSpread = 0.5
 	// spreadWeight is the weight of one stream in the measured spread.
 	spreadWeight = 0.02
-	// leastSpread keeps the forecast from trusting estimates wholly.
+	// leastSpread is the lower bound of the measured spread, so that the forecast never fully
+	// relies on the estimates.
 	leastSpread = 0.1
 )
 
-// Forecast is the memory that requests will take of an engine, in tokens, now and
-// at each step of time from now. Forecasts of several instances add up.
+// Forecast is the memory that requests are expected to take at an engine, in tokens, now and at
+// each step of time from now. The forecasts of several instances can be added.
 type Forecast [forecastSteps]int
 
 // add adds another forecast.
@@ -32,14 +33,15 @@
 	}
 }
 
-// Add adds a forecast from a peer, which may have other steps in another version.
+// Add adds a forecast from a peer. A peer of another version may send a different number of
+// steps.
 func (f *Forecast) Add(o []int) {
 	for i := range min(len(f), len(o)) {
 		f[i] += o[i]
 	}
 }
 
-// peak is the most memory at any step.
+// peak returns the highest memory use of any step.
 func (f *Forecast) peak() int {
 	most := 0
 	for _, n := range f {
@@ -48,27 +50,27 @@
 	return most
 }
 
-// running is a request at a decode engine.
+// running is a request at a decode engine. Lengths are in tokens.
 type running struct {
 	prompt   int
 	estimate int
-	// produced is the output so far, in tokens; begun means that some of it came from
-	// this engine, at when the last of it came.
+	// produced is the length of the output so far. begun means that some of it came from this
+	// engine, and at is when its last event arrived.
 	produced int
 	begun    bool
 	at       time.Time
-	// hold is the memory that was reserved for it, which the engine keeps free for
-	// it until it ends.
+	// hold is the memory reserved for the request, which the engine does not give to others
+	// until the request ends.
 	hold int
 }
 
-// share is the part of an engine's memory that a request takes in the end.
+// share returns the share of an engine's usable memory that the request takes at its end.
 func (r running) share(e *routing.Engine) float64 {
 	return float64(r.prompt+r.estimate) / (usableMemory * float64(e.KVTokens))
 }
 
-// forecast foresees the memory of a request: it grows with the output and is free
-// at its end.
+// forecast returns the memory forecast of the request. Its memory grows with the output and is
+// released at its expected end. tokenTime is in seconds.
 func (r running) forecast(tokenTime, spread float64) Forecast {
 	var f Forecast
 	final := expectedOutput(float64(r.estimate), float64(r.produced), spread)
@@ -82,9 +84,9 @@
 	return f
 }
 
-// expectedOutput is the mean length of an output that has reached produced tokens,
-// when lengths spread around the estimate by a log-normal distribution whose
-// median it is.
+// expectedOutput returns the mean final length of an output that has reached produced tokens.
+// Output lengths follow a log-normal distribution with the estimate as its median and spread as
+// the standard deviation of the logarithm.
 func expectedOutput(estimate, produced, spread float64) float64 {
 	if estimate <= 0 {
 		return produced
@@ -101,8 +103,8 @@
 	return math.Max(produced, mean*upperTail(z-spread)/beyond)
 }
 
-// EndsWithin returns how likely a stream of a service is to end within a time from its first
-// event on; bound bounds its output in tokens, 0 for none.
+// EndsWithin returns the probability that a stream of a service ends within a time after its
+// first event. bound is the maximum output in tokens, 0 for none.
 func (b *Books) EndsWithin(service string, size Size, bound int, within time.Duration) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,10 +121,11 @@
 	return 1 - shareLonger(reached, estimate, spread)/max(going, leastTail)
 }
 
-// leastTail keeps shares of outputs that are far longer than estimated apart from zero.
+// leastTail is the lower bound of the divisor in EndsWithin, for outputs that are far longer
+// than estimated.
 const leastTail = 1e-6
 
-// shareLonger is the share of outputs that are longer than tokens.
+// shareLonger returns the share of outputs that are longer than the given number of tokens.
 func shareLonger(tokens, estimate, spread float64) float64 {
 	if tokens <= 0 {
 		return 1
@@ -133,10 +136,10 @@
 	return upperTail(math.Log(tokens/estimate) / spread)
 }
 
-// upperTail is the share of a normal distribution above z.
+// upperTail returns the probability that a standard normal variable exceeds z.
 func upperTail(z float64) float64 { return 0.5 * math.Erfc(z/math.Sqrt2) }
 
-// learnSpread takes a stream's length into the measured spread.
+// learnSpread records the estimated and the actual output length of a stream, in tokens.
 func (r *rate) learnSpread(estimate, output int) {
 	if estimate <= 0 || output <= 0 {
 		return
@@ -145,5 +148,6 @@
 	r.variance += spreadWeight * (off*off - r.variance)
 }
 
-// spread is the measured spread.
+// spread returns the standard deviation of the logarithm of the ratio of output length to its
+// estimate, at least leastSpread.
 func (r *rate) spread() float64 { return math.Max(leastSpread, math.Sqrt(r.variance)) }
--- a/gateway/schedule/health.go
+++ b/gateway/schedule/health.go
@@ -9,29 +9,29 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Failure says how an attempt failed.
+// Failure is the way in which a request to an upstream failed.
 type Failure int
 
-// The kinds of failures, as far as they say something of the upstream.
+// The kinds of failures that reflect on the upstream.
 const (
-	// Soft failures are answers: the upstream's own error, a refusal.
+	// Soft failures are responses: an error of the upstream itself, or a rejection.
 	Soft Failure = iota + 1
-	// Hard failures are resets, silence and bytes that are no answer.
+	// Hard failures are connection resets, time-outs and invalid responses.
 	Hard
-	// Unreachable upstreams refuse connections or don't answer them.
+	// Unreachable upstreams refuse connections or do not answer them.
 	Unreachable
-	// Misdirected requests met another incarnation, or an engine of another stage.
+	// Misdirected requests reached another incarnation, or an engine of another stage.
 	Misdirected
-	// Closed upstreams refuse connections: nothing listens there.
+	// Closed upstreams refuse connections, since nothing listens on their address.
 	Closed
 )
 
-// quietAfter is how long an engine with running streams may send nothing before it
-// gets no more requests: events come every 40 to 70 ms, and it would pause its
-// streams for 300 to 600 ms anyway while it makes room.
+// quietAfter is how long an engine with running streams may send no event before it gets no
+// more requests. Events normally arrive every 40 to 70 ms. A working engine exceeds this time
+// only while it preempts requests to free memory, which pauses its streams for 300 to 600 ms.
 const quietAfter = 400 * time.Millisecond
 
-// Answered takes in a good answer.
+// Answered records a successful response and its latency. It ends any ejection.
 func (b *Books) Answered(now time.Time, u dialect.Upstream, latency time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,38 +46,38 @@
 	k.latency += time.Duration(latencyWeight * float64(latency-k.latency))
 }
 
-// heard takes in that something came from an upstream. The caller holds mu.
+// heard records that a message arrived from an upstream. It clears the suspicion that the
+// upstream's zone is unreachable. The caller holds mu.
 func (b *Books) heard(now time.Time, k *book) {
 	k.lastGood = now
 	delete(b.doubts, k.up.Zone)
 }
 
-// Heard takes in that an engine answered a call of the gateway's own.
+// Heard records that an engine answered a call that the gateway made on its own behalf.
 func (b *Books) Heard(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.heard(now, b.of(u))
 }
 
-// Replaced takes in that an upstream's address answers as another incarnation: this
-// one has ended and gets no more requests, although the store may list it for some
-// time yet.
+// Replaced records that the upstream's address is now used by another incarnation. The upstream
+// no longer exists and gets no more requests, although the store may still list it for a while.
 func (b *Books) Replaced(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(u).replaced = true
 }
 
-// down reports whether an upstream attested that it doesn't serve now: its address
-// refused a connection or answered as another. Peers are told, so that not each of
-// them loses a request there; time-outs may lie on the way, and are not passed on. The
-// caller holds mu.
+// down reports whether the upstream's address has shown that the upstream does not serve now:
+// it refused a connection, or another incarnation answered. This is reported to peers, so that
+// each of them need not lose a request there. Time-outs may be caused by the network path and
+// are not reported. The caller holds mu.
 func (k *book) down(now time.Time) bool {
 	return k.attested && k.state(now) != stateGood
 }
 
-// quiet reports whether nothing has come for a while from an engine that runs
-// streams of this instance. The caller holds mu.
+// quiet reports whether an engine that runs streams of this instance has sent nothing for
+// longer than quietAfter. The caller holds mu.
 func (k *book) quiet(now time.Time) bool {
 	if now.Sub(k.lastGood) <= quietAfter {
 		return false
@@ -90,15 +90,15 @@
 	return false
 }
 
-// AnsweredSince reports whether an upstream answered any request well since a time:
-// one that did is busy, not dead.
+// AnsweredSince reports whether any message has arrived from an upstream since a time. If so,
+// an upstream that has not answered a request is busy rather than down.
 func (b *Books) AnsweredSince(u dialect.Upstream, since time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.of(u).lastGood.After(since)
 }
 
-// Failed takes in a failure and reports whether the upstream was ejected for it.
+// Failed records a failure and reports whether the upstream was ejected for it.
 func (b *Books) Failed(now time.Time, u dialect.Upstream, f Failure) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,8 +125,8 @@
 	return true
 }
 
-// silent reports whether a request in flight has been unanswered for much longer
-// than is usual. The caller holds mu.
+// silent reports whether any request of this instance has gone without a response for much
+// longer than usual. The caller holds mu.
 func (k *book) silent(now time.Time) bool {
 	limit := max(overdueLeast, overdueFactor*k.latency)
 	for _, start := range k.starts {
@@ -137,17 +137,18 @@
 	return false
 }
 
-// state says whether an upstream should get requests.
+// state determines whether an upstream should get requests.
 type state int
 
 const (
 	stateGood state = iota
-	// stateTrial upstreams were ejected for a while and may be tried again.
+	// stateTrial upstreams may be tried again: their ejection time has passed, their streams
+	// have stalled, or their zone is suspected to be unreachable.
 	stateTrial
 	stateEjected
 )
 
-// state returns the state of a book. The caller holds mu.
+// state returns the state of the upstream by its own failures. The caller holds mu.
 func (k *book) state(now time.Time) state {
 	switch {
 	case k.replaced:
@@ -163,8 +164,8 @@
 	}
 }
 
-// stateIn returns the state of a book, taking doubts about its zone into account.
-// The caller holds mu.
+// stateIn returns the state of the upstream, also considering stalled streams and suspected
+// zones. The caller holds mu.
 func (b *Books) stateIn(now time.Time, k *book) state {
 	s := k.state(now)
 	if s == stateGood && (k.quiet(now) || b.doubted(now, k)) {
@@ -173,8 +174,8 @@
 	return s
 }
 
-// Readmit takes in that an ejected engine answered a probe. One further failure
-// ejects it again, for longer.
+// Readmit records that an ejected engine answered a probe, which ends the ejection. A single
+// further failure ejects it again, for longer.
 func (b *Books) Readmit(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -183,12 +184,14 @@
 	b.heard(now, k)
 }
 
-// zoneProbes limits how many engines of a zone that seems cut off are probed at a time. One answer
-// ends the doubt, and in a large fleet each instance would otherwise probe every engine there.
+// zoneProbes is the maximum number of engines to probe at a time in a zone that is suspected to
+// be unreachable. One answer clears the suspicion, and in a large fleet each instance would
+// otherwise probe every engine there.
 const zoneProbes = 3
 
-// Trials returns the engines of a list to probe: those that were ejected or fell silent and may be
-// tried again, and at most zoneProbes random ones of each zone that seems cut off.
+// Trials returns the engines of a list to probe: those whose ejection time has passed or whose
+// streams have stalled, and at most zoneProbes random ones of each zone that is suspected to be
+// unreachable.
 func (b *Books) Trials(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/idle_test.go
+++ b/gateway/schedule/idle_test.go
@@ -52,7 +52,7 @@
 			smallest = fastest
 		}
 		if fastest > 4*smallest {
-			t.Errorf("%d engines: an exchange takes %v, and %v with 600", engines, fastest, smallest)
+			t.Errorf("%d engines: load exchange took %v, and %v with 600", engines, fastest, smallest)
 		}
 		if fastest > exchangeBudget {
 			t.Errorf("%d engines: load exchange took %v, want at most %v", engines, fastest, exchangeBudget)
--- a/gateway/schedule/migrate.go
+++ b/gateway/schedule/migrate.go
@@ -8,38 +8,40 @@
 )
 
 const (
-	// crowdedMemory is the share of an engine's memory, as foreseen one step ahead,
-	// above which streams are moved to other engines. An engine that runs out
-	// preempts a request and reads it in again, 8,000 tokens on average, for which all
-	// of its streams pause for 300 ms and more; a move takes some 10 ms.
+	// crowdedMemory is the share of an engine's memory above which streams are moved to other
+	// engines, by the forecast for the next step. An engine that runs out of memory preempts a
+	// request and computes its KV cache again, 8,000 tokens on average, which pauses all of its
+	// streams for 300 ms and more. Moving a stream takes about 10 ms.
 	crowdedMemory = 0.95
-	// leastRemaining is how long a stream must be expected to go on for a move to be
-	// worth it: memory that becomes free within one step needs none.
+	// leastRemaining is the shortest expected remaining duration for which a stream is moved.
+	// Memory that is released within one step does not require a move.
 	leastRemaining = forecastStep
 )
 
-// Why says why a stream is moved.
+// Why is the reason for which a stream is moved.
 type Why string
 
-// The reasons.
+// The reasons for moving a stream.
 const (
-	// WhyCrowded engines are about to run out of memory.
+	// WhyCrowded means that the engine is about to run out of memory.
 	WhyCrowded Why = "crowded"
-	// WhyLeaving engines end before their streams do.
+	// WhyLeaving means that the engine will shut down before the stream ends.
 	WhyLeaving Why = "leaving"
 )
 
-// Migrant is a stream that had better go on at another engine.
+// Migrant is a stream that should be moved to another engine.
 type Migrant struct {
 	Ticket Ticket
 	Why    Why
-	// Memory is what the engine is foreseen to take, in tokens.
+	// Memory is the memory use forecast for the engine, in tokens, if Why is WhyCrowded.
 	Memory int
 }
 
-// Migrants returns the own running streams that should be moved now: of each crowded
-// engine one at the most, by chance as often as its memory is this instance's, so that
-// all instances together move about one at a time; of each leaving engine all.
+// Migrants returns this instance's running streams that should be moved now: at most one from
+// each engine that is about to run out of memory, and all from each engine that is leaving or
+// no longer listed, except streams that end soon. A stream of the former is returned with a
+// probability equal to this instance's share of the engine's memory, so that all instances
+// together move about one stream at a time.
 func (b *Books) Migrants(now time.Time, list []dialect.Upstream, e *routing.Engine) []Migrant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,14 +70,14 @@
 	return out
 }
 
-// remaining is how long a stream is expected to go on. The caller holds mu.
+// remaining returns how long a stream is expected to continue. The caller holds mu.
 func (b *Books) remaining(k *book, s running) time.Duration {
 	r := b.rateOf(k.up.Service)
 	left := expectedOutput(float64(s.estimate), float64(s.produced), r.spread()) - float64(s.produced)
 	return time.Duration(left * r.tokenTime * float64(time.Second))
 }
 
-// leavers returns the running streams of an engine that ends. The caller holds mu.
+// leavers returns the running streams to move from a leaving engine. The caller holds mu.
 func (b *Books) leavers(k *book) []Migrant {
 	var out []Migrant
 	for number, s := range k.streams {
@@ -86,8 +88,8 @@
 	return out
 }
 
-// crowded chooses the stream to move from a crowded engine: the one that goes on
-// longest. The caller holds mu.
+// crowded chooses the stream to move from an engine that is about to run out of memory: the one
+// expected to continue longest. It reports false if none is to be moved. The caller holds mu.
 func (b *Books) crowded(now time.Time, k *book, e *routing.Engine) (Migrant, bool) {
 	f := b.ownForecast(k)
 	own := f[0]
--- a/gateway/schedule/migrate_test.go
+++ b/gateway/schedule/migrate_test.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// fill places streams at the first engine of two and has them begin.
+// fill places streams on the first of two engines and starts them.
 func fill(t *testing.T, b *Books, streams int, size Size) []Ticket {
 	t.Helper()
 	var tickets []Ticket
@@ -21,20 +21,21 @@
 	return tickets
 }
 
-// TestCrowdedEngineGivesUpAStream: one at a time, the one that goes on longest, and
-// only if its memory runs out soon.
+// TestCrowdedEngineGivesUpAStream checks that streams are moved from an engine only if it is
+// about to run out of memory, one at a time, starting with the one that is expected to continue
+// longest.
 func TestCrowdedEngineGivesUpAStream(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 2)
 	tickets := fill(t, b, 7, Size{Prompt: 6500, Estimate: 4000})
 	assert.Equal(t, len(b.Migrants(at(0), list, engine)), 0)
-	// 650 us a token, as running streams show.
+	// The streams progress at 650 us per token.
 	for _, ticket := range tickets {
 		b.Progress(at(2470), ticket, 5800)
 	}
 	b.Progress(at(2470), tickets[3], 5750)
 	found := b.Migrants(at(2470), list, engine)
-	assert.Equal(t, len(found), 1, "86,050 tokens of 90,000 and growing")
+	assert.Equal(t, len(found), 1, "moves at 86,050 of 90,000 tokens and rising")
 	assert.Equal(t, found[0].Why, WhyCrowded)
 	for _, ticket := range tickets {
 		b.Progress(at(3055), ticket, 6700)
@@ -45,8 +46,8 @@
 	assert.Equal(t, found[0].Ticket.Number(), tickets[5].Number())
 }
 
-// TestInstancesShareTheMoves: an instance with a small part of an engine's memory
-// moves streams as seldom.
+// TestInstancesShareTheMoves checks that an instance moves streams from an engine with a
+// probability equal to its share of the engine's memory.
 func TestInstancesShareTheMoves(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 2)
@@ -58,11 +59,11 @@
 	for range 1000 {
 		moves += len(b.Migrants(at(0), list, engine))
 	}
-	assert.Assert(t, moves > 60 && moves < 180, "%d of 1000, its share is 0.11", moves)
+	assert.Assert(t, moves > 60 && moves < 180, "%d moves in 1000 calls with a memory share of 0.11", moves)
 }
 
-// TestLeavingEngineGivesUpAllStreams but those that end by themselves soon, listed or
-// not any more.
+// TestLeavingEngineGivesUpAllStreams checks that all streams are moved from an engine that is
+// leaving or no longer listed, except those that end soon.
 func TestLeavingEngineGivesUpAllStreams(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 2)
@@ -70,19 +71,20 @@
 	b.rateOf("m").variance = 0
 	b.Progress(at(0), tickets[1], 3900)
 	assert.Equal(t, len(b.Migrants(at(0), list, engine)), 0)
-	assert.Equal(t, len(b.Migrants(at(0), list[1:], engine)), 2, "not listed")
+	assert.Equal(t, len(b.Migrants(at(0), list[1:], engine)), 2, "moves from an engine that is not listed")
 	list[0].Leaving = true
 	found := b.Migrants(at(0), list, engine)
 	assert.Equal(t, len(found), 2)
 	assert.Equal(t, found[0].Why, WhyLeaving)
 	waiting, ok := b.PlaceDecode(at(0), engines(0, 1), engine, Size{Prompt: 1000, Estimate: 4000}, nil)
 	assert.Assert(t, ok)
-	assert.Equal(t, len(b.Migrants(at(0), list, engine)), 2, "one that has not begun can't be moved")
+	assert.Equal(t, len(b.Migrants(at(0), list, engine)), 2, "a stream that has not started cannot be moved")
 	b.Done(waiting)
 	assert.Assert(t, b.remaining(b.books["a"], running{estimate: 4000, produced: 3900}) < leastRemaining)
 }
 
-// TestCopiedStreamNeedsNoComputing, unlike one that is resumed without its KV cache.
+// TestCopiedStreamNeedsNoComputing checks that a stream whose KV cache is transferred needs no
+// computation, unlike one that is resumed without it.
 func TestCopiedStreamNeedsNoComputing(t *testing.T) {
 	size := Size{Prompt: 1000, Estimate: 4000, Produced: 2000}
 	assert.Equal(t, size.compute(), 2000)
--- a/gateway/schedule/pace.go
+++ b/gateway/schedule/pace.go
@@ -7,44 +7,47 @@
 )
 
 const (
-	// defaultPrefillRate is believed until enough prompts were measured, in tokens a
-	// second; known engines compute 33,000 to 56,000.
+	// defaultPrefillRate is assumed until enough prompts have been measured, in tokens per
+	// second. Known engines compute 33,000 to 56,000.
 	defaultPrefillRate = 50000
-	// enoughPrompts is how many prompts show the pace: of as many, one was long and did
-	// not wait for others.
+	// enoughPrompts is the number of prompts from which the throughput is estimated. Among that
+	// many, one was long and was not queued behind others.
 	enoughPrompts = 5
-	// recentPrompts is over how many prompts of a length the fastest are kept: an engine
-	// that has several at once is slower for each, so that most are no measure.
+	// recentPrompts is the number of prompts of each length class among which the fastest is
+	// searched. An engine with several prompts at once is slower for each of them, so that most
+	// prompts are not representative.
 	recentPrompts = 40
-	// confirmations is how many of confirmedOf prompts must have been as fast for the pace
-	// to count: one that its engine still keeps from an earlier attempt is computed in no
-	// time. Of fewer prompts most waited for others, and the fastest counts.
+	// confirmations is how many prompts must have been at least as fast for a throughput to
+	// count, once confirmedOf prompts have been measured. A prompt whose KV cache the engine
+	// still holds from an earlier attempt takes almost no time. With fewer than confirmedOf
+	// prompts the fastest one counts, since most of them were queued behind others.
 	confirmations = 3
 	confirmedOf   = 12
-	// lengthWeight is the weight of one prompt in the mean length.
+	// lengthWeight is the weight of one prompt in the moving average of the prompt length.
 	lengthWeight = 0.05
-	// mostRateShare bounds the rate, as a share of what the fastest long prompt took with
-	// its fixed time: known engines take 0 to 50 ms before 100 ms of tokens.
+	// mostRateShare is the upper bound of the rate, relative to the rate of the fastest long
+	// prompt with its fixed time included. Known engines have a fixed time of 0 to 50 ms before
+	// 100 ms of computing tokens.
 	mostRateShare = 1.6
 )
 
-// sample is a prompt and how long it took.
+// sample is the length of a prompt, in tokens, and the time it took.
 type sample struct {
 	tokens  float64
 	seconds float64
 }
 
-// slower orders samples by their time for a token, fastest first.
+// slower compares samples by their time per token, the fastest first.
 func (s sample) slower(o sample) int { return cmp.Compare(s.seconds*o.tokens, o.seconds*s.tokens) }
 
-// fastest is the prompt that was done fastest for its length among recent ones, as far as
-// others confirm it.
+// fastest is the recent prompt with the lowest time per token, ignoring those that too few
+// others confirm (see confirmations).
 type fastest struct {
 	sample
 	recent []sample
 }
 
-// learn takes in a prompt.
+// learn records a prompt.
 func (f *fastest) learn(tokens, seconds float64) {
 	f.recent = append(f.recent, sample{tokens: tokens, seconds: seconds})
 	f.recent = f.recent[max(0, len(f.recent)-recentPrompts):]
@@ -55,7 +58,7 @@
 	}
 }
 
-// paces counts the recent prompts.
+// paces returns the histogram of the recent prompts' throughput.
 func (f *fastest) paces() Paces {
 	var p Paces
 	for _, s := range f.recent {
@@ -64,23 +67,24 @@
 	return p
 }
 
-// prefillPace is how fast prefill engines are, as seen by this instance: a fixed time for
-// each prompt and more for each token, told from the fastest short and the fastest long
-// prompt. With one of them alone engines that take 50 ms before each prompt look slower
-// by a third, which refuses requests that would have been on time.
+// prefillPace estimates the performance of prefill engines, as measured by this instance: a
+// fixed time per prompt and a time per token. They are derived from the fastest short and the
+// fastest long prompt. With only one of them, engines that take 50 ms before each prompt would
+// look slower by a third, and requests would be refused that could have been served in time.
 type prefillPace struct {
 	prompts int
-	// length is the mean length, which divides short prompts from long ones.
+	// length is the mean prompt length, which separates short prompts from long ones.
 	length      float64
 	short, long fastest
-	// fleet is what an engine computes by the prompts of all instances, in tokens a second;
-	// 0 while they are too few. An instance among hundreds sees few prompts, and in a burst
-	// all of them wait for others: by these alone it took idle engines for busy ones and
-	// refused what came to it, so that it never saw another prompt.
+	// fleet is the throughput of an engine in tokens per second, as measured from the prompts
+	// of all instances; 0 while there are too few. One instance among hundreds sees few
+	// prompts, and during a burst all of them are queued behind others. Based on these alone,
+	// an instance took idle engines for busy ones and refused its requests, so that it never
+	// measured another prompt.
 	fleet float64
 }
 
-// learn takes in how long a prompt took.
+// learn records how long a prompt took.
 func (p *prefillPace) learn(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
@@ -98,13 +102,15 @@
 	}
 }
 
-// measured reports whether the pace rests on enough prompts. Three short ones once made
-// engines look half as fast as they are, and a decode engine was ordered to prefill.
+// measured reports whether the estimate is based on enough prompts. With a lower limit, three
+// short prompts made engines look half as fast as they are, and a decode engine was ordered to
+// change to prefill.
 func (p *prefillPace) measured() bool {
 	return p.fleet > 0 || p.prompts >= enoughPrompts && p.long.tokens > 0
 }
 
-// rate is what an engine computes, in tokens a second.
+// rate returns the throughput of an engine without the fixed time per prompt, in tokens per
+// second.
 func (p *prefillPace) rate() float64 {
 	if !p.measured() {
 		return defaultPrefillRate
@@ -117,7 +123,8 @@
 	return min(mostRateShare*whole, max(whole, tokens/seconds))
 }
 
-// whole is what an engine computes with the fixed times counted in, in tokens a second.
+// whole returns the throughput of an engine with the fixed time per prompt included, in tokens
+// per second.
 func (p *prefillPace) whole() float64 {
 	if p.fleet > 0 {
 		return p.fleet
@@ -125,7 +132,7 @@
 	return p.long.tokens / p.long.seconds
 }
 
-// time is how long an engine takes until so many queued tokens are computed.
+// time returns how long an engine takes to compute the given number of queued tokens.
 func (p *prefillPace) time(tokens int) time.Duration {
 	rate := p.rate()
 	fixed := 0.0
--- a/gateway/schedule/pace_test.go
+++ b/gateway/schedule/pace_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFewPromptsDoNotShowThePace: of the first ones, some are short or wait for others.
+// TestFewPromptsDoNotShowThePace guards against estimating the throughput from the first few
+// prompts, some of which are short or were queued behind others.
 func TestFewPromptsDoNotShowThePace(t *testing.T) {
 	p := &prefillPace{}
 	for range enoughPrompts - 1 {
@@ -20,8 +21,8 @@
 	assert.Assert(t, p.rate() >= 30000 && p.rate() <= 48000, "%v", p.rate())
 }
 
-// TestPaceOfPrefillEngines is told from a fixed time for each prompt, and from prompts
-// that wait for others, two in three here.
+// TestPaceOfPrefillEngines checks the estimate for engines with and without a fixed time per
+// prompt, where two in three prompts were queued behind others.
 func TestPaceOfPrefillEngines(t *testing.T) {
 	for _, fixed := range []time.Duration{0, 50 * time.Millisecond} {
 		p := &prefillPace{}
@@ -37,9 +38,9 @@
 	}
 }
 
-// TestKeptPromptsAreNoMeasure: now and then a prompt takes no time, since its engine still
-// keeps it. Of many instances some see one, also as their first; what is known of the
-// engines, and the stages that suit the demand, stay as they are.
+// TestKeptPromptsAreNoMeasure guards against prompts that take almost no time because their
+// engine still holds their KV cache. In a fleet some instances see such a prompt, possibly as
+// their first. The estimated throughput and the recommended stages must not change.
 func TestKeptPromptsAreNoMeasure(t *testing.T) {
 	list := engines(12, 32)
 	var fleet []*Books
@@ -55,7 +56,7 @@
 		case i%500 == 40 || i%500 == 41:
 			took = 8 * time.Millisecond
 		case i%3 > 0:
-			// It waited for others.
+			// The prompt was queued behind others.
 			took += time.Duration(i%5) * 50 * time.Millisecond
 		}
 		b.PrefillDone("m", tokens, took)
@@ -75,8 +76,8 @@
 	assert.Assert(t, measured > 1900)
 }
 
-// TestLocalPaceWithKeptPrompts: an instance's own estimate of waits stands as well, once
-// it has seen some prompts.
+// TestLocalPaceWithKeptPrompts checks that the estimate of a single instance, once it has seen
+// some prompts, is not changed by prompts whose KV cache the engine still holds either.
 func TestLocalPaceWithKeptPrompts(t *testing.T) {
 	p := &prefillPace{}
 	for i := range 200 {
@@ -91,8 +92,9 @@
 	}
 }
 
-// TestFewPromptsOfABurst: an instance whose few prompts all waited for others takes an idle
-// engine for idle all the same, once it knows how fast the prompts of all instances were.
+// TestFewPromptsOfABurst guards against an instance taking idle engines for busy ones because
+// its few prompts were all queued behind others. The histograms of all instances correct its
+// estimate.
 func TestFewPromptsOfABurst(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(4, 8)
@@ -110,8 +112,8 @@
 	assert.Assert(t, ok && told > 90*time.Millisecond && told < 120*time.Millisecond, "%v", told)
 }
 
-// TestFirstPromptOfAnInstance: one that has just started, and seen none, relies on the
-// others at once.
+// TestFirstPromptOfAnInstance checks that an instance that has measured no prompt yet uses the
+// histograms of the others at once.
 func TestFirstPromptOfAnInstance(t *testing.T) {
 	b := NewBooks("a", 1)
 	var others Paces
--- a/gateway/schedule/paces.go
+++ b/gateway/schedule/paces.go
@@ -5,27 +5,29 @@
 	"slices"
 )
 
-// Paces counts how fast prompts were computed: bucket i holds those of
-// leastPace * paceStep^i tokens a second and more. Those of several instances add up.
+// Paces is a histogram of prompts by throughput. The lower bound of bucket i is
+// leastPace*paceStep^i tokens per second. The first and the last bucket also count prompts
+// beyond their bounds. The histograms of several instances can be added.
 type Paces []int
 
 const (
-	// leastPace is the lower bound of the first bucket, in tokens a second; paceStep is
-	// the ratio of two buckets, paceBuckets their number: up to 900,000 tokens a second.
+	// leastPace is the lower bound of the first bucket, in tokens per second. paceStep is the
+	// ratio between the bounds of adjacent buckets, and paceBuckets their number, which covers
+	// up to 900,000 tokens per second.
 	leastPace   = 5000.0
 	paceStep    = 1.1
 	paceBuckets = 56
-	// fewOutliers, one in each of promptsOfOutlier prompts at first, and then outlierShare
-	// are how many of the fastest prompts are no measure: one in 500 to 1,000 is computed in
-	// no time, since its engine still keeps it from an earlier attempt. By one of them, the
-	// fastest of all instances, engines looked many times as fast as they are, and most
-	// prefill engines were ordered to decode.
+	// The fastest prompts are skipped as outliers: one in promptsOfOutlier prompts up to
+	// fewOutliers, or the share outlierShare if that is more. One prompt in 500 to 1,000 takes
+	// almost no time, since its engine still holds its KV cache from an earlier attempt. With a
+	// single such prompt taken as the fastest of all instances, engines looked many times as
+	// fast as they are, and most prefill engines were ordered to change to decode.
 	fewOutliers      = 2
 	promptsOfOutlier = 8
 	outlierShare     = 0.02
 )
 
-// SetPaces takes in the paces of prompts that the other instances counted, by service.
+// SetPaces records the histograms of the other instances, by service.
 func (b *Books) SetPaces(others map[string]Paces) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,7 +37,7 @@
 	}
 }
 
-// add counts a prompt.
+// add counts a prompt of the given length and duration.
 func (p *Paces) add(tokens, seconds float64) {
 	if *p == nil {
 		*p = make(Paces, paceBuckets)
@@ -43,16 +45,16 @@
 	(*p)[paceBucket(tokens/seconds)]++
 }
 
-// paceBucket returns the index of the bucket that holds a pace in tokens a second.
+// paceBucket returns the index of the bucket for a throughput in tokens per second.
 func paceBucket(pace float64) int {
 	i := math.Log(pace/leastPace) / math.Log(paceStep)
 	return max(0, min(paceBuckets-1, int(i)))
 }
 
-// bucketPace returns the geometric middle of a bucket, in tokens a second.
+// bucketPace returns the geometric mean of a bucket's bounds, in tokens per second.
 func bucketPace(bucket int) float64 { return leastPace * math.Pow(paceStep, float64(bucket)+0.5) }
 
-// Plus returns the sum of two counts.
+// Plus returns the sum of two histograms.
 func (p Paces) Plus(o Paces) Paces {
 	sum := make(Paces, max(len(p), len(o)))
 	copy(sum, p)
@@ -62,7 +64,7 @@
 	return sum
 }
 
-// Minus returns the counts without others that they hold.
+// Minus returns the histogram without the counts of o, which it must include.
 func (p Paces) Minus(o Paces) Paces {
 	rest := slices.Clone(p)
 	for i := range min(len(rest), len(o)) {
@@ -71,8 +73,8 @@
 	return rest
 }
 
-// Rate returns what a prefill engine computes, in tokens a second: as fast as the fastest
-// prompts but the outliers; 0 while there are too few.
+// Rate returns the throughput of a prefill engine in tokens per second: that of the fastest
+// prompts without the outliers. It is 0 while there are too few prompts.
 func (p Paces) Rate() float64 {
 	total := 0
 	for _, n := range p {
--- a/gateway/schedule/peaks.go
+++ b/gateway/schedule/peaks.go
@@ -6,28 +6,30 @@
 )
 
 const (
-	// burst is by how much the demand is expected to rise over its mean before any
-	// burst was seen: traffic doubles for 4 to 5 s on all known deployments.
+	// burst is the ratio by which demand is expected to rise above its mean before any burst
+	// has been observed. Traffic doubles for 4 to 5 s on all known deployments.
 	burst = 2.0
-	// meanHalfLife is how fast the mean follows the demand: a burst of 4 s moves it by
-	// a third of its height.
+	// meanHalfLife is the half-life of the mean demand. A burst of 4 s raises the mean by a
+	// third of the burst's height.
 	meanHalfLife = 8 * time.Second
-	// peakHalfLife is how fast a peak is forgotten: bursts come some 10 s apart.
+	// peakHalfLife is the half-life of the peak demand. Bursts occur about every 10 s.
 	peakHalfLife = 60 * time.Second
 )
 
-// Peaks remembers the highest demand of a service, for plans that take longer to carry
-// out than a burst lasts: planned for the mean, engines of the stage that was short in one
-// burst came back in the middle of the next. It is not safe for concurrent use.
+// Peaks tracks the peak demand for a service, for plans that take longer to carry out than a
+// burst lasts. With plans based on the mean, engines that had left the stage that was short in
+// one burst returned to it only in the middle of the next. Peaks is not safe for concurrent
+// use.
 type Peaks struct {
 	at   time.Time
 	mean Work
 	peak Work
-	// seen is the share of the mean that rests on observations.
+	// seen is the share of the mean that is based on observations. The rest is the initial
+	// zero.
 	seen float64
 }
 
-// Observe takes in the demand of now and returns the one to plan for.
+// Observe records the current demand and returns the demand to plan for.
 func (p *Peaks) Observe(now time.Time, n Need) Need {
 	passed := now.Sub(p.at).Seconds()
 	if p.at.IsZero() {
@@ -55,7 +57,7 @@
 	}
 }
 
-// most returns the higher of two demands, each part by itself.
+// most returns the maximum of two demands, separately for each component except Requests.
 func (w Work) most(o Work) Work {
 	return Work{
 		Prefill: math.Max(w.Prefill, o.Prefill), Memory: math.Max(w.Memory, o.Memory),
--- a/gateway/schedule/peaks_test.go
+++ b/gateway/schedule/peaks_test.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// steady observes an unchanging demand for some seconds, each 500 ms.
+// steady observes a constant demand every 500 ms for the given number of seconds.
 func steady(p *Peaks, from, seconds int, w Work) Need {
 	var n Need
 	for ms := 0; ms < 1000*seconds; ms += 500 {
@@ -20,7 +20,8 @@
 	return n
 }
 
-// TestBurstsAreExpected before the first and remembered after it.
+// TestBurstsAreExpected checks that a burst is planned for before the first one occurs, and
+// that its height is kept for a while afterwards.
 func TestBurstsAreExpected(t *testing.T) {
 	var p Peaks
 	calm := Work{Prefill: 36000, Memory: 138000, Streams: 39}
@@ -32,11 +33,11 @@
 	n = steady(&p, 15, 10, calm)
 	assert.Assert(t, n.Memory > 2.2*calm.Memory && n.Memory < 2.6*calm.Memory, "%v", n.Memory/calm.Memory)
 	n = steady(&p, 25, 300, calm)
-	assert.Assert(t, math.Abs(n.Memory-2*calm.Memory) < 1000, "forgotten: %v", n.Memory/calm.Memory)
+	assert.Assert(t, math.Abs(n.Memory-2*calm.Memory) < 1000, "peak not forgotten: %v", n.Memory/calm.Memory)
 }
 
-// played is a deployment of 9 engines, four of which prefill at the start, under streams
-// of 3,200 prompt and 640 output tokens: 11.35 a second, each 3.4 s long.
+// played is a deployment of 9 engines, four of which start as prefill engines, with 11.35
+// streams per second of 3,200 prompt and 640 output tokens that run for 3.4 s each.
 func played() (*routing.Engine, Work) {
 	const perSecond, prompt, output, seconds = 11.35, 3200, 640, 3.4
 	streams := perSecond * seconds
@@ -44,10 +45,10 @@
 		Work{Prefill: perSecond * prompt, Memory: streams * (prompt + output/2), Streams: streams}
 }
 
-// TestStreamsOfABurstFindRoom: within the first seconds, before any burst, engines go to
-// the stage that a burst of twice the traffic needs, and none goes back between bursts.
-// Planned for the mean, five decode engines met the first burst: 158 of 750 streams of a
-// day were refused for want of memory.
+// TestStreamsOfABurstFindRoom guards against streams refused for lack of memory during a burst.
+// Within the first seconds, before any burst, engines change to the stage that twice the
+// traffic requires, and none changes back between bursts. With plans based on the mean, five
+// decode engines met the first burst, and 158 of 750 streams of one day were refused.
 func TestStreamsOfABurstFindRoom(t *testing.T) {
 	e, calm := played()
 	idle := func(ident.UpstreamID) int { return 0 }
@@ -62,7 +63,7 @@
 	decode := count(list, dialect.StageDecode)
 	refused := calm.Streams*2 - float64(decode)*usableMemory*float64(e.KVTokens)/(calm.Memory/calm.Streams)
 	before := calm.Streams*2 - 5*usableMemory*float64(e.KVTokens)/(calm.Memory/calm.Streams)
-	assert.Assert(t, refused <= 13 && before >= 23, "at the peak %v streams find no room, before %v", refused, before)
+	assert.Assert(t, refused <= 13 && before >= 23, "%v streams refused at the peak, %v without stage changes", refused, before)
 	for second := 2; second < 40; second += 10 {
 		steady(&p, second, 6, calm)
 		n = steady(&p, second+6, 4, calm.times(2))
--- a/gateway/schedule/reach.go
+++ b/gateway/schedule/reach.go
@@ -6,8 +6,9 @@
 	"github.com/wardspool/wardspool/gateway/dialect"
 )
 
-// reachable leaves out the upstreams that could not be connected to lately, or are
-// in a zone that seems cut off. The caller holds mu.
+// reachable returns the upstreams of a list without those that have not recovered since a
+// connection to them failed, and without those in a zone that is suspected to be unreachable.
+// The caller holds mu.
 func (b *Books) reachable(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	var out []dialect.Upstream
 	for _, u := range list {
@@ -20,7 +21,7 @@
 	return out
 }
 
-// Reachable returns the engines of a stage that are in reach and take work.
+// Reachable returns the engines of a stage that are healthy and accept new requests.
 func (b *Books) Reachable(now time.Time, list []dialect.Upstream, stage dialect.Stage) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,7 +35,8 @@
 	return out
 }
 
-// PrefillReachable reports whether any prefill engine of a list is in reach.
+// PrefillReachable reports whether any prefill engine of a list can be connected to and accepts
+// requests, even if it is ejected.
 func (b *Books) PrefillReachable(now time.Time, list []dialect.Upstream) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/reported.go
+++ b/gateway/schedule/reported.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// reportLag is the most by which a report is older than its arrival. What
-	// requests were known to take at any time since may explain it.
+	// reportLag is the maximum age of a report when it arrives. The highest known memory use
+	// within that time may account for what it says.
 	reportLag = 1500 * time.Millisecond
-	// unexplainedFor is how long a report is believed without a newer one.
+	// unexplainedFor is how long a report remains valid without a newer one.
 	unexplainedFor = 2500 * time.Millisecond
-	// refusingWhileSwitching is how long an engine that reports a change of stage
-	// is passed over: until the next report.
+	// refusingWhileSwitching is how long an engine that reports a stage change gets no
+	// requests. It lasts until the next report.
 	refusingWhileSwitching = 1200 * time.Millisecond
 )
 
-// knownMemory is the memory that all instances' requests took of an engine at a
+// knownMemory is the memory that the known requests of all instances took at an engine at a
 // time, in tokens.
 type knownMemory struct {
 	at     time.Time
 	tokens int
 }
 
-// remember notes the memory known now and forgets what is older than reports are.
-// The caller holds mu.
+// remember records the currently known memory use and drops samples older than reportLag. The
+// caller holds mu.
 func (b *Books) remember(now time.Time, k *book) {
 	if k.up.Stage != dialect.StageDecode {
 		return
@@ -41,10 +41,11 @@
 	k.known = append(k.known[:0], k.known[old:]...)
 }
 
-// Reported takes in an engine's report, and returns how much memory it names that
-// no known request explains: of instances that died or are cut off, whose streams
-// the engine still runs, or of outputs longer than was heard of. Without it such
-// engines were filled beyond their memory, and preempted running requests.
+// Reported records an engine's report and returns how much memory it contains that no known
+// request accounts for, in tokens. Such memory belongs to streams of instances that have
+// crashed or are disconnected, which the engine still runs, or to outputs longer than reported.
+// When it was not counted, such engines were filled beyond their memory and preempted running
+// requests.
 func (b *Books) Reported(now time.Time, u dialect.Upstream, r dialect.Report) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,7 +55,7 @@
 	}
 	b.remember(now, k)
 	if b.peersSince.IsZero() || now.Sub(b.peersSince) < reportLag {
-		// An instance that has just started doesn't know what others have there.
+		// An instance that has just started does not know the requests of its peers yet.
 		return 0
 	}
 	explained := 0
@@ -68,8 +69,8 @@
 	return k.unexplained
 }
 
-// ownUnexplained is the unexplained memory of the newest own report. The caller
-// holds mu.
+// ownUnexplained returns the unaccounted memory by the newest report that this instance
+// received. The caller holds mu.
 func (k *book) ownUnexplained(now time.Time) int {
 	if now.Sub(k.unexplainedAt) > unexplainedFor {
 		return 0
@@ -77,12 +78,12 @@
 	return k.unexplained
 }
 
-// inUseFor is how long an engine counts as in use after its last request: one that lost the
-// instance that used it may still hold its memory.
+// inUseFor is how long an engine counts as in use after its last request. If the instance that
+// used it has crashed, the engine may still hold memory for its requests.
 const inUseFor = 5 * time.Second
 
-// InUse reports whether any instance is known to have, or to have had lately, requests at an
-// engine, or whether its memory is taken by requests that no instance explains.
+// InUse reports whether an engine has, or recently had, known requests of any instance, or
+// memory that no known request accounts for.
 func (b *Books) InUse(now time.Time, u dialect.Upstream) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,8 +94,8 @@
 	return !k.usedAt.IsZero() && now.Sub(k.usedAt) <= inUseFor
 }
 
-// unexplainedNow is the unexplained memory of an engine, from own or peers'
-// reports. The caller holds mu.
+// unexplainedNow returns the unaccounted memory of an engine, by reports to this instance or to
+// its peers. The caller holds mu.
 func (k *book) unexplainedNow(now time.Time) int {
 	return max(k.ownUnexplained(now), k.peerUnexplained)
 }
--- a/gateway/schedule/services.go
+++ b/gateway/schedule/services.go
@@ -8,9 +8,9 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// PickService chooses the upstream for a request of a plain service. Requests that
-// may run only once are not used to try upstreams that failed lately, as long as
-// there are others. It reports false if there is no upstream left.
+// PickService places a request on an upstream of a service without stages. Requests that are
+// not repeatable are not used to retry upstreams that failed recently, unless there are no
+// others. It reports false if no upstream is available.
 func (b *Books) PickService(now time.Time, list []dialect.Upstream, repeatable bool, exclude []ident.UpstreamID) (Ticket, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,14 +34,15 @@
 	return b.place(now, best, 0), true
 }
 
-// outOfReach reports whether an upstream could not be connected to and another
-// request is finding out whether that still holds: all others would wait for the
-// same time-out, 400 ms each, before they were refused. The caller holds mu.
+// outOfReach reports whether a connection to an upstream failed and another request is already
+// retrying it. Further requests would wait for the same time-out, 400 ms each, before they are
+// refused. The caller holds mu.
 func (k *book) outOfReach(now time.Time) bool {
 	return k.unreachable && k.state(now) != stateGood && k.requests > 0
 }
 
-// cheapest returns the best of the good upstreams and of those on trial.
+// cheapest returns the healthy upstream with the lowest cost, and one that may be tried again;
+// nil if there is none. The caller holds mu.
 func (b *Books) cheapest(now time.Time, list []dialect.Upstream, exclude []ident.UpstreamID) (good, trial *book) {
 	lowest := math.Inf(1)
 	trust := 1 / (1 + b.unseen(now, serviceOf(list))/float64(len(list)))
@@ -62,8 +63,8 @@
 	return good, trial
 }
 
-// leastBad returns the ejected upstream that is due first: with nothing else left
-// it is tried all the same.
+// leastBad returns the upstream whose ejection ends first. It is tried when no other is left.
+// The caller holds mu.
 func (b *Books) leastBad(now time.Time, list []dialect.Upstream, exclude []ident.UpstreamID) *book {
 	var first *book
 	for _, u := range list {
@@ -81,9 +82,9 @@
 	return first
 }
 
-// cost is the expected time of one more request at an upstream, in seconds: its
-// latency, longer the more it has to do, and as often as it takes to succeed.
-// trust is how much what peers said of their requests still counts.
+// cost returns the expected time of one more request at an upstream, in seconds: its latency,
+// multiplied by its load and raised by its failures. trust is the weight of the load that peers
+// reported. The caller holds mu.
 func (b *Books) cost(now time.Time, k *book, trust float64) float64 {
 	latency := k.latency
 	if latency == 0 {
@@ -94,15 +95,15 @@
 }
 
 const (
-	// leastSuccess bounds how much dearer failures make an upstream.
+	// leastSuccess is the lower bound of the success ratio used in the cost.
 	leastSuccess = 0.05
-	// noise spreads requests of instances that see the same, as a share of the
-	// cost.
+	// noise is the maximum random increase of a cost, as a share. It keeps instances with the
+	// same view from choosing the same upstream.
 	noise = 0.1
 )
 
-// weigh returns a cost, higher at upstreams that fail, are silent, or lie outside
-// the zone near. The caller holds mu.
+// weigh returns the cost c, increased for upstreams that fail, have overdue requests, or are
+// outside the zone near. The caller holds mu.
 func (b *Books) weigh(now time.Time, k *book, c float64, near ident.Zone) float64 {
 	c /= math.Pow(math.Max(k.success, leastSuccess), 2)
 	if k.up.Zone != near {
--- a/gateway/schedule/speed.go
+++ b/gateway/schedule/speed.go
@@ -7,40 +7,43 @@
 	"github.com/wardspool/wardspool/gateway/dialect"
 )
 
-// paceTTL is how long the pace of an engine's fastest prompt is kept over slower measurements,
-// which may include time in the engine's queue. It delays the detection of an engine that
+// paceTTL is how long the throughput of an engine's fastest prompt takes precedence over slower
+// measurements, which may include queueing time. It delays the detection of an engine that
 // becomes slow.
 const paceTTL = 5 * time.Second
 
-// paceForgetAfter is the age at which a pace no longer counts. An engine that looked slow
-// because of its queue, and gets no prompts for that, is tried again.
+// paceForgetAfter is the age at which a measured throughput no longer counts. It ensures that
+// an engine that looked slow because of its queue, and therefore gets no prompts, is tried
+// again.
 const paceForgetAfter = 20 * time.Second
 
-// maxRelativePace caps an engine's pace relative to the service's, since a prompt that is still
-// in the engine's cache takes almost no time.
+// maxRelativePace is the maximum of an engine's throughput relative to the service's, since a
+// prompt that is still in the engine's cache takes almost no time.
 const maxRelativePace = 1.3
 
-// enginePace is the measured pace of a prefill engine, as a 1-based bucket of Paces; 0 if
+// enginePace is the measured throughput of a prefill engine, as a 1-based bucket of Paces; 0 if
 // unknown.
 type enginePace struct {
 	bucket int
 	at     time.Time
 }
 
-// fresh reports whether the pace is known and younger than paceTTL.
+// fresh reports whether the throughput is known and its measurement younger than paceTTL.
 func (p enginePace) fresh(now time.Time) bool { return p.bucket > 0 && now.Sub(p.at) < paceTTL }
 
-// known reports whether the pace is known and younger than paceForgetAfter.
+// known reports whether the throughput is known and its measurement younger than
+// paceForgetAfter.
 func (p enginePace) known(now time.Time) bool { return p.bucket > 0 && now.Sub(p.at) < paceForgetAfter }
 
-// update records a measurement. One below the current pace is ignored while that is fresh.
+// update records a measurement. One below the current value is ignored while that is fresh.
 func (p *enginePace) update(now time.Time, bucket int) {
 	if bucket > 0 && (bucket >= p.bucket || !p.fresh(now)) {
 		*p = enginePace{bucket: bucket, at: now}
 	}
 }
 
-// ObservePrefillPace updates an engine's pace from the time it took for a prompt.
+// ObservePrefillPace records how long an engine took for a prompt and updates the engine's
+// throughput.
 func (b *Books) ObservePrefillPace(now time.Time, u dialect.Upstream, tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
@@ -49,7 +52,8 @@
 	defer b.mu.Unlock()
 	pace := float64(tokens) / took.Seconds()
 	if p := &b.rateOf(u.Service).prefill; p.measured() {
-		// Relative to the usual time for this length, of which a part is the same for any prompt.
+		// The throughput is relative to the usual time for a prompt of this length, which
+		// includes the fixed time per prompt.
 		relative := p.time(tokens).Seconds() / took.Seconds()
 		pace = math.Min(relative, maxRelativePace) * p.whole()
 	}
@@ -57,8 +61,9 @@
 	b.of(u).ownPace.update(now, paceBucket(pace)+1)
 }
 
-// pace returns a prefill engine's pace in tokens a second, as measured by all instances; 0 if
-// unknown. A fresh measurement takes precedence over a stale one, then the faster one.
+// pace returns a prefill engine's throughput in tokens per second, as measured by all
+// instances; 0 if unknown. A fresh measurement takes precedence over a stale one, then the
+// faster one. The caller holds mu.
 func (k *book) pace(now time.Time) float64 {
 	own, peer := k.ownPace, k.peerPace
 	best := own
@@ -74,8 +79,8 @@
 	return bucketPace(best.bucket - 1)
 }
 
-// slowdown returns the ratio of the service's pace to the engine's, at least 1. It is 1 if
-// either is unknown. The caller holds mu.
+// slowdown returns the ratio of the service's throughput to the engine's, at least 1. It is 1
+// if either is unknown. The caller holds mu.
 func (b *Books) slowdown(now time.Time, k *book) float64 {
 	pace := k.pace(now)
 	p := &b.rateOf(k.up.Service).prefill
@@ -85,8 +90,9 @@
 	return math.Max(1, p.whole()/pace)
 }
 
-// MeanRelativePace returns the mean pace of the prefill engines of a list, relative to the
-// service's pace, which is close to that of its fastest engines. It is 1 if there are none.
+// MeanRelativePace returns the mean throughput of the prefill engines of a list, relative to
+// the service's throughput, which is close to that of its fastest engines. It is 1 if the list
+// has no prefill engines.
 func (b *Books) MeanRelativePace(now time.Time, list []dialect.Upstream) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/speed_test.go
+++ b/gateway/schedule/speed_test.go
@@ -14,16 +14,16 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// mixedFleet simulates gateway instances that share prefill engines of different pace and
+// mixedFleet simulates gateway instances that share prefill engines of different throughput and
 // exchange their loads periodically.
 type mixedFleet struct {
 	books []*Books
 	list  []dialect.Upstream
-	// pace is in tokens a second.
+	// pace is the throughput in tokens per second.
 	pace map[ident.UpstreamID]float64
 	// idleAt is when an engine has completed its queue.
 	idleAt map[ident.UpstreamID]time.Time
-	// observePaces enables the measurement of the engines' paces.
+	// observePaces enables the measurement of the engines' throughput.
 	observePaces bool
 	latencies    []time.Duration
 	pending      []pendingPrefill
@@ -58,7 +58,7 @@
 	return f
 }
 
-// exchange sends each instance the load of the others and the paces of all.
+// exchange sends each instance the load of the others and the throughput histograms of all.
 func (f *mixedFleet) exchange(now time.Time, perSecond float64) {
 	sum := map[ident.UpstreamID]*InFlight{}
 	var paces Paces
@@ -145,7 +145,7 @@
 	return float64(n) / float64(len(f.latencies))
 }
 
-// TestPlacementAccountsForEnginePace runs engines of two paces at 75% of their total capacity.
+// TestPlacementAccountsForEnginePace runs engines of two speeds at 75% of their total capacity.
 // It guards against an equal split of prompts, which overloads the slower half.
 func TestPlacementAccountsForEnginePace(t *testing.T) {
 	const engines = 16
@@ -162,8 +162,9 @@
 	}
 }
 
-// TestEnginePaceKeepsFastestUntilStale guards against queueing time lowering an engine's pace,
-// and against a stale pace hiding a slowdown. Paces reported by peers count as well.
+// TestEnginePaceKeepsFastestUntilStale guards against queueing time lowering an engine's
+// throughput, and against a stale throughput hiding a slowdown. The throughput reported by
+// peers counts as well.
 func TestEnginePaceKeepsFastestUntilStale(t *testing.T) {
 	now := time.Unix(1000, 0)
 	checkNear := func(got, want float64) {
--- a/gateway/schedule/stages.go
+++ b/gateway/schedule/stages.go
@@ -8,54 +8,56 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Work is what a service's engines are asked for, as rates over all instances.
+// Work is the load on a service's engines from all instances.
 type Work struct {
-	// Prefill is in prompt tokens a second.
+	// Prefill is in prompt tokens per second.
 	Prefill float64
-	// Memory is in tokens, Streams is how many run at once.
+	// Memory is the KV cache memory in use, in tokens. Streams is the number of concurrent
+	// streams.
 	Memory  float64
 	Streams float64
-	// Requests is how many come a second.
+	// Requests is in requests per second.
 	Requests float64
 }
 
-// Need is the work of a service's engines and what one of them computes.
+// Need is the load on a service's engines and the throughput of one prefill engine.
 type Need struct {
 	Work
-	// Paces are those of recent prompts, PrefillRate what they say of an engine, in prompt
-	// tokens a second; 0 while they are too few.
+	// Paces is the histogram of recent prompts' throughput. PrefillRate is the throughput of an
+	// engine derived from it, in prompt tokens per second; 0 while there are too few prompts.
 	Paces       Paces
 	PrefillRate float64
 }
 
 const (
-	// worthSwitching is the share by which the more loaded stage must get better
-	// for engines to change their stage: they are out for some seconds.
+	// worthSwitching is the relative reduction in load of the more loaded stage that justifies
+	// stage changes. An engine is out of service for several seconds while it changes.
 	worthSwitching = 0.12
-	// leastLoad is the load at the peak below which no engine changes its stage: what
-	// fits needs no order.
+	// leastLoad is the peak load below which no engine changes its stage, since the current
+	// assignment suffices.
 	leastLoad = 0.8
-	// usablePrefill is the share of what prefill engines compute that is planned with:
-	// prompts come at random, and one that waits for four others is late.
+	// usablePrefill is the share of the prefill throughput that is planned with. Prompts arrive
+	// at random, and one queued behind four others is late.
 	usablePrefill = 0.9
-	// leastEngines is how many engines of a stage are kept: with one, its loss
-	// stops the service.
+	// leastEngines is the minimum number of engines of each stage. With only one, its failure
+	// would stop the service.
 	leastEngines = 2
 )
 
-// Switch is a change of an engine's stage that would help.
+// Switch is a recommended change of an engine's stage.
 type Switch struct {
 	Engine dialect.Upstream
 	To     dialect.Stage
-	// Before and After are the load of the more loaded stage, now and once all
-	// engines have the stages that suit the demand.
+	// Before and After are the load of the more loaded stage, now and after all recommended
+	// changes.
 	Before, After float64
 }
 
-// PlanStages says which engines of a service should change their stage, if any: those
-// that are too many for one stage at the peak of the demand, if the best division between
-// the stages lowers the load of the more loaded one enough. All change at once: they come
-// from the stage with room to spare, and one after the other would take too long.
+// PlanStages returns the stage changes recommended for the engines of a service, if any. It
+// finds the division of engines between the stages with the lowest load on the more loaded
+// stage at peak demand, and returns the changes that lead to it if they lower that load enough.
+// All engines change at once: they come from the stage with spare capacity, and changing them
+// one after the other would take too long. busy returns the number of requests at an engine.
 func PlanStages(list []dialect.Upstream, e *routing.Engine, n Need, busy func(ident.UpstreamID) int) []Switch {
 	prefill, decode := count(list, dialect.StagePrefill), count(list, dialect.StageDecode)
 	before := n.worst(prefill, decode, e)
@@ -79,8 +81,8 @@
 	return out
 }
 
-// divide returns how many of some engines should prefill, and the load of the more
-// loaded stage then.
+// divide returns how many of the given number of engines should prefill, and the load of the
+// more loaded stage in that case.
 func (n Need) divide(engines int, e *routing.Engine) (prefill int, load float64) {
 	load = math.Inf(1)
 	for p := leastEngines; p <= engines-leastEngines; p++ {
@@ -91,7 +93,8 @@
 	return prefill, load
 }
 
-// worst is the load of the more loaded stage with so many engines each.
+// worst returns the load of the more loaded stage with the given numbers of engines, as a ratio
+// to the planned capacity.
 func (n Need) worst(prefill, decode int, e *routing.Engine) float64 {
 	if prefill <= 0 || decode <= 0 {
 		return math.Inf(1)
@@ -104,7 +107,7 @@
 	return math.Max(p, d)
 }
 
-// count returns how many engines of a stage take new work.
+// count returns how many engines of a stage accept new requests.
 func count(list []dialect.Upstream, s dialect.Stage) int {
 	n := 0
 	for _, u := range list {
@@ -115,7 +118,8 @@
 	return n
 }
 
-// spare picks the least busy engine of a stage, in the zone that has most of them.
+// spare returns the engine of a stage with the fewest requests, in the zone with the most
+// engines of that stage. It reports false if there is none.
 func spare(list []dialect.Upstream, from dialect.Stage, busy func(ident.UpstreamID) int) (dialect.Upstream, bool) {
 	zones := map[ident.Zone]int{}
 	for _, u := range list {
@@ -140,7 +144,7 @@
 	return *best, true
 }
 
-// restaged returns a list in which one engine has another stage.
+// restaged returns a copy of list in which one engine has another stage.
 func restaged(list []dialect.Upstream, id ident.UpstreamID, s dialect.Stage) []dialect.Upstream {
 	out := append([]dialect.Upstream(nil), list...)
 	for i := range out {
--- a/gateway/schedule/stages_test.go
+++ b/gateway/schedule/stages_test.go
@@ -10,6 +10,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
+// TestStagesFollowDemand checks that idle prefill engines become decode engines when memory is
+// short, and the other way round, and that a balanced service stays as it is.
 func TestStagesFollowDemand(t *testing.T) {
 	list := engines(4, 5)
 	idle := func(ident.UpstreamID) int { return 0 }
@@ -19,26 +21,26 @@
 	assert.Equal(t, s[0].To, dialect.StageDecode)
 	assert.Assert(t, s[0].After < s[0].Before)
 	s = PlanStages(list, engine, Need{Work: Work{Prefill: 300000, Memory: 100000}, PrefillRate: 55000}, idle)
-	assert.Equal(t, len(s), 3, "all that are too many, at once")
+	assert.Equal(t, len(s), 3, "changes at once")
 	for _, change := range s {
 		assert.Equal(t, change.To, dialect.StagePrefill)
 	}
 	assert.Equal(t, len(PlanStages(engines(3, 6), engine, memory, idle)), 0)
 	s = PlanStages(list, engine, Need{Work: Work{Prefill: 500, Memory: 9000}, PrefillRate: 55000}, idle)
-	assert.Equal(t, len(s), 0, "no order for nothing")
+	assert.Equal(t, len(s), 0, "changes at low load")
 	s = PlanStages(list, engine, Need{Work: Work{Prefill: 30000, Memory: 250000}, PrefillRate: 55000}, idle)
-	assert.Equal(t, len(s), 0, "no order while the peak fits")
+	assert.Equal(t, len(s), 0, "changes although the peak demand fits")
 }
 
-// TestAStageKeepsItsLastEngines: whatever the demand, each stage keeps two.
+// TestAStageKeepsItsLastEngines checks that each stage keeps two engines, whatever the demand.
 func TestAStageKeepsItsLastEngines(t *testing.T) {
 	s := PlanStages(engines(2, 7), engine, Need{Work: Work{Prefill: 1000, Memory: 900000}, PrefillRate: 55000}, func(ident.UpstreamID) int { return 0 })
 	assert.Equal(t, len(s), 0)
 }
 
-// TestManyEnginesChangeTogether: among many, one engine alone gains too little to be
-// worth an order; several do, from the zones that have most, and never more than
-// suit the demand.
+// TestManyEnginesChangeTogether guards against a large service never changing stages because
+// one engine alone improves the load too little. Several change at once, from the zones with
+// the most engines, and not more than the best division requires.
 func TestManyEnginesChangeTogether(t *testing.T) {
 	idle := func(ident.UpstreamID) int { return 0 }
 	list := engines(15, 29)
@@ -63,7 +65,8 @@
 	assert.Equal(t, len(PlanStages(engines(best+2, 42-best), small, need, idle)), 0)
 }
 
-// TestSlotsBoundStreams where memory would suffice.
+// TestSlotsBoundStreams checks that the number of slots limits the streams where memory would
+// suffice.
 func TestSlotsBoundStreams(t *testing.T) {
 	few := &routing.Engine{Slots: 4, KVTokens: 1 << 20}
 	need := Need{Work: Work{Prefill: 1000, Memory: 1000, Streams: 20}, PrefillRate: 55000}
--- a/gateway/schedule/unseen.go
+++ b/gateway/schedule/unseen.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// arrivalHalfLife is how fast old arrivals are forgotten: shorter than a burst.
+// arrivalHalfLife is the half-life of old arrivals. It is shorter than a burst.
 const arrivalHalfLife = 2 * time.Second
 
-// arrivals is a decaying count of requests.
+// arrivals is an exponentially decaying count of requests.
 type arrivals struct {
 	at    time.Time
 	count float64
@@ -22,7 +22,7 @@
 	a.at = now
 }
 
-// left is what is left of the count.
+// left returns the count decayed to now.
 func (a *arrivals) left(now time.Time) float64 {
 	passed := now.Sub(a.at)
 	if a.at.IsZero() || passed <= 0 {
@@ -31,30 +31,31 @@
 	return a.count * math.Exp2(-passed.Seconds()/arrivalHalfLife.Seconds())
 }
 
-// perSecond is the rate.
+// perSecond returns the arrival rate.
 func (a *arrivals) perSecond(now time.Time) float64 {
 	return a.left(now) * math.Ln2 / arrivalHalfLife.Seconds()
 }
 
-// SetFleet takes in how many instances share the upstreams, and how old what is
-// known of the others' requests is on average.
+// SetFleet sets the number of instances that share the upstreams, and the mean age of the load
+// reports from the other instances.
 func (b *Books) SetFleet(instances int, age time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.others, b.age = max(0, instances-1), age
 }
 
-// SetOffered takes in how many requests a second the other instances offer a service. The
-// own arrivals say little of theirs: most instances have not had one for a while.
+// SetOffered sets the rate of requests of all other instances to a service, in requests per
+// second. This instance's arrivals are a poor estimate of it, since in a large fleet most
+// instances have received no request for a while.
 func (b *Books) SetOffered(service string, perSecond float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.offered[service] = perSecond
 }
 
-// unseen is how many requests the other instances are expected to have placed at a
-// service since what is known of them: instances that see the same and don't count
-// with that all choose the same upstream. The caller holds mu.
+// unseen returns how many requests the other instances are expected to have placed at a service
+// since their last load reports. Instances with the same view that did not account for these
+// would all choose the same upstream. The caller holds mu.
 func (b *Books) unseen(now time.Time, service string) float64 {
 	if offered, ok := b.offered[service]; ok {
 		return offered * b.age.Seconds()
@@ -66,7 +67,7 @@
 	return a.perSecond(now) * float64(b.others) * b.age.Seconds()
 }
 
-// arrive counts a request of this instance. The caller holds mu.
+// arrive counts a request of this instance to a service. The caller holds mu.
 func (b *Books) arrive(now time.Time, service string) {
 	a := b.arrived[service]
 	if a == nil {
@@ -76,18 +77,19 @@
 	a.note(now)
 }
 
-// candidate is an upstream that may be chosen, with its cost.
+// candidate is an upstream that may be chosen, and its cost.
 type candidate struct {
 	book *book
 	cost float64
-	// left is the share of a decode engine's memory that stays unused.
+	// left is the share of a decode engine's memory that is expected to stay free.
 	left float64
 	// requestCost is the part of a prefill engine's cost that the request itself adds.
 	requestCost float64
 }
 
-// spread chooses among the cheapest candidates, as many as there are unseen
-// placements and one more, at random. The caller holds mu.
+// spread chooses at random among the cheapest candidates, of which it considers one more than
+// there are unseen placements. It reorders list in place and returns nil if list is empty. The
+// caller holds mu.
 func (b *Books) spread(list []candidate, unseen float64) *book {
 	if len(list) == 0 {
 		return nil
@@ -108,8 +110,8 @@
 // spreadByCost chooses a prefill engine at random by water-filling: the unseen placements are
 // expected to raise the cheapest engines to the same cost. The probability of an engine grows
 // with the distance of its cost to that level, and falls with the cost of a request there.
-// Without unseen placements the cheapest engine is chosen. It sorts list in place. The caller
-// holds mu.
+// Without unseen placements it chooses the cheapest engine. It sorts list in place and returns
+// nil if list is empty. The caller holds mu.
 func (b *Books) spreadByCost(list []candidate, unseen float64) *book {
 	slices.SortFunc(list, func(a, c candidate) int { return cmp.Compare(a.cost, c.cost) })
 	if len(list) == 0 {
--- a/gateway/schedule/unseen_test.go
+++ b/gateway/schedule/unseen_test.go
@@ -10,7 +10,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// busiest returns how many times the mean the busiest of n upstreams got.
+// busiest returns the ratio of the busiest of n upstreams' requests to the mean.
 func busiest(counts map[ident.UpstreamID]int, n int) float64 {
 	most, total := 0, 0
 	for _, c := range counts {
@@ -20,8 +20,9 @@
 	return float64(most) * float64(n) / float64(total)
 }
 
-// TestInstancesThatSeeTheSameDontChooseTheSame: 60 instances place requests on one
-// view of 40 engines, of which some look a little better.
+// TestInstancesThatSeeTheSameDontChooseTheSame guards against instances with the same view
+// choosing the same engines. 60 instances place requests on 40 engines, some of which look
+// slightly better.
 func TestInstancesThatSeeTheSameDontChooseTheSame(t *testing.T) {
 	list := engines(0, 40)
 	size := Size{Prompt: 3000, Estimate: 1000}
@@ -64,8 +65,8 @@
 	assert.Assert(t, a.perSecond(now.Add(20*time.Second)) < 0.1)
 }
 
-// TestOneInstanceChoosesTheBest: with nobody else placing requests, the cheapest is
-// taken.
+// TestOneInstanceChoosesTheBest checks that an instance without peers chooses the cheapest
+// engine.
 func TestOneInstanceChoosesTheBest(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 3)
@@ -77,8 +78,8 @@
 	}
 }
 
-// TestOneEngineIsNotTakenForAll: what other instances may have placed unseen spreads
-// over all engines, also for a request that only one of them will do for.
+// TestOneEngineIsNotTakenForAll checks that unseen placements of other instances are assumed to
+// be spread over all engines, also for a request that can be placed on only one of them.
 func TestOneEngineIsNotTakenForAll(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 20)
@@ -93,7 +94,8 @@
 	assert.Equal(t, ticket.Upstream.ID, list[7].ID)
 }
 
-// TestZonesServeThemselves while they have room; then the others are used too.
+// TestZonesServeThemselves checks that streams are placed in the instance's own zone as long as
+// it has enough free memory, and then in other zones too.
 func TestZonesServeThemselves(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 12)
@@ -117,5 +119,5 @@
 			assert.Equal(t, others, 0)
 		}
 	}
-	assert.Assert(t, own > 12 && others > 8, "%d and %d", own, others)
+	assert.Assert(t, own > 12 && others > 8, "%d in the own zone and %d in others", own, others)
 }
