--- a/gateway/schedule/away.go
+++ b/gateway/schedule/away.go
@@ -10,16 +10,16 @@
 // Refuses records that an engine rejected a request for which it had reserved memory, or the
 // transfer of a prefill result that it had just computed. The engine gets no requests for a
 // while, from this instance and from its peers. The time doubles with each rejection in a row,
-// from refusingFirst to refusingMost.
+// from minRejectionBackoff to maxRejectionBackoff.
 func (b *Books) Refuses(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.of(u)
-	if now.Before(k.refusingUntil) {
+	rec := b.recordOf(u)
+	if now.Before(rec.rejectingUntil) {
 		return
 	}
-	k.refusingUntil = now.Add(min(refusingMost, refusingFirst<<min(k.refusals, 4)))
-	k.refusals++
+	rec.rejectingUntil = now.Add(min(maxRejectionBackoff, minRejectionBackoff<<min(rec.rejections, 4)))
+	rec.rejections++
 }
 
 // Kept records that an engine accepted a request or transfer that it had reserved. It resets
@@ -27,7 +27,7 @@
 func (b *Books) Kept(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(u).refusals = 0
+	b.recordOf(u).rejections = 0
 }
 
 // Switching records that an engine was ordered to change its stage. Until the change is
@@ -35,23 +35,23 @@
 func (b *Books) Switching(now time.Time, id ident.UpstreamID, to dialect.Stage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if k := b.books[id]; k != nil {
-		k.switching, k.switchingUntil = to, now.Add(switchingMost)
+	if rec := b.records[id]; rec != nil {
+		rec.pendingStage, rec.pendingUntil = to, now.Add(stageChangeTimeout)
 	}
 }
 
-// away reports whether an engine is expected to reject requests now, since it did so recently
-// or is changing its stage. The caller holds mu.
-func (k *book) away(now time.Time) bool {
-	if now.Before(k.refusingUntil) || now.Before(k.peerRefusing) {
+// unavailable reports whether an engine is expected to reject requests now, since it did so
+// recently or is changing its stage. The caller holds mu.
+func (rec *upstreamRecord) unavailable(now time.Time) bool {
+	if now.Before(rec.rejectingUntil) || now.Before(rec.peerRejectingUntil) {
 		return true
 	}
-	return k.switches(now)
+	return rec.changingStage(now)
 }
 
-// switches reports whether the engine is changing its stage. The caller holds mu.
-func (k *book) switches(now time.Time) bool {
-	return k.switching != "" && k.switching != k.up.Stage && now.Before(k.switchingUntil)
+// changingStage reports whether the engine is changing its stage. The caller holds mu.
+func (rec *upstreamRecord) changingStage(now time.Time) bool {
+	return rec.pendingStage != "" && rec.pendingStage != rec.up.Stage && now.Before(rec.pendingUntil)
 }
 
 // Away lists the engines that get no new requests at present, as instances exchange it with
@@ -69,17 +69,17 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := Away{Refusing: map[ident.UpstreamID]time.Duration{}, Switching: map[ident.UpstreamID]dialect.Stage{}}
-	for id, k := range b.books {
-		if now.Before(k.refusingUntil) {
-			a.Refusing[id] = k.refusingUntil.Sub(now)
+	for id, rec := range b.records {
+		if now.Before(rec.rejectingUntil) {
+			a.Refusing[id] = rec.rejectingUntil.Sub(now)
 		}
-		if k.replaced {
-			a.Refusing[id] = refusingMost
-		} else if k.down(now) {
-			a.Refusing[id] = max(refusingFirst, k.ejectedUntil.Sub(now))
+		if rec.replaced {
+			a.Refusing[id] = maxRejectionBackoff
+		} else if rec.knownDown(now) {
+			a.Refusing[id] = max(minRejectionBackoff, rec.ejectedUntil.Sub(now))
 		}
-		if k.switches(now) {
-			a.Switching[id] = k.switching
+		if rec.changingStage(now) {
+			a.Switching[id] = rec.pendingStage
 		}
 	}
 	return a
@@ -89,14 +89,14 @@
 func (b *Books) SetAway(now time.Time, a Away) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, left := range a.Refusing {
-		if k := b.books[id]; k != nil {
-			k.peerRefusing = now.Add(min(refusingMost, left))
+	for id, remaining := range a.Refusing {
+		if rec := b.records[id]; rec != nil {
+			rec.peerRejectingUntil = now.Add(min(maxRejectionBackoff, remaining))
 		}
 	}
 	for id, stage := range a.Switching {
-		if k := b.books[id]; k != nil && k.switching != stage {
-			k.switching, k.switchingUntil = stage, now.Add(switchingMost)
+		if rec := b.records[id]; rec != nil && rec.pendingStage != stage {
+			rec.pendingStage, rec.pendingUntil = stage, now.Add(stageChangeTimeout)
 		}
 	}
 }
@@ -108,8 +108,8 @@
 	defer b.mu.Unlock()
 	staged := append([]dialect.Upstream(nil), list...)
 	for i := range staged {
-		if k := b.books[staged[i].ID]; k != nil && k.switches(now) {
-			staged[i].Stage = k.switching
+		if rec := b.records[staged[i].ID]; rec != nil && rec.changingStage(now) {
+			staged[i].Stage = rec.pendingStage
 		}
 	}
 	return staged
--- a/gateway/schedule/books_test.go
+++ b/gateway/schedule/books_test.go
@@ -107,11 +107,11 @@
 	b := NewBooks("a", 1)
 	u := service("x")[0]
 	assert.Assert(t, b.Failed(at(0), u, Unreachable))
-	assert.Equal(t, b.books["x"].state(at(499)), stateEjected)
-	assert.Equal(t, b.books["x"].state(at(501)), stateTrial)
+	assert.Equal(t, b.records["x"].state(at(499)), stateEjected)
+	assert.Equal(t, b.records["x"].state(at(501)), stateRetry)
 	assert.Assert(t, b.Failed(at(501), u, Hard))
-	assert.Equal(t, b.books["x"].state(at(1400)), stateEjected)
-	assert.Equal(t, b.books["x"].state(at(1502)), stateTrial)
+	assert.Equal(t, b.records["x"].state(at(1400)), stateEjected)
+	assert.Equal(t, b.records["x"].state(at(1502)), stateRetry)
 }
 
 // TestAllEjectedStillServes checks that with all upstreams ejected, the one whose ejection ends
@@ -159,8 +159,8 @@
 	for _, b := range []*Books{here, peer} {
 		ticket, _ := b.PlaceDecode(at(0), list, engine, size, nil)
 		b.Done(ticket)
-		b.of(list[0])
-		b.of(list[1])
+		b.recordOf(list[0])
+		b.recordOf(list[1])
 	}
 	here.Refuses(at(0), list[0])
 	peer.SetAway(at(100), here.Away(at(100)))
@@ -256,9 +256,9 @@
 	b.Failed(at(0), u, Hard)
 	assert.Assert(t, b.Failed(at(0), u, Hard))
 	b.Readmit(at(600), u)
-	assert.Equal(t, b.books[u.ID].state(at(600)), stateGood)
+	assert.Equal(t, b.records[u.ID].state(at(600)), stateHealthy)
 	assert.Assert(t, b.Failed(at(700), u, Hard))
-	assert.Equal(t, b.books[u.ID].state(at(1600)), stateEjected)
+	assert.Equal(t, b.records[u.ID].state(at(1600)), stateEjected)
 }
 
 // TestOutOfReachIsRefusedAtOnce guards against requests waiting for a connection time-out.
--- a/gateway/schedule/budget.go
+++ b/gateway/schedule/budget.go
@@ -20,18 +20,18 @@
 // of the sliding window, and restarted instances, which lose their count of extra sends.
 const budgetMargin = 0.6
 
-// underWayMargin is the same for streams that have already started. Without another send their
-// output is lost, whereas other requests can be refused.
-const underWayMargin = 0.8
+// startedStreamMargin is the same for streams that have already started. Without another send
+// their output is lost, whereas other requests can be refused.
+const startedStreamMargin = 0.8
 
 const (
-	// quietShare is the share of the slack up to which the spending of all instances together
-	// counts as low. Each instance may then use its whole part. In a large fleet that part is
-	// about two sends, and restarting a stream takes two.
-	quietShare = 0.3
-	// spentFresh is how long the reported spending of the other instances stays valid. In large
-	// fleets load reports pass through two hubs, each of which adds 0.3 s.
-	spentFresh = 1500 * time.Millisecond
+	// lowSpendingShare is the share of the slack up to which the spending of all instances
+	// together counts as low. Each instance may then use its whole part. In a large fleet that
+	// part is about two sends, and restarting a stream takes two.
+	lowSpendingShare = 0.3
+	// spendingTTL is how long the reported spending of the other instances stays valid. In
+	// large fleets load reports pass through two hubs, each of which adds 0.3 s.
+	spendingTTL = 1500 * time.Millisecond
 )
 
 // budgetSteps is the number of steps into which a window is divided. One more step is counted,
@@ -54,10 +54,10 @@
 
 	mu       sync.Mutex
 	services map[string]*spending
-	// others is the number of extra sends of the other instances by service, as reported at
-	// heard.
-	others map[string]int
-	heard  time.Time
+	// othersSpent is the number of extra sends of the other instances by service, as reported
+	// at othersSpentAt.
+	othersSpent   map[string]int
+	othersSpentAt time.Time
 }
 
 // spending counts a service's requests and extra sends in a ring of time steps.
@@ -67,8 +67,8 @@
 	extra    [countedSteps]int
 }
 
-// counted returns the requests and extra sends of the last window.
-func (s *spending) counted() (requests, extra int) {
+// windowTotals returns the requests and extra sends of the last window.
+func (s *spending) windowTotals() (requests, extra int) {
 	for i := range countedSteps {
 		requests += s.requests[i]
 		extra += s.extra[i]
@@ -84,8 +84,8 @@
 	return &Budget{options: o, instances: instances, origin: now, services: map[string]*spending{}}
 }
 
-// of returns a service's spending, advanced to the current step. The caller holds mu.
-func (b *Budget) of(now time.Time, service string) *spending {
+// spendingOf returns a service's spending, advanced to the current step. The caller holds mu.
+func (b *Budget) spendingOf(now time.Time, service string) *spending {
 	s := b.services[service]
 	if s == nil {
 		s = &spending{}
@@ -105,7 +105,7 @@
 func (b *Budget) Request(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(now, service)
+	s := b.spendingOf(now, service)
 	s.requests[s.step%countedSteps]++
 }
 
@@ -115,7 +115,7 @@
 	defer b.mu.Unlock()
 	spent := map[string]int{}
 	for service := range b.services {
-		if _, extra := b.of(now, service).counted(); extra > 0 {
+		if _, extra := b.spendingOf(now, service).windowTotals(); extra > 0 {
 			spent[service] = extra
 		}
 	}
@@ -126,34 +126,34 @@
 func (b *Budget) SetOthers(now time.Time, spent map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others, b.heard = spent, now
+	b.othersSpent, b.othersSpentAt = spent, now
 }
 
-// quiet reports whether the known spending of all instances together is low. It is false
+// lowSpending reports whether the known spending of all instances together is low. It is false
 // without a recent report of the others, and during the first window after a start, since an
 // instance that restarted does not know what it spent before. The caller holds mu.
-func (b *Budget) quiet(now time.Time, service string, extra int) bool {
-	if now.Sub(b.heard) > spentFresh || now.Sub(b.origin) < b.options.Window {
+func (b *Budget) lowSpending(now time.Time, service string, extra int) bool {
+	if now.Sub(b.othersSpentAt) > spendingTTL || now.Sub(b.origin) < b.options.Window {
 		return false
 	}
-	return float64(b.others[service]+extra) <= quietShare*b.options.Slack
+	return float64(b.othersSpent[service]+extra) <= lowSpendingShare*b.options.Slack
 }
 
 // Extra reports whether the given number of extra sends is within the budget, and counts them
 // if so.
 func (b *Budget) Extra(now time.Time, service string, sends int) bool {
-	return b.take(now, service, sends, budgetMargin, 1)
+	return b.trySpend(now, service, sends, budgetMargin, 1)
 }
 
 // Continue is like Extra for a stream that has already started.
 func (b *Budget) Continue(now time.Time, service string, sends int) bool {
-	return b.take(now, service, sends, underWayMargin, 1)
+	return b.trySpend(now, service, sends, startedStreamMargin, 1)
 }
 
 // Spare is like Extra for optional sends, such as those of a migration. They use at most half
 // of the budget, which leaves the rest to necessary ones.
 func (b *Budget) Spare(now time.Time, service string, sends int) bool {
-	return b.take(now, service, sends, budgetMargin/2, budgetMargin/2)
+	return b.trySpend(now, service, sends, budgetMargin/2, budgetMargin/2)
 }
 
 // Owed counts sends that became necessary because of Spare sends, without checking the budget.
@@ -162,19 +162,19 @@
 func (b *Budget) Owed(now time.Time, service string, sends int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(now, service).spend(sends)
+	b.spendingOf(now, service).spend(sends)
 }
 
-// take counts sends and returns true if this instance then stays within a share of its part of
-// the budget. The share is whileQuiet while all instances together spend little, and share
+// trySpend counts sends and returns true if this instance then stays within a share of its part
+// of the budget. The share is lowShare while all instances together spend little, and share
 // otherwise.
-func (b *Budget) take(now time.Time, service string, sends int, share, whileQuiet float64) bool {
+func (b *Budget) trySpend(now time.Time, service string, sends int, share, lowShare float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(now, service)
-	requests, extra := s.counted()
-	if b.quiet(now, service, extra) {
-		share = whileQuiet
+	s := b.spendingOf(now, service)
+	requests, extra := s.windowTotals()
+	if b.lowSpending(now, service, extra) {
+		share = lowShare
 	}
 	allowed := b.options.Ratio*float64(requests) + b.options.Slack/float64(max(1, b.instances()))
 	if float64(extra+sends) > share*allowed {
--- a/gateway/schedule/budget_test.go
+++ b/gateway/schedule/budget_test.go
@@ -55,13 +55,13 @@
 		budgets = append(budgets, NewBudget(at(0), o, func() int { return instances }))
 	}
 	var perStep []int
-	told := []map[string]int{{}, {}, {}, {}, {}}
+	reported := []map[string]int{{}, {}, {}, {}, {}}
 	most, started := 0, 0
 	for step := 0; step < 200; step++ {
 		now := at(step * 200)
 		sum, spent := 0, map[string]int{}
 		for i, b := range budgets {
-			b.SetOthers(now, told[0])
+			b.SetOthers(now, reported[0])
 			// One stream of the fleet fails every 0.2 s, and those of all instances from 20 s
 			// on.
 			if step > 100 || (step+i)%300 == 0 {
@@ -72,7 +72,7 @@
 			}
 			spent["s"] += b.Spent(now)["s"]
 		}
-		told = append(told[1:], spent)
+		reported = append(reported[1:], spent)
 		perStep = append(perStep, sum)
 		window := 0
 		for _, n := range perStep[max(0, len(perStep)-50):] {
--- a/gateway/schedule/cold.go
+++ b/gateway/schedule/cold.go
@@ -22,14 +22,14 @@
 	defer b.mu.Unlock()
 	cold := map[ident.UpstreamID]*coldLimit{}
 	for id, quota := range quotas {
-		l := b.cold[id]
+		l := b.coldLimits[id]
 		if l == nil {
 			l = &coldLimit{}
 		}
 		l.rate = float64(quota)
 		cold[id] = l
 	}
-	b.cold = cold
+	b.coldLimits = cold
 }
 
 // coldLimit enforces an instance's quota for one cold upstream. A nil limit allows all requests.
--- a/gateway/schedule/compute.go
+++ b/gateway/schedule/compute.go
@@ -7,13 +7,13 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// selfSpeed is the throughput of decode engines when they compute prompts, relative to that of
-// a prefill engine. They compute prompts between the output tokens of their streams.
-const selfSpeed = 0.5
+// decodePrefillSpeed is the throughput of decode engines when they compute prompts, relative to
+// that of a prefill engine. They compute prompts between the output tokens of their streams.
+const decodePrefillSpeed = 0.5
 
-// compute returns the number of tokens that the decode engine has to compute before it can
-// continue the output.
-func (s Size) compute() int {
+// tokensToCompute returns the number of tokens that the decode engine has to compute before it
+// can continue the output.
+func (s Size) tokensToCompute() int {
 	switch {
 	case s.Copied:
 		return 0
@@ -28,14 +28,14 @@
 // its running streams are then not paused for longer than size.MaxPause, if there is no such
 // limit, or if the engine has no requests. A longer computation would delay all of the engine's
 // streams. The caller holds mu.
-func (b *Books) mayCompute(k *book, e *routing.Engine, size Size) bool {
-	if size.compute() == 0 || size.MaxPause <= 0 || k.requests+k.peerRequests == 0 {
+func (b *Books) mayCompute(rec *upstreamRecord, e *routing.Engine, size Size) bool {
+	if size.tokensToCompute() == 0 || size.MaxPause <= 0 || rec.requests+rec.peerRequests == 0 {
 		return true
 	}
-	r := b.rateOf(k.up.Service)
+	r := b.performanceOf(rec.up.Service)
 	event := r.tokenTime * float64(e.Stride)
-	computing := float64(k.tokens + k.peerTokens + size.compute())
-	return computing/(selfSpeed*r.prefill.rate())+event <= size.MaxPause.Seconds()
+	computing := float64(rec.tokens + rec.peerTokens + size.tokensToCompute())
+	return computing/(decodePrefillSpeed*r.prefill.throughput())+event <= size.MaxPause.Seconds()
 }
 
 // OverflowTime returns how long a decode engine takes to compute a prompt. It reports false if
@@ -46,7 +46,7 @@
 	if len(b.overflow) == 0 {
 		return 0, false
 	}
-	return time.Duration(float64(b.rateOf(service).prefill.time(tokens)) / selfSpeed), true
+	return time.Duration(float64(b.performanceOf(service).prefill.time(tokens)) / decodePrefillSpeed), true
 }
 
 // SetOverflow sets the decode engines on which this instance may have prompts computed while
@@ -63,10 +63,10 @@
 func (b *Books) Computed(t Ticket) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.books[t.Upstream.ID]
-	if k == nil || k.computing[t.number] == 0 {
+	rec := b.records[t.Upstream.ID]
+	if rec == nil || rec.computeTokens[t.number] == 0 {
 		return
 	}
-	k.tokens -= k.computing[t.number]
-	delete(k.computing, t.number)
+	rec.tokens -= rec.computeTokens[t.number]
+	delete(rec.computeTokens, t.number)
 }
--- a/gateway/schedule/compute_test.go
+++ b/gateway/schedule/compute_test.go
@@ -25,7 +25,7 @@
 	second, ok := b.PlaceDecode(at(20), list, engine, self, nil)
 	assert.Assert(t, ok)
 	b.Done(second)
-	assert.Equal(t, b.books["a"].tokens, 0)
+	assert.Equal(t, b.records["a"].tokens, 0)
 	long := self
 	long.Prompt = 9000
 	_, ok = b.PlaceDecode(at(30), list, engine, long, nil)
--- a/gateway/schedule/demand.go
+++ b/gateway/schedule/demand.go
@@ -10,9 +10,9 @@
 	// decode engine follows the demand, with streams of 2.7 to 3.5 s, so that a burst of 4 s is
 	// visible. Peaks retains the demand of bursts for longer.
 	demandHalfLife = 2 * time.Second
-	// leastDemandAge is the shortest time over which demand is averaged. It keeps the first
+	// minDemandAge is the shortest time over which demand is averaged. It keeps the first
 	// request from counting as a high rate.
-	leastDemandAge = time.Second
+	minDemandAge = time.Second
 	// defaultTokenTime is assumed until the second event of the first stream arrives. Known
 	// engines take 0.6 to 5.3 ms per token.
 	defaultTokenTime = 650 * time.Microsecond
@@ -22,38 +22,38 @@
 	tokenTimeWeight = 0.02
 )
 
-// rate holds the measured performance of a service's engines.
-type rate struct {
-	// prefill is the throughput of prefill engines.
-	prefill prefillPace
+// enginePerformance holds the measured performance of a service's engines.
+type enginePerformance struct {
+	// prefill is the estimated performance of prefill engines.
+	prefill prefillEstimate
 	// tokenTime is the mean time per output token, in seconds. tokenMeasured is false while it
 	// is the default.
 	tokenTime     float64
 	tokenMeasured bool
 	// firstEvent is the mean time until a stream's first event, in seconds.
 	firstEvent float64
-	// variance is that of the logarithm of the ratio of output length to its estimate.
-	variance float64
+	// lengthVariance is that of the logarithm of the ratio of output length to its estimate.
+	lengthVariance float64
 }
 
 // demand is the exponentially decaying sum of the work that clients requested from a service.
 type demand struct {
-	// since is when the first request arrived.
-	since time.Time
-	at    time.Time
+	// firstRequest is when the first request arrived.
+	firstRequest time.Time
+	updatedAt    time.Time
 	// work holds memory as tokens held multiplied by output tokens generated meanwhile, and
 	// streams as output tokens. Both are converted with the time per token when they are read,
 	// since that is known more precisely by then.
 	work Work
 }
 
-// rateOf returns the measured performance of a service, with defaults before any measurement.
-// The caller holds mu.
-func (b *Books) rateOf(service string) *rate {
-	r := b.rates[service]
+// performanceOf returns the measured performance of a service, with defaults before any
+// measurement. The caller holds mu.
+func (b *Books) performanceOf(service string) *enginePerformance {
+	r := b.performances[service]
 	if r == nil {
-		r = &rate{tokenTime: defaultTokenTime.Seconds(), firstEvent: 0.1, variance: initialSpread * initialSpread}
-		b.rates[service] = r
+		r = &enginePerformance{tokenTime: defaultTokenTime.Seconds(), firstEvent: 0.1, lengthVariance: initialSpread * initialSpread}
+		b.performances[service] = r
 	}
 	return r
 }
@@ -62,14 +62,14 @@
 func (b *Books) PrefillDone(service string, tokens int, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rateOf(service).prefill.learn(tokens, took)
+	b.performanceOf(service).prefill.observe(tokens, took)
 }
 
 // StreamStarted records how long a decode engine took until the first event.
 func (b *Books) StreamStarted(service string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.rateOf(service)
+	r := b.performanceOf(service)
 	r.firstEvent += latencyWeight * (took.Seconds() - r.firstEvent)
 }
 
@@ -78,29 +78,29 @@
 func (b *Books) StreamDone(service string, estimate, output int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rateOf(service).learnSpread(estimate, output)
+	b.performanceOf(service).observeSpread(estimate, output)
 }
 
-// learnTokenTime records how long a running stream took for a number of tokens. Completed
+// observeTokenTime records how long a running stream took for a number of tokens. Completed
 // streams alone would give the value too late, since it is needed for the first stage changes
 // after a start.
-func (r *rate) learnTokenTime(took time.Duration, tokens int) {
+func (r *enginePerformance) observeTokenTime(took time.Duration, tokens int) {
 	if took <= 0 || tokens <= 0 {
 		return
 	}
-	seen := took.Seconds() / float64(tokens)
+	measured := took.Seconds() / float64(tokens)
 	if !r.tokenMeasured {
-		r.tokenTime, r.tokenMeasured = seen, true
+		r.tokenTime, r.tokenMeasured = measured, true
 		return
 	}
-	r.tokenTime += tokenTimeWeight * (seen - r.tokenTime)
+	r.tokenTime += tokenTimeWeight * (measured - r.tokenTime)
 }
 
 // FirstEvent returns how long a decode engine is expected to take until the first event.
 func (b *Books) FirstEvent(service string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Duration(b.rateOf(service).firstEvent * float64(time.Second))
+	return time.Duration(b.performanceOf(service).firstEvent * float64(time.Second))
 }
 
 // Asked adds a client's request to the demand of a service. prompt and output are in tokens,
@@ -110,7 +110,7 @@
 	defer b.mu.Unlock()
 	d := b.demands[service]
 	if d == nil {
-		d = &demand{since: now, at: now}
+		d = &demand{firstRequest: now, updatedAt: now}
 		b.demands[service] = d
 	}
 	d.decay(now)
@@ -122,21 +122,21 @@
 
 // decay reduces the sums according to the time that has passed.
 func (d *demand) decay(now time.Time) {
-	passed := now.Sub(d.at)
-	if passed <= 0 {
+	elapsed := now.Sub(d.updatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	f := math.Exp2(-passed.Seconds() / demandHalfLife.Seconds())
+	f := math.Exp2(-elapsed.Seconds() / demandHalfLife.Seconds())
 	d.work = d.work.times(f)
-	d.at = now
+	d.updatedAt = now
 }
 
 // scale returns the factor that converts the decaying sums into rates per second. It accounts
 // for sums that still build up after the first request.
 func (d *demand) scale(now time.Time) float64 {
-	age := max(leastDemandAge, now.Sub(d.since))
-	full := 1 - math.Exp2(-age.Seconds()/demandHalfLife.Seconds())
-	return math.Ln2 / demandHalfLife.Seconds() / full
+	age := max(minDemandAge, now.Sub(d.firstRequest))
+	steadyShare := 1 - math.Exp2(-age.Seconds()/demandHalfLife.Seconds())
+	return math.Ln2 / demandHalfLife.Seconds() / steadyShare
 }
 
 // Demand returns the demand of this instance's clients for a service.
@@ -149,13 +149,13 @@
 	}
 	d.decay(now)
 	scale := d.scale(now)
-	r := b.rateOf(service)
+	r := b.performanceOf(service)
 	n := Need{Work: d.work.times(scale)}
 	n.Memory *= r.tokenTime
 	n.Streams *= r.tokenTime
 	if r.tokenMeasured {
 		// Only long prompts count. Their fixed time is included, as it is in the demand.
-		n.Paces = r.prefill.long.paces()
+		n.Paces = r.prefill.long.histogram()
 	}
 	return n
 }
--- a/gateway/schedule/demand_test.go
+++ b/gateway/schedule/demand_test.go
@@ -31,7 +31,7 @@
 	b.Asked(at(0), "m", 3000, 640)
 	b.Progress(at(100), ticket, 9)
 	b.Progress(at(148), ticket, 18)
-	assert.Assert(t, math.Abs(b.rateOf("m").tokenTime-0.0053) < 0.0001, "%v", b.rateOf("m").tokenTime)
+	assert.Assert(t, math.Abs(b.performanceOf("m").tokenTime-0.0053) < 0.0001, "%v", b.performanceOf("m").tokenTime)
 	need := b.Demand(at(1000), "m")
 	want := 640 * 0.0053 * need.Prefill / 3000
 	assert.Assert(t, math.Abs(need.Streams-want) < want/50, "earlier requests do not use the measured time per token: %v, want %v", need.Streams, want)
--- a/gateway/schedule/engines.go
+++ b/gateway/schedule/engines.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// usableMemory is the share of an engine's memory that requests are planned into. The rest
-	// allows for peers' forecasts, which are about 300 ms old, and for outputs that are all
-	// longer than estimated. An engine that runs out of memory preempts a request, whose prompt
-	// then has to be computed again, and pauses for about 300 ms.
-	usableMemory = 0.92
-	// unseenRoom is the share of the unseen placements, those that other instances are expected
-	// to have made but not yet reported, for which the engines must have free memory. With the
-	// full amount more streams would be refused than are saved from preemption.
-	unseenRoom = 0.25
-	// ownZone is how much more of its memory, as a share, a decode engine of another zone must
-	// have free to be preferred. Streams within the zone survive a network partition between
-	// zones, and traffic between zones is charged for.
-	ownZone = 0.12
-	// zoneRoom is the share of its memory that a decode engine of the instance's zone must have
-	// free for other zones to be disregarded. Otherwise most streams would run in other zones
-	// in a large fleet, where many engines are about equally good.
-	zoneRoom = 0.3
-	// holdShare is the share of the estimated output for which memory is reserved. Memory that
-	// is reserved but not yet used is not available to other requests.
-	holdShare = 0.25
-	// fullFor is how long an engine that rejected a reservation is not asked again for as much
-	// memory. At peak load a stream ends somewhere every 50 to 80 ms.
-	fullFor = 60 * time.Millisecond
-	// closeEnough is the difference in free memory, as a share, below which two engines count
-	// as equally free. The choice between them is random, so that instances with the same view
-	// do not all choose the same engine.
-	closeEnough = 0.08
+	// usableMemoryShare is the share of an engine's memory that requests are planned into. The
+	// rest allows for peers' forecasts, which are about 300 ms old, and for outputs that are
+	// all longer than estimated. An engine that runs out of memory preempts a request, whose
+	// prompt then has to be computed again, and pauses for about 300 ms.
+	usableMemoryShare = 0.92
+	// unseenMemoryShare is the share of the unseen placements, those that other instances are
+	// expected to have made but not yet reported, for which the engines must have free memory.
+	// With the full amount more streams would be refused than are saved from preemption.
+	unseenMemoryShare = 0.25
+	// localZoneBonus is how much more of its memory, as a share, a decode engine of another
+	// zone must have free to be preferred. Streams within the zone survive a network partition
+	// between zones, and traffic between zones is charged for.
+	localZoneBonus = 0.12
+	// localZoneFreeShare is the share of its memory that a decode engine of the instance's zone
+	// must have free for other zones to be disregarded. Otherwise most streams would run in
+	// other zones in a large fleet, where many engines are about equally good.
+	localZoneFreeShare = 0.3
+	// reservedOutputShare is the share of the estimated output for which memory is reserved.
+	// Memory that is reserved but not yet used is not available to other requests.
+	reservedOutputShare = 0.25
+	// fullBackoff is how long an engine that rejected a reservation is not asked again for as
+	// much memory. At peak load a stream ends somewhere every 50 to 80 ms.
+	fullBackoff = 60 * time.Millisecond
+	// freeMemoryNoise is the difference in free memory, as a share, below which two engines
+	// count as equally free. The choice between them is random, so that instances with the same
+	// view do not all choose the same engine.
+	freeMemoryNoise = 0.08
 )
 
 // Size describes the memory and computation that a request is expected to need. Lengths are in
@@ -71,7 +71,7 @@
 // HoldTokens returns the memory to reserve for a request, in tokens. Memory beyond the
 // reservation is accounted for only by the forecast.
 func (s Size) HoldTokens() int {
-	return s.Prompt + s.Produced + int(holdShare*float64(max(0, s.Estimate-s.Produced)))
+	return s.Prompt + s.Produced + int(reservedOutputShare*float64(max(0, s.Estimate-s.Produced)))
 }
 
 // PlaceDecode places a request on a decode engine: among those whose memory is expected to
@@ -80,79 +80,79 @@
 func (b *Books) PlaceDecode(now time.Time, list []dialect.Upstream, e *routing.Engine, size Size, exclude []ident.UpstreamID) (Ticket, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	run := running{prompt: size.Prompt, estimate: size.Estimate, produced: size.Produced, hold: size.HoldTokens()}
-	unseen := b.unseen(now, serviceOf(list))
-	open := b.openDecode(now, list, e, size, run, exclude, unseen)
+	run := runningStream{prompt: size.Prompt, estimate: size.Estimate, produced: size.Produced, reserved: size.HoldTokens()}
+	unseen := b.unseenPlacements(now, serviceOf(list))
+	candidates := b.availableDecode(now, list, e, size, run, exclude, unseen)
 	if !size.Apart {
-		open, unseen = b.preferOwn(open, unseen)
+		candidates, unseen = b.preferLocalZone(candidates, unseen)
 	}
-	best := b.spread(open, unseen)
+	best := b.chooseAmongCheapest(candidates, unseen)
 	if best == nil {
 		return Ticket{}, false
 	}
-	b.arrive(now, serviceOf(list))
-	t := b.place(now, best, size.compute())
+	b.recordArrival(now, serviceOf(list))
+	t := b.place(now, best, size.tokensToCompute())
 	best.streams[t.number] = run
 	return t, true
 }
 
-// openDecode returns the decode engines with enough memory for the request and for unseen
+// availableDecode returns the decode engines with enough memory for the request and for unseen
 // placements of other instances. The caller holds mu.
-func (b *Books) openDecode(now time.Time, list []dialect.Upstream, e *routing.Engine, size Size, run running, exclude []ident.UpstreamID, unseen float64) []candidate {
-	b.doubtQuiet(now)
-	var open []candidate
+func (b *Books) availableDecode(now time.Time, list []dialect.Upstream, e *routing.Engine, size Size, run runningStream, exclude []ident.UpstreamID, unseen float64) []candidate {
+	b.suspectStalledZones(now)
+	var candidates []candidate
 	for _, u := range list {
 		if u.Stage != dialect.StageDecode || !b.usable(now, u, exclude) || size.At != "" && size.At != u.ID {
 			continue
 		}
-		k := b.of(u)
-		left, ok := b.left(now, k, e, run)
-		if !ok || now.Before(k.fullUntil) && run.hold >= k.fullTokens || size.Overflow && !b.overflow[u.ID] || !b.mayCompute(k, e, size) {
+		rec := b.recordOf(u)
+		free, ok := b.freeMemory(now, rec, e, run)
+		if !ok || now.Before(rec.fullUntil) && run.reserved >= rec.fullTokens || size.Overflow && !b.overflow[u.ID] || !b.mayCompute(rec, e, size) {
 			continue
 		}
-		cost := -left - closeEnough*b.random.Float64()
+		cost := -free - freeMemoryNoise*b.random.Float64()
 		if u.Zone == b.zone {
-			cost -= ownZone
+			cost -= localZoneBonus
 		}
 		if size.Apart {
-			cost = float64(k.requests+k.peerRequests) + b.random.Float64()
+			cost = float64(rec.requests+rec.peerRequests) + b.random.Float64()
 		}
-		open = append(open, candidate{book: k, cost: cost, left: left})
+		candidates = append(candidates, candidate{record: rec, cost: cost, freeShare: free})
 	}
 	if size.At != "" {
-		return open
+		return candidates
 	}
-	return withRoomFor(open, unseenRoom*unseen*run.share(e))
+	return withMemoryFor(candidates, unseenMemoryShare*unseen*run.finalMemoryShare(e))
 }
 
-// withRoomFor returns the largest set of engines that can each hold an equal part of the
+// withMemoryFor returns the largest set of engines that can each hold an equal part of the
 // placements expected from other instances. placed and the free memory are shares of one
 // engine's memory. Other instances, too, place requests only where memory is free. It sorts
 // open in place.
-func withRoomFor(open []candidate, placed float64) []candidate {
-	slices.SortFunc(open, func(a, c candidate) int { return cmp.Compare(c.left, a.left) })
-	for len(open) > 0 && open[len(open)-1].left < placed/float64(len(open)) {
-		open = open[:len(open)-1]
+func withMemoryFor(candidates []candidate, expected float64) []candidate {
+	slices.SortFunc(candidates, func(a, c candidate) int { return cmp.Compare(c.freeShare, a.freeShare) })
+	for len(candidates) > 0 && candidates[len(candidates)-1].freeShare < expected/float64(len(candidates)) {
+		candidates = candidates[:len(candidates)-1]
 	}
-	return open
+	return candidates
 }
 
-// preferOwn removes the engines of other zones if one of the instance's zone has more than
-// zoneRoom of its memory free. It returns the remaining engines and their part of the unseen
-// placements. The caller holds mu.
-func (b *Books) preferOwn(open []candidate, unseen float64) ([]candidate, float64) {
+// preferLocalZone removes the engines of other zones if one of the instance's zone has more
+// than localZoneFreeShare of its memory free. It returns the remaining engines and their part
+// of the unseen placements. The caller holds mu.
+func (b *Books) preferLocalZone(candidates []candidate, unseen float64) ([]candidate, float64) {
 	var own []candidate
-	roomy := false
-	for _, c := range open {
-		if c.book.up.Zone == b.zone {
+	hasSpace := false
+	for _, c := range candidates {
+		if c.record.up.Zone == b.zone {
 			own = append(own, c)
-			roomy = roomy || c.left > zoneRoom
+			hasSpace = hasSpace || c.freeShare > localZoneFreeShare
 		}
 	}
-	if !roomy {
-		return open, unseen
+	if !hasSpace {
+		return candidates, unseen
 	}
-	return own, unseen * float64(len(own)) / float64(len(open))
+	return own, unseen * float64(len(own)) / float64(len(candidates))
 }
 
 // serviceOf returns the service of a list of upstreams, all of which belong to the same one.
@@ -163,45 +163,45 @@
 	return list[0].Service
 }
 
-// open reports whether an engine may get a request now: it is not expected to reject it, and
-// has answered a probe since its last failure. The caller holds mu.
-func (b *Books) open(now time.Time, k *book) bool {
-	return !k.away(now) && b.stateIn(now, k) == stateGood
+// available reports whether an engine may get a request now: it is not expected to reject it,
+// and has answered a probe since its last failure. The caller holds mu.
+func (b *Books) available(now time.Time, rec *upstreamRecord) bool {
+	return !rec.unavailable(now) && b.stateWithZone(now, rec) == stateHealthy
 }
 
-// left returns the share of an engine's usable memory that is expected to stay free with one
-// more request, and whether the request fits. The caller holds mu.
-func (b *Books) left(now time.Time, k *book, e *routing.Engine, run running) (float64, bool) {
-	if !b.open(now, k) {
+// freeMemory returns the share of an engine's usable memory that is expected to stay free with
+// one more request, and whether the request fits. The caller holds mu.
+func (b *Books) freeMemory(now time.Time, rec *upstreamRecord, e *routing.Engine, run runningStream) (float64, bool) {
+	if !b.available(now, rec) {
 		return 0, false
 	}
-	if k.requests+k.peerRequests >= e.Slots {
+	if rec.requests+rec.peerRequests >= e.Slots {
 		return 0, false
 	}
-	r := b.rateOf(k.up.Service)
-	f := b.ownForecast(k)
-	f.add(k.peerForecast)
+	r := b.performanceOf(rec.up.Service)
+	f := b.ownForecast(rec)
+	f.add(rec.peerForecast)
 	f.add(run.forecast(r.tokenTime, r.spread()))
-	total := usableMemory * float64(e.KVTokens)
-	left := total - float64(f.peak()+k.unexplainedNow(now))
-	return left / total, left >= 0
+	total := usableMemoryShare * float64(e.KVTokens)
+	free := total - float64(f.peak()+rec.unaccountedMemory(now))
+	return free / total, free >= 0
 }
 
 // Progress records the number of output tokens that a request has produced so far.
 func (b *Books) Progress(now time.Time, t Ticket, produced int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.books[t.Upstream.ID]
-	if k == nil {
+	rec := b.records[t.Upstream.ID]
+	if rec == nil {
 		return
 	}
-	b.heard(now, k)
-	if run, ok := k.streams[t.number]; ok {
-		if run.begun {
-			b.rateOf(k.up.Service).learnTokenTime(now.Sub(run.at), produced-run.produced)
+	b.markSeen(now, rec)
+	if run, ok := rec.streams[t.number]; ok {
+		if run.started {
+			b.performanceOf(rec.up.Service).observeTokenTime(now.Sub(run.lastEventAt), produced-run.produced)
 		}
-		run.produced, run.begun, run.at = produced, true, now
-		k.streams[t.number] = run
+		run.produced, run.started, run.lastEventAt = produced, true, now
+		rec.streams[t.number] = run
 	}
 }
 
@@ -209,12 +209,12 @@
 func (b *Books) Full(now time.Time, u dialect.Upstream, tokens int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.of(u)
-	if now.Before(k.fullUntil) {
-		tokens = min(tokens, k.fullTokens)
+	rec := b.recordOf(u)
+	if now.Before(rec.fullUntil) {
+		tokens = min(tokens, rec.fullTokens)
 	}
-	k.fullUntil = now.Add(fullFor)
-	k.fullTokens = tokens
+	rec.fullUntil = now.Add(fullBackoff)
+	rec.fullTokens = tokens
 }
 
 // PlacePrefill places a prompt on the prefill engine that is expected to complete it first, as
@@ -228,10 +228,10 @@
 func (b *Books) PlacePrefill(now time.Time, list []dialect.Upstream, tokens int, near ident.Zone, exclude []ident.UpstreamID) (Ticket, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	open := b.openPrefill(now, list, tokens, near, exclude)
-	best := b.spreadByCost(open, b.unseen(now, serviceOf(list)))
+	candidates := b.availablePrefill(now, list, tokens, near, exclude)
+	best := b.chooseByWaterLevel(candidates, b.unseenPlacements(now, serviceOf(list)))
 	if best == nil {
-		best = b.leastBad(now, b.reachable(now, prefillEngines(list)), exclude)
+		best = b.firstToRetry(now, b.reachable(now, prefillEngines(list)), exclude)
 	}
 	if best == nil {
 		return Ticket{}, false
@@ -244,7 +244,7 @@
 func (b *Books) PrefillWait(now time.Time, list []dialect.Upstream, tokens int) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	best := b.spread(b.openPrefill(now, list, tokens, b.zone, nil), 0)
+	best := b.chooseAmongCheapest(b.availablePrefill(now, list, tokens, b.zone, nil), 0)
 	if best == nil {
 		return 0, false
 	}
@@ -253,30 +253,30 @@
 
 // prefillTime returns how long an engine takes to complete a prompt, including those queued
 // before it. The caller holds mu.
-func (b *Books) prefillTime(now time.Time, k *book, tokens int) time.Duration {
-	usual := b.rateOf(k.up.Service).prefill.time(k.tokens + k.peerTokens + tokens)
-	return time.Duration(b.slowdown(now, k) * float64(usual))
+func (b *Books) prefillTime(now time.Time, rec *upstreamRecord, tokens int) time.Duration {
+	usual := b.performanceOf(rec.up.Service).prefill.time(rec.tokens + rec.peerTokens + tokens)
+	return time.Duration(b.slowdown(now, rec) * float64(usual))
 }
 
-// openPrefill returns the available prefill engines with their costs. The caller holds mu.
-func (b *Books) openPrefill(now time.Time, list []dialect.Upstream, tokens int, near ident.Zone, exclude []ident.UpstreamID) []candidate {
-	usual := b.usualLatency(dialect.StagePrefill)
+// availablePrefill returns the available prefill engines with their costs. The caller holds mu.
+func (b *Books) availablePrefill(now time.Time, list []dialect.Upstream, tokens int, near ident.Zone, exclude []ident.UpstreamID) []candidate {
+	usual := b.lowestLatency(dialect.StagePrefill)
 	// A prompt of unknown length has 0 tokens. Its request cost would be 0 and the water level
 	// NaN.
 	tokens = max(1, tokens)
-	b.doubtQuiet(now)
-	var open []candidate
+	b.suspectStalledZones(now)
+	var candidates []candidate
 	for _, u := range list {
 		if u.Stage != dialect.StagePrefill || !b.usable(now, u, exclude) {
 			continue
 		}
-		if k := b.of(u); b.open(now, k) {
-			cost := b.prefillCost(now, k, tokens, near, usual)
-			share := float64(tokens) / math.Max(1, float64(k.tokens+k.peerTokens+tokens))
-			open = append(open, candidate{book: k, cost: cost, requestCost: cost * share})
+		if rec := b.recordOf(u); b.available(now, rec) {
+			cost := b.prefillCost(now, rec, tokens, near, usual)
+			share := float64(tokens) / math.Max(1, float64(rec.tokens+rec.peerTokens+tokens))
+			candidates = append(candidates, candidate{record: rec, cost: cost, requestCost: cost * share})
 		}
 	}
-	return open
+	return candidates
 }
 
 // prefillEngines returns the prefill engines of a list.
@@ -293,21 +293,21 @@
 // prefillCost returns the number of tokens that an engine has to compute to complete a prompt,
 // scaled by the engine's slowdown. The cost is higher for engines that fail, and for engines of
 // unknown throughput whose latency exceeds usual, in seconds. The caller holds mu.
-func (b *Books) prefillCost(now time.Time, k *book, tokens int, near ident.Zone, usual float64) float64 {
-	c := float64(k.tokens+k.peerTokens+tokens) * b.slowdown(now, k)
-	if k.pace(now) == 0 && k.latency > 0 {
-		c *= math.Max(1, k.latency.Seconds()/usual)
+func (b *Books) prefillCost(now time.Time, rec *upstreamRecord, tokens int, near ident.Zone, usual float64) float64 {
+	c := float64(rec.tokens+rec.peerTokens+tokens) * b.slowdown(now, rec)
+	if rec.prefillThroughput(now) == 0 && rec.latency > 0 {
+		c *= math.Max(1, rec.latency.Seconds()/usual)
 	}
-	return b.weigh(now, k, c, near)
+	return b.weightedCost(now, rec, c, near)
 }
 
-// usualLatency returns the lowest mean latency among the engines of a stage, in seconds. The
+// lowestLatency returns the lowest mean latency among the engines of a stage, in seconds. The
 // caller holds mu.
-func (b *Books) usualLatency(s dialect.Stage) float64 {
+func (b *Books) lowestLatency(s dialect.Stage) float64 {
 	lowest := math.Inf(1)
-	for _, k := range b.books {
-		if k.up.Stage == s && k.latency > 0 {
-			lowest = math.Min(lowest, k.latency.Seconds())
+	for _, rec := range b.records {
+		if rec.up.Stage == s && rec.latency > 0 {
+			lowest = math.Min(lowest, rec.latency.Seconds())
 		}
 	}
 	return lowest
--- a/gateway/schedule/engines_test.go
+++ b/gateway/schedule/engines_test.go
@@ -28,8 +28,8 @@
 	total := 0
 	for id, n := range placed {
 		total += n
-		f := b.ownForecast(b.books[id])
-		assert.Assert(t, f.peak() <= int(usableMemory*float64(engine.KVTokens)), "%s: forecast peak %d", id, f.peak())
+		f := b.ownForecast(b.records[id])
+		assert.Assert(t, f.peak() <= int(usableMemoryShare*float64(engine.KVTokens)), "%s: forecast peak %d", id, f.peak())
 	}
 	assert.Assert(t, total >= 16 && total <= 20, "%d placed", total)
 	assert.Assert(t, math.Abs(float64(placed["a"]-placed["b"])) <= 2, "%v", placed)
@@ -91,11 +91,11 @@
 // TestForecastGrowsAndEnds checks that a request's forecast memory grows with its output and is
 // released when the output is expected to end.
 func TestForecastGrowsAndEnds(t *testing.T) {
-	f := running{prompt: 1000, estimate: 900}.forecast(0.001, 0.1)
+	f := runningStream{prompt: 1000, estimate: 900}.forecast(0.001, 0.1)
 	assert.Equal(t, f[0], 1000)
 	assert.Equal(t, f[2], 1600)
 	assert.Equal(t, f[4], 0)
-	long := running{prompt: 1000, estimate: 900, produced: 2000}.forecast(0.001, 0.5)
+	long := runningStream{prompt: 1000, estimate: 900, produced: 2000}.forecast(0.001, 0.5)
 	assert.Assert(t, long[0] == 3000 && long[1] > 3000, "output longer than estimated not expected to continue: %v", long)
 }
 
@@ -114,7 +114,7 @@
 	for range 400 {
 		b.StreamDone("m", 1000, 1000)
 	}
-	assert.Assert(t, b.rateOf("m").spread() == leastSpread)
+	assert.Assert(t, b.performanceOf("m").spread() == minSpread)
 }
 
 // TestUnexplainedMemoryLeavesNoRoom guards against filling an engine beyond its memory. Memory
@@ -137,7 +137,7 @@
 	assert.Assert(t, !ok)
 	assert.Equal(t, b.Own(at(4100))["a"].Unexplained, 60000)
 	peer := NewBooks("a", 2)
-	peer.of(list[0])
+	peer.recordOf(list[0])
 	peer.SetPeers(at(3100), map[ident.UpstreamID]*InFlight{"a": {Unexplained: 60000}})
 	_, ok = peer.PlaceDecode(at(3100), list, engine, size, nil)
 	assert.Assert(t, !ok)
@@ -211,7 +211,7 @@
 	assert.Equal(t, Size{Prompt: 5000, Estimate: 4000, Produced: 6000}.HoldTokens(), 11000)
 	_, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, ok)
-	assert.Assert(t, b.ownForecast(b.books["a"])[0] >= 8000)
+	assert.Assert(t, b.ownForecast(b.records["a"])[0] >= 8000)
 }
 
 // TestQuietEngineGetsNoMoreRequests checks that an engine whose running streams have stalled
@@ -222,7 +222,7 @@
 	size := Size{Prompt: 1000, Estimate: 1000}
 	running, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, ok)
-	later := 1000 + int(quietAfter.Milliseconds())
+	later := 1000 + int(stallTimeout.Milliseconds())
 	waiting, ok := b.PlaceDecode(at(later), list, engine, size, nil)
 	assert.Assert(t, ok, "engine avoided because of a stream that has not started")
 	b.Done(waiting)
@@ -251,7 +251,7 @@
 		assert.Assert(t, ok)
 		b.Progress(at(100), ticket, 64)
 	}
-	now := at(101 + int(quietAfter.Milliseconds()))
+	now := at(101 + int(stallTimeout.Milliseconds()))
 	for range 10 {
 		ticket, ok := b.PlacePrefill(now, list, 1000, "z", nil)
 		assert.Assert(t, ok)
--- a/gateway/schedule/forecast.go
+++ b/gateway/schedule/forecast.go
@@ -17,9 +17,9 @@
 	initialSpread = 0.5
 	// spreadWeight is the weight of one stream in the measured spread.
 	spreadWeight = 0.02
-	// leastSpread is the lower bound of the measured spread, so that the forecast never fully
+	// minSpread is the lower bound of the measured spread, so that the forecast never fully
 	// relies on the estimates.
-	leastSpread = 0.1
+	minSpread = 0.1
 )
 
 // Forecast is the memory that requests are expected to take at an engine, in tokens, now and at
@@ -50,28 +50,29 @@
 	return most
 }
 
-// running is a request at a decode engine. Lengths are in tokens.
-type running struct {
+// runningStream is a request at a decode engine. Lengths are in tokens.
+type runningStream struct {
 	prompt   int
 	estimate int
-	// produced is the length of the output so far. begun means that some of it came from this
-	// engine, and at is when its last event arrived.
-	produced int
-	begun    bool
-	at       time.Time
-	// hold is the memory reserved for the request, which the engine does not give to others
+	// produced is the length of the output so far. started means that some of it came from this
+	// engine, and lastEventAt is when its last event arrived.
+	produced    int
+	started     bool
+	lastEventAt time.Time
+	// reserved is the memory reserved for the request, which the engine does not give to others
 	// until the request ends.
-	hold int
+	reserved int
 }
 
-// share returns the share of an engine's usable memory that the request takes at its end.
-func (r running) share(e *routing.Engine) float64 {
-	return float64(r.prompt+r.estimate) / (usableMemory * float64(e.KVTokens))
+// finalMemoryShare returns the share of an engine's usable memory that the request takes at its
+// end.
+func (r runningStream) finalMemoryShare(e *routing.Engine) float64 {
+	return float64(r.prompt+r.estimate) / (usableMemoryShare * float64(e.KVTokens))
 }
 
 // forecast returns the memory forecast of the request. Its memory grows with the output and is
 // released at its expected end. tokenTime is in seconds.
-func (r running) forecast(tokenTime, spread float64) Forecast {
+func (r runningStream) forecast(tokenTime, spread float64) Forecast {
 	var f Forecast
 	final := expectedOutput(float64(r.estimate), float64(r.produced), spread)
 	for i := range f {
@@ -79,7 +80,7 @@
 		if at > final && i > 0 {
 			break
 		}
-		f[i] = max(r.hold, r.prompt+int(math.Min(at, final)))
+		f[i] = max(r.reserved, r.prompt+int(math.Min(at, final)))
 	}
 	return f
 }
@@ -96,11 +97,11 @@
 		return mean
 	}
 	z := math.Log(produced/estimate) / spread
-	beyond := upperTail(z)
-	if beyond < 1e-6 {
+	tail := normalUpperTail(z)
+	if tail < 1e-6 {
 		return produced * (1 + spread)
 	}
-	return math.Max(produced, mean*upperTail(z-spread)/beyond)
+	return math.Max(produced, mean*normalUpperTail(z-spread)/tail)
 }
 
 // EndsWithin returns the probability that a stream of a service ends within a time after its
@@ -111,43 +112,44 @@
 	if within <= 0 {
 		return 0
 	}
-	r := b.rateOf(service)
+	r := b.performanceOf(service)
 	reached := float64(size.Produced) + within.Seconds()/r.tokenTime
 	if bound > 0 && reached >= float64(bound) {
 		return 1
 	}
 	estimate, spread := float64(size.Estimate), r.spread()
-	going := shareLonger(float64(size.Produced), estimate, spread)
-	return 1 - shareLonger(reached, estimate, spread)/max(going, leastTail)
+	remainingShare := probabilityLonger(float64(size.Produced), estimate, spread)
+	return 1 - probabilityLonger(reached, estimate, spread)/max(remainingShare, minTailProbability)
 }
 
-// leastTail is the lower bound of the divisor in EndsWithin, for outputs that are far longer
-// than estimated.
-const leastTail = 1e-6
+// minTailProbability is the lower bound of the divisor in EndsWithin, for outputs that are far
+// longer than estimated.
+const minTailProbability = 1e-6
 
-// shareLonger returns the share of outputs that are longer than the given number of tokens.
-func shareLonger(tokens, estimate, spread float64) float64 {
+// probabilityLonger returns the share of outputs that are longer than the given number of
+// tokens.
+func probabilityLonger(tokens, estimate, spread float64) float64 {
 	if tokens <= 0 {
 		return 1
 	}
 	if estimate <= 0 {
 		return 0
 	}
-	return upperTail(math.Log(tokens/estimate) / spread)
+	return normalUpperTail(math.Log(tokens/estimate) / spread)
 }
 
-// upperTail returns the probability that a standard normal variable exceeds z.
-func upperTail(z float64) float64 { return 0.5 * math.Erfc(z/math.Sqrt2) }
+// normalUpperTail returns the probability that a standard normal variable exceeds z.
+func normalUpperTail(z float64) float64 { return 0.5 * math.Erfc(z/math.Sqrt2) }
 
-// learnSpread records the estimated and the actual output length of a stream, in tokens.
-func (r *rate) learnSpread(estimate, output int) {
+// observeSpread records the estimated and the actual output length of a stream, in tokens.
+func (r *enginePerformance) observeSpread(estimate, output int) {
 	if estimate <= 0 || output <= 0 {
 		return
 	}
-	off := math.Log(float64(output) / float64(estimate))
-	r.variance += spreadWeight * (off*off - r.variance)
+	deviation := math.Log(float64(output) / float64(estimate))
+	r.lengthVariance += spreadWeight * (deviation*deviation - r.lengthVariance)
 }
 
 // spread returns the standard deviation of the logarithm of the ratio of output length to its
-// estimate, at least leastSpread.
-func (r *rate) spread() float64 { return math.Max(leastSpread, math.Sqrt(r.variance)) }
+// estimate, at least minSpread.
+func (r *enginePerformance) spread() float64 { return math.Max(minSpread, math.Sqrt(r.lengthVariance)) }
--- a/gateway/schedule/health.go
+++ b/gateway/schedule/health.go
@@ -26,38 +26,38 @@
 	Closed
 )
 
-// quietAfter is how long an engine with running streams may send no event before it gets no
+// stallTimeout is how long an engine with running streams may send no event before it gets no
 // more requests. Events normally arrive every 40 to 70 ms. A working engine exceeds this time
 // only while it preempts requests to free memory, which pauses its streams for 300 to 600 ms.
-const quietAfter = 400 * time.Millisecond
+const stallTimeout = 400 * time.Millisecond
 
 // Answered records a successful response and its latency. It ends any ejection.
 func (b *Books) Answered(now time.Time, u dialect.Upstream, latency time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.of(u)
-	k.success += successWeight * (1 - k.success)
-	k.failures, k.ejections = 0, 0
-	k.ejectedUntil = time.Time{}
-	b.heard(now, k)
-	if k.latency == 0 {
-		k.latency = latency
+	rec := b.recordOf(u)
+	rec.success += successWeight * (1 - rec.success)
+	rec.failures, rec.ejections = 0, 0
+	rec.ejectedUntil = time.Time{}
+	b.markSeen(now, rec)
+	if rec.latency == 0 {
+		rec.latency = latency
 	}
-	k.latency += time.Duration(latencyWeight * float64(latency-k.latency))
+	rec.latency += time.Duration(latencyWeight * float64(latency-rec.latency))
 }
 
-// heard records that a message arrived from an upstream. It clears the suspicion that the
+// markSeen records that a message arrived from an upstream. It clears the suspicion that the
 // upstream's zone is unreachable. The caller holds mu.
-func (b *Books) heard(now time.Time, k *book) {
-	k.lastGood = now
-	delete(b.doubts, k.up.Zone)
+func (b *Books) markSeen(now time.Time, rec *upstreamRecord) {
+	rec.lastSeen = now
+	delete(b.suspicions, rec.up.Zone)
 }
 
 // Heard records that an engine answered a call that the gateway made on its own behalf.
 func (b *Books) Heard(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.heard(now, b.of(u))
+	b.markSeen(now, b.recordOf(u))
 }
 
 // Replaced records that the upstream's address is now used by another incarnation. The upstream
@@ -65,25 +65,25 @@
 func (b *Books) Replaced(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(u).replaced = true
+	b.recordOf(u).replaced = true
 }
 
-// down reports whether the upstream's address has shown that the upstream does not serve now:
-// it refused a connection, or another incarnation answered. This is reported to peers, so that
-// each of them need not lose a request there. Time-outs may be caused by the network path and
-// are not reported. The caller holds mu.
-func (k *book) down(now time.Time) bool {
-	return k.attested && k.state(now) != stateGood
+// knownDown reports whether the upstream's address has shown that the upstream does not serve
+// now: it refused a connection, or another incarnation answered. This is reported to peers, so
+// that each of them need not lose a request there. Time-outs may be caused by the network path
+// and are not reported. The caller holds mu.
+func (rec *upstreamRecord) knownDown(now time.Time) bool {
+	return rec.downConfirmed && rec.state(now) != stateHealthy
 }
 
-// quiet reports whether an engine that runs streams of this instance has sent nothing for
-// longer than quietAfter. The caller holds mu.
-func (k *book) quiet(now time.Time) bool {
-	if now.Sub(k.lastGood) <= quietAfter {
+// stalled reports whether an engine that runs streams of this instance has sent nothing for
+// longer than stallTimeout. The caller holds mu.
+func (rec *upstreamRecord) stalled(now time.Time) bool {
+	if now.Sub(rec.lastSeen) <= stallTimeout {
 		return false
 	}
-	for _, s := range k.streams {
-		if s.begun {
+	for _, s := range rec.streams {
+		if s.started {
 			return true
 		}
 	}
@@ -95,41 +95,41 @@
 func (b *Books) AnsweredSince(u dialect.Upstream, since time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(u).lastGood.After(since)
+	return b.recordOf(u).lastSeen.After(since)
 }
 
 // Failed records a failure and reports whether the upstream was ejected for it.
 func (b *Books) Failed(now time.Time, u dialect.Upstream, f Failure) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.of(u)
-	k.success -= successWeight * k.success
+	rec := b.recordOf(u)
+	rec.success -= successWeight * rec.success
 	if f == Soft {
 		return false
 	}
 	if f == Unreachable {
-		b.doubt(now, k)
+		b.suspectZone(now, rec)
 	}
-	k.failures++
-	k.readmitted = false
-	k.unreachable = f == Unreachable || f == Misdirected || f == Closed
-	k.attested = f == Misdirected || f == Closed
-	if f == Hard && k.failures < ejectAfter && k.ejections == 0 {
+	rec.failures++
+	rec.readmitted = false
+	rec.unreachable = f == Unreachable || f == Misdirected || f == Closed
+	rec.downConfirmed = f == Misdirected || f == Closed
+	if f == Hard && rec.failures < ejectAfter && rec.ejections == 0 {
 		return false
 	}
-	if now.Before(k.ejectedUntil) {
+	if now.Before(rec.ejectedUntil) {
 		return false
 	}
-	k.ejectedUntil = now.Add(min(ejectMost, ejectFirst<<min(k.ejections, 6)))
-	k.ejections++
+	rec.ejectedUntil = now.Add(min(maxEjection, minEjection<<min(rec.ejections, 6)))
+	rec.ejections++
 	return true
 }
 
-// silent reports whether any request of this instance has gone without a response for much
-// longer than usual. The caller holds mu.
-func (k *book) silent(now time.Time) bool {
-	limit := max(overdueLeast, overdueFactor*k.latency)
-	for _, start := range k.starts {
+// hasOverdueRequest reports whether any request of this instance has gone without a response
+// for much longer than usual. The caller holds mu.
+func (rec *upstreamRecord) hasOverdueRequest(now time.Time) bool {
+	limit := max(minOverdue, overdueFactor*rec.latency)
+	for _, start := range rec.startTimes {
 		if now.Sub(start) > limit {
 			return true
 		}
@@ -137,39 +137,39 @@
 	return false
 }
 
-// state determines whether an upstream should get requests.
-type state int
+// healthState determines whether an upstream should get requests.
+type healthState int
 
 const (
-	stateGood state = iota
-	// stateTrial upstreams may be tried again: their ejection time has passed, their streams
+	stateHealthy healthState = iota
+	// stateRetry upstreams may be tried again: their ejection time has passed, their streams
 	// have stalled, or their zone is suspected to be unreachable.
-	stateTrial
+	stateRetry
 	stateEjected
 )
 
 // state returns the state of the upstream by its own failures. The caller holds mu.
-func (k *book) state(now time.Time) state {
+func (rec *upstreamRecord) state(now time.Time) healthState {
 	switch {
-	case k.replaced:
+	case rec.replaced:
 		return stateEjected
-	case k.ejections == 0:
-		return stateGood
-	case now.Before(k.ejectedUntil):
+	case rec.ejections == 0:
+		return stateHealthy
+	case now.Before(rec.ejectedUntil):
 		return stateEjected
-	case k.readmitted:
-		return stateGood
+	case rec.readmitted:
+		return stateHealthy
 	default:
-		return stateTrial
+		return stateRetry
 	}
 }
 
-// stateIn returns the state of the upstream, also considering stalled streams and suspected
-// zones. The caller holds mu.
-func (b *Books) stateIn(now time.Time, k *book) state {
-	s := k.state(now)
-	if s == stateGood && (k.quiet(now) || b.doubted(now, k)) {
-		return stateTrial
+// stateWithZone returns the state of the upstream, also considering stalled streams and
+// suspected zones. The caller holds mu.
+func (b *Books) stateWithZone(now time.Time, rec *upstreamRecord) healthState {
+	s := rec.state(now)
+	if s == stateHealthy && (rec.stalled(now) || b.inSuspectedZone(now, rec)) {
+		return stateRetry
 	}
 	return s
 }
@@ -179,41 +179,41 @@
 func (b *Books) Readmit(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.of(u)
-	k.readmitted = true
-	b.heard(now, k)
+	rec := b.recordOf(u)
+	rec.readmitted = true
+	b.markSeen(now, rec)
 }
 
-// zoneProbes is the maximum number of engines to probe at a time in a zone that is suspected to
-// be unreachable. One answer clears the suspicion, and in a large fleet each instance would
+// maxZoneProbes is the maximum number of engines to probe at a time in a zone that is suspected
+// to be unreachable. One answer clears the suspicion, and in a large fleet each instance would
 // otherwise probe every engine there.
-const zoneProbes = 3
+const maxZoneProbes = 3
 
 // Trials returns the engines of a list to probe: those whose ejection time has passed or whose
-// streams have stalled, and at most zoneProbes random ones of each zone that is suspected to be
-// unreachable.
+// streams have stalled, and at most maxZoneProbes random ones of each zone that is suspected to
+// be unreachable.
 func (b *Books) Trials(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []dialect.Upstream
-	doubted := map[ident.Zone][]dialect.Upstream{}
+	suspected := map[ident.Zone][]dialect.Upstream{}
 	for _, u := range list {
-		if u.Stage == "" || b.books[u.ID] == nil && b.doubts[u.Zone] == nil {
+		if u.Stage == "" || b.records[u.ID] == nil && b.suspicions[u.Zone] == nil {
 			continue
 		}
-		k := b.of(u)
+		rec := b.recordOf(u)
 		switch {
-		case b.stateIn(now, k) != stateTrial:
-		case k.ejections == 0 && !k.quiet(now):
-			doubted[u.Zone] = append(doubted[u.Zone], u)
+		case b.stateWithZone(now, rec) != stateRetry:
+		case rec.ejections == 0 && !rec.stalled(now):
+			suspected[u.Zone] = append(suspected[u.Zone], u)
 		default:
 			out = append(out, u)
 		}
 	}
-	for _, zone := range slices.Sorted(maps.Keys(doubted)) {
-		list := doubted[zone]
+	for _, zone := range slices.Sorted(maps.Keys(suspected)) {
+		list := suspected[zone]
 		b.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		out = append(out, list[:min(zoneProbes, len(list))]...)
+		out = append(out, list[:min(maxZoneProbes, len(list))]...)
 	}
 	return out
 }
--- a/gateway/schedule/migrate.go
+++ b/gateway/schedule/migrate.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// crowdedMemory is the share of an engine's memory above which streams are moved to other
-	// engines, by the forecast for the next step. An engine that runs out of memory preempts a
-	// request and computes its KV cache again, 8,000 tokens on average, which pauses all of its
-	// streams for 300 ms and more. Moving a stream takes about 10 ms.
-	crowdedMemory = 0.95
-	// leastRemaining is the shortest expected remaining duration for which a stream is moved.
+	// nearFullMemoryShare is the share of an engine's memory above which streams are moved to
+	// other engines, by the forecast for the next step. An engine that runs out of memory
+	// preempts a request and computes its KV cache again, 8,000 tokens on average, which pauses
+	// all of its streams for 300 ms and more. Moving a stream takes about 10 ms.
+	nearFullMemoryShare = 0.95
+	// minRemaining is the shortest expected remaining duration for which a stream is moved.
 	// Memory that is released within one step does not require a move.
-	leastRemaining = forecastStep
+	minRemaining = forecastStep
 )
 
 // Why is the reason for which a stream is moved.
@@ -45,64 +45,66 @@
 func (b *Books) Migrants(now time.Time, list []dialect.Upstream, e *routing.Engine) []Migrant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	staying := map[string]bool{}
+	listed := map[string]bool{}
 	var out []Migrant
 	for _, u := range list {
 		if u.Stage != dialect.StageDecode {
 			continue
 		}
-		staying[string(u.ID)] = true
-		k := b.of(u)
+		listed[string(u.ID)] = true
+		rec := b.recordOf(u)
 		if u.Leaving {
-			out = append(out, b.leavers(k)...)
+			out = append(out, b.migrantsFromLeaving(rec)...)
 			continue
 		}
-		if m, ok := b.crowded(now, k, e); ok {
+		if m, ok := b.migrantFromFull(now, rec, e); ok {
 			out = append(out, m)
 		}
 	}
 	service := serviceOf(list)
-	for id, k := range b.books {
-		if k.up.Service == service && !staying[string(id)] && k.up.Stage == dialect.StageDecode && b.stateIn(now, k) == stateGood {
-			out = append(out, b.leavers(k)...)
+	for id, rec := range b.records {
+		if rec.up.Service == service && !listed[string(id)] && rec.up.Stage == dialect.StageDecode && b.stateWithZone(now, rec) == stateHealthy {
+			out = append(out, b.migrantsFromLeaving(rec)...)
 		}
 	}
 	return out
 }
 
 // remaining returns how long a stream is expected to continue. The caller holds mu.
-func (b *Books) remaining(k *book, s running) time.Duration {
-	r := b.rateOf(k.up.Service)
+func (b *Books) remaining(rec *upstreamRecord, s runningStream) time.Duration {
+	r := b.performanceOf(rec.up.Service)
 	left := expectedOutput(float64(s.estimate), float64(s.produced), r.spread()) - float64(s.produced)
 	return time.Duration(left * r.tokenTime * float64(time.Second))
 }
 
-// leavers returns the running streams to move from a leaving engine. The caller holds mu.
-func (b *Books) leavers(k *book) []Migrant {
+// migrantsFromLeaving returns the running streams to move from a leaving engine. The caller
+// holds mu.
+func (b *Books) migrantsFromLeaving(rec *upstreamRecord) []Migrant {
 	var out []Migrant
-	for number, s := range k.streams {
-		if s.begun && b.remaining(k, s) > leastRemaining {
-			out = append(out, Migrant{Ticket: Ticket{Upstream: k.up, number: number}, Why: WhyLeaving})
+	for number, s := range rec.streams {
+		if s.started && b.remaining(rec, s) > minRemaining {
+			out = append(out, Migrant{Ticket: Ticket{Upstream: rec.up, number: number}, Why: WhyLeaving})
 		}
 	}
 	return out
 }
 
-// crowded chooses the stream to move from an engine that is about to run out of memory: the one
-// expected to continue longest. It reports false if none is to be moved. The caller holds mu.
-func (b *Books) crowded(now time.Time, k *book, e *routing.Engine) (Migrant, bool) {
-	f := b.ownForecast(k)
+// migrantFromFull chooses the stream to move from an engine that is about to run out of memory:
+// the one expected to continue longest. It reports false if none is to be moved. The caller
+// holds mu.
+func (b *Books) migrantFromFull(now time.Time, rec *upstreamRecord, e *routing.Engine) (Migrant, bool) {
+	f := b.ownForecast(rec)
 	own := f[0]
-	f.add(k.peerForecast)
-	soon := max(f[0], f[1]) + k.unexplainedNow(now)
-	if float64(soon) <= crowdedMemory*float64(e.KVTokens) || b.random.Float64()*float64(soon) > float64(own) {
+	f.add(rec.peerForecast)
+	expectedUse := max(f[0], f[1]) + rec.unaccountedMemory(now)
+	if float64(expectedUse) <= nearFullMemoryShare*float64(e.KVTokens) || b.random.Float64()*float64(expectedUse) > float64(own) {
 		return Migrant{}, false
 	}
-	longest, found := leastRemaining, Migrant{}
-	for number, s := range k.streams {
-		if left := b.remaining(k, s); s.begun && left > longest {
+	longest, found := minRemaining, Migrant{}
+	for number, s := range rec.streams {
+		if left := b.remaining(rec, s); s.started && left > longest {
 			longest = left
-			found = Migrant{Ticket: Ticket{Upstream: k.up, number: number}, Why: WhyCrowded, Memory: soon}
+			found = Migrant{Ticket: Ticket{Upstream: rec.up, number: number}, Why: WhyCrowded, Memory: expectedUse}
 		}
 	}
 	return found, found.Why != ""
--- a/gateway/schedule/migrate_test.go
+++ b/gateway/schedule/migrate_test.go
@@ -8,8 +8,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// fill places streams on the first of two engines and starts them.
-func fill(t *testing.T, b *Books, streams int, size Size) []Ticket {
+// placeStreams places streams on the first of two engines and starts them.
+func placeStreams(t *testing.T, b *Books, streams int, size Size) []Ticket {
 	t.Helper()
 	var tickets []Ticket
 	for range streams {
@@ -27,7 +27,7 @@
 func TestCrowdedEngineGivesUpAStream(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 2)
-	tickets := fill(t, b, 7, Size{Prompt: 6500, Estimate: 4000})
+	tickets := placeStreams(t, b, 7, Size{Prompt: 6500, Estimate: 4000})
 	assert.Equal(t, len(b.Migrants(at(0), list, engine)), 0)
 	// The streams progress at 650 us per token.
 	for _, ticket := range tickets {
@@ -51,7 +51,7 @@
 func TestInstancesShareTheMoves(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 2)
-	fill(t, b, 1, Size{Prompt: 8000, Estimate: 4000})
+	placeStreams(t, b, 1, Size{Prompt: 8000, Estimate: 4000})
 	peers := &InFlight{Requests: 7}
 	peers.Memory.Add([]int{80000, 80000, 80000})
 	b.SetPeers(at(0), map[ident.UpstreamID]*InFlight{"a": peers})
@@ -67,8 +67,8 @@
 func TestLeavingEngineGivesUpAllStreams(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 2)
-	tickets := fill(t, b, 3, Size{Prompt: 1000, Estimate: 4000})
-	b.rateOf("m").variance = 0
+	tickets := placeStreams(t, b, 3, Size{Prompt: 1000, Estimate: 4000})
+	b.performanceOf("m").lengthVariance = 0
 	b.Progress(at(0), tickets[1], 3900)
 	assert.Equal(t, len(b.Migrants(at(0), list, engine)), 0)
 	assert.Equal(t, len(b.Migrants(at(0), list[1:], engine)), 2, "moves from an engine that is not listed")
@@ -80,14 +80,14 @@
 	assert.Assert(t, ok)
 	assert.Equal(t, len(b.Migrants(at(0), list, engine)), 2, "a stream that has not started cannot be moved")
 	b.Done(waiting)
-	assert.Assert(t, b.remaining(b.books["a"], running{estimate: 4000, produced: 3900}) < leastRemaining)
+	assert.Assert(t, b.remaining(b.records["a"], runningStream{estimate: 4000, produced: 3900}) < minRemaining)
 }
 
 // TestCopiedStreamNeedsNoComputing checks that a stream whose KV cache is transferred needs no
 // computation, unlike one that is resumed without it.
 func TestCopiedStreamNeedsNoComputing(t *testing.T) {
 	size := Size{Prompt: 1000, Estimate: 4000, Produced: 2000}
-	assert.Equal(t, size.compute(), 2000)
+	assert.Equal(t, size.tokensToCompute(), 2000)
 	size.Copied = true
-	assert.Equal(t, size.compute(), 0)
+	assert.Equal(t, size.tokensToCompute(), 0)
 }
--- a/gateway/schedule/pace_test.go
+++ b/gateway/schedule/pace_test.go
@@ -10,28 +10,28 @@
 // TestFewPromptsDoNotShowThePace guards against estimating the throughput from the first few
 // prompts, some of which are short or were queued behind others.
 func TestFewPromptsDoNotShowThePace(t *testing.T) {
-	p := &prefillPace{}
-	for range enoughPrompts - 1 {
-		p.learn(1000, 80*time.Millisecond)
+	p := &prefillEstimate{}
+	for range minPrompts - 1 {
+		p.observe(1000, 80*time.Millisecond)
 		assert.Assert(t, !p.measured())
-		assert.Equal(t, p.rate(), float64(defaultPrefillRate))
+		assert.Equal(t, p.throughput(), float64(defaultPrefillThroughput))
 	}
-	p.learn(6000, 200*time.Millisecond)
+	p.observe(6000, 200*time.Millisecond)
 	assert.Assert(t, p.measured())
-	assert.Assert(t, p.rate() >= 30000 && p.rate() <= 48000, "%v", p.rate())
+	assert.Assert(t, p.throughput() >= 30000 && p.throughput() <= 48000, "%v", p.throughput())
 }
 
 // TestPaceOfPrefillEngines checks the estimate for engines with and without a fixed time per
 // prompt, where two in three prompts were queued behind others.
 func TestPaceOfPrefillEngines(t *testing.T) {
 	for _, fixed := range []time.Duration{0, 50 * time.Millisecond} {
-		p := &prefillPace{}
+		p := &prefillEstimate{}
 		for i := range 200 {
 			tokens := 1000 + 400*(i*7%13)
-			waits := time.Duration(i%3) * 90 * time.Millisecond
-			p.learn(tokens, fixed+waits+time.Duration(tokens)*30*time.Microsecond)
+			queued := time.Duration(i%3) * 90 * time.Millisecond
+			p.observe(tokens, fixed+queued+time.Duration(tokens)*30*time.Microsecond)
 		}
-		assert.Assert(t, p.rate() > 30000 && p.rate() < 38000, "%v: %v", fixed, p.rate())
+		assert.Assert(t, p.throughput() > 30000 && p.throughput() < 38000, "%v: %v", fixed, p.throughput())
 		want := fixed + 12000*30*time.Microsecond
 		off := (p.time(12000) - want).Seconds() / want.Seconds()
 		assert.Assert(t, off > -0.1 && off < 0.1, "%v: %v, want %v", fixed, p.time(12000), want)
@@ -62,7 +62,7 @@
 		b.PrefillDone("m", tokens, took)
 		var all Paces
 		for _, b := range fleet {
-			all = all.Plus(b.rateOf("m").prefill.long.paces())
+			all = all.Plus(b.performanceOf("m").prefill.long.histogram())
 		}
 		rate := all.Rate()
 		if rate == 0 {
@@ -79,15 +79,15 @@
 // TestLocalPaceWithKeptPrompts checks that the estimate of a single instance, once it has seen
 // some prompts, is not changed by prompts whose KV cache the engine still holds either.
 func TestLocalPaceWithKeptPrompts(t *testing.T) {
-	p := &prefillPace{}
+	p := &prefillEstimate{}
 	for i := range 200 {
 		tokens := 4000 + 100*(i%30)
-		p.learn(tokens, time.Duration(tokens)*20*time.Microsecond)
+		p.observe(tokens, time.Duration(tokens)*20*time.Microsecond)
 		if i%80 == 20 || i%80 == 21 {
-			p.learn(6900, 8*time.Millisecond)
+			p.observe(6900, 8*time.Millisecond)
 		}
 		if i > 30 {
-			assert.Assert(t, p.whole() > 49_000 && p.whole() < 51_000, "%v after %d", p.whole(), i)
+			assert.Assert(t, p.overallThroughput() > 49_000 && p.overallThroughput() < 51_000, "%v after %d", p.overallThroughput(), i)
 		}
 	}
 }
@@ -108,8 +108,8 @@
 		others.add(5000, 0.1+0.05*float64(i%5))
 	}
 	b.SetPaces(map[string]Paces{"m": others})
-	told, ok := b.PrefillWait(at(0), list, 5000)
-	assert.Assert(t, ok && told > 90*time.Millisecond && told < 120*time.Millisecond, "%v", told)
+	corrected, ok := b.PrefillWait(at(0), list, 5000)
+	assert.Assert(t, ok && corrected > 90*time.Millisecond && corrected < 120*time.Millisecond, "%v", corrected)
 }
 
 // TestFirstPromptOfAnInstance checks that an instance that has measured no prompt yet uses the
--- a/gateway/schedule/paces.go
+++ b/gateway/schedule/paces.go
@@ -6,53 +6,55 @@
 )
 
 // Paces is a histogram of prompts by throughput. The lower bound of bucket i is
-// leastPace*paceStep^i tokens per second. The first and the last bucket also count prompts
-// beyond their bounds. The histograms of several instances can be added.
+// minThroughput*bucketRatio^i tokens per second. The first and the last bucket also count
+// prompts beyond their bounds. The histograms of several instances can be added.
 type Paces []int
 
 const (
-	// leastPace is the lower bound of the first bucket, in tokens per second. paceStep is the
-	// ratio between the bounds of adjacent buckets, and paceBuckets their number, which covers
-	// up to 900,000 tokens per second.
-	leastPace   = 5000.0
-	paceStep    = 1.1
-	paceBuckets = 56
-	// The fastest prompts are skipped as outliers: one in promptsOfOutlier prompts up to
-	// fewOutliers, or the share outlierShare if that is more. One prompt in 500 to 1,000 takes
-	// almost no time, since its engine still holds its KV cache from an earlier attempt. With a
-	// single such prompt taken as the fastest of all instances, engines looked many times as
-	// fast as they are, and most prefill engines were ordered to change to decode.
-	fewOutliers      = 2
-	promptsOfOutlier = 8
-	outlierShare     = 0.02
+	// minThroughput is the lower bound of the first bucket, in tokens per second. bucketRatio
+	// is the ratio between the bounds of adjacent buckets, and bucketCount their number, which
+	// covers up to 900,000 tokens per second.
+	minThroughput = 5000.0
+	bucketRatio   = 1.1
+	bucketCount   = 56
+	// The fastest prompts are skipped as outliers: one in promptsPerOutlier prompts up to
+	// maxEarlyOutliers, or the share outlierShare if that is more. One prompt in 500 to 1,000
+	// takes almost no time, since its engine still holds its KV cache from an earlier attempt.
+	// With a single such prompt taken as the fastest of all instances, engines looked many
+	// times as fast as they are, and most prefill engines were ordered to change to decode.
+	maxEarlyOutliers  = 2
+	promptsPerOutlier = 8
+	outlierShare      = 0.02
 )
 
 // SetPaces records the histograms of the other instances, by service.
 func (b *Books) SetPaces(others map[string]Paces) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for service, paces := range others {
-		p := &b.rateOf(service).prefill
-		p.fleet = paces.Plus(p.long.paces()).Rate()
+	for service, histogram := range others {
+		p := &b.performanceOf(service).prefill
+		p.fleetThroughput = histogram.Plus(p.long.histogram()).Rate()
 	}
 }
 
 // add counts a prompt of the given length and duration.
 func (p *Paces) add(tokens, seconds float64) {
 	if *p == nil {
-		*p = make(Paces, paceBuckets)
+		*p = make(Paces, bucketCount)
 	}
-	(*p)[paceBucket(tokens/seconds)]++
+	(*p)[throughputBucket(tokens/seconds)]++
 }
 
-// paceBucket returns the index of the bucket for a throughput in tokens per second.
-func paceBucket(pace float64) int {
-	i := math.Log(pace/leastPace) / math.Log(paceStep)
-	return max(0, min(paceBuckets-1, int(i)))
+// throughputBucket returns the index of the bucket for a throughput in tokens per second.
+func throughputBucket(throughput float64) int {
+	i := math.Log(throughput/minThroughput) / math.Log(bucketRatio)
+	return max(0, min(bucketCount-1, int(i)))
 }
 
-// bucketPace returns the geometric mean of a bucket's bounds, in tokens per second.
-func bucketPace(bucket int) float64 { return leastPace * math.Pow(paceStep, float64(bucket)+0.5) }
+// bucketThroughput returns the geometric mean of a bucket's bounds, in tokens per second.
+func bucketThroughput(bucket int) float64 {
+	return minThroughput * math.Pow(bucketRatio, float64(bucket)+0.5)
+}
 
 // Plus returns the sum of two histograms.
 func (p Paces) Plus(o Paces) Paces {
@@ -80,13 +82,13 @@
 	for _, n := range p {
 		total += n
 	}
-	if total < enoughPrompts {
+	if total < minPrompts {
 		return 0
 	}
-	skip := max(min(fewOutliers, total/promptsOfOutlier), int(outlierShare*float64(total)))
+	skip := max(min(maxEarlyOutliers, total/promptsPerOutlier), int(outlierShare*float64(total)))
 	for i := len(p) - 1; i >= 0; i-- {
 		if skip -= p[i]; skip < 0 {
-			return bucketPace(i)
+			return bucketThroughput(i)
 		}
 	}
 	return 0
--- a/gateway/schedule/peaks.go
+++ b/gateway/schedule/peaks.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// burst is the ratio by which demand is expected to rise above its mean before any burst
-	// has been observed. Traffic doubles for 4 to 5 s on all known deployments.
-	burst = 2.0
+	// expectedBurst is the ratio by which demand is expected to rise above its mean before any
+	// burst has been observed. Traffic doubles for 4 to 5 s on all known deployments.
+	expectedBurst = 2.0
 	// meanHalfLife is the half-life of the mean demand. A burst of 4 s raises the mean by a
 	// third of the burst's height.
 	meanHalfLife = 8 * time.Second
@@ -24,23 +24,23 @@
 	at   time.Time
 	mean Work
 	peak Work
-	// seen is the share of the mean that is based on observations. The rest is the initial
-	// zero.
-	seen float64
+	// observedShare is the share of the mean that is based on observations. The rest is the
+	// initial zero.
+	observedShare float64
 }
 
 // Observe records the current demand and returns the demand to plan for.
 func (p *Peaks) Observe(now time.Time, n Need) Need {
-	passed := now.Sub(p.at).Seconds()
+	elapsed := now.Sub(p.at).Seconds()
 	if p.at.IsZero() {
-		passed = 1
+		elapsed = 1
 	}
 	p.at = now
-	keep := math.Exp2(-passed / meanHalfLife.Seconds())
-	p.seen = p.seen*keep + 1 - keep
+	keep := math.Exp2(-elapsed / meanHalfLife.Seconds())
+	p.observedShare = p.observedShare*keep + 1 - keep
 	p.mean = p.mean.times(keep).plus(n.Work.times(1 - keep))
-	p.peak = p.peak.times(math.Exp2(-passed / peakHalfLife.Seconds())).most(n.Work)
-	n.Work = p.peak.most(p.mean.times(burst / p.seen))
+	p.peak = p.peak.times(math.Exp2(-elapsed / peakHalfLife.Seconds())).max(n.Work)
+	n.Work = p.peak.max(p.mean.times(expectedBurst / p.observedShare))
 	return n
 }
 
@@ -57,8 +57,8 @@
 	}
 }
 
-// most returns the maximum of two demands, separately for each component except Requests.
-func (w Work) most(o Work) Work {
+// max returns the maximum of two demands, separately for each component except Requests.
+func (w Work) max(o Work) Work {
 	return Work{
 		Prefill: math.Max(w.Prefill, o.Prefill), Memory: math.Max(w.Memory, o.Memory),
 		Streams: math.Max(w.Streams, o.Streams),
--- a/gateway/schedule/reach.go
+++ b/gateway/schedule/reach.go
@@ -12,8 +12,8 @@
 func (b *Books) reachable(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	var out []dialect.Upstream
 	for _, u := range list {
-		k := b.of(u)
-		if k.unreachable && k.state(now) != stateGood || b.doubted(now, k) {
+		rec := b.recordOf(u)
+		if rec.unreachable && rec.state(now) != stateHealthy || b.inSuspectedZone(now, rec) {
 			continue
 		}
 		out = append(out, u)
@@ -25,10 +25,10 @@
 func (b *Books) Reachable(now time.Time, list []dialect.Upstream, stage dialect.Stage) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.doubtQuiet(now)
+	b.suspectStalledZones(now)
 	var out []dialect.Upstream
 	for _, u := range list {
-		if u.Stage == stage && !u.Leaving && b.open(now, b.of(u)) {
+		if u.Stage == stage && !u.Leaving && b.available(now, b.recordOf(u)) {
 			out = append(out, u)
 		}
 	}
@@ -40,9 +40,9 @@
 func (b *Books) PrefillReachable(now time.Time, list []dialect.Upstream) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.doubtQuiet(now)
+	b.suspectStalledZones(now)
 	for _, u := range b.reachable(now, prefillEngines(list)) {
-		if k := b.of(u); !k.replaced && !u.Leaving && !k.away(now) {
+		if rec := b.recordOf(u); !rec.replaced && !u.Leaving && !rec.unavailable(now) {
 			return true
 		}
 	}
--- a/gateway/schedule/speed.go
+++ b/gateway/schedule/speed.go
@@ -7,38 +7,42 @@
 	"github.com/wardspool/wardspool/gateway/dialect"
 )
 
-// paceTTL is how long the throughput of an engine's fastest prompt takes precedence over slower
-// measurements, which may include queueing time. It delays the detection of an engine that
-// becomes slow.
-const paceTTL = 5 * time.Second
+// throughputTTL is how long the throughput of an engine's fastest prompt takes precedence over
+// slower measurements, which may include queueing time. It delays the detection of an engine
+// that becomes slow.
+const throughputTTL = 5 * time.Second
 
-// paceForgetAfter is the age at which a measured throughput no longer counts. It ensures that
+// throughputExpiry is the age at which a measured throughput no longer counts. It ensures that
 // an engine that looked slow because of its queue, and therefore gets no prompts, is tried
 // again.
-const paceForgetAfter = 20 * time.Second
+const throughputExpiry = 20 * time.Second
 
-// maxRelativePace is the maximum of an engine's throughput relative to the service's, since a
-// prompt that is still in the engine's cache takes almost no time.
-const maxRelativePace = 1.3
+// maxRelativeThroughput is the maximum of an engine's throughput relative to the service's,
+// since a prompt that is still in the engine's cache takes almost no time.
+const maxRelativeThroughput = 1.3
 
-// enginePace is the measured throughput of a prefill engine, as a 1-based bucket of Paces; 0 if
-// unknown.
-type enginePace struct {
+// measuredThroughput is the measured throughput of a prefill engine, as a 1-based bucket of
+// Paces; 0 if unknown.
+type measuredThroughput struct {
 	bucket int
 	at     time.Time
 }
 
-// fresh reports whether the throughput is known and its measurement younger than paceTTL.
-func (p enginePace) fresh(now time.Time) bool { return p.bucket > 0 && now.Sub(p.at) < paceTTL }
+// fresh reports whether the throughput is known and its measurement younger than throughputTTL.
+func (p measuredThroughput) fresh(now time.Time) bool {
+	return p.bucket > 0 && now.Sub(p.at) < throughputTTL
+}
 
 // known reports whether the throughput is known and its measurement younger than
-// paceForgetAfter.
-func (p enginePace) known(now time.Time) bool { return p.bucket > 0 && now.Sub(p.at) < paceForgetAfter }
+// throughputExpiry.
+func (p measuredThroughput) known(now time.Time) bool {
+	return p.bucket > 0 && now.Sub(p.at) < throughputExpiry
+}
 
 // update records a measurement. One below the current value is ignored while that is fresh.
-func (p *enginePace) update(now time.Time, bucket int) {
+func (p *measuredThroughput) update(now time.Time, bucket int) {
 	if bucket > 0 && (bucket >= p.bucket || !p.fresh(now)) {
-		*p = enginePace{bucket: bucket, at: now}
+		*p = measuredThroughput{bucket: bucket, at: now}
 	}
 }
 
@@ -50,22 +54,22 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	pace := float64(tokens) / took.Seconds()
-	if p := &b.rateOf(u.Service).prefill; p.measured() {
+	throughput := float64(tokens) / took.Seconds()
+	if p := &b.performanceOf(u.Service).prefill; p.measured() {
 		// The throughput is relative to the usual time for a prompt of this length, which
 		// includes the fixed time per prompt.
 		relative := p.time(tokens).Seconds() / took.Seconds()
-		pace = math.Min(relative, maxRelativePace) * p.whole()
+		throughput = math.Min(relative, maxRelativeThroughput) * p.overallThroughput()
 	}
 	b.active[u.ID] = true
-	b.of(u).ownPace.update(now, paceBucket(pace)+1)
+	b.recordOf(u).ownThroughput.update(now, throughputBucket(throughput)+1)
 }
 
-// pace returns a prefill engine's throughput in tokens per second, as measured by all
-// instances; 0 if unknown. A fresh measurement takes precedence over a stale one, then the
+// prefillThroughput returns a prefill engine's throughput in tokens per second, as measured by
+// all instances; 0 if unknown. A fresh measurement takes precedence over a stale one, then the
 // faster one. The caller holds mu.
-func (k *book) pace(now time.Time) float64 {
-	own, peer := k.ownPace, k.peerPace
+func (rec *upstreamRecord) prefillThroughput(now time.Time) float64 {
+	own, peer := rec.ownThroughput, rec.peerThroughput
 	best := own
 	switch {
 	case own.fresh(now) == peer.fresh(now) && peer.bucket > own.bucket:
@@ -76,18 +80,18 @@
 	if !best.known(now) {
 		return 0
 	}
-	return bucketPace(best.bucket - 1)
+	return bucketThroughput(best.bucket - 1)
 }
 
 // slowdown returns the ratio of the service's throughput to the engine's, at least 1. It is 1
 // if either is unknown. The caller holds mu.
-func (b *Books) slowdown(now time.Time, k *book) float64 {
-	pace := k.pace(now)
-	p := &b.rateOf(k.up.Service).prefill
-	if pace == 0 || !p.measured() {
+func (b *Books) slowdown(now time.Time, rec *upstreamRecord) float64 {
+	throughput := rec.prefillThroughput(now)
+	p := &b.performanceOf(rec.up.Service).prefill
+	if throughput == 0 || !p.measured() {
 		return 1
 	}
-	return math.Max(1, p.whole()/pace)
+	return math.Max(1, p.overallThroughput()/throughput)
 }
 
 // MeanRelativePace returns the mean throughput of the prefill engines of a list, relative to
@@ -102,7 +106,7 @@
 	}
 	sum := 0.0
 	for _, u := range engines {
-		sum += 1 / b.slowdown(now, b.of(u))
+		sum += 1 / b.slowdown(now, b.recordOf(u))
 	}
 	return sum / float64(len(engines))
 }
--- a/gateway/schedule/speed_test.go
+++ b/gateway/schedule/speed_test.go
@@ -19,14 +19,14 @@
 type mixedFleet struct {
 	books []*Books
 	list  []dialect.Upstream
-	// pace is the throughput in tokens per second.
-	pace map[ident.UpstreamID]float64
+	// throughput is the throughput in tokens per second.
+	throughput map[ident.UpstreamID]float64
 	// idleAt is when an engine has completed its queue.
 	idleAt map[ident.UpstreamID]time.Time
-	// observePaces enables the measurement of the engines' throughput.
-	observePaces bool
-	latencies    []time.Duration
-	pending      []pendingPrefill
+	// observeThroughput enables the measurement of the engines' throughput.
+	observeThroughput bool
+	latencies         []time.Duration
+	pending           []pendingPrefill
 }
 
 // pendingPrefill is a prompt that an engine completes at doneAt.
@@ -43,13 +43,13 @@
 )
 
 func newMixedFleet(instances, engines int, observePaces bool) *mixedFleet {
-	f := &mixedFleet{pace: map[ident.UpstreamID]float64{}, idleAt: map[ident.UpstreamID]time.Time{}, observePaces: observePaces}
+	f := &mixedFleet{throughput: map[ident.UpstreamID]float64{}, idleAt: map[ident.UpstreamID]time.Time{}, observeThroughput: observePaces}
 	for i := range engines {
 		id := ident.UpstreamID(fmt.Sprintf("e%d", i))
 		f.list = append(f.list, dialect.Upstream{ID: id, Service: "llm", Zone: "z", Stage: dialect.StagePrefill})
-		f.pace[id] = 33000
+		f.throughput[id] = 33000
 		if i%2 == 1 {
-			f.pace[id] = 15000
+			f.throughput[id] = 15000
 		}
 	}
 	for i := range instances {
@@ -71,7 +71,7 @@
 			sum[id].Tokens += own.Tokens
 			sum[id].Pace = max(sum[id].Pace, own.Pace)
 		}
-		paces = paces.Plus(b.rateOf("llm").prefill.long.paces())
+		paces = paces.Plus(b.performanceOf("llm").prefill.long.histogram())
 	}
 	for _, b := range f.books {
 		others := map[ident.UpstreamID]*InFlight{}
@@ -113,7 +113,7 @@
 	if begins.Before(now) {
 		begins = now
 	}
-	f.idleAt[id] = begins.Add(time.Duration(promptTokens / f.pace[id] * float64(time.Second)))
+	f.idleAt[id] = begins.Add(time.Duration(promptTokens / f.throughput[id] * float64(time.Second)))
 	f.pending = append(f.pending, pendingPrefill{doneAt: f.idleAt[id], books: b, ticket: t, took: f.idleAt[id].Sub(now)})
 }
 
@@ -125,7 +125,7 @@
 		}
 		p.books.Done(p.ticket)
 		p.books.PrefillDone("llm", promptTokens, p.took)
-		if f.observePaces {
+		if f.observeThroughput {
 			p.books.ObservePrefillPace(p.doneAt, p.ticket.Upstream, promptTokens, p.took)
 		}
 		p.books.Answered(p.doneAt, p.ticket.Upstream, p.took)
@@ -169,22 +169,22 @@
 	now := time.Unix(1000, 0)
 	checkNear := func(got, want float64) {
 		t.Helper()
-		assert.Check(t, math.Abs(got-want) < paceStep*want-want, "got %.0f, want %.0f", got, want)
+		assert.Check(t, math.Abs(got-want) < bucketRatio*want-want, "got %.0f, want %.0f", got, want)
 	}
-	var k book
-	assert.Equal(t, k.pace(now), 0.0)
-	k.ownPace.update(now, paceBucket(10000)+1)
-	k.ownPace.update(now, paceBucket(30000)+1)
-	k.ownPace.update(now, paceBucket(8000)+1)
-	checkNear(k.pace(now), 30000)
-	k.peerPace.update(now, paceBucket(40000)+1)
-	checkNear(k.pace(now), 40000)
-	now = now.Add(paceTTL)
-	checkNear(k.pace(now), 40000)
-	k.ownPace.update(now, paceBucket(8000)+1)
-	checkNear(k.pace(now), 8000)
-	now = now.Add(paceForgetAfter)
-	assert.Equal(t, k.pace(now), 0.0)
+	var rec upstreamRecord
+	assert.Equal(t, rec.prefillThroughput(now), 0.0)
+	rec.ownThroughput.update(now, throughputBucket(10000)+1)
+	rec.ownThroughput.update(now, throughputBucket(30000)+1)
+	rec.ownThroughput.update(now, throughputBucket(8000)+1)
+	checkNear(rec.prefillThroughput(now), 30000)
+	rec.peerThroughput.update(now, throughputBucket(40000)+1)
+	checkNear(rec.prefillThroughput(now), 40000)
+	now = now.Add(throughputTTL)
+	checkNear(rec.prefillThroughput(now), 40000)
+	rec.ownThroughput.update(now, throughputBucket(8000)+1)
+	checkNear(rec.prefillThroughput(now), 8000)
+	now = now.Add(throughputExpiry)
+	assert.Equal(t, rec.prefillThroughput(now), 0.0)
 }
 
 // TestWaterLevel guards against unseen placements going to engines above the common cost level.
--- a/gateway/schedule/stages.go
+++ b/gateway/schedule/stages.go
@@ -30,18 +30,18 @@
 }
 
 const (
-	// worthSwitching is the relative reduction in load of the more loaded stage that justifies
+	// minImprovement is the relative reduction in load of the more loaded stage that justifies
 	// stage changes. An engine is out of service for several seconds while it changes.
-	worthSwitching = 0.12
-	// leastLoad is the peak load below which no engine changes its stage, since the current
+	minImprovement = 0.12
+	// minPeakLoad is the peak load below which no engine changes its stage, since the current
 	// assignment suffices.
-	leastLoad = 0.8
-	// usablePrefill is the share of the prefill throughput that is planned with. Prompts arrive
-	// at random, and one queued behind four others is late.
-	usablePrefill = 0.9
-	// leastEngines is the minimum number of engines of each stage. With only one, its failure
-	// would stop the service.
-	leastEngines = 2
+	minPeakLoad = 0.8
+	// usablePrefillShare is the share of the prefill throughput that is planned with. Prompts
+	// arrive at random, and one queued behind four others is late.
+	usablePrefillShare = 0.9
+	// minStageEngines is the minimum number of engines of each stage. With only one, its
+	// failure would stop the service.
+	minStageEngines = 2
 )
 
 // Switch is a recommended change of an engine's stage.
@@ -59,10 +59,10 @@
 // All engines change at once: they come from the stage with spare capacity, and changing them
 // one after the other would take too long. busy returns the number of requests at an engine.
 func PlanStages(list []dialect.Upstream, e *routing.Engine, n Need, busy func(ident.UpstreamID) int) []Switch {
-	prefill, decode := count(list, dialect.StagePrefill), count(list, dialect.StageDecode)
-	before := n.worst(prefill, decode, e)
-	best, after := n.divide(prefill+decode, e)
-	if before < leastLoad || after >= before*(1-worthSwitching) {
+	prefill, decode := countStage(list, dialect.StagePrefill), countStage(list, dialect.StageDecode)
+	before := n.maxLoad(prefill, decode, e)
+	best, after := n.bestDivision(prefill+decode, e)
+	if before < minPeakLoad || after >= before*(1-minImprovement) {
 		return nil
 	}
 	from, to := dialect.StagePrefill, dialect.StageDecode
@@ -71,44 +71,44 @@
 	}
 	var out []Switch
 	for range max(best-prefill, prefill-best) {
-		u, ok := spare(list, from, busy)
+		u, ok := leastBusy(list, from, busy)
 		if !ok {
 			break
 		}
 		out = append(out, Switch{Engine: u, To: to, Before: before, After: after})
-		list = restaged(list, u.ID, to)
+		list = withStage(list, u.ID, to)
 	}
 	return out
 }
 
-// divide returns how many of the given number of engines should prefill, and the load of the
-// more loaded stage in that case.
-func (n Need) divide(engines int, e *routing.Engine) (prefill int, load float64) {
+// bestDivision returns how many of the given number of engines should prefill, and the load of
+// the more loaded stage in that case.
+func (n Need) bestDivision(engines int, e *routing.Engine) (prefill int, load float64) {
 	load = math.Inf(1)
-	for p := leastEngines; p <= engines-leastEngines; p++ {
-		if w := n.worst(p, engines-p, e); w < load {
+	for p := minStageEngines; p <= engines-minStageEngines; p++ {
+		if w := n.maxLoad(p, engines-p, e); w < load {
 			prefill, load = p, w
 		}
 	}
 	return prefill, load
 }
 
-// worst returns the load of the more loaded stage with the given numbers of engines, as a ratio
-// to the planned capacity.
-func (n Need) worst(prefill, decode int, e *routing.Engine) float64 {
+// maxLoad returns the load of the more loaded stage with the given numbers of engines, as a
+// ratio to the planned capacity.
+func (n Need) maxLoad(prefill, decode int, e *routing.Engine) float64 {
 	if prefill <= 0 || decode <= 0 {
 		return math.Inf(1)
 	}
-	p := n.Prefill / (float64(prefill) * usablePrefill * n.PrefillRate)
-	d := n.Memory / (float64(decode) * usableMemory * float64(e.KVTokens))
+	p := n.Prefill / (float64(prefill) * usablePrefillShare * n.PrefillRate)
+	d := n.Memory / (float64(decode) * usableMemoryShare * float64(e.KVTokens))
 	if e.Slots > 0 {
 		d = math.Max(d, n.Streams/float64(decode*e.Slots))
 	}
 	return math.Max(p, d)
 }
 
-// count returns how many engines of a stage accept new requests.
-func count(list []dialect.Upstream, s dialect.Stage) int {
+// countStage returns how many engines of a stage accept new requests.
+func countStage(list []dialect.Upstream, s dialect.Stage) int {
 	n := 0
 	for _, u := range list {
 		if u.Stage == s && !u.Leaving {
@@ -118,9 +118,9 @@
 	return n
 }
 
-// spare returns the engine of a stage with the fewest requests, in the zone with the most
+// leastBusy returns the engine of a stage with the fewest requests, in the zone with the most
 // engines of that stage. It reports false if there is none.
-func spare(list []dialect.Upstream, from dialect.Stage, busy func(ident.UpstreamID) int) (dialect.Upstream, bool) {
+func leastBusy(list []dialect.Upstream, from dialect.Stage, busy func(ident.UpstreamID) int) (dialect.Upstream, bool) {
 	zones := map[ident.Zone]int{}
 	for _, u := range list {
 		if u.Stage == from && !u.Leaving {
@@ -144,8 +144,8 @@
 	return *best, true
 }
 
-// restaged returns a copy of list in which one engine has another stage.
-func restaged(list []dialect.Upstream, id ident.UpstreamID, s dialect.Stage) []dialect.Upstream {
+// withStage returns a copy of list in which one engine has another stage.
+func withStage(list []dialect.Upstream, id ident.UpstreamID, s dialect.Stage) []dialect.Upstream {
 	out := append([]dialect.Upstream(nil), list...)
 	for i := range out {
 		if out[i].ID == id {
--- a/gateway/schedule/stages_test.go
+++ b/gateway/schedule/stages_test.go
@@ -50,7 +50,7 @@
 	need := Need{Work: Work{Prefill: 430000, Memory: 1800000, Streams: 260}, PrefillRate: 55000}
 	small := &routing.Engine{Slots: 8, KVTokens: 64000}
 	s := PlanStages(list, small, need, idle)
-	best, _ := need.divide(44, small)
+	best, _ := need.bestDivision(44, small)
 	assert.Equal(t, len(s), 15-best)
 	assert.Equal(t, len(s), 5)
 	zones := map[ident.Zone]int{}
@@ -70,5 +70,5 @@
 func TestSlotsBoundStreams(t *testing.T) {
 	few := &routing.Engine{Slots: 4, KVTokens: 1 << 20}
 	need := Need{Work: Work{Prefill: 1000, Memory: 1000, Streams: 20}, PrefillRate: 55000}
-	assert.Equal(t, need.worst(2, 5, few), 1.0)
+	assert.Equal(t, need.maxLoad(2, 5, few), 1.0)
 }
--- a/gateway/schedule/unseen.go
+++ b/gateway/schedule/unseen.go
@@ -12,28 +12,28 @@
 
 // arrivals is an exponentially decaying count of requests.
 type arrivals struct {
-	at    time.Time
-	count float64
+	updatedAt time.Time
+	count     float64
 }
 
-// note counts a request.
-func (a *arrivals) note(now time.Time) {
-	a.count = a.left(now) + 1
-	a.at = now
+// add counts a request.
+func (a *arrivals) add(now time.Time) {
+	a.count = a.decayed(now) + 1
+	a.updatedAt = now
 }
 
-// left returns the count decayed to now.
-func (a *arrivals) left(now time.Time) float64 {
-	passed := now.Sub(a.at)
-	if a.at.IsZero() || passed <= 0 {
+// decayed returns the count decayed to now.
+func (a *arrivals) decayed(now time.Time) float64 {
+	elapsed := now.Sub(a.updatedAt)
+	if a.updatedAt.IsZero() || elapsed <= 0 {
 		return a.count
 	}
-	return a.count * math.Exp2(-passed.Seconds()/arrivalHalfLife.Seconds())
+	return a.count * math.Exp2(-elapsed.Seconds()/arrivalHalfLife.Seconds())
 }
 
 // perSecond returns the arrival rate.
 func (a *arrivals) perSecond(now time.Time) float64 {
-	return a.left(now) * math.Ln2 / arrivalHalfLife.Seconds()
+	return a.decayed(now) * math.Ln2 / arrivalHalfLife.Seconds()
 }
 
 // SetFleet sets the number of instances that share the upstreams, and the mean age of the load
@@ -41,7 +41,7 @@
 func (b *Books) SetFleet(instances int, age time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others, b.age = max(0, instances-1), age
+	b.otherInstances, b.reportAge = max(0, instances-1), age
 }
 
 // SetOffered sets the rate of requests of all other instances to a service, in requests per
@@ -50,47 +50,47 @@
 func (b *Books) SetOffered(service string, perSecond float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.offered[service] = perSecond
+	b.offeredRates[service] = perSecond
 }
 
-// unseen returns how many requests the other instances are expected to have placed at a service
-// since their last load reports. Instances with the same view that did not account for these
-// would all choose the same upstream. The caller holds mu.
-func (b *Books) unseen(now time.Time, service string) float64 {
-	if offered, ok := b.offered[service]; ok {
-		return offered * b.age.Seconds()
+// unseenPlacements returns how many requests the other instances are expected to have placed at
+// a service since their last load reports. Instances with the same view that did not account
+// for these would all choose the same upstream. The caller holds mu.
+func (b *Books) unseenPlacements(now time.Time, service string) float64 {
+	if offered, ok := b.offeredRates[service]; ok {
+		return offered * b.reportAge.Seconds()
 	}
-	a := b.arrived[service]
+	a := b.arrivals[service]
 	if a == nil {
 		return 0
 	}
-	return a.perSecond(now) * float64(b.others) * b.age.Seconds()
+	return a.perSecond(now) * float64(b.otherInstances) * b.reportAge.Seconds()
 }
 
-// arrive counts a request of this instance to a service. The caller holds mu.
-func (b *Books) arrive(now time.Time, service string) {
-	a := b.arrived[service]
+// recordArrival counts a request of this instance to a service. The caller holds mu.
+func (b *Books) recordArrival(now time.Time, service string) {
+	a := b.arrivals[service]
 	if a == nil {
 		a = &arrivals{}
-		b.arrived[service] = a
+		b.arrivals[service] = a
 	}
-	a.note(now)
+	a.add(now)
 }
 
 // candidate is an upstream that may be chosen, and its cost.
 type candidate struct {
-	book *book
-	cost float64
-	// left is the share of a decode engine's memory that is expected to stay free.
-	left float64
+	record *upstreamRecord
+	cost   float64
+	// freeShare is the share of a decode engine's memory that is expected to stay free.
+	freeShare float64
 	// requestCost is the part of a prefill engine's cost that the request itself adds.
 	requestCost float64
 }
 
-// spread chooses at random among the cheapest candidates, of which it considers one more than
-// there are unseen placements. It reorders list in place and returns nil if list is empty. The
-// caller holds mu.
-func (b *Books) spread(list []candidate, unseen float64) *book {
+// chooseAmongCheapest chooses at random among the cheapest candidates, of which it considers
+// one more than there are unseen placements. It reorders list in place and returns nil if list
+// is empty. The caller holds mu.
+func (b *Books) chooseAmongCheapest(list []candidate, unseen float64) *upstreamRecord {
 	if len(list) == 0 {
 		return nil
 	}
@@ -104,30 +104,30 @@
 		}
 		list[i], list[least] = list[least], list[i]
 	}
-	return list[b.random.IntN(n)].book
+	return list[b.random.IntN(n)].record
 }
 
-// spreadByCost chooses a prefill engine at random by water-filling: the unseen placements are
-// expected to raise the cheapest engines to the same cost. The probability of an engine grows
-// with the distance of its cost to that level, and falls with the cost of a request there.
-// Without unseen placements it chooses the cheapest engine. It sorts list in place and returns
-// nil if list is empty. The caller holds mu.
-func (b *Books) spreadByCost(list []candidate, unseen float64) *book {
+// chooseByWaterLevel chooses a prefill engine at random by water-filling: the unseen placements
+// are expected to raise the cheapest engines to the same cost. The probability of an engine
+// grows with the distance of its cost to that level, and falls with the cost of a request
+// there. Without unseen placements it chooses the cheapest engine. It sorts list in place and
+// returns nil if list is empty. The caller holds mu.
+func (b *Books) chooseByWaterLevel(list []candidate, unseen float64) *upstreamRecord {
 	slices.SortFunc(list, func(a, c candidate) int { return cmp.Compare(a.cost, c.cost) })
 	if len(list) == 0 {
 		return nil
 	}
 	if unseen <= 0 {
-		return list[0].book
+		return list[0].record
 	}
 	level, below := waterLevel(list, unseen)
 	remaining := b.random.Float64() * unseen
 	for _, c := range list[:below] {
 		if remaining -= (level - c.cost) / c.requestCost; remaining < 0 {
-			return c.book
+			return c.record
 		}
 	}
-	return list[0].book
+	return list[0].record
 }
 
 // waterLevel returns the cost to which the given number of placements raises the cheapest
--- a/gateway/schedule/unseen_test.go
+++ b/gateway/schedule/unseen_test.go
@@ -10,8 +10,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// busiest returns the ratio of the busiest of n upstreams' requests to the mean.
-func busiest(counts map[ident.UpstreamID]int, n int) float64 {
+// maxToMean returns the ratio of the busiest of n upstreams' requests to the mean.
+func maxToMean(counts map[ident.UpstreamID]int, n int) float64 {
 	most, total := 0, 0
 	for _, c := range counts {
 		most = max(most, c)
@@ -36,7 +36,7 @@
 			b.Done(ticket)
 		}
 		for _, u := range list[8:] {
-			b.of(u)
+			b.recordOf(u)
 		}
 		peers := map[ident.UpstreamID]*InFlight{}
 		for _, u := range list[8:] {
@@ -51,7 +51,7 @@
 			counts[ticket.Upstream.ID]++
 		}
 	}
-	assert.Assert(t, busiest(counts, 40) < 2.6, "%v", counts)
+	assert.Assert(t, maxToMean(counts, 40) < 2.6, "%v", counts)
 }
 
 func TestArrivalsAreARate(t *testing.T) {
@@ -59,7 +59,7 @@
 	now := at(0)
 	for range 400 {
 		now = now.Add(50 * time.Millisecond)
-		a.note(now)
+		a.add(now)
 	}
 	assert.Assert(t, math.Abs(a.perSecond(now)-20) < 1, "%v", a.perSecond(now))
 	assert.Assert(t, a.perSecond(now.Add(20*time.Second)) < 0.1)
@@ -85,9 +85,9 @@
 	list := engines(0, 20)
 	b.SetFleet(60, 500*time.Millisecond)
 	for range 3 {
-		b.arrive(at(0), "m")
+		b.recordArrival(at(0), "m")
 	}
-	assert.Assert(t, b.unseen(at(0), "m") > 20)
+	assert.Assert(t, b.unseenPlacements(at(0), "m") > 20)
 	size := Size{Prompt: 5000, Estimate: 1000, Produced: 1000, Self: true, Kept: 6000, At: list[7].ID}
 	ticket, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, ok)
