--- a/gateway/schedule/cold.go
+++ b/gateway/schedule/cold.go
@@ -7,12 +7,12 @@
 	"github.com/wardspool/wardspool/internal/tokenbucket"
 )
 
-// ColdQuota is the rate at which an instance may send to a cold upstream, in requests a second;
-// 0 means that it may send none.
+// ColdQuota is the rate at which an instance may send to a cold upstream, in requests per
+// second; 0 means that it may send none.
 type ColdQuota float64
 
-// coldBurst is how many requests an instance may send to a cold upstream at once. All instances
-// with a quota may send their bursts at the same time.
+// coldBurst is the number of requests that an instance may send to a cold upstream at once. All
+// instances with a quota may send their bursts at the same time.
 const coldBurst = 1
 
 // SetCold sets this instance's quotas for cold upstreams. Upstreams without a quota are not
@@ -22,14 +22,14 @@
 	defer b.mu.Unlock()
 	cold := map[ident.UpstreamID]*coldLimit{}
 	for id, quota := range quotas {
-		l := b.cold[id]
+		l := b.coldLimits[id]
 		if l == nil {
 			l = &coldLimit{}
 		}
 		l.rate = float64(quota)
 		cold[id] = l
 	}
-	b.cold = cold
+	b.coldLimits = cold
 }
 
 // coldLimit enforces an instance's quota for one cold upstream. A nil limit allows all requests.
--- a/gateway/schedule/compute.go
+++ b/gateway/schedule/compute.go
@@ -7,12 +7,13 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// selfSpeed is the speed at which decode engines compute prompts, as a share of a
-// prefill engine's; they do it in between their streams' tokens.
-const selfSpeed = 0.5
+// decodePrefillSpeed is the throughput of decode engines when they compute prompts, relative to
+// that of a prefill engine. They compute prompts between the output tokens of their streams.
+const decodePrefillSpeed = 0.5
 
-// compute is what the decode engine has to compute before it can go on.
-func (s Size) compute() int {
+// tokensToCompute returns the number of tokens that the decode engine has to compute before it
+// can continue the output.
+func (s Size) tokensToCompute() int {
 	switch {
 	case s.Copied:
 		return 0
@@ -23,49 +24,49 @@
 	}
 }
 
-// mayCompute reports whether a decode engine may compute what a request needs itself:
-// only if its running streams stay within their pace objective, or it has none. More
-// than that at once makes all of its streams late. The caller holds mu.
-func (b *Books) mayCompute(k *book, e *routing.Engine, size Size) bool {
-	if size.compute() == 0 || size.MaxPause <= 0 || k.requests+k.peerRequests == 0 {
+// mayCompute reports whether a decode engine may compute the tokens that a request needs: if
+// its running streams are then not paused for longer than size.MaxPause, if there is no such
+// limit, or if the engine has no requests. A longer computation would delay all of the engine's
+// streams. The caller holds mu.
+func (b *Books) mayCompute(rec *upstreamRecord, e *routing.Engine, size Size) bool {
+	if size.tokensToCompute() == 0 || size.MaxPause <= 0 || rec.requests+rec.peerRequests == 0 {
 		return true
 	}
-	r := b.rateOf(k.up.Service)
+	r := b.performanceOf(rec.up.Service)
 	event := r.tokenTime * float64(e.Stride)
-	computing := float64(k.tokens + k.peerTokens + size.compute())
-	return computing/(selfSpeed*r.prefill.rate())+event <= size.MaxPause.Seconds()
+	computing := float64(rec.tokens + rec.peerTokens + size.tokensToCompute())
+	return computing/(decodePrefillSpeed*r.prefill.throughput())+event <= size.MaxPause.Seconds()
 }
 
-// OverflowTime is how long a decode engine takes for a prompt; false if none falls to this
-// instance while prefill engines are busy.
+// OverflowTime returns how long a decode engine takes to compute a prompt. It reports false if
+// this instance may not use any decode engine for prompts while prefill engines are busy.
 func (b *Books) OverflowTime(service string, tokens int) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.overflow) == 0 {
 		return 0, false
 	}
-	return time.Duration(float64(b.rateOf(service).prefill.time(tokens)) / selfSpeed), true
+	return time.Duration(float64(b.performanceOf(service).prefill.time(tokens)) / decodePrefillSpeed), true
 }
 
-// SetOverflow says at which decode engines this instance may have prompts computed while
-// prefill engines are busy. Each falls to one instance: a prompt takes 200 ms there, and
-// what peers do is known after 300, so that two would meet at one engine and pause its
-// streams for longer than their pace objective.
+// SetOverflow sets the decode engines on which this instance may have prompts computed while
+// prefill engines are busy. Each engine is assigned to one instance only. A prompt takes 200 ms
+// there, but the load of peers is known only after 300 ms, so that two instances could choose
+// the same engine and pause its streams for longer than their limit.
 func (b *Books) SetOverflow(engines map[ident.UpstreamID]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.overflow = engines
 }
 
-// Computed takes in that a decode engine is done with a prompt that it computed
-// itself.
+// Computed records that a decode engine has finished computing a prompt itself.
 func (b *Books) Computed(t Ticket) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.books[t.Upstream.ID]
-	if k == nil || k.computing[t.number] == 0 {
+	rec := b.records[t.Upstream.ID]
+	if rec == nil || rec.computeTokens[t.number] == 0 {
 		return
 	}
-	k.tokens -= k.computing[t.number]
-	delete(k.computing, t.number)
+	rec.tokens -= rec.computeTokens[t.number]
+	delete(rec.computeTokens, t.number)
 }
--- a/gateway/schedule/forecast.go
+++ b/gateway/schedule/forecast.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// forecastSteps and forecastStep are how far ahead the memory of engines is
-	// foreseen: as long as a stream takes, in steps of a few events.
+	// forecastSteps and forecastStep set how far ahead the memory use of engines is forecast:
+	// about the duration of a stream, in steps of a few events.
 	forecastSteps = 10
 	forecastStep  = 300 * time.Millisecond
-	// initialSpread is the spread of the logarithm of output length over its
-	// estimate until it was measured.
+	// initialSpread is assumed for the standard deviation of the logarithm of the ratio of
+	// output length to its estimate, until it has been measured.
 	initialSpread = 0.5
 	// spreadWeight is the weight of one stream in the measured spread.
 	spreadWeight = 0.02
-	// leastSpread keeps the forecast from trusting estimates wholly.
-	leastSpread = 0.1
+	// minSpread is the lower bound of the measured spread, so that the forecast never fully
+	// relies on the estimates.
+	minSpread = 0.1
 )
 
-// Forecast is the memory that requests will take of an engine, in tokens, now and
-// at each step of time from now. Forecasts of several instances add up.
+// Forecast is the memory that requests are expected to take at an engine, in tokens, now and at
+// each step of time from now. The forecasts of several instances can be added.
 type Forecast [forecastSteps]int
 
 // add adds another forecast.
@@ -32,14 +33,15 @@
 	}
 }
 
-// Add adds a forecast from a peer, which may have other steps in another version.
+// Add adds a forecast from a peer. A peer of another version may send a different number of
+// steps.
 func (f *Forecast) Add(o []int) {
 	for i := range min(len(f), len(o)) {
 		f[i] += o[i]
 	}
 }
 
-// peak is the most memory at any step.
+// peak returns the highest memory use of any step.
 func (f *Forecast) peak() int {
 	most := 0
 	for _, n := range f {
@@ -48,28 +50,29 @@
 	return most
 }
 
-// running is a request at a decode engine.
-type running struct {
+// runningStream is a request at a decode engine. Lengths are in tokens.
+type runningStream struct {
 	prompt   int
 	estimate int
-	// produced is the output so far, in tokens; begun means that some of it came from
-	// this engine, at when the last of it came.
-	produced int
-	begun    bool
-	at       time.Time
-	// hold is the memory that was reserved for it, which the engine keeps free for
-	// it until it ends.
-	hold int
+	// produced is the length of the output so far. started means that some of it came from this
+	// engine, and lastEventAt is when its last event arrived.
+	produced    int
+	started     bool
+	lastEventAt time.Time
+	// reserved is the memory reserved for the request, which the engine does not give to others
+	// until the request ends.
+	reserved int
 }
 
-// share is the part of an engine's memory that a request takes in the end.
-func (r running) share(e *routing.Engine) float64 {
-	return float64(r.prompt+r.estimate) / (usableMemory * float64(e.KVTokens))
+// finalMemoryShare returns the share of an engine's usable memory that the request takes at its
+// end.
+func (r runningStream) finalMemoryShare(e *routing.Engine) float64 {
+	return float64(r.prompt+r.estimate) / (usableMemoryShare * float64(e.KVTokens))
 }
 
-// forecast foresees the memory of a request: it grows with the output and is free
-// at its end.
-func (r running) forecast(tokenTime, spread float64) Forecast {
+// forecast returns the memory forecast of the request. Its memory grows with the output and is
+// released at its expected end. tokenTime is in seconds.
+func (r runningStream) forecast(tokenTime, spread float64) Forecast {
 	var f Forecast
 	final := expectedOutput(float64(r.estimate), float64(r.produced), spread)
 	for i := range f {
@@ -77,14 +80,14 @@
 		if at > final && i > 0 {
 			break
 		}
-		f[i] = max(r.hold, r.prompt+int(math.Min(at, final)))
+		f[i] = max(r.reserved, r.prompt+int(math.Min(at, final)))
 	}
 	return f
 }
 
-// expectedOutput is the mean length of an output that has reached produced tokens,
-// when lengths spread around the estimate by a log-normal distribution whose
-// median it is.
+// expectedOutput returns the mean final length of an output that has reached produced tokens.
+// Output lengths follow a log-normal distribution with the estimate as its median and spread as
+// the standard deviation of the logarithm.
 func expectedOutput(estimate, produced, spread float64) float64 {
 	if estimate <= 0 {
 		return produced
@@ -94,56 +97,59 @@
 		return mean
 	}
 	z := math.Log(produced/estimate) / spread
-	beyond := upperTail(z)
-	if beyond < 1e-6 {
+	tail := normalUpperTail(z)
+	if tail < 1e-6 {
 		return produced * (1 + spread)
 	}
-	return math.Max(produced, mean*upperTail(z-spread)/beyond)
+	return math.Max(produced, mean*normalUpperTail(z-spread)/tail)
 }
 
-// EndsWithin returns how likely a stream of a service is to end within a time from its first
-// event on; bound bounds its output in tokens, 0 for none.
+// EndsWithin returns the probability that a stream of a service ends within a time after its
+// first event. bound is the maximum output in tokens, 0 for none.
 func (b *Books) EndsWithin(service string, size Size, bound int, within time.Duration) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if within <= 0 {
 		return 0
 	}
-	r := b.rateOf(service)
+	r := b.performanceOf(service)
 	reached := float64(size.Produced) + within.Seconds()/r.tokenTime
 	if bound > 0 && reached >= float64(bound) {
 		return 1
 	}
 	estimate, spread := float64(size.Estimate), r.spread()
-	going := shareLonger(float64(size.Produced), estimate, spread)
-	return 1 - shareLonger(reached, estimate, spread)/max(going, leastTail)
+	remainingShare := probabilityLonger(float64(size.Produced), estimate, spread)
+	return 1 - probabilityLonger(reached, estimate, spread)/max(remainingShare, minTailProbability)
 }
 
-// leastTail keeps shares of outputs that are far longer than estimated apart from zero.
-const leastTail = 1e-6
+// minTailProbability is the lower bound of the divisor in EndsWithin, for outputs that are far
+// longer than estimated.
+const minTailProbability = 1e-6
 
-// shareLonger is the share of outputs that are longer than tokens.
-func shareLonger(tokens, estimate, spread float64) float64 {
+// probabilityLonger returns the share of outputs that are longer than the given number of
+// tokens.
+func probabilityLonger(tokens, estimate, spread float64) float64 {
 	if tokens <= 0 {
 		return 1
 	}
 	if estimate <= 0 {
 		return 0
 	}
-	return upperTail(math.Log(tokens/estimate) / spread)
+	return normalUpperTail(math.Log(tokens/estimate) / spread)
 }
 
-// upperTail is the share of a normal distribution above z.
-func upperTail(z float64) float64 { return 0.5 * math.Erfc(z/math.Sqrt2) }
+// normalUpperTail returns the probability that a standard normal variable exceeds z.
+func normalUpperTail(z float64) float64 { return 0.5 * math.Erfc(z/math.Sqrt2) }
 
-// learnSpread takes a stream's length into the measured spread.
-func (r *rate) learnSpread(estimate, output int) {
+// observeSpread records the estimated and the actual output length of a stream, in tokens.
+func (r *enginePerformance) observeSpread(estimate, output int) {
 	if estimate <= 0 || output <= 0 {
 		return
 	}
-	off := math.Log(float64(output) / float64(estimate))
-	r.variance += spreadWeight * (off*off - r.variance)
+	deviation := math.Log(float64(output) / float64(estimate))
+	r.lengthVariance += spreadWeight * (deviation*deviation - r.lengthVariance)
 }
 
-// spread is the measured spread.
-func (r *rate) spread() float64 { return math.Max(leastSpread, math.Sqrt(r.variance)) }
+// spread returns the standard deviation of the logarithm of the ratio of output length to its
+// estimate, at least minSpread.
+func (r *enginePerformance) spread() float64 { return math.Max(minSpread, math.Sqrt(r.lengthVariance)) }
--- a/gateway/schedule/reach.go
+++ b/gateway/schedule/reach.go
@@ -6,13 +6,14 @@
 	"github.com/wardspool/wardspool/gateway/dialect"
 )
 
-// reachable leaves out the upstreams that could not be connected to lately, or are
-// in a zone that seems cut off. The caller holds mu.
+// reachable returns the upstreams of a list without those that have not recovered since a
+// connection to them failed, and without those in a zone that is suspected to be unreachable.
+// The caller holds mu.
 func (b *Books) reachable(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	var out []dialect.Upstream
 	for _, u := range list {
-		k := b.of(u)
-		if k.unreachable && k.state(now) != stateGood || b.doubted(now, k) {
+		rec := b.recordOf(u)
+		if rec.unreachable && rec.state(now) != stateHealthy || b.inSuspectedZone(now, rec) {
 			continue
 		}
 		out = append(out, u)
@@ -20,27 +21,28 @@
 	return out
 }
 
-// Reachable returns the engines of a stage that are in reach and take work.
+// Reachable returns the engines of a stage that are healthy and accept new requests.
 func (b *Books) Reachable(now time.Time, list []dialect.Upstream, stage dialect.Stage) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.doubtQuiet(now)
+	b.suspectStalledZones(now)
 	var out []dialect.Upstream
 	for _, u := range list {
-		if u.Stage == stage && !u.Leaving && b.open(now, b.of(u)) {
+		if u.Stage == stage && !u.Leaving && b.available(now, b.recordOf(u)) {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-// PrefillReachable reports whether any prefill engine of a list is in reach.
+// PrefillReachable reports whether any prefill engine of a list can be connected to and accepts
+// requests, even if it is ejected.
 func (b *Books) PrefillReachable(now time.Time, list []dialect.Upstream) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.doubtQuiet(now)
+	b.suspectStalledZones(now)
 	for _, u := range b.reachable(now, prefillEngines(list)) {
-		if k := b.of(u); !k.replaced && !u.Leaving && !k.away(now) {
+		if rec := b.recordOf(u); !rec.replaced && !u.Leaving && !rec.unavailable(now) {
 			return true
 		}
 	}
--- a/gateway/schedule/unseen_test.go
+++ b/gateway/schedule/unseen_test.go
@@ -10,8 +10,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// busiest returns how many times the mean the busiest of n upstreams got.
-func busiest(counts map[ident.UpstreamID]int, n int) float64 {
+// maxToMean returns the ratio of the busiest of n upstreams' requests to the mean.
+func maxToMean(counts map[ident.UpstreamID]int, n int) float64 {
 	most, total := 0, 0
 	for _, c := range counts {
 		most = max(most, c)
@@ -20,8 +20,9 @@
 	return float64(most) * float64(n) / float64(total)
 }
 
-// TestInstancesThatSeeTheSameDontChooseTheSame: 60 instances place requests on one
-// view of 40 engines, of which some look a little better.
+// TestInstancesThatSeeTheSameDontChooseTheSame guards against instances with the same view
+// choosing the same engines. 60 instances place requests on 40 engines, some of which look
+// slightly better.
 func TestInstancesThatSeeTheSameDontChooseTheSame(t *testing.T) {
 	list := engines(0, 40)
 	size := Size{Prompt: 3000, Estimate: 1000}
@@ -35,7 +36,7 @@
 			b.Done(ticket)
 		}
 		for _, u := range list[8:] {
-			b.of(u)
+			b.recordOf(u)
 		}
 		peers := map[ident.UpstreamID]*InFlight{}
 		for _, u := range list[8:] {
@@ -50,7 +51,7 @@
 			counts[ticket.Upstream.ID]++
 		}
 	}
-	assert.Assert(t, busiest(counts, 40) < 2.6, "%v", counts)
+	assert.Assert(t, maxToMean(counts, 40) < 2.6, "%v", counts)
 }
 
 func TestArrivalsAreARate(t *testing.T) {
@@ -58,14 +59,14 @@
 	now := at(0)
 	for range 400 {
 		now = now.Add(50 * time.Millisecond)
-		a.note(now)
+		a.add(now)
 	}
 	assert.Assert(t, math.Abs(a.perSecond(now)-20) < 1, "%v", a.perSecond(now))
 	assert.Assert(t, a.perSecond(now.Add(20*time.Second)) < 0.1)
 }
 
-// TestOneInstanceChoosesTheBest: with nobody else placing requests, the cheapest is
-// taken.
+// TestOneInstanceChoosesTheBest checks that an instance without peers chooses the cheapest
+// engine.
 func TestOneInstanceChoosesTheBest(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 3)
@@ -77,23 +78,24 @@
 	}
 }
 
-// TestOneEngineIsNotTakenForAll: what other instances may have placed unseen spreads
-// over all engines, also for a request that only one of them will do for.
+// TestOneEngineIsNotTakenForAll checks that unseen placements of other instances are assumed to
+// be spread over all engines, also for a request that can be placed on only one of them.
 func TestOneEngineIsNotTakenForAll(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 20)
 	b.SetFleet(60, 500*time.Millisecond)
 	for range 3 {
-		b.arrive(at(0), "m")
+		b.recordArrival(at(0), "m")
 	}
-	assert.Assert(t, b.unseen(at(0), "m") > 20)
+	assert.Assert(t, b.unseenPlacements(at(0), "m") > 20)
 	size := Size{Prompt: 5000, Estimate: 1000, Produced: 1000, Self: true, Kept: 6000, At: list[7].ID}
 	ticket, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, ok)
 	assert.Equal(t, ticket.Upstream.ID, list[7].ID)
 }
 
-// TestZonesServeThemselves while they have room; then the others are used too.
+// TestZonesServeThemselves checks that streams are placed in the instance's own zone as long as
+// it has enough free memory, and then in other zones too.
 func TestZonesServeThemselves(t *testing.T) {
 	b := NewBooks("a", 1)
 	list := engines(0, 12)
@@ -117,5 +119,5 @@
 			assert.Equal(t, others, 0)
 		}
 	}
-	assert.Assert(t, own > 12 && others > 8, "%d and %d", own, others)
+	assert.Assert(t, own > 12 && others > 8, "%d in the own zone and %d in others", own, others)
 }
