--- a/gateway/carry/awaitstreams_test.go
+++ b/gateway/carry/awaitstreams_test.go
@@ -12,8 +12,8 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// TestAwaitStreams guards against a migration loop that polls while no stream runs, or sleeps while
-// one does.
+// TestAwaitStreams guards against a migration loop that polls while no stream runs, or sleeps
+// while one does.
 func TestAwaitStreams(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		c := New(Options{})
@@ -25,7 +25,7 @@
 			synctest.Wait()
 		}
 		await()
-		assert.Equal(t, len(returned), 0, "returned without a stream")
+		assert.Equal(t, len(returned), 0, "returned although no stream runs")
 		var first schedule.Ticket
 		c.enter(first, &stream{})
 		assert.Assert(t, <-returned)
--- a/gateway/carry/carry.go
+++ b/gateway/carry/carry.go
@@ -1,6 +1,6 @@
-// Package carry takes requests to upstreams and brings their answers back: it
-// sends, sends again where that is allowed, and says honestly what became of a
-// request that got no answer. Where a request goes is decided by package schedule.
+// Package carry forwards requests to upstreams and returns their responses. It sends a request,
+// retries it where the route allows that, and reports accurately whether a request without a
+// response may have run. Package schedule decides which upstream a request goes to.
 package carry
 
 import (
@@ -28,59 +28,59 @@
 	"github.com/wardspool/wardspool/logs"
 )
 
-// Options are what a Carrier works with.
+// Options configure a Carrier.
 type Options struct {
 	Dialect dialect.Dialect
 	Books   *schedule.Books
 	Budget  *schedule.Budget
-	// Zone is the instance's own.
+	// Zone is the zone of this instance.
 	Zone ident.Zone
-	// View returns what is believed of the upstreams now.
+	// View returns the current view of the upstreams.
 	View func() *fleet.Snapshot
-	// RegionOf returns the region of a zone, "" if it has none.
+	// RegionOf returns the region of a zone, or "" if the zone has none.
 	RegionOf func(ident.Zone) ident.Region
 	Log      *slog.Logger
-	// Register is what is known of contents under which upstreams crashed; Trials allow
-	// attempts with suspect ones, and Spread has the other instances told of news.
+	// Register records under which contents upstreams crashed. Trials grants permission to send
+	// a suspect content. Spread notifies the other instances of new evidence in the register.
 	Register *quarantine.Register
 	Trials   Trials
 	Spread   func()
-	// AwaitInformed waits until this instance knows what its peers know, or until ctx ends;
-	// engines says whether the request is one to engines.
+	// AwaitInformed blocks until this instance knows what its peers know, or until ctx ends.
+	// engines reports whether the request is for a service of engines.
 	AwaitInformed func(ctx context.Context, engines bool)
-	// Ends returns when this instance ends, once its stop has begun.
+	// Ends returns the time at which this instance terminates. The second result is false unless
+	// the instance is shutting down.
 	Ends func() (time.Time, bool)
-	// Count counts an event by name.
+	// Count increments the event counter with the given name.
 	Count func(name string)
 }
 
-// Carrier carries requests. It is safe for concurrent use.
+// Carrier forwards requests to upstreams. It is safe for concurrent use.
 type Carrier struct {
 	o Options
 
 	mu    sync.Mutex
 	lines map[string]*line
-	// caches are what engines keep.
+	// caches holds the engines' lists of cached prompts.
 	caches caches
-	// streams are the running streams by the number of their placement.
+	// streams holds the running streams by the number of their placement.
 	streams map[uint64]*stream
 	// streamStarted wakes AwaitStreams when a stream starts.
 	streamStarted chan struct{}
 	underWay      attemptsUnderWay
-	// examinations are of upstreams at which attempts broke off.
+	// examinations holds recent liveness checks of upstreams whose attempts were interrupted.
 	examinations examinations
 	undecided    undecided
-	// cleanup counts releases that are still being sent.
+	// cleanup tracks releases that are still being sent.
 	cleanup sync.WaitGroup
 }
 
-// New returns a carrier.
 func New(o Options) *Carrier {
 	return &Carrier{o: o, lines: map[string]*line{}, streams: map[uint64]*stream{}, streamStarted: make(chan struct{}, 1)}
 }
 
-// Close waits for the releases that are still being sent, until ctx ends. What is not
-// released then lapses by itself.
+// Close waits until all pending releases have been sent or ctx ends. Reservations and results
+// that were not released by then expire at their engine.
 func (c *Carrier) Close(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -90,38 +90,38 @@
 	select {
 	case <-done:
 	case <-ctx.Done():
-		c.o.Log.Warn("releases not waited for", "error", context.Cause(ctx))
+		c.o.Log.Warn("closed without waiting for pending releases", "error", context.Cause(ctx))
 	}
 }
 
-// Job is a request to carry.
+// Job is a request to forward.
 type Job struct {
 	Call    *dialect.Call
 	Route   *routing.Route
 	Service routing.Service
-	// Workspace is that of the caller's key, nil without one.
+	// Workspace is the workspace of the caller's key, nil for a request without one.
 	Workspace *routing.Workspace
 	// Priority ranks the request; 0 is the most urgent.
 	Priority int
 	// Regions are the regions in which the request may run and its KV cache may be stored.
 	Regions routing.Regions
-	// Version is that of the configuration that chose route and service.
+	// Version is the version of the configuration from which Route and Service were taken.
 	Version int64
 	Arrived time.Time
-	// Deadline is when the caller stops waiting, or the route's timeout.
+	// Deadline is the time at which the caller stops waiting or the route's timeout expires.
 	Deadline time.Time
-	// Content names what the call asks for.
+	// Content identifies what the call asks for.
 	Content quarantine.Content
-	// Memory accounts for the request body and the answer. Nil disables accounting.
+	// Memory accounts for the request body and the response. Nil disables accounting.
 	Memory *memory.Account
 }
 
-// log returns a logger that names the request.
+// log returns a logger with the attributes that identify the request.
 func (j *Job) log(l *slog.Logger) *slog.Logger {
 	return l.With("request", j.Call.ID, "route", j.Route.Name, "service", j.Service.Name, "workspace", j.WorkspaceName(), "version", j.Version)
 }
 
-// WorkspaceName returns the name of the request's workspace, "" if it has none.
+// WorkspaceName returns the name of the request's workspace, or "" if it has none.
 func (j *Job) WorkspaceName() string {
 	if j.Workspace == nil {
 		return ""
@@ -129,34 +129,35 @@
 	return j.Workspace.Name
 }
 
-// holdsKey reports whether the request's key still is one of a workspace. One that was taken
-// away while the request waited ends no run, but nothing is sent with it any more.
+// holdsKey reports whether the request's key still belongs to a workspace. Revoking a key does
+// not end a run that has started, but a request that was waiting at that time is not sent any
+// more.
 func (j *Job) holdsKey(s *fleet.Snapshot) bool {
 	return j.Workspace == nil || j.Route.Public || s.Table == nil || s.Table.Workspace(*j.Call.Key) != nil
 }
 
-// Answer is an upstream's whole answer.
+// Answer is an upstream's complete response.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Fate says what became of a request that got no answer.
+// Fate is the outcome of a request that got no response.
 type Fate int
 
-// The fates.
+// The outcomes of a request without a response.
 const (
-	// NotRun requests did not run and will not.
+	// NotRun means that the request did not run and will not.
 	NotRun Fate = iota + 1
-	// Unknown requests may have run.
+	// Unknown means that the request may have run.
 	Unknown
-	// TimedOut requests may have run, and their time is over.
+	// TimedOut means that the request may have run and its deadline has passed.
 	TimedOut
 )
 
-// fateAfter is the fate of a request that may have run so many times and is sent to no further
-// upstream.
+// fateAfter returns the outcome of a request that may have run on the given number of upstreams
+// and is not sent to another one.
 func fateAfter(runs int) Fate {
 	if runs > 0 {
 		return Unknown
@@ -164,20 +165,21 @@
 	return NotRun
 }
 
-// ReasonNoKey is the reason of a request without a key of a workspace.
+// ReasonNoKey is the reason given for a request that lacks the key of a workspace.
 const ReasonNoKey = "no_key"
 
-// Error reports a request that got no answer.
+// Error reports a request that got no response.
 type Error struct {
 	Fate Fate
 	// Reason is a short name for logs and metrics.
 	Reason string
-	// RetryAfter says when a request that did not run may come back.
+	// RetryAfter is how long the caller of a request that did not run should wait before it
+	// retries.
 	RetryAfter time.Duration
 	Err        error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return e.Reason
@@ -185,32 +187,33 @@
 	return fmt.Sprintf("%s: %v", e.Reason, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// AbandonedError reports a request whose caller has left.
+// AbandonedError reports a request whose caller disconnected.
 type AbandonedError struct {
-	// NotSent means that it had reached no upstream.
+	// NotSent means that the request had not been sent to any upstream.
 	NotSent bool
 }
 
-// Error implements error.
-func (*AbandonedError) Error() string { return "the caller has left" }
+// Error implements the error interface.
+func (*AbandonedError) Error() string { return "caller disconnected" }
 
 const (
-	// deadlineMargin is taken off the time that upstreams are given, for the way
-	// back: links between zones take up to a few ms, and timers fire late.
+	// deadlineMargin is subtracted from the deadline that is passed to upstreams. It covers the
+	// return path: links between zones take up to a few ms, and timers fire late.
 	deadlineMargin = 10 * time.Millisecond
-	// leastTime is the least time left for another attempt to make sense.
+	// leastTime is the minimum time left before the deadline for another attempt to be
+	// worthwhile.
 	leastTime = 20 * time.Millisecond
-	// retryPlain is when a refused request of a plain service may come back: its
-	// answers take some 60 ms, so a full queue has moved on by then.
+	// retryPlain is the Retry-After of a refused request of a plain service. Such a service
+	// responds in about 60 ms, so a full queue has moved on by then.
 	retryPlain = 300 * time.Millisecond
-	// maxAnswerBytes bounds a plain answer that is held in memory.
+	// maxAnswerBytes limits the size of a plain response, which is held in memory.
 	maxAnswerBytes = 16 << 20
 )
 
-// eligible returns the upstreams that may receive the request now.
+// eligible returns the upstreams to which the request may be sent now.
 func (c *Carrier) eligible(j *Job) []dialect.Upstream {
 	return c.o.View().Eligible(j.Service.Name, j.Regions, c.o.RegionOf)
 }
@@ -221,11 +224,12 @@
 	return len(c.eligible(j)) == 0 && len(c.o.View().Upstreams[j.Service.Name]) > 0
 }
 
-// retryNoOpenZone is the Retry-After of requests refused for lack of an open zone. Only a change
-// by the operators makes them servable.
+// retryNoOpenZone is the Retry-After of requests that are refused because no zone is open to
+// them. Only a change by the operators makes them servable.
 const retryNoOpenZone = 3 * time.Second
 
-// refuseNoOpenZone returns the error for a request without an eligible upstream.
+// refuseNoOpenZone logs and counts the refusal of a request without an eligible upstream and
+// returns its *Error.
 func (c *Carrier) refuseNoOpenZone(fate Fate, log *slog.Logger) error {
 	c.o.Count("refused_no_open_zone")
 	e := c.o.View().Evacuation
@@ -233,33 +237,36 @@
 	return &Error{Fate: fate, Reason: "no_open_zone", RetryAfter: retryNoOpenZone}
 }
 
-// NoUpstreamError reports a service without an upstream to send to.
+// NoUpstreamError reports that no upstream of a service is available.
 type NoUpstreamError struct{ Service string }
 
-// Error implements error.
-func (e *NoUpstreamError) Error() string { return "service " + e.Service + " has no upstream" }
+// Error implements the error interface.
+func (e *NoUpstreamError) Error() string {
+	return "service " + e.Service + " has no available upstream"
+}
 
-// attempt is what came of one sending.
+// attempt is the result of sending a request to one upstream.
 type attempt struct {
 	answer  *Answer
 	verdict dialect.Verdict
 	err     error
-	// cause is the upstream's silence for which the attempt was ended, otherwise err.
+	// cause is the *SilentError for which the attempt was canceled, otherwise it equals err.
 	cause error
 }
 
-// AnswerTooLargeError reports an answer that exceeds maxAnswerBytes.
+// AnswerTooLargeError reports a response that exceeds maxAnswerBytes.
 type AnswerTooLargeError struct {
 	// Bytes is the declared length, or the number of bytes read if none was declared.
 	Bytes int64
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *AnswerTooLargeError) Error() string {
-	return fmt.Sprintf("answer too large: at least %d bytes, limit is %d", e.Bytes, int64(maxAnswerBytes))
+	return fmt.Sprintf("response too large: at least %d bytes, limit is %d", e.Bytes, int64(maxAnswerBytes))
 }
 
-// readAnswerBody reads a response's whole body, waiting for memory if the account has too little.
+// readAnswerBody reads the whole body of a response. It blocks for memory if the account has too
+// little left. Its errors are those of reading, of the account, or an *AnswerTooLargeError.
 func readAnswerBody(ctx context.Context, resp *http.Response, account *memory.Account) ([]byte, error) {
 	if resp.ContentLength > maxAnswerBytes {
 		return nil, &AnswerTooLargeError{Bytes: resp.ContentLength}
@@ -276,8 +283,9 @@
 	return body, err
 }
 
-// readAnswer reads a whole answer. One that breaks off counts only if it attests
-// that nothing ran.
+// readAnswer reads a complete response. If the body cannot be read, a success or a failure
+// reported by the upstream becomes a failed attempt. The other verdicts do not depend on the
+// body; in particular, a refusal still attests that the request did not run.
 func readAnswer(ctx context.Context, resp *http.Response, v dialect.Verdict, account *memory.Account) *attempt {
 	body, err := readAnswerBody(ctx, resp, account)
 	if err != nil && (v == dialect.Success || v == dialect.Failure) {
@@ -286,7 +294,7 @@
 	return &attempt{answer: &Answer{Status: resp.StatusCode, Header: roundtrip.EndToEnd(resp.Header), Body: body}, verdict: v}
 }
 
-// evidence says whether an attempt that brought no answer can have run.
+// evidence returns whether the request can have run in an attempt that did not succeed.
 func (a *attempt) evidence() kernel.Evidence {
 	switch {
 	case a.err != nil:
@@ -298,7 +306,7 @@
 	}
 }
 
-// note takes what an attempt showed of its upstream into the books.
+// note records in the scheduler's records what an attempt revealed about its upstream.
 func (c *Carrier) note(u dialect.Upstream, a *attempt, took time.Duration, log *slog.Logger) {
 	var silent *SilentError
 	switch {
@@ -313,7 +321,8 @@
 		c.o.Books.Replaced(u)
 		log.Warn("upstream replaced", "upstream", u.ID, "address", u.Address)
 	case a.err == nil && a.verdict == dialect.WrongUpstream:
-		// Engines say the same when they have changed their stage: a probe tells.
+		// An engine gives the same verdict after it has changed its stage; a probe finds out
+		// which it is.
 		c.failed(u, schedule.Misdirected, a.err, took, log)
 	case a.err != nil && adapter.AsCallError(a.err).Evidence == kernel.NotSent:
 		c.failed(u, Unreached(a.err), a.err, took, log)
@@ -322,8 +331,9 @@
 	}
 }
 
-// mayResend reports whether the retry budget allows so many sends beyond the first; a stream
-// under way may use what is kept back from others.
+// mayResend reports whether the retry budget allows the given number of sends in addition to the
+// first. A stream that is under way may also use the part of the budget that is reserved for
+// such streams.
 func (c *Carrier) mayResend(service string, sends int, underWay bool, log *slog.Logger) bool {
 	allowed := c.o.Budget.Extra
 	if underWay {
@@ -337,7 +347,8 @@
 	return false
 }
 
-// Unreached says what it means that an upstream was not reached.
+// Unreached classifies the error of a failure to reach an upstream: Closed if the connection was
+// refused, otherwise Unreachable.
 func Unreached(err error) schedule.Failure {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return schedule.Closed
@@ -345,8 +356,8 @@
 	return schedule.Unreachable
 }
 
-// failed takes a failure of an upstream into the books, and says so if it was
-// ejected for it.
+// failed records a failure of an upstream in the scheduler's records, and logs and counts it if
+// the upstream was ejected as a result.
 func (c *Carrier) failed(u dialect.Upstream, f schedule.Failure, err error, took time.Duration, log *slog.Logger) {
 	if !c.o.Books.Failed(clock.Now(), u, f) {
 		return
--- a/gateway/carry/caution.go
+++ b/gateway/carry/caution.go
@@ -9,35 +9,38 @@
 	"github.com/wardspool/wardspool/internal/clock"
 )
 
-// trialRetry is when a caller may come back whose content is on trial by another attempt:
-// a crash shows within the first event, so within a latency objective of about a second.
+// trialRetry is the Retry-After of a request whose content is on trial in another attempt. A
+// crash shows by the time of the first event, and therefore within a latency objective of about
+// one second.
 const trialRetry = time.Second
 
-// Trials allow attempts with suspect contents, one at a time over all instances.
+// Trials grants permission to send suspect contents, to one attempt at a time across all
+// instances.
 type Trials interface {
-	// Begin asks for an attempt that is over after the given time at the latest, and
-	// reports whether it is allowed. Its end must be told, after what it showed was taken
-	// into the register.
+	// Begin requests permission for an attempt that ends within the given duration, and reports
+	// whether it was granted. If so, the caller must call end after it has entered the attempt's
+	// result in the register.
 	Begin(ctx context.Context, c quarantine.Content, lasts time.Duration) (end func(), ok bool)
 }
 
-// caution keeps a request from upstreams if its content has crashed others.
+// caution protects upstreams from a request whose content has crashed other upstreams.
 type caution struct {
 	c   *Carrier
 	j   *Job
 	log *slog.Logger
-	// end ends the trial of a suspect content; nil while there is none. It lapses by itself
-	// at until.
+	// end ends the trial of a suspect content; nil if none is running. The trial expires at
+	// until.
 	end   func()
 	until time.Time
-	// crashed means that an upstream crashed under this very request before it had
-	// produced anything there.
+	// crashed means that an upstream crashed while it ran this request and before it had
+	// produced an event.
 	crashed bool
 }
 
-// admit reports whether the request may be sent to an upstream now; one whose content is
-// suspect gets a trial first. The error is an *Error; fate is that of a request that is not
-// sent. After a pause of this instance the request's time may be over.
+// admit reports whether the request may be sent to an upstream now, and first obtains a trial if
+// its content is suspect. The error is an *Error; fate is the outcome to report for a request
+// that is not sent. The deadline is checked here because it may have passed while this instance
+// was paused.
 func (a *caution) admit(ctx context.Context, fate Fate) error {
 	a.c.o.AwaitInformed(ctx, a.j.Service.Engine != nil)
 	if clock.Until(a.j.Deadline) <= 0 {
@@ -63,7 +66,7 @@
 		return a.refuse(fate, "on_trial", v, trialRetry)
 	}
 	a.end = end
-	// Whoever allowed it may have known more.
+	// The instance that granted the trial may have had newer evidence.
 	if v := a.c.o.Register.Verdict(clock.Now(), a.j.Content); v.Standing == quarantine.Quarantined {
 		return a.refuse(fate, "quarantined", v, v.Left)
 	}
@@ -72,7 +75,8 @@
 	return nil
 }
 
-// overdue reports a request whose time is over; fate is that of one that is not sent.
+// overdue returns the error for a request whose deadline has passed. fate is the outcome to
+// report if the request is not sent.
 func overdue(fate Fate) error {
 	if fate == Unknown {
 		fate = TimedOut
@@ -80,7 +84,8 @@
 	return &Error{Fate: fate, Reason: "deadline", RetryAfter: retryStream, Err: context.DeadlineExceeded}
 }
 
-// refuse refuses the request, and says by what evidence.
+// refuse logs and counts the refusal of the request, with the evidence for it, and returns its
+// *Error.
 func (a *caution) refuse(fate Fate, reason string, v quarantine.Verdict, retry time.Duration) error {
 	a.c.o.Count("refused_" + reason)
 	a.log.Info("refused", "reason", reason, "content", a.j.Content.String(), "crashes", v.Crashes, "early", v.Early,
@@ -91,7 +96,8 @@
 // suspect reports whether the request is on trial.
 func (a *caution) suspect() bool { return a.end != nil }
 
-// progressed takes in that the request has brought so many events from an upstream.
+// progressed records that the request has produced the given number of events at an upstream,
+// and ends the trial once the content is cleared by that.
 func (a *caution) progressed(made int) {
 	if a.end == nil {
 		return
@@ -103,10 +109,10 @@
 	}
 }
 
-// ended takes in that the request ran to a good end.
+// ended records that the request ran to completion, which clears its content.
 func (a *caution) ended() { a.c.o.Register.Clear(a.j.Content, 0, true) }
 
-// done ends the trial, if there is one.
+// done ends the trial if one is running.
 func (a *caution) done() {
 	if a.end != nil {
 		a.end()
--- a/gateway/carry/caution_test.go
+++ b/gateway/carry/caution_test.go
@@ -17,17 +17,17 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// deadly is the content of the requests of these tests.
+// deadly is the content of the requests in these tests.
 const deadly quarantine.Content = 7
 
-// withContent gives a job a content.
+// withContent returns a job for the route with the content deadly.
 func withContent(r routing.Route) *Job {
 	j := job(r)
 	j.Content = deadly
 	return j
 }
 
-// crash has upstreams of the bed break off what they run, and refuse connections then.
+// crash makes upstreams answer their next request with r and refuse connections afterwards.
 func (b *bed) crash(r reply, ids ...ident.UpstreamID) {
 	b.d.crashed = map[ident.UpstreamID]bool{}
 	for _, id := range ids {
@@ -36,15 +36,16 @@
 	}
 }
 
-// evidence takes crashes under the content into the register.
+// evidence records crashes of the given upstreams under the content deadly.
 func (b *bed) evidence(ids ...string) {
 	for _, u := range plainUps(ids...) {
 		b.o.Register.Crashed(time.Now(), deadly, u, 0)
 	}
 }
 
-// TestQuarantinedIsRefusedAtOnce: nothing is asked of an engine, and the caller is told that
-// nothing ran and how long that goes on.
+// TestQuarantinedIsRefusedAtOnce checks that a request with a quarantined content is refused
+// without any call to an upstream, and that the caller is told that nothing ran and how long the
+// quarantine lasts.
 func TestQuarantinedIsRefusedAtOnce(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		b := streamBed(t)
@@ -62,15 +63,15 @@
 		_, err = b.Plain(t.Context(), withContent(often))
 		assert.Equal(t, fateOf(t, err), NotRun)
 		assert.Equal(t, len(b.d.calls), 0, "%v", b.d.calls)
-		// Others pass.
+		// Requests with other contents are served.
 		_, err = b.Plain(t.Context(), job(often))
 		assert.NilError(t, err)
 	})
 }
 
-// TestCrashIsEvidence: a stream under which its engine crashed before the first event is not
-// started again inside the attempt, though its route allows it, and is suspect from now on;
-// after two it is quarantined.
+// TestCrashIsEvidence checks that a stream whose engine crashed before the first event is not
+// started again within the same attempt, even if its route allows that. Its content is suspect
+// after the first crash and quarantined after the second.
 func TestCrashIsEvidence(t *testing.T) {
 	for name, r := range map[string]reply{
 		"before the head": {err: broken},
@@ -94,8 +95,8 @@
 	}
 }
 
-// TestResetIsNoEvidence: the engine still answers, as the same incarnation. The stream goes
-// on as before.
+// TestResetIsNoEvidence checks that a connection reset by an engine that still answers, as the
+// same incarnation, does not count as a crash. The stream continues at another engine.
 func TestResetIsNoEvidence(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 5)})
@@ -108,8 +109,9 @@
 	assert.Equal(t, b.o.Register.Digest(), uint64(0))
 }
 
-// TestBystanderGoesOnAndIsCleared: a stream in its midst when its engine crashed goes on at
-// another, on trial; with its next events there it is clear again.
+// TestBystanderGoesOnAndIsCleared checks that a stream that had produced events before its
+// engine crashed continues at another engine, on trial, and that its content is cleared by the
+// next events there.
 func TestBystanderGoesOnAndIsCleared(t *testing.T) {
 	b := streamBed(t)
 	b.d.hold["d2"] = []error{&dialect.FullError{}, nil}
@@ -125,8 +127,9 @@
 	assert.Assert(t, noted[0].Cleared)
 }
 
-// TestSuspectsAreTriedOneAtATime: while one attempt with a suspect content is under way, a
-// second is told to come back; when it has ended, the next may try.
+// TestSuspectsAreTriedOneAtATime checks that while one attempt with a suspect content is
+// running, a second one is told to retry later, and that another may run when the first has
+// ended.
 func TestSuspectsAreTriedOneAtATime(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		b := streamBed(t)
@@ -154,8 +157,9 @@
 	})
 }
 
-// TestNewsStopARequestOnItsWay: what becomes known while a request waits for its prompt keeps
-// it from the engine; what was reserved and computed is given up.
+// TestNewsStopARequestOnItsWay checks that evidence which arrives while the prompt is computed
+// keeps the request from the decode engine, and that its reservation and prefill result are
+// released.
 func TestNewsStopARequestOnItsWay(t *testing.T) {
 	b := streamBed(t)
 	b.d.prefilled = func() { b.evidence("x", "y") }
@@ -167,8 +171,9 @@
 	assert.Equal(t, b.d.countKind("release"), 1)
 }
 
-// TestSilentEngineIsFoundToHaveCrashed: it may have been cut off. Only when another
-// incarnation is listed, under its ID or at its address, is that evidence.
+// TestSilentEngineIsFoundToHaveCrashed checks that an engine that does not answer, and may only
+// be unreachable, counts as crashed only when a newer incarnation is listed under its ID or
+// another engine at its address.
 func TestSilentEngineIsFoundToHaveCrashed(t *testing.T) {
 	for name, later := range map[string]dialect.Upstream{
 		"same ID":      {ID: "d1", Address: "d1", Incarnation: 6, Stage: dialect.StageDecode},
@@ -192,8 +197,9 @@
 	}
 }
 
-// TestEngineThatWasGoneBeforeIsNoEvidence: two engines crash silently, and a stream that is
-// sent to both of them afterwards gets no sign of life from either.
+// TestEngineThatWasGoneBeforeIsNoEvidence checks that crashes are not attributed to a request
+// that was sent after them: two engines crash without closing connections, and a stream that is
+// then sent to both gets no sign of life from either.
 func TestEngineThatWasGoneBeforeIsNoEvidence(t *testing.T) {
 	ups := born(5, engineUps([]string{"p1"}, []string{"d1", "d2"}))
 	b := newBed(t, slack, ups...)
@@ -206,8 +212,8 @@
 	assert.Equal(t, b.o.Register.Verdict(time.Now(), deadly).Standing, quarantine.Clear)
 }
 
-// TestServicesAreKeptFromIt as well: a request that crashes processes of a plain service
-// takes two of them down in one attempt where its route allows two, and none after.
+// TestServicesAreKeptFromIt checks the same for plain services: a request that crashes their
+// processes takes down two of them in one attempt if its route allows that, and none afterwards.
 func TestServicesAreKeptFromIt(t *testing.T) {
 	b := newBed(t, slack, plainUps("x", "y", "z")...)
 	b.crash(reply{err: broken}, "x", "y", "z")
@@ -221,8 +227,8 @@
 	assert.Equal(t, b.d.countKind("do"), 2)
 }
 
-// TestCrashedPrefillEngineIsEvidence: a prompt may crash the engine that computes it. It is
-// given to one more, on trial, and to none after that.
+// TestCrashedPrefillEngineIsEvidence checks that the crash of a prefill engine counts as
+// evidence too. The prompt is given to one more engine, on trial, and to none after that.
 func TestCrashedPrefillEngineIsEvidence(t *testing.T) {
 	b := streamBed(t)
 	b.d.prefill["p1"], b.d.prefill["p2"] = []error{broken}, []error{broken}
@@ -236,15 +242,16 @@
 	assert.Equal(t, b.d.countKind("prefill"), 2)
 }
 
-// TestPromptAtACrashedEngineIsComputedElsewhere in the same attempt: a bystander's first event
-// is still on time.
+// TestPromptAtACrashedEngineIsComputedElsewhere checks that a prompt whose prefill engine
+// crashed for another reason is computed by another engine in the same attempt, so the first
+// event is still on time.
 func TestPromptAtACrashedEngineIsComputedElsewhere(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2)})
 	b.d.prefill["p1"] = []error{broken}
 	b.d.crashed = map[ident.UpstreamID]bool{"p1": true}
 	for range 3 {
-		// p2 has more to do, so that p1 is chosen.
+		// p2 gets more work, so that p1 is chosen.
 		b.o.Books.PlacePrefill(time.Now(), engineUps([]string{"p2"}, nil), 1000, "a", nil)
 	}
 	_, err := b.Stream(t.Context(), withContent(stream1), &sink{})
@@ -254,8 +261,8 @@
 	assert.Equal(t, b.o.Register.Verdict(time.Now(), deadly).Standing, quarantine.Clear)
 }
 
-// TestSuspectGetsFewNeighbours: the engine with the fewest requests, not the one with the
-// most memory.
+// TestSuspectGetsFewNeighbours checks that a request on trial is placed at the engine with the
+// fewest requests, not at the one with the most free memory.
 func TestSuspectGetsFewNeighbours(t *testing.T) {
 	b := streamBed(t)
 	b.evidence("x")
@@ -266,7 +273,7 @@
 		_, ok := b.o.Books.PlaceDecode(time.Now(), ups[1:], service.Engine, sizeOf(10), nil)
 		assert.Assert(t, ok)
 	}
-	// One large one at d1, three small ones at d2.
+	// One large request runs at d1, three small ones at d2.
 	_, ok := b.o.Books.PlaceDecode(time.Now(), ups[:1], service.Engine, sizeOf(6000), nil)
 	assert.Assert(t, ok)
 	_, err := b.Stream(t.Context(), withContent(stream1), &sink{})
@@ -274,11 +281,11 @@
 	assert.Equal(t, b.d.count("do d1"), 1)
 }
 
-// sizeOf is a request of a prompt's length.
+// sizeOf returns the size of a request with the given prompt length.
 func sizeOf(prompt int) schedule.Size { return schedule.Size{Prompt: prompt, Estimate: 100} }
 
-// TestPlannedEndIsNoEvidence: an engine that had said that it leaves ends with its last
-// streams, or had left the list.
+// TestPlannedEndIsNoEvidence checks that the end of an engine that had announced its shutdown,
+// or had been removed from the list, does not count as a crash.
 func TestPlannedEndIsNoEvidence(t *testing.T) {
 	for name, left := range map[string]func(b *bed){
 		"leaves": func(b *bed) {
@@ -299,9 +306,9 @@
 	}
 }
 
-// TestSilentEngineWhoseCallerLeaves: an engine that took the stream falls silent for good, and
-// the caller leaves. Nobody asked until then; when another incarnation is listed it is
-// evidence.
+// TestSilentEngineWhoseCallerLeaves checks that evidence is not lost when the caller disconnects
+// first: an engine accepts the stream and stops responding, and nobody has checked it when the
+// caller leaves. It counts as crashed when a newer incarnation is listed.
 func TestSilentEngineWhoseCallerLeaves(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ups := born(5, engineUps([]string{"p1"}, []string{"d1"}))
--- a/gateway/carry/cut.go
+++ b/gateway/carry/cut.go
@@ -5,26 +5,27 @@
 	"errors"
 )
 
-// Cut says what ended a run of a stream before its end, as logs and metrics name it.
+// Cut names the reason why a run of a stream ended early, in logs and metrics.
 type Cut string
 
-// The causes.
+// Reasons why a run ended early.
 const (
-	// CutByEngine runs were ended by their engine, or by the way to it.
+	// CutByEngine means that the engine ended the run or the connection to it failed.
 	CutByEngine Cut = "engine"
-	// CutBySilence runs were given up because the engine didn't answer.
+	// CutBySilence means that the run was canceled because the engine did not respond.
 	CutBySilence Cut = "silence"
-	// CutByMove runs were stopped for a move and did not go on.
+	// CutByMove means that the run was stopped for a migration and could not be continued.
 	CutByMove Cut = "move"
-	// CutByCaller runs lost their caller.
+	// CutByCaller means that the caller disconnected.
 	CutByCaller Cut = "caller"
-	// CutByDeadline runs had no time left.
+	// CutByDeadline means that the deadline passed.
 	CutByDeadline Cut = "deadline"
-	// CutByStop runs outlived the grace time of their instance.
+	// CutByStop means that the run had not finished when the grace period of the instance's
+	// shutdown ended.
 	CutByStop Cut = "stop"
 )
 
-// cutBy says what ended a run with an error.
+// cutBy returns the reason for a run that ended with err. ctx is the context of the request.
 func cutBy(ctx context.Context, err error) Cut {
 	var silent *SilentError
 	switch {
--- a/gateway/carry/cut_test.go
+++ b/gateway/carry/cut_test.go
@@ -13,8 +13,9 @@
 	"github.com/wardspool/wardspool/gateway/dialect"
 )
 
-// TestCutIsNamedByWhatEndedTheRun: the error of a reading alone tells neither a caller that
-// left from an instance that stops, nor an engine that broke off from one that was given up.
+// TestCutIsNamedByWhatEndedTheRun checks that the reason is not derived from the read error
+// alone. That error does not distinguish a disconnected caller from an instance that stops, or
+// an engine that ended the run from one whose run was canceled.
 func TestCutIsNamedByWhatEndedTheRun(t *testing.T) {
 	live := t.Context()
 	left, leave := context.WithCancel(live)
@@ -42,7 +43,7 @@
 	}
 }
 
-// TestCutAnswerIsCounted with what cut it.
+// TestCutAnswerIsCounted checks that an interrupted response is counted under its reason.
 func TestCutAnswerIsCounted(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true})
--- a/gateway/carry/decode.go
+++ b/gateway/carry/decode.go
@@ -14,7 +14,8 @@
 	"github.com/wardspool/wardspool/logs"
 )
 
-// decode runs the stream at its place.
+// decode sends the request to the reserved decode engine and forwards its stream. The second
+// result reports whether another pair of engines may be tried.
 func (s *stream) decode(ctx context.Context, p *place, h *computed) (*Answer, bool, error) {
 	u := p.decode.Upstream
 	if err := s.admit(ctx); err != nil {
@@ -53,7 +54,7 @@
 	Zone     ident.Zone
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *EvacuatedError) Error() string {
 	return fmt.Sprintf("zone %s of engine %s was evacuated", e.Zone, e.Upstream)
 }
@@ -78,8 +79,8 @@
 	return true
 }
 
-// failedSend takes in a sending that brought no response, and reports whether
-// another pair of engines may be tried.
+// failedSend handles an attempt that got no response, and reports whether another pair of
+// engines may be tried.
 func (s *stream) failedSend(ctx context.Context, p *place, h *computed, start time.Time, err error) bool {
 	u := p.decode.Upstream
 	s.c.note(u, &attempt{err: err}, 0, s.log)
@@ -97,7 +98,7 @@
 	return s.mayStart(ctx, err, sendsAnew)
 }
 
-// sendError is what the caller is told of a sending that brought no response.
+// sendError returns the caller's error for an attempt that got no response.
 func (s *stream) sendError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return s.ended(s.contextError(ctx))
@@ -105,8 +106,8 @@
 	return s.ended(err)
 }
 
-// accepted takes in that an engine runs the stream: whoever refused the prefill
-// result before is to blame for that, not the result.
+// accepted records that an engine runs the stream. If another engine refused the same prefill
+// result before, that engine is at fault and not the result.
 func (s *stream) accepted(u dialect.Upstream, h *computed) {
 	s.c.o.Books.Kept(u)
 	if h == nil {
@@ -114,18 +115,20 @@
 	}
 	s.c.o.Books.Kept(h.engine)
 	if h.refusedBy != nil {
-		s.passOver(*h.refusedBy, "refused although reserved")
+		s.passOver(*h.refusedBy, "refused a request for which it had reserved memory")
 	}
 }
 
-// passOver has an engine passed over that refused what it had promised.
+// passOver excludes an engine from scheduling for a time, also at peers, because it refused a
+// request for which it had reserved memory or failed in a similar way.
 func (s *stream) passOver(u dialect.Upstream, why string) {
 	s.c.o.Books.Refuses(clock.Now(), u)
 	s.c.o.Count("engine_passed_over")
 	s.log.Warn("engine passed over", "upstream", u.ID, "stage", u.Stage, "why", why)
 }
 
-// notServed takes in an answer that is no stream.
+// notServed handles a response that is not a stream. It returns the engine's own failure if that
+// is to be forwarded to the caller, and otherwise whether another pair of engines may be tried.
 func (s *stream) notServed(ctx context.Context, p *place, h *computed, resp *http.Response, v dialect.Verdict) (*Answer, bool, error) {
 	u := p.decode.Upstream
 	a := readAnswer(ctx, resp, v, s.j.Memory)
@@ -139,8 +142,9 @@
 	}
 	s.runs++
 	if v == dialect.Failure {
-		// It runs nothing, so that it always looks emptiest.
-		s.passOver(u, "its own failure in place of a stream")
+		// An engine that fails every request runs nothing, so it would always look like the
+		// least loaded one.
+		s.passOver(u, "answered with an error of its own instead of a stream")
 	}
 	if s.j.Route.Repeatable() && s.runs < s.j.Route.MaxAttempts && s.mayStart(ctx, err, sendsAnew) {
 		return nil, true, err
@@ -151,15 +155,15 @@
 	return nil, false, s.ended(err)
 }
 
-// refused takes in that a decode engine refused a request for which it had
-// reserved memory, and reports whether another may be tried. The engine may be
-// changing its stage, or the prefill result may be gone: a second engine tells,
-// without computing the prompt again.
+// refused handles the refusal of a request by a decode engine that had reserved memory for it,
+// and reports whether another pair of engines may be tried. Either the engine is changing its
+// stage or the prefill result is gone. A second engine is asked with the same prefill result to
+// find out which, so that the prompt is not computed again.
 func (s *stream) refused(ctx context.Context, p *place, h *computed, err error) bool {
 	u := p.decode.Upstream
 	switch {
 	case h == nil:
-		s.passOver(u, "refused although reserved")
+		s.passOver(u, "refused a request for which it had reserved memory")
 	case h.refusedBy == nil && h.fresh(s.j.Service.Engine.HandleTTL):
 		s.giveUp(p, nil)
 		if s.mayStart(ctx, err, sendsWithKept) {
@@ -170,7 +174,7 @@
 		s.free(h)
 		return false
 	case h.refusedBy != nil:
-		s.passOver(h.engine, "two engines could not fetch its result")
+		s.passOver(h.engine, "two decode engines could not fetch its prefill result")
 		s.excluded = append(s.excluded, h.engine.ID)
 	}
 	s.giveUp(p, h)
--- a/gateway/carry/ending.go
+++ b/gateway/carry/ending.go
@@ -14,56 +14,61 @@
 	"github.com/wardspool/wardspool/logs"
 )
 
-// ending is what became of an upstream at which an attempt broke off.
+// ending is the state in which an upstream was found after an attempt there was interrupted.
 type ending string
 
-// The endings, as logs name them.
+// The states, as they appear in logs.
 const (
-	// endedUnknown upstreams don't answer: they may have crashed, or be out of reach.
+	// endedUnknown means that the upstream does not answer: it may have crashed or be
+	// unreachable.
 	endedUnknown ending = "unknown"
-	// endedCrashed upstreams refuse connections, or another incarnation answers.
+	// endedCrashed means that the upstream refuses connections, or that another incarnation
+	// answers.
 	endedCrashed ending = "crashed"
-	// endedAlive upstreams answer: only the connection or the answer broke.
+	// endedAlive means that the upstream answers; only the connection or the response was
+	// interrupted.
 	endedAlive ending = "alive"
-	// endedPlanned upstreams had said that they leave, or had left the list, before they
-	// refused connections.
+	// endedPlanned means that the upstream refuses connections after it had announced its
+	// shutdown or had been removed from the list.
 	endedPlanned ending = "planned"
 )
 
 const (
-	// examineTimeout bounds the question; upstreams answer it in a few ms however busy.
+	// examineTimeout limits a liveness check. Upstreams answer one in a few ms, however busy
+	// they are.
 	examineTimeout = 200 * time.Millisecond
-	// examinedFor is how long an answer serves for other attempts at the same upstream: a
-	// crash breaks some dozen off at once.
+	// examinedFor is how long the result of a liveness check is reused for other attempts at the
+	// same upstream. A crash interrupts a dozen or more attempts at once.
 	examinedFor = time.Second
-	// silentAfter is how long an engine must have sent nothing for the leaving of its caller
-	// to say something of it: events come each 40 to 300 ms.
+	// silentAfter is how long an engine must have sent nothing for a caller's disconnect to be
+	// taken as a sign that the engine may have failed. Events normally arrive every 40 to 300
+	// ms.
 	silentAfter = time.Second
-	// mostExamined bounds the answers that are remembered.
+	// mostExamined limits the number of results that are kept.
 	mostExamined = 256
 )
 
-// examinations remembers what became of upstreams at which attempts broke off. Those who
-// ask at the same time share one question.
+// examinations caches the results of liveness checks of upstreams whose attempts were
+// interrupted. Concurrent requests for the same upstream share one check.
 type examinations struct {
 	mu   sync.Mutex
 	last map[examined]*examination
 }
 
-// examined names an incarnation of an upstream.
+// examined identifies an incarnation of an upstream.
 type examined struct {
 	id          ident.UpstreamID
 	incarnation ident.Incarnation
 }
 
-// examination is one question and its answer.
+// examination is one liveness check and its result.
 type examination struct {
 	once   sync.Once
 	at     time.Time
 	ending ending
 }
 
-// of returns the examination of an upstream that is still of use, or a new one.
+// of returns the check of an upstream that is still valid at now, or a new one.
 func (e *examinations) of(now time.Time, u dialect.Upstream) *examination {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,14 +84,14 @@
 	return x
 }
 
-// examine finds out what became of an upstream at which an attempt broke off.
+// examine checks the state of an upstream after an attempt there was interrupted.
 func (c *Carrier) examine(u dialect.Upstream) ending {
 	x := c.examinations.of(clock.Now(), u)
 	x.once.Do(func() { x.ending = c.askEnding(u) })
 	return x.ending
 }
 
-// askEnding asks an upstream whether it lives.
+// askEnding sends the liveness check to an upstream.
 func (c *Carrier) askEnding(u dialect.Upstream) ending {
 	ctx, cancel := context.WithTimeout(context.Background(), examineTimeout)
 	defer cancel()
@@ -100,7 +105,7 @@
 	return endingOf(err)
 }
 
-// endingOf says what the error of a question to an upstream means.
+// endingOf derives the state of an upstream from the error of a liveness check.
 func endingOf(err error) ending {
 	var replaced *dialect.ReplacedError
 	switch {
@@ -113,25 +118,27 @@
 	}
 }
 
-// lost takes in that an attempt of a request, sent at start, broke off at an upstream after
-// so many events from there, and finds out whether that crashed. begun means that the
-// upstream had answered with the head of a response.
+// lost handles an attempt that was sent at start and interrupted after the given number of
+// events, and checks whether the upstream crashed. begun means that the upstream had sent a
+// response head.
 func (a *caution) lost(u dialect.Upstream, start time.Time, begun bool, made int, cause error) {
 	if a.weigh(u, begun || a.c.o.Books.AnsweredSince(u, start), made, cause) == endedCrashed && made == 0 {
 		a.crashed = true
 	}
 }
 
-// abandoned takes in that the caller left while an upstream sent nothing.
+// abandoned checks an upstream that was sending nothing when the caller disconnected.
 func (a *caution) abandoned(u dialect.Upstream, made int) {
-	// The request has ended, its parts are not touched any more.
+	// The check runs after the request has ended, so it uses a copy that the request does not
+	// modify.
 	own := caution{c: a.c, j: a.j, log: a.log}
 	a.c.cleanup.Go(func() { own.weigh(u, true, made, &AbandonedError{}) })
 }
 
-// weigh finds out what became of an upstream at which an attempt broke off, and takes a
-// crash into the register. One that fell silent without a sign of life since the request was
-// sent may have been gone before.
+// weigh determines the state of an upstream after an attempt there was interrupted, logs it and
+// records a crash in the register. lived means that the upstream showed a sign of life after the
+// request was sent. Without one, an upstream that does not answer may have been gone before the
+// request, and the attempt is not kept as possible evidence.
 func (a *caution) weigh(u dialect.Upstream, lived bool, made int, cause error) ending {
 	e := a.c.endingBy(u, cause)
 	if e == endedCrashed && a.c.planned(u) {
@@ -149,8 +156,8 @@
 	return e
 }
 
-// planned reports whether an upstream had said that it leaves, or had left the list while
-// nobody took its place: its end is no crash.
+// planned reports whether an upstream had announced its shutdown, or was removed from the list
+// without being replaced. In both cases its end is not a crash.
 func (c *Carrier) planned(u dialect.Upstream) bool {
 	list := c.o.View().Upstreams[u.Service]
 	for _, o := range list {
@@ -161,8 +168,8 @@
 	return !replacedIn(list, u)
 }
 
-// endingBy finds out what became of an upstream at which an attempt broke off for a cause;
-// if that is the upstream's silence, it was asked already.
+// endingBy determines the state of an upstream after an attempt was interrupted by cause. If
+// cause is a *SilentError, the upstream was checked already.
 func (c *Carrier) endingBy(u dialect.Upstream, cause error) ending {
 	var silent *SilentError
 	if errors.As(cause, &silent) {
@@ -171,8 +178,8 @@
 	return c.examine(u)
 }
 
-// crashed takes the evidence of a crash into the register, and has the other instances
-// told: each of them may be sent the same content at any moment.
+// crashed records evidence of a crash in the register and has it sent to the other instances,
+// because each of them may receive the same content at any moment.
 func (c *Carrier) crashed(content quarantine.Content, u dialect.Upstream, made int) {
 	now := clock.Now()
 	if !c.o.Register.Crashed(now, content, u, made) {
--- a/gateway/carry/failover.go
+++ b/gateway/carry/failover.go
@@ -12,18 +12,19 @@
 	"github.com/wardspool/wardspool/internal/pause"
 )
 
-// searchPause is the time between two looks for room: engines that were full are asked again
-// after as long.
+// searchPause is the interval between two searches for an engine with capacity. Engines that
+// were full are asked again after as long.
 const searchPause = 60 * time.Millisecond
 
-// standby is a place that was reserved for a stream while it still ran elsewhere.
+// standby holds a placement that was reserved for a stream while the stream still runs
+// elsewhere.
 type standby struct {
 	mu     sync.Mutex
 	place  *place
 	closed bool
 }
 
-// keep keeps a place; false if the stream has ended.
+// keep stores a placement. It returns false if the stream has ended.
 func (b *standby) keep(p *place) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,14 +35,14 @@
 	return true
 }
 
-// kept reports whether there is a place.
+// kept reports whether a placement is stored.
 func (b *standby) kept() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.place != nil
 }
 
-// take returns the place, nil if there is none.
+// take removes and returns the placement, or nil if there is none.
 func (b *standby) take() *place {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,7 +51,7 @@
 	return p
 }
 
-// close returns the place that was not taken, and keeps no further one.
+// close returns the placement that was not used, or nil, and rejects all further ones.
 func (b *standby) close() *place {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,8 +60,8 @@
 	return p
 }
 
-// failover finds another engine for a stream that still runs at one. It holds what it needs of
-// the stream as of the start of that run, since the stream goes on meanwhile.
+// failover searches for another engine for a stream that is still running. It copies the
+// stream's state at the start of that run, because the stream continues concurrently.
 type failover struct {
 	s *stream
 	// allowed means that the stream may be started once more.
@@ -69,7 +70,7 @@
 	excluded []ident.UpstreamID
 }
 
-// failoverFrom returns the failover from an engine.
+// failoverFrom returns a failover away from an engine.
 func (s *stream) failoverFrom(from dialect.Upstream) *failover {
 	return &failover{
 		s: s, allowed: s.starts < maxStarts && s.j.Route.Repeatable() && s.runs+1 < s.j.Route.MaxAttempts,
@@ -77,8 +78,9 @@
 	}
 }
 
-// find looks for another engine until there is one, the stream is heard of, or ctx ends, and
-// takes the sends to it out of the retry budget; nil if there is none or the budget is spent.
+// find searches for another engine until one is reserved, the current engine responds again, or
+// ctx ends. It charges the sends to the new engine to the retry budget. It returns nil if no
+// engine was found or the budget is exhausted.
 func (f *failover) find(ctx context.Context, heard func() bool) *place {
 	s := f.s
 	for f.allowed && !heard() && clock.Until(s.j.Deadline) >= leastTime {
@@ -96,28 +98,28 @@
 	return nil
 }
 
-// look reserves another engine, if one has room now.
+// look makes one attempt to reserve another engine. It returns nil if none has capacity now.
 func (f *failover) look(ctx context.Context) *place {
 	size := f.s.sizeNow()
 	size.Apart = f.apart
 	return f.s.placeFor(ctx, size, f.excluded)
 }
 
-// releasePlace gives up a place that the stream doesn't come to.
+// releasePlace releases a placement that the stream does not use.
 func (s *stream) releasePlace(p *place) {
 	s.giveUp(p, nil)
 	s.roomCame(p)
 }
 
-// onSilence looks for another engine when the stream's own has not answered whether it lives,
-// and reports whether the run there is to be given up for it.
+// onSilence searches for another engine when the stream's own did not answer a liveness check,
+// and reports whether to cancel the run there in favor of the other engine.
 //
-// Silence is no proof: a busy machine or a lost packet looks the same, and a run that was
-// given up can't be had back.
+// A missing answer does not prove a failure: an overloaded machine or a lost packet looks the
+// same, and a canceled run cannot be recovered.
 func (f *failover) onSilence(ctx context.Context, u dialect.Upstream, err error, began time.Time, heard func() bool) bool {
 	s := f.s
 	if s.events.Load() == 0 {
-		// Nothing is lost: the caller can be told, or another engine begins.
+		// No output would be lost: the request can be refused or started at another engine.
 		return true
 	}
 	s.c.failed(u, Unreached(err), err, clock.Since(began), s.log)
--- a/gateway/carry/fake_test.go
+++ b/gateway/carry/fake_test.go
@@ -23,38 +23,38 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// reply is what a fake upstream does with one sending.
+// reply describes how a fake upstream answers one request.
 type reply struct {
 	verdict dialect.Verdict
 	status  int
 	body    string
-	// stream is a body of its own instead.
+	// stream is used as the response body instead of body.
 	stream io.ReadCloser
-	// breaks ends the body with an error instead of its end.
+	// breaks ends the body with an error instead of EOF.
 	breaks bool
 	err    error
-	// hangs waits for the context's end, and ends with err if there is one.
+	// hangs blocks until the context ends, then fails with err if that is set.
 	hangs bool
 }
 
-// fakeDialect answers sendings by script and records all calls.
+// fakeDialect answers requests according to its scripts and records all calls.
 type fakeDialect struct {
 	mu sync.Mutex
-	// do answers the sendings to each upstream in turn; the last one repeats.
+	// do holds the replies of each upstream, in order; the last one repeats.
 	do map[ident.UpstreamID][]reply
-	// prefill and hold likewise.
+	// prefill and hold hold the errors of prefills and reservations in the same way.
 	prefill map[ident.UpstreamID][]error
 	hold    map[string][]error
-	// migrate answers copying ("copy") and stopping ("stop"); stopped is called when
-	// a stream was stopped.
+	// migrate holds the errors of copying ("copy") and of stopping ("stop") in the same way.
+	// stopped is called when a stream was stopped.
 	migrate map[string][]error
-	// kept is what engines have in their caches.
+	// kept holds the cache lists of engines.
 	kept map[ident.UpstreamID]map[string]int
-	// silent engines don't answer when they are asked for a report.
+	// silent engines do not answer requests for a report.
 	silent map[ident.UpstreamID]bool
 	// crashed upstreams refuse connections.
 	crashed map[ident.UpstreamID]bool
-	// incarnations are those that engines report.
+	// incarnations are the incarnations that engines report.
 	incarnations map[ident.UpstreamID]ident.Incarnation
 
 	// prefilled is called after each prefill, copying during each copy of a running stream.
@@ -70,7 +70,7 @@
 	f.calls = append(f.calls, fmt.Sprintf(format, args...))
 }
 
-// next takes the next of a script; the last one repeats.
+// next returns the next entry of a script; the last one repeats.
 func next[K comparable, V any](script map[K][]V, key K) (v V, ok bool) {
 	list := script[key]
 	if len(list) == 0 {
@@ -107,7 +107,7 @@
 	}
 	h := http.Header{"X-From": {string(s.To.ID)}}
 	if r.stream != nil {
-		// As on a connection: the end of the attempt ends the reading.
+		// As on a real connection, canceling the attempt ends the read.
 		context.AfterFunc(ctx, func() { _ = r.stream.Close() })
 		return &http.Response{StatusCode: r.status, Header: h, Body: r.stream}, r.verdict, nil
 	}
@@ -215,7 +215,7 @@
 func (f *fakeDialect) Challenge(http.Header) {}
 func (f *fakeDialect) Close()                {}
 
-// count returns how many recorded calls are equal to one.
+// count returns the number of recorded calls that are equal to call.
 func (f *fakeDialect) count(call string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +228,7 @@
 	return n
 }
 
-// countKind returns how many recorded calls begin with a word.
+// countKind returns the number of recorded calls of a kind, their first word.
 func (f *fakeDialect) countKind(kind string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,21 +241,23 @@
 	return n
 }
 
-// bed is a carrier with its fakes.
+// bed is a carrier with fake dependencies.
 type bed struct {
 	*Carrier
 	d    *fakeDialect
 	view *fleet.Snapshot
-	// ends is when the instance ends, zero while it isn't stopping.
+	// ends is the time at which the instance terminates, zero unless it is shutting down.
 	ends time.Time
 }
 
 // Close waits for all releases.
 func (b *bed) Close() { b.Carrier.Close(context.Background()) }
 
-// slack is the retry budget of tests that are not about it.
+// slack is the retry budget of tests that do not depend on it.
 const slack = 1000
 
+// newBed returns a bed for a service s with the given upstreams. slack is the number of retries
+// that the budget allows beyond its share of the requests.
 func newBed(t *testing.T, slack float64, ups ...dialect.Upstream) *bed {
 	t.Helper()
 	d := &fakeDialect{do: map[ident.UpstreamID][]reply{}, prefill: map[ident.UpstreamID][]error{}, hold: map[string][]error{}, migrate: map[string][]error{}}
@@ -274,7 +276,7 @@
 	return b
 }
 
-// localTrials allow trials of one instance.
+// localTrials grants trials for a single instance.
 type localTrials struct{ *quarantine.Trials }
 
 func (l localTrials) Begin(_ context.Context, c quarantine.Content, lasts time.Duration) (func(), bool) {
@@ -282,6 +284,7 @@
 	return func() { l.End(c, "self") }, ok
 }
 
+// plainUps returns upstreams of the plain service s, in zone a.
 func plainUps(ids ...string) []dialect.Upstream {
 	var out []dialect.Upstream
 	for _, id := range ids {
@@ -290,6 +293,7 @@
 	return out
 }
 
+// engineUps returns the engines of the service s, in zone a.
 func engineUps(prefill, decode []string) []dialect.Upstream {
 	out := append(plainUps(prefill...), plainUps(decode...)...)
 	for i := range out {
@@ -301,7 +305,7 @@
 	return out
 }
 
-// job makes a job for a route of the given kind.
+// job returns a job for a route.
 func job(r routing.Route) *Job {
 	now := time.Now()
 	r.Name = "r"
@@ -318,8 +322,8 @@
 	return j
 }
 
-// closed, notSent and broken are errors with their evidence; refusedReply and fullReply
-// attest that nothing ran.
+// closed, notSent and broken are errors with different evidence on whether the request ran.
+// refusal attests that nothing ran.
 var (
 	closed  = &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: syscall.ECONNREFUSED}
 	notSent = &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: io.EOF}
@@ -327,7 +331,7 @@
 	refusal = reply{verdict: dialect.Refused, status: 503}
 )
 
-// sink is a caller that reads a stream.
+// sink is a caller that records the stream it receives.
 type sink struct {
 	heads int
 	from  string
@@ -344,7 +348,7 @@
 	return err
 }
 
-// events writes events with the given numbers.
+// events returns the events with IDs from to to.
 func events(from, to int) string {
 	text := ""
 	for i := from; i <= to; i++ {
--- a/gateway/carry/forward.go
+++ b/gateway/carry/forward.go
@@ -15,29 +15,31 @@
 )
 
 const (
-	// readBytes is how much is read of a stream at once; an event takes some
-	// hundred bytes.
+	// readBytes is the size of the buffer for reading a stream. One event takes a few hundred
+	// bytes.
 	readBytes = 4 << 10
-	// maxEventBytes bounds one event.
+	// maxEventBytes limits the size of one event.
 	maxEventBytes = 1 << 20
 )
 
-// EventSizeError reports an event beyond its bound.
+// EventSizeError reports an event that exceeds maxEventBytes.
 type EventSizeError struct{}
 
-// Error implements error.
-func (*EventSizeError) Error() string { return "an event is too long" }
+// Error implements the error interface.
+func (*EventSizeError) Error() string { return "stream event exceeds the size limit" }
 
-// CallerError reports a response that could not be written to the caller.
+// CallerError reports that the response could not be written to the caller.
 type CallerError struct{ Err error }
 
-// Error implements error.
-func (e *CallerError) Error() string { return "caller: " + e.Err.Error() }
+// Error implements the error interface.
+func (e *CallerError) Error() string { return "write to caller: " + e.Err.Error() }
 
-// Unwrap returns the network's error.
+// Unwrap returns the error of the write.
 func (e *CallerError) Unwrap() error { return e.Err }
 
-// forward sends a stream on as it comes, in whole events.
+// forward copies the stream from an engine to the caller, event by event, and continues it
+// elsewhere if it was migrated. The second result reports whether another pair of engines may be
+// tried.
 func (s *stream) forward(ctx context.Context, g *guard, p *place, resp *http.Response, start time.Time) (*Answer, bool, error) {
 	u := p.decode.Upstream
 	before := s.events.Load()
@@ -73,14 +75,14 @@
 	return nil, s.brokenOff(ctx, p, err, made, cutBy(ctx, err)), s.streamError(ctx, err)
 }
 
-// callerLeft reports whether a stream ended because its caller can't be written to.
+// callerLeft reports whether a stream ended because writing to its caller failed.
 func callerLeft(err error) bool {
 	var caller *CallerError
 	return errors.As(err, &caller)
 }
 
-// brokenOff takes in a stream that ended early, and reports whether it may go on
-// at another engine.
+// brokenOff handles a stream that ended early, and reports whether it may continue at another
+// engine.
 func (s *stream) brokenOff(ctx context.Context, p *place, err error, made int, by Cut) bool {
 	u := p.decode.Upstream
 	s.runs++
@@ -102,7 +104,7 @@
 	return s.mayStart(ctx, err, sendsAnew)
 }
 
-// streamError is what the caller is told of a stream that ended early.
+// streamError returns the caller's error for a stream that ended early.
 func (s *stream) streamError(ctx context.Context, err error) error {
 	if callerLeft(err) {
 		return &AbandonedError{}
@@ -113,7 +115,8 @@
 	return s.ended(err)
 }
 
-// copyEvents sends whole events on until the stream's end.
+// copyEvents copies complete events to the caller until the stream ends. It calls first when the
+// first event arrives.
 func (s *stream) copyEvents(g *guard, p *place, resp *http.Response, first func()) error {
 	var pending []byte
 	started := false
@@ -151,7 +154,7 @@
 	}
 }
 
-// notePause keeps the longest pause between two events.
+// notePause updates the longest pause between two events.
 func (s *stream) notePause(now time.Time) {
 	if s.firstAt.IsZero() {
 		s.firstAt = now
@@ -162,7 +165,7 @@
 	s.lastAt = now
 }
 
-// finish sends what is left at a stream's clean end.
+// finish sends the remaining bytes when a stream ended without error.
 func (s *stream) finish(resp *http.Response, rest []byte) error {
 	if s.begun && len(rest) == 0 {
 		return nil
@@ -173,7 +176,8 @@
 	return nil
 }
 
-// deliver sends whole events to the caller.
+// deliver sends complete events to the caller, preceded by the response head if it was not sent
+// yet.
 func (s *stream) deliver(resp *http.Response, events []byte) error {
 	if !s.begun {
 		s.w.Head(resp.StatusCode, roundtrip.EndToEnd(resp.Header))
@@ -186,7 +190,7 @@
 	return nil
 }
 
-// note counts events and keeps the number of the last.
+// note counts the delivered events and stores the ID of the last one.
 func (s *stream) note(events []byte) {
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -196,7 +200,7 @@
 	}
 }
 
-// lastEventEnd returns the end of the last whole event, 0 if there is none.
+// lastEventEnd returns the offset after the last complete event in b, or 0 if there is none.
 func lastEventEnd(b []byte) int {
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
 		return i + 2
--- a/gateway/carry/guard.go
+++ b/gateway/carry/guard.go
@@ -10,19 +10,19 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// stallFactor is how many pace objectives a running stream may send nothing before its
-// engine is asked whether it lives.
+// stallFactor is the time that a running stream may send nothing before its engine is asked for
+// a sign of life, as a multiple of the route's pace objective.
 const stallFactor = 2
 
-// notYet is the time of a timer that is not started yet.
+// notYet is the initial delay of a timer that has not been started yet.
 const notYet = time.Hour
 
-// guard watches an engine that a request was sent to: the request's context ends when the
-// engine has started again. If nothing comes for a time, the engine is asked whether it
-// lives; without an answer the context ends too, that of a run under way only for another
-// engine.
+// guard monitors an engine to which a request was sent. It cancels the request's context when a
+// newer incarnation of the engine appears. If nothing arrives for a time, it checks whether the
+// engine is alive. If the engine does not answer, the context is canceled too; for a stream that
+// has delivered events only if another engine was reserved for it.
 type guard struct {
-	// ctx is the request's, canceled with a *SilentError by cancel.
+	// ctx is the context of the request. cancel cancels it with a *SilentError.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	stop   func()
@@ -32,12 +32,13 @@
 	signs atomic.Uint64
 }
 
-// watch returns a guard of a request to an engine, which asks after the given time; with a
-// failover, once more whenever nothing has come for as long.
+// watch returns a guard for a request to an engine. It checks the engine when nothing has
+// arrived for the given time, and with a failover again each time that nothing has arrived for
+// as long.
 func (s *stream) watch(ctx context.Context, u dialect.Upstream, after time.Duration, f *failover) *guard {
 	watched, cancel, end := s.c.underWay.track(ctx, u)
 	g := &guard{ctx: watched, cancel: cancel, after: after}
-	// The timer must be in place when it fires: it is started by heard.
+	// The timer must be assigned before it can fire, so it is started by heard.
 	g.timer = time.AfterFunc(notYet, func() {
 		if s.ask(u, g, f) && f != nil {
 			g.wait()
@@ -51,10 +52,10 @@
 	return g
 }
 
-// guardOf returns the guard of a running stream: of one that may go on elsewhere the engine
-// is asked, streams that run at most once are left alone while their engine lives. Without
-// it a stream across a cut between zones stands still until its caller leaves, and all of
-// them come back at the same moment.
+// guardOf returns the guard for a running stream. The engine is checked only if the stream may
+// continue elsewhere; a stream that may run at most once is left alone while its engine lives.
+// Without the check, a stream whose zone is cut off stalls until its caller disconnects, and all
+// of these callers retry at the same moment.
 func (s *stream) guardOf(ctx context.Context, u dialect.Upstream) *guard {
 	after := stallFactor * s.j.Route.PaceObjective
 	if !s.j.Route.Repeatable() || after <= 0 {
@@ -64,21 +65,22 @@
 	return s.watch(ctx, u, after, s.failoverFrom(u))
 }
 
-// heard takes in a sign of life.
+// heard records a sign of life and restarts the timer.
 func (g *guard) heard() {
 	g.signs.Add(1)
 	g.wait()
 }
 
-// wait begins the wait for the next sign of life.
+// wait restarts the timer for the next sign of life.
 func (g *guard) wait() {
 	if g.timer != nil && g.ctx.Err() == nil {
 		g.timer.Reset(g.after)
 	}
 }
 
-// cause returns the silence for which an attempt was given up, otherwise its own error.
-// Whether the request was sent is the attempt's to say: the question was another call.
+// cause returns the *SilentError for which the attempt was canceled, otherwise err. The result
+// keeps the evidence of err on whether the request was sent: the unanswered liveness check was a
+// separate call and says nothing about that.
 func (g *guard) cause(err error) error {
 	silent := silence(g.ctx)
 	if err == nil || silent == nil {
--- a/gateway/carry/kept.go
+++ b/gateway/carry/kept.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// keptFor is how long an engine's list of its cache is used: after all instances
-	// were killed, some dozens of callers resume within a second or two.
+	// keptFor is how long an engine's cache list is reused. After all instances were killed,
+	// several dozen callers resume within one or two seconds.
 	keptFor = time.Second
-	// keptTimeout bounds the asking for a list, which takes up to 20 ms.
+	// keptTimeout limits the retrieval of a cache list, which takes up to 20 ms.
 	keptTimeout = 80 * time.Millisecond
-	// askAllUpTo is the largest number of decode engines that are all asked; of more,
-	// only those of the own zone, where most streams run: each list delays an engine.
+	// askAllUpTo is the largest number of decode engines for which all of them are asked. If
+	// there are more, only those of the instance's own zone are asked, where most streams run,
+	// because each list delays an engine.
 	askAllUpTo = 12
-	// mostLists bounds the lists that are remembered, those of engines that are gone
-	// among them.
+	// mostLists limits the number of lists that are kept, including those of engines that are
+	// gone.
 	mostLists = 1024
-	// homePatience is how long a resumed stream waits for room at the engine that
-	// keeps its KV cache before it is computed anew elsewhere: 7,000 tokens on average.
+	// homePatience is how long a resumed stream waits for capacity at the engine that holds its
+	// KV cache, before that is recomputed elsewhere: 7,000 tokens on average.
 	homePatience = 500 * time.Millisecond
 )
 
-// caches remembers what engines keep. It is safe for concurrent use.
+// caches holds the engines' cache lists. It is safe for concurrent use.
 type caches struct {
 	mu      sync.Mutex
 	engines map[ident.UpstreamID]*cacheList
 }
 
-// cacheList is one engine's list.
+// cacheList is the cache list of one engine: the number of cached tokens by prompt part.
 type cacheList struct {
 	mu   sync.Mutex
 	at   time.Time
 	kept map[string]int
 }
 
-// of returns an engine's entry.
+// of returns the cache list of an engine.
 func (c *caches) of(id ident.UpstreamID) *cacheList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,8 +57,8 @@
 	return l
 }
 
-// tokens returns how much an engine keeps of a part. Those who ask at the same time
-// share one call; a failed one counts as an empty list.
+// tokens returns how many tokens of a prompt part an engine has cached. Concurrent callers share
+// one request to the engine. A failed request counts as an empty list until keptFor has passed.
 func (l *cacheList) tokens(ctx context.Context, d dialect.Dialect, u dialect.Upstream, part string) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,16 +72,16 @@
 	return kept[part], err
 }
 
-// home is the decode engine that keeps most of a resumed stream's KV cache.
+// home is the decode engine that holds the largest part of a resumed stream's KV cache.
 type home struct {
 	engine dialect.Upstream
 	tokens int
 }
 
-// findHome asks decode engines for what they keep of the stream. Callers resume on
-// whatever instance, which doesn't know where the stream ran: without asking, prompt
-// and output were computed anew, 1,000,000 tokens on a day on which all of 62
-// instances lost power.
+// findHome asks decode engines how much of the stream's KV cache they hold. A caller may resume
+// at any instance, which does not know where the stream ran. Without asking, prompt and output
+// were recomputed: 1,000,000 tokens on a day on which all of 62 instances lost power. It returns
+// nil if no engine holds any of it.
 func (s *stream) findHome(ctx context.Context) *home {
 	if s.j.Call.PromptPart == "" {
 		return nil
@@ -92,7 +93,7 @@
 		asked.Go(func() {
 			n, err := s.c.caches.of(u.ID).tokens(ctx, s.c.o.Dialect, u, s.j.Call.PromptPart)
 			if err != nil {
-				s.log.Info("cache not listed", "upstream", u.ID, "error", logs.ErrorText(err))
+				s.log.Info("cache list not retrieved", "upstream", u.ID, "error", logs.ErrorText(err))
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/gateway/carry/kept_test.go
+++ b/gateway/carry/kept_test.go
@@ -10,15 +10,15 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// resumedJob is a stream that its caller resumes after the second event.
+// resumedJob returns a stream that its caller resumes after the second event.
 func resumedJob(r routing.Route) *Job {
 	j := job(r)
 	j.Call.LastEvent, j.Call.SeenEvents, j.Call.PromptPart = "2", 2, "part"
 	return j
 }
 
-// TestResumedStreamGoesWhereItsCacheIs: the engine that keeps most of it computes the
-// rest; no prompt is computed anew.
+// TestResumedStreamGoesWhereItsCacheIs checks that a resumed stream continues at the engine that
+// holds most of its KV cache, which computes the rest, without a new prefill.
 func TestResumedStreamGoesWhereItsCacheIs(t *testing.T) {
 	b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1", "d2", "d3"})...)
 	b.d.kept = map[ident.UpstreamID]map[string]int{"d1": {"part": 300, "other": 9000}, "d3": {"part": 1100}}
@@ -33,8 +33,8 @@
 	assert.Equal(t, b.d.sends[0].LastEvent, "2")
 }
 
-// TestResumedStreamWithoutCacheIsComputed anew, also if its engine has no room for
-// long.
+// TestResumedStreamWithoutCacheIsComputed checks that a resumed stream is prefilled again if no
+// engine holds its KV cache, or if the engine that does has no room for long.
 func TestResumedStreamWithoutCacheIsComputed(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(3, 5)})
@@ -51,7 +51,8 @@
 	assert.Equal(t, full.d.countKind("prefill"), 1)
 }
 
-// TestListsOfCachesAreShared by those who resume at the same time.
+// TestListsOfCachesAreShared checks that streams that are resumed at the same time share the
+// engines' cache lists.
 func TestListsOfCachesAreShared(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(3, 5)})
@@ -59,10 +60,11 @@
 		_, err := b.Stream(t.Context(), resumedJob(resumable), &sink{})
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, b.d.countKind("kept"), 2, "one for each decode engine")
+	assert.Equal(t, b.d.countKind("kept"), 2, "want one list call for each decode engine")
 }
 
-// TestOnlyTheOwnZonesCachesAreListedOfMany engines.
+// TestOnlyTheOwnZonesCachesAreListedOfMany checks that with many decode engines only those of
+// the instance's own zone are asked for their cache lists.
 func TestOnlyTheOwnZonesCachesAreListedOfMany(t *testing.T) {
 	ups := engineUps(nil, []string{"1", "2", "3", "4", "5", "6", "7", "8", "9", "10", "11", "12", "13"})
 	for i := range ups[3:] {
--- a/gateway/carry/line.go
+++ b/gateway/carry/line.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// lineTick is how often the head of a line looks for room: peers' streams end
-	// without a word to this instance.
+	// lineTick is how often the head of a queue checks for capacity. The streams of other
+	// instances end without a notification to this one.
 	lineTick = 15 * time.Millisecond
 )
 
-// line is the queue of requests that wait for room at a service's decode engines,
-// the most urgent first, of these the ones that can still be on time, then in order
-// of arrival.
+// line is the queue of requests that wait for capacity at the decode engines of a service. It is
+// ordered by priority, then requests that can still meet their objective before those that
+// cannot, then by arrival.
 type line struct {
 	mu      sync.Mutex
 	waiting []*waiter
 }
 
-// waiter is a request in a line.
+// waiter is a request that waits in a queue.
 type waiter struct {
 	priority int
-	// late requests can't be on time any more, whatever they get: a stream that its
-	// caller resumes has paused for longer than its pace objective.
+	// late means that the request cannot meet its objective any more: a stream that its caller
+	// resumes has already paused for longer than its pace objective.
 	late    bool
 	arrived time.Time
-	// wake is signalled when room may have come.
+	// wake receives a value when capacity may have become available.
 	wake chan struct{}
 }
 
-// before reports whether w goes before o.
+// before reports whether w is ahead of o in the queue.
 func (w *waiter) before(o *waiter) bool {
 	if w.priority != o.priority {
 		return w.priority < o.priority
@@ -42,12 +42,12 @@
 	return w.arrived.Before(o.arrived)
 }
 
-// newWaiter returns a request that is in no line.
+// newWaiter returns a waiter that is in no queue.
 func newWaiter(priority int, late bool, arrived time.Time) *waiter {
 	return &waiter{priority: priority, late: late, arrived: arrived, wake: make(chan struct{}, 1)}
 }
 
-// join adds a request.
+// join inserts a request.
 func (l *line) join(priority int, late bool, arrived time.Time) *waiter {
 	w := newWaiter(priority, late, arrived)
 	l.mu.Lock()
@@ -62,7 +62,7 @@
 	return w
 }
 
-// leave takes a request out and wakes the one that is first now.
+// leave removes a request and wakes the new head of the queue.
 func (l *line) leave(w *waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,28 +75,28 @@
 	l.wakeFirst()
 }
 
-// first reports whether nobody goes before the request.
+// first reports whether the request is at the head of the queue.
 func (l *line) first(w *waiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting) > 0 && l.waiting[0] == w
 }
 
-// length returns how many requests wait.
+// length returns the number of waiting requests.
 func (l *line) length() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting)
 }
 
-// roomCame wakes the first.
+// roomCame wakes the head of the queue when capacity may have become available.
 func (l *line) roomCame() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.wakeFirst()
 }
 
-// wakeFirst wakes the first. The caller holds mu.
+// wakeFirst wakes the head of the queue. The caller must hold mu.
 func (l *line) wakeFirst() {
 	if len(l.waiting) == 0 {
 		return
@@ -107,7 +107,7 @@
 	}
 }
 
-// wait waits for a wake-up, a tick or the end of ctx.
+// wait blocks until the waiter is woken, lineTick has passed, or ctx ends.
 func (w *waiter) wait(ctx context.Context) {
 	timer := time.NewTimer(lineTick)
 	defer timer.Stop()
@@ -118,7 +118,7 @@
 	}
 }
 
-// lineOf returns the line of a service.
+// lineOf returns the queue of a service.
 func (c *Carrier) lineOf(service string) *line {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/carry/migrate.go
+++ b/gateway/carry/migrate.go
@@ -19,59 +19,61 @@
 )
 
 const (
-	// copyTimeout bounds the copying of a KV cache while its stream goes on. It takes
-	// 1 to 2 ms, on a slow link ten times that.
+	// copyTimeout limits the copying of a KV cache while its stream continues. It takes 1 to 2
+	// ms, on a slow link ten times that.
 	copyTimeout = 500 * time.Millisecond
-	// slowCopy is how long a copy may have taken for the stream to be stopped: it stands
-	// still while what is new is copied.
+	// slowCopy is the maximum time that the first copy may have taken for the stream to be
+	// stopped, because the stream pauses while the remainder is copied.
 	slowCopy = 150 * time.Millisecond
-	// stopTimeout bounds the stopping of a stream and the copying of what is new. Without
-	// the answer a stopped stream has no handle to go on from, so that it is waited for as
-	// long as callers bear.
+	// stopTimeout limits the stopping of a stream and the copying of the remainder. Without the
+	// engine's answer a stopped stream has no handle from which to continue, so the wait is as
+	// long as callers tolerate.
 	stopTimeout = 2 * time.Second
-	// maxMigrations bounds how often one stream is moved.
+	// maxMigrations limits how often one stream is migrated.
 	maxMigrations = 3
-	// sendsToMigrate is how many sends beyond the first a move takes, sendsBack how many
-	// its way back if the destination doesn't take the stream.
+	// sendsToMigrate is the number of sends beyond the first that a migration takes. sendsBack
+	// is the number that returning to the source takes if the destination does not accept the
+	// stream.
 	sendsToMigrate = 1
 	sendsBack      = 1
-	// resumeTimeout bounds the wait for an engine that a stopped stream was sent to: its cache
-	// is there, so that the answer takes some ten ms, and its caller hears nothing meanwhile.
+	// resumeTimeout limits the wait for an engine that was asked to continue a stopped stream.
+	// The engine has the KV cache, so it answers within tens of ms, and the caller receives
+	// nothing meanwhile.
 	resumeTimeout = time.Second
 )
 
-// phase is how far the move of a stream has come.
+// phase is the progress of a stream's migration.
 type phase int
 
 const (
-	// settled streams are not being moved.
+	// settled means that the stream is not being migrated.
 	settled phase = iota
-	// copying streams go on while their KV cache is copied.
+	// copying means that the KV cache is being copied while the stream continues.
 	copying
-	// stopping streams may have been stopped: their end says nothing until the
-	// engine's answer is there.
+	// stopping means that the stream may have been stopped. Why it ended is known only when the
+	// engine has answered.
 	stopping
 	// over means that the stream has ended.
 	over
 )
 
-// migration is the move of a stream to another engine.
+// migration is the state of a stream's migration to another engine.
 type migration struct {
 	mu    sync.Mutex
 	phase phase
 	moves int
-	// turn rises with each engine that the stream comes to: a move that was begun at
-	// an earlier one must not stop it.
+	// turn is incremented whenever the stream starts at an engine. A migration that began at an
+	// earlier engine must not stop the stream at this one.
 	turn int
-	// to is where the stream is to go on, handle and err what came of stopping it.
+	// to is the destination. handle and err are the result of stopping the stream.
 	to     schedule.Ticket
 	handle dialect.Handle
 	err    error
-	// done is closed when handle and err are there.
+	// done is closed when handle and err are set.
 	done chan struct{}
 }
 
-// arrive says that the stream runs at an engine, from which it may be moved.
+// arrive records that the stream runs at an engine, from which it may be migrated.
 func (m *migration) arrive() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,7 +81,7 @@
 	m.turn++
 }
 
-// begin claims the move of a stream; false if it can't be moved now.
+// begin starts a migration. ok is false if the stream cannot be migrated now.
 func (m *migration) begin() (turn int, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,7 +93,7 @@
 	return m.turn, true
 }
 
-// cancel gives a move up before the stream was stopped.
+// cancel abandons a migration before the stream was stopped.
 func (m *migration) cancel(turn int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,7 +102,8 @@
 	}
 }
 
-// stop says that the stream is about to be stopped; false if it has ended.
+// stop records that the stream is about to be stopped. It returns false if the stream has ended
+// or runs at another engine.
 func (m *migration) stop(turn int, to schedule.Ticket) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,8 +114,8 @@
 	return true
 }
 
-// ended says that the stream came to an end at its engine. It returns the move that
-// may have caused it, nil if there is none.
+// ended records that the stream ended at its engine. If a migration may have caused that, it
+// returns a channel that is closed when the result of the migration is known, otherwise nil.
 func (m *migration) ended() chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -123,7 +126,7 @@
 	return m.done
 }
 
-// Migrate has the running streams moved that should go on at other engines.
+// Migrate starts the migration of all running streams that should continue at other engines.
 func (c *Carrier) Migrate(services map[string]routing.Service) {
 	view := c.o.View()
 	now := clock.Now()
@@ -144,14 +147,14 @@
 	}
 }
 
-// running returns the stream that has a placement.
+// running returns the stream that has a placement, nil if it is not running.
 func (c *Carrier) running(t schedule.Ticket) *stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.streams[t.Number()]
 }
 
-// enter and exit keep the streams that run.
+// enter adds a running stream.
 func (c *Carrier) enter(t schedule.Ticket, s *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,15 +182,16 @@
 	}
 }
 
+// exit removes a stream that has ended or left its engine.
 func (c *Carrier) exit(t schedule.Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.streams, t.Number())
 }
 
-// migrate moves a stream: its KV cache is copied while it goes on, then it is stopped
-// and what is new is copied, so that the caller sees a pause of some ms. Nothing is
-// lost before the stop: whatever fails until then leaves the stream as it is.
+// migrate moves a stream to another engine. The KV cache is copied while the stream continues;
+// then the stream is stopped and the remainder is copied, so the caller sees a pause of a few
+// ms. A failure before the stop leaves the stream unaffected.
 func (s *stream) migrate(m schedule.Migrant, turn int) {
 	from := m.Ticket.Upstream
 	log := s.log.With("from", from.ID, "why", string(m.Why), "memory", m.Memory)
@@ -218,14 +222,16 @@
 	log.Info("stream moved", "to", to.Upstream.ID, "took_ms", clock.Since(start).Milliseconds(), "error", logs.ErrorText(err))
 }
 
-// SlowCopyError reports a copy that took so long that its stream was not stopped.
+// SlowCopyError reports a copy that took longer than slowCopy, so its stream was not stopped.
 type SlowCopyError struct{ Took time.Duration }
 
-// Error implements error.
-func (e *SlowCopyError) Error() string { return "copied in " + e.Took.String() + ", too slowly" }
+// Error implements the error interface.
+func (e *SlowCopyError) Error() string {
+	return "KV cache copy took " + e.Took.String() + ", too long to stop the stream"
+}
 
-// destination finds a decode engine with room for the rest of the stream, if a send
-// to it is allowed.
+// destination reserves a decode engine with room for the rest of the stream. ok is false if
+// there is none or the retry budget does not allow the send.
 func (s *stream) destination(from dialect.Upstream) (schedule.Ticket, bool) {
 	size := s.size()
 	size.Copied = true
@@ -237,25 +243,26 @@
 	return to, ok
 }
 
-// copyCache copies the stream's KV cache.
+// copyCache copies the stream's KV cache to another engine, and with stop ends the stream at its
+// current one.
 func (s *stream) copyCache(from, to dialect.Upstream, stop bool, timeout time.Duration) (dialect.Handle, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return s.c.o.Dialect.Migrate(ctx, dialect.Migration{Request: s.j.Call.ID, From: from, To: to, Stop: stop})
 }
 
-// continuation is how a stopped stream goes on.
+// continuation describes how a stopped stream continues.
 type continuation struct {
-	// source is its KV cache, at the engine that it was stopped at.
+	// source is the handle of the KV cache at the engine where the stream was stopped.
 	source dialect.Handle
-	// at are the engines that can take it, in the order in which they are asked: the
-	// destination, which holds a copy, and the one that was stopped.
+	// at lists the engines that can continue the stream, in the order in which they are asked:
+	// the destination, which holds a copy, and the source.
 	at []schedule.Ticket
 }
 
-// moved waits for what came of a move, if the stream's end may be due to one, and
-// returns how it goes on; nil if it was not stopped. ambiguous means that it is not
-// known whether it was.
+// moved waits for the result of a migration if that may be why the stream ended. It returns how
+// the stream continues, or nil if it was not stopped. ambiguous means that it is unknown whether
+// the stream was stopped.
 func (s *stream) moved(p *place) (next *continuation, ambiguous bool) {
 	done := s.migration.ended()
 	if done == nil {
@@ -277,11 +284,11 @@
 	}
 }
 
-// goOn has a stopped stream go on from its KV cache. It counts as the same run.
+// goOn continues a stopped stream from its KV cache. This counts as the same run.
 //
-// The instance itself ended a sound run, so that no single refusal may end the answer: the
-// engine that was stopped is asked too, also after an answer that was lost. A handle serves
-// once, so that the run can't go on twice.
+// The instance itself ended a working run, so a single refusal must not end the response: the
+// engine where the stream was stopped is asked too, also if the destination's answer was lost. A
+// handle can be used only once, so the stream cannot continue twice.
 func (s *stream) goOn(ctx context.Context, p *place, next *continuation) (*Answer, bool, error) {
 	var err error
 	by := CutByMove
@@ -314,7 +321,7 @@
 	return nil, s.brokenOff(ctx, p, err, 0, by), s.streamError(ctx, err)
 }
 
-// resumeAt asks an engine to go on with a stopped stream.
+// resumeAt asks an engine to continue a stopped stream.
 func (s *stream) resumeAt(g *guard, u dialect.Upstream, source dialect.Handle) (*http.Response, error) {
 	start := clock.Now()
 	limit := time.AfterFunc(resumeTimeout, func() { g.cancel(&SilentError{Upstream: u.ID, Err: context.DeadlineExceeded}) })
@@ -329,16 +336,15 @@
 	}
 	if err == nil {
 		resp.Body.Close()
-		err = &dialect.StatusError{Op: "go on", Status: resp.StatusCode}
-		s.passOver(u, "did not take a stream")
+		err = &dialect.StatusError{Op: "continue stream", Status: resp.StatusCode}
+		s.passOver(u, "did not accept a migrated stream")
 	}
 	err = g.cause(err)
 	s.log.Warn("moved stream not taken", "upstream", u.ID, "verdict", verdict.String(), "took_ms", took, "error", logs.ErrorText(err))
 	return nil, err
 }
 
-// notResumed takes in that an engine did not take a stopped stream that another one can still
-// take.
+// notResumed handles an engine that did not accept a stopped stream while another one still can.
 func (s *stream) notResumed(ctx context.Context, t schedule.Ticket, start time.Time, err error) {
 	s.c.o.Books.Done(t)
 	s.excluded = append(s.excluded, t.Upstream.ID)
@@ -352,20 +358,20 @@
 	}
 }
 
-// endPlacements ends placements that the stream doesn't come to.
+// endPlacements ends placements that the stream does not use.
 func (s *stream) endPlacements(tickets []schedule.Ticket) {
 	for _, t := range tickets {
 		s.c.o.Books.Done(t)
 	}
 }
 
-// unframed reports whether the end of a body can't be told from its breaking off.
+// unframed reports whether the end of a body cannot be distinguished from a broken connection.
 func unframed(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// endOf returns how a stream ended at its engine: an unframed one that may have been
-// stopped is not whole.
+// endOf returns the error with which a stream ended at its engine. An unframed response of a
+// stream that may have been stopped counts as incomplete.
 func endOf(resp *http.Response, err error, ambiguous bool) error {
 	if err == nil && ambiguous && unframed(resp) {
 		return io.ErrUnexpectedEOF
--- a/gateway/carry/migrate_test.go
+++ b/gateway/carry/migrate_test.go
@@ -13,8 +13,8 @@
 	"github.com/wardspool/wardspool/gateway/schedule"
 )
 
-// stoppable is a stream's body that sends what it is given and breaks off when it is
-// told to.
+// stoppable is a response body that returns what is written to w, and ends with an error when
+// the test closes w with one.
 type stoppable struct {
 	*io.PipeReader
 	w *io.PipeWriter
@@ -25,7 +25,7 @@
 	return &stoppable{PipeReader: r, w: w}
 }
 
-// moveBed is a stream that runs at d1 and may be moved to d2.
+// moveBed is a stream that runs at d1 and can be migrated to d2.
 type moveBed struct {
 	*bed
 	body   *stoppable
@@ -35,7 +35,7 @@
 	ended  chan struct{}
 }
 
-// runAtFirst starts a stream that runs at d1 and has had two events.
+// runAtFirst starts a stream that runs at d1 and has delivered two events.
 func runAtFirst(t *testing.T, route routing.Route) *moveBed {
 	t.Helper()
 	b := &moveBed{bed: newBed(t, slack, engineUps([]string{"p1"}, []string{"d1", "d2"})...), body: newStoppable(), ended: make(chan struct{})}
@@ -58,7 +58,7 @@
 	return b
 }
 
-// running1 returns the running stream, once it has begun.
+// running1 returns the running stream, or nil before it has started.
 func (b *moveBed) running1() *stream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// move moves the stream away from d1.
+// move migrates the stream away from d1.
 func (b *moveBed) move(t *testing.T) {
 	t.Helper()
 	s := b.running1()
@@ -85,8 +85,9 @@
 	s.migrate(schedule.Migrant{Ticket: ticket, Why: schedule.WhyLeaving}, turn)
 }
 
-// TestMovedStreamGoesOn at the other engine, under the first one's head, on a route
-// that allows one attempt: it is the same run.
+// TestMovedStreamGoesOn checks that a migrated stream continues at the other engine under the
+// response head of the first one, also on a route that allows one attempt, because it is the
+// same run.
 func TestMovedStreamGoesOn(t *testing.T) {
 	b := runAtFirst(t, stream1)
 	b.move(t)
@@ -102,7 +103,8 @@
 	assert.Equal(t, last.LastEvent, "2")
 }
 
-// TestStreamThatIsNotCopiedGoesOnWhereItIs: nothing is stopped before a copy is there.
+// TestStreamThatIsNotCopiedGoesOnWhereItIs checks that a stream is not stopped before its KV
+// cache has been copied.
 func TestStreamThatIsNotCopiedGoesOnWhereItIs(t *testing.T) {
 	b := runAtFirst(t, stream1)
 	b.d.migrate["copy"] = []error{&dialect.StatusError{Op: "move", Status: http.StatusServiceUnavailable}}
@@ -116,7 +118,8 @@
 	assert.Equal(t, b.got.body.String(), events(1, 4))
 }
 
-// TestStoppedAndNotCopiedStreamGoesOnAtItsEngine from the KV cache that it kept.
+// TestStoppedAndNotCopiedStreamGoesOnAtItsEngine checks that a stream that was stopped but not
+// copied continues at its engine from the KV cache there.
 func TestStoppedAndNotCopiedStreamGoesOnAtItsEngine(t *testing.T) {
 	b := runAtFirst(t, stream1)
 	b.d.migrate["stop"] = []error{&dialect.NotCopiedError{Handle: dialect.Handle{Engine: "d1", ID: "kept"}}}
@@ -133,7 +136,8 @@
 	assert.Equal(t, last.Source.ID, "kept")
 }
 
-// TestStreamThatEndedMeanwhileIsWhole: the engine says that it doesn't run any more.
+// TestStreamThatEndedMeanwhileIsWhole checks that a stream that ended before it could be stopped
+// counts as complete: the engine reports that it no longer runs.
 func TestStreamThatEndedMeanwhileIsWhole(t *testing.T) {
 	b := runAtFirst(t, stream1)
 	b.d.migrate["stop"] = []error{&dialect.NotRunningError{Request: "q"}}
@@ -144,8 +148,8 @@
 	assert.Equal(t, b.got.body.String(), events(1, 2))
 }
 
-// TestEndOfAMoveThatIsUncertainIsNotWhole if the body has no frame: it may have been
-// stopped.
+// TestEndOfAMoveThatIsUncertainIsNotWhole checks that an unframed response counts as incomplete
+// if its stream may have been stopped.
 func TestEndOfAMoveThatIsUncertainIsNotWhole(t *testing.T) {
 	open := &http.Response{ContentLength: -1}
 	chunked := &http.Response{ContentLength: -1, TransferEncoding: []string{"chunked"}}
@@ -154,8 +158,8 @@
 	assert.NilError(t, endOf(chunked, nil, true))
 }
 
-// TestOldMoveDoesNotStopTheStreamElsewhere: a move that was begun at one engine means
-// nothing once the stream runs at another.
+// TestOldMoveDoesNotStopTheStreamElsewhere checks that a migration that began at one engine has
+// no effect once the stream runs at another.
 func TestOldMoveDoesNotStopTheStreamElsewhere(t *testing.T) {
 	var m migration
 	m.arrive()
--- a/gateway/carry/plain.go
+++ b/gateway/carry/plain.go
@@ -16,16 +16,15 @@
 )
 
 const (
-	// maxRefusals is how many upstreams may refuse one request before the caller
-	// is told that the service is full.
+	// maxRefusals is the number of refusals by upstreams after which a request may still be sent
+	// again. After one more, the caller is told that the service is full.
 	maxRefusals = 2
-	// attemptShare is the share of the time left that a repeatable request waits
-	// for one upstream while another may still be tried.
+	// attemptShare is the share of the remaining time that a repeatable request waits for one
+	// upstream while another may still be tried.
 	attemptShare = 0.45
 )
 
-// Plain carries a request of a plain service. The error is an *Error or an
-// *AbandonedError.
+// Plain forwards a request of a plain service. The error is an *Error or an *AbandonedError.
 func (c *Carrier) Plain(ctx context.Context, j *Job) (*Answer, error) {
 	p := &plain{c: c, j: j, log: j.log(c.o.Log)}
 	p.caution = caution{c: c, j: j, log: p.log}
@@ -33,23 +32,22 @@
 	return p.run(ctx)
 }
 
-// plain is a request of a plain service on its way.
+// plain is the state of a request of a plain service.
 type plain struct {
 	c   *Carrier
 	j   *Job
 	log *slog.Logger
-	// tried lists the upstreams that it was sent to; runs counts those that may
-	// have run it, refusals those that did not.
+	// tried lists the upstreams to which the request was sent. runs counts those that may have
+	// run it, refusals those that did not.
 	tried    []ident.UpstreamID
 	runs     int
 	refusals int
-	// failure is the upstream's own failure, to be passed on if nothing better
-	// comes.
+	// failure is an upstream's own error response, which is forwarded if no attempt succeeds.
 	failure *Answer
 	caution caution
 }
 
-// run sends the request until it has an answer or no further attempt is allowed.
+// run sends the request until an attempt succeeds or no further attempt is allowed.
 func (p *plain) run(ctx context.Context) (*Answer, error) {
 	for {
 		if ctx.Err() != nil {
@@ -84,7 +82,7 @@
 	}
 }
 
-// contextError says why the request's context ended.
+// contextError returns the error for a request whose context ended.
 func (p *plain) contextError(ctx context.Context) error {
 	if Stopped(ctx) {
 		return Stopping(p.fateUnserved())
@@ -101,7 +99,7 @@
 	return t, ok
 }
 
-// send makes one attempt.
+// send makes one attempt and records its result.
 func (p *plain) send(ctx context.Context, t schedule.Ticket) *attempt {
 	defer p.c.o.Books.Done(t)
 	start := clock.Now()
@@ -121,7 +119,7 @@
 	return a
 }
 
-// until returns when an attempt that starts now is given up.
+// until returns the time at which an attempt that starts at start is canceled.
 func (p *plain) until(start time.Time) time.Time {
 	left := p.j.Deadline.Sub(start)
 	if p.j.Route.Repeatable() && p.runs+1 < p.j.Route.MaxAttempts {
@@ -130,7 +128,7 @@
 	return p.j.Deadline
 }
 
-// exchange sends the request and reads the whole answer.
+// exchange sends the request and reads the complete response.
 func (p *plain) exchange(ctx context.Context, u dialect.Upstream) *attempt {
 	resp, verdict, err := p.c.o.Dialect.Do(ctx, p.j.Call, dialect.Send{
 		To: u, Deadline: p.j.Deadline.Add(-deadlineMargin),
@@ -142,7 +140,7 @@
 	return readAnswer(ctx, resp, verdict, p.j.Memory)
 }
 
-// learn counts an attempt that brought no success.
+// learn counts an attempt that did not succeed.
 func (p *plain) learn(a *attempt) {
 	if a.err == nil && a.verdict == dialect.Failure {
 		p.failure = a.answer
@@ -154,7 +152,7 @@
 	p.refusals++
 }
 
-// again reports whether another attempt is allowed and makes sense.
+// again reports whether another attempt is allowed and worthwhile.
 func (p *plain) again(a *attempt) bool {
 	if clock.Until(p.j.Deadline) < leastTime {
 		return false
@@ -168,11 +166,11 @@
 	return p.c.mayResend(p.j.Service.Name, 1, false, p.log)
 }
 
-// fateUnserved is the fate of a request that is sent to no further upstream.
+// fateUnserved returns the outcome of a request that is not sent to another upstream.
 func (p *plain) fateUnserved() Fate { return fateAfter(p.runs) }
 
-// refused ends a request that may be sent to no upstream. An upstream's own failure is still
-// the better answer.
+// refused ends a request that may not be sent to another upstream. An upstream's own error
+// response is preferred to err.
 func (p *plain) refused(err error) (*Answer, error) {
 	if p.failure != nil && passable(p.failure.Status) {
 		return p.failure, nil
@@ -180,7 +178,7 @@
 	return nil, err
 }
 
-// end says what became of a request that gets no success.
+// end returns the final result of a request that did not succeed.
 func (p *plain) end(cause error) (*Answer, error) {
 	if p.failure != nil && passable(p.failure.Status) {
 		return p.failure, nil
@@ -195,8 +193,8 @@
 	}
 }
 
-// passable reports whether an upstream's failure may reach the caller as it is:
-// some statuses tell callers that the request did not run.
+// passable reports whether an upstream's error response may be forwarded unchanged. Some
+// statuses would tell the caller that the request did not run.
 func passable(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/gateway/carry/plain_test.go
+++ b/gateway/carry/plain_test.go
@@ -11,11 +11,13 @@
 	"github.com/wardspool/wardspool/gateway/routing"
 )
 
+// once requests must not run twice, often requests may run on two upstreams.
 var (
 	once  = routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 1}
 	often = routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
 )
 
+// fateOf returns the outcome that an *Error reports, and fails the test for any other error.
 func fateOf(t *testing.T, err error) Fate {
 	t.Helper()
 	var e *Error
@@ -31,16 +33,16 @@
 	assert.Equal(t, a.Header.Get("X-From"), "x")
 }
 
-// TestMayHaveRunIsNotSentAgain: whatever ended a request that must not run twice,
-// once a byte of it went out it is never sent again, and the caller isn't told
-// that it did not run.
+// TestMayHaveRunIsNotSentAgain checks that a request that must not run twice is never sent again
+// once any byte of it was sent, whatever ended the attempt, and that the caller is not told that
+// it did not run.
 func TestMayHaveRunIsNotSentAgain(t *testing.T) {
 	for name, r := range map[string]reply{
-		"broken off":      {err: broken},
-		"no answer of it": {verdict: dialect.Invalid, status: 200},
-		"cut body":        {verdict: dialect.Success, status: 200, body: "ha", breaks: true},
-		"own 503":         {verdict: dialect.Failure, status: 503},
-		"own 429":         {verdict: dialect.Failure, status: 429},
+		"interrupted":    {err: broken},
+		"invalid answer": {verdict: dialect.Invalid, status: 200},
+		"truncated body": {verdict: dialect.Success, status: 200, body: "ha", breaks: true},
+		"upstream's 503": {verdict: dialect.Failure, status: 503},
+		"upstream's 429": {verdict: dialect.Failure, status: 429},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBed(t, slack, plainUps("x", "y")...)
@@ -52,8 +54,9 @@
 	}
 }
 
-// TestAttestedRefusalIsSentElsewhere: nothing ran, so that even a request that must
-// not run twice may try another upstream, and is not-run if all refuse.
+// TestAttestedRefusalIsSentElsewhere checks that after a refusal which attests that nothing ran,
+// even a request that must not run twice is sent to another upstream, and is reported as not run
+// if all refuse.
 func TestAttestedRefusalIsSentElsewhere(t *testing.T) {
 	for name, r := range map[string]reply{
 		"full":           refusal,
@@ -79,7 +82,8 @@
 	}
 }
 
-// TestRepeatableRunsOnAtMostAsManyUpstreamsAsAllowed.
+// TestRepeatableRunsOnAtMostAsManyUpstreamsAsAllowed checks that a repeatable request is sent to
+// no more upstreams than its route allows attempts.
 func TestRepeatableRunsOnAtMostAsManyUpstreamsAsAllowed(t *testing.T) {
 	b := newBed(t, slack, plainUps("x", "y", "z")...)
 	for _, id := range []string{"x", "y", "z"} {
@@ -90,7 +94,8 @@
 	assert.Equal(t, b.d.countKind("do"), 2)
 }
 
-// TestUpstreamsOwnFailureIsPassedOn when no other upstream does better.
+// TestUpstreamsOwnFailureIsPassedOn checks that an upstream's own error response is forwarded if
+// no other upstream succeeds.
 func TestUpstreamsOwnFailureIsPassedOn(t *testing.T) {
 	b := newBed(t, slack, plainUps("x", "y")...)
 	failure := reply{verdict: dialect.Failure, status: 500, body: "no"}
@@ -115,7 +120,7 @@
 	assert.Equal(t, fateOf(t, err), NotRun)
 }
 
-// TestCallerGone: nothing is sent for a caller that has left.
+// TestCallerGone checks that nothing is sent for a caller that has disconnected.
 func TestCallerGone(t *testing.T) {
 	b := newBed(t, slack, plainUps("x", "y")...)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/gateway/carry/prefill.go
+++ b/gateway/carry/prefill.go
@@ -15,25 +15,26 @@
 	"github.com/wardspool/wardspool/logs"
 )
 
-// computed is a prefill result and where it came from.
+// computed is a prefill result and the engine that holds it.
 type computed struct {
 	handle dialect.Handle
 	engine dialect.Upstream
 	at     time.Time
-	// refusedBy is the decode engine that refused to fetch it.
+	// refusedBy is the decode engine that refused to fetch the result.
 	refusedBy *dialect.Upstream
 }
 
-// keptShare is the share of a prefill result's life in which it is still offered
-// to another engine.
+// keptShare is the share of a prefill result's lifetime in which it is still offered to another
+// engine.
 const keptShare = 0.6
 
-// fresh reports whether a prefill result can still be fetched.
+// fresh reports whether a prefill result can still be fetched. It is false for a nil result.
 func (h *computed) fresh(ttl time.Duration) bool {
 	return h != nil && clock.Since(h.at) < time.Duration(keptShare*float64(ttl))
 }
 
-// compute returns the prefill result to start from: the one kept, or a new one.
+// compute returns the prefill result for the decode engine: the retained one if it can still be
+// fetched, otherwise a new one. It returns nil if the decode engine computes the prompt itself.
 func (s *stream) compute(ctx context.Context, p *place) (*computed, error) {
 	h := s.kept
 	s.kept = nil
@@ -52,10 +53,11 @@
 	return s.prefill(ctx, p)
 }
 
-// prefill has the prompt computed for a place. One whose engine crashed is given to another,
-// on trial: what waited there, some five prompts, would be late if its callers had to come
-// back, and a prompt that crashes engines ends two of them either way. A nil handle without
-// an error means that the decode engine has to do it, since there are no others.
+// prefill has the prompt computed at a prefill engine. If that engine crashes, the prompt is
+// given to another one, on trial: the requests that waited there, about five, would be late if
+// their callers had to retry, and a prompt that crashes engines takes down two of them either
+// way. A nil result without an error means that no prefill engine is available and the decode
+// engine has to compute the prompt.
 func (s *stream) prefill(ctx context.Context, p *place) (*computed, error) {
 	var tried []ident.UpstreamID
 	for {
@@ -107,16 +109,16 @@
 	return h, err
 }
 
-// patience is how long a prefill that starts now may take. A living engine is left the
-// time in which the first event can still be on time: giving it up earlier throws its
-// work away, and another one has to begin anew.
+// patience returns the time limit of a prefill that starts now. An engine that is alive gets all
+// the time in which the first event can still be on time. Canceling earlier discards its work,
+// and another engine has to start over.
 func (s *stream) patience(start time.Time, expected time.Duration) time.Duration {
 	first := s.c.o.Books.FirstEvent(s.j.Service.Name)
 	onTime := s.j.Arrived.Add(s.j.Route.Objective - first).Sub(start)
 	return max(leastPrefill, prefillPatience*expected, onTime)
 }
 
-// notePrefill takes what a prefill showed of its engine into the books.
+// notePrefill records in the scheduler's records what a prefill revealed about its engine.
 func (s *stream) notePrefill(u dialect.Upstream, err error, start time.Time, took time.Duration) {
 	var silent *SilentError
 	late := errors.Is(err, context.DeadlineExceeded)
@@ -124,9 +126,9 @@
 	case errors.As(err, &silent):
 		s.c.failed(u, Unreached(silent.Err), err, took, s.log)
 	case late && s.c.o.Books.AnsweredSince(u, start):
-		// It is busy.
+		// The engine responded to other requests meanwhile, so it is busy.
 	case late:
-		// Nothing at all came from there: it is down or cut off.
+		// Nothing arrived from the engine, so it is down or unreachable.
 		s.c.failed(u, schedule.Unreachable, err, took, s.log)
 	case err != nil && adapter.AsCallError(err).Status == http.StatusMisdirectedRequest:
 		s.c.failed(u, schedule.Misdirected, err, took, s.log)
--- a/gateway/carry/reserve.go
+++ b/gateway/carry/reserve.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/logs"
 )
 
-// place is where a stream will run: a decode engine with a reservation.
+// place is a reserved decode engine for a stream.
 type place struct {
 	decode schedule.Ticket
 	hold   string
@@ -22,14 +22,15 @@
 	self bool
 }
 
-// roomCame gives up a place.
+// roomCame ends a placement and wakes the head of the service's queue.
 func (s *stream) roomCame(p *place) {
 	s.c.o.Books.Done(p.decode)
 	s.c.lineOf(s.j.Service.Name).roomCame()
 }
 
-// prefillWait is how long the prompt is expected to take; 0 if no prefill engine is
-// open. self means that none is in reach, so that a decode engine has to compute it.
+// prefillWait returns the expected time until the prompt is computed, or 0 if no prefill engine
+// is open. self means that none is reachable either, so a decode engine has to compute the
+// prompt.
 func (s *stream) prefillWait() (wait time.Duration, self bool) {
 	now := clock.Now()
 	list := s.c.eligible(s.j)
@@ -37,10 +38,10 @@
 	return wait, !open && !s.c.o.Books.PrefillReachable(now, list)
 }
 
-// hopeless reports whether the first event can't be on time any more, were the
-// request to get its place now, or a resumed stream has waited for too long since it
-// joined the line. A stream under way is never refused: its caller still listens, and a closed
-// connection is all that it could be told.
+// hopeless reports whether the first event could not be on time even if the request got its
+// placement now. For a resumed stream it reports whether the stream has waited too long since it
+// joined the queue at since. A stream that is under way is never refused: its caller is still
+// reading, and could only be told by closing the connection.
 func (s *stream) hopeless(now, since time.Time) bool {
 	if s.begun {
 		return false
@@ -61,15 +62,15 @@
 // resumed reports whether a part of the stream was delivered before.
 func (s *stream) resumed() bool { return s.begun || s.lastEvent != "" }
 
-// prefillBusy reports whether prefill engines have so much to do that the prompt is not
-// added to their queue: a decode engine computes it that has memory and time for it, or
-// the request waits in line, where it holds no memory.
+// prefillBusy reports whether the queue of the prefill engines is so long that the prompt is not
+// added to it. Instead a decode engine with enough memory and time computes the prompt, or the
+// request waits in this instance's queue, where it holds no memory at an engine.
 func (s *stream) prefillBusy(prefill time.Duration) bool {
 	return prefill.Seconds() > longestQueue*s.j.Route.Objective.Seconds()
 }
 
-// reserve finds a decode engine with room and reserves it, waiting in line as long
-// as the request can still be served in time.
+// reserve finds a decode engine with capacity and reserves it. It waits in the queue as long as
+// the request can still be served in time.
 func (s *stream) reserve(ctx context.Context) (*place, error) {
 	l := s.c.lineOf(s.j.Service.Name)
 	w := s.join(l)
@@ -103,8 +104,8 @@
 	}
 }
 
-// join takes the stream into the line. One under way looks for room beside it: it can't wait
-// for its turn, and a large one must not hold up those behind it.
+// join adds the stream to the queue. A stream that is under way searches for capacity outside
+// the queue: it cannot wait for its turn, and a large one must not block those behind it.
 func (s *stream) join(l *line) *waiter {
 	if s.begun {
 		return newWaiter(s.j.Priority, true, s.j.Arrived)
@@ -112,9 +113,9 @@
 	return l.join(s.j.Priority, s.resumed(), s.j.Arrived)
 }
 
-// tryPlace asks for a reservation: at the engine that keeps the stream's KV cache if
-// there is one, otherwise wherever there is room, if the request is first in line.
-// Nil and no error means that there is none now.
+// tryPlace attempts a reservation: at the engine that holds the stream's KV cache if there is
+// one, otherwise at any engine, if the request is at the head of the queue. It returns nil and
+// no error if there is no capacity now.
 func (s *stream) tryPlace(ctx context.Context, at *home, first bool) (*place, error) {
 	if at != nil {
 		return s.reserveHome(ctx, at)
@@ -125,8 +126,8 @@
 	return s.reserveFor(ctx, s.sizeNow())
 }
 
-// sizeNow is the memory that the request takes wherever there is room, and whether the decode
-// engine has to compute the prompt.
+// sizeNow returns the memory that the request needs at an engine without its KV cache, and
+// whether the decode engine has to compute the prompt.
 func (s *stream) sizeNow() schedule.Size {
 	prefill, self := s.prefillWait()
 	size := s.size()
@@ -135,7 +136,8 @@
 	return size
 }
 
-// noRoom refuses a request for which no engine has room.
+// noRoom logs and counts the refusal of a request for which no engine has capacity, and returns
+// its *Error.
 func (s *stream) noRoom(l *line, waited time.Duration) error {
 	s.c.o.Count("stream_no_room")
 	s.log.Info("refused", "reason", "no_room", "need_tokens", s.need(), "waiting", l.length(),
@@ -143,15 +145,15 @@
 	return &Error{Fate: s.fateUnserved(), Reason: "no_room", RetryAfter: retryStream}
 }
 
-// reserveHome asks the engine that keeps a resumed stream's KV cache: it computes only
-// what it lacks.
+// reserveHome attempts a reservation at the engine that holds a resumed stream's KV cache and
+// computes only the missing part.
 func (s *stream) reserveHome(ctx context.Context, h *home) (*place, error) {
 	size := s.size()
 	size.Self, size.Kept, size.At = true, h.tokens, h.engine.ID
 	return s.reserveFor(ctx, size)
 }
 
-// reserveFor asks engines with room for a size.
+// reserveFor attempts a reservation at any engine with room for size.
 func (s *stream) reserveFor(ctx context.Context, size schedule.Size) (*place, error) {
 	size.Apart = s.caution.suspect()
 	p := s.placeFor(ctx, size, s.excluded)
@@ -161,7 +163,8 @@
 	return p, nil
 }
 
-// placeFor reserves an engine with room for a size, none of the excluded; nil if there is none.
+// placeFor reserves an engine with room for size that is not excluded. It returns nil if there
+// is none.
 func (s *stream) placeFor(ctx context.Context, size schedule.Size, excluded []ident.UpstreamID) *place {
 	size.MaxPause = s.j.Route.PaceObjective
 	for ctx.Err() == nil {
@@ -181,7 +184,7 @@
 	return nil
 }
 
-// hold reserves memory at the placement's engine.
+// hold reserves memory at the placement's engine and returns the ID of the reservation.
 func (s *stream) hold(ctx context.Context, t schedule.Ticket) (string, error) {
 	u := t.Upstream
 	start := clock.Now()
@@ -197,20 +200,21 @@
 		s.c.o.Count("hold_refused")
 	case errors.Is(err, context.Canceled):
 	default:
-		// An engine that doesn't answer this doesn't answer requests either.
+		// An engine that does not answer this call does not answer requests either.
 		s.c.failed(u, Unreached(err), err, clock.Since(start), s.log)
 	}
 	return hold, err
 }
 
-// free gives a prefill result up.
+// free releases a prefill result in the background.
 func (s *stream) free(h *computed) {
 	s.c.cleanup.Go(func() {
 		release(func(ctx context.Context) error { return s.c.o.Dialect.Free(ctx, h.handle) }, s.log, "handle", h.engine.ID)
 	})
 }
 
-// giveUp frees what was reserved and computed for a stream that doesn't come.
+// giveUp releases, in the background, the reservation and the prefill result of a stream that
+// does not use them.
 func (s *stream) giveUp(p *place, h *computed) {
 	if h != nil {
 		s.free(h)
@@ -222,8 +226,7 @@
 	})
 }
 
-// release tries to give something up at an engine; what is not given up lapses
-// there by itself.
+// release tries to release a resource at an engine. What is not released expires there.
 func release(give func(context.Context) error, log *slog.Logger, what string, at ident.UpstreamID) {
 	var err error
 	for range releaseTries {
@@ -236,5 +239,5 @@
 		}
 		pause.For(context.Background(), releasePause)
 	}
-	log.Info("not released, lapses by itself", "what", what, "upstream", at, "error", logs.ErrorText(err))
+	log.Info("release failed, resource expires at the engine", "what", what, "upstream", at, "error", logs.ErrorText(err))
 }
--- a/gateway/carry/restarts.go
+++ b/gateway/carry/restarts.go
@@ -9,24 +9,24 @@
 	"github.com/wardspool/wardspool/internal/clock"
 )
 
-// attemptsUnderWay holds the attempts under way at each upstream. When an upstream
-// has started again under its ID, nothing will answer those made to its former
-// incarnation: without a reset of the connection they would wait for their deadlines.
+// attemptsUnderWay holds the running attempts at each upstream. When an upstream has restarted
+// under the same ID, the attempts at its previous incarnation get no response. Unless the
+// connection is reset, they would wait until their deadlines.
 type attemptsUnderWay struct {
 	mu   sync.Mutex
 	next uint64
 	at   map[ident.UpstreamID]map[uint64]underWay
 }
 
-// underWay is one of them.
+// underWay is one running attempt.
 type underWay struct {
 	upstream dialect.Upstream
 	cancel   context.CancelCauseFunc
 }
 
-// track returns a context for an attempt at an upstream, canceled with a *SilentError
-// when another incarnation of the upstream is heard of, and its cancel function; end must
-// be called after the attempt.
+// track returns a context for an attempt at an upstream, and its cancel function. The context is
+// canceled with a *SilentError when a newer incarnation of the upstream is seen. end must be
+// called after the attempt.
 func (l *attemptsUnderWay) track(ctx context.Context, u dialect.Upstream) (attempt context.Context, cancel context.CancelCauseFunc, end func()) {
 	attempt, cancel = context.WithCancelCause(ctx)
 	l.mu.Lock()
@@ -51,8 +51,8 @@
 	}
 }
 
-// HasPendingAttempts reports whether any attempt is in flight or undecided. If not, Listed has
-// no effect.
+// HasPendingAttempts reports whether any attempt is running or undecided. If not, Listed has no
+// effect.
 func (c *Carrier) HasPendingAttempts() bool {
 	c.underWay.mu.Lock()
 	inFlight := len(c.underWay.at) > 0
@@ -60,8 +60,9 @@
 	return inFlight || c.undecided.nonEmpty()
 }
 
-// Listed takes in upstreams as they are known now, and ends the attempts at former
-// incarnations of theirs; those that broke off there before met a crash.
+// Listed processes the current list of upstreams. It cancels the attempts at previous
+// incarnations of the listed upstreams, and records a crash for the undecided attempts that were
+// interrupted there before.
 func (c *Carrier) Listed(list []dialect.Upstream) {
 	for _, a := range c.undecided.decide(clock.Now(), list) {
 		c.crashed(a.content, a.upstream, a.made)
@@ -77,8 +78,8 @@
 	}
 }
 
-// Reported takes in an engine's answer to a call of the gateway's own, and reports
-// whether it is still the incarnation that was listed.
+// Reported processes an engine's answer to a call of the gateway itself, and reports whether the
+// engine is still the listed incarnation.
 func (c *Carrier) Reported(u dialect.Upstream, r dialect.Report) bool {
 	if !u.Restarted(r.Incarnation) {
 		return true
--- a/gateway/carry/restarts_test.go
+++ b/gateway/carry/restarts_test.go
@@ -13,7 +13,7 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// born returns upstreams with their incarnation.
+// born returns copies of upstreams with the given incarnation.
 func born(incarnation ident.Incarnation, ups []dialect.Upstream) []dialect.Upstream {
 	out := append([]dialect.Upstream(nil), ups...)
 	for i := range out {
@@ -22,13 +22,13 @@
 	return out
 }
 
-// hung plays a request at x, which never answers, and of which a list says after 300 ms
-// that it has the given incarnation.
+// hung sends a request to x, which never answers. After 300 ms, a list says that x has the
+// incarnation listed. It returns the bed, the duration of the request and its error.
 func hung(t *testing.T, r routing.Route, listed ident.Incarnation) (*bed, time.Duration, error) {
 	ups := born(5, plainUps("x", "y"))
 	b := newBed(t, slack, ups...)
 	for range 9 {
-		// y has more in flight, so that x is chosen.
+		// y has more requests in flight, so that x is chosen.
 		b.o.Books.PickService(time.Now(), ups[1:], true, nil)
 	}
 	b.d.do["x"] = []reply{{hangs: true}}
@@ -38,8 +38,9 @@
 	return b, time.Since(start), err
 }
 
-// TestRestartEndsWhatWaitsForTheFormerIncarnation: a request that may be repeated goes on
-// elsewhere at once; of one that may not it is unknown whether it ran.
+// TestRestartEndsWhatWaitsForTheFormerIncarnation checks that requests which wait for an
+// upstream that has restarted end at once: a repeatable one is sent elsewhere, for another it is
+// reported as unknown whether it ran.
 func TestRestartEndsWhatWaitsForTheFormerIncarnation(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		b, took, err := hung(t, often, 6)
@@ -55,7 +56,8 @@
 	})
 }
 
-// TestSameOrOlderIncarnationEndsNothing: lists come late and again.
+// TestSameOrOlderIncarnationEndsNothing checks that lists that arrive late or repeatedly cancel
+// no attempts.
 func TestSameOrOlderIncarnationEndsNothing(t *testing.T) {
 	for _, listed := range []ident.Incarnation{5, 4, 0} {
 		bubble.Test(t, func(t *testing.T) {
@@ -65,8 +67,9 @@
 	}
 }
 
-// TestReportShowsARestart before any list does: the stream goes on elsewhere, and nothing
-// found of the former incarnation counts against the new one.
+// TestReportShowsARestart checks that a restart is detected from an engine's report before any
+// list shows it. The stream continues elsewhere, and failures of the old incarnation do not
+// count against the new one.
 func TestReportShowsARestart(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		b, got, took, err := stallAt(t, resumable, func(b *bed) {
@@ -82,8 +85,8 @@
 	})
 }
 
-// TestRestartEndsAMovedStream: a stream that goes on at another engine ends when that one
-// starts again, though nothing resets its connection.
+// TestRestartEndsAMovedStream checks that a stream that was migrated to another engine ends when
+// that engine restarts, even if nothing resets its connection.
 func TestRestartEndsAMovedStream(t *testing.T) {
 	b := runAtFirst(t, stream1)
 	b.d.mu.Lock()
@@ -101,7 +104,7 @@
 	select {
 	case <-b.ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the stream waits for an engine that has started again")
+		t.Fatal("the stream still waits for an engine that has restarted")
 	}
 	var off *BrokenOffError
 	assert.Assert(t, errors.As(b.err, &off), "%v", b.err)
--- a/gateway/carry/sound_test.go
+++ b/gateway/carry/sound_test.go
@@ -15,11 +15,11 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// The tests of this file tell one story: callers saw a stream end with a closed connection while
-// its engine was sound. The instance had ended the run itself, and looked for a way on only then.
+// The tests in this file guard against streams that were cut off while their engine was working:
+// the instance had ended the run itself and only then searched for a way to continue.
 
-// refusedMove runs a stream at d1, has it moved and the destination answer as told, and d1 go on
-// with the handle of the stopped stream.
+// refusedMove runs a stream at d1 and migrates it to d2, which answers with atDestination; d1
+// can continue it with the handle of the stopped stream. spare is the slack of the retry budget.
 func refusedMove(t *testing.T, spare float64, atDestination reply) *moveBed {
 	t.Helper()
 	b := runAtFirst(t, stream1)
@@ -33,16 +33,16 @@
 	return b
 }
 
-// TestMovedStreamGoesBackWhenItIsNotTaken: on routes that allow one run too.
+// TestMovedStreamGoesBackWhenItIsNotTaken guards against a connection that is closed a few ms
+// after a stream was moved away from a crowded engine: the KV cache was copied and the run
+// stopped, and then the destination refused the request. The instance asked only the
+// destination, and only once; the source, which still has the KV cache, was not asked. This
+// holds for routes that allow one run too.
 //
-// Callers saw the connection close a few ms after the stream had been moved away from a
-// crowded engine. In order: the KV cache was copied, the run stopped, and the destination refused
-// the request. Cause: the instance ended a sound run itself, and asked one engine, once, to go on
-// with it; the one that it had stopped, which keeps the KV cache, was not asked.
-//
-// Evidence: `stream moved`, and within 5 ms `stream broke off` with `go on: status 503`, where a third
-// of the engines refuse a part of their requests, never elsewhere; in operation the same lines with 90 us
-// between the last two, and no `not sent again`, which rules the retry budget out.
+// The logs showed `stream moved`, then within 5 ms `stream broke off` with status 503 from the
+// destination, where a third of the engines refused part of their requests, and nowhere else. In
+// production the last two lines were 90 us apart. There was no `not sent again`, so the retry
+// budget was not the cause.
 func TestMovedStreamGoesBackWhenItIsNotTaken(t *testing.T) {
 	for name, r := range map[string]reply{
 		"refused":      refusal,
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestMovedStreamGoesBackFromASilentEngine long before its caller would leave.
+// TestMovedStreamGoesBackFromASilentEngine checks that a migrated stream returns to its source
+// if the destination does not answer, long before its caller would disconnect.
 func TestMovedStreamGoesBackFromASilentEngine(t *testing.T) {
 	for name, r := range map[string]routing.Route{"runs once": stream1, "may be resumed": resumable} {
 		t.Run(name, func(t *testing.T) {
@@ -90,8 +91,8 @@
 	}
 }
 
-// TestWayBackOfAMoveNeedsNoBudget: a budget that the move has spent doesn't cost the answer. The
-// send back counts all the same.
+// TestWayBackOfAMoveNeedsNoBudget checks that a stream can return to its source although the
+// migration has used up the retry budget, and that the send back is counted all the same.
 func TestWayBackOfAMoveNeedsNoBudget(t *testing.T) {
 	b := refusedMove(t, 4, refusal)
 	assert.NilError(t, b.err)
@@ -100,7 +101,8 @@
 	assert.Equal(t, b.o.Budget.Spent(time.Now())["s"], 2)
 }
 
-// TestMoveIsGivenUpWhileCopiesAreSlow: the stream would stand still for as long.
+// TestMoveIsGivenUpWhileCopiesAreSlow checks that a stream is not stopped after a slow copy,
+// because it would pause for as long again.
 func TestMoveIsGivenUpWhileCopiesAreSlow(t *testing.T) {
 	b := runAtFirst(t, stream1)
 	b.d.copying = func() { time.Sleep(2 * slowCopy) }
@@ -114,8 +116,9 @@
 	assert.Equal(t, b.got.body.String(), events(1, 4))
 }
 
-// TestMovedStreamThatNobodyTakesIsNotRunAnew on a route that allows one run: each send names
-// the KV cache of the run that was stopped, without which an engine would begin another.
+// TestMovedStreamThatNobodyTakesIsNotRunAnew checks that a stream whose route allows one run is
+// not started a second time if no engine accepts it after a migration. Each send names the KV
+// cache of the stopped run; without it an engine would start another run.
 func TestMovedStreamThatNobodyTakesIsNotRunAnew(t *testing.T) {
 	b := runAtFirst(t, stream1)
 	b.d.mu.Lock()
@@ -133,16 +136,14 @@
 	}
 }
 
-// TestSilentEngineKeepsItsStreamWhileThereIsNoOther:
-//
-// Callers saw the connection close some 800 ms after the last event of an engine that was only
-// slow, or behind a path that lost packets. In order: no event for 600 ms, no answer for 200 ms to the
-// question whether the engine lives, the run ended. Cause: it was ended first, and another engine and the
-// sends to it were asked for then; where none had room or the retry budget was spent, the answer was lost,
-// while its engine went on.
+// TestSilentEngineKeepsItsStreamWhileThereIsNoOther guards against a connection that is closed
+// about 800 ms after the last event although the engine was only slow, or its path lost packets.
+// There was no event for 600 ms and no answer to a liveness check for 200 ms, and the run was
+// canceled before another engine and the sends to it were requested. If none had room or the
+// retry budget was exhausted, the response was lost although its engine was still running it.
 //
-// Evidence: `is silent`, then `not sent again` and the closing, 37 and 39 times under two loads with cuts
-// between zones, 8 times and once under two others.
+// The logs showed a SilentError, then `not sent again` and the closed connection: 37 and 39
+// times under two loads with network cuts between zones, 8 times and once under two others.
 func TestSilentEngineKeepsItsStreamWhileThereIsNoOther(t *testing.T) {
 	full := []error{&dialect.FullError{}}
 	for name, happens := range map[string]func(b *bed){
@@ -165,7 +166,8 @@
 	}
 }
 
-// TestSilentEngineLosesItsStreamOnceAnotherHasRoom: the search goes on while it is silent.
+// TestSilentEngineLosesItsStreamOnceAnotherHasRoom checks that the search for another engine
+// continues while the current one does not answer.
 func TestSilentEngineLosesItsStreamOnceAnotherHasRoom(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		full := &dialect.FullError{}
@@ -180,7 +182,8 @@
 	})
 }
 
-// TestPlaceThatIsNotUsedIsGivenUp: the engine was heard of again while another one was asked.
+// TestPlaceThatIsNotUsedIsGivenUp checks that a placement is released if the current engine
+// responded again while the other one was being reserved.
 func TestPlaceThatIsNotUsedIsGivenUp(t *testing.T) {
 	b := streamBed(t)
 	var r standby
@@ -188,7 +191,7 @@
 	assert.Assert(t, r.keep(p))
 	assert.Assert(t, r.kept())
 	assert.Equal(t, r.close(), p)
-	assert.Assert(t, !r.keep(p), "the stream has ended")
+	assert.Assert(t, !r.keep(p), "placement accepted after the stream had ended")
 	assert.Assert(t, r.take() == nil)
 
 	s := &stream{c: b.Carrier, j: job(resumable), log: b.o.Log}
@@ -206,14 +209,13 @@
 	assert.Equal(t, b.o.Books.Busy("d2"), 0)
 }
 
-// TestStreamUnderWayGoesOnWhenRoomComes:
-//
-// Callers saw the connection close while the service was busy, after their stream had lost its
-// engine. Cause: it waited behind all others for a quarter of its time at most, and its sends came from
-// what the retry budget grants any request, some two sends an instance in a large fleet.
+// TestStreamUnderWayGoesOnWhenRoomComes guards against a connection that is closed while the
+// service is busy, after a stream has lost its engine. The stream waited behind all other
+// requests for at most a quarter of its time, and its sends were charged to the part of the
+// retry budget that any request may use, about two sends per instance in a large fleet.
 //
-// Evidence: under three loads with cuts and crashes 301 streams lost their engine and 182 answers were
-// cut, 157 of them after `not sent again` (`retry_budget`), 3 with `no_room`.
+// Under three loads with network cuts and crashes, 301 streams lost their engine and 182
+// responses were cut off: 157 of them after `not sent again` (`retry_budget`), 3 with `no_room`.
 func TestStreamUnderWayGoesOnWhenRoomComes(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
@@ -235,7 +237,8 @@
 	})
 }
 
-// TestStreamUnderWayLooksForRoomBesideTheLine: those that are there don't hold it up, nor it them.
+// TestStreamUnderWayLooksForRoomBesideTheLine checks that a stream that is under way does not
+// wait for the requests in the queue, and that these do not wait for it.
 func TestStreamUnderWayLooksForRoomBesideTheLine(t *testing.T) {
 	b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
 	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
@@ -256,7 +259,8 @@
 	assert.Equal(t, l.length(), 1)
 }
 
-// TestStreamUnderWayUsesWhatTheBudgetKeepsBack: new requests are not sent again any more.
+// TestStreamUnderWayUsesWhatTheBudgetKeepsBack checks that a stream that is under way may use
+// the reserved part of the retry budget when new requests are no longer sent again.
 func TestStreamUnderWayUsesWhatTheBudgetKeepsBack(t *testing.T) {
 	b := streamBed(t)
 	b.o.Budget = schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour, Slack: 5}, func() int { return 1 })
--- a/gateway/carry/stop.go
+++ b/gateway/carry/stop.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// likelyToEnd is how likely a stream must be to end before its instance does. One that is
-	// turned away costs its caller another connection, one that is cut the whole answer.
+	// likelyToEnd is the minimum probability that a stream ends before its instance does, for
+	// the stream to be accepted. A refused stream costs its caller another connection, an
+	// interrupted one the whole response.
 	likelyToEnd = 0.9
-	// retryElsewhere is when a request may come back that this instance can't finish: another
-	// one can serve it at once.
+	// retryElsewhere is the Retry-After of a request that this instance cannot finish. Another
+	// instance can serve it at once.
 	retryElsewhere = 10 * time.Millisecond
 )
 
-// StoppedError is the cause of a request's context that ends because its instance stops.
+// StoppedError is the cause with which a request's context is canceled when its instance stops.
 type StoppedError struct{}
 
-// Error implements error.
-func (*StoppedError) Error() string { return "the instance stops" }
+// Error implements the error interface.
+func (*StoppedError) Error() string { return "instance is stopping" }
 
 // Stopped reports whether a request's context ended because the instance stops.
 func Stopped(ctx context.Context) bool {
@@ -29,11 +30,11 @@
 	return errors.As(context.Cause(ctx), &stop)
 }
 
-// reasonStopping is the reason of requests that their instance can't finish.
+// reasonStopping is the reason given for requests that their instance cannot finish.
 const reasonStopping = "stopping"
 
-// outlasts reports whether a stream that nobody has begun to run would probably outlast this
-// instance, which is stopping.
+// outlasts reports whether this instance is shutting down and would probably terminate before
+// the stream ends. It is false for a stream that has started to run.
 func (s *stream) outlasts() bool {
 	end, stopping := s.c.o.Ends()
 	if !stopping || s.begun || s.runs > 0 {
@@ -45,14 +46,15 @@
 	return s.c.o.Books.EndsWithin(service, s.size(), s.j.Call.MaxOutputTokens, left) < likelyToEnd
 }
 
-// turnAway refuses a stream that would outlast this instance.
+// turnAway logs and counts the refusal of a stream that would outlast this instance, and returns
+// its *Error.
 func (s *stream) turnAway() error {
 	s.c.o.Count("refused_" + reasonStopping)
 	s.log.Info("refused", "reason", reasonStopping, "estimate", s.output(), "bound", s.j.Call.MaxOutputTokens)
 	return Stopping(NotRun)
 }
 
-// Stopping reports a request that its instance can't finish.
+// Stopping returns the error for a request that its instance cannot finish.
 func Stopping(fate Fate) *Error {
 	return &Error{Fate: fate, Reason: reasonStopping, RetryAfter: retryElsewhere, Err: &StoppedError{}}
 }
--- a/gateway/carry/stop_test.go
+++ b/gateway/carry/stop_test.go
@@ -13,7 +13,8 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// endIn has the instance end in some time, and its requests then.
+// endIn makes the instance terminate after the given time, and returns a context for its
+// requests that is canceled then.
 func endIn(b *bed, after time.Duration) context.Context {
 	b.ends = time.Now().Add(after)
 	ctx, end := context.WithCancelCause(context.Background())
@@ -21,7 +22,8 @@
 	return ctx
 }
 
-// TestStreamThatOutlastsItsInstanceIsTurnedAway before anything is asked for it.
+// TestStreamThatOutlastsItsInstanceIsTurnedAway checks that a stream that would outlast its
+// instance is refused before any call is made for it.
 func TestStreamThatOutlastsItsInstanceIsTurnedAway(t *testing.T) {
 	b := streamBed(t)
 	b.ends = time.Now().Add(5 * time.Second)
@@ -41,7 +43,8 @@
 	assert.NilError(t, err)
 }
 
-// TestStreamThatWaitsTooLongIsTurnedAway while another instance can still serve it in time.
+// TestStreamThatWaitsTooLongIsTurnedAway checks that a waiting stream is refused while another
+// instance can still serve it in time.
 func TestStreamThatWaitsTooLongIsTurnedAway(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		b := streamBed(t)
@@ -57,7 +60,8 @@
 	})
 }
 
-// TestEndOfTheInstanceIsTold: what has not run is said not to have run, and nothing else is.
+// TestEndOfTheInstanceIsTold checks that at the end of the instance only requests that have not
+// run are reported as not run.
 func TestEndOfTheInstanceIsTold(t *testing.T) {
 	for name, c := range map[string]struct {
 		route   routing.Route
--- a/gateway/carry/stream.go
+++ b/gateway/carry/stream.go
@@ -16,62 +16,62 @@
 )
 
 const (
-	// holdTimeout bounds the asking for a reservation, which engines answer in a
-	// few ms.
+	// holdTimeout limits a reservation call, which engines answer in a few ms.
 	holdTimeout = 250 * time.Millisecond
-	// releaseTimeout bounds one try to give something up at an engine, and
-	// releaseTries how often that is tried.
+	// releaseTimeout limits one attempt to release a resource at an engine. releaseTries is the
+	// maximum number of attempts.
 	releaseTimeout = 500 * time.Millisecond
 	releaseTries   = 2
-	// releasePause is the time between two tries.
+	// releasePause is the time between two attempts.
 	releasePause = 100 * time.Millisecond
-	// prefillPatience is how many times the expected time a prefill may take before
-	// another engine is asked, at least leastPrefill and as long as it can be on
-	// time: a busy engine's work is thrown away then.
+	// prefillPatience is the time that a prefill may take before another engine is asked, as a
+	// multiple of the expected time. The limit is at least leastPrefill and lasts as long as the
+	// first event can still be on time, because canceling discards the work of a busy engine.
 	prefillPatience = 4
 	leastPrefill    = 500 * time.Millisecond
-	// longestQueue is how much prefill work may be queued at an engine, as a share
-	// of the latency objective, for a request to take its place; with more it waits
-	// in line, where it holds no memory of a decode engine.
+	// longestQueue is the maximum prefill work queued at an engine for a request to be placed,
+	// as a share of the latency objective. With more, the request waits in this instance's
+	// queue, where it holds no memory of a decode engine.
 	longestQueue = 0.4
-	// resumePatience is the share of its time for which a resumed stream waits for
-	// room. It is late already, and a refusal would be its last.
+	// resumePatience is the share of its remaining time that a resumed stream waits for
+	// capacity. It is late already, and a refusal would end it for good.
 	resumePatience = 0.25
-	// unknownOutput stands for the length of outputs that the caller doesn't
-	// guess, in tokens, unless its bound is lower.
+	// unknownOutput is the assumed output length, in tokens, of requests for which the caller
+	// gives no estimate, unless the caller's limit is lower.
 	unknownOutput = 4000
-	// retryStream is when a refused stream may come back: streams take 2.7 s, so
-	// that in this time about a third of the memory becomes free.
+	// retryStream is the Retry-After of a refused stream. Streams take 2.7 s, so about a third
+	// of the memory becomes free in this time.
 	retryStream = time.Second
-	// maxStarts is how many times one request may look for a new pair of engines.
+	// maxStarts is the maximum number of pairs of engines that one request may try.
 	maxStarts = 3
 )
 
-// StreamWriter takes a stream to the caller.
+// StreamWriter writes a stream to the caller.
 type StreamWriter interface {
-	// Head begins the response. It is called once, before the first event.
+	// Head sends the response head. It is called once, before the first event.
 	Head(status int, h http.Header)
-	// Write sends whole events on.
+	// Write sends complete events.
 	Write(events []byte) error
 }
 
-// BrokenOffError reports a stream that ended before its end, after its head went
-// out: its response must not look complete.
+// BrokenOffError reports a stream that ended early after its response head was sent. The
+// response must not look complete to the caller.
 type BrokenOffError struct {
-	// By is what ended its last run, Err why it did not go on.
+	// By is the reason why the last run ended. Err is the reason why the stream did not
+	// continue.
 	By  Cut
 	Err error
 }
 
-// Error implements error.
-func (e *BrokenOffError) Error() string { return "stream broken off: " + e.Err.Error() }
+// Error implements the error interface.
+func (e *BrokenOffError) Error() string { return "stream ended early: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *BrokenOffError) Unwrap() error { return e.Err }
 
-// Stream carries a request of a service of engines. The error is an *Error, an
-// *AbandonedError or a *BrokenOffError. An *Answer is an upstream's own failure,
-// to be passed on.
+// Stream forwards a request of a service of engines. The error is an *Error, an *AbandonedError
+// or a *BrokenOffError. An *Answer is an upstream's own error response, which is to be forwarded
+// to the caller.
 func (c *Carrier) Stream(ctx context.Context, j *Job, w StreamWriter) (*Answer, error) {
 	s := &stream{c: c, j: j, w: w, log: j.log(c.o.Log), lastEvent: j.Call.LastEvent}
 	s.caution = caution{c: c, j: j, log: s.log}
@@ -85,55 +85,55 @@
 	return s.run(ctx)
 }
 
-// closeStandby gives up the place that the stream did not come to.
+// closeStandby releases the standby placement if the stream did not use it.
 func (s *stream) closeStandby() {
 	if p := s.standby.close(); p != nil {
 		s.releasePlace(p)
 	}
 }
 
-// overtime is how long after its deadline a stream is broken off: the engine ends
-// it by itself at the deadline, and what is on its way is still delivered.
+// overtime is how long after its deadline a stream is canceled. The engine ends it by itself at
+// the deadline, and events in transit are still delivered.
 const overtime = 250 * time.Millisecond
 
-// stream is a request of a service of engines on its way.
+// stream is the state of a request of a service of engines.
 type stream struct {
 	c   *Carrier
 	j   *Job
 	w   StreamWriter
 	log *slog.Logger
-	// excluded are engines that failed this request.
+	// excluded lists engines that failed this request.
 	excluded []ident.UpstreamID
-	// starts counts the pairs of engines tried, runs the engines that may have
-	// run it, prefills the prefills asked for.
+	// starts counts the pairs of engines tried, runs the engines that may have run the request,
+	// and prefills the prefill calls.
 	starts   int
 	runs     int
 	prefills int
-	// kept is a prefill result that a decode engine refused to fetch, for another
-	// one to try.
+	// kept is a prefill result that a decode engine refused to fetch and that is offered to
+	// another one.
 	kept *computed
-	// begun means that the head went out.
+	// begun means that the response head was sent to the caller.
 	begun bool
-	// cut is what ended the last run.
+	// cut is the reason why the last run ended.
 	cut Cut
-	// lastEvent is the number of the last event that the caller has.
+	// lastEvent is the ID of the last event that the caller has received.
 	lastEvent string
-	// events are those that the caller got in this attempt; a move reads them while
-	// the stream goes on.
+	// events counts the events delivered in this request. A migration reads it while the stream
+	// runs.
 	events    atomic.Int64
 	migration migration
 	standby   standby
 	caution   caution
-	// firstAt and lastAt are when the first and the last event came; longestPause is
-	// between two.
+	// firstAt and lastAt are the times of the first and the last event. longestPause is the
+	// longest time between two consecutive events.
 	firstAt      time.Time
 	lastAt       time.Time
 	longestPause time.Duration
-	// heardAt is when anything last came from the engine.
+	// heardAt is the time at which the engine last sent anything.
 	heardAt time.Time
 }
 
-// output is the expected length of the output, in tokens.
+// output returns the expected length of the output, in tokens.
 func (s *stream) output() int {
 	bound := s.j.Call.MaxOutputTokens
 	guess := s.j.Call.OutputEstimate
@@ -146,21 +146,21 @@
 	return guess
 }
 
-// size is the memory that the request is expected to take.
+// size returns the memory that the request is expected to take.
 func (s *stream) size() schedule.Size {
 	return schedule.Size{Prompt: s.j.Call.PromptTokens, Estimate: s.output(), Produced: s.produced()}
 }
 
-// produced is the output so far, in tokens, that of the caller's earlier attempts
-// included.
+// produced returns the length of the output so far, in tokens, including that of the caller's
+// earlier attempts.
 func (s *stream) produced() int {
 	return (s.j.Call.SeenEvents + int(s.events.Load())) * s.j.Service.Engine.Stride
 }
 
-// need is the memory to reserve, in tokens.
+// need returns the memory to reserve, in tokens.
 func (s *stream) need() int { return s.size().HoldTokens() }
 
-// run carries the stream to its end.
+// run runs the stream, and restarts it as long as that is allowed.
 func (s *stream) run(ctx context.Context) (*Answer, error) {
 	for {
 		answer, again, err := s.start(ctx)
@@ -173,7 +173,7 @@
 	}
 }
 
-// countCut counts an answer that is left without its end.
+// countCut counts a response that ended early.
 func (s *stream) countCut(err error) {
 	var broken *BrokenOffError
 	if errors.As(err, &broken) {
@@ -181,8 +181,7 @@
 	}
 }
 
-// start takes the stream through one pair of engines. again says whether another
-// pair may be tried.
+// start runs the stream at one pair of engines. again reports whether another pair may be tried.
 func (s *stream) start(ctx context.Context) (answer *Answer, again bool, err error) {
 	s.starts++
 	p, err := s.admitAndReserve(ctx)
@@ -201,7 +200,7 @@
 	return s.decode(ctx, p, h)
 }
 
-// admitAndReserve reserves a decode engine, if the content may be sent to one.
+// admitAndReserve reserves a decode engine if the content may be sent to one.
 func (s *stream) admitAndReserve(ctx context.Context) (*place, error) {
 	if err := s.admit(ctx); err != nil {
 		return nil, err
@@ -215,11 +214,11 @@
 	return s.reserve(ctx)
 }
 
-// admit reports whether the content may be sent to an engine: what crashed others may have
-// come to be known while the request waited.
+// admit reports whether the content may be sent to an engine. It is checked before each send,
+// because evidence of crashes may have arrived while the request waited.
 func (s *stream) admit(ctx context.Context) error { return s.caution.admit(ctx, s.fateUnserved()) }
 
-// ended turns the error of a start into what the caller is told.
+// ended converts the error of a start to the error that is returned to the caller.
 func (s *stream) ended(err error) error {
 	var told *Error
 	var left *AbandonedError
@@ -237,20 +236,20 @@
 	}
 }
 
-// How many sends beyond the first a new start takes.
+// The number of sends beyond the first that another start takes.
 const (
-	// sendsWithKept: only the decode engine is asked again.
+	// sendsWithKept applies if only the decode engine is asked again.
 	sendsWithKept = 1
-	// sendsAfterPrefill: a prefill failed, another one follows.
+	// sendsAfterPrefill applies if a prefill failed and is repeated.
 	sendsAfterPrefill = 1
-	// sendsAnew: prefill and decode are both asked again.
+	// sendsAnew applies if both prefill and decode are repeated.
 	sendsAnew = 2
 )
 
-// mayStart reports whether another pair of engines may be tried after a failure
-// that left the request not run, or that may be repeated; sends is what that
-// takes. A request that may have crashed its engine is not given to the next one here: its
-// caller decides, and learns of it.
+// mayStart reports whether another pair of engines may be tried after a failure that left the
+// request not run or that may be repeated. sends is the number of sends that this takes. A
+// request that may have crashed its engine is not sent to the next one here: its caller is told
+// and decides.
 func (s *stream) mayStart(ctx context.Context, err error, sends int) bool {
 	if ctx.Err() != nil || s.starts >= maxStarts || s.caution.crashed {
 		return false
@@ -262,21 +261,22 @@
 	if clock.Until(s.j.Deadline) < leastTime {
 		return false
 	}
-	// The sends to a place that is kept are paid for.
+	// The sends to a standby placement were charged to the retry budget when it was reserved.
 	return s.standby.kept() || s.c.mayResend(s.j.Service.Name, sends, s.begun, s.log)
 }
 
-// lost takes in that an attempt broke off at an engine, unless its caller left.
+// lost handles an attempt that was interrupted at an engine, unless the request's context has
+// ended.
 func (s *stream) lost(ctx context.Context, u dialect.Upstream, start time.Time, begun bool, made int, err error) {
 	if ctx.Err() == nil {
 		s.caution.lost(u, start, begun, made, err)
 	}
 }
 
-// fateUnserved is the fate of a request that gets no further engine.
+// fateUnserved returns the outcome of a request that is not sent to another engine.
 func (s *stream) fateUnserved() Fate { return fateAfter(s.runs) }
 
-// contextError says why a request's context ended.
+// contextError returns the error for a request whose context ended.
 func (s *stream) contextError(ctx context.Context) error {
 	if Stopped(ctx) {
 		return Stopping(s.fateUnserved())
--- a/gateway/carry/stream_test.go
+++ b/gateway/carry/stream_test.go
@@ -16,21 +16,24 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
+// stream1 streams may run once, resumable ones may continue at a second engine.
 var (
 	stream1   = routing.Route{Kind: routing.Stream, MaxAttempts: 1}
 	resumable = routing.Route{Kind: routing.Stream, MaxAttempts: 2, Resumable: true}
 )
 
+// streamBed returns a bed with two prefill and two decode engines.
 func streamBed(t *testing.T) *bed {
 	return newBed(t, slack, engineUps([]string{"p1", "p2"}, []string{"d1", "d2"})...)
 }
 
-// serveStreams has decode engines answer with a stream.
+// serveStreams makes the decode engines answer with r.
 func (b *bed) serveStreams(r reply) {
 	b.d.do["d1"], b.d.do["d2"] = []reply{r}, []reply{r}
 }
 
-// TestStreamIsReservedPrefilledDecoded in this order, once each.
+// TestStreamIsReservedPrefilledDecoded checks that reservation, prefill and decode are called
+// once each, in this order.
 func TestStreamIsReservedPrefilledDecoded(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 5)})
@@ -46,7 +49,8 @@
 	assert.Assert(t, b.d.sends[0].Source != nil)
 }
 
-// TestBrokenStreamDoesNotLookComplete and is not run again.
+// TestBrokenStreamDoesNotLookComplete checks that an interrupted stream does not look complete
+// to the caller and is not run again.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3) + "id: 4\nda", breaks: true})
@@ -54,12 +58,12 @@
 	_, err := b.Stream(t.Context(), job(stream1), &got)
 	var off *BrokenOffError
 	assert.Assert(t, errors.As(err, &off), "%v", err)
-	assert.Equal(t, got.body.String(), events(1, 3), "only whole events")
+	assert.Equal(t, got.body.String(), events(1, 3), "want complete events only")
 	assert.Equal(t, b.d.countKind("do"), 1)
 }
 
-// TestResumableStreamGoesOn at another engine after the last whole event, under the
-// first one's head.
+// TestResumableStreamGoesOn checks that an interrupted stream continues at another engine after
+// the last complete event, under the response head of the first engine.
 func TestResumableStreamGoesOn(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3) + "id: 4\nda", breaks: true})
@@ -91,9 +95,9 @@
 	assert.Equal(t, got.from, string(b.d.sends[0].To.ID))
 }
 
-// TestRefusedDecodeKeepsThePrefillResult: the second engine is offered what the
-// first one refused, nothing is computed twice, and the engine at fault is passed
-// over afterwards.
+// TestRefusedDecodeKeepsThePrefillResult checks that the second engine is offered the prefill
+// result that the first one refused, that nothing is computed twice, and that the engine at
+// fault is passed over afterwards.
 func TestRefusedDecodeKeepsThePrefillResult(t *testing.T) {
 	b := streamBed(t)
 	b.d.do["d1"] = []reply{refusal}
@@ -110,13 +114,13 @@
 	assert.Equal(t, b.d.count("release d1"), 1)
 }
 
-// TestLapsedPrefillResultIsComputedElsewhere: two engines that can't fetch it show
-// that the prefill engine is at fault.
+// TestLapsedPrefillResultIsComputedElsewhere checks that the prefill engine is considered at
+// fault if two decode engines cannot fetch its result.
 func TestLapsedPrefillResultIsComputedElsewhere(t *testing.T) {
 	b := streamBed(t)
 	good := reply{verdict: dialect.Success, status: 200, body: events(1, 2)}
 	b.d.do["d1"], b.d.do["d2"] = []reply{refusal, good}, []reply{refusal, good}
-	// Both decode engines have refused this request, so a third one is needed.
+	// Both decode engines refuse this request, so a third one is needed.
 	b.view.Upstreams["s"] = engineUps([]string{"p1", "p2"}, []string{"d1", "d2", "d3"})
 	b.d.do["d3"] = []reply{good}
 	b.d.hold["d3"] = []error{&dialect.FullError{}, &dialect.FullError{}, nil}
@@ -130,8 +134,8 @@
 	assert.Equal(t, b.d.countKind("free"), 1)
 }
 
-// TestNothingIsComputedWithoutRoom: a request for which no engine has room is
-// refused when it can't be in time any more, before anything was computed.
+// TestNothingIsComputedWithoutRoom checks that a request for which no engine has room is refused
+// when it cannot be on time any more, before anything was computed.
 func TestNothingIsComputedWithoutRoom(t *testing.T) {
 	b := streamBed(t)
 	b.d.hold["d1"], b.d.hold["d2"] = []error{&dialect.FullError{}}, []error{&dialect.FullError{}}
@@ -146,7 +150,8 @@
 	assert.Equal(t, b.d.countKind("do"), 0)
 }
 
-// TestFailedPrefillIsTriedElsewhere: it never runs the request.
+// TestFailedPrefillIsTriedElsewhere checks that a failed prefill is repeated at another engine,
+// because a prefill never runs the request.
 func TestFailedPrefillIsTriedElsewhere(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2)})
@@ -158,8 +163,8 @@
 	assert.Assert(t, b.d.count("prefill p1") <= 2, "%v", b.d.calls)
 }
 
-// TestSentStreamIsNotSentAgain: a stream that can't be resumed and may have run is
-// given up honestly.
+// TestSentStreamIsNotSentAgain checks that a stream that cannot be resumed and may have run is
+// not sent again, and is reported as such.
 func TestSentStreamIsNotSentAgain(t *testing.T) {
 	b := streamBed(t)
 	b.serveStreams(reply{err: broken})
@@ -168,7 +173,8 @@
 	assert.Equal(t, b.d.countKind("do"), 1)
 }
 
-// TestUnsentStreamGivesUpWhatItReserved and may go elsewhere.
+// TestUnsentStreamGivesUpWhatItReserved checks that a stream that could not be sent releases its
+// reservation and prefill result, and may be sent to another engine.
 func TestUnsentStreamGivesUpWhatItReserved(t *testing.T) {
 	b := streamBed(t)
 	b.d.do["d1"] = []reply{{err: &adapter.CallError{Evidence: kernel.NotSent, Err: context.DeadlineExceeded}}}
@@ -182,8 +188,8 @@
 	assert.Equal(t, b.d.countKind("free"), b.d.count("do d1"))
 }
 
-// TestDecodeWithoutPrefillEngines: with none left, the decode engine computes the
-// prompt itself.
+// TestDecodeWithoutPrefillEngines checks that without prefill engines the decode engine computes
+// the prompt.
 func TestDecodeWithoutPrefillEngines(t *testing.T) {
 	b := newBed(t, slack, engineUps(nil, []string{"d1"})...)
 	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
@@ -192,7 +198,7 @@
 	assert.Assert(t, b.d.sends[0].Source == nil)
 }
 
-// TestWaitingInLine: room that comes in time is used, the first in line first.
+// TestWaitingInLine checks that a waiting request uses capacity that becomes available in time.
 func TestWaitingInLine(t *testing.T) {
 	b := streamBed(t)
 	full := &dialect.FullError{}
@@ -223,8 +229,8 @@
 	}
 }
 
-// TestBusyPrefillEnginesKeepRequestsInLine: with more queued than the objective
-// leaves time for, nothing is reserved, and the request is refused at once.
+// TestBusyPrefillEnginesKeepRequestsInLine checks that nothing is reserved, and the request is
+// refused at once, if the prefill engines have more work queued than the objective allows.
 func TestBusyPrefillEnginesKeepRequestsInLine(t *testing.T) {
 	b := streamBed(t)
 	for range 2 {
@@ -234,13 +240,13 @@
 	j := job(stream1)
 	j.Route.Objective = time.Second
 	_, err := b.Stream(t.Context(), j, &sink{})
-	assert.Assert(t, time.Since(j.Arrived) < 500*time.Millisecond, "it is known that it can't be served")
+	assert.Assert(t, time.Since(j.Arrived) < 500*time.Millisecond, "the request was not refused at once although it could not be on time")
 	assert.Equal(t, fateOf(t, err), NotRun)
 	assert.Equal(t, b.d.countKind("hold"), 0)
 }
 
-// TestBusyPrefillEnginesAreRelieved: a decode engine that falls to this instance computes
-// the prompt, one that falls to a peer does not.
+// TestBusyPrefillEnginesAreRelieved checks that a decode engine that is assigned to this
+// instance computes the prompt, and one that is assigned to a peer does not.
 func TestBusyPrefillEnginesAreRelieved(t *testing.T) {
 	for _, falls := range []bool{true, false} {
 		b := streamBed(t)
@@ -260,8 +266,8 @@
 	}
 }
 
-// TestBusyPrefillEngineIsNotEjected: one that answers others while a prompt times
-// out is busy; one from which nothing comes is out of reach.
+// TestBusyPrefillEngineIsNotEjected checks that an engine that answers other requests while a
+// prefill times out is treated as busy, and one that sends nothing as unreachable.
 func TestBusyPrefillEngineIsNotEjected(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		b := streamBed(t)
@@ -277,8 +283,8 @@
 	}
 }
 
-// TestKeptResultIsFreed: a prefill result that waits for a second decode engine is
-// given up when none has room in time.
+// TestKeptResultIsFreed checks that a prefill result that is retained for a second decode engine
+// is released if none has room in time.
 func TestKeptResultIsFreed(t *testing.T) {
 	b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1"})...)
 	b.d.do["d1"] = []reply{refusal}
@@ -290,8 +296,9 @@
 	assert.Equal(t, b.d.countKind("free"), 1)
 }
 
-// TestMisdirectedPrefillEngineIsLeftAlone: one that says it is another, or of another
-// stage, is asked once, and the decode engine computes the prompts meanwhile.
+// TestMisdirectedPrefillEngineIsLeftAlone checks that a prefill engine which answers that it is
+// another one, or of another stage, is asked only once, and that the decode engine computes the
+// prompts meanwhile.
 func TestMisdirectedPrefillEngineIsLeftAlone(t *testing.T) {
 	b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1"})...)
 	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
@@ -304,8 +311,8 @@
 	assert.Equal(t, b.d.count("do d1"), 3)
 }
 
-// TestReplacedServiceUpstreamIsAskedOnce: an address that answers as another
-// incarnation gets no more requests meant for this one.
+// TestReplacedServiceUpstreamIsAskedOnce checks that an address that answers as another
+// incarnation gets no more requests meant for the previous one.
 func TestReplacedServiceUpstreamIsAskedOnce(t *testing.T) {
 	b := newBed(t, slack, plainUps("x", "y")...)
 	b.d.do["x"] = []reply{{verdict: dialect.WrongUpstream, status: http.StatusMisdirectedRequest}}
@@ -318,8 +325,8 @@
 	assert.Equal(t, b.d.count("do y"), 10)
 }
 
-// TestLivingPrefillEngineIsLeftItsTime: as long as the first event can be on time, and
-// longer if the engine is expected to take longer.
+// TestLivingPrefillEngineIsLeftItsTime checks that a prefill is not canceled as long as the
+// first event can be on time, and later still if the engine is expected to take longer.
 func TestLivingPrefillEngineIsLeftItsTime(t *testing.T) {
 	b := streamBed(t)
 	s := &stream{c: b.Carrier, j: job(stream1), log: b.o.Log}
@@ -330,9 +337,9 @@
 	assert.Equal(t, s.patience(s.j.Arrived, time.Second), 4*time.Second)
 }
 
-// TestEngineThatFailsAtOnceIsNoSink: an engine that answers streams with failures of its own
-// holds nothing, so that it always has most room. Of twenty streams two at most meet it, where
-// each that came while others ran met it.
+// TestEngineThatFailsAtOnceIsNoSink guards against an engine that answers streams with errors of
+// its own and attracts the others: it holds nothing, so it always has the most free memory.
+// Every stream that came while others ran was sent to it; now at most two of twenty are.
 func TestEngineThatFailsAtOnceIsNoSink(t *testing.T) {
 	b := streamBed(t)
 	b.d.do["d1"] = []reply{{verdict: dialect.Failure, status: 500, body: "failed"}}
--- a/gateway/carry/undecided.go
+++ b/gateway/carry/undecided.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// decideWithin is how long it is waited for what shows whether a silent upstream had
-	// crashed: one that did is back after some seconds, as another incarnation.
+	// decideWithin is how long to wait for evidence that an upstream that does not answer had
+	// crashed. A crashed upstream is back after some seconds, as a newer incarnation.
 	decideWithin = 15 * time.Second
-	// mostUndecided bounds the attempts that are remembered; a cut zone breaks some
-	// hundred off.
+	// mostUndecided limits the number of attempts that are kept. A network cut of a zone
+	// interrupts several hundred.
 	mostUndecided = 512
 )
 
-// undecided holds the attempts that broke off at upstreams that fell silent, which may have
-// crashed or be cut off.
+// undecided holds attempts that were interrupted at upstreams that then did not answer, and that
+// may either have crashed or be unreachable.
 type undecided struct {
 	mu    sync.Mutex
 	items []undecidedAttempt
 }
 
-// undecidedAttempt is one of them.
+// undecidedAttempt is an attempt for which it is not known whether its upstream crashed.
 type undecidedAttempt struct {
 	at       time.Time
 	content  quarantine.Content
@@ -32,7 +32,7 @@
 	made     int
 }
 
-// add remembers an attempt; the oldest is dropped if there are too many.
+// add stores an attempt and drops the oldest one if there are too many.
 func (l *undecided) add(now time.Time, c quarantine.Content, u dialect.Upstream, made int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,8 +49,8 @@
 	return len(l.items) > 0
 }
 
-// decide takes out the attempts whose upstreams are seen to have ended, by a list of those
-// that are known now, and forgets those for which nothing showed in time.
+// decide removes and returns the attempts whose upstreams have been replaced according to the
+// current list. Attempts for which no evidence arrived within decideWithin are dropped.
 func (l *undecided) decide(now time.Time, list []dialect.Upstream) []undecidedAttempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +68,7 @@
 	return ended
 }
 
-// replacedIn reports whether a list names another incarnation of an upstream, or another
+// replacedIn reports whether a list contains a newer incarnation of an upstream, or another
 // upstream at its address.
 func replacedIn(list []dialect.Upstream, u dialect.Upstream) bool {
 	for _, o := range list {
--- a/gateway/carry/watch.go
+++ b/gateway/carry/watch.go
@@ -13,32 +13,34 @@
 )
 
 const (
-	// doubtFactor is how many times its expected time a prefill may take before the
-	// engine is asked whether it lives, at least leastDoubt: a cut or a crash is then
-	// known after some 350 ms, while a busy engine is not taken for a dead one and
+	// doubtFactor is the time that a prefill may take before the engine is checked for a sign of
+	// life, as a multiple of the expected time; at least leastDoubt. A network cut or a crash is
+	// then detected after about 350 ms, while a busy engine is not mistaken for a dead one and
 	// ejected.
 	doubtFactor = 2
 	leastDoubt  = 150 * time.Millisecond
-	// watchTimeout bounds the asking; engines answer it in a few ms however busy.
+	// watchTimeout limits the check. Engines answer it in a few ms, however busy they are.
 	watchTimeout = 200 * time.Millisecond
 )
 
-// SilentError reports an upstream that answered neither a request nor the question
-// whether it lives.
+// SilentError reports an upstream that answered neither a request nor a liveness check, or that
+// was replaced by a newer incarnation.
 type SilentError struct {
 	Upstream ident.UpstreamID
 	Err      error
 }
 
-// Error implements error.
-func (e *SilentError) Error() string { return fmt.Sprintf("%s is silent: %v", e.Upstream, e.Err) }
+// Error implements the error interface.
+func (e *SilentError) Error() string {
+	return fmt.Sprintf("upstream %s stopped responding: %v", e.Upstream, e.Err)
+}
 
-// Unwrap returns the question's error.
+// Unwrap returns the error of the liveness check.
 func (e *SilentError) Unwrap() error { return e.Err }
 
-// ask asks an engine for a sign of life, and ends the guard's context with a *SilentError if it
-// has ended, or if there is none and the run is given up for it. It reports whether the run
-// goes on.
+// ask requests a sign of life from an engine. It cancels the guard's context with a *SilentError
+// if the engine has crashed, or if it does not answer and the run is canceled in favor of
+// another engine. It reports whether the run continues.
 func (s *stream) ask(u dialect.Upstream, g *guard, f *failover) bool {
 	asking, done := context.WithTimeout(g.ctx, watchTimeout)
 	defer done()
@@ -61,7 +63,7 @@
 	return false
 }
 
-// silence returns the *SilentError for which a watched context was canceled, if any.
+// silence returns the *SilentError for which a watched context was canceled, or nil.
 func silence(watched context.Context) error {
 	var silent *SilentError
 	if errors.As(context.Cause(watched), &silent) {
--- a/gateway/carry/watch_test.go
+++ b/gateway/carry/watch_test.go
@@ -14,14 +14,15 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// stall runs a stream at d1 that sends two events and then nothing for some seconds, and
-// returns the bed, what the caller got and how long it took.
+// stall runs a stream at d1 that sends two events and then nothing for three seconds. silent
+// says whether d1 answers liveness checks in that time. It returns the bed, what the caller
+// received, the duration and the error.
 func stall(t *testing.T, r routing.Route, silent bool) (*bed, *sink, time.Duration, error) {
 	t.Helper()
 	return stallAt(t, r, func(b *bed) { b.d.silent = map[ident.UpstreamID]bool{"d1": silent} })
 }
 
-// stallAt is stall with what happens to d1 meanwhile.
+// stallAt is like stall, but happens prepares the bed.
 func stallAt(t *testing.T, r routing.Route, happens func(b *bed)) (*bed, *sink, time.Duration, error) {
 	t.Helper()
 	r.PaceObjective = 300 * time.Millisecond
@@ -49,8 +50,9 @@
 	return b, got, time.Since(start), err
 }
 
-// TestStreamAtASilentEngineGoesOnElsewhere long before its caller would leave, once it is
-// known that the engine doesn't answer; one that only pauses is waited for.
+// TestStreamAtASilentEngineGoesOnElsewhere checks that a stream continues elsewhere, long before
+// its caller would disconnect, once its engine has failed to answer a liveness check. An engine
+// that only pauses is waited for.
 func TestStreamAtASilentEngineGoesOnElsewhere(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		bubble.Test(t, func(t *testing.T) {
@@ -64,7 +66,8 @@
 	}
 }
 
-// TestStreamThatRunsOnceIsLeftAtASilentEngine: nothing else may run it.
+// TestStreamThatRunsOnceIsLeftAtASilentEngine checks that a stream that may run only once is
+// left at an engine that does not answer.
 func TestStreamThatRunsOnceIsLeftAtASilentEngine(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		b, got, _, err := stall(t, stream1, true)
@@ -74,8 +77,8 @@
 	})
 }
 
-// TestSilenceDoesNotSayThatARequestWasNotSent: the question was not answered, the request
-// may have run all the same.
+// TestSilenceDoesNotSayThatARequestWasNotSent checks that an unanswered liveness check is not
+// taken as evidence that the request was not sent: it may have run all the same.
 func TestSilenceDoesNotSayThatARequestWasNotSent(t *testing.T) {
 	b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1"})...)
 	b.d.silent = map[ident.UpstreamID]bool{"d1": true}
