--- a/gateway/carry/awaitstreams_test.go
+++ b/gateway/carry/awaitstreams_test.go
@@ -27,11 +27,11 @@
 		await()
 		assert.Equal(t, len(returned), 0, "returned although no stream runs")
 		var first schedule.Ticket
-		c.enter(first, &stream{})
+		c.addStream(first, &stream{})
 		assert.Assert(t, <-returned)
 		await()
 		assert.Assert(t, <-returned)
-		c.exit(first)
+		c.removeStream(first)
 		await()
 		time.Sleep(time.Hour)
 		assert.Equal(t, len(returned), 0, "returned after the stream had ended")
--- a/gateway/carry/carry.go
+++ b/gateway/carry/carry.go
@@ -59,24 +59,24 @@
 type Carrier struct {
 	o Options
 
-	mu    sync.Mutex
-	lines map[string]*line
-	// caches holds the engines' lists of cached prompts.
-	caches caches
+	mu     sync.Mutex
+	queues map[string]*waitQueue
+	// cacheLists holds the engines' lists of cached prompts.
+	cacheLists cacheLists
 	// streams holds the running streams by the number of their placement.
 	streams map[uint64]*stream
 	// streamStarted wakes AwaitStreams when a stream starts.
 	streamStarted chan struct{}
-	underWay      attemptsUnderWay
-	// examinations holds recent liveness checks of upstreams whose attempts were interrupted.
-	examinations examinations
-	undecided    undecided
+	inFlight      inFlightAttempts
+	// stateChecks holds recent liveness checks of upstreams whose attempts were interrupted.
+	stateChecks stateChecks
+	undecided   undecidedAttempts
 	// cleanup tracks releases that are still being sent.
 	cleanup sync.WaitGroup
 }
 
 func New(o Options) *Carrier {
-	return &Carrier{o: o, lines: map[string]*line{}, streams: map[uint64]*stream{}, streamStarted: make(chan struct{}, 1)}
+	return &Carrier{o: o, queues: map[string]*waitQueue{}, streams: map[uint64]*stream{}, streamStarted: make(chan struct{}, 1)}
 }
 
 // Close waits until all pending releases have been sent or ctx ends. Reservations and results
@@ -156,9 +156,9 @@
 	TimedOut
 )
 
-// fateAfter returns the outcome of a request that may have run on the given number of upstreams
-// and is not sent to another one.
-func fateAfter(runs int) Fate {
+// outcomeAfter returns the outcome of a request that may have run on the given number of
+// upstreams and is not sent to another one.
+func outcomeAfter(runs int) Fate {
 	if runs > 0 {
 		return Unknown
 	}
@@ -203,14 +203,14 @@
 	// deadlineMargin is subtracted from the deadline that is passed to upstreams. It covers the
 	// return path: links between zones take up to a few ms, and timers fire late.
 	deadlineMargin = 10 * time.Millisecond
-	// leastTime is the minimum time left before the deadline for another attempt to be
+	// minAttemptTime is the minimum time left before the deadline for another attempt to be
 	// worthwhile.
-	leastTime = 20 * time.Millisecond
-	// retryPlain is the Retry-After of a refused request of a plain service. Such a service
+	minAttemptTime = 20 * time.Millisecond
+	// plainRetryAfter is the Retry-After of a refused request of a plain service. Such a service
 	// responds in about 60 ms, so a full queue has moved on by then.
-	retryPlain = 300 * time.Millisecond
-	// maxAnswerBytes limits the size of a plain response, which is held in memory.
-	maxAnswerBytes = 16 << 20
+	plainRetryAfter = 300 * time.Millisecond
+	// maxResponseBytes limits the size of a plain response, which is held in memory.
+	maxResponseBytes = 16 << 20
 )
 
 // eligible returns the upstreams to which the request may be sent now.
@@ -224,9 +224,9 @@
 	return len(c.eligible(j)) == 0 && len(c.o.View().Upstreams[j.Service.Name]) > 0
 }
 
-// retryNoOpenZone is the Retry-After of requests that are refused because no zone is open to
+// noOpenZoneRetryAfter is the Retry-After of requests that are refused because no zone is open to
 // them. Only a change by the operators makes them servable.
-const retryNoOpenZone = 3 * time.Second
+const noOpenZoneRetryAfter = 3 * time.Second
 
 // refuseNoOpenZone logs and counts the refusal of a request without an eligible upstream and
 // returns its *Error.
@@ -234,7 +234,7 @@
 	c.o.Count("refused_no_open_zone")
 	e := c.o.View().Evacuation
 	log.Info("refused", "reason", "no_open_zone", "evacuated", e.Zones)
-	return &Error{Fate: fate, Reason: "no_open_zone", RetryAfter: retryNoOpenZone}
+	return &Error{Fate: fate, Reason: "no_open_zone", RetryAfter: noOpenZoneRetryAfter}
 }
 
 // NoUpstreamError reports that no upstream of a service is available.
@@ -247,51 +247,52 @@
 
 // attempt is the result of sending a request to one upstream.
 type attempt struct {
-	answer  *Answer
-	verdict dialect.Verdict
-	err     error
-	// cause is the *SilentError for which the attempt was canceled, otherwise it equals err.
+	response *Answer
+	verdict  dialect.Verdict
+	err      error
+	// cause is the *UnresponsiveError for which the attempt was canceled, otherwise it equals
+	// err.
 	cause error
 }
 
-// AnswerTooLargeError reports a response that exceeds maxAnswerBytes.
-type AnswerTooLargeError struct {
+// ResponseTooLargeError reports a response that exceeds maxResponseBytes.
+type ResponseTooLargeError struct {
 	// Bytes is the declared length, or the number of bytes read if none was declared.
 	Bytes int64
 }
 
 // Error implements the error interface.
-func (e *AnswerTooLargeError) Error() string {
-	return fmt.Sprintf("response too large: at least %d bytes, limit is %d", e.Bytes, int64(maxAnswerBytes))
+func (e *ResponseTooLargeError) Error() string {
+	return fmt.Sprintf("response too large: at least %d bytes, limit is %d", e.Bytes, int64(maxResponseBytes))
 }
 
-// readAnswerBody reads the whole body of a response. It blocks for memory if the account has too
-// little left. Its errors are those of reading, of the account, or an *AnswerTooLargeError.
-func readAnswerBody(ctx context.Context, resp *http.Response, account *memory.Account) ([]byte, error) {
-	if resp.ContentLength > maxAnswerBytes {
-		return nil, &AnswerTooLargeError{Bytes: resp.ContentLength}
+// readResponseBody reads the whole body of a response. It blocks for memory if the account has
+// too little left. Its errors are those of reading, of the account, or a *ResponseTooLargeError.
+func readResponseBody(ctx context.Context, resp *http.Response, account *memory.Account) ([]byte, error) {
+	if resp.ContentLength > maxResponseBytes {
+		return nil, &ResponseTooLargeError{Bytes: resp.ContentLength}
 	}
 	length := resp.ContentLength
 	if length == 0 {
 		length = memory.UnknownLength
 	}
 	grow := func(bytes int64) error { return account.Grow(ctx, bytes) }
-	body, err := memory.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1), length, grow)
-	if err == nil && len(body) > maxAnswerBytes {
-		return nil, &AnswerTooLargeError{Bytes: int64(len(body))}
+	body, err := memory.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1), length, grow)
+	if err == nil && len(body) > maxResponseBytes {
+		return nil, &ResponseTooLargeError{Bytes: int64(len(body))}
 	}
 	return body, err
 }
 
-// readAnswer reads a complete response. If the body cannot be read, a success or a failure
+// readResponse reads a complete response. If the body cannot be read, a success or a failure
 // reported by the upstream becomes a failed attempt. The other verdicts do not depend on the
 // body; in particular, a refusal still attests that the request did not run.
-func readAnswer(ctx context.Context, resp *http.Response, v dialect.Verdict, account *memory.Account) *attempt {
-	body, err := readAnswerBody(ctx, resp, account)
+func readResponse(ctx context.Context, resp *http.Response, v dialect.Verdict, account *memory.Account) *attempt {
+	body, err := readResponseBody(ctx, resp, account)
 	if err != nil && (v == dialect.Success || v == dialect.Failure) {
 		return &attempt{err: err}
 	}
-	return &attempt{answer: &Answer{Status: resp.StatusCode, Header: roundtrip.EndToEnd(resp.Header), Body: body}, verdict: v}
+	return &attempt{response: &Answer{Status: resp.StatusCode, Header: roundtrip.EndToEnd(resp.Header), Body: body}, verdict: v}
 }
 
 // evidence returns whether the request can have run in an attempt that did not succeed.
@@ -306,37 +307,37 @@
 	}
 }
 
-// note records in the scheduler's records what an attempt revealed about its upstream.
-func (c *Carrier) note(u dialect.Upstream, a *attempt, took time.Duration, log *slog.Logger) {
-	var silent *SilentError
+// recordAttempt records in the scheduler's records what an attempt revealed about its upstream.
+func (c *Carrier) recordAttempt(u dialect.Upstream, a *attempt, took time.Duration, log *slog.Logger) {
+	var silent *UnresponsiveError
 	switch {
 	case a.err == nil && a.verdict == dialect.Success:
 		c.o.Books.Answered(clock.Now(), u, took)
 	case errors.As(a.err, &silent):
-		c.failed(u, Unreached(silent.Err), a.err, took, log)
+		c.recordFailure(u, Unreached(silent.Err), a.err, took, log)
 	case errors.Is(a.err, context.Canceled):
 	case a.err == nil && (a.verdict == dialect.Failure || a.verdict == dialect.Refused):
-		c.failed(u, schedule.Soft, a.err, took, log)
+		c.recordFailure(u, schedule.Soft, a.err, took, log)
 	case a.err == nil && a.verdict == dialect.WrongUpstream && u.Stage == "":
 		c.o.Books.Replaced(u)
 		log.Warn("upstream replaced", "upstream", u.ID, "address", u.Address)
 	case a.err == nil && a.verdict == dialect.WrongUpstream:
 		// An engine gives the same verdict after it has changed its stage; a probe finds out
 		// which it is.
-		c.failed(u, schedule.Misdirected, a.err, took, log)
+		c.recordFailure(u, schedule.Misdirected, a.err, took, log)
 	case a.err != nil && adapter.AsCallError(a.err).Evidence == kernel.NotSent:
-		c.failed(u, Unreached(a.err), a.err, took, log)
+		c.recordFailure(u, Unreached(a.err), a.err, took, log)
 	default:
-		c.failed(u, schedule.Hard, a.err, took, log)
+		c.recordFailure(u, schedule.Hard, a.err, took, log)
 	}
 }
 
 // mayResend reports whether the retry budget allows the given number of sends in addition to the
 // first. A stream that is under way may also use the part of the budget that is reserved for
 // such streams.
-func (c *Carrier) mayResend(service string, sends int, underWay bool, log *slog.Logger) bool {
+func (c *Carrier) mayResend(service string, sends int, inProgress bool, log *slog.Logger) bool {
 	allowed := c.o.Budget.Extra
-	if underWay {
+	if inProgress {
 		allowed = c.o.Budget.Continue
 	}
 	if allowed(clock.Now(), service, sends) {
@@ -356,9 +357,9 @@
 	return schedule.Unreachable
 }
 
-// failed records a failure of an upstream in the scheduler's records, and logs and counts it if
-// the upstream was ejected as a result.
-func (c *Carrier) failed(u dialect.Upstream, f schedule.Failure, err error, took time.Duration, log *slog.Logger) {
+// recordFailure records a failure of an upstream in the scheduler's records, and logs and counts
+// it if the upstream was ejected as a result.
+func (c *Carrier) recordFailure(u dialect.Upstream, f schedule.Failure, err error, took time.Duration, log *slog.Logger) {
 	if !c.o.Books.Failed(clock.Now(), u, f) {
 		return
 	}
--- a/gateway/carry/cut.go
+++ b/gateway/carry/cut.go
@@ -14,8 +14,8 @@
 	CutByEngine Cut = "engine"
 	// CutBySilence means that the run was canceled because the engine did not respond.
 	CutBySilence Cut = "silence"
-	// CutByMove means that the run was stopped for a migration and could not be continued.
-	CutByMove Cut = "move"
+	// CutByMigration means that the run was stopped for a migration and could not be continued.
+	CutByMigration Cut = "move"
 	// CutByCaller means that the caller disconnected.
 	CutByCaller Cut = "caller"
 	// CutByDeadline means that the deadline passed.
@@ -25,9 +25,9 @@
 	CutByStop Cut = "stop"
 )
 
-// cutBy returns the reason for a run that ended with err. ctx is the context of the request.
-func cutBy(ctx context.Context, err error) Cut {
-	var silent *SilentError
+// cutReason returns the reason for a run that ended with err. ctx is the context of the request.
+func cutReason(ctx context.Context, err error) Cut {
+	var silent *UnresponsiveError
 	switch {
 	case callerLeft(err):
 		return CutByCaller
--- a/gateway/carry/cut_test.go
+++ b/gateway/carry/cut_test.go
@@ -26,7 +26,7 @@
 	stop(&StoppedError{})
 	request, end := context.WithTimeout(stopping, time.Minute)
 	defer end()
-	silent := &adapter.CallError{Err: &SilentError{Upstream: "d1", Err: io.EOF}}
+	silent := &adapter.CallError{Err: &UnresponsiveError{Upstream: "d1", Err: io.EOF}}
 	for _, c := range []struct {
 		ctx  context.Context
 		err  error
@@ -34,23 +34,23 @@
 	}{
 		{live, io.ErrUnexpectedEOF, CutByEngine},
 		{live, silent, CutBySilence},
-		{live, &CallerError{Err: io.ErrClosedPipe}, CutByCaller},
+		{live, &CallerWriteError{Err: io.ErrClosedPipe}, CutByCaller},
 		{left, context.Canceled, CutByCaller},
 		{late, context.DeadlineExceeded, CutByDeadline},
 		{request, context.Canceled, CutByStop},
 	} {
-		assert.Equal(t, cutBy(c.ctx, c.err), c.want, "%v", c.err)
+		assert.Equal(t, cutReason(c.ctx, c.err), c.want, "%v", c.err)
 	}
 }
 
 // TestCutAnswerIsCounted checks that an interrupted response is counted under its reason.
 func TestCutAnswerIsCounted(t *testing.T) {
-	b := streamBed(t)
-	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true})
+	env := newStreamEnv(t)
+	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true})
 	var counted []string
-	b.o.Count = func(name string) { counted = append(counted, name) }
-	var got sink
-	_, err := b.Stream(t.Context(), job(stream1), &got)
+	env.o.Count = func(name string) { counted = append(counted, name) }
+	var got streamRecorder
+	_, err := env.Stream(t.Context(), job(singleRun), &got)
 	var broken *BrokenOffError
 	assert.Assert(t, errors.As(err, &broken), "%v", err)
 	assert.Equal(t, broken.By, CutByEngine)
--- a/gateway/carry/failover.go
+++ b/gateway/carry/failover.go
@@ -12,20 +12,20 @@
 	"github.com/wardspool/wardspool/internal/pause"
 )
 
-// searchPause is the interval between two searches for an engine with capacity. Engines that
+// searchInterval is the interval between two searches for an engine with capacity. Engines that
 // were full are asked again after as long.
-const searchPause = 60 * time.Millisecond
+const searchInterval = 60 * time.Millisecond
 
 // standby holds a placement that was reserved for a stream while the stream still runs
 // elsewhere.
 type standby struct {
 	mu     sync.Mutex
-	place  *place
+	place  *placement
 	closed bool
 }
 
-// keep stores a placement. It returns false if the stream has ended.
-func (b *standby) keep(p *place) bool {
+// set stores a placement. It returns false if the stream has ended.
+func (b *standby) set(p *placement) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -35,15 +35,15 @@
 	return true
 }
 
-// kept reports whether a placement is stored.
-func (b *standby) kept() bool {
+// isSet reports whether a placement is stored.
+func (b *standby) isSet() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.place != nil
 }
 
 // take removes and returns the placement, or nil if there is none.
-func (b *standby) take() *place {
+func (b *standby) take() *placement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.place
@@ -52,7 +52,7 @@
 }
 
 // close returns the placement that was not used, or nil, and rejects all further ones.
-func (b *standby) close() *place {
+func (b *standby) close() *placement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.place
@@ -66,71 +66,72 @@
 	s *stream
 	// allowed means that the stream may be started once more.
 	allowed  bool
-	apart    bool
+	isolate  bool
 	excluded []ident.UpstreamID
 }
 
-// failoverFrom returns a failover away from an engine.
-func (s *stream) failoverFrom(from dialect.Upstream) *failover {
+// newFailover returns a failover away from an engine.
+func (s *stream) newFailover(from dialect.Upstream) *failover {
 	return &failover{
 		s: s, allowed: s.starts < maxStarts && s.j.Route.Repeatable() && s.runs+1 < s.j.Route.MaxAttempts,
-		apart: s.caution.suspect(), excluded: append(slices.Clone(s.excluded), from.ID),
+		isolate: s.crashGuard.onTrial(), excluded: append(slices.Clone(s.excluded), from.ID),
 	}
 }
 
 // find searches for another engine until one is reserved, the current engine responds again, or
 // ctx ends. It charges the sends to the new engine to the retry budget. It returns nil if no
 // engine was found or the budget is exhausted.
-func (f *failover) find(ctx context.Context, heard func() bool) *place {
+func (f *failover) find(ctx context.Context, heard func() bool) *placement {
 	s := f.s
-	for f.allowed && !heard() && clock.Until(s.j.Deadline) >= leastTime {
-		if p := f.look(ctx); p != nil {
-			if s.c.mayResend(s.j.Service.Name, sendsAnew, true, s.log) {
+	for f.allowed && !heard() && clock.Until(s.j.Deadline) >= minAttemptTime {
+		if p := f.tryReserve(ctx); p != nil {
+			if s.c.mayResend(s.j.Service.Name, sendsFullRestart, true, s.log) {
 				return p
 			}
-			s.releasePlace(p)
+			s.releasePlacement(p)
 			return nil
 		}
-		if !pause.For(ctx, searchPause) {
+		if !pause.For(ctx, searchInterval) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// look makes one attempt to reserve another engine. It returns nil if none has capacity now.
-func (f *failover) look(ctx context.Context) *place {
-	size := f.s.sizeNow()
-	size.Apart = f.apart
-	return f.s.placeFor(ctx, size, f.excluded)
+// tryReserve makes one attempt to reserve another engine. It returns nil if none has capacity
+// now.
+func (f *failover) tryReserve(ctx context.Context) *placement {
+	size := f.s.sizeWithoutCache()
+	size.Apart = f.isolate
+	return f.s.reservePlacement(ctx, size, f.excluded)
 }
 
-// releasePlace releases a placement that the stream does not use.
-func (s *stream) releasePlace(p *place) {
-	s.giveUp(p, nil)
-	s.roomCame(p)
+// releasePlacement releases a placement that the stream does not use.
+func (s *stream) releasePlacement(p *placement) {
+	s.releaseUnused(p, nil)
+	s.leavePlacement(p)
 }
 
-// onSilence searches for another engine when the stream's own did not answer a liveness check,
-// and reports whether to cancel the run there in favor of the other engine.
+// onUnresponsive searches for another engine when the stream's own did not answer a liveness
+// check, and reports whether to cancel the run there in favor of the other engine.
 //
 // A missing answer does not prove a failure: an overloaded machine or a lost packet looks the
 // same, and a canceled run cannot be recovered.
-func (f *failover) onSilence(ctx context.Context, u dialect.Upstream, err error, began time.Time, heard func() bool) bool {
+func (f *failover) onUnresponsive(ctx context.Context, u dialect.Upstream, err error, start time.Time, heard func() bool) bool {
 	s := f.s
 	if s.events.Load() == 0 {
 		// No output would be lost: the request can be refused or started at another engine.
 		return true
 	}
-	s.c.failed(u, Unreached(err), err, clock.Since(began), s.log)
+	s.c.recordFailure(u, Unreached(err), err, clock.Since(start), s.log)
 	p := f.find(ctx, heard)
 	if p == nil {
 		s.c.o.Count("silent_engine_kept")
 		s.log.Info("stream stays at a silent engine", "upstream", u.ID, "events", s.events.Load(), "may_start", f.allowed, "heard", heard())
 		return false
 	}
-	if heard() || !s.standby.keep(p) {
-		s.releasePlace(p)
+	if heard() || !s.standby.set(p) {
+		s.releasePlacement(p)
 		return false
 	}
 	return true
--- a/gateway/carry/fake_test.go
+++ b/gateway/carry/fake_test.go
@@ -162,10 +162,10 @@
 	defer f.mu.Unlock()
 	f.record("report %s", u.ID)
 	if f.crashed[u.ID] {
-		return dialect.Report{}, closed
+		return dialect.Report{}, errConnectionRefused
 	}
 	if f.silent[u.ID] {
-		return dialect.Report{}, notSent
+		return dialect.Report{}, errNotSent
 	}
 	return dialect.Report{Incarnation: f.incarnations[u.ID]}, nil
 }
@@ -174,10 +174,10 @@
 	defer f.mu.Unlock()
 	f.record("reach %s", u.ID)
 	if f.crashed[u.ID] {
-		return closed
+		return errConnectionRefused
 	}
 	if f.silent[u.ID] {
-		return notSent
+		return errNotSent
 	}
 	return nil
 }
@@ -241,39 +241,39 @@
 	return n
 }
 
-// bed is a carrier with fake dependencies.
-type bed struct {
+// testEnv is a Carrier with fake dependencies.
+type testEnv struct {
 	*Carrier
 	d    *fakeDialect
 	view *fleet.Snapshot
-	// ends is the time at which the instance terminates, zero unless it is shutting down.
-	ends time.Time
+	// stopDeadline is the time at which the instance terminates, zero unless it is shutting down.
+	stopDeadline time.Time
 }
 
 // Close waits for all releases.
-func (b *bed) Close() { b.Carrier.Close(context.Background()) }
+func (env *testEnv) Close() { env.Carrier.Close(context.Background()) }
 
-// slack is the retry budget of tests that do not depend on it.
-const slack = 1000
+// ampleBudget is the retry budget of tests that do not depend on it.
+const ampleBudget = 1000
 
-// newBed returns a bed for a service s with the given upstreams. slack is the number of retries
-// that the budget allows beyond its share of the requests.
-func newBed(t *testing.T, slack float64, ups ...dialect.Upstream) *bed {
+// newTestEnv returns a test environment for a service s with the given upstreams. slack is the
+// number of retries that the budget allows beyond its share of the requests.
+func newTestEnv(t *testing.T, slack float64, ups ...dialect.Upstream) *testEnv {
 	t.Helper()
 	d := &fakeDialect{do: map[ident.UpstreamID][]reply{}, prefill: map[ident.UpstreamID][]error{}, hold: map[string][]error{}, migrate: map[string][]error{}}
 	view := &fleet.Snapshot{Upstreams: map[string][]dialect.Upstream{"s": ups}, AsOf: time.Now()}
-	b := &bed{d: d, view: view}
-	b.Carrier = New(Options{
+	env := &testEnv{d: d, view: view}
+	env.Carrier = New(Options{
 		Dialect: d, Books: schedule.NewBooks("a", 1),
 		Budget: schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour, Slack: slack}, func() int { return 1 }),
-		View:   func() *fleet.Snapshot { return b.view },
+		View:   func() *fleet.Snapshot { return env.view },
 		Log:    slog.New(slog.DiscardHandler), Count: func(string) {},
 		Register: quarantine.NewRegister(), Trials: localTrials{quarantine.NewTrials()}, Spread: func() {},
 		AwaitInformed: func(context.Context, bool) {},
-		Ends:          func() (time.Time, bool) { return b.ends, !b.ends.IsZero() },
+		Ends:          func() (time.Time, bool) { return env.stopDeadline, !env.stopDeadline.IsZero() },
 	})
-	t.Cleanup(b.Close)
-	return b
+	t.Cleanup(env.Close)
+	return env
 }
 
 // localTrials grants trials for a single instance.
@@ -322,28 +322,28 @@
 	return j
 }
 
-// closed, notSent and broken are errors with different evidence on whether the request ran.
-// refusal attests that nothing ran.
+// errConnectionRefused, errNotSent and errInterrupted are errors with different evidence on
+// whether the request ran. refusal attests that nothing ran.
 var (
-	closed  = &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: syscall.ECONNREFUSED}
-	notSent = &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: io.EOF}
-	broken  = &adapter.CallError{Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Err: io.ErrUnexpectedEOF}
-	refusal = reply{verdict: dialect.Refused, status: 503}
+	errConnectionRefused = &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: syscall.ECONNREFUSED}
+	errNotSent           = &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: io.EOF}
+	errInterrupted       = &adapter.CallError{Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Err: io.ErrUnexpectedEOF}
+	refusal              = reply{verdict: dialect.Refused, status: 503}
 )
 
-// sink is a caller that records the stream it receives.
-type sink struct {
+// streamRecorder is a caller that records the stream it receives.
+type streamRecorder struct {
 	heads int
 	from  string
 	body  bytes.Buffer
 }
 
-func (s *sink) Head(_ int, h http.Header) {
+func (s *streamRecorder) Head(_ int, h http.Header) {
 	s.heads++
 	s.from = h.Get("X-From")
 }
 
-func (s *sink) Write(events []byte) error {
+func (s *streamRecorder) Write(events []byte) error {
 	_, err := s.body.Write(events)
 	return err
 }
--- a/gateway/carry/forward.go
+++ b/gateway/carry/forward.go
@@ -28,80 +28,80 @@
 // Error implements the error interface.
 func (*EventSizeError) Error() string { return "stream event exceeds the size limit" }
 
-// CallerError reports that the response could not be written to the caller.
-type CallerError struct{ Err error }
+// CallerWriteError reports that the response could not be written to the caller.
+type CallerWriteError struct{ Err error }
 
 // Error implements the error interface.
-func (e *CallerError) Error() string { return "write to caller: " + e.Err.Error() }
+func (e *CallerWriteError) Error() string { return "write to caller: " + e.Err.Error() }
 
 // Unwrap returns the error of the write.
-func (e *CallerError) Unwrap() error { return e.Err }
+func (e *CallerWriteError) Unwrap() error { return e.Err }
 
 // forward copies the stream from an engine to the caller, event by event, and continues it
 // elsewhere if it was migrated. The second result reports whether another pair of engines may be
 // tried.
-func (s *stream) forward(ctx context.Context, g *guard, p *place, resp *http.Response, start time.Time) (*Answer, bool, error) {
+func (s *stream) forward(ctx context.Context, wd *watchdog, p *placement, resp *http.Response, start time.Time) (*Answer, bool, error) {
 	u := p.decode.Upstream
 	before := s.events.Load()
 	started := time.Time{}
-	s.heardAt = clock.Now()
-	s.migration.arrive()
-	s.c.enter(p.decode, s)
-	err := g.cause(s.copyEvents(g, p, resp, func() { started = clock.Now() }))
-	s.c.exit(p.decode)
-	next, ambiguous := s.moved(p)
-	if next != nil && ctx.Err() == nil && !callerLeft(err) {
-		return s.goOn(ctx, p, next)
-	}
-	if next != nil {
-		s.free(&computed{handle: next.source, engine: u})
-		s.endPlacements(next.at)
-	}
-	err = endOf(resp, err, ambiguous)
+	s.lastReadAt = clock.Now()
+	s.migration.recordStart()
+	s.c.addStream(p.decode, s)
+	err := wd.attemptError(s.copyEvents(wd, p, resp, func() { started = clock.Now() }))
+	s.c.removeStream(p.decode)
+	cont, ambiguous := s.migrationResult(p)
+	if cont != nil && ctx.Err() == nil && !callerLeft(err) {
+		return s.continueStopped(ctx, p, cont)
+	}
+	if cont != nil {
+		s.freeResult(&prefillResult{handle: cont.source, engine: u})
+		s.endPlacements(cont.engines)
+	}
+	err = streamEndError(resp, err, ambiguous)
 	took := clock.Since(start)
-	made := int(s.events.Load() - before)
+	eventCount := int(s.events.Load() - before)
 	if !started.IsZero() {
 		s.c.o.Books.StreamStarted(s.j.Service.Name, started.Sub(start))
 	}
 	if err == nil {
-		s.caution.ended()
-		s.c.note(u, &attempt{verdict: dialect.Success}, took, s.log)
+		s.crashGuard.recordCompletion()
+		s.c.recordAttempt(u, &attempt{verdict: dialect.Success}, took, s.log)
 		s.c.o.Books.StreamDone(s.j.Service.Name, s.output(), s.produced())
 		s.log.Info("stream complete", "upstream", u.ID, "events", s.events.Load(), "took_ms", took.Milliseconds(),
 			"first_ms", s.firstAt.Sub(s.j.Arrived).Milliseconds(), "longest_pause_ms", s.longestPause.Milliseconds(),
 			"prompt", s.j.Call.PromptTokens, "estimate", s.output(), "bound", s.j.Call.MaxOutputTokens)
 		return nil, false, nil
 	}
-	return nil, s.brokenOff(ctx, p, err, made, cutBy(ctx, err)), s.streamError(ctx, err)
+	return nil, s.handleStreamEnd(ctx, p, err, eventCount, cutReason(ctx, err)), s.streamError(ctx, err)
 }
 
 // callerLeft reports whether a stream ended because writing to its caller failed.
 func callerLeft(err error) bool {
-	var caller *CallerError
+	var caller *CallerWriteError
 	return errors.As(err, &caller)
 }
 
-// brokenOff handles a stream that ended early, and reports whether it may continue at another
-// engine.
-func (s *stream) brokenOff(ctx context.Context, p *place, err error, made int, by Cut) bool {
+// handleStreamEnd handles a stream that ended early, and reports whether it may continue at
+// another engine.
+func (s *stream) handleStreamEnd(ctx context.Context, p *placement, err error, eventCount int, reason Cut) bool {
 	u := p.decode.Upstream
 	s.runs++
-	s.cut = by
-	s.log.Info("stream broke off", "upstream", u.ID, "by", string(by), "events", s.events.Load(), "here", made, "last_event", s.lastEvent,
-		"quiet_ms", clock.Since(s.heardAt).Milliseconds(), "left_ms", clock.Until(s.j.Deadline).Milliseconds(), "error", logs.ErrorText(err))
+	s.cutReason = reason
+	s.log.Info("stream broke off", "upstream", u.ID, "by", string(reason), "events", s.events.Load(), "here", eventCount, "last_event", s.lastEvent,
+		"quiet_ms", clock.Since(s.lastReadAt).Milliseconds(), "left_ms", clock.Until(s.j.Deadline).Milliseconds(), "error", logs.ErrorText(err))
 	if ctx.Err() != nil || callerLeft(err) {
-		if clock.Since(s.heardAt) >= silentAfter {
-			s.caution.abandoned(u, made)
+		if clock.Since(s.lastReadAt) >= unresponsiveAfter {
+			s.crashGuard.handleDisconnect(u, eventCount)
 		}
 		return false
 	}
-	s.c.note(u, &attempt{err: err}, 0, s.log)
-	s.lost(ctx, u, s.heardAt, true, made, err)
+	s.c.recordAttempt(u, &attempt{err: err}, 0, s.log)
+	s.recordInterruption(ctx, u, s.lastReadAt, true, eventCount, err)
 	s.excluded = append(s.excluded, u.ID)
 	if !s.j.Route.Repeatable() || s.runs >= s.j.Route.MaxAttempts {
 		return false
 	}
-	return s.mayStart(ctx, err, sendsAnew)
+	return s.mayRestart(ctx, err, sendsFullRestart)
 }
 
 // streamError returns the caller's error for a stream that ended early.
@@ -109,24 +109,24 @@
 	if callerLeft(err) {
 		return &AbandonedError{}
 	}
-	if ctx.Err() != nil && !s.begun {
-		return s.ended(s.contextError(ctx))
+	if ctx.Err() != nil && !s.headSent {
+		return s.callerError(s.contextError(ctx))
 	}
-	return s.ended(err)
+	return s.callerError(err)
 }
 
 // copyEvents copies complete events to the caller until the stream ends. It calls first when the
 // first event arrives.
-func (s *stream) copyEvents(g *guard, p *place, resp *http.Response, first func()) error {
+func (s *stream) copyEvents(wd *watchdog, p *placement, resp *http.Response, first func()) error {
 	var pending []byte
 	started := false
 	before := s.events.Load()
 	buf := make([]byte, readBytes)
 	for {
 		n, err := resp.Body.Read(buf)
-		g.heard()
+		wd.heard()
 		if n > 0 {
-			s.heardAt = clock.Now()
+			s.lastReadAt = clock.Now()
 		}
 		pending = append(pending, buf[:n]...)
 		if end := lastEventEnd(pending); end > 0 {
@@ -135,12 +135,12 @@
 				s.c.o.Books.Computed(p.decode)
 				first()
 			}
-			s.notePause(clock.Now())
+			s.recordPause(clock.Now())
 			s.c.o.Books.Progress(clock.Now(), p.decode, s.produced())
 			if werr := s.deliver(resp, pending[:end]); werr != nil {
-				return &CallerError{Err: werr}
+				return &CallerWriteError{Err: werr}
 			}
-			s.caution.progressed(int(s.events.Load() - before))
+			s.crashGuard.recordProgress(int(s.events.Load() - before))
 			pending = append(pending[:0], pending[end:]...)
 		}
 		switch {
@@ -154,8 +154,8 @@
 	}
 }
 
-// notePause updates the longest pause between two events.
-func (s *stream) notePause(now time.Time) {
+// recordPause updates the longest pause between two events.
+func (s *stream) recordPause(now time.Time) {
 	if s.firstAt.IsZero() {
 		s.firstAt = now
 	}
@@ -167,11 +167,11 @@
 
 // finish sends the remaining bytes when a stream ended without error.
 func (s *stream) finish(resp *http.Response, rest []byte) error {
-	if s.begun && len(rest) == 0 {
+	if s.headSent && len(rest) == 0 {
 		return nil
 	}
 	if err := s.deliver(resp, rest); err != nil {
-		return &CallerError{Err: err}
+		return &CallerWriteError{Err: err}
 	}
 	return nil
 }
@@ -179,19 +179,19 @@
 // deliver sends complete events to the caller, preceded by the response head if it was not sent
 // yet.
 func (s *stream) deliver(resp *http.Response, events []byte) error {
-	if !s.begun {
+	if !s.headSent {
 		s.w.Head(resp.StatusCode, roundtrip.EndToEnd(resp.Header))
-		s.begun = true
+		s.headSent = true
 	}
 	if err := s.w.Write(events); err != nil {
 		return err
 	}
-	s.note(events)
+	s.recordEvents(events)
 	return nil
 }
 
-// note counts the delivered events and stores the ID of the last one.
-func (s *stream) note(events []byte) {
+// recordEvents counts the delivered events and stores the ID of the last one.
+func (s *stream) recordEvents(events []byte) {
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			s.lastEvent = string(bytes.TrimSpace(id))
--- a/gateway/carry/kept.go
+++ b/gateway/carry/kept.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	// keptFor is how long an engine's cache list is reused. After all instances were killed,
+	// cacheListTTL is how long an engine's cache list is reused. After all instances were killed,
 	// several dozen callers resume within one or two seconds.
-	keptFor = time.Second
-	// keptTimeout limits the retrieval of a cache list, which takes up to 20 ms.
-	keptTimeout = 80 * time.Millisecond
-	// askAllUpTo is the largest number of decode engines for which all of them are asked. If
-	// there are more, only those of the instance's own zone are asked, where most streams run,
-	// because each list delays an engine.
-	askAllUpTo = 12
-	// mostLists limits the number of lists that are kept, including those of engines that are
+	cacheListTTL = time.Second
+	// cacheListTimeout limits the retrieval of a cache list, which takes up to 20 ms.
+	cacheListTimeout = 80 * time.Millisecond
+	// maxAskedAcrossZones is the largest number of decode engines for which all of them are
+	// asked. If there are more, only those of the instance's own zone are asked, where most
+	// streams run, because each list delays an engine.
+	maxAskedAcrossZones = 12
+	// maxCacheLists limits the number of lists that are kept, including those of engines that are
 	// gone.
-	mostLists = 1024
-	// homePatience is how long a resumed stream waits for capacity at the engine that holds its
-	// KV cache, before that is recomputed elsewhere: 7,000 tokens on average.
-	homePatience = 500 * time.Millisecond
+	maxCacheLists = 1024
+	// cacheHolderWait is how long a resumed stream waits for capacity at the engine that holds
+	// its KV cache, before that is recomputed elsewhere: 7,000 tokens on average.
+	cacheHolderWait = 500 * time.Millisecond
 )
 
-// caches holds the engines' cache lists. It is safe for concurrent use.
-type caches struct {
+// cacheLists holds the engines' cache lists. It is safe for concurrent use.
+type cacheLists struct {
 	mu      sync.Mutex
 	engines map[ident.UpstreamID]*cacheList
 }
 
 // cacheList is the cache list of one engine: the number of cached tokens by prompt part.
 type cacheList struct {
-	mu   sync.Mutex
-	at   time.Time
-	kept map[string]int
+	mu           sync.Mutex
+	at           time.Time
+	tokensByPart map[string]int
 }
 
-// of returns the cache list of an engine.
-func (c *caches) of(id ident.UpstreamID) *cacheList {
+// list returns the cache list of an engine.
+func (c *cacheLists) list(id ident.UpstreamID) *cacheList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.engines == nil || len(c.engines) >= mostLists {
+	if c.engines == nil || len(c.engines) >= maxCacheLists {
 		c.engines = map[ident.UpstreamID]*cacheList{}
 	}
 	l := c.engines[id]
@@ -58,52 +58,53 @@
 }
 
 // tokens returns how many tokens of a prompt part an engine has cached. Concurrent callers share
-// one request to the engine. A failed request counts as an empty list until keptFor has passed.
+// one request to the engine. A failed request counts as an empty list until cacheListTTL has
+// passed.
 func (l *cacheList) tokens(ctx context.Context, d dialect.Dialect, u dialect.Upstream, part string) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if clock.Since(l.at) < keptFor {
-		return l.kept[part], nil
+	if clock.Since(l.at) < cacheListTTL {
+		return l.tokensByPart[part], nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, keptTimeout)
+	ctx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
 	kept, err := d.Kept(ctx, u)
-	l.kept, l.at = kept, clock.Now()
+	l.tokensByPart, l.at = kept, clock.Now()
 	return kept[part], err
 }
 
-// home is the decode engine that holds the largest part of a resumed stream's KV cache.
-type home struct {
-	engine dialect.Upstream
-	tokens int
+// cacheHolder is the decode engine that holds the largest part of a resumed stream's KV cache.
+type cacheHolder struct {
+	upstream dialect.Upstream
+	tokens   int
 }
 
-// findHome asks decode engines how much of the stream's KV cache they hold. A caller may resume
-// at any instance, which does not know where the stream ran. Without asking, prompt and output
-// were recomputed: 1,000,000 tokens on a day on which all of 62 instances lost power. It returns
-// nil if no engine holds any of it.
-func (s *stream) findHome(ctx context.Context) *home {
+// findCacheHolder asks decode engines how much of the stream's KV cache they hold. A caller may
+// resume at any instance, which does not know where the stream ran. Without asking, prompt and
+// output were recomputed: 1,000,000 tokens on a day on which all of 62 instances lost power. It
+// returns nil if no engine holds any of it.
+func (s *stream) findCacheHolder(ctx context.Context) *cacheHolder {
 	if s.j.Call.PromptPart == "" {
 		return nil
 	}
-	var found home
+	var found cacheHolder
 	var mu sync.Mutex
 	var asked sync.WaitGroup
-	for _, u := range s.homes() {
+	for _, u := range s.cacheHolderCandidates() {
 		asked.Go(func() {
-			n, err := s.c.caches.of(u.ID).tokens(ctx, s.c.o.Dialect, u, s.j.Call.PromptPart)
+			n, err := s.c.cacheLists.list(u.ID).tokens(ctx, s.c.o.Dialect, u, s.j.Call.PromptPart)
 			if err != nil {
 				s.log.Info("cache list not retrieved", "upstream", u.ID, "error", logs.ErrorText(err))
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			if n > found.tokens {
-				found = home{engine: u, tokens: n}
+				found = cacheHolder{upstream: u, tokens: n}
 			}
 		})
 	}
 	asked.Wait()
-	s.log.Info("resumed by its caller", "last_event", s.lastEvent, "kept_at", found.engine.ID, "kept", found.tokens,
+	s.log.Info("resumed by its caller", "last_event", s.lastEvent, "kept_at", found.upstream.ID, "kept", found.tokens,
 		"needed", s.j.Call.PromptTokens+s.produced())
 	if found.tokens == 0 {
 		return nil
@@ -111,10 +112,10 @@
 	return &found
 }
 
-// homes returns the decode engines to ask.
-func (s *stream) homes() []dialect.Upstream {
+// cacheHolderCandidates returns the decode engines to ask.
+func (s *stream) cacheHolderCandidates() []dialect.Upstream {
 	list := s.c.o.Books.Reachable(clock.Now(), s.c.eligible(s.j), dialect.StageDecode)
-	if len(list) <= askAllUpTo {
+	if len(list) <= maxAskedAcrossZones {
 		return list
 	}
 	var own []dialect.Upstream
--- a/gateway/carry/kept_test.go
+++ b/gateway/carry/kept_test.go
@@ -20,32 +20,32 @@
 // TestResumedStreamGoesWhereItsCacheIs checks that a resumed stream continues at the engine that
 // holds most of its KV cache, which computes the rest, without a new prefill.
 func TestResumedStreamGoesWhereItsCacheIs(t *testing.T) {
-	b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1", "d2", "d3"})...)
-	b.d.kept = map[ident.UpstreamID]map[string]int{"d1": {"part": 300, "other": 9000}, "d3": {"part": 1100}}
-	b.d.do["d3"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 5)}}
-	var got sink
-	_, err := b.Stream(t.Context(), resumedJob(resumable), &got)
+	env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1", "d2", "d3"})...)
+	env.d.kept = map[ident.UpstreamID]map[string]int{"d1": {"part": 300, "other": 9000}, "d3": {"part": 1100}}
+	env.d.do["d3"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 5)}}
+	var got streamRecorder
+	_, err := env.Stream(t.Context(), resumedJob(resumable), &got)
 	assert.NilError(t, err)
 	assert.Equal(t, got.body.String(), events(3, 5))
-	assert.Equal(t, b.d.countKind("prefill"), 0)
-	assert.Equal(t, b.d.count("do d3"), 1)
-	assert.Assert(t, b.d.sends[0].Source == nil)
-	assert.Equal(t, b.d.sends[0].LastEvent, "2")
+	assert.Equal(t, env.d.countKind("prefill"), 0)
+	assert.Equal(t, env.d.count("do d3"), 1)
+	assert.Assert(t, env.d.sends[0].Source == nil)
+	assert.Equal(t, env.d.sends[0].LastEvent, "2")
 }
 
 // TestResumedStreamWithoutCacheIsComputed checks that a resumed stream is prefilled again if no
 // engine holds its KV cache, or if the engine that does has no room for long.
 func TestResumedStreamWithoutCacheIsComputed(t *testing.T) {
-	b := streamBed(t)
-	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(3, 5)})
-	_, err := b.Stream(t.Context(), resumedJob(resumable), &sink{})
+	env := newStreamEnv(t)
+	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(3, 5)})
+	_, err := env.Stream(t.Context(), resumedJob(resumable), &streamRecorder{})
 	assert.NilError(t, err)
-	assert.Equal(t, b.d.countKind("prefill"), 1)
-	full := streamBed(t)
+	assert.Equal(t, env.d.countKind("prefill"), 1)
+	full := newStreamEnv(t)
 	full.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(3, 5)})
 	full.d.kept = map[ident.UpstreamID]map[string]int{"d1": {"part": 1100}}
 	full.d.hold["d1"] = []error{&dialect.FullError{}}
-	_, err = full.Stream(t.Context(), resumedJob(resumable), &sink{})
+	_, err = full.Stream(t.Context(), resumedJob(resumable), &streamRecorder{})
 	assert.NilError(t, err)
 	assert.Equal(t, full.d.count("do d2"), 1)
 	assert.Equal(t, full.d.countKind("prefill"), 1)
@@ -54,13 +54,13 @@
 // TestListsOfCachesAreShared checks that streams that are resumed at the same time share the
 // engines' cache lists.
 func TestListsOfCachesAreShared(t *testing.T) {
-	b := streamBed(t)
-	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(3, 5)})
+	env := newStreamEnv(t)
+	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(3, 5)})
 	for range 3 {
-		_, err := b.Stream(t.Context(), resumedJob(resumable), &sink{})
+		_, err := env.Stream(t.Context(), resumedJob(resumable), &streamRecorder{})
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, b.d.countKind("kept"), 2, "want one list call for each decode engine")
+	assert.Equal(t, env.d.countKind("kept"), 2, "want one list call for each decode engine")
 }
 
 // TestOnlyTheOwnZonesCachesAreListedOfMany checks that with many decode engines only those of
@@ -70,10 +70,10 @@
 	for i := range ups[3:] {
 		ups[3+i].Zone = "z"
 	}
-	b := newBed(t, slack, ups...)
-	b.o.Zone = "a"
-	s := &stream{c: b.Carrier, j: resumedJob(resumable), log: b.o.Log}
-	assert.Equal(t, len(s.homes()), 3)
-	b.view.Upstreams["s"] = ups[:12]
-	assert.Equal(t, len(s.homes()), 12)
+	env := newTestEnv(t, ampleBudget, ups...)
+	env.o.Zone = "a"
+	s := &stream{c: env.Carrier, j: resumedJob(resumable), log: env.o.Log}
+	assert.Equal(t, len(s.cacheHolderCandidates()), 3)
+	env.view.Upstreams["s"] = ups[:12]
+	assert.Equal(t, len(s.cacheHolderCandidates()), 12)
 }
--- a/gateway/carry/line.go
+++ b/gateway/carry/line.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// lineTick is how often the head of a queue checks for capacity. The streams of other
-	// instances end without a notification to this one.
-	lineTick = 15 * time.Millisecond
+	// queuePollInterval is how often the head of a queue checks for capacity. The streams of
+	// other instances end without a notification to this one.
+	queuePollInterval = 15 * time.Millisecond
 )
 
-// line is the queue of requests that wait for capacity at the decode engines of a service. It is
-// ordered by priority, then requests that can still meet their objective before those that
+// waitQueue is the queue of requests that wait for capacity at the decode engines of a service.
+// It is ordered by priority, then requests that can still meet their objective before those that
 // cannot, then by arrival.
-type line struct {
+type waitQueue struct {
 	mu      sync.Mutex
 	waiting []*waiter
 }
@@ -47,69 +47,69 @@
 	return &waiter{priority: priority, late: late, arrived: arrived, wake: make(chan struct{}, 1)}
 }
 
-// join inserts a request.
-func (l *line) join(priority int, late bool, arrived time.Time) *waiter {
+// insert inserts a request.
+func (q *waitQueue) insert(priority int, late bool, arrived time.Time) *waiter {
 	w := newWaiter(priority, late, arrived)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	at := len(l.waiting)
-	for at > 0 && w.before(l.waiting[at-1]) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	at := len(q.waiting)
+	for at > 0 && w.before(q.waiting[at-1]) {
 		at--
 	}
-	l.waiting = append(l.waiting, nil)
-	copy(l.waiting[at+1:], l.waiting[at:])
-	l.waiting[at] = w
+	q.waiting = append(q.waiting, nil)
+	copy(q.waiting[at+1:], q.waiting[at:])
+	q.waiting[at] = w
 	return w
 }
 
-// leave removes a request and wakes the new head of the queue.
-func (l *line) leave(w *waiter) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i, o := range l.waiting {
+// remove removes a request and wakes the new head of the queue.
+func (q *waitQueue) remove(w *waiter) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for i, o := range q.waiting {
 		if o == w {
-			l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+			q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 			break
 		}
 	}
-	l.wakeFirst()
+	q.wakeHead()
 }
 
-// first reports whether the request is at the head of the queue.
-func (l *line) first(w *waiter) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.waiting) > 0 && l.waiting[0] == w
+// isHead reports whether the request is at the head of the queue.
+func (q *waitQueue) isHead(w *waiter) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.waiting) > 0 && q.waiting[0] == w
 }
 
 // length returns the number of waiting requests.
-func (l *line) length() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.waiting)
+func (q *waitQueue) length() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.waiting)
 }
 
-// roomCame wakes the head of the queue when capacity may have become available.
-func (l *line) roomCame() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.wakeFirst()
+// capacityFreed wakes the head of the queue when capacity may have become available.
+func (q *waitQueue) capacityFreed() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.wakeHead()
 }
 
-// wakeFirst wakes the head of the queue. The caller must hold mu.
-func (l *line) wakeFirst() {
-	if len(l.waiting) == 0 {
+// wakeHead wakes the head of the queue. The caller must hold mu.
+func (q *waitQueue) wakeHead() {
+	if len(q.waiting) == 0 {
 		return
 	}
 	select {
-	case l.waiting[0].wake <- struct{}{}:
+	case q.waiting[0].wake <- struct{}{}:
 	default:
 	}
 }
 
-// wait blocks until the waiter is woken, lineTick has passed, or ctx ends.
+// wait blocks until the waiter is woken, queuePollInterval has passed, or ctx ends.
 func (w *waiter) wait(ctx context.Context) {
-	timer := time.NewTimer(lineTick)
+	timer := time.NewTimer(queuePollInterval)
 	defer timer.Stop()
 	select {
 	case <-w.wake:
@@ -118,14 +118,14 @@
 	}
 }
 
-// lineOf returns the queue of a service.
-func (c *Carrier) lineOf(service string) *line {
+// queueOf returns the queue of a service.
+func (c *Carrier) queueOf(service string) *waitQueue {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.lines[service]
-	if l == nil {
-		l = &line{}
-		c.lines[service] = l
+	q := c.queues[service]
+	if q == nil {
+		q = &waitQueue{}
+		c.queues[service] = q
 	}
-	return l
+	return q
 }
--- a/gateway/carry/migrate.go
+++ b/gateway/carry/migrate.go
@@ -22,49 +22,49 @@
 	// copyTimeout limits the copying of a KV cache while its stream continues. It takes 1 to 2
 	// ms, on a slow link ten times that.
 	copyTimeout = 500 * time.Millisecond
-	// slowCopy is the maximum time that the first copy may have taken for the stream to be
+	// maxCopyTime is the maximum time that the first copy may have taken for the stream to be
 	// stopped, because the stream pauses while the remainder is copied.
-	slowCopy = 150 * time.Millisecond
+	maxCopyTime = 150 * time.Millisecond
 	// stopTimeout limits the stopping of a stream and the copying of the remainder. Without the
 	// engine's answer a stopped stream has no handle from which to continue, so the wait is as
 	// long as callers tolerate.
 	stopTimeout = 2 * time.Second
 	// maxMigrations limits how often one stream is migrated.
 	maxMigrations = 3
-	// sendsToMigrate is the number of sends beyond the first that a migration takes. sendsBack
-	// is the number that returning to the source takes if the destination does not accept the
-	// stream.
+	// sendsToMigrate is the number of sends beyond the first that a migration takes.
+	// sendsToReturn is the number that returning to the source takes if the destination does not
+	// accept the stream.
 	sendsToMigrate = 1
-	sendsBack      = 1
+	sendsToReturn  = 1
 	// resumeTimeout limits the wait for an engine that was asked to continue a stopped stream.
 	// The engine has the KV cache, so it answers within tens of ms, and the caller receives
 	// nothing meanwhile.
 	resumeTimeout = time.Second
 )
 
-// phase is the progress of a stream's migration.
-type phase int
+// migrationPhase is the progress of a stream's migration.
+type migrationPhase int
 
 const (
-	// settled means that the stream is not being migrated.
-	settled phase = iota
-	// copying means that the KV cache is being copied while the stream continues.
-	copying
-	// stopping means that the stream may have been stopped. Why it ended is known only when the
-	// engine has answered.
-	stopping
-	// over means that the stream has ended.
-	over
+	// phaseIdle means that the stream is not being migrated.
+	phaseIdle migrationPhase = iota
+	// phaseCopying means that the KV cache is being copied while the stream continues.
+	phaseCopying
+	// phaseStopping means that the stream may have been stopped. Why it ended is known only when
+	// the engine has answered.
+	phaseStopping
+	// phaseEnded means that the stream has ended.
+	phaseEnded
 )
 
 // migration is the state of a stream's migration to another engine.
 type migration struct {
 	mu    sync.Mutex
-	phase phase
-	moves int
-	// turn is incremented whenever the stream starts at an engine. A migration that began at an
-	// earlier engine must not stop the stream at this one.
-	turn int
+	phase migrationPhase
+	count int
+	// generation is incremented whenever the stream starts at an engine. A migration that began
+	// at an earlier engine must not stop the stream at this one.
+	generation int
 	// to is the destination. handle and err are the result of stopping the stream.
 	to     schedule.Ticket
 	handle dialect.Handle
@@ -73,54 +73,54 @@
 	done chan struct{}
 }
 
-// arrive records that the stream runs at an engine, from which it may be migrated.
-func (m *migration) arrive() {
+// recordStart records that the stream runs at an engine, from which it may be migrated.
+func (m *migration) recordStart() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.phase = settled
-	m.turn++
+	m.phase = phaseIdle
+	m.generation++
 }
 
 // begin starts a migration. ok is false if the stream cannot be migrated now.
-func (m *migration) begin() (turn int, ok bool) {
+func (m *migration) begin() (generation int, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.phase != settled || m.moves >= maxMigrations {
+	if m.phase != phaseIdle || m.count >= maxMigrations {
 		return 0, false
 	}
-	m.phase = copying
-	m.moves++
-	return m.turn, true
+	m.phase = phaseCopying
+	m.count++
+	return m.generation, true
 }
 
 // cancel abandons a migration before the stream was stopped.
-func (m *migration) cancel(turn int) {
+func (m *migration) cancel(generation int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.phase == copying && m.turn == turn {
-		m.phase = settled
+	if m.phase == phaseCopying && m.generation == generation {
+		m.phase = phaseIdle
 	}
 }
 
-// stop records that the stream is about to be stopped. It returns false if the stream has ended
-// or runs at another engine.
-func (m *migration) stop(turn int, to schedule.Ticket) bool {
+// beginStop records that the stream is about to be stopped. It returns false if the stream has
+// ended or runs at another engine.
+func (m *migration) beginStop(generation int, to schedule.Ticket) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.phase != copying || m.turn != turn {
+	if m.phase != phaseCopying || m.generation != generation {
 		return false
 	}
-	m.phase, m.to, m.done = stopping, to, make(chan struct{})
+	m.phase, m.to, m.done = phaseStopping, to, make(chan struct{})
 	return true
 }
 
-// ended records that the stream ended at its engine. If a migration may have caused that, it
+// recordEnd records that the stream ended at its engine. If a migration may have caused that, it
 // returns a channel that is closed when the result of the migration is known, otherwise nil.
-func (m *migration) ended() chan struct{} {
+func (m *migration) recordEnd() chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.phase != stopping {
-		m.phase = over
+	if m.phase != phaseStopping {
+		m.phase = phaseEnded
 		return nil
 	}
 	return m.done
@@ -135,27 +135,27 @@
 			continue
 		}
 		for _, m := range c.o.Books.Migrants(now, view.Upstreams[name], service.Engine) {
-			s := c.running(m.Ticket)
+			s := c.runningStream(m.Ticket)
 			if s == nil || view.Evacuation.Covers(m.Ticket.Upstream.Zone) {
 				// A failed migration may resume at the source, which must get no new requests.
 				continue
 			}
-			if turn, ok := s.migration.begin(); ok {
-				c.cleanup.Go(func() { s.migrate(m, turn) })
+			if generation, ok := s.migration.begin(); ok {
+				c.cleanup.Go(func() { s.migrate(m, generation) })
 			}
 		}
 	}
 }
 
-// running returns the stream that has a placement, nil if it is not running.
-func (c *Carrier) running(t schedule.Ticket) *stream {
+// runningStream returns the stream that has a placement, nil if it is not running.
+func (c *Carrier) runningStream(t schedule.Ticket) *stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.streams[t.Number()]
 }
 
-// enter adds a running stream.
-func (c *Carrier) enter(t schedule.Ticket, s *stream) {
+// addStream adds a running stream.
+func (c *Carrier) addStream(t schedule.Ticket, s *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.streams[t.Number()] = s
@@ -182,8 +182,8 @@
 	}
 }
 
-// exit removes a stream that has ended or left its engine.
-func (c *Carrier) exit(t schedule.Ticket) {
+// removeStream removes a stream that has ended or left its engine.
+func (c *Carrier) removeStream(t schedule.Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.streams, t.Number())
@@ -192,25 +192,25 @@
 // migrate moves a stream to another engine. The KV cache is copied while the stream continues;
 // then the stream is stopped and the remainder is copied, so the caller sees a pause of a few
 // ms. A failure before the stop leaves the stream unaffected.
-func (s *stream) migrate(m schedule.Migrant, turn int) {
+func (s *stream) migrate(m schedule.Migrant, generation int) {
 	from := m.Ticket.Upstream
 	log := s.log.With("from", from.ID, "why", string(m.Why), "memory", m.Memory)
-	to, ok := s.destination(from)
+	to, ok := s.reserveDestination(from)
 	if !ok {
-		s.migration.cancel(turn)
+		s.migration.cancel(generation)
 		return
 	}
 	start := clock.Now()
 	copied, err := s.copyCache(from, to.Upstream, false, copyTimeout)
-	if took := clock.Since(start); err == nil && took > slowCopy {
+	if took := clock.Since(start); err == nil && took > maxCopyTime {
 		err = &SlowCopyError{Took: took}
-		s.free(&computed{handle: copied, engine: from})
+		s.freeResult(&prefillResult{handle: copied, engine: from})
 	}
-	if err != nil || !s.migration.stop(turn, to) {
+	if err != nil || !s.migration.beginStop(generation, to) {
 		s.c.o.Books.Done(to)
-		s.migration.cancel(turn)
+		s.migration.cancel(generation)
 		if err == nil {
-			s.free(&computed{handle: copied, engine: from})
+			s.freeResult(&prefillResult{handle: copied, engine: from})
 		}
 		log.Info("stream not moved", "to", to.Upstream.ID, "took_ms", clock.Since(start).Milliseconds(), "error", logs.ErrorText(err))
 		return
@@ -222,7 +222,7 @@
 	log.Info("stream moved", "to", to.Upstream.ID, "took_ms", clock.Since(start).Milliseconds(), "error", logs.ErrorText(err))
 }
 
-// SlowCopyError reports a copy that took longer than slowCopy, so its stream was not stopped.
+// SlowCopyError reports a copy that took longer than maxCopyTime, so its stream was not stopped.
 type SlowCopyError struct{ Took time.Duration }
 
 // Error implements the error interface.
@@ -230,9 +230,9 @@
 	return "KV cache copy took " + e.Took.String() + ", too long to stop the stream"
 }
 
-// destination reserves a decode engine with room for the rest of the stream. ok is false if
-// there is none or the retry budget does not allow the send.
-func (s *stream) destination(from dialect.Upstream) (schedule.Ticket, bool) {
+// reserveDestination reserves a decode engine with room for the rest of the stream. ok is false
+// if there is none or the retry budget does not allow the send.
+func (s *stream) reserveDestination(from dialect.Upstream) (schedule.Ticket, bool) {
 	size := s.size()
 	size.Copied = true
 	to, ok := s.c.o.Books.PlaceDecode(clock.Now(), s.c.eligible(s.j), s.j.Service.Engine, size, []ident.UpstreamID{from.ID})
@@ -255,16 +255,16 @@
 type continuation struct {
 	// source is the handle of the KV cache at the engine where the stream was stopped.
 	source dialect.Handle
-	// at lists the engines that can continue the stream, in the order in which they are asked:
-	// the destination, which holds a copy, and the source.
-	at []schedule.Ticket
+	// engines lists the engines that can continue the stream, in the order in which they are
+	// asked: the destination, which holds a copy, and the source.
+	engines []schedule.Ticket
 }
 
-// moved waits for the result of a migration if that may be why the stream ended. It returns how
-// the stream continues, or nil if it was not stopped. ambiguous means that it is unknown whether
-// the stream was stopped.
-func (s *stream) moved(p *place) (next *continuation, ambiguous bool) {
-	done := s.migration.ended()
+// migrationResult waits for the result of a migration if that may be why the stream ended. It
+// returns how the stream continues, or nil if it was not stopped. ambiguous means that it is
+// unknown whether the stream was stopped.
+func (s *stream) migrationResult(p *placement) (cont *continuation, ambiguous bool) {
+	done := s.migration.recordEnd()
 	if done == nil {
 		return nil, false
 	}
@@ -274,59 +274,59 @@
 	var notCopied *dialect.NotCopiedError
 	switch {
 	case m.err == nil:
-		return &continuation{source: m.handle, at: []schedule.Ticket{m.to, p.decode}}, false
+		return &continuation{source: m.handle, engines: []schedule.Ticket{m.to, p.decode}}, false
 	case errors.As(m.err, &notCopied):
 		s.c.o.Books.Done(m.to)
-		return &continuation{source: notCopied.Handle, at: []schedule.Ticket{p.decode}}, false
+		return &continuation{source: notCopied.Handle, engines: []schedule.Ticket{p.decode}}, false
 	default:
 		s.c.o.Books.Done(m.to)
 		return nil, !errors.As(m.err, &notRunning)
 	}
 }
 
-// goOn continues a stopped stream from its KV cache. This counts as the same run.
+// continueStopped continues a stopped stream from its KV cache. This counts as the same run.
 //
 // The instance itself ended a working run, so a single refusal must not end the response: the
 // engine where the stream was stopped is asked too, also if the destination's answer was lost. A
 // handle can be used only once, so the stream cannot continue twice.
-func (s *stream) goOn(ctx context.Context, p *place, next *continuation) (*Answer, bool, error) {
+func (s *stream) continueStopped(ctx context.Context, p *placement, cont *continuation) (*Answer, bool, error) {
 	var err error
-	by := CutByMove
-	for i, t := range next.at {
+	reason := CutByMigration
+	for i, t := range cont.engines {
 		if i > 0 {
-			s.c.o.Budget.Owed(clock.Now(), s.j.Service.Name, sendsBack)
+			s.c.o.Budget.Owed(clock.Now(), s.j.Service.Name, sendsToReturn)
 			s.c.o.Count("stream_went_back")
 		}
 		p.decode = t
 		var resp *http.Response
 		start := clock.Now()
-		g := s.guardOf(ctx, t.Upstream)
-		if resp, err = s.resumeAt(g, t.Upstream, next.source); err == nil {
-			defer g.stop()
+		wd := s.streamWatchdog(ctx, t.Upstream)
+		if resp, err = s.resumeAt(wd, t.Upstream, cont.source); err == nil {
+			defer wd.stop()
 			defer resp.Body.Close()
-			s.endPlacements(next.at[i+1:])
-			return s.forward(ctx, g, p, resp, start)
+			s.endPlacements(cont.engines[i+1:])
+			return s.forward(ctx, wd, p, resp, start)
 		}
-		g.stop()
+		wd.stop()
 		if ctx.Err() != nil {
-			s.endPlacements(next.at[i+1:])
-			by = cutBy(ctx, err)
+			s.endPlacements(cont.engines[i+1:])
+			reason = cutReason(ctx, err)
 			break
 		}
-		if i+1 < len(next.at) {
-			s.notResumed(ctx, t, start, err)
+		if i+1 < len(cont.engines) {
+			s.handleNotResumed(ctx, t, start, err)
 		}
 	}
-	s.free(&computed{handle: next.source, engine: p.decode.Upstream})
-	return nil, s.brokenOff(ctx, p, err, 0, by), s.streamError(ctx, err)
+	s.freeResult(&prefillResult{handle: cont.source, engine: p.decode.Upstream})
+	return nil, s.handleStreamEnd(ctx, p, err, 0, reason), s.streamError(ctx, err)
 }
 
 // resumeAt asks an engine to continue a stopped stream.
-func (s *stream) resumeAt(g *guard, u dialect.Upstream, source dialect.Handle) (*http.Response, error) {
+func (s *stream) resumeAt(wd *watchdog, u dialect.Upstream, source dialect.Handle) (*http.Response, error) {
 	start := clock.Now()
-	limit := time.AfterFunc(resumeTimeout, func() { g.cancel(&SilentError{Upstream: u.ID, Err: context.DeadlineExceeded}) })
+	limit := time.AfterFunc(resumeTimeout, func() { wd.cancel(&UnresponsiveError{Upstream: u.ID, Err: context.DeadlineExceeded}) })
 	defer limit.Stop()
-	resp, verdict, err := s.c.o.Dialect.Do(g.ctx, s.j.Call, dialect.Send{
+	resp, verdict, err := s.c.o.Dialect.Do(wd.ctx, s.j.Call, dialect.Send{
 		To: u, Deadline: s.j.Deadline.Add(-deadlineMargin), Source: &source, LastEvent: s.lastEvent,
 	})
 	took := clock.Since(start).Milliseconds()
@@ -337,24 +337,25 @@
 	if err == nil {
 		resp.Body.Close()
 		err = &dialect.StatusError{Op: "continue stream", Status: resp.StatusCode}
-		s.passOver(u, "did not accept a migrated stream")
+		s.skipEngine(u, "did not accept a migrated stream")
 	}
-	err = g.cause(err)
+	err = wd.attemptError(err)
 	s.log.Warn("moved stream not taken", "upstream", u.ID, "verdict", verdict.String(), "took_ms", took, "error", logs.ErrorText(err))
 	return nil, err
 }
 
-// notResumed handles an engine that did not accept a stopped stream while another one still can.
-func (s *stream) notResumed(ctx context.Context, t schedule.Ticket, start time.Time, err error) {
+// handleNotResumed handles an engine that did not accept a stopped stream while another one
+// still can.
+func (s *stream) handleNotResumed(ctx context.Context, t schedule.Ticket, start time.Time, err error) {
 	s.c.o.Books.Done(t)
 	s.excluded = append(s.excluded, t.Upstream.ID)
 	var status *dialect.StatusError
 	if errors.As(err, &status) {
 		return
 	}
-	s.c.note(t.Upstream, &attempt{err: err}, 0, s.log)
+	s.c.recordAttempt(t.Upstream, &attempt{err: err}, 0, s.log)
 	if adapter.AsCallError(err).Evidence == kernel.Ambiguous {
-		s.lost(ctx, t.Upstream, start, false, 0, err)
+		s.recordInterruption(ctx, t.Upstream, start, false, 0, err)
 	}
 }
 
@@ -370,9 +371,9 @@
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-// endOf returns the error with which a stream ended at its engine. An unframed response of a
-// stream that may have been stopped counts as incomplete.
-func endOf(resp *http.Response, err error, ambiguous bool) error {
+// streamEndError returns the error with which a stream ended at its engine. An unframed response
+// of a stream that may have been stopped counts as incomplete.
+func streamEndError(resp *http.Response, err error, ambiguous bool) error {
 	if err == nil && ambiguous && unframed(resp) {
 		return io.ErrUnexpectedEOF
 	}
--- a/gateway/carry/migrate_test.go
+++ b/gateway/carry/migrate_test.go
@@ -13,75 +13,75 @@
 	"github.com/wardspool/wardspool/gateway/schedule"
 )
 
-// stoppable is a response body that returns what is written to w, and ends with an error when
-// the test closes w with one.
-type stoppable struct {
+// controlledBody is a response body that returns what is written to w, and ends with an error
+// when the test closes w with one.
+type controlledBody struct {
 	*io.PipeReader
 	w *io.PipeWriter
 }
 
-func newStoppable() *stoppable {
+func newControlledBody() *controlledBody {
 	r, w := io.Pipe()
-	return &stoppable{PipeReader: r, w: w}
+	return &controlledBody{PipeReader: r, w: w}
 }
 
-// moveBed is a stream that runs at d1 and can be migrated to d2.
-type moveBed struct {
-	*bed
-	body   *stoppable
-	got    sink
+// migrationEnv is a stream that runs at d1 and can be migrated to d2.
+type migrationEnv struct {
+	*testEnv
+	body   *controlledBody
+	got    streamRecorder
 	answer *Answer
 	err    error
 	ended  chan struct{}
 }
 
-// runAtFirst starts a stream that runs at d1 and has delivered two events.
-func runAtFirst(t *testing.T, route routing.Route) *moveBed {
+// startStreamAtD1 starts a stream that runs at d1 and has delivered two events.
+func startStreamAtD1(t *testing.T, route routing.Route) *migrationEnv {
 	t.Helper()
-	b := &moveBed{bed: newBed(t, slack, engineUps([]string{"p1"}, []string{"d1", "d2"})...), body: newStoppable(), ended: make(chan struct{})}
-	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: http.StatusOK, stream: b.body}}
-	b.d.do["d2"] = []reply{{verdict: dialect.Success, status: http.StatusOK, body: events(3, 5)}}
-	b.d.stopped = func() { _ = b.body.w.CloseWithError(io.ErrUnexpectedEOF) }
+	env := &migrationEnv{testEnv: newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1", "d2"})...), body: newControlledBody(), ended: make(chan struct{})}
+	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: http.StatusOK, stream: env.body}}
+	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: http.StatusOK, body: events(3, 5)}}
+	env.d.stopped = func() { _ = env.body.w.CloseWithError(io.ErrUnexpectedEOF) }
 	j := job(route)
 	j.Service.Engine.Migrates = true
 	full := &dialect.FullError{}
-	b.d.hold["d2"] = []error{full}
+	env.d.hold["d2"] = []error{full}
 	go func() {
-		defer close(b.ended)
-		b.answer, b.err = b.Stream(t.Context(), j, &b.got)
+		defer close(env.ended)
+		env.answer, env.err = env.Stream(t.Context(), j, &env.got)
 	}()
-	_, err := io.WriteString(b.body.w, events(1, 2))
+	_, err := io.WriteString(env.body.w, events(1, 2))
 	assert.NilError(t, err)
-	for b.running1() == nil {
+	for env.firstStream() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	return b
+	return env
 }
 
-// running1 returns the running stream, or nil before it has started.
-func (b *moveBed) running1() *stream {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, s := range b.streams {
+// firstStream returns the running stream, or nil before it has started.
+func (env *migrationEnv) firstStream() *stream {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, s := range env.streams {
 		return s
 	}
 	return nil
 }
 
-// move migrates the stream away from d1.
-func (b *moveBed) move(t *testing.T) {
+// migrate migrates the stream away from d1.
+func (env *migrationEnv) migrate(t *testing.T) {
 	t.Helper()
-	s := b.running1()
+	s := env.firstStream()
 	turn, ok := s.migration.begin()
 	assert.Assert(t, ok)
 	var ticket schedule.Ticket
-	b.mu.Lock()
-	for _, u := range b.view.Upstreams["s"] {
+	env.mu.Lock()
+	for _, u := range env.view.Upstreams["s"] {
 		if u.ID == "d1" {
 			ticket.Upstream = u
 		}
 	}
-	b.mu.Unlock()
+	env.mu.Unlock()
 	s.migrate(schedule.Migrant{Ticket: ticket, Why: schedule.WhyLeaving}, turn)
 }
 
@@ -89,15 +89,15 @@
 // response head of the first one, also on a route that allows one attempt, because it is the
 // same run.
 func TestMovedStreamGoesOn(t *testing.T) {
-	b := runAtFirst(t, stream1)
-	b.move(t)
-	<-b.ended
-	assert.NilError(t, b.err)
-	assert.Equal(t, b.got.body.String(), events(1, 5))
-	assert.Equal(t, b.got.heads, 1)
-	assert.Equal(t, b.d.count("copy d1 d2"), 1)
-	assert.Equal(t, b.d.count("stop d1 d2"), 1)
-	last := b.d.sends[len(b.d.sends)-1]
+	env := startStreamAtD1(t, singleRun)
+	env.migrate(t)
+	<-env.ended
+	assert.NilError(t, env.err)
+	assert.Equal(t, env.got.body.String(), events(1, 5))
+	assert.Equal(t, env.got.heads, 1)
+	assert.Equal(t, env.d.count("copy d1 d2"), 1)
+	assert.Equal(t, env.d.count("stop d1 d2"), 1)
+	last := env.d.sends[len(env.d.sends)-1]
 	assert.Equal(t, string(last.To.ID), "d2")
 	assert.DeepEqual(t, *last.Source, dialect.Handle{Engine: "d1", ID: "moved"})
 	assert.Equal(t, last.LastEvent, "2")
@@ -106,32 +106,32 @@
 // TestStreamThatIsNotCopiedGoesOnWhereItIs checks that a stream is not stopped before its KV
 // cache has been copied.
 func TestStreamThatIsNotCopiedGoesOnWhereItIs(t *testing.T) {
-	b := runAtFirst(t, stream1)
-	b.d.migrate["copy"] = []error{&dialect.StatusError{Op: "move", Status: http.StatusServiceUnavailable}}
-	b.move(t)
-	assert.Equal(t, b.d.countKind("stop"), 0)
-	_, err := io.WriteString(b.body.w, events(3, 4))
+	env := startStreamAtD1(t, singleRun)
+	env.d.migrate["copy"] = []error{&dialect.StatusError{Op: "move", Status: http.StatusServiceUnavailable}}
+	env.migrate(t)
+	assert.Equal(t, env.d.countKind("stop"), 0)
+	_, err := io.WriteString(env.body.w, events(3, 4))
 	assert.NilError(t, err)
-	assert.NilError(t, b.body.w.Close())
-	<-b.ended
-	assert.NilError(t, b.err)
-	assert.Equal(t, b.got.body.String(), events(1, 4))
+	assert.NilError(t, env.body.w.Close())
+	<-env.ended
+	assert.NilError(t, env.err)
+	assert.Equal(t, env.got.body.String(), events(1, 4))
 }
 
 // TestStoppedAndNotCopiedStreamGoesOnAtItsEngine checks that a stream that was stopped but not
 // copied continues at its engine from the KV cache there.
 func TestStoppedAndNotCopiedStreamGoesOnAtItsEngine(t *testing.T) {
-	b := runAtFirst(t, stream1)
-	b.d.migrate["stop"] = []error{&dialect.NotCopiedError{Handle: dialect.Handle{Engine: "d1", ID: "kept"}}}
-	b.d.mu.Lock()
-	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: http.StatusOK, body: events(3, 6)}}
-	b.d.mu.Unlock()
-	b.move(t)
-	assert.NilError(t, b.body.w.CloseWithError(io.ErrUnexpectedEOF))
-	<-b.ended
-	assert.NilError(t, b.err)
-	assert.Equal(t, b.got.body.String(), events(1, 6))
-	last := b.d.sends[len(b.d.sends)-1]
+	env := startStreamAtD1(t, singleRun)
+	env.d.migrate["stop"] = []error{&dialect.NotCopiedError{Handle: dialect.Handle{Engine: "d1", ID: "kept"}}}
+	env.d.mu.Lock()
+	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: http.StatusOK, body: events(3, 6)}}
+	env.d.mu.Unlock()
+	env.migrate(t)
+	assert.NilError(t, env.body.w.CloseWithError(io.ErrUnexpectedEOF))
+	<-env.ended
+	assert.NilError(t, env.err)
+	assert.Equal(t, env.got.body.String(), events(1, 6))
+	last := env.d.sends[len(env.d.sends)-1]
 	assert.Equal(t, string(last.To.ID), "d1")
 	assert.Equal(t, last.Source.ID, "kept")
 }
@@ -139,13 +139,13 @@
 // TestStreamThatEndedMeanwhileIsWhole checks that a stream that ended before it could be stopped
 // counts as complete: the engine reports that it no longer runs.
 func TestStreamThatEndedMeanwhileIsWhole(t *testing.T) {
-	b := runAtFirst(t, stream1)
-	b.d.migrate["stop"] = []error{&dialect.NotRunningError{Request: "q"}}
-	b.move(t)
-	assert.NilError(t, b.body.w.Close())
-	<-b.ended
-	assert.NilError(t, b.err)
-	assert.Equal(t, b.got.body.String(), events(1, 2))
+	env := startStreamAtD1(t, singleRun)
+	env.d.migrate["stop"] = []error{&dialect.NotRunningError{Request: "q"}}
+	env.migrate(t)
+	assert.NilError(t, env.body.w.Close())
+	<-env.ended
+	assert.NilError(t, env.err)
+	assert.Equal(t, env.got.body.String(), events(1, 2))
 }
 
 // TestEndOfAMoveThatIsUncertainIsNotWhole checks that an unframed response counts as incomplete
@@ -153,24 +153,24 @@
 func TestEndOfAMoveThatIsUncertainIsNotWhole(t *testing.T) {
 	open := &http.Response{ContentLength: -1}
 	chunked := &http.Response{ContentLength: -1, TransferEncoding: []string{"chunked"}}
-	assert.Assert(t, endOf(open, nil, true) != nil)
-	assert.NilError(t, endOf(open, nil, false))
-	assert.NilError(t, endOf(chunked, nil, true))
+	assert.Assert(t, streamEndError(open, nil, true) != nil)
+	assert.NilError(t, streamEndError(open, nil, false))
+	assert.NilError(t, streamEndError(chunked, nil, true))
 }
 
 // TestOldMoveDoesNotStopTheStreamElsewhere checks that a migration that began at one engine has
 // no effect once the stream runs at another.
 func TestOldMoveDoesNotStopTheStreamElsewhere(t *testing.T) {
 	var m migration
-	m.arrive()
+	m.recordStart()
 	old, ok := m.begin()
 	assert.Assert(t, ok)
-	assert.Assert(t, m.ended() == nil)
-	m.arrive()
+	assert.Assert(t, m.recordEnd() == nil)
+	m.recordStart()
 	again, ok := m.begin()
 	assert.Assert(t, ok)
-	assert.Assert(t, !m.stop(old, schedule.Ticket{}))
+	assert.Assert(t, !m.beginStop(old, schedule.Ticket{}))
 	m.cancel(old)
-	assert.Assert(t, m.stop(again, schedule.Ticket{}))
-	assert.Assert(t, m.ended() != nil)
+	assert.Assert(t, m.beginStop(again, schedule.Ticket{}))
+	assert.Assert(t, m.recordEnd() != nil)
 }
--- a/gateway/carry/plain.go
+++ b/gateway/carry/plain.go
@@ -26,14 +26,14 @@
 
 // Plain forwards a request of a plain service. The error is an *Error or an *AbandonedError.
 func (c *Carrier) Plain(ctx context.Context, j *Job) (*Answer, error) {
-	p := &plain{c: c, j: j, log: j.log(c.o.Log)}
-	p.caution = caution{c: c, j: j, log: p.log}
-	defer p.caution.done()
+	p := &plainRequest{c: c, j: j, log: j.log(c.o.Log)}
+	p.crashGuard = crashGuard{c: c, j: j, log: p.log}
+	defer p.crashGuard.endTrial()
 	return p.run(ctx)
 }
 
-// plain is the state of a request of a plain service.
-type plain struct {
+// plainRequest is the state of a request of a plain service.
+type plainRequest struct {
 	c   *Carrier
 	j   *Job
 	log *slog.Logger
@@ -43,55 +43,55 @@
 	runs     int
 	refusals int
 	// failure is an upstream's own error response, which is forwarded if no attempt succeeds.
-	failure *Answer
-	caution caution
+	failure    *Answer
+	crashGuard crashGuard
 }
 
 // run sends the request until an attempt succeeds or no further attempt is allowed.
-func (p *plain) run(ctx context.Context) (*Answer, error) {
+func (p *plainRequest) run(ctx context.Context) (*Answer, error) {
 	for {
 		if ctx.Err() != nil {
 			return nil, p.contextError(ctx)
 		}
-		if err := p.caution.admit(ctx, p.fateUnserved()); err != nil {
-			return p.refused(err)
+		if err := p.crashGuard.admit(ctx, p.outcomeUnserved()); err != nil {
+			return p.refuse(err)
 		}
-		t, ok := p.place()
+		t, ok := p.pickUpstream()
 		if !ok && p.c.noOpenZone(p.j) {
-			return p.refused(p.c.refuseNoOpenZone(p.fateUnserved(), p.log))
+			return p.refuse(p.c.refuseNoOpenZone(p.outcomeUnserved(), p.log))
 		}
 		if !ok {
-			return p.end(&NoUpstreamError{Service: p.j.Service.Name})
+			return p.finalResult(&NoUpstreamError{Service: p.j.Service.Name})
 		}
 		start := clock.Now()
 		a := p.send(ctx, t)
 		if a.err == nil && a.verdict == dialect.Success {
-			p.caution.ended()
-			return a.answer, nil
+			p.crashGuard.recordCompletion()
+			return a.response, nil
 		}
-		p.learn(a)
+		p.countFailure(a)
 		if ctx.Err() != nil {
 			return nil, p.contextError(ctx)
 		}
 		if a.err != nil && a.evidence() == kernel.Ambiguous {
-			p.caution.lost(t.Upstream, start, false, 0, a.cause)
+			p.crashGuard.handleInterruption(t.Upstream, start, false, 0, a.cause)
 		}
-		if !p.again(a) {
-			return p.end(a.err)
+		if !p.mayRetry(a) {
+			return p.finalResult(a.err)
 		}
 	}
 }
 
 // contextError returns the error for a request whose context ended.
-func (p *plain) contextError(ctx context.Context) error {
+func (p *plainRequest) contextError(ctx context.Context) error {
 	if Stopped(ctx) {
-		return Stopping(p.fateUnserved())
+		return Stopping(p.outcomeUnserved())
 	}
 	return &AbandonedError{NotSent: len(p.tried) == 0}
 }
 
-// place chooses the next upstream.
-func (p *plain) place() (schedule.Ticket, bool) {
+// pickUpstream chooses the next upstream.
+func (p *plainRequest) pickUpstream() (schedule.Ticket, bool) {
 	t, ok := p.c.o.Books.PickService(clock.Now(), p.c.eligible(p.j), p.j.Route.Repeatable(), p.tried)
 	if ok {
 		p.tried = append(p.tried, t.Upstream.ID)
@@ -100,27 +100,27 @@
 }
 
 // send makes one attempt and records its result.
-func (p *plain) send(ctx context.Context, t schedule.Ticket) *attempt {
+func (p *plainRequest) send(ctx context.Context, t schedule.Ticket) *attempt {
 	defer p.c.o.Books.Done(t)
 	start := clock.Now()
-	ctx, _, end := p.c.underWay.track(ctx, t.Upstream)
+	ctx, _, end := p.c.inFlight.track(ctx, t.Upstream)
 	defer end()
-	ctx, cancel := context.WithTimeout(ctx, clock.Until(p.until(start)))
+	ctx, cancel := context.WithTimeout(ctx, clock.Until(p.attemptDeadline(start)))
 	defer cancel()
 	a := p.exchange(ctx, t.Upstream)
 	took := clock.Since(start)
 	a.cause = a.err
-	if silent := silence(ctx); silent != nil {
+	if silent := unresponsiveCause(ctx); silent != nil {
 		a.cause = silent
 	}
-	p.c.note(t.Upstream, a, took, p.log)
+	p.c.recordAttempt(t.Upstream, a, took, p.log)
 	p.log.Info("attempt", "upstream", t.Upstream.ID, "number", len(p.tried), "verdict", a.verdict.String(),
 		"took_ms", took.Milliseconds(), "left_ms", clock.Until(p.j.Deadline).Milliseconds(), "error", logs.ErrorText(a.err))
 	return a
 }
 
-// until returns the time at which an attempt that starts at start is canceled.
-func (p *plain) until(start time.Time) time.Time {
+// attemptDeadline returns the time at which an attempt that starts at start is canceled.
+func (p *plainRequest) attemptDeadline(start time.Time) time.Time {
 	left := p.j.Deadline.Sub(start)
 	if p.j.Route.Repeatable() && p.runs+1 < p.j.Route.MaxAttempts {
 		return start.Add(time.Duration(attemptShare * float64(left)))
@@ -129,7 +129,7 @@
 }
 
 // exchange sends the request and reads the complete response.
-func (p *plain) exchange(ctx context.Context, u dialect.Upstream) *attempt {
+func (p *plainRequest) exchange(ctx context.Context, u dialect.Upstream) *attempt {
 	resp, verdict, err := p.c.o.Dialect.Do(ctx, p.j.Call, dialect.Send{
 		To: u, Deadline: p.j.Deadline.Add(-deadlineMargin),
 	})
@@ -137,13 +137,13 @@
 		return &attempt{err: err}
 	}
 	defer resp.Body.Close()
-	return readAnswer(ctx, resp, verdict, p.j.Memory)
+	return readResponse(ctx, resp, verdict, p.j.Memory)
 }
 
-// learn counts an attempt that did not succeed.
-func (p *plain) learn(a *attempt) {
+// countFailure counts an attempt that did not succeed.
+func (p *plainRequest) countFailure(a *attempt) {
 	if a.err == nil && a.verdict == dialect.Failure {
-		p.failure = a.answer
+		p.failure = a.response
 	}
 	if a.evidence() == kernel.Ambiguous {
 		p.runs++
@@ -152,9 +152,9 @@
 	p.refusals++
 }
 
-// again reports whether another attempt is allowed and worthwhile.
-func (p *plain) again(a *attempt) bool {
-	if clock.Until(p.j.Deadline) < leastTime {
+// mayRetry reports whether another attempt is allowed and worthwhile.
+func (p *plainRequest) mayRetry(a *attempt) bool {
+	if clock.Until(p.j.Deadline) < minAttemptTime {
 		return false
 	}
 	if a.evidence() == kernel.Ambiguous && (!p.j.Route.Repeatable() || p.runs >= p.j.Route.MaxAttempts) {
@@ -166,26 +166,26 @@
 	return p.c.mayResend(p.j.Service.Name, 1, false, p.log)
 }
 
-// fateUnserved returns the outcome of a request that is not sent to another upstream.
-func (p *plain) fateUnserved() Fate { return fateAfter(p.runs) }
+// outcomeUnserved returns the outcome of a request that is not sent to another upstream.
+func (p *plainRequest) outcomeUnserved() Fate { return outcomeAfter(p.runs) }
 
-// refused ends a request that may not be sent to another upstream. An upstream's own error
+// refuse ends a request that may not be sent to another upstream. An upstream's own error
 // response is preferred to err.
-func (p *plain) refused(err error) (*Answer, error) {
-	if p.failure != nil && passable(p.failure.Status) {
+func (p *plainRequest) refuse(err error) (*Answer, error) {
+	if p.failure != nil && forwardable(p.failure.Status) {
 		return p.failure, nil
 	}
 	return nil, err
 }
 
-// end returns the final result of a request that did not succeed.
-func (p *plain) end(cause error) (*Answer, error) {
-	if p.failure != nil && passable(p.failure.Status) {
+// finalResult returns the final result of a request that did not succeed.
+func (p *plainRequest) finalResult(cause error) (*Answer, error) {
+	if p.failure != nil && forwardable(p.failure.Status) {
 		return p.failure, nil
 	}
 	switch {
 	case p.runs == 0:
-		return nil, &Error{Fate: NotRun, Reason: "service_full", RetryAfter: retryPlain, Err: cause}
+		return nil, &Error{Fate: NotRun, Reason: "service_full", RetryAfter: plainRetryAfter, Err: cause}
 	case errors.Is(cause, context.DeadlineExceeded):
 		return nil, &Error{Fate: TimedOut, Reason: "upstream_silent", Err: cause}
 	default:
@@ -193,9 +193,9 @@
 	}
 }
 
-// passable reports whether an upstream's error response may be forwarded unchanged. Some
+// forwardable reports whether an upstream's error response may be forwarded unchanged. Some
 // statuses would tell the caller that the request did not run.
-func passable(status int) bool {
+func forwardable(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return false
--- a/gateway/carry/plain_test.go
+++ b/gateway/carry/plain_test.go
@@ -11,14 +11,14 @@
 	"github.com/wardspool/wardspool/gateway/routing"
 )
 
-// once requests must not run twice, often requests may run on two upstreams.
+// Requests of atMostOnce must not run twice, those of idempotent may run on two upstreams.
 var (
-	once  = routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 1}
-	often = routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
+	atMostOnce = routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 1}
+	idempotent = routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
 )
 
-// fateOf returns the outcome that an *Error reports, and fails the test for any other error.
-func fateOf(t *testing.T, err error) Fate {
+// outcomeOf returns the outcome that an *Error reports, and fails the test for any other error.
+func outcomeOf(t *testing.T, err error) Fate {
 	t.Helper()
 	var e *Error
 	assert.Assert(t, errors.As(err, &e), "%v", err)
@@ -26,8 +26,8 @@
 }
 
 func TestAnswerIsPassedOn(t *testing.T) {
-	b := newBed(t, slack, plainUps("x")...)
-	a, err := b.Plain(t.Context(), job(once))
+	env := newTestEnv(t, ampleBudget, plainUps("x")...)
+	a, err := env.Plain(t.Context(), job(atMostOnce))
 	assert.NilError(t, err)
 	assert.Equal(t, string(a.Body), "x")
 	assert.Equal(t, a.Header.Get("X-From"), "x")
@@ -38,18 +38,18 @@
 // it did not run.
 func TestMayHaveRunIsNotSentAgain(t *testing.T) {
 	for name, r := range map[string]reply{
-		"interrupted":    {err: broken},
+		"interrupted":    {err: errInterrupted},
 		"invalid answer": {verdict: dialect.Invalid, status: 200},
 		"truncated body": {verdict: dialect.Success, status: 200, body: "ha", breaks: true},
 		"upstream's 503": {verdict: dialect.Failure, status: 503},
 		"upstream's 429": {verdict: dialect.Failure, status: 429},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, slack, plainUps("x", "y")...)
-			b.d.do["x"], b.d.do["y"] = []reply{r}, []reply{r}
-			_, err := b.Plain(t.Context(), job(once))
-			assert.Equal(t, fateOf(t, err), Unknown)
-			assert.Equal(t, b.d.countKind("do"), 1)
+			env := newTestEnv(t, ampleBudget, plainUps("x", "y")...)
+			env.d.do["x"], env.d.do["y"] = []reply{r}, []reply{r}
+			_, err := env.Plain(t.Context(), job(atMostOnce))
+			assert.Equal(t, outcomeOf(t, err), Unknown)
+			assert.Equal(t, env.d.countKind("do"), 1)
 		})
 	}
 }
@@ -61,20 +61,20 @@
 	for name, r := range map[string]reply{
 		"full":           refusal,
 		"other upstream": {verdict: dialect.WrongUpstream, status: 421},
-		"no connection":  {err: notSent},
+		"no connection":  {err: errNotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, slack, plainUps("x", "y")...)
-			b.d.do["x"], b.d.do["y"] = []reply{r}, []reply{r}
-			_, err := b.Plain(t.Context(), job(once))
-			assert.Equal(t, fateOf(t, err), NotRun)
-			assert.Equal(t, b.d.count("do x"), 1)
-			assert.Equal(t, b.d.count("do y"), 1)
+			env := newTestEnv(t, ampleBudget, plainUps("x", "y")...)
+			env.d.do["x"], env.d.do["y"] = []reply{r}, []reply{r}
+			_, err := env.Plain(t.Context(), job(atMostOnce))
+			assert.Equal(t, outcomeOf(t, err), NotRun)
+			assert.Equal(t, env.d.count("do x"), 1)
+			assert.Equal(t, env.d.count("do y"), 1)
 
-			b = newBed(t, slack, plainUps("x", "y")...)
-			b.d.do["x"] = []reply{r}
+			env = newTestEnv(t, ampleBudget, plainUps("x", "y")...)
+			env.d.do["x"] = []reply{r}
 			for range 3 {
-				a, err := b.Plain(t.Context(), job(once))
+				a, err := env.Plain(t.Context(), job(atMostOnce))
 				assert.NilError(t, err)
 				assert.Equal(t, string(a.Body), "y")
 			}
@@ -85,48 +85,48 @@
 // TestRepeatableRunsOnAtMostAsManyUpstreamsAsAllowed checks that a repeatable request is sent to
 // no more upstreams than its route allows attempts.
 func TestRepeatableRunsOnAtMostAsManyUpstreamsAsAllowed(t *testing.T) {
-	b := newBed(t, slack, plainUps("x", "y", "z")...)
+	env := newTestEnv(t, ampleBudget, plainUps("x", "y", "z")...)
 	for _, id := range []string{"x", "y", "z"} {
-		b.d.do[plainUps(id)[0].ID] = []reply{{err: broken}}
+		env.d.do[plainUps(id)[0].ID] = []reply{{err: errInterrupted}}
 	}
-	_, err := b.Plain(t.Context(), job(often))
-	assert.Equal(t, fateOf(t, err), Unknown)
-	assert.Equal(t, b.d.countKind("do"), 2)
+	_, err := env.Plain(t.Context(), job(idempotent))
+	assert.Equal(t, outcomeOf(t, err), Unknown)
+	assert.Equal(t, env.d.countKind("do"), 2)
 }
 
 // TestUpstreamsOwnFailureIsPassedOn checks that an upstream's own error response is forwarded if
 // no other upstream succeeds.
 func TestUpstreamsOwnFailureIsPassedOn(t *testing.T) {
-	b := newBed(t, slack, plainUps("x", "y")...)
+	env := newTestEnv(t, ampleBudget, plainUps("x", "y")...)
 	failure := reply{verdict: dialect.Failure, status: 500, body: "no"}
-	b.d.do["x"], b.d.do["y"] = []reply{failure}, []reply{failure}
-	a, err := b.Plain(t.Context(), job(often))
+	env.d.do["x"], env.d.do["y"] = []reply{failure}, []reply{failure}
+	a, err := env.Plain(t.Context(), job(idempotent))
 	assert.NilError(t, err)
 	assert.Equal(t, a.Status, 500)
-	assert.Equal(t, b.d.countKind("do"), 2)
+	assert.Equal(t, env.d.countKind("do"), 2)
 }
 
 func TestNoBudgetNoRetry(t *testing.T) {
-	b := newBed(t, 0, plainUps("x", "y")...)
-	b.d.do["x"], b.d.do["y"] = []reply{refusal}, []reply{refusal}
-	_, err := b.Plain(t.Context(), job(often))
-	assert.Equal(t, fateOf(t, err), NotRun)
-	assert.Equal(t, b.d.countKind("do"), 1)
+	env := newTestEnv(t, 0, plainUps("x", "y")...)
+	env.d.do["x"], env.d.do["y"] = []reply{refusal}, []reply{refusal}
+	_, err := env.Plain(t.Context(), job(idempotent))
+	assert.Equal(t, outcomeOf(t, err), NotRun)
+	assert.Equal(t, env.d.countKind("do"), 1)
 }
 
 func TestNoUpstreamIsNotRun(t *testing.T) {
-	b := newBed(t, slack)
-	_, err := b.Plain(t.Context(), job(once))
-	assert.Equal(t, fateOf(t, err), NotRun)
+	env := newTestEnv(t, ampleBudget)
+	_, err := env.Plain(t.Context(), job(atMostOnce))
+	assert.Equal(t, outcomeOf(t, err), NotRun)
 }
 
 // TestCallerGone checks that nothing is sent for a caller that has disconnected.
 func TestCallerGone(t *testing.T) {
-	b := newBed(t, slack, plainUps("x", "y")...)
+	env := newTestEnv(t, ampleBudget, plainUps("x", "y")...)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := b.Plain(ctx, job(often))
+	_, err := env.Plain(ctx, job(idempotent))
 	var left *AbandonedError
 	assert.Assert(t, errors.As(err, &left))
-	assert.Equal(t, b.d.countKind("do"), 0)
+	assert.Equal(t, env.d.countKind("do"), 0)
 }
--- a/gateway/carry/restarts.go
+++ b/gateway/carry/restarts.go
@@ -9,44 +9,44 @@
 	"github.com/wardspool/wardspool/internal/clock"
 )
 
-// attemptsUnderWay holds the running attempts at each upstream. When an upstream has restarted
+// inFlightAttempts holds the running attempts at each upstream. When an upstream has restarted
 // under the same ID, the attempts at its previous incarnation get no response. Unless the
 // connection is reset, they would wait until their deadlines.
-type attemptsUnderWay struct {
-	mu   sync.Mutex
-	next uint64
-	at   map[ident.UpstreamID]map[uint64]underWay
+type inFlightAttempts struct {
+	mu         sync.Mutex
+	next       uint64
+	byUpstream map[ident.UpstreamID]map[uint64]inFlightAttempt
 }
 
-// underWay is one running attempt.
-type underWay struct {
+// inFlightAttempt is one running attempt.
+type inFlightAttempt struct {
 	upstream dialect.Upstream
 	cancel   context.CancelCauseFunc
 }
 
 // track returns a context for an attempt at an upstream, and its cancel function. The context is
-// canceled with a *SilentError when a newer incarnation of the upstream is seen. end must be
-// called after the attempt.
-func (l *attemptsUnderWay) track(ctx context.Context, u dialect.Upstream) (attempt context.Context, cancel context.CancelCauseFunc, end func()) {
+// canceled with an *UnresponsiveError when a newer incarnation of the upstream is seen. end must
+// be called after the attempt.
+func (f *inFlightAttempts) track(ctx context.Context, u dialect.Upstream) (attempt context.Context, cancel context.CancelCauseFunc, end func()) {
 	attempt, cancel = context.WithCancelCause(ctx)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.next++
-	number := l.next
-	if l.at == nil {
-		l.at = map[ident.UpstreamID]map[uint64]underWay{}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.next++
+	number := f.next
+	if f.byUpstream == nil {
+		f.byUpstream = map[ident.UpstreamID]map[uint64]inFlightAttempt{}
 	}
-	if l.at[u.ID] == nil {
-		l.at[u.ID] = map[uint64]underWay{}
+	if f.byUpstream[u.ID] == nil {
+		f.byUpstream[u.ID] = map[uint64]inFlightAttempt{}
 	}
-	l.at[u.ID][number] = underWay{upstream: u, cancel: cancel}
+	f.byUpstream[u.ID][number] = inFlightAttempt{upstream: u, cancel: cancel}
 	return attempt, cancel, func() {
 		cancel(nil)
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		delete(l.at[u.ID], number)
-		if len(l.at[u.ID]) == 0 {
-			delete(l.at, u.ID)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		delete(f.byUpstream[u.ID], number)
+		if len(f.byUpstream[u.ID]) == 0 {
+			delete(f.byUpstream, u.ID)
 		}
 	}
 }
@@ -54,9 +54,9 @@
 // HasPendingAttempts reports whether any attempt is running or undecided. If not, Listed has no
 // effect.
 func (c *Carrier) HasPendingAttempts() bool {
-	c.underWay.mu.Lock()
-	inFlight := len(c.underWay.at) > 0
-	c.underWay.mu.Unlock()
+	c.inFlight.mu.Lock()
+	inFlight := len(c.inFlight.byUpstream) > 0
+	c.inFlight.mu.Unlock()
 	return inFlight || c.undecided.nonEmpty()
 }
 
@@ -64,15 +64,15 @@
 // incarnations of the listed upstreams, and records a crash for the undecided attempts that were
 // interrupted there before.
 func (c *Carrier) Listed(list []dialect.Upstream) {
-	for _, a := range c.undecided.decide(clock.Now(), list) {
-		c.crashed(a.content, a.upstream, a.made)
+	for _, a := range c.undecided.takeCrashed(clock.Now(), list) {
+		c.recordCrash(a.content, a.upstream, a.eventCount)
 	}
-	c.underWay.mu.Lock()
-	defer c.underWay.mu.Unlock()
+	c.inFlight.mu.Lock()
+	defer c.inFlight.mu.Unlock()
 	for _, u := range list {
-		for _, a := range c.underWay.at[u.ID] {
+		for _, a := range c.inFlight.byUpstream[u.ID] {
 			if a.upstream.Restarted(u.Incarnation) {
-				a.cancel(&SilentError{Upstream: u.ID, Err: &dialect.ReplacedError{ID: u.ID, Address: a.upstream.Address}})
+				a.cancel(&UnresponsiveError{Upstream: u.ID, Err: &dialect.ReplacedError{ID: u.ID, Address: a.upstream.Address}})
 			}
 		}
 	}
--- a/gateway/carry/sound_test.go
+++ b/gateway/carry/sound_test.go
@@ -18,19 +18,20 @@
 // The tests in this file guard against streams that were cut off while their engine was working:
 // the instance had ended the run itself and only then searched for a way to continue.
 
-// refusedMove runs a stream at d1 and migrates it to d2, which answers with atDestination; d1
-// can continue it with the handle of the stopped stream. spare is the slack of the retry budget.
-func refusedMove(t *testing.T, spare float64, atDestination reply) *moveBed {
+// runRefusedMigration runs a stream at d1 and migrates it to d2, which answers with
+// atDestination; d1 can continue it with the handle of the stopped stream. budgetSlack is the
+// slack of the retry budget.
+func runRefusedMigration(t *testing.T, budgetSlack float64, atDestination reply) *migrationEnv {
 	t.Helper()
-	b := runAtFirst(t, stream1)
-	b.o.Budget = schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour, Slack: spare}, func() int { return 1 })
-	b.d.mu.Lock()
-	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 6)}}
-	b.d.do["d2"] = []reply{atDestination}
-	b.d.mu.Unlock()
-	b.move(t)
-	<-b.ended
-	return b
+	env := startStreamAtD1(t, singleRun)
+	env.o.Budget = schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour, Slack: budgetSlack}, func() int { return 1 })
+	env.d.mu.Lock()
+	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 6)}}
+	env.d.do["d2"] = []reply{atDestination}
+	env.d.mu.Unlock()
+	env.migrate(t)
+	<-env.ended
+	return env
 }
 
 // TestMovedStreamGoesBackWhenItIsNotTaken guards against a connection that is closed a few ms
@@ -46,18 +47,18 @@
 func TestMovedStreamGoesBackWhenItIsNotTaken(t *testing.T) {
 	for name, r := range map[string]reply{
 		"refused":      refusal,
-		"not reached":  {err: closed},
-		"answer lost":  {err: broken},
+		"not reached":  {err: errConnectionRefused},
+		"answer lost":  {err: errInterrupted},
 		"own failure":  {verdict: dialect.Failure, status: 500},
 		"misdirected":  {verdict: dialect.WrongUpstream, status: 421},
 		"not an event": {verdict: dialect.Invalid, status: 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := refusedMove(t, slack, r)
-			assert.NilError(t, b.err)
-			assert.Equal(t, b.got.body.String(), events(1, 6))
-			assert.Equal(t, b.got.heads, 1)
-			last := b.d.sends[len(b.d.sends)-1]
+			env := runRefusedMigration(t, ampleBudget, r)
+			assert.NilError(t, env.err)
+			assert.Equal(t, env.got.body.String(), events(1, 6))
+			assert.Equal(t, env.got.heads, 1)
+			last := env.d.sends[len(env.d.sends)-1]
 			assert.Equal(t, string(last.To.ID), "d1")
 			assert.DeepEqual(t, *last.Source, dialect.Handle{Engine: "d1", ID: "moved"})
 			assert.Equal(t, last.LastEvent, "2")
@@ -68,21 +69,21 @@
 // TestMovedStreamGoesBackFromASilentEngine checks that a migrated stream returns to its source
 // if the destination does not answer, long before its caller would disconnect.
 func TestMovedStreamGoesBackFromASilentEngine(t *testing.T) {
-	for name, r := range map[string]routing.Route{"runs once": stream1, "may be resumed": resumable} {
+	for name, r := range map[string]routing.Route{"runs once": singleRun, "may be resumed": resumable} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
-				b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
-				b.d.do["d2"] = []reply{{hangs: true}}
-				b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 4)}}
+				env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
+				env.d.do["d2"] = []reply{{hangs: true}}
+				env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 4)}}
 				j := job(r)
 				j.Arrived, j.Deadline = time.Now(), time.Now().Add(time.Minute)
-				s := &stream{c: b.Carrier, j: j, w: &sink{}, log: b.o.Log, begun: true, lastEvent: "2"}
+				s := &stream{c: env.Carrier, j: j, w: &streamRecorder{}, log: env.o.Log, headSent: true, lastEvent: "2"}
 				s.events.Store(2)
-				s.caution = caution{c: b.Carrier, j: j, log: s.log}
+				s.crashGuard = crashGuard{c: env.Carrier, j: j, log: s.log}
 				ups := engineUps(nil, []string{"d1", "d2"})
-				next := &continuation{source: dialect.Handle{Engine: "d1", ID: "moved"}, at: []schedule.Ticket{{Upstream: ups[1]}, {Upstream: ups[0]}}}
+				next := &continuation{source: dialect.Handle{Engine: "d1", ID: "moved"}, engines: []schedule.Ticket{{Upstream: ups[1]}, {Upstream: ups[0]}}}
 				start := time.Now()
-				_, _, err := s.goOn(t.Context(), &place{}, next)
+				_, _, err := s.continueStopped(t.Context(), &placement{}, next)
 				assert.NilError(t, err)
 				assert.Equal(t, s.lastEvent, "4")
 				assert.Assert(t, time.Since(start) <= 2*resumeTimeout, "%v", time.Since(start))
@@ -94,44 +95,44 @@
 // TestWayBackOfAMoveNeedsNoBudget checks that a stream can return to its source although the
 // migration has used up the retry budget, and that the send back is counted all the same.
 func TestWayBackOfAMoveNeedsNoBudget(t *testing.T) {
-	b := refusedMove(t, 4, refusal)
-	assert.NilError(t, b.err)
-	assert.Equal(t, b.got.body.String(), events(1, 6))
-	assert.Equal(t, b.d.count("stop d1 d2"), 1)
-	assert.Equal(t, b.o.Budget.Spent(time.Now())["s"], 2)
+	env := runRefusedMigration(t, 4, refusal)
+	assert.NilError(t, env.err)
+	assert.Equal(t, env.got.body.String(), events(1, 6))
+	assert.Equal(t, env.d.count("stop d1 d2"), 1)
+	assert.Equal(t, env.o.Budget.Spent(time.Now())["s"], 2)
 }
 
 // TestMoveIsGivenUpWhileCopiesAreSlow checks that a stream is not stopped after a slow copy,
 // because it would pause for as long again.
 func TestMoveIsGivenUpWhileCopiesAreSlow(t *testing.T) {
-	b := runAtFirst(t, stream1)
-	b.d.copying = func() { time.Sleep(2 * slowCopy) }
-	b.move(t)
-	assert.Equal(t, b.d.countKind("stop"), 0)
-	_, err := io.WriteString(b.body.w, events(3, 4))
+	env := startStreamAtD1(t, singleRun)
+	env.d.copying = func() { time.Sleep(2 * maxCopyTime) }
+	env.migrate(t)
+	assert.Equal(t, env.d.countKind("stop"), 0)
+	_, err := io.WriteString(env.body.w, events(3, 4))
 	assert.NilError(t, err)
-	assert.NilError(t, b.body.w.Close())
-	<-b.ended
-	assert.NilError(t, b.err)
-	assert.Equal(t, b.got.body.String(), events(1, 4))
+	assert.NilError(t, env.body.w.Close())
+	<-env.ended
+	assert.NilError(t, env.err)
+	assert.Equal(t, env.got.body.String(), events(1, 4))
 }
 
 // TestMovedStreamThatNobodyTakesIsNotRunAnew checks that a stream whose route allows one run is
 // not started a second time if no engine accepts it after a migration. Each send names the KV
 // cache of the stopped run; without it an engine would start another run.
 func TestMovedStreamThatNobodyTakesIsNotRunAnew(t *testing.T) {
-	b := runAtFirst(t, stream1)
-	b.d.mu.Lock()
-	b.d.do["d1"], b.d.do["d2"] = []reply{refusal}, []reply{refusal}
-	b.d.mu.Unlock()
-	b.move(t)
-	<-b.ended
-	var off *BrokenOffError
-	assert.Assert(t, errors.As(b.err, &off), "%v", b.err)
-	assert.Equal(t, off.By, CutByMove)
-	assert.Equal(t, b.got.body.String(), events(1, 2))
-	assert.Equal(t, b.d.countKind("do"), 3)
-	for _, s := range b.d.sends[1:] {
+	env := startStreamAtD1(t, singleRun)
+	env.d.mu.Lock()
+	env.d.do["d1"], env.d.do["d2"] = []reply{refusal}, []reply{refusal}
+	env.d.mu.Unlock()
+	env.migrate(t)
+	<-env.ended
+	var interrupted *BrokenOffError
+	assert.Assert(t, errors.As(env.err, &interrupted), "%v", env.err)
+	assert.Equal(t, interrupted.By, CutByMigration)
+	assert.Equal(t, env.got.body.String(), events(1, 2))
+	assert.Equal(t, env.d.countKind("do"), 3)
+	for _, s := range env.d.sends[1:] {
 		assert.Equal(t, s.Source.ID, "moved")
 	}
 }
@@ -142,25 +143,25 @@
 // canceled before another engine and the sends to it were requested. If none had room or the
 // retry budget was exhausted, the response was lost although its engine was still running it.
 //
-// The logs showed a SilentError, then `not sent again` and the closed connection: 37 and 39
-// times under two loads with network cuts between zones, 8 times and once under two others.
+// The logs showed an UnresponsiveError, then `not sent again` and the closed connection: 37 and
+// 39 times under two loads with network cuts between zones, 8 times and once under two others.
 func TestSilentEngineKeepsItsStreamWhileThereIsNoOther(t *testing.T) {
 	full := []error{&dialect.FullError{}}
-	for name, happens := range map[string]func(b *bed){
-		"no room": func(b *bed) { b.d.hold["d2"] = full },
-		"no budget": func(b *bed) {
-			b.o.Budget = schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour}, func() int { return 1 })
+	for name, prepare := range map[string]func(env *testEnv){
+		"no room": func(env *testEnv) { env.d.hold["d2"] = full },
+		"no budget": func(env *testEnv) {
+			env.o.Budget = schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour}, func() int { return 1 })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
-				b, got, _, err := stallAt(t, resumable, func(b *bed) {
-					b.d.silent = map[ident.UpstreamID]bool{"d1": true}
-					happens(b)
+				env, got, _, err := runStalledStreamWith(t, resumable, func(env *testEnv) {
+					env.d.silent = map[ident.UpstreamID]bool{"d1": true}
+					prepare(env)
 				})
 				assert.NilError(t, err)
 				assert.Equal(t, got.body.String(), events(1, 5))
-				assert.Equal(t, b.d.count("do d2"), 0)
+				assert.Equal(t, env.d.count("do d2"), 0)
 			})
 		})
 	}
@@ -171,13 +172,13 @@
 func TestSilentEngineLosesItsStreamOnceAnotherHasRoom(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		full := &dialect.FullError{}
-		b, got, took, err := stallAt(t, resumable, func(b *bed) {
-			b.d.silent = map[ident.UpstreamID]bool{"d1": true}
-			b.d.hold["d2"] = []error{full, full, nil}
+		env, got, took, err := runStalledStreamWith(t, resumable, func(env *testEnv) {
+			env.d.silent = map[ident.UpstreamID]bool{"d1": true}
+			env.d.hold["d2"] = []error{full, full, nil}
 		})
 		assert.NilError(t, err)
 		assert.Equal(t, got.body.String(), events(1, 5))
-		assert.Equal(t, b.d.count("do d2"), 1)
+		assert.Equal(t, env.d.count("do d2"), 1)
 		assert.Assert(t, took < 3*time.Second, "%v", took)
 	})
 }
@@ -185,28 +186,28 @@
 // TestPlaceThatIsNotUsedIsGivenUp checks that a placement is released if the current engine
 // responded again while the other one was being reserved.
 func TestPlaceThatIsNotUsedIsGivenUp(t *testing.T) {
-	b := streamBed(t)
+	env := newStreamEnv(t)
 	var r standby
-	p := &place{decode: schedule.Ticket{}}
-	assert.Assert(t, r.keep(p))
-	assert.Assert(t, r.kept())
+	p := &placement{decode: schedule.Ticket{}}
+	assert.Assert(t, r.set(p))
+	assert.Assert(t, r.isSet())
 	assert.Equal(t, r.close(), p)
-	assert.Assert(t, !r.keep(p), "placement accepted after the stream had ended")
+	assert.Assert(t, !r.set(p), "placement accepted after the stream had ended")
 	assert.Assert(t, r.take() == nil)
 
-	s := &stream{c: b.Carrier, j: job(resumable), log: b.o.Log}
+	s := &stream{c: env.Carrier, j: job(resumable), log: env.o.Log}
 	s.events.Store(2)
-	f := s.failoverFrom(engineUps(nil, []string{"d1"})[0])
+	f := s.newFailover(engineUps(nil, []string{"d1"})[0])
 	asked := 0
 	heardAgain := func() bool {
 		asked++
 		return asked > 1
 	}
-	assert.Assert(t, !f.onSilence(t.Context(), engineUps(nil, []string{"d1"})[0], notSent, time.Now(), heardAgain))
-	b.Close()
-	assert.Equal(t, b.d.count("hold d2"), 1)
-	assert.Equal(t, b.d.count("release d2"), 1)
-	assert.Equal(t, b.o.Books.Busy("d2"), 0)
+	assert.Assert(t, !f.onUnresponsive(t.Context(), engineUps(nil, []string{"d1"})[0], errNotSent, time.Now(), heardAgain))
+	env.Close()
+	assert.Equal(t, env.d.count("hold d2"), 1)
+	assert.Equal(t, env.d.count("release d2"), 1)
+	assert.Equal(t, env.o.Books.Busy("d2"), 0)
 }
 
 // TestStreamUnderWayGoesOnWhenRoomComes guards against a connection that is closed while the
@@ -218,20 +219,20 @@
 // responses were cut off: 157 of them after `not sent again` (`retry_budget`), 3 with `no_room`.
 func TestStreamUnderWayGoesOnWhenRoomComes(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
-		b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
-		b.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
+		env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
+		env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
+		env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
 		full := &dialect.FullError{}
-		b.d.hold["d2"] = []error{full}
+		env.d.hold["d2"] = []error{full}
 		time.AfterFunc(20*time.Second, func() {
-			b.d.mu.Lock()
-			defer b.d.mu.Unlock()
-			b.d.hold["d2"] = nil
+			env.d.mu.Lock()
+			defer env.d.mu.Unlock()
+			env.d.hold["d2"] = nil
 		})
 		j := job(resumable)
 		j.Arrived, j.Deadline = time.Now(), time.Now().Add(time.Minute)
-		got := &sink{}
-		_, err := b.Stream(t.Context(), j, got)
+		got := &streamRecorder{}
+		_, err := env.Stream(t.Context(), j, got)
 		assert.NilError(t, err)
 		assert.Equal(t, got.body.String(), events(1, 6))
 	})
@@ -240,37 +241,37 @@
 // TestStreamUnderWayLooksForRoomBesideTheLine checks that a stream that is under way does not
 // wait for the requests in the queue, and that these do not wait for it.
 func TestStreamUnderWayLooksForRoomBesideTheLine(t *testing.T) {
-	b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
-	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
-	b.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
-	b.d.hold["d2"] = []error{&dialect.FullError{}, nil}
-	l := b.lineOf("s")
+	env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
+	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
+	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
+	env.d.hold["d2"] = []error{&dialect.FullError{}, nil}
+	q := env.queueOf("s")
 	var other *waiter
-	b.o.Count = func(name string) {
+	env.o.Count = func(name string) {
 		if name == "stream_restarted" {
-			other = l.join(-1, false, time.Now())
+			other = q.insert(-1, false, time.Now())
 		}
 	}
-	got := &sink{}
-	_, err := b.Stream(t.Context(), job(resumable), got)
+	got := &streamRecorder{}
+	_, err := env.Stream(t.Context(), job(resumable), got)
 	assert.NilError(t, err)
 	assert.Equal(t, got.body.String(), events(1, 6))
-	assert.Assert(t, l.first(other))
-	assert.Equal(t, l.length(), 1)
+	assert.Assert(t, q.isHead(other))
+	assert.Equal(t, q.length(), 1)
 }
 
 // TestStreamUnderWayUsesWhatTheBudgetKeepsBack checks that a stream that is under way may use
 // the reserved part of the retry budget when new requests are no longer sent again.
 func TestStreamUnderWayUsesWhatTheBudgetKeepsBack(t *testing.T) {
-	b := streamBed(t)
-	b.o.Budget = schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour, Slack: 5}, func() int { return 1 })
-	assert.Assert(t, b.mayResend("s", 2, false, b.o.Log))
-	assert.Assert(t, !b.mayResend("s", 2, false, b.o.Log))
-	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
-	b.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
-	b.d.hold["d2"] = []error{&dialect.FullError{}, nil}
-	got := &sink{}
-	_, err := b.Stream(t.Context(), job(resumable), got)
+	env := newStreamEnv(t)
+	env.o.Budget = schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour, Slack: 5}, func() int { return 1 })
+	assert.Assert(t, env.mayResend("s", 2, false, env.o.Log))
+	assert.Assert(t, !env.mayResend("s", 2, false, env.o.Log))
+	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
+	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
+	env.d.hold["d2"] = []error{&dialect.FullError{}, nil}
+	got := &streamRecorder{}
+	_, err := env.Stream(t.Context(), job(resumable), got)
 	assert.NilError(t, err)
 	assert.Equal(t, got.body.String(), events(1, 6))
 }
--- a/gateway/carry/stop.go
+++ b/gateway/carry/stop.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// likelyToEnd is the minimum probability that a stream ends before its instance does, for
-	// the stream to be accepted. A refused stream costs its caller another connection, an
-	// interrupted one the whole response.
-	likelyToEnd = 0.9
-	// retryElsewhere is the Retry-After of a request that this instance cannot finish. Another
-	// instance can serve it at once.
-	retryElsewhere = 10 * time.Millisecond
+	// minCompletionProbability is the minimum probability that a stream ends before its instance
+	// does, for the stream to be accepted. A refused stream costs its caller another connection,
+	// an interrupted one the whole response.
+	minCompletionProbability = 0.9
+	// stoppingRetryAfter is the Retry-After of a request that this instance cannot finish.
+	// Another instance can serve it at once.
+	stoppingRetryAfter = 10 * time.Millisecond
 )
 
 // StoppedError is the cause with which a request's context is canceled when its instance stops.
@@ -33,22 +33,22 @@
 // reasonStopping is the reason given for requests that their instance cannot finish.
 const reasonStopping = "stopping"
 
-// outlasts reports whether this instance is shutting down and would probably terminate before
-// the stream ends. It is false for a stream that has started to run.
-func (s *stream) outlasts() bool {
+// wouldOutliveInstance reports whether this instance is shutting down and would probably
+// terminate before the stream ends. It is false for a stream that has started to run.
+func (s *stream) wouldOutliveInstance() bool {
 	end, stopping := s.c.o.Ends()
-	if !stopping || s.begun || s.runs > 0 {
+	if !stopping || s.headSent || s.runs > 0 {
 		return false
 	}
 	service := s.j.Service.Name
 	prefill, _ := s.prefillWait()
 	left := clock.Until(end) - prefill - s.c.o.Books.FirstEvent(service)
-	return s.c.o.Books.EndsWithin(service, s.size(), s.j.Call.MaxOutputTokens, left) < likelyToEnd
+	return s.c.o.Books.EndsWithin(service, s.size(), s.j.Call.MaxOutputTokens, left) < minCompletionProbability
 }
 
-// turnAway logs and counts the refusal of a stream that would outlast this instance, and returns
-// its *Error.
-func (s *stream) turnAway() error {
+// refuseStopping logs and counts the refusal of a stream that would outlast this instance, and
+// returns its *Error.
+func (s *stream) refuseStopping() error {
 	s.c.o.Count("refused_" + reasonStopping)
 	s.log.Info("refused", "reason", reasonStopping, "estimate", s.output(), "bound", s.j.Call.MaxOutputTokens)
 	return Stopping(NotRun)
@@ -56,5 +56,5 @@
 
 // Stopping returns the error for a request that its instance cannot finish.
 func Stopping(fate Fate) *Error {
-	return &Error{Fate: fate, Reason: reasonStopping, RetryAfter: retryElsewhere, Err: &StoppedError{}}
+	return &Error{Fate: fate, Reason: reasonStopping, RetryAfter: stoppingRetryAfter, Err: &StoppedError{}}
 }
--- a/gateway/carry/stream.go
+++ b/gateway/carry/stream.go
@@ -24,24 +24,25 @@
 	releaseTries   = 2
 	// releasePause is the time between two attempts.
 	releasePause = 100 * time.Millisecond
-	// prefillPatience is the time that a prefill may take before another engine is asked, as a
-	// multiple of the expected time. The limit is at least leastPrefill and lasts as long as the
-	// first event can still be on time, because canceling discards the work of a busy engine.
-	prefillPatience = 4
-	leastPrefill    = 500 * time.Millisecond
-	// longestQueue is the maximum prefill work queued at an engine for a request to be placed,
-	// as a share of the latency objective. With more, the request waits in this instance's
-	// queue, where it holds no memory of a decode engine.
-	longestQueue = 0.4
-	// resumePatience is the share of its remaining time that a resumed stream waits for
+	// prefillTimeoutFactor is the time that a prefill may take before another engine is asked,
+	// as a multiple of the expected time. The limit is at least minPrefillTimeout and lasts as
+	// long as the first event can still be on time, because canceling discards the work of a
+	// busy engine.
+	prefillTimeoutFactor = 4
+	minPrefillTimeout    = 500 * time.Millisecond
+	// maxPrefillQueueShare is the maximum prefill work queued at an engine for a request to be
+	// placed, as a share of the latency objective. With more, the request waits in this
+	// instance's queue, where it holds no memory of a decode engine.
+	maxPrefillQueueShare = 0.4
+	// resumeWaitShare is the share of its remaining time that a resumed stream waits for
 	// capacity. It is late already, and a refusal would end it for good.
-	resumePatience = 0.25
-	// unknownOutput is the assumed output length, in tokens, of requests for which the caller
-	// gives no estimate, unless the caller's limit is lower.
-	unknownOutput = 4000
-	// retryStream is the Retry-After of a refused stream. Streams take 2.7 s, so about a third
-	// of the memory becomes free in this time.
-	retryStream = time.Second
+	resumeWaitShare = 0.25
+	// defaultOutputTokens is the assumed output length, in tokens, of requests for which the
+	// caller gives no estimate, unless the caller's limit is lower.
+	defaultOutputTokens = 4000
+	// streamRetryAfter is the Retry-After of a refused stream. Streams take 2.7 s, so about a
+	// third of the memory becomes free in this time.
+	streamRetryAfter = time.Second
 	// maxStarts is the maximum number of pairs of engines that one request may try.
 	maxStarts = 3
 )
@@ -74,13 +75,13 @@
 // to the caller.
 func (c *Carrier) Stream(ctx context.Context, j *Job, w StreamWriter) (*Answer, error) {
 	s := &stream{c: c, j: j, w: w, log: j.log(c.o.Log), lastEvent: j.Call.LastEvent}
-	s.caution = caution{c: c, j: j, log: s.log}
-	defer s.caution.done()
+	s.crashGuard = crashGuard{c: c, j: j, log: s.log}
+	defer s.crashGuard.endTrial()
 	defer s.closeStandby()
-	ctx, cancel := context.WithTimeout(ctx, clock.Until(j.Deadline.Add(overtime)))
+	ctx, cancel := context.WithTimeout(ctx, clock.Until(j.Deadline.Add(deadlineGrace)))
 	defer cancel()
-	if s.outlasts() {
-		return nil, s.turnAway()
+	if s.wouldOutliveInstance() {
+		return nil, s.refuseStopping()
 	}
 	return s.run(ctx)
 }
@@ -88,13 +89,13 @@
 // closeStandby releases the standby placement if the stream did not use it.
 func (s *stream) closeStandby() {
 	if p := s.standby.close(); p != nil {
-		s.releasePlace(p)
+		s.releasePlacement(p)
 	}
 }
 
-// overtime is how long after its deadline a stream is canceled. The engine ends it by itself at
-// the deadline, and events in transit are still delivered.
-const overtime = 250 * time.Millisecond
+// deadlineGrace is how long after its deadline a stream is canceled. The engine ends it by
+// itself at the deadline, and events in transit are still delivered.
+const deadlineGrace = 250 * time.Millisecond
 
 // stream is the state of a request of a service of engines.
 type stream struct {
@@ -109,41 +110,41 @@
 	starts   int
 	runs     int
 	prefills int
-	// kept is a prefill result that a decode engine refused to fetch and that is offered to
+	// retained is a prefill result that a decode engine refused to fetch and that is offered to
 	// another one.
-	kept *computed
-	// begun means that the response head was sent to the caller.
-	begun bool
-	// cut is the reason why the last run ended.
-	cut Cut
+	retained *prefillResult
+	// headSent means that the response head was sent to the caller.
+	headSent bool
+	// cutReason is the reason why the last run ended.
+	cutReason Cut
 	// lastEvent is the ID of the last event that the caller has received.
 	lastEvent string
 	// events counts the events delivered in this request. A migration reads it while the stream
 	// runs.
-	events    atomic.Int64
-	migration migration
-	standby   standby
-	caution   caution
+	events     atomic.Int64
+	migration  migration
+	standby    standby
+	crashGuard crashGuard
 	// firstAt and lastAt are the times of the first and the last event. longestPause is the
 	// longest time between two consecutive events.
 	firstAt      time.Time
 	lastAt       time.Time
 	longestPause time.Duration
-	// heardAt is the time at which the engine last sent anything.
-	heardAt time.Time
+	// lastReadAt is the time at which the engine last sent anything.
+	lastReadAt time.Time
 }
 
 // output returns the expected length of the output, in tokens.
 func (s *stream) output() int {
 	bound := s.j.Call.MaxOutputTokens
-	guess := s.j.Call.OutputEstimate
-	if guess == 0 {
-		guess = unknownOutput
+	estimate := s.j.Call.OutputEstimate
+	if estimate == 0 {
+		estimate = defaultOutputTokens
 	}
 	if bound > 0 {
-		guess = min(guess, bound)
+		estimate = min(estimate, bound)
 	}
-	return guess
+	return estimate
 }
 
 // size returns the memory that the request is expected to take.
@@ -186,22 +187,22 @@
 	s.starts++
 	p, err := s.admitAndReserve(ctx)
 	if err != nil {
-		if s.kept != nil {
-			s.free(s.kept)
+		if s.retained != nil {
+			s.freeResult(s.retained)
 		}
-		return nil, false, s.ended(err)
+		return nil, false, s.callerError(err)
 	}
-	defer s.roomCame(p)
-	h, err := s.compute(ctx, p)
+	defer s.leavePlacement(p)
+	h, err := s.obtainPrefill(ctx, p)
 	if err != nil {
-		s.giveUp(p, nil)
-		return nil, s.mayStart(ctx, err, sendsAfterPrefill), s.ended(err)
+		s.releaseUnused(p, nil)
+		return nil, s.mayRestart(ctx, err, sendsAfterPrefill), s.callerError(err)
 	}
 	return s.decode(ctx, p, h)
 }
 
 // admitAndReserve reserves a decode engine if the content may be sent to one.
-func (s *stream) admitAndReserve(ctx context.Context) (*place, error) {
+func (s *stream) admitAndReserve(ctx context.Context) (*placement, error) {
 	if err := s.admit(ctx); err != nil {
 		return nil, err
 	}
@@ -216,21 +217,23 @@
 
 // admit reports whether the content may be sent to an engine. It is checked before each send,
 // because evidence of crashes may have arrived while the request waited.
-func (s *stream) admit(ctx context.Context) error { return s.caution.admit(ctx, s.fateUnserved()) }
+func (s *stream) admit(ctx context.Context) error {
+	return s.crashGuard.admit(ctx, s.outcomeUnserved())
+}
 
-// ended converts the error of a start to the error that is returned to the caller.
-func (s *stream) ended(err error) error {
-	var told *Error
-	var left *AbandonedError
+// callerError converts the error of a start to the error that is returned to the caller.
+func (s *stream) callerError(err error) error {
+	var reqErr *Error
+	var abandoned *AbandonedError
 	switch {
-	case errors.As(err, &left):
+	case errors.As(err, &abandoned):
 		return err
-	case s.begun:
-		return &BrokenOffError{By: s.cut, Err: err}
-	case errors.As(err, &told):
-		return told
+	case s.headSent:
+		return &BrokenOffError{By: s.cutReason, Err: err}
+	case errors.As(err, &reqErr):
+		return reqErr
 	case s.runs == 0:
-		return &Error{Fate: NotRun, Reason: "engines_failed", RetryAfter: retryStream, Err: err}
+		return &Error{Fate: NotRun, Reason: "engines_failed", RetryAfter: streamRetryAfter, Err: err}
 	default:
 		return &Error{Fate: Unknown, Reason: "engine_failed", Err: err}
 	}
@@ -238,51 +241,51 @@
 
 // The number of sends beyond the first that another start takes.
 const (
-	// sendsWithKept applies if only the decode engine is asked again.
-	sendsWithKept = 1
+	// sendsDecodeOnly applies if only the decode engine is asked again.
+	sendsDecodeOnly = 1
 	// sendsAfterPrefill applies if a prefill failed and is repeated.
 	sendsAfterPrefill = 1
-	// sendsAnew applies if both prefill and decode are repeated.
-	sendsAnew = 2
+	// sendsFullRestart applies if both prefill and decode are repeated.
+	sendsFullRestart = 2
 )
 
-// mayStart reports whether another pair of engines may be tried after a failure that left the
+// mayRestart reports whether another pair of engines may be tried after a failure that left the
 // request not run or that may be repeated. sends is the number of sends that this takes. A
 // request that may have crashed its engine is not sent to the next one here: its caller is told
 // and decides.
-func (s *stream) mayStart(ctx context.Context, err error, sends int) bool {
-	if ctx.Err() != nil || s.starts >= maxStarts || s.caution.crashed {
+func (s *stream) mayRestart(ctx context.Context, err error, sends int) bool {
+	if ctx.Err() != nil || s.starts >= maxStarts || s.crashGuard.crashedEarly {
 		return false
 	}
-	var told *Error
-	if errors.As(err, &told) {
+	var reqErr *Error
+	if errors.As(err, &reqErr) {
 		return false
 	}
-	if clock.Until(s.j.Deadline) < leastTime {
+	if clock.Until(s.j.Deadline) < minAttemptTime {
 		return false
 	}
 	// The sends to a standby placement were charged to the retry budget when it was reserved.
-	return s.standby.kept() || s.c.mayResend(s.j.Service.Name, sends, s.begun, s.log)
+	return s.standby.isSet() || s.c.mayResend(s.j.Service.Name, sends, s.headSent, s.log)
 }
 
-// lost handles an attempt that was interrupted at an engine, unless the request's context has
-// ended.
-func (s *stream) lost(ctx context.Context, u dialect.Upstream, start time.Time, begun bool, made int, err error) {
+// recordInterruption handles an attempt that was interrupted at an engine, unless the request's
+// context has ended.
+func (s *stream) recordInterruption(ctx context.Context, u dialect.Upstream, start time.Time, headReceived bool, eventCount int, err error) {
 	if ctx.Err() == nil {
-		s.caution.lost(u, start, begun, made, err)
+		s.crashGuard.handleInterruption(u, start, headReceived, eventCount, err)
 	}
 }
 
-// fateUnserved returns the outcome of a request that is not sent to another engine.
-func (s *stream) fateUnserved() Fate { return fateAfter(s.runs) }
+// outcomeUnserved returns the outcome of a request that is not sent to another engine.
+func (s *stream) outcomeUnserved() Fate { return outcomeAfter(s.runs) }
 
 // contextError returns the error for a request whose context ended.
 func (s *stream) contextError(ctx context.Context) error {
 	if Stopped(ctx) {
-		return Stopping(s.fateUnserved())
+		return Stopping(s.outcomeUnserved())
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return overdue(s.fateUnserved())
+		return deadlineError(s.outcomeUnserved())
 	}
 	return &AbandonedError{NotSent: s.runs == 0 && s.prefills == 0}
 }
--- a/gateway/carry/stream_test.go
+++ b/gateway/carry/stream_test.go
@@ -16,211 +16,211 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// stream1 streams may run once, resumable ones may continue at a second engine.
+// Streams of singleRun may run once, those of resumable may continue at a second engine.
 var (
-	stream1   = routing.Route{Kind: routing.Stream, MaxAttempts: 1}
+	singleRun = routing.Route{Kind: routing.Stream, MaxAttempts: 1}
 	resumable = routing.Route{Kind: routing.Stream, MaxAttempts: 2, Resumable: true}
 )
 
-// streamBed returns a bed with two prefill and two decode engines.
-func streamBed(t *testing.T) *bed {
-	return newBed(t, slack, engineUps([]string{"p1", "p2"}, []string{"d1", "d2"})...)
+// newStreamEnv returns a test environment with two prefill and two decode engines.
+func newStreamEnv(t *testing.T) *testEnv {
+	return newTestEnv(t, ampleBudget, engineUps([]string{"p1", "p2"}, []string{"d1", "d2"})...)
 }
 
 // serveStreams makes the decode engines answer with r.
-func (b *bed) serveStreams(r reply) {
-	b.d.do["d1"], b.d.do["d2"] = []reply{r}, []reply{r}
+func (env *testEnv) serveStreams(r reply) {
+	env.d.do["d1"], env.d.do["d2"] = []reply{r}, []reply{r}
 }
 
 // TestStreamIsReservedPrefilledDecoded checks that reservation, prefill and decode are called
 // once each, in this order.
 func TestStreamIsReservedPrefilledDecoded(t *testing.T) {
-	b := streamBed(t)
-	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 5)})
-	var got sink
-	_, err := b.Stream(t.Context(), job(stream1), &got)
+	env := newStreamEnv(t)
+	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 5)})
+	var got streamRecorder
+	_, err := env.Stream(t.Context(), job(singleRun), &got)
 	assert.NilError(t, err)
 	assert.Equal(t, got.body.String(), events(1, 5))
-	assert.Equal(t, len(b.d.calls), 3)
+	assert.Equal(t, len(env.d.calls), 3)
 	for i, kind := range []string{"hold", "prefill", "do"} {
-		assert.Assert(t, b.d.calls[i][:len(kind)] == kind, "%v", b.d.calls)
+		assert.Assert(t, env.d.calls[i][:len(kind)] == kind, "%v", env.d.calls)
 	}
-	assert.Equal(t, b.d.sends[0].Hold, "r")
-	assert.Assert(t, b.d.sends[0].Source != nil)
+	assert.Equal(t, env.d.sends[0].Hold, "r")
+	assert.Assert(t, env.d.sends[0].Source != nil)
 }
 
 // TestBrokenStreamDoesNotLookComplete checks that an interrupted stream does not look complete
 // to the caller and is not run again.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
-	b := streamBed(t)
-	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3) + "id: 4\nda", breaks: true})
-	var got sink
-	_, err := b.Stream(t.Context(), job(stream1), &got)
-	var off *BrokenOffError
-	assert.Assert(t, errors.As(err, &off), "%v", err)
+	env := newStreamEnv(t)
+	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3) + "id: 4\nda", breaks: true})
+	var got streamRecorder
+	_, err := env.Stream(t.Context(), job(singleRun), &got)
+	var interrupted *BrokenOffError
+	assert.Assert(t, errors.As(err, &interrupted), "%v", err)
 	assert.Equal(t, got.body.String(), events(1, 3), "want complete events only")
-	assert.Equal(t, b.d.countKind("do"), 1)
+	assert.Equal(t, env.d.countKind("do"), 1)
 }
 
 // TestResumableStreamGoesOn checks that an interrupted stream continues at another engine after
 // the last complete event, under the response head of the first engine.
 func TestResumableStreamGoesOn(t *testing.T) {
-	b := streamBed(t)
-	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3) + "id: 4\nda", breaks: true})
+	env := newStreamEnv(t)
+	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3) + "id: 4\nda", breaks: true})
 	j := job(resumable)
-	var got sink
+	var got streamRecorder
 	first := true
-	b.d.mu.Lock()
+	env.d.mu.Lock()
 	for _, id := range []string{"d1", "d2"} {
 		u := plainUps(id)[0].ID
-		b.d.do[u] = []reply{b.d.do[u][0]}
+		env.d.do[u] = []reply{env.d.do[u][0]}
 	}
-	b.d.mu.Unlock()
-	b.o.Count = func(name string) {
+	env.d.mu.Unlock()
+	env.o.Count = func(name string) {
 		if name == "stream_restarted" && first {
 			first = false
-			b.d.mu.Lock()
-			defer b.d.mu.Unlock()
+			env.d.mu.Lock()
+			defer env.d.mu.Unlock()
 			rest := reply{verdict: dialect.Success, status: 200, body: events(4, 6)}
-			b.d.do["d1"], b.d.do["d2"] = []reply{rest}, []reply{rest}
+			env.d.do["d1"], env.d.do["d2"] = []reply{rest}, []reply{rest}
 		}
 	}
-	_, err := b.Stream(t.Context(), j, &got)
+	_, err := env.Stream(t.Context(), j, &got)
 	assert.NilError(t, err)
 	assert.Equal(t, got.body.String(), events(1, 6))
 	assert.Equal(t, got.heads, 1)
-	assert.Equal(t, len(b.d.sends), 2)
-	assert.Equal(t, b.d.sends[1].LastEvent, "3")
-	assert.Assert(t, b.d.sends[0].To.ID != b.d.sends[1].To.ID)
-	assert.Equal(t, got.from, string(b.d.sends[0].To.ID))
+	assert.Equal(t, len(env.d.sends), 2)
+	assert.Equal(t, env.d.sends[1].LastEvent, "3")
+	assert.Assert(t, env.d.sends[0].To.ID != env.d.sends[1].To.ID)
+	assert.Equal(t, got.from, string(env.d.sends[0].To.ID))
 }
 
 // TestRefusedDecodeKeepsThePrefillResult checks that the second engine is offered the prefill
 // result that the first one refused, that nothing is computed twice, and that the engine at
 // fault is passed over afterwards.
 func TestRefusedDecodeKeepsThePrefillResult(t *testing.T) {
-	b := streamBed(t)
-	b.d.do["d1"] = []reply{refusal}
-	b.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
+	env := newStreamEnv(t)
+	env.d.do["d1"] = []reply{refusal}
+	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
 	for range 6 {
-		var got sink
-		_, err := b.Stream(t.Context(), job(stream1), &got)
+		var got streamRecorder
+		_, err := env.Stream(t.Context(), job(singleRun), &got)
 		assert.NilError(t, err)
 		assert.Equal(t, got.body.String(), events(1, 2))
 	}
-	b.Close()
-	assert.Equal(t, b.d.countKind("prefill"), 6)
-	assert.Equal(t, b.d.count("do d1"), 1)
-	assert.Equal(t, b.d.count("release d1"), 1)
+	env.Close()
+	assert.Equal(t, env.d.countKind("prefill"), 6)
+	assert.Equal(t, env.d.count("do d1"), 1)
+	assert.Equal(t, env.d.count("release d1"), 1)
 }
 
 // TestLapsedPrefillResultIsComputedElsewhere checks that the prefill engine is considered at
 // fault if two decode engines cannot fetch its result.
 func TestLapsedPrefillResultIsComputedElsewhere(t *testing.T) {
-	b := streamBed(t)
+	env := newStreamEnv(t)
 	good := reply{verdict: dialect.Success, status: 200, body: events(1, 2)}
-	b.d.do["d1"], b.d.do["d2"] = []reply{refusal, good}, []reply{refusal, good}
+	env.d.do["d1"], env.d.do["d2"] = []reply{refusal, good}, []reply{refusal, good}
 	// Both decode engines refuse this request, so a third one is needed.
-	b.view.Upstreams["s"] = engineUps([]string{"p1", "p2"}, []string{"d1", "d2", "d3"})
-	b.d.do["d3"] = []reply{good}
-	b.d.hold["d3"] = []error{&dialect.FullError{}, &dialect.FullError{}, nil}
-	var got sink
-	_, err := b.Stream(t.Context(), job(stream1), &got)
+	env.view.Upstreams["s"] = engineUps([]string{"p1", "p2"}, []string{"d1", "d2", "d3"})
+	env.d.do["d3"] = []reply{good}
+	env.d.hold["d3"] = []error{&dialect.FullError{}, &dialect.FullError{}, nil}
+	var got streamRecorder
+	_, err := env.Stream(t.Context(), job(singleRun), &got)
 	assert.NilError(t, err)
 	assert.Equal(t, got.body.String(), events(1, 2))
-	b.Close()
-	assert.Equal(t, b.d.count("prefill p1"), 1)
-	assert.Equal(t, b.d.count("prefill p2"), 1)
-	assert.Equal(t, b.d.countKind("free"), 1)
+	env.Close()
+	assert.Equal(t, env.d.count("prefill p1"), 1)
+	assert.Equal(t, env.d.count("prefill p2"), 1)
+	assert.Equal(t, env.d.countKind("free"), 1)
 }
 
 // TestNothingIsComputedWithoutRoom checks that a request for which no engine has room is refused
 // when it cannot be on time any more, before anything was computed.
 func TestNothingIsComputedWithoutRoom(t *testing.T) {
-	b := streamBed(t)
-	b.d.hold["d1"], b.d.hold["d2"] = []error{&dialect.FullError{}}, []error{&dialect.FullError{}}
-	j := job(stream1)
+	env := newStreamEnv(t)
+	env.d.hold["d1"], env.d.hold["d2"] = []error{&dialect.FullError{}}, []error{&dialect.FullError{}}
+	j := job(singleRun)
 	j.Route.Objective = 50 * time.Millisecond
-	_, err := b.Stream(t.Context(), j, &sink{})
-	assert.Equal(t, fateOf(t, err), NotRun)
+	_, err := env.Stream(t.Context(), j, &streamRecorder{})
+	assert.Equal(t, outcomeOf(t, err), NotRun)
 	var e *Error
 	assert.Assert(t, errors.As(err, &e))
 	assert.Assert(t, e.RetryAfter > 0)
-	assert.Equal(t, b.d.countKind("prefill"), 0)
-	assert.Equal(t, b.d.countKind("do"), 0)
+	assert.Equal(t, env.d.countKind("prefill"), 0)
+	assert.Equal(t, env.d.countKind("do"), 0)
 }
 
 // TestFailedPrefillIsTriedElsewhere checks that a failed prefill is repeated at another engine,
 // because a prefill never runs the request.
 func TestFailedPrefillIsTriedElsewhere(t *testing.T) {
-	b := streamBed(t)
-	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2)})
-	b.d.prefill["p1"] = []error{broken}
+	env := newStreamEnv(t)
+	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2)})
+	env.d.prefill["p1"] = []error{errInterrupted}
 	for range 4 {
-		_, err := b.Stream(t.Context(), job(stream1), &sink{})
+		_, err := env.Stream(t.Context(), job(singleRun), &streamRecorder{})
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, b.d.count("prefill p1") <= 2, "%v", b.d.calls)
+	assert.Assert(t, env.d.count("prefill p1") <= 2, "%v", env.d.calls)
 }
 
 // TestSentStreamIsNotSentAgain checks that a stream that cannot be resumed and may have run is
 // not sent again, and is reported as such.
 func TestSentStreamIsNotSentAgain(t *testing.T) {
-	b := streamBed(t)
-	b.serveStreams(reply{err: broken})
-	_, err := b.Stream(t.Context(), job(stream1), &sink{})
-	assert.Equal(t, fateOf(t, err), Unknown)
-	assert.Equal(t, b.d.countKind("do"), 1)
+	env := newStreamEnv(t)
+	env.serveStreams(reply{err: errInterrupted})
+	_, err := env.Stream(t.Context(), job(singleRun), &streamRecorder{})
+	assert.Equal(t, outcomeOf(t, err), Unknown)
+	assert.Equal(t, env.d.countKind("do"), 1)
 }
 
 // TestUnsentStreamGivesUpWhatItReserved checks that a stream that could not be sent releases its
 // reservation and prefill result, and may be sent to another engine.
 func TestUnsentStreamGivesUpWhatItReserved(t *testing.T) {
-	b := streamBed(t)
-	b.d.do["d1"] = []reply{{err: &adapter.CallError{Evidence: kernel.NotSent, Err: context.DeadlineExceeded}}}
-	b.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
+	env := newStreamEnv(t)
+	env.d.do["d1"] = []reply{{err: &adapter.CallError{Evidence: kernel.NotSent, Err: context.DeadlineExceeded}}}
+	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
 	for range 4 {
-		_, err := b.Stream(t.Context(), job(stream1), &sink{})
+		_, err := env.Stream(t.Context(), job(singleRun), &streamRecorder{})
 		assert.NilError(t, err)
 	}
-	b.Close()
-	assert.Equal(t, b.d.count("release d1"), b.d.count("do d1"))
-	assert.Equal(t, b.d.countKind("free"), b.d.count("do d1"))
+	env.Close()
+	assert.Equal(t, env.d.count("release d1"), env.d.count("do d1"))
+	assert.Equal(t, env.d.countKind("free"), env.d.count("do d1"))
 }
 
 // TestDecodeWithoutPrefillEngines checks that without prefill engines the decode engine computes
 // the prompt.
 func TestDecodeWithoutPrefillEngines(t *testing.T) {
-	b := newBed(t, slack, engineUps(nil, []string{"d1"})...)
-	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
-	_, err := b.Stream(t.Context(), job(stream1), &sink{})
+	env := newTestEnv(t, ampleBudget, engineUps(nil, []string{"d1"})...)
+	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
+	_, err := env.Stream(t.Context(), job(singleRun), &streamRecorder{})
 	assert.NilError(t, err)
-	assert.Assert(t, b.d.sends[0].Source == nil)
+	assert.Assert(t, env.d.sends[0].Source == nil)
 }
 
 // TestWaitingInLine checks that a waiting request uses capacity that becomes available in time.
 func TestWaitingInLine(t *testing.T) {
-	b := streamBed(t)
+	env := newStreamEnv(t)
 	full := &dialect.FullError{}
-	b.d.hold["d1"], b.d.hold["d2"] = []error{full, full, full, nil}, []error{full}
-	b.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2)})
-	_, err := b.Stream(t.Context(), job(stream1), &sink{})
+	env.d.hold["d1"], env.d.hold["d2"] = []error{full, full, full, nil}, []error{full}
+	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2)})
+	_, err := env.Stream(t.Context(), job(singleRun), &streamRecorder{})
 	assert.NilError(t, err)
-	assert.Equal(t, b.d.count("do d1"), 1)
+	assert.Equal(t, env.d.count("do d1"), 1)
 }
 
 func TestLineKeepsOrder(t *testing.T) {
-	l := &line{}
+	q := &waitQueue{}
 	now := time.Now()
-	resumed := l.join(1, true, now.Add(-time.Second))
-	late := l.join(1, false, now.Add(time.Second))
-	early := l.join(1, false, now)
-	urgent := l.join(0, false, now.Add(2*time.Second))
+	resumed := q.insert(1, true, now.Add(-time.Second))
+	late := q.insert(1, false, now.Add(time.Second))
+	early := q.insert(1, false, now)
+	urgent := q.insert(0, false, now.Add(2*time.Second))
 	for _, w := range []*waiter{urgent, early, late, resumed} {
-		assert.Assert(t, l.first(w))
-		l.leave(w)
+		assert.Assert(t, q.isHead(w))
+		q.remove(w)
 	}
-	assert.Equal(t, l.length(), 0)
+	assert.Equal(t, q.length(), 0)
 }
 
 func TestLastEventEnd(t *testing.T) {
@@ -232,36 +232,36 @@
 // TestBusyPrefillEnginesKeepRequestsInLine checks that nothing is reserved, and the request is
 // refused at once, if the prefill engines have more work queued than the objective allows.
 func TestBusyPrefillEnginesKeepRequestsInLine(t *testing.T) {
-	b := streamBed(t)
+	env := newStreamEnv(t)
 	for range 2 {
-		_, ok := b.o.Books.PlacePrefill(time.Now(), b.view.Upstreams["s"], 1<<20, "a", nil)
+		_, ok := env.o.Books.PlacePrefill(time.Now(), env.view.Upstreams["s"], 1<<20, "a", nil)
 		assert.Assert(t, ok)
 	}
-	j := job(stream1)
+	j := job(singleRun)
 	j.Route.Objective = time.Second
-	_, err := b.Stream(t.Context(), j, &sink{})
+	_, err := env.Stream(t.Context(), j, &streamRecorder{})
 	assert.Assert(t, time.Since(j.Arrived) < 500*time.Millisecond, "the request was not refused at once although it could not be on time")
-	assert.Equal(t, fateOf(t, err), NotRun)
-	assert.Equal(t, b.d.countKind("hold"), 0)
+	assert.Equal(t, outcomeOf(t, err), NotRun)
+	assert.Equal(t, env.d.countKind("hold"), 0)
 }
 
 // TestBusyPrefillEnginesAreRelieved checks that a decode engine that is assigned to this
 // instance computes the prompt, and one that is assigned to a peer does not.
 func TestBusyPrefillEnginesAreRelieved(t *testing.T) {
-	for _, falls := range []bool{true, false} {
-		b := streamBed(t)
+	for _, assigned := range []bool{true, false} {
+		env := newStreamEnv(t)
 		for range 2 {
-			_, ok := b.o.Books.PlacePrefill(time.Now(), b.view.Upstreams["s"], 1<<20, "a", nil)
+			_, ok := env.o.Books.PlacePrefill(time.Now(), env.view.Upstreams["s"], 1<<20, "a", nil)
 			assert.Assert(t, ok)
 		}
-		b.o.Books.SetOverflow(map[ident.UpstreamID]bool{"d1": falls})
-		j := job(stream1)
+		env.o.Books.SetOverflow(map[ident.UpstreamID]bool{"d1": assigned})
+		j := job(singleRun)
 		j.Route.Objective = time.Second
-		_, err := b.Stream(t.Context(), j, &sink{})
-		assert.Equal(t, err == nil, falls)
-		assert.Equal(t, b.d.countKind("prefill"), 0)
-		if falls {
-			assert.Equal(t, b.d.countKind("hold"), 1)
+		_, err := env.Stream(t.Context(), j, &streamRecorder{})
+		assert.Equal(t, err == nil, assigned)
+		assert.Equal(t, env.d.countKind("prefill"), 0)
+		if assigned {
+			assert.Equal(t, env.d.countKind("hold"), 1)
 		}
 	}
 }
@@ -270,15 +270,15 @@
 // prefill times out is treated as busy, and one that sends nothing as unreachable.
 func TestBusyPrefillEngineIsNotEjected(t *testing.T) {
 	for _, answers := range []bool{true, false} {
-		b := streamBed(t)
-		s := &stream{c: b.Carrier, j: job(stream1), log: b.o.Log}
-		u := b.view.Upstreams["s"][0]
+		env := newStreamEnv(t)
+		s := &stream{c: env.Carrier, j: job(singleRun), log: env.o.Log}
+		u := env.view.Upstreams["s"][0]
 		start := time.Now()
 		if answers {
-			b.o.Books.Answered(start.Add(time.Millisecond), u, time.Millisecond)
+			env.o.Books.Answered(start.Add(time.Millisecond), u, time.Millisecond)
 		}
-		s.notePrefill(u, context.DeadlineExceeded, start, time.Second)
-		wait, _ := b.o.Books.PrefillWait(start, b.view.Upstreams["s"][:1], 100)
+		s.recordPrefill(u, context.DeadlineExceeded, start, time.Second)
+		wait, _ := env.o.Books.PrefillWait(start, env.view.Upstreams["s"][:1], 100)
 		assert.Equal(t, wait > 0, answers)
 	}
 }
@@ -286,73 +286,73 @@
 // TestKeptResultIsFreed checks that a prefill result that is retained for a second decode engine
 // is released if none has room in time.
 func TestKeptResultIsFreed(t *testing.T) {
-	b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1"})...)
-	b.d.do["d1"] = []reply{refusal}
-	j := job(stream1)
+	env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1"})...)
+	env.d.do["d1"] = []reply{refusal}
+	j := job(singleRun)
 	j.Route.Objective = 2 * time.Second
-	_, err := b.Stream(t.Context(), j, &sink{})
-	assert.Equal(t, fateOf(t, err), NotRun)
-	b.Close()
-	assert.Equal(t, b.d.countKind("free"), 1)
+	_, err := env.Stream(t.Context(), j, &streamRecorder{})
+	assert.Equal(t, outcomeOf(t, err), NotRun)
+	env.Close()
+	assert.Equal(t, env.d.countKind("free"), 1)
 }
 
 // TestMisdirectedPrefillEngineIsLeftAlone checks that a prefill engine which answers that it is
 // another one, or of another stage, is asked only once, and that the decode engine computes the
 // prompts meanwhile.
 func TestMisdirectedPrefillEngineIsLeftAlone(t *testing.T) {
-	b := newBed(t, slack, engineUps([]string{"p1"}, []string{"d1"})...)
-	b.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
-	b.d.prefill["p1"] = []error{&adapter.CallError{Evidence: kernel.Refused, Status: http.StatusMisdirectedRequest}}
+	env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1"})...)
+	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 2)}}
+	env.d.prefill["p1"] = []error{&adapter.CallError{Evidence: kernel.Refused, Status: http.StatusMisdirectedRequest}}
 	for range 3 {
-		_, err := b.Stream(t.Context(), job(stream1), &sink{})
+		_, err := env.Stream(t.Context(), job(singleRun), &streamRecorder{})
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, b.d.count("prefill p1"), 1)
-	assert.Equal(t, b.d.count("do d1"), 3)
+	assert.Equal(t, env.d.count("prefill p1"), 1)
+	assert.Equal(t, env.d.count("do d1"), 3)
 }
 
 // TestReplacedServiceUpstreamIsAskedOnce checks that an address that answers as another
 // incarnation gets no more requests meant for the previous one.
 func TestReplacedServiceUpstreamIsAskedOnce(t *testing.T) {
-	b := newBed(t, slack, plainUps("x", "y")...)
-	b.d.do["x"] = []reply{{verdict: dialect.WrongUpstream, status: http.StatusMisdirectedRequest}}
-	b.d.do["y"] = []reply{{verdict: dialect.Success, status: 200}}
+	env := newTestEnv(t, ampleBudget, plainUps("x", "y")...)
+	env.d.do["x"] = []reply{{verdict: dialect.WrongUpstream, status: http.StatusMisdirectedRequest}}
+	env.d.do["y"] = []reply{{verdict: dialect.Success, status: 200}}
 	for range 10 {
-		_, err := b.Plain(t.Context(), job(routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 1}))
+		_, err := env.Plain(t.Context(), job(routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 1}))
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, b.d.count("do x") <= 1)
-	assert.Equal(t, b.d.count("do y"), 10)
+	assert.Assert(t, env.d.count("do x") <= 1)
+	assert.Equal(t, env.d.count("do y"), 10)
 }
 
 // TestLivingPrefillEngineIsLeftItsTime checks that a prefill is not canceled as long as the
 // first event can be on time, and later still if the engine is expected to take longer.
 func TestLivingPrefillEngineIsLeftItsTime(t *testing.T) {
-	b := streamBed(t)
-	s := &stream{c: b.Carrier, j: job(stream1), log: b.o.Log}
+	env := newStreamEnv(t)
+	s := &stream{c: env.Carrier, j: job(singleRun), log: env.o.Log}
 	s.j.Route.Objective = 2 * time.Second
-	first := b.o.Books.FirstEvent("s")
-	assert.Equal(t, s.patience(s.j.Arrived.Add(300*time.Millisecond), 10*time.Millisecond), 1700*time.Millisecond-first)
-	assert.Equal(t, s.patience(s.j.Arrived.Add(1900*time.Millisecond), 10*time.Millisecond), leastPrefill)
-	assert.Equal(t, s.patience(s.j.Arrived, time.Second), 4*time.Second)
+	first := env.o.Books.FirstEvent("s")
+	assert.Equal(t, s.prefillTimeout(s.j.Arrived.Add(300*time.Millisecond), 10*time.Millisecond), 1700*time.Millisecond-first)
+	assert.Equal(t, s.prefillTimeout(s.j.Arrived.Add(1900*time.Millisecond), 10*time.Millisecond), minPrefillTimeout)
+	assert.Equal(t, s.prefillTimeout(s.j.Arrived, time.Second), 4*time.Second)
 }
 
 // TestEngineThatFailsAtOnceIsNoSink guards against an engine that answers streams with errors of
 // its own and attracts the others: it holds nothing, so it always has the most free memory.
 // Every stream that came while others ran was sent to it; now at most two of twenty are.
 func TestEngineThatFailsAtOnceIsNoSink(t *testing.T) {
-	b := streamBed(t)
-	b.d.do["d1"] = []reply{{verdict: dialect.Failure, status: 500, body: "failed"}}
-	b.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 5)}}
+	env := newStreamEnv(t)
+	env.d.do["d1"] = []reply{{verdict: dialect.Failure, status: 500, body: "failed"}}
+	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 5)}}
 	failed := 0
 	for range 20 {
-		var got sink
-		a, err := b.Stream(t.Context(), job(stream1), &got)
+		var got streamRecorder
+		a, err := env.Stream(t.Context(), job(singleRun), &got)
 		assert.NilError(t, err)
 		if a != nil {
 			failed++
 		}
 	}
 	assert.Assert(t, failed <= 2, "%d", failed)
-	assert.Equal(t, b.d.count("do d1"), failed)
+	assert.Equal(t, env.d.count("do d1"), failed)
 }
