--- a/gateway/carry/ending.go
+++ b/gateway/carry/ending.go
@@ -14,144 +14,152 @@
 	"github.com/wardspool/wardspool/logs"
 )
 
-// ending is what became of an upstream at which an attempt broke off.
-type ending string
+// upstreamState is the state in which an upstream was found after an attempt there was
+// interrupted.
+type upstreamState string
 
-// The endings, as logs name them.
+// The states, as they appear in logs.
 const (
-	// endedUnknown upstreams don't answer: they may have crashed, or be out of reach.
-	endedUnknown ending = "unknown"
-	// endedCrashed upstreams refuse connections, or another incarnation answers.
-	endedCrashed ending = "crashed"
-	// endedAlive upstreams answer: only the connection or the answer broke.
-	endedAlive ending = "alive"
-	// endedPlanned upstreams had said that they leave, or had left the list, before they
-	// refused connections.
-	endedPlanned ending = "planned"
+	// stateUnknown means that the upstream does not answer: it may have crashed or be
+	// unreachable.
+	stateUnknown upstreamState = "unknown"
+	// stateCrashed means that the upstream refuses connections, or that another incarnation
+	// answers.
+	stateCrashed upstreamState = "crashed"
+	// stateAlive means that the upstream answers; only the connection or the response was
+	// interrupted.
+	stateAlive upstreamState = "alive"
+	// stateShutDown means that the upstream refuses connections after it had announced its
+	// shutdown or had been removed from the list.
+	stateShutDown upstreamState = "planned"
 )
 
 const (
-	// examineTimeout bounds the question; upstreams answer it in a few ms however busy.
-	examineTimeout = 200 * time.Millisecond
-	// examinedFor is how long an answer serves for other attempts at the same upstream: a
-	// crash breaks some dozen off at once.
-	examinedFor = time.Second
-	// silentAfter is how long an engine must have sent nothing for the leaving of its caller
-	// to say something of it: events come each 40 to 300 ms.
-	silentAfter = time.Second
-	// mostExamined bounds the answers that are remembered.
-	mostExamined = 256
+	// stateCheckTimeout limits a liveness check. Upstreams answer one in a few ms, however busy
+	// they are.
+	stateCheckTimeout = 200 * time.Millisecond
+	// stateCheckTTL is how long the result of a liveness check is reused for other attempts at
+	// the same upstream. A crash interrupts a dozen or more attempts at once.
+	stateCheckTTL = time.Second
+	// unresponsiveAfter is how long an engine must have sent nothing for a caller's disconnect
+	// to be taken as a sign that the engine may have failed. Events normally arrive every 40 to
+	// 300 ms.
+	unresponsiveAfter = time.Second
+	// maxStateChecks limits the number of results that are kept.
+	maxStateChecks = 256
 )
 
-// examinations remembers what became of upstreams at which attempts broke off. Those who
-// ask at the same time share one question.
-type examinations struct {
-	mu   sync.Mutex
-	last map[examined]*examination
+// stateChecks caches the results of liveness checks of upstreams whose attempts were
+// interrupted. Concurrent requests for the same upstream share one check.
+type stateChecks struct {
+	mu     sync.Mutex
+	checks map[stateCheckKey]*stateCheck
 }
 
-// examined names an incarnation of an upstream.
-type examined struct {
+// stateCheckKey identifies an incarnation of an upstream.
+type stateCheckKey struct {
 	id          ident.UpstreamID
 	incarnation ident.Incarnation
 }
 
-// examination is one question and its answer.
-type examination struct {
-	once   sync.Once
-	at     time.Time
-	ending ending
+// stateCheck is one liveness check and its result.
+type stateCheck struct {
+	once  sync.Once
+	at    time.Time
+	state upstreamState
 }
 
-// of returns the examination of an upstream that is still of use, or a new one.
-func (e *examinations) of(now time.Time, u dialect.Upstream) *examination {
+// of returns the check of an upstream that is still valid at now, or a new one.
+func (e *stateChecks) of(now time.Time, u dialect.Upstream) *stateCheck {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.last == nil || len(e.last) >= mostExamined {
-		e.last = map[examined]*examination{}
+	if e.checks == nil || len(e.checks) >= maxStateChecks {
+		e.checks = map[stateCheckKey]*stateCheck{}
 	}
-	key := examined{u.ID, u.Incarnation}
-	x := e.last[key]
-	if x == nil || now.Sub(x.at) >= examinedFor {
-		x = &examination{at: now}
-		e.last[key] = x
+	key := stateCheckKey{u.ID, u.Incarnation}
+	check := e.checks[key]
+	if check == nil || now.Sub(check.at) >= stateCheckTTL {
+		check = &stateCheck{at: now}
+		e.checks[key] = check
 	}
-	return x
+	return check
 }
 
-// examine finds out what became of an upstream at which an attempt broke off.
-func (c *Carrier) examine(u dialect.Upstream) ending {
-	x := c.examinations.of(clock.Now(), u)
-	x.once.Do(func() { x.ending = c.askEnding(u) })
-	return x.ending
+// checkState checks the state of an upstream after an attempt there was interrupted.
+func (c *Carrier) checkState(u dialect.Upstream) upstreamState {
+	check := c.stateChecks.of(clock.Now(), u)
+	check.once.Do(func() { check.state = c.queryState(u) })
+	return check.state
 }
 
-// askEnding asks an upstream whether it lives.
-func (c *Carrier) askEnding(u dialect.Upstream) ending {
-	ctx, cancel := context.WithTimeout(context.Background(), examineTimeout)
+// queryState sends the liveness check to an upstream.
+func (c *Carrier) queryState(u dialect.Upstream) upstreamState {
+	ctx, cancel := context.WithTimeout(context.Background(), stateCheckTimeout)
 	defer cancel()
 	if u.Stage == "" {
-		return endingOf(c.o.Dialect.Reach(ctx, u))
+		return stateFromError(c.o.Dialect.Reach(ctx, u))
 	}
 	r, err := c.o.Dialect.Report(ctx, u)
 	if err == nil && !c.Reported(u, r) {
-		return endedCrashed
+		return stateCrashed
 	}
-	return endingOf(err)
+	return stateFromError(err)
 }
 
-// endingOf says what the error of a question to an upstream means.
-func endingOf(err error) ending {
+// stateFromError derives the state of an upstream from the error of a liveness check.
+func stateFromError(err error) upstreamState {
 	var replaced *dialect.ReplacedError
 	switch {
 	case err == nil:
-		return endedAlive
+		return stateAlive
 	case errors.As(err, &replaced), Unreached(err) == schedule.Closed:
-		return endedCrashed
+		return stateCrashed
 	default:
-		return endedUnknown
+		return stateUnknown
 	}
 }
 
-// lost takes in that an attempt of a request, sent at start, broke off at an upstream after
-// so many events from there, and finds out whether that crashed. begun means that the
-// upstream had answered with the head of a response.
-func (a *caution) lost(u dialect.Upstream, start time.Time, begun bool, made int, cause error) {
-	if a.weigh(u, begun || a.c.o.Books.AnsweredSince(u, start), made, cause) == endedCrashed && made == 0 {
-		a.crashed = true
+// handleInterruption handles an attempt that was sent at start and interrupted after the given
+// number of events, and checks whether the upstream crashed. headReceived means that the
+// upstream had sent a response head.
+func (g *crashGuard) handleInterruption(u dialect.Upstream, start time.Time, headReceived bool, eventCount int, cause error) {
+	if g.recordInterruption(u, headReceived || g.c.o.Books.AnsweredSince(u, start), eventCount, cause) == stateCrashed && eventCount == 0 {
+		g.crashedEarly = true
 	}
 }
 
-// abandoned takes in that the caller left while an upstream sent nothing.
-func (a *caution) abandoned(u dialect.Upstream, made int) {
-	// The request has ended, its parts are not touched any more.
-	own := caution{c: a.c, j: a.j, log: a.log}
-	a.c.cleanup.Go(func() { own.weigh(u, true, made, &AbandonedError{}) })
+// handleDisconnect checks an upstream that was sending nothing when the caller disconnected.
+func (g *crashGuard) handleDisconnect(u dialect.Upstream, eventCount int) {
+	// The check runs after the request has ended, so it uses a copy that the request does not
+	// modify.
+	copied := crashGuard{c: g.c, j: g.j, log: g.log}
+	g.c.cleanup.Go(func() { copied.recordInterruption(u, true, eventCount, &AbandonedError{}) })
 }
 
-// weigh finds out what became of an upstream at which an attempt broke off, and takes a
-// crash into the register. One that fell silent without a sign of life since the request was
-// sent may have been gone before.
-func (a *caution) weigh(u dialect.Upstream, lived bool, made int, cause error) ending {
-	e := a.c.endingBy(u, cause)
-	if e == endedCrashed && a.c.planned(u) {
-		e = endedPlanned
+// recordInterruption determines the state of an upstream after an attempt there was interrupted,
+// logs it and records a crash in the register. wasAlive means that the upstream showed a sign of
+// life after the request was sent. Without one, an upstream that does not answer may have been
+// gone before the request, and the attempt is not kept as possible evidence.
+func (g *crashGuard) recordInterruption(u dialect.Upstream, wasAlive bool, eventCount int, cause error) upstreamState {
+	e := g.c.stateAfter(u, cause)
+	if e == stateCrashed && g.c.plannedShutdown(u) {
+		e = stateShutDown
 	}
-	a.c.o.Count("attempt_lost_" + string(e))
-	a.log.Warn("attempt lost", "upstream", u.ID, "incarnation", u.Incarnation, "address", u.Address, "content", a.j.Content.String(),
-		"made", made, "lived", lived, "ending", string(e), "error", logs.ErrorText(cause))
+	g.c.o.Count("attempt_lost_" + string(e))
+	g.log.Warn("attempt lost", "upstream", u.ID, "incarnation", u.Incarnation, "address", u.Address, "content", g.j.Content.String(),
+		"made", eventCount, "lived", wasAlive, "ending", string(e), "error", logs.ErrorText(cause))
 	switch {
-	case e == endedCrashed:
-		a.c.crashed(a.j.Content, u, made)
-	case e == endedUnknown && lived:
-		a.c.undecided.add(clock.Now(), a.j.Content, u, made)
+	case e == stateCrashed:
+		g.c.recordCrash(g.j.Content, u, eventCount)
+	case e == stateUnknown && wasAlive:
+		g.c.undecided.add(clock.Now(), g.j.Content, u, eventCount)
 	}
 	return e
 }
 
-// planned reports whether an upstream had said that it leaves, or had left the list while
-// nobody took its place: its end is no crash.
-func (c *Carrier) planned(u dialect.Upstream) bool {
+// plannedShutdown reports whether an upstream had announced its shutdown, or was removed from
+// the list without being replaced. In both cases its end is not a crash.
+func (c *Carrier) plannedShutdown(u dialect.Upstream) bool {
 	list := c.o.View().Upstreams[u.Service]
 	for _, o := range list {
 		if o.ID == u.ID {
@@ -161,21 +169,21 @@
 	return !replacedIn(list, u)
 }
 
-// endingBy finds out what became of an upstream at which an attempt broke off for a cause;
-// if that is the upstream's silence, it was asked already.
-func (c *Carrier) endingBy(u dialect.Upstream, cause error) ending {
-	var silent *SilentError
+// stateAfter determines the state of an upstream after an attempt was interrupted by cause. If
+// cause is an *UnresponsiveError, the upstream was checked already.
+func (c *Carrier) stateAfter(u dialect.Upstream, cause error) upstreamState {
+	var silent *UnresponsiveError
 	if errors.As(cause, &silent) {
-		return endingOf(silent.Err)
+		return stateFromError(silent.Err)
 	}
-	return c.examine(u)
+	return c.checkState(u)
 }
 
-// crashed takes the evidence of a crash into the register, and has the other instances
-// told: each of them may be sent the same content at any moment.
-func (c *Carrier) crashed(content quarantine.Content, u dialect.Upstream, made int) {
+// recordCrash records evidence of a crash in the register and has it sent to the other instances,
+// because each of them may receive the same content at any moment.
+func (c *Carrier) recordCrash(content quarantine.Content, u dialect.Upstream, eventCount int) {
 	now := clock.Now()
-	if !c.o.Register.Crashed(now, content, u, made) {
+	if !c.o.Register.Crashed(now, content, u, eventCount) {
 		return
 	}
 	if v := c.o.Register.Verdict(now, content); v.Standing == quarantine.Quarantined {
--- a/gateway/carry/line.go
+++ b/gateway/carry/line.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// lineTick is how often the head of a line looks for room: peers' streams end
-	// without a word to this instance.
-	lineTick = 15 * time.Millisecond
+	// queuePollInterval is how often the head of a queue checks for capacity. The streams of
+	// other instances end without a notification to this one.
+	queuePollInterval = 15 * time.Millisecond
 )
 
-// line is the queue of requests that wait for room at a service's decode engines,
-// the most urgent first, of these the ones that can still be on time, then in order
-// of arrival.
-type line struct {
+// waitQueue is the queue of requests that wait for capacity at the decode engines of a service.
+// It is ordered by priority, then requests that can still meet their objective before those that
+// cannot, then by arrival.
+type waitQueue struct {
 	mu      sync.Mutex
 	waiting []*waiter
 }
 
-// waiter is a request in a line.
+// waiter is a request that waits in a queue.
 type waiter struct {
 	priority int
-	// late requests can't be on time any more, whatever they get: a stream that its
-	// caller resumes has paused for longer than its pace objective.
+	// late means that the request cannot meet its objective any more: a stream that its caller
+	// resumes has already paused for longer than its pace objective.
 	late    bool
 	arrived time.Time
-	// wake is signalled when room may have come.
+	// wake receives a value when capacity may have become available.
 	wake chan struct{}
 }
 
-// before reports whether w goes before o.
+// before reports whether w is ahead of o in the queue.
 func (w *waiter) before(o *waiter) bool {
 	if w.priority != o.priority {
 		return w.priority < o.priority
@@ -42,74 +42,74 @@
 	return w.arrived.Before(o.arrived)
 }
 
-// newWaiter returns a request that is in no line.
+// newWaiter returns a waiter that is in no queue.
 func newWaiter(priority int, late bool, arrived time.Time) *waiter {
 	return &waiter{priority: priority, late: late, arrived: arrived, wake: make(chan struct{}, 1)}
 }
 
-// join adds a request.
-func (l *line) join(priority int, late bool, arrived time.Time) *waiter {
+// insert inserts a request.
+func (q *waitQueue) insert(priority int, late bool, arrived time.Time) *waiter {
 	w := newWaiter(priority, late, arrived)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	at := len(l.waiting)
-	for at > 0 && w.before(l.waiting[at-1]) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	at := len(q.waiting)
+	for at > 0 && w.before(q.waiting[at-1]) {
 		at--
 	}
-	l.waiting = append(l.waiting, nil)
-	copy(l.waiting[at+1:], l.waiting[at:])
-	l.waiting[at] = w
+	q.waiting = append(q.waiting, nil)
+	copy(q.waiting[at+1:], q.waiting[at:])
+	q.waiting[at] = w
 	return w
 }
 
-// leave takes a request out and wakes the one that is first now.
-func (l *line) leave(w *waiter) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i, o := range l.waiting {
+// remove removes a request and wakes the new head of the queue.
+func (q *waitQueue) remove(w *waiter) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for i, o := range q.waiting {
 		if o == w {
-			l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+			q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 			break
 		}
 	}
-	l.wakeFirst()
+	q.wakeHead()
 }
 
-// first reports whether nobody goes before the request.
-func (l *line) first(w *waiter) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.waiting) > 0 && l.waiting[0] == w
+// isHead reports whether the request is at the head of the queue.
+func (q *waitQueue) isHead(w *waiter) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.waiting) > 0 && q.waiting[0] == w
 }
 
-// length returns how many requests wait.
-func (l *line) length() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.waiting)
+// length returns the number of waiting requests.
+func (q *waitQueue) length() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.waiting)
 }
 
-// roomCame wakes the first.
-func (l *line) roomCame() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.wakeFirst()
+// capacityFreed wakes the head of the queue when capacity may have become available.
+func (q *waitQueue) capacityFreed() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.wakeHead()
 }
 
-// wakeFirst wakes the first. The caller holds mu.
-func (l *line) wakeFirst() {
-	if len(l.waiting) == 0 {
+// wakeHead wakes the head of the queue. The caller must hold mu.
+func (q *waitQueue) wakeHead() {
+	if len(q.waiting) == 0 {
 		return
 	}
 	select {
-	case l.waiting[0].wake <- struct{}{}:
+	case q.waiting[0].wake <- struct{}{}:
 	default:
 	}
 }
 
-// wait waits for a wake-up, a tick or the end of ctx.
+// wait blocks until the waiter is woken, queuePollInterval has passed, or ctx ends.
 func (w *waiter) wait(ctx context.Context) {
-	timer := time.NewTimer(lineTick)
+	timer := time.NewTimer(queuePollInterval)
 	defer timer.Stop()
 	select {
 	case <-w.wake:
@@ -118,14 +118,14 @@
 	}
 }
 
-// lineOf returns the line of a service.
-func (c *Carrier) lineOf(service string) *line {
+// queueOf returns the queue of a service.
+func (c *Carrier) queueOf(service string) *waitQueue {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.lines[service]
-	if l == nil {
-		l = &line{}
-		c.lines[service] = l
+	q := c.queues[service]
+	if q == nil {
+		q = &waitQueue{}
+		c.queues[service] = q
 	}
-	return l
+	return q
 }
--- a/gateway/carry/plain_test.go
+++ b/gateway/carry/plain_test.go
@@ -11,12 +11,14 @@
 	"github.com/wardspool/wardspool/gateway/routing"
 )
 
+// Requests of atMostOnce must not run twice, those of idempotent may run on two upstreams.
 var (
-	once  = routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 1}
-	often = routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
+	atMostOnce = routing.Route{Kind: routing.AtMostOnce, MaxAttempts: 1}
+	idempotent = routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
 )
 
-func fateOf(t *testing.T, err error) Fate {
+// outcomeOf returns the outcome that an *Error reports, and fails the test for any other error.
+func outcomeOf(t *testing.T, err error) Fate {
 	t.Helper()
 	var e *Error
 	assert.Assert(t, errors.As(err, &e), "%v", err)
@@ -24,54 +26,55 @@
 }
 
 func TestAnswerIsPassedOn(t *testing.T) {
-	b := newBed(t, slack, plainUps("x")...)
-	a, err := b.Plain(t.Context(), job(once))
+	env := newTestEnv(t, ampleBudget, plainUps("x")...)
+	a, err := env.Plain(t.Context(), job(atMostOnce))
 	assert.NilError(t, err)
 	assert.Equal(t, string(a.Body), "x")
 	assert.Equal(t, a.Header.Get("X-From"), "x")
 }
 
-// TestMayHaveRunIsNotSentAgain: whatever ended a request that must not run twice,
-// once a byte of it went out it is never sent again, and the caller isn't told
-// that it did not run.
+// TestMayHaveRunIsNotSentAgain checks that a request that must not run twice is never sent again
+// once any byte of it was sent, whatever ended the attempt, and that the caller is not told that
+// it did not run.
 func TestMayHaveRunIsNotSentAgain(t *testing.T) {
 	for name, r := range map[string]reply{
-		"broken off":      {err: broken},
-		"no answer of it": {verdict: dialect.Invalid, status: 200},
-		"cut body":        {verdict: dialect.Success, status: 200, body: "ha", breaks: true},
-		"own 503":         {verdict: dialect.Failure, status: 503},
-		"own 429":         {verdict: dialect.Failure, status: 429},
+		"interrupted":    {err: errInterrupted},
+		"invalid answer": {verdict: dialect.Invalid, status: 200},
+		"truncated body": {verdict: dialect.Success, status: 200, body: "ha", breaks: true},
+		"upstream's 503": {verdict: dialect.Failure, status: 503},
+		"upstream's 429": {verdict: dialect.Failure, status: 429},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, slack, plainUps("x", "y")...)
-			b.d.do["x"], b.d.do["y"] = []reply{r}, []reply{r}
-			_, err := b.Plain(t.Context(), job(once))
-			assert.Equal(t, fateOf(t, err), Unknown)
-			assert.Equal(t, b.d.countKind("do"), 1)
+			env := newTestEnv(t, ampleBudget, plainUps("x", "y")...)
+			env.d.do["x"], env.d.do["y"] = []reply{r}, []reply{r}
+			_, err := env.Plain(t.Context(), job(atMostOnce))
+			assert.Equal(t, outcomeOf(t, err), Unknown)
+			assert.Equal(t, env.d.countKind("do"), 1)
 		})
 	}
 }
 
-// TestAttestedRefusalIsSentElsewhere: nothing ran, so that even a request that must
-// not run twice may try another upstream, and is not-run if all refuse.
+// TestAttestedRefusalIsSentElsewhere checks that after a refusal which attests that nothing ran,
+// even a request that must not run twice is sent to another upstream, and is reported as not run
+// if all refuse.
 func TestAttestedRefusalIsSentElsewhere(t *testing.T) {
 	for name, r := range map[string]reply{
 		"full":           refusal,
 		"other upstream": {verdict: dialect.WrongUpstream, status: 421},
-		"no connection":  {err: notSent},
+		"no connection":  {err: errNotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, slack, plainUps("x", "y")...)
-			b.d.do["x"], b.d.do["y"] = []reply{r}, []reply{r}
-			_, err := b.Plain(t.Context(), job(once))
-			assert.Equal(t, fateOf(t, err), NotRun)
-			assert.Equal(t, b.d.count("do x"), 1)
-			assert.Equal(t, b.d.count("do y"), 1)
+			env := newTestEnv(t, ampleBudget, plainUps("x", "y")...)
+			env.d.do["x"], env.d.do["y"] = []reply{r}, []reply{r}
+			_, err := env.Plain(t.Context(), job(atMostOnce))
+			assert.Equal(t, outcomeOf(t, err), NotRun)
+			assert.Equal(t, env.d.count("do x"), 1)
+			assert.Equal(t, env.d.count("do y"), 1)
 
-			b = newBed(t, slack, plainUps("x", "y")...)
-			b.d.do["x"] = []reply{r}
+			env = newTestEnv(t, ampleBudget, plainUps("x", "y")...)
+			env.d.do["x"] = []reply{r}
 			for range 3 {
-				a, err := b.Plain(t.Context(), job(once))
+				a, err := env.Plain(t.Context(), job(atMostOnce))
 				assert.NilError(t, err)
 				assert.Equal(t, string(a.Body), "y")
 			}
@@ -79,49 +82,51 @@
 	}
 }
 
-// TestRepeatableRunsOnAtMostAsManyUpstreamsAsAllowed.
+// TestRepeatableRunsOnAtMostAsManyUpstreamsAsAllowed checks that a repeatable request is sent to
+// no more upstreams than its route allows attempts.
 func TestRepeatableRunsOnAtMostAsManyUpstreamsAsAllowed(t *testing.T) {
-	b := newBed(t, slack, plainUps("x", "y", "z")...)
+	env := newTestEnv(t, ampleBudget, plainUps("x", "y", "z")...)
 	for _, id := range []string{"x", "y", "z"} {
-		b.d.do[plainUps(id)[0].ID] = []reply{{err: broken}}
+		env.d.do[plainUps(id)[0].ID] = []reply{{err: errInterrupted}}
 	}
-	_, err := b.Plain(t.Context(), job(often))
-	assert.Equal(t, fateOf(t, err), Unknown)
-	assert.Equal(t, b.d.countKind("do"), 2)
+	_, err := env.Plain(t.Context(), job(idempotent))
+	assert.Equal(t, outcomeOf(t, err), Unknown)
+	assert.Equal(t, env.d.countKind("do"), 2)
 }
 
-// TestUpstreamsOwnFailureIsPassedOn when no other upstream does better.
+// TestUpstreamsOwnFailureIsPassedOn checks that an upstream's own error response is forwarded if
+// no other upstream succeeds.
 func TestUpstreamsOwnFailureIsPassedOn(t *testing.T) {
-	b := newBed(t, slack, plainUps("x", "y")...)
+	env := newTestEnv(t, ampleBudget, plainUps("x", "y")...)
 	failure := reply{verdict: dialect.Failure, status: 500, body: "no"}
-	b.d.do["x"], b.d.do["y"] = []reply{failure}, []reply{failure}
-	a, err := b.Plain(t.Context(), job(often))
+	env.d.do["x"], env.d.do["y"] = []reply{failure}, []reply{failure}
+	a, err := env.Plain(t.Context(), job(idempotent))
 	assert.NilError(t, err)
 	assert.Equal(t, a.Status, 500)
-	assert.Equal(t, b.d.countKind("do"), 2)
+	assert.Equal(t, env.d.countKind("do"), 2)
 }
 
 func TestNoBudgetNoRetry(t *testing.T) {
-	b := newBed(t, 0, plainUps("x", "y")...)
-	b.d.do["x"], b.d.do["y"] = []reply{refusal}, []reply{refusal}
-	_, err := b.Plain(t.Context(), job(often))
-	assert.Equal(t, fateOf(t, err), NotRun)
-	assert.Equal(t, b.d.countKind("do"), 1)
+	env := newTestEnv(t, 0, plainUps("x", "y")...)
+	env.d.do["x"], env.d.do["y"] = []reply{refusal}, []reply{refusal}
+	_, err := env.Plain(t.Context(), job(idempotent))
+	assert.Equal(t, outcomeOf(t, err), NotRun)
+	assert.Equal(t, env.d.countKind("do"), 1)
 }
 
 func TestNoUpstreamIsNotRun(t *testing.T) {
-	b := newBed(t, slack)
-	_, err := b.Plain(t.Context(), job(once))
-	assert.Equal(t, fateOf(t, err), NotRun)
+	env := newTestEnv(t, ampleBudget)
+	_, err := env.Plain(t.Context(), job(atMostOnce))
+	assert.Equal(t, outcomeOf(t, err), NotRun)
 }
 
-// TestCallerGone: nothing is sent for a caller that has left.
+// TestCallerGone checks that nothing is sent for a caller that has disconnected.
 func TestCallerGone(t *testing.T) {
-	b := newBed(t, slack, plainUps("x", "y")...)
+	env := newTestEnv(t, ampleBudget, plainUps("x", "y")...)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := b.Plain(ctx, job(often))
+	_, err := env.Plain(ctx, job(idempotent))
 	var left *AbandonedError
 	assert.Assert(t, errors.As(err, &left))
-	assert.Equal(t, b.d.countKind("do"), 0)
+	assert.Equal(t, env.d.countKind("do"), 0)
 }
