--- a/gateway/fleet/views.go
+++ b/gateway/fleet/views.go
@@ -10,47 +10,51 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// listShare is the part of an instance's link that whole lists for its peers may take: when
-// all instances start at once, those that have it already pass it on.
+// listShare is the largest share of an instance's link that sending whole lists to peers may
+// take. When all instances start at once, those that have received the list pass it on.
 const listShare = 0.4
 
-// mostListBytes bounds the same in bytes a second: with more, a reader that all of its zone ask
-// at once has no processor time left to answer any of them in time.
+// mostListBytes bounds the same in bytes per second. With a higher rate, a reader that all
+// instances of its zone ask at once would have no processor time left to answer any of them in
+// time.
 const mostListBytes = 2 << 20
 
-// ViewRequest says what the asking instance has.
+// ViewRequest asks a peer for its view.
 type ViewRequest struct {
-	// Digest is that of its list of upstreams.
+	// Digest is the digest of the requesting instance's list of upstreams.
 	Digest uint64 `json:"digest"`
-	// Whole asks for the whole list: a difference did not fit.
+	// Whole asks for the whole list. It is set after a difference could not be applied.
 	Whole bool `json:"whole,omitempty"`
 }
 
-// ViewAnswer is what the asked instance knows. It names the configuration only: a large one
-// would hold up the lists on a slow link.
+// ViewAnswer is the answering instance's view. It contains only the version of the configuration,
+// since a large configuration would delay the lists on a slow link.
 type ViewAnswer struct {
-	// Version is that of the configuration in force, 0 if there is none.
+	// Version is the version of the configuration in force, 0 if there is none.
 	Version int64 `json:"version"`
-	// ConfigAgeMS is how long ago the store was last known to have none newer.
+	// ConfigAgeMS is the time, in milliseconds, since that version was last known to be the
+	// newest in the store.
 	ConfigAgeMS int64 `json:"config_age"`
 	Listed      bool  `json:"listed,omitempty"`
 	Revision    int64 `json:"revision"`
 	AgeMS       int64 `json:"age"`
 	// Evacuation is the evacuation in force.
 	Evacuation routing.Evacuation `json:"evacuation"`
-	// Digest is that of the list of upstreams.
+	// Digest is the digest of the list of upstreams.
 	Digest uint64 `json:"digest"`
-	// Same means that the asking instance has the list: the store's revision rises with each
-	// heartbeat of an upstream. Otherwise Changed and Gone are the difference from what it
-	// has, packed; or Whole is the whole list, packed and compressed. None of these means that
-	// the asked instance has sent the whole list to many just now.
+	// Same is set if the requesting instance has the same list. It can't tell by Revision, which
+	// increases with each heartbeat of an upstream. Otherwise the answer holds either the
+	// difference from the requesting instance's list, in Changed and Gone, or the whole list, in
+	// Whole. Changed is encoded, Whole encoded and compressed. If all of these are empty, the
+	// answering instance has just sent the whole list to many others, and the rate limit does not
+	// allow sending it again.
 	Same    bool               `json:"same,omitempty"`
 	Changed []byte             `json:"changed,omitempty"`
 	Gone    []ident.UpstreamID `json:"gone,omitempty"`
 	Whole   []byte             `json:"whole,omitempty"`
 }
 
-// onView tells a peer what is newer here.
+// onView answers a peer's request for this instance's view.
 func (n *Node) onView(_ context.Context, _ peer.Identity, q ViewRequest) (ViewAnswer, error) {
 	s := n.Snapshot()
 	answer := ViewAnswer{
@@ -74,7 +78,8 @@
 	return answer, err
 }
 
-// since returns the difference from the list that a peer has.
+// since returns the difference from the list that a peer has. It returns false if the peer asked
+// for the whole list or if the view cannot compute the difference.
 func (n *Node) since(q ViewRequest) (Difference, bool) {
 	if q.Whole {
 		return Difference{}, false
@@ -84,8 +89,8 @@
 	return n.view.Since(q.Digest)
 }
 
-// wholeList returns the list as peers get it, packed once for all of them; nil if so many
-// have got it just now that the others would wait for long.
+// wholeList returns the encoded list for a peer. Each version is encoded once. It returns nil if
+// so many peers have just received the list that the link is used up for the moment.
 func (n *Node) wholeList(s *Snapshot) ([]byte, error) {
 	n.packing.Lock()
 	defer n.packing.Unlock()
@@ -105,19 +110,22 @@
 	return n.packedList, nil
 }
 
-// MisfitError reports a difference that doesn't make the list that it should.
+// MisfitError reports that a difference does not produce the list with the expected digest.
 type MisfitError struct{}
 
 // Error implements error.
-func (*MisfitError) Error() string { return "a difference between lists does not fit" }
+func (*MisfitError) Error() string {
+	return "applying difference to list of upstreams: resulting list has an unexpected digest"
+}
 
 // hasDifference reports whether the answer holds a difference.
 func (a *ViewAnswer) hasDifference() bool {
 	return !a.Same && a.Whole == nil && (a.Changed != nil || a.Gone != nil)
 }
 
-// list returns the list of an answer to the one who has a snapshot; nil if there is none. The
-// error is a *MisfitError, a *PackError or the decoder's.
+// list returns the list of an answer, where s is the snapshot whose digest was in the request. It
+// returns nil if the answer holds no list. The error is a *MisfitError, a *PackError or that of
+// decompressing the list.
 func (a *ViewAnswer) list(s *Snapshot) ([]dialect.Upstream, error) {
 	switch {
 	case a.Same:
