--- a/gateway/fleet/apply_test.go
+++ b/gateway/fleet/apply_test.go
@@ -19,8 +19,8 @@
 	next := 200
 	source, follower := NewView(), NewView()
 	list := pool[:200]
-	source.List(at(0), at(0), 0, list, FromStore)
-	follower.List(at(0), at(0), 0, list, FromPeer)
+	source.MergeList(at(0), at(0), 0, list, FromStore)
+	follower.MergeList(at(0), at(0), 0, list, FromPeer)
 	follower.Snapshot()
 	for step := range 400 {
 		var now []dialect.Upstream
@@ -46,12 +46,12 @@
 		}
 		list = now
 		ms := 1000 * (step + 1)
-		source.List(at(ms), at(ms), int64(step+1), list, FromStore)
+		source.MergeList(at(ms), at(ms), int64(step+1), list, FromStore)
 		if random.IntN(3) == 0 {
 			// The follower misses this version, so that the next difference spans several.
 			continue
 		}
-		d, ok := source.Since(follower.digest)
+		d, ok := source.DifferenceFrom(follower.digest)
 		assert.Assert(t, ok)
 		changes, taken, err := follower.Apply(at(ms+10), at(ms), int64(step+1), d, source.digest)
 		assert.NilError(t, err)
@@ -59,21 +59,21 @@
 		assert.Assert(t, len(changes) <= 2*(len(d.Changed)+len(d.Gone)))
 		assert.DeepEqual(t, follower.Snapshot().Upstreams, source.Snapshot().Upstreams)
 		assert.Equal(t, follower.digest, source.digest)
-		assert.DeepEqual(t, follower.Snapshot().Upstreams, follower.listed())
+		assert.DeepEqual(t, follower.Snapshot().Upstreams, follower.buildLists())
 	}
 	// Entries of gone upstreams and old changes must not accumulate.
 	assert.Assert(t, len(follower.entries) < len(list)+150, "%d entries, %d listed", len(follower.entries), len(list))
-	assert.Assert(t, len(follower.recent) < 1000, "%d changes", len(follower.recent))
+	assert.Assert(t, len(follower.recentChanges) < 1000, "%d changes", len(follower.recentChanges))
 }
 
 // TestDifferenceThatDoesNotFitIsNotApplied guards against applying part of a difference that
 // starts from another list.
 func TestDifferenceThatDoesNotFitIsNotApplied(t *testing.T) {
 	v := NewView()
-	v.List(at(0), at(0), 1, []dialect.Upstream{up("a"), up("b")}, FromPeer)
+	v.MergeList(at(0), at(0), 1, []dialect.Upstream{up("a"), up("b")}, FromPeer)
 	before := v.Snapshot()
 	_, taken, err := v.Apply(at(10), at(5), 2, Difference{Changed: []dialect.Upstream{up("c")}, Gone: []ident.UpstreamID{"a"}}, before.Digest())
-	var misfit *MisfitError
+	var misfit *DigestMismatchError
 	assert.Assert(t, errors.As(err, &misfit) && !taken)
 	assert.DeepEqual(t, v.Snapshot().Upstreams, before.Upstreams)
 	assert.Equal(t, v.Snapshot().Revision, before.Revision)
@@ -83,11 +83,11 @@
 // while the store was unavailable.
 func TestStoredChangesAreNotAppliedInAnOutage(t *testing.T) {
 	v := NewView()
-	v.List(at(0), at(0), 1, []dialect.Upstream{up("a"), up("b")}, FromStore)
-	v.List(at(5000), at(5000), 2, []dialect.Upstream{up("a")}, FromStoreAgain)
+	v.MergeList(at(0), at(0), 1, []dialect.Upstream{up("a"), up("b")}, FromStore)
+	v.MergeList(at(5000), at(5000), 2, []dialect.Upstream{up("a")}, FromStoreAfterFailure)
 	_, applied := v.ApplyStored(at(6000), at(6000), 3, Difference{Gone: []ident.UpstreamID{"b"}})
 	assert.Assert(t, !applied)
-	v.List(at(9000), at(9000), 4, []dialect.Upstream{up("a"), up("b")}, FromStore)
+	v.MergeList(at(9000), at(9000), 4, []dialect.Upstream{up("a"), up("b")}, FromStore)
 	changes, applied := v.ApplyStored(at(9500), at(9500), 5, Difference{Gone: []ident.UpstreamID{"b"}})
 	assert.Assert(t, applied)
 	assert.Equal(t, len(changes), 1)
--- a/gateway/fleet/applytime_test.go
+++ b/gateway/fleet/applytime_test.go
@@ -21,8 +21,8 @@
 	for _, size := range []int{6000, 12000} {
 		list := manyUpstreams(size)
 		source, follower := NewView(), NewView()
-		source.List(at(0), at(0), 0, list, FromPeer)
-		follower.List(at(0), at(0), 0, list, FromPeer)
+		source.MergeList(at(0), at(0), 0, list, FromPeer)
+		follower.MergeList(at(0), at(0), 0, list, FromPeer)
 		follower.Snapshot()
 		fastest := time.Hour
 		for step := range 30 {
@@ -36,7 +36,7 @@
 			_, _, err := source.Apply(at(ms), at(ms), int64(step+1), d, source.digestWith(d))
 			assert.NilError(t, err)
 			began := time.Now()
-			difference, ok := source.Since(follower.digest)
+			difference, ok := source.DifferenceFrom(follower.digest)
 			assert.Assert(t, ok)
 			_, taken, err := follower.Apply(at(ms), at(ms), int64(step+1), difference, source.digest)
 			assert.NilError(t, err)
--- a/gateway/fleet/beats.go
+++ b/gateway/fleet/beats.go
@@ -14,27 +14,27 @@
 	relayInterval = 600 * time.Millisecond
 )
 
-// Beats returns the time to wait between two heartbeats.
-func (r *Roster) Beats() time.Duration {
-	if r.large() {
-		return beatRelayed
+// HeartbeatInterval returns the time to wait between two heartbeats.
+func (r *Roster) HeartbeatInterval() time.Duration {
+	if r.isLarge() {
+		return largeHeartbeatInterval
 	}
-	return beatInterval
+	return heartbeatInterval
 }
 
-// Beat returns this instance's next heartbeat. In a small fleet it names the other instances only
-// once per relayInterval, since all pairs exchange heartbeats directly.
-func (r *Roster) Beat(now time.Time, load Load) Heartbeat {
-	r.Update(load)
-	if !r.large() && !r.relayed.IsZero() && now.Sub(r.relayed) < relayInterval {
+// NextHeartbeat returns this instance's next heartbeat. In a small fleet it names the other
+// instances only once per relayInterval, since all pairs exchange heartbeats directly.
+func (r *Roster) NextHeartbeat(now time.Time, load Load) Heartbeat {
+	r.SetLoad(load)
+	if !r.isLarge() && !r.lastRelayed.IsZero() && now.Sub(r.lastRelayed) < relayInterval {
 		return Heartbeat{From: r.self}
 	}
-	r.relayed = now
+	r.lastRelayed = now
 	return r.Heartbeat(now)
 }
 
-// Update sets this instance's load and increments its sequence.
-func (r *Roster) Update(load Load) {
+// SetLoad sets this instance's load and increments its sequence.
+func (r *Roster) SetLoad(load Load) {
 	r.self.Sequence++
 	r.self.Load = load
 }
@@ -45,33 +45,33 @@
 // of each zone for which the sender's set differs, and describes the instances that the sender
 // does not know if the sender listed its own.
 func (r *Roster) Answer(now time.Time, to Heartbeat) Heartbeat {
-	if r.large() {
-		return r.compare(now, to)
+	if r.isLarge() {
+		return r.answerLarge(now, to)
 	}
 	p := r.peers[to.From.ID]
-	if p != nil && p.greeted == p.member.Incarnation {
+	if p != nil && p.introducedTo == p.member.Incarnation {
 		return Heartbeat{From: r.self}
 	}
 	if p != nil {
-		p.greeted = p.member.Incarnation
+		p.introducedTo = p.member.Incarnation
 	}
 	return r.Heartbeat(now)
 }
 
-// compare answers a heartbeat in a large fleet.
-func (r *Roster) compare(now time.Time, to Heartbeat) Heartbeat {
+// answerLarge answers a heartbeat in a large fleet.
+func (r *Roster) answerLarge(now time.Time, to Heartbeat) Heartbeat {
 	r.refresh(now)
 	h := Heartbeat{From: r.self}
 	named := map[ident.Zone]uint64{}
 	for _, z := range to.Zones {
 		named[z.Zone] = z.Fingerprint
 		if z.Named {
-			h.Relayed = append(h.Relayed, r.lacking(now, to.From.ID, z)...)
+			h.Relayed = append(h.Relayed, r.describeMissing(now, to.From.ID, z)...)
 		}
 	}
 	for _, zone := range r.zones() {
 		known, ok := named[zone]
-		h.Zones = append(h.Zones, r.records(zone, !ok || known != r.groups[zone].fingerprint))
+		h.Zones = append(h.Zones, r.zoneRecords(zone, !ok || known != r.groups[zone].fingerprint))
 	}
 	return h
 }
@@ -82,15 +82,15 @@
 func (r *Roster) Heartbeat(now time.Time) Heartbeat {
 	r.refresh(now)
 	h := Heartbeat{From: r.self}
-	if r.large() {
+	if r.isLarge() {
 		for _, zone := range r.zones() {
-			h.Zones = append(h.Zones, r.records(zone, false))
+			h.Zones = append(h.Zones, r.zoneRecords(zone, false))
 		}
 		return h
 	}
 	for _, p := range r.peers {
-		if r.lives(now, p) {
-			h.Relayed = append(h.Relayed, relayed(p, now.Sub(p.heard)))
+		if r.isAlive(now, p) {
+			h.Relayed = append(h.Relayed, newRelayed(p, now.Sub(p.lastHeartbeat)))
 		}
 	}
 	return h
@@ -101,31 +101,31 @@
 
 // Receive processes a heartbeat received from a peer.
 func (r *Roster) Receive(now time.Time, h Heartbeat) {
-	r.take(now, h.From)
+	r.receiveMember(now, h.From)
 	if p := r.peers[h.From.ID]; p != nil {
-		p.told = now
+		p.lastDirect = now
 	}
 	for _, o := range h.Relayed {
-		r.take(now.Add(-time.Duration(o.AgeMS)*time.Millisecond), o.Member)
+		r.receiveMember(now.Add(-time.Duration(o.AgeMS)*time.Millisecond), o.Member)
 	}
 	r.refresh(now)
 	for _, z := range h.Zones {
-		r.takeRecords(now, z)
+		r.receiveRecords(now, z)
 	}
 	r.refresh(now)
 }
 
-// take processes the description of an instance in a heartbeat made at the given time.
+// receiveMember processes the description of an instance in a heartbeat made at the given time.
 // Descriptions older than the known one are ignored.
-func (r *Roster) take(heard time.Time, m Member) {
+func (r *Roster) receiveMember(madeAt time.Time, m Member) {
 	if m.ID == r.self.ID || m.ID == "" {
 		return
 	}
 	p := r.peers[m.ID]
 	if p == nil {
-		p = &peerState{heard: heard}
+		p = &peerState{lastHeartbeat: madeAt}
 		r.peers[m.ID] = p
-		r.describe(p, m)
+		r.setMember(p, m)
 		return
 	}
 	if !m.newer(&p.member) {
@@ -138,12 +138,12 @@
 	if m.Load.empty() {
 		m.Load = p.member.Load
 	}
-	r.hear(p, heard)
-	r.describe(p, m)
+	r.recordHeartbeat(p, madeAt)
+	r.setMember(p, m)
 }
 
-// describe stores the description of a peer and updates the index by key.
-func (r *Roster) describe(p *peerState, m Member) {
+// setMember stores the description of a peer and updates the index by key.
+func (r *Roster) setMember(p *peerState, m Member) {
 	key := keyOf(&m)
 	if key != p.key || p.member.ID == "" {
 		if r.byKey[p.key] == p {
--- a/gateway/fleet/crashes.go
+++ b/gateway/fleet/crashes.go
@@ -18,19 +18,19 @@
 const MethodCrashes = "gateway.crashes"
 
 const (
-	// gatherNews is how long new evidence is collected before it is sent. A crash fails about a
+	// crashBatchDelay is how long new evidence is collected before it is sent. A crash fails about a
 	// dozen requests, each of which is a separate piece of evidence.
-	gatherNews = 20 * time.Millisecond
-	// newsPause is the minimum time between two transmissions. If all engines of a fleet crash at
-	// once, each of 295 instances would otherwise send new evidence every 20 ms.
-	newsPause = 100 * time.Millisecond
-	// compareAgain is the minimum time between two comparisons with a peer. Comparisons transfer
-	// evidence that was not delivered because a connection failed.
-	compareAgain = time.Second
+	crashBatchDelay = 20 * time.Millisecond
+	// crashSendInterval is the minimum time between two transmissions. If all engines of a fleet
+	// crash at once, each of 295 instances would otherwise send new evidence every 20 ms.
+	crashSendInterval = 100 * time.Millisecond
+	// crashCompareInterval is the minimum time between two comparisons with a peer. Comparisons
+	// transfer evidence that was not delivered because a connection failed.
+	crashCompareInterval = time.Second
 )
 
-// CrashNews carries evidence of crashes from one instance to another.
-type CrashNews struct {
+// CrashMessage carries evidence of crashes from one instance to another.
+type CrashMessage struct {
 	// Digest is the digest of all evidence that the sender shares.
 	Digest uint64 `json:"d"`
 	// Crashes is the evidence, encoded by packCrashes.
@@ -41,58 +41,59 @@
 	Informed bool `json:"k,omitempty"`
 }
 
-// crashNews holds the state for spreading evidence of crashes. Evidence that this instance
-// observed is sent at once to the instances that Roster.Told returns. Instances that missed it
-// notice the different digest in a heartbeat or in an answer to a load report, and ask for it.
-type crashNews struct {
+// crashSpreader holds the state for spreading evidence of crashes. Evidence that this instance
+// observed is sent at once to the instances that Roster.CrashRecipients returns. Instances that
+// missed it notice the different digest in a heartbeat or in an answer to a load report, and ask
+// for it.
+type crashSpreader struct {
 	wake chan struct{}
 
 	mu sync.Mutex
-	// heard is the new evidence received from peers and not yet forwarded. compared is the time
-	// of the last comparison.
-	heard    []quarantine.Crash
-	compared time.Time
+	// received is the new evidence received from peers and not yet forwarded. lastCompared is the
+	// time of the last comparison.
+	received     []quarantine.Crash
+	lastCompared time.Time
 }
 
-func newCrashNews() *crashNews { return &crashNews{wake: make(chan struct{}, 1)} }
+func newCrashSpreader() *crashSpreader { return &crashSpreader{wake: make(chan struct{}, 1)} }
 
-// tell requests that new evidence be sent soon.
-func (c *crashNews) tell() {
+// requestSend requests that new evidence be sent soon.
+func (c *crashSpreader) requestSend() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// hear adds evidence received from a peer, to be forwarded.
-func (c *crashNews) hear(news []quarantine.Crash) {
+// addReceived adds evidence received from a peer, to be forwarded.
+func (c *crashSpreader) addReceived(crashes []quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard = append(c.heard, news...)
+	c.received = append(c.received, crashes...)
 }
 
-// take returns the evidence to be forwarded and clears it.
-func (c *crashNews) take() []quarantine.Crash {
+// takeReceived returns the evidence to be forwarded and clears it.
+func (c *crashSpreader) takeReceived() []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	heard := c.heard
-	c.heard = nil
-	return heard
+	received := c.received
+	c.received = nil
+	return received
 }
 
-// due reports whether another comparison may begin and, if so, records now as its time.
-func (c *crashNews) due(now time.Time) bool {
+// compareDue reports whether another comparison may begin and, if so, records now as its time.
+func (c *crashSpreader) compareDue(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.compared) < compareAgain {
+	if now.Sub(c.lastCompared) < crashCompareInterval {
 		return false
 	}
-	c.compared = now
+	c.lastCompared = now
 	return true
 }
 
 // SpreadCrashes sends evidence that this instance has just added to the register to its peers.
-func (n *Node) SpreadCrashes() { n.news.tell() }
+func (n *Node) SpreadCrashes() { n.crashSpreader.requestSend() }
 
 // spreadCrashes sends new evidence of crashes to peers until ctx ends.
 func (n *Node) spreadCrashes(ctx context.Context) {
@@ -100,137 +101,138 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.news.wake:
-			pause.For(ctx, gatherNews)
+		case <-n.crashSpreader.wake:
+			pause.For(ctx, crashBatchDelay)
 		}
-		if n.tellNews(ctx) {
-			pause.For(ctx, newsPause)
+		if n.sendNewCrashes(ctx) {
+			pause.For(ctx, crashSendInterval)
 		}
 	}
 }
 
-// tellNews sends new evidence to peers and reports whether there was any.
-func (n *Node) tellNews(ctx context.Context) bool {
+// sendNewCrashes sends new evidence to peers and reports whether there was any.
+func (n *Node) sendNewCrashes(ctx context.Context) bool {
 	now := clock.Now()
-	seen, heard := n.o.Register.Fresh(now), n.news.take()
-	if len(seen)+len(heard) == 0 {
+	observed, received := n.opts.Register.Fresh(now), n.crashSpreader.takeReceived()
+	if len(observed)+len(received) == 0 {
 		return false
 	}
 	n.mu.Lock()
-	toSeen, toAll := n.roster.Told(now)
+	toObserved, toAll := n.roster.CrashRecipients(now)
 	n.mu.Unlock()
-	for _, address := range toSeen {
-		go n.tellCrashes(ctx, address, seen)
+	for _, address := range toObserved {
+		go n.sendCrashes(ctx, address, observed)
 	}
-	both := slices.Concat(seen, heard)
+	all := slices.Concat(observed, received)
 	for _, address := range toAll {
-		go n.tellCrashes(ctx, address, both)
+		go n.sendCrashes(ctx, address, all)
 	}
 	return true
 }
 
-// tellCrashes sends evidence to a peer. Failures are logged at debug level only, since a later
+// sendCrashes sends evidence to a peer. Failures are logged at debug level only, since a later
 // comparison of digests makes up for them.
-func (n *Node) tellCrashes(ctx context.Context, address string, news []quarantine.Crash) {
-	if len(news) == 0 {
+func (n *Node) sendCrashes(ctx context.Context, address string, crashes []quarantine.Crash) {
+	if len(crashes) == 0 {
 		return
 	}
-	if _, err := n.callCrashes(ctx, address, CrashNews{Crashes: packCrashes(news)}); err != nil {
-		n.o.Log.Debug("sending crash evidence to peer failed", "peer", address, "error", err)
+	if _, err := n.callCrashes(ctx, address, CrashMessage{Crashes: packCrashes(crashes)}); err != nil {
+		n.opts.Log.Debug("sending crash evidence to peer failed", "peer", address, "error", err)
 	}
 }
 
 // callCrashes calls MethodCrashes of a peer, after filling in the sender's digest and state.
-func (n *Node) callCrashes(ctx context.Context, address string, q CrashNews) (CrashNews, error) {
+func (n *Node) callCrashes(ctx context.Context, address string, m CrashMessage) (CrashMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	q.Digest, q.Informed = n.o.Register.Digest(), n.Informed()
-	return peer.Call[CrashNews](ctx, n.o.Pool, address, MethodCrashes, q)
+	m.Digest, m.Informed = n.opts.Register.Digest(), n.Informed()
+	return peer.Call[CrashMessage](ctx, n.opts.Pool, address, MethodCrashes, m)
 }
 
-// compareWith exchanges all evidence with a peer: each side sends what the other lacks.
-func (n *Node) compareWith(ctx context.Context, address string) {
-	answer, err := n.callCrashes(ctx, address, CrashNews{Compare: true})
+// exchangeCrashes exchanges all evidence with a peer: each side sends what the other lacks.
+func (n *Node) exchangeCrashes(ctx context.Context, address string) {
+	answer, err := n.callCrashes(ctx, address, CrashMessage{Compare: true})
 	if err != nil {
-		n.o.Log.Debug("comparing crash evidence with peer failed", "peer", address, "error", err)
+		n.opts.Log.Debug("comparing crash evidence with peer failed", "peer", address, "error", err)
 		return
 	}
-	n.hearCrashes(answer.Crashes)
+	n.receiveCrashes(answer.Crashes)
 	if answer.Informed {
-		n.informed.tell(clock.Now())
+		n.informed.markInformed(clock.Now())
 	}
-	if answer.Digest != n.o.Register.Digest() {
-		n.tellCrashes(ctx, address, n.o.Register.Tell(clock.Now()))
+	if answer.Digest != n.opts.Register.Digest() {
+		n.sendCrashes(ctx, address, n.opts.Register.Tell(clock.Now()))
 	}
 }
 
 // onCrashes processes evidence from a peer and returns this instance's own if the peer asked for
 // it and the digests differ.
-func (n *Node) onCrashes(_ context.Context, _ peer.Identity, q CrashNews) (CrashNews, error) {
-	n.hearCrashes(q.Crashes)
-	answer := CrashNews{Digest: n.o.Register.Digest(), Informed: n.Informed()}
-	if q.Compare && answer.Digest != q.Digest {
-		answer.Crashes = packCrashes(n.o.Register.Tell(clock.Now()))
+func (n *Node) onCrashes(_ context.Context, _ peer.Identity, request CrashMessage) (CrashMessage, error) {
+	n.receiveCrashes(request.Crashes)
+	answer := CrashMessage{Digest: n.opts.Register.Digest(), Informed: n.Informed()}
+	if request.Compare && answer.Digest != request.Digest {
+		answer.Crashes = packCrashes(n.opts.Register.Tell(clock.Now()))
 	}
 	return answer, nil
 }
 
-// hearCrashes adds a peer's encoded evidence to the register and forwards what is new.
-func (n *Node) hearCrashes(packed []byte) {
+// receiveCrashes adds a peer's encoded evidence to the register and forwards what is new.
+func (n *Node) receiveCrashes(packed []byte) {
 	if len(packed) == 0 {
 		return
 	}
-	told, err := unpackCrashes(packed)
+	received, err := unpackCrashes(packed)
 	if err != nil {
-		n.o.Log.Warn("decoding crash evidence from peer failed", "error", err)
+		n.opts.Log.Warn("decoding crash evidence from peer failed", "error", err)
 		return
 	}
-	news := n.o.Register.Hear(clock.Now(), told)
-	if len(news) == 0 {
+	added := n.opts.Register.Hear(clock.Now(), received)
+	if len(added) == 0 {
 		return
 	}
-	n.o.Log.Info("crashes heard of", "news", len(news), "first", news[0].Content.String(), "upstream", news[0].Upstream, "age_ms", news[0].Age.Milliseconds())
-	n.news.hear(news)
-	n.news.tell()
+	n.opts.Log.Info("crashes heard of", "news", len(added), "first", added[0].Content.String(), "upstream", added[0].Upstream, "age_ms", added[0].Age.Milliseconds())
+	n.crashSpreader.addReceived(added)
+	n.crashSpreader.requestSend()
 }
 
-// compareCrashes starts an exchange of all evidence with a peer in the background if the digest
+// compareCrashDigest starts an exchange of all evidence with a peer in the background if the digest
 // that the peer sent differs. An uninformed instance does so with every informed peer, others at
-// most once per compareAgain.
-func (n *Node) compareCrashes(ctx context.Context, address string, digest uint64, informed bool) {
+// most once per crashCompareInterval.
+func (n *Node) compareCrashDigest(ctx context.Context, address string, digest uint64, informed bool) {
 	now := clock.Now()
 	switch {
-	case digest == n.o.Register.Digest():
+	case digest == n.opts.Register.Digest():
 		if informed {
-			n.informed.tell(now)
+			n.informed.markInformed(now)
 		}
-	case informed && !n.Informed() || n.news.due(now):
+	case informed && !n.Informed() || n.crashSpreader.compareDue(now):
 		// The comparison may outlast the call whose context this is.
-		go n.compareWith(context.WithoutCancel(ctx), address)
+		go n.exchangeCrashes(context.WithoutCancel(ctx), address)
 	}
 }
 
-// Told returns the addresses of the instances that evidence of crashes is sent to at once. The
-// instances in seen get only the evidence that this instance observed itself, those in all also
-// the evidence that it received. In a small fleet seen holds all peers. In a large fleet it holds
-// the hubs of the zones, and all holds the instances of this zone if this instance is its hub.
-func (r *Roster) Told(now time.Time) (seen, all []string) {
+// CrashRecipients returns the addresses of the instances that evidence of crashes is sent to at
+// once. The instances in observed get only the evidence that this instance observed itself, those
+// in all also the evidence that it received. In a small fleet, observed holds all peers. In a
+// large fleet it holds the hubs of the zones, and all holds the instances of this zone if this
+// instance is its hub.
+func (r *Roster) CrashRecipients(now time.Time) (observed, all []string) {
 	r.refresh(now)
-	if !r.large() {
+	if !r.isLarge() {
 		return r.addressesIn(now, ""), nil
 	}
 	own, hub := r.Hub(now, r.self.Zone)
 	if hub {
 		all = r.addressesIn(now, r.self.Zone)
 	} else if own != "" {
-		seen = append(seen, own)
+		observed = append(observed, own)
 	}
 	for _, zone := range r.OtherZones(now) {
 		if address, _ := r.Hub(now, zone); address != "" {
-			seen = append(seen, address)
+			observed = append(observed, address)
 		}
 	}
-	return seen, all
+	return observed, all
 }
 
 // addressesIn returns the addresses of the live peers of a zone, or of all zones if zone is
--- a/gateway/fleet/duties.go
+++ b/gateway/fleet/duties.go
@@ -11,28 +11,28 @@
 // the zone's hub.
 const dutyStore = "store"
 
-// isolatedAfter is how long an instance that has had no contact with any peer still acts as a
+// isolationTimeout is how long an instance that has had no contact with any peer still acts as a
 // member of the fleet. In normal operation, each instance calls or is called by some instances of
 // its zone every second.
-const isolatedAfter = 2500 * time.Millisecond
+const isolationTimeout = 2500 * time.Millisecond
 
-// mostPassedOver is the number of candidates for a duty that are considered when those ranked
+// maxDutyCandidates is the number of candidates for a duty that are considered when those ranked
 // first did not answer.
-const mostPassedOver = 4
+const maxDutyCandidates = 4
 
-// reviewDuties drops the duties that have moved to other instances, and all duties if this
+// dropLostDuties drops the duties that have moved to other instances, and all duties if this
 // instance is on the minority side of a network partition.
-func (r *Roster) reviewDuties() {
-	for duty := range r.held {
-		if !r.majority() || !r.chosen(duty, "") {
-			delete(r.held, duty)
+func (r *Roster) dropLostDuties() {
+	for duty := range r.heldSince {
+		if !r.hasMajority() || !r.isAssigned(duty, "") {
+			delete(r.heldSince, duty)
 		}
 	}
 }
 
-// chosen reports whether a duty is assigned to this instance among those of a zone, or of all
+// isAssigned reports whether a duty is assigned to this instance among those of a zone, or of all
 // zones if zone is empty, as of the last refresh.
-func (r *Roster) chosen(duty string, zone ident.Zone) bool {
+func (r *Roster) isAssigned(duty string, zone ident.Zone) bool {
 	return rendezvous.Contains(duty, r.candidates[zone], 1, r.self.ID)
 }
 
@@ -41,27 +41,27 @@
 // instance.
 func (r *Roster) HeldFor(now time.Time, duty string) time.Duration {
 	r.refresh(now)
-	if !r.chosen(duty, "") {
-		delete(r.held, duty)
+	if !r.isAssigned(duty, "") {
+		delete(r.heldSince, duty)
 		return 0
 	}
-	since, ok := r.held[duty]
+	since, ok := r.heldSince[duty]
 	if !ok {
 		since = now
-		r.held[duty] = now
+		r.heldSince[duty] = now
 	}
 	return now.Sub(since)
 }
 
-// Holder reports whether a duty is assigned to this instance among the live instances of a zone,
+// IsHolder reports whether a duty is assigned to this instance among the live instances of a zone,
 // or among all live instances if zone is empty.
-func (r *Roster) Holder(now time.Time, duty string, zone ident.Zone) bool {
+func (r *Roster) IsHolder(now time.Time, duty string, zone ident.Zone) bool {
 	r.refresh(now)
-	return r.chosen(duty, zone)
+	return r.isAssigned(duty, zone)
 }
 
-// duty identifies the instance that a duty is assigned to.
-type duty struct {
+// dutyHolder identifies the instance that a duty is assigned to.
+type dutyHolder struct {
 	id          ident.InstanceID
 	incarnation ident.Incarnation
 	address     string
@@ -69,26 +69,26 @@
 	self bool
 }
 
-// Duty returns the instance that a duty is assigned to in a zone. Candidates that recently failed
-// to answer a call of this instance are skipped. It returns false if there is none among the
-// first mostPassedOver candidates.
-func (r *Roster) Duty(now time.Time, name string, zone ident.Zone) (duty, bool) {
+// DutyHolder returns the instance that a duty is assigned to in a zone. Candidates that recently
+// failed to answer a call of this instance are skipped. It returns false if there is none among
+// the first maxDutyCandidates candidates.
+func (r *Roster) DutyHolder(now time.Time, name string, zone ident.Zone) (dutyHolder, bool) {
 	r.refresh(now)
-	for _, id := range rendezvous.Top(name, r.candidates[zone], mostPassedOver) {
+	for _, id := range rendezvous.Top(name, r.candidates[zone], maxDutyCandidates) {
 		if id == r.self.ID {
-			return duty{id: id, incarnation: r.self.Incarnation, address: r.self.Address, self: true}, true
+			return dutyHolder{id: id, incarnation: r.self.Incarnation, address: r.self.Address, self: true}, true
 		}
-		if p := r.peers[id]; now.Sub(p.failed) >= passedOver {
-			return duty{id: id, incarnation: p.member.Incarnation, address: p.member.Address}, true
+		if p := r.peers[id]; now.Sub(p.lastFailedCall) >= failedCallBackoff {
+			return dutyHolder{id: id, incarnation: p.member.Incarnation, address: p.member.Address}, true
 		}
 	}
-	return duty{}, false
+	return dutyHolder{}, false
 }
 
 // Hub returns the address of the instance that reads the store and adds up the loads for a zone,
 // or an empty string if there is none. self reports whether it is this instance.
 func (r *Roster) Hub(now time.Time, zone ident.Zone) (address string, self bool) {
-	d, _ := r.Duty(now, dutyStore, zone)
+	d, _ := r.DutyHolder(now, dutyStore, zone)
 	return d.address, d.self
 }
 
@@ -96,7 +96,7 @@
 // them, because of a network failure or a pause of the process.
 func (r *Roster) Isolated(now time.Time) bool {
 	for _, p := range r.peers {
-		if now.Sub(p.answered) < isolatedAfter || now.Sub(p.told) < isolatedAfter {
+		if now.Sub(p.lastAnswer) < isolationTimeout || now.Sub(p.lastDirect) < isolationTimeout {
 			return false
 		}
 	}
@@ -112,9 +112,9 @@
 	return len(zones)
 }
 
-// knownIn returns the number of known instances of a zone, alive or not, including this one if it
-// belongs to the zone.
-func (r *Roster) knownIn(zone ident.Zone) int {
+// knownInZone returns the number of known instances of a zone, alive or not, including this one
+// if it belongs to the zone.
+func (r *Roster) knownInZone(zone ident.Zone) int {
 	n := 0
 	if r.self.Zone == zone {
 		n = 1
@@ -144,14 +144,14 @@
 // dutyZone returns the zone whose instances perform the duties for the upstreams of the given
 // zone: that zone itself, or "" (all instances) if none of its instances is alive.
 func (r *Roster) dutyZone(now time.Time, zone ident.Zone) ident.Zone {
-	if r.Inhabited(now, zone) {
+	if r.HasCandidates(now, zone) {
 		return zone
 	}
 	return ""
 }
 
-// Inhabited reports whether a zone has a live instance that is not stopping.
-func (r *Roster) Inhabited(now time.Time, zone ident.Zone) bool {
+// HasCandidates reports whether a zone has a live instance that is not stopping.
+func (r *Roster) HasCandidates(now time.Time, zone ident.Zone) bool {
 	r.refresh(now)
 	return len(r.candidates[zone]) > 0
 }
--- a/gateway/fleet/gossip_test.go
+++ b/gateway/fleet/gossip_test.go
@@ -66,7 +66,7 @@
 				continue
 			}
 			g.beat(i)
-			g.next[i] = g.ms + int(jitter(g.random, r.Beats()).Milliseconds())
+			g.next[i] = g.ms + int(jitter(g.random, r.HeartbeatInterval()).Milliseconds())
 		}
 	}
 }
@@ -74,7 +74,7 @@
 // beat makes an instance exchange heartbeats with its partners.
 func (g *gossip) beat(i int) {
 	r, now := g.rosters[i], at(g.ms)
-	h := r.Beat(now, Load{})
+	h := r.NextHeartbeat(now, Load{})
 	for _, address := range r.Partners(now, g.random) {
 		j := g.address[address]
 		other := g.rosters[j]
@@ -94,7 +94,7 @@
 	other.Receive(now, h)
 	answer := other.Answer(now, h)
 	r.Receive(now, answer)
-	r.Answered(now, other.self.ID)
+	r.RecordAnswer(now, other.self.ID)
 	g.count(i, j, h, answer)
 	return answer
 }
@@ -140,18 +140,18 @@
 
 // oldest returns the age of the oldest news of an instance of the own zone and of another zone.
 // Each result is at least the corresponding argument.
-func (g *gossip) oldest(own, foreign time.Duration) (time.Duration, time.Duration) {
+func (g *gossip) oldest(own, otherZone time.Duration) (time.Duration, time.Duration) {
 	for _, r := range g.rosters {
 		for _, p := range r.peers {
-			age := at(g.ms).Sub(p.heard)
+			age := at(g.ms).Sub(p.lastHeartbeat)
 			if p.member.Zone == r.self.Zone {
 				own = max(own, age)
 			} else {
-				foreign = max(foreign, age)
+				otherZone = max(otherZone, age)
 			}
 		}
 	}
-	return own, foreign
+	return own, otherZone
 }
 
 // perSecond returns the mean and the maximum of the instances' bytes per second.
@@ -189,16 +189,16 @@
 func playFleet(t testing.TB, size, zones int) {
 	g := newGossip(t, size, zones)
 	g.loss = 0.05
-	whole := func(*Roster) int { return size }
-	started := g.until("start", 5000, whole)
+	all := func(*Roster) int { return size }
+	started := g.until("start", 5000, all)
 	g.run(5000)
-	var own, foreign time.Duration
+	var own, otherZone time.Duration
 	for i := range 200 {
 		g.measuring = i < 50
 		g.run(100)
-		assert.Assert(t, g.all(whole), "a live instance counts as dead after %d ms", g.ms)
+		assert.Assert(t, g.all(all), "a live instance counts as dead after %d ms", g.ms)
 		if i%5 == 0 {
-			own, foreign = g.oldest(own, foreign)
+			own, otherZone = g.oldest(own, otherZone)
 		}
 	}
 	mean, most := g.perSecond(5 * time.Second)
@@ -209,12 +209,12 @@
 		g.down[i] = g.rosters[i].self.Zone == "hall-b"
 	}
 	g.run(300)
-	lost := g.until("loss of a zone", 16000, func(*Roster) int { return size - zoneSize(size, zones, 1) })
+	zoneLost := g.until("loss of a zone", 16000, func(*Roster) int { return size - zoneSize(size, zones, 1) })
 	clear(g.down)
-	back := g.until("return of a zone", 8000, whole)
+	zoneBack := g.until("return of a zone", 8000, all)
 
 	g.cut = "hall-c"
-	cut := g.until("cut", 18000, func(r *Roster) int {
+	partitioned := g.until("cut", 18000, func(r *Roster) int {
 		inside := zoneSize(size, zones, 2)
 		if r.self.Zone == "hall-c" {
 			return inside
@@ -222,9 +222,9 @@
 		return size - inside
 	})
 	g.cut = ""
-	healed := g.until("healing", 8000, whole)
+	healed := g.until("healing", 8000, all)
 	t.Logf("%d instances: all known after %d ms; %.1f KB/s on average, %.1f at most; news at most %v old in the own zone and %v in others; time until known: death %d, zone lost %d, zone back %d, partition %d, partition healed %d ms",
-		size, started, mean/1000, most/1000, own, foreign, died, lost, back, cut, healed)
+		size, started, mean/1000, most/1000, own, otherZone, died, zoneLost, zoneBack, partitioned, healed)
 	assert.Assert(t, mean < float64(4000+24*size), "%.0f bytes per second", mean)
 }
 
@@ -237,22 +237,22 @@
 // in the answer, and one more exchange must reconcile the two.
 func TestSignsOfLifeOfAnotherSetAreNotRead(t *testing.T) {
 	a, b := NewRoster(member(0, "a"), nil), NewRoster(member(1, "a"), nil)
-	hear(a, 0, member(1, "a"))
-	hear(b, 0, member(0, "a"))
+	receiveFrom(a, 0, member(1, "a"))
+	receiveFrom(b, 0, member(0, "a"))
 	for i := 2; i < 30; i++ {
-		hear(a, 0, member(i, "a"))
-		hear(b, 0, member(i+1, "a"))
+		receiveFrom(a, 0, member(i, "a"))
+		receiveFrom(b, 0, member(i+1, "a"))
 	}
 	for range 50 {
-		a.Update(Load{})
+		a.SetLoad(Load{})
 	}
-	h := a.Beat(at(1000), Load{})
+	h := a.NextHeartbeat(at(1000), Load{})
 	for i := range h.Zones[0].Sequences {
 		h.Zones[0].Sequences[i] = 40
 	}
 	b.Receive(at(1000), h)
 	for i := 3; i < 31; i++ {
-		assert.Equal(t, b.peers[member(i, "a").ID].heard, at(0))
+		assert.Equal(t, b.peers[member(i, "a").ID].lastHeartbeat, at(0))
 	}
 	answer := b.Answer(at(1000), h)
 	a.Receive(at(1000), answer)
@@ -271,13 +271,13 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	from, to := rosterOf(0, 295), rosterOf(1, 295)
 	for b.Loop() {
-		body, err := json.Marshal(from.Beat(at(1000), Load{}))
+		body, err := json.Marshal(from.NextHeartbeat(at(1000), Load{}))
 		assert.NilError(b, err)
 		var h Heartbeat
 		assert.NilError(b, json.Unmarshal(body, &h))
 		to.Receive(at(1000), h)
 		for range 10 {
-			to.Holder(at(1000), "report/x", "hall-a")
+			to.IsHolder(at(1000), "report/x", "hall-a")
 		}
 		b.ReportMetric(float64(len(body)), "bytes")
 	}
@@ -293,7 +293,7 @@
 	r := NewRoster(members[self], nil)
 	for i, m := range members {
 		if i != self {
-			hear(r, 0, m)
+			receiveFrom(r, 0, m)
 		}
 	}
 	return r
--- a/gateway/fleet/hub.go
+++ b/gateway/fleet/hub.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// freshLoad is the minimum time for which a load counts if no newer one arrives. If reports
-	// arrive less often, a load counts for freshReports report intervals.
-	freshLoad    = 1500 * time.Millisecond
-	freshReports = 3
+	// minLoadTTL is the minimum time for which a load counts if no newer one arrives. If reports
+	// arrive less often, a load counts for loadTTLReports report intervals.
+	minLoadTTL     = 1500 * time.Millisecond
+	loadTTLReports = 3
 )
 
 // LoadReport is a load sent by an instance to the hub of its zone, or by a hub to the hub of
@@ -20,13 +20,13 @@
 type LoadReport struct {
 	From ident.InstanceID `json:"from"`
 	Zone ident.Zone       `json:"zone"`
-	// Whole is set if the load is the sum of the sender's whole zone.
-	Whole bool `json:"whole,omitempty"`
+	// WholeZone is set if the load is the sum of the sender's whole zone.
+	WholeZone bool `json:"whole,omitempty"`
 	// Sequence increases with each report of an instance, starting at 1.
 	Sequence uint64 `json:"s,omitempty"`
-	// EveryMS is the time between two reports of the sender, in milliseconds.
-	EveryMS int64 `json:"e,omitempty"`
-	Load    Load  `json:"load"`
+	// IntervalMS is the time between two reports of the sender, in milliseconds.
+	IntervalMS int64 `json:"e,omitempty"`
+	Load       Load  `json:"load"`
 	// Packed is the encoded load of a whole zone: its requests in flight, demand and retries. If
 	// it is set, Load holds only the refusing and switching engines.
 	Packed []byte `json:"p,omitempty"`
@@ -44,9 +44,9 @@
 	// instance must not take its own report for that of a peer.
 	Refusing  map[ident.UpstreamID]int64         `json:"x,omitempty"`
 	Switching map[ident.UpstreamID]dialect.Stage `json:"w,omitempty"`
-	// Whole is set in the answer to the hub of another zone. It holds the load of the answering
+	// ZoneLoad is set in the answer to the hub of another zone. It holds the load of the answering
 	// hub's zone.
-	Whole *LoadReport `json:"whole,omitempty"`
+	ZoneLoad *LoadReport `json:"whole,omitempty"`
 	// NotHub is set if the answering instance is not the hub according to its own roster. Sum is
 	// then empty.
 	NotHub bool `json:"n,omitempty"`
@@ -59,8 +59,8 @@
 // zones. It is used in fleets that are too large for each instance to receive the heartbeats of
 // all others. It is not safe for concurrent use.
 type Hub struct {
-	members map[ident.InstanceID]datedLoad
-	zones   map[ident.Zone]datedLoad
+	members map[ident.InstanceID]receivedLoad
+	zones   map[ident.Zone]receivedLoad
 	// sum is the encoded sum of all loads, computed at summedAt. included holds the sequence of
 	// each member's report in it. The sum is computed and encoded once for all members that ask;
 	// see BenchmarkHubAnswer.
@@ -69,50 +69,50 @@
 	summedAt time.Time
 }
 
-// datedLoad is a reported load and when it was received.
-type datedLoad struct {
-	load     Load
-	sequence uint64
-	at       time.Time
-	// until is when the load stops counting.
-	until time.Time
+// receivedLoad is a reported load and when it was received.
+type receivedLoad struct {
+	load       Load
+	sequence   uint64
+	receivedAt time.Time
+	// expiresAt is when the load stops counting.
+	expiresAt time.Time
 }
 
 // NewHub returns a hub without any loads.
 func NewHub() *Hub {
-	return &Hub{members: map[ident.InstanceID]datedLoad{}, zones: map[ident.Zone]datedLoad{}}
+	return &Hub{members: map[ident.InstanceID]receivedLoad{}, zones: map[ident.Zone]receivedLoad{}}
 }
 
-// Take stores a load report. The error is a *PackError.
-func (h *Hub) Take(now time.Time, r LoadReport) error {
-	fresh := max(freshLoad, freshReports*time.Duration(r.EveryMS)*time.Millisecond)
-	d := datedLoad{load: r.Load, sequence: r.Sequence, at: now, until: now.Add(fresh)}
+// Receive stores a load report. The error is a *PackError.
+func (h *Hub) Receive(now time.Time, r LoadReport) error {
+	ttl := max(minLoadTTL, loadTTLReports*time.Duration(r.IntervalMS)*time.Millisecond)
+	received := receivedLoad{load: r.Load, sequence: r.Sequence, receivedAt: now, expiresAt: now.Add(ttl)}
 	if r.Packed != nil {
 		var err error
-		if d.load, err = unpackLoad(r.Packed); err != nil {
+		if received.load, err = unpackLoad(r.Packed); err != nil {
 			return err
 		}
-		d.load.Refusing, d.load.Switching = r.Load.Refusing, r.Load.Switching
+		received.load.Refusing, received.load.Switching = r.Load.Refusing, r.Load.Switching
 	}
-	if r.Whole {
-		h.zones[r.Zone] = d
+	if r.WholeZone {
+		h.zones[r.Zone] = received
 		return nil
 	}
-	h.members[r.From] = d
+	h.members[r.From] = received
 	return nil
 }
 
-// Heard reports whether another zone's load was received within toldLately.
-func (h *Hub) Heard(now time.Time, zone ident.Zone) bool {
+// HeardRecently reports whether another zone's load was received within directContactWindow.
+func (h *Hub) HeardRecently(now time.Time, zone ident.Zone) bool {
 	d, ok := h.zones[zone]
-	return ok && now.Sub(d.at) < toldLately
+	return ok && now.Sub(d.receivedAt) < directContactWindow
 }
 
-// Zone returns the sum of the loads of the hub's zone. It drops expired loads.
-func (h *Hub) Zone(now time.Time) Load {
+// ZoneLoad returns the sum of the loads of the hub's zone. It drops expired loads.
+func (h *Hub) ZoneLoad(now time.Time) Load {
 	sum := NewLoad()
 	for id, d := range h.members {
-		if now.After(d.until) {
+		if now.After(d.expiresAt) {
 			delete(h.members, id)
 			continue
 		}
@@ -125,25 +125,25 @@
 // once per sumInterval.
 func (h *Hub) Answer(now time.Time, to ident.InstanceID) LoadAnswer {
 	if now.Sub(h.summedAt) >= sumInterval {
-		h.add(now)
+		h.updateSum(now)
 	}
 	others := NewLoad()
 	for id, d := range h.members {
 		if id != to {
-			others.addAway(d.load)
+			others.addUnavailable(d.load)
 		}
 	}
 	for _, d := range h.zones {
-		others.addAway(d.load)
+		others.addUnavailable(d.load)
 	}
 	return LoadAnswer{Sum: h.sum, Included: h.included[to], Refusing: others.Refusing, Switching: others.Switching}
 }
 
-// add recomputes the sum of the loads of all zones.
-func (h *Hub) add(now time.Time) {
-	sum := h.Zone(now)
+// updateSum recomputes the sum of the loads of all zones.
+func (h *Hub) updateSum(now time.Time) {
+	sum := h.ZoneLoad(now)
 	for zone, d := range h.zones {
-		if now.After(d.until) {
+		if now.After(d.expiresAt) {
 			delete(h.zones, zone)
 			continue
 		}
@@ -156,36 +156,36 @@
 	}
 }
 
-// Reports holds the latest load reports of an instance, so that the instance can subtract its own
-// load from a sum.
-type Reports struct {
+// ReportHistory holds the latest load reports of an instance, so that the instance can subtract
+// its own load from a sum.
+type ReportHistory struct {
 	last  uint64
 	loads map[uint64]Load
 }
 
-// keptReports is the number of reports that are kept. It exceeds the number of reports made while
+// maxKeptReports is the number of reports that are kept. It exceeds the number of reports made while
 // an answer is under way.
-const keptReports = 16
+const maxKeptReports = 16
 
-// Next stores a load as the next report and returns its sequence.
-func (r *Reports) Next(load Load) uint64 {
+// Add stores a load as the next report and returns its sequence.
+func (r *ReportHistory) Add(load Load) uint64 {
 	if r.loads == nil {
 		r.loads = map[uint64]Load{}
 	}
 	r.last++
 	r.loads[r.last] = load
-	delete(r.loads, r.last-keptReports)
+	delete(r.loads, r.last-maxKeptReports)
 	return r.last
 }
 
-// Others returns the sum of the other instances' loads: the sum in an answer without this
+// PeerLoad returns the sum of the other instances' loads: the sum in an answer without this
 // instance's own part. The error is a *PackError.
-func (r *Reports) Others(a LoadAnswer) (Load, error) {
+func (r *ReportHistory) PeerLoad(a LoadAnswer) (Load, error) {
 	sum, err := unpackLoad(a.Sum)
 	if err != nil {
 		return Load{}, err
 	}
-	sum.remove(r.loads[a.Included])
+	sum.subtract(r.loads[a.Included])
 	sum.Refusing, sum.Switching = a.Refusing, a.Switching
 	return sum, nil
 }
@@ -204,7 +204,7 @@
 	for id, f := range o.InFlight {
 		l.InFlight[id] = l.InFlight[id].plus(f)
 	}
-	l.addAway(o)
+	l.addUnavailable(o)
 	for service, n := range o.Spent {
 		l.Spent[service] += n
 	}
@@ -219,23 +219,23 @@
 	}
 }
 
-// addAway adds the refusing and switching engines of another load.
-func (l *Load) addAway(o Load) {
-	for id, left := range o.Refusing {
-		l.Refusing[id] = max(l.Refusing[id], left)
+// addUnavailable adds the refusing and switching engines of another load.
+func (l *Load) addUnavailable(o Load) {
+	for id, remaining := range o.Refusing {
+		l.Refusing[id] = max(l.Refusing[id], remaining)
 	}
 	for id, stage := range o.Switching {
 		l.Switching[id] = stage
 	}
 }
 
-// remove subtracts a load that was added before: its requests, demand and retries.
-func (l *Load) remove(o Load) {
+// subtract subtracts a load that was added before: its requests, demand and retries.
+func (l *Load) subtract(o Load) {
 	for id, f := range o.InFlight {
-		if left := l.InFlight[id].minus(f); left.empty() {
+		if rest := l.InFlight[id].minus(f); rest.empty() {
 			delete(l.InFlight, id)
 		} else {
-			l.InFlight[id] = left
+			l.InFlight[id] = rest
 		}
 	}
 	for service, n := range o.Spent {
@@ -255,17 +255,17 @@
 // minus subtracts a part from the load of an upstream. Values that the engine reported about
 // itself are dropped if the maximum may have come from that part.
 func (f InFlight) minus(o InFlight) InFlight {
-	left := InFlight{Requests: f.Requests - o.Requests, Tokens: f.Tokens - o.Tokens, Memory: slices.Clone(f.Memory)}
+	rest := InFlight{Requests: f.Requests - o.Requests, Tokens: f.Tokens - o.Tokens, Memory: slices.Clone(f.Memory)}
 	if f.Unexplained > o.Unexplained {
-		left.Unexplained = f.Unexplained
+		rest.Unexplained = f.Unexplained
 	}
 	if f.Pace > o.Pace {
-		left.Pace = f.Pace
+		rest.Pace = f.Pace
 	}
-	for i := range min(len(left.Memory), len(o.Memory)) {
-		left.Memory[i] -= o.Memory[i]
+	for i := range min(len(rest.Memory), len(o.Memory)) {
+		rest.Memory[i] -= o.Memory[i]
 	}
-	return left
+	return rest
 }
 
 // empty reports whether there is neither work in flight nor a value reported by the engine.
--- a/gateway/fleet/hub_test.go
+++ b/gateway/fleet/hub_test.go
@@ -22,9 +22,9 @@
 // others returns the sum of the other instances' loads that an instance gets from a hub. The
 // instance has made one report, which the hub has.
 func others(t *testing.T, h *Hub, now time.Time, id ident.InstanceID) Load {
-	var reports Reports
-	reports.Next(h.members[id].load)
-	sum, err := reports.Others(h.Answer(now, id))
+	var reports ReportHistory
+	reports.Add(h.members[id].load)
+	sum, err := reports.PeerLoad(h.Answer(now, id))
 	assert.NilError(t, err)
 	return sum
 }
@@ -33,10 +33,10 @@
 // zone, or that contain the receiving instance's own load.
 func TestHubsAddUpToTheWhole(t *testing.T) {
 	a, b := NewHub(), NewHub()
-	assert.NilError(t, a.Take(at(0), LoadReport{From: "a1", Zone: "a", Sequence: 1, Load: loadOf(1, 10, 20)}))
-	assert.NilError(t, a.Take(at(0), LoadReport{From: "a2", Zone: "a", Sequence: 1, Load: loadOf(2, 100)}))
-	assert.NilError(t, b.Take(at(0), LoadReport{From: "b1", Zone: "b", Load: loadOf(4, 1000, 2000, 3000)}))
-	assert.NilError(t, a.Take(at(100), LoadReport{From: "b1", Zone: "b", Whole: true, Load: b.Zone(at(100))}))
+	assert.NilError(t, a.Receive(at(0), LoadReport{From: "a1", Zone: "a", Sequence: 1, Load: loadOf(1, 10, 20)}))
+	assert.NilError(t, a.Receive(at(0), LoadReport{From: "a2", Zone: "a", Sequence: 1, Load: loadOf(2, 100)}))
+	assert.NilError(t, b.Receive(at(0), LoadReport{From: "b1", Zone: "b", Load: loadOf(4, 1000, 2000, 3000)}))
+	assert.NilError(t, a.Receive(at(100), LoadReport{From: "b1", Zone: "b", WholeZone: true, Load: b.ZoneLoad(at(100))}))
 	for id, want := range map[ident.InstanceID]int{"a1": 6, "a2": 5, "": 7} {
 		total := others(t, a, at(200), id)
 		assert.Equal(t, total.InFlight["e"].Requests, want)
@@ -49,24 +49,24 @@
 // off, that remain in the sum.
 func TestOldLoadsDontCount(t *testing.T) {
 	h := NewHub()
-	assert.NilError(t, h.Take(at(0), LoadReport{From: "a1", Zone: "a", Load: loadOf(1)}))
-	assert.NilError(t, h.Take(at(0), LoadReport{From: "b1", Zone: "b", Whole: true, Load: loadOf(2)}))
-	assert.NilError(t, h.Take(at(1000), LoadReport{From: "a2", Zone: "a", Load: loadOf(4)}))
+	assert.NilError(t, h.Receive(at(0), LoadReport{From: "a1", Zone: "a", Load: loadOf(1)}))
+	assert.NilError(t, h.Receive(at(0), LoadReport{From: "b1", Zone: "b", WholeZone: true, Load: loadOf(2)}))
+	assert.NilError(t, h.Receive(at(1000), LoadReport{From: "a2", Zone: "a", Load: loadOf(4)}))
 	assert.Equal(t, others(t, h, at(2000), "").InFlight["e"].Requests, 4)
 }
 
 // TestSumWithAnEarlierReport guards against an instance that subtracts its newest report from a
 // sum that was computed before it and contains an earlier one.
 func TestSumWithAnEarlierReport(t *testing.T) {
-	h, own := NewHub(), Reports{}
+	h, own := NewHub(), ReportHistory{}
 	report := func(ms, requests int) LoadAnswer {
 		load := loadOf(requests, 100*requests)
-		assert.NilError(t, h.Take(at(ms), LoadReport{From: "a1", Zone: "a", Sequence: own.Next(load), Load: load}))
+		assert.NilError(t, h.Receive(at(ms), LoadReport{From: "a1", Zone: "a", Sequence: own.Add(load), Load: load}))
 		return h.Answer(at(ms), "a1")
 	}
-	assert.NilError(t, h.Take(at(0), LoadReport{From: "a2", Zone: "a", Sequence: 1, Load: loadOf(5, 50)}))
+	assert.NilError(t, h.Receive(at(0), LoadReport{From: "a2", Zone: "a", Sequence: 1, Load: loadOf(5, 50)}))
 	for _, r := range []struct{ ms, requests int }{{0, 3}, {50, 9}, {60, 0}, {160, 2}} {
-		sum, err := own.Others(report(r.ms, r.requests))
+		sum, err := own.PeerLoad(report(r.ms, r.requests))
 		assert.NilError(t, err)
 		assert.DeepEqual(t, sum.InFlight["e"], InFlight{Requests: 5, Memory: []int{50}})
 		assert.Equal(t, sum.Demand["m"].PrefillRate, 5.0)
@@ -80,7 +80,7 @@
 	h, load := NewHub(), loadOf(1)
 	load.Refusing["e"] = 800
 	load.Switching["f"] = "decode"
-	assert.NilError(t, h.Take(at(0), LoadReport{From: "a1", Zone: "a", Sequence: 1, Load: load}))
+	assert.NilError(t, h.Receive(at(0), LoadReport{From: "a1", Zone: "a", Sequence: 1, Load: load}))
 	own := others(t, h, at(10), "a1")
 	assert.Equal(t, len(own.Refusing)+len(own.Switching)+len(own.InFlight), 0)
 	other := others(t, h, at(10), "a2")
@@ -102,7 +102,7 @@
 			load.InFlight[ident.UpstreamID(fmt.Sprintf("i-%08d", (n*7+e)%engines))] = InFlight{Requests: 2, Memory: []int{5000, 5100, 5200, 5300, 5400, 3000, 2000, 1000, 0, 0}}
 		}
 		id := ident.InstanceID(fmt.Sprintf("front-hall-a-%d", n))
-		assert.NilError(b, h.Take(at(int(ms)), LoadReport{From: id, Zone: "hall-a", Sequence: 1, Load: load}))
+		assert.NilError(b, h.Receive(at(int(ms)), LoadReport{From: id, Zone: "hall-a", Sequence: 1, Load: load}))
 		h.Answer(at(int(ms)), id)
 		ms += 300.0 / members
 	}
--- a/gateway/fleet/informed.go
+++ b/gateway/fleet/informed.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// informWithin is how long an instance that has started or was paused waits for an informed
+	// informTimeout is how long an instance that has started or was paused waits for an informed
 	// peer. If it hears of none in that time, it is alone, it is cut off, or all instances have
 	// just started. Peers of a small fleet call every 300 ms.
-	informWithin = 500 * time.Millisecond
-	// informedTick is how often a waiting request checks whether its instance is informed. Peers
-	// usually answer within some milliseconds of a start.
-	informedTick = 10 * time.Millisecond
+	informTimeout = 500 * time.Millisecond
+	// informedPollInterval is how often a waiting request checks whether its instance is
+	// informed. Peers usually answer within some milliseconds of a start.
+	informedPollInterval = 10 * time.Millisecond
 	// maintenanceInterval is how often an instance checks whether it was paused, drops expired
 	// state and sends delayed evidence of crashes.
 	maintenanceInterval = 250 * time.Millisecond
@@ -27,31 +27,31 @@
 // must not get them.
 type informed struct {
 	mu sync.Mutex
-	// since is when the instance last started or resumed, looked when its running was last
+	// since is when the instance last started or resumed, lastRunning when its running was last
 	// recorded.
-	since, looked time.Time
-	// paused is set if the instance was paused at since. told is set once an informed peer has
-	// shared its evidence after that.
-	paused, told bool
-	// refreshed is when Refresh last had the view read again.
-	refreshed time.Time
-	// woke holds the channels that end the waits of the read and heartbeat loops.
-	woke []chan struct{}
+	since, lastRunning time.Time
+	// paused is set if the instance was paused at since. peerInformed is set once an informed
+	// peer has shared its evidence after that.
+	paused, peerInformed bool
+	// lastRefresh is when Refresh last had the view read again.
+	lastRefresh time.Time
+	// wakeChans holds the channels that end the waits of the read and heartbeat loops.
+	wakeChans []chan struct{}
 }
 
-// waking returns a channel that receives a value when the instance resumes after a pause, or on
-// Refresh.
-func (i *informed) waking() <-chan struct{} {
+// subscribeWake returns a channel that receives a value when the instance resumes after a pause,
+// or on Refresh.
+func (i *informed) subscribeWake() <-chan struct{} {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	c := make(chan struct{}, 1)
-	i.woke = append(i.woke, c)
+	i.wakeChans = append(i.wakeChans, c)
 	return c
 }
 
-// wake ends all waits on the channels of waking. The caller holds mu.
+// wake ends all waits on the channels of subscribeWake. The caller holds mu.
 func (i *informed) wake() {
-	for _, c := range i.woke {
+	for _, c := range i.wakeChans {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -59,60 +59,60 @@
 	}
 }
 
-// waitTurn waits for a duration or until a value arrives on woke, and returns true. It returns
+// waitOrWake waits for a duration or until a value arrives on wake, and returns true. It returns
 // false as soon as ctx has ended.
-func waitTurn(ctx context.Context, d time.Duration, woke <-chan struct{}) bool {
+func waitOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-woke:
+	case <-wake:
 	case <-ctx.Done():
 		return false
 	}
 	return ctx.Err() == nil
 }
 
-// look records that the instance is running at now. A gap of more than stoodStill since the last
-// record means that the process was paused, and the instance counts as uninformed.
-func (i *informed) look(now time.Time) {
+// recordRunning records that the instance is running at now. A gap of more than pauseThreshold
+// since the last record means that the process was paused, and the instance counts as uninformed.
+func (i *informed) recordRunning(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lookLocked(now)
+	i.recordRunningLocked(now)
 }
 
-// lookLocked implements look. The caller holds mu.
-func (i *informed) lookLocked(now time.Time) {
-	if now.Sub(i.looked) > stoodStill {
-		i.paused = !i.looked.IsZero()
-		i.since, i.told = now, false
+// recordRunningLocked implements recordRunning. The caller holds mu.
+func (i *informed) recordRunningLocked(now time.Time) {
+	if now.Sub(i.lastRunning) > pauseThreshold {
+		i.paused = !i.lastRunning.IsZero()
+		i.since, i.peerInformed = now, false
 		i.wake()
 	}
-	i.looked = now
+	i.lastRunning = now
 }
 
-// tell records that an informed peer has shared what it knows.
-func (i *informed) tell(now time.Time) {
+// markInformed records that an informed peer has shared what it knows.
+func (i *informed) markInformed(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lookLocked(now)
-	i.told = true
+	i.recordRunningLocked(now)
+	i.peerInformed = true
 }
 
-// ok reports whether the instance is informed: a peer has shared its evidence and, after a pause,
-// the list of upstreams comes from a read that began after it; or informWithin has passed. view
-// is the time of that list.
-func (i *informed) ok(now, view time.Time) bool {
+// isInformed reports whether the instance is informed: a peer has shared its evidence and, after
+// a pause, the list of upstreams comes from a read that began after it; or informTimeout has
+// passed. view is the time of that list.
+func (i *informed) isInformed(now, view time.Time) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lookLocked(now)
-	return i.told && (!i.paused || view.After(i.since)) || now.Sub(i.since) >= informWithin
+	i.recordRunningLocked(now)
+	return i.peerInformed && (!i.paused || view.After(i.since)) || now.Sub(i.since) >= informTimeout
 }
 
-// stoodStillLately reports whether the instance has resumed after a pause and is not yet
+// resumedUninformed reports whether the instance has resumed after a pause and is not yet
 // informed.
-func (i *informed) stoodStillLately(now, view time.Time) bool {
-	if i.ok(now, view) {
+func (i *informed) resumedUninformed(now, view time.Time) bool {
+	if i.isInformed(now, view) {
 		return false
 	}
 	i.mu.Lock()
@@ -122,15 +122,15 @@
 
 // Informed reports whether this instance has received what its peers know since it started or
 // resumed.
-func (n *Node) Informed() bool { return n.informed.ok(clock.Now(), n.Snapshot().AsOf) }
+func (n *Node) Informed() bool { return n.informed.isInformed(clock.Now(), n.Snapshot().AsOf) }
 
-// AwaitInformed waits until Informed returns true or ctx ends: at most informWithin after a start
+// AwaitInformed waits until Informed returns true or ctx ends: at most informTimeout after a start
 // or a pause. After a start only requests to engines wait, since an instance that serves only
 // plain services has few peers and its callers would wait 300 ms.
 func (n *Node) AwaitInformed(ctx context.Context, engines bool) {
 	clock.Check()
-	for !n.Informed() && (engines || n.informed.stoodStillLately(clock.Now(), n.Snapshot().AsOf)) {
-		if !pause.For(ctx, informedTick) {
+	for !n.Informed() && (engines || n.informed.resumedUninformed(clock.Now(), n.Snapshot().AsOf)) {
+		if !pause.For(ctx, informedPollInterval) {
 			return
 		}
 	}
@@ -142,10 +142,10 @@
 	n.informed.mu.Lock()
 	defer n.informed.mu.Unlock()
 	now := clock.Now()
-	if now.Sub(n.informed.refreshed) < startInterval {
+	if now.Sub(n.informed.lastRefresh) < startInterval {
 		return
 	}
-	n.informed.refreshed = now
+	n.informed.lastRefresh = now
 	n.informed.wake()
 }
 
@@ -156,14 +156,14 @@
 	asleep := clock.Suspended()
 	for pause.For(ctx, maintenanceInterval) {
 		now := clock.Now()
-		n.informed.look(now)
+		n.informed.recordRunning(now)
 		n.tokens.accounts.Forget(now)
-		n.o.Register.Expire(now)
-		if n.o.Register.HasUntold() {
-			n.news.tell()
+		n.opts.Register.Expire(now)
+		if n.opts.Register.HasUntold() {
+			n.crashSpreader.requestSend()
 		}
 		if now := clock.Suspended(); now != asleep {
-			n.o.Log.Warn("machine was suspended", "for_ms", (now - asleep).Milliseconds())
+			n.opts.Log.Warn("machine was suspended", "for_ms", (now - asleep).Milliseconds())
 			asleep = now
 		}
 	}
--- a/gateway/fleet/keeper.go
+++ b/gateway/fleet/keeper.go
@@ -11,102 +11,103 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// dryKey identifies a workspace's account in a zone.
-type dryKey struct {
+// lenderKey identifies a workspace's account in a zone.
+type lenderKey struct {
 	zone      ident.Zone
 	workspace string
 }
 
 // onTokens answers a peer's request for tokens as the keeper of a workspace's account. If the
 // account holds too few, it first borrows from the keepers in other zones.
-func (n *Node) onTokens(ctx context.Context, _ peer.Identity, q TokenRequest) (TokenAnswer, error) {
+func (n *Node) onTokens(ctx context.Context, _ peer.Identity, request TokenRequest) (TokenAnswer, error) {
 	accounts := n.tokens.accounts
-	out := TokenAnswer{Incarnation: n.o.Self.Incarnation}
-	if q.Lend {
-		out.Lent = accounts.Lend(clock.Now(), q.ask(), q.Level)
-		return out, nil
+	result := TokenAnswer{Incarnation: n.opts.Self.Incarnation}
+	if request.Lend {
+		result.Lent = accounts.Lend(clock.Now(), request.limitAsk(), request.Level)
+		return result, nil
 	}
-	a := accounts.Take(clock.Now(), q.ask())
-	if q.Cost <= 0 {
+	answer := accounts.Take(clock.Now(), request.limitAsk())
+	if request.Cost <= 0 {
 		// The request only returns tokens.
-		out.Granted, out.Level = true, a.Level
-		return out, nil
+		result.Granted, result.Level = true, answer.Level
+		return result, nil
 	}
-	if a.Granted && a.Level < q.Part.Burst/2 {
-		// Refill the account in the background. Accounts of other zones that are full would not
-		// accumulate further tokens in the meantime.
-		go n.borrow(context.WithoutCancel(ctx), q, a)
+	if answer.Granted && answer.Level < request.Part.Burst/2 {
+		// Borrow in the background before the account is empty. Full accounts of other zones
+		// accumulate no further tokens, so what they could have gained in the meantime would be
+		// lost.
+		go n.borrow(context.WithoutCancel(ctx), request, answer)
 	}
-	if !a.Granted {
-		n.borrow(ctx, q, a)
-		again := q.ask()
-		again.Back, again.Told = 0, nil
-		a = accounts.Take(clock.Now(), again)
+	if !answer.Granted {
+		n.borrow(ctx, request, answer)
+		retry := request.limitAsk()
+		retry.Back, retry.Told = 0, nil
+		answer = accounts.Take(clock.Now(), retry)
 	}
-	out.Granted, out.Level = a.Granted, a.Level
-	if !a.Granted {
-		out.WaitMS = accounts.Refuse(clock.Now(), q.Workspace, q.Cost).Milliseconds()
+	result.Granted, result.Level = answer.Granted, answer.Level
+	if !answer.Granted {
+		result.WaitMS = accounts.Refuse(clock.Now(), request.Workspace, request.Cost).Milliseconds()
 	}
-	return out, nil
+	return result, nil
 }
 
 // borrow asks the other zones for the tokens that an account lacks, or for half of what they hold
 // in excess of it. Concurrent requests that lack tokens of the same account wait for the same
 // loans.
-func (n *Node) borrow(ctx context.Context, q TokenRequest, short limit.Answer) {
+func (n *Node) borrow(ctx context.Context, request TokenRequest, refusal limit.Answer) {
 	// The function always returns a nil error.
-	_, _, _ = n.tokens.borrows.Do(q.Workspace, func() (any, error) {
+	_, _, _ = n.tokens.borrows.Do(request.Workspace, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), borrowTimeout)
 		defer cancel()
-		n.borrowAll(ctx, q, short)
+		n.borrowAll(ctx, request, refusal)
 		return nil, nil
 	})
 }
 
 // borrowAll asks all lenders concurrently and adds the lent tokens to the account.
-func (n *Node) borrowAll(ctx context.Context, q TokenRequest, short limit.Answer) {
-	lenders := n.lenders(q.Workspace)
-	question := TokenRequest{
-		Workspace: q.Workspace, Part: q.Part, Version: q.Version,
-		Lend: true, Cost: short.Short / float64(max(1, len(lenders))), Level: short.Level,
+func (n *Node) borrowAll(ctx context.Context, request TokenRequest, refusal limit.Answer) {
+	lenders := n.lenders(request.Workspace)
+	loan := TokenRequest{
+		Workspace: request.Workspace, Part: request.Part, Version: request.Version,
+		Lend: true, Cost: refusal.Short / float64(max(1, len(lenders))), Level: refusal.Level,
 	}
-	var asked sync.WaitGroup
-	for zone, k := range lenders {
-		asked.Go(func() {
-			answer, err := n.callKeeper(ctx, k, question)
-			if err != nil || answer.Lent <= 0 || answer.Lent < question.Cost {
-				n.dry(zone, q.Workspace)
+	var wg sync.WaitGroup
+	for zone, holder := range lenders {
+		wg.Go(func() {
+			answer, err := n.callKeeper(ctx, holder, loan)
+			if err != nil || answer.Lent <= 0 || answer.Lent < loan.Cost {
+				n.recordEmptyLender(zone, request.Workspace)
 			}
-			n.tokens.accounts.Borrowed(q.Workspace, answer.Lent)
+			n.tokens.accounts.Borrowed(request.Workspace, answer.Lent)
 		})
 	}
-	asked.Wait()
+	wg.Wait()
 }
 
-// dry records that a zone has nothing to lend to a workspace for borrowAgain.
-func (n *Node) dry(zone ident.Zone, workspace string) {
+// recordEmptyLender records that a zone has nothing to lend to a workspace for lenderRetryInterval.
+func (n *Node) recordEmptyLender(zone ident.Zone, workspace string) {
 	t := n.tokens
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.dry[dryKey{zone, workspace}] = clock.Now().Add(borrowAgain)
+	t.emptyUntil[lenderKey{zone, workspace}] = clock.Now().Add(lenderRetryInterval)
 }
 
 // lenders returns the keepers of a workspace's accounts in the other zones, without the zones
 // that recently had nothing to lend.
-func (n *Node) lenders(workspace string) map[ident.Zone]duty {
+func (n *Node) lenders(workspace string) map[ident.Zone]dutyHolder {
 	n.mu.Lock()
 	zones := n.roster.OtherZones(clock.Now())
 	n.mu.Unlock()
-	out := map[ident.Zone]duty{}
+	out := map[ident.Zone]dutyHolder{}
 	for _, zone := range zones {
 		n.tokens.mu.Lock()
-		dry := clock.Now().Before(n.tokens.dry[dryKey{zone, workspace}])
+		empty := clock.Now().Before(n.tokens.emptyUntil[lenderKey{zone, workspace}])
 		n.tokens.mu.Unlock()
-		if dry {
+		if empty {
 			continue
 		}
-		if k, ok := n.keeper(workspace, zone); ok {
-			out[zone] = k
+		if holder, ok := n.keeper(workspace, zone); ok {
+			out[zone] = holder
 		}
 	}
 	return out
@@ -116,26 +117,26 @@
 // first use of a workspace's limit, so that an instance without limits has no wakeups.
 func (n *Node) flushTokens(ctx context.Context) {
 	for n.tokens.client.AwaitFirstUse(ctx) && pause.For(ctx, flushInterval) {
-		for workspace, back := range n.tokens.client.Idle(clock.Now()) {
-			n.giveBack(ctx, workspace, back)
+		for workspace, unused := range n.tokens.client.Idle(clock.Now()) {
+			n.returnTokens(ctx, workspace, unused)
 		}
 	}
 }
 
-// giveBack returns tokens to the keeper of a workspace's account. Tokens are lost to the
+// returnTokens returns tokens to the keeper of a workspace's account. Tokens are lost to the
 // workspace if the call fails.
-func (n *Node) giveBack(ctx context.Context, workspace string, tokens float64) {
+func (n *Node) returnTokens(ctx context.Context, workspace string, tokens float64) {
 	s := n.Snapshot()
 	if s.Table == nil {
 		return
 	}
 	w := s.Table.Named(workspace)
-	k, ok := n.keeper(workspace, n.o.Self.Zone)
+	holder, ok := n.keeper(workspace, n.opts.Self.Zone)
 	if w == nil || !ok {
 		return
 	}
-	q := TokenRequest{Workspace: workspace, Part: limit.PartOf(w.Limit, n.zoneCount()), Version: s.Version(), Back: tokens}
-	if _, err := n.callKeeper(ctx, k, q); err != nil {
-		n.o.Log.Info("tokens not given back", "workspace", workspace, "tokens", tokens, "peer", k.id, "error", err)
+	request := TokenRequest{Workspace: workspace, Part: limit.PartOf(w.Limit, n.zoneCount()), Version: s.Version(), Returned: tokens}
+	if _, err := n.callKeeper(ctx, holder, request); err != nil {
+		n.opts.Log.Info("tokens not given back", "workspace", workspace, "tokens", tokens, "peer", holder.id, "error", err)
 	}
 }
--- a/gateway/fleet/lists.go
+++ b/gateway/fleet/lists.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// keptVersions is the number of list versions from which a difference can be computed.
+	// maxListVersions is the number of list versions from which a difference can be computed.
 	// Consecutive versions differ and peers ask twice a second, so they cover about ten seconds.
-	keptVersions = 32
-	// maxListBytes bounds the decompressed size of a list.
-	maxListBytes = 64 << 20
+	maxListVersions = 32
+	// maxUnpackedListBytes bounds the decompressed size of a list.
+	maxUnpackedListBytes = 64 << 20
 )
 
 // State bits of an encoded upstream.
@@ -27,18 +27,18 @@
 	stateCold
 )
 
-// hashOf returns a hash of all fields of an upstream.
-func hashOf(u *dialect.Upstream) uint64 {
+// upstreamHash returns a hash of all fields of an upstream.
+func upstreamHash(u *dialect.Upstream) uint64 {
 	var buffer [256]byte
 	return xxhash.Sum64(appendUpstream(buffer[:0], u))
 }
 
-// digestOf returns the digest of a list: the sum of the hashes of its upstreams, which does not
+// listDigest returns the digest of a list: the sum of the hashes of its upstreams, which does not
 // depend on their order.
-func digestOf(list []dialect.Upstream) uint64 {
+func listDigest(list []dialect.Upstream) uint64 {
 	sum := uint64(0)
 	for i := range list {
-		sum += hashOf(&list[i])
+		sum += upstreamHash(&list[i])
 	}
 	return sum
 }
@@ -73,19 +73,19 @@
 
 // unpackUpstreams decodes what packUpstreams encoded. The error is a *PackError.
 func unpackUpstreams(packed []byte) ([]dialect.Upstream, error) {
-	r := &unpacker{left: packed}
+	r := &unpacker{rest: packed}
 	var out []dialect.Upstream
-	for range r.count() {
+	for range r.length() {
 		u := dialect.Upstream{
-			ID: ident.UpstreamID(r.text()), Incarnation: ident.Incarnation(r.unsigned()), Service: r.text(), Address: r.text(),
-			Zone: ident.Zone(r.text()), Slots: r.number(),
+			ID: ident.UpstreamID(r.str()), Incarnation: ident.Incarnation(r.uvarint()), Service: r.str(), Address: r.str(),
+			Zone: ident.Zone(r.str()), Slots: r.varint(),
 		}
-		state := r.number()
+		state := r.varint()
 		u.Leaving, u.Cold = state&stateLeaving != 0, state&stateCold != 0
-		u.Stage = dialect.Stage(r.text())
+		u.Stage = dialect.Stage(r.str())
 		out = append(out, u)
 	}
-	if !r.whole() {
+	if !r.done() {
 		return nil, &PackError{Bytes: len(packed)}
 	}
 	return out, nil
@@ -105,13 +105,13 @@
 	return out.Bytes(), nil
 }
 
-// expand decompresses the output of compress.
-func expand(compressed []byte) ([]byte, error) {
+// decompress decompresses the output of compress.
+func decompress(compressed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(r, maxListBytes))
+	return io.ReadAll(io.LimitReader(r, maxUnpackedListBytes))
 }
 
 // listVersion is the digest of a version of the list, with the number of the change that produced
@@ -129,16 +129,16 @@
 	Gone    []ident.UpstreamID
 }
 
-// Since returns the difference between the current list and the version with the given digest. It
-// returns false if that version is not among the latest that the view keeps.
-func (v *View) Since(digest uint64) (Difference, bool) {
+// DifferenceFrom returns the difference between the current list and the version with the given
+// digest. It returns false if that version is not among the latest that the view keeps.
+func (v *View) DifferenceFrom(digest uint64) (Difference, bool) {
 	at := slices.IndexFunc(v.versions, func(o listVersion) bool { return o.digest == digest })
 	if at < 0 {
 		return Difference{}, false
 	}
 	var d Difference
 	seen := map[ident.UpstreamID]bool{}
-	for _, c := range v.recent[v.recentAfter(v.versions[at].change):] {
+	for _, c := range v.recentChanges[v.recentChangesAfter(v.versions[at].change):] {
 		if seen[c.id] {
 			continue
 		}
@@ -146,7 +146,7 @@
 		if e := v.entries[c.id]; e == nil || e.gone {
 			d.Gone = append(d.Gone, c.id)
 		} else {
-			d.Changed = append(d.Changed, e.up)
+			d.Changed = append(d.Changed, e.upstream)
 		}
 	}
 	return d, true
--- a/gateway/fleet/lists_test.go
+++ b/gateway/fleet/lists_test.go
@@ -62,23 +62,23 @@
 		}
 		list = now
 		ms := 500 * (step + 1)
-		v.List(at(ms+5), at(ms), int64(step), list, FromStore)
+		v.MergeList(at(ms+5), at(ms), int64(step), list, FromStore)
 		if random.IntN(2) == 0 {
 			// Some lists are replaced before a snapshot of them is made.
 			continue
 		}
 		s := v.Snapshot()
-		for _, old := range before[max(0, len(before)-keptVersions/8):] {
-			d, ok := v.Since(old.Digest())
+		for _, old := range before[max(0, len(before)-maxListVersions/8):] {
+			d, ok := v.DifferenceFrom(old.Digest())
 			assert.Assert(t, ok)
 			packed, err := unpackUpstreams(packUpstreams(d.Changed))
 			assert.NilError(t, err)
-			assert.Equal(t, digestOf(Difference{Changed: packed, Gone: d.Gone}.apply(old.All())), s.Digest())
+			assert.Equal(t, listDigest(Difference{Changed: packed, Gone: d.Gone}.apply(old.All())), s.Digest())
 		}
 		before = append(before, s)
 	}
-	assert.Equal(t, digestOf(v.Snapshot().All()), v.Snapshot().Digest())
-	_, ok := v.Since(before[0].Digest())
+	assert.Equal(t, listDigest(v.Snapshot().All()), v.Snapshot().Digest())
+	_, ok := v.DifferenceFrom(before[0].Digest())
 	assert.Assert(t, !ok, "this version is older than those that are kept")
 }
 
@@ -87,14 +87,14 @@
 // instead.
 func TestDifferenceThatDoesNotFit(t *testing.T) {
 	n := newTestNode(t, &fakeStore{})
-	n.takeList(time.Now(), 3, []dialect.Upstream{up("a"), up("b")}, FromStore, "test")
+	n.mergeList(time.Now(), 3, []dialect.Upstream{up("a"), up("b")}, FromStore, "test")
 	old := n.Snapshot()
-	n.takeList(time.Now().Add(time.Millisecond), 4, []dialect.Upstream{up("a"), up("c")}, FromStore, "test")
+	n.mergeList(time.Now().Add(time.Millisecond), 4, []dialect.Upstream{up("a"), up("c")}, FromStore, "test")
 	a, err := n.onView(t.Context(), peer.Identity{}, ViewRequest{Digest: old.Digest()})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Whole == nil)
-	assert.Equal(t, digestOf(listOf(t, a, old)), n.Snapshot().Digest())
-	var misfit *MisfitError
+	assert.Equal(t, listDigest(listOf(t, a, old)), n.Snapshot().Digest())
+	var misfit *DigestMismatchError
 	_, err = a.list(NewView().Snapshot())
 	assert.Assert(t, errors.As(err, &misfit))
 	a, err = n.onView(t.Context(), peer.Identity{}, ViewRequest{Digest: old.Digest(), Whole: true})
@@ -110,9 +110,9 @@
 // bytes. Whole lists together take no more than their share of the link, however many peers ask.
 func TestBytesOfALargeList(t *testing.T) {
 	n := newTestNode(t, &fakeStore{})
-	n.o.LinkMbps = 1000
+	n.opts.LinkMbps = 1000
 	list := manyUpstreams(3000)
-	n.takeList(time.Now(), 1, list, FromStore, "test")
+	n.mergeList(time.Now(), 1, list, FromStore, "test")
 	old := n.Snapshot()
 	sent, began := 0, time.Now()
 	for range 100 {
@@ -121,23 +121,23 @@
 		sent += len(a.Whole)
 		if a.Whole != nil {
 			assert.Assert(t, len(a.Whole) < 30*len(list), "%d", len(a.Whole))
-			assert.Equal(t, digestOf(listOf(t, a, NewView().Snapshot())), old.Digest())
+			assert.Equal(t, listDigest(listOf(t, a, NewView().Snapshot())), old.Digest())
 		}
 	}
-	allowed := mostListBytes*(1+time.Since(began).Seconds()) + 100_000
+	allowed := maxListBytesPerSecond*(1+time.Since(began).Seconds()) + 100_000
 	assert.Assert(t, sent > 0 && float64(sent) < allowed, "%d", sent)
-	n.o.LinkMbps = 10
-	n.sending = tokenbucket.Bucket{}
+	n.opts.LinkMbps = 10
+	n.listSendLimit = tokenbucket.Bucket{}
 	sent, began = 0, time.Now()
 	for range 100 {
 		a, err := n.onView(t.Context(), peer.Identity{}, ViewRequest{})
 		assert.NilError(t, err)
 		sent += len(a.Whole)
 	}
-	allowed = listShare*n.o.linkBytes()*(1+time.Since(began).Seconds()) + 100_000
+	allowed = listLinkShare*n.opts.linkBytes()*(1+time.Since(began).Seconds()) + 100_000
 	assert.Assert(t, sent > 0 && float64(sent) < allowed, "%d", sent)
 	list[7].Leaving = true
-	n.takeList(time.Now().Add(time.Second), 2, list, FromStore, "test")
+	n.mergeList(time.Now().Add(time.Second), 2, list, FromStore, "test")
 	a, err := n.onView(t.Context(), peer.Identity{}, ViewRequest{Digest: old.Digest()})
 	assert.NilError(t, err)
 	assert.Assert(t, len(a.Changed) < 200, "%d", len(a.Changed))
@@ -149,7 +149,7 @@
 	list := manyUpstreams(3000)
 	for i := range b.N {
 		list[0].Slots = i
-		v.List(at(i+1), at(i), int64(i), list, FromStore)
+		v.MergeList(at(i+1), at(i), int64(i), list, FromStore)
 		v.Snapshot()
 	}
 }
@@ -180,7 +180,7 @@
 func TestStartingInstanceLeavesALongListToOthers(t *testing.T) {
 	s := &pagedStore{fakeStore: fakeStore{config: largeConfig(7)}, list: manyUpstreams(10)}
 	n := newTestNode(t, s)
-	n.o.Seeds = []string{"seed:1"}
+	n.opts.Seeds = []string{"seed:1"}
 	n.readStore(t.Context())
 	assert.Equal(t, s.pagesRead, 1)
 	assert.Assert(t, !n.Snapshot().Listed)
@@ -194,10 +194,10 @@
 // end when their view is old. A few do so, and all of them read the configuration.
 func TestFewFollowersReadLongLists(t *testing.T) {
 	const members = 60
-	whole, configured := 0, 0
+	listed, configured := 0, 0
 	for range 400 {
 		n := newTestNode(t, &pagedStore{fakeStore: fakeStore{config: largeConfig(7)}, list: manyUpstreams(10)})
-		n.takeConfig(largeConfig(6), "test")
+		n.applyConfig(largeConfig(6), "test")
 		for i := range members {
 			n.roster.Receive(clock.Now(), Heartbeat{From: Member{ID: ident.InstanceID(fmt.Sprintf("m%d", i)), Zone: "z", Address: fmt.Sprint(i), Incarnation: 1, Sequence: 1}})
 		}
@@ -206,21 +206,21 @@
 		}
 		n.readStore(t.Context())
 		if n.Snapshot().Listed {
-			whole++
+			listed++
 		}
 		if n.Snapshot().Version() == 7 {
 			configured++
 		}
 	}
 	assert.Assert(t, configured > 0)
-	mean := float64(whole) / float64(configured) * members
-	assert.Assert(t, mean > 0.3*furtherStarting && mean < 2*furtherStarting, "%.1f of %d followers read on", mean, members)
+	mean := float64(listed) / float64(configured) * members
+	assert.Assert(t, mean > 0.3*longListStarting && mean < 2*longListStarting, "%.1f of %d followers read on", mean, members)
 }
 
 // TestLongListIsNotLeftToOthersForLong guards against an instance that waits for others to send
-// it a long list when they do not. It must read again after stoppedInterval.
+// it a long list when they do not. It must read again after stoppedListInterval.
 func TestLongListIsNotLeftToOthersForLong(t *testing.T) {
-	r := newReading(2 * time.Second)
+	r := newReadSchedule(2 * time.Second)
 	assert.Assert(t, r.due(at(0), follower, false, time.Hour))
 	r.stopped = true
 	assert.Assert(t, !r.due(at(900), follower, false, time.Hour))
@@ -235,10 +235,10 @@
 func TestLargeChangesTakeOneLine(t *testing.T) {
 	var text bytes.Buffer
 	n := newTestNode(t, &fakeStore{})
-	n.o.Log = slog.New(slog.NewTextHandler(&text, nil))
-	n.takeList(time.Now(), 1, manyUpstreams(3000), FromStore, "test")
+	n.opts.Log = slog.New(slog.NewTextHandler(&text, nil))
+	n.mergeList(time.Now(), 1, manyUpstreams(3000), FromStore, "test")
 	assert.Equal(t, strings.Count(text.String(), "\n"), 1)
 	assert.Assert(t, strings.Contains(text.String(), "count=3000"))
-	n.takeList(time.Now().Add(time.Second), 2, manyUpstreams(3002), FromStore, "test")
+	n.mergeList(time.Now().Add(time.Second), 2, manyUpstreams(3002), FromStore, "test")
 	assert.Equal(t, strings.Count(text.String(), "\n"), 3)
 }
--- a/gateway/fleet/loads.go
+++ b/gateway/fleet/loads.go
@@ -17,10 +17,10 @@
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	wait, idle := sumInterval, false
 	for pause.For(ctx, jitter(random, wait)) {
-		if idle && !waitTurn(ctx, jitter(random, idleReportInterval-wait), n.requestArrived) {
+		if idle && !waitOrWake(ctx, jitter(random, idleReportInterval-wait), n.requestArrived) {
 			return
 		}
-		if n.large() {
+		if n.isLarge() {
 			wait, idle = n.reportLoad(ctx, wait)
 			continue
 		}
@@ -31,7 +31,7 @@
 			sum.Add(m.Load)
 		}
 		n.mu.Unlock()
-		n.setOthers(sum, loadAge)
+		n.setPeerLoad(sum, loadAge)
 	}
 }
 
@@ -52,102 +52,102 @@
 	return at != nil && clock.Since(*at) <= d
 }
 
-// setOthers stores the sum of the peers' loads and passes it to LoadChanged with its average age.
-func (n *Node) setOthers(sum Load, age time.Duration) {
+// setPeerLoad stores the sum of the peers' loads and passes it to LoadChanged with its average age.
+func (n *Node) setPeerLoad(sum Load, age time.Duration) {
 	n.mu.Lock()
-	n.others = sum
+	n.peerLoad = sum
 	n.mu.Unlock()
-	n.o.LoadChanged(sum, age)
+	n.opts.LoadChanged(sum, age)
 }
 
 // loadInterval returns the time between two reports to a hub whose sums are of the given size in
 // bytes. Large sums are fetched less often, to bound the share of the instance's link and the
 // hub's processor time that they take.
-func (n *Node) loadInterval(bytes int) time.Duration {
-	budget := min(loadShare*n.o.linkBytes(), mostLoadBytes)
-	return max(beatInterval, time.Duration(float64(bytes)/budget*float64(time.Second)))
+func (n *Node) loadInterval(sumBytes int) time.Duration {
+	budget := min(loadLinkShare*n.opts.linkBytes(), maxLoadBytesPerSecond)
+	return max(heartbeatInterval, time.Duration(float64(sumBytes)/budget*float64(time.Second)))
 }
 
 // Others returns the sum of the peers' loads.
 func (n *Node) Others() Load {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.others
+	return n.peerLoad
 }
 
 // reportLoad reports this instance's load to the zone's hub and stores the sum in the answer. If
-// this instance is the hub, it also exchanges the zone's load with the other hubs. every is the
-// current report interval; reportLoad returns the next one, and whether the instance is idle.
-func (n *Node) reportLoad(ctx context.Context, every time.Duration) (next time.Duration, idle bool) {
-	own := LoadReport{From: n.o.Self.ID, Zone: n.o.Self.Zone, EveryMS: every.Milliseconds(), Load: n.o.Load()}
+// this instance is the hub, it also exchanges the zone's load with the other hubs. interval is
+// the current report interval; reportLoad returns the next one, and whether the instance is idle.
+func (n *Node) reportLoad(ctx context.Context, interval time.Duration) (next time.Duration, idle bool) {
+	own := LoadReport{From: n.opts.Self.ID, Zone: n.opts.Self.Zone, IntervalMS: interval.Milliseconds(), Load: n.opts.Load()}
 	n.mu.Lock()
-	own.Sequence = n.reports.Next(own.Load)
-	address, self := n.roster.Hub(clock.Now(), n.o.Self.Zone)
+	own.Sequence = n.reports.Add(own.Load)
+	address, self := n.roster.Hub(clock.Now(), n.opts.Self.Zone)
 	n.mu.Unlock()
-	answer, err := n.tellLoad(ctx, address, self, own)
+	answer, err := n.sendLoad(ctx, address, self, own)
 	if self {
-		n.tellHubs(ctx, every)
+		n.reportToHubs(ctx, interval)
 	}
 	n.mu.Lock()
-	n.roster.Called(clock.Now(), address, err == nil)
+	n.roster.RecordCall(clock.Now(), address, err == nil)
 	if answer.NotHub {
-		n.roster.Forgive()
+		n.roster.ClearFailures()
 	}
 	n.mu.Unlock()
 	if err != nil || answer.NotHub {
-		n.o.Log.Debug("load report not accepted by peer", "peer", address, "not_hub", answer.NotHub, "error", err)
-		return every, false
+		n.opts.Log.Debug("load report not accepted by peer", "peer", address, "not_hub", answer.NotHub, "error", err)
+		return interval, false
 	}
 	n.mu.Lock()
-	sum, err := n.reports.Others(answer)
+	sum, err := n.reports.PeerLoad(answer)
 	n.mu.Unlock()
 	if err != nil {
-		n.o.Log.Warn("sum of loads not understood", "peer", address, "error", err)
-		return every, false
+		n.opts.Log.Warn("sum of loads not understood", "peer", address, "error", err)
+		return interval, false
 	}
-	every = n.loadInterval(len(answer.Sum))
-	n.setOthers(sum, every*loadHops/2)
-	return every, !self && own.Load.idle() && !n.requestWithin(every)
+	interval = n.loadInterval(len(answer.Sum))
+	n.setPeerLoad(sum, interval*loadHops/2)
+	return interval, !self && own.Load.idle() && !n.requestWithin(interval)
 }
 
-// tellHubs sends this zone's load to the hubs of the other zones in the background. A hub that
+// reportToHubs sends this zone's load to the hubs of the other zones in the background. A hub that
 // does not answer needs no handling here: the load of its zone expires.
-func (n *Node) tellHubs(ctx context.Context, every time.Duration) {
+func (n *Node) reportToHubs(ctx context.Context, interval time.Duration) {
 	n.mu.Lock()
 	now := clock.Now()
-	whole := n.whole(now)
-	whole.EveryMS = every.Milliseconds()
+	report := n.zoneReport(now)
+	report.IntervalMS = interval.Milliseconds()
 	hubs := n.otherHubs(now)
 	n.mu.Unlock()
-	for _, h := range hubs {
+	for _, hub := range hubs {
 		go func() {
-			answer, err := n.tellLoad(ctx, h, false, whole)
+			answer, err := n.sendLoad(ctx, hub, false, report)
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.roster.Called(clock.Now(), h, err == nil)
-			if err != nil || answer.Whole == nil {
-				n.o.Log.Debug("load report not accepted by peer", "peer", h, "not_hub", answer.NotHub, "error", err)
+			n.roster.RecordCall(clock.Now(), hub, err == nil)
+			if err != nil || answer.ZoneLoad == nil {
+				n.opts.Log.Debug("load report not accepted by peer", "peer", hub, "not_hub", answer.NotHub, "error", err)
 				return
 			}
-			n.takeReport(clock.Now(), *answer.Whole)
+			n.receiveReport(clock.Now(), *answer.ZoneLoad)
 		}()
 	}
 }
 
-// whole returns a report of the load of this hub's zone for the hub of another zone. The caller
+// zoneReport returns a report of the load of this hub's zone for the hub of another zone. The caller
 // holds mu.
-func (n *Node) whole(now time.Time) LoadReport {
-	load := n.hub.Zone(now)
+func (n *Node) zoneReport(now time.Time) LoadReport {
+	load := n.hub.ZoneLoad(now)
 	return LoadReport{
-		From: n.o.Self.ID, Zone: n.o.Self.Zone, Whole: true,
+		From: n.opts.Self.ID, Zone: n.opts.Self.Zone, WholeZone: true,
 		Packed: load.pack(), Load: Load{Refusing: load.Refusing, Switching: load.Switching},
 	}
 }
 
-// takeReport stores a report at this hub. The caller holds mu.
-func (n *Node) takeReport(now time.Time, r LoadReport) {
-	if err := n.hub.Take(now, r); err != nil {
-		n.o.Log.Warn("decoding load report failed", "peer", r.From, "error", err)
+// receiveReport stores a report at this hub. The caller holds mu.
+func (n *Node) receiveReport(now time.Time, r LoadReport) {
+	if err := n.hub.Receive(now, r); err != nil {
+		n.opts.Log.Warn("decoding load report failed", "peer", r.From, "error", err)
 	}
 }
 
@@ -156,7 +156,7 @@
 func (n *Node) otherHubs(now time.Time) []string {
 	var hubs []string
 	for _, zone := range n.roster.OtherZones(now) {
-		if n.hub.Heard(now, zone) {
+		if n.hub.HeardRecently(now, zone) {
 			continue
 		}
 		if address, _ := n.roster.Hub(now, zone); address != "" {
@@ -166,16 +166,16 @@
 	return hubs
 }
 
-// tellLoad sends a load report to a hub, which may be this instance itself.
-func (n *Node) tellLoad(ctx context.Context, address string, self bool, r LoadReport) (LoadAnswer, error) {
+// sendLoad sends a load report to a hub, which may be this instance itself.
+func (n *Node) sendLoad(ctx context.Context, address string, self bool, r LoadReport) (LoadAnswer, error) {
 	if self {
 		return n.onLoad(ctx, peer.Identity{}, r)
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	answer, err := peer.Call[LoadAnswer](ctx, n.o.Pool, address, MethodLoad, r)
+	answer, err := peer.Call[LoadAnswer](ctx, n.opts.Pool, address, MethodLoad, r)
 	if err == nil {
-		n.compareCrashes(ctx, address, answer.Crashes, answer.Informed)
+		n.compareCrashDigest(ctx, address, answer.Crashes, answer.Informed)
 	}
 	return answer, err
 }
@@ -183,18 +183,18 @@
 // onLoad answers a load report from an instance of this zone or from the hub of another zone. It
 // does not store the report if this instance is not the hub.
 func (n *Node) onLoad(_ context.Context, _ peer.Identity, r LoadReport) (LoadAnswer, error) {
-	digest, informed := n.o.Register.Digest(), n.Informed()
+	digest, informed := n.opts.Register.Digest(), n.Informed()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
-	if _, self := n.roster.Hub(now, n.o.Self.Zone); !self {
+	if _, self := n.roster.Hub(now, n.opts.Self.Zone); !self {
 		return LoadAnswer{NotHub: true, Crashes: digest, Informed: informed}, nil
 	}
-	n.takeReport(now, r)
-	if r.Whole {
-		whole := n.whole(now)
-		whole.EveryMS = r.EveryMS
-		return LoadAnswer{Whole: &whole, Crashes: digest, Informed: informed}, nil
+	n.receiveReport(now, r)
+	if r.WholeZone {
+		report := n.zoneReport(now)
+		report.IntervalMS = r.IntervalMS
+		return LoadAnswer{ZoneLoad: &report, Crashes: digest, Informed: informed}, nil
 	}
 	answer := n.hub.Answer(now, r.From)
 	answer.Crashes, answer.Informed = digest, informed
--- a/gateway/fleet/node.go
+++ b/gateway/fleet/node.go
@@ -17,22 +17,23 @@
 )
 
 const (
-	// beatInterval is the time between two heartbeats in a small fleet. A change of load reaches
-	// the peers after half of it on average.
-	beatInterval = 300 * time.Millisecond
-	// beatRelayed is the time between two heartbeats in a large fleet; see Roster.large.
-	beatRelayed = time.Second
+	// heartbeatInterval is the time between two heartbeats in a small fleet. A change of load
+	// reaches the peers after half of it on average.
+	heartbeatInterval = 300 * time.Millisecond
+	// largeHeartbeatInterval is the time between two heartbeats in a large fleet; see
+	// Roster.isLarge.
+	largeHeartbeatInterval = time.Second
 	// loadAge is the average age of the peers' loads in a small fleet: half a heartbeat interval
 	// plus half a sum interval. In a large fleet, loads pass through hubs, and their average age
 	// is half an interval for each of loadHops steps: the report to the hub, the exchange between
 	// hubs, and the report by which the other instance fetches the sum.
-	loadAge  = (beatInterval + sumInterval) / 2
+	loadAge  = (heartbeatInterval + sumInterval) / 2
 	loadHops = 3
-	// loadShare is the largest share of an instance's link that the sums of loads sent to it may
-	// take, and mostLoadBytes the largest number of bytes per second. A hub sends that much to
-	// each instance of its zone.
-	loadShare     = 0.05
-	mostLoadBytes = 64 << 10
+	// loadLinkShare is the largest share of an instance's link that the sums of loads sent to it
+	// may take, and maxLoadBytesPerSecond the largest number of bytes per second. A hub sends
+	// that much to each instance of its zone.
+	loadLinkShare         = 0.05
+	maxLoadBytesPerSecond = 64 << 10
 	// idleReportInterval is the time between two load reports of an idle instance to its hub.
 	idleReportInterval = time.Second
 	// sumInterval is the time between two computations of the sum of the peers' loads.
@@ -98,17 +99,17 @@
 // Node keeps an instance's view of the deployment up to date. It reads the store or asks peers,
 // exchanges heartbeats and loads, and spreads evidence of crashes.
 type Node struct {
-	o Options
+	opts Options
 
 	mu     sync.Mutex
 	view   *View
 	roster *Roster
 	hub    *Hub
 	// reports holds this instance's latest load reports to the hub of its zone.
-	reports Reports
-	// others is the sum of the peers' loads.
-	others  Load
-	reading reading
+	reports ReportHistory
+	// peerLoad is the sum of the peers' loads.
+	peerLoad     Load
+	readSchedule readSchedule
 	// createdAt is when the node was created. discoveryWait is counted from it.
 	createdAt time.Time
 	// stored is the store's list of upstreams, if this instance reads the store. relisting is set
@@ -121,40 +122,40 @@
 	// zero if the last one succeeded.
 	storeDown time.Time
 
-	news     *crashNews
-	trials   *quarantine.Trials
-	informed informed
-	tokens   *tokens
+	crashSpreader *crashSpreader
+	trials        *quarantine.Trials
+	informed      informed
+	tokens        *tokens
 
 	snapshot atomic.Pointer[Snapshot]
 	alive    atomic.Int64
 
 	// fetching is set while a configuration is fetched.
 	fetching atomic.Bool
-	// packing guards packed, the encoded configuration of version packedVersion that is sent to
-	// peers, and the fields of the packed list.
-	packing       sync.Mutex
-	packed        ConfigAnswer
-	packedVersion int64
-	// packedList is the encoded list of upstreams with digest packedDigest that is sent to peers.
-	// sending limits the rate at which it is sent.
-	packedList   []byte
-	packedDigest uint64
-	sending      tokenbucket.Bucket
+	// packMu guards packedConfig, the encoded configuration of version packedConfigVersion that
+	// is sent to peers, and the fields of the packed list.
+	packMu              sync.Mutex
+	packedConfig        ConfigAnswer
+	packedConfigVersion int64
+	// packedList is the encoded list of upstreams with digest packedListDigest that is sent to
+	// peers. listSendLimit limits the rate at which it is sent.
+	packedList       []byte
+	packedListDigest uint64
+	listSendLimit    tokenbucket.Bucket
 	// requestArrived receives a value when a request arrives. lastRequest is the time of the
 	// latest arrival.
 	requestArrived chan struct{}
 	lastRequest    atomic.Pointer[time.Time]
-	// misfit is set when a peer's difference could not be applied to this instance's list. The
-	// next view request then asks for the whole list.
-	misfit atomic.Bool
+	// needWholeList is set when a peer's difference could not be applied to this instance's list.
+	// The next view request then asks for the whole list.
+	needWholeList atomic.Bool
 }
 
 // NewNode returns a node with an empty view and registers its methods with the peer server.
 func NewNode(o Options) *Node {
-	n := &Node{o: o, reading: newReading(o.InForce), reopened: map[ident.Zone]time.Time{}, view: NewView(), hub: NewHub(), others: NewLoad(), roster: NewRoster(o.Self, o.Seeds), requestArrived: make(chan struct{}, 1)}
+	n := &Node{opts: o, readSchedule: newReadSchedule(o.InForce), reopened: map[ident.Zone]time.Time{}, view: NewView(), hub: NewHub(), peerLoad: NewLoad(), roster: NewRoster(o.Self, o.Seeds), requestArrived: make(chan struct{}, 1)}
 	n.createdAt = clock.Now()
-	n.news, n.trials, n.tokens = newCrashNews(), quarantine.NewTrials(), newTokens()
+	n.crashSpreader, n.trials, n.tokens = newCrashSpreader(), quarantine.NewTrials(), newTokens()
 	n.snapshot.Store(n.view.Snapshot())
 	n.alive.Store(1)
 	peer.Handle(o.Server, MethodHeartbeat, n.onHeartbeat)
@@ -199,7 +200,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
-	return n.roster.HeldFor(now, duty) >= settled && n.roster.Holder(now, duty, "") && n.roster.InTouch(now, recent)
+	return n.roster.HeldFor(now, duty) >= settled && n.roster.IsHolder(now, duty, "") && n.roster.HasQuorum(now, recent)
 }
 
 // AssignedInZone returns the upstreams of a list that have the given stage and whose duty is
@@ -215,7 +216,7 @@
 		if u.Stage != stage {
 			continue
 		}
-		if n.roster.Holder(now, prefix+string(u.ID), n.roster.dutyZone(now, u.Zone)) {
+		if n.roster.IsHolder(now, prefix+string(u.ID), n.roster.dutyZone(now, u.Zone)) {
 			assigned = append(assigned, u)
 		}
 	}
@@ -226,7 +227,7 @@
 func (n *Node) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { n.heartbeats(ctx) })
-	running.Go(func() { n.readings(ctx) })
+	running.Go(func() { n.maintainView(ctx) })
 	running.Go(func() { n.loads(ctx) })
 	running.Go(func() { n.spreadCrashes(ctx) })
 	running.Go(func() { n.maintain(ctx) })
@@ -234,33 +235,33 @@
 	running.Wait()
 }
 
-// large reports whether the fleet is large. In a large fleet, loads are exchanged through hubs
+// isLarge reports whether the fleet is large. In a large fleet, loads are exchanged through hubs
 // rather than in heartbeats.
-func (n *Node) large() bool {
+func (n *Node) isLarge() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.roster.large()
+	return n.roster.isLarge()
 }
 
 // heartbeats exchanges heartbeats with peers until ctx ends.
 func (n *Node) heartbeats(ctx context.Context) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	woke := n.informed.waking()
+	wake := n.informed.subscribeWake()
 	for ctx.Err() == nil {
 		load := Load{}
-		if !n.large() {
-			load = n.o.Load()
+		if !n.isLarge() {
+			load = n.opts.Load()
 		}
 		n.mu.Lock()
-		h := n.roster.Beat(clock.Now(), load)
+		h := n.roster.NextHeartbeat(clock.Now(), load)
 		partners := n.roster.Partners(clock.Now(), random)
-		wait := n.roster.Beats()
+		wait := n.roster.HeartbeatInterval()
 		n.mu.Unlock()
-		h.Crashes, h.Informed = n.o.Register.Digest(), n.Informed()
+		h.Crashes, h.Informed = n.opts.Register.Digest(), n.Informed()
 		for _, address := range partners {
-			go n.beat(ctx, address, h)
+			go n.heartbeatWith(ctx, address, h)
 		}
-		waitTurn(ctx, jitter(random, wait), woke)
+		waitOrWake(ctx, jitter(random, wait), wake)
 	}
 }
 
@@ -269,9 +270,9 @@
 	return time.Duration(float64(d) * (0.9 + 0.2*random.Float64()))
 }
 
-// beat exchanges heartbeats with one peer. If the answer shows that the two know different
+// heartbeatWith exchanges heartbeats with one peer. If the answer shows that the two know different
 // instances, a second exchange reconciles them.
-func (n *Node) beat(ctx context.Context, address string, h Heartbeat) {
+func (n *Node) heartbeatWith(ctx context.Context, address string, h Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	answer, ok := n.exchange(ctx, address, h)
@@ -284,24 +285,24 @@
 	if differs {
 		n.exchange(ctx, address, more)
 	}
-	n.noteAlive()
+	n.logAliveChange()
 }
 
 // exchange sends a heartbeat to a peer and processes the answer. It returns false if the call
 // failed. Failures are logged at debug level only, since a silent peer is logged when it no
 // longer counts as alive.
 func (n *Node) exchange(ctx context.Context, address string, h Heartbeat) (Heartbeat, bool) {
-	answer, err := peer.Call[Heartbeat](ctx, n.o.Pool, address, MethodHeartbeat, h)
+	answer, err := peer.Call[Heartbeat](ctx, n.opts.Pool, address, MethodHeartbeat, h)
 	if err != nil {
-		n.o.Log.Debug("heartbeat not answered", "peer", address, "error", err)
+		n.opts.Log.Debug("heartbeat not answered", "peer", address, "error", err)
 		return answer, false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
 	n.roster.Receive(now, answer)
-	n.roster.Answered(now, answer.From.ID)
-	n.compareCrashes(ctx, address, answer.Crashes, answer.Informed)
+	n.roster.RecordAnswer(now, answer.From.ID)
+	n.compareCrashDigest(ctx, address, answer.Crashes, answer.Informed)
 	return answer, true
 }
 
@@ -309,28 +310,28 @@
 // current load.
 func (n *Node) onHeartbeat(ctx context.Context, _ peer.Identity, h Heartbeat) (Heartbeat, error) {
 	load := Load{}
-	if !n.large() {
-		load = n.o.Load()
+	if !n.isLarge() {
+		load = n.opts.Load()
 	}
 	n.mu.Lock()
 	now := clock.Now()
 	n.roster.Receive(now, h)
-	n.roster.Update(load)
+	n.roster.SetLoad(load)
 	answer := n.roster.Answer(now, h)
 	n.mu.Unlock()
-	answer.Crashes, answer.Informed = n.o.Register.Digest(), n.Informed()
-	n.compareCrashes(ctx, h.From.Address, h.Crashes, h.Informed)
-	n.noteAlive()
+	answer.Crashes, answer.Informed = n.opts.Register.Digest(), n.Informed()
+	n.compareCrashDigest(ctx, h.From.Address, h.Crashes, h.Informed)
+	n.logAliveChange()
 	return answer, nil
 }
 
-// noteAlive logs a change in the number of live instances.
-func (n *Node) noteAlive() {
+// logAliveChange logs a change in the number of live instances.
+func (n *Node) logAliveChange() {
 	n.mu.Lock()
 	now := int64(n.roster.Alive(clock.Now()))
 	n.mu.Unlock()
 	if before := n.alive.Swap(now); before != now {
-		n.o.Log.Info("live instances", "before", before, "now", now)
+		n.opts.Log.Info("live instances", "before", before, "now", now)
 	}
 }
 
@@ -340,5 +341,5 @@
 	s := n.view.Snapshot()
 	n.snapshot.Store(s)
 	n.mu.Unlock()
-	n.o.Changed(s)
+	n.opts.Changed(s)
 }
--- a/gateway/fleet/pack.go
+++ b/gateway/fleet/pack.go
@@ -31,7 +31,7 @@
 		dst = binary.AppendVarint(dst, int64(f.Tokens))
 		dst = binary.AppendVarint(dst, int64(f.Unexplained))
 		dst = binary.AppendVarint(dst, int64(f.Pace))
-		dst = appendSteps(dst, f.Memory)
+		dst = appendInts(dst, f.Memory)
 	}
 	dst = binary.AppendUvarint(dst, uint64(len(l.Demand)))
 	for service, d := range l.Demand {
@@ -39,7 +39,7 @@
 		for _, rate := range []float64{d.PrefillRate, d.MemoryRate, d.StreamRate, d.RequestRate} {
 			dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(rate))
 		}
-		dst = appendSteps(dst, d.Paces)
+		dst = appendInts(dst, d.Paces)
 	}
 	dst = binary.AppendUvarint(dst, uint64(len(l.Spent)))
 	for service, n := range l.Spent {
@@ -53,36 +53,36 @@
 	return append(binary.AppendUvarint(dst, uint64(len(s))), s...)
 }
 
-// appendSteps appends a list of numbers, each as its difference from the one before. Neighbouring
+// appendInts appends a list of numbers, each as its difference from the one before. Neighbouring
 // numbers of forecasts and histograms differ little, so most differences take few bytes.
-func appendSteps(dst []byte, steps []int) []byte {
-	dst = binary.AppendUvarint(dst, uint64(len(steps)))
-	before := 0
-	for _, n := range steps {
-		dst = binary.AppendVarint(dst, int64(n-before))
-		before = n
+func appendInts(dst []byte, numbers []int) []byte {
+	dst = binary.AppendUvarint(dst, uint64(len(numbers)))
+	previous := 0
+	for _, n := range numbers {
+		dst = binary.AppendVarint(dst, int64(n-previous))
+		previous = n
 	}
 	return dst
 }
 
 // unpackLoad decodes what pack encoded. The error is a *PackError.
 func unpackLoad(packed []byte) (Load, error) {
-	r := &unpacker{left: packed}
+	r := &unpacker{rest: packed}
 	l := NewLoad()
-	for range r.count() {
-		id := ident.UpstreamID(r.text())
-		f := InFlight{Requests: r.number(), Tokens: r.number(), Unexplained: r.number(), Pace: r.number(), Memory: r.steps()}
+	for range r.length() {
+		id := ident.UpstreamID(r.str())
+		f := InFlight{Requests: r.varint(), Tokens: r.varint(), Unexplained: r.varint(), Pace: r.varint(), Memory: r.ints()}
 		l.InFlight[id] = f
 	}
-	for range r.count() {
-		service := r.text()
-		l.Demand[service] = Demand{PrefillRate: r.rate(), MemoryRate: r.rate(), StreamRate: r.rate(), RequestRate: r.rate(), Paces: r.steps()}
+	for range r.length() {
+		service := r.str()
+		l.Demand[service] = Demand{PrefillRate: r.float(), MemoryRate: r.float(), StreamRate: r.float(), RequestRate: r.float(), Paces: r.ints()}
 	}
-	for range r.count() {
-		service := r.text()
-		l.Spent[service] = r.number()
+	for range r.length() {
+		service := r.str()
+		l.Spent[service] = r.varint()
 	}
-	if !r.whole() {
+	if !r.done() {
 		return Load{}, &PackError{Bytes: len(packed)}
 	}
 	return l, nil
@@ -108,15 +108,15 @@
 
 // unpackCrashes decodes what packCrashes encoded. The error is a *PackError.
 func unpackCrashes(packed []byte) ([]quarantine.Crash, error) {
-	r := &unpacker{left: packed}
+	r := &unpacker{rest: packed}
 	var out []quarantine.Crash
-	for range r.count() {
+	for range r.length() {
 		out = append(out, quarantine.Crash{
-			Content: quarantine.Content(r.word()), Upstream: ident.UpstreamID(r.text()), Incarnation: ident.Incarnation(r.word()),
-			Made: r.number(), Cleared: r.number() != 0, Age: time.Duration(r.number()) * time.Millisecond,
+			Content: quarantine.Content(r.fixed64()), Upstream: ident.UpstreamID(r.str()), Incarnation: ident.Incarnation(r.fixed64()),
+			Made: r.varint(), Cleared: r.varint() != 0, Age: time.Duration(r.varint()) * time.Millisecond,
 		})
 	}
-	if !r.whole() {
+	if !r.done() {
 		return nil, &PackError{Bytes: len(packed)}
 	}
 	return out, nil
@@ -125,85 +125,85 @@
 // unpacker decodes values from bytes. After the first malformed value, failed is set and all
 // further reads return zero values.
 type unpacker struct {
-	left   []byte
+	rest   []byte
 	failed bool
 }
 
-// take returns the next n bytes, or nil if there are fewer.
-func (r *unpacker) take(n int) []byte {
-	if n < 0 || n > len(r.left) {
+// next returns the next n bytes, or nil if there are fewer.
+func (r *unpacker) next(n int) []byte {
+	if n < 0 || n > len(r.rest) {
 		r.fail()
 		return nil
 	}
-	out := r.left[:n]
-	r.left = r.left[n:]
+	out := r.rest[:n]
+	r.rest = r.rest[n:]
 	return out
 }
 
 // fail marks the input as malformed and ends decoding.
-func (r *unpacker) fail() { r.failed, r.left = true, nil }
+func (r *unpacker) fail() { r.failed, r.rest = true, nil }
 
-// whole reports whether the whole input has been decoded without errors.
-func (r *unpacker) whole() bool { return !r.failed && len(r.left) == 0 }
+// done reports whether the whole input has been decoded without errors.
+func (r *unpacker) done() bool { return !r.failed && len(r.rest) == 0 }
 
-// count reads the number of the elements that follow. Each element takes at least one byte, so a
+// length reads the number of the elements that follow. Each element takes at least one byte, so a
 // larger number than there are bytes left is malformed. This bounds the memory allocated for
 // malformed input.
-func (r *unpacker) count() int {
-	n := r.unsigned()
-	if n > uint64(len(r.left)) {
+func (r *unpacker) length() int {
+	n := r.uvarint()
+	if n > uint64(len(r.rest)) {
 		r.fail()
 		return 0
 	}
 	return int(n)
 }
 
-// number reads a signed integer.
-func (r *unpacker) number() int {
-	n, size := binary.Varint(r.left)
+// varint reads a signed integer.
+func (r *unpacker) varint() int {
+	n, size := binary.Varint(r.rest)
 	if size <= 0 {
 		r.fail()
 		return 0
 	}
-	r.left = r.left[size:]
+	r.rest = r.rest[size:]
 	return int(n)
 }
 
-// unsigned reads an unsigned integer.
-func (r *unpacker) unsigned() uint64 {
-	n, size := binary.Uvarint(r.left)
+// uvarint reads an unsigned integer.
+func (r *unpacker) uvarint() uint64 {
+	n, size := binary.Uvarint(r.rest)
 	if size <= 0 {
 		r.fail()
 		return 0
 	}
-	r.left = r.left[size:]
+	r.rest = r.rest[size:]
 	return n
 }
 
-// text reads a string.
-func (r *unpacker) text() string { return string(r.take(r.count())) }
+// str reads a string.
+func (r *unpacker) str() string { return string(r.next(r.length())) }
 
-// steps reads a list of numbers encoded by appendSteps.
-func (r *unpacker) steps() []int {
-	n := r.count()
+// ints reads a list of numbers encoded by appendInts.
+func (r *unpacker) ints() []int {
+	n := r.length()
 	if n == 0 {
 		return nil
 	}
-	steps := make([]int, n)
-	last := 0
-	for i := range steps {
-		last += r.number()
-		steps[i] = last
+	numbers := make([]int, n)
+	previous := 0
+	for i := range numbers {
+		previous += r.varint()
+		numbers[i] = previous
 	}
-	return steps
+	return numbers
 }
 
-// rate reads a floating-point number.
-func (r *unpacker) rate() float64 { return math.Float64frombits(r.word()) }
+// float reads a floating-point number.
+func (r *unpacker) float() float64 { return math.Float64frombits(r.fixed64()) }
 
-// word reads a 64-bit big-endian integer.
-func (r *unpacker) word() uint64 {
-	b := r.take(8)
+// fixed64 reads a 64-bit big-endian integer.
+func (r *unpacker) fixed64() uint64 {
+	b := r.next(8)
 	if b == nil {
 		return 0
 	}
--- a/gateway/fleet/pack_test.go
+++ b/gateway/fleet/pack_test.go
@@ -65,14 +65,14 @@
 // TestNoPackedLoad checks that input of another version or from a faulty sender is rejected:
 // truncated at any byte, or with a byte too many.
 func TestNoPackedLoad(t *testing.T) {
-	full := sumOf(3)
-	whole := full.pack()
-	for cut := range len(whole) {
+	load := sumOf(3)
+	packed := load.pack()
+	for cut := range len(packed) {
 		var malformed *PackError
-		_, err := unpackLoad(whole[:cut])
+		_, err := unpackLoad(packed[:cut])
 		assert.Assert(t, errors.As(err, &malformed), "truncated to %d bytes", cut)
 	}
-	_, err := unpackLoad(append(whole, 0))
+	_, err := unpackLoad(append(packed, 0))
 	assert.ErrorContains(t, err, "malformed")
 }
 
--- a/gateway/fleet/reader.go
+++ b/gateway/fleet/reader.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// mostLogged is the largest number of changes of a list that are logged one by one.
-	mostLogged = 64
-	// furtherFollowers is the average number of followers of a zone that read a long list to its
+	// maxLoggedChanges is the largest number of changes of a list that are logged one by one.
+	maxLoggedChanges = 64
+	// longListFollowers is the average number of followers of a zone that read a long list to its
 	// end when the view of all of them is old.
-	furtherFollowers = 2.0
-	// furtherStarting is the same while they have no list yet. It is higher since the store may
+	longListFollowers = 2.0
+	// longListStarting is the same while they have no list yet. It is higher since the store may
 	// reject the reads of the zone's reader and standbys.
-	furtherStarting = 3.0
+	longListStarting = 3.0
 )
 
-// readings keeps the view up to date until ctx ends. An instance reads the store if it is its
+// maintainView keeps the view up to date until ctx ends. An instance reads the store if it is its
 // zone's reader, and otherwise asks the reader. When the view grows old, it does both and also
 // asks a peer chosen at random.
-func (n *Node) readings(ctx context.Context) {
+func (n *Node) maintainView(ctx context.Context) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	woke := n.informed.waking()
+	wake := n.informed.subscribeWake()
 	for ctx.Err() == nil {
 		n.mu.Lock()
 		now := clock.Now()
 		as, hub := n.roster.Role(now)
-		other := n.roster.AnyPeer(now, random)
+		anyPeer := n.roster.AnyPeer(now, random)
 		s := n.Snapshot()
 		ready, age := s.Ready(), now.Sub(s.AsOf)
-		due := n.reading.due(now, as, ready, age)
+		due := n.readSchedule.due(now, as, ready, age)
 		n.mu.Unlock()
 		var parallel sync.WaitGroup
 		if due {
 			parallel.Go(func() { n.readStore(ctx) })
 		}
 		if as != reader && hub != "" {
-			parallel.Go(func() { n.ask(ctx, hub) })
+			parallel.Go(func() { n.askPeer(ctx, hub) })
 		}
-		if old(ready, age) && other != "" {
-			parallel.Go(func() { n.ask(ctx, other) })
+		if isStale(ready, age) && anyPeer != "" {
+			parallel.Go(func() { n.askPeer(ctx, anyPeer) })
 		}
 		parallel.Wait()
-		waitTurn(ctx, jitter(random, lookAfter(as, n.Snapshot().Ready())), woke)
+		waitOrWake(ctx, jitter(random, pollInterval(as, n.Snapshot().Ready())), wake)
 	}
 }
 
@@ -80,7 +80,7 @@
 }
 
 // relistIfDue reads the full list again if that is due. It does so in the background, since
-// reading a long list can take longer than oldAfter and would delay the reading of changes.
+// reading a long list can take longer than staleAfter and would delay the reading of changes.
 func (n *Node) relistIfDue(ctx context.Context) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,7 +94,7 @@
 		defer n.mu.Unlock()
 		n.relisting = false
 		if err != nil {
-			n.o.Log.Info("reading the full list of upstreams again failed", "error", err)
+			n.opts.Log.Info("reading the full list of upstreams again failed", "error", err)
 			n.stored.listedAt = clock.Now()
 		}
 	}()
@@ -109,11 +109,11 @@
 	n.mu.Lock()
 	after := n.stored.next
 	n.mu.Unlock()
-	c, err := n.o.Source.Changes(ctx, after)
+	c, err := n.opts.Source.Changes(ctx, after)
 	var lost *dialect.HistoryLostError
 	switch {
 	case errors.As(err, &lost):
-		n.o.Log.Info("store history lost, listing upstreams", "after", after)
+		n.opts.Log.Info("store history lost, listing upstreams", "after", after)
 		n.mu.Lock()
 		n.stored.clear()
 		n.mu.Unlock()
@@ -140,12 +140,12 @@
 		n.mu.Lock()
 		list := n.stored.list()
 		n.mu.Unlock()
-		n.takeStored(started, c.Revision, list)
+		n.mergeStored(started, c.Revision, list)
 	}
 	if directivesPending && !n.readDirectives(ctx) {
 		return true
 	}
-	n.confirm(n.Snapshot().Version(), started)
+	n.confirmVersion(n.Snapshot().Version(), started)
 	n.storeAnswered()
 	return true
 }
@@ -198,10 +198,10 @@
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	started := clock.Now()
-	pages, further := 1, n.furtherPages()
-	list, revision, err := n.o.Source.Upstreams(ctx, func() bool {
+	pages, readFurther := 1, n.furtherPages()
+	list, revision, err := n.opts.Source.Upstreams(ctx, func() bool {
 		pages++
-		return further()
+		return readFurther()
 	})
 	if err != nil {
 		return err
@@ -209,14 +209,14 @@
 	n.mu.Lock()
 	n.stored.replace(started, list, revision, pages)
 	n.mu.Unlock()
-	n.takeStored(started, revision, list)
+	n.mergeStored(started, revision, list)
 	return nil
 }
 
-// takeStored merges the store's list into the view. If the view has merged a newer one from a peer
+// mergeStored merges the store's list into the view. If the view has merged a newer one from a peer
 // meanwhile, the store's list is merged with the next read.
-func (n *Node) takeStored(started time.Time, revision int64, list []dialect.Upstream) {
-	merged := n.takeList(started, revision, list, n.readOrigin(), "store")
+func (n *Node) mergeStored(started time.Time, revision int64, list []dialect.Upstream) {
+	merged := n.mergeList(started, revision, list, n.storeOrigin(), "store")
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stored.merged = merged
@@ -236,19 +236,19 @@
 		defer n.mu.Unlock()
 		as, _ := n.roster.Role(clock.Now())
 		ready := n.Snapshot().Ready()
-		most := furtherFollowers
+		readers := longListFollowers
 		if !ready {
-			most = furtherStarting
+			readers = longListStarting
 		}
 		discovering := !ready && n.hasOtherSeeds() && clock.Since(n.createdAt) < discoveryWait
-		n.reading.stopped = discovering || as == follower && draw*float64(n.roster.knownIn(n.o.Self.Zone)) >= most
-		return !n.reading.stopped
+		n.readSchedule.stopped = discovering || as == follower && draw*float64(n.roster.knownInZone(n.opts.Self.Zone)) >= readers
+		return !n.readSchedule.stopped
 	}
 }
 
 // hasOtherSeeds reports whether the configured seeds include an instance other than this one.
 func (n *Node) hasOtherSeeds() bool {
-	return len(n.o.Seeds) > 1 || len(n.o.Seeds) == 1 && n.o.Seeds[0] != n.o.Self.Address
+	return len(n.opts.Seeds) > 1 || len(n.opts.Seeds) == 1 && n.opts.Seeds[0] != n.opts.Self.Address
 }
 
 // readDirectives reads the directives from the store, and reports whether it succeeded.
@@ -256,27 +256,27 @@
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	started := clock.Now()
-	d, err := n.o.Source.Directives(ctx)
+	d, err := n.opts.Source.Directives(ctx)
 	if err != nil {
 		n.storeFailed(err)
 		return false
 	}
-	n.takeDirectives(d, started)
+	n.applyDirectives(d, started)
 	n.mu.Lock()
 	n.stored.directivesPending = false
 	n.mu.Unlock()
 	return true
 }
 
-// takeDirectives applies directives from a read of the store that began at started.
-func (n *Node) takeDirectives(d dialect.Directives, started time.Time) {
-	n.takeEvacuation(d.Evacuation, "store")
-	n.takeConfig(d.Config, "store")
-	n.confirm(d.Config.Version, started)
+// applyDirectives applies directives from a read of the store that began at started.
+func (n *Node) applyDirectives(d dialect.Directives, started time.Time) {
+	n.applyEvacuation(d.Evacuation, "store")
+	n.applyConfig(d.Config, "store")
+	n.confirmVersion(d.Config.Version, started)
 }
 
-// confirm records that a version of the configuration was the newest in the store at asOf.
-func (n *Node) confirm(version int64, asOf time.Time) {
+// confirmVersion records that a version of the configuration was the newest in the store at asOf.
+func (n *Node) confirmVersion(version int64, asOf time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.Confirm(version, asOf)
@@ -290,15 +290,15 @@
 	return clock.Since(n.view.configAsOf)
 }
 
-// readOrigin returns the origin of a list that was just read: FromStoreAgain if it is the first
-// one after failed reads.
-func (n *Node) readOrigin() Origin {
+// storeOrigin returns the origin of a list that was just read: FromStoreAfterFailure if it is the
+// first one after failed reads.
+func (n *Node) storeOrigin() Origin {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.storeDown.IsZero() {
 		return FromStore
 	}
-	return FromStoreAgain
+	return FromStoreAfterFailure
 }
 
 // storeFailed records a failed read of the store. It logs only the first one after a success.
@@ -310,7 +310,7 @@
 	}
 	n.mu.Unlock()
 	if first {
-		n.o.Log.Warn("dependency lost", "dependency", "store", "error", err, "view_age_ms", clock.Since(n.Snapshot().AsOf).Milliseconds())
+		n.opts.Log.Warn("dependency lost", "dependency", "store", "error", err, "view_age_ms", clock.Since(n.Snapshot().AsOf).Milliseconds())
 	}
 }
 
@@ -321,67 +321,67 @@
 	n.storeDown = time.Time{}
 	n.mu.Unlock()
 	if !since.IsZero() {
-		n.o.Log.Info("dependency regained", "dependency", "store", "after_ms", clock.Since(since).Milliseconds())
+		n.opts.Log.Info("dependency regained", "dependency", "store", "after_ms", clock.Since(since).Milliseconds())
 	}
 }
 
-// ask requests a peer's view and applies what is newer than this instance's own.
-func (n *Node) ask(ctx context.Context, address string) {
+// askPeer requests a peer's view and applies what is newer than this instance's own.
+func (n *Node) askPeer(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	s := n.Snapshot()
-	q := ViewRequest{Digest: s.Digest(), Whole: n.misfit.Swap(false)}
-	asked := clock.Now()
-	a, err := peer.Call[ViewAnswer](ctx, n.o.Pool, address, MethodView, q)
+	request := ViewRequest{Digest: s.Digest(), Whole: n.needWholeList.Swap(false)}
+	sentAt := clock.Now()
+	answer, err := peer.Call[ViewAnswer](ctx, n.opts.Pool, address, MethodView, request)
 	n.mu.Lock()
-	n.roster.Called(clock.Now(), address, err == nil)
+	n.roster.RecordCall(clock.Now(), address, err == nil)
 	n.mu.Unlock()
 	if err != nil {
-		n.o.Log.Debug("asking peer for its view failed", "peer", address, "error", err)
+		n.opts.Log.Debug("asking peer for its view failed", "peer", address, "error", err)
 		return
 	}
-	n.takeEvacuation(a.Evacuation, address)
-	n.confirm(a.Version, asked.Add(-time.Duration(a.ConfigAgeMS)*time.Millisecond))
-	if a.Version > s.Version() {
-		n.fetchConfig(address, a.Version)
+	n.applyEvacuation(answer.Evacuation, address)
+	n.confirmVersion(answer.Version, sentAt.Add(-time.Duration(answer.ConfigAgeMS)*time.Millisecond))
+	if answer.Version > s.Version() {
+		n.fetchConfig(address, answer.Version)
 	}
-	if !a.Listed {
+	if !answer.Listed {
 		return
 	}
 	// AgeMS is measured after the request was sent, so this is no later than the true time of the
 	// list.
-	started := asked.Add(-time.Duration(a.AgeMS) * time.Millisecond)
-	if n.takeDifference(started, q.Digest, &a, address) {
+	started := sentAt.Add(-time.Duration(answer.AgeMS) * time.Millisecond)
+	if n.applyDifference(started, request.Digest, &answer, address) {
 		return
 	}
-	list, err := a.list(s)
+	list, err := answer.list(s)
 	if err != nil {
-		n.o.Log.Info("list of upstreams from peer not applied", "from", address, "error", err)
-		n.misfit.Store(true)
+		n.opts.Log.Info("list of upstreams from peer not applied", "from", address, "error", err)
+		n.needWholeList.Store(true)
 		return
 	}
-	if list != nil && !(a.Same && n.confirmUnchanged(started, a.Revision)) {
-		n.takeList(started, a.Revision, list, FromPeer, address)
+	if list != nil && !(answer.Same && n.confirmUnchanged(started, answer.Revision)) {
+		n.mergeList(started, answer.Revision, list, FromPeer, address)
 	}
 }
 
-// takeConfig puts a configuration in force if it is newer than the current one.
-func (n *Node) takeConfig(c *routing.Config, from string) {
+// applyConfig puts a configuration in force if it is newer than the current one.
+func (n *Node) applyConfig(c *routing.Config, from string) {
 	n.mu.Lock()
 	before := n.view.Version()
-	taken := n.view.Configure(c)
+	taken := n.view.SetConfig(c)
 	n.mu.Unlock()
 	if taken {
-		n.o.Log.Info("configuration in force", "version", c.Version, "before", before, "from", from, "routes", len(c.Routes))
+		n.opts.Log.Info("configuration in force", "version", c.Version, "before", before, "from", from, "routes", len(c.Routes))
 		n.publish()
 	}
 }
 
-// takeEvacuation puts an evacuation in force if it is newer than the current one.
-func (n *Node) takeEvacuation(e routing.Evacuation, from string) {
+// applyEvacuation puts an evacuation in force if it is newer than the current one.
+func (n *Node) applyEvacuation(e routing.Evacuation, from string) {
 	n.mu.Lock()
 	before := n.view.evacuation.Zones
-	changed := n.view.Evacuate(e)
+	changed := n.view.SetEvacuation(e)
 	for _, zone := range before {
 		if !e.Covers(zone) && changed {
 			n.reopened[zone] = clock.Now()
@@ -391,10 +391,10 @@
 	if !changed {
 		return
 	}
-	n.o.Log.Warn("evacuation in force", "zones", e.Zones, "before", before, "revision", e.Revision, "from", from)
+	n.opts.Log.Warn("evacuation in force", "zones", e.Zones, "before", before, "revision", e.Revision, "from", from)
 	for _, zone := range e.Zones {
-		if len(n.o.Zones) > 0 && !slices.Contains(n.o.Zones, zone) {
-			n.o.Log.Warn("evacuation of an unknown zone", "zone", zone)
+		if len(n.opts.Zones) > 0 && !slices.Contains(n.opts.Zones, zone) {
+			n.opts.Log.Warn("evacuation of an unknown zone", "zone", zone)
 		}
 	}
 	n.publish()
@@ -407,11 +407,11 @@
 	return n.view.evacuation
 }
 
-// takeList merges a full list of upstreams into the view and reports whether it was newer than
+// mergeList merges a full list of upstreams into the view and reports whether it was newer than
 // the last one.
-func (n *Node) takeList(started time.Time, revision int64, list []dialect.Upstream, origin Origin, from string) bool {
+func (n *Node) mergeList(started time.Time, revision int64, list []dialect.Upstream, origin Origin, from string) bool {
 	n.mu.Lock()
-	changes, taken := n.view.List(clock.Now(), started, revision, list, origin)
+	changes, taken := n.view.MergeList(clock.Now(), started, revision, list, origin)
 	// A peer's list may differ from the store's. Applying only the store's changes to it would
 	// not give the store's list.
 	n.stored.merged = n.stored.merged && !(taken && origin == FromPeer)
@@ -423,14 +423,14 @@
 	return taken
 }
 
-// takeDifference applies the difference in a peer's answer to the view; base is the digest of the
+// applyDifference applies the difference in a peer's answer to the view; base is the digest of the
 // list that the difference starts from. It returns false if the answer holds no difference, or
 // one that cannot be applied to the view's current list.
-func (n *Node) takeDifference(started time.Time, base uint64, a *ViewAnswer, address string) bool {
-	if !a.hasDifference() {
+func (n *Node) applyDifference(started time.Time, base uint64, answer *ViewAnswer, address string) bool {
+	if !answer.hasDifference() {
 		return false
 	}
-	changed, err := unpackUpstreams(a.Changed)
+	changed, err := unpackUpstreams(answer.Changed)
 	if err != nil {
 		return false
 	}
@@ -439,7 +439,7 @@
 		n.mu.Unlock()
 		return false
 	}
-	changes, taken, err := n.view.Apply(clock.Now(), started, a.Revision, Difference{Changed: changed, Gone: a.Gone}, a.Digest)
+	changes, taken, err := n.view.Apply(clock.Now(), started, answer.Revision, Difference{Changed: changed, Gone: answer.Gone}, answer.Digest)
 	n.stored.merged = n.stored.merged && !taken
 	n.mu.Unlock()
 	if err != nil {
@@ -448,24 +448,24 @@
 	if taken {
 		n.publish()
 	}
-	n.logChanges(changes, address, a.Revision, clock.Since(started))
+	n.logChanges(changes, address, answer.Revision, clock.Since(started))
 	return true
 }
 
 // logChanges logs the changes of a list: one line for each, or a single line with their counts if
-// there are more than mostLogged, as with the first list.
+// there are more than maxLoggedChanges, as with the first list.
 func (n *Node) logChanges(changes []Change, from string, revision int64, age time.Duration) {
-	log := n.o.Log.With("from", from, "revision", revision, "age_ms", age.Milliseconds())
-	if len(changes) > mostLogged {
-		counts := map[What]int{}
+	log := n.opts.Log.With("from", from, "revision", revision, "age_ms", age.Milliseconds())
+	if len(changes) > maxLoggedChanges {
+		counts := map[ChangeKind]int{}
 		for _, c := range changes {
-			counts[c.What]++
+			counts[c.Kind]++
 		}
 		log.Info("upstreams changed", "count", len(changes), "kinds", counts)
 		return
 	}
 	for _, c := range changes {
-		log.Info("upstream "+string(c.What), "upstream", c.Upstream.ID, "service", c.Upstream.Service,
+		log.Info("upstream "+string(c.Kind), "upstream", c.Upstream.ID, "service", c.Upstream.Service,
 			"address", c.Upstream.Address, "stage", c.Upstream.Stage)
 	}
 }
--- a/gateway/fleet/reading_test.go
+++ b/gateway/fleet/reading_test.go
@@ -14,7 +14,7 @@
 		rosters[i] = NewRoster(member(i, "a"), nil)
 		for j := range rosters {
 			if i != j {
-				hear(rosters[i], 0, member(j, "a"))
+				receiveFrom(rosters[i], 0, member(j, "a"))
 			}
 		}
 	}
@@ -33,7 +33,7 @@
 func TestWhoReadsTheStore(t *testing.T) {
 	readings, fresh := map[role]int{}, 0
 	for _, as := range zoneRoles() {
-		decision := newReading(4 * time.Second)
+		decision := newReadSchedule(4 * time.Second)
 		for ms := -2000; ms < 9000; ms += 500 {
 			age := time.Duration(max(0, ms)) * time.Millisecond
 			switch due := decision.due(at(ms), as, true, age); {
@@ -55,7 +55,7 @@
 	for bound, most := range map[time.Duration]time.Duration{
 		2 * time.Second: 1500 * time.Millisecond, 3 * time.Second: 1500 * time.Millisecond, 4 * time.Second: 2 * time.Second,
 	} {
-		r := newReading(bound)
+		r := newReadSchedule(bound)
 		assert.Assert(t, r.due(at(-5000), follower, false, 0), "an instance that has just started reads at once")
 		first := time.Duration(0)
 		for ms := 0; ms <= 4000 && first == 0; ms += 500 {
@@ -71,7 +71,7 @@
 // because all their peers have none either: the store may reject the reads of all readers and
 // standbys.
 func TestFollowerThatKnowsNothingReads(t *testing.T) {
-	r := newReading(4 * time.Second)
+	r := newReadSchedule(4 * time.Second)
 	readings := 0
 	for ms := 0; ms < 14000; ms += 200 {
 		if r.due(at(ms), follower, false, 0) {
--- a/gateway/fleet/records.go
+++ b/gateway/fleet/records.go
@@ -66,8 +66,8 @@
 	g.fingerprint ^= xxhash.Sum64(binary.BigEndian.AppendUint32(nil, uint32(key)))
 }
 
-// records returns the records of a zone, with the keys if named is set.
-func (r *Roster) records(zone ident.Zone, named bool) ZoneRecords {
+// zoneRecords returns the records of a zone, with the keys if named is set.
+func (r *Roster) zoneRecords(zone ident.Zone, named bool) ZoneRecords {
 	out := ZoneRecords{Zone: zone, Named: named}
 	g := r.groups[zone]
 	if g == nil {
@@ -87,14 +87,14 @@
 	return out
 }
 
-// takeRecords processes a zone's records from a peer. Records of unknown instances are skipped,
+// receiveRecords processes a zone's records from a peer. Records of unknown instances are skipped,
 // since a peer that knows them will describe them. Records without keys are skipped unless both
 // sides count the same instances as alive, since they can't be matched to instances otherwise.
-func (r *Roster) takeRecords(now time.Time, z ZoneRecords) {
+func (r *Roster) receiveRecords(now time.Time, z ZoneRecords) {
 	if z.Named {
 		for i := 0; (i+1)*keyBytes <= len(z.Keys) && (i+1)*sequenceBytes <= len(z.Sequences); i++ {
 			key := recordKey(binary.BigEndian.Uint32(z.Keys[i*keyBytes:]))
-			r.takeSequence(now, r.byKey[key], z.Sequences[i*sequenceBytes:])
+			r.receiveSequence(now, r.byKey[key], z.Sequences[i*sequenceBytes:])
 		}
 		return
 	}
@@ -103,14 +103,14 @@
 		return
 	}
 	for i, p := range g.members {
-		r.takeSequence(now, p, z.Sequences[i*sequenceBytes:])
+		r.receiveSequence(now, p, z.Sequences[i*sequenceBytes:])
 	}
 }
 
-// takeSequence processes the low two bytes of a peer's sequence. They are compared as serial
+// receiveSequence processes the low two bytes of a peer's sequence. They are compared as serial
 // numbers, so that they may wrap around. p is nil if the peer is unknown or is this instance
 // itself.
-func (r *Roster) takeSequence(now time.Time, p *peerState, packed []byte) {
+func (r *Roster) receiveSequence(now time.Time, p *peerState, packed []byte) {
 	if p == nil {
 		return
 	}
@@ -119,7 +119,7 @@
 		return
 	}
 	p.member.Sequence += uint64(ahead)
-	r.hear(p, now)
+	r.recordHeartbeat(p, now)
 }
 
 // Reconcile returns what to send to a peer whose answer listed different live instances for some
@@ -129,41 +129,41 @@
 	r.refresh(now)
 	h := Heartbeat{From: r.self}
 	for _, z := range answer.Zones {
-		own := r.records(z.Zone, true)
+		own := r.zoneRecords(z.Zone, true)
 		if !z.Named || own.Fingerprint == z.Fingerprint {
 			continue
 		}
 		h.Zones = append(h.Zones, own)
-		h.Relayed = append(h.Relayed, r.lacking(now, answer.From.ID, z)...)
+		h.Relayed = append(h.Relayed, r.describeMissing(now, answer.From.ID, z)...)
 	}
 	return h, len(h.Zones) > 0
 }
 
-// lacking returns descriptions of the live peers of a zone that are missing in records with keys,
-// at most mostDescribed, the most recently heard first. Peers that have been silent for half the
-// time after which they no longer count as alive are left out, since the sender may be right not
-// to list them.
-func (r *Roster) lacking(now time.Time, to ident.InstanceID, z ZoneRecords) []Relayed {
+// describeMissing returns descriptions of the live peers of a zone that are missing in records
+// with keys, at most maxDescribed, the most recently heard first. Peers that have been silent for
+// half the time after which they no longer count as alive are left out, since the sender may be
+// right not to list them.
+func (r *Roster) describeMissing(now time.Time, to ident.InstanceID, z ZoneRecords) []Relayed {
 	known := map[recordKey]bool{}
-	for block := z.Keys; len(block) >= keyBytes; block = block[keyBytes:] {
-		known[recordKey(binary.BigEndian.Uint32(block))] = true
+	for keys := z.Keys; len(keys) >= keyBytes; keys = keys[keyBytes:] {
+		known[recordKey(binary.BigEndian.Uint32(keys))] = true
 	}
 	var out []Relayed
 	for id, p := range r.peers {
-		age := now.Sub(p.heard)
-		if id == to || p.member.Zone != z.Zone || known[p.key] || age >= r.aliveFor(&p.member)/2 {
+		age := now.Sub(p.lastHeartbeat)
+		if id == to || p.member.Zone != z.Zone || known[p.key] || age >= r.aliveTimeout(&p.member)/2 {
 			continue
 		}
-		out = append(out, relayed(p, age))
+		out = append(out, newRelayed(p, age))
 	}
 	slices.SortFunc(out, func(a, b Relayed) int { return cmp.Compare(a.AgeMS, b.AgeMS) })
-	return out[:min(len(out), mostDescribed)]
+	return out[:min(len(out), maxDescribed)]
 }
 
-// relayed returns a peer's description for another instance, without its load. Instances get
+// newRelayed returns a peer's description for another instance, without its load. Instances get
 // loads from the instance itself or from a hub; if they were relayed, they would make up most of
 // the traffic between zones.
-func relayed(p *peerState, age time.Duration) Relayed {
+func newRelayed(p *peerState, age time.Duration) Relayed {
 	m := p.member
 	m.Load = Load{}
 	return Relayed{Member: m, AgeMS: age.Milliseconds()}
--- a/gateway/fleet/relay_test.go
+++ b/gateway/fleet/relay_test.go
@@ -68,8 +68,8 @@
 // same.
 func TestViewNamesTheConfigurationOnly(t *testing.T) {
 	n := newTestNode(t, &fakeStore{})
-	n.takeConfig(largeConfig(7), "test")
-	n.takeList(time.Now(), 3, []dialect.Upstream{up("a"), up("b")}, FromStore, "test")
+	n.applyConfig(largeConfig(7), "test")
+	n.mergeList(time.Now(), 3, []dialect.Upstream{up("a"), up("b")}, FromStore, "test")
 	a, err := n.onView(t.Context(), peer.Identity{}, ViewRequest{})
 	assert.NilError(t, err)
 	assert.Equal(t, a.Version, int64(7))
@@ -78,7 +78,7 @@
 	same, err := n.onView(t.Context(), peer.Identity{}, ViewRequest{Digest: n.Snapshot().Digest()})
 	assert.NilError(t, err)
 	assert.Assert(t, same.Same && same.Whole == nil && same.Changed == nil)
-	n.takeList(time.Now(), 4, []dialect.Upstream{up("a")}, FromStore, "test")
+	n.mergeList(time.Now(), 4, []dialect.Upstream{up("a")}, FromStore, "test")
 	differs, err := n.onView(t.Context(), peer.Identity{}, ViewRequest{Digest: n.Snapshot().Digest() + 1})
 	assert.NilError(t, err)
 	assert.Equal(t, len(listOf(t, differs, NewView().Snapshot())), 1)
@@ -97,7 +97,7 @@
 func TestDigestTellsListsApart(t *testing.T) {
 	digest := func(ups ...dialect.Upstream) uint64 {
 		v := NewView()
-		list(v, 0, 1, ups...)
+		mergeList(v, 0, 1, ups...)
 		return v.Snapshot().Digest()
 	}
 	leaving := up("a")
@@ -117,11 +117,11 @@
 func TestNewConfigurationIsReadFromTheStore(t *testing.T) {
 	store := &fakeStore{config: largeConfig(9)}
 	n := newTestNode(t, store)
-	assert.Assert(t, n.configFromStore(9))
+	assert.Assert(t, n.fetchConfigFromStore(9))
 	assert.Equal(t, n.Snapshot().Version(), int64(9))
-	assert.Assert(t, !n.configFromStore(12), "the store is behind the peer")
+	assert.Assert(t, !n.fetchConfigFromStore(12), "the store is behind the peer")
 	store.down = true
-	assert.Assert(t, !n.configFromStore(12))
+	assert.Assert(t, !n.fetchConfigFromStore(12))
 	assert.Equal(t, n.Snapshot().Version(), int64(9))
 }
 
@@ -129,8 +129,8 @@
 // all instances of its zone. It is sent only to a peer that sets no limit.
 func TestLargeConfigurationIsNotSentToAll(t *testing.T) {
 	n := newTestNode(t, &fakeStore{})
-	n.takeConfig(largeConfig(7), "test")
-	a, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{MostBytes: 2000})
+	n.applyConfig(largeConfig(7), "test")
+	a, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{MaxBytes: 2000})
 	assert.NilError(t, err)
 	assert.Equal(t, len(a.Gzip), 0)
 	a, err = n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
@@ -145,7 +145,7 @@
 	none, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(none.Gzip), 0)
-	n.takeConfig(largeConfig(7), "test")
+	n.applyConfig(largeConfig(7), "test")
 	first, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
 	assert.NilError(t, err)
 	again, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
@@ -155,7 +155,7 @@
 	c, err := first.unpack()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, c, largeConfig(7))
-	n.takeConfig(largeConfig(8), "test")
+	n.applyConfig(largeConfig(8), "test")
 	next, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
 	assert.NilError(t, err)
 	c, err = next.unpack()
--- a/gateway/fleet/roster.go
+++ b/gateway/fleet/roster.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	// aliveFor is how long after its last heartbeat an instance counts as alive in a small fleet.
-	// Heartbeats are exchanged every 300 ms, so several in a row must be lost before it no longer
-	// does.
-	aliveFor = 2 * time.Second
-	// aliveForRelayed is the same in a large fleet. There the time counts from the arrival of the
+	// aliveTimeout is how long after its last heartbeat an instance counts as alive in a small
+	// fleet. Heartbeats are exchanged every 300 ms, so several in a row must be lost before it no
+	// longer does.
+	aliveTimeout = 2 * time.Second
+	// aliveTimeoutLarge is the same in a large fleet. There the time counts from the arrival of the
 	// news of a heartbeat, which takes about three rounds of one second to reach all instances of
-	// the zone. aliveForForeign applies to instances of other zones, whose news takes a few
+	// the zone. aliveTimeoutOtherZone applies to instances of other zones, whose news takes a few
 	// rounds more.
-	aliveForRelayed = 6 * time.Second
-	aliveForForeign = 9 * time.Second
-	// stoodStill is the time without activity after which this instance concludes that its
+	aliveTimeoutLarge     = 6 * time.Second
+	aliveTimeoutOtherZone = 9 * time.Second
+	// pauseThreshold is the time without activity after which this instance concludes that its
 	// process was paused. The roster is used at least every half second.
-	stoodStill = time.Second
-	// rememberFor is how long a silent instance is still called, so that both sides of a network
+	pauseThreshold = time.Second
+	// peerRetention is how long a silent instance is still called, so that both sides of a network
 	// partition find each other again after it ends.
-	rememberFor = 90 * time.Second
-	// fullMesh is the largest number of peers with which every pair of instances exchanges
+	peerRetention = 90 * time.Second
+	// maxMeshPeers is the largest number of peers with which every pair of instances exchanges
 	// heartbeats. In larger fleets, each instance calls fanout others of its zone in each round
 	// and relays what it knows. One more partner would make the news a quarter younger at the
 	// cost of half as many bytes again.
-	fullMesh = 16
-	fanout   = 2
-	// passedOver is how long an instance that did not answer a call is skipped as holder of a
+	maxMeshPeers = 16
+	fanout       = 2
+	// failedCallBackoff is how long an instance that did not answer a call is skipped as holder of a
 	// duty by the caller. It stops counting as alive only after 6 s of silence; until then its
 	// zone would get neither sums of loads nor new lists.
-	passedOver = 3 * time.Second
-	// inTouchOf is the number of instances, including this one, most of which must have answered
-	// recently for an instance of a large fleet to count as in touch with the others.
-	inTouchOf = 4
-	// mostDescribed is the largest number of instances of a zone that one message describes, at
+	failedCallBackoff = 3 * time.Second
+	// quorumSizeLarge is the number of instances, including this one, most of which must have
+	// answered recently for an instance of a large fleet to have a quorum.
+	quorumSizeLarge = 4
+	// maxDescribed is the largest number of instances of a zone that one message describes, at
 	// 110 bytes each. A link of 10 Mbit/s takes 6 ms to transfer them.
-	mostDescribed = 64
-	// foreignCalls is how many of a zone's instances call an instance of another zone in each
+	maxDescribed = 64
+	// crossZoneCallers is how many of a zone's instances call an instance of another zone in each
 	// round of a large fleet, on average. Traffic between zones is expensive.
-	foreignCalls = 4
+	crossZoneCallers = 4
 )
 
 // peerState is what is known of another instance.
@@ -50,18 +50,18 @@
 	member Member
 	// key is the key of the member's description.
 	key recordKey
-	// heard is when the peer's newest heartbeat was made, by this instance's clock. In a large
-	// fleet it is when the news of that heartbeat arrived.
-	heard time.Time
-	// answered is when the peer last answered a call of this instance. told is when a heartbeat
-	// last came directly from the peer, in a call or in an answer.
-	answered time.Time
-	told     time.Time
-	// failed is when a call to the peer last failed, zero if a later one succeeded.
-	failed time.Time
-	// greeted is the incarnation of the peer to which an answer has already named all other
+	// lastHeartbeat is when the peer's newest heartbeat was made, by this instance's clock. In a
+	// large fleet it is when the news of that heartbeat arrived.
+	lastHeartbeat time.Time
+	// lastAnswer is when the peer last answered a call of this instance. lastDirect is when a
+	// heartbeat last came directly from the peer, in a call or in an answer.
+	lastAnswer time.Time
+	lastDirect time.Time
+	// lastFailedCall is when a call to the peer last failed, zero if a later one succeeded.
+	lastFailedCall time.Time
+	// introducedTo is the incarnation of the peer to which an answer has already named all other
 	// instances.
-	greeted ident.Incarnation
+	introducedTo ident.Incarnation
 }
 
 // Roster holds what is known of the instances of the fleet. It is not safe for concurrent use.
@@ -72,49 +72,49 @@
 	byKey map[recordKey]*peerState
 	// alive holds the live instances as of the last refresh, candidates those of them that are
 	// not stopping, by zone, with all of them under "". They are valid until the roster changes
-	// or until reviewAt, when the next instance stops counting as alive. The roster is queried
+	// or until validUntil, when the next instance stops counting as alive. The roster is queried
 	// about 100 times a second, and sorting 295 instances each time would be too expensive.
 	alive      []ident.InstanceID
 	candidates map[ident.Zone][]ident.InstanceID
 	changed    bool
-	reviewAt   time.Time
+	validUntil time.Time
 	// groups holds the live instances by zone, as ZoneRecords list them.
 	groups map[ident.Zone]*group
-	// held is when this instance became the holder of each duty that it holds.
-	held map[string]time.Time
-	// refreshed is the time of the last refresh.
-	refreshed time.Time
+	// heldSince holds the time since which this instance has held each of its duties.
+	heldSince map[string]time.Time
+	// lastRefresh is the time of the last refresh.
+	lastRefresh time.Time
 	// partners holds the addresses in the own zone that were called in the last round in a large
 	// fleet.
 	partners []string
-	// relayed is when a heartbeat last named other instances.
-	relayed time.Time
+	// lastRelayed is when a heartbeat last named other instances.
+	lastRelayed time.Time
 }
 
-// large reports whether the fleet has too many instances for all pairs to exchange heartbeats.
-func (r *Roster) large() bool { return len(r.peers) > fullMesh }
+// isLarge reports whether the fleet has too many instances for all pairs to exchange heartbeats.
+func (r *Roster) isLarge() bool { return len(r.peers) > maxMeshPeers }
 
-// aliveFor returns how long after its last heartbeat an instance counts as alive.
-func (r *Roster) aliveFor(m *Member) time.Duration {
+// aliveTimeout returns how long after its last heartbeat an instance counts as alive.
+func (r *Roster) aliveTimeout(m *Member) time.Duration {
 	switch {
-	case !r.large():
-		return aliveFor
+	case !r.isLarge():
+		return aliveTimeout
 	case m.Zone != r.self.Zone:
-		return aliveForForeign
+		return aliveTimeoutOtherZone
 	default:
-		return aliveForRelayed
+		return aliveTimeoutLarge
 	}
 }
 
-// lives reports whether a peer counts as alive.
-func (r *Roster) lives(now time.Time, p *peerState) bool {
-	return now.Sub(p.heard) < r.aliveFor(&p.member)
+// isAlive reports whether a peer counts as alive.
+func (r *Roster) isAlive(now time.Time, p *peerState) bool {
+	return now.Sub(p.lastHeartbeat) < r.aliveTimeout(&p.member)
 }
 
 // NewRoster returns a roster that knows only this instance and the addresses of some seeds.
 func NewRoster(self Member, seeds []string) *Roster {
 	return &Roster{
-		self: self, seeds: seeds, held: map[string]time.Time{}, changed: true,
+		self: self, seeds: seeds, heldSince: map[string]time.Time{}, changed: true,
 		peers: map[ident.InstanceID]*peerState{}, byKey: map[recordKey]*peerState{},
 	}
 }
@@ -128,34 +128,34 @@
 	r.changed = true
 }
 
-// Answered records that a peer answered a heartbeat of this instance.
-func (r *Roster) Answered(now time.Time, id ident.InstanceID) {
+// RecordAnswer records that a peer answered a heartbeat of this instance.
+func (r *Roster) RecordAnswer(now time.Time, id ident.InstanceID) {
 	if p := r.peers[id]; p != nil {
-		p.answered = now
+		p.lastAnswer = now
 	}
 }
 
-// Called records whether the peer at an address answered a call. A peer that did not is skipped
-// as holder of duties for passedOver.
-func (r *Roster) Called(now time.Time, address string, answered bool) {
+// RecordCall records whether the peer at an address answered a call. A peer that did not is
+// skipped as holder of duties for failedCallBackoff.
+func (r *Roster) RecordCall(now time.Time, address string, answered bool) {
 	for _, p := range r.peers {
 		switch {
 		case p.member.Address != address:
 		case answered:
-			p.failed = time.Time{}
+			p.lastFailedCall = time.Time{}
 		default:
-			p.failed = now
+			p.lastFailedCall = now
 		}
 	}
 }
 
-// Forgive clears the failed calls of the peers of the own zone, so that they are considered for
-// duties again. It is used when the next candidate for the hub answers that it is not the hub: it
-// still gets answers from the instance that this one skips.
-func (r *Roster) Forgive() {
+// ClearFailures clears the failed calls of the peers of the own zone, so that they are considered
+// for duties again. It is used when the next candidate for the hub answers that it is not the
+// hub: it still gets answers from the instance that this one skips.
+func (r *Roster) ClearFailures() {
 	for _, p := range r.peers {
 		if p.member.Zone == r.self.Zone {
-			p.failed = time.Time{}
+			p.lastFailedCall = time.Time{}
 		}
 	}
 }
@@ -164,15 +164,15 @@
 // silent for too long. If this instance was paused, it drops the times since which it has held
 // duties: other instances may have taken them over meanwhile.
 func (r *Roster) refresh(now time.Time) {
-	if now.Sub(r.refreshed) > stoodStill {
-		clear(r.held)
+	if now.Sub(r.lastRefresh) > pauseThreshold {
+		clear(r.heldSince)
 	}
-	r.refreshed = now
-	if !r.changed && now.Before(r.reviewAt) {
+	r.lastRefresh = now
+	if !r.changed && now.Before(r.validUntil) {
 		return
 	}
-	r.forget(now)
-	alive := r.review(now)
+	r.removeSilent(now)
+	alive := r.updateAlive(now)
 	r.changed = false
 	r.candidates = map[ident.Zone][]ident.InstanceID{}
 	r.groups = map[ident.Zone]*group{}
@@ -182,33 +182,33 @@
 		r.addCandidate(id)
 	}
 	if !same {
-		r.reviewDuties()
+		r.dropLostDuties()
 	}
 }
 
-// review returns the live instances including this one, sorted, and sets reviewAt to the time
+// updateAlive returns the live instances including this one, sorted, and sets validUntil to the time
 // when the next one stops counting as alive or a silent one is to be removed.
-func (r *Roster) review(now time.Time) []ident.InstanceID {
+func (r *Roster) updateAlive(now time.Time) []ident.InstanceID {
 	ids := []ident.InstanceID{r.self.ID}
-	r.reviewAt = now.Add(rememberFor)
+	r.validUntil = now.Add(peerRetention)
 	for id, p := range r.peers {
-		until := p.heard.Add(rememberFor)
-		if r.lives(now, p) {
+		until := p.lastHeartbeat.Add(peerRetention)
+		if r.isAlive(now, p) {
 			ids = append(ids, id)
-			until = p.heard.Add(r.aliveFor(&p.member))
+			until = p.lastHeartbeat.Add(r.aliveTimeout(&p.member))
 		}
-		if until.Before(r.reviewAt) {
-			r.reviewAt = until
+		if until.Before(r.validUntil) {
+			r.validUntil = until
 		}
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// forget removes the peers that have been silent for rememberFor.
-func (r *Roster) forget(now time.Time) {
+// removeSilent removes the peers that have been silent for peerRetention.
+func (r *Roster) removeSilent(now time.Time) {
 	for id, p := range r.peers {
-		if now.Sub(p.heard) < rememberFor {
+		if now.Sub(p.lastHeartbeat) < peerRetention {
 			continue
 		}
 		delete(r.peers, id)
@@ -237,15 +237,15 @@
 	r.candidates[m.Zone] = append(r.candidates[m.Zone], id)
 }
 
-// hear records that a peer's newest heartbeat was made at the given time.
-func (r *Roster) hear(p *peerState, heard time.Time) {
-	if p.heard.Add(r.aliveFor(&p.member)).Before(r.reviewAt) {
+// recordHeartbeat records that a peer's newest heartbeat was made at the given time.
+func (r *Roster) recordHeartbeat(p *peerState, madeAt time.Time) {
+	if p.lastHeartbeat.Add(r.aliveTimeout(&p.member)).Before(r.validUntil) {
 		// The peer had stopped counting as alive.
 		r.changed = true
 	}
-	p.heard = heard
-	if until := heard.Add(r.aliveFor(&p.member)); until.Before(r.reviewAt) {
-		r.reviewAt = until
+	p.lastHeartbeat = madeAt
+	if until := madeAt.Add(r.aliveTimeout(&p.member)); until.Before(r.validUntil) {
+		r.validUntil = until
 	}
 }
 
@@ -255,27 +255,27 @@
 	return len(r.alive)
 }
 
-// InTouch reports whether most of the instances that this one calls have answered it within the
+// HasQuorum reports whether most of the instances that this one calls have answered it within the
 // given time, and most of those known to it are alive. That is not so after a pause of the
 // process or on the minority side of a network partition.
-func (r *Roster) InTouch(now time.Time, within time.Duration) bool {
+func (r *Roster) HasQuorum(now time.Time, within time.Duration) bool {
 	r.refresh(now)
 	recent := 1
 	for _, p := range r.peers {
-		if now.Sub(p.answered) < within {
+		if now.Sub(p.lastAnswer) < within {
 			recent++
 		}
 	}
 	called := len(r.alive)
-	if r.large() {
-		called = inTouchOf
+	if r.isLarge() {
+		called = quorumSizeLarge
 	}
-	return 2*recent > called && r.majority()
+	return 2*recent > called && r.hasMajority()
 }
 
-// majority reports whether most of the known instances, including this one, are alive as of the
+// hasMajority reports whether most of the known instances, including this one, are alive as of the
 // last refresh.
-func (r *Roster) majority() bool { return 2*len(r.alive) > len(r.peers)+1 }
+func (r *Roster) hasMajority() bool { return 2*len(r.alive) > len(r.peers)+1 }
 
 // Members returns the newest heartbeats of the live peers.
 func (r *Roster) Members(now time.Time) []Member {
--- a/gateway/fleet/roster_test.go
+++ b/gateway/fleet/roster_test.go
@@ -20,14 +20,14 @@
 	}
 }
 
-func hear(r *Roster, ms int, m Member) {
+func receiveFrom(r *Roster, ms int, m Member) {
 	r.Receive(at(ms), Heartbeat{From: m})
 }
 
-// TestSilentInstancesAreNotAlive checks that an instance stops counting as alive after aliveFor.
+// TestSilentInstancesAreNotAlive checks that an instance stops counting as alive after aliveTimeout.
 func TestSilentInstancesAreNotAlive(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
-	hear(r, 0, member(1, "a"))
+	receiveFrom(r, 0, member(1, "a"))
 	assert.Equal(t, r.Alive(at(1000)), 2)
 	assert.Equal(t, r.Alive(at(2500)), 1)
 }
@@ -48,10 +48,10 @@
 	r := NewRoster(member(0, "a"), nil)
 	old := member(1, "a")
 	old.Sequence = 99
-	hear(r, 0, old)
+	receiveFrom(r, 0, old)
 	fresh := member(1, "a")
 	fresh.Incarnation = 2
-	hear(r, 1500, fresh)
+	receiveFrom(r, 1500, fresh)
 	assert.Equal(t, r.Alive(at(3000)), 2)
 }
 
@@ -64,7 +64,7 @@
 	}
 	exchange := func(ms int) {
 		for _, from := range rosters {
-			h := from.Beat(at(ms), Load{})
+			h := from.NextHeartbeat(at(ms), Load{})
 			for _, to := range rosters {
 				to.Receive(at(ms), h)
 			}
@@ -75,7 +75,7 @@
 	holders := func(ms int) []int {
 		var out []int
 		for i, r := range rosters {
-			if r.Holder(at(ms), "stages", "") {
+			if r.IsHolder(at(ms), "stages", "") {
 				out = append(out, i)
 			}
 		}
@@ -99,7 +99,7 @@
 		r := NewRoster(self, nil)
 		for j, m := range members {
 			if i != j {
-				hear(r, 0, m)
+				receiveFrom(r, 0, m)
 			}
 		}
 		for zone, seen := range hubs {
@@ -121,13 +121,13 @@
 func TestInTouchNeedsAnswersOfMost(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	for i := 1; i < 4; i++ {
-		hear(r, 1000, member(i, "a"))
+		receiveFrom(r, 1000, member(i, "a"))
 	}
-	assert.Assert(t, !r.InTouch(at(1100), time.Second))
-	r.Answered(at(1100), "i01")
-	r.Answered(at(1100), "i02")
-	assert.Assert(t, r.InTouch(at(1200), time.Second))
-	assert.Assert(t, !r.InTouch(at(2200), time.Second))
+	assert.Assert(t, !r.HasQuorum(at(1100), time.Second))
+	r.RecordAnswer(at(1100), "i01")
+	r.RecordAnswer(at(1100), "i02")
+	assert.Assert(t, r.HasQuorum(at(1200), time.Second))
+	assert.Assert(t, !r.HasQuorum(at(2200), time.Second))
 }
 
 // TestPartnersAreFewInALargeFleet checks that an instance calls all peers in a small fleet, but
@@ -135,15 +135,15 @@
 func TestPartnersAreFewInALargeFleet(t *testing.T) {
 	r := NewRoster(member(0, "a"), []string{"10.0.0.200:1"})
 	for i := 1; i <= 5; i++ {
-		hear(r, 0, member(i, "a"))
+		receiveFrom(r, 0, member(i, "a"))
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	assert.Equal(t, len(r.Partners(at(0), random)), 6, "all peers and the unknown seed")
 	for i := 6; i <= 60; i++ {
-		hear(r, 0, member(i, "a"))
+		receiveFrom(r, 0, member(i, "a"))
 	}
 	assert.Equal(t, len(r.Partners(at(0), random)), fanout+1)
-	assert.Assert(t, r.Beats() > beatInterval)
+	assert.Assert(t, r.HeartbeatInterval() > heartbeatInterval)
 }
 
 // TestRelayedHeartbeatsCarryNoLoad checks that relayed heartbeats in a small fleet contain no
@@ -152,9 +152,9 @@
 func TestRelayedHeartbeatsCarryNoLoad(t *testing.T) {
 	load := Load{Demand: map[string]Demand{"m": {PrefillRate: 5}}}
 	first, second := NewRoster(member(1, "a"), nil), NewRoster(member(2, "a"), nil)
-	beat := first.Beat(at(0), load)
+	beat := first.NextHeartbeat(at(0), load)
 	second.Receive(at(0), beat)
-	relayed := second.Beat(at(0), Load{})
+	relayed := second.NextHeartbeat(at(0), Load{})
 	assert.Assert(t, relayed.Relayed[0].Member.Load.empty())
 	for _, order := range [][]Heartbeat{{beat, relayed}, {relayed, beat}} {
 		r := NewRoster(member(0, "a"), nil)
@@ -174,14 +174,14 @@
 func TestInTouchInALargeFleet(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	for i := 1; i < 60; i++ {
-		hear(r, 1000, member(i, "a"))
+		receiveFrom(r, 1000, member(i, "a"))
 	}
-	assert.Assert(t, !r.InTouch(at(1100), time.Second))
+	assert.Assert(t, !r.HasQuorum(at(1100), time.Second))
 	for _, id := range []ident.InstanceID{"i01", "i02", "i03"} {
-		r.Answered(at(1100), id)
+		r.RecordAnswer(at(1100), id)
 	}
-	assert.Assert(t, r.InTouch(at(1200), time.Second))
-	assert.Assert(t, !r.InTouch(at(8000), 8*time.Second), "most instances no longer count as alive")
+	assert.Assert(t, r.HasQuorum(at(1200), time.Second))
+	assert.Assert(t, !r.HasQuorum(at(8000), 8*time.Second), "most instances no longer count as alive")
 }
 
 // TestDutyIsHeldWithoutABreak guards against an instance that still counts as the holder of a
@@ -196,18 +196,18 @@
 		rosters[i] = NewRoster(members[i], nil)
 		for j, m := range members {
 			if i != j {
-				hear(rosters[i], 0, m)
+				receiveFrom(rosters[i], 0, m)
 			}
 		}
-		if rosters[i].Holder(at(0), "stages", "") {
+		if rosters[i].IsHolder(at(0), "stages", "") {
 			first = i
 		}
 	}
 	r := rosters[first]
-	// live sends heartbeats of the other instances, except those in without, from one time to
-	// another.
+	// sendHeartbeats sends heartbeats of the other instances, except those in without, from one
+	// time to another.
 	sequence := uint64(1)
-	live := func(from, to int, without ...int) {
+	sendHeartbeats := func(from, to int, without ...int) {
 		for ms := from; ms <= to; ms += 300 {
 			sequence++
 			for j, m := range members {
@@ -215,23 +215,23 @@
 					continue
 				}
 				m.Sequence = sequence
-				hear(r, ms, m)
+				receiveFrom(r, ms, m)
 			}
 			r.HeldFor(at(ms), "stages")
 		}
 	}
 	other := (first + 1) % len(members)
-	live(300, 6000)
+	sendHeartbeats(300, 6000)
 	assert.Equal(t, r.HeldFor(at(6000), "stages"), 5700*time.Millisecond)
-	live(6300, 9000, other)
+	sendHeartbeats(6300, 9000, other)
 	assert.Equal(t, r.Alive(at(9000)), 3)
 	assert.Equal(t, r.HeldFor(at(9000), "stages"), 8700*time.Millisecond, "the death of another instance does not interrupt the duty")
 	assert.Equal(t, r.HeldFor(at(10100), "stages"), time.Duration(0), "the instance was paused")
-	live(10200, 12000)
+	sendHeartbeats(10200, 12000)
 	assert.Equal(t, r.HeldFor(at(12000), "stages"), 1900*time.Millisecond)
-	live(12300, 14700, other, (first+2)%len(members), (first+3)%len(members))
+	sendHeartbeats(12300, 14700, other, (first+2)%len(members), (first+3)%len(members))
 	assert.Equal(t, r.Alive(at(14700)), 1)
-	live(15000, 15300)
+	sendHeartbeats(15000, 15300)
 	assert.Assert(t, r.HeldFor(at(15300), "stages") < time.Second, "the instance was on the minority side of a partition")
 }
 
@@ -239,19 +239,19 @@
 // partners are of the own zone, and a few of a zone's instances call another zone in each round.
 func TestZonesOfALargeFleetCallEachOtherSeldom(t *testing.T) {
 	r := NewRoster(member(0, "a"), []string{"10.0.0.1:1", "10.0.0.2:1"})
-	foreign := map[string]bool{}
+	otherZones := map[string]bool{}
 	for i := 1; i < 80; i++ {
 		m := member(i, string(rune('a'+i%4)))
-		hear(r, 0, m)
+		receiveFrom(r, 0, m)
 		if m.Zone != "a" {
-			foreign[m.Address] = true
+			otherZones[m.Address] = true
 		}
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	own, others := 0, 0
 	for range 1000 {
 		for _, address := range r.Partners(at(0), random) {
-			if foreign[address] {
+			if otherZones[address] {
 				others++
 			} else {
 				own++
@@ -267,7 +267,7 @@
 func TestForeignInstancesMayBeSilentLonger(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	for i := 1; i <= 30; i++ {
-		hear(r, 0, member(i, string(rune('a'+i%2))))
+		receiveFrom(r, 0, member(i, string(rune('a'+i%2))))
 	}
 	assert.Equal(t, r.Alive(at(5900)), 31)
 	assert.Equal(t, r.Alive(at(6100)), 1+15)
@@ -278,11 +278,11 @@
 // one is alive.
 func TestDutiesOfAZone(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
-	hear(r, 0, member(1, "b"))
-	assert.Assert(t, r.Holder(at(0), "report/x", "a"))
-	assert.Assert(t, !r.Holder(at(0), "report/x", "b"))
-	assert.Assert(t, r.Inhabited(at(0), "b"))
-	assert.Assert(t, !r.Inhabited(at(5000), "b"))
+	receiveFrom(r, 0, member(1, "b"))
+	assert.Assert(t, r.IsHolder(at(0), "report/x", "a"))
+	assert.Assert(t, !r.IsHolder(at(0), "report/x", "b"))
+	assert.Assert(t, r.HasCandidates(at(0), "b"))
+	assert.Assert(t, !r.HasCandidates(at(5000), "b"))
 }
 
 // TestOneOfTwoCalls guards against both of two instances in a small fleet calling each other in
@@ -290,29 +290,29 @@
 // as well, and each gets answers often enough to give orders.
 func TestOneOfTwoCalls(t *testing.T) {
 	a, b := NewRoster(member(0, "a"), nil), NewRoster(member(1, "b"), nil)
-	hear(a, 0, b.self)
-	hear(b, 0, a.self)
+	receiveFrom(a, 0, b.self)
+	receiveFrom(b, 0, a.self)
 	random := rand.New(rand.NewPCG(1, 1))
 	calls, oldest := 0, time.Duration(0)
 	call := func(from, to *Roster, ms int) {
-		oldest = max(oldest, at(ms).Sub(from.peers[to.self.ID].told))
+		oldest = max(oldest, at(ms).Sub(from.peers[to.self.ID].lastDirect))
 		if len(from.Partners(at(ms), random)) == 0 {
 			return
 		}
 		calls++
-		to.Receive(at(ms), from.Beat(at(ms), Load{}))
-		to.Update(Load{Demand: map[string]Demand{"m": {PrefillRate: float64(ms)}}})
+		to.Receive(at(ms), from.NextHeartbeat(at(ms), Load{}))
+		to.SetLoad(Load{Demand: map[string]Demand{"m": {PrefillRate: float64(ms)}}})
 		from.Receive(at(ms), to.Answer(at(ms), Heartbeat{From: from.self}))
-		from.Answered(at(ms), to.self.ID)
+		from.RecordAnswer(at(ms), to.self.ID)
 		assert.Equal(t, from.peers[to.self.ID].member.Load.Demand["m"].PrefillRate, float64(ms))
 	}
-	a.peers[b.self.ID].told, b.peers[a.self.ID].told = at(0), at(0)
+	a.peers[b.self.ID].lastDirect, b.peers[a.self.ID].lastDirect = at(0), at(0)
 	for ms := 300; ms <= 30000; ms += 300 {
 		call(a, b, ms)
 		call(b, a, ms+150)
 		if ms > 3000 {
-			assert.Assert(t, a.InTouch(at(ms+160), 1500*time.Millisecond))
-			assert.Assert(t, b.InTouch(at(ms+160), 1500*time.Millisecond))
+			assert.Assert(t, a.HasQuorum(at(ms+160), 1500*time.Millisecond))
+			assert.Assert(t, b.HasQuorum(at(ms+160), 1500*time.Millisecond))
 		}
 	}
 	assert.Assert(t, calls < 150, "%d calls in 30 s; it would be 200 if both always called", calls)
@@ -323,12 +323,12 @@
 // round, and that others name it often enough for it to count as alive.
 func TestSilentPeerIsCalledEachTime(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
-	hear(r, 0, member(1, "b"))
+	receiveFrom(r, 0, member(1, "b"))
 	random := rand.New(rand.NewPCG(1, 1))
 	named := 0
 	for ms := 300; ms <= 1800; ms += 300 {
 		assert.Equal(t, len(r.Partners(at(ms), random)), 1)
-		named += len(r.Beat(at(ms), Load{}).Relayed)
+		named += len(r.NextHeartbeat(at(ms), Load{}).Relayed)
 	}
 	assert.Equal(t, named, 3)
 }
@@ -338,7 +338,7 @@
 func TestStartingInstanceHearsOfAll(t *testing.T) {
 	seed := NewRoster(member(0, "a"), nil)
 	for i := 1; i <= 4; i++ {
-		hear(seed, 0, member(i, "a"))
+		receiveFrom(seed, 0, member(i, "a"))
 	}
 	for incarnation := range 2 {
 		self := member(9, "b")
@@ -346,7 +346,7 @@
 		started := NewRoster(self, nil)
 		for round, named := range []int{4, 0} {
 			ms := 100 + 300*round
-			seed.Receive(at(ms), started.Beat(at(ms), Load{}))
+			seed.Receive(at(ms), started.NextHeartbeat(at(ms), Load{}))
 			answer := seed.Answer(at(ms), Heartbeat{From: self})
 			started.Receive(at(ms), answer)
 			others := 0
@@ -363,7 +363,7 @@
 
 // TestHubThatDoesNotAnswerIsPassedOver guards against a zone without sums of loads and lists
 // until its dead hub no longer counts as alive. All instances that called the hub in vain choose
-// the same next candidate at once. They return to the hub after passedOver, or when the next
+// the same next candidate at once. They return to the hub after failedCallBackoff, or when the next
 // candidate says that it still gets answers from it.
 func TestHubThatDoesNotAnswerIsPassedOver(t *testing.T) {
 	rosters := map[string]*Roster{}
@@ -372,28 +372,28 @@
 		r := NewRoster(self, nil)
 		for j := range 30 {
 			if i != j {
-				hear(r, 0, member(j, "a"))
+				receiveFrom(r, 0, member(j, "a"))
 			}
 		}
 		rosters[self.Address] = r
 	}
 	hub, _ := rosters["10.0.0.0:1"].Hub(at(0), "a")
-	seconds := map[string]bool{}
+	nextHubs := map[string]bool{}
 	for address, r := range rosters {
 		if address == hub {
 			continue
 		}
-		r.Called(at(100), hub, false)
+		r.RecordCall(at(100), hub, false)
 		next, _ := r.Hub(at(100), "a")
-		seconds[next] = true
-		again, _ := r.Hub(at(100).Add(passedOver), "a")
+		nextHubs[next] = true
+		again, _ := r.Hub(at(100).Add(failedCallBackoff), "a")
 		assert.Equal(t, again, hub)
 	}
-	assert.Equal(t, len(seconds), 1, "different next candidates: %v", seconds)
-	assert.Assert(t, !seconds[hub])
+	assert.Equal(t, len(nextHubs), 1, "different next candidates: %v", nextHubs)
+	assert.Assert(t, !nextHubs[hub])
 	for _, r := range rosters {
-		r.Called(at(100), hub, false)
-		r.Forgive()
+		r.RecordCall(at(100), hub, false)
+		r.ClearFailures()
 		first, _ := r.Hub(at(150), "a")
 		assert.Equal(t, first, hub)
 	}
--- a/gateway/fleet/stored_test.go
+++ b/gateway/fleet/stored_test.go
@@ -229,7 +229,7 @@
 	n := newTestNode(t, s)
 	n.readStore(t.Context())
 	n.readStore(t.Context())
-	n.takeList(time.Now().Add(time.Minute), 12, []dialect.Upstream{up("a")}, FromPeer, "peer")
+	n.mergeList(time.Now().Add(time.Minute), 12, []dialect.Upstream{up("a")}, FromPeer, "peer")
 	s.next = dialect.Changes{Upstreams: []dialect.Upstream{up("b")}, Revision: 13}
 	n.readStore(t.Context())
 	assert.Equal(t, names(n.Snapshot()), "a")
@@ -245,7 +245,7 @@
 	n := newTestNode(t, s)
 	n.readStore(t.Context())
 	s.revision = 15
-	n.takeList(time.Now(), 15, []dialect.Upstream{up("a")}, FromPeer, "peer")
+	n.mergeList(time.Now(), 15, []dialect.Upstream{up("a")}, FromPeer, "peer")
 	before := n.Snapshot().AsOf
 	n.readStore(t.Context())
 	assert.Assert(t, n.Snapshot().AsOf.After(before))
@@ -257,7 +257,7 @@
 	s := &changingStore{version: 1, list: []dialect.Upstream{up("a")}, revision: 10}
 	n := newTestNode(t, s)
 	n.readStore(t.Context())
-	assert.Assert(t, n.takeList(clock.Now(), 10, []dialect.Upstream{up("a"), up("x")}, FromPeer, "peer"))
+	assert.Assert(t, n.mergeList(clock.Now(), 10, []dialect.Upstream{up("a"), up("x")}, FromPeer, "peer"))
 	s.next = dialect.Changes{Upstreams: []dialect.Upstream{up("b")}, Revision: 11}
 	n.readStore(t.Context())
 	assert.Equal(t, names(n.Snapshot()), "ab")
--- a/gateway/fleet/tokens.go
+++ b/gateway/fleet/tokens.go
@@ -30,20 +30,20 @@
 	// bounds the keeper's own calls to other zones within it.
 	keeperTimeout = 200 * time.Millisecond
 	borrowTimeout = 80 * time.Millisecond
-	// keeperTries is the number of calls to keepers that are attempted for a request.
-	keeperTries = 3
-	// silentKeepers is the number of consecutive calls that a keeper may leave unanswered before
-	// the next candidate replaces it. While two instances act as keepers of the same account, the
-	// zone uses more than its part of the limit.
-	silentKeepers = 2
-	// borrowAgain is how long a zone that had nothing to lend, or did not answer, is not asked
-	// again for tokens of the same workspace.
-	borrowAgain = 250 * time.Millisecond
-	// retryAlone is the retry time given to callers of an instance that cannot reach a keeper.
+	// maxKeeperCalls is the number of calls to keepers that are attempted for a request.
+	maxKeeperCalls = 3
+	// maxUnansweredCalls is the number of consecutive calls that a keeper may leave unanswered
+	// before the next candidate replaces it. While two instances act as keepers of the same
+	// account, the zone uses more than its part of the limit.
+	maxUnansweredCalls = 2
+	// lenderRetryInterval is how long a zone that had nothing to lend, or did not answer, is not
+	// asked again for tokens of the same workspace.
+	lenderRetryInterval = 250 * time.Millisecond
+	// noKeeperRetry is the retry time given to callers of an instance that cannot reach a keeper.
 	// The retry will most likely reach another instance.
-	retryAlone = 100 * time.Millisecond
-	// shortestWait is the minimum retry time given to a caller over its limit.
-	shortestWait = 50 * time.Millisecond
+	noKeeperRetry = 100 * time.Millisecond
+	// minRetryWait is the minimum retry time given to a caller over its limit.
+	minRetryWait = 50 * time.Millisecond
 	// flushInterval is the time between two returns of unused tokens.
 	flushInterval = 250 * time.Millisecond
 )
@@ -56,9 +56,9 @@
 	// Version.
 	Part    limit.Part `json:"p"`
 	Version int64      `json:"v"`
-	// Cost is the number of tokens asked for, Back the number of unused tokens returned.
-	Cost float64 `json:"c,omitempty"`
-	Back float64 `json:"b,omitempty"`
+	// Cost is the number of tokens asked for, Returned the number of unused tokens returned.
+	Cost     float64 `json:"c,omitempty"`
+	Returned float64 `json:"b,omitempty"`
 	// ToldLevel and ToldAgeMS are the fields of limit.Told. They are valid if Told is set.
 	Told      bool    `json:"t,omitempty"`
 	ToldLevel float64 `json:"tl,omitempty"`
@@ -68,11 +68,11 @@
 	Level float64 `json:"ll,omitempty"`
 }
 
-// ask converts the request to a limit.Ask.
-func (q *TokenRequest) ask() limit.Ask {
-	a := limit.Ask{Workspace: q.Workspace, Part: q.Part, Version: q.Version, Cost: q.Cost, Back: q.Back}
-	if q.Told {
-		a.Told = &limit.Told{Level: q.ToldLevel, Age: time.Duration(q.ToldAgeMS) * time.Millisecond}
+// limitAsk converts the request to a limit.Ask.
+func (r *TokenRequest) limitAsk() limit.Ask {
+	a := limit.Ask{Workspace: r.Workspace, Part: r.Part, Version: r.Version, Cost: r.Cost, Back: r.Returned}
+	if r.Told {
+		a.Told = &limit.Told{Level: r.ToldLevel, Age: time.Duration(r.ToldAgeMS) * time.Millisecond}
 	}
 	return a
 }
@@ -98,14 +98,14 @@
 	mu sync.Mutex
 	// unanswered counts the consecutive calls that each keeper left unanswered.
 	unanswered map[ident.InstanceID]int
-	// dry holds the time until which a zone is not asked for a workspace's tokens.
-	dry map[dryKey]time.Time
+	// emptyUntil holds the time until which a zone is not asked for a workspace's tokens.
+	emptyUntil map[lenderKey]time.Time
 }
 
 func newTokens() *tokens {
 	return &tokens{
 		client: limit.NewClient(), accounts: limit.NewAccounts(clock.Now()),
-		unanswered: map[ident.InstanceID]int{}, dry: map[dryKey]time.Time{},
+		unanswered: map[ident.InstanceID]int{}, emptyUntil: map[lenderKey]time.Time{},
 	}
 }
 
@@ -133,10 +133,10 @@
 	n.AwaitInformed(ctx, true)
 	c := n.tokens.client
 	if granted, wait, ok := c.Decide(clock.Now(), w.Name, cost); ok {
-		return Verdict{Granted: granted, Wait: bounded(wait)}
+		return Verdict{Granted: granted, Wait: clampWait(wait)}
 	}
-	for range keeperTries {
-		keeper, ok := n.keeper(w.Name, n.o.Self.Zone)
+	for range maxKeeperCalls {
+		keeper, ok := n.keeper(w.Name, n.opts.Self.Zone)
 		if !ok {
 			break
 		}
@@ -151,7 +151,7 @@
 	if c.Alone(clock.Now(), w.Name, cost, part) {
 		return Verdict{Granted: true}
 	}
-	return Verdict{Unknown: true, Wait: spread(retryAlone)}
+	return Verdict{Unknown: true, Wait: addJitter(noKeeperRetry)}
 }
 
 // Return returns the tokens of a request that did not run.
@@ -179,82 +179,82 @@
 	return out
 }
 
-// bounded limits a retry time to between shortestWait and limit.LongestWait.
-func bounded(wait time.Duration) time.Duration {
-	return min(max(wait, shortestWait), limit.LongestWait)
+// clampWait limits a retry time to between minRetryWait and limit.LongestWait.
+func clampWait(wait time.Duration) time.Duration {
+	return min(max(wait, minRetryWait), limit.LongestWait)
 }
 
-// spread prolongs a duration at random by up to half of it, so that callers do not all retry at
+// addJitter prolongs a duration at random by up to half of it, so that callers do not all retry at
 // the same time.
-func spread(d time.Duration) time.Duration {
+func addJitter(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Int64N(int64(d)/2+1))
 }
 
 // askKeeper asks a keeper, which may be this instance, for the tokens of a request. It returns
 // false if the keeper does not answer.
-func (n *Node) askKeeper(ctx context.Context, k duty, w *routing.Workspace, version int64, cost float64) (Verdict, bool) {
+func (n *Node) askKeeper(ctx context.Context, holder dutyHolder, w *routing.Workspace, version int64, cost float64) (Verdict, bool) {
 	now := clock.Now()
-	q := n.tokens.client.Ask(now, w.Name, cost, limit.Keeper{ID: k.id, Incarnation: k.incarnation})
-	request := TokenRequest{Workspace: w.Name, Part: limit.PartOf(w.Limit, n.zoneCount()), Version: version, Cost: cost, Back: q.Back}
-	if q.Told != nil {
-		request.Told, request.ToldLevel, request.ToldAgeMS = true, q.Told.Level, q.Told.Age.Milliseconds()
+	ask := n.tokens.client.Ask(now, w.Name, cost, limit.Keeper{ID: holder.id, Incarnation: holder.incarnation})
+	request := TokenRequest{Workspace: w.Name, Part: limit.PartOf(w.Limit, n.zoneCount()), Version: version, Cost: cost, Returned: ask.Back}
+	if ask.Told != nil {
+		request.Told, request.ToldLevel, request.ToldAgeMS = true, ask.Told.Level, ask.Told.Age.Milliseconds()
 	}
-	answer, err := n.callKeeper(ctx, k, request)
+	answer, err := n.callKeeper(ctx, holder, request)
 	if err != nil {
 		return Verdict{}, false
 	}
 	wait := time.Duration(answer.WaitMS) * time.Millisecond
-	from := limit.Keeper{ID: k.id, Incarnation: answer.Incarnation}
-	n.tokens.client.Answered(clock.Now(), w.Name, cost, from, limit.Answer{Granted: answer.Granted, Level: answer.Level}, wait)
-	return Verdict{Granted: answer.Granted, Wait: bounded(wait), Keeper: k.id, Level: answer.Level}, true
+	keeper := limit.Keeper{ID: holder.id, Incarnation: answer.Incarnation}
+	n.tokens.client.Answered(clock.Now(), w.Name, cost, keeper, limit.Answer{Granted: answer.Granted, Level: answer.Level}, wait)
+	return Verdict{Granted: answer.Granted, Wait: clampWait(wait), Keeper: holder.id, Level: answer.Level}, true
 }
 
 // callKeeper calls MethodTokens of a keeper.
-func (n *Node) callKeeper(ctx context.Context, k duty, q TokenRequest) (TokenAnswer, error) {
-	if k.self {
-		return n.onTokens(ctx, peer.Identity{}, q)
+func (n *Node) callKeeper(ctx context.Context, holder dutyHolder, request TokenRequest) (TokenAnswer, error) {
+	if holder.self {
+		return n.onTokens(ctx, peer.Identity{}, request)
 	}
 	limited, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
-	answer, err := peer.Call[TokenAnswer](limited, n.o.Pool, k.address, MethodTokens, q)
+	answer, err := peer.Call[TokenAnswer](limited, n.opts.Pool, holder.address, MethodTokens, request)
 	if ctx.Err() == nil {
-		n.noteKeeper(k, err)
+		n.recordKeeperCall(holder, err)
 	}
 	return answer, err
 }
 
-// noteKeeper records whether a keeper answered. A keeper that refuses the connection has ended
+// recordKeeperCall records whether a keeper answered. A keeper that refuses the connection has ended
 // and is skipped at once; one that does not answer may only be busy and is skipped after
-// silentKeepers calls.
-func (n *Node) noteKeeper(k duty, err error) {
+// maxUnansweredCalls calls.
+func (n *Node) recordKeeperCall(holder dutyHolder, err error) {
 	t := n.tokens
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err == nil {
-		delete(t.unanswered, k.id)
+		delete(t.unanswered, holder.id)
 		return
 	}
-	t.unanswered[k.id]++
-	if t.unanswered[k.id] < silentKeepers && !errors.Is(err, syscall.ECONNREFUSED) {
+	t.unanswered[holder.id]++
+	if t.unanswered[holder.id] < maxUnansweredCalls && !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
-	delete(t.unanswered, k.id)
-	n.o.Log.Info("keeper of limits passed over", "peer", k.id, "error", err)
+	delete(t.unanswered, holder.id)
+	n.opts.Log.Info("keeper of limits passed over", "peer", holder.id, "error", err)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.roster.Called(clock.Now(), k.address, false)
+	n.roster.RecordCall(clock.Now(), holder.address, false)
 }
 
 // keeper returns the keeper of a workspace's account in a zone. It returns false if this instance
 // has lost contact with all others, or if the zone has no live instance.
-func (n *Node) keeper(workspace string, zone ident.Zone) (duty, bool) {
+func (n *Node) keeper(workspace string, zone ident.Zone) (dutyHolder, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
 	if n.roster.Isolated(now) {
-		return duty{}, false
+		return dutyHolder{}, false
 	}
-	return n.roster.Duty(now, dutyLimit+workspace, zone)
+	return n.roster.DutyHolder(now, dutyLimit+workspace, zone)
 }
 
 // zoneCount returns the number of zones among which limits are divided: the configured ones or,
@@ -262,12 +262,12 @@
 func (n *Node) zoneCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return max(len(n.o.Zones), n.roster.knownZones())
+	return max(len(n.opts.Zones), n.roster.knownZones())
 }
 
 // zoneSize returns the number of known instances of this zone, alive or not.
 func (n *Node) zoneSize() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.roster.knownIn(n.o.Self.Zone)
+	return n.roster.knownInZone(n.opts.Self.Zone)
 }
--- a/gateway/fleet/tokens_test.go
+++ b/gateway/fleet/tokens_test.go
@@ -27,11 +27,11 @@
 	assert.Assert(t, take(TokenRequest{Cost: 60}).Granted, "an account with tokens grants a request that costs more")
 	refused := take(TokenRequest{Cost: 50})
 	assert.Assert(t, !refused.Granted && refused.WaitMS > 0)
-	back := take(TokenRequest{Back: 20})
+	back := take(TokenRequest{Returned: 20})
 	assert.Assert(t, back.Granted && back.WaitMS == 0)
 	assert.Assert(t, back.Level > -41 && back.Level < -39, "%v", back.Level)
 	assert.Assert(t, !take(TokenRequest{Cost: 1}).Granted)
-	assert.Assert(t, take(TokenRequest{Back: 50}).Level > 0)
+	assert.Assert(t, take(TokenRequest{Returned: 50}).Level > 0)
 }
 
 // TestUnpayableRequestsAreRefusedForGood checks that a request that the limit can never allow is
--- a/gateway/fleet/trials.go
+++ b/gateway/fleet/trials.go
@@ -19,18 +19,18 @@
 	// dutyTrial is the prefix of the name of the duty to allow trials of a content. The content
 	// follows.
 	dutyTrial = "trial/"
-	// trialOwners is the number of candidates for that duty that are asked one after the other.
+	// maxTrialOwners is the number of candidates for that duty that are asked one after the other.
 	// When many instances have died at once, those ranked first still count as alive for some
 	// seconds. All instances skip the same ones, since those refuse connections.
-	trialOwners = 8
-	// trialTimeout bounds one call, which peers answer in a few milliseconds. trialSearch bounds
-	// all of them together, since each call to an instance behind a network partition runs into
-	// trialTimeout.
-	trialTimeout = 250 * time.Millisecond
-	trialSearch  = 500 * time.Millisecond
-	// trialEndTries is how often the end of a trial is reported at most. If no report arrives,
+	maxTrialOwners = 8
+	// trialTimeout bounds one call, which peers answer in a few milliseconds. trialTotalTimeout
+	// bounds all of them together, since each call to an instance behind a network partition runs
+	// into trialTimeout.
+	trialTimeout      = 250 * time.Millisecond
+	trialTotalTimeout = 500 * time.Millisecond
+	// maxTrialEndReports is how often the end of a trial is reported at most. If no report arrives,
 	// the trial expires.
-	trialEndTries = 2
+	maxTrialEndReports = 2
 )
 
 // TrialRequest asks for a trial or ends one.
@@ -58,20 +58,20 @@
 // fleet runs one at a time. If that instance cannot be asked, no trial begins and nothing is
 // sent. Instances that differ on which peers are alive may ask different instances: during a
 // network partition, each side runs its own trials.
-func (n *Node) Begin(ctx context.Context, c quarantine.Content, lasts time.Duration) (end func(), ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, trialSearch)
+func (n *Node) Begin(ctx context.Context, c quarantine.Content, maxDuration time.Duration) (end func(), ok bool) {
+	ctx, cancel := context.WithTimeout(ctx, trialTotalTimeout)
 	defer cancel()
-	q := TrialRequest{From: n.o.Self.ID, Content: c, LastsMS: lasts.Milliseconds(), Crashes: packCrashes(n.o.Register.TellOf(clock.Now(), c))}
+	request := TrialRequest{From: n.opts.Self.ID, Content: c, LastsMS: maxDuration.Milliseconds(), Crashes: packCrashes(n.opts.Register.TellOf(clock.Now(), c))}
 	for _, owner := range n.trialOwners(c) {
-		answer, err := n.askTrial(ctx, owner, q)
+		answer, err := n.askTrial(ctx, owner, request)
 		if err != nil {
-			n.o.Log.Info("asking peer for a trial failed", "peer", owner, "content", c.String(), "error", err)
+			n.opts.Log.Info("asking peer for a trial failed", "peer", owner, "content", c.String(), "error", err)
 			if ctx.Err() != nil {
 				return nil, false
 			}
 			continue
 		}
-		n.hearCrashes(answer.Crashes)
+		n.receiveCrashes(answer.Crashes)
 		if !answer.Allowed {
 			return nil, false
 		}
@@ -93,7 +93,7 @@
 func (r *Roster) TrialOwners(now time.Time, c quarantine.Content) []string {
 	r.refresh(now)
 	var out []string
-	for _, id := range rendezvous.Top(dutyTrial+c.String(), r.candidates[""], trialOwners) {
+	for _, id := range rendezvous.Top(dutyTrial+c.String(), r.candidates[""], maxTrialOwners) {
 		address := r.self.Address
 		if p := r.peers[id]; p != nil {
 			address = p.member.Address
@@ -104,39 +104,39 @@
 }
 
 // askTrial sends a trial request to an instance, which may be this one.
-func (n *Node) askTrial(ctx context.Context, address string, q TrialRequest) (TrialAnswer, error) {
-	if address == n.o.Self.Address {
-		return n.onTrial(ctx, peer.Identity{}, q)
+func (n *Node) askTrial(ctx context.Context, address string, request TrialRequest) (TrialAnswer, error) {
+	if address == n.opts.Self.Address {
+		return n.onTrial(ctx, peer.Identity{}, request)
 	}
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	return peer.Call[TrialAnswer](ctx, n.o.Pool, address, MethodTrial, q)
+	return peer.Call[TrialAnswer](ctx, n.opts.Pool, address, MethodTrial, request)
 }
 
 // endTrial reports to the instance that allowed a trial that it is over, with the evidence since
 // then.
 func (n *Node) endTrial(owner string, c quarantine.Content) {
-	for range trialEndTries {
-		q := TrialRequest{From: n.o.Self.ID, Content: c, Over: true, Crashes: packCrashes(n.o.Register.TellOf(clock.Now(), c))}
-		if _, err := n.askTrial(context.Background(), owner, q); err == nil {
+	for range maxTrialEndReports {
+		request := TrialRequest{From: n.opts.Self.ID, Content: c, Over: true, Crashes: packCrashes(n.opts.Register.TellOf(clock.Now(), c))}
+		if _, err := n.askTrial(context.Background(), owner, request); err == nil {
 			return
 		}
 	}
-	n.o.Log.Info("reporting the end of a trial failed, it will expire", "peer", owner, "content", c.String())
+	n.opts.Log.Info("reporting the end of a trial failed, it will expire", "peer", owner, "content", c.String())
 }
 
 // onTrial allows a trial or ends one. It allows none if the content is quarantined or if another
 // trial of it is running.
-func (n *Node) onTrial(_ context.Context, _ peer.Identity, q TrialRequest) (TrialAnswer, error) {
-	n.hearCrashes(q.Crashes)
+func (n *Node) onTrial(_ context.Context, _ peer.Identity, request TrialRequest) (TrialAnswer, error) {
+	n.receiveCrashes(request.Crashes)
 	now := clock.Now()
-	if q.Over {
-		n.trials.End(q.Content, q.From)
+	if request.Over {
+		n.trials.End(request.Content, request.From)
 		return TrialAnswer{}, nil
 	}
-	lasts := time.Duration(q.LastsMS) * time.Millisecond
-	if n.o.Register.Verdict(now, q.Content).Standing != quarantine.Quarantined && n.trials.Begin(now, q.Content, q.From, lasts) {
+	maxDuration := time.Duration(request.LastsMS) * time.Millisecond
+	if n.opts.Register.Verdict(now, request.Content).Standing != quarantine.Quarantined && n.trials.Begin(now, request.Content, request.From, maxDuration) {
 		return TrialAnswer{Allowed: true}, nil
 	}
-	return TrialAnswer{Crashes: packCrashes(n.o.Register.TellOf(now, q.Content))}, nil
+	return TrialAnswer{Crashes: packCrashes(n.opts.Register.TellOf(now, request.Content))}, nil
 }
--- a/gateway/fleet/view.go
+++ b/gateway/fleet/view.go
@@ -30,19 +30,19 @@
 	// returnGrace is how long after an outage upstreams that are missing from the list are kept.
 	// Entries that expired during the outage are back about 2 s after the store.
 	returnGrace = 2500 * time.Millisecond
-	// forgetAfter is how long a removed upstream is remembered, so that an old list from a peer
+	// goneRetention is how long a removed upstream is remembered, so that an old list from a peer
 	// does not add it again.
-	forgetAfter = time.Minute
+	goneRetention = time.Minute
 )
 
 // entry is an upstream with its state in the view.
 type entry struct {
-	up dialect.Upstream
-	// gone is set if the upstream was removed from the list. since is when it was removed or last
-	// listed.
-	gone  bool
-	since time.Time
-	// hash is the hash of up, 0 if the upstream is gone.
+	upstream dialect.Upstream
+	// gone is set if the upstream was removed from the list. updatedAt is when it was removed
+	// or last listed.
+	gone      bool
+	updatedAt time.Time
+	// hash is the hash of upstream, 0 if the upstream is gone.
 	hash uint64
 }
 
@@ -65,25 +65,25 @@
 	// configAsOf is when the store was last known to have no configuration newer than the table.
 	configAsOf time.Time
 	evacuation routing.Evacuation
-	// revision and asOf belong to the newest list; asOf is when its read began. known is set once
-	// there is a list.
+	// revision and asOf belong to the newest list; asOf is when its read began. hasList is set
+	// once there is a list.
 	revision int64
 	asOf     time.Time
-	known    bool
+	hasList  bool
 	entries  map[ident.UpstreamID]*entry
-	// change is the number of lists applied so far, and digest the digest of the current list.
-	// versions holds the digests of the latest versions, at most keptVersions.
-	change   uint64
-	digest   uint64
-	versions []listVersion
-	// recent holds the changes of entries since the oldest of versions, in order of their
+	// listCount is the number of lists applied so far, and digest the digest of the current list.
+	// versions holds the digests of the latest versions, at most maxListVersions.
+	listCount uint64
+	digest    uint64
+	versions  []listVersion
+	// recentChanges holds the changes of entries since the oldest of versions, in order of their
 	// numbers.
-	recent []entryChange
+	recentChanges []entryChange
 	// lists holds the upstreams by service as of the last snapshot. dirty holds the IDs of those
 	// that have changed since, by the services whose lists they belong to or belonged to.
 	lists map[string][]dialect.Upstream
 	dirty map[string]map[ident.UpstreamID]struct{}
-	// removals holds the upstreams removed from the list within forgetAfter, oldest first.
+	// removals holds the upstreams removed from the list within goneRetention, oldest first.
 	removals []removal
 	// graceUntil is the end of the grace period after an outage, in which missing upstreams are
 	// kept.
@@ -97,10 +97,10 @@
 	return &View{entries: map[ident.UpstreamID]*entry{}, dirty: map[string]map[ident.UpstreamID]struct{}{}}
 }
 
-// Configure puts a configuration in force if it is newer than the current one, and reports
+// SetConfig puts a configuration in force if it is newer than the current one, and reports
 // whether it is. Older ones are ignored, so a configuration that was replaced never comes back
 // into force.
-func (v *View) Configure(c *routing.Config) bool {
+func (v *View) SetConfig(c *routing.Config) bool {
 	if v.table != nil && c.Version <= v.table.Config().Version {
 		return false
 	}
@@ -108,9 +108,9 @@
 	return true
 }
 
-// Evacuate puts an evacuation in force and reports whether it changes the evacuated zones. An
+// SetEvacuation puts an evacuation in force and reports whether it changes the evacuated zones. An
 // evacuation whose revision is not higher than the current one's is ignored.
-func (v *View) Evacuate(e routing.Evacuation) bool {
+func (v *View) SetEvacuation(e routing.Evacuation) bool {
 	if e.Revision <= v.evacuation.Revision {
 		return false
 	}
@@ -143,39 +143,39 @@
 	FromPeer Origin = iota
 	// FromStore lists come from the store.
 	FromStore
-	// FromStoreAgain lists are the first from the store after failed reads.
-	FromStoreAgain
+	// FromStoreAfterFailure lists are the first from the store after failed reads.
+	FromStoreAfterFailure
 )
 
-// List merges a full list of upstreams whose read began at started. It returns the changes and
+// MergeList merges a full list of upstreams whose read began at started. It returns the changes and
 // reports whether the list was newer than the last one; an older list is ignored.
-func (v *View) List(now, started time.Time, revision int64, list []dialect.Upstream, from Origin) ([]Change, bool) {
-	if v.known && (revision < v.revision || !started.After(v.asOf)) {
+func (v *View) MergeList(now, started time.Time, revision int64, list []dialect.Upstream, from Origin) ([]Change, bool) {
+	if v.hasList && (revision < v.revision || !started.After(v.asOf)) {
 		return nil, false
 	}
 	// A view can also be old because the zone's reader died. That is no outage, and upstreams
 	// missing from the next list have left.
-	if from == FromStoreAgain && v.known && started.Sub(v.asOf) > outageGap {
+	if from == FromStoreAfterFailure && v.hasList && started.Sub(v.asOf) > outageGap {
 		v.graceUntil = started.Add(returnGrace)
 	}
-	v.known, v.revision, v.asOf, v.mergedAsOf = true, revision, started, started
-	v.change++
+	v.hasList, v.revision, v.asOf, v.mergedAsOf = true, revision, started, started
+	v.listCount++
 	changes := v.merge(now, list)
 	if from == FromPeer || !started.Before(v.graceUntil) {
-		changes = append(changes, v.absent(now, list)...)
+		changes = append(changes, v.removeAbsent(now, list)...)
 	}
-	v.forget(now)
-	v.number()
+	v.removeExpired(now)
+	v.recordVersion()
 	return changes, true
 }
 
-// Apply has the effect of List with a peer's list that differs from the view's by d, but
+// Apply has the effect of MergeList with a peer's list that differs from the view's by d, but
 // processes only d. It returns the changes and reports whether the list was newer than the last
 // one. want is the digest of the resulting list; if d would give another one, the view is left
-// unchanged and the error is a *MisfitError.
+// unchanged and the error is a *DigestMismatchError.
 func (v *View) Apply(now, started time.Time, revision int64, d Difference, want uint64) ([]Change, bool, error) {
-	if !v.known || v.digestWith(d) != want {
-		return nil, false, &MisfitError{}
+	if !v.hasList || v.digestWith(d) != want {
+		return nil, false, &DigestMismatchError{}
 	}
 	if revision < v.revision || !started.After(v.asOf) {
 		return nil, false, nil
@@ -184,11 +184,11 @@
 }
 
 // ApplyStored merges the store's changes since a list that the view has merged. It returns false
-// if the whole list must be passed to List instead: if there is none yet, if none has been merged
-// since the grace period of an outage, or if the view already holds a newer one.
+// if the whole list must be passed to MergeList instead: if there is none yet, if none has been
+// merged since the grace period of an outage, or if the view already holds a newer one.
 func (v *View) ApplyStored(now, started time.Time, revision int64, d Difference) ([]Change, bool) {
 	outage := started.Before(v.graceUntil) || v.mergedAsOf.Before(v.graceUntil)
-	if !v.known || outage || revision < v.revision || !started.After(v.asOf) {
+	if !v.hasList || outage || revision < v.revision || !started.After(v.asOf) {
 		return nil, false
 	}
 	return v.apply(now, started, revision, d), true
@@ -197,15 +197,15 @@
 // apply merges a difference and returns the changes.
 func (v *View) apply(now, started time.Time, revision int64, d Difference) []Change {
 	v.revision, v.asOf, v.mergedAsOf = revision, started, started
-	v.change++
+	v.listCount++
 	changes := v.merge(now, d.Changed)
 	for _, id := range d.Gone {
 		if e := v.entries[id]; e != nil && !e.gone {
 			changes = append(changes, v.markGone(now, e))
 		}
 	}
-	v.forget(now)
-	v.number()
+	v.removeExpired(now)
+	v.recordVersion()
 	return changes
 }
 
@@ -216,7 +216,7 @@
 		if e := v.entries[d.Changed[i].ID]; e != nil {
 			digest -= e.hash
 		}
-		digest += hashOf(&d.Changed[i])
+		digest += upstreamHash(&d.Changed[i])
 	}
 	for _, id := range d.Gone {
 		if e := v.entries[id]; e != nil {
@@ -226,11 +226,11 @@
 	return digest
 }
 
-// ConfirmUnchanged has the effect of List with an unchanged list, without merging it. It
-// returns false if the list must be passed to List: if there is none yet, or if none has been
+// ConfirmUnchanged has the effect of MergeList with an unchanged list, without merging it. It
+// returns false if the list must be passed to MergeList: if there is none yet, or if none has been
 // merged since the grace period of an outage, after which absent upstreams are removed.
 func (v *View) ConfirmUnchanged(started time.Time, revision int64) bool {
-	if !v.known || v.mergedAsOf.Before(v.graceUntil) {
+	if !v.hasList || v.mergedAsOf.Before(v.graceUntil) {
 		return false
 	}
 	if revision >= v.revision && started.After(v.asOf) {
@@ -239,20 +239,21 @@
 	return true
 }
 
-// number appends the current digest to versions if it has changed, and drops what exceeds
-// keptVersions.
-func (v *View) number() {
+// recordVersion appends the current digest to versions if it has changed, and drops what exceeds
+// maxListVersions.
+func (v *View) recordVersion() {
 	if n := len(v.versions); n > 0 && v.versions[n-1].digest == v.digest {
 		return
 	}
-	v.versions = append(v.versions, listVersion{digest: v.digest, change: v.change})
-	v.versions = v.versions[max(0, len(v.versions)-keptVersions):]
-	v.recent = v.recent[v.recentAfter(v.versions[0].change):]
+	v.versions = append(v.versions, listVersion{digest: v.digest, change: v.listCount})
+	v.versions = v.versions[max(0, len(v.versions)-maxListVersions):]
+	v.recentChanges = v.recentChanges[v.recentChangesAfter(v.versions[0].change):]
 }
 
-// recentAfter returns the index of the first entry of recent with a higher number than change.
-func (v *View) recentAfter(change uint64) int {
-	return sort.Search(len(v.recent), func(i int) bool { return v.recent[i].change > change })
+// recentChangesAfter returns the index of the first entry of recentChanges with a higher number
+// than change.
+func (v *View) recentChangesAfter(change uint64) int {
+	return sort.Search(len(v.recentChanges), func(i int) bool { return v.recentChanges[i].change > change })
 }
 
 // markDirty marks a service's list in lists as outdated for an upstream.
@@ -263,14 +264,14 @@
 	v.dirty[service][id] = struct{}{}
 }
 
-// changed updates the digest and records the change after an entry was modified.
-func (v *View) changed(e *entry) {
-	v.markDirty(e.up.Service, e.up.ID)
-	v.recent = append(v.recent, entryChange{change: v.change, id: e.up.ID})
+// recordChange updates the digest and records the change after an entry was modified.
+func (v *View) recordChange(e *entry) {
+	v.markDirty(e.upstream.Service, e.upstream.ID)
+	v.recentChanges = append(v.recentChanges, entryChange{change: v.listCount, id: e.upstream.ID})
 	v.digest -= e.hash
 	e.hash = 0
 	if !e.gone {
-		e.hash = hashOf(&e.up)
+		e.hash = upstreamHash(&e.upstream)
 	}
 	v.digest += e.hash
 }
@@ -283,42 +284,42 @@
 		if e == nil {
 			e = &entry{}
 			v.entries[u.ID] = e
-			changes = append(changes, Change{Upstream: u, What: Appeared})
+			changes = append(changes, Change{Upstream: u, Kind: Appeared})
 		}
-		if u.Restarted(e.up.Incarnation) {
+		if u.Restarted(e.upstream.Incarnation) {
 			// A newer incarnation is already known.
 			continue
 		}
-		wasGone, before := e.gone, e.up
-		if e.up.Restarted(u.Incarnation) {
-			e.up, e.gone = dialect.Upstream{}, false
-			changes = append(changes, Change{Upstream: u, What: Restarted})
+		wasGone, before := e.gone, e.upstream
+		if e.upstream.Restarted(u.Incarnation) {
+			e.upstream, e.gone = dialect.Upstream{}, false
+			changes = append(changes, Change{Upstream: u, Kind: Restarted})
 		}
 		if e.gone {
 			e.gone = false
-			changes = append(changes, Change{Upstream: u, What: Appeared})
+			changes = append(changes, Change{Upstream: u, Kind: Appeared})
 		}
 		// Leaving is final for an incarnation.
-		u.Leaving = u.Leaving || e.up.Leaving
-		if u.Leaving && !e.up.Leaving {
-			changes = append(changes, Change{Upstream: u, What: Leaves})
+		u.Leaving = u.Leaving || e.upstream.Leaving
+		if u.Leaving && !e.upstream.Leaving {
+			changes = append(changes, Change{Upstream: u, Kind: BeganLeaving})
 		}
-		if e.up.Stage != "" && e.up.Stage != u.Stage {
-			changes = append(changes, Change{Upstream: u, What: StageChanged})
+		if e.upstream.Stage != "" && e.upstream.Stage != u.Stage {
+			changes = append(changes, Change{Upstream: u, Kind: StageChanged})
 		}
-		e.up, e.since = u, now
+		e.upstream, e.updatedAt = u, now
 		if wasGone || u != before {
 			if before.ID != "" {
 				v.markDirty(before.Service, u.ID)
 			}
-			v.changed(e)
+			v.recordChange(e)
 		}
 	}
 	return changes
 }
 
-// absent marks the upstreams that are missing from a list as gone.
-func (v *View) absent(now time.Time, list []dialect.Upstream) []Change {
+// removeAbsent marks the upstreams that are missing from a list as gone.
+func (v *View) removeAbsent(now time.Time, list []dialect.Upstream) []Change {
 	listed := map[ident.UpstreamID]bool{}
 	for _, u := range list {
 		listed[u.ID] = true
@@ -334,19 +335,19 @@
 
 // markGone marks an upstream as removed from the list.
 func (v *View) markGone(now time.Time, e *entry) Change {
-	e.gone, e.since = true, now
-	v.removals = append(v.removals, removal{id: e.up.ID, at: now})
-	v.changed(e)
-	return Change{Upstream: e.up, What: Gone}
+	e.gone, e.updatedAt = true, now
+	v.removals = append(v.removals, removal{id: e.upstream.ID, at: now})
+	v.recordChange(e)
+	return Change{Upstream: e.upstream, Kind: Gone}
 }
 
-// forget deletes the entries of upstreams that have been gone for longer than forgetAfter.
-func (v *View) forget(now time.Time) {
+// removeExpired deletes the entries of upstreams that have been gone for longer than goneRetention.
+func (v *View) removeExpired(now time.Time) {
 	n := 0
-	for n < len(v.removals) && now.Sub(v.removals[n].at) > forgetAfter {
+	for n < len(v.removals) && now.Sub(v.removals[n].at) > goneRetention {
 		r := v.removals[n]
 		// An upstream that was listed again meanwhile has a later time or is not gone.
-		if e := v.entries[r.id]; e != nil && e.gone && e.since.Equal(r.at) {
+		if e := v.entries[r.id]; e != nil && e.gone && e.updatedAt.Equal(r.at) {
 			delete(v.entries, r.id)
 		}
 		n++
@@ -354,23 +355,23 @@
 	v.removals = v.removals[n:]
 }
 
-// What is the kind of a change of an upstream.
-type What string
+// ChangeKind is the kind of a change of an upstream.
+type ChangeKind string
 
 // The kinds of changes. They are written to log messages.
 const (
-	Appeared     What = "appeared"
-	Restarted    What = "restarted"
-	Leaves       What = "leaves"
-	Gone         What = "gone"
-	StageChanged What = "stage_changed"
+	Appeared     ChangeKind = "appeared"
+	Restarted    ChangeKind = "restarted"
+	BeganLeaving ChangeKind = "leaves"
+	Gone         ChangeKind = "gone"
+	StageChanged ChangeKind = "stage_changed"
 )
 
 // Change is a change of an upstream in the view.
 type Change struct {
 	// Upstream is the upstream after the change, or as last known if it is gone.
 	Upstream dialect.Upstream
-	What     What
+	Kind     ChangeKind
 }
 
 // Snapshot is an immutable copy of a view at one moment.
@@ -398,7 +399,7 @@
 func (v *View) Snapshot() *Snapshot {
 	v.refreshLists()
 	return &Snapshot{
-		Table: v.table, Revision: v.revision, AsOf: v.asOf, Listed: v.known,
+		Table: v.table, Revision: v.revision, AsOf: v.asOf, Listed: v.hasList,
 		Upstreams: v.lists, Evacuation: v.evacuation, digest: v.digest,
 	}
 }
@@ -415,7 +416,7 @@
 	}
 	switch {
 	case v.lists == nil || float64(dirty) > maxDirtyShare*float64(len(v.entries)):
-		v.lists = v.listed()
+		v.lists = v.buildLists()
 	case dirty > 0:
 		v.lists = v.updatedLists()
 	}
@@ -448,19 +449,19 @@
 		if found {
 			list = list[1:]
 		}
-		if e := v.entries[id]; e != nil && !e.gone && e.up.Service == service {
-			out = append(out, e.up)
+		if e := v.entries[id]; e != nil && !e.gone && e.upstream.Service == service {
+			out = append(out, e.upstream)
 		}
 	}
 	return append(out, list...)
 }
 
-// listed returns the upstreams by service, sorted by ID, computed from all entries.
-func (v *View) listed() map[string][]dialect.Upstream {
+// buildLists returns the upstreams by service, sorted by ID, computed from all entries.
+func (v *View) buildLists() map[string][]dialect.Upstream {
 	lists := map[string][]dialect.Upstream{}
 	for _, e := range v.entries {
 		if !e.gone {
-			lists[e.up.Service] = append(lists[e.up.Service], e.up)
+			lists[e.upstream.Service] = append(lists[e.upstream.Service], e.upstream)
 		}
 	}
 	for _, list := range lists {
