--- a/gateway/fleet/view_test.go
+++ b/gateway/fleet/view_test.go
@@ -27,19 +27,19 @@
 	return out
 }
 
-func list(v *View, ms int, revision int64, ups ...dialect.Upstream) bool {
-	_, taken := v.List(at(ms+5), at(ms), revision, ups, FromStore)
+func mergeList(v *View, ms int, revision int64, ups ...dialect.Upstream) bool {
+	_, taken := v.MergeList(at(ms+5), at(ms), revision, ups, FromStore)
 	return taken
 }
 
 // TestConfigurationNeverGoesBack guards against an older configuration replacing a newer one.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	v := NewView()
-	assert.Assert(t, v.Configure(&routing.Config{Version: 7}))
-	assert.Assert(t, !v.Configure(&routing.Config{Version: 5}))
-	assert.Assert(t, !v.Configure(&routing.Config{Version: 7}))
+	assert.Assert(t, v.SetConfig(&routing.Config{Version: 7}))
+	assert.Assert(t, !v.SetConfig(&routing.Config{Version: 5}))
+	assert.Assert(t, !v.SetConfig(&routing.Config{Version: 7}))
 	assert.Equal(t, v.Version(), int64(7))
-	assert.Assert(t, v.Configure(&routing.Config{Version: 20}))
+	assert.Assert(t, v.SetConfig(&routing.Config{Version: 20}))
 	assert.Equal(t, v.Version(), int64(20))
 }
 
@@ -47,19 +47,19 @@
 // late, or its read began before that of the newest list.
 func TestOldListsAreIgnored(t *testing.T) {
 	v := NewView()
-	assert.Assert(t, list(v, 1000, 10, up("a")))
-	assert.Assert(t, !list(v, 1200, 9, up("a"), up("b")))
-	assert.Assert(t, !list(v, 900, 11, up("b")))
+	assert.Assert(t, mergeList(v, 1000, 10, up("a")))
+	assert.Assert(t, !mergeList(v, 1200, 9, up("a"), up("b")))
+	assert.Assert(t, !mergeList(v, 900, 11, up("b")))
 	assert.Equal(t, names(v.Snapshot()), "a")
-	assert.Assert(t, list(v, 1500, 10, up("a")))
+	assert.Assert(t, mergeList(v, 1500, 10, up("a")))
 	assert.Equal(t, v.Snapshot().AsOf, at(1500))
 }
 
 // TestAbsentIsGoneAtOnce checks that an upstream missing from a list is removed without delay.
 func TestAbsentIsGoneAtOnce(t *testing.T) {
 	v := NewView()
-	list(v, 0, 1, up("a"), up("b"))
-	list(v, 500, 2, up("b"))
+	mergeList(v, 0, 1, up("a"), up("b"))
+	mergeList(v, 500, 2, up("b"))
 	assert.Equal(t, names(v.Snapshot()), "b")
 }
 
@@ -68,12 +68,12 @@
 // missing then are removed.
 func TestOutageKeepsLapsedEntries(t *testing.T) {
 	v := NewView()
-	list(v, 0, 1, up("a"), up("b"), up("c"))
-	v.List(at(6005), at(6000), 2, []dialect.Upstream{up("c")}, FromStoreAgain)
+	mergeList(v, 0, 1, up("a"), up("b"), up("c"))
+	v.MergeList(at(6005), at(6000), 2, []dialect.Upstream{up("c")}, FromStoreAfterFailure)
 	assert.Equal(t, names(v.Snapshot()), "abc")
-	list(v, 7900, 3, up("a"), up("c"))
+	mergeList(v, 7900, 3, up("a"), up("c"))
 	assert.Equal(t, names(v.Snapshot()), "abc")
-	list(v, 8600, 4, up("a"), up("c"))
+	mergeList(v, 8600, 4, up("a"), up("c"))
 	assert.Equal(t, names(v.Snapshot()), "ac")
 }
 
@@ -86,19 +86,19 @@
 	leaving := former
 	leaving.Leaving = true
 	v := NewView()
-	list(v, 0, 1, former)
-	list(v, 500, 2, leaving)
-	changes, _ := v.List(at(1005), at(1000), 3, []dialect.Upstream{fresh}, FromStore)
-	assert.DeepEqual(t, changes, []Change{{Upstream: fresh, What: Restarted}})
+	mergeList(v, 0, 1, former)
+	mergeList(v, 500, 2, leaving)
+	changes, _ := v.MergeList(at(1005), at(1000), 3, []dialect.Upstream{fresh}, FromStore)
+	assert.DeepEqual(t, changes, []Change{{Upstream: fresh, Kind: Restarted}})
 	assert.DeepEqual(t, v.Snapshot().Upstreams["s"], []dialect.Upstream{fresh})
-	list(v, 1500, 4, leaving)
+	mergeList(v, 1500, 4, leaving)
 	assert.DeepEqual(t, v.Snapshot().Upstreams["s"], []dialect.Upstream{fresh})
-	list(v, 2000, 5)
+	mergeList(v, 2000, 5)
 	assert.Equal(t, names(v.Snapshot()), "")
-	list(v, 2500, 6, former)
+	mergeList(v, 2500, 6, former)
 	assert.Equal(t, names(v.Snapshot()), "", "the former incarnation does not come back")
 	fresh.Incarnation = 7
-	list(v, 3000, 7, fresh)
+	mergeList(v, 3000, 7, fresh)
 	assert.Equal(t, names(v.Snapshot()), "a")
 }
 
@@ -108,20 +108,20 @@
 	v := NewView()
 	leaving := up("a")
 	leaving.Leaving = true
-	list(v, 0, 1, up("a"))
-	changes, _ := v.List(at(505), at(500), 2, []dialect.Upstream{leaving}, FromStore)
+	mergeList(v, 0, 1, up("a"))
+	changes, _ := v.MergeList(at(505), at(500), 2, []dialect.Upstream{leaving}, FromStore)
 	assert.Equal(t, len(changes), 1)
-	assert.Equal(t, changes[0].What, Leaves)
-	list(v, 1000, 3, up("a"))
+	assert.Equal(t, changes[0].Kind, BeganLeaving)
+	mergeList(v, 1000, 3, up("a"))
 	assert.Assert(t, v.Snapshot().Upstreams["s"][0].Leaving)
 }
 
 func TestReadyNeedsConfigurationAndList(t *testing.T) {
 	v := NewView()
 	assert.Assert(t, !v.Snapshot().Ready())
-	v.Configure(&routing.Config{Version: 1})
+	v.SetConfig(&routing.Config{Version: 1})
 	assert.Assert(t, !v.Snapshot().Ready())
-	list(v, 0, 1)
+	mergeList(v, 0, 1)
 	assert.Assert(t, v.Snapshot().Ready())
 }
 
@@ -132,15 +132,15 @@
 func TestOldViewIsNoOutage(t *testing.T) {
 	for _, from := range []Origin{FromStore, FromPeer} {
 		v := NewView()
-		list(v, 0, 1, up("a"), up("b"))
-		v.List(at(6005), at(6000), 2, []dialect.Upstream{up("b")}, from)
+		mergeList(v, 0, 1, up("a"), up("b"))
+		v.MergeList(at(6005), at(6000), 2, []dialect.Upstream{up("b")}, from)
 		assert.Equal(t, names(v.Snapshot()), "b")
 	}
 	v := NewView()
-	list(v, 0, 1, up("a"), up("b"))
-	v.List(at(6005), at(6000), 2, []dialect.Upstream{up("b")}, FromStoreAgain)
+	mergeList(v, 0, 1, up("a"), up("b"))
+	v.MergeList(at(6005), at(6000), 2, []dialect.Upstream{up("b")}, FromStoreAfterFailure)
 	assert.Equal(t, names(v.Snapshot()), "ab")
-	v.List(at(6305), at(6300), 3, []dialect.Upstream{up("b")}, FromPeer)
+	v.MergeList(at(6305), at(6300), 3, []dialect.Upstream{up("b")}, FromPeer)
 	assert.Equal(t, names(v.Snapshot()), "b")
 }
 
@@ -148,12 +148,12 @@
 // replacing a newer one.
 func TestNewestEvacuationWins(t *testing.T) {
 	v := NewView()
-	assert.Assert(t, v.Evacuate(routing.Evacuation{Revision: 5, Zones: []ident.Zone{"a"}}))
-	assert.Assert(t, !v.Evacuate(routing.Evacuation{Revision: 4}))
-	assert.Assert(t, !v.Evacuate(routing.Evacuation{Revision: 6, Zones: []ident.Zone{"a"}}), "the same zones")
+	assert.Assert(t, v.SetEvacuation(routing.Evacuation{Revision: 5, Zones: []ident.Zone{"a"}}))
+	assert.Assert(t, !v.SetEvacuation(routing.Evacuation{Revision: 4}))
+	assert.Assert(t, !v.SetEvacuation(routing.Evacuation{Revision: 6, Zones: []ident.Zone{"a"}}), "the same zones")
 	assert.Assert(t, v.Snapshot().Evacuation.Covers("a"))
-	assert.Assert(t, v.Evacuate(routing.Evacuation{Revision: 7}))
-	assert.Assert(t, !v.Evacuate(routing.Evacuation{Revision: 6, Zones: []ident.Zone{"a"}}))
+	assert.Assert(t, v.SetEvacuation(routing.Evacuation{Revision: 7}))
+	assert.Assert(t, !v.SetEvacuation(routing.Evacuation{Revision: 6, Zones: []ident.Zone{"a"}}))
 	assert.Assert(t, !v.Snapshot().Evacuation.Covers("a"))
 }
 
@@ -164,7 +164,7 @@
 	for i := range ups {
 		ups[i].Zone = ident.Zone("zone-" + string(ups[i].ID))
 	}
-	list(v, 0, 1, ups...)
+	mergeList(v, 0, 1, ups...)
 	regionOf := func(z ident.Zone) ident.Region {
 		return map[ident.Zone]ident.Region{"zone-a": "east", "zone-b": "east", "zone-c": "west"}[z]
 	}
@@ -178,7 +178,7 @@
 	assert.Equal(t, eligible(nil), "abcd")
 	assert.Equal(t, eligible(routing.Regions{"east"}), "ab")
 	assert.Equal(t, eligible(routing.Regions{}), "")
-	v.Evacuate(routing.Evacuation{Revision: 2, Zones: []ident.Zone{"zone-a", "unknown"}})
+	v.SetEvacuation(routing.Evacuation{Revision: 2, Zones: []ident.Zone{"zone-a", "unknown"}})
 	assert.Equal(t, eligible(nil), "bcd")
 	assert.Equal(t, eligible(routing.Regions{"east", "west"}), "bc")
 }
@@ -188,19 +188,19 @@
 func TestUnchangedListNeedsNoMerge(t *testing.T) {
 	v := NewView()
 	assert.Assert(t, !v.ConfirmUnchanged(at(0), 1))
-	list(v, 0, 1, up("a"), up("b"))
+	mergeList(v, 0, 1, up("a"), up("b"))
 	assert.Assert(t, v.ConfirmUnchanged(at(500), 2))
 	assert.Equal(t, v.asOf, at(500))
 	assert.Assert(t, v.ConfirmUnchanged(at(400), 1), "an older list is ignored")
 	assert.Equal(t, v.revision, int64(2))
 
 	// b was removed during an outage and is kept for the grace period.
-	v.List(at(5005), at(5000), 3, []dialect.Upstream{up("a")}, FromStoreAgain)
+	v.MergeList(at(5005), at(5000), 3, []dialect.Upstream{up("a")}, FromStoreAfterFailure)
 	assert.Equal(t, names(v.Snapshot()), "ab")
 	assert.Assert(t, !v.ConfirmUnchanged(at(5500), 3))
 	later := 5000 + int(returnGrace.Milliseconds())
 	assert.Assert(t, !v.ConfirmUnchanged(at(later), 3))
-	list(v, later, 3, up("a"))
+	mergeList(v, later, 3, up("a"))
 	assert.Equal(t, names(v.Snapshot()), "a")
 	assert.Assert(t, v.ConfirmUnchanged(at(later+500), 3))
 }
--- a/gateway/fleet/views.go
+++ b/gateway/fleet/views.go
@@ -10,14 +10,14 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// listShare is the largest share of an instance's link that sending whole lists to peers may
+// listLinkShare is the largest share of an instance's link that sending whole lists to peers may
 // take. When all instances start at once, those that have received the list pass it on.
-const listShare = 0.4
+const listLinkShare = 0.4
 
-// mostListBytes bounds the same in bytes per second. With a higher rate, a reader that all
+// maxListBytesPerSecond bounds the same in bytes per second. With a higher rate, a reader that all
 // instances of its zone ask at once would have no processor time left to answer any of them in
 // time.
-const mostListBytes = 2 << 20
+const maxListBytesPerSecond = 2 << 20
 
 // ViewRequest asks a peer for its view.
 type ViewRequest struct {
@@ -55,7 +55,7 @@
 }
 
 // onView answers a peer's request for this instance's view.
-func (n *Node) onView(_ context.Context, _ peer.Identity, q ViewRequest) (ViewAnswer, error) {
+func (n *Node) onView(_ context.Context, _ peer.Identity, request ViewRequest) (ViewAnswer, error) {
 	s := n.Snapshot()
 	answer := ViewAnswer{
 		Version: s.Version(), ConfigAgeMS: n.ConfigAge().Milliseconds(), Evacuation: n.evacuation(),
@@ -65,11 +65,11 @@
 		return answer, nil
 	}
 	answer.Digest = s.Digest()
-	answer.Same = s.Digest() == q.Digest && !q.Whole
+	answer.Same = s.Digest() == request.Digest && !request.Whole
 	if answer.Same {
 		return answer, nil
 	}
-	if d, ok := n.since(q); ok {
+	if d, ok := n.differenceFor(request); ok {
 		answer.Changed, answer.Gone = packUpstreams(d.Changed), d.Gone
 		return answer, nil
 	}
@@ -78,43 +78,43 @@
 	return answer, err
 }
 
-// since returns the difference from the list that a peer has. It returns false if the peer asked
-// for the whole list or if the view cannot compute the difference.
-func (n *Node) since(q ViewRequest) (Difference, bool) {
-	if q.Whole {
+// differenceFor returns the difference from the list that a peer has. It returns false if the
+// peer asked for the whole list or if the view cannot compute the difference.
+func (n *Node) differenceFor(request ViewRequest) (Difference, bool) {
+	if request.Whole {
 		return Difference{}, false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.view.Since(q.Digest)
+	return n.view.DifferenceFrom(request.Digest)
 }
 
 // wholeList returns the encoded list for a peer. Each version is encoded once. It returns nil if
 // so many peers have just received the list that the link is used up for the moment.
 func (n *Node) wholeList(s *Snapshot) ([]byte, error) {
-	n.packing.Lock()
-	defer n.packing.Unlock()
-	if n.packedList == nil || n.packedDigest != s.Digest() {
+	n.packMu.Lock()
+	defer n.packMu.Unlock()
+	if n.packedList == nil || n.packedListDigest != s.Digest() {
 		packed, err := compress(packUpstreams(s.All()))
 		if err != nil {
 			return nil, err
 		}
-		n.packedList, n.packedDigest = packed, s.Digest()
+		n.packedList, n.packedListDigest = packed, s.Digest()
 	}
-	rate := min(listShare*n.o.linkBytes(), mostListBytes)
-	n.sending.Fill(clock.Now(), rate, rate, rate)
-	if n.sending.Tokens <= 0 {
+	rate := min(listLinkShare*n.opts.linkBytes(), maxListBytesPerSecond)
+	n.listSendLimit.Fill(clock.Now(), rate, rate, rate)
+	if n.listSendLimit.Tokens <= 0 {
 		return nil, nil
 	}
-	n.sending.Tokens -= float64(len(n.packedList))
+	n.listSendLimit.Tokens -= float64(len(n.packedList))
 	return n.packedList, nil
 }
 
-// MisfitError reports that a difference does not produce the list with the expected digest.
-type MisfitError struct{}
+// DigestMismatchError reports that a difference does not produce the list with the expected digest.
+type DigestMismatchError struct{}
 
 // Error implements error.
-func (*MisfitError) Error() string {
+func (*DigestMismatchError) Error() string {
 	return "applying difference to list of upstreams: resulting list has an unexpected digest"
 }
 
@@ -124,14 +124,14 @@
 }
 
 // list returns the list of an answer, where s is the snapshot whose digest was in the request. It
-// returns nil if the answer holds no list. The error is a *MisfitError, a *PackError or that of
-// decompressing the list.
+// returns nil if the answer holds no list. The error is a *DigestMismatchError, a *PackError or
+// that of decompressing the list.
 func (a *ViewAnswer) list(s *Snapshot) ([]dialect.Upstream, error) {
 	switch {
 	case a.Same:
 		return s.All(), nil
 	case a.Whole != nil:
-		packed, err := expand(a.Whole)
+		packed, err := decompress(a.Whole)
 		if err != nil {
 			return nil, err
 		}
@@ -144,8 +144,8 @@
 		return nil, err
 	}
 	list := Difference{Changed: changed, Gone: a.Gone}.apply(s.All())
-	if digestOf(list) != a.Digest {
-		return nil, &MisfitError{}
+	if listDigest(list) != a.Digest {
+		return nil, &DigestMismatchError{}
 	}
 	return list, nil
 }
