--- a/gateway/fleet/beats.go
+++ b/gateway/fleet/beats.go
@@ -9,126 +9,128 @@
 )
 
 const (
-	// relayInterval is how often heartbeats of a small fleet name the others; three times
-	// before a silent one counts as dead.
+	// relayInterval is the time between two heartbeats that name other instances in a small
+	// fleet. An instance is named three times before it stops counting as alive.
 	relayInterval = 600 * time.Millisecond
 )
 
-// Beats returns how long to wait between two heartbeats.
-func (r *Roster) Beats() time.Duration {
-	if r.large() {
-		return beatRelayed
+// HeartbeatInterval returns the time to wait between two heartbeats.
+func (r *Roster) HeartbeatInterval() time.Duration {
+	if r.isLarge() {
+		return largeHeartbeatInterval
 	}
-	return beatInterval
+	return heartbeatInterval
 }
 
-// Beat makes this instance's next heartbeat. In a small fleet it names the others only
-// each relayInterval: all pairs talk anyway.
-func (r *Roster) Beat(now time.Time, load Load) Heartbeat {
-	r.Update(load)
-	if !r.large() && !r.relayed.IsZero() && now.Sub(r.relayed) < relayInterval {
+// NextHeartbeat returns this instance's next heartbeat. In a small fleet it names the other
+// instances only once per relayInterval, since all pairs exchange heartbeats directly.
+func (r *Roster) NextHeartbeat(now time.Time, load Load) Heartbeat {
+	r.SetLoad(load)
+	if !r.isLarge() && !r.lastRelayed.IsZero() && now.Sub(r.lastRelayed) < relayInterval {
 		return Heartbeat{From: r.self}
 	}
-	r.relayed = now
+	r.lastRelayed = now
 	return r.Heartbeat(now)
 }
 
-// Update takes in this instance's newest load.
-func (r *Roster) Update(load Load) {
+// SetLoad sets this instance's load and increments its sequence.
+func (r *Roster) SetLoad(load Load) {
 	r.self.Sequence++
 	r.self.Load = load
 }
 
-// Answer returns the answer to a heartbeat that was received. In a small fleet it names
-// the others only to an instance that has just started, which knows no more than some
-// seeds and would take its share of the retry budget for larger than it is. In a large one
-// it names the live instances of the zones in which the other side knows others, and
-// describes those that it lacks if it named its own.
+// Answer returns the answer to a received heartbeat. In a small fleet it names the other
+// instances only to an instance that has just started: such an instance knows only some seeds and
+// would overestimate its share of the retry budget. In a large fleet it lists the live instances
+// of each zone for which the sender's set differs, and describes the instances that the sender
+// does not know if the sender listed its own.
 func (r *Roster) Answer(now time.Time, to Heartbeat) Heartbeat {
-	if r.large() {
-		return r.compare(now, to)
+	if r.isLarge() {
+		return r.answerLarge(now, to)
 	}
 	p := r.peers[to.From.ID]
-	if p != nil && p.greeted == p.member.Incarnation {
+	if p != nil && p.introducedTo == p.member.Incarnation {
 		return Heartbeat{From: r.self}
 	}
 	if p != nil {
-		p.greeted = p.member.Incarnation
+		p.introducedTo = p.member.Incarnation
 	}
 	return r.Heartbeat(now)
 }
 
-// compare answers a heartbeat in a large fleet.
-func (r *Roster) compare(now time.Time, to Heartbeat) Heartbeat {
+// answerLarge answers a heartbeat in a large fleet.
+func (r *Roster) answerLarge(now time.Time, to Heartbeat) Heartbeat {
 	r.refresh(now)
 	h := Heartbeat{From: r.self}
 	named := map[ident.Zone]uint64{}
 	for _, z := range to.Zones {
 		named[z.Zone] = z.Fingerprint
 		if z.Named {
-			h.Relayed = append(h.Relayed, r.lacking(now, to.From.ID, z)...)
+			h.Relayed = append(h.Relayed, r.describeMissing(now, to.From.ID, z)...)
 		}
 	}
 	for _, zone := range r.zones() {
 		known, ok := named[zone]
-		h.Zones = append(h.Zones, r.records(zone, !ok || known != r.groups[zone].fingerprint))
+		h.Zones = append(h.Zones, r.zoneRecords(zone, !ok || known != r.groups[zone].fingerprint))
 	}
 	return h
 }
 
-// Heartbeat returns what to tell a peer now: descriptions of all in a small fleet, signs
-// of life of all in a large one; see TestHeartbeatsOfALargeFleet.
+// Heartbeat returns the heartbeat to send now: in a small fleet with descriptions of all live
+// instances, in a large one with their sequences only. TestHeartbeatsOfALargeFleet measures the
+// resulting traffic.
 func (r *Roster) Heartbeat(now time.Time) Heartbeat {
 	r.refresh(now)
 	h := Heartbeat{From: r.self}
-	if r.large() {
+	if r.isLarge() {
 		for _, zone := range r.zones() {
-			h.Zones = append(h.Zones, r.records(zone, false))
+			h.Zones = append(h.Zones, r.zoneRecords(zone, false))
 		}
 		return h
 	}
 	for _, p := range r.peers {
-		if r.lives(now, p) {
-			h.Relayed = append(h.Relayed, relayed(p, now.Sub(p.heard)))
+		if r.isAlive(now, p) {
+			h.Relayed = append(h.Relayed, newRelayed(p, now.Sub(p.lastHeartbeat)))
 		}
 	}
 	return h
 }
 
-// zones returns the zones of live instances, sorted.
+// zones returns the zones that have live instances, sorted.
 func (r *Roster) zones() []ident.Zone { return slices.Sorted(maps.Keys(r.groups)) }
 
-// Receive takes in a heartbeat.
+// Receive processes a heartbeat received from a peer.
 func (r *Roster) Receive(now time.Time, h Heartbeat) {
-	r.take(now, h.From)
+	r.receiveMember(now, h.From)
 	if p := r.peers[h.From.ID]; p != nil {
-		p.told = now
+		p.lastDirect = now
 	}
 	for _, o := range h.Relayed {
-		r.take(now.Add(-time.Duration(o.AgeMS)*time.Millisecond), o.Member)
+		r.receiveMember(now.Add(-time.Duration(o.AgeMS)*time.Millisecond), o.Member)
 	}
 	r.refresh(now)
 	for _, z := range h.Zones {
-		r.takeRecords(now, z)
+		r.receiveRecords(now, z)
 	}
 	r.refresh(now)
 }
 
-// take keeps the newest heartbeat of a member.
-func (r *Roster) take(heard time.Time, m Member) {
+// receiveMember processes the description of an instance in a heartbeat made at the given time.
+// Descriptions older than the known one are ignored.
+func (r *Roster) receiveMember(madeAt time.Time, m Member) {
 	if m.ID == r.self.ID || m.ID == "" {
 		return
 	}
 	p := r.peers[m.ID]
 	if p == nil {
-		p = &peerState{heard: heard}
+		p = &peerState{lastHeartbeat: madeAt}
 		r.peers[m.ID] = p
-		r.describe(p, m)
+		r.setMember(p, m)
 		return
 	}
 	if !m.newer(&p.member) {
 		if !p.member.newer(&m) && !m.Load.empty() {
-			// The same heartbeat, heard of before it came itself.
+			// A peer relayed this heartbeat without its load before it arrived directly.
 			p.member.Load = m.Load
 		}
 		return
@@ -136,12 +138,12 @@
 	if m.Load.empty() {
 		m.Load = p.member.Load
 	}
-	r.hear(p, heard)
-	r.describe(p, m)
+	r.recordHeartbeat(p, madeAt)
+	r.setMember(p, m)
 }
 
-// describe keeps what a peer says of itself.
-func (r *Roster) describe(p *peerState, m Member) {
+// setMember stores the description of a peer and updates the index by key.
+func (r *Roster) setMember(p *peerState, m Member) {
 	key := keyOf(&m)
 	if key != p.key || p.member.ID == "" {
 		if r.byKey[p.key] == p {
--- a/gateway/fleet/hub.go
+++ b/gateway/fleet/hub.go
@@ -9,105 +9,110 @@
 )
 
 const (
-	// freshLoad is how long a load counts without a newer one, at least; where reports come
-	// more seldom, freshReports of them may be missed.
-	freshLoad    = 1500 * time.Millisecond
-	freshReports = 3
+	// minLoadTTL is the minimum time for which a load counts if no newer one arrives. If reports
+	// arrive less often, a load counts for loadTTLReports report intervals.
+	minLoadTTL     = 1500 * time.Millisecond
+	loadTTLReports = 3
 )
 
-// LoadReport is what an instance tells its zone's hub, or a hub that of another
-// zone.
+// LoadReport is a load sent by an instance to the hub of its zone, or by a hub to the hub of
+// another zone.
 type LoadReport struct {
 	From ident.InstanceID `json:"from"`
 	Zone ident.Zone       `json:"zone"`
-	// Whole means that the load is that of the whole zone.
-	Whole bool `json:"whole,omitempty"`
-	// Sequence rises with each report of an instance, from 1.
+	// WholeZone is set if the load is the sum of the sender's whole zone.
+	WholeZone bool `json:"whole,omitempty"`
+	// Sequence increases with each report of an instance, starting at 1.
 	Sequence uint64 `json:"s,omitempty"`
-	// EveryMS is the time between two reports.
-	EveryMS int64 `json:"e,omitempty"`
-	Load    Load  `json:"load"`
-	// Packed holds the requests in flight, the demand and the sends of a whole zone.
+	// IntervalMS is the time between two reports of the sender, in milliseconds.
+	IntervalMS int64 `json:"e,omitempty"`
+	Load       Load  `json:"load"`
+	// Packed is the encoded load of a whole zone: its requests in flight, demand and retries. If
+	// it is set, Load holds only the refusing and switching engines.
 	Packed []byte `json:"p,omitempty"`
 }
 
-// LoadAnswer is a hub's answer to a report.
+// LoadAnswer is a hub's answer to a LoadReport.
 type LoadAnswer struct {
-	// Sum is the packed Load of all instances: requests in flight and demand.
+	// Sum is the encoded sum of the loads of all instances: requests in flight, demand and
+	// retries.
 	Sum []byte `json:"sum,omitempty"`
-	// Included is the sequence of the asking instance's own report that the sum holds, 0
-	// if there is none.
+	// Included is the sequence of the receiver's own report that is part of Sum, 0 if there is
+	// none.
 	Included uint64 `json:"i,omitempty"`
-	// Refusing and Switching are what the others say, as in Load: an instance's own word
-	// must not come back to it as another's.
+	// Refusing and Switching are as in Load, but without what the receiver itself reported: an
+	// instance must not take its own report for that of a peer.
 	Refusing  map[ident.UpstreamID]int64         `json:"x,omitempty"`
 	Switching map[ident.UpstreamID]dialect.Stage `json:"w,omitempty"`
-	// Whole answers the hub of another zone, with the load of the own.
-	Whole *LoadReport `json:"whole,omitempty"`
-	// NotHub means that the asked instance takes another for the hub, and has no sum.
+	// ZoneLoad is set in the answer to the hub of another zone. It holds the load of the answering
+	// hub's zone.
+	ZoneLoad *LoadReport `json:"whole,omitempty"`
+	// NotHub is set if the answering instance is not the hub according to its own roster. Sum is
+	// then empty.
 	NotHub bool `json:"n,omitempty"`
-	// Crashes and Informed are as in Heartbeat.
+	// Crashes and Informed have the same meaning as in Heartbeat.
 	Crashes  uint64 `json:"q,omitempty"`
 	Informed bool   `json:"k,omitempty"`
 }
 
-// Hub adds up the loads of a zone's instances and exchanges the sums with other
-// zones', in fleets too large for each instance to hear all others. It is not safe for
-// concurrent use.
+// Hub adds up the loads of a zone's instances and exchanges the sums with the hubs of other
+// zones. It is used in fleets that are too large for each instance to receive the heartbeats of
+// all others. It is not safe for concurrent use.
 type Hub struct {
-	members map[ident.InstanceID]datedLoad
-	zones   map[ident.Zone]datedLoad
-	// sum is that of all as of summedAt, packed, with the sequences of the members'
-	// reports in it: added up and encoded once for all who ask; see BenchmarkHubAnswer.
+	members map[ident.InstanceID]receivedLoad
+	zones   map[ident.Zone]receivedLoad
+	// sum is the encoded sum of all loads, computed at summedAt. included holds the sequence of
+	// each member's report in it. The sum is computed and encoded once for all members that ask;
+	// see BenchmarkHubAnswer.
 	sum      []byte
 	included map[ident.InstanceID]uint64
 	summedAt time.Time
 }
 
-// datedLoad is a load and when it was told.
-type datedLoad struct {
-	load     Load
-	sequence uint64
-	at       time.Time
-	// until is when it counts no more.
-	until time.Time
+// receivedLoad is a reported load and when it was received.
+type receivedLoad struct {
+	load       Load
+	sequence   uint64
+	receivedAt time.Time
+	// expiresAt is when the load stops counting.
+	expiresAt time.Time
 }
 
-// NewHub returns a hub that knows nothing.
+// NewHub returns a hub without any loads.
 func NewHub() *Hub {
-	return &Hub{members: map[ident.InstanceID]datedLoad{}, zones: map[ident.Zone]datedLoad{}}
+	return &Hub{members: map[ident.InstanceID]receivedLoad{}, zones: map[ident.Zone]receivedLoad{}}
 }
 
-// Take takes in a report. The error is a *PackError.
-func (h *Hub) Take(now time.Time, r LoadReport) error {
-	fresh := max(freshLoad, freshReports*time.Duration(r.EveryMS)*time.Millisecond)
-	d := datedLoad{load: r.Load, sequence: r.Sequence, at: now, until: now.Add(fresh)}
+// Receive stores a load report. The error is a *PackError.
+func (h *Hub) Receive(now time.Time, r LoadReport) error {
+	ttl := max(minLoadTTL, loadTTLReports*time.Duration(r.IntervalMS)*time.Millisecond)
+	received := receivedLoad{load: r.Load, sequence: r.Sequence, receivedAt: now, expiresAt: now.Add(ttl)}
 	if r.Packed != nil {
 		var err error
-		if d.load, err = unpackLoad(r.Packed); err != nil {
+		if received.load, err = unpackLoad(r.Packed); err != nil {
 			return err
 		}
-		d.load.Refusing, d.load.Switching = r.Load.Refusing, r.Load.Switching
+		received.load.Refusing, received.load.Switching = r.Load.Refusing, r.Load.Switching
 	}
-	if r.Whole {
-		h.zones[r.Zone] = d
+	if r.WholeZone {
+		h.zones[r.Zone] = received
 		return nil
 	}
-	h.members[r.From] = d
+	h.members[r.From] = received
 	return nil
 }
 
-// Heard reports whether another zone's load has just come.
-func (h *Hub) Heard(now time.Time, zone ident.Zone) bool {
+// HeardRecently reports whether another zone's load was received within directContactWindow.
+func (h *Hub) HeardRecently(now time.Time, zone ident.Zone) bool {
 	d, ok := h.zones[zone]
-	return ok && now.Sub(d.at) < toldLately
+	return ok && now.Sub(d.receivedAt) < directContactWindow
 }
 
-// Zone returns the load of the hub's zone.
-func (h *Hub) Zone(now time.Time) Load {
+// ZoneLoad returns the sum of the loads of the hub's zone. It drops expired loads.
+func (h *Hub) ZoneLoad(now time.Time) Load {
 	sum := NewLoad()
 	for id, d := range h.members {
-		if now.After(d.until) {
+		if now.After(d.expiresAt) {
 			delete(h.members, id)
 			continue
 		}
@@ -116,29 +121,29 @@
 	return sum
 }
 
-// Answer returns the answer to an instance of the zone. The sum is made anew each
-// sumInterval.
+// Answer returns the answer to a report of an instance of the zone. The sum is recomputed at most
+// once per sumInterval.
 func (h *Hub) Answer(now time.Time, to ident.InstanceID) LoadAnswer {
 	if now.Sub(h.summedAt) >= sumInterval {
-		h.add(now)
+		h.updateSum(now)
 	}
 	others := NewLoad()
 	for id, d := range h.members {
 		if id != to {
-			others.addAway(d.load)
+			others.addUnavailable(d.load)
 		}
 	}
 	for _, d := range h.zones {
-		others.addAway(d.load)
+		others.addUnavailable(d.load)
 	}
 	return LoadAnswer{Sum: h.sum, Included: h.included[to], Refusing: others.Refusing, Switching: others.Switching}
 }
 
-// add makes the sum of all zones anew.
-func (h *Hub) add(now time.Time) {
-	sum := h.Zone(now)
+// updateSum recomputes the sum of the loads of all zones.
+func (h *Hub) updateSum(now time.Time) {
+	sum := h.ZoneLoad(now)
 	for zone, d := range h.zones {
-		if now.After(d.until) {
+		if now.After(d.expiresAt) {
 			delete(h.zones, zone)
 			continue
 		}
@@ -151,39 +156,41 @@
 	}
 }
 
-// Reports are the reports that an instance made lately, so that it can take its own load
-// out of a sum.
-type Reports struct {
+// ReportHistory holds the latest load reports of an instance, so that the instance can subtract
+// its own load from a sum.
+type ReportHistory struct {
 	last  uint64
 	loads map[uint64]Load
 }
 
-// keptReports is how many of them are kept: more than come while an answer is on its way.
-const keptReports = 16
+// maxKeptReports is the number of reports that are kept. It exceeds the number of reports made while
+// an answer is under way.
+const maxKeptReports = 16
 
-// Next returns the sequence of the next report, which holds the given load.
-func (r *Reports) Next(load Load) uint64 {
+// Add stores a load as the next report and returns its sequence.
+func (r *ReportHistory) Add(load Load) uint64 {
 	if r.loads == nil {
 		r.loads = map[uint64]Load{}
 	}
 	r.last++
 	r.loads[r.last] = load
-	delete(r.loads, r.last-keptReports)
+	delete(r.loads, r.last-maxKeptReports)
 	return r.last
 }
 
-// Others returns the load of the other instances by an answer. The error is a *PackError.
-func (r *Reports) Others(a LoadAnswer) (Load, error) {
+// PeerLoad returns the sum of the other instances' loads: the sum in an answer without this
+// instance's own part. The error is a *PackError.
+func (r *ReportHistory) PeerLoad(a LoadAnswer) (Load, error) {
 	sum, err := unpackLoad(a.Sum)
 	if err != nil {
 		return Load{}, err
 	}
-	sum.remove(r.loads[a.Included])
+	sum.subtract(r.loads[a.Included])
 	sum.Refusing, sum.Switching = a.Refusing, a.Switching
 	return sum, nil
 }
 
-// NewLoad returns an empty load that others can be added to.
+// NewLoad returns an empty load to which others can be added.
 func NewLoad() Load {
 	return Load{
 		InFlight: map[ident.UpstreamID]InFlight{}, Refusing: map[ident.UpstreamID]int64{},
@@ -191,12 +198,13 @@
 	}
 }
 
-// Add adds another load. Of what engines themselves said, the most is kept.
+// Add adds another load. Values that engines reported about themselves are not summed; the
+// maximum is kept.
 func (l *Load) Add(o Load) {
 	for id, f := range o.InFlight {
 		l.InFlight[id] = l.InFlight[id].plus(f)
 	}
-	l.addAway(o)
+	l.addUnavailable(o)
 	for service, n := range o.Spent {
 		l.Spent[service] += n
 	}
@@ -211,23 +219,23 @@
 	}
 }
 
-// addAway adds what another load says of engines that don't keep promises.
-func (l *Load) addAway(o Load) {
-	for id, left := range o.Refusing {
-		l.Refusing[id] = max(l.Refusing[id], left)
+// addUnavailable adds the refusing and switching engines of another load.
+func (l *Load) addUnavailable(o Load) {
+	for id, remaining := range o.Refusing {
+		l.Refusing[id] = max(l.Refusing[id], remaining)
 	}
 	for id, stage := range o.Switching {
 		l.Switching[id] = stage
 	}
 }
 
-// remove takes a load that was added out again: its requests, rates and sends.
-func (l *Load) remove(o Load) {
+// subtract subtracts a load that was added before: its requests, demand and retries.
+func (l *Load) subtract(o Load) {
 	for id, f := range o.InFlight {
-		if left := l.InFlight[id].minus(f); left.empty() {
+		if rest := l.InFlight[id].minus(f); rest.empty() {
 			delete(l.InFlight, id)
 		} else {
-			l.InFlight[id] = left
+			l.InFlight[id] = rest
 		}
 	}
 	for service, n := range o.Spent {
@@ -244,23 +252,23 @@
 	}
 }
 
-// minus returns the load of an upstream without another that it holds. What the engine
-// itself said is left out if it may be the other's word.
+// minus subtracts a part from the load of an upstream. Values that the engine reported about
+// itself are dropped if the maximum may have come from that part.
 func (f InFlight) minus(o InFlight) InFlight {
-	left := InFlight{Requests: f.Requests - o.Requests, Tokens: f.Tokens - o.Tokens, Memory: slices.Clone(f.Memory)}
+	rest := InFlight{Requests: f.Requests - o.Requests, Tokens: f.Tokens - o.Tokens, Memory: slices.Clone(f.Memory)}
 	if f.Unexplained > o.Unexplained {
-		left.Unexplained = f.Unexplained
+		rest.Unexplained = f.Unexplained
 	}
 	if f.Pace > o.Pace {
-		left.Pace = f.Pace
+		rest.Pace = f.Pace
 	}
-	for i := range min(len(left.Memory), len(o.Memory)) {
-		left.Memory[i] -= o.Memory[i]
+	for i := range min(len(rest.Memory), len(o.Memory)) {
+		rest.Memory[i] -= o.Memory[i]
 	}
-	return left
+	return rest
 }
 
-// empty reports whether nothing is in flight.
+// empty reports whether there is neither work in flight nor a value reported by the engine.
 func (f InFlight) empty() bool {
 	return f.Requests == 0 && f.Tokens == 0 && f.Unexplained == 0 && f.Pace == 0 && !slices.ContainsFunc(f.Memory, func(n int) bool { return n != 0 })
 }
--- a/gateway/fleet/informed.go
+++ b/gateway/fleet/informed.go
@@ -10,44 +10,48 @@
 )
 
 const (
-	// informWithin is how long an instance that has just started, or stood still, waits for
-	// the word of a peer that had not; one that hears of none is alone, cut off, or all have
-	// started. Peers of a small fleet call each 300 ms.
-	informWithin = 500 * time.Millisecond
-	// informedTick is how often a waiting request looks whether its instance is informed;
-	// the word of a peer comes within some ms of a start.
-	informedTick = 10 * time.Millisecond
+	// informTimeout is how long an instance that has started or was paused waits for an informed
+	// peer. If it hears of none in that time, it is alone, it is cut off, or all instances have
+	// just started. Peers of a small fleet call every 300 ms.
+	informTimeout = 500 * time.Millisecond
+	// informedPollInterval is how often a waiting request checks whether its instance is
+	// informed. Peers usually answer within some milliseconds of a start.
+	informedPollInterval = 10 * time.Millisecond
 	// maintenanceInterval is how often an instance checks whether it was paused, drops expired
 	// state and sends delayed evidence of crashes.
 	maintenanceInterval = 250 * time.Millisecond
 )
 
-// informed follows whether an instance knows what its peers know: after a start, or after it
-// stood still, it would send what all others keep from upstreams.
+// informed tracks whether an instance has received what its peers know. An instance that has just
+// started or was paused would otherwise send requests to upstreams that its peers have learned
+// must not get them.
 type informed struct {
 	mu sync.Mutex
-	// since is when it last started or went on, looked when it last looked.
-	since, looked time.Time
-	// paused means that it stood still, told that an informed peer told what it knows since.
-	paused, told bool
-	// refreshed is when it was last asked to look for what is newer.
-	refreshed time.Time
-	// woke has those who wait for their next turn to read or to call begin at once.
-	woke []chan struct{}
+	// since is when the instance last started or resumed, lastRunning when its running was last
+	// recorded.
+	since, lastRunning time.Time
+	// paused is set if the instance was paused at since. peerInformed is set once an informed
+	// peer has shared its evidence after that.
+	paused, peerInformed bool
+	// lastRefresh is when Refresh last had the view read again.
+	lastRefresh time.Time
+	// wakeChans holds the channels that end the waits of the read and heartbeat loops.
+	wakeChans []chan struct{}
 }
 
-// waking returns a channel that gets a value when the instance goes on after it stood still.
-func (i *informed) waking() <-chan struct{} {
+// subscribeWake returns a channel that receives a value when the instance resumes after a pause,
+// or on Refresh.
+func (i *informed) subscribeWake() <-chan struct{} {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	c := make(chan struct{}, 1)
-	i.woke = append(i.woke, c)
+	i.wakeChans = append(i.wakeChans, c)
 	return c
 }
 
-// wake has all who wait begin at once. The caller holds mu.
+// wake ends all waits on the channels of subscribeWake. The caller holds mu.
 func (i *informed) wake() {
-	for _, c := range i.woke {
+	for _, c := range i.wakeChans {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -55,58 +59,60 @@
 	}
 }
 
-// waitTurn waits for a time, or until the instance goes on after it stood still, and returns
-// true; or returns false as soon as ctx has ended.
-func waitTurn(ctx context.Context, d time.Duration, woke <-chan struct{}) bool {
+// waitOrWake waits for a duration or until a value arrives on wake, and returns true. It returns
+// false as soon as ctx has ended.
+func waitOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-woke:
+	case <-wake:
 	case <-ctx.Done():
 		return false
 	}
 	return ctx.Err() == nil
 }
 
-// look takes in that the instance runs at a time; after a gap it knows too little.
-func (i *informed) look(now time.Time) {
+// recordRunning records that the instance is running at now. A gap of more than pauseThreshold
+// since the last record means that the process was paused, and the instance counts as uninformed.
+func (i *informed) recordRunning(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lookLocked(now)
+	i.recordRunningLocked(now)
 }
 
-// lookLocked is look. The caller holds mu.
-func (i *informed) lookLocked(now time.Time) {
-	if now.Sub(i.looked) > stoodStill {
-		i.paused = !i.looked.IsZero()
-		i.since, i.told = now, false
+// recordRunningLocked implements recordRunning. The caller holds mu.
+func (i *informed) recordRunningLocked(now time.Time) {
+	if now.Sub(i.lastRunning) > pauseThreshold {
+		i.paused = !i.lastRunning.IsZero()
+		i.since, i.peerInformed = now, false
 		i.wake()
 	}
-	i.looked = now
+	i.lastRunning = now
 }
 
-// tell takes in that an informed peer told what it knows.
-func (i *informed) tell(now time.Time) {
+// markInformed records that an informed peer has shared what it knows.
+func (i *informed) markInformed(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lookLocked(now)
-	i.told = true
+	i.recordRunningLocked(now)
+	i.peerInformed = true
 }
 
-// ok reports whether the instance knows enough: what a peer knows, and after a pause the
-// upstreams as of a reading of the store that began later.
-func (i *informed) ok(now, view time.Time) bool {
+// isInformed reports whether the instance is informed: a peer has shared its evidence and, after
+// a pause, the list of upstreams comes from a read that began after it; or informTimeout has
+// passed. view is the time of that list.
+func (i *informed) isInformed(now, view time.Time) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lookLocked(now)
-	return i.told && (!i.paused || view.After(i.since)) || now.Sub(i.since) >= informWithin
+	i.recordRunningLocked(now)
+	return i.peerInformed && (!i.paused || view.After(i.since)) || now.Sub(i.since) >= informTimeout
 }
 
-// stoodStillLately reports whether the instance went on after a pause and knows too little
-// yet.
-func (i *informed) stoodStillLately(now, view time.Time) bool {
-	if i.ok(now, view) {
+// resumedUninformed reports whether the instance has resumed after a pause and is not yet
+// informed.
+func (i *informed) resumedUninformed(now, view time.Time) bool {
+	if i.isInformed(now, view) {
 		return false
 	}
 	i.mu.Lock()
@@ -114,31 +120,32 @@
 	return i.paused
 }
 
-// Informed reports whether this instance knows what its peers know.
-func (n *Node) Informed() bool { return n.informed.ok(clock.Now(), n.Snapshot().AsOf) }
+// Informed reports whether this instance has received what its peers know since it started or
+// resumed.
+func (n *Node) Informed() bool { return n.informed.isInformed(clock.Now(), n.Snapshot().AsOf) }
 
-// AwaitInformed waits until Informed, or until ctx ends: half a second at the most, after a
-// start or a pause. After a start only requests to engines wait: a process of a plain service
-// has few neighbours, and its callers wait 300 ms.
+// AwaitInformed waits until Informed returns true or ctx ends: at most informTimeout after a start
+// or a pause. After a start only requests to engines wait, since an instance that serves only
+// plain services has few peers and its callers would wait 300 ms.
 func (n *Node) AwaitInformed(ctx context.Context, engines bool) {
 	clock.Check()
-	for !n.Informed() && (engines || n.informed.stoodStillLately(clock.Now(), n.Snapshot().AsOf)) {
-		if !pause.For(ctx, informedTick) {
+	for !n.Informed() && (engines || n.informed.resumedUninformed(clock.Now(), n.Snapshot().AsOf)) {
+		if !pause.For(ctx, informedPollInterval) {
 			return
 		}
 	}
 }
 
-// Refresh has this instance read the store, or ask its peers, at once; not more often than
-// it does so while it knows nothing.
+// Refresh makes this instance read the store, or ask its peers, at once. Calls within
+// startInterval of the previous one have no effect.
 func (n *Node) Refresh() {
 	n.informed.mu.Lock()
 	defer n.informed.mu.Unlock()
 	now := clock.Now()
-	if now.Sub(n.informed.refreshed) < startInterval {
+	if now.Sub(n.informed.lastRefresh) < startInterval {
 		return
 	}
-	n.informed.refreshed = now
+	n.informed.lastRefresh = now
 	n.informed.wake()
 }
 
@@ -149,14 +156,14 @@
 	asleep := clock.Suspended()
 	for pause.For(ctx, maintenanceInterval) {
 		now := clock.Now()
-		n.informed.look(now)
+		n.informed.recordRunning(now)
 		n.tokens.accounts.Forget(now)
-		n.o.Register.Expire(now)
-		if n.o.Register.HasUntold() {
-			n.news.tell()
+		n.opts.Register.Expire(now)
+		if n.opts.Register.HasUntold() {
+			n.crashSpreader.requestSend()
 		}
 		if now := clock.Suspended(); now != asleep {
-			n.o.Log.Warn("machine was suspended", "for_ms", (now - asleep).Milliseconds())
+			n.opts.Log.Warn("machine was suspended", "for_ms", (now - asleep).Milliseconds())
 			asleep = now
 		}
 	}
--- a/gateway/fleet/lists.go
+++ b/gateway/fleet/lists.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	// keptVersions is how many versions of the list an instance can tell the difference from.
-	// Each differs, and peers ask twice a second, so that they cover some ten seconds.
-	keptVersions = 32
-	// maxListBytes bounds an unpacked list.
-	maxListBytes = 64 << 20
+	// maxListVersions is the number of list versions from which a difference can be computed.
+	// Consecutive versions differ and peers ask twice a second, so they cover about ten seconds.
+	maxListVersions = 32
+	// maxUnpackedListBytes bounds the decompressed size of a list.
+	maxUnpackedListBytes = 64 << 20
 )
 
-// State bits of a packed upstream.
+// State bits of an encoded upstream.
 const (
 	stateLeaving = 1 << iota
 	stateCold
 )
 
-// hashOf hashes an upstream, with each of its fields.
-func hashOf(u *dialect.Upstream) uint64 {
+// upstreamHash returns a hash of all fields of an upstream.
+func upstreamHash(u *dialect.Upstream) uint64 {
 	var buffer [256]byte
 	return xxhash.Sum64(appendUpstream(buffer[:0], u))
 }
 
-// digestOf hashes a list. A sum does not depend on the order.
-func digestOf(list []dialect.Upstream) uint64 {
+// listDigest returns the digest of a list: the sum of the hashes of its upstreams, which does not
+// depend on their order.
+func listDigest(list []dialect.Upstream) uint64 {
 	sum := uint64(0)
 	for i := range list {
-		sum += hashOf(&list[i])
+		sum += upstreamHash(&list[i])
 	}
 	return sum
 }
 
-// appendUpstream packs an upstream.
+// appendUpstream appends the encoding of an upstream.
 func appendUpstream(dst []byte, u *dialect.Upstream) []byte {
 	dst = appendString(dst, string(u.ID))
 	dst = binary.AppendUvarint(dst, uint64(u.Incarnation))
@@ -61,7 +62,7 @@
 	return appendString(dst, string(u.Stage))
 }
 
-// packUpstreams packs a list.
+// packUpstreams encodes a list of upstreams.
 func packUpstreams(list []dialect.Upstream) []byte {
 	dst := binary.AppendUvarint(nil, uint64(len(list)))
 	for i := range list {
@@ -70,27 +71,28 @@
 	return dst
 }
 
-// unpackUpstreams unpacks a list. The error is a *PackError.
+// unpackUpstreams decodes what packUpstreams encoded. The error is a *PackError.
 func unpackUpstreams(packed []byte) ([]dialect.Upstream, error) {
-	r := &unpacker{left: packed}
+	r := &unpacker{rest: packed}
 	var out []dialect.Upstream
-	for range r.count() {
+	for range r.length() {
 		u := dialect.Upstream{
-			ID: ident.UpstreamID(r.text()), Incarnation: ident.Incarnation(r.unsigned()), Service: r.text(), Address: r.text(),
-			Zone: ident.Zone(r.text()), Slots: r.number(),
+			ID: ident.UpstreamID(r.str()), Incarnation: ident.Incarnation(r.uvarint()), Service: r.str(), Address: r.str(),
+			Zone: ident.Zone(r.str()), Slots: r.varint(),
 		}
-		state := r.number()
+		state := r.varint()
 		u.Leaving, u.Cold = state&stateLeaving != 0, state&stateCold != 0
-		u.Stage = dialect.Stage(r.text())
+		u.Stage = dialect.Stage(r.str())
 		out = append(out, u)
 	}
-	if !r.whole() {
+	if !r.done() {
 		return nil, &PackError{Bytes: len(packed)}
 	}
 	return out, nil
 }
 
-// compress compresses a packed list: addresses, services and zones repeat.
+// compress compresses an encoded list with gzip. Its addresses, services and zones are
+// repetitive.
 func compress(packed []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
@@ -103,38 +105,40 @@
 	return out.Bytes(), nil
 }
 
-// expand undoes compress.
-func expand(compressed []byte) ([]byte, error) {
+// decompress decompresses the output of compress.
+func decompress(compressed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(r, maxListBytes))
+	return io.ReadAll(io.LimitReader(r, maxUnpackedListBytes))
 }
 
-// listVersion is a digest that the list had, and the number of the change that gave it.
+// listVersion is the digest of a version of the list, with the number of the change that produced
+// it.
 type listVersion struct {
 	digest uint64
 	change uint64
 }
 
-// Difference is what turns a list into a newer one.
+// Difference is the change from one version of a list to a newer one.
 type Difference struct {
-	// Changed are new upstreams and changed ones, as they are now.
+	// Changed holds the new and the changed upstreams in their new state, Gone the IDs of the
+	// removed ones.
 	Changed []dialect.Upstream
 	Gone    []ident.UpstreamID
 }
 
-// Since returns the difference from the list of a digest; false if it is not among the last
-// ones that the view had.
-func (v *View) Since(digest uint64) (Difference, bool) {
+// DifferenceFrom returns the difference between the current list and the version with the given
+// digest. It returns false if that version is not among the latest that the view keeps.
+func (v *View) DifferenceFrom(digest uint64) (Difference, bool) {
 	at := slices.IndexFunc(v.versions, func(o listVersion) bool { return o.digest == digest })
 	if at < 0 {
 		return Difference{}, false
 	}
 	var d Difference
 	seen := map[ident.UpstreamID]bool{}
-	for _, c := range v.recent[v.recentAfter(v.versions[at].change):] {
+	for _, c := range v.recentChanges[v.recentChangesAfter(v.versions[at].change):] {
 		if seen[c.id] {
 			continue
 		}
@@ -142,13 +146,13 @@
 		if e := v.entries[c.id]; e == nil || e.gone {
 			d.Gone = append(d.Gone, c.id)
 		} else {
-			d.Changed = append(d.Changed, e.up)
+			d.Changed = append(d.Changed, e.upstream)
 		}
 	}
 	return d, true
 }
 
-// apply returns the list that a difference makes of another one.
+// apply returns the list that results from applying the difference to the given one.
 func (d Difference) apply(list []dialect.Upstream) []dialect.Upstream {
 	replaced := map[ident.UpstreamID]bool{}
 	for _, id := range d.Gone {
--- a/gateway/fleet/node.go
+++ b/gateway/fleet/node.go
@@ -17,30 +17,34 @@
 )
 
 const (
-	// beatInterval is the time between two heartbeats: a change of load is known
-	// elsewhere after half of it on average.
-	beatInterval = 300 * time.Millisecond
-	// beatRelayed is the time between two heartbeats in a large fleet.
-	beatRelayed = time.Second
-	// loadAge is how old the others' loads are on average: half a heartbeat and half
-	// a sum. By way of hubs it is half of each of loadHops intervals: those of two reports
-	// and of the hubs' exchange.
-	loadAge  = (beatInterval + sumInterval) / 2
+	// heartbeatInterval is the time between two heartbeats in a small fleet. A change of load
+	// reaches the peers after half of it on average.
+	heartbeatInterval = 300 * time.Millisecond
+	// largeHeartbeatInterval is the time between two heartbeats in a large fleet; see
+	// Roster.isLarge.
+	largeHeartbeatInterval = time.Second
+	// loadAge is the average age of the peers' loads in a small fleet: half a heartbeat interval
+	// plus half a sum interval. In a large fleet, loads pass through hubs, and their average age
+	// is half an interval for each of loadHops steps: the report to the hub, the exchange between
+	// hubs, and the report by which the other instance fetches the sum.
+	loadAge  = (heartbeatInterval + sumInterval) / 2
 	loadHops = 3
-	// loadShare is the part of an instance's link, and mostLoadBytes how many bytes a second,
-	// that the sums of loads take of it at most. A hub sends as many to each of its zone.
-	loadShare     = 0.05
-	mostLoadBytes = 64 << 10
-	// idleReportInterval is the time between two reports of an idle instance to a hub.
+	// loadLinkShare is the largest share of an instance's link that the sums of loads sent to it
+	// may take, and maxLoadBytesPerSecond the largest number of bytes per second. A hub sends
+	// that much to each instance of its zone.
+	loadLinkShare         = 0.05
+	maxLoadBytesPerSecond = 64 << 10
+	// idleReportInterval is the time between two load reports of an idle instance to its hub.
 	idleReportInterval = time.Second
-	// sumInterval is the time between two sums of the loads that came by heartbeat.
+	// sumInterval is the time between two computations of the sum of the peers' loads.
 	sumInterval = 100 * time.Millisecond
-	// defaultLinkMbps stands for the rate of a link that is not told, in megabits a second.
+	// defaultLinkMbps is the assumed rate of the machine's link, in megabits per second, if the
+	// settings do not give it.
 	defaultLinkMbps = 10
-	// readTimeout bounds one reading of the store, which answers in 4 ms; a slow
-	// one is 100 times slower.
+	// readTimeout bounds one read of the store other than a full list. The store answers in 4 ms;
+	// a slow one is 100 times slower.
 	readTimeout = 1500 * time.Millisecond
-	// listTimeout bounds the reading of the list, which may take several pages.
+	// listTimeout bounds the read of the full list of upstreams, which may take several pages.
 	listTimeout = 3 * time.Second
 	// peerTimeout bounds one call to a peer.
 	peerTimeout = 700 * time.Millisecond
@@ -50,37 +54,41 @@
 const (
 	// MethodHeartbeat exchanges heartbeats.
 	MethodHeartbeat = "gateway.heartbeat"
-	// MethodLoad tells a hub a load, and brings back what it knows of the others'.
+	// MethodLoad reports a load to a hub. The answer holds the sum of the loads known to the hub.
 	MethodLoad = "gateway.load"
-	// MethodView asks a peer for what it knows of the store.
+	// MethodView asks a peer for the configuration version and the list of upstreams that it
+	// knows.
 	MethodView = "gateway.view"
 )
 
-// Options are what a Node works with.
+// Options configures a Node.
 type Options struct {
+	// Self describes this instance. Seeds holds the addresses of instances to call until peers
+	// are known.
 	Self  Member
 	Seeds []string
-	// Zones are those of the deployment, as far as the operators name them.
+	// Zones lists the zones of the deployment that are named in the settings.
 	Zones  []ident.Zone
 	Source dialect.Source
-	// LinkMbps is the rate of the machine's link, in megabits a second.
+	// LinkMbps is the rate of the machine's link in megabits per second, 0 if unknown.
 	LinkMbps float64
-	// InForce is the time in which a change in the store has to be in force.
+	// InForce is the time within which a change in the store must be in force.
 	InForce time.Duration
-	Pool    *peer.Pool
-	Server  *peer.Server
-	Log     *slog.Logger
-	// Load returns this instance's load, for its heartbeats.
+	// Pool makes calls to peers, Server receives theirs.
+	Pool   *peer.Pool
+	Server *peer.Server
+	Log    *slog.Logger
+	// Load returns this instance's load, for its heartbeats and reports.
 	Load func() Load
-	// Changed is called after each change of the view, LoadChanged when the sum of
-	// the peers' loads was made anew; age is how old that is on average.
+	// Changed is called after each change of the view. LoadChanged is called whenever the sum of
+	// the peers' loads has been recomputed; age is the average age of that sum.
 	Changed     func(*Snapshot)
 	LoadChanged func(sum Load, age time.Duration)
-	// Register is what is known of contents under which upstreams crashed.
+	// Register holds the evidence about request contents that upstreams crashed on.
 	Register *quarantine.Register
 }
 
-// linkBytes is the rate of the machine's link in bytes a second.
+// linkBytes returns the rate of the machine's link in bytes per second.
 func (o *Options) linkBytes() float64 {
 	if o.LinkMbps <= 0 {
 		return defaultLinkMbps * 1e6 / 8
@@ -88,60 +96,66 @@
 	return o.LinkMbps * 1e6 / 8
 }
 
-// Node keeps an instance's view up to date.
+// Node keeps an instance's view of the deployment up to date. It reads the store or asks peers,
+// exchanges heartbeats and loads, and spreads evidence of crashes.
 type Node struct {
-	o Options
+	opts Options
 
 	mu     sync.Mutex
 	view   *View
 	roster *Roster
 	hub    *Hub
-	// reports are the own ones to the zone's hub.
-	reports Reports
-	// others is the sum of the peers' loads.
-	others  Load
-	reading reading
-	// createdAt is when the node was created; discoveryWait starts then.
+	// reports holds this instance's latest load reports to the hub of its zone.
+	reports ReportHistory
+	// peerLoad is the sum of the peers' loads.
+	peerLoad     Load
+	readSchedule readSchedule
+	// createdAt is when the node was created. discoveryWait is counted from it.
 	createdAt time.Time
-	// stored is the list of upstreams in the store, for an instance that reads the store;
-	// relisting is set while it is read again in the background.
+	// stored is the store's list of upstreams, if this instance reads the store. relisting is set
+	// while a full list is read again in the background.
 	stored    storedUpstreams
 	relisting bool
-	// reopened is when the evacuation of a zone last ended.
+	// reopened holds, for each zone, the time at which its last evacuation ended.
 	reopened map[ident.Zone]time.Time
-	// storeDown is when the store was first not reached, zero while it is.
+	// storeDown is the time of the first failed read of the store since the last successful one,
+	// zero if the last one succeeded.
 	storeDown time.Time
 
-	news     *crashNews
-	trials   *quarantine.Trials
-	informed informed
-	tokens   *tokens
+	crashSpreader *crashSpreader
+	trials        *quarantine.Trials
+	informed      informed
+	tokens        *tokens
 
 	snapshot atomic.Pointer[Snapshot]
 	alive    atomic.Int64
 
 	// fetching is set while a configuration is fetched.
 	fetching atomic.Bool
-	// packed is the configuration of packedVersion as peers get it.
-	packing       sync.Mutex
-	packed        ConfigAnswer
-	packedVersion int64
-	// packedList is the list of packedDigest as peers get it; sending bounds how often.
-	packedList   []byte
-	packedDigest uint64
-	sending      tokenbucket.Bucket
-	// requestArrived receives a value when a request arrives; lastRequest is when the latest one did.
+	// packMu guards packedConfig, the encoded configuration of version packedConfigVersion that
+	// is sent to peers, and the fields of the packed list.
+	packMu              sync.Mutex
+	packedConfig        ConfigAnswer
+	packedConfigVersion int64
+	// packedList is the encoded list of upstreams with digest packedListDigest that is sent to
+	// peers. listSendLimit limits the rate at which it is sent.
+	packedList       []byte
+	packedListDigest uint64
+	listSendLimit    tokenbucket.Bucket
+	// requestArrived receives a value when a request arrives. lastRequest is the time of the
+	// latest arrival.
 	requestArrived chan struct{}
 	lastRequest    atomic.Pointer[time.Time]
-	// misfit means that the difference that a peer told did not fit.
-	misfit atomic.Bool
+	// needWholeList is set when a peer's difference could not be applied to this instance's list.
+	// The next view request then asks for the whole list.
+	needWholeList atomic.Bool
 }
 
-// NewNode returns a node that knows nothing, and registers its methods.
+// NewNode returns a node with an empty view and registers its methods with the peer server.
 func NewNode(o Options) *Node {
-	n := &Node{o: o, reading: newReading(o.InForce), reopened: map[ident.Zone]time.Time{}, view: NewView(), hub: NewHub(), others: NewLoad(), roster: NewRoster(o.Self, o.Seeds), requestArrived: make(chan struct{}, 1)}
+	n := &Node{opts: o, readSchedule: newReadSchedule(o.InForce), reopened: map[ident.Zone]time.Time{}, view: NewView(), hub: NewHub(), peerLoad: NewLoad(), roster: NewRoster(o.Self, o.Seeds), requestArrived: make(chan struct{}, 1)}
 	n.createdAt = clock.Now()
-	n.news, n.trials, n.tokens = newCrashNews(), quarantine.NewTrials(), newTokens()
+	n.crashSpreader, n.trials, n.tokens = newCrashSpreader(), quarantine.NewTrials(), newTokens()
 	n.snapshot.Store(n.view.Snapshot())
 	n.alive.Store(1)
 	peer.Handle(o.Server, MethodHeartbeat, n.onHeartbeat)
@@ -154,44 +168,45 @@
 	return n
 }
 
-// Snapshot returns what is believed now.
+// Snapshot returns the latest published snapshot of the view.
 func (n *Node) Snapshot() *Snapshot { return n.snapshot.Load() }
 
-// Alive returns how many instances are believed to live.
+// Alive returns the number of instances that count as alive, including this one.
 func (n *Node) Alive() int { return int(n.alive.Load()) }
 
-// Current reports whether a snapshot is young enough to give orders by: two readings may
-// have failed.
+// Current reports whether a snapshot is recent enough to base orders to engines on. It allows for
+// two failed reads in a row.
 func (n *Node) Current(s *Snapshot) bool { return clock.Since(s.AsOf) <= 3*readInterval }
 
-// Leave tells peers that this instance is stopping.
+// Leave marks this instance as stopping in its further heartbeats.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.roster.Leave()
 }
 
-// SetSeeds takes in reloaded settings.
+// SetSeeds replaces the seed addresses after the settings were reloaded.
 func (n *Node) SetSeeds(seeds []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.roster.SetSeeds(seeds)
 }
 
-// Holds reports whether this instance may act for all on a duty: it is the one
-// chosen, has been for settled, and most of the instances that it calls answered it
+// Holds reports whether this instance may perform a duty for the whole fleet: it has been the
+// chosen holder for at least settled, and most of the instances that it calls have answered
 // within recent.
 func (n *Node) Holds(duty string, settled, recent time.Duration) bool {
 	clock.Check()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
-	return n.roster.HeldFor(now, duty) >= settled && n.roster.Holder(now, duty, "") && n.roster.InTouch(now, recent)
+	return n.roster.HeldFor(now, duty) >= settled && n.roster.IsHolder(now, duty, "") && n.roster.HasQuorum(now, recent)
 }
 
-// AssignedInZone returns the upstreams in a list that are of the given stage and whose duty falls
-// to this instance: it is the one chosen in the upstream's zone, or among all instances if none of
-// that zone is live. The name of an upstream's duty is prefix followed by its ID.
+// AssignedInZone returns the upstreams of a list that have the given stage and whose duty is
+// assigned to this instance. A duty is assigned within the upstream's zone, or among all
+// instances if none of that zone is alive. The name of an upstream's duty is prefix followed by
+// its ID.
 func (n *Node) AssignedInZone(prefix string, stage dialect.Stage, list []dialect.Upstream) []dialect.Upstream {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -201,7 +216,7 @@
 		if u.Stage != stage {
 			continue
 		}
-		if n.roster.Holder(now, prefix+string(u.ID), n.roster.dutyZone(now, u.Zone)) {
+		if n.roster.IsHolder(now, prefix+string(u.ID), n.roster.dutyZone(now, u.Zone)) {
 			assigned = append(assigned, u)
 		}
 	}
@@ -212,7 +227,7 @@
 func (n *Node) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { n.heartbeats(ctx) })
-	running.Go(func() { n.readings(ctx) })
+	running.Go(func() { n.maintainView(ctx) })
 	running.Go(func() { n.loads(ctx) })
 	running.Go(func() { n.spreadCrashes(ctx) })
 	running.Go(func() { n.maintain(ctx) })
@@ -220,43 +235,44 @@
 	running.Wait()
 }
 
-// large reports whether loads go by way of hubs, not with heartbeats.
-func (n *Node) large() bool {
+// isLarge reports whether the fleet is large. In a large fleet, loads are exchanged through hubs
+// rather than in heartbeats.
+func (n *Node) isLarge() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.roster.large()
+	return n.roster.isLarge()
 }
 
-// heartbeats exchanges heartbeats with peers.
+// heartbeats exchanges heartbeats with peers until ctx ends.
 func (n *Node) heartbeats(ctx context.Context) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	woke := n.informed.waking()
+	wake := n.informed.subscribeWake()
 	for ctx.Err() == nil {
 		load := Load{}
-		if !n.large() {
-			load = n.o.Load()
+		if !n.isLarge() {
+			load = n.opts.Load()
 		}
 		n.mu.Lock()
-		h := n.roster.Beat(clock.Now(), load)
+		h := n.roster.NextHeartbeat(clock.Now(), load)
 		partners := n.roster.Partners(clock.Now(), random)
-		wait := n.roster.Beats()
+		wait := n.roster.HeartbeatInterval()
 		n.mu.Unlock()
-		h.Crashes, h.Informed = n.o.Register.Digest(), n.Informed()
+		h.Crashes, h.Informed = n.opts.Register.Digest(), n.Informed()
 		for _, address := range partners {
-			go n.beat(ctx, address, h)
+			go n.heartbeatWith(ctx, address, h)
 		}
-		waitTurn(ctx, jitter(random, wait), woke)
+		waitOrWake(ctx, jitter(random, wait), wake)
 	}
 }
 
-// jitter spreads a time by a tenth either way.
+// jitter varies a duration at random by up to 10% in either direction.
 func jitter(random *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.9 + 0.2*random.Float64()))
 }
 
-// beat exchanges heartbeats with one peer, and once more if both know of different
-// instances.
-func (n *Node) beat(ctx context.Context, address string, h Heartbeat) {
+// heartbeatWith exchanges heartbeats with one peer. If the answer shows that the two know different
+// instances, a second exchange reconciles them.
+func (n *Node) heartbeatWith(ctx context.Context, address string, h Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	answer, ok := n.exchange(ctx, address, h)
@@ -269,59 +285,61 @@
 	if differs {
 		n.exchange(ctx, address, more)
 	}
-	n.noteAlive()
+	n.logAliveChange()
 }
 
-// exchange sends a heartbeat and takes in the answer. A failure needs no line of its
-// own: the peer's silence is noted when it counts as dead.
+// exchange sends a heartbeat to a peer and processes the answer. It returns false if the call
+// failed. Failures are logged at debug level only, since a silent peer is logged when it no
+// longer counts as alive.
 func (n *Node) exchange(ctx context.Context, address string, h Heartbeat) (Heartbeat, bool) {
-	answer, err := peer.Call[Heartbeat](ctx, n.o.Pool, address, MethodHeartbeat, h)
+	answer, err := peer.Call[Heartbeat](ctx, n.opts.Pool, address, MethodHeartbeat, h)
 	if err != nil {
-		n.o.Log.Debug("heartbeat not answered", "peer", address, "error", err)
+		n.opts.Log.Debug("heartbeat not answered", "peer", address, "error", err)
 		return answer, false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
 	n.roster.Receive(now, answer)
-	n.roster.Answered(now, answer.From.ID)
-	n.compareCrashes(ctx, address, answer.Crashes, answer.Informed)
+	n.roster.RecordAnswer(now, answer.From.ID)
+	n.compareCrashDigest(ctx, address, answer.Crashes, answer.Informed)
 	return answer, true
 }
 
-// onHeartbeat answers a peer's heartbeat, in a small fleet with the load of now.
+// onHeartbeat answers a peer's heartbeat. In a small fleet, the answer contains this instance's
+// current load.
 func (n *Node) onHeartbeat(ctx context.Context, _ peer.Identity, h Heartbeat) (Heartbeat, error) {
 	load := Load{}
-	if !n.large() {
-		load = n.o.Load()
+	if !n.isLarge() {
+		load = n.opts.Load()
 	}
 	n.mu.Lock()
 	now := clock.Now()
 	n.roster.Receive(now, h)
-	n.roster.Update(load)
+	n.roster.SetLoad(load)
 	answer := n.roster.Answer(now, h)
 	n.mu.Unlock()
-	answer.Crashes, answer.Informed = n.o.Register.Digest(), n.Informed()
-	n.compareCrashes(ctx, h.From.Address, h.Crashes, h.Informed)
-	n.noteAlive()
+	answer.Crashes, answer.Informed = n.opts.Register.Digest(), n.Informed()
+	n.compareCrashDigest(ctx, h.From.Address, h.Crashes, h.Informed)
+	n.logAliveChange()
 	return answer, nil
 }
 
-// noteAlive logs a change of the number of live instances.
-func (n *Node) noteAlive() {
+// logAliveChange logs a change in the number of live instances.
+func (n *Node) logAliveChange() {
 	n.mu.Lock()
 	now := int64(n.roster.Alive(clock.Now()))
 	n.mu.Unlock()
 	if before := n.alive.Swap(now); before != now {
-		n.o.Log.Info("live instances", "before", before, "now", now)
+		n.opts.Log.Info("live instances", "before", before, "now", now)
 	}
 }
 
-// publish makes the state of the view known.
+// publish makes the current view available through Snapshot and calls the Changed callback.
 func (n *Node) publish() {
 	n.mu.Lock()
 	s := n.view.Snapshot()
 	n.snapshot.Store(s)
 	n.mu.Unlock()
-	n.o.Changed(s)
+	n.opts.Changed(s)
 }
--- a/gateway/fleet/relay_test.go
+++ b/gateway/fleet/relay_test.go
@@ -15,7 +15,8 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// fakeStore holds a configuration.
+// fakeStore is a store that holds only directives. Its configuration may be replaced, and it can
+// be made unavailable.
 type fakeStore struct {
 	mu     sync.Mutex
 	config *routing.Config
@@ -53,7 +54,7 @@
 	})
 }
 
-// large returns a configuration with many routes.
+// largeConfig returns a configuration with many routes.
 func largeConfig(version int64) *routing.Config {
 	c := &routing.Config{Version: version, Services: map[string]routing.Service{"s": {Name: "s"}}}
 	for i := range 900 {
@@ -62,12 +63,13 @@
 	return c
 }
 
-// TestViewNamesTheConfigurationOnly, and lists are sent only if they differ: a large
-// configuration must not hold up the lists.
+// TestViewNamesTheConfigurationOnly guards against views that contain the configuration, which
+// would delay the lists if it is large, and against lists that are sent although the peer has the
+// same.
 func TestViewNamesTheConfigurationOnly(t *testing.T) {
 	n := newTestNode(t, &fakeStore{})
-	n.takeConfig(largeConfig(7), "test")
-	n.takeList(time.Now(), 3, []dialect.Upstream{up("a"), up("b")}, FromStore, "test")
+	n.applyConfig(largeConfig(7), "test")
+	n.mergeList(time.Now(), 3, []dialect.Upstream{up("a"), up("b")}, FromStore, "test")
 	a, err := n.onView(t.Context(), peer.Identity{}, ViewRequest{})
 	assert.NilError(t, err)
 	assert.Equal(t, a.Version, int64(7))
@@ -76,13 +78,13 @@
 	same, err := n.onView(t.Context(), peer.Identity{}, ViewRequest{Digest: n.Snapshot().Digest()})
 	assert.NilError(t, err)
 	assert.Assert(t, same.Same && same.Whole == nil && same.Changed == nil)
-	n.takeList(time.Now(), 4, []dialect.Upstream{up("a")}, FromStore, "test")
+	n.mergeList(time.Now(), 4, []dialect.Upstream{up("a")}, FromStore, "test")
 	differs, err := n.onView(t.Context(), peer.Identity{}, ViewRequest{Digest: n.Snapshot().Digest() + 1})
 	assert.NilError(t, err)
 	assert.Equal(t, len(listOf(t, differs, NewView().Snapshot())), 1)
 }
 
-// listOf returns the list of an answer.
+// listOf returns the list in an answer to an instance with the given snapshot.
 func listOf(t *testing.T, a ViewAnswer, s *Snapshot) []dialect.Upstream {
 	t.Helper()
 	list, err := a.list(s)
@@ -90,11 +92,12 @@
 	return list
 }
 
-// TestDigestTellsListsApart by every field that matters.
+// TestDigestTellsListsApart checks that the digest depends on each field that matters, but not on
+// the order.
 func TestDigestTellsListsApart(t *testing.T) {
 	digest := func(ups ...dialect.Upstream) uint64 {
 		v := NewView()
-		list(v, 0, 1, ups...)
+		mergeList(v, 0, 1, ups...)
 		return v.Snapshot().Digest()
 	}
 	leaving := up("a")
@@ -109,24 +112,25 @@
 	}
 }
 
-// TestNewConfigurationIsReadFromTheStore once a peer names it, and the version stays
-// if the store is down and the peer too.
+// TestNewConfigurationIsReadFromTheStore checks that a version announced by a peer is read from
+// the store, and that the current version stays in force if the store is behind or unavailable.
 func TestNewConfigurationIsReadFromTheStore(t *testing.T) {
 	store := &fakeStore{config: largeConfig(9)}
 	n := newTestNode(t, store)
-	assert.Assert(t, n.configFromStore(9))
+	assert.Assert(t, n.fetchConfigFromStore(9))
 	assert.Equal(t, n.Snapshot().Version(), int64(9))
-	assert.Assert(t, !n.configFromStore(12), "the store is behind the peer")
+	assert.Assert(t, !n.fetchConfigFromStore(12), "the store is behind the peer")
 	store.down = true
-	assert.Assert(t, !n.configFromStore(12))
+	assert.Assert(t, !n.fetchConfigFromStore(12))
 	assert.Equal(t, n.Snapshot().Version(), int64(9))
 }
 
-// TestLargeConfigurationIsNotSentToAll of a zone by its hub, unless the peer takes any.
+// TestLargeConfigurationIsNotSentToAll guards against a hub that sends a large configuration to
+// all instances of its zone. It is sent only to a peer that sets no limit.
 func TestLargeConfigurationIsNotSentToAll(t *testing.T) {
 	n := newTestNode(t, &fakeStore{})
-	n.takeConfig(largeConfig(7), "test")
-	a, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{MostBytes: 2000})
+	n.applyConfig(largeConfig(7), "test")
+	a, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{MaxBytes: 2000})
 	assert.NilError(t, err)
 	assert.Equal(t, len(a.Gzip), 0)
 	a, err = n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
@@ -134,14 +138,14 @@
 	assert.Assert(t, len(a.Gzip) > 2000)
 }
 
-// TestConfigurationIsPackedOnce for all peers that ask, to a tenth of its size, and
-// anew for the next version.
+// TestConfigurationIsPackedOnce checks that a configuration is encoded once for all peers and
+// again for the next version, and compressed to a tenth of its size.
 func TestConfigurationIsPackedOnce(t *testing.T) {
 	n := newTestNode(t, &fakeStore{})
 	none, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(none.Gzip), 0)
-	n.takeConfig(largeConfig(7), "test")
+	n.applyConfig(largeConfig(7), "test")
 	first, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
 	assert.NilError(t, err)
 	again, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
@@ -151,7 +155,7 @@
 	c, err := first.unpack()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, c, largeConfig(7))
-	n.takeConfig(largeConfig(8), "test")
+	n.applyConfig(largeConfig(8), "test")
 	next, err := n.onConfig(t.Context(), peer.Identity{}, ConfigRequest{})
 	assert.NilError(t, err)
 	c, err = next.unpack()
--- a/gateway/fleet/roster_test.go
+++ b/gateway/fleet/roster_test.go
@@ -20,40 +20,43 @@
 	}
 }
 
-func hear(r *Roster, ms int, m Member) {
+func receiveFrom(r *Roster, ms int, m Member) {
 	r.Receive(at(ms), Heartbeat{From: m})
 }
 
+// TestSilentInstancesAreNotAlive checks that an instance stops counting as alive after aliveTimeout.
 func TestSilentInstancesAreNotAlive(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
-	hear(r, 0, member(1, "a"))
+	receiveFrom(r, 0, member(1, "a"))
 	assert.Equal(t, r.Alive(at(1000)), 2)
 	assert.Equal(t, r.Alive(at(2500)), 1)
 }
 
-// TestRelayedHeartbeatsCountFromWhenTheyWereMade: hearsay does not keep a dead
-// instance alive.
+// TestRelayedHeartbeatsCountFromWhenTheyWereMade guards against a dead instance that counts as
+// alive because others keep relaying its last heartbeat.
 func TestRelayedHeartbeatsCountFromWhenTheyWereMade(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	r.Receive(at(5000), Heartbeat{From: member(1, "a"), Relayed: []Relayed{{Member: member(2, "a"), AgeMS: 1900}}})
 	assert.Equal(t, r.Alive(at(5000)), 3)
 	r.Receive(at(5150), Heartbeat{From: member(1, "a"), Relayed: []Relayed{{Member: member(2, "a"), AgeMS: 0}}})
-	assert.Equal(t, r.Alive(at(5150)), 2, "the same heartbeat is no new sign of life")
+	assert.Equal(t, r.Alive(at(5150)), 2, "relaying the same heartbeat again does not extend the time")
 }
 
+// TestRestartedInstanceIsNewer guards against ignoring the heartbeats of a restarted instance,
+// whose sequence starts anew.
 func TestRestartedInstanceIsNewer(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	old := member(1, "a")
 	old.Sequence = 99
-	hear(r, 0, old)
+	receiveFrom(r, 0, old)
 	fresh := member(1, "a")
 	fresh.Incarnation = 2
-	hear(r, 1500, fresh)
+	receiveFrom(r, 1500, fresh)
 	assert.Equal(t, r.Alive(at(3000)), 2)
 }
 
-// TestOneHolder: of instances that hear each other exactly one holds a duty, and a
-// stopping one hands it on.
+// TestOneHolder checks that exactly one of several instances that receive each other's heartbeats
+// holds a duty, and that the duty moves to another when the holder is stopping.
 func TestOneHolder(t *testing.T) {
 	rosters := make([]*Roster, 5)
 	for i := range rosters {
@@ -61,7 +64,7 @@
 	}
 	exchange := func(ms int) {
 		for _, from := range rosters {
-			h := from.Beat(at(ms), Load{})
+			h := from.NextHeartbeat(at(ms), Load{})
 			for _, to := range rosters {
 				to.Receive(at(ms), h)
 			}
@@ -72,7 +75,7 @@
 	holders := func(ms int) []int {
 		var out []int
 		for i, r := range rosters {
-			if r.Holder(at(ms), "stages", "") {
+			if r.IsHolder(at(ms), "stages", "") {
 				out = append(out, i)
 			}
 		}
@@ -87,7 +90,7 @@
 	assert.Assert(t, second[0] != first[0])
 }
 
-// TestHubOfTheZone: each zone has one hub, which all agree on.
+// TestHubOfTheZone checks that all instances agree on one hub for each zone.
 func TestHubOfTheZone(t *testing.T) {
 	members := []Member{member(0, "a"), member(1, "a"), member(2, "b")}
 	hubs := map[ident.Zone]map[string]int{"a": {}, "b": {}}
@@ -96,7 +99,7 @@
 		r := NewRoster(self, nil)
 		for j, m := range members {
 			if i != j {
-				hear(r, 0, m)
+				receiveFrom(r, 0, m)
 			}
 		}
 		for zone, seen := range hubs {
@@ -113,42 +116,45 @@
 	}
 }
 
-// TestInTouchNeedsAnswersOfMost: an instance that woke up or is cut off has a full
-// roster but no recent answers.
+// TestInTouchNeedsAnswersOfMost guards against an instance that acts for the fleet after a pause
+// or while it is cut off: its roster still lists all peers, but none has answered recently.
 func TestInTouchNeedsAnswersOfMost(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	for i := 1; i < 4; i++ {
-		hear(r, 1000, member(i, "a"))
+		receiveFrom(r, 1000, member(i, "a"))
 	}
-	assert.Assert(t, !r.InTouch(at(1100), time.Second))
-	r.Answered(at(1100), "i01")
-	r.Answered(at(1100), "i02")
-	assert.Assert(t, r.InTouch(at(1200), time.Second))
-	assert.Assert(t, !r.InTouch(at(2200), time.Second))
+	assert.Assert(t, !r.HasQuorum(at(1100), time.Second))
+	r.RecordAnswer(at(1100), "i01")
+	r.RecordAnswer(at(1100), "i02")
+	assert.Assert(t, r.HasQuorum(at(1200), time.Second))
+	assert.Assert(t, !r.HasQuorum(at(2200), time.Second))
 }
 
+// TestPartnersAreFewInALargeFleet checks that an instance calls all peers in a small fleet, but
+// only fanout of them in a large one.
 func TestPartnersAreFewInALargeFleet(t *testing.T) {
 	r := NewRoster(member(0, "a"), []string{"10.0.0.200:1"})
 	for i := 1; i <= 5; i++ {
-		hear(r, 0, member(i, "a"))
+		receiveFrom(r, 0, member(i, "a"))
 	}
 	random := rand.New(rand.NewPCG(1, 1))
-	assert.Equal(t, len(r.Partners(at(0), random)), 6, "all and the unknown seed")
+	assert.Equal(t, len(r.Partners(at(0), random)), 6, "all peers and the unknown seed")
 	for i := 6; i <= 60; i++ {
-		hear(r, 0, member(i, "a"))
+		receiveFrom(r, 0, member(i, "a"))
 	}
 	assert.Equal(t, len(r.Partners(at(0), random)), fanout+1)
-	assert.Assert(t, r.Beats() > beatInterval)
+	assert.Assert(t, r.HeartbeatInterval() > heartbeatInterval)
 }
 
-// TestRelayedHeartbeatsCarryNoLoad in a small fleet, and don't hide the load that
-// the instance itself tells, before or after.
+// TestRelayedHeartbeatsCarryNoLoad checks that relayed heartbeats in a small fleet contain no
+// load, and guards against their hiding the load in a heartbeat that comes directly from the
+// instance, earlier or later.
 func TestRelayedHeartbeatsCarryNoLoad(t *testing.T) {
 	load := Load{Demand: map[string]Demand{"m": {PrefillRate: 5}}}
 	first, second := NewRoster(member(1, "a"), nil), NewRoster(member(2, "a"), nil)
-	beat := first.Beat(at(0), load)
+	beat := first.NextHeartbeat(at(0), load)
 	second.Receive(at(0), beat)
-	relayed := second.Beat(at(0), Load{})
+	relayed := second.NextHeartbeat(at(0), Load{})
 	assert.Assert(t, relayed.Relayed[0].Member.Load.empty())
 	for _, order := range [][]Heartbeat{{beat, relayed}, {relayed, beat}} {
 		r := NewRoster(member(0, "a"), nil)
@@ -163,23 +169,25 @@
 	}
 }
 
-// TestInTouchInALargeFleet: the few that are called answer, and most live.
+// TestInTouchInALargeFleet checks that answers of the few peers that are called suffice in a
+// large fleet, as long as most instances are alive.
 func TestInTouchInALargeFleet(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	for i := 1; i < 60; i++ {
-		hear(r, 1000, member(i, "a"))
+		receiveFrom(r, 1000, member(i, "a"))
 	}
-	assert.Assert(t, !r.InTouch(at(1100), time.Second))
+	assert.Assert(t, !r.HasQuorum(at(1100), time.Second))
 	for _, id := range []ident.InstanceID{"i01", "i02", "i03"} {
-		r.Answered(at(1100), id)
+		r.RecordAnswer(at(1100), id)
 	}
-	assert.Assert(t, r.InTouch(at(1200), time.Second))
-	assert.Assert(t, !r.InTouch(at(8000), 8*time.Second), "the others are silent")
+	assert.Assert(t, r.HasQuorum(at(1200), time.Second))
+	assert.Assert(t, !r.HasQuorum(at(8000), 8*time.Second), "most instances no longer count as alive")
 }
 
-// TestDutyIsHeldWithoutABreak: whoever is chosen waits anew after it was not, after a
-// pause of its own and on the smaller side of a cut; others that come and go don't
-// matter.
+// TestDutyIsHeldWithoutABreak guards against an instance that still counts as the holder of a
+// duty after a pause or on the minority side of a network partition, when others may have taken
+// the duty over. The time for which it has held the duty starts anew then, but not when other
+// instances come and go.
 func TestDutyIsHeldWithoutABreak(t *testing.T) {
 	members := []Member{member(0, "a"), member(1, "a"), member(2, "a"), member(3, "a")}
 	rosters := make([]*Roster, len(members))
@@ -188,17 +196,18 @@
 		rosters[i] = NewRoster(members[i], nil)
 		for j, m := range members {
 			if i != j {
-				hear(rosters[i], 0, m)
+				receiveFrom(rosters[i], 0, m)
 			}
 		}
-		if rosters[i].Holder(at(0), "stages", "") {
+		if rosters[i].IsHolder(at(0), "stages", "") {
 			first = i
 		}
 	}
 	r := rosters[first]
-	// live has the others send heartbeats until a time, but those left out.
+	// sendHeartbeats sends heartbeats of the other instances, except those in without, from one
+	// time to another.
 	sequence := uint64(1)
-	live := func(from, to int, without ...int) {
+	sendHeartbeats := func(from, to int, without ...int) {
 		for ms := from; ms <= to; ms += 300 {
 			sequence++
 			for j, m := range members {
@@ -206,43 +215,43 @@
 					continue
 				}
 				m.Sequence = sequence
-				hear(r, ms, m)
+				receiveFrom(r, ms, m)
 			}
 			r.HeldFor(at(ms), "stages")
 		}
 	}
 	other := (first + 1) % len(members)
-	live(300, 6000)
+	sendHeartbeats(300, 6000)
 	assert.Equal(t, r.HeldFor(at(6000), "stages"), 5700*time.Millisecond)
-	live(6300, 9000, other)
+	sendHeartbeats(6300, 9000, other)
 	assert.Equal(t, r.Alive(at(9000)), 3)
-	assert.Equal(t, r.HeldFor(at(9000), "stages"), 8700*time.Millisecond, "a death elsewhere is no break")
-	assert.Equal(t, r.HeldFor(at(10100), "stages"), time.Duration(0), "it stood still")
-	live(10200, 12000)
+	assert.Equal(t, r.HeldFor(at(9000), "stages"), 8700*time.Millisecond, "the death of another instance does not interrupt the duty")
+	assert.Equal(t, r.HeldFor(at(10100), "stages"), time.Duration(0), "the instance was paused")
+	sendHeartbeats(10200, 12000)
 	assert.Equal(t, r.HeldFor(at(12000), "stages"), 1900*time.Millisecond)
-	live(12300, 14700, other, (first+2)%len(members), (first+3)%len(members))
+	sendHeartbeats(12300, 14700, other, (first+2)%len(members), (first+3)%len(members))
 	assert.Equal(t, r.Alive(at(14700)), 1)
-	live(15000, 15300)
-	assert.Assert(t, r.HeldFor(at(15300), "stages") < time.Second, "it was cut off")
+	sendHeartbeats(15000, 15300)
+	assert.Assert(t, r.HeldFor(at(15300), "stages") < time.Second, "the instance was on the minority side of a partition")
 }
 
-// TestZonesOfALargeFleetCallEachOtherSeldom: partners are of the own zone, and a few of
-// a zone's instances call another zone in each round.
+// TestZonesOfALargeFleetCallEachOtherSeldom guards against too much traffic between zones:
+// partners are of the own zone, and a few of a zone's instances call another zone in each round.
 func TestZonesOfALargeFleetCallEachOtherSeldom(t *testing.T) {
 	r := NewRoster(member(0, "a"), []string{"10.0.0.1:1", "10.0.0.2:1"})
-	foreign := map[string]bool{}
+	otherZones := map[string]bool{}
 	for i := 1; i < 80; i++ {
 		m := member(i, string(rune('a'+i%4)))
-		hear(r, 0, m)
+		receiveFrom(r, 0, m)
 		if m.Zone != "a" {
-			foreign[m.Address] = true
+			otherZones[m.Address] = true
 		}
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	own, others := 0, 0
 	for range 1000 {
 		for _, address := range r.Partners(at(0), random) {
-			if foreign[address] {
+			if otherZones[address] {
 				others++
 			} else {
 				own++
@@ -250,82 +259,86 @@
 		}
 	}
 	assert.Equal(t, own, 1000*fanout)
-	assert.Assert(t, others > 150 && others < 250, "%d of 1000, 4 of 20 instances call", others)
+	assert.Assert(t, others > 150 && others < 250, "%d calls to other zones in 1000 rounds, want about 200: 4 of the zone's 20 instances call in each round", others)
 }
 
-// TestForeignInstancesMayBeSilentLonger in a large fleet: their news takes longer.
+// TestForeignInstancesMayBeSilentLonger checks that instances of other zones count as alive for
+// longer in a large fleet, since news of them takes longer to arrive.
 func TestForeignInstancesMayBeSilentLonger(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	for i := 1; i <= 30; i++ {
-		hear(r, 0, member(i, string(rune('a'+i%2))))
+		receiveFrom(r, 0, member(i, string(rune('a'+i%2))))
 	}
 	assert.Equal(t, r.Alive(at(5900)), 31)
 	assert.Equal(t, r.Alive(at(6100)), 1+15)
 	assert.Equal(t, r.Alive(at(9100)), 1)
 }
 
-// TestDutiesOfAZone fall to an instance of it, while one lives there.
+// TestDutiesOfAZone checks that a zone's duties are assigned to one of its own instances while
+// one is alive.
 func TestDutiesOfAZone(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
-	hear(r, 0, member(1, "b"))
-	assert.Assert(t, r.Holder(at(0), "report/x", "a"))
-	assert.Assert(t, !r.Holder(at(0), "report/x", "b"))
-	assert.Assert(t, r.Inhabited(at(0), "b"))
-	assert.Assert(t, !r.Inhabited(at(5000), "b"))
+	receiveFrom(r, 0, member(1, "b"))
+	assert.Assert(t, r.IsHolder(at(0), "report/x", "a"))
+	assert.Assert(t, !r.IsHolder(at(0), "report/x", "b"))
+	assert.Assert(t, r.HasCandidates(at(0), "b"))
+	assert.Assert(t, !r.HasCandidates(at(5000), "b"))
 }
 
-// TestOneOfTwoCalls: two instances of a small fleet that exchange heartbeats call each
-// other about as often together as one alone would, know each other's load as well, and
-// each still gets answers often enough to give orders.
+// TestOneOfTwoCalls guards against both of two instances in a small fleet calling each other in
+// every round. Together they make about as many calls as one alone would, know each other's load
+// as well, and each gets answers often enough to give orders.
 func TestOneOfTwoCalls(t *testing.T) {
 	a, b := NewRoster(member(0, "a"), nil), NewRoster(member(1, "b"), nil)
-	hear(a, 0, b.self)
-	hear(b, 0, a.self)
+	receiveFrom(a, 0, b.self)
+	receiveFrom(b, 0, a.self)
 	random := rand.New(rand.NewPCG(1, 1))
 	calls, oldest := 0, time.Duration(0)
 	call := func(from, to *Roster, ms int) {
-		oldest = max(oldest, at(ms).Sub(from.peers[to.self.ID].told))
+		oldest = max(oldest, at(ms).Sub(from.peers[to.self.ID].lastDirect))
 		if len(from.Partners(at(ms), random)) == 0 {
 			return
 		}
 		calls++
-		to.Receive(at(ms), from.Beat(at(ms), Load{}))
-		to.Update(Load{Demand: map[string]Demand{"m": {PrefillRate: float64(ms)}}})
+		to.Receive(at(ms), from.NextHeartbeat(at(ms), Load{}))
+		to.SetLoad(Load{Demand: map[string]Demand{"m": {PrefillRate: float64(ms)}}})
 		from.Receive(at(ms), to.Answer(at(ms), Heartbeat{From: from.self}))
-		from.Answered(at(ms), to.self.ID)
+		from.RecordAnswer(at(ms), to.self.ID)
 		assert.Equal(t, from.peers[to.self.ID].member.Load.Demand["m"].PrefillRate, float64(ms))
 	}
-	a.peers[b.self.ID].told, b.peers[a.self.ID].told = at(0), at(0)
+	a.peers[b.self.ID].lastDirect, b.peers[a.self.ID].lastDirect = at(0), at(0)
 	for ms := 300; ms <= 30000; ms += 300 {
 		call(a, b, ms)
 		call(b, a, ms+150)
 		if ms > 3000 {
-			assert.Assert(t, a.InTouch(at(ms+160), 1500*time.Millisecond))
-			assert.Assert(t, b.InTouch(at(ms+160), 1500*time.Millisecond))
+			assert.Assert(t, a.HasQuorum(at(ms+160), 1500*time.Millisecond))
+			assert.Assert(t, b.HasQuorum(at(ms+160), 1500*time.Millisecond))
 		}
 	}
-	assert.Assert(t, calls < 150, "%d in 30 s; 200 if both always called", calls)
-	assert.Assert(t, oldest <= 300*time.Millisecond, "%v", oldest)
+	assert.Assert(t, calls < 150, "%d calls in 30 s; it would be 200 if both always called", calls)
+	assert.Assert(t, oldest <= 300*time.Millisecond, "oldest load %v", oldest)
 }
 
-// TestSilentPeerIsCalledEachTime, and named by others often enough to count as alive.
+// TestSilentPeerIsCalledEachTime checks that a peer that does not answer is called in every
+// round, and that others name it often enough for it to count as alive.
 func TestSilentPeerIsCalledEachTime(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
-	hear(r, 0, member(1, "b"))
+	receiveFrom(r, 0, member(1, "b"))
 	random := rand.New(rand.NewPCG(1, 1))
 	named := 0
 	for ms := 300; ms <= 1800; ms += 300 {
 		assert.Equal(t, len(r.Partners(at(ms), random)), 1)
-		named += len(r.Beat(at(ms), Load{}).Relayed)
+		named += len(r.NextHeartbeat(at(ms), Load{}).Relayed)
 	}
 	assert.Equal(t, named, 3)
 }
 
-// TestStartingInstanceHearsOfAll in the first answer, again after a restart.
+// TestStartingInstanceHearsOfAll checks that the first answer to a starting instance names all
+// others, also after a restart, and that later answers do not.
 func TestStartingInstanceHearsOfAll(t *testing.T) {
 	seed := NewRoster(member(0, "a"), nil)
 	for i := 1; i <= 4; i++ {
-		hear(seed, 0, member(i, "a"))
+		receiveFrom(seed, 0, member(i, "a"))
 	}
 	for incarnation := range 2 {
 		self := member(9, "b")
@@ -333,7 +346,7 @@
 		started := NewRoster(self, nil)
 		for round, named := range []int{4, 0} {
 			ms := 100 + 300*round
-			seed.Receive(at(ms), started.Beat(at(ms), Load{}))
+			seed.Receive(at(ms), started.NextHeartbeat(at(ms), Load{}))
 			answer := seed.Answer(at(ms), Heartbeat{From: self})
 			started.Receive(at(ms), answer)
 			others := 0
@@ -348,8 +361,10 @@
 	}
 }
 
-// TestHubThatDoesNotAnswerIsPassedOver at once, by all who called it alike, long before it
-// counts as dead; for a while, or until the next candidate says that it answers others.
+// TestHubThatDoesNotAnswerIsPassedOver guards against a zone without sums of loads and lists
+// until its dead hub no longer counts as alive. All instances that called the hub in vain choose
+// the same next candidate at once. They return to the hub after failedCallBackoff, or when the next
+// candidate says that it still gets answers from it.
 func TestHubThatDoesNotAnswerIsPassedOver(t *testing.T) {
 	rosters := map[string]*Roster{}
 	for i := range 30 {
@@ -357,28 +372,28 @@
 		r := NewRoster(self, nil)
 		for j := range 30 {
 			if i != j {
-				hear(r, 0, member(j, "a"))
+				receiveFrom(r, 0, member(j, "a"))
 			}
 		}
 		rosters[self.Address] = r
 	}
 	hub, _ := rosters["10.0.0.0:1"].Hub(at(0), "a")
-	seconds := map[string]bool{}
+	nextHubs := map[string]bool{}
 	for address, r := range rosters {
 		if address == hub {
 			continue
 		}
-		r.Called(at(100), hub, false)
+		r.RecordCall(at(100), hub, false)
 		next, _ := r.Hub(at(100), "a")
-		seconds[next] = true
-		again, _ := r.Hub(at(100).Add(passedOver), "a")
+		nextHubs[next] = true
+		again, _ := r.Hub(at(100).Add(failedCallBackoff), "a")
 		assert.Equal(t, again, hub)
 	}
-	assert.Equal(t, len(seconds), 1, "%v", seconds)
-	assert.Assert(t, !seconds[hub])
+	assert.Equal(t, len(nextHubs), 1, "different next candidates: %v", nextHubs)
+	assert.Assert(t, !nextHubs[hub])
 	for _, r := range rosters {
-		r.Called(at(100), hub, false)
-		r.Forgive()
+		r.RecordCall(at(100), hub, false)
+		r.ClearFailures()
 		first, _ := r.Hub(at(150), "a")
 		assert.Equal(t, first, hub)
 	}
@@ -396,7 +411,7 @@
 		}
 		assert.Equal(t, r.Alive(epoch), n)
 		for self := range n {
-			// All instances know the same ones.
+			// The roster of each instance lists the same instances.
 			r.self = coldMember(self)
 			quota := r.coldQuota(epoch, "u", "a", rate)
 			if quota > 0 {
@@ -410,7 +425,7 @@
 	}
 }
 
-// coldMember returns an instance, in zone a or b.
+// coldMember returns an instance in zone a or b.
 func coldMember(n int) Member {
 	return Member{ID: ident.InstanceID(fmt.Sprintf("i%d", n)), Zone: ident.Zone(string(rune('a' + n%2))), Address: fmt.Sprintf("i%d:1", n), Incarnation: 1, Sequence: 1}
 }
--- a/gateway/fleet/trials.go
+++ b/gateway/fleet/trials.go
@@ -11,63 +11,67 @@
 	"github.com/wardspool/wardspool/rendezvous"
 )
 
-// MethodTrial asks a peer for a trial of a suspect content, or tells it that one is over.
+// MethodTrial asks a peer to allow a trial of suspect content, or reports that one is over. In a
+// trial, a single request with the content is sent to an upstream to find out whether it crashes.
 const MethodTrial = "gateway.trial"
 
 const (
-	// dutyTrial, with a content, names the duty of allowing its trials.
+	// dutyTrial is the prefix of the name of the duty to allow trials of a content. The content
+	// follows.
 	dutyTrial = "trial/"
-	// trialOwners is how many candidates for that duty are asked, one after the other: when
-	// many instances died at once, the first still count as alive for some seconds. All
-	// instances pass the same ones over, since those refuse connections.
-	trialOwners = 8
-	// trialTimeout bounds one question, which peers answer in a few ms, and trialSearch all
-	// of them: of those behind a cut each takes its time.
-	trialTimeout = 250 * time.Millisecond
-	trialSearch  = 500 * time.Millisecond
-	// trialEndTries is how often the end of a trial is told; without it the trial lapses.
-	trialEndTries = 2
+	// maxTrialOwners is the number of candidates for that duty that are asked one after the other.
+	// When many instances have died at once, those ranked first still count as alive for some
+	// seconds. All instances skip the same ones, since those refuse connections.
+	maxTrialOwners = 8
+	// trialTimeout bounds one call, which peers answer in a few milliseconds. trialTotalTimeout
+	// bounds all of them together, since each call to an instance behind a network partition runs
+	// into trialTimeout.
+	trialTimeout      = 250 * time.Millisecond
+	trialTotalTimeout = 500 * time.Millisecond
+	// maxTrialEndReports is how often the end of a trial is reported at most. If no report arrives,
+	// the trial expires.
+	maxTrialEndReports = 2
 )
 
-// TrialRequest asks for a trial.
+// TrialRequest asks for a trial or ends one.
 type TrialRequest struct {
 	From    ident.InstanceID   `json:"from"`
 	Content quarantine.Content `json:"c"`
-	// LastsMS is how long it may take.
+	// LastsMS is the longest duration of the trial in milliseconds.
 	LastsMS int64 `json:"t,omitempty"`
-	// Over means that the trial is over.
+	// Over is set if the trial is over.
 	Over bool `json:"o,omitempty"`
-	// Crashes is what the sender knows of the content, packed: what the trial showed has to
-	// be known before the next one is allowed.
+	// Crashes is the sender's evidence on the content, encoded by packCrashes. The result of a
+	// trial must be known before the next one is allowed.
 	Crashes []byte `json:"k,omitempty"`
 }
 
-// TrialAnswer says whether a trial may begin.
+// TrialAnswer is the answer to a TrialRequest.
 type TrialAnswer struct {
 	Allowed bool `json:"a,omitempty"`
-	// Crashes is what the asked instance knows of the content, packed, if it doesn't allow
-	// the trial.
+	// Crashes is the answering instance's evidence on the content, encoded by packCrashes. It is
+	// sent if the trial is not allowed.
 	Crashes []byte `json:"k,omitempty"`
 }
 
-// Begin implements carry.Trials. One instance allows the trials of a content, so that all
-// instances together make one at a time; nothing is sent if it can't be asked. Instances
-// that take different peers for alive may ask two different ones: each side of a cut has
-// its own trial.
-func (n *Node) Begin(ctx context.Context, c quarantine.Content, lasts time.Duration) (end func(), ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, trialSearch)
+// Begin implements carry.Trials. A single instance allows the trials of a content, so that the
+// fleet runs one at a time. If that instance cannot be asked, no trial begins and nothing is
+// sent. Instances that differ on which peers are alive may ask different instances: during a
+// network partition, each side runs its own trials.
+func (n *Node) Begin(ctx context.Context, c quarantine.Content, maxDuration time.Duration) (end func(), ok bool) {
+	ctx, cancel := context.WithTimeout(ctx, trialTotalTimeout)
 	defer cancel()
-	q := TrialRequest{From: n.o.Self.ID, Content: c, LastsMS: lasts.Milliseconds(), Crashes: packCrashes(n.o.Register.TellOf(clock.Now(), c))}
+	request := TrialRequest{From: n.opts.Self.ID, Content: c, LastsMS: maxDuration.Milliseconds(), Crashes: packCrashes(n.opts.Register.TellOf(clock.Now(), c))}
 	for _, owner := range n.trialOwners(c) {
-		answer, err := n.askTrial(ctx, owner, q)
+		answer, err := n.askTrial(ctx, owner, request)
 		if err != nil {
-			n.o.Log.Info("trial not answered", "peer", owner, "content", c.String(), "error", err)
+			n.opts.Log.Info("asking peer for a trial failed", "peer", owner, "content", c.String(), "error", err)
 			if ctx.Err() != nil {
 				return nil, false
 			}
 			continue
 		}
-		n.hearCrashes(answer.Crashes)
+		n.receiveCrashes(answer.Crashes)
 		if !answer.Allowed {
 			return nil, false
 		}
@@ -76,19 +80,20 @@
 	return nil, false
 }
 
-// trialOwners returns the addresses of the instances that may allow trials of a content.
+// trialOwners returns the addresses of the instances that may allow trials of a content; see
+// Roster.TrialOwners.
 func (n *Node) trialOwners(c quarantine.Content) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.roster.TrialOwners(clock.Now(), c)
 }
 
-// TrialOwners returns the addresses of the instances that may allow trials of a content,
-// first the one whose duty it is.
+// TrialOwners returns the addresses of the instances that may allow trials of a content, starting
+// with the one that the duty is assigned to.
 func (r *Roster) TrialOwners(now time.Time, c quarantine.Content) []string {
 	r.refresh(now)
 	var out []string
-	for _, id := range rendezvous.Top(dutyTrial+c.String(), r.candidates[""], trialOwners) {
+	for _, id := range rendezvous.Top(dutyTrial+c.String(), r.candidates[""], maxTrialOwners) {
 		address := r.self.Address
 		if p := r.peers[id]; p != nil {
 			address = p.member.Address
@@ -98,38 +103,40 @@
 	return out
 }
 
-// askTrial asks an instance, which may be this one.
-func (n *Node) askTrial(ctx context.Context, address string, q TrialRequest) (TrialAnswer, error) {
-	if address == n.o.Self.Address {
-		return n.onTrial(ctx, peer.Identity{}, q)
+// askTrial sends a trial request to an instance, which may be this one.
+func (n *Node) askTrial(ctx context.Context, address string, request TrialRequest) (TrialAnswer, error) {
+	if address == n.opts.Self.Address {
+		return n.onTrial(ctx, peer.Identity{}, request)
 	}
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	return peer.Call[TrialAnswer](ctx, n.o.Pool, address, MethodTrial, q)
+	return peer.Call[TrialAnswer](ctx, n.opts.Pool, address, MethodTrial, request)
 }
 
-// endTrial tells that a trial is over, and what is known since.
+// endTrial reports to the instance that allowed a trial that it is over, with the evidence since
+// then.
 func (n *Node) endTrial(owner string, c quarantine.Content) {
-	for range trialEndTries {
-		q := TrialRequest{From: n.o.Self.ID, Content: c, Over: true, Crashes: packCrashes(n.o.Register.TellOf(clock.Now(), c))}
-		if _, err := n.askTrial(context.Background(), owner, q); err == nil {
+	for range maxTrialEndReports {
+		request := TrialRequest{From: n.opts.Self.ID, Content: c, Over: true, Crashes: packCrashes(n.opts.Register.TellOf(clock.Now(), c))}
+		if _, err := n.askTrial(context.Background(), owner, request); err == nil {
 			return
 		}
 	}
-	n.o.Log.Info("end of a trial not told, it lapses by itself", "peer", owner, "content", c.String())
+	n.opts.Log.Info("reporting the end of a trial failed, it will expire", "peer", owner, "content", c.String())
 }
 
-// onTrial allows a trial, or ends one.
-func (n *Node) onTrial(_ context.Context, _ peer.Identity, q TrialRequest) (TrialAnswer, error) {
-	n.hearCrashes(q.Crashes)
+// onTrial allows a trial or ends one. It allows none if the content is quarantined or if another
+// trial of it is running.
+func (n *Node) onTrial(_ context.Context, _ peer.Identity, request TrialRequest) (TrialAnswer, error) {
+	n.receiveCrashes(request.Crashes)
 	now := clock.Now()
-	if q.Over {
-		n.trials.End(q.Content, q.From)
+	if request.Over {
+		n.trials.End(request.Content, request.From)
 		return TrialAnswer{}, nil
 	}
-	lasts := time.Duration(q.LastsMS) * time.Millisecond
-	if n.o.Register.Verdict(now, q.Content).Standing != quarantine.Quarantined && n.trials.Begin(now, q.Content, q.From, lasts) {
+	maxDuration := time.Duration(request.LastsMS) * time.Millisecond
+	if n.opts.Register.Verdict(now, request.Content).Standing != quarantine.Quarantined && n.trials.Begin(now, request.Content, request.From, maxDuration) {
 		return TrialAnswer{Allowed: true}, nil
 	}
-	return TrialAnswer{Crashes: packCrashes(n.o.Register.TellOf(now, q.Content))}, nil
+	return TrialAnswer{Crashes: packCrashes(n.opts.Register.TellOf(now, request.Content))}, nil
 }
