--- a/gateway/counters.go
+++ b/gateway/counters.go
@@ -36,25 +36,25 @@
 // count increments the counter of an event. The name is without the suffix "_total".
 func (c *counters) count(name string) { c.scope.Counter(name + "_total").Inc(1) }
 
-// observe records the outcome and the duration of an answered request.
-func (c *counters) observe(r *routing.Route, outcome string, took time.Duration) {
+// observeRequest records the outcome and the duration of an answered request.
+func (c *counters) observeRequest(r *routing.Route, outcome string, took time.Duration) {
 	s := c.scope.Tagged(map[string]string{"kind": r.Kind.String(), "outcome": outcome})
 	s.Counter("requests_total").Inc(1)
 	s.Histogram("request_seconds", latencyBuckets).RecordDuration(took)
 }
 
-// routes serves the metrics, the quarantined request contents and the state of the workspaces'
+// handler serves the metrics, the quarantined request contents and the state of the workspaces'
 // rate limits.
-func (c *counters) routes(held *quarantine.Register, limits func() []limit.Status) http.Handler {
+func (c *counters) handler(held *quarantine.Register, limits func() []limit.Status) http.Handler {
 	r := mux.NewRouter()
 	r.Path("/metrics").Handler(c.reporter)
-	r.Path("/quarantine").Handler(show(func() any { return held.Held(clock.Now()) }))
-	r.Path("/limits").Handler(show(func() any { return limits() }))
+	r.Path("/quarantine").Handler(serveJSON(func() any { return held.Held(clock.Now()) }))
+	r.Path("/limits").Handler(serveJSON(func() any { return limits() }))
 	return r
 }
 
-// show serves the result of a function as JSON. It calls the function for each request.
-func show(value func() any) http.Handler {
+// serveJSON serves the result of a function as JSON. It calls the function for each request.
+func serveJSON(value func() any) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		// An error mostly means that the operator has disconnected and needs no answer.
@@ -62,16 +62,16 @@
 	})
 }
 
-// limited counts the cost of a request whose workspace has a rate limit, by workspace and
+// countLimitUnits counts the cost of a request whose workspace has a rate limit, by workspace and
 // verdict. A refused request counts with the cost that it would have had.
-func (c *counters) limited(workspace, verdict string, cost float64) {
+func (c *counters) countLimitUnits(workspace, verdict string, cost float64) {
 	s := c.scope.Tagged(map[string]string{"workspace": workspace, "verdict": verdict})
-	s.Counter("limit_units_total").Inc(int64(min(cost, mostCounted)))
+	s.Counter("limit_units_total").Inc(int64(min(cost, maxCountedCost)))
 }
 
-// mostCounted bounds what one request adds to a counter, because callers may state any number of
+// maxCountedCost bounds what one request adds to a counter, because callers may state any number of
 // tokens.
-const mostCounted = 1e12
+const maxCountedCost = 1e12
 
 // close stops the reporting of metrics. It drops the error because the reporter never returns one.
 func (c *counters) close() { _ = c.closer.Close() }
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -17,7 +17,7 @@
 const evacuationDeadline = 5 * time.Second
 
 // evacuate sets the evacuated zones in the store; without arguments it ends the evacuation.
-func (w *fleetWorld) evacuate(zones ...ident.Zone) {
+func (w *simFleet) evacuate(zones ...ident.Zone) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.evacuated = zones
@@ -25,7 +25,7 @@
 }
 
 // sentTo returns the number of requests that reached engines of a zone between two times.
-func (w *fleetWorld) sentTo(zone ident.Zone, from, to time.Time) int {
+func (w *simFleet) sentTo(zone ident.Zone, from, to time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -44,7 +44,7 @@
 }
 
 // run sends a stream to each instance at every interval until stop is closed.
-func (l *streamLoad) run(w *fleetWorld, interval time.Duration, stop chan struct{}) *sync.WaitGroup {
+func (l *streamLoad) run(w *simFleet, interval time.Duration, stop chan struct{}) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for n, i := range w.instances {
 		wg.Go(func() {
@@ -63,7 +63,7 @@
 }
 
 // send sends a stream to an instance.
-func (l *streamLoad) send(w *fleetWorld, i *worldInstance) {
+func (l *streamLoad) send(w *simFleet, i *simInstance) {
 	g := w.send(i, "harmless", "")
 	if g == nil {
 		return
@@ -71,7 +71,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent++
-	if g.whole() {
+	if g.complete() {
 		l.completed++
 	}
 }
@@ -97,7 +97,7 @@
 }
 
 func testEvacuation(t *testing.T, instances int) {
-	w := newFleetWorld(t, instances, 3, instances, 2*instances)
+	w := newSimFleet(t, instances, 3, instances, 2*instances)
 	defer w.close()
 	time.Sleep(3 * time.Second)
 	stop := make(chan struct{})
@@ -112,14 +112,14 @@
 		i.storeDown = n%3 == 1
 		i.mu.Unlock()
 	}
-	var reader *worldInstance
+	var reader *simInstance
 	for _, i := range w.instances {
 		duty := []dialect.Upstream{{ID: "store", Zone: i.zone}}
 		if i.zone == "a" && len(i.running().node.AssignedInZone("", "", duty)) > 0 {
 			reader = i
 		}
 	}
-	reader.end()
+	reader.kill()
 	asked := time.Now()
 	w.evacuate("a")
 	time.Sleep(evacuationDeadline)
@@ -128,7 +128,7 @@
 	// Two instances start during the evacuation, then zone b is cut off from the others.
 	reader.start()
 	last := w.instances[len(w.instances)-1]
-	last.end()
+	last.kill()
 	last.start()
 	w.cutZone("b")
 	time.Sleep(3 * time.Second)
@@ -168,7 +168,7 @@
 // failing requests that other zones can serve.
 func TestEvacuationInterruptsNoStreams(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		w := newFleetWorld(t, 7, 3, 7, 14)
+		w := newSimFleet(t, 7, 3, 7, 14)
 		defer w.close()
 		time.Sleep(3 * time.Second)
 		stop := make(chan struct{})
@@ -191,7 +191,7 @@
 // delays in refusing requests that no zone may serve.
 func TestRequestsStayInAllowedRegions(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		w := newFleetWorld(t, 6, 3, 6, 12)
+		w := newSimFleet(t, 6, 3, 6, 12)
 		defer w.close()
 		restrict := func(regions ...ident.Region) {
 			w.mu.Lock()
@@ -202,14 +202,14 @@
 			next.Routes[0].Regions = regions
 			w.config = &next
 			w.mu.Unlock()
-			w.within("the configuration is in force", func(s *Service) bool { return s.node.Snapshot().Version() >= next.Version })
+			w.awaitAll("the configuration is in force", func(s *Service) bool { return s.node.Snapshot().Version() >= next.Version })
 		}
 		restrict("east")
 		began := time.Now()
 		for range 3 {
 			for _, i := range w.instances {
-				assert.Assert(t, w.send(i, "harmless", "").whole())
-				assert.Assert(t, w.send(i, "harmless", "3").whole())
+				assert.Assert(t, w.send(i, "harmless", "").complete())
+				assert.Assert(t, w.send(i, "harmless", "3").complete())
 			}
 		}
 		assert.Equal(t, w.sentTo("c", began, time.Now()), 0)
--- a/gateway/fleetcrash_test.go
+++ b/gateway/fleetcrash_test.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// tellAll is the time after the third crash within which all instances must know that the
-	// content crashes engines. mostAfter is how often it may still reach engines after that.
-	tellAll   = 3 * time.Second
-	mostAfter = 3
-	// mostEnded is how many engines a content may crash if its attempts are sent one after the
+	// quarantineDeadline is the time after the third crash within which all instances must know
+	// that the content crashes engines. maxSentAfterDeadline is how often it may still reach
+	// engines after that.
+	quarantineDeadline   = 3 * time.Second
+	maxSentAfterDeadline = 3
+	// maxCrashes is how many engines a content may crash if its attempts are sent one after the
 	// other. Two crashes without any output quarantine it, and a third attempt may already be
 	// running.
-	mostEnded = 3
-	// innocentsPerEngine is how many harmless streams start per second for each decode engine.
+	maxCrashes = 3
+	// harmlessPerEngine is how many harmless streams start per second for each decode engine.
 	// As a stream lasts two seconds, eight of an engine's twelve slots are in use.
-	innocentsPerEngine = 4
+	harmlessPerEngine = 4
 )
 
 // fleetSize is the size of a fleet: of one that users have, or of the one that the gateway is
@@ -40,21 +41,21 @@
 
 var fleetSizes = []fleetSize{{7, 3, 3, 6}, {85, 3, 10, 34}, {295, 5, 16, 48}}
 
-// innocents counts the outcomes of the harmless streams that run beside the crashing request.
-type innocents struct {
+// harmlessStreams counts the outcomes of the harmless streams that run beside the crashing request.
+type harmlessStreams struct {
 	mu sync.Mutex
-	// whole counts the complete streams. Of these, late counts those whose first event came after
-	// the objective, and hit those that needed more than one attempt, because their engine
-	// crashed. refused counts the streams that were not completed, by reason.
-	all, whole, late, hit int
-	refused               map[string]int
+	// complete counts the complete streams. Of these, late counts those whose first event came
+	// after the objective, and interrupted those that needed more than one attempt, because their
+	// engine crashed. lost counts the streams that were not completed, by reason.
+	total, complete, late, interrupted int
+	lost                               map[string]int
 }
 
-// runInnocents sends harmless streams to random instances until the returned function is called.
-// That function waits for the last stream and returns the counts. engines is the number of decode
-// engines.
-func (w *fleetWorld) runInnocents(engines int) (stop func() *innocents) {
-	in := &innocents{refused: map[string]int{}}
+// runHarmlessStreams sends harmless streams to random instances until the returned function is
+// called. That function waits for the last stream and returns the counts. engines is the number of
+// decode engines.
+func (w *simFleet) runHarmlessStreams(engines int) (stop func() *harmlessStreams) {
+	in := &harmlessStreams{lost: map[string]int{}}
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -62,22 +63,22 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(time.Second / time.Duration(innocentsPerEngine*engines)):
+			case <-time.After(time.Second / time.Duration(harmlessPerEngine*engines)):
 			}
 			body := fmt.Sprintf("innocent %d", n)
-			all.Go(func() { w.innocent(in, body) })
+			all.Go(func() { w.sendHarmlessStream(in, body) })
 		}
 	})
-	return func() *innocents {
+	return func() *harmlessStreams {
 		close(done)
 		all.Wait()
 		return in
 	}
 }
 
-// innocent sends one harmless stream and counts its outcome. The caller makes up to three attempts
-// and resumes a stream that broke off.
-func (w *fleetWorld) innocent(in *innocents, body string) {
+// sendHarmlessStream sends one harmless stream and counts its outcome. The caller makes up to three
+// attempts and resumes a stream that broke off.
+func (w *simFleet) sendHarmlessStream(in *harmlessStreams, body string) {
 	start := time.Now()
 	last, events := "", 0
 	var first time.Time
@@ -90,15 +91,15 @@
 		if first.IsZero() {
 			first = g.first
 		}
-		events += strings.Count(g.text.String(), "id: ")
-		if g.whole() {
-			in.note(func() {
-				in.whole++
+		events += strings.Count(g.body.String(), "id: ")
+		if g.complete() {
+			in.record(func() {
+				in.complete++
 				if first.Sub(start) > 900*time.Millisecond {
 					in.late++
 				}
 				if try > 0 {
-					in.hit++
+					in.interrupted++
 				}
 			})
 			return
@@ -107,27 +108,27 @@
 			last = strconv.Itoa(events)
 		}
 		if try == 2 {
-			in.note(func() { in.refused[reasonOf(g)]++ })
+			in.record(func() { in.lost[reasonOf(g)]++ })
 			return
 		}
 		time.Sleep(retryAfter(g))
 	}
-	in.note(func() { in.refused["no instance"]++ })
+	in.record(func() { in.lost["no instance"]++ })
 }
 
-func (in *innocents) note(count func()) {
+func (in *harmlessStreams) record(count func()) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.all++
+	in.total++
 	count()
 }
 
 // reasonOf returns the status and the title of the problem document of a refusal.
-func reasonOf(g *got) string {
+func reasonOf(g *response) string {
 	if g.broken {
 		return "broken off"
 	}
-	text := g.text.String()
+	text := g.body.String()
 	if _, rest, ok := strings.Cut(text, `"title":"`); ok {
 		text, _, _ = strings.Cut(rest, `"`)
 	}
@@ -136,7 +137,7 @@
 
 // retryAfter returns how long a caller waits before its next attempt: the value of Retry-After, but
 // at most a second.
-func retryAfter(g *got) time.Duration {
+func retryAfter(g *response) time.Duration {
 	seconds, err := strconv.ParseFloat(g.header.Get("Retry-After"), 64)
 	if err != nil {
 		seconds = 0.2
@@ -144,57 +145,59 @@
 	return min(time.Second, time.Duration(seconds*float64(time.Second)))
 }
 
-// atOnce sends the crashing request to all instances at the same time and waits for the answers.
-func (w *fleetWorld) atOnce() {
+// sendCrashingToAll sends the crashing request to all instances at the same time and waits for the
+// answers.
+func (w *simFleet) sendCrashingToAll() {
 	var all sync.WaitGroup
 	for _, i := range w.instances {
-		all.Go(func() { w.send(i, deadly, "") })
+		all.Go(func() { w.send(i, crashingPrompt, "") })
 	}
 	all.Wait()
 }
 
-// repeat sends the crashing request to a random instance at intervals of pause, without waiting for
-// the previous answers. After the given time it waits for all answers.
-func (w *fleetWorld) repeat(pause, during time.Duration) {
+// sendCrashingRepeatedly sends the crashing request to a random instance at intervals of pause,
+// without waiting for the previous answers. After the given time it waits for all answers.
+func (w *simFleet) sendCrashingRepeatedly(pause, during time.Duration) {
 	var all sync.WaitGroup
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(pause) {
 		i := w.instances[w.random.IntN(len(w.instances))]
-		all.Go(func() { w.send(i, deadly, "") })
+		all.Go(func() { w.send(i, crashingPrompt, "") })
 	}
 	all.Wait()
 }
 
-// third returns when the third engine crashed, and false if fewer than three did.
-func (w *fleetWorld) third() (time.Time, bool) {
+// thirdCrash returns when the third engine crashed, and false if fewer than three did.
+func (w *simFleet) thirdCrash() (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.ended) < 3 {
+	if len(w.crashes) < 3 {
 		return time.Time{}, false
 	}
-	return w.ended[2], true
+	return w.crashes[2], true
 }
 
-// judge checks what must hold in every scenario, and logs the counts. what names the scenario.
-func (w *fleetWorld) judge(in *innocents, what string) {
-	sent, ended := w.counts()
-	w.t.Logf("%s: sent %d times, %d engines crashed; harmless streams: %d, complete %d, late %d, hit by a crash %d, lost %v", what, sent, ended, in.all, in.whole, in.late, in.hit, in.refused)
-	if third, ok := w.third(); ok {
-		after := w.sentAfter(third.Add(tellAll))
-		assert.Check(w.t, after <= mostAfter, "%s: sent %d times later than %v after the third crash", what, after, tellAll)
+// checkOutcome checks what must hold in every scenario, and logs the counts. what names the
+// scenario.
+func (w *simFleet) checkOutcome(in *harmlessStreams, what string) {
+	sent, ended := w.crashCounts()
+	w.t.Logf("%s: sent %d times, %d engines crashed; harmless streams: %d, complete %d, late %d, hit by a crash %d, lost %v", what, sent, ended, in.total, in.complete, in.late, in.interrupted, in.lost)
+	if third, ok := w.thirdCrash(); ok {
+		after := w.crashingSentAfter(third.Add(quarantineDeadline))
+		assert.Check(w.t, after <= maxSentAfterDeadline, "%s: sent %d times later than %v after the third crash", what, after, quarantineDeadline)
 	}
-	for reason, n := range in.refused {
+	for reason, n := range in.lost {
 		assert.Check(w.t, !strings.Contains(reason, "quarantined"), "%s: %d harmless streams refused: %s", what, n, reason)
 	}
 }
 
-// playSizes runs a scenario with a fleet of each of fleetSizes in virtual time.
-func playSizes(t *testing.T, play func(t *testing.T, s fleetSize, w *fleetWorld)) {
+// runAllFleetSizes runs a scenario with a fleet of each of fleetSizes in virtual time.
+func runAllFleetSizes(t *testing.T, scenario func(t *testing.T, s fleetSize, w *simFleet)) {
 	t.Helper()
-	playThese(t, fleetSizes, play)
+	runFleetSizes(t, fleetSizes, scenario)
 }
 
-// playThese runs a scenario with a fleet of each of the given sizes in virtual time.
-func playThese(t *testing.T, sizes []fleetSize, play func(t *testing.T, s fleetSize, w *fleetWorld)) {
+// runFleetSizes runs a scenario with a fleet of each of the given sizes in virtual time.
+func runFleetSizes(t *testing.T, sizes []fleetSize, scenario func(t *testing.T, s fleetSize, w *simFleet)) {
 	t.Helper()
 	for _, s := range sizes {
 		if raceDetector && s.instances > fleetSizes[0].instances {
@@ -203,9 +206,9 @@
 		}
 		t.Run(s.String(), func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
-				w := newFleetWorld(t, s.instances, s.zones, s.prefill, s.decode)
+				w := newSimFleet(t, s.instances, s.zones, s.prefill, s.decode)
 				defer w.close()
-				play(t, s, w)
+				scenario(t, s, w)
 			})
 		})
 	}
@@ -215,19 +218,19 @@
 // three engines, and against the loss of harmless streams for other reasons than these crashes. A
 // caller repeats the request every 400 ms at random instances.
 func TestRepeatsOneAfterTheOther(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		stop := w.runInnocents(s.decode)
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		stop := w.runHarmlessStreams(s.decode)
 		time.Sleep(2 * time.Second)
-		w.repeat(400*time.Millisecond, 8*time.Second)
+		w.sendCrashingRepeatedly(400*time.Millisecond, 8*time.Second)
 		in := stop()
-		w.judge(in, "one after the other")
-		_, ended := w.counts()
-		assert.Check(t, ended <= mostEnded, "%d engines crashed", ended)
+		w.checkOutcome(in, "one after the other")
+		_, ended := w.crashCounts()
+		assert.Check(t, ended <= maxCrashes, "%d engines crashed", ended)
 		lost := 0
-		for _, n := range in.refused {
+		for _, n := range in.lost {
 			lost += n
 		}
-		assert.Check(t, lost <= in.all/100, "%d of %d harmless streams were lost: %v", lost, in.all, in.refused)
+		assert.Check(t, lost <= in.total/100, "%d of %d harmless streams were lost: %v", lost, in.total, in.lost)
 	})
 }
 
@@ -237,12 +240,12 @@
 // other tests. The largest fleet, of 295 instances, is left out because it takes another 38 s; 12
 // engines once crashed in it.
 func TestEnginesThatFallSilent(t *testing.T) {
-	playThese(t, fleetSizes[:2], func(t *testing.T, s fleetSize, w *fleetWorld) {
-		w.silent = true
-		stop := w.runInnocents(s.decode)
+	runFleetSizes(t, fleetSizes[:2], func(t *testing.T, s fleetSize, w *simFleet) {
+		w.silentCrashes = true
+		stop := w.runHarmlessStreams(s.decode)
 		time.Sleep(2 * time.Second)
-		w.repeat(400*time.Millisecond, 10*time.Second)
-		w.judge(stop(), "silent engines")
+		w.sendCrashingRepeatedly(400*time.Millisecond, 10*time.Second)
+		w.checkOutcome(stop(), "silent engines")
 	})
 }
 
@@ -251,16 +254,16 @@
 // can know that it crashes engines. Then repeats arrive at random instances, and finally at all
 // instances at the same time again. Only the first ones may crash engines.
 func TestRepeatsAtTheSameMoment(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		stop := w.runInnocents(s.decode)
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		stop := w.runHarmlessStreams(s.decode)
 		time.Sleep(2 * time.Second)
-		w.atOnce()
-		first, _ := w.counts()
-		w.repeat(400*time.Millisecond, 5*time.Second)
-		w.atOnce()
+		w.sendCrashingToAll()
+		first, _ := w.crashCounts()
+		w.sendCrashingRepeatedly(400*time.Millisecond, 5*time.Second)
+		w.sendCrashingToAll()
 		in := stop()
-		w.judge(in, "at the same moment")
-		sent, _ := w.counts()
+		w.checkOutcome(in, "at the same moment")
+		sent, _ := w.crashCounts()
 		assert.Check(t, sent-first <= 1, "sent %d times after the first round", sent-first)
 	})
 }
@@ -269,12 +272,12 @@
 // an engine before they have learnt of the quarantine from their peers. Three instances are killed
 // and started again without any state, and get the request as soon as they are ready.
 func TestStartedInstancesAskFirst(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		w.repeat(400*time.Millisecond, 3*time.Second)
-		before, _ := w.counts()
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		w.sendCrashingRepeatedly(400*time.Millisecond, 3*time.Second)
+		before, _ := w.crashCounts()
 		killed := w.instances[:3]
 		for _, i := range killed {
-			i.end()
+			i.kill()
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, i := range killed {
@@ -284,9 +287,9 @@
 			for !i.running().node.Snapshot().Ready() {
 				time.Sleep(time.Millisecond)
 			}
-			w.send(i, deadly, "")
+			w.send(i, crashingPrompt, "")
 		}
-		sent, _ := w.counts()
+		sent, _ := w.crashCounts()
 		assert.Equal(t, sent, before)
 	})
 }
@@ -295,12 +298,12 @@
 // a content crash more engines than the first time. The quarantine is lost then, because nothing is
 // stored on disk.
 func TestLossOfAllInstancesForgets(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		w.repeat(400*time.Millisecond, 3*time.Second)
-		_, before := w.counts()
-		assert.Check(t, before <= mostEnded)
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		w.sendCrashingRepeatedly(400*time.Millisecond, 3*time.Second)
+		_, before := w.crashCounts()
+		assert.Check(t, before <= maxCrashes)
 		for _, i := range w.instances {
-			i.end()
+			i.kill()
 		}
 		for _, i := range w.instances {
 			i.start()
@@ -313,9 +316,9 @@
 			}
 			return true
 		})
-		w.repeat(400*time.Millisecond, 6*time.Second)
-		_, ended := w.counts()
-		assert.Check(t, ended-before <= mostEnded, "%d engines crashed after the restart of all instances", ended-before)
+		w.sendCrashingRepeatedly(400*time.Millisecond, 6*time.Second)
+		_, ended := w.crashCounts()
+		assert.Check(t, ended-before <= maxCrashes, "%d engines crashed after the restart of all instances", ended-before)
 	})
 }
 
@@ -323,25 +326,25 @@
 // the others not learning of it. Until then the zone may have crashes of its own, but three seconds
 // after it is reconnected it must not send the request to any engine.
 func TestHealedZoneLearns(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
 		w.cutZone("c")
 		time.Sleep(500 * time.Millisecond)
 		for range 6 {
 			// These are instances of the two other zones.
-			w.send(w.instances[0], deadly, "")
-			w.send(w.instances[1], deadly, "")
+			w.send(w.instances[0], crashingPrompt, "")
+			w.send(w.instances[1], crashingPrompt, "")
 			time.Sleep(300 * time.Millisecond)
 		}
 		w.cutZone("")
-		time.Sleep(tellAll)
-		before, _ := w.counts()
+		time.Sleep(quarantineDeadline)
+		before, _ := w.crashCounts()
 		for n, i := range w.instances {
 			if i.zone == "c" && n < 60 {
-				g := w.send(i, deadly, "")
+				g := w.send(i, crashingPrompt, "")
 				assert.Equal(t, g.status, http.StatusServiceUnavailable)
 			}
 		}
-		sent, _ := w.counts()
+		sent, _ := w.crashCounts()
 		assert.Equal(t, sent, before)
 	})
 }
@@ -350,12 +353,12 @@
 // that should permit their trial has died. Half of a fleet is killed at the same time and still
 // counts as alive when another instance gets requests with such contents.
 func TestTrialsOutliveTheirOwners(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		suspect := func(i *worldInstance, body string) {
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		suspect := func(i *simInstance, body string) {
 			i.running().register.Crashed(clock.Now(), contentOf(w, body), dialect.Upstream{ID: "gone"}, 0)
 		}
 		for _, i := range w.instances[s.instances/2:] {
-			i.end()
+			i.kill()
 		}
 		var all sync.WaitGroup
 		for n := range 10 {
@@ -363,7 +366,7 @@
 				body := fmt.Sprintf("suspect %d", n)
 				suspect(w.instances[0], body)
 				g := w.send(w.instances[0], body, "")
-				assert.Check(t, g.whole(), "suspect %d: %s", n, reasonOf(g))
+				assert.Check(t, g.complete(), "suspect %d: %s", n, reasonOf(g))
 			})
 		}
 		all.Wait()
@@ -371,7 +374,7 @@
 }
 
 // contentOf returns the content of a request with the given body.
-func contentOf(w *fleetWorld, body string) quarantine.Content {
+func contentOf(w *simFleet, body string) quarantine.Content {
 	r, err := http.NewRequest(http.MethodPost, "http://h/x", nil)
 	assert.NilError(w.t, err)
 	call, err := w.Read(r)
--- a/gateway/fleetsize_test.go
+++ b/gateway/fleetsize_test.go
@@ -21,7 +21,7 @@
 // sends.
 type countedConn struct {
 	net.Conn
-	sender *worldInstance
+	sender *simInstance
 }
 
 func (c *countedConn) Write(p []byte) (int, error) {
@@ -31,8 +31,8 @@
 	return n, err
 }
 
-// traffic returns how many bytes each instance has sent so far.
-func (w *fleetWorld) traffic() []int64 {
+// bytesSent returns how many bytes each instance has sent so far.
+func (w *simFleet) bytesSent() []int64 {
 	var out []int64
 	for _, i := range w.instances {
 		out = append(out, i.sent.Load())
@@ -42,10 +42,10 @@
 
 // sentPerSecond lets some time pass and returns how many bytes per second the instances sent in it:
 // the median instance and the one that sent the most.
-func (w *fleetWorld) sentPerSecond(lasts time.Duration) (middle, busiest float64) {
-	before := w.traffic()
+func (w *simFleet) sentPerSecond(lasts time.Duration) (median, busiest float64) {
+	before := w.bytesSent()
 	time.Sleep(lasts)
-	after := w.traffic()
+	after := w.bytesSent()
 	for i := range after {
 		after[i] -= before[i]
 	}
@@ -53,8 +53,8 @@
 	return float64(after[len(after)/2]) / lasts.Seconds(), float64(after[len(after)-1]) / lasts.Seconds()
 }
 
-// within waits until a condition holds for all instances and returns how long that took.
-func (w *fleetWorld) within(what string, holds func(s *Service) bool) time.Duration {
+// awaitAll waits until a condition holds for all instances and returns how long that took.
+func (w *simFleet) awaitAll(what string, holds func(s *Service) bool) time.Duration {
 	began := time.Now()
 	w.await(what, func() bool {
 		for _, i := range w.instances {
@@ -70,9 +70,9 @@
 // fleetBounds are the limits for a fleet with ten times as many upstreams as instances.
 type fleetBounds struct {
 	instances int
-	// middle and busiest bound the bytes per second that the median instance and the busiest one
+	// median and busiest bound the bytes per second that the median instance and the busiest one
 	// send while one upstream per second begins to leave.
-	middle, busiest float64
+	median, busiest float64
 }
 
 // TestFleetsWithManyUpstreams guards against traffic between instances that grows with the list of
@@ -90,22 +90,22 @@
 	for _, b := range bounds {
 		t.Run(fmt.Sprint(b.instances), func(t *testing.T) {
 			t.Parallel()
-			bubble.Test(t, func(t *testing.T) { playManyUpstreams(t, b) })
+			bubble.Test(t, func(t *testing.T) { testManyUpstreams(t, b) })
 		})
 	}
 }
 
-func playManyUpstreams(t *testing.T, b fleetBounds) {
-	w := newFleetWorld(t, b.instances, 3, 3*b.instances, 7*b.instances)
+func testManyUpstreams(t *testing.T, b fleetBounds) {
+	w := newSimFleet(t, b.instances, 3, 3*b.instances, 7*b.instances)
 	defer w.close()
 	time.Sleep(5 * time.Second)
-	left := 0
+	leavingCount := 0
 	leave := func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		e := w.engines[fmt.Sprintf("e%d:1", left)]
-		left++
-		e.up.Leaving = true
+		e := w.engines[fmt.Sprintf("e%d:1", leavingCount)]
+		leavingCount++
+		e.upstream.Leaving = true
 		w.revision++
 	}
 	ticking := time.NewTicker(time.Second)
@@ -116,30 +116,30 @@
 			leave()
 		}
 	}()
-	middle, busiest := w.sentPerSecond(10 * time.Second)
-	assert.Check(t, middle <= b.middle, "%.0f", middle)
+	median, busiest := w.sentPerSecond(10 * time.Second)
+	assert.Check(t, median <= b.median, "%.0f", median)
 	assert.Check(t, busiest <= b.busiest, "%.0f", busiest)
 
-	want := w.revise()
-	inForce := w.within("all instances use the new configuration", func(s *Service) bool { return s.node.Snapshot().Version() >= want })
+	want := w.publishConfig()
+	inForce := w.awaitAll("all instances use the new configuration", func(s *Service) bool { return s.node.Snapshot().Version() >= want })
 	leave()
-	leaving := w.within("all instances know the leaving upstreams", func(s *Service) bool { return w.knowsLeaving(s, left) })
+	leaving := w.awaitAll("all instances know the leaving upstreams", func(s *Service) bool { return w.knowsLeaving(s, leavingCount) })
 	for _, i := range w.instances {
-		i.end()
+		i.kill()
 	}
 	for _, i := range w.instances {
 		i.start()
 	}
-	serving := w.within("all instances are ready", func(s *Service) bool { return s.node.Snapshot().Ready() })
+	serving := w.awaitAll("all instances are ready", func(s *Service) bool { return s.node.Snapshot().Ready() })
 	t.Logf("%d instances: median %.1f KB/s, busiest %.1f KB/s; configuration in use after %v, leaving upstream known after %v, ready again after %v",
-		b.instances, middle/1e3, busiest/1e3, inForce, leaving, serving)
+		b.instances, median/1e3, busiest/1e3, inForce, leaving, serving)
 	assert.Check(t, inForce <= 2*time.Second)
 	assert.Check(t, leaving <= 2*time.Second)
 	assert.Check(t, serving <= 5*time.Second)
 }
 
-// revise publishes the next version of the configuration.
-func (w *fleetWorld) revise() int64 {
+// publishConfig publishes the next version of the configuration.
+func (w *simFleet) publishConfig() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	next := *w.config
@@ -151,7 +151,7 @@
 }
 
 // knowsLeaving reports whether an instance knows at least want leaving upstreams.
-func (w *fleetWorld) knowsLeaving(s *Service, want int) bool {
+func (w *simFleet) knowsLeaving(s *Service, want int) bool {
 	n := 0
 	for _, u := range s.node.Snapshot().Upstreams["llm"] {
 		if u.Leaving {
--- a/gateway/fleetworld_test.go
+++ b/gateway/fleetworld_test.go
@@ -25,65 +25,67 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Parameters of the engines of a fleetWorld. A stream of worldEvents events lasts two seconds, and
-// an engine runs worldSlots streams at a time. worldPrompt is the duration of a prefill.
+// Parameters of the engines of a simFleet. A stream of simStreamEvents events lasts two seconds,
+// and an engine runs simSlots streams at a time. simPrefillTime is the duration of a prefill.
 const (
-	worldSlots  = 12
-	worldEvents = 20
-	worldPace   = 100 * time.Millisecond
-	worldPrompt = 20 * time.Millisecond
-	// worldDies is how long an engine runs the crashing request before it crashes, worldBack how
-	// long it then takes to restart, and worldLapse how long the store still lists it.
-	worldDies  = 100 * time.Millisecond
-	worldBack  = 3 * time.Second
-	worldLapse = 2 * time.Second
-	// worldDial is how long a connection attempt to an engine that does not answer takes to fail.
-	worldDial = 400 * time.Millisecond
+	simSlots         = 12
+	simStreamEvents  = 20
+	simEventInterval = 100 * time.Millisecond
+	simPrefillTime   = 20 * time.Millisecond
+	// simCrashDelay is how long an engine runs the crashing request before it crashes,
+	// simRestartTime how long it then takes to restart, and simDelistDelay how long the store still
+	// lists it.
+	simCrashDelay  = 100 * time.Millisecond
+	simRestartTime = 3 * time.Second
+	simDelistDelay = 2 * time.Second
+	// simDialTimeout is how long a connection attempt to an engine that does not answer takes to
+	// fail.
+	simDialTimeout = 400 * time.Millisecond
 )
 
-// fleetWorld simulates a fleet in virtual time: complete instances that are connected by pipes, and
+// simFleet simulates a fleet in virtual time: complete instances that are connected by pipes, and
 // engines and a store in memory. It implements dialect.Dialect. It must be created within a
 // synctest bubble.
-type fleetWorld struct {
+type simFleet struct {
 	t         *testing.T
 	random    *rand.Rand
 	config    *routing.Config
-	instances []*worldInstance
+	instances []*simInstance
 
 	mu       sync.Mutex
-	engines  map[string]*worldEngine
+	engines  map[string]*simEngine
 	revision int64
 	// evacuated are the evacuated zones.
 	evacuated []ident.Zone
-	// cut is the zone whose instances are cut off from those of other zones, "" for none.
-	cut ident.Zone
-	// silent means that crashed engines do not refuse connections: until they have restarted,
-	// nothing answers and nothing closes existing connections.
-	silent bool
-	// sent holds the times when the crashing request reached engines, ended those when engines
-	// crashed.
-	sent, ended []time.Time
+	// cutOffZone is the zone whose instances are cut off from those of other zones, "" for none.
+	cutOffZone ident.Zone
+	// silentCrashes means that crashed engines do not refuse connections: until they have
+	// restarted, nothing answers and nothing closes existing connections.
+	silentCrashes bool
+	// crashingSent holds the times when the crashing request reached engines, crashes those when
+	// engines crashed.
+	crashingSent, crashes []time.Time
 	// reportRequests counts the load report requests sent to each engine, by address.
 	reportRequests map[string]int
 	// received holds the streams and prefills that reached engines.
-	received []worldRequest
+	received []simRequest
 }
 
-// worldRequest is a stream or prefill that reached an engine.
-type worldRequest struct {
+// simRequest is a stream or prefill that reached an engine.
+type simRequest struct {
 	at   time.Time
 	zone ident.Zone
 	id   ident.UpstreamID
 }
 
 // record records a stream or prefill that reached an engine. The caller holds mu.
-func (w *fleetWorld) record(e *worldEngine) {
-	w.received = append(w.received, worldRequest{at: time.Now(), zone: e.up.Zone, id: e.up.ID})
+func (w *simFleet) record(e *simEngine) {
+	w.received = append(w.received, simRequest{at: time.Now(), zone: e.upstream.Zone, id: e.upstream.ID})
 }
 
-// worldInstance is one instance across its restarts. It implements dialect.Source and peer.Dialer.
-type worldInstance struct {
-	world   *fleetWorld
+// simInstance is one instance across its restarts. It implements dialect.Source and peer.Dialer.
+type simInstance struct {
+	fleet   *simFleet
 	id      string
 	zone    ident.Zone
 	address string
@@ -100,23 +102,23 @@
 	loadReports atomic.Int64
 }
 
-// worldEngine is an engine across its restarts.
-type worldEngine struct {
-	up     dialect.Upstream
-	starts int
+// simEngine is an engine across its restarts.
+type simEngine struct {
+	upstream dialect.Upstream
+	starts   int
 	// downSince is when the engine crashed, zero while it runs. dead is closed when its
 	// connections end: at the crash or, if crashed engines are silent, at the restart.
-	downSince time.Time
-	dead      chan struct{}
-	running   int
-	holds     int
+	downSince    time.Time
+	disconnected chan struct{}
+	running      int
+	holds        int
 }
 
-// newFleetWorld starts a fleet and waits until all instances are ready and know each other. prefill
+// newSimFleet starts a fleet and waits until all instances are ready and know each other. prefill
 // and decode are the numbers of engines.
-func newFleetWorld(t *testing.T, instances, zones, prefill, decode int) *fleetWorld {
+func newSimFleet(t *testing.T, instances, zones, prefill, decode int) *simFleet {
 	t.Helper()
-	w := &fleetWorld{t: t, random: rand.New(rand.NewPCG(5, uint64(instances))), engines: map[string]*worldEngine{}}
+	w := &simFleet{t: t, random: rand.New(rand.NewPCG(5, uint64(instances))), engines: map[string]*simEngine{}}
 	w.config = &routing.Config{
 		Version: 1,
 		Routes: []routing.Route{{
@@ -124,7 +126,7 @@
 			PaceObjective: 300 * time.Millisecond, Resumable: true, MaxAttempts: 2, Services: []routing.Weighted{{Service: "llm", Weight: 1}},
 		}},
 		Services: map[string]routing.Service{"llm": {Name: "llm", Engine: &routing.Engine{
-			Slots: worldSlots, KVTokens: 90000, Stride: 64, HandleTTL: time.Second, HoldTTL: time.Second,
+			Slots: simSlots, KVTokens: 90000, Stride: 64, HandleTTL: time.Second, HoldTTL: time.Second,
 		}}},
 	}
 	for i := range prefill + decode {
@@ -132,12 +134,12 @@
 		if i < prefill {
 			stage = dialect.StagePrefill
 		}
-		e := &worldEngine{up: dialect.Upstream{Service: "llm", Address: fmt.Sprintf("e%d:1", i), Zone: zoneOf(i, zones), Stage: stage, Slots: worldSlots}}
-		w.engines[e.up.Address] = e
+		e := &simEngine{upstream: dialect.Upstream{Service: "llm", Address: fmt.Sprintf("e%d:1", i), Zone: zoneOf(i, zones), Stage: stage, Slots: simSlots}}
+		w.engines[e.upstream.Address] = e
 		w.startEngine(e)
 	}
 	for i := range instances {
-		w.instances = append(w.instances, &worldInstance{world: w, id: fmt.Sprintf("i%d", i), zone: zoneOf(i, zones), address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250+1)})
+		w.instances = append(w.instances, &simInstance{fleet: w, id: fmt.Sprintf("i%d", i), zone: zoneOf(i, zones), address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250+1)})
 	}
 	for _, i := range w.instances {
 		i.start()
@@ -158,7 +160,7 @@
 func zoneOf(i, zones int) ident.Zone { return ident.Zone(string(rune('a' + i%zones))) }
 
 // await lets time pass until a condition holds, for 30 s at most. what describes the condition.
-func (w *fleetWorld) await(what string, holds func() bool) {
+func (w *simFleet) await(what string, holds func() bool) {
 	w.t.Helper()
 	for range 300 {
 		if holds() {
@@ -170,27 +172,27 @@
 }
 
 // close stops all instances.
-func (w *fleetWorld) close() {
+func (w *simFleet) close() {
 	for _, i := range w.instances {
-		i.end()
+		i.kill()
 	}
 }
 
 // start starts the instance with no state.
-func (i *worldInstance) start() {
+func (i *simInstance) start() {
 	s := &Settings{Instance: ident.InstanceID(i.id), Zone: i.zone}
 	s.SetDefaults()
 	s.Listen.Peers = i.address
 	s.Retries.Slack = 1000
 	s.Regions = map[ident.Zone]ident.Region{"a": "east", "b": "east", "c": "west"}
-	for _, seed := range i.world.instances[:min(3, len(i.world.instances))] {
+	for _, seed := range i.fleet.instances[:min(3, len(i.fleet.instances))] {
 		s.Seeds = append(s.Seeds, seed.address)
 	}
-	g := newService(s, i.world, i, slog.New(slog.DiscardHandler), i)
+	g := newService(s, i.fleet, i, slog.New(slog.DiscardHandler), i)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		g.watch(ctx)
+		g.runBackground(ctx)
 		close(done)
 	}()
 	i.mu.Lock()
@@ -205,8 +207,8 @@
 	}
 }
 
-// end kills the instance. Its state is lost.
-func (i *worldInstance) end() {
+// kill kills the instance. Its state is lost.
+func (i *simInstance) kill() {
 	i.mu.Lock()
 	stop := i.stop
 	conns := i.conns
@@ -221,24 +223,24 @@
 }
 
 // running returns the running service, or nil if the instance is down.
-func (i *worldInstance) running() *Service {
+func (i *simInstance) running() *Service {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.service
 }
 
-// unreachable is the error of a connection attempt to a peer that does not answer.
-var unreachable = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ETIMEDOUT}
+// errUnreachable is the error of a connection attempt to a peer that does not answer.
+var errUnreachable = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ETIMEDOUT}
 
 // DialContext implements peer.Dialer.
-func (i *worldInstance) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
-	for _, o := range i.world.instances {
+func (i *simInstance) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
+	for _, o := range i.fleet.instances {
 		if o.address != address {
 			continue
 		}
-		if i.world.cutOff(i.zone, o.zone) {
+		if i.fleet.separated(i.zone, o.zone) {
 			<-ctx.Done()
-			return nil, unreachable
+			return nil, errUnreachable
 		}
 		s := o.running()
 		if s == nil {
@@ -248,28 +250,28 @@
 		near, far := net.Pipe()
 		near = &countedConn{Conn: near, sender: i}
 		go s.peers.ServeConn(&countedConn{Conn: far, sender: o})
-		for _, end := range []*worldInstance{i, o} {
+		for _, end := range []*simInstance{i, o} {
 			end.mu.Lock()
 			end.conns = append(end.conns, near)
 			end.mu.Unlock()
 		}
 		return near, nil
 	}
-	return nil, unreachable
+	return nil, errUnreachable
 }
 
-// cutOff reports whether two zones cannot reach each other.
-func (w *fleetWorld) cutOff(a, b ident.Zone) bool {
+// separated reports whether two zones cannot reach each other.
+func (w *simFleet) separated(a, b ident.Zone) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return a != b && (w.cut == a || w.cut == b)
+	return a != b && (w.cutOffZone == a || w.cutOffZone == b)
 }
 
 // cutZone cuts a zone off from the others and closes all connections between instances. With "" it
 // reconnects all zones.
-func (w *fleetWorld) cutZone(zone ident.Zone) {
+func (w *simFleet) cutZone(zone ident.Zone) {
 	w.mu.Lock()
-	w.cut = zone
+	w.cutOffZone = zone
 	w.mu.Unlock()
 	for _, i := range w.instances {
 		i.mu.Lock()
@@ -283,48 +285,48 @@
 }
 
 // startEngine starts the next incarnation of an engine.
-func (w *fleetWorld) startEngine(e *worldEngine) {
+func (w *simFleet) startEngine(e *simEngine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if e.dead != nil && w.silent {
-		close(e.dead)
+	if e.disconnected != nil && w.silentCrashes {
+		close(e.disconnected)
 	}
 	e.starts++
-	e.up.ID = ident.UpstreamID(fmt.Sprintf("%s.%d", e.up.Address, e.starts))
-	e.downSince, e.dead, e.running, e.holds = time.Time{}, make(chan struct{}), 0, 0
+	e.upstream.ID = ident.UpstreamID(fmt.Sprintf("%s.%d", e.upstream.Address, e.starts))
+	e.downSince, e.disconnected, e.running, e.holds = time.Time{}, make(chan struct{}), 0, 0
 	w.revision++
 }
 
 // crash crashes an engine if the given incarnation is still running, and restarts it after
-// worldBack.
-func (w *fleetWorld) crash(e *worldEngine, id ident.UpstreamID) {
+// simRestartTime.
+func (w *simFleet) crash(e *simEngine, id ident.UpstreamID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if e.up.ID != id || !e.downSince.IsZero() {
+	if e.upstream.ID != id || !e.downSince.IsZero() {
 		return
 	}
 	e.downSince = time.Now()
-	w.ended = append(w.ended, e.downSince)
-	if !w.silent {
-		close(e.dead)
+	w.crashes = append(w.crashes, e.downSince)
+	if !w.silentCrashes {
+		close(e.disconnected)
 	}
 	w.revision++
-	time.AfterFunc(worldBack, func() { w.startEngine(e) })
+	time.AfterFunc(simRestartTime, func() { w.startEngine(e) })
 }
 
-// counts returns how often the crashing request reached engines, and how many engines crashed.
-func (w *fleetWorld) counts() (sent, ended int) {
+// crashCounts returns how often the crashing request reached engines, and how many engines crashed.
+func (w *simFleet) crashCounts() (sent, ended int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.sent), len(w.ended)
+	return len(w.crashingSent), len(w.crashes)
 }
 
-// sentAfter returns how often the crashing request reached engines after a time.
-func (w *fleetWorld) sentAfter(t time.Time) int {
+// crashingSentAfter returns how often the crashing request reached engines after a time.
+func (w *simFleet) crashingSentAfter(t time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, at := range w.sent {
+	for _, at := range w.crashingSent {
 		if at.After(t) {
 			n++
 		}
@@ -333,7 +335,7 @@
 }
 
 // storeError returns the error with which the store rejects the instance, nil if it does not.
-func (i *worldInstance) storeError() error {
+func (i *simInstance) storeError() error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.storeDown {
@@ -343,110 +345,111 @@
 }
 
 // Directives implements dialect.Source.
-func (i *worldInstance) Directives(ctx context.Context) (dialect.Directives, error) {
+func (i *simInstance) Directives(ctx context.Context) (dialect.Directives, error) {
 	if err := i.storeError(); err != nil {
 		return dialect.Directives{}, err
 	}
-	return i.world.Directives(ctx)
+	return i.fleet.Directives(ctx)
 }
 
 // Upstreams implements dialect.Source.
-func (i *worldInstance) Upstreams(ctx context.Context, further func() bool) ([]dialect.Upstream, int64, error) {
+func (i *simInstance) Upstreams(ctx context.Context, further func() bool) ([]dialect.Upstream, int64, error) {
 	if err := i.storeError(); err != nil {
 		return nil, 0, err
 	}
-	return i.world.Upstreams(ctx, further)
+	return i.fleet.Upstreams(ctx, further)
 }
 
 // Changes implements dialect.Source. The store keeps no history, so each change requires a new
 // list.
-func (i *worldInstance) Changes(_ context.Context, after int64) (dialect.Changes, error) {
+func (i *simInstance) Changes(_ context.Context, after int64) (dialect.Changes, error) {
 	if err := i.storeError(); err != nil {
 		return dialect.Changes{}, err
 	}
-	i.world.mu.Lock()
-	defer i.world.mu.Unlock()
-	if i.world.revision != after {
+	i.fleet.mu.Lock()
+	defer i.fleet.mu.Unlock()
+	if i.fleet.revision != after {
 		return dialect.Changes{}, &dialect.HistoryLostError{After: after}
 	}
 	return dialect.Changes{Revision: after, Next: after}, nil
 }
 
 // Directives returns the directives in the store.
-func (w *fleetWorld) Directives(context.Context) (dialect.Directives, error) {
+func (w *simFleet) Directives(context.Context) (dialect.Directives, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return dialect.Directives{Config: w.config, Evacuation: routing.Evacuation{Revision: w.revision, Zones: w.evacuated}}, nil
 }
 
 // Upstreams returns the engines that the store lists, and its revision.
-func (w *fleetWorld) Upstreams(context.Context, func() bool) ([]dialect.Upstream, int64, error) {
+func (w *simFleet) Upstreams(context.Context, func() bool) ([]dialect.Upstream, int64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var list []dialect.Upstream
 	for _, e := range w.engines {
-		if e.downSince.IsZero() || time.Since(e.downSince) < worldLapse {
-			list = append(list, e.up)
+		if e.downSince.IsZero() || time.Since(e.downSince) < simDelistDelay {
+			list = append(list, e.upstream)
 		}
 	}
 	return list, w.revision, nil
 }
 
-// refused returns the error of a connection attempt to an address at which nothing listens.
-func refused() error {
+// connectionRefused returns the error of a connection attempt to an address at which nothing
+// listens.
+func connectionRefused() error {
 	return &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: syscall.ECONNREFUSED}
 }
 
-// reach returns the error of a connection attempt to an engine that has crashed, or nil if the
-// engine runs. If crashed engines are silent, the attempt takes worldDial.
-func (w *fleetWorld) reach(ctx context.Context, address string) error {
+// dialEngine returns the error of a connection attempt to an engine that has crashed, or nil if the
+// engine runs. If crashed engines are silent, the attempt takes simDialTimeout.
+func (w *simFleet) dialEngine(ctx context.Context, address string) error {
 	w.mu.Lock()
-	_, ok := w.at(address)
-	silent := w.silent
+	_, ok := w.engineAt(address)
+	silent := w.silentCrashes
 	w.mu.Unlock()
 	switch {
 	case ok:
 		return nil
 	case !silent:
-		return refused()
+		return connectionRefused()
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(worldDial):
+	case <-time.After(simDialTimeout):
 	}
 	return &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: syscall.ETIMEDOUT}
 }
 
-// at returns the engine at an address, and false if it is not running. The caller holds mu.
-func (w *fleetWorld) at(address string) (*worldEngine, bool) {
+// engineAt returns the engine at an address, and false if it is not running. The caller holds mu.
+func (w *simFleet) engineAt(address string) (*simEngine, bool) {
 	e := w.engines[address]
 	return e, e != nil && e.downSince.IsZero()
 }
 
 // Read implements dialect.Dialect.
-func (w *fleetWorld) Read(r *http.Request) (*dialect.Call, error) {
+func (w *simFleet) Read(r *http.Request) (*dialect.Call, error) {
 	c := &dialect.Call{
 		ID: r.Header.Get("Request-Id"), Method: r.Method, Host: r.Host, Target: r.URL.Path, Header: r.Header,
-		Patience: 14 * time.Second, LastEvent: r.Header.Get("Last-Event-Id"), PromptTokens: 2000, OutputEstimate: 64 * worldEvents, MaxOutputTokens: 64 * worldEvents,
+		Patience: 14 * time.Second, LastEvent: r.Header.Get("Last-Event-Id"), PromptTokens: 2000, OutputEstimate: 64 * simStreamEvents, MaxOutputTokens: 64 * simStreamEvents,
 	}
 	c.SeenEvents, _ = strconv.Atoi(c.LastEvent)
 	return c, nil
 }
 
 // Do implements dialect.Dialect.
-func (w *fleetWorld) Do(ctx context.Context, c *dialect.Call, s dialect.Send) (*http.Response, dialect.Verdict, error) {
-	if err := w.reach(ctx, s.To.Address); err != nil {
+func (w *simFleet) Do(ctx context.Context, c *dialect.Call, s dialect.Send) (*http.Response, dialect.Verdict, error) {
+	if err := w.dialEngine(ctx, s.To.Address); err != nil {
 		return nil, 0, err
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e, ok := w.at(s.To.Address)
+	e, ok := w.engineAt(s.To.Address)
 	switch {
 	case !ok:
-		return nil, 0, refused()
-	case e.up.ID != s.To.ID:
+		return nil, 0, connectionRefused()
+	case e.upstream.ID != s.To.ID:
 		return &http.Response{StatusCode: http.StatusMisdirectedRequest, Body: http.NoBody}, dialect.WrongUpstream, nil
-	case e.running >= worldSlots:
+	case e.running >= simSlots:
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, dialect.Refused, nil
 	}
 	if s.Hold != "" {
@@ -454,49 +457,49 @@
 	}
 	e.running++
 	w.record(e)
-	r := &worldRun{ctx: ctx, world: w, engine: e, dead: e.dead, id: e.up.ID}
+	r := &simStream{ctx: ctx, fleet: w, engine: e, disconnected: e.disconnected, id: e.upstream.ID}
 	last := s.LastEvent
 	if last == "" {
 		last = c.LastEvent
 	}
 	r.sent, _ = strconv.Atoi(last)
-	if string(c.Body) == deadly {
-		r.deadly = true
-		w.sent = append(w.sent, time.Now())
-		time.AfterFunc(worldDies, func() { w.crash(e, r.id) })
+	if string(c.Body) == crashingPrompt {
+		r.crashing = true
+		w.crashingSent = append(w.crashingSent, time.Now())
+		time.AfterFunc(simCrashDelay, func() { w.crash(e, r.id) })
 	}
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: r}, dialect.Success, nil
 }
 
-// worldRun is the response body of a stream that an engine runs.
-type worldRun struct {
-	ctx    context.Context
-	world  *fleetWorld
-	engine *worldEngine
-	dead   chan struct{}
-	id     ident.UpstreamID
-	deadly bool
-	sent   int
-	over   bool
+// simStream is the response body of a stream that an engine runs.
+type simStream struct {
+	ctx          context.Context
+	fleet        *simFleet
+	engine       *simEngine
+	disconnected chan struct{}
+	id           ident.UpstreamID
+	crashing     bool
+	sent         int
+	closed       bool
 }
 
-// Read implements io.Reader. Each call returns one event, worldPace after the previous one.
-func (r *worldRun) Read(p []byte) (int, error) {
-	if r.sent >= worldEvents {
+// Read implements io.Reader. Each call returns one event, simEventInterval after the previous one.
+func (r *simStream) Read(p []byte) (int, error) {
+	if r.sent >= simStreamEvents {
 		return 0, io.EOF
 	}
-	wait := time.NewTimer(worldPace)
+	wait := time.NewTimer(simEventInterval)
 	defer wait.Stop()
 	select {
 	case <-r.ctx.Done():
 		return 0, r.ctx.Err()
-	case <-r.dead:
+	case <-r.disconnected:
 		return 0, io.ErrUnexpectedEOF
 	case <-wait.C:
 	}
-	if r.deadly {
+	if r.crashing {
 		// The crashing request crashes its engine before the first event.
-		<-r.dead
+		<-r.disconnected
 		return 0, io.ErrUnexpectedEOF
 	}
 	r.sent++
@@ -504,25 +507,25 @@
 }
 
 // Close implements io.Closer.
-func (r *worldRun) Close() error {
-	r.world.mu.Lock()
-	defer r.world.mu.Unlock()
-	if !r.over && r.engine.up.ID == r.id {
+func (r *simStream) Close() error {
+	r.fleet.mu.Lock()
+	defer r.fleet.mu.Unlock()
+	if !r.closed && r.engine.upstream.ID == r.id {
 		r.engine.running--
 	}
-	r.over = true
+	r.closed = true
 	return nil
 }
 
 // Prefill implements dialect.Dialect.
-func (w *fleetWorld) Prefill(ctx context.Context, _ *dialect.Call, s dialect.Send) (dialect.Handle, error) {
+func (w *simFleet) Prefill(ctx context.Context, _ *dialect.Call, s dialect.Send) (dialect.Handle, error) {
 	select {
 	case <-ctx.Done():
 		return dialect.Handle{}, ctx.Err()
-	case <-time.After(worldPrompt):
+	case <-time.After(simPrefillTime):
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if e, ok := w.at(s.To.Address); ok {
+		if e, ok := w.engineAt(s.To.Address); ok {
 			w.record(e)
 		}
 		return dialect.Handle{Engine: s.To.Address, ID: "h"}, nil
@@ -530,17 +533,17 @@
 }
 
 // Hold implements dialect.Dialect.
-func (w *fleetWorld) Hold(ctx context.Context, address string, tokens int, _ time.Duration) (string, error) {
-	if err := w.reach(ctx, address); err != nil {
+func (w *simFleet) Hold(ctx context.Context, address string, tokens int, _ time.Duration) (string, error) {
+	if err := w.dialEngine(ctx, address); err != nil {
 		return "", err
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e, ok := w.at(address)
+	e, ok := w.engineAt(address)
 	switch {
 	case !ok:
-		return "", refused()
-	case e.running+e.holds >= worldSlots:
+		return "", connectionRefused()
+	case e.running+e.holds >= simSlots:
 		return "", &dialect.FullError{Address: address, Tokens: tokens}
 	}
 	e.holds++
@@ -548,23 +551,23 @@
 }
 
 // Release implements dialect.Dialect.
-func (w *fleetWorld) Release(ctx context.Context, address, _ string) error {
-	if err := w.reach(ctx, address); err != nil {
+func (w *simFleet) Release(ctx context.Context, address, _ string) error {
+	if err := w.dialEngine(ctx, address); err != nil {
 		return err
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e, ok := w.at(address)
+	e, ok := w.engineAt(address)
 	if !ok {
-		return refused()
+		return connectionRefused()
 	}
 	e.holds = max(0, e.holds-1)
 	return nil
 }
 
 // Report implements dialect.Dialect.
-func (w *fleetWorld) Report(ctx context.Context, u dialect.Upstream) (dialect.Report, error) {
-	if err := w.reach(ctx, u.Address); err != nil {
+func (w *simFleet) Report(ctx context.Context, u dialect.Upstream) (dialect.Report, error) {
+	if err := w.dialEngine(ctx, u.Address); err != nil {
 		return dialect.Report{}, err
 	}
 	w.mu.Lock()
@@ -573,35 +576,36 @@
 		w.reportRequests = map[string]int{}
 	}
 	w.reportRequests[u.Address]++
-	e, ok := w.at(u.Address)
+	e, ok := w.engineAt(u.Address)
 	switch {
 	case !ok:
-		return dialect.Report{}, refused()
-	case e.up.ID != u.ID:
+		return dialect.Report{}, connectionRefused()
+	case e.upstream.ID != u.ID:
 		return dialect.Report{}, &dialect.ReplacedError{ID: u.ID, Address: u.Address}
 	}
-	return dialect.Report{Stage: e.up.Stage, Running: e.running}, nil
+	return dialect.Report{Stage: e.upstream.Stage, Running: e.running}, nil
 }
 
 // The remaining methods of dialect.Dialect do nothing, except that Migrate always fails.
 
-func (w *fleetWorld) Free(context.Context, dialect.Handle) error { return nil }
-func (w *fleetWorld) Migrate(context.Context, dialect.Migration) (dialect.Handle, error) {
+func (w *simFleet) Free(context.Context, dialect.Handle) error { return nil }
+func (w *simFleet) Migrate(context.Context, dialect.Migration) (dialect.Handle, error) {
 	return dialect.Handle{}, &dialect.NotRunningError{}
 }
-func (w *fleetWorld) Reach(context.Context, dialect.Upstream) error                  { return nil }
-func (w *fleetWorld) Kept(context.Context, dialect.Upstream) (map[string]int, error) { return nil, nil }
-func (w *fleetWorld) Order(context.Context, dialect.Order) error                     { return nil }
-func (w *fleetWorld) WriteHead(http.Header, *dialect.Call)                           {}
-func (w *fleetWorld) NameWorkspace(*dialect.Call, string, int)                       {}
-func (w *fleetWorld) Challenge(http.Header)                                          {}
-func (w *fleetWorld) Close()                                                         {}
+func (w *simFleet) Reach(context.Context, dialect.Upstream) error                  { return nil }
+func (w *simFleet) Kept(context.Context, dialect.Upstream) (map[string]int, error) { return nil, nil }
+func (w *simFleet) Order(context.Context, dialect.Order) error                     { return nil }
+func (w *simFleet) WriteHead(http.Header, *dialect.Call)                           {}
+func (w *simFleet) NameWorkspace(*dialect.Call, string, int)                       {}
+func (w *simFleet) Challenge(http.Header)                                          {}
+func (w *simFleet) Close()                                                         {}
 
-// got is the response that a caller received. It implements http.ResponseWriter and http.Flusher.
-type got struct {
+// response is the response that a caller received. It implements http.ResponseWriter and
+// http.Flusher.
+type response struct {
 	status int
 	header http.Header
-	text   strings.Builder
+	body   strings.Builder
 	// first is when the first part of the body arrived.
 	first time.Time
 	// broken means that the response broke off.
@@ -610,24 +614,24 @@
 
 // Header returns the header. Like the next three methods it implements http.ResponseWriter or
 // http.Flusher.
-func (g *got) Header() http.Header { return g.header }
-func (g *got) WriteHeader(s int)   { g.status = s }
-func (g *got) Flush()              {}
-func (g *got) Write(b []byte) (int, error) {
+func (g *response) Header() http.Header { return g.header }
+func (g *response) WriteHeader(s int)   { g.status = s }
+func (g *response) Flush()              {}
+func (g *response) Write(b []byte) (int, error) {
 	if g.first.IsZero() {
 		g.first = time.Now()
 	}
-	return g.text.Write(b)
+	return g.body.Write(b)
 }
 
-// whole reports whether the caller received the complete stream.
-func (g *got) whole() bool {
-	return g.status == http.StatusOK && !g.broken && strings.Contains(g.text.String(), fmt.Sprintf("id: %d\n", worldEvents))
+// complete reports whether the caller received the complete stream.
+func (g *response) complete() bool {
+	return g.status == http.StatusOK && !g.broken && strings.Contains(g.body.String(), fmt.Sprintf("id: %d\n", simStreamEvents))
 }
 
 // send sends a caller's request to an instance and returns the response, or nil if the instance is
 // down. If lastEvent is not empty, the caller resumes a stream after that event.
-func (w *fleetWorld) send(i *worldInstance, body, lastEvent string) *got {
+func (w *simFleet) send(i *simInstance, body, lastEvent string) *response {
 	s := i.running()
 	if s == nil {
 		return nil
@@ -638,7 +642,7 @@
 	if lastEvent != "" {
 		r.Header.Set("Last-Event-Id", lastEvent)
 	}
-	g := &got{header: http.Header{}}
+	g := &response{header: http.Header{}}
 	defer func() {
 		if p := recover(); p != nil && p != http.ErrAbortHandler {
 			panic(p)
--- a/gateway/front/access.go
+++ b/gateway/front/access.go
@@ -13,9 +13,9 @@
 	"github.com/wardspool/wardspool/gateway/routing"
 )
 
-// retryView is the Retry-After for requests whose route or key this instance does not know while
-// its configuration may be out of date. The instance asks the store and its peers at once.
-const retryView = 300 * time.Millisecond
+// retryOldConfig is the Retry-After for requests whose route or key this instance does not know
+// while its configuration may be out of date. The instance asks the store and its peers at once.
+const retryOldConfig = 300 * time.Millisecond
 
 // NoRouteError reports a request whose host and path match no route.
 type NoRouteError struct{}
@@ -102,11 +102,11 @@
 	}
 	// A newer configuration may have the route or the key. Callers take 401 and 404 as final, so
 	// an instance whose configuration may be out of date must not answer with them.
-	if age := f.o.ConfigAge(); age > f.o.InForce {
+	if age := f.o.ConfigAge(); age > f.o.MaxConfigAge {
 		f.o.Refresh()
 		f.o.Count("refused_old_configuration")
 		log.Info("refused", "reason", "old_configuration", "age_ms", age.Milliseconds())
-		f.problem(w, call, http.StatusServiceUnavailable, "old_configuration", api.NotRun, retryView)
+		f.problem(w, call, http.StatusServiceUnavailable, "old_configuration", api.NotRun, retryOldConfig)
 		return
 	}
 	var key *KeyError
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -54,11 +54,11 @@
 	// View returns the current view of configuration and upstreams.
 	View func() *fleet.Snapshot
 	// ConfigAge returns how long ago the configuration in use was last known to be the newest.
-	// InForce is the time within which changes must take effect; an older configuration may be
+	// MaxConfigAge is the time within which changes must take effect; an older configuration may be
 	// out of date. Refresh starts looking for a newer one.
-	ConfigAge func() time.Duration
-	InForce   time.Duration
-	Refresh   func()
+	ConfigAge    func() time.Duration
+	MaxConfigAge time.Duration
+	Refresh      func()
 	// RequestArrived is called for each request that its workspace's limit allows.
 	RequestArrived func()
 	// Memory limits the memory held by request bodies and answers.
@@ -66,10 +66,11 @@
 	Log    *slog.Logger
 	// Count increments the counter of the named event.
 	Count func(name string)
-	// Limited counts the cost of a request whose workspace has a limit, by the verdict on it.
-	Limited func(workspace, verdict string, cost float64)
-	// Observe records a request's outcome and duration.
-	Observe func(route *routing.Route, outcome string, took time.Duration)
+	// CountLimitUnits counts the cost of a request whose workspace has a limit, by the verdict on
+	// it.
+	CountLimitUnits func(workspace, verdict string, cost float64)
+	// ObserveRequest records a request's outcome and duration.
+	ObserveRequest func(route *routing.Route, outcome string, took time.Duration)
 }
 
 // Front is the HTTP handler for callers' requests.
@@ -118,17 +119,17 @@
 		f.reject(w, r, call, view, err)
 		return
 	}
-	j.Arrived, j.Deadline = arrived, arrived.Add(patience(call, j.Route))
-	j.Memory = f.o.Memory.Open(memoryCaller(r, j))
+	j.Arrived, j.Deadline = arrived, arrived.Add(requestTimeout(call, j.Route))
+	j.Memory = f.o.Memory.Open(memoryAccountKey(r, j))
 	defer j.Memory.Close()
 	if f.readBody(w, r, j, view.Table) {
 		f.serve(w, r, j)
 	}
 }
 
-// memoryCaller returns the key under which a request's memory is accounted: its workspace,
+// memoryAccountKey returns the key under which a request's memory is accounted: its workspace,
 // or its remote address if it has none.
-func memoryCaller(r *http.Request, j *carry.Job) string {
+func memoryAccountKey(r *http.Request, j *carry.Job) string {
 	if name := j.WorkspaceName(); name != "" {
 		return "workspace " + name
 	}
@@ -144,8 +145,8 @@
 // the handler.
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request, j *carry.Job, table *routing.Table) bool {
 	limit := int64(defaultMaxBody)
-	if most := table.Config().Limits.MaxBodyBytes; most > 0 {
-		limit = most
+	if configured := table.Config().Limits.MaxBodyBytes; configured > 0 {
+		limit = configured
 	}
 	if r.ContentLength > limit {
 		f.problem(w, j.Call, http.StatusRequestEntityTooLarge, "body_too_large", api.NotRun, 0)
@@ -165,7 +166,7 @@
 		return false
 	}
 	if err != nil && carry.Stopped(r.Context()) {
-		f.stopping(w, j)
+		f.refuseStopping(w, j)
 		return false
 	}
 	if err != nil {
@@ -193,17 +194,18 @@
 	return memory.ReadAll(http.MaxBytesReader(w, r.Body, limit), length, account.TryGrow)
 }
 
-// stopping refuses a request that had not been sent to any upstream when the instance stopped.
-func (f *Front) stopping(w http.ResponseWriter, j *carry.Job) {
+// refuseStopping refuses a request that had not been sent to any upstream when the instance
+// stopped.
+func (f *Front) refuseStopping(w http.ResponseWriter, j *carry.Job) {
 	e := carry.Stopping(carry.NotRun)
 	f.o.Count("refused_" + e.Reason)
 	f.o.Log.Info("refused", "request", j.Call.ID, "route", j.Route.Name, "reason", e.Reason, "version", j.Version)
-	f.notRun(w, j, e)
+	f.answerNotRun(w, j, e)
 }
 
 // serve carries out a request whose body has been read, if its workspace's limit allows it.
 func (f *Front) serve(w http.ResponseWriter, r *http.Request, j *carry.Job) {
-	cost, ok := f.take(w, r, j)
+	cost, ok := f.charge(w, r, j)
 	if !ok {
 		return
 	}
@@ -217,9 +219,9 @@
 	f.carry(r.Context(), w, rc, j, cost)
 }
 
-// patience returns how long a request may take: the route's timeout, or how long the caller waits
-// if that is shorter.
-func patience(c *dialect.Call, r *routing.Route) time.Duration {
+// requestTimeout returns how long a request may take: the route's timeout, or how long the caller
+// waits if that is shorter.
+func requestTimeout(c *dialect.Call, r *routing.Route) time.Duration {
 	p := r.Timeout
 	if p <= 0 {
 		p = defaultTimeout
@@ -242,13 +244,13 @@
 	} else {
 		answer, err = f.o.Carrier.Plain(ctx, j)
 	}
-	if cost > 0 && notRun(err) {
+	if cost > 0 && didNotRun(err) {
 		f.o.Limits.Return(j.Workspace, cost)
-		f.o.Limited(j.Workspace.Name, "returned", cost)
+		f.o.CountLimitUnits(j.Workspace.Name, "returned", cost)
 	}
 	outcome := f.answer(w, j, answer, err)
 	took := clock.Since(j.Arrived)
-	f.o.Observe(j.Route, outcome, took)
+	f.o.ObserveRequest(j.Route, outcome, took)
 	status := 0
 	if answer != nil {
 		status = answer.Status
@@ -279,18 +281,18 @@
 // answer writes a request's answer or, if there is none, a problem document that says why. It
 // returns the outcome. A nil answer without an error means that a stream was written completely.
 func (f *Front) answer(w http.ResponseWriter, j *carry.Job, a *carry.Answer, err error) string {
-	var told *carry.Error
+	var failed *carry.Error
 	var broken *carry.BrokenOffError
-	var left *carry.AbandonedError
+	var abandoned *carry.AbandonedError
 	switch {
-	case errors.As(err, &left):
+	case errors.As(err, &abandoned):
 		return outcomeAbandoned
 	case errors.As(err, &broken):
 		return outcomeBroken
-	case errors.As(err, &told):
-		return f.tell(w, j, told)
+	case errors.As(err, &failed):
+		return f.answerError(w, j, failed)
 	case err != nil:
-		return f.tell(w, j, &carry.Error{Fate: carry.Unknown, Reason: "internal", Err: err})
+		return f.answerError(w, j, &carry.Error{Fate: carry.Unknown, Reason: "internal", Err: err})
 	case a == nil:
 		return outcomeComplete
 	}
@@ -307,12 +309,12 @@
 	return outcomeComplete
 }
 
-// tell answers a request that got no answer from an upstream: the caller learns whether the request
-// may have run. It returns the outcome.
-func (f *Front) tell(w http.ResponseWriter, j *carry.Job, e *carry.Error) string {
+// answerError answers a request that got no answer from an upstream: the caller learns whether the
+// request may have run. It returns the outcome.
+func (f *Front) answerError(w http.ResponseWriter, j *carry.Job, e *carry.Error) string {
 	switch e.Fate {
 	case carry.NotRun:
-		f.notRun(w, j, e)
+		f.answerNotRun(w, j, e)
 		return outcomeNotRun
 	case carry.TimedOut:
 		f.problem(w, j.Call, http.StatusGatewayTimeout, e.Reason, api.Unknown, 0)
@@ -322,8 +324,8 @@
 	return outcomeUnknown
 }
 
-// notRun answers a request that has not run and will not run.
-func (f *Front) notRun(w http.ResponseWriter, j *carry.Job, e *carry.Error) {
+// answerNotRun answers a request that has not run and will not run.
+func (f *Front) answerNotRun(w http.ResponseWriter, j *carry.Job, e *carry.Error) {
 	if e.Reason == carry.ReasonNoKey {
 		f.unauthorized(w, j.Call)
 		return
@@ -331,14 +333,14 @@
 	f.problem(w, j.Call, http.StatusServiceUnavailable, e.Reason, api.NotRun, e.RetryAfter)
 }
 
-// noType is the type of problem documents without a type of their own (RFC 9457). Their title is
+// blankType is the type of problem documents without a type of their own (RFC 9457). Their title is
 // the reason.
-const noType api.ProblemType = "about:blank"
+const blankType api.ProblemType = "about:blank"
 
 // problem answers with a problem document. c may be nil if the request is malformed; retry is the
 // value of Retry-After, 0 to send none.
 func (f *Front) problem(w http.ResponseWriter, c *dialect.Call, status int, reason string, outcome api.Outcome, retry time.Duration) {
-	body, err := json.Marshal(api.Problem{Type: noType, Title: reason, Status: status, Outcome: outcome})
+	body, err := json.Marshal(api.Problem{Type: blankType, Title: reason, Status: status, Outcome: outcome})
 	if err != nil {
 		f.o.Log.Error("failed to encode the problem document", "error", err)
 	}
--- a/gateway/front/limits.go
+++ b/gateway/front/limits.go
@@ -21,21 +21,21 @@
 	Return(w *routing.Workspace, cost float64)
 }
 
-// take charges the cost of a request to its workspace's limit and returns it; it is 0 if there is
+// charge charges the cost of a request to its workspace's limit and returns it; it is 0 if there is
 // no limit. It returns false if it refused the request. If the caller has disconnected, it aborts
 // the handler.
-func (f *Front) take(w http.ResponseWriter, r *http.Request, j *carry.Job) (float64, bool) {
+func (f *Front) charge(w http.ResponseWriter, r *http.Request, j *carry.Job) (float64, bool) {
 	if j.Workspace == nil || !j.Workspace.Limit.Bounds() {
 		return 0, true
 	}
 	cost := limit.CostOf(j.Workspace.Limit, j.Call.StatesTokens, j.Call.PromptTokens, j.Call.MaxOutputTokens)
 	v := f.o.Limits.Take(r.Context(), j.Workspace, j.Version, cost)
 	if v.Granted {
-		f.o.Limited(j.Workspace.Name, "granted", cost)
+		f.o.CountLimitUnits(j.Workspace.Name, "granted", cost)
 		return cost, true
 	}
 	if carry.Stopped(r.Context()) {
-		f.stopping(w, j)
+		f.refuseStopping(w, j)
 		return 0, false
 	}
 	if r.Context().Err() != nil {
@@ -45,7 +45,7 @@
 	if v.Unknown {
 		status, reason = http.StatusServiceUnavailable, "limit_unknown"
 	}
-	f.o.Limited(j.Workspace.Name, reason, cost)
+	f.o.CountLimitUnits(j.Workspace.Name, reason, cost)
 	f.o.Count("refused_" + reason)
 	f.o.Log.Info("refused", "request", j.Call.ID, "reason", reason, "workspace", j.Workspace.Name, "cost", cost, "keeper", v.Keeper,
 		"level", v.Level, "rate", j.Workspace.Limit.Rate, "burst", j.Workspace.Limit.Burst, "retry_ms", v.Wait.Milliseconds(), "version", j.Version)
@@ -53,12 +53,12 @@
 	return 0, false
 }
 
-// notRun reports whether a request that ended with err has not run and will not run.
-func notRun(err error) bool {
-	var told *carry.Error
-	if errors.As(err, &told) {
-		return told.Fate == carry.NotRun
+// didNotRun reports whether a request that ended with err has not run and will not run.
+func didNotRun(err error) bool {
+	var failed *carry.Error
+	if errors.As(err, &failed) {
+		return failed.Fate == carry.NotRun
 	}
-	var left *carry.AbandonedError
-	return errors.As(err, &left) && left.NotSent
+	var abandoned *carry.AbandonedError
+	return errors.As(err, &abandoned) && abandoned.NotSent
 }
--- a/gateway/idle_test.go
+++ b/gateway/idle_test.go
@@ -19,7 +19,7 @@
 }
 
 // loadReportRate returns how many load reports per second an instance sends while run executes.
-func loadReportRate(i *worldInstance, run func()) float64 {
+func loadReportRate(i *simInstance, run func()) float64 {
 	start, before := time.Now(), i.loadReports.Load()
 	run()
 	return float64(i.loadReports.Load()-before) / time.Since(start).Seconds()
@@ -30,7 +30,7 @@
 // reduced rate.
 func TestIdleInstancesReportLoadSeldom(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		w := newFleetWorld(t, 30, 3, 10, 20)
+		w := newSimFleet(t, 30, 3, 10, 20)
 		defer w.close()
 		time.Sleep(3 * time.Second)
 		var idle []float64
@@ -52,7 +52,7 @@
 		assert.Check(t, median <= 1.1)
 
 		i := w.instances[1]
-		busy := loadReportRate(i, func() { assert.Assert(t, w.send(i, "harmless", "").whole()) })
+		busy := loadReportRate(i, func() { assert.Assert(t, w.send(i, "harmless", "").complete()) })
 		t.Logf("%.2f load reports per second while a stream runs", busy)
 		assert.Check(t, busy >= 2.5)
 	})
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -26,16 +26,16 @@
 	keyOfB = "secret-key-of-b"
 )
 
-// witness is an upstream that serves plain requests, prefills and streams, and records the headers
-// of each of them.
-type witness struct {
-	mu   sync.Mutex
-	seen []http.Header
-	// waits blocks streams after their first event until it is closed; nil to not block them.
-	waits chan struct{}
+// recordingUpstream is an upstream that serves plain requests, prefills and streams, and records
+// the headers of each of them.
+type recordingUpstream struct {
+	mu      sync.Mutex
+	headers []http.Header
+	// block blocks streams after their first event until it is closed; nil to not block them.
+	block chan struct{}
 }
 
-func (u *witness) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (u *recordingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 	switch {
@@ -46,8 +46,8 @@
 		return
 	}
 	u.mu.Lock()
-	u.seen = append(u.seen, r.Header.Clone())
-	waits := u.waits
+	u.headers = append(u.headers, r.Header.Clone())
+	waits := u.block
 	u.mu.Unlock()
 	if r.Header.Get("Serving-Stage") == "prefill" {
 		fmt.Fprint(w, `{"kvHandle":"k","tokens":10}`)
@@ -66,25 +66,25 @@
 	fmt.Fprint(w, "id: 2\ndata: b\n\n")
 }
 
-// took returns the headers of the requests received so far.
-func (u *witness) took() []http.Header {
+// requests returns the headers of the requests received so far.
+func (u *recordingUpstream) requests() []http.Header {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]http.Header(nil), u.seen...)
+	return append([]http.Header(nil), u.headers...)
 }
 
-// keyBed is a fleetBed whose configuration requires keys, with a witness as the only upstream
-// process.
-type keyBed struct {
-	*fleetBed
-	witness *witness
+// keyFleet is a localFleet whose configuration requires keys, with a recordingUpstream as the only
+// upstream process.
+type keyFleet struct {
+	*localFleet
+	upstream *recordingUpstream
 }
 
-// newKeyBed returns a keyBed with the workspaces a and b and a public route.
-func newKeyBed(t *testing.T) *keyBed {
+// newKeyFleet returns a keyFleet with the workspaces a and b and a public route.
+func newKeyFleet(t *testing.T) *keyFleet {
 	t.Helper()
-	b := &keyBed{fleetBed: newFleetBed(t), witness: &witness{}}
-	server := httptest.NewServer(b.witness)
+	b := &keyFleet{localFleet: newLocalFleet(t), upstream: &recordingUpstream{}}
+	server := httptest.NewServer(b.upstream)
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	b.source.list = []dialect.Upstream{
@@ -113,8 +113,8 @@
 	return out
 }
 
-// revise publishes the next version of the configuration, with a change to it.
-func (b *keyBed) revise(change func(c *routing.Config)) {
+// publishConfig publishes the next version of the configuration, with a change to it.
+func (b *keyFleet) publishConfig(change func(c *routing.Config)) {
 	b.source.set(func(f *fakeSource) {
 		c := *f.config
 		c.Version++
@@ -126,7 +126,7 @@
 
 // send sends a request with the given Authorization headers and a forged workspace header. It
 // returns the status, the headers and the body of the response.
-func (b *keyBed) send(t *testing.T, i *instance, path string, authorization ...string) (int, http.Header, string) {
+func (b *keyFleet) send(t *testing.T, i *instance, path string, authorization ...string) (int, http.Header, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+i.settings.Listen.Callers+path, strings.NewReader("body"))
 	assert.NilError(t, err)
@@ -144,10 +144,10 @@
 }
 
 // ready starts an instance and waits until it is ready.
-func (b *keyBed) ready(t *testing.T, name ident.InstanceID, seeds ...string) *instance {
+func (b *keyFleet) ready(t *testing.T, name ident.InstanceID, seeds ...string) *instance {
 	t.Helper()
 	i := b.start(t, string(name), seeds...)
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	return i
 }
 
@@ -155,13 +155,13 @@
 // that of the key, such as one that the caller forged, and against keys being forwarded to
 // upstreams with a plain request, a prefill or a decode.
 func TestKeyNamesTheWorkspaceAtEachSend(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	i := b.ready(t, "one")
 	for path, sends := range map[string]int{"/plain/x": 1, "/stream/x": 2, "/public/x": 1} {
-		before := len(b.witness.took())
+		before := len(b.upstream.requests())
 		status, _, _ := b.send(t, i, path, "Bearer "+keyOfB)
 		assert.Equal(t, status, 200, path)
-		seen := b.witness.took()[before:]
+		seen := b.upstream.requests()[before:]
 		assert.Equal(t, len(seen), sends, path)
 		for _, h := range seen {
 			assert.DeepEqual(t, h.Values("Tenant"), []string{"b"})
@@ -176,7 +176,7 @@
 // reaching an upstream, and against a refusal that does not say that a key is required and that the
 // request did not run.
 func TestUnknownKeysAreRefusedBeforeAnythingIsSpent(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	i := b.ready(t, "one")
 	for name, given := range map[string][]string{
 		"none": nil, "unknown": {"Bearer other"}, "malformed": {"Bearer"}, "other scheme": {"Basic " + keyOfA},
@@ -192,19 +192,19 @@
 			assert.Equal(t, problem.Outcome, "not-run")
 		}
 	}
-	assert.Equal(t, len(b.witness.took()), 0)
+	assert.Equal(t, len(b.upstream.requests()), 0)
 }
 
 // TestPublicRoutesServeWithoutAKey guards against public routes refusing requests without a key or
 // with an unknown one, and against forwarding that key or a workspace to upstreams.
 func TestPublicRoutesServeWithoutAKey(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	i := b.ready(t, "one")
 	for _, given := range [][]string{nil, {"Bearer other"}, {"Basic x"}} {
 		status, _, _ := b.send(t, i, "/public/x", given...)
 		assert.Equal(t, status, 200)
 	}
-	for _, h := range b.witness.took() {
+	for _, h := range b.upstream.requests() {
 		assert.Equal(t, len(h.Values("Tenant"))+len(h.Values("Authorization")), 0, "%v", h)
 	}
 }
@@ -214,18 +214,18 @@
 // several instances, and at an instance that starts while the store rejects all requests. It also
 // guards against the removal of a key ending a stream that is already running.
 func TestKeysFollowTheConfiguration(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	first := b.ready(t, "one")
 	second := b.ready(t, "two", first.settings.Listen.Peers)
-	b.witness.mu.Lock()
-	b.witness.waits = make(chan struct{})
-	b.witness.mu.Unlock()
+	b.upstream.mu.Lock()
+	b.upstream.block = make(chan struct{})
+	b.upstream.mu.Unlock()
 	var streamed string
 	var running sync.WaitGroup
 	running.Go(func() { _, _, streamed = b.send(t, first, "/stream/x", "Bearer "+keyOfA) })
-	await(t, "the stream is running", func() bool { return len(b.witness.took()) == 2 })
-	b.revise(func(c *routing.Config) { c.Workspaces[0].Keys = digests("newer") })
-	within := time.Now().Add(first.settings.Store.inForce())
+	await(t, "the stream is running", func() bool { return len(b.upstream.requests()) == 2 })
+	b.publishConfig(func(c *routing.Config) { c.Workspaces[0].Keys = digests("newer") })
+	within := time.Now().Add(first.settings.Store.maxChangeDelay())
 	for _, i := range []*instance{first, second} {
 		await(t, "the old key is refused", func() bool {
 			status, _, _ := b.send(t, i, "/plain/x", "Bearer "+keyOfA)
@@ -235,7 +235,7 @@
 		assert.Equal(t, status, 200)
 	}
 	assert.Assert(t, time.Now().Before(within))
-	close(b.witness.waits)
+	close(b.upstream.block)
 	running.Wait()
 	assert.Assert(t, strings.Contains(streamed, "id: 2"), streamed)
 
@@ -252,7 +252,7 @@
 // for longer than changes may take, the key or route may be new, so it must refuse with 503 and
 // Retry-After.
 func TestOldConfigurationsRefuseNothingForGood(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	i := b.ready(t, "one")
 	status, _, _ := b.send(t, i, "/other/x", "Bearer "+keyOfA)
 	assert.Equal(t, status, http.StatusNotFound)
@@ -275,14 +275,14 @@
 // TestKeyTakenAwayInLine guards against a request being sent to an engine although its key was
 // removed while it waited in the queue for one.
 func TestKeyTakenAwayInLine(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	b.source.list = b.source.list[:2]
 	i := b.ready(t, "one")
 	var status int
 	var running sync.WaitGroup
 	running.Go(func() { status, _, _ = b.send(t, i, "/stream/x", "Bearer "+keyOfA) })
 	await(t, "the stream waits for an engine", func() bool { return i.service.front.Active() == 1 })
-	b.revise(func(c *routing.Config) { c.Workspaces[0].Keys = nil })
+	b.publishConfig(func(c *routing.Config) { c.Workspaces[0].Keys = nil })
 	await(t, "the removal of the key has taken effect", func() bool {
 		s, _, _ := b.send(t, i, "/plain/x", "Bearer "+keyOfA)
 		return s == http.StatusUnauthorized
@@ -292,7 +292,7 @@
 	})
 	running.Wait()
 	assert.Equal(t, status, http.StatusUnauthorized)
-	for _, h := range b.witness.took() {
+	for _, h := range b.upstream.requests() {
 		assert.Equal(t, h.Get("Serving-Stage")+h.Get("Kv-Hold"), "")
 	}
 }
@@ -300,7 +300,7 @@
 // TestKeysAreShownNowhere guards against keys in responses, logs and metrics.
 func TestKeysAreShownNowhere(t *testing.T) {
 	var text lockedBuffer
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	b.log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	i := b.ready(t, "one")
 	for _, path := range []string{"/plain/x", "/stream/x", "/public/x"} {
@@ -338,15 +338,15 @@
 
 // TestWorkspaceRegionsBind guards against requests of a workspace being sent outside its regions.
 func TestWorkspaceRegionsBind(t *testing.T) {
-	b := newKeyBed(t)
-	b.revise(func(c *routing.Config) { c.Workspaces[0].Regions = routing.Regions{"elsewhere"} })
+	b := newKeyFleet(t)
+	b.publishConfig(func(c *routing.Config) { c.Workspaces[0].Regions = routing.Regions{"elsewhere"} })
 	i := b.ready(t, "one")
 	for _, path := range []string{"/plain/x", "/stream/x"} {
-		before := len(b.witness.took())
+		before := len(b.upstream.requests())
 		status, header, _ := b.send(t, i, path, "Bearer "+keyOfA)
 		assert.Equal(t, status, 503, path)
 		assert.Assert(t, header.Get("Retry-After") != "")
-		assert.Equal(t, len(b.witness.took()), before, path)
+		assert.Equal(t, len(b.upstream.requests()), before, path)
 		status, _, _ = b.send(t, i, path, "Bearer "+keyOfB)
 		assert.Equal(t, status, 200, path)
 	}
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -16,28 +16,29 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// limitBed is a fleetWorld whose instances are asked to charge requests to the limits of
+// limitFleet is a simFleet whose instances are asked to charge requests to the limits of
 // workspaces.
-type limitBed struct {
-	*fleetWorld
+type limitFleet struct {
+	*simFleet
 	mu sync.Mutex
-	// ran holds the allowed requests in the order of their times.
-	ran []ranTokens
+	// allowed holds the allowed requests in the order of their times.
+	allowed []allowedRequest
 }
 
-// ranTokens is the time and the cost, in tokens, of a request that the limit allowed.
-type ranTokens struct {
+// allowedRequest is the time and the cost, in tokens, of a request that the limit allowed.
+type allowedRequest struct {
 	at   time.Time
 	cost float64
 }
 
-// workspaceOf returns a workspace with a limit of rate tokens per second and a burst of one second.
-func workspaceOf(rate float64) *routing.Workspace {
+// limitedWorkspace returns a workspace with a limit of rate tokens per second and a burst of one
+// second.
+func limitedWorkspace(rate float64) *routing.Workspace {
 	return &routing.Workspace{Name: "w", Limit: routing.Limit{Rate: rate, Burst: rate, Unit: routing.Tokens, Plain: 200}}
 }
 
-// ask charges the cost of a request at an instance. It returns false if the instance is down.
-func (b *limitBed) ask(i *worldInstance, w *routing.Workspace, version int64, cost float64) (fleet.Verdict, bool) {
+// take charges the cost of a request at an instance. It returns false if the instance is down.
+func (b *limitFleet) take(i *simInstance, w *routing.Workspace, version int64, cost float64) (fleet.Verdict, bool) {
 	s := i.running()
 	if s == nil {
 		return fleet.Verdict{}, false
@@ -45,7 +46,7 @@
 	v := s.node.Take(context.Background(), w, version, cost)
 	if v.Granted {
 		b.mu.Lock()
-		b.ran = append(b.ran, ranTokens{time.Now(), cost})
+		b.allowed = append(b.allowed, allowedRequest{time.Now(), cost})
 		b.mu.Unlock()
 	}
 	return v, true
@@ -54,10 +55,10 @@
 // streamCost is the cost of each request in load, in tokens.
 const streamCost = 8000
 
-// load sends requests of 8,000 tokens to random ones of the given instances for a time, at a total
-// rate of tokensPerSecond. It returns how many tokens running instances were asked for and how many
-// the limit allowed.
-func (b *limitBed) load(instances []*worldInstance, w *routing.Workspace, tokensPerSecond float64, lasts time.Duration) (asked, granted float64) {
+// sendLoad sends requests of 8,000 tokens to random ones of the given instances for a time, at a
+// total rate of tokensPerSecond. It returns how many tokens running instances were asked for and
+// how many the limit allowed.
+func (b *limitFleet) sendLoad(instances []*simInstance, w *routing.Workspace, tokensPerSecond float64, lasts time.Duration) (asked, granted float64) {
 	const cost = streamCost
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -65,7 +66,7 @@
 	for began := time.Now(); time.Since(began) < lasts; time.Sleep(pause) {
 		i := instances[b.random.IntN(len(instances))]
 		all.Go(func() {
-			v, up := b.ask(i, w, 1, cost)
+			v, up := b.take(i, w, 1, cost)
 			mu.Lock()
 			defer mu.Unlock()
 			if up {
@@ -80,27 +81,27 @@
 	return asked, granted
 }
 
-// most returns the maximum number of tokens that were allowed in any period of 8 s.
-func (b *limitBed) most() float64 {
+// maxAllowed returns the maximum number of tokens that were allowed in any period of 8 s.
+func (b *limitFleet) maxAllowed() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	most, sum, first := 0.0, 0.0, 0
-	for _, r := range b.ran {
+	for _, r := range b.allowed {
 		sum += r.cost
-		for ; r.at.Sub(b.ran[first].at) >= 8*time.Second; first++ {
-			sum -= b.ran[first].cost
+		for ; r.at.Sub(b.allowed[first].at) >= 8*time.Second; first++ {
+			sum -= b.allowed[first].cost
 		}
 		most = max(most, sum)
 	}
 	return most
 }
 
-// allowed returns how many tokens users accept to be used in 8 s under a limit: 25% more than the
-// limit, plus a slack of 120,000 tokens.
-func allowed(l routing.Limit) float64 { return (l.Rate*8+l.Burst)*1.25 + 120000 }
+// acceptedTokens returns how many tokens users accept to be used in 8 s under a limit: 25% more
+// than the limit, plus a slack of 120,000 tokens.
+func acceptedTokens(l routing.Limit) float64 { return (l.Rate*8+l.Burst)*1.25 + 120000 }
 
-// playLimits runs a scenario with fleets of several sizes in virtual time.
-func playLimits(t *testing.T, play func(t *testing.T, b *limitBed)) {
+// runLimitTest runs a scenario with fleets of several sizes in virtual time.
+func runLimitTest(t *testing.T, scenario func(t *testing.T, b *limitFleet)) {
 	sizes := []int{7, 60}
 	if raceDetector {
 		// Larger fleets take minutes, because a synctest bubble runs on one processor only.
@@ -110,9 +111,9 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			bubble.Test(t, func(t *testing.T) {
-				b := &limitBed{fleetWorld: newFleetWorld(t, n, 3, 2, 4)}
+				b := &limitFleet{simFleet: newSimFleet(t, n, 3, 2, 4)}
 				defer b.close()
-				play(t, b)
+				scenario(t, b)
 			})
 		})
 	}
@@ -122,18 +123,18 @@
 // eight times its rate, with the requests at all instances, at one instance or in one zone. At most
 // one request per zone may be allowed beyond the limit.
 func TestLimitHoldsOverWholeInstances(t *testing.T) {
-	playLimits(t, func(t *testing.T, b *limitBed) {
-		w := workspaceOf(100000)
-		inZone := []*worldInstance{}
+	runLimitTest(t, func(t *testing.T, b *limitFleet) {
+		w := limitedWorkspace(100000)
+		inZone := []*simInstance{}
 		for _, i := range b.instances {
 			if i.zone == "b" {
 				inZone = append(inZone, i)
 			}
 		}
-		for _, at := range [][]*worldInstance{b.instances, b.instances[1:2], inZone} {
-			b.ran = nil
-			_, granted := b.load(at, w, 8*w.Limit.Rate, 10*time.Second)
-			assert.Check(t, b.most() <= 9*w.Limit.Rate+3*streamCost, "%.0f", b.most())
+		for _, at := range [][]*simInstance{b.instances, b.instances[1:2], inZone} {
+			b.allowed = nil
+			_, granted := b.sendLoad(at, w, 8*w.Limit.Rate, 10*time.Second)
+			assert.Check(t, b.maxAllowed() <= 9*w.Limit.Rate+3*streamCost, "%.0f", b.maxAllowed())
 			assert.Check(t, granted >= 9.5*w.Limit.Rate, "%.0f", granted)
 			time.Sleep(5 * time.Second)
 		}
@@ -143,10 +144,10 @@
 // TestBelowTheLimitWholeInstancesRefuseNothing guards against refusals at half of the limit's rate
 // when all requests arrive at one instance, and so in one zone.
 func TestBelowTheLimitWholeInstancesRefuseNothing(t *testing.T) {
-	playLimits(t, func(t *testing.T, b *limitBed) {
-		w := workspaceOf(100000)
+	runLimitTest(t, func(t *testing.T, b *limitFleet) {
+		w := limitedWorkspace(100000)
 		time.Sleep(2 * time.Second)
-		asked, granted := b.load(b.instances[1:2], w, 0.5*w.Limit.Rate, 20*time.Second)
+		asked, granted := b.sendLoad(b.instances[1:2], w, 0.5*w.Limit.Rate, 20*time.Second)
 		assert.Equal(t, asked, granted)
 	})
 }
@@ -156,10 +157,10 @@
 // those that keep the account of the limit there, and then all instances are killed and restarted
 // at the same time, twice.
 func TestLimitHoldsUnderFaults(t *testing.T) {
-	playLimits(t, func(t *testing.T, b *limitBed) {
-		w := workspaceOf(100000)
+	runLimitTest(t, func(t *testing.T, b *limitFleet) {
+		w := limitedWorkspace(100000)
 		var running sync.WaitGroup
-		running.Go(func() { b.load(b.instances, w, 8*w.Limit.Rate, 40*time.Second) })
+		running.Go(func() { b.sendLoad(b.instances, w, 8*w.Limit.Rate, 40*time.Second) })
 		time.Sleep(8 * time.Second)
 		b.cutZone("b")
 		time.Sleep(5 * time.Second)
@@ -167,13 +168,13 @@
 		time.Sleep(3 * time.Second)
 		for i, in := range b.instances {
 			if i%3 == 0 {
-				in.end()
+				in.kill()
 			}
 		}
 		time.Sleep(4 * time.Second)
 		for range 2 {
 			for _, in := range b.instances {
-				in.end()
+				in.kill()
 			}
 			time.Sleep(time.Second)
 			for _, in := range b.instances {
@@ -182,7 +183,7 @@
 			time.Sleep(3 * time.Second)
 		}
 		running.Wait()
-		assert.Check(t, b.most() <= allowed(w.Limit), "%.0f of %.0f", b.most(), allowed(w.Limit))
+		assert.Check(t, b.maxAllowed() <= acceptedTokens(w.Limit), "%.0f of %.0f", b.maxAllowed(), acceptedTokens(w.Limit))
 	})
 }
 
@@ -190,29 +191,29 @@
 // After several changes the limit of the newest configuration applies, even to instances that still
 // ask with an older one.
 func TestLimitChangesInQuickSuccession(t *testing.T) {
-	playLimits(t, func(t *testing.T, b *limitBed) {
+	runLimitTest(t, func(t *testing.T, b *limitFleet) {
 		time.Sleep(2 * time.Second)
 		const lower = 10000
-		w := workspaceOf(100000)
-		b.load(b.instances, w, 2*w.Limit.Rate, 2*time.Second)
+		w := limitedWorkspace(100000)
+		b.sendLoad(b.instances, w, 2*w.Limit.Rate, 2*time.Second)
 		for version := int64(2); version < 8; version++ {
 			for _, i := range b.instances[:3] {
-				b.ask(i, workspaceOf(100000*float64(version)), version, 100)
+				b.take(i, limitedWorkspace(100000*float64(version)), version, 100)
 			}
 		}
 		for _, i := range b.instances {
-			b.ask(i, workspaceOf(lower), 9, 100)
+			b.take(i, limitedWorkspace(lower), 9, 100)
 		}
-		b.ran = nil
-		b.load(b.instances, w, 2*w.Limit.Rate, 8*time.Second)
-		assert.Check(t, b.most() <= allowed(routing.Limit{Rate: lower, Burst: lower}), "%.0f", b.most())
+		b.allowed = nil
+		b.sendLoad(b.instances, w, 2*w.Limit.Rate, 8*time.Second)
+		assert.Check(t, b.maxAllowed() <= acceptedTokens(routing.Limit{Rate: lower, Burst: lower}), "%.0f", b.maxAllowed())
 	})
 }
 
 // TestTokensOfRequestsThatDidNotRunComeBack guards against requests that did not run, because there
 // is no engine, using up their workspace's limit.
 func TestTokensOfRequestsThatDidNotRunComeBack(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	b.source.list = b.source.list[:1]
 	b.source.config.Workspaces[0].Limit = routing.Limit{Rate: 100, Burst: 250, Unit: routing.Tokens}
 	i := b.ready(t, "one")
@@ -233,18 +234,18 @@
 // TestOverTheLimit guards against requests over their workspace's limit reaching an upstream or
 // being refused without a Retry-After, and against limits that affect other workspaces.
 func TestOverTheLimit(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	b.source.config.Workspaces[0].Limit = routing.Limit{Rate: 100, Burst: 200, Unit: routing.Tokens}
 	i := b.ready(t, "one")
 	await(t, "the limit allows the first request", func() bool {
 		status, _, _ := b.send(t, i, "/plain/x", "Bearer "+keyOfA)
 		return status == http.StatusOK
 	})
-	before := len(b.witness.took())
+	before := len(b.upstream.requests())
 	status, header, body := b.send(t, i, "/plain/x", "Bearer "+keyOfA)
 	assert.Equal(t, status, http.StatusTooManyRequests, body)
 	assert.Assert(t, header.Get("Retry-After") != "")
-	assert.Equal(t, len(b.witness.took()), before)
+	assert.Equal(t, len(b.upstream.requests()), before)
 	status, _, _ = b.send(t, i, "/plain/x", "Bearer "+keyOfB)
 	assert.Equal(t, status, http.StatusOK, "request of another workspace, which has no limit")
 	assert.Assert(t, limit.Payable(b.source.config.Workspaces[0].Limit, 200))
--- a/gateway/orders.go
+++ b/gateway/orders.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// orderInterval is how often the stages of all engines are checked.
-	orderInterval = 500 * time.Millisecond
-	// orderPause is the minimum time between two changes of the stages of a service's engines.
+	// orderCheckInterval is how often the stages of all engines are checked.
+	orderCheckInterval = 500 * time.Millisecond
+	// orderCooldown is the minimum time between two changes of the stages of a service's engines.
 	// An engine serves nothing for about 6 s after an order, and the effect of the order must
 	// show in the demand before the next one.
-	orderPause = 12 * time.Second
+	orderCooldown = 12 * time.Second
 	// orderWarmup is the minimum time between the first demand and the first order. The first
 	// order depends only on the ratio of prefill work to memory use, which about ten requests
 	// show. The sooner it is given, the fewer requests of an initial burst it affects.
 	orderWarmup = 1500 * time.Millisecond
-	// orderFresh is the maximum age of the peers' answers for an order to be given, so that an
-	// instance that may be cut off gives none.
-	orderFresh = 1500 * time.Millisecond
+	// maxPeerAnswerAge is the maximum age of the peers' answers for an order to be given, so that
+	// an instance that may be cut off gives none.
+	maxPeerAnswerAge = 1500 * time.Millisecond
 	// orderTimeout bounds the sending of one order.
 	orderTimeout = time.Second
 	// leaseMargin is added to the lease. The former holder of the duty may believe for that
@@ -39,9 +39,9 @@
 	dutyStages = "stages"
 )
 
-// orderBook holds the state of stage orders: the last fencing number that this instance used, and
+// orderState holds the state of stage orders: the last fencing number that this instance used, and
 // the times of the orders and the demand for each service.
-type orderBook struct {
+type orderState struct {
 	lastFence int64
 	services  map[string]*serviceOrders
 }
@@ -56,71 +56,71 @@
 	peaks schedule.Peaks
 }
 
-// of returns the state of a service and creates it if there is none.
-func (b *orderBook) of(service string) *serviceOrders {
-	o := b.services[service]
+// service returns the state of a service and creates it if there is none.
+func (s *orderState) service(service string) *serviceOrders {
+	o := s.services[service]
 	if o == nil {
 		o = &serviceOrders{}
-		b.services[service] = o
+		s.services[service] = o
 	}
 	return o
 }
 
-// giveOrders tracks the demand of all services until ctx ends, and orders engines to change their
+// orderStages tracks the demand of all services until ctx ends, and orders engines to change their
 // stage while this instance holds the duty to do so.
-func (g *Service) giveOrders(ctx context.Context) {
-	b := &orderBook{services: map[string]*serviceOrders{}}
+func (g *Service) orderStages(ctx context.Context) {
+	state := &orderState{services: map[string]*serviceOrders{}}
 	lease := time.Duration(g.settings.Orders.LeaseMS)*time.Millisecond + leaseMargin
-	for pause.For(ctx, orderInterval) {
+	for pause.For(ctx, orderCheckInterval) {
 		s := g.node.Snapshot()
 		if !s.Ready() {
 			continue
 		}
-		may := !g.stopping() && g.node.Current(s) && g.node.Holds(dutyStages, lease, orderFresh)
+		holdsDuty := !g.stopping() && g.node.Current(s) && g.node.Holds(dutyStages, lease, maxPeerAnswerAge)
 		for name, service := range s.Table.Config().Services {
 			if service.Engine == nil {
 				continue
 			}
-			need, known := g.observe(b, name)
-			if known && may {
-				g.order(ctx, b, s, service, need)
+			need, known := g.observeDemand(state, name)
+			if known && holdsDuty {
+				g.orderService(ctx, state, s, service, need)
 			}
 		}
 	}
 }
 
-// observe records the current demand of a service and returns the demand to plan for. It returns
-// false if there is no demand.
-func (g *Service) observe(b *orderBook, service string) (schedule.Need, bool) {
+// observeDemand records the current demand of a service and returns the demand to plan for. It
+// returns false if there is no demand.
+func (g *Service) observeDemand(state *orderState, service string) (schedule.Need, bool) {
 	now := clock.Now()
-	need := g.need(now, service)
+	need := g.fleetDemand(now, service)
 	if need.Memory <= 0 {
 		return need, false
 	}
-	return b.of(service).peaks.Observe(now, need), true
+	return state.service(service).peaks.Observe(now, need), true
 }
 
-// order orders engines of a service to change their stage if that improves the service enough.
-// need is the demand to plan for.
-func (g *Service) order(ctx context.Context, b *orderBook, s *fleet.Snapshot, service routing.Service, need schedule.Need) {
+// orderService orders engines of a service to change their stage if that improves the service
+// enough. need is the demand to plan for.
+func (g *Service) orderService(ctx context.Context, state *orderState, s *fleet.Snapshot, service routing.Service, need schedule.Need) {
 	now := clock.Now()
 	list := g.books.Staged(now, s.Eligible(service.Name, nil, g.settings.regionOf))
 	need.PrefillRate *= g.books.MeanRelativePace(now, list)
-	o := b.of(service.Name)
+	o := state.service(service.Name)
 	if o.since.IsZero() {
 		o.since = now
 	}
-	if need.PrefillRate == 0 || now.Sub(o.since) < orderWarmup || now.Sub(o.last) < orderPause {
+	if need.PrefillRate == 0 || now.Sub(o.since) < orderWarmup || now.Sub(o.last) < orderCooldown {
 		return
 	}
 	for _, change := range schedule.PlanStages(list, service.Engine, need, g.books.Busy) {
 		o.last = now
-		g.send(ctx, b, change)
+		g.sendOrder(ctx, state, change)
 	}
 }
 
-// need returns the demand of a service, summed over all instances.
-func (g *Service) need(now time.Time, service string) schedule.Need {
+// fleetDemand returns the demand of a service, summed over all instances.
+func (g *Service) fleetDemand(now time.Time, service string) schedule.Need {
 	n := g.books.Demand(now, service)
 	d := g.node.Others().Demand[service]
 	n.Prefill += d.PrefillRate
@@ -133,17 +133,17 @@
 	return n
 }
 
-// send sends one order to an engine and records that the engine is changing its stage, unless the
-// engine refused the order.
-func (g *Service) send(ctx context.Context, b *orderBook, c schedule.Switch) {
+// sendOrder sends one order to an engine and records that the engine is changing its stage, unless
+// the engine refused the order.
+func (g *Service) sendOrder(ctx context.Context, state *orderState, c schedule.Switch) {
 	// This must be the wall clock, because the fencing numbers of other instances are made of it
 	// too.
-	b.lastFence = nextFence(time.Now(), b.lastFence, g.settings.Instance)
+	state.lastFence = nextFence(time.Now(), state.lastFence, g.settings.Instance)
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	err := g.dialect.Order(ctx, dialect.Order{To: c.Engine, Stage: c.To, Holder: g.settings.Instance, Fence: b.lastFence})
+	err := g.dialect.Order(ctx, dialect.Order{To: c.Engine, Stage: c.To, Holder: g.settings.Instance, Fence: state.lastFence})
 	g.metrics.count("orders")
-	g.log.Info("order", "upstream", c.Engine.ID, "stage", c.To, "fence", b.lastFence, "load_before", c.Before, "load_after", c.After, "error", logs.ErrorText(err))
+	g.log.Info("order", "upstream", c.Engine.ID, "stage", c.To, "fence", state.lastFence, "load_before", c.Before, "load_after", c.After, "error", logs.ErrorText(err))
 	var status *dialect.StatusError
 	var fenced *dialect.FencedError
 	if !errors.As(err, &status) && !errors.As(err, &fenced) {
@@ -152,7 +152,7 @@
 	}
 	if fenced != nil {
 		// A newer holder of the duty has given orders, which take precedence.
-		for _, o := range b.services {
+		for _, o := range state.services {
 			o.last = time.Time{}
 		}
 		g.log.Warn("order refused, another instance holds the duty", "fence", fenced.Fence)
@@ -160,25 +160,25 @@
 }
 
 const (
-	// fenceOwners is the number of values of the low part of a fencing number. The low part
+	// fenceHolders is the number of values of the low part of a fencing number. The low part
 	// identifies the holder of the duty, so that no two holders share a fencing number.
-	fenceOwners = 1 << 16
+	fenceHolders = 1 << 16
 )
 
 // nextFence returns a fencing number greater than last. Its high part is the wall-clock time in
 // seconds, so that a later holder's number is greater without shared state. Its low part
 // identifies the holder.
 func nextFence(now time.Time, last int64, holder ident.InstanceID) int64 {
-	step := max(now.Unix(), last/fenceOwners+1)
-	return step*fenceOwners + ownerPart(holder)
+	step := max(now.Unix(), last/fenceHolders+1)
+	return step*fenceHolders + holderPart(holder)
 }
 
-// ownerPart returns the low part of an instance's fencing numbers: the FNV-1a hash of its ID,
+// holderPart returns the low part of an instance's fencing numbers: the FNV-1a hash of its ID,
 // folded to 16 bits.
-func ownerPart(id ident.InstanceID) int64 {
+func holderPart(id ident.InstanceID) int64 {
 	hash := fnv.New32a()
 	// Writing to a hash never fails.
 	_, _ = hash.Write([]byte(id))
 	h := hash.Sum32()
-	return int64((h ^ h>>16) & (fenceOwners - 1))
+	return int64((h ^ h>>16) & (fenceHolders - 1))
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	// deadly is the body of the request that crashes each engine which starts to run it.
-	deadly = "a prompt that crashes engines"
-	// crashAfter is how long an engine runs that request before it crashes, backAfter how long it
-	// then takes to restart.
-	crashAfter = 20 * time.Millisecond
-	backAfter  = 400 * time.Millisecond
+	// crashingPrompt is the body of the request that crashes each engine which starts to run it.
+	crashingPrompt = "a prompt that crashes engines"
+	// crashDelay is how long an engine runs that request before it crashes, restartDelay how long
+	// it then takes to restart.
+	crashDelay   = 20 * time.Millisecond
+	restartDelay = 400 * time.Millisecond
 )
 
-// mortal is a decode engine that crashes on the request with the body deadly, and restarts at the
-// same address with a new ID.
-type mortal struct {
+// crashingEngine is a decode engine that crashes on the request with the body crashingPrompt, and
+// restarts at the same address with a new ID.
+type crashingEngine struct {
 	t       *testing.T
 	name    string
 	address string
-	bed     *fleetBed
+	fleet   *localFleet
 
 	mu     sync.Mutex
 	starts int
 	down   bool
 	server *http.Server
-	// ended counts the crashes, asked the requests that crash it.
-	ended, asked int
+	// crashes counts the crashes, received the requests that crash it.
+	crashes, received int
 }
 
-// ownAddress returns a free loopback address that only this process uses, so that no other process
-// takes the port while the engine is down.
-func ownAddress(t *testing.T) string {
+// exclusiveAddress returns a free loopback address that only this process uses, so that no other
+// process takes the port while the engine is down.
+func exclusiveAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.3:0", 1+pid/250%250, 1+pid%250))
@@ -53,10 +53,10 @@
 	return l.Addr().String()
 }
 
-// newMortal starts an engine and adds it to the list in the store.
-func newMortal(t *testing.T, b *fleetBed, name string) *mortal {
+// newCrashingEngine starts an engine and adds it to the list in the store.
+func newCrashingEngine(t *testing.T, b *localFleet, name string) *crashingEngine {
 	t.Helper()
-	m := &mortal{t: t, name: name, bed: b, address: ownAddress(t)}
+	m := &crashingEngine{t: t, name: name, fleet: b, address: exclusiveAddress(t)}
 	m.start()
 	t.Cleanup(func() {
 		m.mu.Lock()
@@ -67,7 +67,7 @@
 }
 
 // start starts the engine's next incarnation and replaces the previous one in the store.
-func (m *mortal) start() {
+func (m *crashingEngine) start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l, err := net.Listen("tcp", m.address)
@@ -81,7 +81,7 @@
 	m.server = &http.Server{Handler: http.HandlerFunc(m.serve)}
 	go func() { _ = m.server.Serve(l) }()
 	now := dialect.Upstream{ID: m.id(), Service: "llm", Address: m.address, Zone: "a", Stage: dialect.StageDecode, Slots: 8}
-	m.bed.source.set(func(f *fakeSource) {
+	m.fleet.source.set(func(f *fakeSource) {
 		var list []dialect.Upstream
 		for _, u := range f.list {
 			if u.ID != last {
@@ -93,34 +93,34 @@
 }
 
 // id returns the ID of the engine's current incarnation. The caller holds mu.
-func (m *mortal) id() ident.UpstreamID {
+func (m *crashingEngine) id() ident.UpstreamID {
 	return ident.UpstreamID(fmt.Sprintf("%s.%d", m.name, m.starts))
 }
 
 // crash crashes the engine with all requests that it runs, if the given incarnation is still
 // running.
-func (m *mortal) crash(incarnation ident.UpstreamID) {
+func (m *crashingEngine) crash(incarnation ident.UpstreamID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.down || m.id() != incarnation {
 		return
 	}
 	m.down = true
-	m.ended++
+	m.crashes++
 	_ = m.server.Close()
-	time.AfterFunc(backAfter, m.start)
+	time.AfterFunc(restartDelay, m.start)
 }
 
 // counts returns how often the engine crashed and how often it received the request that crashes
 // it.
-func (m *mortal) counts() (ended, asked int) {
+func (m *crashingEngine) counts() (ended, asked int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ended, m.asked
+	return m.crashes, m.received
 }
 
 // serve answers requests to the engine: reservations, load reports and streams of three events.
-func (m *mortal) serve(w http.ResponseWriter, r *http.Request) {
+func (m *crashingEngine) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	m.mu.Lock()
 	id := m.id()
@@ -136,11 +136,11 @@
 	case r.URL.Path == "/wardspool/report":
 		fmt.Fprint(w, `{"stage":"decode"}`)
 	case r.Method == http.MethodDelete:
-	case string(body) == deadly:
+	case string(body) == crashingPrompt:
 		m.mu.Lock()
-		m.asked++
+		m.received++
 		m.mu.Unlock()
-		time.Sleep(crashAfter)
+		time.Sleep(crashDelay)
 		m.crash(id)
 	default:
 		w.Header().Set("Response-Signature", "sig")
@@ -153,21 +153,21 @@
 	}
 }
 
-// crashBed is a fleetBed with running instances and with engines that can crash.
-type crashBed struct {
-	*fleetBed
-	engines   []*mortal
+// crashFleet is a localFleet with running instances and with engines that can crash.
+type crashFleet struct {
+	*localFleet
+	engines   []*crashingEngine
 	instances []*instance
 }
 
-// newCrashBed starts the given numbers of instances and decode engines, and waits until the
+// newCrashFleet starts the given numbers of instances and decode engines, and waits until the
 // instances are ready and know each other.
-func newCrashBed(t *testing.T, instances, engines int) *crashBed {
+func newCrashFleet(t *testing.T, instances, engines int) *crashFleet {
 	t.Helper()
-	b := &crashBed{fleetBed: newFleetBed(t)}
+	b := &crashFleet{localFleet: newLocalFleet(t)}
 	b.source.set(func(f *fakeSource) { f.list = f.list[:2] })
 	for i := range engines {
-		b.engines = append(b.engines, newMortal(t, b.fleetBed, fmt.Sprintf("d%d", i)))
+		b.engines = append(b.engines, newCrashingEngine(t, b.localFleet, fmt.Sprintf("d%d", i)))
 	}
 	for i := range instances {
 		var seeds []string
@@ -178,7 +178,7 @@
 	}
 	await(t, "all instances are ready and know each other", func() bool {
 		for _, i := range b.instances {
-			if b.status(t, i) != http.StatusOK || i.service.node.Alive() != instances {
+			if b.readiness(t, i) != http.StatusOK || i.service.node.Alive() != instances {
 				return false
 			}
 		}
@@ -188,7 +188,7 @@
 }
 
 // counts returns how often all engines together crashed and received the request that crashes them.
-func (b *crashBed) counts() (ended, asked int) {
+func (b *crashFleet) counts() (ended, asked int) {
 	for _, m := range b.engines {
 		e, a := m.counts()
 		ended, asked = ended+e, asked+a
@@ -212,10 +212,10 @@
 // repeats of a request had the same content and different requests never did. There were 5,146
 // contents in 5,301 requests, 155 of them sent twice.
 func TestQueryOfDeathIsKeptFromEngines(t *testing.T) {
-	b := newCrashBed(t, 3, 6)
+	b := newCrashFleet(t, 3, 6)
 	const repeats = 16
 	for n := range repeats {
-		status, header, _ := b.ask(t, b.instances[n%len(b.instances)], "/stream/x", deadly)
+		status, header, _ := b.post(t, b.instances[n%len(b.instances)], "/stream/x", crashingPrompt)
 		if status == http.StatusServiceUnavailable {
 			assert.Assert(t, header.Get("Retry-After") != "", "refused without a Retry-After header")
 		}
@@ -225,12 +225,12 @@
 	t.Logf("%d engines crashed, the request was sent %d times", ended, asked)
 	assert.Check(t, ended <= 3, "%d engines crashed on one content, which was sent %d times", ended, asked)
 
-	status, header, body := b.ask(t, b.instances[0], "/stream/x", deadly)
+	status, header, body := b.post(t, b.instances[0], "/stream/x", crashingPrompt)
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Assert(t, header.Get("Retry-After") != "")
 	assert.Assert(t, strings.Contains(body, `"not-run"`), "%s", body)
 	for _, i := range b.instances {
-		status, _, body := b.ask(t, i, "/stream/x", "an innocent prompt")
+		status, _, body := b.post(t, i, "/stream/x", "an innocent prompt")
 		assert.Equal(t, status, http.StatusOK, "harmless request refused: %s", body)
 	}
 }
@@ -240,12 +240,12 @@
 // sent before any instance can know that they crash engines. After that, all instances together try
 // one at a time until three engines have crashed.
 func TestRepeatsAtOnceCrashFewEngines(t *testing.T) {
-	b := newCrashBed(t, 4, 8)
+	b := newCrashFleet(t, 4, 8)
 	const callers, rounds, most = 6, 6, 6
 	for range rounds {
 		var all sync.WaitGroup
 		for n := range callers {
-			all.Go(func() { b.ask(t, b.instances[n%len(b.instances)], "/stream/x", deadly) })
+			all.Go(func() { b.post(t, b.instances[n%len(b.instances)], "/stream/x", crashingPrompt) })
 		}
 		all.Wait()
 		time.Sleep(300 * time.Millisecond)
--- a/gateway/reports.go
+++ b/gateway/reports.go
@@ -23,43 +23,43 @@
 	reportTimeout = 400 * time.Millisecond
 	// idlePollRounds is the number of rounds in which an idle engine is polled once.
 	idlePollRounds = 10
-	// forgetRounds is the number of rounds between two removals of the state of upstreams that
+	// cleanupRounds is the number of rounds between two removals of the state of upstreams that
 	// are no longer listed.
-	forgetRounds = 5
+	cleanupRounds = 5
 	// dutyReport followed by an engine's ID is the name of the duty of polling that engine.
 	dutyReport = "report/"
 )
 
-// gatherReports polls the decode engines that are assigned to this instance for their load until
+// pollReports polls the decode engines that are assigned to this instance for their load until
 // ctx ends: in each round if they are in use, in one of idlePollRounds rounds otherwise. It also
 // probes engines of any stage that failed recently.
 //
 // While prefill engines are busy, only this instance may have prompts computed at its assigned
 // engines, whether they are in use or not.
-func (g *Service) gatherReports(ctx context.Context) {
+func (g *Service) pollReports(ctx context.Context) {
 	for round := uint64(0); pause.For(ctx, reportInterval); round++ {
 		s := g.node.Snapshot()
 		if !s.Ready() || g.stopping() {
 			continue
 		}
-		if round%forgetRounds == 0 {
-			g.forgetGone(s)
+		if round%cleanupRounds == 0 {
+			g.forgetUnlisted(s)
 		}
-		own := map[ident.UpstreamID]bool{}
+		assigned := map[ident.UpstreamID]bool{}
 		for _, list := range s.Upstreams {
 			for _, u := range g.books.Trials(clock.Now(), list) {
 				go g.probe(ctx, u)
 			}
 			for _, u := range g.node.AssignedInZone(dutyReport, dialect.StageDecode, list) {
-				own[u.ID] = true
+				assigned[u.ID] = true
 				idleTurn := (xxhash.Sum64String(string(u.ID))+round)%idlePollRounds == 0
 				if g.books.InUse(clock.Now(), u) || idleTurn {
-					go g.report(ctx, u)
+					go g.requestReport(ctx, u)
 				}
 			}
 		}
-		g.books.SetOverflow(own)
-		g.limitCold()
+		g.books.SetOverflow(assigned)
+		g.updateColdQuotas()
 	}
 }
 
@@ -90,8 +90,8 @@
 	}
 }
 
-// report requests the load report of one engine and records it.
-func (g *Service) report(ctx context.Context, u dialect.Upstream) {
+// requestReport requests the load report of one engine and records it.
+func (g *Service) requestReport(ctx context.Context, u dialect.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r, err := g.dialect.Report(ctx, u)
--- a/gateway/reports_test.go
+++ b/gateway/reports_test.go
@@ -10,7 +10,7 @@
 )
 
 // totalReportRequests returns the number of load report requests sent to all engines so far.
-func (w *fleetWorld) totalReportRequests() int {
+func (w *simFleet) totalReportRequests() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -24,7 +24,7 @@
 // number would grow with the fleet instead of with the engines in use.
 func TestIdleEnginesAreNotPolledForReports(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		w := newFleetWorld(t, 7, 3, 70, 140)
+		w := newSimFleet(t, 7, 3, 70, 140)
 		defer w.close()
 		before := w.totalReportRequests()
 		time.Sleep(5 * time.Second)
@@ -37,7 +37,7 @@
 		w.mu.Unlock()
 		done := make(chan bool, 2)
 		for _, i := range w.instances[:2] {
-			go func() { done <- w.send(i, "harmless", "").whole() }()
+			go func() { done <- w.send(i, "harmless", "").complete() }()
 		}
 		for range 2 {
 			assert.Assert(t, <-done)
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -33,21 +33,21 @@
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 75 * time.Second
 	maxHeaderBytes = 64 << 10
-	// announceTime is how long a stopping instance still accepts connections. The load balancer
+	// lameDuckTime is how long a stopping instance still accepts connections. The load balancer
 	// checks readiness once a second and stops sending connections after the second failed check.
-	announceTime = 3 * time.Second
+	lameDuckTime = 3 * time.Second
 	// stopReserve is what is left of the grace period when the remaining requests are ended.
 	// exitReserve is what is left of it when the instance stops waiting for anything.
 	stopReserve = 400 * time.Millisecond
 	exitReserve = 100 * time.Millisecond
-	// tellTime is the time for answering the requests that the stop ended before any part of an
-	// answer was sent.
-	tellTime = 100 * time.Millisecond
+	// finalAnswerTime is the time for answering the requests that the stop ended before any part of
+	// an answer was sent.
+	finalAnswerTime = 100 * time.Millisecond
 	// bufferMemoryShare is the fraction of the process's memory available to buffered
 	// request bodies and answers.
 	bufferMemoryShare = 0.25
-	// peersTime bounds the wait for running calls of peers when the instance stops.
-	peersTime = 100 * time.Millisecond
+	// peerShutdownTimeout bounds the wait for running calls of peers when the instance stops.
+	peerShutdownTimeout = 100 * time.Millisecond
 )
 
 // Service is one instance of the gateway. It implements process.Service.
@@ -65,12 +65,13 @@
 	metrics  *counters
 	pool     *peer.Pool
 	peers    *peer.Server
-	// ends is when a stopping instance ends the remaining requests; nil until the stop begins.
-	ends atomic.Pointer[time.Time]
+	// stopDeadline is when a stopping instance ends the remaining requests; nil until the stop
+	// begins.
+	stopDeadline atomic.Pointer[time.Time]
 
-	// The listeners for callers, readiness checks, peers and metrics; scrape is nil if the
+	// The listeners for callers, readiness checks, peers and metrics; metricsListener is nil if the
 	// metrics are not served.
-	callers, ready, control, scrape net.Listener
+	callerListener, readyListener, peerListener, metricsListener net.Listener
 }
 
 // New returns a service. It opens no listeners and no connections; Listen and Serve do.
@@ -99,19 +100,19 @@
 		Self:  fleet.Member{ID: s.Instance, Zone: s.Zone, Address: s.Listen.Peers, Incarnation: incarnation},
 		Seeds: s.Seeds,
 		Zones: s.Zones, LinkMbps: s.LinkMbps,
-		Source: source, InForce: s.Store.inForce(), Pool: g.pool, Server: g.peers, Log: log,
-		Load: g.load, Changed: g.changed, LoadChanged: g.loadChanged, Register: g.register,
+		Source: source, InForce: s.Store.maxChangeDelay(), Pool: g.pool, Server: g.peers, Log: log,
+		Load: g.load, Changed: g.viewChanged, LoadChanged: g.loadChanged, Register: g.register,
 	})
 	g.budget = schedule.NewBudget(clock.Now(), s.Retries.budget(), g.node.Alive)
 	g.carrier = carry.New(carry.Options{
 		Dialect: d, Books: g.books, Budget: g.budget, Zone: s.Zone, RegionOf: s.regionOf, View: g.node.Snapshot, Log: log, Count: g.metrics.count,
-		Ends:     g.endsAt,
+		Ends:     g.requestDeadline,
 		Register: g.register, Trials: g.node, Spread: g.node.SpreadCrashes, AwaitInformed: g.node.AwaitInformed,
 	})
 	g.front = front.New(front.Options{
 		Dialect: d, Carrier: g.carrier, Budget: g.budget, Limits: g.node, View: g.node.Snapshot,
-		ConfigAge: g.node.ConfigAge, InForce: s.Store.inForce(), Refresh: g.node.Refresh, RequestArrived: g.node.RequestArrived, Memory: g.memory,
-		Log: log, Count: g.metrics.count, Observe: g.metrics.observe, Limited: g.metrics.limited,
+		ConfigAge: g.node.ConfigAge, MaxConfigAge: s.Store.maxChangeDelay(), Refresh: g.node.Refresh, RequestArrived: g.node.RequestArrived, Memory: g.memory,
+		Log: log, Count: g.metrics.count, ObserveRequest: g.metrics.observeRequest, CountLimitUnits: g.metrics.countLimitUnits,
 	})
 	return g
 }
@@ -130,18 +131,18 @@
 	l := fleet.Load{InFlight: map[ident.UpstreamID]fleet.InFlight{}, Demand: map[string]fleet.Demand{}}
 	now := clock.Now()
 	for id, f := range g.books.Own(now) {
-		said := fleet.InFlight{Requests: f.Requests, Tokens: f.Tokens, Unexplained: f.Unexplained, Pace: f.Pace}
+		reported := fleet.InFlight{Requests: f.Requests, Tokens: f.Tokens, Unexplained: f.Unexplained, Pace: f.Pace}
 		if f.Memory != (schedule.Forecast{}) {
-			said.Memory = f.Memory[:]
+			reported.Memory = f.Memory[:]
 		}
-		l.InFlight[id] = said
+		l.InFlight[id] = reported
 	}
 	l.Spent = g.budget.Spent(now)
 	away := g.books.Away(now)
 	l.Switching = away.Switching
 	l.Refusing = map[ident.UpstreamID]int64{}
-	for id, left := range away.Refusing {
-		l.Refusing[id] = left.Milliseconds()
+	for id, remaining := range away.Refusing {
+		l.Refusing[id] = remaining.Milliseconds()
 	}
 	for _, name := range g.books.DemandServices() {
 		n := g.books.Demand(now, name)
@@ -150,17 +151,17 @@
 	return l
 }
 
-// changed is called after each change of the view. It updates the request rate limits for cold
+// viewChanged is called after each change of the view. It updates the request rate limits for cold
 // upstreams and ends attempts at upstreams that have restarted.
-func (g *Service) changed(s *fleet.Snapshot) {
-	g.limitCold()
+func (g *Service) viewChanged(s *fleet.Snapshot) {
+	g.updateColdQuotas()
 	if g.carrier.HasPendingAttempts() {
 		g.carrier.Listed(s.All())
 	}
 }
 
-// forgetGone removes the state of upstreams that are not in the snapshot.
-func (g *Service) forgetGone(s *fleet.Snapshot) {
+// forgetUnlisted removes the state of upstreams that are not in the snapshot.
+func (g *Service) forgetUnlisted(s *fleet.Snapshot) {
 	listed := map[ident.UpstreamID]bool{}
 	for _, list := range s.Upstreams {
 		for _, u := range list {
@@ -170,8 +171,8 @@
 	g.books.Keep(listed)
 }
 
-// limitCold updates this instance's request rate limits for cold upstreams.
-func (g *Service) limitCold() {
+// updateColdQuotas updates this instance's request rate limits for cold upstreams.
+func (g *Service) updateColdQuotas() {
 	g.books.SetCold(g.node.ColdQuotas(clock.Now()))
 }
 
@@ -184,8 +185,8 @@
 		peers[id] = in
 	}
 	away := schedule.Away{Refusing: map[ident.UpstreamID]time.Duration{}, Switching: l.Switching}
-	for id, left := range l.Refusing {
-		away.Refusing[id] = time.Duration(left) * time.Millisecond
+	for id, remaining := range l.Refusing {
+		away.Refusing[id] = time.Duration(remaining) * time.Millisecond
 	}
 	paces := map[string]schedule.Paces{}
 	for service, d := range l.Demand {
@@ -204,13 +205,13 @@
 
 // ListenError reports an address at which the service could not listen.
 type ListenError struct {
-	// What names the listener, as the settings do.
-	What, Address string
-	Err           error
+	// Listener names the listener, as the settings do.
+	Listener, Address string
+	Err               error
 }
 
 // Error implements error.
-func (e *ListenError) Error() string { return e.What + " on " + e.Address + ": " + e.Err.Error() }
+func (e *ListenError) Error() string { return e.Listener + " on " + e.Address + ": " + e.Err.Error() }
 
 // Unwrap returns the error of the network.
 func (e *ListenError) Unwrap() error { return e.Err }
@@ -222,17 +223,17 @@
 		what, address string
 		into          *net.Listener
 	}{
-		{"callers", g.settings.Listen.Callers, &g.callers},
-		{"ready", g.settings.Listen.Ready, &g.ready},
-		{"peers", g.settings.Listen.Peers, &g.control},
-		{"metrics", g.settings.Listen.Metrics, &g.scrape},
+		{"callers", g.settings.Listen.Callers, &g.callerListener},
+		{"ready", g.settings.Listen.Ready, &g.readyListener},
+		{"peers", g.settings.Listen.Peers, &g.peerListener},
+		{"metrics", g.settings.Listen.Metrics, &g.metricsListener},
 	} {
 		if l.address == "" {
 			continue
 		}
 		var err error
 		if *l.into, err = net.Listen("tcp", l.address); err != nil {
-			return &ListenError{What: l.what, Address: l.address, Err: err}
+			return &ListenError{Listener: l.what, Address: l.address, Err: err}
 		}
 	}
 	return nil
@@ -245,13 +246,13 @@
 	g.log.Info("started", "zone", g.settings.Zone, "callers", g.settings.Listen.Callers, "seeds", g.settings.Seeds)
 	background, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { g.watch(background) })
+	running.Go(func() { g.runBackground(background) })
 	running.Go(func() { g.servePeers() })
 	ready := &http.Server{Handler: g.readyRoutes(), ReadHeaderTimeout: headerTimeout}
-	running.Go(func() { g.serve(ready, g.ready, "ready") })
-	scrape := &http.Server{Handler: g.metrics.routes(g.register, g.node.Limits), ReadHeaderTimeout: headerTimeout}
-	if g.scrape != nil {
-		running.Go(func() { g.serve(scrape, g.scrape, "metrics") })
+	running.Go(func() { g.serve(ready, g.readyListener, "ready") })
+	metricsServer := &http.Server{Handler: g.metrics.handler(g.register, g.node.Limits), ReadHeaderTimeout: headerTimeout}
+	if g.metricsListener != nil {
+		running.Go(func() { g.serve(metricsServer, g.metricsListener, "metrics") })
 	}
 	serving, end := context.WithCancelCause(context.Background())
 	defer end(nil)
@@ -260,13 +261,13 @@
 		Handler:     g.front, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(g.log.Handler(), slog.LevelDebug),
 	}
-	running.Go(func() { g.serve(callers, g.callers, "callers") })
+	running.Go(func() { g.serve(callers, g.callerListener, "callers") })
 	<-ctx.Done()
 	exit, done := g.shutdown(callers, end)
 	defer done()
 	stop()
 	g.closeServer(ready)
-	g.closeServer(scrape)
+	g.closeServer(metricsServer)
 	g.closePeers()
 	running.Wait()
 	g.carrier.Close(exit)
@@ -276,21 +277,21 @@
 	return nil
 }
 
-// watch runs the background work until ctx ends: it keeps the view up to date, assigns engines to
-// stages, polls them for their load and migrates streams.
-func (g *Service) watch(ctx context.Context) {
+// runBackground runs the background work until ctx ends: it keeps the view up to date, assigns
+// engines to stages, polls them for their load and migrates streams.
+func (g *Service) runBackground(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { g.node.Run(ctx) })
-	running.Go(func() { g.giveOrders(ctx) })
-	running.Go(func() { g.gatherReports(ctx) })
+	running.Go(func() { g.orderStages(ctx) })
+	running.Go(func() { g.pollReports(ctx) })
 	running.Go(func() { g.migrate(ctx) })
 	running.Wait()
 }
 
-// endsAt returns when the instance ends the remaining requests. It returns false until the stop
-// has begun.
-func (g *Service) endsAt() (time.Time, bool) {
-	if at := g.ends.Load(); at != nil {
+// requestDeadline returns when the instance ends the remaining requests. It returns false until the
+// stop has begun.
+func (g *Service) requestDeadline() (time.Time, bool) {
+	if at := g.stopDeadline.Load(); at != nil {
 		return *at, true
 	}
 	return time.Time{}, false
@@ -304,16 +305,16 @@
 func (g *Service) shutdown(callers *http.Server, end context.CancelCauseFunc) (exit context.Context, done context.CancelFunc) {
 	began := clock.Now()
 	grace := time.Duration(g.settings.Stop.GraceSeconds * float64(time.Second))
-	last := began.Add(grace - stopReserve)
+	deadline := began.Add(grace - stopReserve)
 	g.log.Info("stopping", "active", g.front.Active(), "grace_ms", grace.Milliseconds())
-	g.ends.Store(&last)
+	g.stopDeadline.Store(&deadline)
 	g.front.CloseConnections()
 	g.node.Leave()
-	pause.For(context.Background(), min(announceTime, grace/2))
-	if err := shutdownWithin(callers, clock.Until(last)); err != nil {
+	pause.For(context.Background(), min(lameDuckTime, grace/2))
+	if err := shutdownWithin(callers, clock.Until(deadline)); err != nil {
 		g.log.Warn("requests broken off by the stop", "active", g.front.Active(), "error", err)
 		end(&carry.StoppedError{})
-		if err := shutdownWithin(callers, tellTime); err != nil {
+		if err := shutdownWithin(callers, finalAnswerTime); err != nil {
 			g.log.Debug("not all requests were answered at the stop", "error", err)
 		}
 		g.closeServer(callers)
@@ -348,16 +349,16 @@
 
 // servePeers answers calls of peers until closePeers is called.
 func (g *Service) servePeers() {
-	if err := g.peers.Serve(g.control); err != nil && !g.stopping() {
+	if err := g.peers.Serve(g.peerListener); err != nil && !g.stopping() {
 		g.log.Error("server failed", "server", "peers", "error", oops.Wrap(err))
 	}
 }
 
 // closePeers closes the connections between instances. It waits for running calls of peers for
-// peersTime at most.
+// peerShutdownTimeout at most.
 func (g *Service) closePeers() {
 	g.pool.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), peersTime)
+	ctx, cancel := context.WithTimeout(context.Background(), peerShutdownTimeout)
 	defer cancel()
 	if err := g.peers.Shutdown(ctx); err != nil {
 		g.log.Debug("calls of peers were not finished at the stop", "error", err)
--- a/gateway/service_test.go
+++ b/gateway/service_test.go
@@ -34,15 +34,15 @@
 	directiveReads int
 }
 
-// outage is the error of a store that is down.
-var outage = &dialect.StatusError{Op: "store", Status: http.StatusServiceUnavailable}
+// errStoreDown is the error of a store that is down.
+var errStoreDown = &dialect.StatusError{Op: "store", Status: http.StatusServiceUnavailable}
 
 func (f *fakeSource) Directives(context.Context) (dialect.Directives, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.directiveReads++
 	if f.down {
-		return dialect.Directives{}, outage
+		return dialect.Directives{}, errStoreDown
 	}
 	return dialect.Directives{Config: f.config, Evacuation: routing.Evacuation{Revision: int64(f.directiveReads)}}, nil
 }
@@ -52,7 +52,7 @@
 	defer f.mu.Unlock()
 	f.reads++
 	if f.down {
-		return nil, 0, outage
+		return nil, 0, errStoreDown
 	}
 	return f.list, int64(f.reads), nil
 }
@@ -69,9 +69,9 @@
 	change(f)
 }
 
-// engineStandIn starts an upstream that serves prefills, streams of two events and plain requests.
+// startUpstream starts an upstream that serves prefills, streams of two events and plain requests.
 // A plain answer consists of the upstream's ID and the request's method, target and body.
-func engineStandIn(t *testing.T, id string) dialect.Upstream {
+func startUpstream(t *testing.T, id string) dialect.Upstream {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -96,18 +96,18 @@
 	return dialect.Upstream{ID: ident.UpstreamID(id), Address: strings.TrimPrefix(s.URL, "http://"), Zone: "a"}
 }
 
-// fleetBed runs instances that share a store and upstreams, over real connections.
-type fleetBed struct {
+// localFleet runs instances that share a store and upstreams, over real connections.
+type localFleet struct {
 	source *fakeSource
 	http   *http.Client
 	log    *slog.Logger
 }
 
-// newFleetBed returns a fleetBed with a plain service "app" and a model service "llm", and a route
-// to each of them. It starts the upstreams but no instance.
-func newFleetBed(t *testing.T) *fleetBed {
+// newLocalFleet returns a localFleet with a plain service "app" and a model service "llm", and a
+// route to each of them. It starts the upstreams but no instance.
+func newLocalFleet(t *testing.T) *localFleet {
 	t.Helper()
-	app, prefill, decode := engineStandIn(t, "app"), engineStandIn(t, "p"), engineStandIn(t, "d")
+	app, prefill, decode := startUpstream(t, "app"), startUpstream(t, "p"), startUpstream(t, "d")
 	app.Service, prefill.Service, decode.Service = "app", "llm", "llm"
 	prefill.Stage, decode.Stage = dialect.StagePrefill, dialect.StageDecode
 	config := &routing.Config{
@@ -121,7 +121,7 @@
 			"llm": {Name: "llm", Engine: &routing.Engine{Slots: 8, KVTokens: 90000, Stride: 64, HandleTTL: time.Second, HoldTTL: time.Second}},
 		},
 	}
-	return &fleetBed{
+	return &localFleet{
 		source: &fakeSource{config: config, list: []dialect.Upstream{app, prefill, decode}},
 		http:   &http.Client{Transport: &http.Transport{}},
 		log:    slog.New(slog.DiscardHandler),
@@ -148,13 +148,13 @@
 }
 
 // start runs an instance with a grace period of a second.
-func (b *fleetBed) start(t *testing.T, name string, seeds ...string) *instance {
+func (b *localFleet) start(t *testing.T, name string, seeds ...string) *instance {
 	t.Helper()
-	return b.startWith(t, name, 1, seeds...)
+	return b.startWithGrace(t, name, 1, seeds...)
 }
 
-// startWith runs an instance with the given grace period.
-func (b *fleetBed) startWith(t *testing.T, name string, graceSeconds float64, seeds ...string) *instance {
+// startWithGrace runs an instance with the given grace period.
+func (b *localFleet) startWithGrace(t *testing.T, name string, graceSeconds float64, seeds ...string) *instance {
 	t.Helper()
 	s := &Settings{Instance: ident.InstanceID(name), Zone: "a", Seeds: seeds}
 	s.SetDefaults()
@@ -172,8 +172,8 @@
 	return i
 }
 
-// status returns the status of an instance's readiness check, or 0 if it does not answer.
-func (b *fleetBed) status(t *testing.T, i *instance) int {
+// readiness returns the status of an instance's readiness check, or 0 if it does not answer.
+func (b *localFleet) readiness(t *testing.T, i *instance) int {
 	t.Helper()
 	resp, err := b.http.Get("http://" + i.settings.Listen.Ready + "/any")
 	if err != nil {
@@ -196,9 +196,9 @@
 	t.Fatalf("condition not met: %s", what)
 }
 
-// ask sends a caller's request to an instance and returns the status, the headers and the body of
+// post sends a caller's request to an instance and returns the status, the headers and the body of
 // the response.
-func (b *fleetBed) ask(t *testing.T, i *instance, path, body string) (int, http.Header, string) {
+func (b *localFleet) post(t *testing.T, i *instance, path, body string) (int, http.Header, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+i.settings.Listen.Callers+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -220,21 +220,21 @@
 // TestWholePath guards against failures anywhere on the path of plain and streamed requests through
 // an instance, against a wrong answer to a request without a route, and against missing metrics.
 func TestWholePath(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 
-	status, header, body := b.ask(t, i, "/plain/x?y=%20", "text")
+	status, header, body := b.post(t, i, "/plain/x?y=%20", "text")
 	assert.Equal(t, status, 200)
 	assert.Equal(t, body, "app POST /plain/x?y=%20 text")
 	assert.Equal(t, header.Get("Response-Signature"), "sig")
 
-	status, header, body = b.ask(t, i, "/stream/x", "prompt")
+	status, header, body = b.post(t, i, "/stream/x", "prompt")
 	assert.Equal(t, status, 200)
 	assert.Equal(t, header.Get("Response-Signature"), "sig")
 	assert.Equal(t, body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
 
-	status, header, body = b.ask(t, i, "/other/x", "")
+	status, header, body = b.post(t, i, "/other/x", "")
 	assert.Equal(t, status, 404)
 	assert.Equal(t, header.Get("Response-Signature"), "")
 	var problem struct{ Title, Outcome string }
@@ -254,25 +254,25 @@
 // TestStartsFromPeersWhenTheStoreIsDown guards against an instance that cannot serve because the
 // store is down at its start. It must get the configuration and the upstreams from its peers.
 func TestStartsFromPeersWhenTheStoreIsDown(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	first := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, first) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, first) == http.StatusOK })
 	b.source.set(func(f *fakeSource) { f.down = true })
 	second := b.start(t, "two", first.settings.Listen.Peers)
-	await(t, "the second is ready", func() bool { return b.status(t, second) == http.StatusOK })
-	status, _, _ := b.ask(t, second, "/plain/x", "")
+	await(t, "the second is ready", func() bool { return b.readiness(t, second) == http.StatusOK })
+	status, _, _ := b.post(t, second, "/plain/x", "")
 	assert.Equal(t, status, 200)
 }
 
 // TestKnowsNothingSaysNotRun guards against an instance without a configuration refusing a request
 // with 404, as if its route were unknown.
 func TestKnowsNothingSaysNotRun(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	b.source.down = true
 	i := b.start(t, "one")
-	await(t, "answers", func() bool { return b.status(t, i) != 0 })
-	assert.Equal(t, b.status(t, i), http.StatusServiceUnavailable)
-	status, header, _ := b.ask(t, i, "/other/x", "")
+	await(t, "answers", func() bool { return b.readiness(t, i) != 0 })
+	assert.Equal(t, b.readiness(t, i), http.StatusServiceUnavailable)
+	status, header, _ := b.post(t, i, "/other/x", "")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Assert(t, header.Get("Retry-After") != "")
 	assert.Equal(t, header.Get("Request-Id"), "q1")
@@ -281,9 +281,9 @@
 // TestOldConfigurationNeverComesBack guards against an instance that replaces its configuration by
 // an older version, if the store was reset to an earlier state.
 func TestOldConfigurationNeverComesBack(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	b.source.set(func(f *fakeSource) { f.config = &routing.Config{Version: 4} })
 	before := 0
 	b.source.set(func(f *fakeSource) { before = f.reads })
@@ -292,19 +292,19 @@
 		b.source.set(func(f *fakeSource) { reads = f.reads })
 		return reads > before+1
 	})
-	status, _, _ := b.ask(t, i, "/plain/x", "")
+	status, _, _ := b.post(t, i, "/plain/x", "")
 	assert.Equal(t, status, 200)
 }
 
 // TestGracefulStop guards against a stopping instance that refuses requests before the load
 // balancer can know that it is not ready, or that keeps callers' connections open.
 func TestGracefulStop(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	i.stop()
-	await(t, "not ready", func() bool { return b.status(t, i) == http.StatusServiceUnavailable })
-	status, header, _ := b.ask(t, i, "/plain/x", "")
+	await(t, "not ready", func() bool { return b.readiness(t, i) == http.StatusServiceUnavailable })
+	status, header, _ := b.post(t, i, "/plain/x", "")
 	assert.Equal(t, status, 200)
 	assert.Equal(t, header.Get("Connection"), "close")
 	err := <-i.done
@@ -316,12 +316,12 @@
 // open although a readiness check has already failed. This happened to answers that were sent
 // between two separate changes of state, which the stop made one after the other.
 func TestReadinessFollowsTheClosingOfConnections(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	i.service.front.CloseConnections()
-	assert.Equal(t, b.status(t, i), http.StatusServiceUnavailable)
-	_, header, _ := b.ask(t, i, "/plain/x", "")
+	assert.Equal(t, b.readiness(t, i), http.StatusServiceUnavailable)
+	_, header, _ := b.post(t, i, "/plain/x", "")
 	assert.Equal(t, header.Get("Connection"), "close")
 }
 
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -64,8 +64,8 @@
 	LeavingWithinMS int `yaml:"leaving_within_ms"`
 }
 
-// inForce returns the time within which any change in the store must take effect.
-func (s Store) inForce() time.Duration {
+// maxChangeDelay returns the time within which any change in the store must take effect.
+func (s Store) maxChangeDelay() time.Duration {
 	return time.Duration(min(s.ConfigWithinMS, s.LeavingWithinMS)) * time.Millisecond
 }
 
@@ -134,7 +134,7 @@
 	for i, seed := range s.Seeds {
 		common.CheckAddress(r, fmt.Sprintf("seeds[%d]", i), seed, common.Required)
 	}
-	if s.Store.inForce() <= 0 {
+	if s.Store.maxChangeDelay() <= 0 {
 		r.Add("store", "config_within_ms or leaving_within_ms is not greater than 0", "set both to the number of milliseconds within which changes must take effect")
 	}
 	if s.Retries.WindowSeconds <= 0 {
--- a/gateway/slowreaders_test.go
+++ b/gateway/slowreaders_test.go
@@ -70,10 +70,10 @@
 // TestSlowReadersHoldBoundedMemory guards against unread answers exceeding their caller's share
 // of the memory budget, blocking other callers or small answers, or leaking reservations.
 func TestSlowReadersHoldBoundedMemory(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	b.source.list = []dialect.Upstream{startLargeAnswerUpstream(t)}
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	budget := int64(bufferMemoryShare * float64(i.settings.MemoryMB<<20))
 	for range 20 {
 		requestWithoutReading(t, i)
@@ -94,19 +94,19 @@
 // TestBodiesWithoutMemoryAreRefused guards against large bodies waiting for memory instead of
 // being refused at once, and against refusing small ones.
 func TestBodiesWithoutMemoryAreRefused(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	other := i.service.memory.Open("other")
 	assert.NilError(t, other.TryGrow(int64(bufferMemoryShare*float64(i.settings.MemoryMB<<20))))
 	start := time.Now()
-	status, header, _ := b.ask(t, i, "/plain/x", strings.Repeat("x", 1<<20))
+	status, header, _ := b.post(t, i, "/plain/x", strings.Repeat("x", 1<<20))
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Assert(t, header.Get("Retry-After") != "")
 	assert.Check(t, time.Since(start) < 500*time.Millisecond)
-	status, _, _ = b.ask(t, i, "/plain/x", "few")
+	status, _, _ = b.post(t, i, "/plain/x", "few")
 	assert.Equal(t, status, http.StatusOK)
 	other.Close()
-	status, _, _ = b.ask(t, i, "/plain/x", strings.Repeat("x", 1<<20))
+	status, _, _ = b.post(t, i, "/plain/x", strings.Repeat("x", 1<<20))
 	assert.Equal(t, status, http.StatusOK)
 }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -21,16 +21,16 @@
 )
 
 // Parameters of the engines in these tests: eventTime is the time between two events of a stream,
-// stopStride the number of tokens in an event.
+// tokensPerEvent the number of tokens in an event.
 const (
-	eventTime  = 10 * time.Millisecond
-	stopStride = 1
+	eventTime      = 10 * time.Millisecond
+	tokensPerEvent = 1
 )
 
-// pacedEngine starts an upstream that prefills at once and sends an event of a stream every
+// startPacedEngine starts an upstream that prefills at once and sends an event of a stream every
 // eventTime, as many as the maximum number of output tokens. It grants reservations while room
 // returns true. It does not answer plain requests.
-func pacedEngine(t *testing.T, id string, room func() bool) dialect.Upstream {
+func startPacedEngine(t *testing.T, id string, room func() bool) dialect.Upstream {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		// The server notices a closed connection only after the body has been read.
@@ -67,16 +67,16 @@
 	return dialect.Upstream{ID: ident.UpstreamID(id), Address: strings.TrimPrefix(s.URL, "http://"), Zone: "a"}
 }
 
-// newStopBed returns a fleetBed with paced engines and long timeouts.
-func newStopBed(t *testing.T, room func() bool) *fleetBed {
+// newPacedFleet returns a localFleet with paced engines and long timeouts.
+func newPacedFleet(t *testing.T, room func() bool) *localFleet {
 	t.Helper()
-	b := newFleetBed(t)
-	app, prefill, decode := pacedEngine(t, "app", room), pacedEngine(t, "p", room), pacedEngine(t, "d", room)
+	b := newLocalFleet(t)
+	app, prefill, decode := startPacedEngine(t, "app", room), startPacedEngine(t, "p", room), startPacedEngine(t, "d", room)
 	app.Service, prefill.Service, decode.Service = "app", "llm", "llm"
 	prefill.Stage, decode.Stage = dialect.StagePrefill, dialect.StageDecode
 	b.source.list = []dialect.Upstream{app, prefill, decode}
 	engine := *b.source.config.Services["llm"].Engine
-	engine.Stride = stopStride
+	engine.Stride = tokensPerEvent
 	llm := b.source.config.Services["llm"]
 	llm.Engine = &engine
 	b.source.config.Services["llm"] = llm
@@ -87,8 +87,8 @@
 	return b
 }
 
-// callerView is the outcome of a request for its caller.
-type callerView struct {
+// callerResult is the outcome of a request for its caller.
+type callerResult struct {
 	status int
 	header http.Header
 	// err is nil if the answer is complete.
@@ -98,16 +98,16 @@
 }
 
 // served reports whether the caller received a complete answer.
-func (v callerView) served() bool { return v.status == http.StatusOK && v.err == nil }
+func (v callerResult) served() bool { return v.status == http.StatusOK && v.err == nil }
 
 // refused reports whether the request was refused with a Retry-After header.
-func (v callerView) refused() bool {
+func (v callerResult) refused() bool {
 	return v.status == http.StatusServiceUnavailable && v.err == nil && v.header.Get("Retry-After") != ""
 }
 
 // call sends a request over a connection of its own, with a maximum output of the given number of
 // events, and waits for the end of the answer.
-func (b *fleetBed) call(t *testing.T, i *instance, path string, events int) callerView {
+func (b *localFleet) call(t *testing.T, i *instance, path string, events int) callerResult {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+i.settings.Listen.Callers+path, strings.NewReader("prompt"))
@@ -118,11 +118,11 @@
 	req.Header.Set("Length-Hint", strconv.Itoa(events))
 	resp, err := client.Do(req)
 	if err != nil {
-		return callerView{err: err}
+		return callerResult{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return callerView{status: resp.StatusCode, header: resp.Header, err: err, events: strings.Count(string(body), "id: ")}
+	return callerResult{status: resp.StatusCode, header: resp.Header, err: err, events: strings.Count(string(body), "id: ")}
 }
 
 // TestStoppingInstanceCutsNoAnswerThatItTookOn guards against a stopping instance accepting streams
@@ -134,13 +134,13 @@
 // `requests broken off by the stop`, and `stream broke off` 7.6 s after each `stopping`; most of
 // these streams had arrived after the stop had begun.
 func TestStoppingInstanceCutsNoAnswerThatItTookOn(t *testing.T) {
-	b := newStopBed(t, func() bool { return true })
-	i := b.startWith(t, "one", 3)
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	b := newPacedFleet(t, func() bool { return true })
+	i := b.startWithGrace(t, "one", 3)
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	// After one complete stream the instance knows the pace of the engines.
 	assert.Assert(t, b.call(t, i, "/stream/x", 50).served())
 	i.stop()
-	await(t, "not ready", func() bool { return b.status(t, i) == http.StatusServiceUnavailable })
+	await(t, "not ready", func() bool { return b.readiness(t, i) == http.StatusServiceUnavailable })
 	var calls sync.WaitGroup
 	for _, c := range []struct {
 		events int
@@ -163,10 +163,10 @@
 // Callers saw only a closed connection if the instance stopped while their requests waited in the
 // queue or for an upstream.
 func TestEndOfTheGraceTimeIsAnswered(t *testing.T) {
-	b := newStopBed(t, func() bool { return false })
-	i := b.startWith(t, "one", 1)
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
-	views := map[string]callerView{}
+	b := newPacedFleet(t, func() bool { return false })
+	i := b.startWithGrace(t, "one", 1)
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
+	views := map[string]callerResult{}
 	var mu sync.Mutex
 	var calls sync.WaitGroup
 	for _, path := range []string{"/stream/x", "/plain/x"} {
@@ -188,9 +188,9 @@
 // TestHalfReadRequestIsToldOfTheEnd guards against a caller that is still sending its body when the
 // instance stops not being told that its request did not run.
 func TestHalfReadRequestIsToldOfTheEnd(t *testing.T) {
-	b := newStopBed(t, func() bool { return true })
-	i := b.startWith(t, "one", 1)
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	b := newPacedFleet(t, func() bool { return true })
+	i := b.startWithGrace(t, "one", 1)
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	conn, err := net.Dial("tcp", i.settings.Listen.Callers)
 	assert.NilError(t, err)
 	defer conn.Close()
@@ -211,7 +211,7 @@
 // themselves, but a process that is killed at the end of the grace period breaks off more than one
 // that exits.
 func TestStopEndsWithinItsGraceTime(t *testing.T) {
-	b := newStopBed(t, func() bool { return true })
+	b := newPacedFleet(t, func() bool { return true })
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wardspool/hold-take" {
 			fmt.Fprint(w, `{"hold":"r"}`)
@@ -226,8 +226,8 @@
 		b.source.list[n].Address = strings.TrimPrefix(engine.URL, "http://")
 	}
 	const grace = time.Second
-	i := b.startWith(t, "one", grace.Seconds())
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	i := b.startWithGrace(t, "one", grace.Seconds())
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	var call sync.WaitGroup
 	defer call.Wait()
 	call.Go(func() { b.call(t, i, "/stream/x", 10) })
