--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -16,8 +16,8 @@
 // evacuationDeadline is the time within which all instances must apply an evacuation.
 const evacuationDeadline = 5 * time.Second
 
-// evacuate sets the evacuated zones in the store.
-func (w *fleetWorld) evacuate(zones ...ident.Zone) {
+// evacuate sets the evacuated zones in the store; without arguments it ends the evacuation.
+func (w *simFleet) evacuate(zones ...ident.Zone) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.evacuated = zones
@@ -25,7 +25,7 @@
 }
 
 // sentTo returns the number of requests that reached engines of a zone between two times.
-func (w *fleetWorld) sentTo(zone ident.Zone, from, to time.Time) int {
+func (w *simFleet) sentTo(zone ident.Zone, from, to time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -44,7 +44,7 @@
 }
 
 // run sends a stream to each instance at every interval until stop is closed.
-func (l *streamLoad) run(w *fleetWorld, interval time.Duration, stop chan struct{}) *sync.WaitGroup {
+func (l *streamLoad) run(w *simFleet, interval time.Duration, stop chan struct{}) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for n, i := range w.instances {
 		wg.Go(func() {
@@ -63,7 +63,7 @@
 }
 
 // send sends a stream to an instance.
-func (l *streamLoad) send(w *fleetWorld, i *worldInstance) {
+func (l *streamLoad) send(w *simFleet, i *simInstance) {
 	g := w.send(i, "harmless", "")
 	if g == nil {
 		return
@@ -71,14 +71,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent++
-	if g.whole() {
+	if g.complete() {
 		l.completed++
 	}
 }
 
 // TestEvacuatedZoneGetsNoRequests guards, at several fleet sizes, against requests to an evacuated
-// zone from instances that the store rejects or that start during the evacuation, and while the
-// zone's reader is down or a zone is cut off from the others.
+// zone: from instances whose requests the store rejects, from instances that start during the
+// evacuation, while the instance that reads the store for the zone is down, and while a zone is cut
+// off from the others.
 func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	sizes := []int{7, 60}
 	if *largeFlag {
@@ -96,7 +97,7 @@
 }
 
 func testEvacuation(t *testing.T, instances int) {
-	w := newFleetWorld(t, instances, 3, instances, 2*instances)
+	w := newSimFleet(t, instances, 3, instances, 2*instances)
 	defer w.close()
 	time.Sleep(3 * time.Second)
 	stop := make(chan struct{})
@@ -104,29 +105,30 @@
 	wg := load.run(w, time.Second, stop)
 	time.Sleep(2 * time.Second)
 
-	// The store rejects a third of the instances, and the reader of zone a is down.
+	// The store rejects the requests of a third of the instances, and the instance that reads the
+	// store for zone a is down.
 	for n, i := range w.instances {
 		i.mu.Lock()
 		i.storeDown = n%3 == 1
 		i.mu.Unlock()
 	}
-	var reader *worldInstance
+	var reader *simInstance
 	for _, i := range w.instances {
 		duty := []dialect.Upstream{{ID: "store", Zone: i.zone}}
 		if i.zone == "a" && len(i.running().node.AssignedInZone("", "", duty)) > 0 {
 			reader = i
 		}
 	}
-	reader.end()
+	reader.kill()
 	asked := time.Now()
 	w.evacuate("a")
 	time.Sleep(evacuationDeadline)
-	assert.Check(t, w.sentTo("a", asked.Add(-2*time.Second), asked) > 0, "the zone was in use")
+	assert.Check(t, w.sentTo("a", asked.Add(-2*time.Second), asked) > 0, "no request was sent to the zone before the evacuation")
 
-	// Two instances start, then zone b is cut off.
+	// Two instances start during the evacuation, then zone b is cut off from the others.
 	reader.start()
 	last := w.instances[len(w.instances)-1]
-	last.end()
+	last.kill()
 	last.start()
 	w.cutZone("b")
 	time.Sleep(3 * time.Second)
@@ -144,7 +146,8 @@
 		assert.Equal(t, w.sentTo(zone, again.Add(evacuationDeadline), time.Now()), 0, "zone %s", zone)
 	}
 
-	// With all zones evacuated requests are refused at once; after that they are served again.
+	// With all zones evacuated, requests are refused at once. After the evacuation they are served
+	// again.
 	w.evacuate("a", "b", "c")
 	time.Sleep(evacuationDeadline)
 	began := time.Now()
@@ -156,7 +159,7 @@
 	time.Sleep(evacuationDeadline)
 	served := time.Now()
 	time.Sleep(3 * time.Second)
-	assert.Check(t, w.sentTo("a", served, time.Now()) > 0, "the zone is in use again")
+	assert.Check(t, w.sentTo("a", served, time.Now()) > 0, "no request was sent to the zone after the evacuation")
 	close(stop)
 	wg.Wait()
 }
@@ -165,7 +168,7 @@
 // failing requests that other zones can serve.
 func TestEvacuationInterruptsNoStreams(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		w := newFleetWorld(t, 7, 3, 7, 14)
+		w := newSimFleet(t, 7, 3, 7, 14)
 		defer w.close()
 		time.Sleep(3 * time.Second)
 		stop := make(chan struct{})
@@ -183,12 +186,12 @@
 	})
 }
 
-// TestRequestsStayInAllowedRegions guards against requests leaving the regions of their route, at
-// prefill, decode and resumption and while a zone is cut off, and against delays in refusing
-// requests that no zone may serve.
+// TestRequestsStayInAllowedRegions guards against requests being sent outside the regions of their
+// route, for prefill, decode or the resumption of a stream and while a zone is cut off, and against
+// delays in refusing requests that no zone may serve.
 func TestRequestsStayInAllowedRegions(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		w := newFleetWorld(t, 6, 3, 6, 12)
+		w := newSimFleet(t, 6, 3, 6, 12)
 		defer w.close()
 		restrict := func(regions ...ident.Region) {
 			w.mu.Lock()
@@ -199,14 +202,14 @@
 			next.Routes[0].Regions = regions
 			w.config = &next
 			w.mu.Unlock()
-			w.within("the configuration is in force", func(s *Service) bool { return s.node.Snapshot().Version() >= next.Version })
+			w.awaitAll("the configuration is in force", func(s *Service) bool { return s.node.Snapshot().Version() >= next.Version })
 		}
 		restrict("east")
 		began := time.Now()
 		for range 3 {
 			for _, i := range w.instances {
-				assert.Assert(t, w.send(i, "harmless", "").whole())
-				assert.Assert(t, w.send(i, "harmless", "3").whole())
+				assert.Assert(t, w.send(i, "harmless", "").complete())
+				assert.Assert(t, w.send(i, "harmless", "3").complete())
 			}
 		}
 		assert.Equal(t, w.sentTo("c", began, time.Now()), 0)
--- a/gateway/fleetcrash_test.go
+++ b/gateway/fleetcrash_test.go
@@ -19,38 +19,43 @@
 )
 
 const (
-	// tellAll is how long after the third crash all instances must know of it, and
-	// mostAfter how often the content may still reach engines later.
-	tellAll   = 3 * time.Second
-	mostAfter = 3
-	// mostEnded is how many engines may end under a content that comes one attempt after the
-	// other: two crashes before anything was produced convict it, a third may be under way.
-	mostEnded = 3
-	// innocentsPerEngine is how many innocent streams begin a second for each engine: eight
-	// run at a time, of twelve.
-	innocentsPerEngine = 4
+	// quarantineDeadline is the time after the third crash within which all instances must know
+	// that the content crashes engines. maxSentAfterDeadline is how often it may still reach
+	// engines after that.
+	quarantineDeadline   = 3 * time.Second
+	maxSentAfterDeadline = 3
+	// maxCrashes is how many engines a content may crash if its attempts are sent one after the
+	// other. Two crashes without any output quarantine it, and a third attempt may already be
+	// running.
+	maxCrashes = 3
+	// harmlessPerEngine is how many harmless streams start per second for each decode engine.
+	// As a stream lasts two seconds, eight of an engine's twelve slots are in use.
+	harmlessPerEngine = 4
 )
 
-// fleetSize is a fleet of a size that users have, or the one that is planned for.
+// fleetSize is the size of a fleet: of one that users have, or of the one that the gateway is
+// designed for.
 type fleetSize struct{ instances, zones, prefill, decode int }
 
 func (s fleetSize) String() string { return strconv.Itoa(s.instances) }
 
 var fleetSizes = []fleetSize{{7, 3, 3, 6}, {85, 3, 10, 34}, {295, 5, 16, 48}}
 
-// innocents are the streams beside the deadly one, and what became of them.
-type innocents struct {
+// harmlessStreams counts the outcomes of the harmless streams that run beside the crashing request.
+type harmlessStreams struct {
 	mu sync.Mutex
-	// whole were served, late those whose first event came after the objective, hit those
-	// whose engine crashed under them, refused those that got nothing, by reason.
-	all, whole, late, hit int
-	refused               map[string]int
+	// complete counts the complete streams. Of these, late counts those whose first event came
+	// after the objective, and interrupted those that needed more than one attempt, because their
+	// engine crashed. lost counts the streams that were not completed, by reason.
+	total, complete, late, interrupted int
+	lost                               map[string]int
 }
 
-// runInnocents sends innocent streams at random instances until the returned function is
-// called, which waits for the last. Their callers resume what broke off, once.
-func (w *fleetWorld) runInnocents(engines int) (stop func() *innocents) {
-	in := &innocents{refused: map[string]int{}}
+// runHarmlessStreams sends harmless streams to random instances until the returned function is
+// called. That function waits for the last stream and returns the counts. engines is the number of
+// decode engines.
+func (w *simFleet) runHarmlessStreams(engines int) (stop func() *harmlessStreams) {
+	in := &harmlessStreams{lost: map[string]int{}}
 	done := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -58,21 +63,22 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(time.Second / time.Duration(innocentsPerEngine*engines)):
+			case <-time.After(time.Second / time.Duration(harmlessPerEngine*engines)):
 			}
 			body := fmt.Sprintf("innocent %d", n)
-			all.Go(func() { w.innocent(in, body) })
+			all.Go(func() { w.sendHarmlessStream(in, body) })
 		}
 	})
-	return func() *innocents {
+	return func() *harmlessStreams {
 		close(done)
 		all.Wait()
 		return in
 	}
 }
 
-// innocent is one caller of an innocent stream.
-func (w *fleetWorld) innocent(in *innocents, body string) {
+// sendHarmlessStream sends one harmless stream and counts its outcome. The caller makes up to three
+// attempts and resumes a stream that broke off.
+func (w *simFleet) sendHarmlessStream(in *harmlessStreams, body string) {
 	start := time.Now()
 	last, events := "", 0
 	var first time.Time
@@ -85,15 +91,15 @@
 		if first.IsZero() {
 			first = g.first
 		}
-		events += strings.Count(g.text.String(), "id: ")
-		if g.whole() {
-			in.note(func() {
-				in.whole++
+		events += strings.Count(g.body.String(), "id: ")
+		if g.complete() {
+			in.record(func() {
+				in.complete++
 				if first.Sub(start) > 900*time.Millisecond {
 					in.late++
 				}
 				if try > 0 {
-					in.hit++
+					in.interrupted++
 				}
 			})
 			return
@@ -102,35 +108,36 @@
 			last = strconv.Itoa(events)
 		}
 		if try == 2 {
-			in.note(func() { in.refused[reasonOf(g)]++ })
+			in.record(func() { in.lost[reasonOf(g)]++ })
 			return
 		}
 		time.Sleep(retryAfter(g))
 	}
-	in.note(func() { in.refused["no instance"]++ })
+	in.record(func() { in.lost["no instance"]++ })
 }
 
-func (in *innocents) note(count func()) {
+func (in *harmlessStreams) record(count func()) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.all++
+	in.total++
 	count()
 }
 
-// reasonOf returns the status and title of a refusal.
-func reasonOf(g *got) string {
+// reasonOf returns the status and the title of the problem document of a refusal.
+func reasonOf(g *response) string {
 	if g.broken {
 		return "broken off"
 	}
-	text := g.text.String()
+	text := g.body.String()
 	if _, rest, ok := strings.Cut(text, `"title":"`); ok {
 		text, _, _ = strings.Cut(rest, `"`)
 	}
 	return fmt.Sprint(g.status, " ", text)
 }
 
-// retryAfter is when a caller comes back, at most a second later.
-func retryAfter(g *got) time.Duration {
+// retryAfter returns how long a caller waits before its next attempt: the value of Retry-After, but
+// at most a second.
+func retryAfter(g *response) time.Duration {
 	seconds, err := strconv.ParseFloat(g.header.Get("Retry-After"), 64)
 	if err != nil {
 		seconds = 0.2
@@ -138,135 +145,139 @@
 	return min(time.Second, time.Duration(seconds*float64(time.Second)))
 }
 
-// atOnce sends the deadly request to all instances at the same moment, and waits for the
+// sendCrashingToAll sends the crashing request to all instances at the same time and waits for the
 // answers.
-func (w *fleetWorld) atOnce() {
+func (w *simFleet) sendCrashingToAll() {
 	var all sync.WaitGroup
 	for _, i := range w.instances {
-		all.Go(func() { w.send(i, deadly, "") })
+		all.Go(func() { w.send(i, crashingPrompt, "") })
 	}
 	all.Wait()
 }
 
-// repeat sends the deadly request to an instance at random after each pause, for a time.
-// Answers are not waited for.
-func (w *fleetWorld) repeat(pause, during time.Duration) {
+// sendCrashingRepeatedly sends the crashing request to a random instance at intervals of pause,
+// without waiting for the previous answers. After the given time it waits for all answers.
+func (w *simFleet) sendCrashingRepeatedly(pause, during time.Duration) {
 	var all sync.WaitGroup
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(pause) {
 		i := w.instances[w.random.IntN(len(w.instances))]
-		all.Go(func() { w.send(i, deadly, "") })
+		all.Go(func() { w.send(i, crashingPrompt, "") })
 	}
 	all.Wait()
 }
 
-// third is when the third engine ended; false if none did.
-func (w *fleetWorld) third() (time.Time, bool) {
+// thirdCrash returns when the third engine crashed, and false if fewer than three did.
+func (w *simFleet) thirdCrash() (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.ended) < 3 {
+	if len(w.crashes) < 3 {
 		return time.Time{}, false
 	}
-	return w.ended[2], true
+	return w.crashes[2], true
 }
 
-// judge checks what holds however the deadly request came.
-func (w *fleetWorld) judge(in *innocents, what string) {
-	sent, ended := w.counts()
-	w.t.Logf("%s: sent %d times, %d engines ended; innocents: %d, whole %d, late %d, hit %d, lost %v", what, sent, ended, in.all, in.whole, in.late, in.hit, in.refused)
-	if third, ok := w.third(); ok {
-		after := w.sentAfter(third.Add(tellAll))
-		assert.Check(w.t, after <= mostAfter, "%s: sent %d times more, %v after the third engine had ended", what, after, tellAll)
+// checkOutcome checks what must hold in every scenario, and logs the counts. what names the
+// scenario.
+func (w *simFleet) checkOutcome(in *harmlessStreams, what string) {
+	sent, ended := w.crashCounts()
+	w.t.Logf("%s: sent %d times, %d engines crashed; harmless streams: %d, complete %d, late %d, hit by a crash %d, lost %v", what, sent, ended, in.total, in.complete, in.late, in.interrupted, in.lost)
+	if third, ok := w.thirdCrash(); ok {
+		after := w.crashingSentAfter(third.Add(quarantineDeadline))
+		assert.Check(w.t, after <= maxSentAfterDeadline, "%s: sent %d times later than %v after the third crash", what, after, quarantineDeadline)
 	}
-	for reason, n := range in.refused {
-		assert.Check(w.t, !strings.Contains(reason, "quarantined"), "%s: %d innocents refused: %s", what, n, reason)
+	for reason, n := range in.lost {
+		assert.Check(w.t, !strings.Contains(reason, "quarantined"), "%s: %d harmless streams refused: %s", what, n, reason)
 	}
 }
 
-// playSizes plays a fleet of each size in virtual time.
-func playSizes(t *testing.T, play func(t *testing.T, s fleetSize, w *fleetWorld)) {
+// runAllFleetSizes runs a scenario with a fleet of each of fleetSizes in virtual time.
+func runAllFleetSizes(t *testing.T, scenario func(t *testing.T, s fleetSize, w *simFleet)) {
 	t.Helper()
-	playThese(t, fleetSizes, play)
+	runFleetSizes(t, fleetSizes, scenario)
 }
 
-// playThese plays a fleet of each of some sizes.
-func playThese(t *testing.T, sizes []fleetSize, play func(t *testing.T, s fleetSize, w *fleetWorld)) {
+// runFleetSizes runs a scenario with a fleet of each of the given sizes in virtual time.
+func runFleetSizes(t *testing.T, sizes []fleetSize, scenario func(t *testing.T, s fleetSize, w *simFleet)) {
 	t.Helper()
 	for _, s := range sizes {
 		if raceDetector && s.instances > fleetSizes[0].instances {
-			// Larger fleets take minutes, as bubbles are limited to one processor.
+			// Larger fleets take minutes, because a synctest bubble runs on one processor only.
 			continue
 		}
 		t.Run(s.String(), func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
-				w := newFleetWorld(t, s.instances, s.zones, s.prefill, s.decode)
+				w := newSimFleet(t, s.instances, s.zones, s.prefill, s.decode)
 				defer w.close()
-				play(t, s, w)
+				scenario(t, s, w)
 			})
 		})
 	}
 }
 
-// TestRepeatsOneAfterTheOther: a caller repeats the deadly request each 400 ms, wherever it
-// lands, beside innocent streams. Three engines end at most, and no innocent stream is lost
-// but with them.
+// TestRepeatsOneAfterTheOther guards against a request that crashes its engine ending more than
+// three engines, and against the loss of harmless streams for other reasons than these crashes. A
+// caller repeats the request every 400 ms at random instances.
 func TestRepeatsOneAfterTheOther(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		stop := w.runInnocents(s.decode)
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		stop := w.runHarmlessStreams(s.decode)
 		time.Sleep(2 * time.Second)
-		w.repeat(400*time.Millisecond, 8*time.Second)
+		w.sendCrashingRepeatedly(400*time.Millisecond, 8*time.Second)
 		in := stop()
-		w.judge(in, "one after the other")
-		_, ended := w.counts()
-		assert.Check(t, ended <= mostEnded, "%d engines ended", ended)
+		w.checkOutcome(in, "one after the other")
+		_, ended := w.crashCounts()
+		assert.Check(t, ended <= maxCrashes, "%d engines crashed", ended)
 		lost := 0
-		for _, n := range in.refused {
+		for _, n := range in.lost {
 			lost += n
 		}
-		assert.Check(t, lost <= in.all/100, "%d of %d innocents were lost: %v", lost, in.all, in.refused)
+		assert.Check(t, lost <= in.total/100, "%d of %d harmless streams were lost: %v", lost, in.total, in.lost)
 	})
 }
 
-// TestEnginesThatFallSilent: the engines that crash under the deadly request answer nothing and
-// end no connection until they are back. What they met is known only then, so that more of
-// them end; the request is kept from the others three seconds after the third. At 295, which
-// takes 38 s more, 12 ended once.
+// TestEnginesThatFallSilent guards against a crashing request being sent to more engines later than
+// three seconds after the third crash, if crashed engines neither answer nor close connections
+// until they have restarted. The crashes become known only then, so more engines crash than in the
+// other tests. The largest fleet, of 295 instances, is left out because it takes another 38 s; 12
+// engines once crashed in it.
 func TestEnginesThatFallSilent(t *testing.T) {
-	playThese(t, fleetSizes[:2], func(t *testing.T, s fleetSize, w *fleetWorld) {
-		w.silent = true
-		stop := w.runInnocents(s.decode)
+	runFleetSizes(t, fleetSizes[:2], func(t *testing.T, s fleetSize, w *simFleet) {
+		w.silentCrashes = true
+		stop := w.runHarmlessStreams(s.decode)
 		time.Sleep(2 * time.Second)
-		w.repeat(400*time.Millisecond, 10*time.Second)
-		w.judge(stop(), "silent engines")
+		w.sendCrashingRepeatedly(400*time.Millisecond, 10*time.Second)
+		w.checkOutcome(stop(), "silent engines")
 	})
 }
 
-// TestRepeatsAtTheSameMoment: the worst case. Each instance has a repeat in flight at the
-// same moment, before anybody can know, then repeats come at random, then again each
-// instance has one. Those of the first moment end what they reach; none is sent later.
+// TestRepeatsAtTheSameMoment guards against a crashing request being sent again after its first
+// crashes are known, in the worst case: all instances get it at the same time, before any of them
+// can know that it crashes engines. Then repeats arrive at random instances, and finally at all
+// instances at the same time again. Only the first ones may crash engines.
 func TestRepeatsAtTheSameMoment(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		stop := w.runInnocents(s.decode)
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		stop := w.runHarmlessStreams(s.decode)
 		time.Sleep(2 * time.Second)
-		w.atOnce()
-		first, _ := w.counts()
-		w.repeat(400*time.Millisecond, 5*time.Second)
-		w.atOnce()
+		w.sendCrashingToAll()
+		first, _ := w.crashCounts()
+		w.sendCrashingRepeatedly(400*time.Millisecond, 5*time.Second)
+		w.sendCrashingToAll()
 		in := stop()
-		w.judge(in, "at the same moment")
-		sent, _ := w.counts()
-		assert.Check(t, sent-first <= 1, "sent %d times after the first moment", sent-first)
+		w.checkOutcome(in, "at the same moment")
+		sent, _ := w.crashCounts()
+		assert.Check(t, sent-first <= 1, "sent %d times after the first round", sent-first)
 	})
 }
 
-// TestStartedInstancesAskFirst: once the content is quarantined, some instances are killed
-// and start again, knowing nothing, and get the request as soon as they are ready.
+// TestStartedInstancesAskFirst guards against restarted instances sending a quarantined content to
+// an engine before they have learnt of the quarantine from their peers. Three instances are killed
+// and started again without any state, and get the request as soon as they are ready.
 func TestStartedInstancesAskFirst(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		w.repeat(400*time.Millisecond, 3*time.Second)
-		before, _ := w.counts()
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		w.sendCrashingRepeatedly(400*time.Millisecond, 3*time.Second)
+		before, _ := w.crashCounts()
 		killed := w.instances[:3]
 		for _, i := range killed {
-			i.end()
+			i.kill()
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, i := range killed {
@@ -276,22 +287,23 @@
 			for !i.running().node.Snapshot().Ready() {
 				time.Sleep(time.Millisecond)
 			}
-			w.send(i, deadly, "")
+			w.send(i, crashingPrompt, "")
 		}
-		sent, _ := w.counts()
+		sent, _ := w.crashCounts()
 		assert.Equal(t, sent, before)
 	})
 }
 
-// TestLossOfAllInstancesForgets: nothing is kept on disk. After a loss of all, as many
-// engines may end as the first time, not more.
+// TestLossOfAllInstancesForgets guards against a restart of all instances at the same time letting
+// a content crash more engines than the first time. The quarantine is lost then, because nothing is
+// stored on disk.
 func TestLossOfAllInstancesForgets(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		w.repeat(400*time.Millisecond, 3*time.Second)
-		_, before := w.counts()
-		assert.Check(t, before <= mostEnded)
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		w.sendCrashingRepeatedly(400*time.Millisecond, 3*time.Second)
+		_, before := w.crashCounts()
+		assert.Check(t, before <= maxCrashes)
 		for _, i := range w.instances {
-			i.end()
+			i.kill()
 		}
 		for _, i := range w.instances {
 			i.start()
@@ -304,47 +316,49 @@
 			}
 			return true
 		})
-		w.repeat(400*time.Millisecond, 6*time.Second)
-		_, ended := w.counts()
-		assert.Check(t, ended-before <= mostEnded, "%d engines ended after the loss", ended-before)
+		w.sendCrashingRepeatedly(400*time.Millisecond, 6*time.Second)
+		_, ended := w.crashCounts()
+		assert.Check(t, ended-before <= maxCrashes, "%d engines crashed after the restart of all instances", ended-before)
 	})
 }
 
-// TestHealedZoneLearns: a zone is cut off while the content is convicted elsewhere. It has
-// its own crashes until it knows; three seconds after it has healed it sends none.
+// TestHealedZoneLearns guards against a zone that was cut off while a content was quarantined in
+// the others not learning of it. Until then the zone may have crashes of its own, but three seconds
+// after it is reconnected it must not send the request to any engine.
 func TestHealedZoneLearns(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
 		w.cutZone("c")
 		time.Sleep(500 * time.Millisecond)
 		for range 6 {
-			// Instances of the two other zones.
-			w.send(w.instances[0], deadly, "")
-			w.send(w.instances[1], deadly, "")
+			// These are instances of the two other zones.
+			w.send(w.instances[0], crashingPrompt, "")
+			w.send(w.instances[1], crashingPrompt, "")
 			time.Sleep(300 * time.Millisecond)
 		}
 		w.cutZone("")
-		time.Sleep(tellAll)
-		before, _ := w.counts()
+		time.Sleep(quarantineDeadline)
+		before, _ := w.crashCounts()
 		for n, i := range w.instances {
 			if i.zone == "c" && n < 60 {
-				g := w.send(i, deadly, "")
+				g := w.send(i, crashingPrompt, "")
 				assert.Equal(t, g.status, http.StatusServiceUnavailable)
 			}
 		}
-		sent, _ := w.counts()
+		sent, _ := w.crashCounts()
 		assert.Equal(t, sent, before)
 	})
 }
 
-// TestTrialsOutliveTheirOwners: half of a fleet dies at once and still counts as alive. A
-// suspect that comes to another instance at that moment is tried all the same.
+// TestTrialsOutliveTheirOwners guards against suspected contents being refused because the instance
+// that should permit their trial has died. Half of a fleet is killed at the same time and still
+// counts as alive when another instance gets requests with such contents.
 func TestTrialsOutliveTheirOwners(t *testing.T) {
-	playSizes(t, func(t *testing.T, s fleetSize, w *fleetWorld) {
-		suspect := func(i *worldInstance, body string) {
+	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
+		suspect := func(i *simInstance, body string) {
 			i.running().register.Crashed(clock.Now(), contentOf(w, body), dialect.Upstream{ID: "gone"}, 0)
 		}
 		for _, i := range w.instances[s.instances/2:] {
-			i.end()
+			i.kill()
 		}
 		var all sync.WaitGroup
 		for n := range 10 {
@@ -352,15 +366,15 @@
 				body := fmt.Sprintf("suspect %d", n)
 				suspect(w.instances[0], body)
 				g := w.send(w.instances[0], body, "")
-				assert.Check(t, g.whole(), "suspect %d: %s", n, reasonOf(g))
+				assert.Check(t, g.complete(), "suspect %d: %s", n, reasonOf(g))
 			})
 		}
 		all.Wait()
 	})
 }
 
-// contentOf returns the content of a request with a body.
-func contentOf(w *fleetWorld, body string) quarantine.Content {
+// contentOf returns the content of a request with the given body.
+func contentOf(w *simFleet, body string) quarantine.Content {
 	r, err := http.NewRequest(http.MethodPost, "http://h/x", nil)
 	assert.NilError(w.t, err)
 	call, err := w.Read(r)
--- a/gateway/idle_test.go
+++ b/gateway/idle_test.go
@@ -13,23 +13,24 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// countLoadReports returns the number of load reports in data written to a peer.
+// countLoadReports returns the number of load reports in data that was written to a peer.
 func countLoadReports(written []byte) int64 {
 	return int64(bytes.Count(written, []byte(`"`+fleet.MethodLoad+`"`)))
 }
 
 // loadReportRate returns how many load reports per second an instance sends while run executes.
-func loadReportRate(i *worldInstance, run func()) float64 {
+func loadReportRate(i *simInstance, run func()) float64 {
 	start, before := time.Now(), i.loadReports.Load()
 	run()
 	return float64(i.loadReports.Load()-before) / time.Since(start).Seconds()
 }
 
 // TestIdleInstancesReportLoadSeldom guards against idle instances that report their load at the
-// full rate, and against busy ones that report it at the reduced rate.
+// full rate, which would be traffic without use, and against busy ones that report it at the
+// reduced rate.
 func TestIdleInstancesReportLoadSeldom(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		w := newFleetWorld(t, 30, 3, 10, 20)
+		w := newSimFleet(t, 30, 3, 10, 20)
 		defer w.close()
 		time.Sleep(3 * time.Second)
 		var idle []float64
@@ -51,7 +52,7 @@
 		assert.Check(t, median <= 1.1)
 
 		i := w.instances[1]
-		busy := loadReportRate(i, func() { assert.Assert(t, w.send(i, "harmless", "").whole()) })
+		busy := loadReportRate(i, func() { assert.Assert(t, w.send(i, "harmless", "").complete()) })
 		t.Logf("%.2f load reports per second while a stream runs", busy)
 		assert.Check(t, busy >= 2.5)
 	})
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -20,21 +20,22 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// The keys of the tests' workspaces; no instance may show them to anybody.
+// The keys of the workspaces in the tests. Instances must not disclose them.
 const (
 	keyOfA = "secret-key-of-a"
 	keyOfB = "secret-key-of-b"
 )
 
-// witness is an upstream of all kinds that keeps the headers of each request that it gets.
-type witness struct {
-	mu   sync.Mutex
-	seen []http.Header
-	// waits holds streams back after their first event until it is closed.
-	waits chan struct{}
+// recordingUpstream is an upstream that serves plain requests, prefills and streams, and records
+// the headers of each of them.
+type recordingUpstream struct {
+	mu      sync.Mutex
+	headers []http.Header
+	// block blocks streams after their first event until it is closed; nil to not block them.
+	block chan struct{}
 }
 
-func (u *witness) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (u *recordingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 	switch {
@@ -45,8 +46,8 @@
 		return
 	}
 	u.mu.Lock()
-	u.seen = append(u.seen, r.Header.Clone())
-	waits := u.waits
+	u.headers = append(u.headers, r.Header.Clone())
+	waits := u.block
 	u.mu.Unlock()
 	if r.Header.Get("Serving-Stage") == "prefill" {
 		fmt.Fprint(w, `{"kvHandle":"k","tokens":10}`)
@@ -65,24 +66,25 @@
 	fmt.Fprint(w, "id: 2\ndata: b\n\n")
 }
 
-// took returns the requests' headers so far.
-func (u *witness) took() []http.Header {
+// requests returns the headers of the requests received so far.
+func (u *recordingUpstream) requests() []http.Header {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return append([]http.Header(nil), u.seen...)
+	return append([]http.Header(nil), u.headers...)
 }
 
-// keyBed is a fleetBed whose callers need keys.
-type keyBed struct {
-	*fleetBed
-	witness *witness
+// keyFleet is a localFleet whose configuration requires keys, with a recordingUpstream as the only
+// upstream process.
+type keyFleet struct {
+	*localFleet
+	upstream *recordingUpstream
 }
 
-// newKeyBed returns a bed with two workspaces.
-func newKeyBed(t *testing.T) *keyBed {
+// newKeyFleet returns a keyFleet with the workspaces a and b and a public route.
+func newKeyFleet(t *testing.T) *keyFleet {
 	t.Helper()
-	b := &keyBed{fleetBed: newFleetBed(t), witness: &witness{}}
-	server := httptest.NewServer(b.witness)
+	b := &keyFleet{localFleet: newLocalFleet(t), upstream: &recordingUpstream{}}
+	server := httptest.NewServer(b.upstream)
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	b.source.list = []dialect.Upstream{
@@ -102,6 +104,7 @@
 	return b
 }
 
+// digests returns the digests of keys.
 func digests(keys ...string) []routing.KeyDigest {
 	var out []routing.KeyDigest
 	for _, k := range keys {
@@ -110,8 +113,8 @@
 	return out
 }
 
-// revise publishes the next version of the configuration.
-func (b *keyBed) revise(change func(c *routing.Config)) {
+// publishConfig publishes the next version of the configuration, with a change to it.
+func (b *keyFleet) publishConfig(change func(c *routing.Config)) {
 	b.source.set(func(f *fakeSource) {
 		c := *f.config
 		c.Version++
@@ -121,8 +124,9 @@
 	})
 }
 
-// send sends a request with the given Authorization headers.
-func (b *keyBed) send(t *testing.T, i *instance, path string, authorization ...string) (int, http.Header, string) {
+// send sends a request with the given Authorization headers and a forged workspace header. It
+// returns the status, the headers and the body of the response.
+func (b *keyFleet) send(t *testing.T, i *instance, path string, authorization ...string) (int, http.Header, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+i.settings.Listen.Callers+path, strings.NewReader("body"))
 	assert.NilError(t, err)
@@ -139,38 +143,40 @@
 	return resp.StatusCode, resp.Header, string(got)
 }
 
-// ready starts an instance and waits until it serves.
-func (b *keyBed) ready(t *testing.T, name ident.InstanceID, seeds ...string) *instance {
+// ready starts an instance and waits until it is ready.
+func (b *keyFleet) ready(t *testing.T, name ident.InstanceID, seeds ...string) *instance {
 	t.Helper()
 	i := b.start(t, string(name), seeds...)
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	return i
 }
 
-// TestKeyNamesTheWorkspaceAtEachSend: upstreams get the workspace's name, whatever the caller
-// said, and the key is passed on to none of them: neither with a prefill nor with a run.
+// TestKeyNamesTheWorkspaceAtEachSend guards against upstreams getting another workspace's name than
+// that of the key, such as one that the caller forged, and against keys being forwarded to
+// upstreams with a plain request, a prefill or a decode.
 func TestKeyNamesTheWorkspaceAtEachSend(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	i := b.ready(t, "one")
 	for path, sends := range map[string]int{"/plain/x": 1, "/stream/x": 2, "/public/x": 1} {
-		before := len(b.witness.took())
+		before := len(b.upstream.requests())
 		status, _, _ := b.send(t, i, path, "Bearer "+keyOfB)
 		assert.Equal(t, status, 200, path)
-		seen := b.witness.took()[before:]
+		seen := b.upstream.requests()[before:]
 		assert.Equal(t, len(seen), sends, path)
 		for _, h := range seen {
 			assert.DeepEqual(t, h.Values("Tenant"), []string{"b"})
-			// The workspace's, not the route's.
+			// This is the workspace's priority, not the route's.
 			assert.DeepEqual(t, h.Values("Request-Priority"), []string{"3"})
 			assert.Assert(t, !strings.Contains(fmt.Sprint(h), keyOfB), "%v", h)
 		}
 	}
 }
 
-// TestUnknownKeysAreRefusedBeforeAnythingIsSpent: at once, with what the route asks for, and
-// true: no upstream gets anything.
+// TestUnknownKeysAreRefusedBeforeAnythingIsSpent guards against requests without a valid key
+// reaching an upstream, and against a refusal that does not say that a key is required and that the
+// request did not run.
 func TestUnknownKeysAreRefusedBeforeAnythingIsSpent(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	i := b.ready(t, "one")
 	for name, given := range map[string][]string{
 		"none": nil, "unknown": {"Bearer other"}, "malformed": {"Bearer"}, "other scheme": {"Basic " + keyOfA},
@@ -186,39 +192,40 @@
 			assert.Equal(t, problem.Outcome, "not-run")
 		}
 	}
-	assert.Equal(t, len(b.witness.took()), 0)
+	assert.Equal(t, len(b.upstream.requests()), 0)
 }
 
-// TestPublicRoutesServeWithoutAKey: and with an unknown one, which is passed on to nobody.
+// TestPublicRoutesServeWithoutAKey guards against public routes refusing requests without a key or
+// with an unknown one, and against forwarding that key or a workspace to upstreams.
 func TestPublicRoutesServeWithoutAKey(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	i := b.ready(t, "one")
 	for _, given := range [][]string{nil, {"Bearer other"}, {"Basic x"}} {
 		status, _, _ := b.send(t, i, "/public/x", given...)
 		assert.Equal(t, status, 200)
 	}
-	for _, h := range b.witness.took() {
+	for _, h := range b.upstream.requests() {
 		assert.Equal(t, len(h.Values("Tenant"))+len(h.Values("Authorization")), 0, "%v", h)
 	}
 }
 
-// TestKeysFollowTheConfiguration: a key that is added serves and one that is taken away
-// doesn't, within the time in which changes have to be in force: on a kept connection, at an
-// instance that the store turns away, and at one that starts then. A stream that runs goes on
-// to its end.
+// TestKeysFollowTheConfiguration guards against added keys being refused, and removed keys
+// accepted, after the time within which changes must take effect: on existing connections, at
+// several instances, and at an instance that starts while the store rejects all requests. It also
+// guards against the removal of a key ending a stream that is already running.
 func TestKeysFollowTheConfiguration(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	first := b.ready(t, "one")
 	second := b.ready(t, "two", first.settings.Listen.Peers)
-	b.witness.mu.Lock()
-	b.witness.waits = make(chan struct{})
-	b.witness.mu.Unlock()
+	b.upstream.mu.Lock()
+	b.upstream.block = make(chan struct{})
+	b.upstream.mu.Unlock()
 	var streamed string
 	var running sync.WaitGroup
 	running.Go(func() { _, _, streamed = b.send(t, first, "/stream/x", "Bearer "+keyOfA) })
-	await(t, "the stream runs", func() bool { return len(b.witness.took()) == 2 })
-	b.revise(func(c *routing.Config) { c.Workspaces[0].Keys = digests("newer") })
-	within := time.Now().Add(first.settings.Store.inForce())
+	await(t, "the stream is running", func() bool { return len(b.upstream.requests()) == 2 })
+	b.publishConfig(func(c *routing.Config) { c.Workspaces[0].Keys = digests("newer") })
+	within := time.Now().Add(first.settings.Store.maxChangeDelay())
 	for _, i := range []*instance{first, second} {
 		await(t, "the old key is refused", func() bool {
 			status, _, _ := b.send(t, i, "/plain/x", "Bearer "+keyOfA)
@@ -228,7 +235,7 @@
 		assert.Equal(t, status, 200)
 	}
 	assert.Assert(t, time.Now().Before(within))
-	close(b.witness.waits)
+	close(b.upstream.block)
 	running.Wait()
 	assert.Assert(t, strings.Contains(streamed, "id: 2"), streamed)
 
@@ -240,16 +247,18 @@
 	assert.Equal(t, status, 200)
 }
 
-// TestOldConfigurationsRefuseNothingForGood: an instance that has heard nothing for longer
-// than changes may take can't tell a new key or route from a wrong one.
+// TestOldConfigurationsRefuseNothingForGood guards against an instance with an outdated
+// configuration refusing an unknown key or route with 401 or 404. If it has not reached the store
+// for longer than changes may take, the key or route may be new, so it must refuse with 503 and
+// Retry-After.
 func TestOldConfigurationsRefuseNothingForGood(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	i := b.ready(t, "one")
 	status, _, _ := b.send(t, i, "/other/x", "Bearer "+keyOfA)
 	assert.Equal(t, status, http.StatusNotFound)
 	b.source.set(func(f *fakeSource) { f.down = true })
 	for _, path := range []string{"/plain/x", "/other/x"} {
-		await(t, "the configuration is old", func() bool {
+		await(t, "the configuration is out of date", func() bool {
 			status, header, _ := b.send(t, i, path, "Bearer new")
 			return status == http.StatusServiceUnavailable && header.Get("Retry-After") != ""
 		})
@@ -257,24 +266,24 @@
 	status, _, _ = b.send(t, i, "/plain/x", "Bearer "+keyOfA)
 	assert.Equal(t, status, 200)
 	b.source.set(func(f *fakeSource) { f.down = false })
-	await(t, "the store is back", func() bool {
+	await(t, "the configuration is up to date again", func() bool {
 		status, _, _ := b.send(t, i, "/plain/x", "Bearer new")
 		return status == http.StatusUnauthorized
 	})
 }
 
-// TestKeyTakenAwayInLine: a request that waits for an engine when its key is taken away is
-// not sent to one.
+// TestKeyTakenAwayInLine guards against a request being sent to an engine although its key was
+// removed while it waited in the queue for one.
 func TestKeyTakenAwayInLine(t *testing.T) {
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	b.source.list = b.source.list[:2]
 	i := b.ready(t, "one")
 	var status int
 	var running sync.WaitGroup
 	running.Go(func() { status, _, _ = b.send(t, i, "/stream/x", "Bearer "+keyOfA) })
-	await(t, "it waits", func() bool { return i.service.front.Active() == 1 })
-	b.revise(func(c *routing.Config) { c.Workspaces[0].Keys = nil })
-	await(t, "the key is taken away", func() bool {
+	await(t, "the stream waits for an engine", func() bool { return i.service.front.Active() == 1 })
+	b.publishConfig(func(c *routing.Config) { c.Workspaces[0].Keys = nil })
+	await(t, "the removal of the key has taken effect", func() bool {
 		s, _, _ := b.send(t, i, "/plain/x", "Bearer "+keyOfA)
 		return s == http.StatusUnauthorized
 	})
@@ -283,15 +292,15 @@
 	})
 	running.Wait()
 	assert.Equal(t, status, http.StatusUnauthorized)
-	for _, h := range b.witness.took() {
+	for _, h := range b.upstream.requests() {
 		assert.Equal(t, h.Get("Serving-Stage")+h.Get("Kv-Hold"), "")
 	}
 }
 
-// TestKeysAreShownNowhere: neither in logs nor in metrics.
+// TestKeysAreShownNowhere guards against keys in responses, logs and metrics.
 func TestKeysAreShownNowhere(t *testing.T) {
 	var text lockedBuffer
-	b := newKeyBed(t)
+	b := newKeyFleet(t)
 	b.log = slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	i := b.ready(t, "one")
 	for _, path := range []string{"/plain/x", "/stream/x", "/public/x"} {
@@ -309,7 +318,7 @@
 	assert.Assert(t, !strings.Contains(text.String()+string(metrics), "secret"))
 }
 
-// lockedBuffer is a buffer for several writers.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -327,17 +336,17 @@
 	return l.buffer.String()
 }
 
-// TestWorkspaceRegionsBind guards against requests of a workspace outside its regions.
+// TestWorkspaceRegionsBind guards against requests of a workspace being sent outside its regions.
 func TestWorkspaceRegionsBind(t *testing.T) {
-	b := newKeyBed(t)
-	b.revise(func(c *routing.Config) { c.Workspaces[0].Regions = routing.Regions{"elsewhere"} })
+	b := newKeyFleet(t)
+	b.publishConfig(func(c *routing.Config) { c.Workspaces[0].Regions = routing.Regions{"elsewhere"} })
 	i := b.ready(t, "one")
 	for _, path := range []string{"/plain/x", "/stream/x"} {
-		before := len(b.witness.took())
+		before := len(b.upstream.requests())
 		status, header, _ := b.send(t, i, path, "Bearer "+keyOfA)
 		assert.Equal(t, status, 503, path)
 		assert.Assert(t, header.Get("Retry-After") != "")
-		assert.Equal(t, len(b.witness.took()), before, path)
+		assert.Equal(t, len(b.upstream.requests()), before, path)
 		status, _, _ = b.send(t, i, path, "Bearer "+keyOfB)
 		assert.Equal(t, status, 200, path)
 	}
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -28,28 +28,29 @@
 )
 
 const (
-	// headerTimeout, idleTimeout and maxHeaderBytes bound callers' connections.
-	// They lie above what configurations set, of 3 s, 15 s and 16 KiB.
+	// headerTimeout, idleTimeout and maxHeaderBytes bound callers' connections. They are higher
+	// than the limits in the configurations, which are 3 s, 15 s and 16 KiB.
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 75 * time.Second
 	maxHeaderBytes = 64 << 10
-	// announceTime is how long a stopping instance still accepts connections: the
-	// balancer asks once a second and believes the second refusal.
-	announceTime = 3 * time.Second
-	// stopReserve is what is left of the grace period when the last requests are
-	// broken off; exitReserve is what is left when nothing is waited for any more.
+	// lameDuckTime is how long a stopping instance still accepts connections. The load balancer
+	// checks readiness once a second and stops sending connections after the second failed check.
+	lameDuckTime = 3 * time.Second
+	// stopReserve is what is left of the grace period when the remaining requests are ended.
+	// exitReserve is what is left of it when the instance stops waiting for anything.
 	stopReserve = 400 * time.Millisecond
 	exitReserve = 100 * time.Millisecond
-	// tellTime is how long requests without a part of an answer have to be told so.
-	tellTime = 100 * time.Millisecond
+	// finalAnswerTime is the time for answering the requests that the stop ended before any part of
+	// an answer was sent.
+	finalAnswerTime = 100 * time.Millisecond
 	// bufferMemoryShare is the fraction of the process's memory available to buffered
 	// request bodies and answers.
 	bufferMemoryShare = 0.25
-	// peersTime bounds the wait for calls of peers.
-	peersTime = 100 * time.Millisecond
+	// peerShutdownTimeout bounds the wait for running calls of peers when the instance stops.
+	peerShutdownTimeout = 100 * time.Millisecond
 )
 
-// Service is the gateway's process.
+// Service is one instance of the gateway. It implements process.Service.
 type Service struct {
 	settings *Settings
 	log      *slog.Logger
@@ -64,18 +65,22 @@
 	metrics  *counters
 	pool     *peer.Pool
 	peers    *peer.Server
-	// ends is when the instance ends, nil until its stop begins.
-	ends atomic.Pointer[time.Time]
+	// stopDeadline is when a stopping instance ends the remaining requests; nil until the stop
+	// begins.
+	stopDeadline atomic.Pointer[time.Time]
 
-	callers, ready, control, scrape net.Listener
+	// The listeners for callers, readiness checks, peers and metrics; metricsListener is nil if the
+	// metrics are not served.
+	callerListener, readyListener, peerListener, metricsListener net.Listener
 }
 
-// New returns the service. It opens nothing yet.
+// New returns a service. It opens no listeners and no connections; Listen and Serve do.
 func New(s *Settings, d dialect.Dialect, source dialect.Source, log *slog.Logger) *Service {
 	return newService(s, d, source, log, nil)
 }
 
-// newService is New with the dialer for connections to peers; nil for the network's.
+// newService is like New but takes a dialer for connections to peers. If it is nil, the network is
+// used.
 func newService(s *Settings, d dialect.Dialect, source dialect.Source, log *slog.Logger, dialer peer.Dialer) *Service {
 	log = log.With("instance", s.Instance)
 	g := &Service{settings: s, log: log, dialect: d, metrics: newCounters(), register: quarantine.NewRegister()}
@@ -84,7 +89,7 @@
 	incarnation := ident.NewIncarnation(time.Now())
 	config := peer.Config{
 		Self: peer.Identity{Instance: s.Instance, Incarnation: incarnation, Zone: s.Zone},
-		// The store lists no instances: whoever reaches the address is believed.
+		// The store does not list the instances, so every peer that connects is accepted.
 		Allow:  func(peer.Identity) bool { return true },
 		Limits: peerLimits, Dialer: dialer,
 		Log: log,
@@ -95,48 +100,49 @@
 		Self:  fleet.Member{ID: s.Instance, Zone: s.Zone, Address: s.Listen.Peers, Incarnation: incarnation},
 		Seeds: s.Seeds,
 		Zones: s.Zones, LinkMbps: s.LinkMbps,
-		Source: source, InForce: s.Store.inForce(), Pool: g.pool, Server: g.peers, Log: log,
-		Load: g.load, Changed: g.changed, LoadChanged: g.loadChanged, Register: g.register,
+		Source: source, InForce: s.Store.maxChangeDelay(), Pool: g.pool, Server: g.peers, Log: log,
+		Load: g.load, Changed: g.viewChanged, LoadChanged: g.loadChanged, Register: g.register,
 	})
 	g.budget = schedule.NewBudget(clock.Now(), s.Retries.budget(), g.node.Alive)
 	g.carrier = carry.New(carry.Options{
 		Dialect: d, Books: g.books, Budget: g.budget, Zone: s.Zone, RegionOf: s.regionOf, View: g.node.Snapshot, Log: log, Count: g.metrics.count,
-		Ends:     g.endsAt,
+		Ends:     g.requestDeadline,
 		Register: g.register, Trials: g.node, Spread: g.node.SpreadCrashes, AwaitInformed: g.node.AwaitInformed,
 	})
 	g.front = front.New(front.Options{
 		Dialect: d, Carrier: g.carrier, Budget: g.budget, Limits: g.node, View: g.node.Snapshot,
-		ConfigAge: g.node.ConfigAge, InForce: s.Store.inForce(), Refresh: g.node.Refresh, RequestArrived: g.node.RequestArrived, Memory: g.memory,
-		Log: log, Count: g.metrics.count, Observe: g.metrics.observe, Limited: g.metrics.limited,
+		ConfigAge: g.node.ConfigAge, MaxConfigAge: s.Store.maxChangeDelay(), Refresh: g.node.Refresh, RequestArrived: g.node.RequestArrived, Memory: g.memory,
+		Log: log, Count: g.metrics.count, ObserveRequest: g.metrics.observeRequest, CountLimitUnits: g.metrics.countLimitUnits,
 	})
 	return g
 }
 
-// peerLimits keep connections between instances responsive: one that fell silent is given up
-// within a second. An instance that was away is called again with the next heartbeat but one:
-// it waits half a second for the word of its peers before it sends anything.
+// peerLimits keep connections between instances responsive: a connection that has fallen silent
+// is given up within a second. The back-off is short enough for an instance that was away to be
+// called again by the second heartbeat, because it waits only half a second for the state of its
+// peers before it sends anything to upstreams.
 var peerLimits = peer.Limits{
 	Dial: 500 * time.Millisecond, Hello: 700 * time.Millisecond, Call: time.Second, Write: time.Second,
 	BackoffMin: 100 * time.Millisecond, BackoffMax: 300 * time.Millisecond, Frame: 4 << 20,
 }
 
-// load is this instance's part of its heartbeats.
+// load returns the load that this instance reports to its peers.
 func (g *Service) load() fleet.Load {
 	l := fleet.Load{InFlight: map[ident.UpstreamID]fleet.InFlight{}, Demand: map[string]fleet.Demand{}}
 	now := clock.Now()
 	for id, f := range g.books.Own(now) {
-		said := fleet.InFlight{Requests: f.Requests, Tokens: f.Tokens, Unexplained: f.Unexplained, Pace: f.Pace}
+		reported := fleet.InFlight{Requests: f.Requests, Tokens: f.Tokens, Unexplained: f.Unexplained, Pace: f.Pace}
 		if f.Memory != (schedule.Forecast{}) {
-			said.Memory = f.Memory[:]
+			reported.Memory = f.Memory[:]
 		}
-		l.InFlight[id] = said
+		l.InFlight[id] = reported
 	}
 	l.Spent = g.budget.Spent(now)
 	away := g.books.Away(now)
 	l.Switching = away.Switching
 	l.Refusing = map[ident.UpstreamID]int64{}
-	for id, left := range away.Refusing {
-		l.Refusing[id] = left.Milliseconds()
+	for id, remaining := range away.Refusing {
+		l.Refusing[id] = remaining.Milliseconds()
 	}
 	for _, name := range g.books.DemandServices() {
 		n := g.books.Demand(now, name)
@@ -145,17 +151,17 @@
 	return l
 }
 
-// changed updates the limits for cold upstreams after a change of the view, and ends attempts at
-// upstreams that have restarted.
-func (g *Service) changed(s *fleet.Snapshot) {
-	g.limitCold()
+// viewChanged is called after each change of the view. It updates the request rate limits for cold
+// upstreams and ends attempts at upstreams that have restarted.
+func (g *Service) viewChanged(s *fleet.Snapshot) {
+	g.updateColdQuotas()
 	if g.carrier.HasPendingAttempts() {
 		g.carrier.Listed(s.All())
 	}
 }
 
-// forgetGone removes the books of upstreams that are not in the snapshot.
-func (g *Service) forgetGone(s *fleet.Snapshot) {
+// forgetUnlisted removes the state of upstreams that are not in the snapshot.
+func (g *Service) forgetUnlisted(s *fleet.Snapshot) {
 	listed := map[ident.UpstreamID]bool{}
 	for _, list := range s.Upstreams {
 		for _, u := range list {
@@ -165,12 +171,12 @@
 	g.books.Keep(listed)
 }
 
-// limitCold updates the limits on this instance's request rates to cold upstreams.
-func (g *Service) limitCold() {
+// updateColdQuotas updates this instance's request rate limits for cold upstreams.
+func (g *Service) updateColdQuotas() {
 	g.books.SetCold(g.node.ColdQuotas(clock.Now()))
 }
 
-// loadChanged takes the sum of the peers' loads into the books.
+// loadChanged records the sum of the peers' loads. age is how old they are on average.
 func (g *Service) loadChanged(l fleet.Load, age time.Duration) {
 	peers := map[ident.UpstreamID]*schedule.InFlight{}
 	for id, f := range l.InFlight {
@@ -179,8 +185,8 @@
 		peers[id] = in
 	}
 	away := schedule.Away{Refusing: map[ident.UpstreamID]time.Duration{}, Switching: l.Switching}
-	for id, left := range l.Refusing {
-		away.Refusing[id] = time.Duration(left) * time.Millisecond
+	for id, remaining := range l.Refusing {
+		away.Refusing[id] = time.Duration(remaining) * time.Millisecond
 	}
 	paces := map[string]schedule.Paces{}
 	for service, d := range l.Demand {
@@ -197,54 +203,56 @@
 	g.budget.SetOthers(now, l.Spent)
 }
 
-// ListenError reports an address that can't be opened.
+// ListenError reports an address at which the service could not listen.
 type ListenError struct {
-	What, Address string
-	Err           error
+	// Listener names the listener, as the settings do.
+	Listener, Address string
+	Err               error
 }
 
 // Error implements error.
-func (e *ListenError) Error() string { return e.What + " on " + e.Address + ": " + e.Err.Error() }
+func (e *ListenError) Error() string { return e.Listener + " on " + e.Address + ": " + e.Err.Error() }
 
-// Unwrap returns the network's error.
+// Unwrap returns the error of the network.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Listen implements process.Service.
+// Listen implements process.Service. It opens all listeners that have an address. Errors are of
+// type *ListenError.
 func (g *Service) Listen() error {
 	for _, l := range []struct {
 		what, address string
 		into          *net.Listener
 	}{
-		{"callers", g.settings.Listen.Callers, &g.callers},
-		{"ready", g.settings.Listen.Ready, &g.ready},
-		{"peers", g.settings.Listen.Peers, &g.control},
-		{"metrics", g.settings.Listen.Metrics, &g.scrape},
+		{"callers", g.settings.Listen.Callers, &g.callerListener},
+		{"ready", g.settings.Listen.Ready, &g.readyListener},
+		{"peers", g.settings.Listen.Peers, &g.peerListener},
+		{"metrics", g.settings.Listen.Metrics, &g.metricsListener},
 	} {
 		if l.address == "" {
 			continue
 		}
 		var err error
 		if *l.into, err = net.Listen("tcp", l.address); err != nil {
-			return &ListenError{What: l.what, Address: l.address, Err: err}
+			return &ListenError{Listener: l.what, Address: l.address, Err: err}
 		}
 	}
 	return nil
 }
 
-// Serve implements process.Service. When ctx ends it stops gracefully: not ready
-// first, then no new connections, and out when the last request is answered or
-// the grace period nearly over.
+// Serve implements process.Service. When ctx ends it stops gracefully: it first reports that it is
+// not ready, then accepts no more connections, and returns when the last request is answered or
+// the grace period is nearly over.
 func (g *Service) Serve(ctx context.Context) error {
 	g.log.Info("started", "zone", g.settings.Zone, "callers", g.settings.Listen.Callers, "seeds", g.settings.Seeds)
 	background, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { g.watch(background) })
+	running.Go(func() { g.runBackground(background) })
 	running.Go(func() { g.servePeers() })
 	ready := &http.Server{Handler: g.readyRoutes(), ReadHeaderTimeout: headerTimeout}
-	running.Go(func() { g.serve(ready, g.ready, "ready") })
-	scrape := &http.Server{Handler: g.metrics.routes(g.register, g.node.Limits), ReadHeaderTimeout: headerTimeout}
-	if g.scrape != nil {
-		running.Go(func() { g.serve(scrape, g.scrape, "metrics") })
+	running.Go(func() { g.serve(ready, g.readyListener, "ready") })
+	metricsServer := &http.Server{Handler: g.metrics.handler(g.register, g.node.Limits), ReadHeaderTimeout: headerTimeout}
+	if g.metricsListener != nil {
+		running.Go(func() { g.serve(metricsServer, g.metricsListener, "metrics") })
 	}
 	serving, end := context.WithCancelCause(context.Background())
 	defer end(nil)
@@ -253,13 +261,13 @@
 		Handler:     g.front, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(g.log.Handler(), slog.LevelDebug),
 	}
-	running.Go(func() { g.serve(callers, g.callers, "callers") })
+	running.Go(func() { g.serve(callers, g.callerListener, "callers") })
 	<-ctx.Done()
 	exit, done := g.shutdown(callers, end)
 	defer done()
 	stop()
 	g.closeServer(ready)
-	g.closeServer(scrape)
+	g.closeServer(metricsServer)
 	g.closePeers()
 	running.Wait()
 	g.carrier.Close(exit)
@@ -269,92 +277,96 @@
 	return nil
 }
 
-// watch keeps the view up to date and looks after the engines until ctx ends.
-func (g *Service) watch(ctx context.Context) {
+// runBackground runs the background work until ctx ends: it keeps the view up to date, assigns
+// engines to stages, polls them for their load and migrates streams.
+func (g *Service) runBackground(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { g.node.Run(ctx) })
-	running.Go(func() { g.giveOrders(ctx) })
-	running.Go(func() { g.gatherReports(ctx) })
+	running.Go(func() { g.orderStages(ctx) })
+	running.Go(func() { g.pollReports(ctx) })
 	running.Go(func() { g.migrate(ctx) })
 	running.Wait()
 }
 
-// endsAt returns when the instance ends the requests that are left, once its stop has begun.
-func (g *Service) endsAt() (time.Time, bool) {
-	if at := g.ends.Load(); at != nil {
+// requestDeadline returns when the instance ends the remaining requests. It returns false until the
+// stop has begun.
+func (g *Service) requestDeadline() (time.Time, bool) {
+	if at := g.stopDeadline.Load(); at != nil {
 		return *at, true
 	}
 	return time.Time{}, false
 }
 
-// shutdown stops taking requests and waits for those in progress. At the end of the grace time
-// it ends what is left by end: requests without a part of an answer are told what became of
-// them, the others are broken off. The returned context ends when nothing may be waited for any
-// more: a process that is killed at work leaves more behind than one that exits.
+// shutdown stops accepting requests and waits for those in progress. Near the end of the grace
+// period it calls end to end the remaining ones: callers that have not received any part of an
+// answer are told whether their request ran, the other answers break off. The returned context
+// ends when the process must exit without waiting for anything else, because a process that is
+// killed while it works leaves more unfinished than one that exits.
 func (g *Service) shutdown(callers *http.Server, end context.CancelCauseFunc) (exit context.Context, done context.CancelFunc) {
 	began := clock.Now()
 	grace := time.Duration(g.settings.Stop.GraceSeconds * float64(time.Second))
-	last := began.Add(grace - stopReserve)
+	deadline := began.Add(grace - stopReserve)
 	g.log.Info("stopping", "active", g.front.Active(), "grace_ms", grace.Milliseconds())
-	g.ends.Store(&last)
+	g.stopDeadline.Store(&deadline)
 	g.front.CloseConnections()
 	g.node.Leave()
-	pause.For(context.Background(), min(announceTime, grace/2))
-	if err := shutdownWithin(callers, clock.Until(last)); err != nil {
+	pause.For(context.Background(), min(lameDuckTime, grace/2))
+	if err := shutdownWithin(callers, clock.Until(deadline)); err != nil {
 		g.log.Warn("requests broken off by the stop", "active", g.front.Active(), "error", err)
 		end(&carry.StoppedError{})
-		if err := shutdownWithin(callers, tellTime); err != nil {
-			g.log.Debug("requests not told of the stop", "error", err)
+		if err := shutdownWithin(callers, finalAnswerTime); err != nil {
+			g.log.Debug("not all requests were answered at the stop", "error", err)
 		}
 		g.closeServer(callers)
 	}
 	return context.WithTimeout(context.Background(), clock.Until(began.Add(grace-exitReserve)))
 }
 
-// shutdownWithin has a server take no more connections and waits for its requests.
+// shutdownWithin closes a server's listeners and waits for its requests, but no longer than wait.
 func shutdownWithin(s *http.Server, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	return s.Shutdown(ctx)
 }
 
-// stopping reports whether the stop has begun. It is one state with the closing of callers'
-// connections: whoever is told that this instance is not ready finds that an answer ends
-// its connection.
+// stopping reports whether the stop has begun. It reads the same state that makes the front close
+// callers' connections: once a readiness check fails, every answer closes its connection.
 func (g *Service) stopping() bool { return g.front.Closing() }
 
-// serve runs an HTTP server until it is closed.
+// serve runs an HTTP server until it is closed. what names the server in logs.
 func (g *Service) serve(s *http.Server, l net.Listener, what string) {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		g.log.Error("server ended", "server", what, "error", err)
+		g.log.Error("server failed", "server", what, "error", err)
 	}
 }
 
-// closeServer closes a server at once.
+// closeServer closes a server and its connections without waiting for requests.
 func (g *Service) closeServer(s *http.Server) {
 	if err := s.Close(); err != nil {
 		g.log.Debug("close", "error", err)
 	}
 }
 
-// servePeers answers peers until closed.
+// servePeers answers calls of peers until closePeers is called.
 func (g *Service) servePeers() {
-	if err := g.peers.Serve(g.control); err != nil && !g.stopping() {
-		g.log.Error("server ended", "server", "peers", "error", oops.Wrap(err))
+	if err := g.peers.Serve(g.peerListener); err != nil && !g.stopping() {
+		g.log.Error("server failed", "server", "peers", "error", oops.Wrap(err))
 	}
 }
 
-// closePeers ends the connections between instances.
+// closePeers closes the connections between instances. It waits for running calls of peers for
+// peerShutdownTimeout at most.
 func (g *Service) closePeers() {
 	g.pool.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), peersTime)
+	ctx, cancel := context.WithTimeout(context.Background(), peerShutdownTimeout)
 	defer cancel()
 	if err := g.peers.Shutdown(ctx); err != nil {
-		g.log.Debug("peers not waited for", "error", err)
+		g.log.Debug("calls of peers were not finished at the stop", "error", err)
 	}
 }
 
-// readyRoutes answers the balancer, on any path: deployments name it themselves.
+// readyRoutes answers readiness checks of the load balancer, on any path because deployments
+// choose the path. The status is 200 if the instance is ready and 503 if it is not.
 func (g *Service) readyRoutes() http.Handler {
 	r := mux.NewRouter()
 	r.PathPrefix("/").HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -365,7 +377,7 @@
 	return r
 }
 
-// Reload takes in changed settings: the addresses of seeds.
+// Reload applies changed settings. Only changes of the seeds take effect.
 func (g *Service) Reload(s *Settings) {
 	g.node.SetSeeds(s.Seeds)
 	g.log.Info("settings reloaded", "seeds", s.Seeds)
--- a/gateway/service_test.go
+++ b/gateway/service_test.go
@@ -22,26 +22,27 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// fakeSource is a store in memory.
+// fakeSource is a store in memory. It implements dialect.Source.
 type fakeSource struct {
 	mu     sync.Mutex
 	config *routing.Config
 	list   []dialect.Upstream
-	down   bool
-	reads  int
-	// directiveReads counts the readings of directives, reads those of lists.
+	// down makes the store reject all requests.
+	down  bool
+	reads int
+	// directiveReads counts the reads of the directives, reads those of the list of upstreams.
 	directiveReads int
 }
 
-// outage is what a store that is down answers.
-var outage = &dialect.StatusError{Op: "store", Status: http.StatusServiceUnavailable}
+// errStoreDown is the error of a store that is down.
+var errStoreDown = &dialect.StatusError{Op: "store", Status: http.StatusServiceUnavailable}
 
 func (f *fakeSource) Directives(context.Context) (dialect.Directives, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.directiveReads++
 	if f.down {
-		return dialect.Directives{}, outage
+		return dialect.Directives{}, errStoreDown
 	}
 	return dialect.Directives{Config: f.config, Evacuation: routing.Evacuation{Revision: int64(f.directiveReads)}}, nil
 }
@@ -51,24 +52,26 @@
 	defer f.mu.Unlock()
 	f.reads++
 	if f.down {
-		return nil, 0, outage
+		return nil, 0, errStoreDown
 	}
 	return f.list, int64(f.reads), nil
 }
 
-// Changes implements dialect.Source. It keeps no history, so every read lists the upstreams.
+// Changes implements dialect.Source. The store keeps no history, so each read lists all upstreams.
 func (f *fakeSource) Changes(_ context.Context, after int64) (dialect.Changes, error) {
 	return dialect.Changes{}, &dialect.HistoryLostError{After: after}
 }
 
+// set calls change with the lock held.
 func (f *fakeSource) set(change func(*fakeSource)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-// engineStandIn is an upstream that prefills, decodes and serves plain requests.
-func engineStandIn(t *testing.T, id string) dialect.Upstream {
+// startUpstream starts an upstream that serves prefills, streams of two events and plain requests.
+// A plain answer consists of the upstream's ID and the request's method, target and body.
+func startUpstream(t *testing.T, id string) dialect.Upstream {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -93,16 +96,18 @@
 	return dialect.Upstream{ID: ident.UpstreamID(id), Address: strings.TrimPrefix(s.URL, "http://"), Zone: "a"}
 }
 
-// fleetBed is some instances over one store.
-type fleetBed struct {
+// localFleet runs instances that share a store and upstreams, over real connections.
+type localFleet struct {
 	source *fakeSource
 	http   *http.Client
 	log    *slog.Logger
 }
 
-func newFleetBed(t *testing.T) *fleetBed {
+// newLocalFleet returns a localFleet with a plain service "app" and a model service "llm", and a
+// route to each of them. It starts the upstreams but no instance.
+func newLocalFleet(t *testing.T) *localFleet {
 	t.Helper()
-	app, prefill, decode := engineStandIn(t, "app"), engineStandIn(t, "p"), engineStandIn(t, "d")
+	app, prefill, decode := startUpstream(t, "app"), startUpstream(t, "p"), startUpstream(t, "d")
 	app.Service, prefill.Service, decode.Service = "app", "llm", "llm"
 	prefill.Stage, decode.Stage = dialect.StagePrefill, dialect.StageDecode
 	config := &routing.Config{
@@ -116,15 +121,15 @@
 			"llm": {Name: "llm", Engine: &routing.Engine{Slots: 8, KVTokens: 90000, Stride: 64, HandleTTL: time.Second, HoldTTL: time.Second}},
 		},
 	}
-	return &fleetBed{
+	return &localFleet{
 		source: &fakeSource{config: config, list: []dialect.Upstream{app, prefill, decode}},
 		http:   &http.Client{Transport: &http.Transport{}},
 		log:    slog.New(slog.DiscardHandler),
 	}
 }
 
-// freeAddress returns a loopback address that nobody listens at, and that no connection takes
-// for its own end.
+// freeAddress returns a loopback address at which nothing listens, with a port that the system does
+// not use for outgoing connections.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	var ports testbed.Ports
@@ -142,14 +147,14 @@
 	done     chan error
 }
 
-// start runs an instance.
-func (b *fleetBed) start(t *testing.T, name string, seeds ...string) *instance {
+// start runs an instance with a grace period of a second.
+func (b *localFleet) start(t *testing.T, name string, seeds ...string) *instance {
 	t.Helper()
-	return b.startWith(t, name, 1, seeds...)
+	return b.startWithGrace(t, name, 1, seeds...)
 }
 
-// startWith runs an instance with a grace time.
-func (b *fleetBed) startWith(t *testing.T, name string, graceSeconds float64, seeds ...string) *instance {
+// startWithGrace runs an instance with the given grace period.
+func (b *localFleet) startWithGrace(t *testing.T, name string, graceSeconds float64, seeds ...string) *instance {
 	t.Helper()
 	s := &Settings{Instance: ident.InstanceID(name), Zone: "a", Seeds: seeds}
 	s.SetDefaults()
@@ -167,8 +172,8 @@
 	return i
 }
 
-// status asks an instance whether it is ready.
-func (b *fleetBed) status(t *testing.T, i *instance) int {
+// readiness returns the status of an instance's readiness check, or 0 if it does not answer.
+func (b *localFleet) readiness(t *testing.T, i *instance) int {
 	t.Helper()
 	resp, err := b.http.Get("http://" + i.settings.Listen.Ready + "/any")
 	if err != nil {
@@ -178,7 +183,8 @@
 	return resp.StatusCode
 }
 
-// await waits until a condition holds; how long that takes is not judged.
+// await waits until a condition holds. It fails the test only after at least 20 s, since the time
+// that the condition takes is not tested. what describes the condition.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -187,11 +193,12 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("condition not met: %s", what)
 }
 
-// ask sends a caller's request.
-func (b *fleetBed) ask(t *testing.T, i *instance, path, body string) (int, http.Header, string) {
+// post sends a caller's request to an instance and returns the status, the headers and the body of
+// the response.
+func (b *localFleet) post(t *testing.T, i *instance, path, body string) (int, http.Header, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+i.settings.Listen.Callers+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -204,30 +211,30 @@
 	got, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
 	if resp.Close {
-		// The client takes this header away.
+		// The client has removed this header.
 		resp.Header.Set("Connection", "close")
 	}
 	return resp.StatusCode, resp.Header, string(got)
 }
 
-// TestWholePath: plain and streamed requests through an instance; what it can't
-// route, and what it counts.
+// TestWholePath guards against failures anywhere on the path of plain and streamed requests through
+// an instance, against a wrong answer to a request without a route, and against missing metrics.
 func TestWholePath(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 
-	status, header, body := b.ask(t, i, "/plain/x?y=%20", "text")
+	status, header, body := b.post(t, i, "/plain/x?y=%20", "text")
 	assert.Equal(t, status, 200)
 	assert.Equal(t, body, "app POST /plain/x?y=%20 text")
 	assert.Equal(t, header.Get("Response-Signature"), "sig")
 
-	status, header, body = b.ask(t, i, "/stream/x", "prompt")
+	status, header, body = b.post(t, i, "/stream/x", "prompt")
 	assert.Equal(t, status, 200)
 	assert.Equal(t, header.Get("Response-Signature"), "sig")
 	assert.Equal(t, body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
 
-	status, header, body = b.ask(t, i, "/other/x", "")
+	status, header, body = b.post(t, i, "/other/x", "")
 	assert.Equal(t, status, 404)
 	assert.Equal(t, header.Get("Response-Signature"), "")
 	var problem struct{ Title, Outcome string }
@@ -244,57 +251,60 @@
 	})
 }
 
-// TestStartsFromPeersWhenTheStoreIsDown: an instance that starts during an outage
-// gets configuration and upstreams from those that run.
+// TestStartsFromPeersWhenTheStoreIsDown guards against an instance that cannot serve because the
+// store is down at its start. It must get the configuration and the upstreams from its peers.
 func TestStartsFromPeersWhenTheStoreIsDown(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	first := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, first) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, first) == http.StatusOK })
 	b.source.set(func(f *fakeSource) { f.down = true })
 	second := b.start(t, "two", first.settings.Listen.Peers)
-	await(t, "the second is ready", func() bool { return b.status(t, second) == http.StatusOK })
-	status, _, _ := b.ask(t, second, "/plain/x", "")
+	await(t, "the second is ready", func() bool { return b.readiness(t, second) == http.StatusOK })
+	status, _, _ := b.post(t, second, "/plain/x", "")
 	assert.Equal(t, status, 200)
 }
 
-// TestKnowsNothingSaysNotRun: without configuration nothing is refused as unknown.
+// TestKnowsNothingSaysNotRun guards against an instance without a configuration refusing a request
+// with 404, as if its route were unknown.
 func TestKnowsNothingSaysNotRun(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	b.source.down = true
 	i := b.start(t, "one")
-	await(t, "answers", func() bool { return b.status(t, i) != 0 })
-	assert.Equal(t, b.status(t, i), http.StatusServiceUnavailable)
-	status, header, _ := b.ask(t, i, "/other/x", "")
+	await(t, "answers", func() bool { return b.readiness(t, i) != 0 })
+	assert.Equal(t, b.readiness(t, i), http.StatusServiceUnavailable)
+	status, header, _ := b.post(t, i, "/other/x", "")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Assert(t, header.Get("Retry-After") != "")
 	assert.Equal(t, header.Get("Request-Id"), "q1")
 }
 
-// TestOldConfigurationNeverComesBack: a store that is set back changes nothing.
+// TestOldConfigurationNeverComesBack guards against an instance that replaces its configuration by
+// an older version, if the store was reset to an earlier state.
 func TestOldConfigurationNeverComesBack(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	b.source.set(func(f *fakeSource) { f.config = &routing.Config{Version: 4} })
 	before := 0
 	b.source.set(func(f *fakeSource) { before = f.reads })
-	await(t, "read again", func() bool {
+	await(t, "the instance has read the store again", func() bool {
 		reads := 0
 		b.source.set(func(f *fakeSource) { reads = f.reads })
 		return reads > before+1
 	})
-	status, _, _ := b.ask(t, i, "/plain/x", "")
+	status, _, _ := b.post(t, i, "/plain/x", "")
 	assert.Equal(t, status, 200)
 }
 
-// TestGracefulStop: a stopping instance says so first and answers what it accepts.
+// TestGracefulStop guards against a stopping instance that refuses requests before the load
+// balancer can know that it is not ready, or that keeps callers' connections open.
 func TestGracefulStop(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	i.stop()
-	await(t, "not ready", func() bool { return b.status(t, i) == http.StatusServiceUnavailable })
-	status, header, _ := b.ask(t, i, "/plain/x", "")
+	await(t, "not ready", func() bool { return b.readiness(t, i) == http.StatusServiceUnavailable })
+	status, header, _ := b.post(t, i, "/plain/x", "")
 	assert.Equal(t, status, 200)
 	assert.Equal(t, header.Get("Connection"), "close")
 	err := <-i.done
@@ -302,20 +312,21 @@
 	assert.NilError(t, err)
 }
 
-// TestReadinessFollowsTheClosingOfConnections: whoever is told that an instance is not ready
-// finds that its answers end their connections. While a stop set one state after the other,
-// an answer between the two kept its connection.
+// TestReadinessFollowsTheClosingOfConnections guards against an answer that keeps its connection
+// open although a readiness check has already failed. This happened to answers that were sent
+// between two separate changes of state, which the stop made one after the other.
 func TestReadinessFollowsTheClosingOfConnections(t *testing.T) {
-	b := newFleetBed(t)
+	b := newLocalFleet(t)
 	i := b.start(t, "one")
-	await(t, "ready", func() bool { return b.status(t, i) == http.StatusOK })
+	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	i.service.front.CloseConnections()
-	assert.Equal(t, b.status(t, i), http.StatusServiceUnavailable)
-	_, header, _ := b.ask(t, i, "/plain/x", "")
+	assert.Equal(t, b.readiness(t, i), http.StatusServiceUnavailable)
+	_, header, _ := b.post(t, i, "/plain/x", "")
 	assert.Equal(t, header.Get("Connection"), "close")
 }
 
-// TestFencesRiseAndAreNotShared: also when the time of day goes back.
+// TestFencesRiseAndAreNotShared guards against fencing numbers that do not increase, for example
+// when the wall clock is set back, and against two instances using the same number.
 func TestFencesRiseAndAreNotShared(t *testing.T) {
 	now := time.Unix(5000, 0)
 	first := nextFence(now, 0, "a")
