--- a/gateway/limit/account.go
+++ b/gateway/limit/account.go
@@ -1,13 +1,13 @@
-// Package limit holds workspaces to their limits over all instances, without a coordinator
-// and without a store. It does no I/O and reads no clock.
+// Package limit enforces the rate limits of workspaces across all instances, without a
+// coordinator and without a shared store. It does no I/O and reads no clock.
 //
-// Each availability zone has an equal part of a workspace's limit, kept as a token bucket by
-// one instance of the zone, the workspace's keeper there (Accounts). The other instances of
-// the zone ask the keeper for a request's tokens before they send the request (Client). A
-// keeper that has too few borrows from those of other zones: tokens that are moved are taken
-// from one bucket before they are put into the other, so that lost messages lose tokens and
-// never make any. A zone that is cut off goes on with its own part. An instance that reaches
-// no keeper uses an equal part of its zone's part.
+// Each availability zone has an equal share of a workspace's limit. One instance of the zone
+// owns the token bucket of that share (Accounts). The other instances of the zone request the
+// tokens of a request from this owner before they send the request (Client). An owner that has
+// too few tokens borrows from the owners in other zones. Borrowed tokens are deducted from the
+// lender's bucket before they are added to the borrower's, so a lost message can lose tokens but
+// never create any. A zone that is cut off continues with its own share. An instance that
+// reaches no owner uses an equal share of its zone's share.
 package limit
 
 import (
@@ -18,82 +18,90 @@
 )
 
 const (
-	// LongestWait bounds the time that callers are told to wait.
+	// LongestWait is the longest time that a refused caller is told to wait before it retries.
 	LongestWait = 20 * time.Second
-	// settle is how long after its start a keeper asks for a request's tokens in advance:
-	// instances that start together take several for the keeper until all know each other.
+	// settle is how long after its start an owner grants a request only if the account already
+	// holds the whole cost. Instances that start together may use several owners for the same
+	// account until they all know each other.
 	settle = 3 * time.Second
-	// forgetAfter is how long an account is kept that nobody asks.
+	// forgetAfter is the time without requests after which an account is removed.
 	forgetAfter = 10 * time.Minute
 )
 
-// Part is a zone's part of a limit: tokens a second, and how many may be taken after a rest.
+// Part is a zone's share of a limit. Rate is in tokens per second, Burst is the most tokens
+// that accumulate while none are used.
 type Part struct {
 	Rate  float64 `json:"r"`
 	Burst float64 `json:"b"`
 }
 
-// Told is what a client heard of an account from its keeper.
+// Told is an account's balance as an owner last reported it to a client.
 type Told struct {
 	Level float64
-	// Age is how long ago that was.
+	// Age is the time since the report.
 	Age time.Duration
 }
 
-// Ask asks a keeper for tokens.
+// Ask is a request for tokens, sent to the owner of an account.
 type Ask struct {
 	Workspace string
 	Part      Part
-	// Version is that of the configuration which sets the part; the newest counts.
+	// Version is the version of the configuration that Part comes from. The newest version that
+	// an owner has seen applies.
 	Version int64
 	Cost    float64
-	// Back are tokens that the client got before and did not use.
+	// Back is the number of tokens that the client was granted before and did not use.
 	Back float64
-	// Told is what another keeper of the account said, nil if none did: what it gave away
-	// counts here too.
+	// Told is the balance last reported by a different owner of the account, nil if there is
+	// none. The new owner lowers its own balance to it, so that tokens granted by the previous
+	// owner are not granted again.
 	Told *Told
 }
 
-// Answer is what a keeper says.
+// Answer is an owner's response to an Ask.
 type Answer struct {
 	Granted bool
-	// Short is how many tokens the account lacks for the cost.
+	// Short is how many tokens the account lacks for the cost of a request that was not granted.
 	Short float64
-	// Level is what the account holds.
+	// Level is the account's balance after the request.
 	Level float64
 }
 
-// account is a workspace's tokens in a zone.
+// account is the token balance of a workspace in a zone.
 type account struct {
 	part    Part
 	version int64
 	bucket  tokenbucket.Bucket
-	// loan are borrowed tokens: they are spent first, and may be more than a zone saves up.
+	// loan is the number of tokens borrowed from other zones. They are spent first, and are not
+	// limited by the burst of the zone's share.
 	loan float64
-	// promised are the tokens of refused callers that were told to come back for them.
+	// promised is the total cost of refused requests whose callers were told when to retry, less
+	// the tokens that have accrued since.
 	promised float64
-	asked    time.Time
+	// asked is when tokens were last requested.
+	asked time.Time
 }
 
-// Accounts are those that an instance keeps. They are safe for concurrent use.
+// Accounts holds the accounts that an instance owns. It is safe for concurrent use.
 type Accounts struct {
-	// born is when the instance started. What was taken before, nobody knows: an account is
-	// as one that held nothing then.
+	// born is when the instance started. How many tokens were granted before is unknown, so each
+	// account is treated as empty at that time.
 	born time.Time
 
 	mu   sync.Mutex
 	kept map[string]*account
 }
 
-// NewAccounts returns those of an instance that starts now.
+// NewAccounts returns the accounts of an instance that starts at the given time.
 func NewAccounts(now time.Time) *Accounts {
 	return &Accounts{born: now, kept: map[string]*account{}}
 }
 
-// Take takes the tokens of a request out of an account that holds any. What it takes beyond
-// them is paid for before the next request: were all of it asked for in advance, small
-// requests would leave too little for large ones whenever a workspace is at its limit. So it
-// is only at a keeper that has just started.
+// Take grants a request if the account holds any tokens, and deducts the whole cost. The balance
+// may become negative, and no further request is granted until it is positive again. Requiring
+// the whole cost in advance would starve large requests whenever a workspace is at its limit,
+// because small requests would keep the balance too low for them. Only an owner that has just
+// started (see settle) requires it, up to the burst.
 func (s *Accounts) Take(now time.Time, q Ask) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,9 +122,9 @@
 	return Answer{Granted: true, Level: a.level()}
 }
 
-// Refuse returns when the caller of a refused request may come back: when the account will
-// hold tokens, after those of the callers that were refused before it, so that they don't all
-// come back for the same ones.
+// Refuse returns how long the caller of a refused request should wait before it retries: until
+// the account will hold tokens beyond those needed by callers refused earlier, so that they do
+// not all retry for the same tokens. The time is at most LongestWait.
 func (s *Accounts) Refuse(now time.Time, workspace string, cost float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +138,8 @@
 	return seconds(min((before-a.level())/a.part.Rate, LongestWait.Seconds()))
 }
 
-// Borrowed puts borrowed tokens into an account.
+// Borrowed adds tokens borrowed from another zone to an account. It has no effect if this
+// instance doesn't own the account.
 func (s *Accounts) Borrowed(workspace string, tokens float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,9 +148,10 @@
 	}
 }
 
-// Lend takes tokens out of an account for that of another zone, which has a level and wants
-// some: as many, or half of the difference. A full account saves nothing up, so that tokens
-// are of most use where the level is lowest.
+// Lend deducts tokens from an account to lend them to another zone, and returns how many. level
+// is the balance of the borrowing account. The loan is the larger of q.Cost and half of the
+// difference between the balances, but no more than this account holds. Evening out the balances
+// wastes the fewest tokens, because a full account accrues none.
 func (s *Accounts) Lend(now time.Time, q Ask, level float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +161,7 @@
 	return lent
 }
 
-// Level returns what an account holds, false if this instance keeps none.
+// Level returns the balance of an account, and false if this instance doesn't own it.
 func (s *Accounts) Level(now time.Time, workspace string) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +173,7 @@
 	return a.level(), true
 }
 
-// Forget drops the accounts that nobody has asked for long.
+// Forget removes the accounts from which no tokens were requested for forgetAfter.
 func (s *Accounts) Forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,8 +184,8 @@
 	}
 }
 
-// account returns an account as of now, with the part of the newest configuration. The caller
-// holds mu.
+// account returns an account with its balance as of now, creating it if needed, and applies the
+// part if its version is not older than the account's. The caller holds mu.
 func (s *Accounts) account(now time.Time, name string, part Part, version int64) *account {
 	a := s.kept[name]
 	if a == nil {
@@ -192,10 +202,10 @@
 	return a
 }
 
-// level is what the account holds.
+// level returns the account's balance, which may be negative.
 func (a *account) level() float64 { return a.bucket.Tokens + a.loan }
 
-// spend takes tokens out of the account; fewer than none takes none.
+// spend deducts tokens from the account, borrowed ones first. A negative number deducts none.
 func (a *account) spend(tokens float64) {
 	tokens = max(0, tokens)
 	fromLoan := min(tokens, a.loan)
@@ -203,16 +213,16 @@
 	a.bucket.Tokens -= tokens - fromLoan
 }
 
-// fill lets time pass.
+// fill adds the tokens that accrued until now.
 func (a *account) fill(now time.Time) {
 	a.promised = max(0, a.promised-a.part.Rate*max(0, now.Sub(a.bucket.FilledAt()).Seconds()))
 	a.bucket.Fill(now, a.part.Rate, a.part.Burst, 0)
 }
 
-// add puts tokens into the account that were taken out before.
+// add returns unused tokens to the account, up to the burst.
 func (a *account) add(tokens float64) {
 	a.bucket.Tokens = min(a.bucket.Tokens+max(0, tokens), max(a.part.Burst, a.bucket.Tokens))
 }
 
-// seconds is a time of at least 0.
+// seconds converts seconds to a duration. A negative number gives 0.
 func seconds(s float64) time.Duration { return time.Duration(max(0, s) * float64(time.Second)) }
--- a/gateway/limit/account_test.go
+++ b/gateway/limit/account_test.go
@@ -12,16 +12,16 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at is a time after the start.
+// at returns the time at the given offset from start.
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// part is a zone's part that all tests use: 100 tokens a second, 100 after a rest.
+// part is the zone's share that all tests use: 100 tokens per second and a burst of 100.
 var part = Part{Rate: 100, Burst: 100}
 
 func ask(cost float64) Ask { return Ask{Workspace: "w", Part: part, Version: 1, Cost: cost} }
 
-// TestAccountHoldsWhatItSaved: that of a long-lived keeper is full, and nothing is granted
-// while there is nothing.
+// TestAccountHoldsWhatItSaved checks that the account of an owner that started long ago is full,
+// and that no request is granted while the account is empty.
 func TestAccountHoldsWhatItSaved(t *testing.T) {
 	old := NewAccounts(start)
 	for range 10 {
@@ -34,8 +34,9 @@
 	assert.Assert(t, math.Abs(a.Short-35) < 1e-6)
 }
 
-// TestKeeperThatHasJustStarted holds what came since, and asks for tokens in advance: others
-// may be taken for the keeper too.
+// TestKeeperThatHasJustStarted checks that a new owner holds only the tokens accrued since its
+// start, and grants a request only if it holds the whole cost, up to the burst. Otherwise too
+// much would be granted while other instances are used as owners of the same account.
 func TestKeeperThatHasJustStarted(t *testing.T) {
 	s := NewAccounts(start)
 	assert.Assert(t, !s.Take(start, ask(10)).Granted)
@@ -44,11 +45,12 @@
 	assert.Assert(t, math.Abs(a.Level-20) < 1e-6)
 	assert.Assert(t, s.Take(at(300*time.Millisecond), ask(30)).Granted)
 	assert.Assert(t, !s.Take(at(900*time.Millisecond), ask(500)).Granted)
-	assert.Assert(t, s.Take(at(1500*time.Millisecond), ask(500)).Granted, "as much as it ever saves up")
+	assert.Assert(t, s.Take(at(1500*time.Millisecond), ask(500)).Granted, "the burst suffices for a request that costs more")
 }
 
-// TestLargeRequestIsPaidAfterwards: small requests don't keep large ones out, and the next one
-// waits until a large one is paid for.
+// TestLargeRequestIsPaidAfterwards checks that a request that costs more than the account holds
+// is granted, so that small requests don't starve large ones, and that the next request is
+// refused until the negative balance is made up for.
 func TestLargeRequestIsPaidAfterwards(t *testing.T) {
 	s := NewAccounts(start)
 	now := at(time.Hour)
@@ -58,8 +60,8 @@
 	assert.Assert(t, s.Take(now.Add(2900*time.Millisecond+20*time.Millisecond), ask(1)).Granted)
 }
 
-// TestKeeperLearnsWhatAnotherGaveAway: a keeper that takes over has no more than the one
-// before it had, by the word of those that asked it; never more by anybody's word.
+// TestKeeperLearnsWhatAnotherGaveAway checks that a new owner lowers its balance to the one that
+// clients report of the previous owner, and that a reported balance never raises it.
 func TestKeeperLearnsWhatAnotherGaveAway(t *testing.T) {
 	s := NewAccounts(start)
 	q := ask(10)
@@ -70,17 +72,19 @@
 	assert.Assert(t, !s.Take(at(time.Hour+100*time.Millisecond), q).Granted)
 }
 
-// TestLoansMoveTokens: what is lent is gone, and none is lent that isn't there.
+// TestLoansMoveTokens checks that lent tokens are deducted from the lender, and that it lends no
+// more than it holds.
 func TestLoansMoveTokens(t *testing.T) {
 	s := NewAccounts(start)
 	now := at(time.Hour)
-	assert.Equal(t, s.Lend(now, ask(20), -20), 60.0, "half of the difference")
-	assert.Equal(t, s.Lend(now, ask(30), 0), 30.0, "as many as are short")
-	assert.Equal(t, s.Lend(now, ask(30), 0), 10.0, "no more than there are")
+	assert.Equal(t, s.Lend(now, ask(20), -20), 60.0, "half of the difference of the balances")
+	assert.Equal(t, s.Lend(now, ask(30), 0), 30.0, "the requested number")
+	assert.Equal(t, s.Lend(now, ask(30), 0), 10.0, "no more than the balance")
 	assert.Equal(t, s.Lend(now, ask(30), 0), 0.0)
 }
 
-// TestCallersAreSentBackOneAfterTheOther: each for tokens of its own.
+// TestCallersAreSentBackOneAfterTheOther checks that refused callers are given different times to
+// retry, each when enough tokens for it will have accrued.
 func TestCallersAreSentBackOneAfterTheOther(t *testing.T) {
 	s := NewAccounts(start)
 	now := at(time.Hour)
@@ -93,15 +97,16 @@
 	assert.Equal(t, s.Refuse(now, "unknown", 50), LongestWait)
 }
 
-// TestLimitsChange: a lower limit binds at once, a higher one grants nothing for the past,
-// and an old configuration changes nothing.
+// TestLimitsChange checks that a lower limit applies at once, that a higher limit adds no tokens
+// for time before the change, and that a limit of an older configuration has no effect. It also
+// checks that an account without requests is removed.
 func TestLimitsChange(t *testing.T) {
 	s := NewAccounts(start)
 	now := at(time.Hour)
 	assert.Assert(t, s.Take(now, ask(1)).Granted)
 	lower := Ask{Workspace: "w", Part: Part{Rate: 10, Burst: 10}, Version: 2, Cost: 10}
 	assert.Assert(t, s.Take(now, lower).Granted)
-	assert.Assert(t, !s.Take(now, ask(5)).Granted, "version 1 is over")
+	assert.Assert(t, !s.Take(now, ask(5)).Granted, "the limit of version 1 no longer applies")
 	higher := Ask{Workspace: "w", Part: Part{Rate: 1000, Burst: 1000}, Version: 3, Cost: 100}
 	assert.Assert(t, !s.Take(now, higher).Granted)
 	assert.Assert(t, s.Take(now.Add(100*time.Millisecond), higher).Granted)
@@ -118,8 +123,9 @@
 	assert.Assert(t, !kept)
 }
 
-// TestCosts: of the unit, with what is stated; the largest numbers neither overflow nor are
-// ever let through, where they would lock their workspace out.
+// TestCosts checks the cost of requests in each unit, with and without stated token counts, and
+// each zone's share of a limit. The largest token counts must not overflow, and such requests
+// must always be refused: granting one would block its workspace for a long time.
 func TestCosts(t *testing.T) {
 	l := routing.Limit{Rate: 100, Burst: 50, Unit: routing.Tokens, Plain: 7}
 	assert.Equal(t, CostOf(l, true, 10, 5), 15.0)
@@ -135,9 +141,9 @@
 	assert.Equal(t, PartOf(l, 4), Part{Rate: 25, Burst: 12.5})
 }
 
-// TestClientDecidesByItself: what came back serves the next request, or goes back to the
-// keeper; what a keeper refused is refused for a moment without asking again, each caller
-// with a later time to come back.
+// TestClientDecidesByItself checks what a client does without asking the owner: returned tokens
+// serve the next request or go back to the owner, and for believeRefusal after a refusal it
+// refuses requests that cost as much or more, each with a later time to retry.
 func TestClientDecidesByItself(t *testing.T) {
 	c := NewClient()
 	now := start
@@ -157,7 +163,7 @@
 
 	c.Answered(now, "w", 20, keeper, Answer{Level: 3}, time.Second)
 	_, _, decided = c.Decide(now, "w", 19)
-	assert.Assert(t, !decided, "less may be there")
+	assert.Assert(t, !decided, "the owner may hold enough for a lower cost")
 	last := time.Duration(0)
 	for range 5 {
 		granted, wait, decided := c.Decide(now, "w", 20)
@@ -167,14 +173,15 @@
 	_, _, decided = c.Decide(now.Add(believeRefusal), "w", 20)
 	assert.Assert(t, !decided)
 
-	assert.Assert(t, c.Ask(now, "w", 1, keeper).Told == nil, "it knows itself")
+	assert.Assert(t, c.Ask(now, "w", 1, keeper).Told == nil, "an owner needs no report of its own balance")
 	told := c.Ask(now.Add(time.Second), "w", 1, Keeper{ID: "k", Incarnation: 2}).Told
 	assert.DeepEqual(t, told, &Told{Level: 3, Age: time.Second})
 	assert.Assert(t, c.Ask(now.Add(knownFor), "w", 1, Keeper{ID: "o"}).Told == nil)
 }
 
-// TestAloneNothingIsTakenInAdvance: an instance that reaches no keeper saves up for each
-// request, from nothing; time in touch with keepers saves nothing.
+// TestAloneNothingIsTakenInAdvance checks that an instance that reaches no owner starts with no
+// tokens and grants a request only once it has accrued the whole cost, and that no tokens accrue
+// while it reaches an owner.
 func TestAloneNothingIsTakenInAdvance(t *testing.T) {
 	c := NewClient()
 	assert.Assert(t, !c.Alone(start, "w", 50, part))
--- a/gateway/limit/client.go
+++ b/gateway/limit/client.go
@@ -12,24 +12,26 @@
 )
 
 const (
-	// believeRefusal is how long a client refuses by itself what a keeper has just refused: a
-	// workspace that asks for many times its limit would have each request ask.
+	// believeRefusal is how long after an owner's refusal a client refuses requests without
+	// asking again. Otherwise each request of a workspace far above its limit would cost a message
+	// to the owner.
 	believeRefusal = 150 * time.Millisecond
-	// idleBalance is how long tokens that came back stay with the client, for its next
-	// request, before they go back to the keeper.
+	// idleBalance is how long returned tokens stay with the client, for its next request, before
+	// they go back to the owner.
 	idleBalance = 500 * time.Millisecond
-	// aloneAgain is after how long in touch with keepers a client that is alone begins with no
-	// tokens again.
+	// aloneAgain is the time without local decisions after which a client starts its next one with
+	// no tokens. In this time it was in touch with an owner, and must not accrue tokens.
 	aloneAgain = 2 * time.Second
-	// mostSeconds is how many seconds of a limit's rate, beside its burst, a single request
-	// may cost: one that costs more would lock its workspace out for longer.
+	// mostSeconds bounds the cost of a single request to the burst of a limit and this many
+	// seconds of its rate. A request that costs more would block its workspace for longer.
 	mostSeconds = 5
-	// knownFor is how long what a keeper said is told to the next one.
+	// knownFor is how long a balance that an owner reported is passed on to its successor.
 	knownFor = time.Minute
 )
 
-// CostOf returns what a request counts under a limit: one, or its tokens; stated means that
-// it states them.
+// CostOf returns the cost of a request in the unit of a limit: 1 if the limit counts requests,
+// otherwise its prompt and output tokens. stated reports whether the request states its token
+// counts; if not, the cost is the limit's Plain.
 func CostOf(l routing.Limit, stated bool, prompt, output int) float64 {
 	switch {
 	case l.Unit != routing.Tokens:
@@ -41,41 +43,42 @@
 	}
 }
 
-// Payable reports whether a request of a cost can ever be let through.
+// Payable reports whether a request of the given cost may be granted at all.
 func Payable(l routing.Limit, cost float64) bool { return cost <= l.Burst+mostSeconds*l.Rate }
 
-// PartOf returns a zone's part of a limit, of so many zones.
+// PartOf returns the share of a limit that each of the given number of zones has.
 func PartOf(l routing.Limit, zones int) Part {
 	n := float64(max(1, zones))
 	return Part{Rate: l.Rate / n, Burst: l.Burst / n}
 }
 
-// Keeper names the instance that keeps an account, in one of its lives.
+// Keeper identifies the instance that owns an account, and which run of that instance.
 type Keeper struct {
 	ID          ident.InstanceID
 	Incarnation ident.Incarnation
 }
 
-// space is what a client keeps of a workspace.
+// space is the state that a client holds for a workspace.
 type space struct {
-	// balance are tokens that came back, since backAt.
+	// balance is the number of tokens that were returned and not used again. backAt is when
+	// tokens were last returned.
 	balance float64
 	backAt  time.Time
-	// keeper said at heard that the account holds level.
+	// level is the account's balance as keeper, its owner, reported it at heard.
 	keeper Keeper
 	level  float64
 	heard  time.Time
-	// refused is the least cost that a keeper has refused; until then callers of as much or
-	// more are refused without asking. turned counts them.
+	// refused is the cost of the request that an owner refused last. Until the time until,
+	// requests of that cost or more are refused without asking the owner; turned counts them.
 	refused float64
 	until   time.Time
 	turned  int
-	// alone is the client's own part while it reaches no keeper.
+	// alone is the token bucket that the client uses while it reaches no owner.
 	alone tokenbucket.Bucket
 	use   Use
 }
 
-// Use is what an instance's callers took of a workspace's limit since its start, in the
+// Use is the use of a workspace's limit by the callers of one instance since its start, in the
 // limit's unit.
 type Use struct {
 	Granted  float64 `json:"granted"`
@@ -83,8 +86,7 @@
 	Returned float64 `json:"returned"`
 }
 
-// Client is the part of an instance that asks keepers for tokens. It is safe for concurrent
-// use.
+// Client requests tokens from owners on behalf of an instance. It is safe for concurrent use.
 type Client struct {
 	mu     sync.Mutex
 	spaces map[string]*space
@@ -92,7 +94,7 @@
 	firstUse chan struct{}
 }
 
-// NewClient returns a client.
+// NewClient returns a client that holds no tokens.
 func NewClient() *Client { return &Client{spaces: map[string]*space{}, firstUse: make(chan struct{})} }
 
 // AwaitFirstUse blocks until the client has been used for any workspace. It returns false if
@@ -106,7 +108,7 @@
 	}
 }
 
-// space returns what is kept of a workspace. The caller holds mu.
+// space returns the state of a workspace, creating it if needed. The caller holds mu.
 func (c *Client) space(name string) *space {
 	s := c.spaces[name]
 	if s == nil {
@@ -119,8 +121,9 @@
 	return s
 }
 
-// Decide reports whether a request can be decided without a keeper: it is granted by tokens
-// that came back, or refused as others just were, until a time.
+// Decide tries to decide a request without asking an owner. It grants the request from returned
+// tokens, or refuses it if an owner just refused one that cost no more; wait is then the time
+// after which the caller should retry. decided is false if the owner must be asked.
 func (c *Client) Decide(now time.Time, name string, cost float64) (granted bool, wait time.Duration, decided bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,14 +136,15 @@
 	case now.Before(s.until) && cost >= s.refused:
 		s.use.Refused += cost
 		s.turned++
-		// Each later one comes back later than the one before it.
+		// Each refused caller is told to retry later than the previous one.
 		return false, s.until.Sub(now) + believeRefusal*time.Duration(s.turned), true
 	default:
 		return false, 0, false
 	}
 }
 
-// Ask makes the question to a keeper. Tokens that came back go with it.
+// Ask returns the request for tokens to send to an owner. It contains the returned tokens, which
+// the client no longer holds afterwards. The caller sets Part and Version.
 func (c *Client) Ask(now time.Time, name string, cost float64, to Keeper) Ask {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,7 +157,7 @@
 	return q
 }
 
-// Answered takes in a keeper's answer; wait is when a refused caller may come back.
+// Answered records an owner's answer. wait is the time after which a refused caller should retry.
 func (c *Client) Answered(now time.Time, name string, cost float64, from Keeper, a Answer, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,9 +171,10 @@
 	s.refused, s.until, s.turned = cost, now.Add(min(wait, believeRefusal)), 0
 }
 
-// Alone decides a request by the client's own part of a limit, while it reaches no keeper. It
-// begins with no tokens and saves up for what is asked: many instances that are cut off at
-// once take no more together than their parts.
+// Alone reports whether a request is granted while the client reaches no owner; part is then the
+// client's own share of the limit. The client starts with no tokens and accrues them up to the
+// cost of the request, so that many instances that are cut off at the same time together grant
+// no more than their shares.
 func (c *Client) Alone(now time.Time, name string, cost float64, part Part) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +192,7 @@
 	return true
 }
 
-// Return takes back the tokens of a request that did not run.
+// Return gives the client the tokens of a request that was granted and did not run.
 func (c *Client) Return(now time.Time, name string, cost float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,7 +202,8 @@
 	s.use.Returned += cost
 }
 
-// Idle takes out the balances that have been of no use for a while, to be given back.
+// Idle removes and returns, by workspace, the returned tokens that were not used for
+// idleBalance. The caller gives them back to the owners. The map is nil if there are none.
 func (c *Client) Idle(now time.Time) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,7 +221,7 @@
 	return out
 }
 
-// Use returns what was taken of a workspace's limit.
+// Use returns the use of a workspace's limit, rounded to whole units.
 func (c *Client) Use(name string) Use {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/limit/world_test.go
+++ b/gateway/limit/world_test.go
@@ -14,42 +14,44 @@
 	"github.com/wardspool/wardspool/internal/tokenbucket"
 )
 
-// The users' rule for a limit: in any window no more may run than (rate x window + burst) x
-// (1 + excess) + slack.
+// The users' requirement for a limit: the cost of the requests that run in any window of
+// ruleWindow must not exceed (rate x window + burst) x (1 + excess) + slack.
 const (
 	ruleWindow = 8 * time.Second
 	ruleExcess = 0.25
 	ruleSlack  = 120000
 )
 
-// world plays one workspace's callers against a way of holding them to its limit, in virtual
-// time: so many instances in three zones, news between instances that takes its time.
+// world simulates, in virtual time, the callers of one workspace and a method of enforcing its
+// limit, with a number of instances in three zones.
 type world struct {
 	limit  routing.Limit
 	random *rand.Rand
 	now    time.Time
-	// instances' weights among the callers' requests; zone and whether they hear others.
+	// weights holds each instance's weight in the distribution of the requests, total their sum.
 	weights []float64
 	total   float64
-	zones   []int
-	deaf    []bool
-	cut     int
+	// zones holds the zone of each instance, deaf whether it can't communicate with the others.
+	zones []int
+	deaf  []bool
+	// cut is the zone that can't communicate with the others, -1 for none.
+	cut int
 	// born is when each instance last started.
 	born []time.Time
 }
 
 const worldZones = 3
 
-// way is a way of holding a workspace to its limit.
+// way is a method of enforcing the limit of a workspace.
 type way interface {
-	// admit decides a request at an instance.
+	// admit reports whether a request is granted at an instance.
 	admit(w *world, instance int, cost float64) bool
-	// restart has an instance forget everything.
+	// restart clears the state of an instance.
 	restart(w *world, instance int)
 }
 
-// newWorld returns a world of instances that have run for long. Callers are spread unevenly:
-// few instances get most.
+// newWorld returns a simulation of instances that started a minute before it. The requests are
+// spread unevenly: a few instances get most of them.
 func newWorld(instances int, seed uint64, l routing.Limit) *world {
 	w := &world{limit: l, random: rand.New(rand.NewPCG(seed, 1)), now: start, cut: -1}
 	for i := range instances {
@@ -62,7 +64,7 @@
 	return w
 }
 
-// reaches reports whether an instance hears another, or a zone.
+// reaches reports whether two instances can communicate.
 func (w *world) reaches(from, to int) bool {
 	if from == to {
 		return true
@@ -70,7 +72,7 @@
 	return !w.deaf[from] && !w.deaf[to] && (w.zones[from] == w.zones[to] || w.cut != w.zones[from] && w.cut != w.zones[to])
 }
 
-// any returns an instance by the callers' weights.
+// any draws an instance according to the weights.
 func (w *world) any() int {
 	at := w.random.Float64() * w.total
 	for i, weight := range w.weights {
@@ -81,7 +83,8 @@
 	return len(w.weights) - 1
 }
 
-// cost is what a request counts: most are small, a few are streams of 4,000 to 14,000 tokens.
+// cost draws the cost of a request: 85% cost 200 tokens, the others are streams of 4,000 to
+// 14,000 tokens.
 func (w *world) cost() float64 {
 	if w.random.Float64() < 0.85 {
 		return 200
@@ -92,18 +95,21 @@
 // meanCost is the mean of cost.
 const meanCost = 0.85*200 + 0.15*9000
 
-// outcome is what callers got, and how much ran.
+// outcome sums up a simulation, in tokens.
 type outcome struct {
+	// offered is the cost of all requests, admitted that of the granted ones, and owed that of
+	// the requests that a single bucket for all instances would have granted.
 	offered, admitted, owed float64
-	// below is what was refused that one bucket for all would have let through.
+	// below is the cost of the refused requests that a single bucket would have granted.
 	below float64
-	// most is the most that ran in any window, as a share of what the limit allows without
-	// excess and slack; over is by how much the rule was broken.
+	// most is the largest cost that ran in any window, relative to what the limit allows without
+	// excess and slack; over is by how many tokens the requirement was exceeded.
 	most, over float64
 }
 
-// play has callers ask for a multiple of the limit for some time; each step may change the
-// world.
+// play runs the simulation for the given time. demand is the rate of requested tokens as a
+// multiple of the limit, pick chooses the instance of each request, and step is called at each
+// step and may change the simulation.
 func (w *world) play(by way, demand float64, lasts time.Duration, pick func() int, step func(since time.Duration)) outcome {
 	const tick = 5 * time.Millisecond
 	var out outcome
@@ -134,13 +140,13 @@
 	return out
 }
 
-// run is a request that ran.
+// run is the time and cost of a request that ran.
 type run struct {
 	at   time.Time
 	cost float64
 }
 
-// judge finds the fullest window.
+// judge finds the window with the largest cost; see outcome for the results.
 func (w *world) judge(ran []run) (most, over float64) {
 	inWindow, first := 0.0, 0
 	plain := w.limit.Rate*ruleWindow.Seconds() + w.limit.Burst
@@ -155,6 +161,7 @@
 	return most, over
 }
 
+// poisson draws from a Poisson distribution.
 func (w *world) poisson(mean float64) int {
 	n, p, bound := 0, 1.0, math.Exp(-mean)
 	for {
@@ -165,8 +172,8 @@
 	}
 }
 
-// byKeepers is the way that instances use: the code of this package, with questions that are
-// answered at once or not at all. An instance passes a keeper over that doesn't answer.
+// byKeepers is the method that instances use: the code of this package. Messages to owners are
+// answered at once or not at all. An instance skips an owner that doesn't answer.
 type byKeepers struct {
 	clients  []*Client
 	accounts []*Accounts
@@ -185,8 +192,8 @@
 	k.clients[i], k.accounts[i] = NewClient(), NewAccounts(w.now)
 }
 
-// keeperOf returns the first instance of a zone that another reaches; -1 for none. An instance
-// that hears nobody knows that it keeps nothing.
+// keeperOf returns the first instance of a zone that the given instance reaches, -1 for none. An
+// isolated instance knows that it is isolated and doesn't act as an owner.
 func (k *byKeepers) keeperOf(w *world, from, zone int) int {
 	if w.deaf[from] {
 		return -1
@@ -230,7 +237,7 @@
 	return a.Granted
 }
 
-// borrow moves tokens from the accounts of other zones.
+// borrow moves tokens from the accounts of other zones to that of the owner's zone.
 func (k *byKeepers) borrow(w *world, keeper int, q Ask, short Answer) {
 	for zone := range worldZones {
 		from := k.keeperOf(w, keeper, zone)
@@ -242,7 +249,8 @@
 	}
 }
 
-// byEqualParts gives each instance an equal part, and a request's tokens in advance.
+// byEqualParts gives each instance an equal share of the limit. A request is granted only if the
+// bucket holds its whole cost, up to the burst.
 type byEqualParts struct{ buckets []tokenbucket.Bucket }
 
 func (p *byEqualParts) restart(_ *world, i int) { p.buckets[i] = tokenbucket.Bucket{} }
@@ -258,18 +266,19 @@
 	return true
 }
 
-// bySums has each instance fill one bucket for all, less what the others are heard to have
-// let through, which is some time ago.
+// bySums gives each instance a bucket for the whole limit, from which it deducts what the other
+// instances report to have granted. The reports arrive with a delay of newsAge.
 type bySums struct {
 	buckets []tokenbucket.Bucket
-	// said is what each let through, by the time at which others hear of it.
+	// said holds the granted requests with the time at which other instances learn of them, and
+	// by the instance that granted each.
 	said []run
 	by   []int
-	// heard is how many of these each has taken in.
+	// heard is the number of these that each instance has processed.
 	heard []int
 }
 
-// newsAge is how old the sums of loads are that instances hear by way of hubs.
+// newsAge is the age of the sums of loads when instances receive them through hubs.
 const newsAge = 600 * time.Millisecond
 
 func (s *bySums) restart(_ *world, i int) {
@@ -294,7 +303,7 @@
 	return true
 }
 
-// ways makes each way anew.
+// ways returns a new limiter of each method.
 var ways = map[string]func(w *world) way{
 	"keepers":     func(w *world) way { return newByKeepers(w) },
 	"equal parts": func(w *world) way { return &byEqualParts{buckets: make([]tokenbucket.Bucket, len(w.zones))} },
@@ -303,19 +312,20 @@
 	},
 }
 
-// smallest is the least limit of the users' workspaces; requests of half its burst come.
+// smallest is the smallest limit of the users' workspaces. Some requests cost half of its burst.
 var smallest = routing.Limit{Rate: 29000, Burst: 29000, Unit: routing.Tokens, Plain: 200}
 
-// usual is the limit of one of their larger ones.
+// usual is the limit of one of the users' larger workspaces.
 var usual = routing.Limit{Rate: 110000, Burst: 110000, Unit: routing.Tokens, Plain: 200}
 
-// sizes are those of fleets.
+// sizes are the numbers of instances that are tested.
 var sizes = []int{7, 60, 295, 409}
 
-// TestBelowTheLimitNothingIsRefused: a workspace that asks for half of its limit, at few
-// instances, loses at most a thousandth of what one bucket for all would let through. Where
-// single requests take half of the burst, one bucket refuses some too, and not the same ones:
-// there as many tokens run.
+// TestBelowTheLimitNothingIsRefused checks that a workspace that requests 55% of its limit, mostly
+// at a few instances, loses at most a thousandth of the tokens that a single bucket for all
+// instances would grant. Where single requests cost half of the burst, a single bucket also
+// refuses some requests, but not the same ones; there only the sums of granted tokens are
+// compared.
 func TestBelowTheLimitNothingIsRefused(t *testing.T) {
 	for _, n := range sizes {
 		for name, l := range map[string]routing.Limit{"smallest": smallest, "usual": usual} {
@@ -327,7 +337,7 @@
 					all.offered, all.below, all.owed, all.admitted = all.offered+out.offered, all.below+out.below, all.owed+out.owed, all.admitted+out.admitted
 				}
 				lost := (all.owed - all.admitted) / all.owed
-				t.Logf("%3d instances, %s, %s: refused below the limit %.4f, lost %.4f", n, name, what, all.below/all.owed, lost)
+				t.Logf("%3d instances, %s, %s: share refused below the limit %.4f, share lost %.4f", n, name, what, all.below/all.owed, lost)
 				if what == "keepers" {
 					assert.Check(t, lost <= 0.001, "%d %s", n, name)
 					assert.Check(t, all.owed < all.offered || all.below <= 0.001*all.owed, "%d %s", n, name)
@@ -337,15 +347,17 @@
 	}
 }
 
-// trouble is something that happens to a fleet while a workspace asks for eight times its
-// limit.
+// trouble is a distribution of the requests over instances, or a fault of the fleet, while a
+// workspace requests eight times its limit.
 type trouble struct {
 	name string
+	// pick returns the function that chooses the instance of each request; nil for any.
 	pick func(w *world) func() int
+	// step injects the fault; nil for none.
 	step func(w *world, by way, since time.Duration)
 }
 
-// once does something at a time.
+// once calls do in the one step, of 5 ms, that begins at the given time.
 func once(at time.Duration, since time.Duration, do func()) {
 	if since >= at && since < at+5*time.Millisecond {
 		do()
@@ -353,9 +365,9 @@
 }
 
 var troubles = []trouble{
-	{name: "through all"},
-	{name: "through one", pick: func(*world) func() int { return func() int { return 4 } }},
-	{name: "in one zone", pick: func(w *world) func() int {
+	{name: "all instances"},
+	{name: "one instance", pick: func(*world) func() int { return func() int { return 4 } }},
+	{name: "one zone", pick: func(w *world) func() int {
 		return func() int {
 			for {
 				if i := w.any(); w.zones[i] == 1 {
@@ -364,11 +376,11 @@
 			}
 		}
 	}},
-	{name: "zone cut", step: func(w *world, _ way, since time.Duration) {
+	{name: "zone cut off", step: func(w *world, _ way, since time.Duration) {
 		once(10*time.Second, since, func() { w.cut = 1 })
 		once(20*time.Second, since, func() { w.cut = -1 })
 	}},
-	{name: "a third deaf", step: func(w *world, _ way, since time.Duration) {
+	{name: "a third isolated", step: func(w *world, _ way, since time.Duration) {
 		once(10*time.Second, since, func() {
 			for i := range w.deaf {
 				w.deaf[i] = w.random.Float64() < 0.33
@@ -384,7 +396,7 @@
 			}
 		})
 	}},
-	{name: "all killed twice, and cut", step: func(w *world, by way, since time.Duration) {
+	{name: "all killed twice, zone cut off", step: func(w *world, by way, since time.Duration) {
 		for _, at := range []time.Duration{10 * time.Second, 13 * time.Second} {
 			once(at, since, func() {
 				w.cut = 2
@@ -405,14 +417,14 @@
 			}
 		})
 	}},
-	{name: "first keepers paused", step: func(w *world, _ way, since time.Duration) {
+	{name: "first owners paused", step: func(w *world, _ way, since time.Duration) {
 		once(10*time.Second, since, func() { w.deaf[0], w.deaf[1], w.deaf[2] = true, true, true })
 		once(14*time.Second, since, func() { clear(w.deaf) })
 	}},
 }
 
-// TestEightTimesTheLimit: whatever happens, no more than the rule allows runs in any window,
-// and while nothing happens what is allowed does run.
+// TestEightTimesTheLimit checks, for each fault, that the requests that run in any window stay
+// within the users' requirement, and within the limit and ruleExcess without the slack.
 func TestEightTimesTheLimit(t *testing.T) {
 	for _, n := range sizes {
 		for _, l := range []routing.Limit{smallest, usual} {
@@ -433,7 +445,7 @@
 						})
 						most, over = max(most, out.most), max(over, out.over)
 					}
-					t.Logf("%3d instances, rate %.0f, %s, %s: most %.2f of the limit, %.0f over the rule", n, l.Rate, trouble.name, what, most, over)
+					t.Logf("%3d instances, rate %.0f, %s, %s: largest window %.2f of the limit, %.0f tokens over the requirement", n, l.Rate, trouble.name, what, most, over)
 					if what == "keepers" {
 						assert.Check(t, over <= 0, "%d %.0f %s: %.0f", n, l.Rate, trouble.name, over)
 						assert.Check(t, most <= 1+ruleExcess, "%d %.0f %s: %.2f", n, l.Rate, trouble.name, most)
