--- a/gateway/memory/memory.go
+++ b/gateway/memory/memory.go
@@ -1,4 +1,4 @@
-// Package memory limits the memory that an instance uses to buffer requests and answers, and
+// Package memory limits the memory that an instance uses to buffer requests and responses, and
 // divides it among callers. Without a limit, slow readers can exhaust the instance's memory.
 package memory
 
@@ -19,7 +19,7 @@
 
 // BudgetExceededError reports a reservation that the budget cannot satisfy.
 type BudgetExceededError struct {
-	// Bytes is the size of the reservation, Limit the most that one request may hold.
+	// Bytes is the size of the reservation, Limit the number of bytes that one request may hold.
 	Bytes, Limit int64
 }
 
@@ -108,7 +108,7 @@
 type Account struct {
 	budget *Budget
 	caller string
-	// size is the number of bytes held, charged the part of it charged to the budget.
+	// size is the number of bytes held, charged the number of those charged to the budget.
 	size, charged int64
 }
 
--- a/gateway/memory/memory_test.go
+++ b/gateway/memory/memory_test.go
@@ -24,6 +24,8 @@
 	return a
 }
 
+// TestBudgetIsNeverExceeded checks that reservations beyond the budget fail, that small requests are
+// exempt, and that closing an account releases its bytes once.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	b := NewBudget(10 * mb)
 	a := newAccount(t, b, "a", 5*mb)
@@ -94,8 +96,8 @@
 	})
 }
 
-// TestReadAllChargesWholeBuffers guards against buffers that are larger than what was charged for
-// them.
+// TestReadAllChargesWholeBuffers guards against buffers that are larger than the number of bytes
+// charged for them, and checks the results for truncated and empty bodies.
 func TestReadAllChargesWholeBuffers(t *testing.T) {
 	data := strings.Repeat("x", 3*mb+5)
 	for _, length := range []int64{int64(len(data)), UnknownLength} {
--- a/gateway/memory/read.go
+++ b/gateway/memory/read.go
@@ -8,8 +8,9 @@
 // bufferChunk is the initial size of the buffer for a body of unknown length.
 const bufferChunk = 32 << 10
 
-// ReadAll reads a body of the given length, or up to its end if that is UnknownLength. grow
-// charges bytes before the buffer grows by them; its error ends the reading.
+// ReadAll reads a body of the given length, or up to its end if the length is UnknownLength. It
+// calls grow with the number of bytes before it enlarges its buffer by them. If grow returns an
+// error, ReadAll stops and returns that error.
 func ReadAll(r io.Reader, length int64, grow func(bytes int64) error) ([]byte, error) {
 	if length >= 0 {
 		if err := grow(length); err != nil {
@@ -18,7 +19,7 @@
 		body := make([]byte, length)
 		_, err := io.ReadFull(r, body)
 		if err == io.EOF {
-			// An answer to HEAD declares the length of a body that doesn't follow.
+			// A response to a HEAD request declares the length of a body that is not sent.
 			return nil, nil
 		}
 		return body, err
