--- a/gateway/quarantine/content.go
+++ b/gateway/quarantine/content.go
@@ -1,6 +1,7 @@
-// Package quarantine keeps requests that crash upstreams, queries of death, away from
-// them: it remembers which contents ran at upstreams that crashed, says what may still be
-// sent, and merges what other instances saw. It does no I/O and reads no clock.
+// Package quarantine protects upstreams from queries of death: requests that crash each upstream
+// that runs them. It records which request contents were running at upstreams that crashed,
+// decides which contents may still be sent, and merges the records of other instances. It does no
+// I/O and reads no clock.
 package quarantine
 
 import (
@@ -13,15 +14,15 @@
 	"github.com/wardspool/wardspool/gateway/dialect"
 )
 
-// Content names what a request asks for: the same for each repeat of it, whatever ID the
-// repeat has and whichever instance gets it. It is the start of a SHA-256, so that no
-// caller can make a request of its own pass for another's.
+// Content is a hash of what a request asks for. It is the same for each repetition of a request,
+// regardless of the repetition's ID and of the instance that receives it. It is the first 8 bytes
+// of a SHA-256, so that no caller can construct a request with the content of another caller's.
 type Content uint64
 
-// String returns the name used in logs.
+// String returns the content in hexadecimal, as used in logs.
 func (c Content) String() string { return fmt.Sprintf("%016x", uint64(c)) }
 
-// ContentOf returns a call's content: its method, host, target, caller and body.
+// ContentOf returns a call's content, a hash of its method, host, target, caller and body.
 func ContentOf(c *dialect.Call) Content {
 	h := sha256.New()
 	for _, part := range []string{c.Method, c.Host, c.Target} {
@@ -33,7 +34,8 @@
 	return Content(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// writePart hashes a part with its length, so that no two lists of parts are hashed alike.
+// writePart hashes a string with its length, so that different lists of strings that have the same
+// concatenation get different hashes.
 func writePart(h hash.Hash, part string) {
 	_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
 	_, _ = io.WriteString(h, part)
--- a/gateway/quarantine/held.go
+++ b/gateway/quarantine/held.go
@@ -8,18 +8,19 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Held is a content that is not clear, for operators.
+// Held describes a content that is suspect or quarantined, for operators. See Verdict for the
+// fields.
 type Held struct {
 	Content  string `json:"content"`
 	Standing string `json:"standing"`
 	Crashes  int    `json:"crashes"`
 	Early    int    `json:"early"`
-	// LeftSeconds is how much longer a quarantine lasts.
+	// LeftSeconds is the remaining time of a quarantine, 0 for a suspect content.
 	LeftSeconds float64            `json:"left_seconds"`
 	Upstreams   []ident.UpstreamID `json:"upstreams"`
 }
 
-// Held returns the contents that are not clear, the worst first.
+// Held returns the contents that are suspect or quarantined, those with the most crashes first.
 func (r *Register) Held(now time.Time) []Held {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/quarantine/register.go
+++ b/gateway/quarantine/register.go
@@ -11,75 +11,80 @@
 )
 
 const (
-	// mostCrashes is how many upstreams may crash under a content before it is quarantined.
-	// Bystanders are rarely there so often: a crash takes a dozen streams with it, of which
-	// those that come again are tried apart from the others and cleared as soon as they get
-	// further than before.
+	// mostCrashes is the number of upstream crashes that quarantine a content. A content that did
+	// not cause the crashes rarely reaches it: a crash ends about a dozen streams, of which those
+	// that are repeated run one at a time and are cleared as soon as they have produced more
+	// events than before the crash.
 	mostCrashes = 3
-	// mostEarlyCrashes is the same for crashes under which the content had produced nothing
-	// yet. A query of death crashes an engine at its first step; a stream of some 3 s is in
-	// its first 0.1 s at one crash in thirty that have nothing to do with it, and twice in
-	// a row at one in a thousand.
+	// mostEarlyCrashes is the number of crashes before the content had produced any event that
+	// quarantine it. A query of death crashes an engine in its first step. A stream of about 3 s
+	// is in its first 0.1 s at one in thirty of the crashes that it did not cause, and twice in a
+	// row at one in a thousand.
 	mostEarlyCrashes = 2
-	// quarantineFirst is how long a content is kept from all upstreams. Operators need that
-	// long to see the alarm and look; each further crash doubles it.
+	// quarantineFirst is how long a content is quarantined at first: the time that operators need
+	// to notice the alarm and investigate. Each further crash doubles it.
 	quarantineFirst = 10 * time.Minute
-	// suspectFor is how long after its last crash a content is under suspicion: callers
-	// repeat within their own time limits, of seconds to a minute.
+	// suspectFor is how long a content stays suspect after its last crash, or after its quarantine.
+	// Callers repeat requests within their own time limits, which are seconds to a minute.
 	suspectFor = 10 * time.Minute
-	// mostDoublings bounds the time of a quarantine, at 10 days.
+	// mostDoublings bounds the length of a quarantine to 10 min x 2^10, about 7 days.
 	mostDoublings = 10
-	// shareAfter is how long the evidence on a content that had got somewhere is kept to this
-	// instance. Nearly all of it is of bystanders, eleven of twelve streams of an engine;
-	// those that go on elsewhere are cleared within a few hundred ms, and need not be told of.
+	// shareAfter is how long the record of a crash is not sent to other instances if the content had
+	// produced events. Nearly all of these contents, about eleven of the twelve streams of an
+	// engine, did not cause the crash. Those that continue at another upstream are cleared within a
+	// few hundred milliseconds, and their records need not be sent.
 	shareAfter = time.Second
-	// mostRemembered bounds the evidence that is kept: a hundred crashes with a dozen
-	// requests each, 200 KB.
+	// mostRemembered bounds the number of records: a hundred crashes with a dozen requests each,
+	// which take 200 KB.
 	mostRemembered = 1200
-	// keptShare is the share of it that stays when it is full, so that not each further
-	// piece looks through all.
+	// keptShare is the fraction of mostRemembered that remains after an eviction, so that not each
+	// further record causes a search through all of them.
 	keptShare = 0.9
 )
 
-// Crash is the evidence that an upstream crashed while it had a content to run.
+// Crash is a record that an upstream crashed while it was running a content.
 type Crash struct {
 	Content Content
-	// Upstream and Incarnation name what crashed.
+	// Upstream and Incarnation identify the upstream that crashed.
 	Upstream    ident.UpstreamID
 	Incarnation ident.Incarnation
-	// Made is how many events the content had brought from there.
+	// Made is the number of events that the content had produced there.
 	Made int
-	// Cleared means that a later run of the content got further: the crash was not its.
+	// Cleared means that a later run of the content produced more events or completed, so the
+	// content did not cause this crash.
 	Cleared bool
-	// Age is how long ago the crash was seen.
+	// Age is the time since the crash was detected.
 	Age time.Duration
 }
 
-// crash is a Crash with the time at which it was seen, on this instance's clock.
+// crash is a Crash with the time at which it was detected, by this instance's clock.
 type crash struct {
 	Crash
 	at time.Time
-	// shared evidence is that of all instances; forgotten evidence is of no use any more.
+	// shared means that the record may be sent to other instances and counts in the digest;
+	// forgotten that it was removed from the register.
 	shared, forgotten bool
 }
 
-// Register is what an instance knows of contents under which upstreams crashed, by its own
-// attempts and from its peers. It is safe for concurrent use.
+// Register holds the crash records of an instance, both its own and those received from peers. It
+// is safe for concurrent use.
 type Register struct {
 	mu       sync.Mutex
 	contents map[Content][]*crash
-	size     int
-	// digest tells sets of shared evidence apart: the sum of the hashes of all.
+	// size is the number of records.
+	size int
+	// digest is the sum of the hashes of all shared records. Instances compare it to detect that
+	// their records differ.
 	digest uint64
-	// untold is this instance's evidence that was not yet told to all others.
+	// untold holds the records of this instance that were not yet sent to the other instances.
 	untold []*crash
 }
 
-// NewRegister returns a register that knows nothing.
+// NewRegister returns an empty register.
 func NewRegister() *Register { return &Register{contents: map[Content][]*crash{}} }
 
-// Crashed takes in that an upstream crashed while it had a content to run, after so many
-// events, and reports whether that is news.
+// Crashed records that an upstream crashed while it was running a content, after the content had
+// produced the given number of events. It reports whether the crash was not yet recorded.
 func (r *Register) Crashed(now time.Time, c Content, u dialect.Upstream, made int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +95,8 @@
 	return news
 }
 
-// take takes in a piece of evidence, and reports whether it is news. The caller holds mu.
+// take adds a record, or merges it with the known record of the same crash and content. It returns
+// the record in the register, and whether it is new. The caller holds mu.
 func (r *Register) take(now time.Time, c Crash) (k *crash, news bool) {
 	for _, known := range r.contents[c.Content] {
 		if known.Upstream == c.Upstream && known.Incarnation == c.Incarnation {
@@ -106,8 +112,9 @@
 	return k, true
 }
 
-// Clear takes in that a run of a content made so many events at an upstream, or ended well:
-// the crashes under which it had made fewer were not its.
+// Clear records that a run of a content produced the given number of events at an upstream, or
+// completed (ended). The content did not cause the crashes before which it had produced fewer
+// events.
 func (r *Register) Clear(c Content, made int, ended bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,14 +125,14 @@
 	}
 }
 
-// Verdict returns what is known of a content.
+// Verdict returns whether a content may be sent, and the crashes that this is based on.
 func (r *Register) Verdict(now time.Time, c Content) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return verdictOf(now, r.contents[c])
 }
 
-// Expire forgets what is of no use any more.
+// Expire removes the records of contents that are neither suspect nor quarantined any more.
 func (r *Register) Expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,15 +141,14 @@
 	}
 }
 
-// expire forgets a content if what is known of it is of no use any more. The caller holds
-// mu.
+// expire removes the records of a content if it is past forgetAt. The caller holds mu.
 func (r *Register) expire(now time.Time, c Content) {
 	if !now.Before(forgetAt(r.contents[c])) {
 		r.forget(c)
 	}
 }
 
-// forget drops a content. The caller holds mu.
+// forget removes the records of a content. The caller holds mu.
 func (r *Register) forget(c Content) {
 	for _, k := range r.contents[c] {
 		if k.shared {
@@ -154,8 +160,9 @@
 	delete(r.contents, c)
 }
 
-// bound forgets contents when too much is remembered, down to keptShare: the clear ones
-// first, then the suspects, of each the oldest; quarantined ones last. The caller holds mu.
+// bound removes contents if there are more than mostRemembered records, until keptShare of that
+// number is left. It removes clear contents first, then suspect ones and quarantined ones last,
+// and of each kind those with the oldest crash first. The caller holds mu.
 func (r *Register) bound(now time.Time) {
 	if r.size <= mostRemembered {
 		return
--- a/gateway/quarantine/register_test.go
+++ b/gateway/quarantine/register_test.go
@@ -17,11 +17,11 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// up is an upstream by its name.
+// up returns an upstream with the given ID.
 func up(id string) dialect.Upstream { return dialect.Upstream{ID: ident.UpstreamID(id)} }
 
-// TestContentIsThatOfARepeat: what callers change in a repeat, its ID and their patience, is
-// no part of the content; all that asks for something is.
+// TestContentIsThatOfARepeat checks that the fields that callers change in a repetition, such as
+// its ID and time limit, are not part of the content, and that all other fields are.
 func TestContentIsThatOfARepeat(t *testing.T) {
 	call := dialect.Call{ID: "1", Method: "POST", Host: "h", Target: "/x", Caller: routing.DigestKey("c"), Body: []byte("b"), Patience: time.Second}
 	repeat := call
@@ -39,8 +39,9 @@
 	}
 }
 
-// TestCrashesQuarantine: two crashes under a content that had produced nothing, or three of
-// any kind; another word of the same crash counts for nothing.
+// TestCrashesQuarantine checks that a content is quarantined after two crashes before it had
+// produced an event, or three crashes of any kind, and that a repeated record of the same crash
+// doesn't count.
 func TestCrashesQuarantine(t *testing.T) {
 	r := NewRegister()
 	assert.Equal(t, r.Verdict(start, 1).Standing, Clear)
@@ -57,14 +58,14 @@
 		r.Crashed(start, 2, up(fmt.Sprint(i)), 5)
 		assert.Equal(t, r.Verdict(start, 2).Standing, want)
 	}
-	// The next incarnation of an upstream is another one.
+	// Crashes of two incarnations of an upstream count separately.
 	r.Crashed(start, 3, dialect.Upstream{ID: "a", Incarnation: 1}, 0)
 	r.Crashed(start, 3, dialect.Upstream{ID: "a", Incarnation: 2}, 0)
 	assert.Equal(t, r.Verdict(start, 3).Standing, Quarantined)
 }
 
-// TestQuarantineEnds: one trial is allowed after it; one more crash doubles it. After six
-// crashes it lasts for an hour and more.
+// TestQuarantineEnds checks that a content is suspect after its quarantine, and that each further
+// crash doubles the quarantine, to more than an hour after six crashes.
 func TestQuarantineEnds(t *testing.T) {
 	r := NewRegister()
 	now := start
@@ -88,8 +89,8 @@
 	assert.Equal(t, r.size, 0)
 }
 
-// TestBystandersAreCleared: a run that gets further than at the crash, or ends well, shows
-// that the content was not to blame.
+// TestBystandersAreCleared checks that a content is cleared of a crash by a run that produces more
+// events than before the crash, or that completes.
 func TestBystandersAreCleared(t *testing.T) {
 	r := NewRegister()
 	r.Crashed(start, 1, up("a"), 4)
@@ -100,13 +101,13 @@
 	r.Crashed(start, 1, up("b"), 200)
 	r.Clear(1, 0, true)
 	assert.Equal(t, r.Verdict(start, 1).Standing, Clear)
-	// Older evidence, heard again, doesn't count again.
+	// Cleared crashes stay cleared if a peer sends their records again.
 	r.Hear(start, []Crash{{Content: 1, Upstream: "a"}, {Content: 1, Upstream: "b"}})
 	assert.Equal(t, r.Verdict(start, 1).Standing, Clear)
 }
 
-// TestCrashOfAllQuarantinesNobody: all engines of a service crash at once, twice within a
-// minute, with a dozen streams each that come again: none is kept from them.
+// TestCrashOfAllQuarantinesNobody guards against quarantining harmless requests when all engines
+// of a service crash at once, twice within a minute, and each of their dozen streams is repeated.
 func TestCrashOfAllQuarantinesNobody(t *testing.T) {
 	r := NewRegister()
 	const engines, streams = 48, 12
@@ -114,7 +115,7 @@
 	for round := range 2 {
 		for e := range engines {
 			for s := range streams {
-				// One in twelve had not sent an event yet.
+				// One in twelve streams had not produced an event yet.
 				c := Content(e*streams + s)
 				r.Crashed(now, c, up(fmt.Sprintf("%d.%d", e, round)), s)
 				if round == 0 {
@@ -129,8 +130,8 @@
 	}
 }
 
-// TestNewsComeTogether: whatever evidence instances saw, and in whatever order they tell
-// each other, they come to know the same.
+// TestNewsComeTogether checks that instances that exchange their records end up with the same
+// verdicts and digests, whatever crashes each detected and in whatever order they exchange them.
 func TestNewsComeTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registers := []*Register{NewRegister(), NewRegister(), NewRegister()}
@@ -167,9 +168,9 @@
 	})
 }
 
-// TestEvidenceOfTwoInstancesIsShared: two instances had a repeat at one engine when it crashed.
-// One told of it; the other, whose own evidence waits to be told and is cleared meanwhile,
-// shares it all the same, or their digests would differ for ever.
+// TestEvidenceOfTwoInstancesIsShared guards against digests that differ for ever. Two instances had
+// a repetition of the same content at an engine when it crashed. One sent its record. The other's
+// own record was cleared while it waited to be sent, and must still be shared.
 func TestEvidenceOfTwoInstancesIsShared(t *testing.T) {
 	a, b := NewRegister(), NewRegister()
 	a.Crashed(start, 1, up("x"), 0)
@@ -183,8 +184,8 @@
 	assert.Equal(t, a.Verdict(start, 1).Standing, Clear)
 }
 
-// TestFloodIsBounded: many different contents crash engines. What is remembered is bounded,
-// so are messages, and the quarantined contents are the last to be forgotten.
+// TestFloodIsBounded checks that the number of records and the size of messages are bounded when
+// many different contents crash engines, and that quarantined contents are evicted last.
 func TestFloodIsBounded(t *testing.T) {
 	r := NewRegister()
 	const deadly = 1 << 40
@@ -201,14 +202,14 @@
 	assert.Equal(t, r.Verdict(now, deadly).Standing, Quarantined)
 	r.Fresh(now)
 	assert.Equal(t, len(r.Tell(now)), mostTold)
-	// What is forgotten counts in no digest.
+	// Expired records don't count in the digest.
 	r.Expire(now.Add(100 * 24 * time.Hour))
 	assert.Equal(t, r.Digest(), uint64(0))
 	assert.Equal(t, len(r.Fresh(now)), 0)
 }
 
-// TestLateComersLearn: an instance that starts after eleven minutes is told of a quarantine of
-// twenty, and nothing of a suspicion that is over.
+// TestLateComersLearn checks that an instance that starts after eleven minutes receives the records
+// of a quarantine of twenty minutes, and drops those of a content that is no longer suspect.
 func TestLateComersLearn(t *testing.T) {
 	r, late := NewRegister(), NewRegister()
 	for i := range mostCrashes + 1 {
@@ -223,9 +224,9 @@
 	assert.Equal(t, len(late.contents), 1)
 }
 
-// TestBystandersAreNotTold: evidence of a content that had got somewhere is told a second
-// later, unless the content is cleared by then; of one that had not, at once. What a trial
-// needs is told with it.
+// TestBystandersAreNotTold checks that the record of a crash before the content had produced an
+// event is sent at once, and that of another crash after shareAfter, unless it is cleared by then.
+// TellOf returns and shares all records of a content, since a trial needs them.
 func TestBystandersAreNotTold(t *testing.T) {
 	r := NewRegister()
 	r.Crashed(start, 1, up("a"), 0)
@@ -247,11 +248,11 @@
 	before := r.Digest()
 	assert.Equal(t, len(r.TellOf(start, 4)), 1)
 	assert.Assert(t, r.Digest() != before)
-	// The others are told all the same.
+	// The record is still sent to the other instances.
 	assert.Equal(t, len(r.Fresh(start.Add(shareAfter))), 1)
 }
 
-// TestHeldNamesTheEvidence: what operators are shown.
+// TestHeldNamesTheEvidence checks the list of contents that operators are shown.
 func TestHeldNamesTheEvidence(t *testing.T) {
 	r := NewRegister()
 	r.Crashed(start, 0xab, up("a"), 0)
@@ -264,8 +265,9 @@
 	})
 }
 
-// TestTrialsAreOneAtATime: over all instances, whoever asks; only its holder ends a trial, and
-// one that nobody ends lapses.
+// TestTrialsAreOneAtATime checks that a content has one trial at a time, whichever instance asks,
+// that only its holder ends it, that it lapses if nobody ends it, and that the number of trials is
+// bounded.
 func TestTrialsAreOneAtATime(t *testing.T) {
 	trials := NewTrials()
 	assert.Assert(t, trials.Begin(start, 1, "x", time.Second))
--- a/gateway/quarantine/share.go
+++ b/gateway/quarantine/share.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// share makes a piece of evidence that of all instances. The caller holds mu.
+// share marks a record as shared with all instances and adds it to the digest. The caller holds mu.
 func (r *Register) share(k *crash) {
 	if !k.shared && !k.forgotten {
 		k.shared = true
@@ -17,24 +17,26 @@
 	}
 }
 
-// hashOf tells pieces of evidence apart, whatever their age and whether they are cleared.
+// hashOf returns a hash that identifies a record by content, upstream and incarnation.
 func hashOf(c Crash) uint64 {
 	b := binary.BigEndian.AppendUint64(nil, uint64(c.Content))
 	b = binary.BigEndian.AppendUint64(b, uint64(c.Incarnation))
 	return xxhash.Sum64(append(b, c.Upstream...))
 }
 
-// Digest tells apart what instances share; 0 if that is nothing.
+// Digest returns a digest of the shared records, 0 if there are none. If the digests of two
+// instances differ, so do their shared records.
 func (r *Register) Digest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.digest
 }
 
-// mostTold bounds the evidence in one message, at some 35 bytes each.
+// mostTold bounds the number of records in one message. A record takes about 35 bytes.
 const mostTold = 256
 
-// Fresh returns this instance's evidence that is to be told to all others now; once.
+// Fresh returns the records of this instance that are due to be sent to all other instances, and
+// marks them as shared. It returns each record only once.
 func (r *Register) Fresh(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +47,7 @@
 		case k.Made > 0 && now.Sub(k.at) < shareAfter && !k.Cleared:
 			later = append(later, k)
 		case k.forgotten, k.Made > 0 && k.Cleared:
-			// A bystander's: nobody else need know.
+			// The content did not cause the crash, so no other instance needs the record.
 		default:
 			r.share(k)
 			out = append(out, k.told(now))
@@ -55,21 +57,21 @@
 	return out
 }
 
-// HasUntold reports whether there is evidence that Fresh may return now or later.
+// HasUntold reports whether there are records that Fresh may return now or later.
 func (r *Register) HasUntold() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.untold) > 0
 }
 
-// told returns a piece of evidence as it is told to a peer.
+// told returns a record as it is sent to a peer, with its age.
 func (k *crash) told(now time.Time) Crash {
 	c := k.Crash
 	c.Age = now.Sub(k.at)
 	return c
 }
 
-// Tell returns the shared evidence: the newest, if there is too much.
+// Tell returns the shared records, newest first and at most mostTold.
 func (r *Register) Tell(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +89,7 @@
 	return out[:min(len(out), mostTold)]
 }
 
-// TellOf returns all evidence on a content, and shares it.
+// TellOf returns all records of a content, and marks them as shared.
 func (r *Register) TellOf(now time.Time, c Content) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +101,7 @@
 	return out
 }
 
-// Hear takes in what a peer told, and returns what of it is news.
+// Hear adds the records that a peer sent, and returns those that were not yet known.
 func (r *Register) Hear(now time.Time, told []Crash) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +113,8 @@
 			news = append(news, c)
 		}
 	}
-	// What the sender was about to forget must not go round for ever.
+	// Records that the sender was about to expire must not be passed around among instances for
+	// ever.
 	for _, c := range news {
 		r.expire(now, c.Content)
 	}
--- a/gateway/quarantine/trials.go
+++ b/gateway/quarantine/trials.go
@@ -8,31 +8,35 @@
 )
 
 const (
-	// mostTrials bounds the trials under way that one instance keeps track of.
+	// mostTrials bounds the number of trials that one instance tracks at the same time.
 	mostTrials = 1024
-	// TrialMost bounds how long a trial lasts unless its holder ends it: one that has died
-	// ends none. A stream shows what it does with its first event, which is due within a
-	// second; one that its caller resumes may wait some seconds for room.
+	// TrialMost is the longest time that a trial lasts if its holder doesn't end it, which happens
+	// if the holder has crashed. The first event of a stream shows whether the content is harmless,
+	// and is due within a second. A stream that its caller resumes may wait a few seconds for
+	// capacity.
 	TrialMost = 5 * time.Second
 )
 
-// Trials are the attempts with suspect contents that one instance has allowed, one at a
+// Trials tracks the attempts with suspect contents that one instance has allowed, at most one at a
 // time for each content. It is safe for concurrent use.
 type Trials struct {
 	mu    sync.Mutex
 	under map[Content]trial
 }
 
-// trial is one attempt under way.
+// trial is an attempt in progress.
 type trial struct {
+	// holder is the instance that makes the attempt, until when the trial lapses.
 	holder ident.InstanceID
 	until  time.Time
 }
 
-// NewTrials returns no trials.
+// NewTrials returns a Trials without attempts in progress.
 func NewTrials() *Trials { return &Trials{under: map[Content]trial{}} }
 
-// Begin allows an attempt by an instance unless another is under way.
+// Begin reports whether an instance may make an attempt with a content, and records the trial if
+// so. It is refused while another trial of the content is in progress, and while mostTrials
+// trials are. The trial lapses after the given time or TrialMost, whichever is shorter.
 func (t *Trials) Begin(now time.Time, c Content, holder ident.InstanceID, lasts time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,7 +53,7 @@
 	return true
 }
 
-// expire drops the trials whose holders didn't end them. The caller holds mu.
+// expire removes the trials that have lapsed. The caller holds mu.
 func (t *Trials) expire(now time.Time) {
 	for c, o := range t.under {
 		if !now.Before(o.until) {
@@ -58,7 +62,7 @@
 	}
 }
 
-// End takes in that an instance's attempt is over.
+// End ends the trial of a content. It has no effect if the trial is another instance's.
 func (t *Trials) End(c Content, holder ident.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/quarantine/verdict.go
+++ b/gateway/quarantine/verdict.go
@@ -7,21 +7,20 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Standing says what may be done with a content.
+// Standing says whether a content may be sent to upstreams.
 type Standing int
 
-// The standings.
 const (
-	// Clear contents have crashed nothing, as far as is known.
+	// Clear contents have caused no crash, as far as is known.
 	Clear Standing = iota
-	// Suspect contents ran where an upstream crashed: one attempt at a time is made, by
-	// all instances together.
+	// Suspect contents were running at an upstream that crashed. All instances together make only
+	// one attempt with them at a time.
 	Suspect
 	// Quarantined contents are sent to no upstream.
 	Quarantined
 )
 
-// String returns the name used in logs.
+// String returns the name used in logs and for operators.
 func (s Standing) String() string {
 	switch s {
 	case Suspect:
@@ -33,19 +32,20 @@
 	}
 }
 
-// Verdict is what the evidence says of a content.
+// Verdict is the standing of a content, with the crashes that it is based on. Cleared crashes are
+// not counted.
 type Verdict struct {
 	Standing Standing
-	// Crashes counts the upstreams that crashed under it, Early those of them under which
-	// it had produced nothing.
+	// Crashes counts the upstreams that crashed while running the content, Early those of them
+	// that crashed before the content had produced an event.
 	Crashes, Early int
-	// Left is how much longer a quarantine lasts.
+	// Left is the remaining time of a quarantine, 0 for other standings.
 	Left time.Duration
-	// Upstreams are those that crashed.
+	// Upstreams are the upstreams that crashed.
 	Upstreams []ident.UpstreamID
 }
 
-// verdictOf weighs the evidence on one content.
+// verdictOf returns the verdict on a content from its records.
 func verdictOf(now time.Time, crashes []*crash) Verdict {
 	var v Verdict
 	var last time.Time
@@ -76,7 +76,7 @@
 	return v
 }
 
-// quarantine is how long after its last crash a content is quarantined, 0 if it is only
+// quarantine returns how long after its last crash a content is quarantined, 0 if it is only
 // suspect.
 func (v Verdict) quarantine() time.Duration {
 	if v.Crashes < mostCrashes && v.Early < mostEarlyCrashes {
@@ -85,7 +85,8 @@
 	return quarantineFirst << min(mostDoublings, max(0, v.Crashes-mostCrashes))
 }
 
-// forgetAt is when the evidence on a content is of no use any more.
+// forgetAt returns when a content is neither suspect nor quarantined any more, so that its records
+// can be removed.
 func forgetAt(crashes []*crash) time.Time {
 	var last time.Time
 	for _, k := range crashes {
@@ -96,12 +97,14 @@
 	return last.Add(verdictOf(last, crashes).quarantine() + suspectFor)
 }
 
-// weight orders contents by how much it would cost to forget them.
+// weight is the order in which contents are evicted, lowest first: by standing, then by the time
+// of the last crash.
 type weight struct {
 	standing Standing
 	last     time.Time
 }
 
+// weightOf returns the weight of a content from its records.
 func weightOf(now time.Time, crashes []*crash) weight {
 	w := weight{standing: verdictOf(now, crashes).Standing}
 	for _, k := range crashes {
@@ -112,7 +115,7 @@
 	return w
 }
 
-// compare orders the lighter one first.
+// compare returns a negative number if w is evicted before o.
 func (w weight) compare(o weight) int {
 	return cmp.Or(cmp.Compare(w.standing, o.standing), w.last.Compare(o.last))
 }
