--- a/gateway/limit/account.go
+++ b/gateway/limit/account.go
@@ -20,12 +20,12 @@
 const (
 	// LongestWait is the longest time that a refused caller is told to wait before it retries.
 	LongestWait = 20 * time.Second
-	// settle is how long after its start an owner grants a request only if the account already
+	// startupPeriod is how long after its start an owner grants a request only if the account already
 	// holds the whole cost. Instances that start together may use several owners for the same
 	// account until they all know each other.
-	settle = 3 * time.Second
-	// forgetAfter is the time without requests after which an account is removed.
-	forgetAfter = 10 * time.Minute
+	startupPeriod = 3 * time.Second
+	// idleAccountTTL is the time without requests after which an account is removed.
+	idleAccountTTL = 10 * time.Minute
 )
 
 // Part is a zone's share of a limit. Rate is in tokens per second, Burst is the most tokens
@@ -72,53 +72,53 @@
 	part    Part
 	version int64
 	bucket  tokenbucket.Bucket
-	// loan is the number of tokens borrowed from other zones. They are spent first, and are not
+	// borrowed is the number of tokens borrowed from other zones. They are spent first, and are not
 	// limited by the burst of the zone's share.
-	loan float64
-	// promised is the total cost of refused requests whose callers were told when to retry, less
+	borrowed float64
+	// pendingRetries is the total cost of refused requests whose callers were told when to retry, less
 	// the tokens that have accrued since.
-	promised float64
-	// asked is when tokens were last requested.
-	asked time.Time
+	pendingRetries float64
+	// lastRequest is when tokens were last requested.
+	lastRequest time.Time
 }
 
 // Accounts holds the accounts that an instance owns. It is safe for concurrent use.
 type Accounts struct {
-	// born is when the instance started. How many tokens were granted before is unknown, so each
+	// startedAt is when the instance started. How many tokens were granted before is unknown, so each
 	// account is treated as empty at that time.
-	born time.Time
+	startedAt time.Time
 
-	mu   sync.Mutex
-	kept map[string]*account
+	mu          sync.Mutex
+	byWorkspace map[string]*account
 }
 
 // NewAccounts returns the accounts of an instance that starts at the given time.
 func NewAccounts(now time.Time) *Accounts {
-	return &Accounts{born: now, kept: map[string]*account{}}
+	return &Accounts{startedAt: now, byWorkspace: map[string]*account{}}
 }
 
 // Take grants a request if the account holds any tokens, and deducts the whole cost. The balance
 // may become negative, and no further request is granted until it is positive again. Requiring
 // the whole cost in advance would starve large requests whenever a workspace is at its limit,
 // because small requests would keep the balance too low for them. Only an owner that has just
-// started (see settle) requires it, up to the burst.
+// started (see startupPeriod) requires it, up to the burst.
 func (s *Accounts) Take(now time.Time, q Ask) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(now, q.Workspace, q.Part, q.Version)
-	a.asked = now
-	a.add(q.Back)
+	a.lastRequest = now
+	a.refund(q.Back)
 	if q.Told != nil {
-		a.spend(a.level() - q.Told.Level - a.part.Rate*q.Told.Age.Seconds())
+		a.deduct(a.level() - q.Told.Level - a.part.Rate*q.Told.Age.Seconds())
 	}
 	need := 0.0
-	if now.Sub(s.born) < settle {
+	if now.Sub(s.startedAt) < startupPeriod {
 		need = min(q.Cost, a.part.Burst)
 	}
 	if a.level() <= 0 || a.level() < need {
 		return Answer{Short: q.Cost - a.level(), Level: a.level()}
 	}
-	a.spend(q.Cost)
+	a.deduct(q.Cost)
 	return Answer{Granted: true, Level: a.level()}
 }
 
@@ -128,13 +128,13 @@
 func (s *Accounts) Refuse(now time.Time, workspace string, cost float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.kept[workspace]
+	a := s.byWorkspace[workspace]
 	if a == nil || a.part.Rate <= 0 {
 		return LongestWait
 	}
 	a.fill(now)
-	before := a.promised
-	a.promised += cost
+	before := a.pendingRetries
+	a.pendingRetries += cost
 	return seconds(min((before-a.level())/a.part.Rate, LongestWait.Seconds()))
 }
 
@@ -143,8 +143,8 @@
 func (s *Accounts) Borrowed(workspace string, tokens float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a := s.kept[workspace]; a != nil {
-		a.loan += max(0, tokens)
+	if a := s.byWorkspace[workspace]; a != nil {
+		a.borrowed += max(0, tokens)
 	}
 }
 
@@ -157,7 +157,7 @@
 	defer s.mu.Unlock()
 	a := s.account(now, q.Workspace, q.Part, q.Version)
 	lent := max(0, min(a.level(), max(q.Cost, (a.level()-level)/2)))
-	a.spend(lent)
+	a.deduct(lent)
 	return lent
 }
 
@@ -165,7 +165,7 @@
 func (s *Accounts) Level(now time.Time, workspace string) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.kept[workspace]
+	a := s.byWorkspace[workspace]
 	if a == nil {
 		return 0, false
 	}
@@ -173,13 +173,13 @@
 	return a.level(), true
 }
 
-// Forget removes the accounts from which no tokens were requested for forgetAfter.
+// Forget removes the accounts from which no tokens were requested for idleAccountTTL.
 func (s *Accounts) Forget(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, a := range s.kept {
-		if now.Sub(a.asked) > forgetAfter {
-			delete(s.kept, name)
+	for name, a := range s.byWorkspace {
+		if now.Sub(a.lastRequest) > idleAccountTTL {
+			delete(s.byWorkspace, name)
 		}
 	}
 }
@@ -187,40 +187,40 @@
 // account returns an account with its balance as of now, creating it if needed, and applies the
 // part if its version is not older than the account's. The caller holds mu.
 func (s *Accounts) account(now time.Time, name string, part Part, version int64) *account {
-	a := s.kept[name]
+	a := s.byWorkspace[name]
 	if a == nil {
-		a = &account{part: part, version: version, asked: now}
-		a.bucket.Fill(now, part.Rate, part.Burst, part.Rate*now.Sub(s.born).Seconds())
-		s.kept[name] = a
+		a = &account{part: part, version: version, lastRequest: now}
+		a.bucket.Fill(now, part.Rate, part.Burst, part.Rate*now.Sub(s.startedAt).Seconds())
+		s.byWorkspace[name] = a
 	}
 	a.fill(now)
 	if version >= a.version && (version > a.version || part != a.part) {
 		a.part, a.version = part, version
-		a.loan = min(a.loan, part.Burst)
+		a.borrowed = min(a.borrowed, part.Burst)
 		a.fill(now)
 	}
 	return a
 }
 
 // level returns the account's balance, which may be negative.
-func (a *account) level() float64 { return a.bucket.Tokens + a.loan }
+func (a *account) level() float64 { return a.bucket.Tokens + a.borrowed }
 
-// spend deducts tokens from the account, borrowed ones first. A negative number deducts none.
-func (a *account) spend(tokens float64) {
+// deduct deducts tokens from the account, borrowed ones first. A negative number deducts none.
+func (a *account) deduct(tokens float64) {
 	tokens = max(0, tokens)
-	fromLoan := min(tokens, a.loan)
-	a.loan -= fromLoan
-	a.bucket.Tokens -= tokens - fromLoan
+	fromBorrowed := min(tokens, a.borrowed)
+	a.borrowed -= fromBorrowed
+	a.bucket.Tokens -= tokens - fromBorrowed
 }
 
 // fill adds the tokens that accrued until now.
 func (a *account) fill(now time.Time) {
-	a.promised = max(0, a.promised-a.part.Rate*max(0, now.Sub(a.bucket.FilledAt()).Seconds()))
+	a.pendingRetries = max(0, a.pendingRetries-a.part.Rate*max(0, now.Sub(a.bucket.FilledAt()).Seconds()))
 	a.bucket.Fill(now, a.part.Rate, a.part.Burst, 0)
 }
 
-// add returns unused tokens to the account, up to the burst.
-func (a *account) add(tokens float64) {
+// refund returns unused tokens to the account, up to the burst.
+func (a *account) refund(tokens float64) {
 	a.bucket.Tokens = min(a.bucket.Tokens+max(0, tokens), max(a.part.Burst, a.bucket.Tokens))
 }
 
--- a/gateway/limit/account_test.go
+++ b/gateway/limit/account_test.go
@@ -142,7 +142,7 @@
 }
 
 // TestClientDecidesByItself checks what a client does without asking the owner: returned tokens
-// serve the next request or go back to the owner, and for believeRefusal after a refusal it
+// serve the next request or go back to the owner, and for refusalTTL after a refusal it
 // refuses requests that cost as much or more, each with a later time to retry.
 func TestClientDecidesByItself(t *testing.T) {
 	c := NewClient()
@@ -158,8 +158,8 @@
 	assert.Equal(t, c.Ask(now, "w", 20, keeper).Back, 0.0)
 	c.Return(now, "w", 10)
 	assert.Equal(t, len(c.Idle(now)), 0)
-	assert.Equal(t, c.Idle(now.Add(idleBalance))["w"], 10.0)
-	assert.Equal(t, len(c.Idle(now.Add(idleBalance))), 0)
+	assert.Equal(t, c.Idle(now.Add(idleBalanceTTL))["w"], 10.0)
+	assert.Equal(t, len(c.Idle(now.Add(idleBalanceTTL))), 0)
 
 	c.Answered(now, "w", 20, keeper, Answer{Level: 3}, time.Second)
 	_, _, decided = c.Decide(now, "w", 19)
@@ -170,13 +170,13 @@
 		assert.Assert(t, decided && !granted && wait > last)
 		last = wait
 	}
-	_, _, decided = c.Decide(now.Add(believeRefusal), "w", 20)
+	_, _, decided = c.Decide(now.Add(refusalTTL), "w", 20)
 	assert.Assert(t, !decided)
 
 	assert.Assert(t, c.Ask(now, "w", 1, keeper).Told == nil, "an owner needs no report of its own balance")
 	told := c.Ask(now.Add(time.Second), "w", 1, Keeper{ID: "k", Incarnation: 2}).Told
 	assert.DeepEqual(t, told, &Told{Level: 3, Age: time.Second})
-	assert.Assert(t, c.Ask(now.Add(knownFor), "w", 1, Keeper{ID: "o"}).Told == nil)
+	assert.Assert(t, c.Ask(now.Add(levelReportTTL), "w", 1, Keeper{ID: "o"}).Told == nil)
 }
 
 // TestAloneNothingIsTakenInAdvance checks that an instance that reaches no owner starts with no
--- a/gateway/limit/client.go
+++ b/gateway/limit/client.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// believeRefusal is how long after an owner's refusal a client refuses requests without
+	// refusalTTL is how long after an owner's refusal a client refuses requests without
 	// asking again. Otherwise each request of a workspace far above its limit would cost a message
 	// to the owner.
-	believeRefusal = 150 * time.Millisecond
-	// idleBalance is how long returned tokens stay with the client, for its next request, before
+	refusalTTL = 150 * time.Millisecond
+	// idleBalanceTTL is how long returned tokens stay with the client, for its next request, before
 	// they go back to the owner.
-	idleBalance = 500 * time.Millisecond
-	// aloneAgain is the time without local decisions after which a client starts its next one with
+	idleBalanceTTL = 500 * time.Millisecond
+	// localResetAfter is the time without local decisions after which a client starts its next one with
 	// no tokens. In this time it was in touch with an owner, and must not accrue tokens.
-	aloneAgain = 2 * time.Second
-	// mostSeconds bounds the cost of a single request to the burst of a limit and this many
+	localResetAfter = 2 * time.Second
+	// maxCostSeconds bounds the cost of a single request to the burst of a limit and this many
 	// seconds of its rate. A request that costs more would block its workspace for longer.
-	mostSeconds = 5
-	// knownFor is how long a balance that an owner reported is passed on to its successor.
-	knownFor = time.Minute
+	maxCostSeconds = 5
+	// levelReportTTL is how long a balance that an owner reported is passed on to its successor.
+	levelReportTTL = time.Minute
 )
 
 // CostOf returns the cost of a request in the unit of a limit: 1 if the limit counts requests,
@@ -44,7 +44,7 @@
 }
 
 // Payable reports whether a request of the given cost may be granted at all.
-func Payable(l routing.Limit, cost float64) bool { return cost <= l.Burst+mostSeconds*l.Rate }
+func Payable(l routing.Limit, cost float64) bool { return cost <= l.Burst+maxCostSeconds*l.Rate }
 
 // PartOf returns the share of a limit that each of the given number of zones has.
 func PartOf(l routing.Limit, zones int) Part {
@@ -58,24 +58,25 @@
 	Incarnation ident.Incarnation
 }
 
-// space is the state that a client holds for a workspace.
-type space struct {
-	// balance is the number of tokens that were returned and not used again. backAt is when
+// workspaceState is the state that a client holds for a workspace.
+type workspaceState struct {
+	// balance is the number of tokens that were returned and not used again. returnedAt is when
 	// tokens were last returned.
-	balance float64
-	backAt  time.Time
-	// level is the account's balance as keeper, its owner, reported it at heard.
-	keeper Keeper
-	level  float64
-	heard  time.Time
-	// refused is the cost of the request that an owner refused last. Until the time until,
-	// requests of that cost or more are refused without asking the owner; turned counts them.
-	refused float64
-	until   time.Time
-	turned  int
-	// alone is the token bucket that the client uses while it reaches no owner.
-	alone tokenbucket.Bucket
-	use   Use
+	balance    float64
+	returnedAt time.Time
+	// level is the account's balance as its owner reported it at reportedAt.
+	owner      Keeper
+	level      float64
+	reportedAt time.Time
+	// refusedCost is the cost of the request that an owner refused last. Until refusedUntil,
+	// requests of that cost or more are refused without asking the owner; localRefusals counts
+	// them.
+	refusedCost   float64
+	refusedUntil  time.Time
+	localRefusals int
+	// localBucket is the token bucket that the client uses while it reaches no owner.
+	localBucket tokenbucket.Bucket
+	use         Use
 }
 
 // Use is the use of a workspace's limit by the callers of one instance since its start, in the
@@ -88,14 +89,16 @@
 
 // Client requests tokens from owners on behalf of an instance. It is safe for concurrent use.
 type Client struct {
-	mu     sync.Mutex
-	spaces map[string]*space
-	// firstUse is closed when the first workspace is added to spaces.
+	mu         sync.Mutex
+	workspaces map[string]*workspaceState
+	// firstUse is closed when the first workspace is added to workspaces.
 	firstUse chan struct{}
 }
 
 // NewClient returns a client that holds no tokens.
-func NewClient() *Client { return &Client{spaces: map[string]*space{}, firstUse: make(chan struct{})} }
+func NewClient() *Client {
+	return &Client{workspaces: map[string]*workspaceState{}, firstUse: make(chan struct{})}
+}
 
 // AwaitFirstUse blocks until the client has been used for any workspace. It returns false if
 // ctx ends.
@@ -108,15 +111,15 @@
 	}
 }
 
-// space returns the state of a workspace, creating it if needed. The caller holds mu.
-func (c *Client) space(name string) *space {
-	s := c.spaces[name]
+// workspace returns the state of a workspace, creating it if needed. The caller holds mu.
+func (c *Client) workspace(name string) *workspaceState {
+	s := c.workspaces[name]
 	if s == nil {
-		if len(c.spaces) == 0 {
+		if len(c.workspaces) == 0 {
 			close(c.firstUse)
 		}
-		s = &space{}
-		c.spaces[name] = s
+		s = &workspaceState{}
+		c.workspaces[name] = s
 	}
 	return s
 }
@@ -127,17 +130,17 @@
 func (c *Client) Decide(now time.Time, name string, cost float64) (granted bool, wait time.Duration, decided bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.space(name)
+	s := c.workspace(name)
 	switch {
 	case s.balance >= cost:
 		s.balance -= cost
 		s.use.Granted += cost
 		return true, 0, true
-	case now.Before(s.until) && cost >= s.refused:
+	case now.Before(s.refusedUntil) && cost >= s.refusedCost:
 		s.use.Refused += cost
-		s.turned++
+		s.localRefusals++
 		// Each refused caller is told to retry later than the previous one.
-		return false, s.until.Sub(now) + believeRefusal*time.Duration(s.turned), true
+		return false, s.refusedUntil.Sub(now) + refusalTTL*time.Duration(s.localRefusals), true
 	default:
 		return false, 0, false
 	}
@@ -148,11 +151,11 @@
 func (c *Client) Ask(now time.Time, name string, cost float64, to Keeper) Ask {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.space(name)
+	s := c.workspace(name)
 	q := Ask{Workspace: name, Cost: cost, Back: s.balance}
 	s.balance = 0
-	if !s.heard.IsZero() && s.keeper != to && now.Sub(s.heard) < knownFor {
-		q.Told = &Told{Level: s.level, Age: now.Sub(s.heard)}
+	if !s.reportedAt.IsZero() && s.owner != to && now.Sub(s.reportedAt) < levelReportTTL {
+		q.Told = &Told{Level: s.level, Age: now.Sub(s.reportedAt)}
 	}
 	return q
 }
@@ -161,14 +164,14 @@
 func (c *Client) Answered(now time.Time, name string, cost float64, from Keeper, a Answer, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.space(name)
-	s.keeper, s.level, s.heard = from, a.Level, now
+	s := c.workspace(name)
+	s.owner, s.level, s.reportedAt = from, a.Level, now
 	if a.Granted {
 		s.use.Granted += cost
 		return
 	}
 	s.use.Refused += cost
-	s.refused, s.until, s.turned = cost, now.Add(min(wait, believeRefusal)), 0
+	s.refusedCost, s.refusedUntil, s.localRefusals = cost, now.Add(min(wait, refusalTTL)), 0
 }
 
 // Alone reports whether a request is granted while the client reaches no owner; part is then the
@@ -178,16 +181,16 @@
 func (c *Client) Alone(now time.Time, name string, cost float64, part Part) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.space(name)
-	if s.alone.Filled() && now.Sub(s.alone.FilledAt()) > aloneAgain {
-		s.alone = tokenbucket.Bucket{}
+	s := c.workspace(name)
+	if s.localBucket.Filled() && now.Sub(s.localBucket.FilledAt()) > localResetAfter {
+		s.localBucket = tokenbucket.Bucket{}
 	}
-	s.alone.Fill(now, part.Rate, max(part.Burst, cost), 0)
-	if s.alone.Tokens < cost {
+	s.localBucket.Fill(now, part.Rate, max(part.Burst, cost), 0)
+	if s.localBucket.Tokens < cost {
 		s.use.Refused += cost
 		return false
 	}
-	s.alone.Tokens -= cost
+	s.localBucket.Tokens -= cost
 	s.use.Granted += cost
 	return true
 }
@@ -196,20 +199,20 @@
 func (c *Client) Return(now time.Time, name string, cost float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.space(name)
+	s := c.workspace(name)
 	s.balance += cost
-	s.backAt = now
+	s.returnedAt = now
 	s.use.Returned += cost
 }
 
 // Idle removes and returns, by workspace, the returned tokens that were not used for
-// idleBalance. The caller gives them back to the owners. The map is nil if there are none.
+// idleBalanceTTL. The caller gives them back to the owners. The map is nil if there are none.
 func (c *Client) Idle(now time.Time) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out map[string]float64
-	for name, s := range c.spaces {
-		if s.balance <= 0 || now.Sub(s.backAt) < idleBalance {
+	for name, s := range c.workspaces {
+		if s.balance <= 0 || now.Sub(s.returnedAt) < idleBalanceTTL {
 			continue
 		}
 		if out == nil {
@@ -225,7 +228,7 @@
 func (c *Client) Use(name string) Use {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	u := c.space(name).use
+	u := c.workspace(name).use
 	u.Granted, u.Refused, u.Returned = math.Round(u.Granted), math.Round(u.Refused), math.Round(u.Returned)
 	return u
 }
