--- a/gateway/quarantine/register.go
+++ b/gateway/quarantine/register.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// mostCrashes is the number of upstream crashes that quarantine a content. A content that did
+	// crashThreshold is the number of upstream crashes that quarantine a content. A content that did
 	// not cause the crashes rarely reaches it: a crash ends about a dozen streams, of which those
 	// that are repeated run one at a time and are cleared as soon as they have produced more
 	// events than before the crash.
-	mostCrashes = 3
-	// mostEarlyCrashes is the number of crashes before the content had produced any event that
+	crashThreshold = 3
+	// earlyCrashThreshold is the number of crashes before the content had produced any event that
 	// quarantine it. A query of death crashes an engine in its first step. A stream of about 3 s
 	// is in its first 0.1 s at one in thirty of the crashes that it did not cause, and twice in a
 	// row at one in a thousand.
-	mostEarlyCrashes = 2
-	// quarantineFirst is how long a content is quarantined at first: the time that operators need
+	earlyCrashThreshold = 2
+	// initialQuarantine is how long a content is quarantined at first: the time that operators need
 	// to notice the alarm and investigate. Each further crash doubles it.
-	quarantineFirst = 10 * time.Minute
-	// suspectFor is how long a content stays suspect after its last crash, or after its quarantine.
+	initialQuarantine = 10 * time.Minute
+	// suspectPeriod is how long a content stays suspect after its last crash, or after its quarantine.
 	// Callers repeat requests within their own time limits, which are seconds to a minute.
-	suspectFor = 10 * time.Minute
-	// mostDoublings bounds the length of a quarantine to 10 min x 2^10, about 7 days.
-	mostDoublings = 10
-	// shareAfter is how long the record of a crash is not sent to other instances if the content had
+	suspectPeriod = 10 * time.Minute
+	// maxDoublings bounds the length of a quarantine to 10 min x 2^10, about 7 days.
+	maxDoublings = 10
+	// shareDelay is how long the record of a crash is not sent to other instances if the content had
 	// produced events. Nearly all of these contents, about eleven of the twelve streams of an
 	// engine, did not cause the crash. Those that continue at another upstream are cleared within a
 	// few hundred milliseconds, and their records need not be sent.
-	shareAfter = time.Second
-	// mostRemembered bounds the number of records: a hundred crashes with a dozen requests each,
+	shareDelay = time.Second
+	// maxRecords bounds the number of records: a hundred crashes with a dozen requests each,
 	// which take 200 KB.
-	mostRemembered = 1200
-	// keptShare is the fraction of mostRemembered that remains after an eviction, so that not each
+	maxRecords = 1200
+	// evictionTarget is the fraction of maxRecords that remains after an eviction, so that not each
 	// further record causes a search through all of them.
-	keptShare = 0.9
+	evictionTarget = 0.9
 )
 
 // Crash is a record that an upstream crashed while it was running a content.
@@ -57,47 +57,47 @@
 	Age time.Duration
 }
 
-// crash is a Crash with the time at which it was detected, by this instance's clock.
-type crash struct {
+// record is a Crash with the time at which it was detected, by this instance's clock.
+type record struct {
 	Crash
-	at time.Time
-	// shared means that the record may be sent to other instances and counts in the digest;
-	// forgotten that it was removed from the register.
-	shared, forgotten bool
+	detectedAt time.Time
+	// shared means that the record may be sent to other instances and counts in the digest,
+	// removed that it is no longer in the register.
+	shared, removed bool
 }
 
 // Register holds the crash records of an instance, both its own and those received from peers. It
 // is safe for concurrent use.
 type Register struct {
 	mu       sync.Mutex
-	contents map[Content][]*crash
+	contents map[Content][]*record
 	// size is the number of records.
 	size int
 	// digest is the sum of the hashes of all shared records. Instances compare it to detect that
 	// their records differ.
 	digest uint64
-	// untold holds the records of this instance that were not yet sent to the other instances.
-	untold []*crash
+	// unsent holds the records of this instance that were not yet sent to the other instances.
+	unsent []*record
 }
 
 // NewRegister returns an empty register.
-func NewRegister() *Register { return &Register{contents: map[Content][]*crash{}} }
+func NewRegister() *Register { return &Register{contents: map[Content][]*record{}} }
 
 // Crashed records that an upstream crashed while it was running a content, after the content had
 // produced the given number of events. It reports whether the crash was not yet recorded.
 func (r *Register) Crashed(now time.Time, c Content, u dialect.Upstream, made int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k, news := r.take(now, Crash{Content: c, Upstream: u.ID, Incarnation: u.Incarnation, Made: made})
-	if news {
-		r.untold = append(r.untold, k)
+	k, isNew := r.add(now, Crash{Content: c, Upstream: u.ID, Incarnation: u.Incarnation, Made: made})
+	if isNew {
+		r.unsent = append(r.unsent, k)
 	}
-	return news
+	return isNew
 }
 
-// take adds a record, or merges it with the known record of the same crash and content. It returns
+// add adds a record, or merges it with the known record of the same crash and content. It returns
 // the record in the register, and whether it is new. The caller holds mu.
-func (r *Register) take(now time.Time, c Crash) (k *crash, news bool) {
+func (r *Register) add(now time.Time, c Crash) (k *record, isNew bool) {
 	for _, known := range r.contents[c.Content] {
 		if known.Upstream == c.Upstream && known.Incarnation == c.Incarnation {
 			known.Cleared = known.Cleared || c.Cleared
@@ -105,10 +105,10 @@
 			return known, false
 		}
 	}
-	k = &crash{Crash: c, at: now.Add(-c.Age)}
+	k = &record{Crash: c, detectedAt: now.Add(-c.Age)}
 	r.contents[c.Content] = append(r.contents[c.Content], k)
 	r.size++
-	r.bound(now)
+	r.evict(now)
 	return k, true
 }
 
@@ -141,41 +141,41 @@
 	}
 }
 
-// expire removes the records of a content if it is past forgetAt. The caller holds mu.
+// expire removes the records of a content if they have expired (see expiryOf). The caller holds mu.
 func (r *Register) expire(now time.Time, c Content) {
-	if !now.Before(forgetAt(r.contents[c])) {
-		r.forget(c)
+	if !now.Before(expiryOf(r.contents[c])) {
+		r.remove(c)
 	}
 }
 
-// forget removes the records of a content. The caller holds mu.
-func (r *Register) forget(c Content) {
+// remove removes the records of a content. The caller holds mu.
+func (r *Register) remove(c Content) {
 	for _, k := range r.contents[c] {
 		if k.shared {
 			r.digest -= hashOf(k.Crash)
 		}
-		k.shared, k.forgotten = false, true
+		k.shared, k.removed = false, true
 		r.size--
 	}
 	delete(r.contents, c)
 }
 
-// bound removes contents if there are more than mostRemembered records, until keptShare of that
+// evict removes contents if there are more than maxRecords records, until evictionTarget of that
 // number is left. It removes clear contents first, then suspect ones and quarantined ones last,
 // and of each kind those with the oldest crash first. The caller holds mu.
-func (r *Register) bound(now time.Time) {
-	if r.size <= mostRemembered {
+func (r *Register) evict(now time.Time) {
+	if r.size <= maxRecords {
 		return
 	}
-	weights := map[Content]weight{}
+	ranks := map[Content]evictionRank{}
 	for c, crashes := range r.contents {
-		weights[c] = weightOf(now, crashes)
+		ranks[c] = evictionRankOf(now, crashes)
 	}
-	order := slices.SortedFunc(maps.Keys(weights), func(a, b Content) int { return weights[a].compare(weights[b]) })
+	order := slices.SortedFunc(maps.Keys(ranks), func(a, b Content) int { return ranks[a].compare(ranks[b]) })
 	for _, c := range order {
-		if float64(r.size) <= keptShare*mostRemembered {
+		if float64(r.size) <= evictionTarget*maxRecords {
 			return
 		}
-		r.forget(c)
+		r.remove(c)
 	}
 }
--- a/gateway/quarantine/register_test.go
+++ b/gateway/quarantine/register_test.go
@@ -51,7 +51,7 @@
 	assert.Assert(t, r.Crashed(start, 1, up("b"), 0))
 	v := r.Verdict(start.Add(time.Second), 1)
 	assert.Equal(t, v.Standing, Quarantined)
-	assert.Equal(t, v.Left, quarantineFirst-time.Second)
+	assert.Equal(t, v.Left, initialQuarantine-time.Second)
 	assert.DeepEqual(t, v.Upstreams, []ident.UpstreamID{"a", "b"})
 
 	for i, want := range []Standing{Suspect, Suspect, Quarantined} {
@@ -69,19 +69,19 @@
 func TestQuarantineEnds(t *testing.T) {
 	r := NewRegister()
 	now := start
-	for i := range mostCrashes {
+	for i := range crashThreshold {
 		r.Crashed(now, 1, up(fmt.Sprint(i)), 0)
 	}
 	for i := range 3 {
 		left := r.Verdict(now, 1).Left
-		assert.Equal(t, left, quarantineFirst<<i)
+		assert.Equal(t, left, initialQuarantine<<i)
 		now = now.Add(left)
 		r.Expire(now)
 		assert.Equal(t, r.Verdict(now, 1).Standing, Suspect)
 		r.Crashed(now, 1, up(fmt.Sprint("more", i)), 0)
 	}
 	assert.Assert(t, r.Verdict(now, 1).Left > time.Hour)
-	now = now.Add(r.Verdict(now, 1).Left + suspectFor)
+	now = now.Add(r.Verdict(now, 1).Left + suspectPeriod)
 	assert.Equal(t, r.Verdict(now, 1).Standing, Clear)
 	r.Expire(now)
 	assert.Equal(t, r.Digest(), uint64(0))
@@ -150,7 +150,7 @@
 				r.Clear(c, rapid.IntRange(0, 4).Draw(t, "got"), false)
 			}
 		}
-		now = now.Add(shareAfter)
+		now = now.Add(shareDelay)
 		for range 2 {
 			for i, r := range registers {
 				r.Fresh(now)
@@ -178,7 +178,7 @@
 	a.Fresh(start)
 	b.Hear(start, a.Tell(start))
 	b.Clear(1, 5, false)
-	b.Fresh(start.Add(shareAfter))
+	b.Fresh(start.Add(shareDelay))
 	assert.Equal(t, a.Digest(), b.Digest())
 	a.Hear(start, b.Tell(start))
 	assert.Equal(t, a.Verdict(start, 1).Standing, Clear)
@@ -188,20 +188,20 @@
 // many different contents crash engines, and that quarantined contents are evicted last.
 func TestFloodIsBounded(t *testing.T) {
 	r := NewRegister()
-	const deadly = 1 << 40
-	for i := range mostCrashes {
-		r.Crashed(start, deadly, up(fmt.Sprint(i)), 0)
+	const queryOfDeath = 1 << 40
+	for i := range crashThreshold {
+		r.Crashed(start, queryOfDeath, up(fmt.Sprint(i)), 0)
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	now := start
-	for i := range 5 * mostRemembered {
+	for i := range 5 * maxRecords {
 		now = now.Add(time.Millisecond)
 		r.Crashed(now, Content(random.Uint64()), up(fmt.Sprint(i)), 0)
 	}
-	assert.Assert(t, r.size <= mostRemembered)
-	assert.Equal(t, r.Verdict(now, deadly).Standing, Quarantined)
+	assert.Assert(t, r.size <= maxRecords)
+	assert.Equal(t, r.Verdict(now, queryOfDeath).Standing, Quarantined)
 	r.Fresh(now)
-	assert.Equal(t, len(r.Tell(now)), mostTold)
+	assert.Equal(t, len(r.Tell(now)), maxRecordsPerMessage)
 	// Expired records don't count in the digest.
 	r.Expire(now.Add(100 * 24 * time.Hour))
 	assert.Equal(t, r.Digest(), uint64(0))
@@ -212,7 +212,7 @@
 // of a quarantine of twenty minutes, and drops those of a content that is no longer suspect.
 func TestLateComersLearn(t *testing.T) {
 	r, late := NewRegister(), NewRegister()
-	for i := range mostCrashes + 1 {
+	for i := range crashThreshold + 1 {
 		r.Crashed(start, 1, up(fmt.Sprint(i)), 0)
 	}
 	r.Crashed(start, 2, up("a"), 0)
@@ -225,7 +225,7 @@
 }
 
 // TestBystandersAreNotTold checks that the record of a crash before the content had produced an
-// event is sent at once, and that of another crash after shareAfter, unless it is cleared by then.
+// event is sent at once, and that of another crash after shareDelay, unless it is cleared by then.
 // TellOf returns and shares all records of a content, since a trial needs them.
 func TestBystandersAreNotTold(t *testing.T) {
 	r := NewRegister()
@@ -238,10 +238,10 @@
 	assert.Equal(t, fresh[0].Content, Content(1))
 	assert.DeepEqual(t, r.Tell(start), fresh)
 	r.Clear(2, 6, false)
-	fresh = r.Fresh(start.Add(shareAfter))
+	fresh = r.Fresh(start.Add(shareDelay))
 	assert.Equal(t, len(fresh), 1)
 	assert.Equal(t, fresh[0].Content, Content(3))
-	assert.Equal(t, fresh[0].Age, shareAfter)
+	assert.Equal(t, fresh[0].Age, shareDelay)
 	assert.Equal(t, len(r.Fresh(start.Add(time.Hour))), 0)
 
 	r.Crashed(start, 4, up("b"), 5)
@@ -249,7 +249,7 @@
 	assert.Equal(t, len(r.TellOf(start, 4)), 1)
 	assert.Assert(t, r.Digest() != before)
 	// The record is still sent to the other instances.
-	assert.Equal(t, len(r.Fresh(start.Add(shareAfter))), 1)
+	assert.Equal(t, len(r.Fresh(start.Add(shareDelay))), 1)
 }
 
 // TestHeldNamesTheEvidence checks the list of contents that operators are shown.
@@ -281,8 +281,8 @@
 	assert.Assert(t, trials.Begin(start.Add(time.Second), 1, "x", time.Second))
 	assert.Assert(t, !trials.Begin(start.Add(TrialMost-1), 2, "x", time.Second))
 	assert.Assert(t, trials.Begin(start.Add(TrialMost), 2, "x", time.Second))
-	for c := range Content(2 * mostTrials) {
+	for c := range Content(2 * maxTrials) {
 		trials.Begin(start.Add(time.Hour), 10+c, "x", time.Second)
 	}
-	assert.Assert(t, len(trials.under) <= mostTrials)
+	assert.Assert(t, len(trials.active) <= maxTrials)
 }
--- a/gateway/quarantine/share.go
+++ b/gateway/quarantine/share.go
@@ -10,8 +10,8 @@
 )
 
 // share marks a record as shared with all instances and adds it to the digest. The caller holds mu.
-func (r *Register) share(k *crash) {
-	if !k.shared && !k.forgotten {
+func (r *Register) share(k *record) {
+	if !k.shared && !k.removed {
 		k.shared = true
 		r.digest += hashOf(k.Crash)
 	}
@@ -32,8 +32,8 @@
 	return r.digest
 }
 
-// mostTold bounds the number of records in one message. A record takes about 35 bytes.
-const mostTold = 256
+// maxRecordsPerMessage bounds the number of records in one message. A record takes about 35 bytes.
+const maxRecordsPerMessage = 256
 
 // Fresh returns the records of this instance that are due to be sent to all other instances, and
 // marks them as shared. It returns each record only once.
@@ -41,19 +41,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Crash
-	var later []*crash
-	for _, k := range r.untold {
+	var later []*record
+	for _, k := range r.unsent {
 		switch {
-		case k.Made > 0 && now.Sub(k.at) < shareAfter && !k.Cleared:
+		case k.Made > 0 && now.Sub(k.detectedAt) < shareDelay && !k.Cleared:
 			later = append(later, k)
-		case k.forgotten, k.Made > 0 && k.Cleared:
+		case k.removed, k.Made > 0 && k.Cleared:
 			// The content did not cause the crash, so no other instance needs the record.
 		default:
 			r.share(k)
-			out = append(out, k.told(now))
+			out = append(out, k.withAge(now))
 		}
 	}
-	r.untold = later
+	r.unsent = later
 	return out
 }
 
@@ -61,17 +61,17 @@
 func (r *Register) HasUntold() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.untold) > 0
+	return len(r.unsent) > 0
 }
 
-// told returns a record as it is sent to a peer, with its age.
-func (k *crash) told(now time.Time) Crash {
+// withAge returns a record as it is sent to a peer, with its age.
+func (k *record) withAge(now time.Time) Crash {
 	c := k.Crash
-	c.Age = now.Sub(k.at)
+	c.Age = now.Sub(k.detectedAt)
 	return c
 }
 
-// Tell returns the shared records, newest first and at most mostTold.
+// Tell returns the shared records, newest first and at most maxRecordsPerMessage.
 func (r *Register) Tell(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,14 +79,14 @@
 	for _, crashes := range r.contents {
 		for _, k := range crashes {
 			if k.shared {
-				out = append(out, k.told(now))
+				out = append(out, k.withAge(now))
 			}
 		}
 	}
 	slices.SortFunc(out, func(a, b Crash) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Content, b.Content), cmp.Compare(a.Upstream, b.Upstream))
 	})
-	return out[:min(len(out), mostTold)]
+	return out[:min(len(out), maxRecordsPerMessage)]
 }
 
 // TellOf returns all records of a content, and marks them as shared.
@@ -96,27 +96,27 @@
 	var out []Crash
 	for _, k := range r.contents[c] {
 		r.share(k)
-		out = append(out, k.told(now))
+		out = append(out, k.withAge(now))
 	}
 	return out
 }
 
 // Hear adds the records that a peer sent, and returns those that were not yet known.
-func (r *Register) Hear(now time.Time, told []Crash) []Crash {
+func (r *Register) Hear(now time.Time, received []Crash) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var news []Crash
-	for _, c := range told {
-		k, isNews := r.take(now, c)
+	var added []Crash
+	for _, c := range received {
+		k, isNew := r.add(now, c)
 		r.share(k)
-		if isNews {
-			news = append(news, c)
+		if isNew {
+			added = append(added, c)
 		}
 	}
 	// Records that the sender was about to expire must not be passed around among instances for
 	// ever.
-	for _, c := range news {
+	for _, c := range added {
 		r.expire(now, c.Content)
 	}
-	return news
+	return added
 }
--- a/gateway/quarantine/trials.go
+++ b/gateway/quarantine/trials.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// mostTrials bounds the number of trials that one instance tracks at the same time.
-	mostTrials = 1024
+	// maxTrials bounds the number of trials that one instance tracks at the same time.
+	maxTrials = 1024
 	// TrialMost is the longest time that a trial lasts if its holder doesn't end it, which happens
 	// if the holder has crashed. The first event of a stream shows whether the content is harmless,
 	// and is due within a second. A stream that its caller resumes may wait a few seconds for
@@ -20,8 +20,8 @@
 // Trials tracks the attempts with suspect contents that one instance has allowed, at most one at a
 // time for each content. It is safe for concurrent use.
 type Trials struct {
-	mu    sync.Mutex
-	under map[Content]trial
+	mu     sync.Mutex
+	active map[Content]trial
 }
 
 // trial is an attempt in progress.
@@ -32,32 +32,32 @@
 }
 
 // NewTrials returns a Trials without attempts in progress.
-func NewTrials() *Trials { return &Trials{under: map[Content]trial{}} }
+func NewTrials() *Trials { return &Trials{active: map[Content]trial{}} }
 
 // Begin reports whether an instance may make an attempt with a content, and records the trial if
-// so. It is refused while another trial of the content is in progress, and while mostTrials
+// so. It is refused while another trial of the content is in progress, and while maxTrials
 // trials are. The trial lapses after the given time or TrialMost, whichever is shorter.
 func (t *Trials) Begin(now time.Time, c Content, holder ident.InstanceID, lasts time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if o, ok := t.under[c]; ok && now.Before(o.until) {
+	if o, ok := t.active[c]; ok && now.Before(o.until) {
 		return false
 	}
-	if len(t.under) >= mostTrials {
+	if len(t.active) >= maxTrials {
 		t.expire(now)
 	}
-	if len(t.under) >= mostTrials {
+	if len(t.active) >= maxTrials {
 		return false
 	}
-	t.under[c] = trial{holder: holder, until: now.Add(min(lasts, TrialMost))}
+	t.active[c] = trial{holder: holder, until: now.Add(min(lasts, TrialMost))}
 	return true
 }
 
 // expire removes the trials that have lapsed. The caller holds mu.
 func (t *Trials) expire(now time.Time) {
-	for c, o := range t.under {
+	for c, o := range t.active {
 		if !now.Before(o.until) {
-			delete(t.under, c)
+			delete(t.active, c)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 func (t *Trials) End(c Content, holder ident.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.under[c].holder == holder {
-		delete(t.under, c)
+	if t.active[c].holder == holder {
+		delete(t.active, c)
 	}
 }
--- a/gateway/quarantine/verdict.go
+++ b/gateway/quarantine/verdict.go
@@ -46,7 +46,7 @@
 }
 
 // verdictOf returns the verdict on a content from its records.
-func verdictOf(now time.Time, crashes []*crash) Verdict {
+func verdictOf(now time.Time, crashes []*record) Verdict {
 	var v Verdict
 	var last time.Time
 	for _, k := range crashes {
@@ -57,18 +57,18 @@
 		if k.Made == 0 {
 			v.Early++
 		}
-		if k.at.After(last) {
-			last = k.at
+		if k.detectedAt.After(last) {
+			last = k.detectedAt
 		}
 		v.Upstreams = append(v.Upstreams, k.Upstream)
 	}
-	v.Left = last.Add(v.quarantine()).Sub(now)
+	v.Left = last.Add(v.quarantinePeriod()).Sub(now)
 	switch {
 	case v.Crashes == 0:
 		return Verdict{}
-	case v.quarantine() > 0 && v.Left > 0:
+	case v.quarantinePeriod() > 0 && v.Left > 0:
 		v.Standing = Quarantined
-	case now.Before(last.Add(v.quarantine() + suspectFor)):
+	case now.Before(last.Add(v.quarantinePeriod() + suspectPeriod)):
 		v.Standing, v.Left = Suspect, 0
 	default:
 		return Verdict{}
@@ -76,46 +76,46 @@
 	return v
 }
 
-// quarantine returns how long after its last crash a content is quarantined, 0 if it is only
+// quarantinePeriod returns how long after its last crash a content is quarantined, 0 if it is only
 // suspect.
-func (v Verdict) quarantine() time.Duration {
-	if v.Crashes < mostCrashes && v.Early < mostEarlyCrashes {
+func (v Verdict) quarantinePeriod() time.Duration {
+	if v.Crashes < crashThreshold && v.Early < earlyCrashThreshold {
 		return 0
 	}
-	return quarantineFirst << min(mostDoublings, max(0, v.Crashes-mostCrashes))
+	return initialQuarantine << min(maxDoublings, max(0, v.Crashes-crashThreshold))
 }
 
-// forgetAt returns when a content is neither suspect nor quarantined any more, so that its records
+// expiryOf returns when a content is neither suspect nor quarantined any more, so that its records
 // can be removed.
-func forgetAt(crashes []*crash) time.Time {
+func expiryOf(crashes []*record) time.Time {
 	var last time.Time
 	for _, k := range crashes {
-		if k.at.After(last) {
-			last = k.at
+		if k.detectedAt.After(last) {
+			last = k.detectedAt
 		}
 	}
-	return last.Add(verdictOf(last, crashes).quarantine() + suspectFor)
+	return last.Add(verdictOf(last, crashes).quarantinePeriod() + suspectPeriod)
 }
 
-// weight is the order in which contents are evicted, lowest first: by standing, then by the time
+// evictionRank is the order in which contents are evicted, lowest first: by standing, then by the time
 // of the last crash.
-type weight struct {
+type evictionRank struct {
 	standing Standing
 	last     time.Time
 }
 
-// weightOf returns the weight of a content from its records.
-func weightOf(now time.Time, crashes []*crash) weight {
-	w := weight{standing: verdictOf(now, crashes).Standing}
+// evictionRankOf returns the eviction rank of a content from its records.
+func evictionRankOf(now time.Time, crashes []*record) evictionRank {
+	w := evictionRank{standing: verdictOf(now, crashes).Standing}
 	for _, k := range crashes {
-		if k.at.After(w.last) {
-			w.last = k.at
+		if k.detectedAt.After(w.last) {
+			w.last = k.detectedAt
 		}
 	}
 	return w
 }
 
 // compare returns a negative number if w is evicted before o.
-func (w weight) compare(o weight) int {
+func (w evictionRank) compare(o evictionRank) int {
 	return cmp.Or(cmp.Compare(w.standing, o.standing), w.last.Compare(o.last))
 }
