--- a/gateway/limit/world_test.go
+++ b/gateway/limit/world_test.go
@@ -40,6 +40,7 @@
 	startedAt []time.Time
 }
 
+// zoneCount is the number of zones in a simulation.
 const zoneCount = 3
 
 // limiter is a method of enforcing the limit of a workspace.
@@ -110,12 +111,12 @@
 // simulate runs the simulation for the given time. demand is the rate of requested tokens as a
 // multiple of the limit, pick chooses the instance of each request, and step is called at each
 // step and may change the simulation.
-func (w *simulation) simulate(lim limiter, demand float64, lasts time.Duration, pick func() int, step func(since time.Duration)) outcome {
+func (w *simulation) simulate(lim limiter, demand float64, duration time.Duration, pick func() int, step func(since time.Duration)) outcome {
 	const tick = 5 * time.Millisecond
 	var out outcome
 	var ran []grantedRequest
 	var single tokenbucket.Bucket
-	for since := time.Duration(0); since < lasts; since += tick {
+	for since := time.Duration(0); since < duration; since += tick {
 		w.now = start.Add(since)
 		step(since)
 		single.Fill(w.now, w.limit.Rate, w.limit.Burst, w.limit.Burst)
@@ -180,6 +181,7 @@
 	accounts []*Accounts
 }
 
+// newOwnerLimiter returns an ownerLimiter for the instances of a simulation.
 func newOwnerLimiter(w *simulation) *ownerLimiter {
 	k := &ownerLimiter{}
 	for i := range w.zones {
@@ -318,8 +320,8 @@
 // smallestLimit is the smallest limit of the users' workspaces. Some requests cost half of its burst.
 var smallestLimit = routing.Limit{Rate: 29000, Burst: 29000, Unit: routing.Tokens, Plain: 200}
 
-// largerLimit is the limit of one of the users' larger workspaces.
-var largerLimit = routing.Limit{Rate: 110000, Burst: 110000, Unit: routing.Tokens, Plain: 200}
+// usualLimit is the limit of one of the users' larger workspaces.
+var usualLimit = routing.Limit{Rate: 110000, Burst: 110000, Unit: routing.Tokens, Plain: 200}
 
 // fleetSizes are the numbers of instances that are tested.
 var fleetSizes = []int{7, 60, 295, 409}
@@ -331,7 +333,7 @@
 // compared.
 func TestBelowTheLimitNothingIsRefused(t *testing.T) {
 	for _, n := range fleetSizes {
-		for name, l := range map[string]routing.Limit{"smallest": smallestLimit, "usual": largerLimit} {
+		for name, l := range map[string]routing.Limit{"smallest": smallestLimit, "usual": usualLimit} {
 			for method, newLimiter := range limiters {
 				var all outcome
 				for seed := range uint64(5) {
@@ -367,6 +369,7 @@
 	}
 }
 
+// scenarios are the scenarios of TestEightTimesTheLimit.
 var scenarios = []scenario{
 	{name: "all instances"},
 	{name: "one instance", pick: func(*simulation) func() int { return func() int { return 4 } }},
@@ -430,7 +433,7 @@
 // within the users' requirement, and within the limit and ruleExcess without the slack.
 func TestEightTimesTheLimit(t *testing.T) {
 	for _, n := range fleetSizes {
-		for _, l := range []routing.Limit{smallestLimit, largerLimit} {
+		for _, l := range []routing.Limit{smallestLimit, usualLimit} {
 			for _, sc := range scenarios {
 				for method, newLimiter := range limiters {
 					largest, excess := 0.0, 0.0
--- a/gateway/quarantine/register.go
+++ b/gateway/quarantine/register.go
@@ -132,7 +132,7 @@
 	return verdictOf(now, r.contents[c])
 }
 
-// Expire removes the records of contents that are neither suspect nor quarantined any more.
+// Expire removes the records that have expired (see expiryOf).
 func (r *Register) Expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/quarantine/verdict.go
+++ b/gateway/quarantine/verdict.go
@@ -85,8 +85,9 @@
 	return initialQuarantine << min(maxDoublings, max(0, v.Crashes-crashThreshold))
 }
 
-// expiryOf returns when a content is neither suspect nor quarantined any more, so that its records
-// can be removed.
+// expiryOf returns when the records of a content can be removed, because it is neither suspect nor
+// quarantined any more. Records of a cleared content are kept for suspectPeriod too, so that they
+// don't count as new if a peer sends them again.
 func expiryOf(crashes []*record) time.Time {
 	var last time.Time
 	for _, k := range crashes {
