--- a/gateway/quarantine/share.go
+++ b/gateway/quarantine/share.go
@@ -9,67 +9,69 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// share makes a piece of evidence that of all instances. The caller holds mu.
-func (r *Register) share(k *crash) {
-	if !k.shared && !k.forgotten {
+// share marks a record as shared with all instances and adds it to the digest. The caller holds mu.
+func (r *Register) share(k *record) {
+	if !k.shared && !k.removed {
 		k.shared = true
 		r.digest += hashOf(k.Crash)
 	}
 }
 
-// hashOf tells pieces of evidence apart, whatever their age and whether they are cleared.
+// hashOf returns a hash that identifies a record by content, upstream and incarnation.
 func hashOf(c Crash) uint64 {
 	b := binary.BigEndian.AppendUint64(nil, uint64(c.Content))
 	b = binary.BigEndian.AppendUint64(b, uint64(c.Incarnation))
 	return xxhash.Sum64(append(b, c.Upstream...))
 }
 
-// Digest tells apart what instances share; 0 if that is nothing.
+// Digest returns a digest of the shared records, 0 if there are none. If the digests of two
+// instances differ, so do their shared records.
 func (r *Register) Digest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.digest
 }
 
-// mostTold bounds the evidence in one message, at some 35 bytes each.
-const mostTold = 256
+// maxRecordsPerMessage bounds the number of records in one message. A record takes about 35 bytes.
+const maxRecordsPerMessage = 256
 
-// Fresh returns this instance's evidence that is to be told to all others now; once.
+// Fresh returns the records of this instance that are due to be sent to all other instances, and
+// marks them as shared. It returns each record only once.
 func (r *Register) Fresh(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Crash
-	var later []*crash
-	for _, k := range r.untold {
+	var later []*record
+	for _, k := range r.unsent {
 		switch {
-		case k.Made > 0 && now.Sub(k.at) < shareAfter && !k.Cleared:
+		case k.Made > 0 && now.Sub(k.detectedAt) < shareDelay && !k.Cleared:
 			later = append(later, k)
-		case k.forgotten, k.Made > 0 && k.Cleared:
-			// A bystander's: nobody else need know.
+		case k.removed, k.Made > 0 && k.Cleared:
+			// The content did not cause the crash, so no other instance needs the record.
 		default:
 			r.share(k)
-			out = append(out, k.told(now))
+			out = append(out, k.withAge(now))
 		}
 	}
-	r.untold = later
+	r.unsent = later
 	return out
 }
 
-// HasUntold reports whether there is evidence that Fresh may return now or later.
+// HasUntold reports whether there are records that Fresh may return now or later.
 func (r *Register) HasUntold() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.untold) > 0
+	return len(r.unsent) > 0
 }
 
-// told returns a piece of evidence as it is told to a peer.
-func (k *crash) told(now time.Time) Crash {
+// withAge returns a record as it is sent to a peer, with its age.
+func (k *record) withAge(now time.Time) Crash {
 	c := k.Crash
-	c.Age = now.Sub(k.at)
+	c.Age = now.Sub(k.detectedAt)
 	return c
 }
 
-// Tell returns the shared evidence: the newest, if there is too much.
+// Tell returns the shared records, newest first and at most maxRecordsPerMessage.
 func (r *Register) Tell(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,43 +79,44 @@
 	for _, crashes := range r.contents {
 		for _, k := range crashes {
 			if k.shared {
-				out = append(out, k.told(now))
+				out = append(out, k.withAge(now))
 			}
 		}
 	}
 	slices.SortFunc(out, func(a, b Crash) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Content, b.Content), cmp.Compare(a.Upstream, b.Upstream))
 	})
-	return out[:min(len(out), mostTold)]
+	return out[:min(len(out), maxRecordsPerMessage)]
 }
 
-// TellOf returns all evidence on a content, and shares it.
+// TellOf returns all records of a content, and marks them as shared.
 func (r *Register) TellOf(now time.Time, c Content) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Crash
 	for _, k := range r.contents[c] {
 		r.share(k)
-		out = append(out, k.told(now))
+		out = append(out, k.withAge(now))
 	}
 	return out
 }
 
-// Hear takes in what a peer told, and returns what of it is news.
-func (r *Register) Hear(now time.Time, told []Crash) []Crash {
+// Hear adds the records that a peer sent, and returns those that were not yet known.
+func (r *Register) Hear(now time.Time, received []Crash) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var news []Crash
-	for _, c := range told {
-		k, isNews := r.take(now, c)
+	var added []Crash
+	for _, c := range received {
+		k, isNew := r.add(now, c)
 		r.share(k)
-		if isNews {
-			news = append(news, c)
+		if isNew {
+			added = append(added, c)
 		}
 	}
-	// What the sender was about to forget must not go round for ever.
-	for _, c := range news {
+	// Records that the sender was about to expire must not be passed around among instances for
+	// ever.
+	for _, c := range added {
 		r.expire(now, c.Content)
 	}
-	return news
+	return added
 }
--- a/gateway/quarantine/verdict.go
+++ b/gateway/quarantine/verdict.go
@@ -7,21 +7,20 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Standing says what may be done with a content.
+// Standing says whether a content may be sent to upstreams.
 type Standing int
 
-// The standings.
 const (
-	// Clear contents have crashed nothing, as far as is known.
+	// Clear contents have caused no crash, as far as is known.
 	Clear Standing = iota
-	// Suspect contents ran where an upstream crashed: one attempt at a time is made, by
-	// all instances together.
+	// Suspect contents were running at an upstream that crashed. All instances together make only
+	// one attempt with them at a time.
 	Suspect
 	// Quarantined contents are sent to no upstream.
 	Quarantined
 )
 
-// String returns the name used in logs.
+// String returns the name used in logs and for operators.
 func (s Standing) String() string {
 	switch s {
 	case Suspect:
@@ -33,20 +32,21 @@
 	}
 }
 
-// Verdict is what the evidence says of a content.
+// Verdict is the standing of a content, with the crashes that it is based on. Cleared crashes are
+// not counted.
 type Verdict struct {
 	Standing Standing
-	// Crashes counts the upstreams that crashed under it, Early those of them under which
-	// it had produced nothing.
+	// Crashes counts the upstreams that crashed while running the content, Early those of them
+	// that crashed before the content had produced an event.
 	Crashes, Early int
-	// Left is how much longer a quarantine lasts.
+	// Left is the remaining time of a quarantine, 0 for other standings.
 	Left time.Duration
-	// Upstreams are those that crashed.
+	// Upstreams are the upstreams that crashed.
 	Upstreams []ident.UpstreamID
 }
 
-// verdictOf weighs the evidence on one content.
-func verdictOf(now time.Time, crashes []*crash) Verdict {
+// verdictOf returns the verdict on a content from its records.
+func verdictOf(now time.Time, crashes []*record) Verdict {
 	var v Verdict
 	var last time.Time
 	for _, k := range crashes {
@@ -57,18 +57,18 @@
 		if k.Made == 0 {
 			v.Early++
 		}
-		if k.at.After(last) {
-			last = k.at
+		if k.detectedAt.After(last) {
+			last = k.detectedAt
 		}
 		v.Upstreams = append(v.Upstreams, k.Upstream)
 	}
-	v.Left = last.Add(v.quarantine()).Sub(now)
+	v.Left = last.Add(v.quarantinePeriod()).Sub(now)
 	switch {
 	case v.Crashes == 0:
 		return Verdict{}
-	case v.quarantine() > 0 && v.Left > 0:
+	case v.quarantinePeriod() > 0 && v.Left > 0:
 		v.Standing = Quarantined
-	case now.Before(last.Add(v.quarantine() + suspectFor)):
+	case now.Before(last.Add(v.quarantinePeriod() + suspectPeriod)):
 		v.Standing, v.Left = Suspect, 0
 	default:
 		return Verdict{}
@@ -76,43 +76,47 @@
 	return v
 }
 
-// quarantine is how long after its last crash a content is quarantined, 0 if it is only
+// quarantinePeriod returns how long after its last crash a content is quarantined, 0 if it is only
 // suspect.
-func (v Verdict) quarantine() time.Duration {
-	if v.Crashes < mostCrashes && v.Early < mostEarlyCrashes {
+func (v Verdict) quarantinePeriod() time.Duration {
+	if v.Crashes < crashThreshold && v.Early < earlyCrashThreshold {
 		return 0
 	}
-	return quarantineFirst << min(mostDoublings, max(0, v.Crashes-mostCrashes))
+	return initialQuarantine << min(maxDoublings, max(0, v.Crashes-crashThreshold))
 }
 
-// forgetAt is when the evidence on a content is of no use any more.
-func forgetAt(crashes []*crash) time.Time {
+// expiryOf returns when the records of a content can be removed, because it is neither suspect nor
+// quarantined any more. Records of a cleared content are kept for suspectPeriod too, so that they
+// don't count as new if a peer sends them again.
+func expiryOf(crashes []*record) time.Time {
 	var last time.Time
 	for _, k := range crashes {
-		if k.at.After(last) {
-			last = k.at
+		if k.detectedAt.After(last) {
+			last = k.detectedAt
 		}
 	}
-	return last.Add(verdictOf(last, crashes).quarantine() + suspectFor)
+	return last.Add(verdictOf(last, crashes).quarantinePeriod() + suspectPeriod)
 }
 
-// weight orders contents by how much it would cost to forget them.
-type weight struct {
+// evictionRank is the order in which contents are evicted, lowest first: by standing, then by the time
+// of the last crash.
+type evictionRank struct {
 	standing Standing
 	last     time.Time
 }
 
-func weightOf(now time.Time, crashes []*crash) weight {
-	w := weight{standing: verdictOf(now, crashes).Standing}
+// evictionRankOf returns the eviction rank of a content from its records.
+func evictionRankOf(now time.Time, crashes []*record) evictionRank {
+	w := evictionRank{standing: verdictOf(now, crashes).Standing}
 	for _, k := range crashes {
-		if k.at.After(w.last) {
-			w.last = k.at
+		if k.detectedAt.After(w.last) {
+			w.last = k.detectedAt
 		}
 	}
 	return w
 }
 
-// compare orders the lighter one first.
-func (w weight) compare(o weight) int {
+// compare returns a negative number if w is evicted before o.
+func (w evictionRank) compare(o evictionRank) int {
 	return cmp.Or(cmp.Compare(w.standing, o.standing), w.last.Compare(o.last))
 }
