--- a/assign/assign.go
+++ b/assign/assign.go
@@ -1,7 +1,8 @@
-// Package assign tells which instances of an availability zone look after which
-// upstream, by rendezvous hashing over the instances believed to run. Instances
-// whose views agree agree on it; for a moment after a change two may look after
-// one upstream, or none.
+// Package assign assigns each upstream to instances of its availability zone, by
+// rendezvous hashing over the instances that are presumed to run. Instances with
+// the same view compute the same assignment. Shortly after a change, while views
+// differ, an upstream may be assigned to two instances at the same rank, or to
+// none.
 package assign
 
 import (
@@ -12,36 +13,41 @@
 	"github.com/wardspool/wardspool/rendezvous"
 )
 
-// NoRank is the rank of an instance that does not look after an upstream.
+// NoRank is the rank of an instance to which an upstream is not assigned.
 const NoRank = -1
 
-// Table has the ranks of one instance. It keeps them from view to view, because
-// ranking is much work and the members of a zone change rarely. It must be used
-// from one goroutine at a time.
+// Table holds the ranks of one instance for all upstreams. It keeps them across
+// views, because computing them is expensive and the members of a zone change
+// rarely. It must be used from one goroutine at a time.
 type Table struct {
-	// depth is how many instances look after an upstream.
+	// depth is the number of instances to which each upstream is assigned.
 	depth int
-	// borrow lets all instances look after a zone that has none.
+	// borrow allows the upstreams of a zone without instances to be assigned to
+	// the instances of all zones.
 	borrow bool
 	self   ident.InstanceID
 	zones  map[ident.Zone]*zone
 }
 
-// zone has the ranks at the upstreams of one availability zone.
+// zone holds the ranks of this instance for the upstreams of one availability
+// zone.
 type zone struct {
+	// members are the instances to which the zone's upstreams are assigned.
 	members []ident.InstanceID
-	// isMember says whether this instance is one of them.
+	// isMember reports whether this instance is one of the members.
 	isMember bool
-	ranks    map[ident.UpstreamID]int
+	// ranks are the ranks computed so far.
+	ranks map[ident.UpstreamID]int
 }
 
-// NewTable returns a table for depth instances to each upstream. With borrow,
-// the upstreams of a zone without instances are looked after by all others.
+// NewTable returns a table that assigns each upstream to depth instances. With
+// borrow, the upstreams of a zone without running instances are assigned to the
+// instances of all other zones; otherwise they are assigned to none.
 func NewTable(depth int, borrow bool) *Table {
 	return &Table{depth: depth, borrow: borrow}
 }
 
-// Update takes in a new view.
+// Update replaces the view on which the assignment is based.
 func (t *Table) Update(self kernel.Self, v *kernel.View) {
 	old := t.zones
 	t.self = self.Instance
@@ -55,8 +61,8 @@
 	}
 }
 
-// zone returns the ranks for the members, those that are known if the members
-// are the same as before.
+// zone returns the zone for the given members: the old one, with its ranks, if
+// the members are the same, otherwise a new one.
 func (t *Table) zone(old *zone, members []ident.InstanceID) *zone {
 	if old != nil && slices.Equal(old.members, members) {
 		return old
@@ -68,7 +74,7 @@
 	}
 }
 
-// members lists the instances that may look after a zone's upstreams.
+// members returns the instances to which the upstreams of a zone are assigned.
 func (t *Table) members(instances []kernel.Instance, z ident.Zone) []ident.InstanceID {
 	var near, all []ident.InstanceID
 	for _, in := range instances {
@@ -83,8 +89,9 @@
 	return near
 }
 
-// running lists the instances believed to run and not to be leaving, this one
-// included: a view may list only the others.
+// running returns the instances that are presumed to run and not to be leaving.
+// It adds this instance if the view does not list it, since a view may list only
+// the other instances.
 func running(self kernel.Self, v *kernel.View) []kernel.Instance {
 	out := make([]kernel.Instance, 0, len(v.Instances)+1)
 	listed := false
@@ -100,8 +107,9 @@
 	return out
 }
 
-// Rank returns this instance's place among those that look after the upstream,
-// 0 for the first, or NoRank.
+// Rank returns this instance's rank among the instances to which the upstream is
+// assigned, 0 for the first one. It returns NoRank if the upstream is not assigned
+// to this instance.
 func (t *Table) Rank(u *kernel.Upstream) int {
 	z := t.zones[u.Zone]
 	if z == nil || !z.isMember {
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -10,6 +10,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
+// view returns a view with one instance for each of lives and 20 upstreams, all in
+// one zone.
 func view(lives ...kernel.Life) *kernel.View {
 	v := &kernel.View{}
 	for i, l := range lives {
@@ -21,7 +23,7 @@
 	return v
 }
 
-// holders counts by rank the instances that look after the upstream.
+// holders returns the number of instances at each rank of the upstream.
 func holders(v *kernel.View, u *kernel.Upstream, depth int) [3]int {
 	var out [3]int
 	for _, in := range v.Instances {
@@ -39,9 +41,9 @@
 		view *kernel.View
 		want [3]int
 	}{
-		"all run":     {view(kernel.Live, kernel.Live, kernel.Suspect, kernel.Live), [3]int{1, 1, 0}},
-		"some do not": {view(kernel.Live, kernel.Leaving, kernel.Unreachable, kernel.Dead), [3]int{1, 0, 0}},
-		"none does":   {view(kernel.Leaving, kernel.Dead), [3]int{}},
+		"all instances run": {view(kernel.Live, kernel.Live, kernel.Suspect, kernel.Live), [3]int{1, 1, 0}},
+		"one instance runs": {view(kernel.Live, kernel.Leaving, kernel.Unreachable, kernel.Dead), [3]int{1, 0, 0}},
+		"no instance runs":  {view(kernel.Leaving, kernel.Dead), [3]int{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for i := range c.view.Upstreams {
@@ -66,7 +68,7 @@
 		return n
 	}
 	some := count(both)
-	assert.Assert(t, some > 0 && some < 20, "%d of 20", some)
+	assert.Assert(t, some > 0 && some < 20, "%d of 20 upstreams have this instance first, want some but not all", some)
 	assert.Equal(t, count(alone), 20)
 	assert.Equal(t, count(both), some)
 }
--- a/kernel/action.go
+++ b/kernel/action.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Action is something the driver must do. The types in this file are the only
-// implementations.
+// Action is an instruction to the driver. The types in this file and
+// ConfigRejected are the only implementations.
 type Action interface{ action() }
 
 // StartPrefill sends a request's prompt to a prefill engine.
@@ -16,13 +16,13 @@
 	Attempt  ident.AttemptID
 	Request  ident.RequestID
 	Upstream ident.UpstreamID
-	// ContinueFrom is how many output tokens to append to the prompt, when a
-	// lost decode is resumed.
+	// ContinueFrom is the number of output tokens already delivered to the
+	// caller, which are appended to the prompt when a lost decode is resumed.
 	ContinueFrom int
 }
 
-// StartDecode sends a request to a decode engine, which imports the KV cache
-// and streams the output from token ContinueFrom on.
+// StartDecode sends a request to a decode engine. The engine imports the KV
+// cache and streams the output starting at token ContinueFrom.
 type StartDecode struct {
 	Attempt      ident.AttemptID
 	Request      ident.RequestID
@@ -31,9 +31,10 @@
 	ContinueFrom int
 }
 
-// ReattachDecode reads on in a decode attempt's stream, from token Offset,
-// after the connection to its engine broke. It starts nothing new. The driver
-// waits for Wait before, so that two tries don't fall into one short break.
+// ReattachDecode reconnects to the output stream of a running decode attempt at
+// token Offset, after the connection to its engine broke. It starts no new
+// work. The driver first waits for Wait, so that two reconnects do not both fail
+// in the same short network interruption.
 type ReattachDecode struct {
 	Attempt  ident.AttemptID
 	Request  ident.RequestID
@@ -42,15 +43,16 @@
 	Wait     time.Duration
 }
 
-// CallService sends a request to a plain service.
+// CallService sends a request to a plain service, that is, to an upstream that
+// does not serve models.
 type CallService struct {
 	Attempt  ident.AttemptID
 	Request  ident.RequestID
 	Upstream ident.UpstreamID
 }
 
-// CancelAttempt asks an upstream to stop an attempt and release what it holds
-// for it. The driver answers with CancelAcked or CancelFailed.
+// CancelAttempt asks an upstream to stop an attempt and release the resources
+// that it holds for it. The driver answers with CancelAcked or CancelFailed.
 type CancelAttempt struct {
 	Attempt  ident.AttemptID
 	Upstream ident.UpstreamID
@@ -61,8 +63,9 @@
 // FailureBroken and the offset that the caller's stream has reached.
 type AbandonAttempt struct{ Attempt ident.AttemptID }
 
-// Answer is a request's final answer. Exactly one is given for each request,
-// also when its caller is gone. Problem is nil when Outcome is api.Complete.
+// Answer is the final answer to a request. The kernel emits exactly one for each
+// request, even if the caller has disconnected. Problem is nil when Outcome is
+// api.Complete.
 type Answer struct {
 	Request ident.RequestID
 	Outcome api.Outcome
@@ -70,7 +73,8 @@
 }
 
 // SendPeer sends a message to another instance's kernel, at most once. The
-// driver reports PeerUndelivered when it knows that the message did not arrive.
+// driver reports PeerUndelivered when the message did not arrive or may not have
+// arrived.
 type SendPeer struct {
 	To      ident.InstanceID
 	Message PeerMessage
--- a/kernel/arrive.go
+++ b/kernel/arrive.go
@@ -7,14 +7,15 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Defaults for when a refused caller should come back.
+// Retry-after hints for refused callers.
 const (
-	// retryAfterStop: the platform's balancer will have taken a stopping
-	// instance out by then.
+	// retryAfterStop is the time within which the platform's load balancer has
+	// removed a stopping instance.
 	retryAfterStop = 1 * time.Second
-	// retryAfterNotReady: a starting instance usually has bundle and view by then.
+	// retryAfterNotReady is the time within which a starting instance usually
+	// has its bundle and view.
 	retryAfterNotReady = 2 * time.Second
-	// retryAfterFailure: for requests given up after failures.
+	// retryAfterFailure applies to requests that fail after attempts failed.
 	retryAfterFailure = 2 * time.Second
 )
 
@@ -27,11 +28,11 @@
 	}
 }
 
-// arrive admits a request and puts it in the queue, or refuses it at once.
+// arrive admits a request and puts it in the queue, or refuses it immediately.
 func (k *Kernel) arrive(r *Request) {
 	if _, taken := k.calls[r.ID]; taken {
-		// The driver chooses unique IDs; answering the second would answer the
-		// first one's caller.
+		// The driver must choose unique IDs. A duplicate is ignored, because an
+		// answer to it would go to the caller of the first request.
 		return
 	}
 	c := &call{request: r}
@@ -45,7 +46,7 @@
 	k.enqueue(c, k.now)
 }
 
-// admit runs the checks that come before the queue.
+// admit runs the admission checks and returns nil if the request may be queued.
 func (k *Kernel) admit(c *call) *Refusal {
 	if k.stopping {
 		return stoppingRefusal()
@@ -62,7 +63,8 @@
 	return nil
 }
 
-// unready refuses what the kernel cannot decide on at all.
+// unready returns a refusal if the request cannot be handled at all: no bundle
+// is in force, the deadline has passed, or the model or service is unknown.
 func (k *Kernel) unready(r *Request) *Refusal {
 	if k.catalog.content == nil {
 		return &Refusal{
@@ -76,27 +78,27 @@
 		return &Refusal{
 			Reason:  ReasonDeadlinePassed,
 			Problem: api.ProblemDeadline,
-			Detail:  "the deadline had passed on arrival",
+			Detail:  "the deadline had already passed when the request arrived",
 		}
 	}
 	if r.Route == config.RouteModel && k.catalog.models[r.Model] == nil {
 		return &Refusal{
 			Reason:  ReasonUnknownModel,
 			Problem: api.ProblemUnknownModel,
-			Detail:  "the bundle in force declares no such model",
+			Detail:  "the bundle in force does not declare this model",
 		}
 	}
 	if r.Route == config.RouteService && k.catalog.services[r.Service] == nil {
 		return &Refusal{
 			Reason:  ReasonUnknownService,
 			Problem: api.ProblemUnknownService,
-			Detail:  "the bundle in force declares no such service",
+			Detail:  "the bundle in force does not declare this service",
 		}
 	}
 	return nil
 }
 
-// enqueue puts a call in the queue, to be placed from the given time on.
+// enqueue puts a call in the queue. It is not placed before notBefore.
 func (k *Kernel) enqueue(c *call, notBefore time.Time) {
 	c.state = callQueued
 	c.waiting = &Waiting{
@@ -116,7 +118,7 @@
 	}
 }
 
-// dequeue takes a call out of the queue.
+// dequeue removes a call from the queue, if it is queued.
 func (k *Kernel) dequeue(c *call) {
 	if c.waiting == nil {
 		return
@@ -125,7 +127,8 @@
 	c.waiting = nil
 }
 
-// queueLength counts the requests without an attempt in flight.
+// queueLength returns the number of requests that are queued or wait for the
+// slot policy's answer.
 func (k *Kernel) queueLength() int {
 	if k.policy.order == nil {
 		return 0
--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -19,17 +19,19 @@
 	_ "github.com/wardspool/wardspool/plugins/slots/dispatch"
 )
 
-// fleetSize is a number of engines, which serve so many models in equal parts.
+// fleetSize is a number of engines and a number of models, each of which is
+// served by an equal share of the engines.
 type fleetSize struct{ engines, models int }
 
 func (f fleetSize) String() string { return fmt.Sprintf("%d-engines-%d-models", f.engines, f.models) }
 
-// fleetSizes are the sizes that decisions are measured at: those of the brief's
-// deployments, the planned one (600 engines, 15 models), and all engines behind
-// one model as the worst case.
+// fleetSizes are the fleet sizes for which decisions are measured: those of the
+// deployments in the requirements (9 and 100 engines), the planned deployment
+// (600 engines, 15 models) and, as the worst case, 600 engines for one model.
 var fleetSizes = []fleetSize{{9, 1}, {100, 1}, {600, 15}, {600, 1}}
 
-// benchKernel is a kernel before so many engines, a third of which prefill.
+// benchKernel returns a kernel with a fleet of the given size, a third of which
+// are prefill engines.
 func benchKernel(b *testing.B, size fleetSize, slots plugin.ID) *kernel.Kernel {
 	b.Helper()
 	c := testContent()
@@ -63,8 +65,7 @@
 	return k
 }
 
-// benchRequest runs one request from arrival to answer and returns the number
-// of steps it took.
+// benchRequest runs one request from arrival to answer.
 func benchRequest(k *kernel.Kernel, now time.Time, id ident.RequestID) {
 	r := &kernel.Request{
 		ID: id, Workspace: "franchise", Kind: "review", Route: config.RouteModel,
@@ -91,8 +92,8 @@
 	k.Step(now, kernel.AttemptDone{Attempt: decode, Tokens: 100})
 }
 
-// BenchmarkRequest measures all kernel work of one request: arrival, placement,
-// decode, first output and answer.
+// BenchmarkRequest measures the kernel's total work for one request: arrival,
+// placement, decode, first output and answer.
 func BenchmarkRequest(b *testing.B) {
 	for _, slots := range []plugin.ID{"slots.none", "slots.dispatch"} {
 		for _, size := range fleetSizes {
@@ -107,8 +108,8 @@
 	}
 }
 
-// BenchmarkDecision measures a placement and its cancel: an upper bound for the
-// placement alone.
+// BenchmarkDecision measures a placement followed by its cancellation, which is an
+// upper bound for the placement alone.
 func BenchmarkDecision(b *testing.B) {
 	for _, slots := range []plugin.ID{"slots.none", "slots.dispatch"} {
 		for _, size := range fleetSizes {
--- a/kernel/call.go
+++ b/kernel/call.go
@@ -7,66 +7,70 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// callState is where a request is on its way.
+// callState is the processing state of a request.
 type callState int
 
 const (
-	// callQueued: waiting for a placement.
+	// callQueued is the state of a call that waits for a placement.
 	callQueued callState = iota + 1
-	// callReserving: a decode slot was asked for.
+	// callReserving is the state of a call that has requested a decode slot, or
+	// a placement, and waits for the slot policy's answer.
 	callReserving
-	// callPrefilling: a prefill is in flight, a decode slot is held.
+	// callPrefilling is the state of a call whose prefill is in flight and that
+	// holds a decode slot.
 	callPrefilling
-	// callDecoding: a decode is in flight.
+	// callDecoding is the state of a call whose decode is in flight.
 	callDecoding
-	// callServing: a plain service call is in flight.
+	// callServing is the state of a call that is in flight at a plain service.
 	callServing
 )
 
-// call is a request without a final answer.
+// call is the state of a request that has no final answer yet.
 type call struct {
 	request *Request
 	state   callState
 	// waiting is set while the request is in the queue.
 	waiting *Waiting
-	// admitted lists the checks to be told when the request is over.
+	// admitted lists the admission checks that admitted the request. Their
+	// Finished method is called when the request ends.
 	admitted []Admission
-	// touched is true once any stage, be it only a prefill, may have run; it
-	// rules out the outcome "not-run".
+	// touched is true once any stage, even only a prefill, may have run. The
+	// outcome can then no longer be "not-run".
 	touched bool
-	// exposed is true once a decode or a service call may have run; it rules
-	// out another attempt for a request that must run at most once. A prefill
-	// alone has no effect, so that it may be repeated.
+	// exposed is true once a decode or a service call may have run. A request
+	// that must run at most once then gets no further attempt. A prefill alone
+	// has no visible effect and may be repeated.
 	exposed bool
-	// tries counts the attempts to place the request that ended in failure.
+	// tries counts how often the request was to be queued again after a failure.
 	tries int
-	// reattached counts the times the present decode's stream was read on.
+	// reattached counts the reconnects to the stream of the current decode.
 	reattached int
-	// delivered is how many output tokens the caller has.
+	// delivered is the number of output tokens that the caller has received.
 	delivered int
-	// avoid lists upstreams that failed this request, newest last.
+	// avoid lists the upstreams on which this request failed, newest last.
 	avoid []ident.UpstreamID
 
 	plan placement
-	// slot is the held or awaited reservation.
+	// slot is the decode slot reservation, granted or still requested.
 	slot reservation
-	// prefill and active are the attempts that hold something upstream: the
-	// prefill until its KV cache was imported, active the decode or the
-	// service call.
+	// prefill and active are the attempts that hold resources on an upstream:
+	// prefill until the decode engine has imported its KV cache, active while
+	// the decode or the service call runs.
 	prefill *attempt
 	active  *attempt
 	kv      KVHandle
-	// kvAt is when the prefill finished.
+	// kvAt is the time at which the prefill finished.
 	kvAt time.Time
-	// need is the least time to first output, as estimated when queued.
+	// need is the minimum time to first output, estimated when the call was
+	// queued.
 	need time.Duration
-	// lastReason is why the request last was left waiting, so that a wait is
-	// logged once and not at every try.
+	// lastReason is the reason last logged for leaving the request in the queue.
+	// It prevents a log record for every scheduling pass.
 	lastReason Reason
 }
 
-// reservation is a decode slot and the policy that holds it: the policy in
-// force may be another one by now.
+// reservation is a decode slot and the policy that granted it, which may differ
+// from the policy now in force.
 type reservation struct {
 	id     ident.AttemptID
 	policy SlotPolicy
@@ -77,7 +81,7 @@
 	return c.state == callPrefilling || c.state == callDecoding || c.state == callServing
 }
 
-// avoids reports whether the upstream failed this request before.
+// avoids reports whether this request failed on the upstream before.
 func (c *call) avoids(id ident.UpstreamID) bool {
 	for _, a := range c.avoid {
 		if a == id {
@@ -87,7 +91,7 @@
 	return false
 }
 
-// stage is what an attempt runs.
+// stage is the kind of work that an attempt does.
 type stage int
 
 const (
@@ -96,24 +100,27 @@
 	stageService
 )
 
-// attempt is one try of one stage on one upstream.
+// attempt is one execution of one stage on one upstream.
 type attempt struct {
 	id       ident.AttemptID
 	call     *call
 	stage    stage
 	upstream ident.UpstreamID
-	// incarnation is the upstream's when the attempt was sent.
+	// incarnation is the upstream's incarnation when the attempt was sent, 0 if
+	// it was not known.
 	incarnation ident.Incarnation
-	// tokens is the uncached prompt work, for prefills.
+	// tokens is the number of prompt tokens that a prefill must compute, 0 for
+	// other stages.
 	tokens int
-	// pieces is the KV memory reserved, for decodes.
+	// pieces is the KV memory that a decode reserves, in pieces; 0 for other
+	// stages.
 	pieces int
 	sentAt time.Time
-	// abandoned is set once the driver was told that the upstream is dead.
+	// abandoned is set once AbandonAttempt has been emitted for the attempt.
 	abandoned bool
 }
 
-// newAttemptID names the next attempt for a request.
+// newAttemptID returns a new, unique ID for an attempt of the request.
 func (k *Kernel) newAttemptID(r *Request) ident.AttemptID {
 	k.sequence++
 	return ident.AttemptID{
@@ -124,7 +131,8 @@
 	}
 }
 
-// track makes an attempt known and counts it at its upstream.
+// track registers an attempt that is being sent and adds it to its upstream's
+// load.
 func (k *Kernel) track(a *attempt) {
 	a.sentAt = k.now
 	k.attempts[a.id] = a
@@ -138,8 +146,9 @@
 	u.Own.Pieces += a.pieces
 }
 
-// untrack forgets an attempt that holds nothing more upstream, or that a
-// cancel now looks after.
+// untrack removes an attempt that holds no more resources on its upstream, or
+// whose cancellation is now tracked in k.cancels. It does nothing for nil and
+// for attempts that are not tracked.
 func (k *Kernel) untrack(a *attempt) {
 	if a == nil || k.attempts[a.id] != a {
 		return
@@ -155,8 +164,8 @@
 	u.Own.Pieces -= a.pieces
 }
 
-// computed notes that a prefill's prompt work is done, while its KV cache is
-// still held.
+// computed removes a finished prefill's prompt tokens from its upstream's load.
+// The attempt stays tracked, because the upstream still holds its KV cache.
 func (k *Kernel) computed(a *attempt) {
 	u := k.fleet.upstream(a.upstream)
 	if u != nil && sameLife(u.Incarnation, a.incarnation) {
@@ -165,8 +174,8 @@
 	a.tokens = 0
 }
 
-// callsInOrder lists the calls by arrival and ID, for loops whose effects must
-// not depend on map order.
+// callsInOrder returns the calls sorted by arrival time and ID, for loops whose
+// effects must not depend on the iteration order of the map.
 func (k *Kernel) callsInOrder() []*call {
 	calls := make([]*call, 0, len(k.calls))
 	for _, c := range k.calls {
--- a/kernel/cancel.go
+++ b/kernel/cancel.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// cancel is an order to an upstream to release an attempt, repeated until the
-// upstream acknowledges it or is known to be gone.
+// cancel is the cancellation of an attempt, repeated until the upstream
+// acknowledges it or the upstream's incarnation is known to have ended.
 type cancel struct {
 	upstream    ident.UpstreamID
 	incarnation ident.Incarnation
@@ -18,17 +18,19 @@
 const (
 	// cancelBackoff is the wait before the first repetition.
 	cancelBackoff = 100 * time.Millisecond
-	// maxCancelBackoff bounds the waits between repetitions.
+	// maxCancelBackoff limits the wait between repetitions.
 	maxCancelBackoff = 5 * time.Second
-	// maxTriesAbsent is how often a cancel is tried at an upstream that the
-	// view no longer has, before the upstream is taken for gone.
+	// maxTriesAbsent is the number of times a cancel is sent to an upstream that
+	// is no longer in the view before the upstream is considered ended.
 	maxTriesAbsent = 20
-	// cancelAnswerBy is how long the driver may take to report on a cancel
-	// before it is repeated anyway.
+	// cancelAnswerBy is the time after which a cancel is repeated if the driver
+	// has not reported its result.
 	cancelAnswerBy = 10 * time.Second
 )
 
-// release ends an attempt and has its upstream let go of what it holds.
+// release ends an attempt and cancels it on its upstream, which then releases
+// the resources that it holds for it. It does nothing for nil and for attempts
+// that are not tracked.
 func (k *Kernel) release(a *attempt) {
 	if a == nil || k.attempts[a.id] != a {
 		return
@@ -62,7 +64,8 @@
 	k.timers.addCancel(k.now.Add(wait/2+jitter), id)
 }
 
-// cancelDue repeats a cancel that was not acknowledged.
+// cancelDue repeats a cancel that has not been acknowledged, unless its upstream
+// has ended.
 func (k *Kernel) cancelDue(id ident.AttemptID) {
 	c, ok := k.cancels[id]
 	if !ok {
@@ -76,8 +79,8 @@
 	k.sendCancel(id)
 }
 
-// attemptsInOrder lists the attempts in flight by sequence, for loops whose
-// effects must not depend on map order.
+// attemptsInOrder returns the attempts in flight sorted by sequence number, for
+// loops whose effects must not depend on the iteration order of the map.
 func (k *Kernel) attemptsInOrder() []*attempt {
 	list := make([]*attempt, 0, len(k.attempts))
 	for _, a := range k.attempts {
--- a/kernel/differential_test.go
+++ b/kernel/differential_test.go
@@ -11,24 +11,25 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// fate is what an upstream does with one call.
+// fate is the simulated behaviour of an upstream for one call.
 type fate string
 
 const (
-	fateDone    fate = "done"    // runs it and answers
-	fateRefused fate = "refused" // attests that it did not run it
-	fateUnsent  fate = "unsent"  // cannot be connected to
-	fateLost    fate = "lost"    // runs it, the answer is lost
+	fateDone    fate = "done"    // runs the call and answers
+	fateRefused fate = "refused" // states that it did not run the call
+	fateUnsent  fate = "unsent"  // does not accept a connection
+	fateLost    fate = "lost"    // runs the call, but the answer is lost
 )
 
-// verdict is how a call of a plain service ended and how often it ran.
+// verdict is the outcome of a call of a plain service and the number of times it
+// ran.
 type verdict struct {
 	outcome api.Outcome
 	runs    int
 }
 
-// naive is the reference: it tries upstreams one after the other until one
-// answers, as a blind retry loop does, and calls everything else unknown.
+// naive is the reference implementation, a blind retry loop: it tries upstreams
+// one after the other until one answers. If none does, the outcome is unknown.
 func naive(fates []fate, attempts int) verdict {
 	v := verdict{outcome: api.Unknown}
 	for _, f := range fates[:min(len(fates), attempts)] {
@@ -44,7 +45,7 @@
 	return v
 }
 
-// kernelVerdict plays the same fates to the kernel.
+// kernelVerdict runs a call on a kernel whose upstreams behave as given by fates.
 func kernelVerdict(t *testing.T, fates []fate, repeatable bool) verdict {
 	s := newSession(t)
 	r := s.confirm("c")
@@ -93,10 +94,10 @@
 }
 
 // TestAgainstNaive compares the kernel with the blind retry loop. A repeatable
-// call must be answered whenever the loop has it answered. A call that must run
-// at most once must be answered whenever the loop has it answered with one run,
-// must never run twice where the loop does, and must be called not-run exactly
-// when it did not run.
+// call must be answered whenever the loop gets an answer. A call that must run at
+// most once must be answered whenever the loop gets an answer with a single run,
+// must never run twice, and must end with the outcome not-run exactly if it did
+// not run.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fates := rapid.SliceOfN(rapid.SampledFrom([]fate{fateDone, fateRefused, fateUnsent, fateLost}), 1, 6).Draw(rt, "fates")
@@ -105,24 +106,25 @@
 		want := naive(fates, attempts)
 		got := kernelVerdict(t, fates, repeatable)
 		if repeatable && want.outcome == api.Complete && got.outcome != api.Complete {
-			rt.Fatalf("%v: the blind loop answers, the kernel says %s", fates, got.outcome)
+			rt.Fatalf("%v: the retry loop gets an answer, the kernel's outcome is %s", fates, got.outcome)
 		}
 		if repeatable {
 			return
 		}
 		if got.runs > 1 {
-			rt.Fatalf("%v: ran %d times", fates, got.runs)
+			rt.Fatalf("%v: a call that must run at most once ran %d times", fates, got.runs)
 		}
 		if want.outcome == api.Complete && want.runs == 1 && got.outcome != api.Complete {
-			rt.Fatalf("%v: one run would have answered, the kernel says %s", fates, got.outcome)
+			rt.Fatalf("%v: the retry loop gets an answer with one run, the kernel's outcome is %s", fates, got.outcome)
 		}
 		if (got.outcome == api.NotRun) != (got.runs == 0 && got.outcome != api.Complete) {
-			rt.Fatalf("%v: ran %d times, the kernel says %s", fates, got.runs, got.outcome)
+			rt.Fatalf("%v: the call ran %d times, the kernel's outcome is %s", fates, got.runs, got.outcome)
 		}
 	})
 }
 
-// TestNaiveRunsTwice shows that the reference does break the promise.
+// TestNaiveRunsTwice checks that the blind retry loop does run a call twice after
+// a lost answer, so that the comparison in TestAgainstNaive is meaningful.
 func TestNaiveRunsTwice(t *testing.T) {
 	assert.DeepEqual(t, naive([]fate{fateLost, fateDone}, 4).runs, 2)
 }
--- a/kernel/event.go
+++ b/kernel/event.go
@@ -7,7 +7,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Event is something that happened outside the kernel. The types in this file
+// Event reports to the kernel that something happened. The types in this file
 // are the only implementations.
 type Event interface{ event() }
 
@@ -17,8 +17,9 @@
 // CallerGone reports that a request's caller no longer waits.
 type CallerGone struct{ Request ident.RequestID }
 
-// KVHandle is what a prefill engine returned so that a decode engine can
-// import the prompt's KV cache. The kernel passes it on unread.
+// KVHandle identifies the KV cache of a finished prefill. The prefill engine
+// returns it and the decode engine uses it to import the cache. The kernel
+// passes Params on without interpreting it.
 type KVHandle struct {
 	// Engine is the prefill upstream that holds the KV cache.
 	Engine ident.UpstreamID
@@ -26,16 +27,18 @@
 	Params []byte
 }
 
-// PrefillDone reports a prefill that finished; its KV cache is now held.
+// PrefillDone reports that a prefill finished. The prefill engine holds its KV
+// cache until the cache is imported, released or evicted.
 type PrefillDone struct {
 	Attempt ident.AttemptID
 	KV      KVHandle
-	// CachedTokens is how much of the prompt was reused, as the engine reports.
+	// CachedTokens is the number of prompt tokens that the engine took from its
+	// prefix cache, as reported by the engine.
 	CachedTokens int
 }
 
-// FirstOutput reports the first output token of a decode attempt, by which
-// the KV cache has left the prefill engine.
+// FirstOutput reports the first output token of a decode attempt. The decode
+// engine has then imported the KV cache, and the prefill engine has released it.
 type FirstOutput struct{ Attempt ident.AttemptID }
 
 // AttemptDone reports that a decode or service attempt returned its whole
@@ -46,16 +49,17 @@
 	Tokens int
 }
 
-// Evidence says what is known about whether a failed attempt ran.
+// Evidence states whether a failed attempt may have run.
 type Evidence int
 
 // The kinds of evidence.
 const (
-	// NotSent: no byte of the attempt left this instance.
+	// NotSent means that this instance sent no byte of the attempt.
 	NotSent Evidence = iota + 1
-	// Refused: the upstream itself attested that it did not run the attempt.
+	// Refused means that the upstream itself stated that it did not run the
+	// attempt.
 	Refused
-	// Ambiguous: the attempt may have run, wholly or in part.
+	// Ambiguous means that the attempt may have run completely or in part.
 	Ambiguous
 )
 
@@ -65,58 +69,62 @@
 // The failure codes.
 const (
 	FailureConnect  FailureCode = "connect"      // no connection could be made
-	FailureCapacity FailureCode = "capacity"     // the upstream had no room
-	FailureDraining FailureCode = "draining"     // the upstream is leaving
+	FailureCapacity FailureCode = "capacity"     // the upstream had no free capacity
+	FailureDraining FailureCode = "draining"     // the upstream is shutting down
 	FailureModel    FailureCode = "model"        // the upstream does not serve the model
 	FailureKVGone   FailureCode = "kv_missing"   // the KV cache was evicted before import
 	FailureStalled  FailureCode = "stalled"      // a transfer or stream made no progress
-	FailureBroken   FailureCode = "broken"       // the connection or the answer broke off
-	FailureRejected FailureCode = "rejected"     // the upstream found fault with the request
-	FailureUpstream FailureCode = "upstream"     // the upstream reported a failure of its own
-	FailureTimeout  FailureCode = "call_timeout" // a service call took too long
+	FailureBroken   FailureCode = "broken"       // the connection broke or the answer was incomplete
+	FailureRejected FailureCode = "rejected"     // the upstream rejected the request as invalid
+	FailureUpstream FailureCode = "upstream"     // the upstream reported an internal error
+	FailureTimeout  FailureCode = "call_timeout" // a service call exceeded its timeout
 )
 
-// AttemptFailed reports an attempt that ended without its answer.
+// AttemptFailed reports an attempt that ended without a complete answer.
 type AttemptFailed struct {
 	Attempt ident.AttemptID
-	// Upstream is where the attempt was sent. What the failure says of the
-	// upstream counts even when the attempt itself was given up before.
+	// Upstream is the upstream to which the attempt was sent. With code
+	// FailureDraining the kernel marks it as leaving even if the attempt itself
+	// is no longer tracked.
 	Upstream ident.UpstreamID
 	Evidence Evidence
 	Code     FailureCode
-	// Offset is how many output tokens have reached the caller's stream over
+	// Offset is the number of output tokens written to the caller's stream, over
 	// all attempts of the request.
 	Offset int
-	// RetryAfter is the upstream's own hint, 0 if none.
+	// RetryAfter is the retry-after hint of the upstream, 0 if it sent none.
 	RetryAfter time.Duration
 }
 
-// CancelAcked reports that the upstream holds nothing more for the attempt.
+// CancelAcked reports that the upstream holds no more resources for the attempt.
 type CancelAcked struct{ Attempt ident.AttemptID }
 
-// CancelFailed reports that a cancel could not be delivered; the kernel tries
-// again.
+// CancelFailed reports that a cancel could not be delivered. The kernel repeats
+// it later.
 type CancelFailed struct{ Attempt ident.AttemptID }
 
 // ViewChanged replaces the kernel's view of instances and upstreams.
 type ViewChanged struct{ View *View }
 
-// LoadSeen reports an upstream's load, read from one of its responses.
+// LoadSeen reports an upstream's load, taken from one of its responses.
 type LoadSeen struct {
 	Upstream ident.UpstreamID
 	Load     Load
 }
 
-// CacheChanged reports blocks that an upstream stored or dropped.
+// CacheChanged reports blocks that an upstream added to its prefix cache or
+// removed from it.
 type CacheChanged struct {
 	Upstream ident.UpstreamID
-	// Cleared drops all blocks first.
+	// Cleared means that all earlier blocks are removed before Removed and
+	// Stored are applied.
 	Cleared bool
 	Stored  []uint64
 	Removed []uint64
 }
 
-// Configured reports that a bundle version came into force here.
+// Configured delivers a bundle version to bring into force on this instance. The
+// kernel answers with ConfigRejected if it cannot run the bundle's policy.
 type Configured struct {
 	Version uint64
 	Content *config.Content
@@ -128,19 +136,20 @@
 	Message PeerMessage
 }
 
-// PeerUndelivered reports that a message this kernel sent did not arrive, or
-// may not have.
+// PeerUndelivered reports that a message sent by this kernel did not arrive or
+// may not have arrived.
 type PeerUndelivered struct {
 	To      ident.InstanceID
 	Message PeerMessage
 }
 
-// Paused reports that this process did not run for a while, so that its view
-// is older than it seems.
+// Paused reports that this process did not run for the duration Gap, for
+// example because the machine was suspended. Its view is then older than its
+// arrival time suggests.
 type Paused struct{ Gap time.Duration }
 
-// Stop begins a graceful shutdown: what is in flight finishes, what arrives
-// is refused.
+// Stop begins a graceful shutdown: requests with an attempt in flight may
+// finish, waiting and new requests are refused.
 type Stop struct{}
 
 // Tick reports that time has passed; see Kernel.NextWake.
--- a/kernel/failure.go
+++ b/kernel/failure.go
@@ -7,11 +7,13 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// maxReattach is how often one decode's stream is read on after its
-// connection broke, before the decode is resumed elsewhere.
+// maxReattach is the number of times the kernel reconnects to the stream of a
+// decode whose connection broke, before it resumes the request with a new
+// attempt.
 const maxReattach = 2
 
-// attemptFailed decides what follows on a failed attempt.
+// attemptFailed handles a failed attempt: it reconnects, retries, or ends the
+// request with an error.
 func (k *Kernel) attemptFailed(e AttemptFailed) {
 	if e.Code == FailureDraining {
 		k.upstreamLeaving(e.Upstream)
@@ -27,8 +29,8 @@
 		return
 	}
 	if e.Evidence == Ambiguous || c.reattached > 0 {
-		// A stream that was read on belongs to a decode that did run, whatever
-		// the last connection says.
+		// After a reconnect, the decode is known to have run earlier, whatever
+		// the evidence of the last connection is.
 		c.touched = true
 		c.exposed = c.exposed || a.stage != stagePrefill
 		k.release(a)
@@ -37,8 +39,8 @@
 	}
 	switch {
 	case a == c.prefill && c.state != callPrefilling:
-		// The prefill had finished; the decode that imports its result goes on
-		// or fails by itself.
+		// The prefill had already finished. The decode that imports its KV
+		// cache continues, or fails with an event of its own.
 		c.prefill = nil
 	case a.stage == stagePrefill:
 		k.prefillFailed(c, e)
@@ -50,14 +52,16 @@
 	}
 }
 
-// upstreamLeaving takes an upstream's own word that it is leaving.
+// upstreamLeaving marks an upstream as leaving after it said so in a response.
 func (k *Kernel) upstreamLeaving(id ident.UpstreamID) {
 	if u := k.fleet.upstream(id); u != nil {
 		k.fleet.markLeaving(u)
 	}
 }
 
-// noteFailure records what the failure says of the upstream.
+// noteFailure updates the health of the upstream, informs the slot policy, and
+// excludes the upstream from further attempts of the request. It ignores
+// failures of an earlier incarnation of the upstream.
 func (k *Kernel) noteFailure(a *attempt, e AttemptFailed) {
 	u := k.fleet.upstream(a.upstream)
 	if u == nil || !sameLife(u.Incarnation, a.incarnation) {
@@ -77,13 +81,15 @@
 	}
 	c := a.call
 	if stalledTransfer {
-		// One stall does not tell at which of the two ends.
+		// A single stall does not show which of the two engines is at fault, so
+		// both are avoided.
 		c.avoid = append(c.avoid, c.prefill.upstream)
 	}
 	c.avoid = append(c.avoid, a.upstream)
 }
 
-// tryReattach reads on in the same decode when only the connection broke.
+// tryReattach reconnects to the same decode if only its connection broke. It
+// reports whether it did.
 func (k *Kernel) tryReattach(c *call, a *attempt, e AttemptFailed) bool {
 	if e.Evidence != Ambiguous || e.Code != FailureBroken {
 		return false
@@ -110,8 +116,8 @@
 	return true
 }
 
-// reattachWait is the wait before a stream is read on for the n-th time: none at
-// first, since most connections can be made anew at once.
+// reattachWait returns the wait before the n-th reconnect to a stream. The first
+// one has no wait, since most connections can be re-established immediately.
 func (k *Kernel) reattachWait(n int) time.Duration {
 	if n < 2 {
 		return 0
@@ -128,7 +134,7 @@
 func (k *Kernel) decodeFailed(c *call, e AttemptFailed) {
 	ran := e.Evidence == Ambiguous || c.reattached > 0
 	if !ran && e.Code != FailureKVGone {
-		// The decode did not start, so the prefill may still be of use.
+		// The decode did not start, so the prefill's KV cache may still be used.
 		k.decodeElsewhere(c, failureReason(e.Code))
 		return
 	}
@@ -139,14 +145,14 @@
 }
 
 // retry puts a call back in the queue after a failed attempt if it may run
-// again, and gives it up otherwise.
+// again, and ends it with an error otherwise.
 func (k *Kernel) retry(c *call, e AttemptFailed) {
-	// No attempt is in flight any more, so that only what ran before counts for
-	// the outcome.
+	// No attempt is in flight any more. With callQueued, only c.touched decides
+	// whether the outcome can still be "not-run".
 	c.state = callQueued
 	reason := failureReason(e.Code)
 	if e.Code == FailureRejected {
-		k.fail(c, reason, api.ProblemUpstreamRefused, "the upstream found fault with the request")
+		k.fail(c, reason, api.ProblemUpstreamRefused, "the upstream rejected the request as invalid")
 		return
 	}
 	if c.exposed && !c.request.MayRepeat() {
@@ -155,21 +161,23 @@
 		return
 	}
 	if e.Evidence != Ambiguous && c.reattached == 0 {
-		// The attempt did not run: another one is no retry in the sense of the
+		// The attempt did not run, so a further one is not charged to the retry
 		// budget.
 		k.requeue(c, reason, k.attestedRetryAt(c, e))
 		return
 	}
 	if !k.budget.take() {
 		k.fail(c, ReasonRetryBudget, api.ProblemUpstreamFailed,
-			"an attempt failed and too many others did as well")
+			"an attempt failed and the retry budget of this instance is exhausted")
 		return
 	}
 	k.requeue(c, reason, k.now.Add(k.backoff(c.tries+1)))
 }
 
-// attestedRetryAt is when a call that did not run may be tried again: at once
-// elsewhere, later if the upstream asked for patience.
+// attestedRetryAt returns the time at which a call that did not run may be tried
+// again: immediately after the first failure, since another upstream is used;
+// after further failures with a backoff, or after the upstream's retry-after
+// hint if that is longer, up to maxComeBack.
 func (k *Kernel) attestedRetryAt(c *call, e AttemptFailed) time.Time {
 	if c.tries == 0 {
 		return k.now
@@ -177,16 +185,17 @@
 	return k.now.Add(max(k.backoff(c.tries), min(e.RetryAfter, maxComeBack)))
 }
 
-// requeue puts a call back in the queue, or gives it up when it was tried
-// often enough or will be too late.
+// requeue puts a call back in the queue, to be placed from the given time on. It
+// ends the call with an error if the maximum number of attempts is reached or
+// the deadline would pass first.
 func (k *Kernel) requeue(c *call, reason Reason, at time.Time) {
 	c.tries++
 	if c.tries >= k.maxAttempts() {
-		k.fail(c, ReasonAttempts, api.ProblemUpstreamFailed, "every attempt failed")
+		k.fail(c, ReasonAttempts, api.ProblemUpstreamFailed, "all attempts failed and no more are allowed")
 		return
 	}
 	if !at.Before(c.request.Deadline) {
-		k.fail(c, reason, api.ProblemDeadline, "no time is left for another attempt")
+		k.fail(c, reason, api.ProblemDeadline, "an attempt failed and the deadline leaves no time for another one")
 		return
 	}
 	step := StepRetrying
@@ -197,7 +206,7 @@
 	k.enqueue(c, at)
 }
 
-// failureReason maps an attempt's failure to the reason in decision records.
+// failureReason returns the reason that decision records give for a failure.
 func failureReason(code FailureCode) Reason {
 	switch code {
 	case FailureCapacity, FailureDraining, FailureModel, FailureRejected:
--- a/kernel/finish.go
+++ b/kernel/finish.go
@@ -7,18 +7,18 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// complete gives a call its whole answer.
+// complete ends a call whose whole answer has been returned.
 func (k *Kernel) complete(c *call) {
 	k.finish(c, Answer{Request: c.request.ID, Outcome: api.Complete},
 		Record{Step: StepCompleted, Reason: ReasonWhole})
 }
 
-// refuseCall gives up a call for which nothing is in flight.
+// refuseCall ends a call that has no attempt in flight.
 func (k *Kernel) refuseCall(c *call, r *Refusal) {
 	k.end(c, StepRefused, r)
 }
 
-// fail gives up a call after failures.
+// fail ends a call after failed attempts.
 func (k *Kernel) fail(c *call, reason Reason, problem api.ProblemType, detail string) {
 	k.end(c, StepFailed, &Refusal{
 		Reason:     reason,
@@ -28,7 +28,7 @@
 	})
 }
 
-// callerGone ends a call whose caller no longer waits.
+// callerGone ends a call whose caller has disconnected.
 func (k *Kernel) callerGone(id ident.RequestID) {
 	c, ok := k.calls[id]
 	if !ok {
@@ -41,7 +41,8 @@
 	})
 }
 
-// deadlinePassed ends a call whose caller stops waiting now.
+// deadlinePassed ends a call whose deadline has passed. It ignores the timer of
+// a call that has ended already.
 func (k *Kernel) deadlinePassed(id ident.RequestID) {
 	c, ok := k.calls[id]
 	if !ok || k.now.Before(c.request.Deadline) {
@@ -51,12 +52,13 @@
 	k.end(c, StepFailed, &Refusal{
 		Reason:     ReasonDeadlinePassed,
 		Problem:    api.ProblemDeadline,
-		Detail:     "the deadline passed before the whole answer was there",
+		Detail:     "the deadline passed before the answer was complete",
 		RetryAfter: k.comeBack(c.request),
 	})
 }
 
-// end gives a call its final answer other than a whole one.
+// end ends a call without a complete answer. The outcome is api.NotRun only if
+// no stage can have run.
 func (k *Kernel) end(c *call, step Step, r *Refusal) {
 	outcome := api.NotRun
 	if c.touched || c.started() || c.prefill != nil {
@@ -69,7 +71,7 @@
 		Record{Step: step, Reason: r.Reason, RetryAfter: r.RetryAfter})
 }
 
-// finish releases all that a call holds and emits its one answer.
+// finish releases all resources of a call and emits its final answer.
 func (k *Kernel) finish(c *call, a Answer, rec Record) {
 	k.dequeue(c)
 	k.release(c.active)
@@ -86,7 +88,8 @@
 	k.log(c, rec)
 }
 
-// log completes a decision record, tells the observers and emits it.
+// log fills in the common fields of a decision record, passes it to the
+// observers and emits it.
 func (k *Kernel) log(c *call, rec Record) {
 	r := c.request
 	rec.Time = k.now
@@ -103,5 +106,6 @@
 	k.emit(Log{Record: rec})
 }
 
-// maxViewAge is reported where no load was ever seen.
+// maxViewAge is the largest ViewAge in a decision record. It is reported for an
+// upstream that has never reported its load.
 const maxViewAge = time.Hour
--- a/kernel/fleet.go
+++ b/kernel/fleet.go
@@ -7,8 +7,9 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// fleet is the kernel's own copy of the view, with what only this instance
-// knows: its requests in flight, failures it saw, load reports it read.
+// fleet is the kernel's own copy of the view, extended by what only this
+// instance knows of the upstreams: its requests in flight, the failures it has
+// seen and the load reports it has read.
 type fleet struct {
 	view View
 	byID map[ident.UpstreamID]int
@@ -17,8 +18,8 @@
 	prefills map[string][]int
 	decodes  map[string][]int
 	services map[string][]int
-	// left remembers the incarnation in which an upstream was said to be
-	// leaving, by itself or by a view.
+	// left holds the incarnation in which an upstream was reported as leaving,
+	// by the upstream itself or by a view.
 	left map[ident.UpstreamID]ident.Incarnation
 }
 
@@ -27,7 +28,7 @@
 	f.left = map[ident.UpstreamID]ident.Incarnation{}
 }
 
-// upstream finds an upstream by ID, nil if the view has none.
+// upstream returns the upstream with the given ID, nil if it is not in the view.
 func (f *fleet) upstream(id ident.UpstreamID) *Upstream {
 	i, ok := f.byID[id]
 	if !ok {
@@ -36,8 +37,8 @@
 	return &f.view.Upstreams[i]
 }
 
-// replace takes over a new view and keeps this instance's own knowledge of the
-// upstreams that are still the same process.
+// replace installs a new view. For upstreams that are still the same process it
+// keeps the state that this instance has recorded.
 func (f *fleet) replace(v *View, now time.Time) {
 	old := f.view.Upstreams
 	next := *v
@@ -55,13 +56,14 @@
 	f.byID = index
 }
 
-// carryOver copies what is kept from the upstream's previous entry.
+// carryOver copies the state that this instance has recorded from the upstream's
+// entry in the old view, if that is the same incarnation.
 func (f *fleet) carryOver(u *Upstream, old []Upstream, now time.Time) {
 	u.Own = Own{}
 	u.Health = Health{}
 	if len(old) > 0 {
-		// New in the fleet, so that it is started slowly; in the first view
-		// nothing is known to be new.
+		// The upstream is new in the fleet and gets slow start. In the first
+		// view it is not known which upstreams are new, so none gets it.
 		u.Health.BackSince = now
 	}
 	i, ok := f.byID[u.ID]
@@ -70,7 +72,7 @@
 	}
 	prev := &old[i]
 	if u.Incarnation < prev.Incarnation {
-		// An older life than one already seen: the view lags.
+		// The view lags: a newer incarnation has been seen already.
 		u.Incarnation = prev.Incarnation
 		u.Life = prev.Life
 	}
@@ -84,8 +86,8 @@
 	}
 }
 
-// keepLeaving makes leaving sticky: once any source has said that an
-// incarnation is leaving, no older news can undo it.
+// keepLeaving makes the state Leaving sticky: once any source has reported that
+// an incarnation is leaving, a view that is older cannot undo it.
 func (f *fleet) keepLeaving(u *Upstream) {
 	if u.Life == Leaving {
 		f.left[u.ID] = u.Incarnation
@@ -97,8 +99,9 @@
 	}
 }
 
-// describe joins the bundle's declarations to the view's upstreams and rebuilds
-// the indexes.
+// describe copies the bundle's declarations into the view's upstreams and
+// rebuilds the indexes by model and service. Upstreams that the bundle does not
+// declare are not indexed.
 func (f *fleet) describe(c *config.Content) {
 	specs := make(map[ident.UpstreamID]*config.Upstream, len(c.Upstreams))
 	for i := range c.Upstreams {
@@ -118,7 +121,8 @@
 	}
 }
 
-// file puts the upstream at index i under what it is declared to run.
+// file adds the upstream at index i to the indexes of the models or the service
+// that it is declared to run.
 func (f *fleet) file(i int, spec *config.Upstream) {
 	switch spec.Role {
 	case config.RolePrefill:
@@ -134,7 +138,7 @@
 	}
 }
 
-// markLeaving notes an upstream's own word that it is leaving.
+// markLeaving records that an upstream itself has said that it is leaving.
 func (f *fleet) markLeaving(u *Upstream) {
 	f.left[u.ID] = u.Incarnation
 	if u.Life < Leaving {
@@ -154,8 +158,9 @@
 	k.dropLostWork()
 }
 
-// dropLostWork abandons attempts and cancels on upstreams that are dead for
-// certain: their memory is gone with them.
+// dropLostWork abandons the attempts and drops the cancels on upstream
+// incarnations that are known to have ended, since they hold no resources any
+// more.
 func (k *Kernel) dropLostWork() {
 	for _, a := range k.attemptsInOrder() {
 		if !k.gone(a.upstream, a.incarnation) {
@@ -174,7 +179,8 @@
 	}
 }
 
-// gone reports whether an upstream's incarnation is known to have ended.
+// gone reports whether the given incarnation of an upstream is known to have
+// ended. An upstream that is not in the view is not known to have ended.
 func (k *Kernel) gone(id ident.UpstreamID, inc ident.Incarnation) bool {
 	u := k.fleet.upstream(id)
 	if u == nil {
@@ -183,8 +189,9 @@
 	return u.Life == Dead || !sameLife(u.Incarnation, inc)
 }
 
-// sameLife reports whether two incarnations may be the same life of a process: 0
-// is that of an upstream that no agent has read yet, which says nothing.
+// sameLife reports whether two incarnations may be the same process. The
+// incarnation is 0 while no agent has read it from the upstream yet, so that 0
+// matches every incarnation.
 func sameLife(a, b ident.Incarnation) bool { return a == b || a == 0 || b == 0 }
 
 func (k *Kernel) loadSeen(e LoadSeen) {
--- a/kernel/fleet_test.go
+++ b/kernel/fleet_test.go
@@ -7,8 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSlowStartOnlyForNewcomers checks that a starting instance does not take
-// the whole fleet for new.
+// TestSlowStartOnlyForNewcomers checks that slow start applies to upstreams that
+// join or restart later, but not to the upstreams of the first view: a starting
+// instance must not treat the whole fleet as new.
 func TestSlowStartOnlyForNewcomers(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var f fleet
@@ -20,6 +21,6 @@
 	assert.Equal(t, f.upstream("d2").Health.BackSince, now)
 	later := now.Add(time.Minute)
 	f.replace(&View{Version: 3, Upstreams: []Upstream{{ID: "d1", Incarnation: 2}, {ID: "d2", Incarnation: 1}}}, later)
-	assert.Equal(t, f.upstream("d1").Health.BackSince, later, "a restarted engine is new")
+	assert.Equal(t, f.upstream("d1").Health.BackSince, later, "a restarted engine must get slow start")
 	assert.Equal(t, f.upstream("d2").Health.BackSince, now)
 }
--- a/kernel/health.go
+++ b/kernel/health.go
@@ -3,16 +3,19 @@
 import "time"
 
 const (
-	// ejectAfter is how many consecutive failures eject an upstream.
+	// ejectAfter is the number of consecutive failures after which an upstream
+	// is ejected.
 	ejectAfter = 3
-	// ejectBase is the length of the first ejection; each further one in a row
-	// doubles it.
+	// ejectBase is the duration of the first ejection. It doubles with each
+	// further ejection that follows without a success in between.
 	ejectBase = 2 * time.Second
-	// maxEjectDoublings bounds the ejections' length.
+	// maxEjectDoublings limits the duration of ejections to
+	// ejectBase << maxEjectDoublings (32 s).
 	maxEjectDoublings = 4
 )
 
-// succeeded notes a success of an attempt on u.
+// succeeded records that an attempt on u succeeded and resets u's counts of
+// failures and ejections. It does nothing if u is nil.
 func (k *Kernel) succeeded(u *Upstream) {
 	if u == nil {
 		return
@@ -22,14 +25,16 @@
 	u.Health.LastSuccess = k.now
 }
 
-// silentTime is the least time without an answer that speaks against an
-// upstream when a caller's deadline ends the attempt.
+// silentTime is the minimum time that a service attempt must have run without an
+// answer for its end by the caller's deadline to count as the upstream's
+// failure.
 const silentTime = 2 * time.Second
 
-// silent notes a service attempt that is ended by its caller's deadline. It is
-// the upstream's failure if it had time to answer and answered nobody meanwhile:
-// a service that is cut off is found by this, one that is merely slower than
-// some callers are patient is not.
+// silent handles a service attempt that is ended by its caller's deadline. It
+// counts as a failure of the upstream if the attempt ran for at least silentTime
+// and no other attempt on the upstream succeeded in that time. This detects a
+// service that is cut off from the network. A service that is only slower than
+// some callers' deadlines still answers others and is not counted as failing.
 func (k *Kernel) silent(a *attempt) {
 	if a == nil || a.stage != stageService || k.now.Sub(a.sentAt) < silentTime {
 		return
@@ -41,8 +46,8 @@
 	k.failed(u)
 }
 
-// failed notes a failure that is the upstream's own fault, and ejects the
-// upstream after several in a row.
+// failed records a failure caused by the upstream itself and ejects the upstream
+// after ejectAfter consecutive ones. It does nothing if u is nil.
 func (k *Kernel) failed(u *Upstream) {
 	if u == nil {
 		return
@@ -56,7 +61,8 @@
 
 func (k *Kernel) ejected(u *Upstream) bool { return k.now.Before(u.Health.EjectedUntil) }
 
-// eject has an upstream get no new work for a while, longer each time in a row.
+// eject excludes an upstream from new work for a time that doubles with each
+// consecutive ejection.
 func (k *Kernel) eject(u *Upstream) {
 	length := ejectBase << min(u.Health.Ejections, maxEjectDoublings)
 	u.Health.Ejections++
@@ -66,7 +72,7 @@
 	k.kick(u.Health.EjectedUntil)
 }
 
-// upstreamFault reports whether a failure speaks against the upstream's health.
+// upstreamFault reports whether a failure counts against the upstream's health.
 func upstreamFault(code FailureCode) bool {
 	switch code {
 	case FailureConnect, FailureBroken, FailureStalled, FailureUpstream, FailureTimeout:
--- a/kernel/host.go
+++ b/kernel/host.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// host is the kernel as its plug-ins see it.
+// host is the Host and JointHost that the kernel offers its plug-ins.
 type host struct{ k *Kernel }
 
 var _ Host = host{}
@@ -36,9 +36,10 @@
 	h.k.verdict(slotVerdict{id: id, kind: verdictDenied, retryAt: retryAt})
 }
 
-// slotVerdict is a slot policy's late answer to a reservation. It is acted upon
-// after the call that brought it has returned, since a policy may answer one
-// request while another one's slot is being released.
+// slotVerdict is a slot policy's asynchronous answer to a reservation or a
+// placement request. The kernel processes it only after the policy's call has
+// returned, since a policy may answer one request while the slot of another one
+// is being released.
 type slotVerdict struct {
 	id        ident.AttemptID
 	kind      verdictKind
@@ -48,7 +49,8 @@
 	decode    ident.UpstreamID
 }
 
-// verdictKind says what a slotVerdict is.
+// verdictKind is the kind of a slotVerdict, one for each method of Host and
+// JointHost by which a policy answers.
 type verdictKind int
 
 const (
@@ -61,6 +63,8 @@
 
 func (k *Kernel) verdict(v slotVerdict) { k.verdicts = append(k.verdicts, v) }
 
+// settleSlots processes the queued answers of the slot policy, including those
+// that are added meanwhile.
 func (k *Kernel) settleSlots() {
 	for i := 0; i < len(k.verdicts); i++ {
 		v := k.verdicts[i]
--- a/kernel/interleaving_test.go
+++ b/kernel/interleaving_test.go
@@ -14,50 +14,54 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// flight is an attempt on its way, as the fake upstreams know it.
+// flight is an attempt that was sent and has not ended, as seen by the simulated
+// upstreams.
 type flight struct {
 	id       ident.AttemptID
 	request  ident.RequestID
 	upstream ident.UpstreamID
 	prefill  bool
 	model    bool
-	// dead: the upstream ended before it could run this attempt.
+	// dead means that the upstream ended before it could run this attempt.
 	dead bool
 }
 
-// truth is what really happened to one request.
+// truth records what actually happened to one request.
 type truth struct {
 	request *kernel.Request
-	// touched: some stage ran. runs: decodes or calls that ran.
+	// touched means that any stage ran. runs is the number of decodes or service
+	// calls that ran.
 	touched bool
 	runs    int
 	answers int
 	outcome api.Outcome
 }
 
-// fakeWorld plays the upstreams in any order rapid chooses, and keeps the truth.
+// fakeWorld simulates the upstreams, with events in an order that rapid chooses,
+// and records what actually happened to each request.
 type fakeWorld struct {
 	t       *rapid.T
 	k       *kernel.Kernel
 	now     time.Time
 	view    *kernel.View
 	content *config.Content
-	// given is the view that the kernel was last given; stale are older ones.
+	// given is the view that the kernel received last; stale are older views.
 	given *kernel.View
 	stale []*kernel.View
-	// left is the incarnation in which an upstream was said to be leaving.
+	// left is the incarnation in which an upstream was reported as leaving.
 	left map[ident.UpstreamID]ident.Incarnation
 
 	flights  []flight
 	attaches []flight
 	cancels  []flight
-	// held is what upstreams hold and nobody has released.
+	// held are the attempts for which upstreams still hold resources.
 	held map[ident.AttemptID]ident.UpstreamID
-	// cancelled are attempts whose cancel overtook them.
+	// cancelled are attempts that their upstream has been told to cancel; if the
+	// cancel arrived before the attempt, the upstream does not run it.
 	cancelled map[ident.AttemptID]bool
 	requests  map[ident.RequestID]*truth
 	next      int
-	// kvOf remembers which prefill a decode imports.
+	// kvOf maps a decode to the prefill whose KV cache it imports.
 	kvOf map[ident.AttemptID]ident.AttemptID
 	// prefillOf is the newest finished prefill of a request.
 	prefillOf map[ident.RequestID]ident.AttemptID
@@ -93,6 +97,7 @@
 	}
 }
 
+// carry carries out an action of the kernel, as a driver would.
 func (w *fakeWorld) carry(a kernel.Action) {
 	switch a := a.(type) {
 	case kernel.StartPrefill:
@@ -113,16 +118,18 @@
 	}
 }
 
+// start records an attempt that the kernel sends. It fails the test if the kernel
+// knows from a view or from the upstream that the upstream takes no new work.
 func (w *fakeWorld) start(f flight) {
 	for _, u := range w.given.Upstreams {
 		if u.ID != f.upstream {
 			continue
 		}
 		if u.Life >= kernel.Leaving && u.Incarnation >= w.upstream(u.ID).Incarnation {
-			w.t.Fatalf("new work for %s, which is known to be in state %d", u.ID, u.Life)
+			w.t.Fatalf("new work was sent to %s, which is in state %d according to the view", u.ID, u.Life)
 		}
 		if w.left[u.ID] != 0 && w.left[u.ID] == w.upstream(u.ID).Incarnation {
-			w.t.Fatalf("new work for %s, which said that it is leaving", u.ID)
+			w.t.Fatalf("new work was sent to %s, which has reported that it is leaving", u.ID)
 		}
 	}
 	f.dead = w.upstream(f.upstream).Life == kernel.Dead
@@ -134,21 +141,23 @@
 	tr.answers++
 	tr.outcome = a.Outcome
 	if tr.answers > 1 {
-		w.t.Fatalf("request %s answered %d times", a.Request, tr.answers)
+		w.t.Fatalf("request %s was answered %d times, want once", a.Request, tr.answers)
 	}
 	w.checkRequest(tr)
 }
 
+// checkRequest fails the test if the request was answered not-run although a
+// stage ran, or if it ran twice although it must run at most once.
 func (w *fakeWorld) checkRequest(tr *truth) {
 	if tr.answers > 0 && tr.outcome == api.NotRun && tr.touched {
-		w.t.Fatalf("request %s: told not-run, but it ran", tr.request.ID)
+		w.t.Fatalf("request %s was answered not-run, but it ran", tr.request.ID)
 	}
 	if !tr.request.Repeatable && tr.runs > 1 {
-		w.t.Fatalf("request %s must run at most once, ran %d times", tr.request.ID, tr.runs)
+		w.t.Fatalf("request %s must run at most once, but ran %d times", tr.request.ID, tr.runs)
 	}
 }
 
-// ran notes that an attempt's work was begun by its upstream.
+// ran records that an upstream has started to run an attempt.
 func (w *fakeWorld) ran(f flight) {
 	tr := w.requests[f.request]
 	tr.touched = true
@@ -190,7 +199,7 @@
 	w.step(kernel.Arrive{Request: r})
 }
 
-// resolve ends one attempt in one of the ways it can end.
+// resolve ends a random attempt with a random result.
 func (w *fakeWorld) resolve(t *rapid.T) {
 	f, ok := take(t, &w.flights, "flight")
 	if !ok {
@@ -207,6 +216,7 @@
 	w.end(t, f, rapid.SampledFrom([]string{"done", "done", "unsent", "refused", "draining", "kv", "broken", "stalled", "lost"}).Draw(t, "end"))
 }
 
+// end ends an attempt with the given result.
 func (w *fakeWorld) end(t *rapid.T, f flight, how string) {
 	fail := kernel.AttemptFailed{Attempt: f.id, Upstream: f.upstream, Evidence: kernel.Refused, Code: kernel.FailureCapacity}
 	switch how {
@@ -225,14 +235,14 @@
 			delete(w.held, w.kvOf[f.id])
 		}
 	case "broken", "stalled":
-		// The upstream ran it; the news was lost.
+		// The upstream ran the attempt, but the answer was lost.
 		w.ran(f)
 		fail.Evidence, fail.Code = kernel.Ambiguous, kernel.FailureBroken
 		if how == "stalled" {
 			fail.Code = kernel.FailureStalled
 		}
 	case "lost":
-		// The upstream never got it, but nobody can know.
+		// The upstream never received the attempt, but the sender cannot know.
 		fail.Evidence, fail.Code = kernel.Ambiguous, kernel.FailureBroken
 	}
 	w.step(fail)
@@ -255,7 +265,7 @@
 	w.step(kernel.AttemptDone{Attempt: f.id})
 }
 
-// reattach ends one attempt to read on in a stream.
+// reattach ends a random reconnect to a stream, successfully or not.
 func (w *fakeWorld) reattach(t *rapid.T) {
 	f, ok := take(t, &w.attaches, "attach")
 	if !ok {
@@ -270,6 +280,7 @@
 	w.step(kernel.AttemptFailed{Attempt: f.id, Evidence: evidence, Code: kernel.FailureBroken, Offset: 5})
 }
 
+// pass lets a random time pass.
 func (w *fakeWorld) pass(t *rapid.T) {
 	end := w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 	w.passUntil(end)
@@ -290,8 +301,8 @@
 	w.step(kernel.Tick{})
 }
 
-// settle lets everything that is under way come to its end and checks that
-// nothing is left behind.
+// settle ends all attempts and acknowledges all cancels, and then checks that
+// every request has exactly one answer and that no upstream still holds resources.
 func (w *fakeWorld) settle(t *rapid.T) {
 	for range 50 {
 		for len(w.flights) > 0 {
@@ -317,24 +328,27 @@
 		w.passUntil(w.now.Add(time.Second))
 	}
 	if n := w.k.InFlight(); n != 0 {
-		t.Fatalf("%d requests without an answer at quiescence", n)
+		t.Fatalf("%d requests have no answer after all attempts ended", n)
 	}
 	if n := w.k.Unreleased(); n != 0 {
-		t.Fatalf("%d cancels pending at quiescence", n)
+		t.Fatalf("%d cancels are pending after all were acknowledged", n)
 	}
 	for id, at := range w.held {
-		t.Fatalf("attempt %s still held on %s at quiescence", id, at)
+		t.Fatalf("attempt %s still holds resources on upstream %s after all attempts ended", id, at)
 	}
 	for id, tr := range w.requests {
 		if tr.answers != 1 {
-			t.Fatalf("request %s has %d answers", id, tr.answers)
+			t.Fatalf("request %s has %d answers, want 1", id, tr.answers)
 		}
 	}
 }
 
-// TestInterleavings checks the promises over random interleavings of
-// completions, failures, lost news, cancels, vanished callers, leaving and
-// dying upstreams, stale views and pauses.
+// TestInterleavings checks the kernel's guarantees over random interleavings of
+// completions, failures, lost answers, cancels, disconnecting callers, leaving,
+// ending and restarting upstreams, stale views and pauses: every request gets
+// exactly one answer, a request that must run at most once never runs twice, no
+// request that ran is answered not-run, no work is sent to an upstream known to
+// take none, and no upstream keeps resources.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newFakeWorld(t)
--- a/kernel/interleavingfaults_test.go
+++ b/kernel/interleavingfaults_test.go
@@ -10,7 +10,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// cancel delivers or loses one cancel.
+// cancel delivers or loses a random pending cancel, and reports a result for it
+// that need not be true.
 func (w *fakeWorld) cancel(t *rapid.T) {
 	f, ok := take(t, &w.cancels, "cancel")
 	if !ok {
@@ -28,12 +29,14 @@
 	}
 }
 
-// released plays an upstream that takes a cancel, be it before the attempt.
+// released simulates an upstream that receives a cancel, possibly before the
+// attempt itself.
 func (w *fakeWorld) released(id ident.AttemptID) {
 	delete(w.held, id)
 	w.cancelled[id] = true
 }
 
+// abandon ends an attempt whose upstream has ended, as the driver does.
 func (w *fakeWorld) abandon(id ident.AttemptID) {
 	delete(w.held, id)
 	for _, list := range []*[]flight{&w.flights, &w.attaches} {
@@ -61,10 +64,12 @@
 			return &w.view.Upstreams[i]
 		}
 	}
-	w.t.Fatalf("no upstream %s", id)
+	w.t.Fatalf("the view has no upstream %s", id)
 	return nil
 }
 
+// changeView changes a random upstream in a new view and passes the view to the
+// kernel.
 func (w *fakeWorld) changeView(t *rapid.T, change func(u *kernel.Upstream)) {
 	v := *w.view
 	v.Version++
@@ -76,7 +81,7 @@
 	w.give(w.view)
 }
 
-// give hands the kernel a view.
+// give passes a view to the kernel.
 func (w *fakeWorld) give(v *kernel.View) {
 	w.given = v
 	for _, u := range v.Upstreams {
@@ -87,7 +92,7 @@
 	w.step(kernel.ViewChanged{View: v})
 }
 
-// staleView hands the kernel an older view than it has seen.
+// staleView passes a view to the kernel that is older than the newest one.
 func (w *fakeWorld) staleView(t *rapid.T) {
 	if len(w.stale) == 0 {
 		return
@@ -95,12 +100,12 @@
 	w.give(w.stale[rapid.IntRange(0, len(w.stale)-1).Draw(t, "stale view")])
 }
 
-// leave has an upstream announce that it is leaving.
+// leave reports a random upstream as leaving.
 func (w *fakeWorld) leave(t *rapid.T) {
 	w.changeView(t, func(u *kernel.Upstream) { u.Life = max(u.Life, kernel.Leaving) })
 }
 
-// die kills an upstream, with all it holds.
+// die ends a random upstream, which loses all resources that it holds.
 func (w *fakeWorld) die(t *rapid.T) {
 	w.changeView(t, func(u *kernel.Upstream) {
 		u.Life = kernel.Dead
@@ -108,7 +113,7 @@
 	})
 }
 
-// restart replaces an upstream's process by a new one.
+// restart replaces a random upstream's process by a new incarnation.
 func (w *fakeWorld) restart(t *rapid.T) {
 	w.changeView(t, func(u *kernel.Upstream) {
 		w.forget(u.ID)
@@ -117,6 +122,7 @@
 	})
 }
 
+// forget drops everything that an upstream holds and marks its attempts as dead.
 func (w *fakeWorld) forget(id ident.UpstreamID) {
 	for attempt, at := range w.held {
 		if at == id {
@@ -128,6 +134,7 @@
 	}
 }
 
+// pause lets a random time pass in which the kernel does not run.
 func (w *fakeWorld) pause(t *rapid.T) {
 	gap := time.Duration(rapid.IntRange(1, 15).Draw(t, "gap")) * time.Second
 	w.now = w.now.Add(gap)
--- a/kernel/joint.go
+++ b/kernel/joint.go
@@ -8,59 +8,67 @@
 
 // PlacementAsk asks a JointPolicy for a prefill and a decode engine.
 type PlacementAsk struct {
-	// Reservation is the ID of the decode attempt to come.
+	// Reservation is the ID that the decode attempt will have.
 	Reservation ident.AttemptID
 	Request     *Request
-	// Delivered is how many output tokens the caller has, when resumed.
+	// Delivered is the number of output tokens that the caller has already
+	// received; it is above 0 when a lost decode is resumed.
 	Delivered int
-	// Pieces is the KV memory needed on the decode engine.
+	// Pieces is the KV memory needed on the decode engine, in pieces.
 	Pieces int
-	// Avoid lists upstreams that failed this request.
+	// Avoid lists the upstreams on which this request failed before.
 	Avoid []ident.UpstreamID
-	// KV is the prefill engine that holds the finished prefill, if there is
-	// one; then only a decode engine is asked for. KVUntil is how long it will.
+	// KV is the prefill engine that holds the KV cache of the finished prefill.
+	// If it is set, only a decode engine is requested, and KVUntil is the time
+	// until which the cache can be imported.
 	KV      ident.UpstreamID
 	KVUntil time.Time
 }
 
 // JointPolicy is a SlotPolicy that also chooses the placement: one entry
-// instance places the requests of all, so that prompts queue in one place.
-// While Joint is false for a model, the kernel places its requests itself and
-// uses the SlotPolicy part.
+// instance places the requests of all instances, so that prompts wait in a
+// single queue. While Joint returns false for a model, the kernel places the
+// model's requests itself and uses only the methods of SlotPolicy.
 type JointPolicy interface {
 	SlotPolicy
-	// Joint reports whether placements of the model are asked for with Place.
+	// Joint reports whether the kernel must request placements of the model
+	// with Place.
 	Joint(model string) bool
-	// Place asks for a placement. The answer is one of JointHost's calls.
+	// Place requests a placement. The policy answers by calling a method of
+	// JointHost.
 	Place(ask PlacementAsk)
-	// Computed reports that the reservation's prefill is done. Where the
-	// placement named no decode engine, the answer is one of JointHost's calls.
+	// Computed reports that the reservation's prefill is done. If the placement
+	// named no decode engine, the policy answers by calling a method of
+	// JointHost.
 	Computed(reservation ident.AttemptID)
 }
 
 // Placement is a JointPolicy's choice for a request.
 type Placement struct {
-	// Prefill and Decode are the engines; an empty Decode is named by
-	// JointHost.DecodeGranted after the policy's Computed was called.
+	// Prefill and Decode are the engines. If Decode is empty, the policy names
+	// the decode engine with JointHost.DecodeGranted after its Computed method
+	// was called.
 	Prefill, Decode ident.UpstreamID
 	// Cost is the expected time until the prefill is done, in seconds.
 	Cost float64
-	// RunnersUp are the best prefill engines not chosen, best first.
+	// RunnersUp are the best of the prefill engines that were not chosen, best
+	// first.
 	RunnersUp []Alternative
 }
 
-// JointHost is what the kernel offers a JointPolicy besides Host. The kernel's
-// Host implements it.
+// JointHost extends Host by the methods that a JointPolicy needs. The Host that
+// the kernel passes to Attach implements it.
 type JointHost interface {
 	Host
 	// PlacementGranted answers Place.
 	PlacementGranted(reservation ident.AttemptID, p Placement)
 	// DecodeGranted names the decode engine for a finished prefill.
 	DecodeGranted(reservation ident.AttemptID, decode ident.UpstreamID)
-	// PlacementRefused answers Place when the request cannot meet its target.
+	// PlacementRefused answers Place when the request cannot meet its
+	// first-output target. comeBack is the retry-after hint for the caller.
 	PlacementRefused(reservation ident.AttemptID, comeBack time.Duration)
-	// TransferEnded enters a KV transfer of another instance's request, which
-	// began at the given time.
+	// TransferEnded reports the end of a KV transfer for a request of another
+	// instance. began is the time at which the transfer began.
 	TransferEnded(prefill, decode ident.UpstreamID, began time.Time, stalled bool)
 	// Prefix returns the prefix index, nil if there is none.
 	Prefix() PrefixStore
@@ -87,7 +95,7 @@
 }
 
 // joint returns the policy that places the model's requests, nil if the kernel
-// does so itself.
+// places them itself.
 func (k *Kernel) joint(model string) JointPolicy {
 	jp, ok := k.policy.slots.(JointPolicy)
 	if !ok || !jp.Joint(model) {
@@ -96,7 +104,7 @@
 	return jp
 }
 
-// askPlacement leaves the choice of upstreams to the joint policy.
+// askPlacement requests a placement for the call from the joint policy.
 func (k *Kernel) askPlacement(c *call, jp JointPolicy) {
 	id := k.newAttemptID(c.request)
 	k.dequeue(c)
@@ -118,7 +126,8 @@
 	jp.Place(ask)
 }
 
-// placementGranted starts the prefill that the joint policy chose.
+// placementGranted starts the prefill on the engine that the joint policy chose.
+// If that engine cannot be used, the call is queued again.
 func (k *Kernel) placementGranted(v slotVerdict) {
 	prefill := v.placement.Prefill
 	c, ok := k.reserved[v.id]
@@ -136,12 +145,13 @@
 	k.startPrefill(c)
 }
 
-// jointPlan describes a placement that was chosen elsewhere.
+// jointPlan returns the plan for a placement that the joint policy chose.
 func (k *Kernel) jointPlan(c *call, chosen Placement) placement {
 	p := k.fleet.upstream(chosen.Prefill)
 	q := k.fleet.upstream(chosen.Decode)
 	if q == nil {
-		// Not named yet: any decode engine's link is taken for as fast.
+		// The decode engine is not chosen yet. The prediction assumes that its
+		// rates are those of the prefill engine.
 		q = p
 	}
 	return placement{
@@ -155,13 +165,15 @@
 	}
 }
 
-// askDecode asks for a decode engine for the prefill just done.
+// askDecode requests a decode engine from the joint policy for a prefill that
+// has just finished.
 func (k *Kernel) askDecode(c *call, jp JointPolicy) {
 	k.awaitSlot(c)
 	jp.Computed(c.slot.id)
 }
 
-// decodeGranted starts the decode of a finished prefill.
+// decodeGranted starts the decode of a finished prefill on the engine that the
+// joint policy chose, or looks for another one if that cannot be used.
 func (k *Kernel) decodeGranted(v slotVerdict) {
 	c, ok := k.reserved[v.id]
 	if !ok || c.state != callReserving || c.prefill == nil {
@@ -177,7 +189,8 @@
 	k.startDecode(c)
 }
 
-// placementRefused gives up a request that cannot meet its target.
+// placementRefused refuses a request that, according to the joint policy, cannot
+// meet its first-output target.
 func (k *Kernel) placementRefused(v slotVerdict) {
 	c, ok := k.reserved[v.id]
 	if !ok || c.state != callReserving {
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -8,21 +8,22 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// PrefixStore is a PrefixIndex that the kernel keeps up to date.
+// PrefixStore is a PrefixIndex that the kernel updates.
 type PrefixStore interface {
 	PrefixIndex
-	// Apply takes an upstream's cache event.
+	// Apply applies a cache event of an upstream.
 	Apply(u *Upstream, change CacheChanged)
-	// Placed notes that the upstream is about to compute the blocks.
+	// Placed records that the upstream is about to compute the blocks.
 	Placed(u *Upstream, blocks []uint64, now time.Time)
-	// Forget drops all that is known of an upstream, whose memory is gone.
+	// Forget removes all entries of an upstream whose cache has been lost.
 	Forget(id ident.UpstreamID)
 }
 
 // Options are the parameters of New.
 type Options struct {
 	Self Self
-	// Seed makes the kernel's random choices repeatable.
+	// Seed, together with the instance's incarnation, seeds the kernel's random
+	// number generator, so that runs can be repeated.
 	Seed uint64
 	// Prefix is the prefix index; nil disables prefix reuse.
 	Prefix PrefixStore
@@ -43,8 +44,8 @@
 
 	calls    map[ident.RequestID]*call
 	attempts map[ident.AttemptID]*attempt
-	// reserved finds the call that holds or awaits a decode slot, by the ID of
-	// the decode attempt the slot is for.
+	// reserved maps the ID of a decode attempt to the call that holds or has
+	// requested a decode slot for it.
 	reserved map[ident.AttemptID]*call
 	cancels  map[ident.AttemptID]*cancel
 	timers   timers
@@ -54,22 +55,26 @@
 	budget     retryBudget
 	throughput throughput
 	stopping   bool
-	// distrustUntil ends the time after a pause in which nothing is started
-	// unless the view is refreshed earlier.
+	// distrustUntil is the end of the interval after a process pause in which
+	// the view is not trusted and no new work is started. A fresh view ends the
+	// interval earlier.
 	distrustUntil time.Time
-	// dirty is set when a placement that failed before might now succeed.
+	// dirty is set when a placement that failed before may now succeed, so that
+	// the queue must be scheduled again.
 	dirty bool
-	// kickAt is the earliest pending timerKick, zero if there is none.
+	// kickAt is the time of the earliest pending timerKick, zero if there is
+	// none.
 	kickAt time.Time
-	// verdicts are the slot policy's answers not yet acted upon.
+	// verdicts are answers of the slot policy that have not been processed yet.
 	verdicts []slotVerdict
-	// scratch is reused by schedule.
+	// scratch is the queue snapshot of schedule, kept to save allocations.
 	scratch []*Waiting
 	placer  placer
 }
 
-// New returns a kernel without bundle and view; it refuses requests until it
-// has both.
+// New returns a kernel that has neither a bundle nor a view yet. It refuses all
+// requests until Configured delivers the first bundle, and starts no work until
+// ViewChanged delivers the first trusted view.
 func New(o Options) (*Kernel, error) {
 	k := &Kernel{
 		self:     o.Self,
@@ -85,9 +90,10 @@
 	return k, nil
 }
 
-// Step handles one event that happened at the given time and returns what is
-// to be done. The returned slice is valid until the next call. Times must not
-// go back; an earlier one is taken as the latest seen.
+// Step handles one event that happened at the given time and returns the
+// actions that the driver must carry out. The returned slice is valid until the
+// next call. A time before the latest one seen is replaced by that one, so the
+// kernel's time never goes back.
 func (k *Kernel) Step(now time.Time, ev Event) []Action {
 	if now.After(k.now) {
 		k.now = now
@@ -103,7 +109,8 @@
 	return k.out
 }
 
-// NextWake returns when Step must be called with Tick at the latest.
+// NextWake returns the time by which Step must be called with Tick if no other
+// event occurs before. ok is false if no timer is pending.
 func (k *Kernel) NextWake() (time.Time, bool) {
 	at, ok := k.timers.next()
 	for _, w := range k.policy.wakers {
@@ -118,7 +125,8 @@
 // InFlight returns the number of requests without a final answer.
 func (k *Kernel) InFlight() int { return len(k.calls) }
 
-// Unreleased returns the number of cancels not yet acknowledged.
+// Unreleased returns the number of cancellations that upstreams have not
+// acknowledged yet.
 func (k *Kernel) Unreleased() int { return len(k.cancels) }
 
 // Version returns the bundle version in force, 0 if none.
@@ -151,7 +159,7 @@
 	}
 }
 
-// handleState handles the events that concern no single request.
+// handleState handles the events that do not belong to a single request.
 func (k *Kernel) handleState(ev Event) {
 	switch e := ev.(type) {
 	case ViewChanged:
@@ -183,8 +191,8 @@
 	}
 }
 
-// stop begins a graceful shutdown: requests that wait for a placement have not
-// run and are refused; those that run finish.
+// stop begins a graceful shutdown: requests that wait for a placement have no
+// attempt in flight and are refused; those with one in flight may finish.
 func (k *Kernel) stop() {
 	k.stopping = true
 	for _, c := range k.callsInOrder() {
@@ -195,7 +203,8 @@
 	}
 }
 
-// paused makes the kernel distrust a view that it may have slept through.
+// paused marks the view as untrusted after the process did not run for gap,
+// since changes in that time may not have been received yet.
 func (k *Kernel) paused(gap time.Duration) {
 	if gap < minDistrustedPause {
 		return
@@ -205,20 +214,21 @@
 }
 
 const (
-	// minDistrustedPause is the shortest pause after which the view is
-	// distrusted; shorter ones are ordinary scheduling delays.
+	// minDistrustedPause is the shortest pause after which the view is not
+	// trusted; shorter pauses are ordinary scheduling delays.
 	minDistrustedPause = 500 * time.Millisecond
-	// distrustAfterPause bounds the time that a paused instance waits for a
-	// fresh view: when its agent is dead it must go on with what it has.
+	// distrustAfterPause limits how long an instance waits for a fresh view
+	// after a pause. If its agent has failed, no fresh view arrives and the
+	// instance must continue with the view that it has.
 	distrustAfterPause = 2 * time.Second
 )
 
-// trusted reports whether new work may be started on the present view.
+// trusted reports whether new work may be started based on the current view.
 func (k *Kernel) trusted() bool {
 	return k.fleet.view.Trusted && !k.now.Before(k.distrustUntil)
 }
 
-// catalog is the bundle content in force, indexed by name.
+// catalog is the content of the bundle in force, indexed by name.
 type catalog struct {
 	version    uint64
 	content    *config.Content
--- a/kernel/kv.go
+++ b/kernel/kv.go
@@ -6,12 +6,14 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// kvFresh reports whether the prefill result is likely to be still there.
+// kvFresh reports whether the prefill engine is likely to still hold the call's
+// KV cache.
 func (k *Kernel) kvFresh(c *call) bool {
 	return k.now.Sub(c.kvAt) < k.kvUsable()
 }
 
-// kvUsable is how long after its prefill a KV cache may still be imported.
+// kvUsable returns how long after the end of a prefill the import of its KV cache
+// may be started.
 func (k *Kernel) kvUsable() time.Duration {
 	lifetime := defaultKVLifetime
 	if p := k.catalog.content.Policy.KVLifetime; p > 0 {
@@ -21,21 +23,23 @@
 }
 
 const (
-	// defaultKVLifetime is used where the bundle sets none.
+	// defaultKVLifetime is how long a prefill engine keeps a KV cache, if the
+	// bundle does not set a lifetime.
 	defaultKVLifetime = 900 * time.Millisecond
-	// kvFreshPercent leaves time for the import to begin.
+	// kvFreshPercent is the share of the lifetime within which a decode may be
+	// sent. The rest is left for the import to begin.
 	kvFreshPercent = 80
 )
 
-// dropKV releases a prefill result that will not be used.
+// dropKV releases the KV cache of a prefill that will not be used.
 func (k *Kernel) dropKV(c *call) {
 	k.release(c.prefill)
 	c.prefill = nil
 	c.kv = KVHandle{}
 }
 
-// decodeElsewhere finds another decode engine for a finished prefill, or gives
-// the prefill up and puts the call back in the queue.
+// decodeElsewhere looks for another decode engine for a finished prefill. If
+// there is none, it releases the KV cache and queues the call again.
 func (k *Kernel) decodeElsewhere(c *call, reason Reason) {
 	k.giveSlotBack(c)
 	c.active = nil
@@ -46,8 +50,9 @@
 	k.requeue(c, reason, k.now)
 }
 
-// reserveForKV reserves a slot on another decode engine for the KV cache that
-// the call holds, and starts the decode if it can.
+// reserveForKV requests a slot on another decode engine for the KV cache that
+// the call holds, and starts the decode if the slot is granted immediately. It
+// reports whether a slot was granted or the answer is pending.
 func (k *Kernel) reserveForKV(c *call) bool {
 	prefill := k.fleet.upstream(c.kv.Engine)
 	if prefill == nil || !k.trusted() {
--- a/kernel/model.go
+++ b/kernel/model.go
@@ -4,8 +4,9 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// choosePrefill chooses the prefill engine anew for the plan's decode engine:
-// the view may have changed while the slot was pending.
+// choosePrefill selects the prefill engine for the plan's decode engine again,
+// since the view may have changed while the slot request was pending. It reports
+// whether there is one.
 func (k *Kernel) choosePrefill(c *call) bool {
 	decode := k.fleet.upstream(c.plan.decode)
 	if decode == nil || !k.trusted() {
@@ -99,8 +100,9 @@
 	k.startDecode(c)
 }
 
-// releaseStray releases what an attempt holds that was already given up: its
-// cancel may have reached the engine before the attempt did.
+// releaseStray cancels an attempt that is no longer tracked but has finished a
+// prefill: its cancel may have reached the engine before the attempt itself did,
+// so that the engine still holds the KV cache.
 func (k *Kernel) releaseStray(id ident.AttemptID, upstream ident.UpstreamID) {
 	if _, pending := k.cancels[id]; pending {
 		return
@@ -154,8 +156,9 @@
 	})
 }
 
-// firstOutput notes that the decode engine has imported the KV cache, which
-// the prefill engine thereby gave up.
+// firstOutput handles the first output token of a decode. The decode engine has
+// imported the KV cache, so the prefill engine has released it and the prefill
+// attempt needs no cancel.
 func (k *Kernel) firstOutput(e FirstOutput) {
 	a, ok := k.attempts[e.Attempt]
 	if !ok {
@@ -168,7 +171,7 @@
 	a.call.prefill = nil
 }
 
-// attemptDone gives the whole answer.
+// attemptDone completes the call of an attempt that returned its whole answer.
 func (k *Kernel) attemptDone(e AttemptDone) {
 	a, ok := k.attempts[e.Attempt]
 	if !ok {
@@ -183,7 +186,7 @@
 	k.complete(c)
 }
 
-// charge tells the queue order what engine time a call has used.
+// charge reports the engine time that a call has used to the queue order.
 func (k *Kernel) charge(c *call, a *attempt) {
 	seconds := k.now.Sub(a.sentAt).Seconds()
 	k.policy.order.Served(c.request, seconds)
--- a/kernel/mute_test.go
+++ b/kernel/mute_test.go
@@ -12,7 +12,8 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// mutePolicy places prefills and then never names a decode engine.
+// mutePolicy is a joint policy that places prefills but never names a decode
+// engine.
 type mutePolicy struct{ host kernel.JointHost }
 
 const mutePolicyID plugin.ID = "slots.mute"
@@ -36,9 +37,9 @@
 func (*mutePolicy) Refused(ident.UpstreamID)                          {}
 func (*mutePolicy) Availability(*kernel.Upstream) kernel.Availability { return kernel.Availability{} }
 
-// TestSlotNeverNamed: a prefill result that no slot is found for is given up
-// when it can no longer be imported, also if the slot policy says nothing, and
-// the request does not stand there until its deadline.
+// TestSlotNeverNamed checks that a finished prefill is given up once its KV cache
+// can no longer be imported, even if the slot policy never answers. Without this,
+// the request would wait until its deadline.
 func TestSlotNeverNamed(t *testing.T) {
 	s := newSession(t)
 	c := *s.content
--- a/kernel/peer.go
+++ b/kernel/peer.go
@@ -7,21 +7,23 @@
 )
 
 // PeerMessage is a message between the kernels of two instances. Plug-ins
-// define their own and register them with RegisterMessage.
+// define their own message types and register them with RegisterMessage.
 type PeerMessage interface {
-	// MessageKind names the message's type, for example "slots.ask".
+	// MessageKind returns the name of the message's type, for example
+	// "slots.ask".
 	MessageKind() string
 }
 
-// MessageKindError reports a peer message of an unknown kind.
+// MessageKindError reports a peer message whose kind is not registered.
 type MessageKindError struct{ Kind string }
 
 // Error implements error.
 func (e *MessageKindError) Error() string {
-	return fmt.Sprintf("unknown peer message kind %q", e.Kind)
+	return fmt.Sprintf("decoding peer message: unknown message kind %q", e.Kind)
 }
 
-// MessageBodyError reports a peer message whose body does not fit its kind.
+// MessageBodyError reports a peer message whose body cannot be decoded as its
+// kind.
 type MessageBodyError struct {
 	Kind string
 	Err  error
@@ -29,7 +31,7 @@
 
 // Error implements error.
 func (e *MessageBodyError) Error() string {
-	return fmt.Sprintf("peer message %s: %v", e.Kind, e.Err)
+	return fmt.Sprintf("decoding the body of peer message %s: %v", e.Kind, e.Err)
 }
 
 // Unwrap returns the decoder's error.
@@ -40,14 +42,15 @@
 	messages   = map[string]func() PeerMessage{}
 )
 
-// RegisterMessage makes a kind of message known to DecodeMessage. It is meant
-// for init functions; empty returns a new message as a pointer.
+// RegisterMessage registers a kind of message for DecodeMessage. It is meant for
+// init functions and panics if the kind is already registered. empty returns a
+// pointer to a new message.
 func RegisterMessage(empty func() PeerMessage) {
 	kind := empty().MessageKind()
 	messagesMu.Lock()
 	defer messagesMu.Unlock()
 	if _, taken := messages[kind]; taken {
-		panic(fmt.Sprintf("kernel: peer message kind %q registered twice", kind))
+		panic(fmt.Sprintf("kernel: peer message kind %q is already registered", kind))
 	}
 	messages[kind] = empty
 }
--- a/kernel/place.go
+++ b/kernel/place.go
@@ -9,28 +9,30 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// placement is a choice of upstreams for a request and what spoke for it.
+// placement is a choice of upstreams for a request, with the figures on which
+// the choice is based.
 type placement struct {
 	prefill, decode ident.UpstreamID
 	cost            float64
 	runnersUp       []Alternative
-	// predicted is the expected time to first output from the decision on.
+	// predicted is the expected time from the decision to the first output.
 	predicted time.Duration
 	viewAge   time.Duration
-	// dispatched is set when a JointPolicy chose.
+	// dispatched is set when a JointPolicy chose the upstreams.
 	dispatched bool
-	// choices is how many pairs, or services, were compared.
+	// choices is the number of pairs that were compared.
 	choices int
 }
 
-// maxRunnersUp bounds the alternatives in a decision record.
+// maxRunnersUp is the maximum number of alternatives in a decision record.
 const maxRunnersUp = 3
 
-// tieBreakSeconds is the most that chance adds to a cost, so that instances
-// with the same view do not all choose the same upstream.
+// tieBreakSeconds is the upper bound of the random amount added to each cost, so
+// that instances with the same view do not all choose the same upstream.
 const tieBreakSeconds = 0.002
 
-// pair is a prefill and a decode engine, by index, and their joint cost.
+// pair is a prefill and a decode engine, by index in the view, and their total
+// cost.
 type pair struct {
 	prefill, decode int
 	cost            float64
@@ -46,7 +48,8 @@
 	reserving int
 }
 
-// decide prepares the decision context for a call.
+// decide returns the decision context for a call. It is valid until the next
+// call of decide.
 func (k *Kernel) decide(c *call) *Decision {
 	d := &k.placer.decision
 	*d = Decision{
@@ -64,7 +67,8 @@
 	return d
 }
 
-// keep reports whether all filters let the upstream serve in the role.
+// keep reports whether the upstream may serve the call in the given role: all
+// filters accept it and the call has not failed on it before.
 func (k *Kernel) keep(d *Decision, c *call, u *Upstream, role config.Role) bool {
 	if c.avoids(u.ID) {
 		return false
@@ -79,12 +83,14 @@
 
 func (k *Kernel) tieBreak() float64 { return k.rand.Float64() * tieBreakSeconds }
 
-// maxScan bounds the upstreams looked at in one decision for each role. Of more
-// than that a run of neighbours is looked at, from a random one on.
+// maxScan is the maximum number of upstreams that one decision considers for
+// each role. If there are more, it considers consecutive ones from a random start
+// on.
 const maxScan = 96
 
-// scan returns the upstreams to look at: all of a short list, a random window of
-// a long one, in two halves where it wraps around.
+// scan returns the upstreams to consider: all of them if there are at most
+// maxScan, otherwise a random window of that size, in two parts if it wraps
+// around the end.
 func (k *Kernel) scan(at []int) (first, second []int) {
 	if len(at) <= maxScan {
 		return at, nil
@@ -118,8 +124,8 @@
 	}
 }
 
-// shortlistDecodes ranks the upstreams at the given indexes as decode engines,
-// or as plain services.
+// shortlistDecodes fills the decode shortlist with the cheapest of the upstreams
+// at the given indexes. It is used for decode engines and for plain services.
 func (k *Kernel) shortlistDecodes(d *Decision, c *call, at []int, role config.Role) {
 	k.placer.decodes.reset()
 	first, second := k.scan(at)
@@ -142,7 +148,8 @@
 	}
 }
 
-// rankPairs joins the shortlists and returns the pairs, cheapest first.
+// rankPairs returns all pairs of the prefill and decode shortlists, cheapest
+// first. The result is valid until the next call.
 func (k *Kernel) rankPairs(d *Decision) []pair {
 	pairs := k.placer.pairs[:0]
 	for _, p := range k.placer.prefills.all() {
@@ -168,7 +175,7 @@
 	return cost
 }
 
-// plan describes the pair at index chosen of the ranked pairs.
+// plan returns the placement for the pair at index chosen of the ranked pairs.
 func (k *Kernel) plan(d *Decision, pairs []pair, chosen int) placement {
 	p := &k.fleet.view.Upstreams[pairs[chosen].prefill]
 	q := &k.fleet.view.Upstreams[pairs[chosen].decode]
@@ -201,7 +208,8 @@
 	return alternatives
 }
 
-// predict is the expected time to first output once the slot is reserved.
+// predict returns the expected time from the reservation of the slot to the first
+// output, with prefill engine p and decode engine q.
 func (k *Kernel) predict(d *Decision, p, q *Upstream) time.Duration {
 	uncached := UncachedTokens(d, p)
 	return PrefillWait(p, k.now) +
--- a/kernel/policy.go
+++ b/kernel/policy.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// PolicyTypeError reports a plug-in that is not what its place in the policy
-// needs, for example a scorer named as a filter.
+// PolicyTypeError reports a plug-in of the wrong type for its place in the
+// bundle's policy, for example a scorer named as a filter.
 type PolicyTypeError struct {
 	ID   plugin.ID
 	Want string
@@ -19,8 +19,8 @@
 	return fmt.Sprintf("plug-in %s is not a %s", e.ID, e.Want)
 }
 
-// ConfigRejected reports that a bundle version names a policy this binary
-// cannot run. The version before it stays in force.
+// ConfigRejected reports that a bundle version names a policy that this binary
+// cannot run. The previous version stays in force.
 type ConfigRejected struct {
 	Version uint64
 	Err     error
@@ -36,8 +36,9 @@
 	admission []Admission
 	filters   []Filter
 	scorers   []weighted
-	// handlers finds the plug-in that takes a kind of peer message. Plug-ins
-	// that a newer bundle no longer names stay, until their requests are over.
+	// handlers maps each kind of peer message to the plug-in that handles it.
+	// Plug-ins that a newer bundle no longer names stay registered, since
+	// requests that they are involved in may still be in progress.
 	handlers  map[string]PeerHandler
 	wakers    []Waker
 	observers []Observer
@@ -49,15 +50,17 @@
 	weight float64
 }
 
-// CheckPolicy reports whether this binary can run the policy: every plug-in is
-// linked, is of the kind its place needs, and accepts its settings. Errors are
-// *plugin.UnknownError, *plugin.LifecycleError or *PolicyTypeError.
+// CheckPolicy checks that this binary can run the bundle's policy: every plug-in
+// is linked into the binary, has the type that its place needs, and accepts its
+// settings. Errors are *plugin.UnknownError, *plugin.LifecycleError or
+// *PolicyTypeError.
 func CheckPolicy(c *config.Content) error {
 	_, err := loadPolicy(policy{}, c)
 	return err
 }
 
-// configured brings a bundle version into force.
+// configured brings a bundle version into force, unless it is not newer than the
+// one in force or its policy cannot be loaded.
 func (k *Kernel) configured(e Configured) {
 	if e.Version <= k.catalog.version {
 		return
@@ -76,8 +79,8 @@
 	k.dirty = true
 }
 
-// attachNew introduces the kernel to the plug-ins that previous did not have,
-// and tells all of them of the new content.
+// attachNew attaches the plug-ins that are not in previous to the kernel, and
+// passes the new content to all plug-ins that it names.
 func (k *Kernel) attachNew(previous policy) {
 	for _, id := range policyIDs(k.catalog.content) {
 		p := k.policy.loaded[id]
@@ -91,7 +94,7 @@
 	}
 }
 
-// moveQueue hands the waiting requests to the order now in force.
+// moveQueue moves the waiting requests to the queue order now in force.
 func (k *Kernel) moveQueue(previous QueueOrder) {
 	if previous == nil || previous == k.policy.order {
 		return
@@ -106,7 +109,8 @@
 	}
 }
 
-// policyIDs lists the plug-ins a bundle names, each once, in a fixed order.
+// policyIDs returns the IDs of the plug-ins that a bundle names, each once, in a
+// deterministic order.
 func policyIDs(c *config.Content) []plugin.ID {
 	ids := []plugin.ID{c.Policy.Slots, c.Policy.Order}
 	ids = append(ids, c.Policy.Admission...)
@@ -126,8 +130,8 @@
 	return unique
 }
 
-// loadPolicy loads the plug-ins a bundle names, keeping those that previous
-// already runs.
+// loadPolicy loads the plug-ins that a bundle names. Plug-ins that previous has
+// loaded already are reused, and kept even if the bundle no longer names them.
 func loadPolicy(previous policy, c *config.Content) (policy, error) {
 	next := policy{
 		loaded:    map[plugin.ID]plugin.Plugin{},
@@ -160,7 +164,8 @@
 	return next, nil
 }
 
-// registerRoles files the new plug-ins under the optional interfaces they have.
+// registerRoles registers the plug-ins that are not in previous for the optional
+// interfaces that they implement.
 func (p *policy) registerRoles(previous policy, c *config.Content) {
 	for _, id := range policyIDs(c) {
 		if _, known := previous.loaded[id]; known {
@@ -183,7 +188,8 @@
 	}
 }
 
-// assign puts the loaded plug-ins in the places the bundle names them for.
+// assign sets the fields of p to the loaded plug-ins that the bundle names for
+// them.
 func (p *policy) assign(c *config.Content) error {
 	var err error
 	if p.slots, err = as[SlotPolicy](p.loaded, c.Policy.Slots, "slot policy"); err != nil {
@@ -216,7 +222,8 @@
 	return nil
 }
 
-// as returns the loaded plug-in as the interface its place needs.
+// as returns the loaded plug-in as interface T, or a *PolicyTypeError with the
+// text want if it does not implement T.
 func as[T any](loaded map[plugin.ID]plugin.Plugin, id plugin.ID, want string) (T, error) {
 	t, ok := loaded[id].(T)
 	if !ok {
--- a/kernel/prefix/holding.go
+++ b/kernel/prefix/holding.go
@@ -1,29 +1,31 @@
 package prefix
 
-// ref refers to a holding in the slab. The zero ref, none, refers to nothing.
+// ref refers to a holding in the slab by its index plus one.
 type ref int32
 
-// none is the ref that refers to nothing.
+// none is the zero ref, which refers to no holding.
 const none ref = 0
 
-// confirmed is the until of a holding that an event of the engine attests.
+// confirmed is the value of holding.until for a block that an event of the engine
+// has reported as stored.
 const confirmed int64 = 0
 
-// holding is one block at one engine. It has no pointers, so that the garbage
-// collector need not look at the slab's hundreds of thousands.
+// holding is the record that one engine holds one block. It contains no pointers,
+// so that the garbage collector does not have to scan the slab, which can hold
+// hundreds of thousands of them.
 type holding struct {
 	block  uint64
 	engine int32
-	// newer and older link the engine's holdings by last use.
+	// newer and older link the engine's holdings in the order of last use.
 	newer, older ref
-	// next links the block's holdings.
+	// next links the holdings of the same block.
 	next ref
-	// until is when the holding is no longer believed without an event from the
-	// engine, in Unix nanoseconds, or confirmed.
+	// until is the time, in Unix nanoseconds, after which the holding is no
+	// longer assumed to exist if the engine has not reported it, or confirmed.
 	until int64
 }
 
-// slab stores holdings and reuses those that were freed.
+// slab stores holdings in one slice and reuses freed entries.
 type slab struct {
 	all  []holding
 	free []ref
@@ -46,14 +48,16 @@
 	return ref(len(s.all))
 }
 
-// give takes a holding back.
+// give frees a holding.
 func (s *slab) give(r ref) {
 	s.used--
 	*s.at(r) = holding{}
 	s.free = append(s.free, r)
 }
 
-// hold notes that engine n has a block, and makes it the engine's newest.
+// hold records that engine n holds a block, and makes the block the engine's most
+// recently used one. If the engine is at its limit, it first removes the least
+// recently used blocks.
 func (x *Index) hold(n int32, block uint64, until int64, limit int) {
 	if r := x.find(block, n); r != none {
 		x.refresh(r, until)
@@ -69,8 +73,8 @@
 	x.link(r)
 }
 
-// refresh makes a holding its engine's newest. One that an event confirmed
-// stays confirmed.
+// refresh makes a holding its engine's most recently used one and sets until,
+// unless the holding is confirmed: it then stays confirmed.
 func (x *Index) refresh(r ref, until int64) {
 	h := x.slab.at(r)
 	if h.until != confirmed {
@@ -80,7 +84,7 @@
 	x.link(r)
 }
 
-// find returns engine n's holding of a block.
+// find returns engine n's holding of a block, none if there is none.
 func (x *Index) find(block uint64, n int32) ref {
 	for r := x.first[block]; r != none; {
 		h := x.slab.at(r)
@@ -92,7 +96,7 @@
 	return none
 }
 
-// remove drops a holding, if there is one.
+// remove removes a holding from the index. It does nothing for none.
 func (x *Index) remove(r ref) {
 	if r == none {
 		return
@@ -104,7 +108,7 @@
 	x.slab.give(r)
 }
 
-// unchain takes a holding out of its block's chain.
+// unchain removes a holding from its block's chain.
 func (x *Index) unchain(r ref, h *holding) {
 	at := x.first[h.block]
 	if at == r {
@@ -121,7 +125,7 @@
 	x.slab.at(at).next = h.next
 }
 
-// link makes a holding its engine's newest.
+// link inserts a holding into its engine's list as the most recently used one.
 func (x *Index) link(r ref) {
 	h := x.slab.at(r)
 	e := &x.byNumber[h.engine]
@@ -136,7 +140,7 @@
 	}
 }
 
-// unlink takes a holding out of its engine's list.
+// unlink removes a holding from its engine's list.
 func (x *Index) unlink(r ref) {
 	h := x.slab.at(r)
 	e := &x.byNumber[h.engine]
--- a/kernel/prefix/index.go
+++ b/kernel/prefix/index.go
@@ -1,6 +1,6 @@
-// Package prefix keeps what is known of the prompt blocks that each engine
-// holds in its prefix cache: what the engines' cache events say, late and with
-// gaps, and what this instance itself has sent where.
+// Package prefix keeps an index of the prompt blocks that each engine holds in its
+// prefix cache. Its sources are the engines' cache events, which arrive with delay
+// and may be lost, and the requests that this instance has sent to the engines.
 package prefix
 
 import (
@@ -12,50 +12,58 @@
 )
 
 const (
-	// defaultCapacity bounds the holdings of all engines together.
+	// defaultCapacity bounds the holdings of all engines together: each engine
+	// may have an equal share of it, but at least minPieces.
 	defaultCapacity = 1 << 19
-	// defaultPieces bounds one engine's holdings where the bundle does not say
-	// how much memory it has.
+	// defaultPieces is the maximum number of holdings of one engine if the
+	// bundle does not declare the engine's memory.
 	defaultPieces = 2048
-	// minPieces is what one engine may have however many engines there are.
+	// minPieces is the number of holdings that each engine may have regardless
+	// of the number of engines.
 	minPieces = 64
 	// confirmWithin is how long a block that this instance sent to an engine is
-	// believed to be there without an event that says so, if the engine
-	// publishes events at all. It covers the events' lag and a queue's length.
+	// assumed to be there without a cache event that reports it. It applies only
+	// to engines that publish events. It covers the delay of events and the wait
+	// in the engine's queue.
 	confirmWithin = 10 * time.Second
-	// maxEngines bounds the engines known. Engines are replaced now and then
-	// and not all are forgotten; beyond the bound the index starts afresh. It
-	// is less than a table holds.
+	// maxEngines is the maximum number of engines in the index. Engines are
+	// replaced from time to time, and Forget is not called for all of them. At
+	// the maximum the index is emptied. It is less than the maximum size of a
+	// table.Table, so that the table never empties itself before.
 	maxEngines = 4096
 )
 
-// Index implements kernel.PrefixStore. Its memory is bounded: an engine can
-// hold no more blocks than it has memory pieces, and the least recently used
-// ones are dropped first, as in the engine itself. Use New.
+// Index implements kernel.PrefixStore. Its memory is bounded: each engine has at
+// most as many blocks in the index as it has memory pieces, and the least
+// recently used ones are removed first, as in the engine itself. Create it with
+// New.
 type Index struct {
 	capacity int
-	// first finds the first of a block's holdings, which are chained.
+	// first maps a block to the first of its holdings, which are chained by
+	// holding.next.
 	first map[uint64]ref
 	slab  slab
-	// engines finds an engine's number; numbers index byNumber.
+	// engines holds each engine's number plus one, where the number is the
+	// engine's index in byNumber. unused are the free numbers.
 	engines  table.Table[int32]
 	byNumber []engine
 	unused   []int32
 	inUse    int
-	// now is the latest time seen, in Unix nanoseconds.
+	// now is the latest time passed to Placed, in Unix nanoseconds.
 	now  int64
 	last lookup
 }
 
 var _ kernel.PrefixStore = (*Index)(nil)
 
-// engine is one upstream's part of the index.
+// engine is the entry of one upstream in the index.
 type engine struct {
 	id ident.UpstreamID
-	// newest and oldest end the list of its holdings, by last use.
+	// newest and oldest are the ends of the list of the engine's holdings, which
+	// is ordered by last use.
 	newest, oldest ref
 	holdings       int
-	// publishes is set by its first cache event.
+	// publishes is set once the engine has published a cache event.
 	publishes bool
 }
 
@@ -66,10 +74,10 @@
 	return &Index{capacity: capacity, first: map[uint64]ref{}}
 }
 
-// Apply implements kernel.PrefixStore. A change that is Cleared replaces what
-// earlier ones said, which is how an engine adapter answers a gap in the
-// engine's event numbers. Blocks that this instance sent there within the last
-// seconds are kept: the engine's snapshot may be older.
+// Apply implements kernel.PrefixStore. A change with Cleared set replaces all
+// earlier changes; engine adapters send it as a snapshot after a gap in the
+// engine's event numbers. Blocks that this instance sent to the engine within
+// confirmWithin are kept, since the snapshot may be older than them.
 func (x *Index) Apply(u *kernel.Upstream, c kernel.CacheChanged) {
 	n := x.number(u)
 	e := &x.byNumber[n]
@@ -94,8 +102,8 @@
 	x.last.invalidate()
 	limit := x.limit(u)
 	until := now.Add(confirmWithin).UnixNano()
-	// The last block is the first that an engine drops, since each depends on
-	// those before it.
+	// The last block becomes the least recently used one: engines evict it
+	// first, since each block is useless without those before it.
 	for i := len(blocks) - 1; i >= 0; i-- {
 		x.hold(n, blocks[i], until, limit)
 	}
@@ -119,12 +127,13 @@
 	x.inUse--
 }
 
-// Holdings returns the number of blocks held over all engines.
+// Holdings returns the number of blocks in the index, summed over all engines.
 func (x *Index) Holdings() int { return x.slab.used }
 
-// number returns u's number, giving it one if it has none.
+// number returns u's number, assigning one if it has none.
 func (x *Index) number(u *kernel.Upstream) int32 {
-	// The table's zero value means none, so numbers are kept one higher.
+	// The table stores the number plus one, since its zero value means that
+	// there is none.
 	n := x.engines.At(u)
 	if *n != 0 {
 		return *n - 1
@@ -145,7 +154,7 @@
 	return *n - 1
 }
 
-// limit is the most blocks that u may have in the index.
+// limit returns the maximum number of blocks that u may have in the index.
 func (x *Index) limit(u *kernel.Upstream) int {
 	pieces := u.Spec.Pieces
 	if pieces <= 0 {
@@ -154,7 +163,8 @@
 	return min(pieces, max(x.capacity/x.inUse, minPieces))
 }
 
-// clear drops an engine's holdings but for those that still await an event.
+// clear removes an engine's holdings, except for recent ones that no event has
+// confirmed yet.
 func (x *Index) clear(n int32) {
 	for r := x.byNumber[n].oldest; r != none; {
 		h := x.slab.at(r)
@@ -166,13 +176,14 @@
 	}
 }
 
-// awaited reports whether a holding stands on this instance's own word and is
-// recent enough to be believed.
+// awaited reports whether a holding is based only on a request of this instance
+// and is recent enough that an event may still confirm it.
 func (x *Index) awaited(h *holding) bool {
 	return h.until != confirmed && h.until > x.now
 }
 
-// valid reports whether a holding is believed.
+// valid reports whether the engine is assumed to hold the block: an event has
+// confirmed it, it is recent, or the engine publishes no events.
 func (x *Index) valid(h *holding) bool {
 	if h.until == confirmed || !x.byNumber[h.engine].publishes {
 		return true
--- a/kernel/prefix/index_test.go
+++ b/kernel/prefix/index_test.go
@@ -17,21 +17,23 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// engineAt returns an engine with room for the given number of pieces.
+// engineAt returns an engine with index i in the view and the given number of
+// pieces of memory.
 func engineAt(i, pieces int) *kernel.Upstream {
 	u := &kernel.Upstream{ID: ident.UpstreamID(fmt.Sprint("e", i)), Index: i}
 	u.Spec.Pieces = pieces
 	return u
 }
 
-// plain is the naive index: lists, no memo, one engine after another.
+// plain is the reference implementation of the index: one list of blocks for each
+// engine, without the cache for lookups.
 type plain struct {
 	engines map[ident.UpstreamID]*plainEngine
 	now     time.Time
 }
 
 type plainEngine struct {
-	// blocks is ordered by last use, the oldest first.
+	// blocks are ordered by last use, least recently used first.
 	blocks    []plainBlock
 	publishes bool
 }
@@ -97,12 +99,13 @@
 	return len(blocks)
 }
 
-// prompt draws a prompt of up to 4 blocks, 1 to 9 being possible hashes.
+// prompt draws a prompt of up to 4 blocks with distinct hashes from 1 to 9.
 func prompt(t *rapid.T) []uint64 {
 	return rapid.SliceOfNDistinct(rapid.Uint64Range(1, 9), 0, 4, rapid.ID[uint64]).Draw(t, "prompt")
 }
 
-// TestAgainstPlain drives the index and the naive one with the same events.
+// TestAgainstPlain applies the same random events to the index and to the
+// reference implementation and compares all lookups.
 func TestAgainstPlain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := New()
@@ -139,21 +142,25 @@
 	})
 }
 
+// TestGapIsAnsweredBySnapshot checks that a snapshot replaces earlier events, but
+// not a newer placement by this instance until confirmWithin has passed.
 func TestGapIsAnsweredBySnapshot(t *testing.T) {
 	x := New()
 	u := engineAt(0, 10)
 	x.Apply(u, kernel.CacheChanged{Stored: []uint64{1, 2, 3}})
 	x.Placed(u, []uint64{7, 8}, start)
-	// Events were lost, among them the removal of 2 and 3. The snapshot is from
-	// before the placement.
+	// Events were lost, among them the removal of blocks 2 and 3. The snapshot
+	// was taken before the placement.
 	x.Apply(u, kernel.CacheChanged{Cleared: true, Stored: []uint64{1}})
 	assert.Equal(t, x.CachedBlocks(u, []uint64{1, 2, 3}), 1)
 	assert.Equal(t, x.CachedBlocks(u, []uint64{7, 8}), 2)
-	// No event ever confirms the placement.
+	// No event confirms the placement within confirmWithin.
 	x.Placed(u, []uint64{5}, start.Add(confirmWithin))
 	assert.Equal(t, x.CachedBlocks(u, []uint64{7, 8}), 0)
 }
 
+// TestHistoryAloneServesEnginesWithoutEvents checks that for an engine that
+// publishes no cache events, blocks from placements do not expire.
 func TestHistoryAloneServesEnginesWithoutEvents(t *testing.T) {
 	x := New()
 	u := engineAt(0, 10)
@@ -162,8 +169,8 @@
 	assert.Equal(t, x.CachedBlocks(u, []uint64{1}), 1)
 }
 
-// TestMemoryIsBounded uses far more engines, blocks and engine lives than the
-// bounds.
+// TestMemoryIsBounded checks that the index stays within its bounds when it sees
+// far more engines, replaced engines and blocks than they allow.
 func TestMemoryIsBounded(t *testing.T) {
 	const capacity = 4096
 	x := newIndex(capacity)
@@ -189,7 +196,7 @@
 			engines := make([]*kernel.Upstream, n)
 			prompts := make([][]uint64, 64)
 			for i := range prompts {
-				// The first two of eight blocks are common to all.
+				// The first two of the eight blocks are the same in all prompts.
 				prompts[i] = []uint64{1, 2, 0, 0, 0, 0, 0, 0}
 				for j := 2; j < 8; j++ {
 					prompts[i][j] = uint64(i*100 + j)
--- a/kernel/prefix/lookup.go
+++ b/kernel/prefix/lookup.go
@@ -2,23 +2,27 @@
 
 import "github.com/wardspool/wardspool/kernel"
 
-// lookup is the answer for one prompt over all engines. A decision asks for
-// each of hundreds of engines with the same prompt; the chains are walked once.
+// lookup is the cached result of looking up one prompt for all engines. A
+// decision looks up the same prompt for each of hundreds of engines; with the
+// cache, the chains are walked only once.
 type lookup struct {
+	// prompt and blocks identify the slice that was looked up, by the address of
+	// its first element and its length.
 	prompt *uint64
 	blocks int
 	valid  bool
-	// cached is the number of leading blocks by engine number, and touched the
-	// numbers for which it is not 0.
+	// cached is the number of leading blocks that each engine holds, by engine
+	// number, and touched lists the engines for which it is not 0.
 	cached  []int32
 	touched []int32
 }
 
-// invalidate makes the next question walk the chains again.
+// invalidate makes the next call of CachedBlocks walk the chains again.
 func (l *lookup) invalidate() { l.valid = false }
 
-// CachedBlocks implements kernel.PrefixIndex. The blocks must not be changed
-// between calls with the same slice.
+// CachedBlocks implements kernel.PrefixIndex. The caller must not change the
+// content of blocks between calls with the same slice, since the result for a
+// slice is cached by its address.
 func (x *Index) CachedBlocks(u *kernel.Upstream, blocks []uint64) int {
 	if len(blocks) == 0 {
 		return 0
@@ -34,7 +38,7 @@
 	return int(l.cached[n])
 }
 
-// walk counts each engine's leading blocks.
+// walk counts the leading blocks that each engine holds.
 func (x *Index) walk(blocks []uint64) {
 	l := &x.last
 	for _, n := range l.touched {
@@ -54,8 +58,8 @@
 	}
 }
 
-// extend counts block i for the engines that hold all blocks before it, and
-// reports whether there was any.
+// extend increments the count of the engines that hold block i and all blocks
+// before it, and reports whether there is any such engine.
 func (x *Index) extend(i int32, block uint64) bool {
 	l := &x.last
 	any := false
--- a/kernel/record.go
+++ b/kernel/record.go
@@ -7,27 +7,29 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Step names what a decision record is about.
+// Step is the step in the processing of a request that a decision record
+// reports.
 type Step string
 
-// The steps of a request's way.
+// The steps in the processing of a request.
 const (
-	StepPlaced    Step = "placed"    // a prefill was started, its decode slot reserved
+	StepPlaced    Step = "placed"    // a prefill was started and its decode slot reserved
 	StepDecoding  Step = "decoding"  // the decode was started
 	StepCalled    Step = "called"    // a service call was started
-	StepWaiting   Step = "waiting"   // the request was put in the queue
-	StepRefused   Step = "refused"   // the request was given up without running
-	StepRetrying  Step = "retrying"  // a failed attempt will be replaced
-	StepResuming  Step = "resuming"  // a lost decode will be continued
-	StepCancelled Step = "cancelled" // the caller went away
-	StepFailed    Step = "failed"    // the request was given up after it may have run
+	StepWaiting   Step = "waiting"   // the request waits in the queue or for a slot
+	StepRefused   Step = "refused"   // the request was refused with no attempt in flight
+	StepRetrying  Step = "retrying"  // a failed attempt will be repeated
+	StepResuming  Step = "resuming"  // an interrupted decode will be continued
+	StepCancelled Step = "cancelled" // the caller disconnected
+	StepFailed    Step = "failed"    // the request ended with an error or at its deadline
 	StepCompleted Step = "completed" // the whole answer was returned
 )
 
-// Reason says why. The list is closed; docs/operators/reasons.md explains each.
+// Reason is the reason for a decision. The list of reasons is closed;
+// docs/operators/reasons.md explains each of them.
 type Reason string
 
-// The reasons.
+// The reasons for decisions.
 const (
 	ReasonBest             Reason = "best_score"
 	ReasonOnlyCandidate    Reason = "only_candidate"
@@ -63,7 +65,7 @@
 	ReasonWhole            Reason = "whole_answer"
 )
 
-// Alternative is a placement that was not chosen.
+// Alternative is a placement that was considered but not chosen.
 type Alternative struct {
 	Prefill ident.UpstreamID `json:"prefill,omitempty"`
 	Decode  ident.UpstreamID `json:"decode,omitempty"`
@@ -71,8 +73,8 @@
 	Cost float64 `json:"cost"`
 }
 
-// Record is one decision: what was done with a request and why. It becomes one
-// log line and one row of `wardspoolctl explain`.
+// Record is the record of one decision about a request. It is written as one log
+// line and shown as one row of `wardspoolctl explain`.
 type Record struct {
 	Time      time.Time       `json:"time"`
 	Request   ident.RequestID `json:"request"`
@@ -80,27 +82,28 @@
 	Kind      string          `json:"kind"`
 	Step      Step            `json:"step"`
 	Reason    Reason          `json:"reason"`
-	// Attempt names the attempt concerned, if there is one.
+	// Attempt is the ID of the attempt concerned, if there is one.
 	Attempt ident.AttemptID  `json:"attempt,omitzero"`
 	Prefill ident.UpstreamID `json:"prefill,omitempty"`
-	// Decode names the decode engine, or the service upstream.
+	// Decode is the decode engine or, for a service call, the service upstream.
 	Decode ident.UpstreamID `json:"decode,omitempty"`
-	// Cost is the chosen placement's score, in seconds.
+	// Cost is the cost of the chosen placement, in seconds.
 	Cost float64 `json:"cost,omitempty"`
-	// RunnersUp are the best placements not chosen, best first.
+	// RunnersUp are the best of the placements that were not chosen, best first.
 	RunnersUp []Alternative `json:"runners_up,omitempty"`
-	// PredictedFirstOutput is the expected time to first output from now.
+	// PredictedFirstOutput is the expected time from the decision to the first
+	// output.
 	PredictedFirstOutput time.Duration `json:"predicted_first_output,omitempty"`
 	// Waited is the time since arrival.
 	Waited time.Duration `json:"waited"`
-	// ViewAge is the age of the load report the choice rests on.
+	// ViewAge is the age of the oldest load report on which the choice is based.
 	ViewAge time.Duration `json:"view_age"`
-	// QueueLength is the number of requests waiting here.
+	// QueueLength is the number of requests waiting on this instance.
 	QueueLength   int         `json:"queue_length"`
 	BundleVersion uint64      `json:"bundle_version"`
 	Outcome       api.Outcome `json:"outcome,omitempty"`
-	// Offset is how many output tokens the caller has, for resumptions.
+	// Offset is the number of output tokens that the caller already has.
 	Offset int `json:"offset,omitempty"`
-	// RetryAfter is when the caller was told to come back.
+	// RetryAfter is the retry-after hint that the caller received.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 }
--- a/kernel/request.go
+++ b/kernel/request.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Request is one caller's request, as the kernel needs to know it. The body
-// stays with the driver.
+// Request holds the properties of a caller's request that the kernel needs for
+// its decisions. The driver keeps the body.
 type Request struct {
 	ID        ident.RequestID
 	Workspace ident.Workspace
@@ -18,34 +18,36 @@
 	// Model is set for config.RouteModel, Service for config.RouteService.
 	Model   string
 	Service string
-	// PromptTokens and MaxOutputTokens are counted or declared at arrival.
+	// PromptTokens and MaxOutputTokens are counted by the driver or declared by
+	// the caller.
 	PromptTokens    int
 	MaxOutputTokens int
-	// Blocks are the chained hashes of the prompt's whole pieces, for prefix
-	// reuse.
+	// Blocks are the chained hashes of the prompt's complete blocks of one piece
+	// each, for prefix reuse; see package tokens.
 	Blocks []uint64
 	// Repeatable is false for a request that must run at most once.
 	Repeatable bool
-	// Deduplicated says that the upstream itself runs this request's
-	// idempotency key at most once, so that repeating it is harmless.
+	// Deduplicated means that the upstream itself runs a request with the same
+	// idempotency key at most once, so that sending it again is safe.
 	Deduplicated bool
 	Arrived      time.Time
-	// FirstOutputBy is when the first output token is due under the kind's
-	// target.
+	// FirstOutputBy is the time by which the first output token is due according
+	// to the target of the request's kind.
 	FirstOutputBy time.Time
 	// Pace is the target time between output tokens.
 	Pace time.Duration
-	// Deadline is when the caller stops waiting.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// Priority is passed to the engines; lower runs earlier.
+	// Priority is passed to the engines; lower values run earlier.
 	Priority int
 }
 
-// MayRepeat reports whether a second run of the request is harmless.
+// MayRepeat reports whether the request may be sent again after it may have run.
 func (r *Request) MayRepeat() bool { return r.Repeatable || r.Deduplicated }
 
-// Pieces returns the KV memory the request needs, in pieces of pieceTokens
-// tokens, when its output is as long as it may be.
+// Pieces returns the KV memory that the request needs for its prompt and the
+// maximum output, in pieces of pieceTokens tokens. It returns 0 if pieceTokens is
+// not positive.
 func (r *Request) Pieces(pieceTokens int) int {
 	if pieceTokens <= 0 {
 		return 0
--- a/kernel/retry.go
+++ b/kernel/retry.go
@@ -2,27 +2,31 @@
 
 import "time"
 
-// retryBudget bounds retries to a share of the requests that arrive, so that
-// failures do not multiply the load.
+// retryBudget limits retries to a share of the arriving requests, so that
+// failures do not multiply the load. It is a token bucket: each arrival adds the
+// share, each retry takes one token.
 type retryBudget struct {
 	tokens float64
 }
 
 const (
-	// maxRetryTokens bounds what can be saved up.
+	// maxRetryTokens is the capacity of the bucket.
 	maxRetryTokens = 20.0
-	// retryTokensAtStart lets the first failures after a start be retried.
+	// retryTokensAtStart is the initial content of the bucket, so that the first
+	// failures after a start can be retried.
 	retryTokensAtStart = 5.0
-	// defaultRetryShare is used where the bundle sets no budget.
+	// defaultRetryShare is used if the bundle sets no retry budget.
 	defaultRetryShare = 0.1
-	// defaultMaxAttempts is used where the bundle sets no bound.
+	// defaultMaxAttempts is used if the bundle sets no maximum.
 	defaultMaxAttempts = 4
-	// defaultRetryBackoff is used where the bundle sets none.
+	// defaultRetryBackoff is used if the bundle sets no backoff.
 	defaultRetryBackoff = 50 * time.Millisecond
-	// maxBackoffDoublings bounds the exponential backoff.
+	// maxBackoffDoublings limits the exponential backoff.
 	maxBackoffDoublings = 6
 )
 
+// arrived adds the share for an arriving request. An empty bucket, which is the
+// state at the start, is first filled to retryTokensAtStart.
 func (b *retryBudget) arrived(share float64) {
 	if b.tokens == 0 {
 		b.tokens = retryTokensAtStart
@@ -30,7 +34,7 @@
 	b.tokens = min(b.tokens+share, maxRetryTokens)
 }
 
-// take reports whether a retry may be made, and counts it.
+// take takes a token for a retry and reports whether there was one.
 func (b *retryBudget) take() bool {
 	if b.tokens < 1 {
 		return false
@@ -53,7 +57,8 @@
 	return defaultMaxAttempts
 }
 
-// backoff is the jittered wait before try number n (from 1).
+// backoff returns the wait before the n-th repetition, n being at least 1: it
+// doubles with n and is chosen at random from its upper half.
 func (k *Kernel) backoff(n int) time.Duration {
 	base := defaultRetryBackoff
 	if c := k.catalog.content; c != nil && c.Policy.RetryBackoff > 0 {
--- a/kernel/schedule.go
+++ b/kernel/schedule.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	// maxEngineQueue is how much work may wait at a prefill engine. What does
-	// not fit waits here, where it can still be reordered, refused or placed
-	// elsewhere.
+	// maxEngineQueue is the maximum expected wait at a prefill engine at which
+	// it still gets new requests. Further requests wait on this instance, where
+	// they can still be reordered, refused or placed on another engine.
 	maxEngineQueue = 250 * time.Millisecond
-	// retryPlacement is when a placement is tried again that failed for want
-	// of upstreams, if nothing else happens before.
+	// retryPlacement is the time after which a placement that failed because no
+	// upstream qualified is tried again, if no event triggers it earlier.
 	retryPlacement = 100 * time.Millisecond
-	// lateMargin is the margin of error granted to predictions before a
-	// waiting request is given up.
+	// lateMargin is the allowance for prediction errors: a waiting request is
+	// refused only if it is expected to miss its first-output target by more.
 	lateMargin = 20 * time.Millisecond
 )
 
-// blocked collects, in one scheduling pass, the models and services for which
-// nothing more can be placed now.
+// blocked maps, for one scheduling pass, the models and services for which a
+// placement failed to the reason. Further requests for them are not tried in this
+// pass.
 type blocked map[string]Reason
 
+// queueKey returns the key in blocked of the request's model or service.
 func queueKey(r *Request) string {
 	if r.Route == config.RouteService {
 		return "service/" + r.Service
@@ -51,7 +53,8 @@
 	}
 }
 
-// tryWaiting tries to place one waiting request.
+// tryWaiting tries to place one waiting request. If that fails and the request
+// can no longer meet its first-output target, it refuses the request.
 func (k *Kernel) tryWaiting(w *Waiting, full blocked) {
 	c, ok := k.calls[w.Request.ID]
 	if !ok || c.waiting != w || w.NotBefore.After(k.now) {
@@ -77,8 +80,8 @@
 	k.noteWaiting(c, reason)
 }
 
-// place starts a waiting request, or asks for its slot. It returns the reason
-// when it could do neither.
+// place starts a waiting request or requests a slot for it. If it can do neither,
+// it returns the reason, otherwise "".
 func (k *Kernel) place(c *call) Reason {
 	if c.request.Route == config.RouteService {
 		return k.placeService(c)
@@ -86,7 +89,8 @@
 	return k.placeModel(c)
 }
 
-// placeModel chooses prefill and decode engine together and reserves a slot.
+// placeModel chooses the prefill and the decode engine together and reserves a
+// slot on the decode engine. Its result is that of place.
 func (k *Kernel) placeModel(c *call) Reason {
 	if jp := k.joint(c.request.Model); jp != nil {
 		k.askPlacement(c, jp)
@@ -108,15 +112,17 @@
 	return k.reserveBest(c, d, k.rankPairs(d))
 }
 
-// noCandidate makes sure that a request for which no upstream qualifies is
-// tried again soon, also when no event comes.
+// noCandidate arranges that a request for which no upstream qualifies is tried
+// again after retryPlacement even if no event occurs, and returns reason.
 func (k *Kernel) noCandidate(c *call, reason Reason) Reason {
-	// Better an upstream that failed before than none.
+	// An upstream on which the request failed before is better than none.
 	c.avoid = nil
 	k.kick(k.now.Add(retryPlacement))
 	return reason
 }
 
+// leastPrefillWait returns the shortest expected wait at the shortlisted prefill
+// engines, -1 if there are none.
 func (k *Kernel) leastPrefillWait() time.Duration {
 	least := time.Duration(-1)
 	for _, p := range k.placer.prefills.all() {
@@ -128,8 +134,9 @@
 	return least
 }
 
-// reserveBest asks for a slot on the decode engines of the ranked pairs in
-// turn, each engine once, until one is held or promised.
+// reserveBest requests a slot on the decode engines of the ranked pairs in turn,
+// each engine once, until one is granted or its answer is pending. It starts the
+// prefill if a slot was granted. Its result is that of place.
 func (k *Kernel) reserveBest(c *call, d *Decision, pairs []pair) Reason {
 	var asked [shortlistSize]int
 	count := 0
@@ -173,8 +180,8 @@
 }
 
 // late reports whether a waiting request can no longer meet its first-output
-// target even if it were placed at once. Output that the caller already has
-// is not given up for being late.
+// target even if it is placed immediately. A request whose caller already has
+// output is never late, so that this output is not wasted.
 func (k *Kernel) late(c *call) bool {
 	if c.delivered > 0 || c.request.FirstOutputBy.IsZero() {
 		return false
@@ -185,8 +192,8 @@
 	return k.now.Add(c.need).After(c.request.FirstOutputBy.Add(lateMargin))
 }
 
-// lateDue gives up a request that still waits, for a place or for a slot, when
-// it can no longer meet its target.
+// lateDue refuses a request that still waits for a placement or a slot and can no
+// longer meet its first-output target.
 func (k *Kernel) lateDue(id ident.RequestID) {
 	c, ok := k.calls[id]
 	if !ok || c.started() || c.prefill != nil || !k.late(c) {
@@ -199,12 +206,13 @@
 	return &Refusal{
 		Reason:     ReasonInfeasible,
 		Problem:    api.ProblemInfeasible,
-		Detail:     "no upstream became free in time for the first-output target",
+		Detail:     "no upstream became available in time to meet the first-output target",
 		RetryAfter: comeBack,
 	}
 }
 
-// noteWaiting logs why a request waits, once per reason.
+// noteWaiting logs the reason for which a request waits, if it differs from the
+// one logged last.
 func (k *Kernel) noteWaiting(c *call, reason Reason) {
 	if c.lastReason == reason {
 		return
--- a/kernel/service.go
+++ b/kernel/service.go
@@ -4,8 +4,8 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// placeService calls a plain service with a free place for the request. It
-// returns the reason when there is none.
+// placeService sends the request to the cheapest service upstream that is below
+// its concurrency limit. Its result is that of place.
 func (k *Kernel) placeService(c *call) Reason {
 	d := k.decide(c)
 	k.shortlistDecodes(d, c, k.fleet.services[c.request.Service], config.RoleService)
@@ -54,6 +54,8 @@
 	})
 }
 
+// otherServices returns up to maxRunnersUp service upstreams of the list that
+// were not chosen.
 func (k *Kernel) otherServices(list []ranked, chosen int) []Alternative {
 	var others []Alternative
 	for i, r := range list {
--- a/kernel/session_test.go
+++ b/kernel/session_test.go
@@ -12,8 +12,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// script is one whole session: what happens, and the golden file with what the
-// kernel must do.
+// script is a sequence of events for one kernel. The actions that the kernel must
+// emit are in the golden file of the same name.
 type script struct {
 	name string
 	run  func(s *session)
@@ -157,7 +157,8 @@
 	}
 }
 
-// TestSessionsRepeat checks that the same events give the same actions.
+// TestSessionsRepeat checks that the kernel is deterministic: the same events give
+// the same actions.
 func TestSessionsRepeat(t *testing.T) {
 	for _, sc := range scripts {
 		t.Run(sc.name, func(t *testing.T) {
@@ -187,8 +188,8 @@
 	assert.Equal(t, rejected.Version, uint64(2))
 }
 
-// TestUnknownIncarnation checks that an upstream whose incarnation nobody knows
-// yet is used like any other.
+// TestUnknownIncarnation checks that an upstream whose incarnation is not known
+// yet, and therefore 0 in the view, is used like any other.
 func TestUnknownIncarnation(t *testing.T) {
 	s := newSession(t)
 	v := testView(s.content, s.now)
@@ -204,11 +205,12 @@
 	s.step(kernel.ViewChanged{View: v})
 	s.step(kernel.Configured{Version: 2, Content: c})
 	s.step(kernel.Arrive{Request: s.confirm("c1")})
-	assert.Equal(t, s.service.Instance, ident.InstanceID("e1"), "the call was not started:\n%s", s.transcript())
+	assert.Equal(t, s.service.Instance, ident.InstanceID("e1"), "the service call was not started:\n%s", s.transcript())
 }
 
-// TestSilentServiceIsEjected checks that a service that answers nobody is left
-// out after a few callers' deadlines, and that one that answers others is not.
+// TestSilentServiceIsEjected checks that a service that answers no request is
+// ejected after three requests have reached their deadlines, and that a service
+// that answers other requests meanwhile is not ejected.
 func TestSilentServiceIsEjected(t *testing.T) {
 	s := newSession(t)
 	s.upstreamLife("s2", kernel.Dead)
@@ -218,7 +220,7 @@
 	}
 	s.service = ident.AttemptID{}
 	s.step(kernel.Arrive{Request: s.confirm("next")})
-	assert.Assert(t, s.service.IsZero(), "the silent service was called again:\n%s", s.transcript())
+	assert.Assert(t, s.service.IsZero(), "a service that answers no request was called again:\n%s", s.transcript())
 
 	slow := newSession(t)
 	slow.upstreamLife("s2", kernel.Dead)
@@ -231,11 +233,12 @@
 	}
 	slow.service = ident.AttemptID{}
 	slow.step(kernel.Arrive{Request: slow.confirm("next")})
-	assert.Assert(t, !slow.service.IsZero(), "a service that answers others was ejected")
+	assert.Assert(t, !slow.service.IsZero(), "a service that answers other requests was ejected")
 }
 
-// TestIncarnationBecomesKnown checks that work sent before an upstream's
-// incarnation was known goes on when it becomes known.
+// TestIncarnationBecomesKnown checks that an attempt that was sent before the
+// upstream's incarnation was known is not abandoned when it becomes known: the
+// change from 0 is not a restart.
 func TestIncarnationBecomesKnown(t *testing.T) {
 	s := newSession(t)
 	unknown := testView(s.content, s.now)
@@ -259,7 +262,7 @@
 	}
 	for _, a := range s.step(kernel.ViewChanged{View: &known}) {
 		_, abandoned := a.(kernel.AbandonAttempt)
-		assert.Assert(t, !abandoned, "the call was given up:\n%s", s.transcript())
+		assert.Assert(t, !abandoned, "the attempt was abandoned:\n%s", s.transcript())
 	}
 	s.step(kernel.AttemptDone{Attempt: s.service})
 	assert.Equal(t, s.k.InFlight(), 0)
--- a/kernel/shortlist.go
+++ b/kernel/shortlist.go
@@ -1,15 +1,15 @@
 package kernel
 
-// shortlistSize is how many upstreams per role are considered in pairs.
+// shortlistSize is the number of upstreams per role from which pairs are formed.
 const shortlistSize = 4
 
-// ranked is an upstream, by its index in the view, and its cost.
+// ranked is an upstream, given by its index in the view, and its cost.
 type ranked struct {
 	index int
 	cost  float64
 }
 
-// shortlist keeps the upstreams of least cost, cheapest first.
+// shortlist holds the cheapest of the upstreams offered to it, cheapest first.
 type shortlist struct {
 	size  int
 	items [shortlistSize]ranked
--- a/kernel/slots.go
+++ b/kernel/slots.go
@@ -6,8 +6,9 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// reserve asks the slot policy for a slot on the plan's decode engine and, if
-// one is held or promised, makes the plan the call's own.
+// reserve requests a slot on the plan's decode engine from the slot policy. If
+// the slot is granted or the answer is pending, it sets the call's plan and
+// reservation.
 func (k *Kernel) reserve(c *call, plan placement) SlotAnswer {
 	id := k.newAttemptID(c.request)
 	answer := k.policy.slots.Reserve(SlotAsk{
@@ -28,6 +29,8 @@
 	return answer
 }
 
+// pieces returns the KV memory that the request needs, in pieces of its model, 0
+// if the model is not in the bundle.
 func (k *Kernel) pieces(r *Request) int {
 	m := k.catalog.models[r.Model]
 	if m == nil {
@@ -36,7 +39,9 @@
 	return r.Pieces(m.PieceTokens)
 }
 
-// awaitSlot leaves a call to wait for the slot policy's answer.
+// awaitSlot puts a call into the state in which it waits for the slot policy's
+// answer. If the call has finished its prefill, the wait is limited by the
+// lifetime of the KV cache.
 func (k *Kernel) awaitSlot(c *call) {
 	c.state = callReserving
 	k.placer.reserving++
@@ -46,8 +51,8 @@
 	}
 }
 
-// kvDue gives up a reservation that is still awaited when the prefill result it
-// is for can no longer be imported, whatever the slot policy does about it.
+// kvDue ends the wait for a slot when the call's KV cache can no longer be
+// imported. It does not depend on an answer from the slot policy.
 func (k *Kernel) kvDue(reservation ident.AttemptID) {
 	c, ok := k.reserved[reservation]
 	if !ok || c.state != callReserving || c.prefill == nil || k.kvFresh(c) {
@@ -56,7 +61,7 @@
 	k.decodeElsewhere(c, ReasonKVGone)
 }
 
-// leaveReserving ends the state callReserving.
+// leaveReserving returns a call in state callReserving to callQueued.
 func (k *Kernel) leaveReserving(c *call) {
 	if c.state == callReserving {
 		k.placer.reserving--
@@ -64,7 +69,7 @@
 	}
 }
 
-// giveSlotBack releases the call's reservation, held or awaited.
+// giveSlotBack releases the call's reservation, whether granted or pending.
 func (k *Kernel) giveSlotBack(c *call) {
 	if c.slot.policy == nil {
 		return
@@ -76,7 +81,8 @@
 	k.dirty = true
 }
 
-// slotGranted goes on with a call whose reservation was pending.
+// slotGranted continues a call whose pending reservation was granted: with the
+// decode if its prefill has finished, otherwise with the prefill.
 func (k *Kernel) slotGranted(id ident.AttemptID) {
 	c, ok := k.reserved[id]
 	if !ok || c.state != callReserving {
@@ -96,7 +102,8 @@
 	k.startPrefill(c)
 }
 
-// slotDenied puts a call back in the queue.
+// slotDenied queues a call again whose pending reservation was denied, or looks
+// for another decode engine if its prefill has finished.
 func (k *Kernel) slotDenied(id ident.AttemptID, retryAt time.Time) {
 	c, ok := k.reserved[id]
 	if !ok || c.state != callReserving {
--- a/kernel/stalled_engine_test.go
+++ b/kernel/stalled_engine_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestStalledLinkEjectsItsEngineOnly stalls all KV transfers of one prefill
-// engine: it gets no new work for a while, and the decode engines, with which
-// its transfers stalled, go on getting theirs.
+// engine. That engine must be ejected, while the decode engines with which its
+// transfers stalled must still get new work.
 func TestStalledLinkEjectsItsEngineOnly(t *testing.T) {
 	s := newSession(t)
 	prefills := map[ident.UpstreamID]int{}
@@ -34,13 +34,13 @@
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
 	}
-	assert.Assert(t, stalls >= 2 && stalls <= 4, "%d prefills at the engine whose link stalls", stalls)
-	assert.Assert(t, decodes["d1"] > 0 && decodes["d2"] > 0, "%v", decodes)
+	assert.Assert(t, stalls >= 2 && stalls <= 4, "the engine whose transfers stall got %d prefills, want 2 to 4", stalls)
+	assert.Assert(t, decodes["d1"] > 0 && decodes["d2"] > 0, "both decode engines must get work, got %v", decodes)
 }
 
-// TestStallsEverywhereLeaveEngines stalls all KV transfers of all engines: at most
-// half of the engines are left out, so that a request is served at once when the
-// links are well again.
+// TestStallsEverywhereLeaveEngines stalls all KV transfers of all engines. At most
+// half of the engines may be ejected, so that a request can be served immediately
+// once transfers succeed again.
 func TestStallsEverywhereLeaveEngines(t *testing.T) {
 	s := newSession(t)
 	for i := range 12 {
@@ -54,7 +54,8 @@
 	s.decodeOf(s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom(engine)}))
 }
 
-// prefillOf returns the engine of the prefill among some actions.
+// prefillOf returns the engine of the StartPrefill among the actions and fails the
+// test if there is none.
 func (s *session) prefillOf(actions []kernel.Action) ident.UpstreamID {
 	for _, a := range actions {
 		if start, ok := a.(kernel.StartPrefill); ok {
@@ -65,7 +66,8 @@
 	return ""
 }
 
-// decodeOf returns the engine of the decode among some actions.
+// decodeOf returns the engine of the StartDecode among the actions and fails the
+// test if there is none.
 func (s *session) decodeOf(actions []kernel.Action) ident.UpstreamID {
 	for _, a := range actions {
 		if start, ok := a.(kernel.StartDecode); ok {
--- a/kernel/stalls.go
+++ b/kernel/stalls.go
@@ -7,41 +7,46 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// A KV transfer that stalls tells that one of two engines, or what lies between
-// them, does not move data. Which one shows only by comparison: an engine whose
-// transfers stall with several others is at fault, and so is one whose transfers
-// stall with an engine that does well with others meanwhile. Only engines of its
-// own zone can testify alone: between zones it may be the network.
-
-// minStalls is how many stalled transfers, without a good one since, an engine
-// must have had to be at fault.
+// A stalled KV transfer shows that one of the two engines, or the network between
+// them, does not move data. Which of them is at fault follows only from other
+// transfers. An engine is at fault if its transfers stall with several partners,
+// or with one partner that meanwhile completes transfers with other engines. At
+// least one of the partners must be in the engine's own zone, because stalls
+// between zones may be caused by the network between the zones.
+
+// minStalls is the number of stalled transfers since its last successful one
+// after which an engine can be at fault.
 const minStalls = 2
 
-// stallBook finds the engines at fault in stalled KV transfers.
+// stallBook determines which engines are at fault in stalled KV transfers.
 type stallBook struct {
+	// ends holds the engines with stalled transfers since their last successful
+	// one.
 	ends map[ident.UpstreamID]*stallEnd
 }
 
-// stallEnd is what is known of one engine since its last good transfer.
+// stallEnd describes the stalled transfers of one engine since its last
+// successful one.
 type stallEnd struct {
-	// since is when the first of the stalled transfers began.
+	// since is the time at which the earliest of the stalled transfers began.
 	since time.Time
 	// count is the number of stalled transfers.
 	count int
-	// partners are the engines at their other ends.
+	// partners are the engines at the other ends of the stalled transfers.
 	partners []stallPartner
 }
 
-// stallPartner is an engine with which a transfer stalled. It is sound once it
-// had a good transfer with another engine since.
+// stallPartner is an engine with which a transfer stalled. It is sound if it has
+// completed a transfer with another engine since.
 type stallPartner struct {
 	id      ident.UpstreamID
 	ownZone bool
 	sound   bool
 }
 
-// stalled notes a stalled transfer that began at the given time, and returns the
-// end that is now taken for at fault, nil if there is none.
+// stalled records a stalled transfer between x and y that began at the given
+// time. It returns the one of the two engines that is now considered at fault,
+// nil if neither is.
 func (b *stallBook) stalled(x, y *Upstream, began time.Time) *Upstream {
 	b.end(x.ID, began).add(y.ID, x.Zone == y.Zone)
 	b.end(y.ID, began).add(x.ID, x.Zone == y.Zone)
@@ -54,9 +59,10 @@
 	return nil
 }
 
-// moved notes a transfer that went well and began at the given time. It clears
-// both ends, and makes them witnesses against others, unless it began before the
-// stalled ones.
+// moved records a successful transfer between x and y that began at the given
+// time. It removes the stalls of both engines and marks both as sound in the
+// stalls of other engines, except for stalls that began at the same time or
+// later.
 func (b *stallBook) moved(x, y ident.UpstreamID, began time.Time) {
 	for id, e := range b.ends {
 		if !began.After(e.since) {
@@ -73,8 +79,10 @@
 	}
 }
 
-// blame forgets the stalls that an engine at fault explains. The engine itself
-// stays on probation: until it has a good transfer, one more stall is enough.
+// blame removes the stalls that are explained by an engine at fault from the
+// records of its partners. The engine itself keeps a count of minStalls-1, so
+// that a single further stall before its next successful transfer puts it at
+// fault again.
 func (b *stallBook) blame(id ident.UpstreamID) {
 	b.ends[id].count = minStalls - 1
 	for other, e := range b.ends {
@@ -85,6 +93,8 @@
 	}
 }
 
+// end returns the record of an engine, creating it if there is none, and extends
+// it back to the time began.
 func (b *stallBook) end(id ident.UpstreamID, began time.Time) *stallEnd {
 	e := b.ends[id]
 	if e == nil {
@@ -113,14 +123,16 @@
 	return slices.ContainsFunc(e.partners, func(p stallPartner) bool { return p.ownZone && (several || p.sound) })
 }
 
-// TransferObserver is implemented by slot policies that want to know how the KV
-// transfers of their reservations ended.
+// TransferObserver is implemented by slot policies that need the results of the
+// KV transfers of their reservations.
 type TransferObserver interface {
-	// TransferEnded reports that the transfer moved all data, or stalled.
+	// TransferEnded reports that the reservation's transfer stalled or, if
+	// stalled is false, was completed.
 	TransferEnded(reservation ident.AttemptID, stalled bool)
 }
 
-// transferEnded notes how the KV transfer of a call's decode ended.
+// transferEnded records the result of the KV transfer for a call's decode and
+// reports it to the slot policy.
 func (k *Kernel) transferEnded(c *call, decode *attempt, stalled bool) {
 	k.noteTransfer(c.prefill.upstream, decode.upstream, decode.sentAt, stalled)
 	if o, ok := c.slot.policy.(TransferObserver); ok {
@@ -128,8 +140,9 @@
 	}
 }
 
-// noteTransfer enters a transfer that ended, and ejects the end at fault.
-// Transfers of ejected engines tell nothing new.
+// noteTransfer records the result of a transfer and ejects the engine that is at
+// fault, if there is one. Stalls of ejected engines are ignored, because the
+// fault is already known.
 func (k *Kernel) noteTransfer(prefill, decode ident.UpstreamID, began time.Time, stalled bool) {
 	if !stalled {
 		k.stalls.moved(prefill, decode, began)
@@ -144,12 +157,14 @@
 	}
 }
 
-// maxStallEjections is the largest share, in percent, of the engines of a model
-// and role that stalls eject. When more stall, no engine is at fault but what
-// they share, and leaving out the rest would only refuse what may go well again.
+// maxStallEjections is the maximum share, in percent, of the engines of a model
+// and role that may be ejected because of stalls. If more of them stall, the
+// cause is something that they share, and ejecting the rest would only refuse
+// requests that may succeed again.
 const maxStallEjections = 50
 
-// sparable reports whether enough engines like u remain without it.
+// sparable reports whether u may be ejected: at most maxStallEjections percent of
+// the interchangeable engines, including u, would then be ejected.
 func (k *Kernel) sparable(u *Upstream) bool {
 	total, ejected := 0, 1
 	for i := range k.fleet.view.Upstreams {
@@ -165,7 +180,8 @@
 	return 100*ejected <= maxStallEjections*total
 }
 
-// alike reports whether two engines can take each other's place for a model.
+// alike reports whether two engines have the same role and at least one model in
+// common.
 func alike(u, other *Upstream) bool {
 	return u.Spec.Role == other.Spec.Role && slices.ContainsFunc(u.Spec.Models, other.Serves)
 }
--- a/kernel/stalls_test.go
+++ b/kernel/stalls_test.go
@@ -9,18 +9,21 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// TestStallBook checks which end of stalled transfers is taken for at fault.
-// Engines are named by zone and role: "a-p1" is a prefill engine in zone a.
+// TestStallBook checks which engine is considered at fault after a sequence of
+// stalled and successful transfers. Engines are named by zone and role: "a-p1" is
+// a prefill engine in zone a.
 func TestStallBook(t *testing.T) {
 	type event struct {
 		prefill, decode ident.UpstreamID
-		// began is in seconds.
-		began  int
-		moved  bool
+		// began is the start of the transfer, in seconds.
+		began int
+		// moved means that the transfer succeeded.
+		moved bool
+		// faulty is the engine that must be at fault after the event, if any.
 		faulty ident.UpstreamID
 	}
 	tests := map[string][]event{
-		"a prefill engine's link": {
+		"the link of a prefill engine": {
 			{prefill: "a-p1", decode: "a-d1"},
 			{prefill: "a-p1", decode: "a-d1"},
 			{prefill: "a-p1", decode: "a-d2", faulty: "a-p1"},
@@ -34,33 +37,33 @@
 			{prefill: "b-p1", decode: "a-d1", faulty: "a-d1"},
 			{prefill: "a-p1", decode: "a-d2"},
 		},
-		"between two zones": {
+		"stalls between zones only": {
 			{prefill: "a-p1", decode: "b-d1"},
 			{prefill: "a-p1", decode: "b-d2"},
 			{prefill: "a-p1", decode: "c-d1"},
 			{prefill: "a-p2", decode: "b-d1"},
 		},
-		"good ones between": {
+		"a success between the stalls": {
 			{prefill: "a-p1", decode: "a-d1", began: 1},
 			{prefill: "a-p1", decode: "a-d2", began: 2, moved: true},
 			{prefill: "a-p1", decode: "a-d2", began: 3},
 		},
-		"good ones from before": {
+		"a success that began before the stall": {
 			{prefill: "a-p1", decode: "a-d1", began: 2},
 			{prefill: "a-p1", decode: "a-d2", began: 1, moved: true},
 			{prefill: "a-p1", decode: "a-d2", began: 3, faulty: "a-p1"},
 		},
-		"a sound witness": {
+		"the partner succeeds with another engine": {
 			{prefill: "a-p1", decode: "a-d1", began: 1},
 			{prefill: "a-p2", decode: "a-d1", began: 2, moved: true},
 			{prefill: "a-p1", decode: "a-d1", began: 3, faulty: "a-p1"},
 		},
-		"a sound witness in another zone": {
+		"a partner in another zone succeeds with another engine": {
 			{prefill: "a-p1", decode: "b-d1", began: 1},
 			{prefill: "b-p2", decode: "b-d1", began: 2, moved: true},
 			{prefill: "a-p1", decode: "b-d1", began: 3},
 		},
-		"a single stall": {
+		"one stall per prefill engine": {
 			{prefill: "a-p1", decode: "a-d1", began: 1},
 			{prefill: "a-p2", decode: "a-d1", began: 2, moved: true},
 			{prefill: "a-p2", decode: "a-d2", began: 3},
@@ -85,5 +88,5 @@
 	}
 }
 
-// end is an engine in the zone that its name begins with.
+// end returns an engine whose zone is the first letter of its ID.
 func end(id ident.UpstreamID) *Upstream { return &Upstream{ID: id, Zone: ident.Zone(id[:1])} }
--- a/kernel/table/table.go
+++ b/kernel/table/table.go
@@ -1,5 +1,5 @@
-// Package table keeps a value for each upstream and finds it in a few
-// nanoseconds, by the upstream's index in the view.
+// Package table provides a map from upstreams to values whose lookups take only a
+// few nanoseconds, because they use the upstream's index in the view.
 package table
 
 import (
@@ -7,8 +7,9 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// maxEntries bounds a table. Upstreams are replaced now and then, and a table
-// is not told; one that outgrows the bound is emptied.
+// maxEntries is the maximum number of entries of a table. A table is not informed
+// when upstreams are replaced, so that old entries accumulate. A full table is
+// emptied before the next entry is added.
 const maxEntries = 8192
 
 // entry is one upstream's value.
@@ -21,12 +22,12 @@
 // Its pointers are valid until the next call that adds an entry.
 type Table[T any] struct {
 	byID map[ident.UpstreamID]*entry[T]
-	// byIndex is a cache over byID: the entry of the upstream last seen at an
-	// index. Views renumber upstreams, so the ID is compared on each use.
+	// byIndex is a cache for byID: the entry of the upstream last seen at each
+	// index. New views may renumber upstreams, so the ID is checked on each use.
 	byIndex []*entry[T]
 }
 
-// At returns the upstream's value, making a zero one if there is none.
+// At returns the upstream's value, adding a zero value if there is none.
 func (t *Table[T]) At(u *kernel.Upstream) *T {
 	if u.Index < len(t.byIndex) {
 		e := t.byIndex[u.Index]
@@ -37,7 +38,8 @@
 	return t.find(u)
 }
 
-// find returns the upstream's entry from the map and notes its index.
+// find returns the upstream's value from the map, adding a zero value if there is
+// none, and caches the entry by index.
 func (t *Table[T]) find(u *kernel.Upstream) *T {
 	e := t.byID[u.ID]
 	if e == nil {
@@ -50,7 +52,7 @@
 	return &e.value
 }
 
-// add makes an entry.
+// add adds an entry with a zero value. It empties a full table first.
 func (t *Table[T]) add(id ident.UpstreamID) *entry[T] {
 	if t.byID == nil || len(t.byID) >= maxEntries {
 		t.Clear()
--- a/kernel/throughput.go
+++ b/kernel/throughput.go
@@ -4,32 +4,36 @@
 	"time"
 )
 
-// throughput learns how fast this instance's queue for a model moves when
-// there is one.
+// throughput measures, for each model, how fast this instance places requests
+// while others are waiting.
 type throughput struct {
 	models map[string]*pace
 }
 
-// pace is the smoothed time between placements from a non-empty queue.
+// pace is the exponentially smoothed time between two placements of a model while
+// the queue is not empty.
 type pace struct {
 	last     time.Time
 	interval time.Duration
 }
 
 const (
-	// paceWeight is the weight of the newest interval.
+	// paceWeight is the weight of the newest interval in the moving average.
 	paceWeight = 0.1
-	// maxPaceInterval bounds one interval, so that an idle time does not
-	// count as slowness.
+	// maxPaceInterval limits a single interval, so that an idle period is not
+	// counted as a slow placement.
 	maxPaceInterval = 2 * time.Second
 	// defaultPaceInterval is assumed before the first measurement.
 	defaultPaceInterval = 50 * time.Millisecond
-	// minComeBack and maxComeBack bound what refused callers are told.
+	// minComeBack and maxComeBack limit the retry-after hint for refused callers
+	// before jitter is added; see comeBack. maxComeBack also limits the
+	// retry-after hints of upstreams.
 	minComeBack = 500 * time.Millisecond
 	maxComeBack = 30 * time.Second
 )
 
-// placed notes a placement; queued says that others were waiting.
+// placed records a placement. queued reports whether other requests were waiting;
+// only then is the interval since the last placement measured.
 func (t *throughput) placed(model string, now time.Time, queued bool) {
 	if t.models == nil {
 		t.models = map[string]*pace{}
@@ -46,7 +50,8 @@
 	p.last = now
 }
 
-// wait is the expected time until a number of waiting requests are placed.
+// wait returns the expected time until the given number of waiting requests have
+// been placed.
 func (t *throughput) wait(model string, ahead int) time.Duration {
 	interval := defaultPaceInterval
 	if p, ok := t.models[model]; ok {
@@ -55,8 +60,9 @@
 	return time.Duration(ahead) * interval
 }
 
-// leastFirstOutput is the shortest possible time to first output for a
-// request on idle upstreams that serve its model.
+// leastFirstOutput returns the shortest possible time to first output of a
+// request, that is, on idle upstreams that serve its model. It returns 0 if there
+// are none.
 func (k *Kernel) leastFirstOutput(r *Request) time.Duration {
 	m := k.catalog.models[r.Model]
 	least := time.Duration(-1)
@@ -73,6 +79,8 @@
 	return max(least, 0)
 }
 
+// leastUncached returns the number of prompt tokens that u would have to compute
+// because they are not in its prefix cache.
 func (k *Kernel) leastUncached(u *Upstream, r *Request) int {
 	m := k.catalog.models[r.Model]
 	if k.prefix == nil || m == nil {
@@ -81,7 +89,7 @@
 	return max(r.PromptTokens-k.prefix.CachedBlocks(u, r.Blocks)*m.PieceTokens, 1)
 }
 
-// estimate predicts how a model request would fare if it arrived now.
+// estimate predicts the timing of a model request that arrives now.
 func (k *Kernel) estimate(r *Request) Estimate {
 	prefill, ok := k.estimatePrefill(r)
 	if !ok {
@@ -103,7 +111,9 @@
 	}
 }
 
-// estimatePrefill is the least expected wait, prefill and transfer time.
+// estimatePrefill returns the smallest sum of expected wait, prefill time and
+// transfer time over the prefill engines of the request's model, and whether
+// there is such an engine.
 func (k *Kernel) estimatePrefill(r *Request) (time.Duration, bool) {
 	m := k.catalog.models[r.Model]
 	least, found := time.Duration(0), false
@@ -122,7 +132,9 @@
 	return least, found
 }
 
-// estimateDecode is the least expected wait for a slot and the pace there.
+// estimateDecode returns the shortest expected wait for a slot over the decode
+// engines of the request's model, the time between output tokens on that engine,
+// and whether there is such an engine.
 func (k *Kernel) estimateDecode(r *Request) (wait, pace time.Duration, found bool) {
 	for _, i := range k.fleet.decodes[r.Model] {
 		u := &k.fleet.view.Upstreams[i]
@@ -142,8 +154,10 @@
 	return wait, pace, found
 }
 
-// comeBack is what a refused caller is told: when the queue as it is now will
-// have moved on, with jitter so that callers do not come back together.
+// comeBack returns the retry-after hint for a refused caller: the expected time
+// in which the current queue is placed, within minComeBack and maxComeBack, plus
+// a random addition of less than the same amount, so that callers do not all
+// return at the same time.
 func (k *Kernel) comeBack(r *Request) time.Duration {
 	wait := k.throughput.wait(r.Model, k.queueLength()+1)
 	wait = min(max(wait, minComeBack), maxComeBack)
--- a/kernel/timer.go
+++ b/kernel/timer.go
@@ -7,36 +7,38 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind int
 
 const (
-	// timerDeadline ends a request whose caller stops waiting.
+	// timerDeadline ends a request whose deadline has passed.
 	timerDeadline timerKind = iota + 1
 	// timerCancel repeats an unacknowledged cancel.
 	timerCancel
-	// timerLate gives up a request that has waited so long that it can no
-	// longer meet its first-output target.
+	// timerLate refuses a request that has waited so long that it can no longer
+	// meet its first-output target.
 	timerLate
 	// timerKick runs the scheduler again.
 	timerKick
-	// timerKV gives up a prefill result that has waited too long for a decode
-	// slot.
+	// timerKV releases a KV cache that can no longer be imported because its
+	// call has waited too long for a decode slot.
 	timerKV
 )
 
-// timer is one entry of the timer heap. Timers are never removed early: the
-// one who handles a timer checks whether it still matters.
+// timer is one entry of the timer heap. Timers are never removed before they
+// expire. Instead, the function that handles an expired timer checks whether it
+// still applies.
 type timer struct {
 	at      time.Time
 	kind    timerKind
 	request ident.RequestID
 	attempt ident.AttemptID
-	// order breaks ties, so that runs repeat exactly.
+	// order is the order of creation. It decides between timers with the same
+	// time, so that runs are repeatable.
 	order uint64
 }
 
-// timers is a min-heap of timers by time.
+// timers is a min-heap of timers, ordered by time.
 type timers struct {
 	entries []timer
 	order   uint64
@@ -82,7 +84,7 @@
 	heap.Push(t, e)
 }
 
-// next returns the time of the earliest timer.
+// next returns the time of the earliest timer, false if there is none.
 func (t *timers) next() (time.Time, bool) {
 	if len(t.entries) == 0 {
 		return time.Time{}, false
@@ -90,7 +92,7 @@
 	return t.entries[0].at, true
 }
 
-// due removes and returns the earliest timer that is due.
+// due removes and returns the earliest timer if it has expired at the time now.
 func (t *timers) due(now time.Time) (timer, bool) {
 	if len(t.entries) == 0 || t.entries[0].at.After(now) {
 		return timer{}, false
@@ -98,8 +100,9 @@
 	return heap.Pop(t).(timer), true
 }
 
-// kick makes the scheduler run again at the given time. When an earlier run is
-// due anyway, that run will ask again if it still needs to.
+// kick arranges for the scheduler to run again at the given time. If an earlier
+// run is already pending, it does nothing, since that run calls kick again if
+// necessary.
 func (k *Kernel) kick(at time.Time) {
 	if !k.kickAt.IsZero() && !at.Before(k.kickAt) {
 		return
--- a/kernel/view.go
+++ b/kernel/view.go
@@ -7,77 +7,85 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Life is what is believed of an instance or upstream.
+// Life is the presumed state of an instance or upstream.
 type Life int
 
-// The states of belief, from best to worst.
+// The states, ordered from best to worst, so that they can be compared.
 const (
-	// Live: fresh evidence of life.
+	// Live means that there is recent evidence that it runs.
 	Live Life = iota + 1
-	// Suspect: no fresh evidence, none to the contrary.
+	// Suspect means that there is neither recent evidence that it runs nor
+	// evidence that it does not.
 	Suspect
-	// Leaving: it said, or the platform said, that it is leaving. Sticky for an
-	// incarnation.
+	// Leaving means that it is shutting down, according to itself or to the
+	// platform. An incarnation that is leaving never becomes Live again.
 	Leaving
-	// Unreachable: contact fails, but it may still run.
+	// Unreachable means that it cannot be contacted but may still run.
 	Unreachable
-	// Dead: known not to run in this incarnation.
+	// Dead means that this incarnation is known to have ended.
 	Dead
 )
 
 // Load is an upstream's load at one time.
 type Load struct {
-	// At is when the load was measured, on this instance's clock.
+	// At is the time of the measurement, by this instance's clock.
 	At time.Time
-	// Running and Waiting count requests; Slots is the most that run at once.
+	// Running and Waiting are numbers of requests; Slots is the maximum number
+	// of requests that run at once.
 	Running, Waiting, Slots int
-	// PiecesUsed and PiecesTotal count KV memory pieces.
+	// PiecesUsed and PiecesTotal are numbers of KV memory pieces.
 	PiecesUsed, PiecesTotal int
-	// QueuedTokens is the uncomputed prompt work, in tokens (prefill engines).
+	// QueuedTokens is the number of prompt tokens not computed yet (prefill
+	// engines only).
 	QueuedTokens int
 }
 
-// Own is what this instance itself has in flight at an upstream, known without
-// any lag.
+// Own is the load that this instance itself has in flight on an upstream. Unlike
+// Load, it is always up to date.
 type Own struct {
-	// Requests counts attempts in flight.
+	// Requests is the number of attempts in flight.
 	Requests int
-	// Tokens is the uncomputed prompt tokens in flight (prefill engines).
+	// Tokens is the number of prompt tokens in flight that are not computed yet
+	// (prefill engines only).
 	Tokens int
-	// Pieces is the KV memory reserved (decode engines).
+	// Pieces is the reserved KV memory, in pieces (decode engines only).
 	Pieces int
 }
 
-// Upstream is one back end as this instance sees it.
+// Upstream is the state of one back end as known to this instance.
 type Upstream struct {
-	// Index is the upstream's place in View.Upstreams.
+	// Index is the upstream's index in View.Upstreams.
 	Index       int
 	ID          ident.UpstreamID
 	Zone        ident.Zone
 	Address     string
 	Incarnation ident.Incarnation
 	Life        Life
-	// Spec is what the bundle declares of it.
+	// Spec is the upstream's declaration in the bundle.
 	Spec config.Upstream
-	// Load is the newest report; its age matters.
+	// Load is the newest load report. It may be old; see Load.At.
 	Load Load
-	// Own is kept by the kernel and carried over from view to view.
+	// Own is maintained by the kernel and carried over to each new view.
 	Own Own
-	// Health is kept by the kernel and carried over from view to view.
+	// Health is maintained by the kernel and carried over to each new view.
 	Health Health
 }
 
-// Health is what this instance has seen of an upstream's failures.
+// Health is the record of an upstream's failures and successes on this instance.
 type Health struct {
-	// Failures counts consecutive failures.
+	// Failures is the number of consecutive failures.
 	Failures int
-	// EjectedUntil is when the upstream may be tried again, zero if now.
+	// EjectedUntil is the end of the last ejection, before which the upstream
+	// gets no new work; zero if it was never ejected.
 	EjectedUntil time.Time
-	// Ejections counts ejections in a row, for their growing length.
+	// Ejections is the number of ejections since the last success. Each one
+	// lasts longer than the one before, up to a limit.
 	Ejections int
-	// LastSuccess is when an attempt last succeeded here.
+	// LastSuccess is the time at which an attempt from this instance last
+	// succeeded.
 	LastSuccess time.Time
-	// BackSince is when the upstream last became usable, for slow start.
+	// BackSince is the time at which the upstream last became available, by
+	// joining the fleet or by the end of an ejection. Slow start begins then.
 	BackSince time.Time
 }
 
@@ -91,7 +99,7 @@
 	return false
 }
 
-// Instance is one entry instance as this instance sees it.
+// Instance is the state of one entry instance as known to this instance.
 type Instance struct {
 	ID          ident.InstanceID
 	Zone        ident.Zone
@@ -99,13 +107,14 @@
 	Life        Life
 }
 
-// View is what this instance knows of the others and of the upstreams. A view
-// handed to the kernel must not be changed afterwards; the kernel copies what
-// it adds to.
+// View is the state of the other instances and the upstreams as known to this
+// instance. A view that was passed to the kernel must not be changed afterwards.
+// The kernel keeps its own copy, in which it sets further fields.
 type View struct {
-	// Version rises with every change.
+	// Version increases with every change.
 	Version uint64
-	// Trusted is false after a pause, until the view was refreshed.
+	// Trusted is false after a pause of the process until the view has been
+	// refreshed. The kernel starts no work on a view that is not trusted.
 	Trusted   bool
 	Instances []Instance
 	Upstreams []Upstream
--- a/kernel/world_test.go
+++ b/kernel/world_test.go
@@ -32,8 +32,8 @@
 	testService = "preorder"
 )
 
-// testContent is a small bundle: two prefill and two decode engines and two
-// service processes.
+// testContent returns a small bundle with two prefill engines, two decode engines
+// and two service processes.
 func testContent() *config.Content {
 	c := &config.Content{
 		Deployment: "test",
@@ -68,7 +68,7 @@
 	return c
 }
 
-// testView shows every declared upstream alive.
+// testView returns a view in which every declared upstream is live.
 func testView(c *config.Content, now time.Time) *kernel.View {
 	v := &kernel.View{Version: 1, Trusted: true}
 	v.Instances = []kernel.Instance{{ID: "e1", Zone: "hall-a", Incarnation: 1, Life: kernel.Live}}
@@ -81,7 +81,7 @@
 	return v
 }
 
-// session drives one kernel by hand and writes down what it does.
+// session drives one kernel with a sequence of events and records its actions.
 type session struct {
 	t       *testing.T
 	k       *kernel.Kernel
@@ -89,7 +89,7 @@
 	content *config.Content
 	view    *kernel.View
 	lines   []string
-	// last holds the newest attempt per kind of action.
+	// prefill, decode and service are the newest attempts of each stage.
 	prefill, decode, service ident.AttemptID
 }
 
@@ -107,7 +107,7 @@
 	return s
 }
 
-// after lets virtual time pass, waking the kernel whenever it asks for it.
+// after lets virtual time pass and sends a Tick whenever NextWake requires it.
 func (s *session) after(d time.Duration) {
 	end := s.now.Add(d)
 	for {
@@ -144,7 +144,8 @@
 	s.lines = append(s.lines, fmt.Sprintf("%6d ms  %s", at, describe(a)))
 }
 
-// describe writes an action in one line, without what varies with no meaning.
+// describe formats an action as one line, without details that are irrelevant to
+// the tests.
 func describe(a kernel.Action) string {
 	switch a := a.(type) {
 	case kernel.StartPrefill:
@@ -194,7 +195,7 @@
 
 func (s *session) transcript() string { return strings.Join(s.lines, "\n") + "\n" }
 
-// upstreamLife changes one upstream's life in the view.
+// upstreamLife sets the Life of one upstream in a new view.
 func (s *session) upstreamLife(id ident.UpstreamID, life kernel.Life) {
 	v := *s.view
 	v.Version++
@@ -208,5 +209,5 @@
 	s.step(kernel.ViewChanged{View: s.view})
 }
 
-// kvFrom is a KV handle held by the prefill engine.
+// kvFrom returns the handle of a KV cache that the given prefill engine holds.
 func kvFrom(id ident.UpstreamID) kernel.KVHandle { return kernel.KVHandle{Engine: id} }
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
 // Package rendezvous chooses members for a key by rendezvous hashing (highest
-// random weight). Every process that knows the same members makes the same
-// choice, and when a member goes only the keys that it held move.
+// random weight). All processes that know the same members make the same choice,
+// and when a member is removed, only the keys assigned to it move.
 package rendezvous
 
 import (
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Top returns the k members with the highest weight for the key, the highest
-// first. It returns all members, in that order, if there are no more than k.
-// members is not changed; duplicates count once.
+// Top returns the k members with the highest weights for the key, highest first.
+// If there are at most k members, it returns all of them in that order. It does
+// not change members; duplicates in it count once.
 func Top[M ~string](key string, members []M, k int) []M {
 	if k <= 0 || len(members) == 0 {
 		return nil
@@ -31,8 +31,9 @@
 	return top
 }
 
-// Contains reports whether self is among the k members chosen for the key: those
-// with less than k others before them. It neither sorts nor allocates.
+// Contains reports whether self is among the k members that Top returns for the
+// key. Instead of sorting, it counts the members that rank before self, and it
+// does not allocate.
 func Contains[M ~string](key string, members []M, k int, self M) bool {
 	seed := xxhash.Sum64String(key)
 	own := ranking[M]{member: self, weight: weigh(seed, string(self))}
@@ -57,7 +58,8 @@
 	weight uint64
 }
 
-// compare orders by falling weight; equal weights by name.
+// compare orders rankings by descending weight, and by name if the weights are
+// equal.
 func (r ranking[M]) compare(o ranking[M]) int {
 	if c := cmp.Compare(o.weight, r.weight); c != 0 {
 		return c
@@ -65,8 +67,9 @@
 	return cmp.Compare(r.member, o.member)
 }
 
-// weigh mixes the key's hash with the member's. The mixing step is the finalizer
-// of MurmurHash3: a plain exclusive or would rank members alike for many keys.
+// weigh combines the hash of the key with that of the member. The result is mixed
+// with the finalizer of MurmurHash3, because a plain XOR would rank the members in
+// the same order for many keys.
 func weigh(seed uint64, member string) uint64 {
 	x := seed ^ xxhash.Sum64String(member)
 	x ^= x >> 33
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -41,7 +41,8 @@
 	})
 }
 
-// Contains counts; Top sorts. Both choose alike, also with members listed twice.
+// TestContainsIsInTop checks that Contains, which counts, chooses the same members
+// as Top, which sorts, also if members are listed twice.
 func TestContainsIsInTop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := names(t)
@@ -66,7 +67,8 @@
 		}
 	}
 	for m, n := range held {
-		// 2,000 is even; the bounds are five standard deviations (40) away.
-		assert.Assert(t, n > 1800 && n < 2200, "%s holds %d", m, n)
+		// An even distribution gives 2,000; the bounds are five standard
+		// deviations (of 40) away from it.
+		assert.Assert(t, n > 1800 && n < 2200, "member %s was chosen for %d keys, want 1801 to 2199", m, n)
 	}
 }
--- a/tokens/tokens.go
+++ b/tokens/tokens.go
@@ -1,7 +1,7 @@
-// Package tokens defines the tokenizer and the block hashes that the router
-// and the stand-in engines share. A token is a whitespace-separated word, which
-// keeps counting cheap and the same everywhere; a real engine's tokenizer would
-// take this package's place.
+// Package tokens defines the tokenizer and the block hashes that the router and
+// the stand-in engines (cmd/wardspool-standin) share. A token is a word delimited
+// by white space, so that counting is cheap and gives the same result everywhere.
+// A deployment with real engines would replace this package by their tokenizer.
 package tokens
 
 import (
@@ -12,19 +12,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PieceTokens is the usual size of a piece of KV memory, in tokens. It is also
-// the size of a block of the prefix cache.
+// PieceTokens is the usual size of a piece of KV memory, in tokens. A block of
+// the prefix cache has the same size.
 const PieceTokens = 2000
 
-// hashBase is the base in which block hashes are written as text.
+// hashBase is the numeric base of block hashes in text form.
 const hashBase = 16
 
-// wordEnd is hashed after each word, so that "ab c" and "a bc" differ.
+// wordEnd is hashed after each word, so that "ab c" and "a bc" have different
+// hashes.
 const wordEnd = " "
 
-// BlockHash names one block of a prompt together with everything before it.
-// As text and in JSON it is lower-case hexadecimal, because JSON numbers do not
-// carry 64 bits everywhere.
+// BlockHash identifies one block of a prompt together with all blocks before it.
+// In text and JSON it is written in lower-case hexadecimal, because not all JSON
+// implementations support 64-bit numbers.
 type BlockHash uint64
 
 // MarshalText implements encoding.TextMarshaler.
@@ -32,8 +33,8 @@
 	return strconv.AppendUint(nil, uint64(h), hashBase), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It returns the
-// *strconv.NumError of malformed text.
+// UnmarshalText implements encoding.TextUnmarshaler. For malformed text it returns
+// a *strconv.NumError.
 func (h *BlockHash) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), hashBase, 64)
 	if err != nil {
@@ -52,10 +53,11 @@
 	return n
 }
 
-// BlockHashes returns the chained hashes of the whole blocks of text, in order:
-// each is the xxhash64 of its predecessor's hash (8 bytes, little-endian) and
-// its own words. A last block of fewer than pieceTokens tokens has no hash.
-// It returns nil if pieceTokens is not positive.
+// BlockHashes returns the chained hashes of the complete blocks of text, in order.
+// Each is the xxhash64 of the preceding block's hash (8 bytes, little-endian; none
+// for the first block) followed by the words of the block. An incomplete last
+// block, of fewer than pieceTokens tokens, has no hash. It returns nil if
+// pieceTokens is not positive.
 func BlockHashes(text string, pieceTokens int) []BlockHash {
 	if pieceTokens <= 0 {
 		return nil
@@ -64,7 +66,7 @@
 	digest := xxhash.New()
 	inBlock := 0
 	for word := range strings.FieldsSeq(text) {
-		// The digest's writes never fail.
+		// Writing to the digest never fails.
 		_, _ = digest.WriteString(word)
 		_, _ = digest.WriteString(wordEnd)
 		inBlock++
@@ -79,7 +81,7 @@
 	return hashes
 }
 
-// startBlock resets digest for the block that follows the one hashed to parent.
+// startBlock resets digest for the block after the one with the hash parent.
 func startBlock(digest *xxhash.Digest, parent uint64) {
 	digest.Reset()
 	var b [8]byte
@@ -93,8 +95,8 @@
 	Content string `json:"content"`
 }
 
-// FlattenChat returns the prompt text of a chat: one "role: content" line for
-// each message. Counting and hashing a chat means counting and hashing this.
+// FlattenChat returns the prompt text of a chat, with one "role: content" line for
+// each message. Tokens and block hashes of a chat are those of this text.
 func FlattenChat(messages []Message) string {
 	var b strings.Builder
 	for _, m := range messages {
--- a/tokens/tokens_test.go
+++ b/tokens/tokens_test.go
@@ -24,12 +24,12 @@
 	assert.Equal(t, len(BlockHashes("a b c d", 2)), 2)
 	one, other := BlockHashes("a b c d", 2), BlockHashes("x b c d", 2)
 	assert.Assert(t, one[0] != other[0])
-	assert.Assert(t, one[1] != other[1], "a block's hash covers what is before it")
+	assert.Assert(t, one[1] != other[1], "the hash of a block must depend on the blocks before it")
 	assert.Assert(t, BlockHashes("ab c", 2)[0] != BlockHashes("a bc", 2)[0])
 }
 
-// TestHashesArePrefixes shows that a longer prompt keeps the hashes of its
-// prefix, and that white space doesn't count.
+// TestHashesArePrefixes checks that the hashes of a prompt begin with those of its
+// prefix, and that the kind and amount of white space does not matter.
 func TestHashesArePrefixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOf(rapid.StringMatching(`[a-z]{1,4}`)).Draw(t, "words")
