--- a/assign/assign.go
+++ b/assign/assign.go
@@ -22,11 +22,11 @@
 type Table struct {
 	// depth is the number of instances to which each upstream is assigned.
 	depth int
-	// borrow allows the upstreams of a zone without instances to be assigned to
-	// the instances of all zones.
-	borrow bool
-	self   ident.InstanceID
-	zones  map[ident.Zone]*zone
+	// useOtherZones allows the upstreams of a zone without instances to be
+	// assigned to the instances of all zones.
+	useOtherZones bool
+	self          ident.InstanceID
+	zones         map[ident.Zone]*zone
 }
 
 // zone holds the ranks of this instance for the upstreams of one availability
@@ -41,10 +41,10 @@
 }
 
 // NewTable returns a table that assigns each upstream to depth instances. With
-// borrow, the upstreams of a zone without running instances are assigned to the
-// instances of all other zones; otherwise they are assigned to none.
-func NewTable(depth int, borrow bool) *Table {
-	return &Table{depth: depth, borrow: borrow}
+// useOtherZones, the upstreams of a zone without running instances are assigned
+// to the instances of all other zones; otherwise they are assigned to none.
+func NewTable(depth int, useOtherZones bool) *Table {
+	return &Table{depth: depth, useOtherZones: useOtherZones}
 }
 
 // Update replaces the view on which the assignment is based.
@@ -52,7 +52,7 @@
 	old := t.zones
 	t.self = self.Instance
 	t.zones = make(map[ident.Zone]*zone, len(old))
-	instances := running(self, v)
+	instances := runningInstances(self, v)
 	for i := range v.Upstreams {
 		z := v.Upstreams[i].Zone
 		if t.zones[z] == nil {
@@ -76,23 +76,23 @@
 
 // members returns the instances to which the upstreams of a zone are assigned.
 func (t *Table) members(instances []kernel.Instance, z ident.Zone) []ident.InstanceID {
-	var near, all []ident.InstanceID
+	var inZone, all []ident.InstanceID
 	for _, in := range instances {
 		all = append(all, in.ID)
 		if in.Zone == z {
-			near = append(near, in.ID)
+			inZone = append(inZone, in.ID)
 		}
 	}
-	if len(near) == 0 && t.borrow {
+	if len(inZone) == 0 && t.useOtherZones {
 		return all
 	}
-	return near
+	return inZone
 }
 
-// running returns the instances that are presumed to run and not to be leaving.
-// It adds this instance if the view does not list it, since a view may list only
-// the other instances.
-func running(self kernel.Self, v *kernel.View) []kernel.Instance {
+// runningInstances returns the instances that are presumed to run and not to be
+// leaving. It adds this instance if the view does not list it, since a view may
+// list only the other instances.
+func runningInstances(self kernel.Self, v *kernel.View) []kernel.Instance {
 	out := make([]kernel.Instance, 0, len(v.Instances)+1)
 	listed := false
 	for _, in := range v.Instances {
@@ -107,9 +107,9 @@
 	return out
 }
 
-// Rank returns this instance's rank among the instances to which the upstream is
-// assigned, 0 for the first one. It returns NoRank if the upstream is not assigned
-// to this instance.
+// Rank returns this instance's rank among the instances to which the upstream
+// is assigned, 0 for the first one. It returns NoRank if the upstream is not
+// assigned to this instance.
 func (t *Table) Rank(u *kernel.Upstream) int {
 	z := t.zones[u.Zone]
 	if z == nil || !z.isMember {
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -10,8 +10,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// view returns a view with one instance for each of lives and 20 upstreams, all in
-// one zone.
+// view returns a view with one instance for each of lives and 20 upstreams, all
+// in one zone.
 func view(lives ...kernel.Life) *kernel.View {
 	v := &kernel.View{}
 	for i, l := range lives {
@@ -80,11 +80,11 @@
 	assert.Equal(t, table.Rank(&v.Upstreams[0]), 0)
 }
 
-func TestBorrow(t *testing.T) {
+func TestZoneWithoutInstances(t *testing.T) {
 	v := view(kernel.Dead, kernel.Unreachable)
-	for _, borrow := range []bool{false, true} {
-		table := NewTable(1, borrow)
+	for _, useOtherZones := range []bool{false, true} {
+		table := NewTable(1, useOtherZones)
 		table.Update(kernel.Self{Instance: "far", Zone: "hall-b"}, v)
-		assert.Equal(t, table.Rank(&v.Upstreams[0]) == 0, borrow)
+		assert.Equal(t, table.Rank(&v.Upstreams[0]) == 0, useOtherZones)
 	}
 }
--- a/kernel/arrive.go
+++ b/kernel/arrive.go
@@ -51,7 +51,7 @@
 	if k.stopping {
 		return stoppingRefusal()
 	}
-	if refusal := k.unready(c.request); refusal != nil {
+	if refusal := k.checkServable(c.request); refusal != nil {
 		return refusal
 	}
 	for _, a := range k.policy.admission {
@@ -63,9 +63,10 @@
 	return nil
 }
 
-// unready returns a refusal if the request cannot be handled at all: no bundle
-// is in force, the deadline has passed, or the model or service is unknown.
-func (k *Kernel) unready(r *Request) *Refusal {
+// checkServable returns a refusal if the request cannot be handled at all: no
+// bundle is in force, the deadline has passed, or the model or service is
+// unknown.
+func (k *Kernel) checkServable(r *Request) *Refusal {
 	if k.catalog.content == nil {
 		return &Refusal{
 			Reason:     ReasonNoBundle,
@@ -110,11 +111,11 @@
 	k.policy.order.Add(c.waiting)
 	k.dirty = true
 	if c.request.Route == config.RouteModel {
-		c.need = k.leastFirstOutput(c.request)
-		k.timers.add(c.request.FirstOutputBy.Add(lateMargin-c.need+1), timerLate, c.request.ID)
+		c.minFirstOutput = k.minFirstOutput(c.request)
+		k.timers.add(c.request.FirstOutputBy.Add(lateMargin-c.minFirstOutput+1), timerFirstOutput, c.request.ID)
 	}
 	if notBefore.After(k.now) {
-		k.kick(notBefore)
+		k.scheduleAt(notBefore)
 	}
 }
 
--- a/kernel/bench_test.go
+++ b/kernel/bench_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// BenchmarkDecision measures a placement followed by its cancellation, which is an
-// upper bound for the placement alone.
+// BenchmarkDecision measures a placement followed by its cancellation, which is
+// an upper bound for the placement alone.
 func BenchmarkDecision(b *testing.B) {
 	for _, slots := range []plugin.ID{"slots.none", "slots.dispatch"} {
 		for _, size := range fleetSizes {
--- a/kernel/call.go
+++ b/kernel/call.go
@@ -34,17 +34,18 @@
 	// admitted lists the admission checks that admitted the request. Their
 	// Finished method is called when the request ends.
 	admitted []Admission
-	// touched is true once any stage, even only a prefill, may have run. The
+	// mayHaveRun is true once any stage, even only a prefill, may have run. The
 	// outcome can then no longer be "not-run".
-	touched bool
-	// exposed is true once a decode or a service call may have run. A request
-	// that must run at most once then gets no further attempt. A prefill alone
-	// has no visible effect and may be repeated.
-	exposed bool
-	// tries counts how often the request was to be queued again after a failure.
-	tries int
-	// reattached counts the reconnects to the stream of the current decode.
-	reattached int
+	mayHaveRun bool
+	// mayHaveEffects is true once a decode or a service call may have run. A
+	// request that must run at most once then gets no further attempt. A
+	// prefill alone has no visible effect and may be repeated.
+	mayHaveEffects bool
+	// failedAttempts counts how often the request was to be queued again after
+	// a failure.
+	failedAttempts int
+	// reattachCount counts the reconnects to the stream of the current decode.
+	reattachCount int
 	// delivered is the number of output tokens that the caller has received.
 	delivered int
 	// avoid lists the upstreams on which this request failed, newest last.
@@ -59,11 +60,11 @@
 	prefill *attempt
 	active  *attempt
 	kv      KVHandle
-	// kvAt is the time at which the prefill finished.
-	kvAt time.Time
-	// need is the minimum time to first output, estimated when the call was
-	// queued.
-	need time.Duration
+	// kvReadyAt is the time at which the prefill finished.
+	kvReadyAt time.Time
+	// minFirstOutput is the minimum time to first output, estimated when the
+	// call was queued.
+	minFirstOutput time.Duration
 	// lastReason is the reason last logged for leaving the request in the queue.
 	// It prevents a log record for every scheduling pass.
 	lastReason Reason
@@ -156,7 +157,7 @@
 	delete(k.attempts, a.id)
 	k.dirty = true
 	u := k.fleet.upstream(a.upstream)
-	if u == nil || !sameLife(u.Incarnation, a.incarnation) {
+	if u == nil || !sameIncarnation(u.Incarnation, a.incarnation) {
 		return
 	}
 	u.Own.Requests--
@@ -164,11 +165,12 @@
 	u.Own.Pieces -= a.pieces
 }
 
-// computed removes a finished prefill's prompt tokens from its upstream's load.
-// The attempt stays tracked, because the upstream still holds its KV cache.
-func (k *Kernel) computed(a *attempt) {
+// prefillComputed removes a finished prefill's prompt tokens from its
+// upstream's load. The attempt stays tracked, because the upstream still holds
+// its KV cache.
+func (k *Kernel) prefillComputed(a *attempt) {
 	u := k.fleet.upstream(a.upstream)
-	if u != nil && sameLife(u.Incarnation, a.incarnation) {
+	if u != nil && sameIncarnation(u.Incarnation, a.incarnation) {
 		u.Own.Tokens -= a.tokens
 	}
 	a.tokens = 0
--- a/kernel/cancel.go
+++ b/kernel/cancel.go
@@ -23,9 +23,9 @@
 	// maxTriesAbsent is the number of times a cancel is sent to an upstream that
 	// is no longer in the view before the upstream is considered ended.
 	maxTriesAbsent = 20
-	// cancelAnswerBy is the time after which a cancel is repeated if the driver
+	// cancelTimeout is the time after which a cancel is repeated if the driver
 	// has not reported its result.
-	cancelAnswerBy = 10 * time.Second
+	cancelTimeout = 10 * time.Second
 )
 
 // release ends an attempt and cancels it on its upstream, which then releases
@@ -36,7 +36,7 @@
 		return
 	}
 	k.untrack(a)
-	if k.gone(a.upstream, a.incarnation) {
+	if k.incarnationEnded(a.upstream, a.incarnation) {
 		return
 	}
 	k.cancels[a.id] = &cancel{upstream: a.upstream, incarnation: a.incarnation}
@@ -47,7 +47,7 @@
 	c := k.cancels[id]
 	c.tries++
 	k.emit(CancelAttempt{Attempt: id, Upstream: c.upstream})
-	k.timers.addCancel(k.now.Add(cancelAnswerBy), id)
+	k.timers.addCancel(k.now.Add(cancelTimeout), id)
 }
 
 func (k *Kernel) cancelAcked(id ident.AttemptID) {
@@ -64,15 +64,15 @@
 	k.timers.addCancel(k.now.Add(wait/2+jitter), id)
 }
 
-// cancelDue repeats a cancel that has not been acknowledged, unless its upstream
-// has ended.
-func (k *Kernel) cancelDue(id ident.AttemptID) {
+// repeatCancel repeats a cancel that has not been acknowledged, unless its
+// upstream has ended.
+func (k *Kernel) repeatCancel(id ident.AttemptID) {
 	c, ok := k.cancels[id]
 	if !ok {
 		return
 	}
 	absent := k.fleet.upstream(c.upstream) == nil && c.tries >= maxTriesAbsent
-	if absent || k.gone(c.upstream, c.incarnation) {
+	if absent || k.incarnationEnded(c.upstream, c.incarnation) {
 		delete(k.cancels, id)
 		return
 	}
--- a/kernel/differential_test.go
+++ b/kernel/differential_test.go
@@ -21,17 +21,18 @@
 	fateLost    fate = "lost"    // runs the call, but the answer is lost
 )
 
-// verdict is the outcome of a call of a plain service and the number of times it
-// ran.
-type verdict struct {
+// callSummary is the outcome of a call of a plain service and the number of
+// times it ran.
+type callSummary struct {
 	outcome api.Outcome
 	runs    int
 }
 
-// naive is the reference implementation, a blind retry loop: it tries upstreams
-// one after the other until one answers. If none does, the outcome is unknown.
-func naive(fates []fate, attempts int) verdict {
-	v := verdict{outcome: api.Unknown}
+// retryLoop is the reference implementation, a blind retry loop: it tries
+// upstreams one after the other until one answers. If none does, the outcome is
+// unknown.
+func retryLoop(fates []fate, attempts int) callSummary {
+	v := callSummary{outcome: api.Unknown}
 	for _, f := range fates[:min(len(fates), attempts)] {
 		switch f {
 		case fateDone:
@@ -45,12 +46,12 @@
 	return v
 }
 
-// kernelVerdict runs a call on a kernel whose upstreams behave as given by fates.
-func kernelVerdict(t *testing.T, fates []fate, repeatable bool) verdict {
+// runOnKernel runs a call on a kernel whose upstreams behave as given by fates.
+func runOnKernel(t *testing.T, fates []fate, repeatable bool) callSummary {
 	s := newSession(t)
 	r := s.confirm("c")
 	r.Repeatable = repeatable
-	v := verdict{}
+	v := callSummary{}
 	next := 0
 	pending := s.step(kernel.Arrive{Request: r})
 	for v.outcome == "" {
@@ -60,7 +61,7 @@
 			case kernel.Answer:
 				v.outcome = a.Outcome
 			case kernel.CallService:
-				events = append(events, playFate(a, fates[min(next, len(fates)-1)], &v))
+				events = append(events, simulateCall(a, fates[min(next, len(fates)-1)], &v))
 				next++
 			}
 		}
@@ -76,7 +77,9 @@
 	return v
 }
 
-func playFate(a kernel.CallService, f fate, v *verdict) kernel.Event {
+// simulateCall ends a call according to f, updates v and returns the event for
+// the kernel.
+func simulateCall(a kernel.CallService, f fate, v *callSummary) kernel.Event {
 	fail := kernel.AttemptFailed{Attempt: a.Attempt, Upstream: a.Upstream, Code: kernel.FailureConnect}
 	switch f {
 	case fateDone:
@@ -103,8 +106,8 @@
 		fates := rapid.SliceOfN(rapid.SampledFrom([]fate{fateDone, fateRefused, fateUnsent, fateLost}), 1, 6).Draw(rt, "fates")
 		repeatable := rapid.Bool().Draw(rt, "repeatable")
 		attempts := testContent().Policy.MaxAttempts
-		want := naive(fates, attempts)
-		got := kernelVerdict(t, fates, repeatable)
+		want := retryLoop(fates, attempts)
+		got := runOnKernel(t, fates, repeatable)
 		if repeatable && want.outcome == api.Complete && got.outcome != api.Complete {
 			rt.Fatalf("%v: the retry loop gets an answer, the kernel's outcome is %s", fates, got.outcome)
 		}
@@ -126,5 +129,5 @@
 // TestNaiveRunsTwice checks that the blind retry loop does run a call twice after
 // a lost answer, so that the comparison in TestAgainstNaive is meaningful.
 func TestNaiveRunsTwice(t *testing.T) {
-	assert.DeepEqual(t, naive([]fate{fateLost, fateDone}, 4).runs, 2)
+	assert.DeepEqual(t, retryLoop([]fate{fateLost, fateDone}, 4).runs, 2)
 }
--- a/kernel/failure.go
+++ b/kernel/failure.go
@@ -24,15 +24,15 @@
 	}
 	c := a.call
 	c.delivered = max(c.delivered, e.Offset)
-	k.noteFailure(a, e)
+	k.applyFailure(a, e)
 	if a.stage == stageDecode && k.tryReattach(c, a, e) {
 		return
 	}
-	if e.Evidence == Ambiguous || c.reattached > 0 {
+	if e.Evidence == Ambiguous || c.reattachCount > 0 {
 		// After a reconnect, the decode is known to have run earlier, whatever
 		// the evidence of the last connection is.
-		c.touched = true
-		c.exposed = c.exposed || a.stage != stagePrefill
+		c.mayHaveRun = true
+		c.mayHaveEffects = c.mayHaveEffects || a.stage != stagePrefill
 		k.release(a)
 	} else {
 		k.untrack(a)
@@ -59,19 +59,19 @@
 	}
 }
 
-// noteFailure updates the health of the upstream, informs the slot policy, and
+// applyFailure updates the health of the upstream, informs the slot policy, and
 // excludes the upstream from further attempts of the request. It ignores
 // failures of an earlier incarnation of the upstream.
-func (k *Kernel) noteFailure(a *attempt, e AttemptFailed) {
+func (k *Kernel) applyFailure(a *attempt, e AttemptFailed) {
 	u := k.fleet.upstream(a.upstream)
-	if u == nil || !sameLife(u.Incarnation, a.incarnation) {
+	if u == nil || !sameIncarnation(u.Incarnation, a.incarnation) {
 		return
 	}
 	stalledTransfer := e.Code == FailureStalled && a.stage == stageDecode && a.call.prefill != nil
 	if stalledTransfer {
 		k.transferEnded(a.call, a, true)
 	} else if upstreamFault(e.Code) {
-		k.failed(u)
+		k.recordFailure(u)
 	}
 	if a.stage == stageDecode && e.Code == FailureCapacity && a.call.slot.policy != nil {
 		a.call.slot.policy.Refused(u.ID)
@@ -94,17 +94,17 @@
 	if e.Evidence != Ambiguous || e.Code != FailureBroken {
 		return false
 	}
-	if c.reattached >= maxReattach || k.gone(a.upstream, a.incarnation) {
+	if c.reattachCount >= maxReattach || k.incarnationEnded(a.upstream, a.incarnation) {
 		return false
 	}
-	c.reattached++
-	c.touched, c.exposed = true, true
+	c.reattachCount++
+	c.mayHaveRun, c.mayHaveEffects = true, true
 	k.emit(ReattachDecode{
 		Attempt:  a.id,
 		Request:  c.request.ID,
 		Upstream: a.upstream,
 		Offset:   c.delivered,
-		Wait:     k.reattachWait(c.reattached),
+		Wait:     k.reattachWait(c.reattachCount),
 	})
 	k.log(c, Record{
 		Step:    StepResuming,
@@ -127,19 +127,19 @@
 
 func (k *Kernel) prefillFailed(c *call, e AttemptFailed) {
 	c.prefill = nil
-	k.giveSlotBack(c)
+	k.releaseSlot(c)
 	k.retry(c, e)
 }
 
 func (k *Kernel) decodeFailed(c *call, e AttemptFailed) {
-	ran := e.Evidence == Ambiguous || c.reattached > 0
+	ran := e.Evidence == Ambiguous || c.reattachCount > 0
 	if !ran && e.Code != FailureKVGone {
 		// The decode did not start, so the prefill's KV cache may still be used.
-		k.decodeElsewhere(c, failureReason(e.Code))
+		k.retryDecode(c, failureReason(e.Code))
 		return
 	}
 	c.active = nil
-	k.giveSlotBack(c)
+	k.releaseSlot(c)
 	k.dropKV(c)
 	k.retry(c, e)
 }
@@ -147,23 +147,23 @@
 // retry puts a call back in the queue after a failed attempt if it may run
 // again, and ends it with an error otherwise.
 func (k *Kernel) retry(c *call, e AttemptFailed) {
-	// No attempt is in flight any more. With callQueued, only c.touched decides
-	// whether the outcome can still be "not-run".
+	// No attempt is in flight any more. With callQueued, only c.mayHaveRun
+	// decides whether the outcome can still be "not-run".
 	c.state = callQueued
 	reason := failureReason(e.Code)
 	if e.Code == FailureRejected {
 		k.fail(c, reason, api.ProblemUpstreamRefused, "the upstream rejected the request as invalid")
 		return
 	}
-	if c.exposed && !c.request.MayRepeat() {
+	if c.mayHaveEffects && !c.request.MayRepeat() {
 		k.fail(c, ReasonNotRepeatable, api.ProblemUpstreamFailed,
 			"the request may have run and must not run twice")
 		return
 	}
-	if e.Evidence != Ambiguous && c.reattached == 0 {
+	if e.Evidence != Ambiguous && c.reattachCount == 0 {
 		// The attempt did not run, so a further one is not charged to the retry
 		// budget.
-		k.requeue(c, reason, k.attestedRetryAt(c, e))
+		k.requeue(c, reason, k.retryAtIfNotRun(c, e))
 		return
 	}
 	if !k.budget.take() {
@@ -171,26 +171,26 @@
 			"an attempt failed and the retry budget of this instance is exhausted")
 		return
 	}
-	k.requeue(c, reason, k.now.Add(k.backoff(c.tries+1)))
+	k.requeue(c, reason, k.now.Add(k.backoff(c.failedAttempts+1)))
 }
 
-// attestedRetryAt returns the time at which a call that did not run may be tried
+// retryAtIfNotRun returns the time at which a call that did not run may be tried
 // again: immediately after the first failure, since another upstream is used;
 // after further failures with a backoff, or after the upstream's retry-after
 // hint if that is longer, up to maxComeBack.
-func (k *Kernel) attestedRetryAt(c *call, e AttemptFailed) time.Time {
-	if c.tries == 0 {
+func (k *Kernel) retryAtIfNotRun(c *call, e AttemptFailed) time.Time {
+	if c.failedAttempts == 0 {
 		return k.now
 	}
-	return k.now.Add(max(k.backoff(c.tries), min(e.RetryAfter, maxComeBack)))
+	return k.now.Add(max(k.backoff(c.failedAttempts), min(e.RetryAfter, maxRetryAfter)))
 }
 
 // requeue puts a call back in the queue, to be placed from the given time on. It
 // ends the call with an error if the maximum number of attempts is reached or
 // the deadline would pass first.
 func (k *Kernel) requeue(c *call, reason Reason, at time.Time) {
-	c.tries++
-	if c.tries >= k.maxAttempts() {
+	c.failedAttempts++
+	if c.failedAttempts >= k.maxAttempts() {
 		k.fail(c, ReasonAttempts, api.ProblemUpstreamFailed, "all attempts failed and no more are allowed")
 		return
 	}
--- a/kernel/finish.go
+++ b/kernel/finish.go
@@ -48,12 +48,12 @@
 	if !ok || k.now.Before(c.request.Deadline) {
 		return
 	}
-	k.silent(c.active)
+	k.recordUnanswered(c.active)
 	k.end(c, StepFailed, &Refusal{
 		Reason:     ReasonDeadlinePassed,
 		Problem:    api.ProblemDeadline,
 		Detail:     "the deadline passed before the answer was complete",
-		RetryAfter: k.comeBack(c.request),
+		RetryAfter: k.retryAfter(c.request),
 	})
 }
 
@@ -61,7 +61,7 @@
 // no stage can have run.
 func (k *Kernel) end(c *call, step Step, r *Refusal) {
 	outcome := api.NotRun
-	if c.touched || c.started() || c.prefill != nil {
+	if c.mayHaveRun || c.started() || c.prefill != nil {
 		outcome = api.Unknown
 	}
 	problem := api.NewProblem(r.Problem, outcome, r.Detail).RetryAfter(r.RetryAfter)
@@ -76,7 +76,7 @@
 	k.dequeue(c)
 	k.release(c.active)
 	k.release(c.prefill)
-	k.giveSlotBack(c)
+	k.releaseSlot(c)
 	delete(k.calls, c.request.ID)
 	for _, check := range c.admitted {
 		check.Finished(c.request, a.Outcome)
--- a/kernel/fleet.go
+++ b/kernel/fleet.go
@@ -18,14 +18,14 @@
 	prefills map[string][]int
 	decodes  map[string][]int
 	services map[string][]int
-	// left holds the incarnation in which an upstream was reported as leaving,
-	// by the upstream itself or by a view.
-	left map[ident.UpstreamID]ident.Incarnation
+	// leavingIncarnations holds the incarnation in which an upstream was
+	// reported as leaving, by the upstream itself or by a view.
+	leavingIncarnations map[ident.UpstreamID]ident.Incarnation
 }
 
 func (f *fleet) init() {
 	f.byID = map[ident.UpstreamID]int{}
-	f.left = map[ident.UpstreamID]ident.Incarnation{}
+	f.leavingIncarnations = map[ident.UpstreamID]ident.Incarnation{}
 }
 
 // upstream returns the upstream with the given ID, nil if it is not in the view.
@@ -50,7 +50,7 @@
 		u.Index = i
 		index[u.ID] = i
 		f.carryOver(u, old, now)
-		f.keepLeaving(u)
+		f.restoreLeaving(u)
 	}
 	f.view = next
 	f.byID = index
@@ -76,7 +76,7 @@
 		u.Incarnation = prev.Incarnation
 		u.Life = prev.Life
 	}
-	if !sameLife(u.Incarnation, prev.Incarnation) {
+	if !sameIncarnation(u.Incarnation, prev.Incarnation) {
 		return
 	}
 	u.Own = prev.Own
@@ -86,23 +86,23 @@
 	}
 }
 
-// keepLeaving makes the state Leaving sticky: once any source has reported that
-// an incarnation is leaving, a view that is older cannot undo it.
-func (f *fleet) keepLeaving(u *Upstream) {
+// restoreLeaving makes the state Leaving sticky: once any source has reported
+// that an incarnation is leaving, a view that is older cannot undo it.
+func (f *fleet) restoreLeaving(u *Upstream) {
 	if u.Life == Leaving {
-		f.left[u.ID] = u.Incarnation
+		f.leavingIncarnations[u.ID] = u.Incarnation
 		return
 	}
-	inc, left := f.left[u.ID]
+	inc, left := f.leavingIncarnations[u.ID]
 	if left && inc == u.Incarnation && u.Life < Leaving {
 		u.Life = Leaving
 	}
 }
 
-// describe copies the bundle's declarations into the view's upstreams and
-// rebuilds the indexes by model and service. Upstreams that the bundle does not
-// declare are not indexed.
-func (f *fleet) describe(c *config.Content) {
+// applyDeclarations copies the bundle's declarations into the view's upstreams
+// and rebuilds the indexes by model and service. Upstreams that the bundle does
+// not declare are not indexed.
+func (f *fleet) applyDeclarations(c *config.Content) {
 	specs := make(map[ident.UpstreamID]*config.Upstream, len(c.Upstreams))
 	for i := range c.Upstreams {
 		specs[c.Upstreams[i].ID] = &c.Upstreams[i]
@@ -117,13 +117,13 @@
 			continue
 		}
 		u.Spec = *spec
-		f.file(i, spec)
+		f.addToIndexes(i, spec)
 	}
 }
 
-// file adds the upstream at index i to the indexes of the models or the service
-// that it is declared to run.
-func (f *fleet) file(i int, spec *config.Upstream) {
+// addToIndexes adds the upstream at index i to the indexes of the models or the
+// service that it is declared to run.
+func (f *fleet) addToIndexes(i int, spec *config.Upstream) {
 	switch spec.Role {
 	case config.RolePrefill:
 		for _, m := range spec.Models {
@@ -140,7 +140,7 @@
 
 // markLeaving records that an upstream itself has said that it is leaving.
 func (f *fleet) markLeaving(u *Upstream) {
-	f.left[u.ID] = u.Incarnation
+	f.leavingIncarnations[u.ID] = u.Incarnation
 	if u.Life < Leaving {
 		u.Life = Leaving
 	}
@@ -149,7 +149,7 @@
 func (k *Kernel) viewChanged(v *View) {
 	k.fleet.replace(v, k.now)
 	if k.catalog.content != nil {
-		k.fleet.describe(k.catalog.content)
+		k.fleet.applyDeclarations(k.catalog.content)
 	}
 	if v.Trusted {
 		k.distrustUntil = time.Time{}
@@ -163,7 +163,7 @@
 // more.
 func (k *Kernel) dropLostWork() {
 	for _, a := range k.attemptsInOrder() {
-		if !k.gone(a.upstream, a.incarnation) {
+		if !k.incarnationEnded(a.upstream, a.incarnation) {
 			continue
 		}
 		if a.abandoned {
@@ -173,26 +173,27 @@
 		k.emit(AbandonAttempt{Attempt: a.id})
 	}
 	for id, c := range k.cancels {
-		if k.gone(c.upstream, c.incarnation) {
+		if k.incarnationEnded(c.upstream, c.incarnation) {
 			delete(k.cancels, id)
 		}
 	}
 }
 
-// gone reports whether the given incarnation of an upstream is known to have
-// ended. An upstream that is not in the view is not known to have ended.
-func (k *Kernel) gone(id ident.UpstreamID, inc ident.Incarnation) bool {
+// incarnationEnded reports whether the given incarnation of an upstream is
+// known to have ended. An upstream that is not in the view is not known to have
+// ended.
+func (k *Kernel) incarnationEnded(id ident.UpstreamID, inc ident.Incarnation) bool {
 	u := k.fleet.upstream(id)
 	if u == nil {
 		return false
 	}
-	return u.Life == Dead || !sameLife(u.Incarnation, inc)
+	return u.Life == Dead || !sameIncarnation(u.Incarnation, inc)
 }
 
-// sameLife reports whether two incarnations may be the same process. The
+// sameIncarnation reports whether two incarnations may be the same process. The
 // incarnation is 0 while no agent has read it from the upstream yet, so that 0
 // matches every incarnation.
-func sameLife(a, b ident.Incarnation) bool { return a == b || a == 0 || b == 0 }
+func sameIncarnation(a, b ident.Incarnation) bool { return a == b || a == 0 || b == 0 }
 
 func (k *Kernel) loadSeen(e LoadSeen) {
 	u := k.fleet.upstream(e.Upstream)
--- a/kernel/health.go
+++ b/kernel/health.go
@@ -14,9 +14,9 @@
 	maxEjectDoublings = 4
 )
 
-// succeeded records that an attempt on u succeeded and resets u's counts of
+// recordSuccess records that an attempt on u succeeded and resets u's counts of
 // failures and ejections. It does nothing if u is nil.
-func (k *Kernel) succeeded(u *Upstream) {
+func (k *Kernel) recordSuccess(u *Upstream) {
 	if u == nil {
 		return
 	}
@@ -25,30 +25,31 @@
 	u.Health.LastSuccess = k.now
 }
 
-// silentTime is the minimum time that a service attempt must have run without an
-// answer for its end by the caller's deadline to count as the upstream's
-// failure.
-const silentTime = 2 * time.Second
+// minUnansweredTime is the minimum time that a service attempt must have run
+// without an answer for its end by the caller's deadline to count as the
+// upstream's failure.
+const minUnansweredTime = 2 * time.Second
 
-// silent handles a service attempt that is ended by its caller's deadline. It
-// counts as a failure of the upstream if the attempt ran for at least silentTime
-// and no other attempt on the upstream succeeded in that time. This detects a
-// service that is cut off from the network. A service that is only slower than
-// some callers' deadlines still answers others and is not counted as failing.
-func (k *Kernel) silent(a *attempt) {
-	if a == nil || a.stage != stageService || k.now.Sub(a.sentAt) < silentTime {
+// recordUnanswered handles a service attempt that is ended by its caller's
+// deadline. It counts as a failure of the upstream if the attempt ran for at
+// least minUnansweredTime and no other attempt on the upstream succeeded in
+// that time. This detects a service that is cut off from the network. A service
+// that is only slower than some callers' deadlines still answers others and is
+// not counted as failing.
+func (k *Kernel) recordUnanswered(a *attempt) {
+	if a == nil || a.stage != stageService || k.now.Sub(a.sentAt) < minUnansweredTime {
 		return
 	}
 	u := k.fleet.upstream(a.upstream)
-	if u == nil || !sameLife(u.Incarnation, a.incarnation) || u.Health.LastSuccess.After(a.sentAt) {
+	if u == nil || !sameIncarnation(u.Incarnation, a.incarnation) || u.Health.LastSuccess.After(a.sentAt) {
 		return
 	}
-	k.failed(u)
+	k.recordFailure(u)
 }
 
-// failed records a failure caused by the upstream itself and ejects the upstream
-// after ejectAfter consecutive ones. It does nothing if u is nil.
-func (k *Kernel) failed(u *Upstream) {
+// recordFailure records a failure caused by the upstream itself and ejects the
+// upstream after ejectAfter consecutive ones. It does nothing if u is nil.
+func (k *Kernel) recordFailure(u *Upstream) {
 	if u == nil {
 		return
 	}
@@ -69,7 +70,7 @@
 	u.Health.Failures = 0
 	u.Health.EjectedUntil = k.now.Add(length)
 	u.Health.BackSince = u.Health.EjectedUntil
-	k.kick(u.Health.EjectedUntil)
+	k.scheduleAt(u.Health.EjectedUntil)
 }
 
 // upstreamFault reports whether a failure counts against the upstream's health.
--- a/kernel/host.go
+++ b/kernel/host.go
@@ -29,59 +29,59 @@
 }
 
 func (h host) SlotGranted(id ident.AttemptID) {
-	h.k.verdict(slotVerdict{id: id, kind: verdictGranted})
+	h.k.queueReply(policyReply{id: id, kind: replySlotGranted})
 }
 
 func (h host) SlotDenied(id ident.AttemptID, retryAt time.Time) {
-	h.k.verdict(slotVerdict{id: id, kind: verdictDenied, retryAt: retryAt})
+	h.k.queueReply(policyReply{id: id, kind: replySlotDenied, retryAt: retryAt})
 }
 
-// slotVerdict is a slot policy's asynchronous answer to a reservation or a
+// policyReply is a slot policy's asynchronous reply to a reservation or a
 // placement request. The kernel processes it only after the policy's call has
 // returned, since a policy may answer one request while the slot of another one
 // is being released.
-type slotVerdict struct {
-	id        ident.AttemptID
-	kind      verdictKind
-	retryAt   time.Time
-	comeBack  time.Duration
-	placement Placement
-	decode    ident.UpstreamID
+type policyReply struct {
+	id         ident.AttemptID
+	kind       policyReplyKind
+	retryAt    time.Time
+	retryAfter time.Duration
+	placement  Placement
+	decode     ident.UpstreamID
 }
 
-// verdictKind is the kind of a slotVerdict, one for each method of Host and
+// policyReplyKind is the kind of a policyReply, one for each method of Host and
 // JointHost by which a policy answers.
-type verdictKind int
+type policyReplyKind int
 
 const (
-	verdictGranted verdictKind = iota + 1
-	verdictDenied
-	verdictPlaced
-	verdictDecode
-	verdictRefused
+	replySlotGranted policyReplyKind = iota + 1
+	replySlotDenied
+	replyPlacementGranted
+	replyDecodeGranted
+	replyPlacementRefused
 )
 
-func (k *Kernel) verdict(v slotVerdict) { k.verdicts = append(k.verdicts, v) }
+func (k *Kernel) queueReply(reply policyReply) { k.pendingReplies = append(k.pendingReplies, reply) }
 
-// settleSlots processes the queued answers of the slot policy, including those
+// processReplies processes the queued replies of the slot policy, including those
 // that are added meanwhile.
-func (k *Kernel) settleSlots() {
-	for i := 0; i < len(k.verdicts); i++ {
-		v := k.verdicts[i]
-		switch v.kind {
-		case verdictGranted:
-			k.slotGranted(v.id)
-		case verdictDenied:
-			k.slotDenied(v.id, v.retryAt)
-		case verdictPlaced:
-			k.placementGranted(v)
-		case verdictDecode:
-			k.decodeGranted(v)
-		case verdictRefused:
-			k.placementRefused(v)
+func (k *Kernel) processReplies() {
+	for i := 0; i < len(k.pendingReplies); i++ {
+		reply := k.pendingReplies[i]
+		switch reply.kind {
+		case replySlotGranted:
+			k.slotGranted(reply.id)
+		case replySlotDenied:
+			k.slotDenied(reply.id, reply.retryAt)
+		case replyPlacementGranted:
+			k.placementGranted(reply)
+		case replyDecodeGranted:
+			k.decodeGranted(reply)
+		case replyPlacementRefused:
+			k.placementRefused(reply)
 		}
 	}
-	k.verdicts = k.verdicts[:0]
+	k.pendingReplies = k.pendingReplies[:0]
 }
 
 func (k *Kernel) peerReceived(e PeerReceived) {
--- a/kernel/interleaving_test.go
+++ b/kernel/interleaving_test.go
@@ -14,9 +14,9 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// flight is an attempt that was sent and has not ended, as seen by the simulated
-// upstreams.
-type flight struct {
+// sentAttempt is an attempt that was sent and has not ended, as seen by the
+// simulated upstreams.
+type sentAttempt struct {
 	id       ident.AttemptID
 	request  ident.RequestID
 	upstream ident.UpstreamID
@@ -26,40 +26,41 @@
 	dead bool
 }
 
-// truth records what actually happened to one request.
-type truth struct {
+// requestHistory records what actually happened to one request.
+type requestHistory struct {
 	request *kernel.Request
-	// touched means that any stage ran. runs is the number of decodes or service
+	// ran means that any stage ran. runs is the number of decodes or service
 	// calls that ran.
-	touched bool
+	ran     bool
 	runs    int
 	answers int
 	outcome api.Outcome
 }
 
-// fakeWorld simulates the upstreams, with events in an order that rapid chooses,
-// and records what actually happened to each request.
-type fakeWorld struct {
+// simulation plays the role of the upstreams, with events in an order that
+// rapid chooses, and records what actually happened to each request.
+type simulation struct {
 	t       *rapid.T
 	k       *kernel.Kernel
 	now     time.Time
 	view    *kernel.View
 	content *config.Content
-	// given is the view that the kernel received last; stale are older views.
-	given *kernel.View
-	stale []*kernel.View
+	// kernelView is the view that the kernel received last; olderViews are all
+	// views before the newest one.
+	kernelView *kernel.View
+	olderViews []*kernel.View
 	// left is the incarnation in which an upstream was reported as leaving.
 	left map[ident.UpstreamID]ident.Incarnation
 
-	flights  []flight
-	attaches []flight
-	cancels  []flight
+	inFlight   []sentAttempt
+	reattaches []sentAttempt
+	cancels    []sentAttempt
 	// held are the attempts for which upstreams still hold resources.
 	held map[ident.AttemptID]ident.UpstreamID
 	// cancelled are attempts that their upstream has been told to cancel; if the
 	// cancel arrived before the attempt, the upstream does not run it.
 	cancelled map[ident.AttemptID]bool
-	requests  map[ident.RequestID]*truth
+	requests  map[ident.RequestID]*requestHistory
 	next      int
 	// kvOf maps a decode to the prefill whose KV cache it imports.
 	kvOf map[ident.AttemptID]ident.AttemptID
@@ -67,7 +68,7 @@
 	prefillOf map[ident.RequestID]ident.AttemptID
 }
 
-func newFakeWorld(t *rapid.T) *fakeWorld {
+func newSimulation(t *rapid.T) *simulation {
 	c := testContent()
 	k, err := kernel.New(kernel.Options{
 		Self: kernel.Self{Instance: "e1", Incarnation: 1, Zone: "hall-a"},
@@ -76,41 +77,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fakeWorld{
+	w := &simulation{
 		t: t, k: k, now: epoch, content: c, view: testView(c, epoch),
 		held:      map[ident.AttemptID]ident.UpstreamID{},
 		cancelled: map[ident.AttemptID]bool{},
-		requests:  map[ident.RequestID]*truth{},
+		requests:  map[ident.RequestID]*requestHistory{},
 		left:      map[ident.UpstreamID]ident.Incarnation{},
 		kvOf:      map[ident.AttemptID]ident.AttemptID{},
 		prefillOf: map[ident.RequestID]ident.AttemptID{},
 	}
 	w.step(kernel.Configured{Version: 1, Content: c})
-	w.give(w.view)
+	w.setView(w.view)
 	return w
 }
 
-func (w *fakeWorld) step(ev kernel.Event) {
+func (w *simulation) step(ev kernel.Event) {
 	actions := append([]kernel.Action(nil), w.k.Step(w.now, ev)...)
 	for _, a := range actions {
-		w.carry(a)
+		w.execute(a)
 	}
 }
 
-// carry carries out an action of the kernel, as a driver would.
-func (w *fakeWorld) carry(a kernel.Action) {
+// execute carries out an action of the kernel, as a driver would.
+func (w *simulation) execute(a kernel.Action) {
 	switch a := a.(type) {
 	case kernel.StartPrefill:
-		w.start(flight{id: a.Attempt, request: a.Request, upstream: a.Upstream, prefill: true, model: true})
+		w.start(sentAttempt{id: a.Attempt, request: a.Request, upstream: a.Upstream, prefill: true, model: true})
 	case kernel.StartDecode:
 		w.kvOf[a.Attempt] = w.prefillOf[a.Request]
-		w.start(flight{id: a.Attempt, request: a.Request, upstream: a.Upstream, model: true})
+		w.start(sentAttempt{id: a.Attempt, request: a.Request, upstream: a.Upstream, model: true})
 	case kernel.CallService:
-		w.start(flight{id: a.Attempt, request: a.Request, upstream: a.Upstream})
+		w.start(sentAttempt{id: a.Attempt, request: a.Request, upstream: a.Upstream})
 	case kernel.ReattachDecode:
-		w.attaches = append(w.attaches, flight{id: a.Attempt, request: a.Request, upstream: a.Upstream, model: true})
+		w.reattaches = append(w.reattaches, sentAttempt{id: a.Attempt, request: a.Request, upstream: a.Upstream, model: true})
 	case kernel.CancelAttempt:
-		w.cancels = append(w.cancels, flight{id: a.Attempt, upstream: a.Upstream})
+		w.cancels = append(w.cancels, sentAttempt{id: a.Attempt, upstream: a.Upstream})
 	case kernel.AbandonAttempt:
 		w.abandon(a.Attempt)
 	case kernel.Answer:
@@ -120,8 +121,8 @@
 
 // start records an attempt that the kernel sends. It fails the test if the kernel
 // knows from a view or from the upstream that the upstream takes no new work.
-func (w *fakeWorld) start(f flight) {
-	for _, u := range w.given.Upstreams {
+func (w *simulation) start(f sentAttempt) {
+	for _, u := range w.kernelView.Upstreams {
 		if u.ID != f.upstream {
 			continue
 		}
@@ -133,10 +134,10 @@
 		}
 	}
 	f.dead = w.upstream(f.upstream).Life == kernel.Dead
-	w.flights = append(w.flights, f)
+	w.inFlight = append(w.inFlight, f)
 }
 
-func (w *fakeWorld) answer(a kernel.Answer) {
+func (w *simulation) answer(a kernel.Answer) {
 	tr := w.requests[a.Request]
 	tr.answers++
 	tr.outcome = a.Outcome
@@ -148,8 +149,8 @@
 
 // checkRequest fails the test if the request was answered not-run although a
 // stage ran, or if it ran twice although it must run at most once.
-func (w *fakeWorld) checkRequest(tr *truth) {
-	if tr.answers > 0 && tr.outcome == api.NotRun && tr.touched {
+func (w *simulation) checkRequest(tr *requestHistory) {
+	if tr.answers > 0 && tr.outcome == api.NotRun && tr.ran {
 		w.t.Fatalf("request %s was answered not-run, but it ran", tr.request.ID)
 	}
 	if !tr.request.Repeatable && tr.runs > 1 {
@@ -158,9 +159,9 @@
 }
 
 // ran records that an upstream has started to run an attempt.
-func (w *fakeWorld) ran(f flight) {
+func (w *simulation) ran(f sentAttempt) {
 	tr := w.requests[f.request]
-	tr.touched = true
+	tr.ran = true
 	if !f.prefill {
 		tr.runs++
 	}
@@ -171,10 +172,11 @@
 	w.checkRequest(tr)
 }
 
-// take removes and returns a flight that rapid chooses.
-func take(t *rapid.T, list *[]flight, label string) (flight, bool) {
+// take removes and returns an attempt that rapid chooses, false if the list is
+// empty.
+func take(t *rapid.T, list *[]sentAttempt, label string) (sentAttempt, bool) {
 	if len(*list) == 0 {
-		return flight{}, false
+		return sentAttempt{}, false
 	}
 	i := rapid.IntRange(0, len(*list)-1).Draw(t, label)
 	f := (*list)[i]
@@ -182,7 +184,7 @@
 	return f, true
 }
 
-func (w *fakeWorld) arrive(t *rapid.T) {
+func (w *simulation) arrive(t *rapid.T) {
 	w.next++
 	r := &kernel.Request{
 		ID:        ident.RequestID(fmt.Sprintf("r%d", w.next)),
@@ -195,13 +197,13 @@
 		r.Route, r.Service, r.Model = config.RouteModel, "", testModel
 		r.PromptTokens, r.MaxOutputTokens = 4000, 50
 	}
-	w.requests[r.ID] = &truth{request: r}
+	w.requests[r.ID] = &requestHistory{request: r}
 	w.step(kernel.Arrive{Request: r})
 }
 
 // resolve ends a random attempt with a random result.
-func (w *fakeWorld) resolve(t *rapid.T) {
-	f, ok := take(t, &w.flights, "flight")
+func (w *simulation) resolve(t *rapid.T) {
+	f, ok := take(t, &w.inFlight, "flight")
 	if !ok {
 		return
 	}
@@ -217,7 +219,7 @@
 }
 
 // end ends an attempt with the given result.
-func (w *fakeWorld) end(t *rapid.T, f flight, how string) {
+func (w *simulation) end(t *rapid.T, f sentAttempt, how string) {
 	fail := kernel.AttemptFailed{Attempt: f.id, Upstream: f.upstream, Evidence: kernel.Refused, Code: kernel.FailureCapacity}
 	switch how {
 	case "done":
@@ -248,7 +250,7 @@
 	w.step(fail)
 }
 
-func (w *fakeWorld) succeed(t *rapid.T, f flight) {
+func (w *simulation) succeed(t *rapid.T, f sentAttempt) {
 	if f.prefill {
 		w.prefillOf[f.request] = f.id
 		w.step(kernel.PrefillDone{Attempt: f.id, KV: kvFrom(f.upstream)})
@@ -266,8 +268,8 @@
 }
 
 // reattach ends a random reconnect to a stream, successfully or not.
-func (w *fakeWorld) reattach(t *rapid.T) {
-	f, ok := take(t, &w.attaches, "attach")
+func (w *simulation) reattach(t *rapid.T) {
+	f, ok := take(t, &w.reattaches, "attach")
 	if !ok {
 		return
 	}
@@ -280,13 +282,13 @@
 	w.step(kernel.AttemptFailed{Attempt: f.id, Evidence: evidence, Code: kernel.FailureBroken, Offset: 5})
 }
 
-// pass lets a random time pass.
-func (w *fakeWorld) pass(t *rapid.T) {
+// advance lets a random time pass.
+func (w *simulation) advance(t *rapid.T) {
 	end := w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
-	w.passUntil(end)
+	w.advanceUntil(end)
 }
 
-func (w *fakeWorld) passUntil(end time.Time) {
+func (w *simulation) advanceUntil(end time.Time) {
 	for range 10000 {
 		at, ok := w.k.NextWake()
 		if !ok || at.After(end) {
@@ -301,22 +303,23 @@
 	w.step(kernel.Tick{})
 }
 
-// settle ends all attempts and acknowledges all cancels, and then checks that
-// every request has exactly one answer and that no upstream still holds resources.
-func (w *fakeWorld) settle(t *rapid.T) {
+// endAll ends all attempts and acknowledges all cancels, and then checks that
+// every request has exactly one answer and that no upstream still holds
+// resources.
+func (w *simulation) endAll(t *rapid.T) {
 	for range 50 {
-		for len(w.flights) > 0 {
-			f := w.flights[0]
-			w.flights = w.flights[1:]
+		for len(w.inFlight) > 0 {
+			f := w.inFlight[0]
+			w.inFlight = w.inFlight[1:]
 			if w.cancelled[f.id] {
 				w.step(kernel.AttemptFailed{Attempt: f.id, Evidence: kernel.Refused, Code: kernel.FailureUpstream})
 				continue
 			}
 			w.end(t, f, "refused")
 		}
-		for len(w.attaches) > 0 {
-			f := w.attaches[0]
-			w.attaches = w.attaches[1:]
+		for len(w.reattaches) > 0 {
+			f := w.reattaches[0]
+			w.reattaches = w.reattaches[1:]
 			w.step(kernel.AttemptFailed{Attempt: f.id, Evidence: kernel.Refused, Code: kernel.FailureBroken})
 		}
 		for len(w.cancels) > 0 {
@@ -325,7 +328,7 @@
 			w.released(f.id)
 			w.step(kernel.CancelAcked{Attempt: f.id})
 		}
-		w.passUntil(w.now.Add(time.Second))
+		w.advanceUntil(w.now.Add(time.Second))
 	}
 	if n := w.k.InFlight(); n != 0 {
 		t.Fatalf("%d requests have no answer after all attempts ended", n)
@@ -351,7 +354,7 @@
 // take none, and no upstream keeps resources.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newFakeWorld(t)
+		w := newSimulation(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive":   w.arrive,
 			"arrive2":  w.arrive,
@@ -360,13 +363,13 @@
 			"reattach": w.reattach,
 			"cancel":   w.cancel,
 			"gone":     w.callerGone,
-			"pass":     w.pass,
-			"leave":    w.leave,
-			"die":      w.die,
+			"pass":     w.advance,
+			"leave":    w.markLeaving,
+			"die":      w.endUpstream,
 			"restart":  w.restart,
 			"stale":    w.staleView,
 			"pause":    w.pause,
 		})
-		w.settle(t)
+		w.endAll(t)
 	})
 }
--- a/kernel/interleavingfaults_test.go
+++ b/kernel/interleavingfaults_test.go
@@ -12,7 +12,7 @@
 
 // cancel delivers or loses a random pending cancel, and reports a result for it
 // that need not be true.
-func (w *fakeWorld) cancel(t *rapid.T) {
+func (w *simulation) cancel(t *rapid.T) {
 	f, ok := take(t, &w.cancels, "cancel")
 	if !ok {
 		return
@@ -31,15 +31,15 @@
 
 // released simulates an upstream that receives a cancel, possibly before the
 // attempt itself.
-func (w *fakeWorld) released(id ident.AttemptID) {
+func (w *simulation) released(id ident.AttemptID) {
 	delete(w.held, id)
 	w.cancelled[id] = true
 }
 
 // abandon ends an attempt whose upstream has ended, as the driver does.
-func (w *fakeWorld) abandon(id ident.AttemptID) {
+func (w *simulation) abandon(id ident.AttemptID) {
 	delete(w.held, id)
-	for _, list := range []*[]flight{&w.flights, &w.attaches} {
+	for _, list := range []*[]sentAttempt{&w.inFlight, &w.reattaches} {
 		for i, f := range *list {
 			if f.id == id {
 				*list = append((*list)[:i:i], (*list)[i+1:]...)
@@ -50,7 +50,7 @@
 	w.step(kernel.AttemptFailed{Attempt: id, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken})
 }
 
-func (w *fakeWorld) callerGone(t *rapid.T) {
+func (w *simulation) callerGone(t *rapid.T) {
 	if w.next == 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 	w.step(kernel.CallerGone{Request: ident.RequestID(fmt.Sprintf("r%d", n))})
 }
 
-func (w *fakeWorld) upstream(id ident.UpstreamID) *kernel.Upstream {
+func (w *simulation) upstream(id ident.UpstreamID) *kernel.Upstream {
 	for i := range w.view.Upstreams {
 		if w.view.Upstreams[i].ID == id {
 			return &w.view.Upstreams[i]
@@ -70,20 +70,20 @@
 
 // changeView changes a random upstream in a new view and passes the view to the
 // kernel.
-func (w *fakeWorld) changeView(t *rapid.T, change func(u *kernel.Upstream)) {
+func (w *simulation) changeView(t *rapid.T, change func(u *kernel.Upstream)) {
 	v := *w.view
 	v.Version++
 	v.Upstreams = append([]kernel.Upstream(nil), v.Upstreams...)
 	i := rapid.IntRange(0, len(v.Upstreams)-1).Draw(t, "upstream")
 	change(&v.Upstreams[i])
-	w.stale = append(w.stale, w.view)
+	w.olderViews = append(w.olderViews, w.view)
 	w.view = &v
-	w.give(w.view)
+	w.setView(w.view)
 }
 
-// give passes a view to the kernel.
-func (w *fakeWorld) give(v *kernel.View) {
-	w.given = v
+// setView passes a view to the kernel.
+func (w *simulation) setView(v *kernel.View) {
+	w.kernelView = v
 	for _, u := range v.Upstreams {
 		if u.Life == kernel.Leaving {
 			w.left[u.ID] = max(w.left[u.ID], u.Incarnation)
@@ -93,49 +93,50 @@
 }
 
 // staleView passes a view to the kernel that is older than the newest one.
-func (w *fakeWorld) staleView(t *rapid.T) {
-	if len(w.stale) == 0 {
+func (w *simulation) staleView(t *rapid.T) {
+	if len(w.olderViews) == 0 {
 		return
 	}
-	w.give(w.stale[rapid.IntRange(0, len(w.stale)-1).Draw(t, "stale view")])
+	w.setView(w.olderViews[rapid.IntRange(0, len(w.olderViews)-1).Draw(t, "stale view")])
 }
 
-// leave reports a random upstream as leaving.
-func (w *fakeWorld) leave(t *rapid.T) {
+// markLeaving reports a random upstream as leaving.
+func (w *simulation) markLeaving(t *rapid.T) {
 	w.changeView(t, func(u *kernel.Upstream) { u.Life = max(u.Life, kernel.Leaving) })
 }
 
-// die ends a random upstream, which loses all resources that it holds.
-func (w *fakeWorld) die(t *rapid.T) {
+// endUpstream ends a random upstream, which loses all resources that it holds.
+func (w *simulation) endUpstream(t *rapid.T) {
 	w.changeView(t, func(u *kernel.Upstream) {
 		u.Life = kernel.Dead
-		w.forget(u.ID)
+		w.dropHeld(u.ID)
 	})
 }
 
 // restart replaces a random upstream's process by a new incarnation.
-func (w *fakeWorld) restart(t *rapid.T) {
+func (w *simulation) restart(t *rapid.T) {
 	w.changeView(t, func(u *kernel.Upstream) {
-		w.forget(u.ID)
+		w.dropHeld(u.ID)
 		u.Life = kernel.Live
 		u.Incarnation++
 	})
 }
 
-// forget drops everything that an upstream holds and marks its attempts as dead.
-func (w *fakeWorld) forget(id ident.UpstreamID) {
+// dropHeld drops everything that an upstream holds and marks its attempts as
+// dead.
+func (w *simulation) dropHeld(id ident.UpstreamID) {
 	for attempt, at := range w.held {
 		if at == id {
 			delete(w.held, attempt)
 		}
 	}
-	for i := range w.flights {
-		w.flights[i].dead = w.flights[i].dead || w.flights[i].upstream == id
+	for i := range w.inFlight {
+		w.inFlight[i].dead = w.inFlight[i].dead || w.inFlight[i].upstream == id
 	}
 }
 
 // pause lets a random time pass in which the kernel does not run.
-func (w *fakeWorld) pause(t *rapid.T) {
+func (w *simulation) pause(t *rapid.T) {
 	gap := time.Duration(rapid.IntRange(1, 15).Draw(t, "gap")) * time.Second
 	w.now = w.now.Add(gap)
 	w.step(kernel.Paused{Gap: gap})
--- a/kernel/joint.go
+++ b/kernel/joint.go
@@ -65,8 +65,8 @@
 	// DecodeGranted names the decode engine for a finished prefill.
 	DecodeGranted(reservation ident.AttemptID, decode ident.UpstreamID)
 	// PlacementRefused answers Place when the request cannot meet its
-	// first-output target. comeBack is the retry-after hint for the caller.
-	PlacementRefused(reservation ident.AttemptID, comeBack time.Duration)
+	// first-output target. retryAfter is the hint for the caller.
+	PlacementRefused(reservation ident.AttemptID, retryAfter time.Duration)
 	// TransferEnded reports the end of a KV transfer for a request of another
 	// instance. began is the time at which the transfer began.
 	TransferEnded(prefill, decode ident.UpstreamID, began time.Time, stalled bool)
@@ -79,24 +79,24 @@
 func (h host) Prefix() PrefixStore { return h.k.prefix }
 
 func (h host) TransferEnded(prefill, decode ident.UpstreamID, began time.Time, stalled bool) {
-	h.k.noteTransfer(prefill, decode, began, stalled)
+	h.k.recordTransfer(prefill, decode, began, stalled)
 }
 
 func (h host) PlacementGranted(id ident.AttemptID, p Placement) {
-	h.k.verdict(slotVerdict{id: id, kind: verdictPlaced, placement: p})
+	h.k.queueReply(policyReply{id: id, kind: replyPlacementGranted, placement: p})
 }
 
 func (h host) DecodeGranted(id ident.AttemptID, decode ident.UpstreamID) {
-	h.k.verdict(slotVerdict{id: id, kind: verdictDecode, decode: decode})
+	h.k.queueReply(policyReply{id: id, kind: replyDecodeGranted, decode: decode})
 }
 
-func (h host) PlacementRefused(id ident.AttemptID, comeBack time.Duration) {
-	h.k.verdict(slotVerdict{id: id, kind: verdictRefused, comeBack: comeBack})
+func (h host) PlacementRefused(id ident.AttemptID, retryAfter time.Duration) {
+	h.k.queueReply(policyReply{id: id, kind: replyPlacementRefused, retryAfter: retryAfter})
 }
 
-// joint returns the policy that places the model's requests, nil if the kernel
-// places them itself.
-func (k *Kernel) joint(model string) JointPolicy {
+// jointPolicy returns the policy that places the model's requests, nil if the
+// kernel places them itself.
+func (k *Kernel) jointPolicy(model string) JointPolicy {
 	jp, ok := k.policy.slots.(JointPolicy)
 	if !ok || !jp.Joint(model) {
 		return nil
@@ -104,8 +104,8 @@
 	return jp
 }
 
-// askPlacement requests a placement for the call from the joint policy.
-func (k *Kernel) askPlacement(c *call, jp JointPolicy) {
+// requestPlacement requests a placement for the call from the joint policy.
+func (k *Kernel) requestPlacement(c *call, jp JointPolicy) {
 	id := k.newAttemptID(c.request)
 	k.dequeue(c)
 	c.plan = placement{}
@@ -121,27 +121,27 @@
 	}
 	if c.prefill != nil {
 		ask.KV = c.kv.Engine
-		ask.KVUntil = c.kvAt.Add(k.kvUsable())
+		ask.KVUntil = c.kvReadyAt.Add(k.kvUsable())
 	}
 	jp.Place(ask)
 }
 
 // placementGranted starts the prefill on the engine that the joint policy chose.
 // If that engine cannot be used, the call is queued again.
-func (k *Kernel) placementGranted(v slotVerdict) {
-	prefill := v.placement.Prefill
-	c, ok := k.reserved[v.id]
+func (k *Kernel) placementGranted(reply policyReply) {
+	prefill := reply.placement.Prefill
+	c, ok := k.reserved[reply.id]
 	if !ok || c.state != callReserving || c.prefill != nil {
 		return
 	}
 	if !k.trusted() || !k.usable(prefill) {
 		c.avoid = append(c.avoid, prefill)
-		k.giveSlotBack(c)
+		k.releaseSlot(c)
 		k.enqueue(c, k.now.Add(retryPlacement))
 		return
 	}
 	k.leaveReserving(c)
-	c.plan = k.jointPlan(c, v.placement)
+	c.plan = k.jointPlan(c, reply.placement)
 	k.startPrefill(c)
 }
 
@@ -160,29 +160,29 @@
 		dispatched: true,
 		cost:       chosen.Cost,
 		runnersUp:  chosen.RunnersUp,
-		predicted:  k.predict(k.decide(c), p, q),
+		predicted:  k.predict(k.newDecision(c), p, q),
 		viewAge:    k.now.Sub(p.Load.At),
 	}
 }
 
-// askDecode requests a decode engine from the joint policy for a prefill that
+// requestDecode requests a decode engine from the joint policy for a prefill that
 // has just finished.
-func (k *Kernel) askDecode(c *call, jp JointPolicy) {
+func (k *Kernel) requestDecode(c *call, jp JointPolicy) {
 	k.awaitSlot(c)
 	jp.Computed(c.slot.id)
 }
 
 // decodeGranted starts the decode of a finished prefill on the engine that the
 // joint policy chose, or looks for another one if that cannot be used.
-func (k *Kernel) decodeGranted(v slotVerdict) {
-	c, ok := k.reserved[v.id]
+func (k *Kernel) decodeGranted(reply policyReply) {
+	c, ok := k.reserved[reply.id]
 	if !ok || c.state != callReserving || c.prefill == nil {
 		return
 	}
-	c.plan.decode = v.decode
-	if !k.kvFresh(c) || !k.usable(v.decode) {
-		c.avoid = append(c.avoid, v.decode)
-		k.decodeElsewhere(c, ReasonKVGone)
+	c.plan.decode = reply.decode
+	if !k.kvFresh(c) || !k.usable(reply.decode) {
+		c.avoid = append(c.avoid, reply.decode)
+		k.retryDecode(c, ReasonKVGone)
 		return
 	}
 	k.leaveReserving(c)
@@ -191,13 +191,13 @@
 
 // placementRefused refuses a request that, according to the joint policy, cannot
 // meet its first-output target.
-func (k *Kernel) placementRefused(v slotVerdict) {
-	c, ok := k.reserved[v.id]
+func (k *Kernel) placementRefused(reply policyReply) {
+	c, ok := k.reserved[reply.id]
 	if !ok || c.state != callReserving {
 		return
 	}
 	k.leaveReserving(c)
-	delete(k.reserved, v.id)
+	delete(k.reserved, reply.id)
 	c.slot = reservation{}
-	k.refuseCall(c, lateRefusal(v.comeBack))
+	k.refuseCall(c, lateRefusal(reply.retryAfter))
 }
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -51,7 +51,7 @@
 	timers   timers
 	sequence uint64
 
-	stalls     stallBook
+	stalls     stallTracker
 	budget     retryBudget
 	throughput throughput
 	stopping   bool
@@ -62,11 +62,12 @@
 	// dirty is set when a placement that failed before may now succeed, so that
 	// the queue must be scheduled again.
 	dirty bool
-	// kickAt is the time of the earliest pending timerKick, zero if there is
-	// none.
-	kickAt time.Time
-	// verdicts are answers of the slot policy that have not been processed yet.
-	verdicts []slotVerdict
+	// nextScheduleAt is the time of the earliest pending timerSchedule, zero if
+	// there is none.
+	nextScheduleAt time.Time
+	// pendingReplies are replies of the slot policy that have not been processed
+	// yet.
+	pendingReplies []policyReply
 	// scratch is the queue snapshot of schedule, kept to save allocations.
 	scratch []*Waiting
 	placer  placer
@@ -84,7 +85,7 @@
 		attempts: map[ident.AttemptID]*attempt{},
 		reserved: map[ident.AttemptID]*call{},
 		cancels:  map[ident.AttemptID]*cancel{},
-		stalls:   stallBook{ends: map[ident.UpstreamID]*stallEnd{}},
+		stalls:   stallTracker{engines: map[ident.UpstreamID]*engineStalls{}},
 	}
 	k.fleet.init()
 	return k, nil
@@ -101,11 +102,11 @@
 	k.out = k.out[:0]
 	k.wakePlugins()
 	k.handle(ev)
-	k.settleSlots()
+	k.processReplies()
 	k.runTimers()
-	k.settleSlots()
+	k.processReplies()
 	k.schedule()
-	k.settleSlots()
+	k.processReplies()
 	return k.out
 }
 
@@ -210,7 +211,7 @@
 		return
 	}
 	k.distrustUntil = k.now.Add(distrustAfterPause)
-	k.kick(k.distrustUntil)
+	k.scheduleAt(k.distrustUntil)
 }
 
 const (
--- a/kernel/kv.go
+++ b/kernel/kv.go
@@ -9,7 +9,7 @@
 // kvFresh reports whether the prefill engine is likely to still hold the call's
 // KV cache.
 func (k *Kernel) kvFresh(c *call) bool {
-	return k.now.Sub(c.kvAt) < k.kvUsable()
+	return k.now.Sub(c.kvReadyAt) < k.kvUsable()
 }
 
 // kvUsable returns how long after the end of a prefill the import of its KV cache
@@ -38,10 +38,10 @@
 	c.kv = KVHandle{}
 }
 
-// decodeElsewhere looks for another decode engine for a finished prefill. If
+// retryDecode looks for another decode engine for a finished prefill. If
 // there is none, it releases the KV cache and queues the call again.
-func (k *Kernel) decodeElsewhere(c *call, reason Reason) {
-	k.giveSlotBack(c)
+func (k *Kernel) retryDecode(c *call, reason Reason) {
+	k.releaseSlot(c)
 	c.active = nil
 	if c.prefill != nil && k.kvFresh(c) && k.reserveForKV(c) {
 		return
@@ -58,14 +58,14 @@
 	if prefill == nil || !k.trusted() {
 		return false
 	}
-	if jp := k.joint(c.request.Model); jp != nil {
-		k.askPlacement(c, jp)
+	if jp := k.jointPolicy(c.request.Model); jp != nil {
+		k.requestPlacement(c, jp)
 		return true
 	}
-	d := k.decide(c)
+	d := k.newDecision(c)
 	k.shortlistDecodes(d, c, k.fleet.decodes[c.request.Model], config.RoleDecode)
 	k.placer.prefills.reset()
-	k.placer.prefills.offer(prefill.Index, 0)
+	k.placer.prefills.insert(prefill.Index, 0)
 	pairs := k.rankPairs(d)
 	for i := range pairs {
 		switch k.reserve(c, k.plan(d, pairs, i)).Verdict {
--- a/kernel/model.go
+++ b/kernel/model.go
@@ -12,13 +12,13 @@
 	if decode == nil || !k.trusted() {
 		return false
 	}
-	d := k.decide(c)
+	d := k.newDecision(c)
 	k.shortlistPrefills(d, c)
 	if k.placer.prefills.size == 0 {
 		return false
 	}
 	k.placer.decodes.reset()
-	k.placer.decodes.offer(decode.Index, 0)
+	k.placer.decodes.insert(decode.Index, 0)
 	c.plan = k.plan(d, k.rankPairs(d), 0)
 	return true
 }
@@ -26,7 +26,7 @@
 // startPrefill sends the call's prompt to the planned prefill engine.
 func (k *Kernel) startPrefill(c *call) {
 	u := k.fleet.upstream(c.plan.prefill)
-	uncached := UncachedTokens(k.decide(c), u)
+	uncached := UncachedTokens(k.newDecision(c), u)
 	a := &attempt{
 		id:       k.newAttemptID(c.request),
 		call:     c,
@@ -77,33 +77,33 @@
 func (k *Kernel) prefillDone(e PrefillDone) {
 	a, ok := k.attempts[e.Attempt]
 	if !ok {
-		k.releaseStray(e.Attempt, e.KV.Engine)
+		k.releaseOrphan(e.Attempt, e.KV.Engine)
 		return
 	}
 	c := a.call
-	k.succeeded(k.fleet.upstream(a.upstream))
-	k.computed(a)
-	c.touched = true
+	k.recordSuccess(k.fleet.upstream(a.upstream))
+	k.prefillComputed(a)
+	c.mayHaveRun = true
 	c.kv = e.KV
-	c.kvAt = k.now
+	c.kvReadyAt = k.now
 	if jp, ok := c.slot.policy.(JointPolicy); ok {
 		if c.plan.decode == "" {
-			k.askDecode(c, jp)
+			k.requestDecode(c, jp)
 			return
 		}
 		jp.Computed(c.slot.id)
 	}
 	if !k.usable(c.plan.decode) {
-		k.decodeElsewhere(c, ReasonUpstreamRefused)
+		k.retryDecode(c, ReasonUpstreamRefused)
 		return
 	}
 	k.startDecode(c)
 }
 
-// releaseStray cancels an attempt that is no longer tracked but has finished a
+// releaseOrphan cancels an attempt that is no longer tracked but has finished a
 // prefill: its cancel may have reached the engine before the attempt itself did,
 // so that the engine still holds the KV cache.
-func (k *Kernel) releaseStray(id ident.AttemptID, upstream ident.UpstreamID) {
+func (k *Kernel) releaseOrphan(id ident.AttemptID, upstream ident.UpstreamID) {
 	if _, pending := k.cancels[id]; pending {
 		return
 	}
@@ -132,7 +132,7 @@
 	}
 	c.state = callDecoding
 	c.active = a
-	c.reattached = 0
+	c.reattachCount = 0
 	k.track(a)
 	c.slot.policy.Started(c.slot.id)
 	k.emit(StartDecode{
@@ -178,7 +178,7 @@
 		return
 	}
 	c := a.call
-	k.succeeded(k.fleet.upstream(a.upstream))
+	k.recordSuccess(k.fleet.upstream(a.upstream))
 	k.charge(c, a)
 	k.untrack(a)
 	k.untrack(c.prefill)
--- a/kernel/mute_test.go
+++ b/kernel/mute_test.go
@@ -12,30 +12,32 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// mutePolicy is a joint policy that places prefills but never names a decode
-// engine.
-type mutePolicy struct{ host kernel.JointHost }
+// unresponsivePolicy is a joint policy that places prefills but never names a
+// decode engine.
+type unresponsivePolicy struct{ host kernel.JointHost }
 
-const mutePolicyID plugin.ID = "slots.mute"
+const unresponsivePolicyID plugin.ID = "slots.mute"
 
-func init() { plugin.Register(&mutePolicy{}) }
+func init() { plugin.Register(&unresponsivePolicy{}) }
 
-func (*mutePolicy) PluginInfo() plugin.Info {
-	return plugin.Info{ID: mutePolicyID, New: func() plugin.Plugin { return &mutePolicy{} }}
+func (*unresponsivePolicy) PluginInfo() plugin.Info {
+	return plugin.Info{ID: unresponsivePolicyID, New: func() plugin.Plugin { return &unresponsivePolicy{} }}
 }
-func (m *mutePolicy) Attach(h kernel.Host) { m.host = h.(kernel.JointHost) }
-func (*mutePolicy) Joint(string) bool      { return true }
-func (m *mutePolicy) Place(a kernel.PlacementAsk) {
+func (m *unresponsivePolicy) Attach(h kernel.Host) { m.host = h.(kernel.JointHost) }
+func (*unresponsivePolicy) Joint(string) bool      { return true }
+func (m *unresponsivePolicy) Place(a kernel.PlacementAsk) {
 	m.host.PlacementGranted(a.Reservation, kernel.Placement{Prefill: "p1"})
 }
-func (*mutePolicy) Computed(ident.AttemptID) {}
-func (*mutePolicy) Reserve(kernel.SlotAsk) kernel.SlotAnswer {
+func (*unresponsivePolicy) Computed(ident.AttemptID) {}
+func (*unresponsivePolicy) Reserve(kernel.SlotAsk) kernel.SlotAnswer {
 	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 }
-func (*mutePolicy) Release(ident.AttemptID)                           {}
-func (*mutePolicy) Started(ident.AttemptID)                           {}
-func (*mutePolicy) Refused(ident.UpstreamID)                          {}
-func (*mutePolicy) Availability(*kernel.Upstream) kernel.Availability { return kernel.Availability{} }
+func (*unresponsivePolicy) Release(ident.AttemptID)  {}
+func (*unresponsivePolicy) Started(ident.AttemptID)  {}
+func (*unresponsivePolicy) Refused(ident.UpstreamID) {}
+func (*unresponsivePolicy) Availability(*kernel.Upstream) kernel.Availability {
+	return kernel.Availability{}
+}
 
 // TestSlotNeverNamed checks that a finished prefill is given up once its KV cache
 // can no longer be imported, even if the slot policy never answers. Without this,
@@ -43,7 +45,7 @@
 func TestSlotNeverNamed(t *testing.T) {
 	s := newSession(t)
 	c := *s.content
-	c.Policy.Slots = mutePolicyID
+	c.Policy.Slots = unresponsivePolicyID
 	s.step(kernel.Configured{Version: 2, Content: &c})
 	s.step(kernel.Arrive{Request: s.review("r1")})
 	for range 4 {
--- a/kernel/place.go
+++ b/kernel/place.go
@@ -48,9 +48,9 @@
 	reserving int
 }
 
-// decide returns the decision context for a call. It is valid until the next
-// call of decide.
-func (k *Kernel) decide(c *call) *Decision {
+// newDecision returns the decision context for a call. It is valid until the next
+// call of newDecision.
+func (k *Kernel) newDecision(c *call) *Decision {
 	d := &k.placer.decision
 	*d = Decision{
 		Now:          k.now,
@@ -67,9 +67,9 @@
 	return d
 }
 
-// keep reports whether the upstream may serve the call in the given role: all
-// filters accept it and the call has not failed on it before.
-func (k *Kernel) keep(d *Decision, c *call, u *Upstream, role config.Role) bool {
+// passesFilters reports whether the upstream may serve the call in the given
+// role: all filters accept it and the call has not failed on it before.
+func (k *Kernel) passesFilters(d *Decision, c *call, u *Upstream, role config.Role) bool {
 	if c.avoids(u.ID) {
 		return false
 	}
@@ -113,14 +113,14 @@
 	list := &k.placer.prefills
 	for _, i := range at {
 		u := &k.fleet.view.Upstreams[i]
-		if !k.keep(d, c, u, config.RolePrefill) {
+		if !k.passesFilters(d, c, u, config.RolePrefill) {
 			continue
 		}
 		cost := k.tieBreak()
 		for _, s := range k.policy.scorers {
 			cost += s.weight * s.scorer.Prefill(d, u)
 		}
-		list.offer(i, cost)
+		list.insert(i, cost)
 	}
 }
 
@@ -137,14 +137,14 @@
 	list := &k.placer.decodes
 	for _, i := range at {
 		u := &k.fleet.view.Upstreams[i]
-		if !k.keep(d, c, u, role) {
+		if !k.passesFilters(d, c, u, role) {
 			continue
 		}
 		cost := k.tieBreak()
 		for _, s := range k.policy.scorers {
 			cost += s.weight * s.scorer.Decode(d, u)
 		}
-		list.offer(i, cost)
+		list.insert(i, cost)
 	}
 }
 
--- a/kernel/policy.go
+++ b/kernel/policy.go
@@ -35,7 +35,7 @@
 	order     QueueOrder
 	admission []Admission
 	filters   []Filter
-	scorers   []weighted
+	scorers   []weightedScorer
 	// handlers maps each kind of peer message to the plug-in that handles it.
 	// Plug-ins that a newer bundle no longer names stay registered, since
 	// requests that they are involved in may still be in progress.
@@ -44,8 +44,8 @@
 	observers []Observer
 }
 
-// weighted is a scorer and its weight.
-type weighted struct {
+// weightedScorer is a scorer and its weight.
+type weightedScorer struct {
 	scorer Scorer
 	weight float64
 }
@@ -72,7 +72,7 @@
 	}
 	previous := k.policy
 	k.catalog = newCatalog(e.Version, e.Content)
-	k.fleet.describe(e.Content)
+	k.fleet.applyDeclarations(e.Content)
 	k.policy = next
 	k.attachNew(previous)
 	k.moveQueue(previous.order)
@@ -82,7 +82,7 @@
 // attachNew attaches the plug-ins that are not in previous to the kernel, and
 // passes the new content to all plug-ins that it names.
 func (k *Kernel) attachNew(previous policy) {
-	for _, id := range policyIDs(k.catalog.content) {
+	for _, id := range pluginIDs(k.catalog.content) {
 		p := k.policy.loaded[id]
 		_, known := previous.loaded[id]
 		if a, ok := p.(Attacher); ok && !known {
@@ -109,9 +109,9 @@
 	}
 }
 
-// policyIDs returns the IDs of the plug-ins that a bundle names, each once, in a
+// pluginIDs returns the IDs of the plug-ins that a bundle names, each once, in a
 // deterministic order.
-func policyIDs(c *config.Content) []plugin.ID {
+func pluginIDs(c *config.Content) []plugin.ID {
 	ids := []plugin.ID{c.Policy.Slots, c.Policy.Order}
 	ids = append(ids, c.Policy.Admission...)
 	ids = append(ids, c.Policy.Filters...)
@@ -142,7 +142,7 @@
 	for id, p := range previous.loaded {
 		next.loaded[id] = p
 	}
-	for _, id := range policyIDs(c) {
+	for _, id := range pluginIDs(c) {
 		if _, ok := next.loaded[id]; ok {
 			continue
 		}
@@ -157,17 +157,17 @@
 	}
 	next.wakers = append(next.wakers, previous.wakers...)
 	next.observers = append(next.observers, previous.observers...)
-	next.registerRoles(previous, c)
+	next.registerInterfaces(previous, c)
 	if err := next.assign(c); err != nil {
 		return policy{}, err
 	}
 	return next, nil
 }
 
-// registerRoles registers the plug-ins that are not in previous for the optional
-// interfaces that they implement.
-func (p *policy) registerRoles(previous policy, c *config.Content) {
-	for _, id := range policyIDs(c) {
+// registerInterfaces registers the plug-ins that are not in previous for the
+// optional interfaces that they implement.
+func (p *policy) registerInterfaces(previous policy, c *config.Content) {
+	for _, id := range pluginIDs(c) {
 		if _, known := previous.loaded[id]; known {
 			continue
 		}
@@ -192,39 +192,39 @@
 // them.
 func (p *policy) assign(c *config.Content) error {
 	var err error
-	if p.slots, err = as[SlotPolicy](p.loaded, c.Policy.Slots, "slot policy"); err != nil {
+	if p.slots, err = pluginAs[SlotPolicy](p.loaded, c.Policy.Slots, "slot policy"); err != nil {
 		return err
 	}
-	if p.order, err = as[QueueOrder](p.loaded, c.Policy.Order, "queue order"); err != nil {
+	if p.order, err = pluginAs[QueueOrder](p.loaded, c.Policy.Order, "queue order"); err != nil {
 		return err
 	}
 	for _, id := range c.Policy.Admission {
-		a, err := as[Admission](p.loaded, id, "admission check")
+		a, err := pluginAs[Admission](p.loaded, id, "admission check")
 		if err != nil {
 			return err
 		}
 		p.admission = append(p.admission, a)
 	}
 	for _, id := range c.Policy.Filters {
-		f, err := as[Filter](p.loaded, id, "filter")
+		f, err := pluginAs[Filter](p.loaded, id, "filter")
 		if err != nil {
 			return err
 		}
 		p.filters = append(p.filters, f)
 	}
 	for _, s := range c.Policy.Scorers {
-		sc, err := as[Scorer](p.loaded, s.ID, "scorer")
+		sc, err := pluginAs[Scorer](p.loaded, s.ID, "scorer")
 		if err != nil {
 			return err
 		}
-		p.scorers = append(p.scorers, weighted{scorer: sc, weight: s.Weight})
+		p.scorers = append(p.scorers, weightedScorer{scorer: sc, weight: s.Weight})
 	}
 	return nil
 }
 
-// as returns the loaded plug-in as interface T, or a *PolicyTypeError with the
-// text want if it does not implement T.
-func as[T any](loaded map[plugin.ID]plugin.Plugin, id plugin.ID, want string) (T, error) {
+// pluginAs returns the loaded plug-in as interface T, or a *PolicyTypeError with
+// the text want if it does not implement T.
+func pluginAs[T any](loaded map[plugin.ID]plugin.Plugin, id plugin.ID, want string) (T, error) {
 	t, ok := loaded[id].(T)
 	if !ok {
 		var zero T
--- a/kernel/prefix/holding.go
+++ b/kernel/prefix/holding.go
@@ -6,8 +6,8 @@
 // none is the zero ref, which refers to no holding.
 const none ref = 0
 
-// confirmed is the value of holding.until for a block that an event of the engine
-// has reported as stored.
+// confirmed is the value of holding.validUntil for a block that an event of the
+// engine has reported as stored.
 const confirmed int64 = 0
 
 // holding is the record that one engine holds one block. It contains no pointers,
@@ -20,65 +20,65 @@
 	newer, older ref
 	// next links the holdings of the same block.
 	next ref
-	// until is the time, in Unix nanoseconds, after which the holding is no
+	// validUntil is the time, in Unix nanoseconds, after which the holding is no
 	// longer assumed to exist if the engine has not reported it, or confirmed.
-	until int64
+	validUntil int64
 }
 
 // slab stores holdings in one slice and reuses freed entries.
 type slab struct {
-	all  []holding
-	free []ref
-	used int
+	entries []holding
+	free    []ref
+	used    int
 }
 
-// at returns the holding that r refers to. The pointer is valid until the next
+// get returns the holding that r refers to. The pointer is valid until the next
 // call of take.
-func (s *slab) at(r ref) *holding { return &s.all[r-1] }
+func (s *slab) get(r ref) *holding { return &s.entries[r-1] }
 
-// take returns a new holding.
-func (s *slab) take() ref {
+// alloc returns a new holding.
+func (s *slab) alloc() ref {
 	s.used++
 	if last := len(s.free) - 1; last >= 0 {
 		r := s.free[last]
 		s.free = s.free[:last]
 		return r
 	}
-	s.all = append(s.all, holding{})
-	return ref(len(s.all))
+	s.entries = append(s.entries, holding{})
+	return ref(len(s.entries))
 }
 
-// give frees a holding.
-func (s *slab) give(r ref) {
+// release frees a holding.
+func (s *slab) release(r ref) {
 	s.used--
-	*s.at(r) = holding{}
+	*s.get(r) = holding{}
 	s.free = append(s.free, r)
 }
 
-// hold records that engine n holds a block, and makes the block the engine's most
+// add records that engine n holds a block, and makes the block the engine's most
 // recently used one. If the engine is at its limit, it first removes the least
 // recently used blocks.
-func (x *Index) hold(n int32, block uint64, until int64, limit int) {
+func (x *Index) add(n int32, block uint64, validUntil int64, limit int) {
 	if r := x.find(block, n); r != none {
-		x.refresh(r, until)
+		x.refresh(r, validUntil)
 		return
 	}
-	for x.byNumber[n].holdings >= limit {
-		x.remove(x.byNumber[n].oldest)
+	for x.engines[n].holdings >= limit {
+		x.remove(x.engines[n].oldest)
 	}
-	r := x.slab.take()
-	*x.slab.at(r) = holding{block: block, engine: n, next: x.first[block], until: until}
-	x.first[block] = r
-	x.byNumber[n].holdings++
+	r := x.slab.alloc()
+	*x.slab.get(r) = holding{block: block, engine: n, next: x.firstHolding[block], validUntil: validUntil}
+	x.firstHolding[block] = r
+	x.engines[n].holdings++
 	x.link(r)
 }
 
 // refresh makes a holding its engine's most recently used one and sets until,
 // unless the holding is confirmed: it then stays confirmed.
-func (x *Index) refresh(r ref, until int64) {
-	h := x.slab.at(r)
-	if h.until != confirmed {
-		h.until = until
+func (x *Index) refresh(r ref, validUntil int64) {
+	h := x.slab.get(r)
+	if h.validUntil != confirmed {
+		h.validUntil = validUntil
 	}
 	x.unlink(r)
 	x.link(r)
@@ -86,8 +86,8 @@
 
 // find returns engine n's holding of a block, none if there is none.
 func (x *Index) find(block uint64, n int32) ref {
-	for r := x.first[block]; r != none; {
-		h := x.slab.at(r)
+	for r := x.firstHolding[block]; r != none; {
+		h := x.slab.get(r)
 		if h.engine == n {
 			return r
 		}
@@ -101,38 +101,38 @@
 	if r == none {
 		return
 	}
-	h := x.slab.at(r)
+	h := x.slab.get(r)
 	x.unlink(r)
 	x.unchain(r, h)
-	x.byNumber[h.engine].holdings--
-	x.slab.give(r)
+	x.engines[h.engine].holdings--
+	x.slab.release(r)
 }
 
 // unchain removes a holding from its block's chain.
 func (x *Index) unchain(r ref, h *holding) {
-	at := x.first[h.block]
+	at := x.firstHolding[h.block]
 	if at == r {
 		if h.next == none {
-			delete(x.first, h.block)
+			delete(x.firstHolding, h.block)
 			return
 		}
-		x.first[h.block] = h.next
+		x.firstHolding[h.block] = h.next
 		return
 	}
-	for x.slab.at(at).next != r {
-		at = x.slab.at(at).next
+	for x.slab.get(at).next != r {
+		at = x.slab.get(at).next
 	}
-	x.slab.at(at).next = h.next
+	x.slab.get(at).next = h.next
 }
 
 // link inserts a holding into its engine's list as the most recently used one.
 func (x *Index) link(r ref) {
-	h := x.slab.at(r)
-	e := &x.byNumber[h.engine]
+	h := x.slab.get(r)
+	e := &x.engines[h.engine]
 	h.older = e.newest
 	h.newer = none
 	if e.newest != none {
-		x.slab.at(e.newest).newer = r
+		x.slab.get(e.newest).newer = r
 	}
 	e.newest = r
 	if e.oldest == none {
@@ -142,15 +142,15 @@
 
 // unlink removes a holding from its engine's list.
 func (x *Index) unlink(r ref) {
-	h := x.slab.at(r)
-	e := &x.byNumber[h.engine]
+	h := x.slab.get(r)
+	e := &x.engines[h.engine]
 	if h.older != none {
-		x.slab.at(h.older).newer = h.newer
+		x.slab.get(h.older).newer = h.newer
 	} else {
 		e.oldest = h.newer
 	}
 	if h.newer != none {
-		x.slab.at(h.newer).older = h.older
+		x.slab.get(h.newer).older = h.older
 	} else {
 		e.newest = h.older
 	}
--- a/kernel/prefix/index.go
+++ b/kernel/prefix/index.go
@@ -1,6 +1,7 @@
-// Package prefix keeps an index of the prompt blocks that each engine holds in its
-// prefix cache. Its sources are the engines' cache events, which arrive with delay
-// and may be lost, and the requests that this instance has sent to the engines.
+// Package prefix keeps an index of the prompt blocks that each engine holds in
+// its prefix cache. Its sources are the engines' cache events, which arrive
+// with delay and may be lost, and the requests that this instance has sent to
+// the engines.
 package prefix
 
 import (
@@ -21,11 +22,11 @@
 	// minPieces is the number of holdings that each engine may have regardless
 	// of the number of engines.
 	minPieces = 64
-	// confirmWithin is how long a block that this instance sent to an engine is
+	// confirmTimeout is how long a block that this instance sent to an engine is
 	// assumed to be there without a cache event that reports it. It applies only
 	// to engines that publish events. It covers the delay of events and the wait
 	// in the engine's queue.
-	confirmWithin = 10 * time.Second
+	confirmTimeout = 10 * time.Second
 	// maxEngines is the maximum number of engines in the index. Engines are
 	// replaced from time to time, and Forget is not called for all of them. At
 	// the maximum the index is emptied. It is less than the maximum size of a
@@ -39,19 +40,19 @@
 // New.
 type Index struct {
 	capacity int
-	// first maps a block to the first of its holdings, which are chained by
-	// holding.next.
-	first map[uint64]ref
-	slab  slab
-	// engines holds each engine's number plus one, where the number is the
+	// firstHolding maps a block to the first of its holdings, which are chained
+	// by holding.next.
+	firstHolding map[uint64]ref
+	slab         slab
+	// numbers holds each engine's number plus one, where the number is the
 	// engine's index in byNumber. unused are the free numbers.
-	engines  table.Table[int32]
-	byNumber []engine
-	unused   []int32
-	inUse    int
+	numbers     table.Table[int32]
+	engines     []engine
+	freeNumbers []int32
+	inUse       int
 	// now is the latest time passed to Placed, in Unix nanoseconds.
-	now  int64
-	last lookup
+	now        int64
+	lastLookup lookup
 }
 
 var _ kernel.PrefixStore = (*Index)(nil)
@@ -71,18 +72,18 @@
 func New() *Index { return newIndex(defaultCapacity) }
 
 func newIndex(capacity int) *Index {
-	return &Index{capacity: capacity, first: map[uint64]ref{}}
+	return &Index{capacity: capacity, firstHolding: map[uint64]ref{}}
 }
 
 // Apply implements kernel.PrefixStore. A change with Cleared set replaces all
 // earlier changes; engine adapters send it as a snapshot after a gap in the
 // engine's event numbers. Blocks that this instance sent to the engine within
-// confirmWithin are kept, since the snapshot may be older than them.
+// confirmTimeout are kept, since the snapshot may be older than them.
 func (x *Index) Apply(u *kernel.Upstream, c kernel.CacheChanged) {
 	n := x.number(u)
-	e := &x.byNumber[n]
+	e := &x.engines[n]
 	e.publishes = true
-	x.last.invalidate()
+	x.lastLookup.invalidate()
 	if c.Cleared {
 		x.clear(n)
 	}
@@ -91,7 +92,7 @@
 	}
 	limit := x.limit(u)
 	for _, b := range c.Stored {
-		x.hold(n, b, confirmed, limit)
+		x.add(n, b, confirmed, limit)
 	}
 }
 
@@ -99,31 +100,31 @@
 func (x *Index) Placed(u *kernel.Upstream, blocks []uint64, now time.Time) {
 	n := x.number(u)
 	x.now = max(x.now, now.UnixNano())
-	x.last.invalidate()
+	x.lastLookup.invalidate()
 	limit := x.limit(u)
-	until := now.Add(confirmWithin).UnixNano()
+	validUntil := now.Add(confirmTimeout).UnixNano()
 	// The last block becomes the least recently used one: engines evict it
 	// first, since each block is useless without those before it.
 	for i := len(blocks) - 1; i >= 0; i-- {
-		x.hold(n, blocks[i], until, limit)
+		x.add(n, blocks[i], validUntil, limit)
 	}
 }
 
 // Forget implements kernel.PrefixStore.
 func (x *Index) Forget(id ident.UpstreamID) {
-	n := x.engines.Get(id)
+	n := x.numbers.Get(id)
 	if n == nil || *n == 0 {
 		return
 	}
 	number := *n - 1
-	x.last.invalidate()
-	e := &x.byNumber[number]
+	x.lastLookup.invalidate()
+	e := &x.engines[number]
 	for e.oldest != none {
 		x.remove(e.oldest)
 	}
 	*e = engine{}
-	x.engines.Delete(id)
-	x.unused = append(x.unused, number)
+	x.numbers.Delete(id)
+	x.freeNumbers = append(x.freeNumbers, number)
 	x.inUse--
 }
 
@@ -134,23 +135,23 @@
 func (x *Index) number(u *kernel.Upstream) int32 {
 	// The table stores the number plus one, since its zero value means that
 	// there is none.
-	n := x.engines.At(u)
+	n := x.numbers.At(u)
 	if *n != 0 {
 		return *n - 1
 	}
 	if x.inUse >= maxEngines {
 		*x = *newIndex(x.capacity)
-		n = x.engines.At(u)
+		n = x.numbers.At(u)
 	}
 	x.inUse++
-	if last := len(x.unused) - 1; last >= 0 {
-		*n = x.unused[last] + 1
-		x.unused = x.unused[:last]
+	if last := len(x.freeNumbers) - 1; last >= 0 {
+		*n = x.freeNumbers[last] + 1
+		x.freeNumbers = x.freeNumbers[:last]
 	} else {
-		x.byNumber = append(x.byNumber, engine{})
-		*n = int32(len(x.byNumber))
+		x.engines = append(x.engines, engine{})
+		*n = int32(len(x.engines))
 	}
-	x.byNumber[*n-1] = engine{id: u.ID}
+	x.engines[*n-1] = engine{id: u.ID}
 	return *n - 1
 }
 
@@ -166,27 +167,27 @@
 // clear removes an engine's holdings, except for recent ones that no event has
 // confirmed yet.
 func (x *Index) clear(n int32) {
-	for r := x.byNumber[n].oldest; r != none; {
-		h := x.slab.at(r)
+	for r := x.engines[n].oldest; r != none; {
+		h := x.slab.get(r)
 		next := h.newer
-		if !x.awaited(h) {
+		if !x.unconfirmed(h) {
 			x.remove(r)
 		}
 		r = next
 	}
 }
 
-// awaited reports whether a holding is based only on a request of this instance
-// and is recent enough that an event may still confirm it.
-func (x *Index) awaited(h *holding) bool {
-	return h.until != confirmed && h.until > x.now
+// unconfirmed reports whether a holding is based only on a request of this
+// instance and is recent enough that an event may still confirm it.
+func (x *Index) unconfirmed(h *holding) bool {
+	return h.validUntil != confirmed && h.validUntil > x.now
 }
 
 // valid reports whether the engine is assumed to hold the block: an event has
 // confirmed it, it is recent, or the engine publishes no events.
 func (x *Index) valid(h *holding) bool {
-	if h.until == confirmed || !x.byNumber[h.engine].publishes {
+	if h.validUntil == confirmed || !x.engines[h.engine].publishes {
 		return true
 	}
-	return h.until > x.now
+	return h.validUntil > x.now
 }
--- a/kernel/prefix/index_test.go
+++ b/kernel/prefix/index_test.go
@@ -25,71 +25,71 @@
 	return u
 }
 
-// plain is the reference implementation of the index: one list of blocks for each
-// engine, without the cache for lookups.
-type plain struct {
-	engines map[ident.UpstreamID]*plainEngine
+// referenceIndex is the reference implementation of the index: one list of
+// blocks for each engine, without the cache for lookups.
+type referenceIndex struct {
+	engines map[ident.UpstreamID]*referenceEngine
 	now     time.Time
 }
 
-type plainEngine struct {
+type referenceEngine struct {
 	// blocks are ordered by last use, least recently used first.
-	blocks    []plainBlock
+	blocks    []referenceBlock
 	publishes bool
 }
 
-type plainBlock struct {
-	hash  uint64
-	until time.Time
+type referenceBlock struct {
+	hash       uint64
+	validUntil time.Time
 }
 
-func (p *plain) at(u *kernel.Upstream) *plainEngine {
+func (p *referenceIndex) engine(u *kernel.Upstream) *referenceEngine {
 	if p.engines[u.ID] == nil {
-		p.engines[u.ID] = &plainEngine{}
+		p.engines[u.ID] = &referenceEngine{}
 	}
 	return p.engines[u.ID]
 }
 
-func (e *plainEngine) hold(hash uint64, until time.Time, limit int) {
-	i := slices.IndexFunc(e.blocks, func(b plainBlock) bool { return b.hash == hash })
+func (e *referenceEngine) add(hash uint64, validUntil time.Time, limit int) {
+	i := slices.IndexFunc(e.blocks, func(b referenceBlock) bool { return b.hash == hash })
 	if i >= 0 {
-		if e.blocks[i].until.IsZero() {
-			until = time.Time{}
+		if e.blocks[i].validUntil.IsZero() {
+			validUntil = time.Time{}
 		}
 		e.blocks = slices.Delete(e.blocks, i, i+1)
 	}
 	for len(e.blocks) >= limit {
 		e.blocks = e.blocks[1:]
 	}
-	e.blocks = append(e.blocks, plainBlock{hash, until})
+	e.blocks = append(e.blocks, referenceBlock{hash, validUntil})
 }
 
-func (p *plain) apply(u *kernel.Upstream, c kernel.CacheChanged) {
-	e := p.at(u)
+func (p *referenceIndex) apply(u *kernel.Upstream, c kernel.CacheChanged) {
+	e := p.engine(u)
 	e.publishes = true
 	if c.Cleared {
-		e.blocks = slices.DeleteFunc(e.blocks, func(b plainBlock) bool { return !b.until.After(p.now) })
+		e.blocks = slices.DeleteFunc(e.blocks, func(b referenceBlock) bool { return !b.validUntil.After(p.now) })
 	}
 	for _, r := range c.Removed {
-		e.blocks = slices.DeleteFunc(e.blocks, func(b plainBlock) bool { return b.hash == r })
+		e.blocks = slices.DeleteFunc(e.blocks, func(b referenceBlock) bool { return b.hash == r })
 	}
 	for _, s := range c.Stored {
-		e.hold(s, time.Time{}, u.Spec.Pieces)
+		e.add(s, time.Time{}, u.Spec.Pieces)
 	}
 }
 
-func (p *plain) placed(u *kernel.Upstream, blocks []uint64, now time.Time) {
+func (p *referenceIndex) placed(u *kernel.Upstream, blocks []uint64, now time.Time) {
 	p.now = now
 	for _, b := range slices.Backward(blocks) {
-		p.at(u).hold(b, now.Add(confirmWithin), u.Spec.Pieces)
+		p.engine(u).add(b, now.Add(confirmTimeout), u.Spec.Pieces)
 	}
 }
 
-func (p *plain) cached(u *kernel.Upstream, blocks []uint64) int {
-	e := p.at(u)
+func (p *referenceIndex) cached(u *kernel.Upstream, blocks []uint64) int {
+	e := p.engine(u)
 	for i, want := range blocks {
-		held := slices.ContainsFunc(e.blocks, func(b plainBlock) bool {
-			believed := b.until.IsZero() || !e.publishes || b.until.After(p.now)
+		held := slices.ContainsFunc(e.blocks, func(b referenceBlock) bool {
+			believed := b.validUntil.IsZero() || !e.publishes || b.validUntil.After(p.now)
 			return b.hash == want && believed
 		})
 		if !held {
@@ -109,7 +109,7 @@
 func TestAgainstPlain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := New()
-		p := &plain{engines: map[ident.UpstreamID]*plainEngine{}}
+		p := &referenceIndex{engines: map[ident.UpstreamID]*referenceEngine{}}
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			u := engineAt(rapid.IntRange(0, 3).Draw(t, "engine"), 5)
@@ -143,7 +143,7 @@
 }
 
 // TestGapIsAnsweredBySnapshot checks that a snapshot replaces earlier events, but
-// not a newer placement by this instance until confirmWithin has passed.
+// not a newer placement by this instance until confirmTimeout has passed.
 func TestGapIsAnsweredBySnapshot(t *testing.T) {
 	x := New()
 	u := engineAt(0, 10)
@@ -154,8 +154,8 @@
 	x.Apply(u, kernel.CacheChanged{Cleared: true, Stored: []uint64{1}})
 	assert.Equal(t, x.CachedBlocks(u, []uint64{1, 2, 3}), 1)
 	assert.Equal(t, x.CachedBlocks(u, []uint64{7, 8}), 2)
-	// No event confirms the placement within confirmWithin.
-	x.Placed(u, []uint64{5}, start.Add(confirmWithin))
+	// No event confirms the placement within confirmTimeout.
+	x.Placed(u, []uint64{5}, start.Add(confirmTimeout))
 	assert.Equal(t, x.CachedBlocks(u, []uint64{7, 8}), 0)
 }
 
@@ -178,15 +178,15 @@
 		u := engineAt(i, 0)
 		u.Index = i % 10
 		x.Apply(u, kernel.CacheChanged{Stored: []uint64{uint64(i), uint64(i) + 1<<32}})
-		assert.Assert(t, len(x.byNumber) <= maxEngines)
+		assert.Assert(t, len(x.engines) <= maxEngines)
 	}
 	x = newIndex(capacity)
 	for i := range 10 * capacity {
 		x.Apply(engineAt(i%8, 0), kernel.CacheChanged{Stored: []uint64{uint64(i)}})
 	}
 	assert.Assert(t, x.Holdings() <= capacity)
-	assert.Assert(t, len(x.slab.all) <= capacity)
-	assert.Equal(t, len(x.first), x.Holdings())
+	assert.Assert(t, len(x.slab.entries) <= capacity)
+	assert.Equal(t, len(x.firstHolding), x.Holdings())
 }
 
 func BenchmarkCachedBlocks(b *testing.B) {
--- a/kernel/prefix/lookup.go
+++ b/kernel/prefix/lookup.go
@@ -14,7 +14,7 @@
 	// cached is the number of leading blocks that each engine holds, by engine
 	// number, and touched lists the engines for which it is not 0.
 	cached  []int32
-	touched []int32
+	nonZero []int32
 }
 
 // invalidate makes the next call of CachedBlocks walk the chains again.
@@ -28,7 +28,7 @@
 		return 0
 	}
 	n := x.number(u)
-	l := &x.last
+	l := &x.lastLookup
 	if !l.valid || l.prompt != &blocks[0] || l.blocks != len(blocks) {
 		x.walk(blocks)
 	}
@@ -40,37 +40,37 @@
 
 // walk counts the leading blocks that each engine holds.
 func (x *Index) walk(blocks []uint64) {
-	l := &x.last
-	for _, n := range l.touched {
+	l := &x.lastLookup
+	for _, n := range l.nonZero {
 		l.cached[n] = 0
 	}
-	l.touched = l.touched[:0]
-	for len(l.cached) < len(x.byNumber) {
+	l.nonZero = l.nonZero[:0]
+	for len(l.cached) < len(x.engines) {
 		l.cached = append(l.cached, 0)
 	}
 	l.prompt = &blocks[0]
 	l.blocks = len(blocks)
 	l.valid = true
 	for i, b := range blocks {
-		if !x.extend(int32(i), b) {
+		if !x.countBlock(int32(i), b) {
 			return
 		}
 	}
 }
 
-// extend increments the count of the engines that hold block i and all blocks
+// countBlock increments the count of the engines that hold block i and all blocks
 // before it, and reports whether there is any such engine.
-func (x *Index) extend(i int32, block uint64) bool {
-	l := &x.last
+func (x *Index) countBlock(i int32, block uint64) bool {
+	l := &x.lastLookup
 	any := false
-	for r := x.first[block]; r != none; {
-		h := x.slab.at(r)
+	for r := x.firstHolding[block]; r != none; {
+		h := x.slab.get(r)
 		r = h.next
 		if l.cached[h.engine] != i || !x.valid(h) {
 			continue
 		}
 		if i == 0 {
-			l.touched = append(l.touched, h.engine)
+			l.nonZero = append(l.nonZero, h.engine)
 		}
 		l.cached[h.engine] = i + 1
 		any = true
--- a/kernel/schedule.go
+++ b/kernel/schedule.go
@@ -47,37 +47,37 @@
 	for w := range k.policy.order.All() {
 		k.scratch = append(k.scratch, w)
 	}
-	full := blocked{}
+	blockedKeys := blocked{}
 	for _, w := range k.scratch {
-		k.tryWaiting(w, full)
+		k.tryWaiting(w, blockedKeys)
 	}
 }
 
 // tryWaiting tries to place one waiting request. If that fails and the request
 // can no longer meet its first-output target, it refuses the request.
-func (k *Kernel) tryWaiting(w *Waiting, full blocked) {
+func (k *Kernel) tryWaiting(w *Waiting, blockedKeys blocked) {
 	c, ok := k.calls[w.Request.ID]
 	if !ok || c.waiting != w || w.NotBefore.After(k.now) {
 		return
 	}
 	if !k.trusted() {
-		k.noteWaiting(c, ReasonViewStale)
+		k.logWaiting(c, ReasonViewStale)
 		return
 	}
 	key := queueKey(c.request)
-	reason, stuck := full[key]
-	if !stuck {
+	reason, isBlocked := blockedKeys[key]
+	if !isBlocked {
 		reason = k.place(c)
 		if reason == "" {
 			return
 		}
-		full[key] = reason
+		blockedKeys[key] = reason
 	}
 	if k.late(c) {
-		k.refuseCall(c, lateRefusal(k.comeBack(c.request)))
+		k.refuseCall(c, lateRefusal(k.retryAfter(c.request)))
 		return
 	}
-	k.noteWaiting(c, reason)
+	k.logWaiting(c, reason)
 }
 
 // place starts a waiting request or requests a slot for it. If it can do neither,
@@ -92,11 +92,11 @@
 // placeModel chooses the prefill and the decode engine together and reserves a
 // slot on the decode engine. Its result is that of place.
 func (k *Kernel) placeModel(c *call) Reason {
-	if jp := k.joint(c.request.Model); jp != nil {
-		k.askPlacement(c, jp)
+	if jp := k.jointPolicy(c.request.Model); jp != nil {
+		k.requestPlacement(c, jp)
 		return ""
 	}
-	d := k.decide(c)
+	d := k.newDecision(c)
 	k.shortlistPrefills(d, c)
 	if k.placer.prefills.size == 0 {
 		return k.noCandidate(c, ReasonNoPrefill)
@@ -105,8 +105,8 @@
 	if k.placer.decodes.size == 0 {
 		return k.noCandidate(c, ReasonNoDecode)
 	}
-	if wait := k.leastPrefillWait(); wait > maxEngineQueue {
-		k.kick(k.now.Add(wait - maxEngineQueue))
+	if wait := k.minPrefillWait(); wait > maxEngineQueue {
+		k.scheduleAt(k.now.Add(wait - maxEngineQueue))
 		return ReasonPrefillBusy
 	}
 	return k.reserveBest(c, d, k.rankPairs(d))
@@ -117,13 +117,13 @@
 func (k *Kernel) noCandidate(c *call, reason Reason) Reason {
 	// An upstream on which the request failed before is better than none.
 	c.avoid = nil
-	k.kick(k.now.Add(retryPlacement))
+	k.scheduleAt(k.now.Add(retryPlacement))
 	return reason
 }
 
-// leastPrefillWait returns the shortest expected wait at the shortlisted prefill
+// minPrefillWait returns the shortest expected wait at the shortlisted prefill
 // engines, -1 if there are none.
-func (k *Kernel) leastPrefillWait() time.Duration {
+func (k *Kernel) minPrefillWait() time.Duration {
 	least := time.Duration(-1)
 	for _, p := range k.placer.prefills.all() {
 		wait := PrefillWait(&k.fleet.view.Upstreams[p.index], k.now)
@@ -166,7 +166,7 @@
 			break
 		}
 	}
-	k.kick(retryAt)
+	k.scheduleAt(retryAt)
 	return ReasonNoSlot
 }
 
@@ -189,31 +189,31 @@
 	if c.request.Route == config.RouteService {
 		return false
 	}
-	return k.now.Add(c.need).After(c.request.FirstOutputBy.Add(lateMargin))
+	return k.now.Add(c.minFirstOutput).After(c.request.FirstOutputBy.Add(lateMargin))
 }
 
-// lateDue refuses a request that still waits for a placement or a slot and can no
-// longer meet its first-output target.
-func (k *Kernel) lateDue(id ident.RequestID) {
+// refuseIfLate refuses a request that still waits for a placement or a slot and
+// can no longer meet its first-output target.
+func (k *Kernel) refuseIfLate(id ident.RequestID) {
 	c, ok := k.calls[id]
 	if !ok || c.started() || c.prefill != nil || !k.late(c) {
 		return
 	}
-	k.refuseCall(c, lateRefusal(k.comeBack(c.request)))
+	k.refuseCall(c, lateRefusal(k.retryAfter(c.request)))
 }
 
-func lateRefusal(comeBack time.Duration) *Refusal {
+func lateRefusal(retryAfter time.Duration) *Refusal {
 	return &Refusal{
 		Reason:     ReasonInfeasible,
 		Problem:    api.ProblemInfeasible,
 		Detail:     "no upstream became available in time to meet the first-output target",
-		RetryAfter: comeBack,
+		RetryAfter: retryAfter,
 	}
 }
 
-// noteWaiting logs the reason for which a request waits, if it differs from the
+// logWaiting logs the reason for which a request waits, if it differs from the
 // one logged last.
-func (k *Kernel) noteWaiting(c *call, reason Reason) {
+func (k *Kernel) logWaiting(c *call, reason Reason) {
 	if c.lastReason == reason {
 		return
 	}
--- a/kernel/service.go
+++ b/kernel/service.go
@@ -7,7 +7,7 @@
 // placeService sends the request to the cheapest service upstream that is below
 // its concurrency limit. Its result is that of place.
 func (k *Kernel) placeService(c *call) Reason {
-	d := k.decide(c)
+	d := k.newDecision(c)
 	k.shortlistDecodes(d, c, k.fleet.services[c.request.Service], config.RoleService)
 	list := k.placer.decodes.all()
 	if len(list) == 0 {
--- a/kernel/shortlist.go
+++ b/kernel/shortlist.go
@@ -17,8 +17,8 @@
 
 func (s *shortlist) reset() { s.size = 0 }
 
-// offer inserts an upstream if it is among the cheapest so far.
-func (s *shortlist) offer(index int, cost float64) {
+// insert inserts an upstream if it is among the cheapest so far.
+func (s *shortlist) insert(index int, cost float64) {
 	at := s.size
 	if at == shortlistSize {
 		if cost >= s.items[at-1].cost {
--- a/kernel/slots.go
+++ b/kernel/slots.go
@@ -45,20 +45,20 @@
 func (k *Kernel) awaitSlot(c *call) {
 	c.state = callReserving
 	k.placer.reserving++
-	k.noteWaiting(c, ReasonSlotPending)
+	k.logWaiting(c, ReasonSlotPending)
 	if c.prefill != nil {
-		k.timers.addKV(c.kvAt.Add(k.kvUsable()), c.slot.id)
+		k.timers.addKV(c.kvReadyAt.Add(k.kvUsable()), c.slot.id)
 	}
 }
 
-// kvDue ends the wait for a slot when the call's KV cache can no longer be
+// kvExpired ends the wait for a slot when the call's KV cache can no longer be
 // imported. It does not depend on an answer from the slot policy.
-func (k *Kernel) kvDue(reservation ident.AttemptID) {
+func (k *Kernel) kvExpired(reservation ident.AttemptID) {
 	c, ok := k.reserved[reservation]
 	if !ok || c.state != callReserving || c.prefill == nil || k.kvFresh(c) {
 		return
 	}
-	k.decodeElsewhere(c, ReasonKVGone)
+	k.retryDecode(c, ReasonKVGone)
 }
 
 // leaveReserving returns a call in state callReserving to callQueued.
@@ -69,8 +69,8 @@
 	}
 }
 
-// giveSlotBack releases the call's reservation, whether granted or pending.
-func (k *Kernel) giveSlotBack(c *call) {
+// releaseSlot releases the call's reservation, whether granted or pending.
+func (k *Kernel) releaseSlot(c *call) {
 	if c.slot.policy == nil {
 		return
 	}
@@ -95,7 +95,7 @@
 	}
 	k.dropKV(c)
 	if !k.choosePrefill(c) {
-		k.giveSlotBack(c)
+		k.releaseSlot(c)
 		k.enqueue(c, k.now.Add(retryPlacement))
 		return
 	}
@@ -113,7 +113,7 @@
 	delete(k.reserved, id)
 	c.slot = reservation{}
 	if c.prefill != nil {
-		k.decodeElsewhere(c, ReasonNoSlot)
+		k.retryDecode(c, ReasonNoSlot)
 		return
 	}
 	k.enqueue(c, retryAt)
--- a/kernel/stalled_engine_test.go
+++ b/kernel/stalled_engine_test.go
@@ -38,9 +38,9 @@
 	assert.Assert(t, decodes["d1"] > 0 && decodes["d2"] > 0, "both decode engines must get work, got %v", decodes)
 }
 
-// TestStallsEverywhereLeaveEngines stalls all KV transfers of all engines. At most
-// half of the engines may be ejected, so that a request can be served immediately
-// once transfers succeed again.
+// TestStallsEverywhereLeaveEngines stalls all KV transfers of all engines. At
+// most half of the engines may be ejected, so that a request can be served
+// immediately once transfers succeed again.
 func TestStallsEverywhereLeaveEngines(t *testing.T) {
 	s := newSession(t)
 	for i := range 12 {
@@ -54,8 +54,8 @@
 	s.decodeOf(s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom(engine)}))
 }
 
-// prefillOf returns the engine of the StartPrefill among the actions and fails the
-// test if there is none.
+// prefillOf returns the engine of the StartPrefill among the actions and fails
+// the test if there is none.
 func (s *session) prefillOf(actions []kernel.Action) ident.UpstreamID {
 	for _, a := range actions {
 		if start, ok := a.(kernel.StartPrefill); ok {
--- a/kernel/stalls.go
+++ b/kernel/stalls.go
@@ -18,109 +18,109 @@
 // after which an engine can be at fault.
 const minStalls = 2
 
-// stallBook determines which engines are at fault in stalled KV transfers.
-type stallBook struct {
-	// ends holds the engines with stalled transfers since their last successful
-	// one.
-	ends map[ident.UpstreamID]*stallEnd
+// stallTracker determines which engines are at fault in stalled KV transfers.
+type stallTracker struct {
+	// engines holds the engines with stalled transfers since their last
+	// successful one.
+	engines map[ident.UpstreamID]*engineStalls
 }
 
-// stallEnd describes the stalled transfers of one engine since its last
+// engineStalls describes the stalled transfers of one engine since its last
 // successful one.
-type stallEnd struct {
-	// since is the time at which the earliest of the stalled transfers began.
-	since time.Time
+type engineStalls struct {
+	// earliest is the time at which the first of the stalled transfers began.
+	earliest time.Time
 	// count is the number of stalled transfers.
 	count int
 	// partners are the engines at the other ends of the stalled transfers.
 	partners []stallPartner
 }
 
-// stallPartner is an engine with which a transfer stalled. It is sound if it has
-// completed a transfer with another engine since.
+// stallPartner is an engine with which a transfer stalled. It is healthy if it
+// has completed a transfer with another engine since.
 type stallPartner struct {
-	id      ident.UpstreamID
-	ownZone bool
-	sound   bool
+	id       ident.UpstreamID
+	sameZone bool
+	healthy  bool
 }
 
-// stalled records a stalled transfer between x and y that began at the given
+// recordStall records a stalled transfer between x and y that began at the given
 // time. It returns the one of the two engines that is now considered at fault,
 // nil if neither is.
-func (b *stallBook) stalled(x, y *Upstream, began time.Time) *Upstream {
-	b.end(x.ID, began).add(y.ID, x.Zone == y.Zone)
-	b.end(y.ID, began).add(x.ID, x.Zone == y.Zone)
+func (b *stallTracker) recordStall(x, y *Upstream, began time.Time) *Upstream {
+	b.engine(x.ID, began).add(y.ID, x.Zone == y.Zone)
+	b.engine(y.ID, began).add(x.ID, x.Zone == y.Zone)
 	for _, u := range []*Upstream{x, y} {
-		if b.ends[u.ID].atFault() {
-			b.blame(u.ID)
+		if b.engines[u.ID].atFault() {
+			b.clearExplained(u.ID)
 			return u
 		}
 	}
 	return nil
 }
 
-// moved records a successful transfer between x and y that began at the given
-// time. It removes the stalls of both engines and marks both as sound in the
-// stalls of other engines, except for stalls that began at the same time or
-// later.
-func (b *stallBook) moved(x, y ident.UpstreamID, began time.Time) {
-	for id, e := range b.ends {
-		if !began.After(e.since) {
+// recordSuccess records a successful transfer between x and y that began at the
+// given time. It removes the stalls of both engines and marks both as healthy
+// in the stalls of other engines, except for stalls that began at the same time
+// or later.
+func (b *stallTracker) recordSuccess(x, y ident.UpstreamID, began time.Time) {
+	for id, e := range b.engines {
+		if !began.After(e.earliest) {
 			continue
 		}
 		if id == x || id == y {
-			delete(b.ends, id)
+			delete(b.engines, id)
 			continue
 		}
 		for i := range e.partners {
 			p := &e.partners[i]
-			p.sound = p.sound || p.id == x || p.id == y
+			p.healthy = p.healthy || p.id == x || p.id == y
 		}
 	}
 }
 
-// blame removes the stalls that are explained by an engine at fault from the
-// records of its partners. The engine itself keeps a count of minStalls-1, so
-// that a single further stall before its next successful transfer puts it at
-// fault again.
-func (b *stallBook) blame(id ident.UpstreamID) {
-	b.ends[id].count = minStalls - 1
-	for other, e := range b.ends {
+// clearExplained removes the stalls that are explained by an engine at fault
+// from the records of its partners. The engine itself keeps a count of
+// minStalls-1, so that a single further stall before its next successful
+// transfer puts it at fault again.
+func (b *stallTracker) clearExplained(id ident.UpstreamID) {
+	b.engines[id].count = minStalls - 1
+	for other, e := range b.engines {
 		e.partners = slices.DeleteFunc(e.partners, func(p stallPartner) bool { return p.id == id })
 		if len(e.partners) == 0 {
-			delete(b.ends, other)
+			delete(b.engines, other)
 		}
 	}
 }
 
-// end returns the record of an engine, creating it if there is none, and extends
-// it back to the time began.
-func (b *stallBook) end(id ident.UpstreamID, began time.Time) *stallEnd {
-	e := b.ends[id]
+// engine returns the record of an engine, creating it if there is none, and
+// extends it back to the time began.
+func (b *stallTracker) engine(id ident.UpstreamID, began time.Time) *engineStalls {
+	e := b.engines[id]
 	if e == nil {
-		e = &stallEnd{since: began}
-		b.ends[id] = e
+		e = &engineStalls{earliest: began}
+		b.engines[id] = e
 	}
-	if began.Before(e.since) {
-		e.since = began
+	if began.Before(e.earliest) {
+		e.earliest = began
 	}
 	return e
 }
 
-func (e *stallEnd) add(partner ident.UpstreamID, ownZone bool) {
+func (e *engineStalls) add(partner ident.UpstreamID, ownZone bool) {
 	e.count++
 	known := func(p stallPartner) bool { return p.id == partner }
 	if !slices.ContainsFunc(e.partners, known) {
-		e.partners = append(e.partners, stallPartner{id: partner, ownZone: ownZone})
+		e.partners = append(e.partners, stallPartner{id: partner, sameZone: ownZone})
 	}
 }
 
-func (e *stallEnd) atFault() bool {
+func (e *engineStalls) atFault() bool {
 	if e.count < minStalls {
 		return false
 	}
 	several := len(e.partners) > 1
-	return slices.ContainsFunc(e.partners, func(p stallPartner) bool { return p.ownZone && (several || p.sound) })
+	return slices.ContainsFunc(e.partners, func(p stallPartner) bool { return p.sameZone && (several || p.healthy) })
 }
 
 // TransferObserver is implemented by slot policies that need the results of the
@@ -134,25 +134,25 @@
 // transferEnded records the result of the KV transfer for a call's decode and
 // reports it to the slot policy.
 func (k *Kernel) transferEnded(c *call, decode *attempt, stalled bool) {
-	k.noteTransfer(c.prefill.upstream, decode.upstream, decode.sentAt, stalled)
+	k.recordTransfer(c.prefill.upstream, decode.upstream, decode.sentAt, stalled)
 	if o, ok := c.slot.policy.(TransferObserver); ok {
 		o.TransferEnded(c.slot.id, stalled)
 	}
 }
 
-// noteTransfer records the result of a transfer and ejects the engine that is at
-// fault, if there is one. Stalls of ejected engines are ignored, because the
+// recordTransfer records the result of a transfer and ejects the engine that is
+// at fault, if there is one. Stalls of ejected engines are ignored, because the
 // fault is already known.
-func (k *Kernel) noteTransfer(prefill, decode ident.UpstreamID, began time.Time, stalled bool) {
+func (k *Kernel) recordTransfer(prefill, decode ident.UpstreamID, began time.Time, stalled bool) {
 	if !stalled {
-		k.stalls.moved(prefill, decode, began)
+		k.stalls.recordSuccess(prefill, decode, began)
 		return
 	}
 	p, d := k.fleet.upstream(prefill), k.fleet.upstream(decode)
 	if p == nil || d == nil || k.ejected(p) || k.ejected(d) {
 		return
 	}
-	if u := k.stalls.stalled(p, d, began); u != nil && k.sparable(u) {
+	if u := k.stalls.recordStall(p, d, began); u != nil && k.mayEject(u) {
 		k.eject(u)
 	}
 }
@@ -163,13 +163,13 @@
 // requests that may succeed again.
 const maxStallEjections = 50
 
-// sparable reports whether u may be ejected: at most maxStallEjections percent of
+// mayEject reports whether u may be ejected: at most maxStallEjections percent of
 // the interchangeable engines, including u, would then be ejected.
-func (k *Kernel) sparable(u *Upstream) bool {
+func (k *Kernel) mayEject(u *Upstream) bool {
 	total, ejected := 0, 1
 	for i := range k.fleet.view.Upstreams {
 		other := &k.fleet.view.Upstreams[i]
-		if other.Life > Suspect || !alike(u, other) {
+		if other.Life > Suspect || !interchangeable(u, other) {
 			continue
 		}
 		total++
@@ -180,8 +180,8 @@
 	return 100*ejected <= maxStallEjections*total
 }
 
-// alike reports whether two engines have the same role and at least one model in
-// common.
-func alike(u, other *Upstream) bool {
+// interchangeable reports whether two engines have the same role and at least
+// one model in common.
+func interchangeable(u, other *Upstream) bool {
 	return u.Spec.Role == other.Spec.Role && slices.ContainsFunc(u.Spec.Models, other.Serves)
 }
--- a/kernel/stalls_test.go
+++ b/kernel/stalls_test.go
@@ -9,16 +9,16 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// TestStallBook checks which engine is considered at fault after a sequence of
+// TestStallTracker checks which engine is considered at fault after a sequence of
 // stalled and successful transfers. Engines are named by zone and role: "a-p1" is
 // a prefill engine in zone a.
-func TestStallBook(t *testing.T) {
+func TestStallTracker(t *testing.T) {
 	type event struct {
 		prefill, decode ident.UpstreamID
 		// began is the start of the transfer, in seconds.
 		began int
-		// moved means that the transfer succeeded.
-		moved bool
+		// succeeded means that the transfer succeeded.
+		succeeded bool
 		// faulty is the engine that must be at fault after the event, if any.
 		faulty ident.UpstreamID
 	}
@@ -29,7 +29,7 @@
 			{prefill: "a-p1", decode: "a-d2", faulty: "a-p1"},
 			{prefill: "a-p2", decode: "a-d1"},
 			{prefill: "a-p1", decode: "a-d1", began: 1, faulty: "a-p1"},
-			{prefill: "a-p1", decode: "a-d1", began: 2, moved: true},
+			{prefill: "a-p1", decode: "a-d1", began: 2, succeeded: true},
 			{prefill: "a-p1", decode: "a-d1", began: 3},
 		},
 		"a decode engine": {
@@ -45,41 +45,41 @@
 		},
 		"a success between the stalls": {
 			{prefill: "a-p1", decode: "a-d1", began: 1},
-			{prefill: "a-p1", decode: "a-d2", began: 2, moved: true},
+			{prefill: "a-p1", decode: "a-d2", began: 2, succeeded: true},
 			{prefill: "a-p1", decode: "a-d2", began: 3},
 		},
 		"a success that began before the stall": {
 			{prefill: "a-p1", decode: "a-d1", began: 2},
-			{prefill: "a-p1", decode: "a-d2", began: 1, moved: true},
+			{prefill: "a-p1", decode: "a-d2", began: 1, succeeded: true},
 			{prefill: "a-p1", decode: "a-d2", began: 3, faulty: "a-p1"},
 		},
 		"the partner succeeds with another engine": {
 			{prefill: "a-p1", decode: "a-d1", began: 1},
-			{prefill: "a-p2", decode: "a-d1", began: 2, moved: true},
+			{prefill: "a-p2", decode: "a-d1", began: 2, succeeded: true},
 			{prefill: "a-p1", decode: "a-d1", began: 3, faulty: "a-p1"},
 		},
 		"a partner in another zone succeeds with another engine": {
 			{prefill: "a-p1", decode: "b-d1", began: 1},
-			{prefill: "b-p2", decode: "b-d1", began: 2, moved: true},
+			{prefill: "b-p2", decode: "b-d1", began: 2, succeeded: true},
 			{prefill: "a-p1", decode: "b-d1", began: 3},
 		},
 		"one stall per prefill engine": {
 			{prefill: "a-p1", decode: "a-d1", began: 1},
-			{prefill: "a-p2", decode: "a-d1", began: 2, moved: true},
+			{prefill: "a-p2", decode: "a-d1", began: 2, succeeded: true},
 			{prefill: "a-p2", decode: "a-d2", began: 3},
 		},
 	}
 	for name, events := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := stallBook{ends: map[ident.UpstreamID]*stallEnd{}}
+			b := stallTracker{engines: map[ident.UpstreamID]*engineStalls{}}
 			for i, e := range events {
 				began := time.Unix(int64(e.began), 0)
-				if e.moved {
-					b.moved(e.prefill, e.decode, began)
+				if e.succeeded {
+					b.recordSuccess(e.prefill, e.decode, began)
 					continue
 				}
 				got := ident.UpstreamID("")
-				if u := b.stalled(end(e.prefill), end(e.decode), began); u != nil {
+				if u := b.recordStall(engineInZone(e.prefill), engineInZone(e.decode), began); u != nil {
 					got = u.ID
 				}
 				assert.Equal(t, got, e.faulty, "event %d", i)
@@ -88,5 +88,5 @@
 	}
 }
 
-// end returns an engine whose zone is the first letter of its ID.
-func end(id ident.UpstreamID) *Upstream { return &Upstream{ID: id, Zone: ident.Zone(id[:1])} }
+// engineInZone returns an engine whose zone is the first letter of its ID.
+func engineInZone(id ident.UpstreamID) *Upstream { return &Upstream{ID: id, Zone: ident.Zone(id[:1])} }
--- a/kernel/table/table_test.go
+++ b/kernel/table/table_test.go
@@ -13,8 +13,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// TestAgainstMap compares a table with a Go map while the indexes of the upstreams
-// change.
+// TestAgainstMap compares a table with a Go map while the indexes of the
+// upstreams change.
 func TestAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var got Table[int]
--- a/kernel/throughput.go
+++ b/kernel/throughput.go
@@ -7,63 +7,63 @@
 // throughput measures, for each model, how fast this instance places requests
 // while others are waiting.
 type throughput struct {
-	models map[string]*pace
+	byModel map[string]*placementInterval
 }
 
-// pace is the exponentially smoothed time between two placements of a model while
-// the queue is not empty.
-type pace struct {
-	last     time.Time
-	interval time.Duration
+// placementInterval is the exponentially smoothed time between two placements
+// of a model while the queue is not empty.
+type placementInterval struct {
+	lastPlaced time.Time
+	average    time.Duration
 }
 
 const (
-	// paceWeight is the weight of the newest interval in the moving average.
-	paceWeight = 0.1
-	// maxPaceInterval limits a single interval, so that an idle period is not
-	// counted as a slow placement.
-	maxPaceInterval = 2 * time.Second
-	// defaultPaceInterval is assumed before the first measurement.
-	defaultPaceInterval = 50 * time.Millisecond
-	// minComeBack and maxComeBack limit the retry-after hint for refused callers
-	// before jitter is added; see comeBack. maxComeBack also limits the
-	// retry-after hints of upstreams.
-	minComeBack = 500 * time.Millisecond
-	maxComeBack = 30 * time.Second
+	// intervalWeight is the weight of the newest interval in the moving average.
+	intervalWeight = 0.1
+	// maxPlacementInterval limits a single interval, so that an idle period is
+	// not counted as a slow placement.
+	maxPlacementInterval = 2 * time.Second
+	// defaultPlacementInterval is assumed before the first measurement.
+	defaultPlacementInterval = 50 * time.Millisecond
+	// minRetryAfter and maxRetryAfter limit the retry-after hint for refused
+	// callers before jitter is added; see Kernel.retryAfter. maxRetryAfter also
+	// limits the retry-after hints of upstreams.
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
 // placed records a placement. queued reports whether other requests were waiting;
 // only then is the interval since the last placement measured.
 func (t *throughput) placed(model string, now time.Time, queued bool) {
-	if t.models == nil {
-		t.models = map[string]*pace{}
+	if t.byModel == nil {
+		t.byModel = map[string]*placementInterval{}
 	}
-	p, ok := t.models[model]
+	p, ok := t.byModel[model]
 	if !ok {
-		t.models[model] = &pace{last: now, interval: defaultPaceInterval}
+		t.byModel[model] = &placementInterval{lastPlaced: now, average: defaultPlacementInterval}
 		return
 	}
 	if queued {
-		took := min(now.Sub(p.last), maxPaceInterval)
-		p.interval += time.Duration(paceWeight * float64(took-p.interval))
+		took := min(now.Sub(p.lastPlaced), maxPlacementInterval)
+		p.average += time.Duration(intervalWeight * float64(took-p.average))
 	}
-	p.last = now
+	p.lastPlaced = now
 }
 
 // wait returns the expected time until the given number of waiting requests have
 // been placed.
 func (t *throughput) wait(model string, ahead int) time.Duration {
-	interval := defaultPaceInterval
-	if p, ok := t.models[model]; ok {
-		interval = p.interval
+	interval := defaultPlacementInterval
+	if p, ok := t.byModel[model]; ok {
+		interval = p.average
 	}
 	return time.Duration(ahead) * interval
 }
 
-// leastFirstOutput returns the shortest possible time to first output of a
+// minFirstOutput returns the shortest possible time to first output of a
 // request, that is, on idle upstreams that serve its model. It returns 0 if there
 // are none.
-func (k *Kernel) leastFirstOutput(r *Request) time.Duration {
+func (k *Kernel) minFirstOutput(r *Request) time.Duration {
 	m := k.catalog.models[r.Model]
 	least := time.Duration(-1)
 	for _, i := range k.fleet.prefills[r.Model] {
@@ -71,7 +71,7 @@
 		if u.Life > Suspect {
 			continue
 		}
-		need := PrefillTime(u, k.leastUncached(u, r)) + TransferTime(m, r.PromptTokens, u, u)
+		need := PrefillTime(u, k.uncachedTokens(u, r)) + TransferTime(m, r.PromptTokens, u, u)
 		if least < 0 || need < least {
 			least = need
 		}
@@ -79,9 +79,9 @@
 	return max(least, 0)
 }
 
-// leastUncached returns the number of prompt tokens that u would have to compute
+// uncachedTokens returns the number of prompt tokens that u would have to compute
 // because they are not in its prefix cache.
-func (k *Kernel) leastUncached(u *Upstream, r *Request) int {
+func (k *Kernel) uncachedTokens(u *Upstream, r *Request) int {
 	m := k.catalog.models[r.Model]
 	if k.prefix == nil || m == nil {
 		return r.PromptTokens
@@ -123,7 +123,7 @@
 			continue
 		}
 		need := PrefillWait(u, k.now) +
-			PrefillTime(u, k.leastUncached(u, r)) +
+			PrefillTime(u, k.uncachedTokens(u, r)) +
 			TransferTime(m, r.PromptTokens, u, u)
 		if !found || need < least {
 			least, found = need, true
@@ -154,12 +154,12 @@
 	return wait, pace, found
 }
 
-// comeBack returns the retry-after hint for a refused caller: the expected time
+// retryAfter returns the retry-after hint for a refused caller: the expected time
 // in which the current queue is placed, within minComeBack and maxComeBack, plus
 // a random addition of less than the same amount, so that callers do not all
 // return at the same time.
-func (k *Kernel) comeBack(r *Request) time.Duration {
+func (k *Kernel) retryAfter(r *Request) time.Duration {
 	wait := k.throughput.wait(r.Model, k.queueLength()+1)
-	wait = min(max(wait, minComeBack), maxComeBack)
+	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	return wait + time.Duration(k.rand.Int64N(int64(wait)))
 }
--- a/kernel/timer.go
+++ b/kernel/timer.go
@@ -15,11 +15,11 @@
 	timerDeadline timerKind = iota + 1
 	// timerCancel repeats an unacknowledged cancel.
 	timerCancel
-	// timerLate refuses a request that has waited so long that it can no longer
-	// meet its first-output target.
-	timerLate
-	// timerKick runs the scheduler again.
-	timerKick
+	// timerFirstOutput refuses a request that has waited so long that it can no
+	// longer meet its first-output target.
+	timerFirstOutput
+	// timerSchedule runs the scheduler again.
+	timerSchedule
 	// timerKV releases a KV cache that can no longer be imported because its
 	// call has waited too long for a decode slot.
 	timerKV
@@ -33,15 +33,15 @@
 	kind    timerKind
 	request ident.RequestID
 	attempt ident.AttemptID
-	// order is the order of creation. It decides between timers with the same
-	// time, so that runs are repeatable.
-	order uint64
+	// sequence numbers the timers in the order of their creation. It decides
+	// between timers with the same time, so that runs are repeatable.
+	sequence uint64
 }
 
 // timers is a min-heap of timers, ordered by time.
 type timers struct {
-	entries []timer
-	order   uint64
+	entries  []timer
+	sequence uint64
 }
 
 func (t *timers) Len() int { return len(t.entries) }
@@ -51,7 +51,7 @@
 	if !a.at.Equal(b.at) {
 		return a.at.Before(b.at)
 	}
-	return a.order < b.order
+	return a.sequence < b.sequence
 }
 
 func (t *timers) Swap(i, j int) { t.entries[i], t.entries[j] = t.entries[j], t.entries[i] }
@@ -79,8 +79,8 @@
 }
 
 func (t *timers) push(e timer) {
-	t.order++
-	e.order = t.order
+	t.sequence++
+	e.sequence = t.sequence
 	heap.Push(t, e)
 }
 
@@ -92,28 +92,29 @@
 	return t.entries[0].at, true
 }
 
-// due removes and returns the earliest timer if it has expired at the time now.
-func (t *timers) due(now time.Time) (timer, bool) {
+// popExpired removes and returns the earliest timer if it has expired at the
+// time now.
+func (t *timers) popExpired(now time.Time) (timer, bool) {
 	if len(t.entries) == 0 || t.entries[0].at.After(now) {
 		return timer{}, false
 	}
 	return heap.Pop(t).(timer), true
 }
 
-// kick arranges for the scheduler to run again at the given time. If an earlier
-// run is already pending, it does nothing, since that run calls kick again if
-// necessary.
-func (k *Kernel) kick(at time.Time) {
-	if !k.kickAt.IsZero() && !at.Before(k.kickAt) {
+// scheduleAt arranges for the scheduler to run again at the given time. If an
+// earlier run is already pending, it does nothing, since that run calls
+// scheduleAt again if necessary.
+func (k *Kernel) scheduleAt(at time.Time) {
+	if !k.nextScheduleAt.IsZero() && !at.Before(k.nextScheduleAt) {
 		return
 	}
-	k.kickAt = at
-	k.timers.add(at, timerKick, "")
+	k.nextScheduleAt = at
+	k.timers.add(at, timerSchedule, "")
 }
 
 func (k *Kernel) runTimers() {
 	for {
-		t, ok := k.timers.due(k.now)
+		t, ok := k.timers.popExpired(k.now)
 		if !ok {
 			return
 		}
@@ -121,14 +122,14 @@
 		case timerDeadline:
 			k.deadlinePassed(t.request)
 		case timerCancel:
-			k.cancelDue(t.attempt)
-		case timerLate:
-			k.lateDue(t.request)
-		case timerKick:
+			k.repeatCancel(t.attempt)
+		case timerFirstOutput:
+			k.refuseIfLate(t.request)
+		case timerSchedule:
 			k.dirty = true
-			k.kickAt = time.Time{}
+			k.nextScheduleAt = time.Time{}
 		case timerKV:
-			k.kvDue(t.attempt)
+			k.kvExpired(t.attempt)
 		}
 	}
 }
--- a/kernel/world_test.go
+++ b/kernel/world_test.go
@@ -126,12 +126,12 @@
 func (s *session) step(ev kernel.Event) []kernel.Action {
 	actions := append([]kernel.Action(nil), s.k.Step(s.now, ev)...)
 	for _, a := range actions {
-		s.note(a)
+		s.record(a)
 	}
 	return actions
 }
 
-func (s *session) note(a kernel.Action) {
+func (s *session) record(a kernel.Action) {
 	switch a := a.(type) {
 	case kernel.StartPrefill:
 		s.prefill = a.Attempt
@@ -195,8 +195,8 @@
 
 func (s *session) transcript() string { return strings.Join(s.lines, "\n") + "\n" }
 
-// upstreamLife sets the Life of one upstream in a new view.
-func (s *session) upstreamLife(id ident.UpstreamID, life kernel.Life) {
+// setLife sets the Life of one upstream in a new view.
+func (s *session) setLife(id ident.UpstreamID, life kernel.Life) {
 	v := *s.view
 	v.Version++
 	v.Upstreams = append([]kernel.Upstream(nil), v.Upstreams...)
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -67,9 +67,9 @@
 	return cmp.Compare(r.member, o.member)
 }
 
-// weigh combines the hash of the key with that of the member. The result is mixed
-// with the finalizer of MurmurHash3, because a plain XOR would rank the members in
-// the same order for many keys.
+// weigh combines the hash of the key with that of the member. The result is
+// mixed with the finalizer of MurmurHash3, because a plain XOR would rank the
+// members in the same order for many keys.
 func weigh(seed uint64, member string) uint64 {
 	x := seed ^ xxhash.Sum64String(member)
 	x ^= x >> 33
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestContainsIsInTop checks that Contains, which counts, chooses the same members
-// as Top, which sorts, also if members are listed twice.
+// TestContainsIsInTop checks that Contains, which counts, chooses the same
+// members as Top, which sorts, also if members are listed twice.
 func TestContainsIsInTop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := names(t)
--- a/tokens/tokens.go
+++ b/tokens/tokens.go
@@ -33,8 +33,8 @@
 	return strconv.AppendUint(nil, uint64(h), hashBase), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. For malformed text it returns
-// a *strconv.NumError.
+// UnmarshalText implements encoding.TextUnmarshaler. For malformed text it
+// returns a *strconv.NumError.
 func (h *BlockHash) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), hashBase, 64)
 	if err != nil {
@@ -53,11 +53,11 @@
 	return n
 }
 
-// BlockHashes returns the chained hashes of the complete blocks of text, in order.
-// Each is the xxhash64 of the preceding block's hash (8 bytes, little-endian; none
-// for the first block) followed by the words of the block. An incomplete last
-// block, of fewer than pieceTokens tokens, has no hash. It returns nil if
-// pieceTokens is not positive.
+// BlockHashes returns the chained hashes of the complete blocks of text, in
+// order. Each is the xxhash64 of the preceding block's hash (8 bytes,
+// little-endian; none for the first block) followed by the words of the block.
+// An incomplete last block, of fewer than pieceTokens tokens, has no hash. It
+// returns nil if pieceTokens is not positive.
 func BlockHashes(text string, pieceTokens int) []BlockHash {
 	if pieceTokens <= 0 {
 		return nil
@@ -95,8 +95,8 @@
 	Content string `json:"content"`
 }
 
-// FlattenChat returns the prompt text of a chat, with one "role: content" line for
-// each message. Tokens and block hashes of a chat are those of this text.
+// FlattenChat returns the prompt text of a chat, with one "role: content" line
+// for each message. Tokens and block hashes of a chat are those of this text.
 func FlattenChat(messages []Message) string {
 	var b strings.Builder
 	for _, m := range messages {
--- a/tokens/tokens_test.go
+++ b/tokens/tokens_test.go
@@ -28,8 +28,8 @@
 	assert.Assert(t, BlockHashes("ab c", 2)[0] != BlockHashes("a bc", 2)[0])
 }
 
-// TestHashesArePrefixes checks that the hashes of a prompt begin with those of its
-// prefix, and that the kind and amount of white space does not matter.
+// TestHashesArePrefixes checks that the hashes of a prompt begin with those of
+// its prefix, and that the kind and amount of white space does not matter.
 func TestHashesArePrefixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOf(rapid.StringMatching(`[a-z]{1,4}`)).Draw(t, "words")
