--- a/kernel/call.go
+++ b/kernel/call.go
@@ -70,8 +70,8 @@
 	lastReason Reason
 }
 
-// reservation is a decode slot and the policy that granted it, which may differ
-// from the policy now in force.
+// reservation is a decode slot, granted or still requested, and the policy that
+// it belongs to, which may differ from the policy now in force.
 type reservation struct {
 	id     ident.AttemptID
 	policy SlotPolicy
--- a/kernel/differential_test.go
+++ b/kernel/differential_test.go
@@ -11,14 +11,14 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// fate is the simulated behaviour of an upstream for one call.
-type fate string
+// callResult is the simulated behaviour of an upstream for one call.
+type callResult string
 
 const (
-	fateDone    fate = "done"    // runs the call and answers
-	fateRefused fate = "refused" // states that it did not run the call
-	fateUnsent  fate = "unsent"  // does not accept a connection
-	fateLost    fate = "lost"    // runs the call, but the answer is lost
+	resultDone       callResult = "done"    // runs the call and answers
+	resultRefused    callResult = "refused" // states that it did not run the call
+	resultNotSent    callResult = "unsent"  // does not accept a connection
+	resultAnswerLost callResult = "lost"    // runs the call, but the answer is lost
 )
 
 // callSummary is the outcome of a call of a plain service and the number of
@@ -31,37 +31,37 @@
 // retryLoop is the reference implementation, a blind retry loop: it tries
 // upstreams one after the other until one answers. If none does, the outcome is
 // unknown.
-func retryLoop(fates []fate, attempts int) callSummary {
-	v := callSummary{outcome: api.Unknown}
-	for _, f := range fates[:min(len(fates), attempts)] {
-		switch f {
-		case fateDone:
-			v.runs++
-			v.outcome = api.Complete
-			return v
-		case fateLost:
-			v.runs++
+func retryLoop(results []callResult, attempts int) callSummary {
+	summary := callSummary{outcome: api.Unknown}
+	for _, result := range results[:min(len(results), attempts)] {
+		switch result {
+		case resultDone:
+			summary.runs++
+			summary.outcome = api.Complete
+			return summary
+		case resultAnswerLost:
+			summary.runs++
 		}
 	}
-	return v
+	return summary
 }
 
-// runOnKernel runs a call on a kernel whose upstreams behave as given by fates.
-func runOnKernel(t *testing.T, fates []fate, repeatable bool) callSummary {
+// runOnKernel runs a call on a kernel whose upstreams behave as given by results.
+func runOnKernel(t *testing.T, results []callResult, repeatable bool) callSummary {
 	s := newSession(t)
 	r := s.confirm("c")
 	r.Repeatable = repeatable
-	v := callSummary{}
+	summary := callSummary{}
 	next := 0
 	pending := s.step(kernel.Arrive{Request: r})
-	for v.outcome == "" {
+	for summary.outcome == "" {
 		var events []kernel.Event
 		for _, a := range pending {
 			switch a := a.(type) {
 			case kernel.Answer:
-				v.outcome = a.Outcome
+				summary.outcome = a.Outcome
 			case kernel.CallService:
-				events = append(events, simulateCall(a, fates[min(next, len(fates)-1)], &v))
+				events = append(events, simulateCall(a, results[min(next, len(results)-1)], &summary))
 				next++
 			}
 		}
@@ -74,23 +74,23 @@
 			pending = s.step(kernel.Tick{})
 		}
 	}
-	return v
+	return summary
 }
 
-// simulateCall ends a call according to f, updates v and returns the event for
-// the kernel.
-func simulateCall(a kernel.CallService, f fate, v *callSummary) kernel.Event {
+// simulateCall ends a call according to result, updates summary and returns the
+// event for the kernel.
+func simulateCall(a kernel.CallService, result callResult, summary *callSummary) kernel.Event {
 	fail := kernel.AttemptFailed{Attempt: a.Attempt, Upstream: a.Upstream, Code: kernel.FailureConnect}
-	switch f {
-	case fateDone:
-		v.runs++
+	switch result {
+	case resultDone:
+		summary.runs++
 		return kernel.AttemptDone{Attempt: a.Attempt}
-	case fateRefused:
+	case resultRefused:
 		fail.Evidence, fail.Code = kernel.Refused, kernel.FailureCapacity
-	case fateUnsent:
+	case resultNotSent:
 		fail.Evidence = kernel.NotSent
-	case fateLost:
-		v.runs++
+	case resultAnswerLost:
+		summary.runs++
 		fail.Evidence, fail.Code = kernel.Ambiguous, kernel.FailureBroken
 	}
 	return fail
@@ -103,25 +103,25 @@
 // not run.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		fates := rapid.SliceOfN(rapid.SampledFrom([]fate{fateDone, fateRefused, fateUnsent, fateLost}), 1, 6).Draw(rt, "fates")
+		results := rapid.SliceOfN(rapid.SampledFrom([]callResult{resultDone, resultRefused, resultNotSent, resultAnswerLost}), 1, 6).Draw(rt, "fates")
 		repeatable := rapid.Bool().Draw(rt, "repeatable")
 		attempts := testContent().Policy.MaxAttempts
-		want := retryLoop(fates, attempts)
-		got := runOnKernel(t, fates, repeatable)
+		want := retryLoop(results, attempts)
+		got := runOnKernel(t, results, repeatable)
 		if repeatable && want.outcome == api.Complete && got.outcome != api.Complete {
-			rt.Fatalf("%v: the retry loop gets an answer, the kernel's outcome is %s", fates, got.outcome)
+			rt.Fatalf("%v: the retry loop gets an answer, the kernel's outcome is %s", results, got.outcome)
 		}
 		if repeatable {
 			return
 		}
 		if got.runs > 1 {
-			rt.Fatalf("%v: a call that must run at most once ran %d times", fates, got.runs)
+			rt.Fatalf("%v: a call that must run at most once ran %d times", results, got.runs)
 		}
 		if want.outcome == api.Complete && want.runs == 1 && got.outcome != api.Complete {
-			rt.Fatalf("%v: the retry loop gets an answer with one run, the kernel's outcome is %s", fates, got.outcome)
+			rt.Fatalf("%v: the retry loop gets an answer with one run, the kernel's outcome is %s", results, got.outcome)
 		}
 		if (got.outcome == api.NotRun) != (got.runs == 0 && got.outcome != api.Complete) {
-			rt.Fatalf("%v: the call ran %d times, the kernel's outcome is %s", fates, got.runs, got.outcome)
+			rt.Fatalf("%v: the call ran %d times, the kernel's outcome is %s", results, got.runs, got.outcome)
 		}
 	})
 }
@@ -129,5 +129,5 @@
 // TestNaiveRunsTwice checks that the blind retry loop does run a call twice after
 // a lost answer, so that the comparison in TestAgainstNaive is meaningful.
 func TestNaiveRunsTwice(t *testing.T) {
-	assert.DeepEqual(t, retryLoop([]fate{fateLost, fateDone}, 4).runs, 2)
+	assert.DeepEqual(t, retryLoop([]callResult{resultAnswerLost, resultDone}, 4).runs, 2)
 }
--- a/kernel/failure.go
+++ b/kernel/failure.go
@@ -177,7 +177,7 @@
 // retryAtIfNotRun returns the time at which a call that did not run may be tried
 // again: immediately after the first failure, since another upstream is used;
 // after further failures with a backoff, or after the upstream's retry-after
-// hint if that is longer, up to maxComeBack.
+// hint if that is longer, up to maxRetryAfter.
 func (k *Kernel) retryAtIfNotRun(c *call, e AttemptFailed) time.Time {
 	if c.failedAttempts == 0 {
 		return k.now
--- a/kernel/interleaving_test.go
+++ b/kernel/interleaving_test.go
@@ -138,38 +138,38 @@
 }
 
 func (w *simulation) answer(a kernel.Answer) {
-	tr := w.requests[a.Request]
-	tr.answers++
-	tr.outcome = a.Outcome
-	if tr.answers > 1 {
-		w.t.Fatalf("request %s was answered %d times, want once", a.Request, tr.answers)
+	history := w.requests[a.Request]
+	history.answers++
+	history.outcome = a.Outcome
+	if history.answers > 1 {
+		w.t.Fatalf("request %s was answered %d times, want once", a.Request, history.answers)
 	}
-	w.checkRequest(tr)
+	w.checkRequest(history)
 }
 
 // checkRequest fails the test if the request was answered not-run although a
 // stage ran, or if it ran twice although it must run at most once.
-func (w *simulation) checkRequest(tr *requestHistory) {
-	if tr.answers > 0 && tr.outcome == api.NotRun && tr.ran {
-		w.t.Fatalf("request %s was answered not-run, but it ran", tr.request.ID)
+func (w *simulation) checkRequest(history *requestHistory) {
+	if history.answers > 0 && history.outcome == api.NotRun && history.ran {
+		w.t.Fatalf("request %s was answered not-run, but it ran", history.request.ID)
 	}
-	if !tr.request.Repeatable && tr.runs > 1 {
-		w.t.Fatalf("request %s must run at most once, but ran %d times", tr.request.ID, tr.runs)
+	if !history.request.Repeatable && history.runs > 1 {
+		w.t.Fatalf("request %s must run at most once, but ran %d times", history.request.ID, history.runs)
 	}
 }
 
 // ran records that an upstream has started to run an attempt.
 func (w *simulation) ran(f sentAttempt) {
-	tr := w.requests[f.request]
-	tr.ran = true
+	history := w.requests[f.request]
+	history.ran = true
 	if !f.prefill {
-		tr.runs++
+		history.runs++
 	}
 	w.held[f.id] = f.upstream
 	if pre, ok := w.kvOf[f.id]; ok {
 		delete(w.held, pre)
 	}
-	w.checkRequest(tr)
+	w.checkRequest(history)
 }
 
 // take removes and returns an attempt that rapid chooses, false if the list is
@@ -339,9 +339,9 @@
 	for id, at := range w.held {
 		t.Fatalf("attempt %s still holds resources on upstream %s after all attempts ended", id, at)
 	}
-	for id, tr := range w.requests {
-		if tr.answers != 1 {
-			t.Fatalf("request %s has %d answers, want 1", id, tr.answers)
+	for id, history := range w.requests {
+		if history.answers != 1 {
+			t.Fatalf("request %s has %d answers, want 1", id, history.answers)
 		}
 	}
 }
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -68,9 +68,10 @@
 	// pendingReplies are replies of the slot policy that have not been processed
 	// yet.
 	pendingReplies []policyReply
-	// scratch is the queue snapshot of schedule, kept to save allocations.
-	scratch []*Waiting
-	placer  placer
+	// queueSnapshot is the list of waiting requests over which schedule iterates,
+	// kept to save allocations.
+	queueSnapshot []*Waiting
+	placer        placer
 }
 
 // New returns a kernel that has neither a bundle nor a view yet. It refuses all
--- a/kernel/mute_test.go
+++ b/kernel/mute_test.go
@@ -49,9 +49,9 @@
 	s.step(kernel.Configured{Version: 2, Content: &c})
 	s.step(kernel.Arrive{Request: s.review("r1")})
 	for range 4 {
-		s.after(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
-		s.after(900 * time.Millisecond)
+		s.advance(900 * time.Millisecond)
 	}
 	golden.Assert(t, s.transcript(), "slot_never_named.golden")
 	assert.Equal(t, s.k.InFlight(), 0)
--- a/kernel/prefix/index.go
+++ b/kernel/prefix/index.go
@@ -45,7 +45,7 @@
 	firstHolding map[uint64]ref
 	slab         slab
 	// numbers holds each engine's number plus one, where the number is the
-	// engine's index in byNumber. unused are the free numbers.
+	// engine's index in engines. freeNumbers are the numbers not in use.
 	numbers     table.Table[int32]
 	engines     []engine
 	freeNumbers []int32
--- a/kernel/prefix/lookup.go
+++ b/kernel/prefix/lookup.go
@@ -12,7 +12,7 @@
 	blocks int
 	valid  bool
 	// cached is the number of leading blocks that each engine holds, by engine
-	// number, and touched lists the engines for which it is not 0.
+	// number, and nonZero lists the engines for which it is not 0.
 	cached  []int32
 	nonZero []int32
 }
--- a/kernel/schedule.go
+++ b/kernel/schedule.go
@@ -43,12 +43,12 @@
 	if k.policy.order.Len() == 0 {
 		return
 	}
-	k.scratch = k.scratch[:0]
+	k.queueSnapshot = k.queueSnapshot[:0]
 	for w := range k.policy.order.All() {
-		k.scratch = append(k.scratch, w)
+		k.queueSnapshot = append(k.queueSnapshot, w)
 	}
 	blockedKeys := blocked{}
-	for _, w := range k.scratch {
+	for _, w := range k.queueSnapshot {
 		k.tryWaiting(w, blockedKeys)
 	}
 }
--- a/kernel/session_test.go
+++ b/kernel/session_test.go
@@ -22,16 +22,16 @@
 var scripts = []script{
 	{"review_complete", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
-		s.after(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
-		s.after(50 * time.Millisecond)
+		s.advance(50 * time.Millisecond)
 		s.step(kernel.FirstOutput{Attempt: s.decode})
-		s.after(2 * time.Second)
+		s.advance(2 * time.Second)
 		s.step(kernel.AttemptDone{Attempt: s.decode, Tokens: 100})
 	}},
 	{"decode_refuses_then_other_engine", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
-		s.after(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Refused, Code: kernel.FailureCapacity})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
@@ -41,7 +41,7 @@
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Refused, Code: kernel.FailureKVGone})
-		s.after(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p2")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -49,9 +49,9 @@
 	{"stalled_transfer_leaves_out_both_engines", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
-		s.after(500 * time.Millisecond)
+		s.advance(500 * time.Millisecond)
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureStalled})
-		s.after(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p2")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -62,7 +62,7 @@
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Offset: 40})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.NotSent, Code: kernel.FailureConnect, Offset: 40})
-		s.after(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -73,14 +73,14 @@
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Offset: 40})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Offset: 40})
-		s.after(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		s.step(kernel.AttemptDone{Attempt: s.decode})
 	}},
 	{"caller_gone_while_prefilling", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.CallerGone{Request: "r1"})
 		s.step(kernel.CancelFailed{Attempt: s.prefill})
-		s.after(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.step(kernel.CancelAcked{Attempt: s.prefill})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.CancelAcked{Attempt: s.prefill})
@@ -99,13 +99,13 @@
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
-		s.after(21 * time.Second)
+		s.advance(21 * time.Second)
 	}},
 	{"no_upstream_then_refused_late", func(s *session) {
 		s.setLife("d1", kernel.Dead)
 		s.setLife("d2", kernel.Leaving)
 		s.step(kernel.Arrive{Request: s.review("r1")})
-		s.after(3 * time.Second)
+		s.advance(3 * time.Second)
 	}},
 	{"stop_refuses_waiting_finishes_running", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("running")})
@@ -122,7 +122,7 @@
 	{"paused_holds_new_work", func(s *session) {
 		s.step(kernel.Paused{Gap: 10 * time.Second})
 		s.step(kernel.Arrive{Request: s.confirm("c1")})
-		s.after(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		s.setLife("s1", kernel.Dead)
 		s.step(kernel.AttemptDone{Attempt: s.service})
 	}},
@@ -143,7 +143,7 @@
 		s.setLife("d2", kernel.Dead)
 		s.setLife("d1", kernel.Live)
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Offset: 12})
-		s.after(time.Second)
+		s.advance(time.Second)
 	}},
 }
 
@@ -216,7 +216,7 @@
 	s.setLife("s2", kernel.Dead)
 	for i := range 3 {
 		s.step(kernel.Arrive{Request: s.confirm(fmt.Sprintf("c%d", i))})
-		s.after(6 * time.Second)
+		s.advance(6 * time.Second)
 	}
 	s.service = ident.AttemptID{}
 	s.step(kernel.Arrive{Request: s.confirm("next")})
@@ -227,9 +227,9 @@
 	for i := range 5 {
 		slow.step(kernel.Arrive{Request: slow.confirm(fmt.Sprintf("lost%d", i))})
 		slow.step(kernel.Arrive{Request: slow.confirm(fmt.Sprintf("good%d", i))})
-		slow.after(3 * time.Second)
+		slow.advance(3 * time.Second)
 		slow.step(kernel.AttemptDone{Attempt: slow.service})
-		slow.after(3 * time.Second)
+		slow.advance(3 * time.Second)
 	}
 	slow.service = ident.AttemptID{}
 	slow.step(kernel.Arrive{Request: slow.confirm("next")})
--- a/kernel/stalled_engine_test.go
+++ b/kernel/stalled_engine_test.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		decodes[decode]++
-		s.after(10 * time.Millisecond)
+		s.advance(10 * time.Millisecond)
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
 	}
--- a/kernel/stalls.go
+++ b/kernel/stalls.go
@@ -107,11 +107,11 @@
 	return e
 }
 
-func (e *engineStalls) add(partner ident.UpstreamID, ownZone bool) {
+func (e *engineStalls) add(partner ident.UpstreamID, sameZone bool) {
 	e.count++
 	known := func(p stallPartner) bool { return p.id == partner }
 	if !slices.ContainsFunc(e.partners, known) {
-		e.partners = append(e.partners, stallPartner{id: partner, sameZone: ownZone})
+		e.partners = append(e.partners, stallPartner{id: partner, sameZone: sameZone})
 	}
 }
 
--- a/kernel/throughput.go
+++ b/kernel/throughput.go
@@ -154,10 +154,10 @@
 	return wait, pace, found
 }
 
-// retryAfter returns the retry-after hint for a refused caller: the expected time
-// in which the current queue is placed, within minComeBack and maxComeBack, plus
-// a random addition of less than the same amount, so that callers do not all
-// return at the same time.
+// retryAfter returns the retry-after hint for a refused caller: the expected
+// time in which the current queue is placed, within minRetryAfter and
+// maxRetryAfter, plus a random addition of less than the same amount, so that
+// callers do not all return at the same time.
 func (k *Kernel) retryAfter(r *Request) time.Duration {
 	wait := k.throughput.wait(r.Model, k.queueLength()+1)
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
--- a/kernel/timer.go
+++ b/kernel/timer.go
@@ -59,7 +59,7 @@
 // Push implements heap.Interface; use add.
 func (t *timers) Push(x any) { t.entries = append(t.entries, x.(timer)) }
 
-// Pop implements heap.Interface; use due.
+// Pop implements heap.Interface; use popExpired.
 func (t *timers) Pop() any {
 	last := t.entries[len(t.entries)-1]
 	t.entries = t.entries[:len(t.entries)-1]
--- a/kernel/world_test.go
+++ b/kernel/world_test.go
@@ -107,8 +107,8 @@
 	return s
 }
 
-// after lets virtual time pass and sends a Tick whenever NextWake requires it.
-func (s *session) after(d time.Duration) {
+// advance lets virtual time pass and sends a Tick whenever NextWake requires it.
+func (s *session) advance(d time.Duration) {
 	end := s.now.Add(d)
 	for {
 		at, ok := s.k.NextWake()
