--- a/kernel/cancel.go
+++ b/kernel/cancel.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// cancel is an order to an upstream to release an attempt, repeated until the
-// upstream acknowledges it or is known to be gone.
+// cancel is the cancellation of an attempt, repeated until the upstream
+// acknowledges it or the upstream's incarnation is known to have ended.
 type cancel struct {
 	upstream    ident.UpstreamID
 	incarnation ident.Incarnation
@@ -18,23 +18,25 @@
 const (
 	// cancelBackoff is the wait before the first repetition.
 	cancelBackoff = 100 * time.Millisecond
-	// maxCancelBackoff bounds the waits between repetitions.
+	// maxCancelBackoff limits the wait between repetitions.
 	maxCancelBackoff = 5 * time.Second
-	// maxTriesAbsent is how often a cancel is tried at an upstream that the
-	// view no longer has, before the upstream is taken for gone.
+	// maxTriesAbsent is the number of times a cancel is sent to an upstream that
+	// is no longer in the view before the upstream is considered ended.
 	maxTriesAbsent = 20
-	// cancelAnswerBy is how long the driver may take to report on a cancel
-	// before it is repeated anyway.
-	cancelAnswerBy = 10 * time.Second
+	// cancelTimeout is the time after which a cancel is repeated if the driver
+	// has not reported its result.
+	cancelTimeout = 10 * time.Second
 )
 
-// release ends an attempt and has its upstream let go of what it holds.
+// release ends an attempt and cancels it on its upstream, which then releases
+// the resources that it holds for it. It does nothing for nil and for attempts
+// that are not tracked.
 func (k *Kernel) release(a *attempt) {
 	if a == nil || k.attempts[a.id] != a {
 		return
 	}
 	k.untrack(a)
-	if k.gone(a.upstream, a.incarnation) {
+	if k.incarnationEnded(a.upstream, a.incarnation) {
 		return
 	}
 	k.cancels[a.id] = &cancel{upstream: a.upstream, incarnation: a.incarnation}
@@ -45,7 +47,7 @@
 	c := k.cancels[id]
 	c.tries++
 	k.emit(CancelAttempt{Attempt: id, Upstream: c.upstream})
-	k.timers.addCancel(k.now.Add(cancelAnswerBy), id)
+	k.timers.addCancel(k.now.Add(cancelTimeout), id)
 }
 
 func (k *Kernel) cancelAcked(id ident.AttemptID) {
@@ -62,22 +64,23 @@
 	k.timers.addCancel(k.now.Add(wait/2+jitter), id)
 }
 
-// cancelDue repeats a cancel that was not acknowledged.
-func (k *Kernel) cancelDue(id ident.AttemptID) {
+// repeatCancel repeats a cancel that has not been acknowledged, unless its
+// upstream has ended.
+func (k *Kernel) repeatCancel(id ident.AttemptID) {
 	c, ok := k.cancels[id]
 	if !ok {
 		return
 	}
 	absent := k.fleet.upstream(c.upstream) == nil && c.tries >= maxTriesAbsent
-	if absent || k.gone(c.upstream, c.incarnation) {
+	if absent || k.incarnationEnded(c.upstream, c.incarnation) {
 		delete(k.cancels, id)
 		return
 	}
 	k.sendCancel(id)
 }
 
-// attemptsInOrder lists the attempts in flight by sequence, for loops whose
-// effects must not depend on map order.
+// attemptsInOrder returns the attempts in flight sorted by sequence number, for
+// loops whose effects must not depend on the iteration order of the map.
 func (k *Kernel) attemptsInOrder() []*attempt {
 	list := make([]*attempt, 0, len(k.attempts))
 	for _, a := range k.attempts {
--- a/kernel/health.go
+++ b/kernel/health.go
@@ -3,17 +3,20 @@
 import "time"
 
 const (
-	// ejectAfter is how many consecutive failures eject an upstream.
+	// ejectAfter is the number of consecutive failures after which an upstream
+	// is ejected.
 	ejectAfter = 3
-	// ejectBase is the length of the first ejection; each further one in a row
-	// doubles it.
+	// ejectBase is the duration of the first ejection. It doubles with each
+	// further ejection that follows without a success in between.
 	ejectBase = 2 * time.Second
-	// maxEjectDoublings bounds the ejections' length.
+	// maxEjectDoublings limits the duration of ejections to
+	// ejectBase << maxEjectDoublings (32 s).
 	maxEjectDoublings = 4
 )
 
-// succeeded notes a success of an attempt on u.
-func (k *Kernel) succeeded(u *Upstream) {
+// recordSuccess records that an attempt on u succeeded and resets u's counts of
+// failures and ejections. It does nothing if u is nil.
+func (k *Kernel) recordSuccess(u *Upstream) {
 	if u == nil {
 		return
 	}
@@ -22,28 +25,31 @@
 	u.Health.LastSuccess = k.now
 }
 
-// silentTime is the least time without an answer that speaks against an
-// upstream when a caller's deadline ends the attempt.
-const silentTime = 2 * time.Second
+// minUnansweredTime is the minimum time that a service attempt must have run
+// without an answer for its end by the caller's deadline to count as the
+// upstream's failure.
+const minUnansweredTime = 2 * time.Second
 
-// silent notes a service attempt that is ended by its caller's deadline. It is
-// the upstream's failure if it had time to answer and answered nobody meanwhile:
-// a service that is cut off is found by this, one that is merely slower than
-// some callers are patient is not.
-func (k *Kernel) silent(a *attempt) {
-	if a == nil || a.stage != stageService || k.now.Sub(a.sentAt) < silentTime {
+// recordUnanswered handles a service attempt that is ended by its caller's
+// deadline. It counts as a failure of the upstream if the attempt ran for at
+// least minUnansweredTime and no other attempt on the upstream succeeded in
+// that time. This detects a service that is cut off from the network. A service
+// that is only slower than some callers' deadlines still answers others and is
+// not counted as failing.
+func (k *Kernel) recordUnanswered(a *attempt) {
+	if a == nil || a.stage != stageService || k.now.Sub(a.sentAt) < minUnansweredTime {
 		return
 	}
 	u := k.fleet.upstream(a.upstream)
-	if u == nil || !sameLife(u.Incarnation, a.incarnation) || u.Health.LastSuccess.After(a.sentAt) {
+	if u == nil || !sameIncarnation(u.Incarnation, a.incarnation) || u.Health.LastSuccess.After(a.sentAt) {
 		return
 	}
-	k.failed(u)
+	k.recordFailure(u)
 }
 
-// failed notes a failure that is the upstream's own fault, and ejects the
-// upstream after several in a row.
-func (k *Kernel) failed(u *Upstream) {
+// recordFailure records a failure caused by the upstream itself and ejects the
+// upstream after ejectAfter consecutive ones. It does nothing if u is nil.
+func (k *Kernel) recordFailure(u *Upstream) {
 	if u == nil {
 		return
 	}
@@ -56,17 +62,18 @@
 
 func (k *Kernel) ejected(u *Upstream) bool { return k.now.Before(u.Health.EjectedUntil) }
 
-// eject has an upstream get no new work for a while, longer each time in a row.
+// eject excludes an upstream from new work for a time that doubles with each
+// consecutive ejection.
 func (k *Kernel) eject(u *Upstream) {
 	length := ejectBase << min(u.Health.Ejections, maxEjectDoublings)
 	u.Health.Ejections++
 	u.Health.Failures = 0
 	u.Health.EjectedUntil = k.now.Add(length)
 	u.Health.BackSince = u.Health.EjectedUntil
-	k.kick(u.Health.EjectedUntil)
+	k.scheduleAt(u.Health.EjectedUntil)
 }
 
-// upstreamFault reports whether a failure speaks against the upstream's health.
+// upstreamFault reports whether a failure counts against the upstream's health.
 func upstreamFault(code FailureCode) bool {
 	switch code {
 	case FailureConnect, FailureBroken, FailureStalled, FailureUpstream, FailureTimeout:
--- a/kernel/interleaving_test.go
+++ b/kernel/interleaving_test.go
@@ -14,56 +14,61 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// flight is an attempt on its way, as the fake upstreams know it.
-type flight struct {
+// sentAttempt is an attempt that was sent and has not ended, as seen by the
+// simulated upstreams.
+type sentAttempt struct {
 	id       ident.AttemptID
 	request  ident.RequestID
 	upstream ident.UpstreamID
 	prefill  bool
 	model    bool
-	// dead: the upstream ended before it could run this attempt.
+	// dead means that the upstream ended before it could run this attempt.
 	dead bool
 }
 
-// truth is what really happened to one request.
-type truth struct {
+// requestHistory records what actually happened to one request.
+type requestHistory struct {
 	request *kernel.Request
-	// touched: some stage ran. runs: decodes or calls that ran.
-	touched bool
+	// ran means that any stage ran. runs is the number of decodes or service
+	// calls that ran.
+	ran     bool
 	runs    int
 	answers int
 	outcome api.Outcome
 }
 
-// fakeWorld plays the upstreams in any order rapid chooses, and keeps the truth.
-type fakeWorld struct {
+// simulation plays the role of the upstreams, with events in an order that
+// rapid chooses, and records what actually happened to each request.
+type simulation struct {
 	t       *rapid.T
 	k       *kernel.Kernel
 	now     time.Time
 	view    *kernel.View
 	content *config.Content
-	// given is the view that the kernel was last given; stale are older ones.
-	given *kernel.View
-	stale []*kernel.View
-	// left is the incarnation in which an upstream was said to be leaving.
+	// kernelView is the view that the kernel received last; olderViews are all
+	// views before the newest one.
+	kernelView *kernel.View
+	olderViews []*kernel.View
+	// left is the incarnation in which an upstream was reported as leaving.
 	left map[ident.UpstreamID]ident.Incarnation
 
-	flights  []flight
-	attaches []flight
-	cancels  []flight
-	// held is what upstreams hold and nobody has released.
+	inFlight   []sentAttempt
+	reattaches []sentAttempt
+	cancels    []sentAttempt
+	// held are the attempts for which upstreams still hold resources.
 	held map[ident.AttemptID]ident.UpstreamID
-	// cancelled are attempts whose cancel overtook them.
+	// cancelled are attempts that their upstream has been told to cancel; if the
+	// cancel arrived before the attempt, the upstream does not run it.
 	cancelled map[ident.AttemptID]bool
-	requests  map[ident.RequestID]*truth
+	requests  map[ident.RequestID]*requestHistory
 	next      int
-	// kvOf remembers which prefill a decode imports.
+	// kvOf maps a decode to the prefill whose KV cache it imports.
 	kvOf map[ident.AttemptID]ident.AttemptID
 	// prefillOf is the newest finished prefill of a request.
 	prefillOf map[ident.RequestID]ident.AttemptID
 }
 
-func newFakeWorld(t *rapid.T) *fakeWorld {
+func newSimulation(t *rapid.T) *simulation {
 	c := testContent()
 	k, err := kernel.New(kernel.Options{
 		Self: kernel.Self{Instance: "e1", Incarnation: 1, Zone: "hall-a"},
@@ -72,40 +77,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fakeWorld{
+	w := &simulation{
 		t: t, k: k, now: epoch, content: c, view: testView(c, epoch),
 		held:      map[ident.AttemptID]ident.UpstreamID{},
 		cancelled: map[ident.AttemptID]bool{},
-		requests:  map[ident.RequestID]*truth{},
+		requests:  map[ident.RequestID]*requestHistory{},
 		left:      map[ident.UpstreamID]ident.Incarnation{},
 		kvOf:      map[ident.AttemptID]ident.AttemptID{},
 		prefillOf: map[ident.RequestID]ident.AttemptID{},
 	}
 	w.step(kernel.Configured{Version: 1, Content: c})
-	w.give(w.view)
+	w.setView(w.view)
 	return w
 }
 
-func (w *fakeWorld) step(ev kernel.Event) {
+func (w *simulation) step(ev kernel.Event) {
 	actions := append([]kernel.Action(nil), w.k.Step(w.now, ev)...)
 	for _, a := range actions {
-		w.carry(a)
+		w.execute(a)
 	}
 }
 
-func (w *fakeWorld) carry(a kernel.Action) {
+// execute carries out an action of the kernel, as a driver would.
+func (w *simulation) execute(a kernel.Action) {
 	switch a := a.(type) {
 	case kernel.StartPrefill:
-		w.start(flight{id: a.Attempt, request: a.Request, upstream: a.Upstream, prefill: true, model: true})
+		w.start(sentAttempt{id: a.Attempt, request: a.Request, upstream: a.Upstream, prefill: true, model: true})
 	case kernel.StartDecode:
 		w.kvOf[a.Attempt] = w.prefillOf[a.Request]
-		w.start(flight{id: a.Attempt, request: a.Request, upstream: a.Upstream, model: true})
+		w.start(sentAttempt{id: a.Attempt, request: a.Request, upstream: a.Upstream, model: true})
 	case kernel.CallService:
-		w.start(flight{id: a.Attempt, request: a.Request, upstream: a.Upstream})
+		w.start(sentAttempt{id: a.Attempt, request: a.Request, upstream: a.Upstream})
 	case kernel.ReattachDecode:
-		w.attaches = append(w.attaches, flight{id: a.Attempt, request: a.Request, upstream: a.Upstream, model: true})
+		w.reattaches = append(w.reattaches, sentAttempt{id: a.Attempt, request: a.Request, upstream: a.Upstream, model: true})
 	case kernel.CancelAttempt:
-		w.cancels = append(w.cancels, flight{id: a.Attempt, upstream: a.Upstream})
+		w.cancels = append(w.cancels, sentAttempt{id: a.Attempt, upstream: a.Upstream})
 	case kernel.AbandonAttempt:
 		w.abandon(a.Attempt)
 	case kernel.Answer:
@@ -113,59 +119,64 @@
 	}
 }
 
-func (w *fakeWorld) start(f flight) {
-	for _, u := range w.given.Upstreams {
+// start records an attempt that the kernel sends. It fails the test if the kernel
+// knows from a view or from the upstream that the upstream takes no new work.
+func (w *simulation) start(f sentAttempt) {
+	for _, u := range w.kernelView.Upstreams {
 		if u.ID != f.upstream {
 			continue
 		}
 		if u.Life >= kernel.Leaving && u.Incarnation >= w.upstream(u.ID).Incarnation {
-			w.t.Fatalf("new work for %s, which is known to be in state %d", u.ID, u.Life)
+			w.t.Fatalf("new work was sent to %s, which is in state %d according to the view", u.ID, u.Life)
 		}
 		if w.left[u.ID] != 0 && w.left[u.ID] == w.upstream(u.ID).Incarnation {
-			w.t.Fatalf("new work for %s, which said that it is leaving", u.ID)
+			w.t.Fatalf("new work was sent to %s, which has reported that it is leaving", u.ID)
 		}
 	}
 	f.dead = w.upstream(f.upstream).Life == kernel.Dead
-	w.flights = append(w.flights, f)
+	w.inFlight = append(w.inFlight, f)
 }
 
-func (w *fakeWorld) answer(a kernel.Answer) {
-	tr := w.requests[a.Request]
-	tr.answers++
-	tr.outcome = a.Outcome
-	if tr.answers > 1 {
-		w.t.Fatalf("request %s answered %d times", a.Request, tr.answers)
+func (w *simulation) answer(a kernel.Answer) {
+	history := w.requests[a.Request]
+	history.answers++
+	history.outcome = a.Outcome
+	if history.answers > 1 {
+		w.t.Fatalf("request %s was answered %d times, want once", a.Request, history.answers)
 	}
-	w.checkRequest(tr)
+	w.checkRequest(history)
 }
 
-func (w *fakeWorld) checkRequest(tr *truth) {
-	if tr.answers > 0 && tr.outcome == api.NotRun && tr.touched {
-		w.t.Fatalf("request %s: told not-run, but it ran", tr.request.ID)
+// checkRequest fails the test if the request was answered not-run although a
+// stage ran, or if it ran twice although it must run at most once.
+func (w *simulation) checkRequest(history *requestHistory) {
+	if history.answers > 0 && history.outcome == api.NotRun && history.ran {
+		w.t.Fatalf("request %s was answered not-run, but it ran", history.request.ID)
 	}
-	if !tr.request.Repeatable && tr.runs > 1 {
-		w.t.Fatalf("request %s must run at most once, ran %d times", tr.request.ID, tr.runs)
+	if !history.request.Repeatable && history.runs > 1 {
+		w.t.Fatalf("request %s must run at most once, but ran %d times", history.request.ID, history.runs)
 	}
 }
 
-// ran notes that an attempt's work was begun by its upstream.
-func (w *fakeWorld) ran(f flight) {
-	tr := w.requests[f.request]
-	tr.touched = true
+// ran records that an upstream has started to run an attempt.
+func (w *simulation) ran(f sentAttempt) {
+	history := w.requests[f.request]
+	history.ran = true
 	if !f.prefill {
-		tr.runs++
+		history.runs++
 	}
 	w.held[f.id] = f.upstream
 	if pre, ok := w.kvOf[f.id]; ok {
 		delete(w.held, pre)
 	}
-	w.checkRequest(tr)
+	w.checkRequest(history)
 }
 
-// take removes and returns a flight that rapid chooses.
-func take(t *rapid.T, list *[]flight, label string) (flight, bool) {
+// take removes and returns an attempt that rapid chooses, false if the list is
+// empty.
+func take(t *rapid.T, list *[]sentAttempt, label string) (sentAttempt, bool) {
 	if len(*list) == 0 {
-		return flight{}, false
+		return sentAttempt{}, false
 	}
 	i := rapid.IntRange(0, len(*list)-1).Draw(t, label)
 	f := (*list)[i]
@@ -173,7 +184,7 @@
 	return f, true
 }
 
-func (w *fakeWorld) arrive(t *rapid.T) {
+func (w *simulation) arrive(t *rapid.T) {
 	w.next++
 	r := &kernel.Request{
 		ID:        ident.RequestID(fmt.Sprintf("r%d", w.next)),
@@ -186,13 +197,13 @@
 		r.Route, r.Service, r.Model = config.RouteModel, "", testModel
 		r.PromptTokens, r.MaxOutputTokens = 4000, 50
 	}
-	w.requests[r.ID] = &truth{request: r}
+	w.requests[r.ID] = &requestHistory{request: r}
 	w.step(kernel.Arrive{Request: r})
 }
 
-// resolve ends one attempt in one of the ways it can end.
-func (w *fakeWorld) resolve(t *rapid.T) {
-	f, ok := take(t, &w.flights, "flight")
+// resolve ends a random attempt with a random result.
+func (w *simulation) resolve(t *rapid.T) {
+	f, ok := take(t, &w.inFlight, "flight")
 	if !ok {
 		return
 	}
@@ -207,7 +218,8 @@
 	w.end(t, f, rapid.SampledFrom([]string{"done", "done", "unsent", "refused", "draining", "kv", "broken", "stalled", "lost"}).Draw(t, "end"))
 }
 
-func (w *fakeWorld) end(t *rapid.T, f flight, how string) {
+// end ends an attempt with the given result.
+func (w *simulation) end(t *rapid.T, f sentAttempt, how string) {
 	fail := kernel.AttemptFailed{Attempt: f.id, Upstream: f.upstream, Evidence: kernel.Refused, Code: kernel.FailureCapacity}
 	switch how {
 	case "done":
@@ -225,20 +237,20 @@
 			delete(w.held, w.kvOf[f.id])
 		}
 	case "broken", "stalled":
-		// The upstream ran it; the news was lost.
+		// The upstream ran the attempt, but the answer was lost.
 		w.ran(f)
 		fail.Evidence, fail.Code = kernel.Ambiguous, kernel.FailureBroken
 		if how == "stalled" {
 			fail.Code = kernel.FailureStalled
 		}
 	case "lost":
-		// The upstream never got it, but nobody can know.
+		// The upstream never received the attempt, but the sender cannot know.
 		fail.Evidence, fail.Code = kernel.Ambiguous, kernel.FailureBroken
 	}
 	w.step(fail)
 }
 
-func (w *fakeWorld) succeed(t *rapid.T, f flight) {
+func (w *simulation) succeed(t *rapid.T, f sentAttempt) {
 	if f.prefill {
 		w.prefillOf[f.request] = f.id
 		w.step(kernel.PrefillDone{Attempt: f.id, KV: kvFrom(f.upstream)})
@@ -255,9 +267,9 @@
 	w.step(kernel.AttemptDone{Attempt: f.id})
 }
 
-// reattach ends one attempt to read on in a stream.
-func (w *fakeWorld) reattach(t *rapid.T) {
-	f, ok := take(t, &w.attaches, "attach")
+// reattach ends a random reconnect to a stream, successfully or not.
+func (w *simulation) reattach(t *rapid.T) {
+	f, ok := take(t, &w.reattaches, "attach")
 	if !ok {
 		return
 	}
@@ -270,12 +282,13 @@
 	w.step(kernel.AttemptFailed{Attempt: f.id, Evidence: evidence, Code: kernel.FailureBroken, Offset: 5})
 }
 
-func (w *fakeWorld) pass(t *rapid.T) {
+// advance lets a random time pass.
+func (w *simulation) advance(t *rapid.T) {
 	end := w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
-	w.passUntil(end)
+	w.advanceUntil(end)
 }
 
-func (w *fakeWorld) passUntil(end time.Time) {
+func (w *simulation) advanceUntil(end time.Time) {
 	for range 10000 {
 		at, ok := w.k.NextWake()
 		if !ok || at.After(end) {
@@ -290,22 +303,23 @@
 	w.step(kernel.Tick{})
 }
 
-// settle lets everything that is under way come to its end and checks that
-// nothing is left behind.
-func (w *fakeWorld) settle(t *rapid.T) {
+// endAll ends all attempts and acknowledges all cancels, and then checks that
+// every request has exactly one answer and that no upstream still holds
+// resources.
+func (w *simulation) endAll(t *rapid.T) {
 	for range 50 {
-		for len(w.flights) > 0 {
-			f := w.flights[0]
-			w.flights = w.flights[1:]
+		for len(w.inFlight) > 0 {
+			f := w.inFlight[0]
+			w.inFlight = w.inFlight[1:]
 			if w.cancelled[f.id] {
 				w.step(kernel.AttemptFailed{Attempt: f.id, Evidence: kernel.Refused, Code: kernel.FailureUpstream})
 				continue
 			}
 			w.end(t, f, "refused")
 		}
-		for len(w.attaches) > 0 {
-			f := w.attaches[0]
-			w.attaches = w.attaches[1:]
+		for len(w.reattaches) > 0 {
+			f := w.reattaches[0]
+			w.reattaches = w.reattaches[1:]
 			w.step(kernel.AttemptFailed{Attempt: f.id, Evidence: kernel.Refused, Code: kernel.FailureBroken})
 		}
 		for len(w.cancels) > 0 {
@@ -314,30 +328,33 @@
 			w.released(f.id)
 			w.step(kernel.CancelAcked{Attempt: f.id})
 		}
-		w.passUntil(w.now.Add(time.Second))
+		w.advanceUntil(w.now.Add(time.Second))
 	}
 	if n := w.k.InFlight(); n != 0 {
-		t.Fatalf("%d requests without an answer at quiescence", n)
+		t.Fatalf("%d requests have no answer after all attempts ended", n)
 	}
 	if n := w.k.Unreleased(); n != 0 {
-		t.Fatalf("%d cancels pending at quiescence", n)
+		t.Fatalf("%d cancels are pending after all were acknowledged", n)
 	}
 	for id, at := range w.held {
-		t.Fatalf("attempt %s still held on %s at quiescence", id, at)
+		t.Fatalf("attempt %s still holds resources on upstream %s after all attempts ended", id, at)
 	}
-	for id, tr := range w.requests {
-		if tr.answers != 1 {
-			t.Fatalf("request %s has %d answers", id, tr.answers)
+	for id, history := range w.requests {
+		if history.answers != 1 {
+			t.Fatalf("request %s has %d answers, want 1", id, history.answers)
 		}
 	}
 }
 
-// TestInterleavings checks the promises over random interleavings of
-// completions, failures, lost news, cancels, vanished callers, leaving and
-// dying upstreams, stale views and pauses.
+// TestInterleavings checks the kernel's guarantees over random interleavings of
+// completions, failures, lost answers, cancels, disconnecting callers, leaving,
+// ending and restarting upstreams, stale views and pauses: every request gets
+// exactly one answer, a request that must run at most once never runs twice, no
+// request that ran is answered not-run, no work is sent to an upstream known to
+// take none, and no upstream keeps resources.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newFakeWorld(t)
+		w := newSimulation(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive":   w.arrive,
 			"arrive2":  w.arrive,
@@ -346,13 +363,13 @@
 			"reattach": w.reattach,
 			"cancel":   w.cancel,
 			"gone":     w.callerGone,
-			"pass":     w.pass,
-			"leave":    w.leave,
-			"die":      w.die,
+			"pass":     w.advance,
+			"leave":    w.markLeaving,
+			"die":      w.endUpstream,
 			"restart":  w.restart,
 			"stale":    w.staleView,
 			"pause":    w.pause,
 		})
-		w.settle(t)
+		w.endAll(t)
 	})
 }
--- a/kernel/model.go
+++ b/kernel/model.go
@@ -4,20 +4,21 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// choosePrefill chooses the prefill engine anew for the plan's decode engine:
-// the view may have changed while the slot was pending.
+// choosePrefill selects the prefill engine for the plan's decode engine again,
+// since the view may have changed while the slot request was pending. It reports
+// whether there is one.
 func (k *Kernel) choosePrefill(c *call) bool {
 	decode := k.fleet.upstream(c.plan.decode)
 	if decode == nil || !k.trusted() {
 		return false
 	}
-	d := k.decide(c)
+	d := k.newDecision(c)
 	k.shortlistPrefills(d, c)
 	if k.placer.prefills.size == 0 {
 		return false
 	}
 	k.placer.decodes.reset()
-	k.placer.decodes.offer(decode.Index, 0)
+	k.placer.decodes.insert(decode.Index, 0)
 	c.plan = k.plan(d, k.rankPairs(d), 0)
 	return true
 }
@@ -25,7 +26,7 @@
 // startPrefill sends the call's prompt to the planned prefill engine.
 func (k *Kernel) startPrefill(c *call) {
 	u := k.fleet.upstream(c.plan.prefill)
-	uncached := UncachedTokens(k.decide(c), u)
+	uncached := UncachedTokens(k.newDecision(c), u)
 	a := &attempt{
 		id:       k.newAttemptID(c.request),
 		call:     c,
@@ -76,32 +77,33 @@
 func (k *Kernel) prefillDone(e PrefillDone) {
 	a, ok := k.attempts[e.Attempt]
 	if !ok {
-		k.releaseStray(e.Attempt, e.KV.Engine)
+		k.releaseOrphan(e.Attempt, e.KV.Engine)
 		return
 	}
 	c := a.call
-	k.succeeded(k.fleet.upstream(a.upstream))
-	k.computed(a)
-	c.touched = true
+	k.recordSuccess(k.fleet.upstream(a.upstream))
+	k.prefillComputed(a)
+	c.mayHaveRun = true
 	c.kv = e.KV
-	c.kvAt = k.now
+	c.kvReadyAt = k.now
 	if jp, ok := c.slot.policy.(JointPolicy); ok {
 		if c.plan.decode == "" {
-			k.askDecode(c, jp)
+			k.requestDecode(c, jp)
 			return
 		}
 		jp.Computed(c.slot.id)
 	}
 	if !k.usable(c.plan.decode) {
-		k.decodeElsewhere(c, ReasonUpstreamRefused)
+		k.retryDecode(c, ReasonUpstreamRefused)
 		return
 	}
 	k.startDecode(c)
 }
 
-// releaseStray releases what an attempt holds that was already given up: its
-// cancel may have reached the engine before the attempt did.
-func (k *Kernel) releaseStray(id ident.AttemptID, upstream ident.UpstreamID) {
+// releaseOrphan cancels an attempt that is no longer tracked but has finished a
+// prefill: its cancel may have reached the engine before the attempt itself did,
+// so that the engine still holds the KV cache.
+func (k *Kernel) releaseOrphan(id ident.AttemptID, upstream ident.UpstreamID) {
 	if _, pending := k.cancels[id]; pending {
 		return
 	}
@@ -130,7 +132,7 @@
 	}
 	c.state = callDecoding
 	c.active = a
-	c.reattached = 0
+	c.reattachCount = 0
 	k.track(a)
 	c.slot.policy.Started(c.slot.id)
 	k.emit(StartDecode{
@@ -154,8 +156,9 @@
 	})
 }
 
-// firstOutput notes that the decode engine has imported the KV cache, which
-// the prefill engine thereby gave up.
+// firstOutput handles the first output token of a decode. The decode engine has
+// imported the KV cache, so the prefill engine has released it and the prefill
+// attempt needs no cancel.
 func (k *Kernel) firstOutput(e FirstOutput) {
 	a, ok := k.attempts[e.Attempt]
 	if !ok {
@@ -168,14 +171,14 @@
 	a.call.prefill = nil
 }
 
-// attemptDone gives the whole answer.
+// attemptDone completes the call of an attempt that returned its whole answer.
 func (k *Kernel) attemptDone(e AttemptDone) {
 	a, ok := k.attempts[e.Attempt]
 	if !ok {
 		return
 	}
 	c := a.call
-	k.succeeded(k.fleet.upstream(a.upstream))
+	k.recordSuccess(k.fleet.upstream(a.upstream))
 	k.charge(c, a)
 	k.untrack(a)
 	k.untrack(c.prefill)
@@ -183,7 +186,7 @@
 	k.complete(c)
 }
 
-// charge tells the queue order what engine time a call has used.
+// charge reports the engine time that a call has used to the queue order.
 func (k *Kernel) charge(c *call, a *attempt) {
 	seconds := k.now.Sub(a.sentAt).Seconds()
 	k.policy.order.Served(c.request, seconds)
--- a/kernel/prefix/index_test.go
+++ b/kernel/prefix/index_test.go
@@ -17,77 +17,79 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// engineAt returns an engine with room for the given number of pieces.
+// engineAt returns an engine with index i in the view and the given number of
+// pieces of memory.
 func engineAt(i, pieces int) *kernel.Upstream {
 	u := &kernel.Upstream{ID: ident.UpstreamID(fmt.Sprint("e", i)), Index: i}
 	u.Spec.Pieces = pieces
 	return u
 }
 
-// plain is the naive index: lists, no memo, one engine after another.
-type plain struct {
-	engines map[ident.UpstreamID]*plainEngine
+// referenceIndex is the reference implementation of the index: one list of
+// blocks for each engine, without the cache for lookups.
+type referenceIndex struct {
+	engines map[ident.UpstreamID]*referenceEngine
 	now     time.Time
 }
 
-type plainEngine struct {
-	// blocks is ordered by last use, the oldest first.
-	blocks    []plainBlock
+type referenceEngine struct {
+	// blocks are ordered by last use, least recently used first.
+	blocks    []referenceBlock
 	publishes bool
 }
 
-type plainBlock struct {
-	hash  uint64
-	until time.Time
+type referenceBlock struct {
+	hash       uint64
+	validUntil time.Time
 }
 
-func (p *plain) at(u *kernel.Upstream) *plainEngine {
+func (p *referenceIndex) engine(u *kernel.Upstream) *referenceEngine {
 	if p.engines[u.ID] == nil {
-		p.engines[u.ID] = &plainEngine{}
+		p.engines[u.ID] = &referenceEngine{}
 	}
 	return p.engines[u.ID]
 }
 
-func (e *plainEngine) hold(hash uint64, until time.Time, limit int) {
-	i := slices.IndexFunc(e.blocks, func(b plainBlock) bool { return b.hash == hash })
+func (e *referenceEngine) add(hash uint64, validUntil time.Time, limit int) {
+	i := slices.IndexFunc(e.blocks, func(b referenceBlock) bool { return b.hash == hash })
 	if i >= 0 {
-		if e.blocks[i].until.IsZero() {
-			until = time.Time{}
+		if e.blocks[i].validUntil.IsZero() {
+			validUntil = time.Time{}
 		}
 		e.blocks = slices.Delete(e.blocks, i, i+1)
 	}
 	for len(e.blocks) >= limit {
 		e.blocks = e.blocks[1:]
 	}
-	e.blocks = append(e.blocks, plainBlock{hash, until})
+	e.blocks = append(e.blocks, referenceBlock{hash, validUntil})
 }
 
-func (p *plain) apply(u *kernel.Upstream, c kernel.CacheChanged) {
-	e := p.at(u)
+func (p *referenceIndex) apply(u *kernel.Upstream, c kernel.CacheChanged) {
+	e := p.engine(u)
 	e.publishes = true
 	if c.Cleared {
-		e.blocks = slices.DeleteFunc(e.blocks, func(b plainBlock) bool { return !b.until.After(p.now) })
+		e.blocks = slices.DeleteFunc(e.blocks, func(b referenceBlock) bool { return !b.validUntil.After(p.now) })
 	}
 	for _, r := range c.Removed {
-		e.blocks = slices.DeleteFunc(e.blocks, func(b plainBlock) bool { return b.hash == r })
+		e.blocks = slices.DeleteFunc(e.blocks, func(b referenceBlock) bool { return b.hash == r })
 	}
 	for _, s := range c.Stored {
-		e.hold(s, time.Time{}, u.Spec.Pieces)
+		e.add(s, time.Time{}, u.Spec.Pieces)
 	}
 }
 
-func (p *plain) placed(u *kernel.Upstream, blocks []uint64, now time.Time) {
+func (p *referenceIndex) placed(u *kernel.Upstream, blocks []uint64, now time.Time) {
 	p.now = now
 	for _, b := range slices.Backward(blocks) {
-		p.at(u).hold(b, now.Add(confirmWithin), u.Spec.Pieces)
+		p.engine(u).add(b, now.Add(confirmTimeout), u.Spec.Pieces)
 	}
 }
 
-func (p *plain) cached(u *kernel.Upstream, blocks []uint64) int {
-	e := p.at(u)
+func (p *referenceIndex) cached(u *kernel.Upstream, blocks []uint64) int {
+	e := p.engine(u)
 	for i, want := range blocks {
-		held := slices.ContainsFunc(e.blocks, func(b plainBlock) bool {
-			believed := b.until.IsZero() || !e.publishes || b.until.After(p.now)
+		held := slices.ContainsFunc(e.blocks, func(b referenceBlock) bool {
+			believed := b.validUntil.IsZero() || !e.publishes || b.validUntil.After(p.now)
 			return b.hash == want && believed
 		})
 		if !held {
@@ -97,16 +99,17 @@
 	return len(blocks)
 }
 
-// prompt draws a prompt of up to 4 blocks, 1 to 9 being possible hashes.
+// prompt draws a prompt of up to 4 blocks with distinct hashes from 1 to 9.
 func prompt(t *rapid.T) []uint64 {
 	return rapid.SliceOfNDistinct(rapid.Uint64Range(1, 9), 0, 4, rapid.ID[uint64]).Draw(t, "prompt")
 }
 
-// TestAgainstPlain drives the index and the naive one with the same events.
+// TestAgainstPlain applies the same random events to the index and to the
+// reference implementation and compares all lookups.
 func TestAgainstPlain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := New()
-		p := &plain{engines: map[ident.UpstreamID]*plainEngine{}}
+		p := &referenceIndex{engines: map[ident.UpstreamID]*referenceEngine{}}
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			u := engineAt(rapid.IntRange(0, 3).Draw(t, "engine"), 5)
@@ -139,21 +142,25 @@
 	})
 }
 
+// TestGapIsAnsweredBySnapshot checks that a snapshot replaces earlier events, but
+// not a newer placement by this instance until confirmTimeout has passed.
 func TestGapIsAnsweredBySnapshot(t *testing.T) {
 	x := New()
 	u := engineAt(0, 10)
 	x.Apply(u, kernel.CacheChanged{Stored: []uint64{1, 2, 3}})
 	x.Placed(u, []uint64{7, 8}, start)
-	// Events were lost, among them the removal of 2 and 3. The snapshot is from
-	// before the placement.
+	// Events were lost, among them the removal of blocks 2 and 3. The snapshot
+	// was taken before the placement.
 	x.Apply(u, kernel.CacheChanged{Cleared: true, Stored: []uint64{1}})
 	assert.Equal(t, x.CachedBlocks(u, []uint64{1, 2, 3}), 1)
 	assert.Equal(t, x.CachedBlocks(u, []uint64{7, 8}), 2)
-	// No event ever confirms the placement.
-	x.Placed(u, []uint64{5}, start.Add(confirmWithin))
+	// No event confirms the placement within confirmTimeout.
+	x.Placed(u, []uint64{5}, start.Add(confirmTimeout))
 	assert.Equal(t, x.CachedBlocks(u, []uint64{7, 8}), 0)
 }
 
+// TestHistoryAloneServesEnginesWithoutEvents checks that for an engine that
+// publishes no cache events, blocks from placements do not expire.
 func TestHistoryAloneServesEnginesWithoutEvents(t *testing.T) {
 	x := New()
 	u := engineAt(0, 10)
@@ -162,8 +169,8 @@
 	assert.Equal(t, x.CachedBlocks(u, []uint64{1}), 1)
 }
 
-// TestMemoryIsBounded uses far more engines, blocks and engine lives than the
-// bounds.
+// TestMemoryIsBounded checks that the index stays within its bounds when it sees
+// far more engines, replaced engines and blocks than they allow.
 func TestMemoryIsBounded(t *testing.T) {
 	const capacity = 4096
 	x := newIndex(capacity)
@@ -171,15 +178,15 @@
 		u := engineAt(i, 0)
 		u.Index = i % 10
 		x.Apply(u, kernel.CacheChanged{Stored: []uint64{uint64(i), uint64(i) + 1<<32}})
-		assert.Assert(t, len(x.byNumber) <= maxEngines)
+		assert.Assert(t, len(x.engines) <= maxEngines)
 	}
 	x = newIndex(capacity)
 	for i := range 10 * capacity {
 		x.Apply(engineAt(i%8, 0), kernel.CacheChanged{Stored: []uint64{uint64(i)}})
 	}
 	assert.Assert(t, x.Holdings() <= capacity)
-	assert.Assert(t, len(x.slab.all) <= capacity)
-	assert.Equal(t, len(x.first), x.Holdings())
+	assert.Assert(t, len(x.slab.entries) <= capacity)
+	assert.Equal(t, len(x.firstHolding), x.Holdings())
 }
 
 func BenchmarkCachedBlocks(b *testing.B) {
@@ -189,7 +196,7 @@
 			engines := make([]*kernel.Upstream, n)
 			prompts := make([][]uint64, 64)
 			for i := range prompts {
-				// The first two of eight blocks are common to all.
+				// The first two of the eight blocks are the same in all prompts.
 				prompts[i] = []uint64{1, 2, 0, 0, 0, 0, 0, 0}
 				for j := 2; j < 8; j++ {
 					prompts[i][j] = uint64(i*100 + j)
--- a/kernel/session_test.go
+++ b/kernel/session_test.go
@@ -12,8 +12,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// script is one whole session: what happens, and the golden file with what the
-// kernel must do.
+// script is a sequence of events for one kernel. The actions that the kernel must
+// emit are in the golden file of the same name.
 type script struct {
 	name string
 	run  func(s *session)
@@ -22,16 +22,16 @@
 var scripts = []script{
 	{"review_complete", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
-		s.after(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
-		s.after(50 * time.Millisecond)
+		s.advance(50 * time.Millisecond)
 		s.step(kernel.FirstOutput{Attempt: s.decode})
-		s.after(2 * time.Second)
+		s.advance(2 * time.Second)
 		s.step(kernel.AttemptDone{Attempt: s.decode, Tokens: 100})
 	}},
 	{"decode_refuses_then_other_engine", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
-		s.after(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Refused, Code: kernel.FailureCapacity})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
@@ -41,7 +41,7 @@
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Refused, Code: kernel.FailureKVGone})
-		s.after(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p2")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -49,9 +49,9 @@
 	{"stalled_transfer_leaves_out_both_engines", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
-		s.after(500 * time.Millisecond)
+		s.advance(500 * time.Millisecond)
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureStalled})
-		s.after(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p2")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -62,7 +62,7 @@
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Offset: 40})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.NotSent, Code: kernel.FailureConnect, Offset: 40})
-		s.after(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -73,14 +73,14 @@
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Offset: 40})
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Offset: 40})
-		s.after(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		s.step(kernel.AttemptDone{Attempt: s.decode})
 	}},
 	{"caller_gone_while_prefilling", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.CallerGone{Request: "r1"})
 		s.step(kernel.CancelFailed{Attempt: s.prefill})
-		s.after(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.step(kernel.CancelAcked{Attempt: s.prefill})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.CancelAcked{Attempt: s.prefill})
@@ -99,22 +99,22 @@
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
-		s.after(21 * time.Second)
+		s.advance(21 * time.Second)
 	}},
 	{"no_upstream_then_refused_late", func(s *session) {
-		s.upstreamLife("d1", kernel.Dead)
-		s.upstreamLife("d2", kernel.Leaving)
+		s.setLife("d1", kernel.Dead)
+		s.setLife("d2", kernel.Leaving)
 		s.step(kernel.Arrive{Request: s.review("r1")})
-		s.after(3 * time.Second)
+		s.advance(3 * time.Second)
 	}},
 	{"stop_refuses_waiting_finishes_running", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("running")})
-		s.upstreamLife("d1", kernel.Leaving)
-		s.upstreamLife("d2", kernel.Leaving)
+		s.setLife("d1", kernel.Leaving)
+		s.setLife("d2", kernel.Leaving)
 		s.step(kernel.Arrive{Request: s.review("waiting")})
 		s.step(kernel.Stop{})
 		s.step(kernel.Arrive{Request: s.confirm("late")})
-		s.upstreamLife("d2", kernel.Live)
+		s.setLife("d2", kernel.Live)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -122,15 +122,15 @@
 	{"paused_holds_new_work", func(s *session) {
 		s.step(kernel.Paused{Gap: 10 * time.Second})
 		s.step(kernel.Arrive{Request: s.confirm("c1")})
-		s.after(100 * time.Millisecond)
-		s.upstreamLife("s1", kernel.Dead)
+		s.advance(100 * time.Millisecond)
+		s.setLife("s1", kernel.Dead)
 		s.step(kernel.AttemptDone{Attempt: s.service})
 	}},
 	{"prefill_engine_dies_while_decoding", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		used := s.prefill
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
-		s.upstreamLife("p1", kernel.Dead)
+		s.setLife("p1", kernel.Dead)
 		s.step(kernel.AttemptFailed{Attempt: used, Upstream: "p1", Evidence: kernel.Ambiguous, Code: kernel.FailureBroken})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -139,11 +139,11 @@
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
-		s.upstreamLife("d1", kernel.Dead)
-		s.upstreamLife("d2", kernel.Dead)
-		s.upstreamLife("d1", kernel.Live)
+		s.setLife("d1", kernel.Dead)
+		s.setLife("d2", kernel.Dead)
+		s.setLife("d1", kernel.Live)
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Offset: 12})
-		s.after(time.Second)
+		s.advance(time.Second)
 	}},
 }
 
@@ -157,7 +157,8 @@
 	}
 }
 
-// TestSessionsRepeat checks that the same events give the same actions.
+// TestSessionsRepeat checks that the kernel is deterministic: the same events
+// give the same actions.
 func TestSessionsRepeat(t *testing.T) {
 	for _, sc := range scripts {
 		t.Run(sc.name, func(t *testing.T) {
@@ -187,8 +188,8 @@
 	assert.Equal(t, rejected.Version, uint64(2))
 }
 
-// TestUnknownIncarnation checks that an upstream whose incarnation nobody knows
-// yet is used like any other.
+// TestUnknownIncarnation checks that an upstream whose incarnation is not known
+// yet, and therefore 0 in the view, is used like any other.
 func TestUnknownIncarnation(t *testing.T) {
 	s := newSession(t)
 	v := testView(s.content, s.now)
@@ -204,38 +205,40 @@
 	s.step(kernel.ViewChanged{View: v})
 	s.step(kernel.Configured{Version: 2, Content: c})
 	s.step(kernel.Arrive{Request: s.confirm("c1")})
-	assert.Equal(t, s.service.Instance, ident.InstanceID("e1"), "the call was not started:\n%s", s.transcript())
+	assert.Equal(t, s.service.Instance, ident.InstanceID("e1"), "the service call was not started:\n%s", s.transcript())
 }
 
-// TestSilentServiceIsEjected checks that a service that answers nobody is left
-// out after a few callers' deadlines, and that one that answers others is not.
+// TestSilentServiceIsEjected checks that a service that answers no request is
+// ejected after three requests have reached their deadlines, and that a service
+// that answers other requests meanwhile is not ejected.
 func TestSilentServiceIsEjected(t *testing.T) {
 	s := newSession(t)
-	s.upstreamLife("s2", kernel.Dead)
+	s.setLife("s2", kernel.Dead)
 	for i := range 3 {
 		s.step(kernel.Arrive{Request: s.confirm(fmt.Sprintf("c%d", i))})
-		s.after(6 * time.Second)
+		s.advance(6 * time.Second)
 	}
 	s.service = ident.AttemptID{}
 	s.step(kernel.Arrive{Request: s.confirm("next")})
-	assert.Assert(t, s.service.IsZero(), "the silent service was called again:\n%s", s.transcript())
+	assert.Assert(t, s.service.IsZero(), "a service that answers no request was called again:\n%s", s.transcript())
 
 	slow := newSession(t)
-	slow.upstreamLife("s2", kernel.Dead)
+	slow.setLife("s2", kernel.Dead)
 	for i := range 5 {
 		slow.step(kernel.Arrive{Request: slow.confirm(fmt.Sprintf("lost%d", i))})
 		slow.step(kernel.Arrive{Request: slow.confirm(fmt.Sprintf("good%d", i))})
-		slow.after(3 * time.Second)
+		slow.advance(3 * time.Second)
 		slow.step(kernel.AttemptDone{Attempt: slow.service})
-		slow.after(3 * time.Second)
+		slow.advance(3 * time.Second)
 	}
 	slow.service = ident.AttemptID{}
 	slow.step(kernel.Arrive{Request: slow.confirm("next")})
-	assert.Assert(t, !slow.service.IsZero(), "a service that answers others was ejected")
+	assert.Assert(t, !slow.service.IsZero(), "a service that answers other requests was ejected")
 }
 
-// TestIncarnationBecomesKnown checks that work sent before an upstream's
-// incarnation was known goes on when it becomes known.
+// TestIncarnationBecomesKnown checks that an attempt that was sent before the
+// upstream's incarnation was known is not abandoned when it becomes known: the
+// change from 0 is not a restart.
 func TestIncarnationBecomesKnown(t *testing.T) {
 	s := newSession(t)
 	unknown := testView(s.content, s.now)
@@ -259,7 +262,7 @@
 	}
 	for _, a := range s.step(kernel.ViewChanged{View: &known}) {
 		_, abandoned := a.(kernel.AbandonAttempt)
-		assert.Assert(t, !abandoned, "the call was given up:\n%s", s.transcript())
+		assert.Assert(t, !abandoned, "the attempt was abandoned:\n%s", s.transcript())
 	}
 	s.step(kernel.AttemptDone{Attempt: s.service})
 	assert.Equal(t, s.k.InFlight(), 0)
--- a/kernel/shortlist.go
+++ b/kernel/shortlist.go
@@ -1,15 +1,15 @@
 package kernel
 
-// shortlistSize is how many upstreams per role are considered in pairs.
+// shortlistSize is the number of upstreams per role from which pairs are formed.
 const shortlistSize = 4
 
-// ranked is an upstream, by its index in the view, and its cost.
+// ranked is an upstream, given by its index in the view, and its cost.
 type ranked struct {
 	index int
 	cost  float64
 }
 
-// shortlist keeps the upstreams of least cost, cheapest first.
+// shortlist holds the cheapest of the upstreams offered to it, cheapest first.
 type shortlist struct {
 	size  int
 	items [shortlistSize]ranked
@@ -17,8 +17,8 @@
 
 func (s *shortlist) reset() { s.size = 0 }
 
-// offer inserts an upstream if it is among the cheapest so far.
-func (s *shortlist) offer(index int, cost float64) {
+// insert inserts an upstream if it is among the cheapest so far.
+func (s *shortlist) insert(index int, cost float64) {
 	at := s.size
 	if at == shortlistSize {
 		if cost >= s.items[at-1].cost {
