--- a/plugins/slots/dispatch/arrivals.go
+++ b/plugins/slots/dispatch/arrivals.go
@@ -9,8 +9,8 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// arrivals serves asks in order of arrival. It stands in when the bundle's
-// queue order cannot be loaded, so that requests are still served.
+// arrivals is a first-in, first-out queue order. It replaces the bundle's queue
+// order if that cannot be loaded, so that requests are still served.
 type arrivals struct {
 	list []*kernel.Waiting
 }
--- a/plugins/slots/dispatch/avoid.go
+++ b/plugins/slots/dispatch/avoid.go
@@ -6,9 +6,10 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// leftOut returns the engines that a request is not given to: those that failed
-// it, but for the oldest failures where no engine would remain otherwise. avoid
-// lists the failures, newest last, of prefill and decode engines alike.
+// leftOut returns the engines to exclude when a request is placed on one of
+// engines. avoid lists the engines that failed the request before, prefill and
+// decode engines mixed, with the newest failure last. If excluding all of them
+// would leave no engine, the oldest failures are dropped until one remains.
 func leftOut[E any](avoid []ident.UpstreamID, engines []E, id func(*E) ident.UpstreamID) []ident.UpstreamID {
 	if len(engines) == 0 {
 		return avoid
@@ -22,6 +23,7 @@
 	return nil
 }
 
+// someRemains reports whether at least one of engines is not in avoid.
 func someRemains[E any](avoid []ident.UpstreamID, engines []E, id func(*E) ident.UpstreamID) bool {
 	for i := range engines {
 		if !slices.Contains(avoid, id(&engines[i])) {
--- a/plugins/slots/dispatch/avoid_test.go
+++ b/plugins/slots/dispatch/avoid_test.go
@@ -10,7 +10,8 @@
 )
 
 // TestEnginesThatFailedARequest checks which engines a request gets after some
-// failed it: others while there are any, else the one whose failure is oldest.
+// have failed it: another engine of the role if there is one, otherwise the one
+// whose failure is oldest.
 func TestEnginesThatFailedARequest(t *testing.T) {
 	tests := []struct {
 		name            string
--- a/plugins/slots/dispatch/bed_test.go
+++ b/plugins/slots/dispatch/bed_test.go
@@ -16,22 +16,23 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// answer is what a node's kernel was told of a reservation.
+// answer is what a node's kernel was told about a reservation.
 type answer struct {
 	what            string
 	prefill, decode ident.UpstreamID
 }
 
-// node is one instance: a policy and the host it sees.
+// node is one instance: a policy and the host that it uses.
 type node struct {
 	bed     *bed
 	self    kernel.Self
 	policy  *Policy
 	view    *kernel.View
 	answers map[ident.AttemptID][]answer
-	// comeBack is what refused reservations were told.
+	// comeBack is the retry delay given with the refusal of a reservation.
 	comeBack map[ident.AttemptID]time.Duration
-	// transfers are those that the kernel was told of.
+	// transfers are the transfer outcomes that were reported to the node's
+	// kernel.
 	transfers []transfer
 	frozen    bool
 	dead      bool
@@ -39,13 +40,13 @@
 	seq       uint64
 }
 
-// transfer is a KV transfer that ended.
+// transfer is the outcome of a KV transfer.
 type transfer struct {
 	prefill, decode ident.UpstreamID
 	stalled         bool
 }
 
-// delivery is a message on its way.
+// delivery is a message that was sent and has not arrived yet.
 type delivery struct {
 	at       time.Time
 	order    int
@@ -71,8 +72,8 @@
 	return last
 }
 
-// bed is a few instances in virtual time, with a network that loses, repeats
-// and reorders messages if told so.
+// bed is a test bed: several instances in virtual time, with a network that can
+// lose, repeat and reorder messages.
 type bed struct {
 	now     time.Time
 	rand    *rand.Rand
@@ -80,15 +81,19 @@
 	content *config.Content
 	sent    deliveries
 	order   int
-	// loss and repeat are shares of the messages, 0 to 1; jitter is the most
-	// that a message is delayed beyond its millisecond.
+	// loss and repeat are the shares of the messages, from 0 to 1, that are lost
+	// and repeated. jitter is the upper limit of the random delay added to the
+	// fixed delay of one millisecond.
 	loss, repeat float64
 	jitter       time.Duration
 	cut          map[[2]ident.InstanceID]bool
-	// zone gives a node or an engine a zone other than "z".
+	// zone is the zone of a node or an engine whose zone is not "z".
 	zone map[string]ident.Zone
 }
 
+// newBed returns a bed with the given number of instances, two prefill engines
+// (p1, p2) and two decode engines (d1, d2), which have the given numbers of
+// slots and memory pieces each.
 func newBed(seed uint64, instances, slots, pieces int) *bed {
 	b := &bed{now: epoch, rand: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]ident.InstanceID]bool{}}
 	b.content = &config.Content{
@@ -114,7 +119,7 @@
 	return b
 }
 
-// start begins a new life of the node.
+// start gives the node a new policy, as after a restart of its process.
 func (n *node) start() {
 	n.policy = &Policy{}
 	n.setView(1, nil)
@@ -122,7 +127,8 @@
 	n.policy.Configure(n.bed.content)
 }
 
-// setView gives the node a view in which the listed instances are dead.
+// setView sets the node's view. The listed instances are dead in it, all others
+// live.
 func (n *node) setView(version uint64, dead map[ident.InstanceID]bool) {
 	v := &kernel.View{Version: version, Trusted: true}
 	for _, other := range n.bed.nodes {
@@ -145,8 +151,7 @@
 	return "z"
 }
 
-// The node is the policy's host.
-
+// The methods below implement kernel.JointHost.
 func (n *node) Now() time.Time                           { return n.bed.now }
 func (n *node) Self() kernel.Self                        { return n.self }
 func (n *node) View() *kernel.View                       { return n.view }
@@ -185,7 +190,9 @@
 	n.note(id, answer{what: "decode", decode: d})
 }
 
-// Send puts a message on its way, or loses it.
+// Send sends a message, or drops it with the probability loss. Between nodes
+// that are cut off, and to a dead node, the message fails, of which the sender
+// is notified.
 func (n *node) Send(to ident.InstanceID, m kernel.PeerMessage) {
 	b := n.bed
 	for _, other := range b.nodes {
@@ -214,7 +221,8 @@
 	heap.Push(&b.sent, d)
 }
 
-// run lets virtual time pass.
+// run advances virtual time by d, delivers the messages due by then, and wakes
+// the policies as they ask for it.
 func (b *bed) run(d time.Duration) {
 	end := b.now.Add(d)
 	for {
@@ -276,7 +284,7 @@
 	}
 }
 
-// thaw lets a frozen node run on with what came meanwhile.
+// thaw resumes a frozen node and delivers the messages that arrived meanwhile.
 func (n *node) thaw() {
 	n.frozen = false
 	inbox := n.inbox
@@ -286,8 +294,8 @@
 	}
 }
 
-// place asks for a placement due in the given time, on engines that did not
-// fail the request before.
+// place requests a placement whose first output is due in the given time. avoid
+// lists the engines that failed the request before.
 func (n *node) place(due time.Duration, avoid ...ident.UpstreamID) ident.AttemptID {
 	n.seq++
 	id := ident.AttemptID{Instance: n.self.Instance, Incarnation: n.self.Incarnation, Sequence: n.seq,
@@ -302,7 +310,7 @@
 	return id
 }
 
-// last is the newest answer to a reservation.
+// last returns the newest answer to a reservation, or a zero answer.
 func (n *node) last(id ident.AttemptID) answer {
 	list := n.answers[id]
 	if len(list) == 0 {
@@ -311,7 +319,8 @@
 	return list[len(list)-1]
 }
 
-// dispatcherNode is the node that all others take for the dispatcher.
+// dispatcherNode returns the dispatcher from the point of view of the first node
+// that is not dead.
 func (b *bed) dispatcherNode() *node {
 	for _, n := range b.nodes {
 		if n.dead {
@@ -327,7 +336,7 @@
 	return nil
 }
 
-// holderNode is a living node that is not the dispatcher.
+// holderNode returns a node that is neither dead nor the dispatcher.
 func (b *bed) holderNode() *node {
 	for _, n := range b.nodes {
 		if n != b.dispatcherNode() && !n.dead {
--- a/plugins/slots/dispatch/bench_test.go
+++ b/plugins/slots/dispatch/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkAskInAQueue asks for a placement behind a queue of the given length,
-// five a millisecond.
+// BenchmarkAskInAQueue measures a placement request while a queue of the given
+// length waits, at five requests per millisecond of virtual time.
 func BenchmarkAskInAQueue(b *testing.B) {
 	const apart = 200 * time.Microsecond
 	for name, queue := range map[string]int{"10": 10, "100": 100, "1000": 1000} {
--- a/plugins/slots/dispatch/dispatch_test.go
+++ b/plugins/slots/dispatch/dispatch_test.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// settled lets a new dispatcher's take-over end.
+// settled returns a bed in which the dispatcher's take-over margin has expired.
 func settled(seed uint64, instances, slots, pieces int) *bed {
 	b := newBed(seed, instances, slots, pieces)
 	h := b.holderNode()
@@ -49,6 +49,9 @@
 	assert.Equal(t, placed, 2, "one prompt for each of two idle engines")
 }
 
+// TestNoPrefillWithoutASlot checks that no prefill is started while all decode
+// slots are in use for longer than the request's target allows. Its result would
+// be evicted unused.
 func TestNoPrefillWithoutASlot(t *testing.T) {
 	b := settled(1, 2, 1, 200)
 	h := b.holderNode()
@@ -61,9 +64,11 @@
 	h.policy.Started(second)
 	third := h.place(time.Second)
 	b.run(20 * time.Millisecond)
-	assert.Equal(t, h.last(third).what, "refused", "both slots are taken for longer than the target allows")
+	assert.Equal(t, h.last(third).what, "refused", "both slots are in use for longer than the target allows")
 }
 
+// TestLateAskIsRefusedAtOnce checks that a request which cannot meet its target
+// is refused immediately rather than after waiting in the queue.
 func TestLateAskIsRefusedAtOnce(t *testing.T) {
 	b := settled(1, 2, 20, 200)
 	h := b.holderNode()
@@ -71,8 +76,8 @@
 		h.place(10 * time.Second)
 	}
 	id := h.place(300 * time.Millisecond)
-	// The queue is in deadline order, so this ask comes first, but both engines
-	// are busy for 200 ms and it needs 200 ms itself.
+	// The queue is in deadline order, so this request comes first. Both engines
+	// are busy for 200 ms and its prefill takes 200 ms, so that it would be late.
 	b.run(5 * time.Millisecond)
 	assert.Equal(t, h.last(id).what, "refused")
 }
@@ -93,6 +98,8 @@
 	assert.Equal(t, len(g.waiting)+len(g.grants)+len(g.ready), 0)
 }
 
+// TestSilentDispatcherIsReplacedByTheNext checks that when a dispatcher does not
+// answer, all nodes change to the same next one.
 func TestSilentDispatcherIsReplacedByTheNext(t *testing.T) {
 	for name, fail := range map[string]func(*bed, *node){
 		"killed": func(_ *bed, d *node) { d.dead = true },
@@ -109,25 +116,27 @@
 			fail(b, d)
 			id := h.place(2 * time.Second)
 			b.run(3 * answerTime)
-			assert.Equal(t, h.last(id).what, "placed", "by the next")
+			assert.Equal(t, h.last(id).what, "placed", "no placement from the next dispatcher")
 			next := h.policy.dispatcher(testModel)
 			assert.Assert(t, next != d.self.Instance && next != "")
 			for _, n := range b.nodes {
 				if n != d {
-					// Its own asks find the same next one.
+					// The node's own requests must lead to the same dispatcher.
 					n.place(2 * time.Second)
 				}
 			}
 			b.run(3 * answerTime)
 			for _, n := range b.nodes {
 				if n != d {
-					assert.Equal(t, n.policy.dispatcher(testModel), next, "all agree on the next")
+					assert.Equal(t, n.policy.dispatcher(testModel), next, "nodes use different dispatchers")
 				}
 			}
 		})
 	}
 }
 
+// TestQueuedAskMovesToTheNewDispatcher checks that requests queued at a
+// dispatcher that dies are answered by the next one.
 func TestQueuedAskMovesToTheNewDispatcher(t *testing.T) {
 	b := settled(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
@@ -147,6 +156,8 @@
 	}
 }
 
+// TestDeadHoldersPlacementsEnd checks that placements end as soon as their
+// holder is dead in the dispatcher's view.
 func TestDeadHoldersPlacementsEnd(t *testing.T) {
 	b := settled(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
@@ -162,6 +173,9 @@
 	assert.Equal(t, len(d.policy.groups[testModel].grants), 0)
 }
 
+// TestFrozenHoldersPlacementLastsToItsDeadline checks that the placement of a
+// holder that does not run is kept until the deadline of its request and ends
+// then, since the release never arrives.
 func TestFrozenHoldersPlacementLastsToItsDeadline(t *testing.T) {
 	b := settled(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
@@ -171,11 +185,13 @@
 	b.run(10 * time.Millisecond)
 	h.frozen = true
 	b.run(15 * time.Second)
-	assert.Equal(t, len(d.policy.groups[testModel].grants), 1, "its caller may still wait")
+	assert.Equal(t, len(d.policy.groups[testModel].grants), 1, "placement ended before its deadline, while the caller may still wait")
 	b.run(10 * time.Second)
 	assert.Equal(t, len(d.policy.groups[testModel].grants), 0)
 }
 
+// TestLostReleaseIsHealedByRenewal checks that a placement whose release was
+// lost ends after the holder's next renewals, which no longer list it.
 func TestLostReleaseIsHealedByRenewal(t *testing.T) {
 	b := settled(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
@@ -192,6 +208,9 @@
 	assert.Equal(t, len(d.policy.groups[testModel].grants), 1)
 }
 
+// TestSlotComesLate checks that a request with a distant target stays in the
+// queue, neither placed nor refused, while no decode slot is expected before the
+// KV cache of its prefill would be evicted.
 func TestSlotComesLate(t *testing.T) {
 	b := settled(1, 2, 1, 200)
 	h := b.holderNode()
@@ -204,7 +223,7 @@
 	}
 	patient := h.place(18 * time.Second)
 	b.run(100 * time.Millisecond)
-	assert.Equal(t, h.last(patient).what, "", "its result would be evicted before a slot falls free")
+	assert.Equal(t, h.last(patient).what, "", "prefill started whose KV cache would be evicted before a slot is free")
 }
 
 func TestLostAskIsRepeated(t *testing.T) {
@@ -217,6 +236,9 @@
 	assert.Equal(t, h.last(id).what, "placed")
 }
 
+// TestOldLoadReportDoesNotHoldSlots checks that a load report older than
+// endedTime is not used to subtract slots. Otherwise an engine whose reports
+// stop would look full forever.
 func TestOldLoadReportDoesNotHoldSlots(t *testing.T) {
 	b := settled(1, 2, 2, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
@@ -228,13 +250,16 @@
 	}
 	early := h.place(2 * time.Second)
 	b.run(100 * time.Millisecond)
-	assert.Equal(t, h.last(early).what, "refused", "a fresh report of full engines is believed")
+	assert.Equal(t, h.last(early).what, "refused", "a recent report of full engines must be used")
 	b.run(endedTime + time.Second)
 	id := h.place(2 * time.Second)
 	b.run(100 * time.Millisecond)
-	assert.Equal(t, h.last(id).what, "placed", "an old one is not")
+	assert.Equal(t, h.last(id).what, "placed", "an old report must not be used")
 }
 
+// TestBurstOnIdleEnginesWaitsItsTurn checks that requests are not refused when
+// they exceed the free slots but their target allows waiting until slots are
+// released.
 func TestBurstOnIdleEnginesWaitsItsTurn(t *testing.T) {
 	b := settled(1, 2, 2, 200)
 	h := b.holderNode()
@@ -244,21 +269,24 @@
 	}
 	b.run(50 * time.Millisecond)
 	for _, id := range ids {
-		assert.Assert(t, h.last(id).what != "refused", "three waves of slots fit into the target")
+		assert.Assert(t, h.last(id).what != "refused", "refused although its target allows waiting for slots")
 	}
 }
 
+// TestComeBackIsBounded checks the upper limit of the retry delay for a request
+// that no engine can ever serve.
 func TestComeBackIsBounded(t *testing.T) {
 	b := settled(1, 2, 2, 2)
 	h := b.holderNode()
 	id := h.place(time.Second)
 	b.run(50 * time.Millisecond)
-	assert.Equal(t, h.last(id).what, "refused", "no engine has memory for it at any time")
+	assert.Equal(t, h.last(id).what, "refused", "no engine has enough memory for it")
 	assert.Assert(t, h.comeBack[id] <= 2*maxComeBack, "%v", h.comeBack[id])
 }
 
-// TestEqualEnginesShareDecodes places decodes on engines whose pace does not
-// depend on their load, as far as the bundle says: they get equal shares.
+// TestEqualEnginesShareDecodes places decodes on engines for which the bundle
+// does not say how their speed depends on load. Each engine must get an equal
+// share of the decodes rather than the first engine all of them.
 func TestEqualEnginesShareDecodes(t *testing.T) {
 	b := settled(1, 3, 20, 200)
 	h := b.holderNode()
--- a/plugins/slots/dispatch/engines.go
+++ b/plugins/slots/dispatch/engines.go
@@ -10,32 +10,39 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// prefillState is a prefill engine in one pass over the queue.
+// prefillState is the predicted state of a prefill engine during one scheduling
+// pass.
 type prefillState struct {
 	u *kernel.Upstream
-	// readyAt is when the engine will have done all it was given, and, as the
-	// pass goes on, what the queue will give it.
+	// readyAt is when the engine will have finished the prompts that it was
+	// given and those that this pass has planned for it so far.
 	readyAt time.Time
-	// linkAt is when its link will have sent all that it is to send.
+	// linkAt is when the engine's network link will have finished all planned
+	// transfers.
 	linkAt time.Time
-	// own is the prompt work that its load report should count already, in
-	// tokens.
+	// own is the part of the engine's reported queue, in prompt tokens, that
+	// this dispatcher's placements account for.
 	own int
 }
 
-// decodeState is a decode engine in one pass.
+// decodeState is the predicted state of a decode engine during one scheduling
+// pass.
 type decodeState struct {
 	u *kernel.Upstream
-	// slots and pieces are free; held and heldPieces are the known placements.
+	// slots and pieces are the free slots and KV memory pieces. held and
+	// heldPieces count the known placements and their pieces.
 	slots, pieces, held, heldPieces int
-	// reported is how many placements its load report should count.
+	// reported is the number of known uses that the engine's load report should
+	// include.
 	reported int
-	// planned is the KV memory meant for prefills under way.
+	// planned is the KV memory, in pieces, reserved for prefills that have no
+	// decode engine yet.
 	planned int
 }
 
-// roles are the engines that serve the group's model, by role and as indexes
-// into the view. They are found anew when the view or the bundle changes.
+// roles lists the engines that serve the group's model, by role, as indexes into
+// the view's upstreams. It is computed again when the view or the bundle
+// changes.
 type roles struct {
 	known     bool
 	version   uint64
@@ -44,18 +51,19 @@
 	prefills  []int
 	prefillAt map[ident.UpstreamID]int
 	decodes   []int
-	// books are the decode engines' books, in the order of decodes.
+	// books holds one book per decode engine, in the order of decodes.
 	books []*book
 }
 
-// book is what is known of the use of one decode engine's slots.
+// book records the known uses of one decode engine's slots.
 type book struct {
 	grants []*grant
-	// ended are the uses that ended lately, in the order of their ends.
+	// ended lists uses that ended recently, in the order of their ends.
 	ended []ended
 }
 
-// engines returns the group's engines under the view and bundle in force.
+// engines returns the engines that serve the group's model, according to the
+// current view and bundle.
 func (g *group) engines() *roles {
 	view, content := g.p.host.View(), g.p.host.Content()
 	r := &g.roles
@@ -86,17 +94,17 @@
 	return r
 }
 
-// usable reports whether the engine may get new work.
+// usable reports whether the engine may be given new work.
 func (g *group) usable(u *kernel.Upstream) bool {
 	return u.Life <= kernel.Suspect && !g.now().Before(u.Health.EjectedUntil)
 }
 
-// overdueShare is how much longer a prefill that is overdue is expected to
-// take, as an inverse share of what it was expected to take.
+// overdueShare sets the assumed remaining time of a prefill that has passed its
+// expected end: a quarter of the time it was expected to take.
 const overdueShare = 4
 
-// prefills lists the prefill engines and when each will be ready: when it is
-// done with what this dispatcher gave it, and with what others did. The list
+// prefills lists the usable prefill engines with the time at which each will
+// have finished the work given to it by this dispatcher and by others. The list
 // is valid until the next call.
 func (g *group) prefills() []prefillState {
 	r := g.engines()
@@ -122,7 +130,7 @@
 	return slices.DeleteFunc(list, func(e prefillState) bool { return !g.usable(e.u) })
 }
 
-// give adds a prefill under way to the engine's work.
+// give adds a prefill that is under way to the engine's predicted work.
 func (e *prefillState) give(gr *grant) {
 	if !gr.at.After(e.u.Load.At) {
 		e.own += gr.ask.Prompt
@@ -134,18 +142,20 @@
 	e.readyAt = end
 }
 
-// send adds a transfer, which begins when the engine is ready and its link free.
+// send adds a transfer, which begins when the engine is ready and its link is
+// free.
 func (e *prefillState) send(takes time.Duration) {
 	e.linkAt = slotkit.Later(e.linkAt, e.readyAt).Add(takes)
 }
 
-// transfer is the time to send a prompt's KV cache over the engine's link when
-// nothing else uses it.
+// transfer returns the time to send a prompt's KV cache over the engine's
+// otherwise idle link.
 func (g *group) transfer(u *kernel.Upstream, prompt int) time.Duration {
 	return kernel.TransferTime(g.engines().model, prompt, u, u)
 }
 
-// noteTransfer counts a transfer that now begins on its engine's link.
+// noteTransfer records that the transfer of a placement's KV cache begins now on
+// the link of its prefill engine.
 func (g *group) noteTransfer(gr *grant) {
 	u := g.p.host.Upstream(gr.prefill)
 	if u == nil {
@@ -154,7 +164,8 @@
 	g.links[u.ID] = slotkit.Later(g.links[u.ID], g.now()).Add(g.transfer(u, gr.ask.Prompt))
 }
 
-// addForeign adds the work that the engine reported beyond what is known.
+// addForeign adds the work that the engine reported beyond this dispatcher's own
+// placements, less what the engine can have computed since the report.
 func (e *prefillState) addForeign(now time.Time) {
 	rate := e.u.Spec.PrefillTokensPerSecond
 	if rate <= 0 {
@@ -166,8 +177,8 @@
 	}
 }
 
-// prefilling lists the grants whose prefill is not done, in the order in which
-// they are expected to be.
+// prefilling lists the placements whose prefill is not done, sorted by expected
+// end. The list is valid until the next call.
 func (g *group) prefilling() []*grant {
 	list := g.grantScratch[:0]
 	for _, gr := range g.computing {
@@ -186,9 +197,9 @@
 	return list
 }
 
-// decodes lists the decode engines and what each has free, when the known
-// placements and those of others are taken off. The list is valid until the
-// next call.
+// decodes lists the usable decode engines with their free slots and memory,
+// after subtracting the known placements and those that only the load report
+// shows. The list is valid until the next call.
 func (g *group) decodes() []decodeState {
 	r := g.engines()
 	list := g.decodeScratch[:0]
@@ -206,7 +217,8 @@
 	return list
 }
 
-// take takes what the book says off what is free.
+// take subtracts the known placements from the free slots and memory, and, if
+// the load report is recent enough, the requests that only the report shows.
 func (d *decodeState) take(b *book, now time.Time) {
 	for _, gr := range b.grants {
 		d.hold(gr)
@@ -221,7 +233,7 @@
 	}
 }
 
-// hold takes a known placement off what is free.
+// hold subtracts one known placement from the free slots and memory.
 func (d *decodeState) hold(gr *grant) {
 	d.held++
 	d.heldPieces += gr.ask.Pieces
@@ -232,9 +244,10 @@
 	}
 }
 
-// takeForeign takes off the requests that the engine reports and no known
-// placement accounts for: those placed by another dispatcher, or by holders
-// themselves.
+// takeForeign subtracts the requests that the engine reports beyond the known
+// placements. They were placed by another dispatcher, or by holders out of their
+// static shares. Their memory is estimated as an equal share of the reported
+// memory per request.
 func (d *decodeState) takeForeign() {
 	running := d.u.Load.Running + d.u.Load.Waiting
 	foreign := running - d.reported
@@ -245,16 +258,17 @@
 	d.pieces -= d.u.Load.PiecesUsed * foreign / running
 }
 
-// ended remembers a slot's use, so that a load report from before its end can
-// be understood.
+// ended is the time span of a slot use that is over. It is needed to interpret
+// load reports made before the use ended.
 type ended struct{ from, to time.Time }
 
-// endedTime is how long the end of a slot's use is remembered. A load report
-// that is older than this says nothing of others' placements: what it counts may
-// be known uses that have ended since and are forgotten.
+// endedTime is how long an ended slot use is remembered. A load report older
+// than this is not used to detect other dispatchers' placements, because it may
+// count known uses that have since ended and been forgotten.
 const endedTime = 5 * time.Second
 
-// book returns the book of a decode engine.
+// book returns the record of a decode engine's slot uses and creates it if
+// necessary.
 func (g *group) book(id ident.UpstreamID) *book {
 	b, ok := g.books[id]
 	if !ok {
@@ -264,7 +278,8 @@
 	return b
 }
 
-// takeSlot enters a placement on a decode engine.
+// takeSlot records that a placement takes a slot of the decode engine from now
+// on.
 func (g *group) takeSlot(gr *grant, decode ident.UpstreamID) {
 	gr.decode = decode
 	gr.decodeAt = g.now()
@@ -272,7 +287,8 @@
 	b.grants = append(b.grants, gr)
 }
 
-// freeSlot takes a placement off its decode engine.
+// freeSlot removes a placement from its decode engine's record and remembers the
+// use for endedTime.
 func (g *group) freeSlot(gr *grant) {
 	b := g.book(gr.decode)
 	if i := slices.Index(b.grants, gr); i >= 0 {
--- a/plugins/slots/dispatch/fallback.go
+++ b/plugins/slots/dispatch/fallback.go
@@ -10,11 +10,12 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// retryShare is when to ask again for a slot of the static share.
+// retryShare is the delay after which a request that found no slot in the static
+// share should try again.
 const retryShare = 50 * time.Millisecond
 
-// Reserve implements kernel.SlotPolicy. It is used while the dispatcher cannot
-// be reached: the slot comes out of this instance's static share.
+// Reserve implements kernel.SlotPolicy. It is used while no dispatcher can be
+// reached. The slot is taken from this instance's static share of the engine.
 func (p *Policy) Reserve(a kernel.SlotAsk) kernel.SlotAnswer {
 	p.refresh()
 	u := p.host.Upstream(a.Upstream)
@@ -35,7 +36,8 @@
 	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 }
 
-// modelOf names the model under which a placement on u is renewed.
+// modelOf returns the model under which a placement on u is renewed: the first
+// that u serves, empty if it lists none.
 func modelOf(u *kernel.Upstream) string {
 	if len(u.Spec.Models) == 0 {
 		return ""
@@ -43,7 +45,8 @@
 	return u.Spec.Models[0]
 }
 
-// shareFree reports whether this instance's share of u has room.
+// shareFree reports whether this instance's static share of u has a free slot
+// and enough memory.
 func (p *Policy) shareFree(u *kernel.Upstream, pieces int) bool {
 	slots, used := 0, 0
 	for _, h := range p.holder.holdings {
@@ -60,15 +63,19 @@
 	if total == 0 {
 		return true
 	}
-	// A large prompt may need more than a share: one request always fits.
+	// A large prompt may need more memory than the share has, so an otherwise
+	// unused share always admits one request.
 	return slots == 0 || used+pieces <= total/max(len(p.roster.Live()), 1)
 }
 
-// Refused implements kernel.SlotPolicy. The dispatcher learns of it by the ask
-// that follows, which names the engine as one to avoid.
+// Refused implements kernel.SlotPolicy. It does nothing: the dispatcher learns
+// of the refusal from the next request for the placement, which lists the engine
+// in Avoid.
 func (p *Policy) Refused(ident.UpstreamID) {}
 
-// Availability implements kernel.SlotPolicy.
+// Availability implements kernel.SlotPolicy. It reports the wait that the
+// dispatcher last gave for the model or, if that is zero, the slots that the
+// load report shows as free, at least one.
 func (p *Policy) Availability(u *kernel.Upstream) kernel.Availability {
 	if p.host == nil {
 		return kernel.Availability{}
@@ -80,9 +87,10 @@
 	return kernel.Availability{Free: max(slotkit.Slots(u)-u.Load.Running, 1)}
 }
 
-// unreachable stops asking a dispatcher for a while. What it was asked for and
-// has not answered moves to the next one, as does what it is renewed about; where
-// there is none left, it is taken back and the kernel places by itself.
+// unreachable marks a dispatcher as silent for silenceTime. Placement requests
+// that it has not answered are sent to the next dispatcher, which also receives
+// the renewals from now on. If there is no other dispatcher, the requests are
+// denied, so that the kernel places them itself.
 func (p *Policy) unreachable(d ident.InstanceID) {
 	if p.isSilent(d) {
 		return
@@ -99,8 +107,9 @@
 	}
 }
 
-// moveHoldings follows a change of dispatchers: what was asked for is asked for
-// again, what is held is renewed.
+// moveHoldings is called when dispatchers may have changed. Unanswered requests
+// are sent again to the new dispatcher; placements already received are released
+// at the old one and renewed at the new one.
 func (p *Policy) moveHoldings() {
 	moved := map[string]bool{}
 	for _, h := range p.sortedHoldings() {
@@ -123,7 +132,7 @@
 	}
 }
 
-// sortedHoldings lists the holdings in a repeatable order.
+// sortedHoldings lists the holdings in a reproducible order.
 func (p *Policy) sortedHoldings() []*holding {
 	list := make([]*holding, 0, len(p.holder.holdings))
 	for _, h := range p.holder.holdings {
--- a/plugins/slots/dispatch/group.go
+++ b/plugins/slots/dispatch/group.go
@@ -9,14 +9,14 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// waiting is an ask in the dispatcher's queue.
+// waiting is a placement request in the dispatcher's queue.
 type waiting struct {
 	ask    Ask
 	holder ident.InstanceID
 	entry  *kernel.Waiting
 }
 
-// grant is a placement that the dispatcher gave, or learned of from a renewal.
+// grant is a placement that the dispatcher made or learned of from a renewal.
 type grant struct {
 	key     slotkit.Key
 	id      ident.AttemptID
@@ -24,48 +24,53 @@
 	ask     Ask
 	at      time.Time
 	expires time.Time
-	// prefill is the engine, doneAt when it is expected to be done with it.
+	// prefill is the prefill engine, and doneAt the time at which its prefill is
+	// expected to be done.
 	prefill ident.UpstreamID
 	doneAt  time.Time
-	// others are the prefill engines that were not chosen.
+	// others are the best prefill engines that were not chosen.
 	others []Other
-	// computed is set when the prefill is done; kvUntil is how long its result
-	// can be imported.
+	// computed is set when the prefill is done. kvUntil is then the time until
+	// which its KV cache can be imported.
 	computed bool
 	kvUntil  time.Time
-	// planned is the decode engine that is expected to have memory for it.
+	// planned is the decode engine that is expected to have memory for the
+	// placement.
 	planned ident.UpstreamID
-	// decode is the engine whose slot is taken, since decodeAt.
+	// decode is the decode engine on which the placement takes a slot, and
+	// decodeAt the time since which it does.
 	decode   ident.UpstreamID
 	decodeAt time.Time
 }
 
-// group is what the dispatcher of a model knows.
+// group is a dispatcher's state for one model.
 type group struct {
 	p     *Policy
 	model string
-	// since is when this instance began to dispatch the model; heard are the
-	// holders that renewed since then.
+	// since is when this instance began to dispatch the model. heard is the set
+	// of holders that have sent a renewal since then.
 	since time.Time
 	heard map[ident.InstanceID]struct{}
 
 	queue   kernel.QueueOrder
 	waiting map[ident.RequestID]*waiting
 	grants  map[slotkit.Key]*grant
-	// computing are the grants whose prefill is not done.
+	// computing are the placements whose prefill is not done.
 	computing map[slotkit.Key]*grant
-	// ready are the grants whose prefill is done and that wait for a slot.
+	// ready are the placements whose prefill is done and that wait for a decode
+	// slot.
 	ready []*grant
 	hold  holdModel
-	// links is when each prefill engine's link will be free.
+	// links maps each prefill engine to the time at which its network link will
+	// be free.
 	links map[ident.UpstreamID]time.Time
-	// books are the decode engines' books.
+	// books maps each decode engine to the record of its slot uses.
 	books map[ident.UpstreamID]*book
-	// plannedAt is when the queue was last gone through, and wait the expected
-	// wait of its last ask then.
+	// plannedAt is when the queue was last planned, and wait the wait that was
+	// expected for its last request at that time.
 	plannedAt time.Time
 	wait      time.Duration
-	// pollAt is when the queue is to be looked at again, zero if not needed.
+	// pollAt is when the group must next be woken, zero if it need not be.
 	pollAt time.Time
 
 	roles          roles
@@ -76,9 +81,11 @@
 	orderScratch   []*kernel.Waiting
 }
 
-// pollTime is how often a queue is looked at when nothing else happens.
+// pollTime is the interval between scheduling passes while requests wait and no
+// event triggers one.
 const pollTime = 20 * time.Millisecond
 
+// newGroup returns the empty state of a dispatcher that starts now.
 func newGroup(p *Policy, model string) *group {
 	return &group{
 		p:       p,
@@ -98,7 +105,8 @@
 
 func (g *group) now() time.Time { return g.p.host.Now() }
 
-// send sends an answer to a holder, which may be this instance itself.
+// send sends an answer to a holder. An answer to this instance itself is handled
+// directly, without a message.
 func (g *group) send(to ident.InstanceID, m kernel.PeerMessage) {
 	if to != g.p.host.Self().Instance {
 		g.p.host.Send(to, m)
@@ -107,13 +115,15 @@
 	g.p.receiveAnswer(to, m)
 }
 
-// ask queues an ask, or repeats the answer to one that was answered before.
+// ask handles a placement request. It queues a new request and repeats the
+// answer to one that was already answered.
 func (g *group) ask(from ident.InstanceID, a Ask) {
 	key := a.Reservation.Key()
 	if gr, ok := g.grants[key]; ok {
 		if a.KV != "" {
-			// A placement adopted from a renewal may be asked for before, or
-			// instead of, the news that its prefill is done.
+			// For a placement adopted from a renewal, the request for a decode
+			// engine may arrive before the message that reports the prefill as
+			// done, or replace it.
 			g.prefillDone(gr, g.now().Add(a.KVFor.Duration()))
 			g.pass()
 		}
@@ -134,10 +144,11 @@
 	}
 }
 
-// repeat sends the answer to an ask again: the first one may be lost.
+// repeat sends the answer to a placement request again, because the first answer
+// may have been lost.
 func (g *group) repeat(gr *grant) {
 	if g.grants[gr.key] != gr {
-		// It has just been denied.
+		// The scheduling pass before this call has just denied the request.
 		return
 	}
 	if gr.computed && gr.decode == "" {
@@ -151,7 +162,7 @@
 	g.send(gr.holder, g.placedMessage(gr))
 }
 
-// placedMessage is the answer that gives a grant's prefill engine.
+// placedMessage returns the message that tells the holder its prefill engine.
 func (g *group) placedMessage(gr *grant) *Placed {
 	return &Placed{
 		Reservation: gr.ask.Reservation,
@@ -163,7 +174,8 @@
 	}
 }
 
-// askDecode takes a holder that has a finished prefill and needs a slot.
+// askDecode handles the request of a holder that has a finished prefill and
+// needs only a decode slot.
 func (g *group) askDecode(from ident.InstanceID, a Ask) {
 	now := g.now()
 	gr := &grant{
@@ -185,7 +197,8 @@
 	}
 }
 
-// computed notes that a prefill is done and finds its result a slot.
+// computed handles the report that a prefill is done and looks for a decode slot
+// for its KV cache.
 func (g *group) computed(key slotkit.Key, _ ident.UpstreamID) {
 	gr, ok := g.grants[key]
 	if !ok {
@@ -198,7 +211,9 @@
 	}
 }
 
-// prefillDone notes that a grant's prefill is done, and has it wait for a slot.
+// prefillDone marks a placement's prefill as done and, if the placement has no
+// decode engine, makes it wait for a slot. It does nothing if the prefill was
+// already marked as done.
 func (g *group) prefillDone(gr *grant, kvUntil time.Time) {
 	if gr.computed {
 		return
@@ -210,15 +225,15 @@
 	}
 }
 
-// markComputed notes that a grant's prefill is done.
+// markComputed marks a placement's prefill as done.
 func (g *group) markComputed(gr *grant) {
 	gr.computed = true
 	delete(g.computing, gr.key)
 }
 
-// release ends a placement or withdraws an ask. How the KV transfer of another
-// instance's placement ended is passed to the kernel, which knows how those of
-// its own did.
+// release ends a placement or withdraws a placement request. The outcome of the
+// KV transfer of another instance's placement is passed to the kernel, which
+// already knows the outcome for its own placements.
 func (g *group) release(key slotkit.Key, transfer TransferEnd) {
 	if gr, ok := g.grants[key]; ok {
 		g.noteTransferEnd(gr, transfer)
@@ -233,9 +248,10 @@
 	g.pass()
 }
 
-// noteTransferEnd passes on how a placement's KV transfer ended. When one stalled,
-// those of placements in use for long enough went well, or they would have been
-// released.
+// noteTransferEnd tells the kernel the outcome of a placement's KV transfer.
+// When a transfer stalled, it also reports as successful the transfers of all
+// placements in use for longer than movedAfter, which would have been released
+// if they had stalled.
 func (g *group) noteTransferEnd(gr *grant, transfer TransferEnd) {
 	switch transfer {
 	case TransferMoved:
@@ -250,8 +266,8 @@
 	}
 }
 
-// undelivered takes back an answer that did not reach its holder, which will
-// ask again if it lives.
+// undelivered ends a placement whose answer did not reach the holder. A holder
+// that still runs will ask again.
 func (g *group) undelivered(key slotkit.Key) {
 	if gr, ok := g.grants[key]; ok && !gr.computed {
 		g.end(gr)
@@ -259,7 +275,7 @@
 	}
 }
 
-// end forgets a placement.
+// end removes a placement and frees its decode slot, if it has one.
 func (g *group) end(gr *grant) {
 	delete(g.grants, gr.key)
 	delete(g.computing, gr.key)
@@ -274,7 +290,7 @@
 	}
 }
 
-// viewChanged ends the placements of dead holders.
+// viewChanged ends the placements and drops the queued requests of dead holders.
 func (g *group) viewChanged() {
 	for _, in := range g.p.host.View().Instances {
 		if in.Life != kernel.Dead {
@@ -292,12 +308,14 @@
 	g.pass()
 }
 
-// nextWake returns when the group has to act.
+// nextWake returns when the group must next be woken, and false if it need not
+// be.
 func (g *group) nextWake() (time.Time, bool) {
 	return g.pollAt, !g.pollAt.IsZero()
 }
 
-// wake acts on the passing of time.
+// wake expires old placements and runs a scheduling pass if the group's wake-up
+// time has come.
 func (g *group) wake() {
 	if g.pollAt.IsZero() || g.now().Before(g.pollAt) {
 		return
@@ -306,7 +324,7 @@
 	g.pass()
 }
 
-// expire ends placements whose requests are over for certain.
+// expire ends placements and drops queued requests whose deadline has passed.
 func (g *group) expire() {
 	now := g.now()
 	var over []*grant
--- a/plugins/slots/dispatch/hold.go
+++ b/plugins/slots/dispatch/hold.go
@@ -5,32 +5,35 @@
 	"time"
 )
 
-// holdModel learns how long slots are used, from the newest uses.
+// holdModel estimates how long slots are used, from the most recent uses.
 type holdModel struct {
-	// ring holds the newest uses, sorted the same in order.
+	// ring holds the most recent uses in order of arrival, overwritten from next
+	// on; sorted holds the same values in ascending order.
 	ring   []time.Duration
 	next   int
 	sorted []time.Duration
 }
 
 const (
-	// holdSamples is how many uses are remembered.
+	// holdSamples is the number of uses that are remembered.
 	holdSamples = 256
-	// initialHold is assumed before enough slots were given back.
+	// initialHold is the assumed length of a use until enoughSamples uses have
+	// ended.
 	initialHold = 6 * time.Second
-	// enoughSamples is when the uses seen are relied upon.
+	// enoughSamples is the number of uses from which on the samples are used.
 	enoughSamples = 8
 	// remainingQuantile is the quantile, in percent, of the remaining time that
-	// is reckoned with: a slot that comes late wastes a prefill, one that comes
-	// early delays one.
+	// is used as its prediction. A slot that is released later than predicted
+	// wastes a prefill; one that is released earlier only delays a prefill.
 	remainingQuantile = 60
-	// minHold leaves out slots that were given back unused.
+	// minHold excludes slots that were released unused.
 	minHold = 50 * time.Millisecond
 )
 
 func newHoldModel() holdModel { return holdModel{} }
 
-// note takes in how long a slot was used.
+// note adds the length of a slot use that ended. Uses shorter than minHold are
+// ignored.
 func (h *holdModel) note(held time.Duration) {
 	if held < minHold {
 		return
@@ -47,8 +50,10 @@
 	h.sorted = slices.Insert(h.sorted, at, held)
 }
 
-// remaining is the expected time until a slot in use for the given time is
-// released: a quantile of the uses that lasted longer.
+// remaining returns the expected time until a slot that has been in use for the
+// given time is released: the remainingQuantile of the samples that lasted
+// longer, less the time used. Before there are enough samples it assumes
+// initialHold.
 func (h *holdModel) remaining(used time.Duration) time.Duration {
 	if len(h.sorted) < enoughSamples {
 		return max(initialHold-used, initialHold/enoughSamples)
@@ -56,7 +61,8 @@
 	from, _ := slices.BinarySearch(h.sorted, used)
 	longer := h.sorted[from:]
 	if len(longer) == 0 {
-		// Longer than all that were seen: as much again as it is over.
+		// The use is longer than all samples. Its remaining time is taken to be
+		// the time by which it exceeds the longest of them.
 		return max(used-h.sorted[len(h.sorted)-1], minHold)
 	}
 	return max(longer[len(longer)*remainingQuantile/100]-used, 0)
--- a/plugins/slots/dispatch/holder.go
+++ b/plugins/slots/dispatch/holder.go
@@ -10,67 +10,71 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// stage is where a holder's placement stands.
+// stage is the progress of a holder's placement.
 type stage int
 
 const (
-	// stageAsked: the dispatcher was asked for a placement.
+	// stageAsked means that a placement has been requested from the dispatcher.
 	stageAsked stage = iota + 1
-	// stagePrefill: the prefill runs.
+	// stagePrefill means that the prefill is running.
 	stagePrefill
-	// stageComputed: the dispatcher was asked for a decode engine.
+	// stageComputed means that the prefill is done and a decode engine has been
+	// requested from the dispatcher.
 	stageComputed
-	// stageDecode: the decode slot is promised or in use.
+	// stageDecode means that the decode slot is promised or in use.
 	stageDecode
 )
 
-// holding is one placement that this instance asked for and has not released.
+// holding is a placement that this instance has requested and not yet released.
 type holding struct {
 	id    ident.AttemptID
 	key   slotkit.Key
 	model string
 	stage stage
-	// dispatcher is who was asked; empty when the placement is this instance's
-	// own, within its static share.
+	// dispatcher is the instance that was asked. It is empty if the slot comes
+	// from this instance's own static share.
 	dispatcher      ident.InstanceID
 	ask             Ask
 	due, kvUntil    time.Time
 	prefill, decode ident.UpstreamID
-	// transfer is how the KV transfer ended.
+	// transfer is the outcome of the KV transfer, zero if not known.
 	transfer TransferEnd
-	// decodeAt is when the decode engine was named.
+	// decodeAt is when the decode engine was chosen.
 	decodeAt time.Time
 	decoding bool
-	// sentAt is when the dispatcher was last asked and answeredAt when it last
-	// showed that it knows of the ask.
+	// sentAt is when the dispatcher was last asked, and answeredAt when a
+	// message from it last showed that it knows the request.
 	sentAt     time.Time
 	resent     bool
 	answeredAt time.Time
 }
 
-// holder is the part of the policy that asks.
+// holder is the part of the policy that requests placements for this instance's
+// own requests.
 type holder struct {
 	holdings map[slotkit.Key]*holding
-	// silent lists dispatchers that did not answer and until when they are not
-	// asked.
+	// silent maps each dispatcher that did not answer to the time until which it
+	// is not asked.
 	silent  map[ident.InstanceID]time.Time
 	renewAt time.Time
-	// wait is the last expected wait that a dispatcher told, by model.
+	// wait is the expected wait that a dispatcher last reported, by model.
 	wait map[string]time.Duration
 }
 
 const (
-	// answerTime is how long a dispatcher may take to answer an ask. An ask is
-	// sent again once, then the dispatcher is taken for unreachable.
+	// answerTime is how long a dispatcher may take to answer. An unanswered
+	// request is sent once more; after a second answerTime the dispatcher is
+	// treated as unreachable.
 	answerTime = 100 * time.Millisecond
 	// silenceTime is how long an unreachable dispatcher is not asked.
 	silenceTime = 2 * time.Second
-	// renewTime is the time between renewals.
+	// renewTime is the interval between renewals.
 	renewTime = 1 * time.Second
-	// renewTimePending is the time between renewals while asks are queued, by
-	// which a dispatcher's death is noticed.
+	// renewTimePending is the interval between renewals while requests are
+	// queued at a dispatcher. It is shorter than renewTime so that a
+	// dispatcher's death is noticed.
 	renewTimePending = 250 * time.Millisecond
-	// maxBlocks bounds the block hashes in an ask.
+	// maxBlocks is the maximum number of block hashes in an Ask.
 	maxBlocks = 24
 )
 
@@ -80,14 +84,16 @@
 	h.wait = map[string]time.Duration{}
 }
 
-// Joint implements kernel.JointPolicy. Where this region has no engines of the
-// model, the kernel places its requests itself, in another region.
+// Joint implements kernel.JointPolicy. It returns false for a model that has no
+// engines in this region; the kernel then places the model's requests in another
+// region itself.
 func (p *Policy) Joint(model string) bool {
 	p.refresh()
 	return p.dispatcher(model) != "" && p.served(model)
 }
 
-// served reports whether the region has engines of both roles for the model.
+// served reports whether the region has both prefill and decode engines for the
+// model.
 func (p *Policy) served(model string) bool {
 	prefill, decode := false, false
 	view := p.host.View()
@@ -105,7 +111,8 @@
 	return false
 }
 
-// Place implements kernel.JointPolicy.
+// Place implements kernel.JointPolicy. It asks the model's dispatcher for a
+// placement.
 func (p *Policy) Place(a kernel.PlacementAsk) {
 	p.refresh()
 	now := p.host.Now()
@@ -142,7 +149,8 @@
 	p.sendAsk(h)
 }
 
-// sendAsk sends a holding's ask to the model's present dispatcher.
+// sendAsk sends a holding's placement request to the model's current dispatcher,
+// with its times relative to now.
 func (p *Policy) sendAsk(h *holding) {
 	now := p.host.Now()
 	h.dispatcher = p.dispatcher(h.model)
@@ -160,11 +168,12 @@
 	p.host.Send(h.dispatcher, &ask)
 }
 
-// heard notes a sign of life of a dispatcher.
+// heard records that a dispatcher has sent a message, so that it is asked again.
 func (p *Policy) heard(from ident.InstanceID) {
 	delete(p.holder.silent, from)
 }
 
+// queued handles the dispatcher's answer that a placement request has to wait.
 func (p *Policy) queued(m *Queued) {
 	h, ok := p.holder.holdings[m.Reservation.Key()]
 	if !ok {
@@ -174,7 +183,8 @@
 	p.holder.wait[h.model] = m.Wait.Duration()
 }
 
-// placed takes a placement from the dispatcher.
+// placed handles the dispatcher's answer that names the prefill engine, and
+// passes the placement to the kernel.
 func (p *Policy) placed(m *Placed) {
 	h, ok := p.holder.holdings[m.Reservation.Key()]
 	if !ok || h.stage != stageAsked {
@@ -188,7 +198,8 @@
 	p.host.PlacementGranted(h.id, m.placement())
 }
 
-// decodeNamed takes a decode engine from the dispatcher.
+// decodeNamed handles the dispatcher's answer that names the decode engine, and
+// passes it to the kernel.
 func (p *Policy) decodeNamed(key slotkit.Key, decode ident.UpstreamID) {
 	h, ok := p.holder.holdings[key]
 	if !ok || h.stage != stageComputed {
@@ -201,7 +212,9 @@
 	p.host.DecodeGranted(h.id, decode)
 }
 
-// denied takes a refusal from the dispatcher.
+// denied handles the dispatcher's refusal. An infeasible placement request is
+// refused for good; any other is denied, and the kernel may ask again after
+// RetryIn.
 func (p *Policy) denied(m *Deny) {
 	key := m.Reservation.Key()
 	h, ok := p.holder.holdings[key]
@@ -217,7 +230,9 @@
 	p.host.SlotDenied(h.id, p.host.Now().Add(m.RetryIn.Duration()))
 }
 
-// Computed implements kernel.JointPolicy.
+// Computed implements kernel.JointPolicy. It records that the prefill is done
+// and tells the dispatcher, which chooses a decode engine if the placement has
+// none.
 func (p *Policy) Computed(id ident.AttemptID) {
 	h, ok := p.holder.holdings[slotkit.KeyOf(id)]
 	if !ok {
@@ -235,6 +250,7 @@
 	p.tellComputed(h)
 }
 
+// tellComputed tells the holding's dispatcher that the prefill is done.
 func (p *Policy) tellComputed(h *holding) {
 	if h.dispatcher == p.host.Self().Instance {
 		p.groupOf(h.model).computed(h.key, h.prefill)
@@ -258,7 +274,9 @@
 	p.tellReleased(h)
 }
 
-// tellReleased tells the holding's dispatcher that it is over there.
+// tellReleased tells the holding's dispatcher that it no longer needs to keep
+// the placement. For this instance's own dispatcher the transfer's outcome is
+// left out, because its kernel already knows it.
 func (p *Policy) tellReleased(h *holding) {
 	switch h.dispatcher {
 	case "":
@@ -269,7 +287,7 @@
 	}
 }
 
-// Started implements kernel.SlotPolicy.
+// Started implements kernel.SlotPolicy. It marks the placement's slot as in use.
 func (p *Policy) Started(id ident.AttemptID) {
 	if h, ok := p.holder.holdings[slotkit.KeyOf(id)]; ok {
 		h.stage = stageDecode
@@ -277,8 +295,8 @@
 	}
 }
 
-// TransferEnded implements kernel.TransferObserver. The dispatcher learns of it
-// by the release.
+// TransferEnded implements kernel.TransferObserver. The outcome is sent to the
+// dispatcher with the release.
 func (p *Policy) TransferEnded(id ident.AttemptID, stalled bool) {
 	h, ok := p.holder.holdings[slotkit.KeyOf(id)]
 	if !ok {
--- a/plugins/slots/dispatch/lapse.go
+++ b/plugins/slots/dispatch/lapse.go
@@ -8,12 +8,13 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// lapseSettle is how long a decode may take to begin, and its end to be told:
-// load reports say nothing of placements younger than this.
+// lapseSettle covers the time from the choice of a decode engine to the start of
+// the decode and from the decode's end to the arrival of its release. Load
+// reports are not used to judge placements younger than this.
 const lapseSettle = 250 * time.Millisecond
 
-// unreached lists the holders that this instance cannot reach, so that it does
-// not hear of their releases.
+// unreached returns the set of holders that this instance cannot reach and whose
+// releases therefore do not arrive. It is nil if there are none.
 func (g *group) unreached() map[ident.InstanceID]bool {
 	var list map[ident.InstanceID]bool
 	for _, in := range g.p.host.View().Instances {
@@ -28,10 +29,11 @@
 	return list
 }
 
-// lapse ends placements of holders that cannot be reached, as far as the engines
-// report that fewer requests run than are known: those have ended, and their
-// releases were lost. What a frozen holder's engine still runs is in its report
-// and stays.
+// lapse ends placements of unreachable holders whose releases were lost. A
+// placement without a decode engine ends once its prefill should be done. Of
+// those with a decode engine, as many end as the engine's load report counts
+// fewer requests than are known. A request that an engine still runs for a
+// frozen holder is in the report, so its placement is kept.
 func (g *group) lapse() {
 	lost := g.unreached()
 	if lost == nil {
@@ -56,8 +58,8 @@
 	}
 }
 
-// settled counts the placements that a report of the given time must count if
-// they still run.
+// settled returns the number of placements that a load report made at the given
+// time must include if their requests still run.
 func (b *book) settled(at time.Time) int {
 	n := 0
 	for _, gr := range b.grants {
@@ -68,8 +70,8 @@
 	return n
 }
 
-// endOldest ends the oldest placement of the lost holders that a report of the
-// given time must count. It returns false if there is none.
+// endOldest ends the oldest placement of the lost holders that a load report
+// made at the given time must include. It returns false if there is none.
 func (g *group) endOldest(b *book, lost map[ident.InstanceID]bool, at time.Time) bool {
 	var oldest *grant
 	for _, gr := range b.grants {
--- a/plugins/slots/dispatch/lapse_test.go
+++ b/plugins/slots/dispatch/lapse_test.go
@@ -9,8 +9,10 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// loseHolder has a holder's decode begin, cuts the holder off from everyone and
-// has the dispatcher know. The engines then report so many requests each.
+// loseHolder starts a decode for a holder, freezes the holder, and marks it as
+// unreachable in the dispatcher's view. Each engine then reports the given
+// number of running requests, and another node's request triggers a scheduling
+// pass.
 func loseHolder(t *testing.T, running int) (b *bed, lost, other *node) {
 	t.Helper()
 	b = settled(1, 3, 2, 200)
@@ -44,26 +46,31 @@
 	return b, lost, other
 }
 
-// heldOf counts the placements that the dispatcher has for a node.
+// heldOf returns the number of placements that the dispatcher has recorded for a
+// node.
 func (b *bed) heldOf(n *node) int {
 	return len(b.dispatcherNode().policy.groups[testModel].grantsOf(n.self.Instance))
 }
 
-// TestEndedPlacementsOfACutOffHolderLapse: its release cannot come, but the engine
-// says that the request is over.
+// TestEndedPlacementsOfACutOffHolderLapse checks that a placement ends without a
+// release, which cannot arrive from an unreachable holder, when the engine's
+// load report shows that its request has ended.
 func TestEndedPlacementsOfACutOffHolderLapse(t *testing.T) {
 	b, lost, _ := loseHolder(t, 0)
 	assert.Equal(t, b.heldOf(lost), 0)
 }
 
-// TestRunningPlacementsOfACutOffHolderStay: the engine says that the request runs.
+// TestRunningPlacementsOfACutOffHolderStay checks that the placement of an
+// unreachable holder is kept while the engine reports that the request runs.
+// Otherwise its slot would be promised twice.
 func TestRunningPlacementsOfACutOffHolderStay(t *testing.T) {
 	b, lost, _ := loseHolder(t, 1)
 	assert.Equal(t, b.heldOf(lost), 1)
 }
 
-// TestPlacementsOfLiveHoldersDoNotLapse: a live holder tells of its releases, and
-// a report may be wrong.
+// TestPlacementsOfLiveHoldersDoNotLapse checks that a load report does not end
+// placements of live holders, which send their releases themselves, since the
+// report may be wrong.
 func TestPlacementsOfLiveHoldersDoNotLapse(t *testing.T) {
 	b, lost, _ := loseHolder(t, 1)
 	d := b.dispatcherNode()
@@ -75,8 +82,9 @@
 	assert.Equal(t, b.heldOf(lost), 1)
 }
 
-// TestUnfinishedPlacementsOfACutOffHolderLapse: it cannot be named a slot, so that
-// none must be kept for it.
+// TestUnfinishedPlacementsOfACutOffHolderLapse checks that the placement of an
+// unreachable holder that has no decode engine ends when its prefill should be
+// done. The holder cannot be told a decode engine, so no slot needs to be kept.
 func TestUnfinishedPlacementsOfACutOffHolderLapse(t *testing.T) {
 	b := settled(1, 3, 2, 200)
 	lost, d := b.holderNode(), b.dispatcherNode()
@@ -92,7 +100,7 @@
 	}
 	d.policy.refresh()
 	d.policy.groups[testModel].lapse()
-	assert.Equal(t, b.heldOf(lost), 1, "its prefill still runs")
+	assert.Equal(t, b.heldOf(lost), 1, "placement ended while its prefill runs")
 	b.run(time.Second)
 	d.policy.groups[testModel].lapse()
 	assert.Equal(t, b.heldOf(lost), 0)
--- a/plugins/slots/dispatch/message.go
+++ b/plugins/slots/dispatch/message.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// The kinds of message.
+// The kinds of the messages, as named on the wire.
 const (
 	KindAsk      = "dispatch.ask"
 	KindQueued   = "dispatch.queued"
@@ -21,25 +21,27 @@
 	KindResync   = "dispatch.resync"
 )
 
-// Milliseconds is a duration as messages carry it. Times are sent relative to
-// the sending, since instances have no common clock.
+// Milliseconds is a duration in a message. Messages give times relative to when
+// they are sent, since instances have no common clock.
 type Milliseconds int64
 
 // Duration returns m as a time.Duration.
 func (m Milliseconds) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
+// millis converts a duration to whole milliseconds, rounded toward zero.
 func millis(d time.Duration) Milliseconds { return Milliseconds(d.Milliseconds()) }
 
-// Ask asks for a placement. It may be repeated: the dispatcher repeats its
-// answer.
+// Ask requests a placement. It may be sent repeatedly: the dispatcher repeats
+// its answer.
 type Ask struct {
 	Reservation slotkit.Reservation `json:"r"`
 	Model       string              `json:"m"`
 	Workspace   ident.Workspace     `json:"w,omitempty"`
 	Kind        string              `json:"k,omitempty"`
 	Zone        ident.Zone          `json:"z,omitempty"`
-	// Prompt is the prompt to compute, resumed output included; Output is the
-	// most that will be generated; both in tokens.
+	// Prompt is the number of tokens to compute, which includes output that was
+	// already delivered when the request is resumed. Output is the maximum
+	// number of tokens still to be generated.
 	Prompt int `json:"p"`
 	Output int `json:"o"`
 	Pieces int `json:"n,omitempty"`
@@ -47,13 +49,14 @@
 	Blocks    []uint64 `json:"b,omitempty"`
 	Priority  int      `json:"y,omitempty"`
 	Delivered int      `json:"d,omitempty"`
-	// DueIn is the time left to the first output's target, negative when it
-	// has passed; DeadlineIn is the time the caller still waits.
+	// DueIn is the time left until the first output is due, negative if that
+	// time has passed. DeadlineIn is the time for which the caller still waits.
 	DueIn      Milliseconds       `json:"t"`
 	DeadlineIn Milliseconds       `json:"e"`
 	Avoid      []ident.UpstreamID `json:"a,omitempty"`
-	// KV is set when the prefill is done and only a decode engine is asked
-	// for; KVFor is how long the result can still be imported.
+	// KV is the prefill engine that holds the finished prefill's KV cache. It is
+	// set when only a decode engine is requested. KVFor is how long the cache
+	// can still be imported.
 	KV    ident.UpstreamID `json:"v,omitempty"`
 	KVFor Milliseconds     `json:"f,omitempty"`
 }
@@ -65,7 +68,8 @@
 	Wait Milliseconds `json:"t,omitempty"`
 }
 
-// Placed names a prefill engine and, if its slot is certain, a decode engine.
+// Placed answers an Ask with a prefill engine and, if a decode slot is already
+// taken for it, a decode engine.
 type Placed struct {
 	Reservation slotkit.Reservation `json:"r"`
 	Model       string              `json:"m"`
@@ -73,20 +77,22 @@
 	Decode      ident.UpstreamID    `json:"d,omitempty"`
 	// Cost is the expected time until the prefill is done.
 	Cost Milliseconds `json:"c"`
-	// Others are the best engines not chosen, best first, at most maxOthers.
+	// Others are the best engines that were not chosen, best first, at most
+	// maxOthers.
 	Others []Other `json:"o,omitempty"`
 }
 
-// Other is a prefill engine that was not chosen, and its cost.
+// Other is a prefill engine that was not chosen, with the expected time until it
+// would have finished the prefill.
 type Other struct {
 	Prefill ident.UpstreamID `json:"p"`
 	Cost    Milliseconds     `json:"c"`
 }
 
-// maxOthers bounds the engines in a Placed that were not chosen.
+// maxOthers is the maximum number of engines in Placed.Others.
 const maxOthers = 2
 
-// placement is the message as the kernel takes it.
+// placement converts the message to the kernel's form.
 func (m *Placed) placement() kernel.Placement {
 	p := kernel.Placement{Prefill: m.Prefill, Decode: m.Decode, Cost: m.Cost.Duration().Seconds()}
 	for _, o := range m.Others {
@@ -112,31 +118,37 @@
 // Deny answers an Ask that gets no placement.
 type Deny struct {
 	Reservation slotkit.Reservation `json:"r"`
-	// Infeasible says that the target cannot be met; RetryIn is then when the
-	// caller should come back, and else when to ask again.
+	// Infeasible is set if the request cannot meet its target. RetryIn is then
+	// when the caller should send the request again; otherwise it is when the
+	// holder may ask again.
 	Infeasible bool         `json:"x,omitempty"`
 	RetryIn    Milliseconds `json:"t"`
 }
 
-// Release gives a placement back or withdraws an ask.
+// Release ends a placement or withdraws an Ask.
 type Release struct {
 	Reservation slotkit.Reservation `json:"r"`
 	Model       string              `json:"m"`
-	// Transfer is how the placement's KV transfer ended, if it did.
+	// Transfer is the outcome of the placement's KV transfer, zero if it is not
+	// known.
 	Transfer TransferEnd `json:"x,omitempty"`
 }
 
-// TransferEnd is how a KV transfer ended.
+// TransferEnd is the outcome of a KV transfer. The zero value means that it is
+// not known.
 type TransferEnd int
 
-// The ends; the zero value says nothing.
+// The known outcomes of a transfer.
 const (
+	// TransferMoved means that all data was transferred.
 	TransferMoved TransferEnd = iota + 1
+	// TransferStalled means that the transfer stopped making progress.
 	TransferStalled
 )
 
-// Renew tells the dispatcher what a holder holds of a model: by count and
-// digest, or whole when Full is set. What a full renewal does not list is over.
+// Renew tells the dispatcher which placements of a model a holder has: only
+// their count and digest, or the full list if Full is set. The dispatcher ends
+// placements that a full renewal does not list.
 type Renew struct {
 	Incarnation ident.Incarnation `json:"i"`
 	Model       string            `json:"m"`
@@ -154,11 +166,12 @@
 	Pieces      int                 `json:"n,omitempty"`
 	// Used is how long the decode engine's slot has been taken.
 	Used Milliseconds `json:"u,omitempty"`
-	// Decoding says that the slot is in use, and not only promised.
+	// Decoding is set if the slot is in use rather than only promised.
 	Decoding bool `json:"s,omitempty"`
 }
 
-// Resync asks for a full renewal, after one whose digest did not fit.
+// Resync asks for a full renewal. It answers a renewal whose count or digest
+// does not match the dispatcher's state.
 type Resync struct {
 	Model string `json:"m"`
 }
--- a/plugins/slots/dispatch/pass.go
+++ b/plugins/slots/dispatch/pass.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// lookahead is how long before a prefill engine falls idle it is given the
-	// next prompt: the time of the messages between.
+	// lookahead is how long before a prefill engine becomes idle it is given its
+	// next prompt. It covers the time that the messages in between take.
 	lookahead = 20 * time.Millisecond
-	// lateSlack is the error granted to a prediction before an ask is refused,
-	// as a percentage of the time it looks ahead.
+	// lateSlack is the error allowed in a predicted time before a request is
+	// refused as too late, in percent of the time from now to the predicted
+	// time.
 	lateSlack = 10
-	// kvWaitPercent is the part of a KV cache's usable time for which a slot
-	// may be late by plan.
+	// kvWaitPercent is the share, in percent, of a KV cache's usable time that a
+	// finished prefill may be planned to wait for its decode slot.
 	kvWaitPercent = 10
-	// minComeBack and maxComeBack bound what refused callers are told, the
-	// jitter aside.
+	// minComeBack and maxComeBack bound the retry delay given to refused
+	// callers, before jitter is added.
 	minComeBack = 300 * time.Millisecond
 	maxComeBack = 30 * time.Second
-	// crossZone is the cost of a transfer between availability zones.
+	// crossZone is the assumed cost of a transfer between availability zones.
 	crossZone = 5 * time.Millisecond
-	// longQueue is the number of asks from which on the queue is gone through
-	// every planGap only, a quarter of the time that prefill engines are fed
-	// ahead.
+	// longQueue is the number of waiting requests above which the queue is
+	// planned at most once every planGap, which is a quarter of lookahead.
 	longQueue = 32
 	planGap   = lookahead / 4
 )
 
-// pass gives out what can be given out now.
+// pass runs a scheduling pass: it assigns decode slots to finished prefills and
+// prefill engines to waiting requests, as far as they are available now.
 func (g *group) pass() {
 	if len(g.waiting)+len(g.ready) > 0 {
 		g.lapse()
@@ -45,14 +46,16 @@
 	g.pollAt = g.nextPass()
 }
 
-// planDue reports whether the queue is to be gone through now. A long one is gone
-// through every planGap only: that costs as much as it is long, and would else be
-// done for each ask and each release.
+// planDue reports whether the queue is to be planned in this pass. The cost of
+// planning grows with the length of the queue, and without a limit it would be
+// paid on every request and release. A long queue is therefore planned at most
+// once every planGap.
 func (g *group) planDue() bool {
 	return len(g.waiting) <= longQueue || g.now().Sub(g.plannedAt) >= planGap
 }
 
-// nextPass returns when the next pass is due if nothing happens, zero for never.
+// nextPass returns when the next pass is due if no event triggers one earlier,
+// zero for never.
 func (g *group) nextPass() time.Time {
 	switch {
 	case len(g.waiting) > longQueue:
@@ -66,8 +69,8 @@
 	}
 }
 
-// serveReady finds slots for finished prefills, the one that expires first in
-// front.
+// serveReady assigns decode slots to finished prefills, those whose KV cache
+// expires first in front. It denies those whose cache has expired.
 func (g *group) serveReady(free []decodeState) {
 	now := g.now()
 	slices.SortStableFunc(g.ready, func(a, b *grant) int { return a.kvUntil.Compare(b.kvUntil) })
@@ -83,7 +86,8 @@
 	}
 }
 
-// giveSlot names the decode engine of a finished prefill.
+// giveSlot assigns a slot of the decode engine to a finished prefill and tells
+// the holder.
 func (g *group) giveSlot(gr *grant, d *decodeState) {
 	d.slots--
 	d.pieces -= gr.ask.Pieces
@@ -96,10 +100,11 @@
 	g.send(gr.holder, &Decode{Reservation: gr.ask.Reservation, Model: g.model, Decode: d.u.ID})
 }
 
-// pickDecode chooses the decode engine with room that is expected to be fastest,
-// in the zone of the prefill if it can, and among equals the one with the fewest
-// placements: where the bundle says nothing of what a batch costs, a full engine
-// looks as fast as an empty one.
+// pickDecode chooses the decode engine with room that is expected to be fastest.
+// An engine in another zone than the prefill engine is charged crossZone. Among
+// equals it chooses the engine with the fewest placements: if the bundle does
+// not say how a batch's size affects decode speed, a full engine looks as fast
+// as an empty one. It returns nil if no engine has room.
 func (g *group) pickDecode(gr *grant, free []decodeState) *decodeState {
 	zone := ident.Zone("")
 	if p := g.p.host.Upstream(gr.prefill); p != nil {
@@ -124,21 +129,23 @@
 	return best
 }
 
-// roomFor reports whether an engine has KV memory for so many pieces. Engines
-// whose memory is not known are not limited by it.
+// roomFor reports whether an engine has KV memory for the given number of
+// pieces. It returns true if the engine's memory is not known.
 func roomFor(d *decodeState, pieces int) bool {
 	return !memoryKnown(d) || d.pieces >= pieces
 }
 
+// memoryKnown reports whether the engine's amount of KV memory is known.
 func memoryKnown(d *decodeState) bool {
 	return d.u.Spec.Pieces > 0 || d.u.Load.PiecesTotal > 0
 }
 
-// placeWaiting goes through the queue in order. Each ask is put, in thought, on
-// the engine that would be done with it first; if that engine is about to fall
-// idle and a slot will be there for the result, it is given out. An ask that by
-// this plan cannot meet its target is refused at once, unless nothing else
-// waits and nothing is in its way: then it is late, but costs nobody anything.
+// placeWaiting plans the queue in order. Each request is assigned, for planning,
+// to the prefill engine that would finish it first. It is actually placed if
+// that engine is about to become idle and a decode slot is expected in time for
+// the result. A request that according to this plan cannot meet its target is
+// refused at once, except if it is the only one waiting and nothing delays it:
+// it is then late, but serving it delays no other request.
 func (g *group) placeWaiting(free []decodeState) {
 	if len(g.waiting) == 0 {
 		return
@@ -163,7 +170,8 @@
 	}
 }
 
-// plan places, refuses or leaves one ask.
+// plan plans one request: it places the request, refuses it, or leaves it in the
+// queue. alone is set if it is the only request in the queue.
 func (g *group) plan(w *waiting, engines []prefillState, s *slotSupply, alone bool) {
 	e, work := g.pickPrefill(w, engines)
 	if e == nil {
@@ -189,8 +197,9 @@
 	}
 }
 
-// tooLate reports whether a predicted first output misses its target. Output
-// that a caller already has is not given up for being late.
+// tooLate reports whether a predicted first output misses its target by more
+// than the allowed error. A request whose caller has already received output is
+// never too late, since refusing it would discard that output.
 func (g *group) tooLate(w *waiting, first time.Time) bool {
 	if w.ask.Delivered > 0 {
 		return false
@@ -199,8 +208,9 @@
 	return first.Add(-slack).After(w.entry.Request.FirstOutputBy)
 }
 
-// refuse tells a holder that its request cannot meet its target. The caller
-// should come back when, by the present plan, it would be served in time.
+// refuse tells a holder that its request cannot meet its target. The retry delay
+// is the time by which the request would be late under the current plan, between
+// minComeBack and maxComeBack, plus a random jitter of up to the same length.
 func (g *group) refuse(w *waiting, first time.Time) {
 	g.dequeue(w.entry.Request.ID)
 	late := min(max(first.Sub(w.entry.Request.FirstOutputBy), minComeBack), maxComeBack)
@@ -212,7 +222,7 @@
 	})
 }
 
-// place gives out a prefill engine.
+// place starts a placement on a prefill engine and tells the holder.
 func (g *group) place(w *waiting, e *prefillState, memory *decodeState, others []Other) {
 	u := e.u
 	g.dequeue(w.entry.Request.ID)
@@ -238,8 +248,9 @@
 	g.send(w.holder, g.placedMessage(gr))
 }
 
-// others lists the engines that would have been done next after the chosen one,
-// whose readyAt already includes the ask's work, best first.
+// others lists the engines that would have finished the request next after the
+// chosen one, best first. The request's work is already included in the readyAt
+// of the chosen engine only.
 func (g *group) others(w *waiting, engines []prefillState, chosen *prefillState) []Other {
 	list := make([]Other, 0, maxOthers+1)
 	for i := range engines {
@@ -259,7 +270,8 @@
 	return list
 }
 
-// behindEqual orders costs so that a search ends behind equal ones.
+// behindEqual is a comparison for a binary search that ends after the listed
+// costs equal to c.
 func behindEqual(listed, c Milliseconds) int {
 	if listed <= c {
 		return -1
@@ -267,15 +279,15 @@
 	return 1
 }
 
-// pickPrefill chooses the engine that would be done with the ask first, and
-// returns the time it needs for it.
-// Engines that failed the request are left out as far as others remain.
+// pickPrefill chooses the engine that would finish the request first and returns
+// it with the time that the prefill takes there. Engines that failed the request
+// are excluded as long as others remain. It returns nil if there is no engine.
 func (g *group) pickPrefill(w *waiting, engines []prefillState) (*prefillState, time.Duration) {
 	avoid := leftOut(w.ask.Avoid, engines, func(e *prefillState) ident.UpstreamID { return e.u.ID })
 	return g.soonest(w, engines, avoid)
 }
 
-// soonest is pickPrefill among the engines that are not to be avoided.
+// soonest is pickPrefill with a given list of engines to exclude.
 func (g *group) soonest(w *waiting, engines []prefillState, avoid []ident.UpstreamID) (*prefillState, time.Duration) {
 	var best *prefillState
 	var bestWork time.Duration
@@ -297,7 +309,8 @@
 	return best, bestWork
 }
 
-// uncached is how much of an ask's prompt an engine would have to compute.
+// uncached returns how many tokens of a request's prompt an engine would have to
+// compute, given its cached prefixes.
 func (g *group) uncached(w *waiting, u *kernel.Upstream) int {
 	prefix, m := g.p.host.Prefix(), g.engines().model
 	if prefix == nil || m == nil {
@@ -306,8 +319,8 @@
 	return max(w.ask.Prompt-prefix.CachedBlocks(u, w.ask.Blocks)*m.PieceTokens, 1)
 }
 
-// queueWait is how long the last ask of the queue is expected to wait; of a long
-// queue, as it was when it was last gone through.
+// queueWait returns the expected wait of the last request in the queue. For a
+// long queue it returns the value from when the queue was last planned.
 func (g *group) queueWait() time.Duration {
 	if len(g.waiting) > longQueue {
 		return g.wait
@@ -315,7 +328,9 @@
 	return g.expectedWait()
 }
 
-// expectedWait is how long the last ask of the queue is expected to wait.
+// expectedWait computes the expected wait of the last request in the queue. It
+// assumes that all prefill engines are as fast as the first one and that no
+// prefix is cached.
 func (g *group) expectedWait() time.Duration {
 	engines := g.prefills()
 	if len(engines) == 0 {
--- a/plugins/slots/dispatch/queue.go
+++ b/plugins/slots/dispatch/queue.go
@@ -7,8 +7,9 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// newQueue makes a queue in the bundle's order, which serves the requests of
-// all instances.
+// newQueue returns an empty queue in the bundle's order, for requests of all
+// instances. If the order cannot be loaded, requests are served in order of
+// arrival.
 func newQueue(p *Policy) kernel.QueueOrder {
 	loaded, err := plugin.Load(p.order, nil)
 	if err != nil {
@@ -25,11 +26,13 @@
 	return q
 }
 
-// requestID names an ask in the queue.
+// requestID returns the ID under which a placement request is queued.
 func requestID(a Ask) ident.RequestID {
 	return ident.RequestID(ident.AttemptID(a.Reservation).String())
 }
 
+// enqueue adds a placement request to the queue, with its times converted to
+// this instance's clock.
 func (g *group) enqueue(from ident.InstanceID, a Ask, id ident.RequestID) {
 	now := g.now()
 	r := &kernel.Request{
@@ -51,6 +54,7 @@
 	g.queue.Add(w.entry)
 }
 
+// dequeue removes a placement request from the queue.
 func (g *group) dequeue(id ident.RequestID) {
 	delete(g.waiting, id)
 	g.queue.Remove(id)
--- a/plugins/slots/dispatch/rapid_test.go
+++ b/plugins/slots/dispatch/rapid_test.go
@@ -11,17 +11,17 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// held is a reservation that the machine's kernels go on with.
+// held is a reservation that is still to be continued or released.
 type held struct {
 	n  *node
 	id ident.AttemptID
 }
 
-// machine drives a bed at random.
+// machine applies random actions to a bed.
 type machine struct {
 	b    *bed
 	open []held
-	// dead are the killed nodes, version that of the newest view.
+	// dead are the killed nodes, and version is the version of the newest view.
 	dead    map[ident.InstanceID]bool
 	version uint64
 }
@@ -30,6 +30,8 @@
 	return m.b.nodes[rapid.IntRange(0, len(m.b.nodes)-1).Draw(t, "node")]
 }
 
+// place requests a placement for a random node, if the node runs and the model
+// has a dispatcher.
 func (m *machine) place(t *rapid.T) {
 	n := m.node(t)
 	if n.dead || n.frozen || !n.policy.Joint(testModel) {
@@ -39,7 +41,7 @@
 	m.open = append(m.open, held{n, n.place(due)})
 }
 
-// advance does with one reservation what its kernel would do next.
+// advance does for one reservation what the kernel would do next.
 func (m *machine) advance(t *rapid.T) {
 	if len(m.open) == 0 {
 		return
@@ -74,7 +76,8 @@
 	}
 }
 
-// kill ends a node for good, unless it is the last one; the others learn of it.
+// kill kills a node permanently, unless it is the last one, and gives all nodes
+// a view in which it is dead.
 func (m *machine) kill(t *rapid.T) {
 	n := m.node(t)
 	if n.dead || len(m.dead)+1 == len(m.b.nodes) {
@@ -88,8 +91,8 @@
 	}
 }
 
-// doubt gives one node a view in which another is dead that is not, so that they
-// have different dispatchers for a while.
+// doubt gives one node a view in which a live node is dead, so that the nodes
+// may use different dispatchers until agree is called.
 func (m *machine) doubt(t *rapid.T) {
 	n, other := m.node(t), m.node(t)
 	if n.dead || n == other {
@@ -102,7 +105,7 @@
 	n.policy.refresh()
 }
 
-// agree gives all nodes the same, true view.
+// agree gives all nodes the same, correct view.
 func (m *machine) agree(*rapid.T) {
 	m.version++
 	for _, n := range m.b.nodes {
@@ -110,13 +113,15 @@
 	}
 }
 
+// cut makes messages from one random node to another fail.
 func (m *machine) cut(t *rapid.T) {
 	m.b.cut[[2]ident.InstanceID{m.node(t).self.Instance, m.node(t).self.Instance}] = true
 }
 
 func (m *machine) heal(*rapid.T) { m.b.cut = map[[2]ident.InstanceID]bool{} }
 
-// checkSlots checks that no dispatcher promises more than an engine has.
+// checkSlots checks that no dispatcher has promised more than twice the slots
+// and memory of an engine.
 func (m *machine) checkSlots(t *rapid.T) {
 	for _, n := range m.b.nodes {
 		g, ok := n.policy.groups[testModel]
@@ -131,17 +136,17 @@
 			}
 		}
 		for _, u := range n.view.Upstreams {
-			// Holders' own static shares are entered by renewals and may come on
-			// top, at most as much again.
+			// Placements out of the holders' static shares are recorded through
+			// renewals and may add at most the engine's size once more.
 			if slots[u.ID] > 2*u.Spec.Slots || pieces[u.ID] > 2*u.Spec.Pieces {
-				t.Fatalf("%s: %d slots, %d pieces promised of %d, %d", u.ID, slots[u.ID], pieces[u.ID], u.Spec.Slots, u.Spec.Pieces)
+				t.Fatalf("engine %s: %d slots and %d pieces promised, but it has %d and %d", u.ID, slots[u.ID], pieces[u.ID], u.Spec.Slots, u.Spec.Pieces)
 			}
 		}
 	}
 }
 
-// settle ends all disturbances and all requests, and checks that every ask was
-// answered and that no dispatcher keeps anything.
+// settle ends all disturbances and all requests. It checks that every request
+// was answered and that no holder or dispatcher keeps any state.
 func (m *machine) settle(t *rapid.T) {
 	m.b.loss, m.b.repeat = 0, 0
 	m.heal(t)
@@ -157,7 +162,7 @@
 			continue
 		}
 		if what := h.n.last(h.id).what; what == "" || what == "computing" {
-			t.Fatalf("reservation %s was never answered (%q)", h.id, what)
+			t.Fatalf("reservation %s was never answered (last answer %q)", h.id, what)
 		}
 		h.n.policy.Release(h.id)
 	}
@@ -167,20 +172,21 @@
 			continue
 		}
 		if len(n.policy.holder.holdings) != 0 {
-			t.Fatalf("%s still holds %d placements", n.self.Instance, len(n.policy.holder.holdings))
+			t.Fatalf("%s as holder keeps %d placements", n.self.Instance, len(n.policy.holder.holdings))
 		}
 		for _, g := range n.policy.groups {
 			if len(g.grants)+len(g.waiting)+len(g.ready) != 0 {
-				t.Fatalf("%s keeps %d placements, %d asks", n.self.Instance, len(g.grants), len(g.waiting))
+				t.Fatalf("%s as dispatcher keeps %d placements, %d queued requests", n.self.Instance, len(g.grants), len(g.waiting))
 			}
 		}
 	}
 }
 
-// TestInterleavings checks over random interleavings of losses, repetitions,
-// reorderings, freezes, kills and cuts that every ask is answered, also that for a
-// slot after a prefill, that promises stay within bounds and that nothing is left
-// behind.
+// TestInterleavings runs random interleavings of lost, repeated and reordered
+// messages, freezes, kills and cuts. It checks that every placement request is
+// answered, including the request for a decode slot after a prefill, that
+// promises stay within bounds, and that no placement or queued request remains
+// at the end.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{b: newBed(rapid.Uint64().Draw(t, "seed"), 3, 3, 24), dead: map[ident.InstanceID]bool{}, version: 1}
--- a/plugins/slots/dispatch/region_test.go
+++ b/plugins/slots/dispatch/region_test.go
@@ -10,8 +10,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// twoRegions is a bed with two instances, a prefill and a decode engine in each
-// of two regions.
+// twoRegions returns a bed with two regions. Each has two instances, a prefill
+// engine and a decode engine.
 func twoRegions() *bed {
 	b := newBed(1, 4, 20, 200)
 	b.zone = map[string]ident.Zone{"p2": "far", "d2": "far"}
@@ -48,6 +48,9 @@
 	assert.Equal(t, far.last(second).prefill, ident.UpstreamID("p2"))
 }
 
+// TestRegionWithoutEnginesLeavesPlacementToTheKernel checks that Joint is false
+// for a model in a region without prefill engines, so that the kernel places its
+// requests in another region.
 func TestRegionWithoutEnginesLeavesPlacementToTheKernel(t *testing.T) {
 	b := twoRegions()
 	b.zone["p2"] = "z"
--- a/plugins/slots/dispatch/renew.go
+++ b/plugins/slots/dispatch/renew.go
@@ -11,7 +11,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// nextWake returns when the holder has to act.
+// nextWake returns when the holder must next be woken, and false if it need not
+// be.
 func (h *holder) nextWake() (time.Time, bool) {
 	if len(h.holdings) == 0 {
 		return time.Time{}, false
@@ -25,12 +26,14 @@
 	return at, true
 }
 
-// awaitsAnswer reports whether the dispatcher has not reacted to the last ask.
+// awaitsAnswer reports whether the dispatcher has not yet answered the last
+// message that needs an answer.
 func (h *holding) awaitsAnswer() bool {
 	return (h.stage == stageAsked || h.stage == stageComputed) && h.answeredAt.Before(h.sentAt)
 }
 
-// wakeHolder repeats unanswered asks, gives up on silent dispatchers and renews.
+// wakeHolder sends unanswered requests again, treats dispatchers that do not
+// answer the second time as unreachable, and sends renewals when they are due.
 func (p *Policy) wakeHolder() {
 	now := p.host.Now()
 	for _, h := range p.sortedHoldings() {
@@ -49,7 +52,8 @@
 	}
 }
 
-// renew tells each dispatcher how much this instance holds.
+// renew sends each dispatcher the count and digest of the placements that this
+// instance has.
 func (p *Policy) renew(now time.Time) {
 	p.holder.renewAt = now.Add(renewTime)
 	for _, h := range p.sortedHoldings() {
@@ -58,8 +62,9 @@
 		}
 		p.holder.renewAt = now.Add(renewTimePending)
 		if !h.awaitsAnswer() && h.dispatcher != p.host.Self().Instance {
-			// A queued ask is repeated now and then: the answer shows that the
-			// dispatcher lives and still knows of it.
+			// A request in a dispatcher's queue is sent again with each renewal.
+			// The answer shows that the dispatcher is alive and still knows the
+			// request.
 			h.resent = false
 			p.sendAsk(h)
 		}
@@ -69,6 +74,7 @@
 	}
 }
 
+// heldModels returns the models of this instance's placements, sorted.
 func (p *Policy) heldModels() []string {
 	models := map[string]bool{}
 	for _, h := range p.holder.holdings {
@@ -77,9 +83,12 @@
 	return slices.Sorted(maps.Keys(models))
 }
 
-// renewAll tells a dispatcher all that this instance holds of a model.
+// renewAll sends a dispatcher the full list of the placements that this instance
+// has of a model.
 func (p *Policy) renewAll(d ident.InstanceID, model string) { p.renewModel(d, model, true) }
 
+// renewModel sends a dispatcher a renewal for one model, with the full list of
+// placements if full is set.
 func (p *Policy) renewModel(d ident.InstanceID, model string, full bool) {
 	if d == "" {
 		return
@@ -109,7 +118,8 @@
 	p.host.Send(d, m)
 }
 
-// used is how long the decode engine's slot has been taken, 0 if there is none.
+// used returns how long the decode engine's slot has been taken, 0 if there is
+// none.
 func (h *holding) used(now time.Time) Milliseconds {
 	if h.decode == "" {
 		return 0
@@ -117,8 +127,8 @@
 	return millis(now.Sub(h.decodeAt))
 }
 
-// digest is a hash of one placement; those of several are combined by
-// exclusive or.
+// digest returns a hash of one placement. The digest of several placements is
+// the exclusive or of their hashes.
 func digest(k slotkit.Key, decode ident.UpstreamID) uint64 {
 	b := make([]byte, 0, 64)
 	b = append(b, k.Instance...)
@@ -128,7 +138,8 @@
 	return xxhash.Sum64(b)
 }
 
-// renewed takes a holder's renewal.
+// renewed handles a holder's renewal. If a renewal without a list does not match
+// the known placements, it asks for the full list.
 func (g *group) renewed(from ident.InstanceID, m Renew) {
 	g.heard[from] = struct{}{}
 	if !m.Full {
@@ -144,7 +155,8 @@
 		g.adopt(from, held)
 	}
 	for _, gr := range g.grantsOf(from) {
-		// A placement not listed may still be on its way to the holder.
+		// A recent placement may be missing from the list because its message is
+		// still on the way to the holder.
 		settled := g.now().Sub(gr.at) > renewTime
 		if !listed[gr.key] && (settled || gr.key.Incarnation != m.Incarnation) {
 			g.end(gr)
@@ -153,7 +165,8 @@
 	g.pass()
 }
 
-// matches reports whether a renewal's digest fits what this dispatcher knows.
+// matches reports whether a renewal's count and digest match the placements that
+// this dispatcher knows.
 func (g *group) matches(from ident.InstanceID, m Renew) bool {
 	count, sum := 0, uint64(0)
 	for _, gr := range g.grantsOf(from) {
@@ -163,9 +176,10 @@
 	return count == m.Count && sum == m.Digest
 }
 
-// adopt enters a placement that a holder says it has. If the holder knows of no
-// decode engine and this dispatcher does, its name is on its way, or was lost and
-// will be asked for again.
+// adopt records a placement that a holder reports. If the holder reports no
+// decode engine but this dispatcher has chosen one, the dispatcher's choice
+// stays: the message that names the engine is still on the way, or was lost and
+// the holder will ask again.
 func (g *group) adopt(from ident.InstanceID, held Held) {
 	key := held.Reservation.Key()
 	gr, ok := g.grants[key]
@@ -184,7 +198,7 @@
 		g.takeOver(gr, held)
 	}
 	if gr.prefill == "" {
-		// It may still run: the holder tells when it is done.
+		// The prefill may still be running. The holder reports when it is done.
 		gr.prefill = held.Prefill
 	}
 	if held.Decoding {
@@ -192,7 +206,7 @@
 	}
 }
 
-// takeOver enters the slot that a holder says it has.
+// takeOver records the decode slot that a holder reports.
 func (g *group) takeOver(gr *grant, held Held) {
 	if gr.decode != "" {
 		g.freeSlot(gr)
@@ -201,12 +215,12 @@
 		g.ready = slices.Delete(g.ready, i, i+1)
 	}
 	g.takeSlot(gr, held.Decode)
-	// So that load reports from before count it, and how long slots are used is
-	// learned right.
+	// The start of the use is set back so that load reports made since then are
+	// expected to include it, and so that the hold time is measured correctly.
 	gr.decodeAt = g.now().Add(-held.Used.Duration())
 }
 
-// grantsOf lists the placements of one holder, in a repeatable order.
+// grantsOf lists the placements of one holder in a reproducible order.
 func (g *group) grantsOf(from ident.InstanceID) []*grant {
 	var list []*grant
 	for _, gr := range g.grants {
--- a/plugins/slots/dispatch/setup.go
+++ b/plugins/slots/dispatch/setup.go
@@ -26,21 +26,22 @@
 	_ kernel.TransferObserver = (*Policy)(nil)
 )
 
-// Policy is the slot policy of one instance: the holder of its own requests'
-// placements and, for the models that fall to it, the dispatcher of all
-// instances' requests.
+// Policy is the slot policy of one instance. It is the holder of the placements
+// of its own requests and, for the models assigned to it, the dispatcher for the
+// requests of all instances.
 type Policy struct {
 	host   kernel.JointHost
 	roster slotkit.Roster
 	holder holder
 	groups map[string]*group
 	order  plugin.ID
-	// regions says which region a zone lies in, by the bundle.
+	// regions maps each zone to its region, as configured in the bundle.
 	regions map[ident.Zone]ident.Region
-	// kvUsable is how long after its prefill a KV cache may be imported.
+	// kvUsable is how long after the end of its prefill a KV cache may be
+	// imported.
 	kvUsable time.Duration
-	// movedAfter is how long after its decode engine was named a placement that
-	// is still in use has had its KV transfer.
+	// movedAfter is how long a placement must have had its decode engine before
+	// its KV transfer is considered done.
 	movedAfter time.Duration
 }
 
@@ -56,19 +57,21 @@
 	p.holder.init()
 }
 
-// Defaults for what a bundle may leave out.
+// Defaults for settings that the bundle leaves out, and constants derived from
+// its settings.
 const (
+	// defaultKVLifetime is used if the bundle sets no KV lifetime.
 	defaultKVLifetime = 900 * time.Millisecond
-	// kvUsablePercent is the part of a KV cache's lifetime in which an import
-	// may still be begun.
+	// kvUsablePercent is the share, in percent, of a KV cache's lifetime during
+	// which an import may still begin.
 	kvUsablePercent = 70
-	// defaultTransferStall is used where the bundle sets no time after which a
-	// transfer counts as stalled.
+	// defaultTransferStall is used if the bundle does not set the time after
+	// which a transfer counts as stalled.
 	defaultTransferStall = 3 * time.Second
-	// movedPercent is the part of that time which a placement must have been in
-	// use for its transfer to be taken for done.
+	// movedPercent is movedAfter in percent of the time after which a transfer
+	// counts as stalled.
 	movedPercent = 150
-	// defaultOrder is used until a bundle names an order.
+	// defaultOrder is used if the bundle names no queue order.
 	defaultOrder plugin.ID = "order.deadline"
 )
 
@@ -96,7 +99,7 @@
 	}
 }
 
-// near reports whether a zone lies in this instance's region.
+// near reports whether a zone is in this instance's region.
 func (p *Policy) near(z ident.Zone) bool {
 	return p.regions[z] == p.regions[p.host.Self().Zone]
 }
@@ -123,7 +126,7 @@
 	}
 }
 
-// receiveAnswer handles the messages that come from a dispatcher.
+// receiveAnswer handles the messages that a dispatcher sends to a holder.
 func (p *Policy) receiveAnswer(from ident.InstanceID, m kernel.PeerMessage) {
 	p.heard(from)
 	switch m := m.(type) {
@@ -153,7 +156,8 @@
 	}
 }
 
-// refresh follows the view: who is live, and so who dispatches what.
+// refresh adopts the current view. If the view has changed, it ends placements
+// of dead holders and moves this instance's placements to new dispatchers.
 func (p *Policy) refresh() {
 	if !p.roster.Update(p.host.View(), p.host.Self()) {
 		return
@@ -164,22 +168,24 @@
 	p.moveHoldings()
 }
 
-// dispatcher returns the instance that places the model's requests in this
-// region.
+// dispatcher returns the instance that dispatches the model in this region,
+// among those that answer. It is empty if there is none.
 func (p *Policy) dispatcher(model string) ident.InstanceID {
 	return p.roster.Chosen("model/"+model, func(in *kernel.Instance) bool {
 		return p.near(in.Zone) && !p.isSilent(in.ID)
 	})
 }
 
-// isSilent reports whether an instance did not answer lately.
+// isSilent reports whether an instance did not answer a request within the last
+// silenceTime.
 func (p *Policy) isSilent(d ident.InstanceID) bool {
 	return p.host.Now().Before(p.holder.silent[d])
 }
 
-// groupOf returns the dispatcher's state for a model. An instance that is asked
-// as a dispatcher acts as one, whatever its own view says: the asker's view may
-// be newer.
+// groupOf returns the dispatcher's state for a model and creates it if
+// necessary. An instance that receives a placement request acts as dispatcher
+// even if its own view names another one, because the sender's view may be
+// newer.
 func (p *Policy) groupOf(model string) *group {
 	g, ok := p.groups[model]
 	if !ok {
--- a/plugins/slots/dispatch/supply.go
+++ b/plugins/slots/dispatch/supply.go
@@ -9,35 +9,36 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// slotSupply predicts when decode slots and KV memory will be there for the
-// placements of a pass.
+// slotSupply predicts when decode slots and KV memory will be available for the
+// placements of a scheduling pass.
 type slotSupply struct {
 	now time.Time
-	// slots are free and not yet promised; the number goes below zero as the
-	// pass promises slots that will only be released.
+	// slots is the number of free slots that are not yet promised. It becomes
+	// negative when the pass promises slots that are yet to be released.
 	slots int
-	// engines are the decode engines; releases is when each slot in use is
-	// expected to be given back, the earliest first.
+	// engines are the decode engines. releases are the expected releases of the
+	// slots in use, earliest first.
 	engines  []decodeState
 	releases []release
-	// total is the number of slots of all engines, and typical how long one is
-	// used: what is only promised now is released as well.
+	// total is the number of slots of all engines. typical is the typical length
+	// of a use, after which slots that are only promised now are expected to be
+	// released.
 	total   int
 	typical time.Duration
 }
 
-// release is an expected end of a slot's use.
+// release is the expected end of a slot's use.
 type release struct {
 	at     time.Time
 	decode ident.UpstreamID
 	pieces int
 }
 
-// never is a time beyond any request's deadline.
+// never is a delay beyond any request's deadline.
 const never = 24 * time.Hour
 
-// supply adds up what the decode engines have free, less what is promised to
-// prefills under way, and what is expected to be released.
+// supply computes the free slots and memory of the decode engines, less what is
+// promised to prefills under way, and the expected releases.
 func (g *group) supply(free []decodeState) *slotSupply {
 	s := &g.supplyScratch
 	*s = slotSupply{now: g.now(), engines: free, releases: s.releases[:0], typical: g.hold.remaining(0)}
@@ -58,9 +59,10 @@
 	return s
 }
 
-// takeOverMargin is how many slots a new dispatcher leaves unused, for the
-// prefills under way that it does not know of, until it has heard from all
-// holders or a renewal interval has passed.
+// takeOverMargin returns how many slots a new dispatcher leaves unused for
+// prefills that were started by its predecessor and that it does not know yet.
+// The margin ends when all holders have sent a renewal, or after one renewal
+// interval.
 func (g *group) takeOverMargin() int {
 	if g.now().Sub(g.since) > renewTime {
 		return 0
@@ -73,18 +75,18 @@
 	return 0
 }
 
-// marginPerPrefill is how many prefills may be under way or done, without a
-// slot yet, for each prefill engine.
+// marginPerPrefill is the assumed number of prefills per prefill engine that are
+// under way, or done and without a decode slot.
 const marginPerPrefill = 2
 
-// next is when a slot and memory for one more request are expected, and the
+// next returns when a slot and memory for one more request are expected, and the
 // engine on which the memory is expected first, nil if there is none.
 func (s *slotSupply) next(pieces int) (time.Time, *decodeState) {
 	engine, memoryAt := s.memory(pieces)
 	return slotkit.Later(s.slotAt(), memoryAt), engine
 }
 
-// slotAt is when one more slot than are promised is expected to be free.
+// slotAt returns when one slot more than those promised is expected to be free.
 func (s *slotSupply) slotAt() time.Time {
 	missing := 1 - s.slots
 	switch {
@@ -97,9 +99,10 @@
 	}
 }
 
-// wave is when so many units beyond all known releases are expected, of which an
-// engine or all engines have the given total: what is promised now is released
-// after the typical time, then used and released again.
+// wave returns when the given number of units (slots, or pieces of memory)
+// beyond all known releases is expected to be free. total is the number of units
+// that exist. All of them are assumed to be released once per typical use
+// length, so the result is a whole number of such waves from now.
 func (s *slotSupply) wave(beyond, total int) time.Time {
 	if total <= 0 {
 		return s.now.Add(never)
@@ -108,8 +111,9 @@
 	return s.now.Add(time.Duration(waves) * s.typical)
 }
 
-// memory is the engine that is expected to have so much memory first, among
-// equals the one that keeps most, and when.
+// memory returns the engine that is expected to be the first to have the given
+// amount of free memory, and when. Among equals it returns the engine that keeps
+// most memory free.
 func (s *slotSupply) memory(pieces int) (*decodeState, time.Time) {
 	var best *decodeState
 	bestAt, bestLeft := s.now.Add(never), 0
@@ -127,8 +131,8 @@
 	return best, bestAt
 }
 
-// releasedAt is when an engine is expected to have released the pieces that are
-// missing for a request of the given size.
+// releasedAt returns when an engine is expected to have released the missing
+// pieces for a request of the given size.
 func (s *slotSupply) releasedAt(u *kernel.Upstream, missing, size int) time.Time {
 	for _, r := range s.releases {
 		if r.decode != u.ID {
@@ -145,7 +149,8 @@
 	return s.wave(missing, slotkit.Pieces(u))
 }
 
-// engine finds a decode engine by ID, nil if it is not usable now.
+// engine returns the state of a decode engine, nil if the engine is not usable
+// now.
 func (s *slotSupply) engine(id ident.UpstreamID) *decodeState {
 	for i := range s.engines {
 		if s.engines[i].u.ID == id {
@@ -155,7 +160,7 @@
 	return nil
 }
 
-// take promises a slot, and memory on the engine.
+// take promises one slot, and memory on the given engine if it is not nil.
 func (s *slotSupply) take(pieces int, on *decodeState) {
 	s.slots--
 	if on != nil {
--- a/plugins/slots/dispatch/takeover_test.go
+++ b/plugins/slots/dispatch/takeover_test.go
@@ -10,10 +10,10 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// TestPrefillOutlivesItsDispatcher kills the dispatcher while a prefill runs. Its
-// holder, be it the new dispatcher or not, gets a decode slot from the new one
-// when the prefill is done, whether that has heard of the placement before by a
-// renewal or not.
+// TestPrefillOutlivesItsDispatcher kills the dispatcher while a prefill runs.
+// When the prefill is done, its holder must get a decode slot from the new
+// dispatcher, whether or not the holder is the new dispatcher itself and whether
+// or not a renewal has told it of the placement.
 func TestPrefillOutlivesItsDispatcher(t *testing.T) {
 	for name, until := range map[string]time.Duration{
 		"before a renewal": 10 * time.Millisecond,
@@ -35,13 +35,13 @@
 				b.run(until)
 				h.policy.Computed(id)
 				b.run(300 * time.Millisecond)
-				assert.Equal(t, h.last(id).what, "decode", "%s holds", h.self.Instance)
+				assert.Equal(t, h.last(id).what, "decode", "holder %s got no decode engine", h.self.Instance)
 			})
 		}
 	}
 }
 
-// livingExcept are the nodes that live, but for one.
+// livingExcept returns the nodes that are not dead, without the given one.
 func (b *bed) livingExcept(out *node) []*node {
 	var list []*node
 	for _, n := range b.nodes {
@@ -52,7 +52,8 @@
 	return list
 }
 
-// killDispatcher kills the dispatcher and has all others know.
+// killDispatcher kills the dispatcher and gives all nodes a view in which it is
+// dead.
 func (b *bed) killDispatcher() {
 	d := b.dispatcherNode()
 	d.dead = true
@@ -62,8 +63,9 @@
 	}
 }
 
-// TestLostDecodeIsRepeatedAfterARenewal loses the dispatcher's last answer and
-// has the holder list its placements, among which is no decode engine then.
+// TestLostDecodeIsRepeatedAfterARenewal loses the message that names the decode
+// engine. The holder's renewal then lists the placement without a decode engine.
+// The dispatcher must keep its choice and repeat the message.
 func TestLostDecodeIsRepeatedAfterARenewal(t *testing.T) {
 	b := settled(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
@@ -78,8 +80,9 @@
 	assert.Equal(t, h.last(id).what, "decode")
 }
 
-// TestNewDispatcherKnowsHowLongSlotsAreUsed has an engine report a request that
-// the new dispatcher learns of later: it is one request and not two.
+// TestNewDispatcherKnowsHowLongSlotsAreUsed has an engine report a request of
+// which the new dispatcher learns later by a renewal. The dispatcher must count
+// it as one request, not two.
 func TestNewDispatcherKnowsHowLongSlotsAreUsed(t *testing.T) {
 	b := settled(1, 3, 2, 200)
 	h := b.holderNode()
@@ -103,8 +106,9 @@
 	}
 }
 
-// TestInstanceThatReachesNobodyDispatchesByItself cuts a holder off from all
-// others, of which its view knows nothing yet.
+// TestInstanceThatReachesNobodyDispatchesByItself cuts off a holder from all
+// others while its view still shows them as live. The holder must become its own
+// dispatcher, and use the common one again after the cut is healed.
 func TestInstanceThatReachesNobodyDispatchesByItself(t *testing.T) {
 	b := settled(1, 4, 20, 200)
 	h := b.holderNode()
@@ -118,11 +122,12 @@
 	assert.Equal(t, h.policy.dispatcher(testModel), h.self.Instance)
 	b.cut = map[[2]ident.InstanceID]bool{}
 	b.run(2 * silenceTime)
-	assert.Equal(t, h.policy.dispatcher(testModel), b.nodes[1].policy.dispatcher(testModel), "all agree again")
+	assert.Equal(t, h.policy.dispatcher(testModel), b.nodes[1].policy.dispatcher(testModel), "holder did not return to the common dispatcher")
 }
 
-// TestPlacementsFollowTheDispatcher: the one that was silent is told that what it
-// gave out is another's now, or it would keep slots for it.
+// TestPlacementsFollowTheDispatcher checks that a holder which moves a placement
+// to a new dispatcher releases it at the old one. Otherwise the old dispatcher
+// would keep a slot for it.
 func TestPlacementsFollowTheDispatcher(t *testing.T) {
 	b := settled(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
@@ -142,9 +147,10 @@
 	assert.Equal(t, h.last(id).what, "decode")
 }
 
-// TestLeavingInstanceAloneUsesItsShare has an instance that is leaving reach
-// nobody: there is no dispatcher, so the kernel places by itself, out of the
-// instance's static share and no further.
+// TestLeavingInstanceAloneUsesItsShare checks an instance that is leaving and
+// reaches no other instance. There is no dispatcher, so the kernel places
+// requests itself, and Reserve must grant no more slots than the instance's
+// static share.
 func TestLeavingInstanceAloneUsesItsShare(t *testing.T) {
 	const slots = 4
 	b := settled(1, 3, slots, 200)
@@ -155,7 +161,7 @@
 			h.view.Instances[i].Life = kernel.Leaving
 		}
 	}
-	assert.Assert(t, !h.policy.Joint(testModel), "there is a dispatcher")
+	assert.Assert(t, !h.policy.Joint(testModel), "model has a dispatcher")
 	got := 0
 	for range 2 * slots {
 		h.seq++
@@ -164,5 +170,5 @@
 			got++
 		}
 	}
-	assert.Equal(t, got, slots, "with nobody else alive, its share is the whole engine")
+	assert.Equal(t, got, slots, "without other live instances, the share is the whole engine")
 }
--- a/plugins/slots/dispatch/transfer_test.go
+++ b/plugins/slots/dispatch/transfer_test.go
@@ -9,7 +9,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// decoding has a holder's placement get its decode engine and begin its transfer.
+// decoding requests a placement, completes its prefill and starts its decode.
 func (n *node) decoding(t *testing.T) ident.AttemptID {
 	t.Helper()
 	id := n.place(5 * time.Second)
@@ -21,9 +21,10 @@
 	return id
 }
 
-// TestDispatcherHearsOfStalledTransfers has a holder's KV transfer stall: the
-// dispatcher's kernel is told of it, and that the one which is still in use and
-// began long before went well.
+// TestDispatcherHearsOfStalledTransfers has the KV transfer of a holder's
+// placement stall. The dispatcher's kernel must be told of the stall, and that
+// the transfer of a placement in use for a long time succeeded. A recent
+// placement is reported only when it is released.
 func TestDispatcherHearsOfStalledTransfers(t *testing.T) {
 	b := settled(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
@@ -40,10 +41,10 @@
 	h.policy.Release(fresh)
 	b.run(10 * time.Millisecond)
 	assert.Equal(t, d.transfers[2], transfer{prefill: h.engines(fresh).prefill, decode: h.last(fresh).decode})
-	assert.Equal(t, len(h.transfers), 0, "the holder's own kernel knew before")
+	assert.Equal(t, len(h.transfers), 0, "outcome reported to the holder's kernel, which knows it already")
 }
 
-// engines is the answer that placed a reservation's prefill.
+// engines returns the answer that named the reservation's prefill engine.
 func (n *node) engines(id ident.AttemptID) answer {
 	for _, a := range n.answers[id] {
 		if a.what == "placed" {
--- a/plugins/slots/none/none.go
+++ b/plugins/slots/none/none.go
@@ -6,27 +6,28 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// Policy grants everything. It keeps no state.
+// Policy grants every reservation. It keeps no state.
 type Policy struct{}
 
 // Attach implements kernel.Attacher.
 func (*Policy) Attach(kernel.Host) {}
 
-// Reserve grants the slot.
+// Reserve implements kernel.SlotPolicy. It always grants the slot.
 func (*Policy) Reserve(kernel.SlotAsk) kernel.SlotAnswer {
 	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 }
 
-// Release does nothing.
+// Release implements kernel.SlotPolicy. It does nothing.
 func (*Policy) Release(ident.AttemptID) {}
 
-// Started does nothing.
+// Started implements kernel.SlotPolicy. It does nothing.
 func (*Policy) Started(ident.AttemptID) {}
 
-// Refused does nothing.
+// Refused implements kernel.SlotPolicy. It does nothing.
 func (*Policy) Refused(ident.UpstreamID) {}
 
-// Availability reports every engine as empty.
+// Availability implements kernel.SlotPolicy. It reports all of an engine's slots
+// as free, at least one.
 func (*Policy) Availability(u *kernel.Upstream) kernel.Availability {
 	return kernel.Availability{Free: max(slotkit.Slots(u), 1)}
 }
--- a/plugins/slots/none/setup.go
+++ b/plugins/slots/none/setup.go
@@ -1,6 +1,6 @@
-// Package none is the slot policy "slots.none", which grants every reservation
-// at once and leaves it to the engine to refuse. It is the baseline that the
-// other slot policies are measured against.
+// Package none is the slot policy "slots.none". It grants every reservation
+// immediately, so that only the engine itself refuses requests. It is the
+// baseline with which the other slot policies are compared.
 package none
 
 import (
--- a/plugins/slots/probe/probe.go
+++ b/plugins/slots/probe/probe.go
@@ -8,32 +8,39 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// hold is one slot this instance uses or is about to.
+// hold is a slot that this instance uses or is about to use.
 type hold struct {
 	upstream ident.UpstreamID
 	pieces   int
-	// started is when the slot was put to use, zero if it was not yet.
+	// started is when the use of the slot began, zero if it has not begun.
 	started time.Time
 }
 
-// engine is what is remembered of one engine.
+// engine is this instance's record of one engine.
 type engine struct {
-	// ended are the times at which uses ended that a load report may still show.
+	// ended are the times at which recent uses ended. A load report made before
+	// such a time still includes the use.
 	ended        []time.Time
 	refusals     int
 	blockedUntil time.Time
 }
 
-// maxEnded bounds the remembered ends of uses; older ones are in any report.
+// maxEnded is the maximum number of end times kept per engine. Older ones are
+// assumed to be reflected in every load report.
 const maxEnded = 64
 
-// Bounds on how long a refusing engine is left alone and when to ask again.
+// Limits for retries and for the back-off of an engine that refuses.
 const (
+	// maxDoublings limits how often the back-off doubles when an engine refuses
+	// repeatedly.
 	maxDoublings = 3
-	retryUsual   = 50 * time.Millisecond
+	// retryUsual is the minimum delay before a request that got no slot asks
+	// again. Random jitter of up to the same length is added.
+	retryUsual = 50 * time.Millisecond
 )
 
-// Reserve implements kernel.SlotPolicy. It answers at once.
+// Reserve implements kernel.SlotPolicy. It grants or denies the slot
+// immediately.
 func (p *Policy) Reserve(ask kernel.SlotAsk) kernel.SlotAnswer {
 	key := slotkit.KeyOf(ask.Reservation)
 	if p.holds[key] != nil {
@@ -47,7 +54,8 @@
 	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 }
 
-// retryAt returns when to ask again, jittered.
+// retryAt returns when to ask for the engine again: after retryUsual plus
+// jitter, or at the end of the engine's back-off if that is later.
 func (p *Policy) retryAt(id ident.UpstreamID) time.Time {
 	now := p.host.Now()
 	at := now.Add(retryUsual + time.Duration(p.host.Rand().Int64N(int64(retryUsual))))
@@ -57,8 +65,11 @@
 	return at
 }
 
-// free returns how many slots are believed free: what the load report shows
-// less what it cannot show yet and a margin for what others have begun since.
+// free returns how many slots of the engine are assumed to be free: the slots
+// that the load report shows as free, corrected for this instance's uses that
+// began or ended since the report, less Margin for those that other instances
+// have begun. It returns 1 if the number of slots is not known, and 0 while the
+// engine is backed off.
 func (p *Policy) free(u *kernel.Upstream) int {
 	slots := slotkit.Slots(u)
 	if slots == 0 {
@@ -72,7 +83,7 @@
 	return slots - max(used, 0) - p.unseen(u) - p.Margin
 }
 
-// unseen counts this instance's slots that the load report cannot show yet.
+// unseen counts this instance's slots that the load report does not include yet.
 func (p *Policy) unseen(u *kernel.Upstream) int {
 	n := 0
 	for _, h := range p.holds {
@@ -83,7 +94,8 @@
 	return n
 }
 
-// memory reports whether the engine's memory is believed to have room.
+// memory reports whether the engine is assumed to have free memory for the given
+// number of pieces.
 func (p *Policy) memory(u *kernel.Upstream, pieces int) bool {
 	total := slotkit.Pieces(u)
 	if total == 0 {
@@ -98,7 +110,7 @@
 	return used+pieces <= total
 }
 
-// endedAfter counts the uses that ended since the load report was made.
+// endedAfter counts the recorded uses that ended after the given time.
 func (e *engine) endedAfter(at time.Time) int {
 	n := 0
 	for _, end := range e.ended {
@@ -109,7 +121,7 @@
 	return n
 }
 
-// engine returns what is remembered of an engine.
+// engine returns the record of an engine and creates it if necessary.
 func (p *Policy) engine(id ident.UpstreamID) *engine {
 	e := p.engines[id]
 	if e == nil {
@@ -132,7 +144,7 @@
 		return
 	}
 	if u := p.host.Upstream(h.upstream); u != nil && h.started.After(u.Load.At) {
-		// The report does not show the use, so its end changes nothing.
+		// The load report does not include the use, so its end changes nothing.
 		return
 	}
 	e.ended = append(e.ended, p.host.Now())
@@ -141,7 +153,8 @@
 	}
 }
 
-// Started implements kernel.SlotPolicy.
+// Started implements kernel.SlotPolicy. It also ends the series of refusals that
+// lengthens the engine's back-off.
 func (p *Policy) Started(id ident.AttemptID) {
 	if h := p.holds[slotkit.KeyOf(id)]; h != nil {
 		h.started = p.host.Now()
@@ -149,8 +162,9 @@
 	}
 }
 
-// Refused implements kernel.SlotPolicy: the engine is left alone for a while,
-// longer with each refusal in a row.
+// Refused implements kernel.SlotPolicy. The engine gets no new work for the
+// back-off time, which doubles with each consecutive refusal up to maxDoublings
+// times, plus a random jitter of up to half of it.
 func (p *Policy) Refused(id ident.UpstreamID) {
 	e := p.engine(id)
 	wait := p.Backoff << min(e.refusals, maxDoublings)
--- a/plugins/slots/probe/probe_test.go
+++ b/plugins/slots/probe/probe_test.go
@@ -10,6 +10,9 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
+// newBed returns a bed of two instances and the given number of engines, which
+// have 4 slots and 40 pieces of memory each and send no load reports by
+// themselves.
 func newBed(engines int) *slottest.Bed {
 	b := slottest.NewBed(slottest.Options{
 		Seed: 1, Instances: 2, Engines: engines, Slots: 4, Pieces: 40,
@@ -19,24 +22,28 @@
 	return b
 }
 
-// free returns what a node believes of the first engine.
+// free returns the number of slots of the first engine that the node assumes to
+// be free.
 func free(b *slottest.Bed, n *slottest.Node) int {
 	return n.Policy.Availability(n.Upstream(b.Engines[0].ID)).Free
 }
 
+// TestOwnUsesCountBeforeTheLoadShowsThem checks that an instance's own uses are
+// subtracted exactly once: by its own count before a load report includes them,
+// and by the report afterwards.
 func TestOwnUsesCountBeforeTheLoadShowsThem(t *testing.T) {
 	b := newBed(1)
 	n, e := b.Nodes[0], b.Engines[0]
-	assert.Equal(t, free(b, n), 3, "four less the margin")
+	assert.Equal(t, free(b, n), 3, "four slots less the margin")
 	b.Reserve(n, e, time.Millisecond, time.Second)
 	b.Reserve(n, e, 100*time.Millisecond, time.Second)
 	assert.Equal(t, free(b, n), 1)
 	b.Run(10 * time.Millisecond)
-	// The report shows the first, which must not count twice.
+	// The report includes the first use, which must not be counted twice.
 	n.SeeLoad(e.ID, e.Load())
 	assert.Equal(t, free(b, n), 1)
 	b.Run(995 * time.Millisecond)
-	assert.Equal(t, free(b, n), 2, "the first has ended since the report")
+	assert.Equal(t, free(b, n), 2, "the first use has ended since the report")
 }
 
 func TestOthersShowInTheLoad(t *testing.T) {
@@ -46,11 +53,11 @@
 		b.Reserve(b.Nodes[1], e, time.Millisecond, time.Second)
 	}
 	b.Run(10 * time.Millisecond)
-	assert.Equal(t, free(b, b.Nodes[0]), 3, "not seen yet")
+	assert.Equal(t, free(b, b.Nodes[0]), 3, "uses not in a load report yet")
 	b.Nodes[0].SeeLoad(e.ID, e.Load())
 	assert.Equal(t, free(b, b.Nodes[0]), 0)
 	u := b.Reserve(b.Nodes[0], e, time.Millisecond, time.Second)
-	assert.Assert(t, !u.Granted && !u.Pending, "answered at once")
+	assert.Assert(t, !u.Granted && !u.Pending, "reservation not denied immediately")
 }
 
 func TestRefusalsBackOff(t *testing.T) {
@@ -62,9 +69,11 @@
 	assert.Equal(t, free(b, n), 3)
 	n.Policy.Refused(e.ID)
 	b.Run(2*defaultBackoff - time.Millisecond)
-	assert.Equal(t, free(b, n), 0, "twice as long after the second in a row")
+	assert.Equal(t, free(b, n), 0, "back-off not doubled after the second consecutive refusal")
 }
 
+// TestSampleShowsFewEngines checks that only defaultChoices of the free engines
+// are reported as free at one time, and that over time each engine is.
 func TestSampleShowsFewEngines(t *testing.T) {
 	b := newBed(6)
 	n := b.Nodes[0]
@@ -86,7 +95,7 @@
 			}
 		}
 	}
-	assert.Equal(t, len(seen), 6, "each is looked at now and then")
+	assert.Equal(t, len(seen), 6, "an engine was never sampled")
 }
 
 func TestMemoryIsCounted(t *testing.T) {
--- a/plugins/slots/probe/sample.go
+++ b/plugins/slots/probe/sample.go
@@ -9,22 +9,23 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// sample is the random choice of engines that decisions made at one time look
-// at first.
+// sample is a random choice of engines with free slots. It is used for all
+// decisions made at the same time.
 type sample struct {
 	at    time.Time
 	known bool
 	ids   []ident.UpstreamID
 }
 
-// waitUnsampled ranks engines outside the sample after those in it.
+// waitUnsampled is the expected wait reported for engines outside the sample, so
+// that they rank after those in it.
 const waitUnsampled = 50 * time.Millisecond
 
-// waitFull is the expected wait for a slot of a full engine.
+// waitFull is the expected wait for a slot that is reported for a full engine.
 const waitFull = 500 * time.Millisecond
 
-// Availability implements kernel.SlotPolicy. Engines outside the sample seem
-// full as long as one in it has a free slot.
+// Availability implements kernel.SlotPolicy. An engine outside the sample is
+// reported as having no free slot, as long as the sample is not empty.
 func (p *Policy) Availability(u *kernel.Upstream) kernel.Availability {
 	free := 0
 	if slotkit.Usable(u) {
@@ -39,7 +40,8 @@
 	return kernel.Availability{NextFree: waitUnsampled}
 }
 
-// sampled reports whether the engine is among those looked at now.
+// sampled reports whether the engine is in the current sample, or the sample is
+// empty. It draws a new sample if time has passed since the last one.
 func (p *Policy) sampled(id ident.UpstreamID) bool {
 	s := &p.sample
 	if !s.known || !s.at.Equal(p.host.Now()) {
@@ -53,7 +55,7 @@
 	return len(s.ids) == 0
 }
 
-// draw chooses, among the engines with a free slot, as many as are looked at.
+// draw chooses a sample of up to Choices engines among those with a free slot.
 func (p *Policy) draw() {
 	s := &p.sample
 	s.at, s.known = p.host.Now(), true
@@ -70,7 +72,7 @@
 			s.ids = append(s.ids, u.ID)
 			continue
 		}
-		// Reservoir sampling: each engine stays with the same chance.
+		// Reservoir sampling: every engine is kept with the same probability.
 		if j := p.host.Rand().IntN(seen); j < p.Choices {
 			s.ids[j] = u.ID
 		}
--- a/plugins/slots/probe/setup.go
+++ b/plugins/slots/probe/setup.go
@@ -1,7 +1,8 @@
-// Package probe is the slot policy "slots.probe", which sends no messages: each
-// instance goes by the engine's load reports, by what it has in flight itself,
-// and by refusals, and looks at a few random engines at a time so that
-// instances with the same reports do not all choose the same engine.
+// Package probe is the slot policy "slots.probe", which sends no messages. Each
+// instance estimates the free slots of an engine from the engine's load report,
+// from its own uses, and from refusals. For each decision it considers only a
+// few random engines, so that instances with the same reports do not all choose
+// the same engine.
 package probe
 
 import (
@@ -27,14 +28,16 @@
 
 var _ kernel.SlotPolicy = (*Policy)(nil)
 
-// Settings are the policy's settings. A zero takes the default.
+// Settings are the policy's settings. The default replaces a setting that is
+// zero.
 type Settings struct {
-	// Choices is how many engines are looked at for a decision.
+	// Choices is the number of engines considered for a decision.
 	Choices int `yaml:"choices"`
-	// Margin is how many slots are kept back for what the load report does not
-	// show yet. Negative: none, and as many more are believed free.
+	// Margin is the number of slots kept free for uses that the load report does
+	// not show yet. If it is negative, that many slots more than estimated are
+	// assumed to be free.
 	Margin int `yaml:"margin"`
-	// Backoff is how long an engine is left alone after it refused.
+	// Backoff is how long an engine gets no new work after a refusal.
 	Backoff time.Duration `yaml:"backoff"`
 }
 
@@ -80,7 +83,7 @@
 	return nil
 }
 
-// SettingError reports a setting out of its range.
+// SettingError reports a setting whose value is out of range.
 type SettingError struct{ Setting string }
 
 // Error implements error.
--- a/plugins/slots/slotkit/chosen.go
+++ b/plugins/slots/slotkit/chosen.go
@@ -5,8 +5,9 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Chosen returns the live instance that is first by rendezvous hashing for a
-// name among those that are wanted. It is empty when there is none.
+// Chosen returns the live instance that ranks first for a name by rendezvous
+// hashing, among those for which wanted returns true. It is empty if there is
+// none.
 func (r *Roster) Chosen(name string, wanted func(*kernel.Instance) bool) ident.InstanceID {
 	var best ident.InstanceID
 	var bestWeight uint64
--- a/plugins/slots/slotkit/doc.go
+++ b/plugins/slots/slotkit/doc.go
@@ -1,4 +1,5 @@
-// Package slotkit holds what the decode slot policies share: who of the entry
-// instances answers for an upstream, how many slots and how much KV memory an
-// upstream has, and how a reservation is named in a message.
+// Package slotkit contains the code that the decode slot policies share: the
+// choice of the entry instance responsible for an upstream, an upstream's number
+// of slots and amount of KV memory, and the encoding of reservation IDs in
+// messages.
 package slotkit
--- a/plugins/slots/slotkit/limits.go
+++ b/plugins/slots/slotkit/limits.go
@@ -2,8 +2,8 @@
 
 import "github.com/wardspool/wardspool/kernel"
 
-// Slots returns how many requests u runs at once: what the bundle declares, or
-// else what the engine reports; 0 if neither is known.
+// Slots returns how many requests u runs at once, as declared in the bundle or
+// otherwise as reported by the engine. It returns 0 if neither is known.
 func Slots(u *kernel.Upstream) int {
 	if u.Spec.Slots > 0 {
 		return u.Spec.Slots
@@ -11,8 +11,9 @@
 	return u.Load.Slots
 }
 
-// Pieces returns u's KV memory in pieces, found like Slots. 0 means that memory
-// is not counted.
+// Pieces returns the size of u's KV memory in pieces, as declared in the bundle
+// or otherwise as reported by the engine. It returns 0 if neither is known;
+// memory is then not limited.
 func Pieces(u *kernel.Upstream) int {
 	if u.Spec.Pieces > 0 {
 		return u.Spec.Pieces
@@ -20,7 +21,8 @@
 	return u.Load.PiecesTotal
 }
 
-// Usable reports whether new work may go to u.
+// Usable reports whether new work may be sent to u. It returns false if u is
+// nil.
 func Usable(u *kernel.Upstream) bool {
 	return u != nil && u.Life != kernel.Leaving && u.Life != kernel.Dead
 }
--- a/plugins/slots/slotkit/reservation.go
+++ b/plugins/slots/slotkit/reservation.go
@@ -5,7 +5,8 @@
 )
 
 // Key identifies a reservation within the system. Unlike ident.AttemptID it
-// holds no time, so that it compares equal after a journey through a message.
+// contains no time, so keys compare equal after a reservation was encoded in a
+// message and decoded.
 type Key struct {
 	Instance    ident.InstanceID
 	Incarnation ident.Incarnation
@@ -17,8 +18,8 @@
 	return Key{Instance: id.Instance, Incarnation: id.Incarnation, Sequence: id.Sequence}
 }
 
-// Before orders keys, so that what is collected from maps can be given a
-// repeatable order.
+// Before defines a total order of keys. It is used to process map entries in a
+// reproducible order.
 func (k Key) Before(other Key) bool {
 	if k.Instance != other.Instance {
 		return k.Instance < other.Instance
@@ -29,8 +30,8 @@
 	return k.Sequence < other.Sequence
 }
 
-// Reservation is a reservation's ID as messages carry it: in the text form of
-// ident.AttemptID.
+// Reservation is a reservation's ID in a message. It is encoded in the text form
+// of ident.AttemptID.
 type Reservation ident.AttemptID
 
 // ID returns the reservation's ID.
--- a/plugins/slots/slotkit/roster.go
+++ b/plugins/slots/slotkit/roster.go
@@ -10,29 +10,31 @@
 	"github.com/wardspool/wardspool/kernel/table"
 )
 
-// Roster answers, for the view in force, which instance grants an upstream's
-// slots and what share of them falls to each. It remembers its answers until
-// the set of live instances changes. The zero value is ready for use.
+// Roster determines from the current view which instance grants an upstream's
+// slots, and each instance's share of them. Results are cached until the set of
+// live instances changes. The zero value is ready for use.
 type Roster struct {
 	version uint64
 	known   bool
 	live    []kernel.Instance
 	next    []kernel.Instance
-	// set numbers the sets of live instances, from 1 on.
+	// set counts the changes of the set of live instances; it is 1 for the first
+	// set.
 	set      uint64
 	grantors table.Table[granting]
 	ranks    map[ident.UpstreamID]int
 }
 
-// granting is an upstream's grantor, chosen from one set of live instances for
-// the zone the upstream was in.
+// granting is the cached grantor of an upstream. It is valid for one set of live
+// instances and for the zone in which the upstream was at that time.
 type granting struct {
 	set     uint64
 	zone    ident.Zone
 	grantor ident.InstanceID
 }
 
-// Update adopts the view and reports whether it is another than the one before.
+// Update adopts the view and reports whether it differs from the one adopted
+// before.
 func (r *Roster) Update(v *kernel.View, self kernel.Self) bool {
 	if r.Current(v) {
 		return false
@@ -48,18 +50,18 @@
 	return true
 }
 
-// Current reports whether the view is the one last adopted.
+// Current reports whether v is the view that was adopted last.
 func (r *Roster) Current(v *kernel.View) bool {
 	return r.known && r.version == v.Version
 }
 
-// Live returns the live instances, this one included unless it is leaving. The
+// Live returns the live instances, including this one unless it is leaving. The
 // slice is valid until the next Update.
 func (r *Roster) Live() []kernel.Instance { return r.live }
 
-// Grantor returns the instance that grants u's slots: the first by rendezvous
-// hashing among the live instances of u's zone, or of all when its zone has
-// none. It is empty when no instance is live.
+// Grantor returns the instance that grants u's slots. It is the first by
+// rendezvous hashing among the live instances of u's zone, or among all live
+// instances if the zone has none. It is empty if no instance is live.
 func (r *Roster) Grantor(u *kernel.Upstream) ident.InstanceID {
 	g := r.grantors.At(u)
 	if g.set == r.set && g.zone == u.Zone {
@@ -73,10 +75,11 @@
 	return id
 }
 
-// Share returns how many of the upstream's slots fall to self when they are
-// divided among the live instances. What does not divide goes one each to the
-// first by rendezvous hashing, so that the shares of instances with the same
-// view add up to slots.
+// Share returns how many of the upstream's slots belong to self when they are
+// divided among the live instances. The remainder of the division goes, one slot
+// each, to the instances that rank first by rendezvous hashing, so that the
+// shares of instances with the same view add up to slots. It returns slots if no
+// instance is live.
 func (r *Roster) Share(self ident.InstanceID, u ident.UpstreamID, slots int) int {
 	n := len(r.live)
 	if n == 0 {
@@ -89,7 +92,7 @@
 	return share
 }
 
-// rank returns how many live instances come before self for the upstream.
+// rank returns how many live instances rank before self for the upstream.
 func (r *Roster) rank(self ident.InstanceID, u ident.UpstreamID) int {
 	if rank, ok := r.ranks[u]; ok {
 		return rank
@@ -106,8 +109,9 @@
 	return rank
 }
 
-// liveInstances appends the instances that may answer for upstreams. A view
-// that does not list self yet is taken to be older than self.
+// liveInstances appends to the given slice the instances that can be responsible
+// for upstreams. If the view does not list self, it is assumed to be older than
+// self, and self is added as live.
 func liveInstances(to []kernel.Instance, v *kernel.View, self kernel.Self) []kernel.Instance {
 	listed := false
 	for _, in := range v.Instances {
@@ -128,8 +132,8 @@
 	return to
 }
 
-// first returns the instance of the zone, or of any zone if it is empty, that
-// has the highest weight for the upstream.
+// first returns the instance in the zone that ranks first for the upstream. An
+// empty zone stands for all zones. The result is empty if there is no instance.
 func first(live []kernel.Instance, u ident.UpstreamID, zone ident.Zone) ident.InstanceID {
 	var best ident.InstanceID
 	var bestWeight uint64
@@ -145,7 +149,8 @@
 	return best
 }
 
-// before orders instances by falling weight, ties by ID.
+// before reports whether the instance id with weight w ranks before the instance
+// other with weight than: by descending weight, then by ID.
 func before(w uint64, id ident.InstanceID, than uint64, other ident.InstanceID) bool {
 	if w != than {
 		return w > than
@@ -153,11 +158,12 @@
 	return id < other
 }
 
-// weight is the rendezvous hash of an instance and an upstream.
+// weight returns the rendezvous hash of an instance and an upstream.
 func weight(id ident.InstanceID, u ident.UpstreamID) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	// A Digest's WriteString never fails; names contain no zero byte.
+	// A Digest's WriteString never fails. The zero byte separates the names,
+	// which contain none.
 	_, _ = d.WriteString(string(id))
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(string(u))
--- a/plugins/slots/slotkit/roster_test.go
+++ b/plugins/slots/slotkit/roster_test.go
@@ -13,7 +13,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// fleet is a view of n instances over three zones.
+// fleet returns a view of n instances in three zones.
 func fleet(n int) *kernel.View {
 	v := &kernel.View{Version: 1}
 	for i := range n {
@@ -50,13 +50,16 @@
 		}
 		granted[first]++
 	}
-	// Only the three of the engines' zone, and none much more than the others.
+	// Only the three instances in the engines' zone are grantors, with about
+	// equal shares.
 	assert.Equal(t, len(granted), 3)
 	for id, n := range granted {
 		assert.Assert(t, n > 70 && n < 130, "%s grants %d of 300", id, n)
 	}
 }
 
+// TestGrantorMovesOnlyWhenItIsGone checks that when an instance becomes
+// unreachable, only the upstreams that it granted get a new grantor.
 func TestGrantorMovesOnlyWhenItIsGone(t *testing.T) {
 	v := fleet(9)
 	var before, after Roster
@@ -94,6 +97,8 @@
 	assert.Equal(t, r.Grantor(engine(1)), ident.InstanceID("entry-9"))
 }
 
+// TestSharesAddUp checks that the instances' shares of an upstream add up to its
+// slots and differ by at most one.
 func TestSharesAddUp(t *testing.T) {
 	for _, n := range []int{1, 2, 7, 24} {
 		v := fleet(n)
@@ -120,7 +125,7 @@
 	u := engine(3)
 	was := r.Grantor(u)
 	u.Zone = "hall-2"
-	assert.Assert(t, r.Grantor(u) != was, "the engine has moved")
+	assert.Assert(t, r.Grantor(u) != was, "grantor unchanged after the engine moved to another zone")
 	u.Zone = "hall-1"
 	assert.Equal(t, r.Grantor(u), was)
 }
--- a/plugins/slots/slotkit/settings.go
+++ b/plugins/slots/slotkit/settings.go
@@ -1,6 +1,6 @@
 package slotkit
 
-// SetDefault gives a setting that is zero its default.
+// SetDefault sets a setting to the given default if it is zero.
 func SetDefault[T comparable](setting *T, value T) {
 	var zero T
 	if *setting == zero {
--- a/plugins/slots/slottest/bed.go
+++ b/plugins/slots/slottest/bed.go
@@ -8,46 +8,54 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Use is one use of a slot in a test, from the reservation to the release.
+// Use is one use of a slot in a test, from its reservation to its release. Ask
+// reads Node, Engine, Lead, Hold, Pieces and Due; the other fields are set by
+// the Bed.
 type Use struct {
 	Node   *Node
 	Engine *Engine
 	ID     ident.AttemptID
-	// Lead is the time from the grant to the use, Hold the length of the use.
+	// Lead is the time from the grant to the start of the use, Hold the length
+	// of the use.
 	Lead, Hold time.Duration
 	Pieces     int
 	// Due is when the first output is due.
 	Due   time.Time
 	Asked time.Time
-	// Pending is set while the reservation waits for its answer, Over once it
-	// was denied or released.
+	// Pending is set while the reservation waits for an answer. Granted is set
+	// once it was granted and Running while the engine runs the request. Over is
+	// set once the reservation was denied or released.
 	Pending, Granted, Running, Over bool
-	// Answered counts the answers to the pending reservation.
+	// Answered counts the answers to a reservation that was pending.
 	Answered int
 }
 
-// Bed is a world in which tests make and follow uses of slots.
+// Bed is a World with functions to make uses of slots and to follow them to
+// their end.
 type Bed struct {
 	*World
 	Uses []*Use
-	// Slowest is the longest time to an answer.
+	// Slowest is the longest time that a pending reservation waited for its
+	// answer.
 	Slowest time.Duration
-	// Refused counts the uses that an engine refused.
+	// Refused is the number of uses that an engine refused.
 	Refused int
 
 	byID map[string]*Use
 }
 
 const (
-	// usualDue and usualDeadline are the times that Reserve gives a use.
+	// usualDue and usualDeadline are the times to the first output and to the
+	// deadline of a use made by Reserve.
 	usualDue      = 5 * time.Second
 	usualDeadline = 30 * time.Second
-	// tryAgain is when a step is tried again whose node is frozen.
+	// tryAgain is the delay after which a step is repeated that failed because
+	// its node was frozen.
 	tryAgain = 100 * time.Millisecond
 )
 
-// NewBed makes a bed. Messages take a millisecond unless the options say
-// otherwise.
+// NewBed returns a bed with the given options. The message delay defaults to one
+// millisecond.
 func NewBed(o Options) *Bed {
 	if o.Network.Delay == 0 {
 		o.Network.Delay = time.Millisecond
@@ -60,14 +68,16 @@
 	return b
 }
 
-// Reserve begins a use of one piece of memory, unless the node does not run.
+// Reserve starts a use of one piece of memory. It has no effect if the node is
+// killed or frozen.
 func (b *Bed) Reserve(n *Node, e *Engine, lead, hold time.Duration) *Use {
 	u := &Use{Node: n, Engine: e, Lead: lead, Hold: hold, Pieces: 1, Due: b.Now().Add(usualDue)}
 	b.Ask(u)
 	return u
 }
 
-// Ask begins a use whose first part is filled in.
+// Ask starts the use u, whose fields from Node to Due other than ID are given by
+// the test. It has no effect if the node is killed or frozen.
 func (b *Bed) Ask(u *Use) {
 	u.ID = u.Node.Reservation(usualDeadline)
 	u.Asked = b.Now()
@@ -92,11 +102,12 @@
 	})
 }
 
-// answer follows up the answer to a pending use.
+// answer handles the answer to a pending use. It panics if the use is not
+// pending.
 func (b *Bed) answer(id ident.AttemptID, granted bool) {
 	u := b.byID[id.String()]
 	if !u.Pending {
-		panic(fmt.Sprintf("answer for %s which does not wait", id))
+		panic(fmt.Sprintf("slottest: reservation %s was answered but is not pending", id))
 	}
 	u.Pending = false
 	u.Answered++
@@ -108,13 +119,14 @@
 	u.Over = true
 }
 
-// take goes on with a granted use: to the engine after the lead.
+// take marks a use as granted and starts it after its lead time.
 func (b *Bed) take(u *Use) {
 	u.Granted = true
 	b.After(u.Lead, func() { b.begin(u) })
 }
 
-// begin puts the slot to use.
+// begin starts the use on its engine and schedules its end. If the engine
+// refuses, the reservation is released.
 func (b *Bed) begin(u *Use) {
 	if u.Over {
 		return
@@ -135,7 +147,8 @@
 	}
 }
 
-// Finish ends a use. The engine ends its part also when the node does not run.
+// Finish ends a use. The engine's slot is freed even if the node is killed or
+// frozen; the reservation is released once the node runs again.
 func (b *Bed) Finish(u *Use) {
 	u.Engine.End(u.ID)
 	u.Running = false
@@ -148,7 +161,8 @@
 	}
 }
 
-// Withdraw ends a use early.
+// Withdraw ends a use early. Like Finish, it frees the engine's slot even if the
+// node is killed or frozen.
 func (b *Bed) Withdraw(u *Use) {
 	if u.Over {
 		return
@@ -158,14 +172,15 @@
 	u.Running = false
 }
 
-// Release gives the use's reservation back, or withdraws it.
+// Release releases the use's reservation, or withdraws it if it is pending.
 func (b *Bed) Release(u *Use) {
 	u.Over = true
 	u.Pending = false
 	u.Node.Policy.Release(u.ID)
 }
 
-// Held counts the uses that hold a slot of the engine, over all nodes that run.
+// Held returns the number of granted uses that hold a slot of the engine, over
+// all nodes that are not killed.
 func (b *Bed) Held(e *Engine) int {
 	n := 0
 	for _, u := range b.Uses {
@@ -176,7 +191,7 @@
 	return n
 }
 
-// All changes what every node believes of another one.
+// All sets the life of one node in the views of all other nodes.
 func (b *Bed) All(other *Node, life kernel.Life) {
 	for _, n := range b.Nodes {
 		if n != other {
--- a/plugins/slots/slottest/doc.go
+++ b/plugins/slots/slottest/doc.go
@@ -1,7 +1,8 @@
-// Package slottest runs slot policies of several entry instances against fake
-// decode engines in virtual time. It serves the policies' tests and the program
-// that compares them; it is not part of any deployed binary.
+// Package slottest runs the slot policies of several entry instances against
+// fake decode engines in virtual time. It is used by the policies' tests and by
+// the program that compares them, and is not part of any deployed binary.
 //
-// Everything random is drawn from one seed, and events at the same time happen
-// in the order in which they were made, so that a run can be repeated exactly.
+// All random values are drawn from one seed, and events at the same time happen
+// in the order in which they were scheduled, so that a run can be repeated
+// exactly.
 package slottest
--- a/plugins/slots/slottest/engine.go
+++ b/plugins/slots/slottest/engine.go
@@ -8,20 +8,21 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// Engine is a fake decode engine that runs up to Slots requests and refuses
-// more.
+// Engine is a fake decode engine. It runs up to Slots requests at once, within
+// Pieces of memory if that is not 0, and refuses more.
 type Engine struct {
 	ID            ident.UpstreamID
 	Slots, Pieces int
-	// Refused counts the requests refused.
+	// Refused is the number of refused requests.
 	Refused int
 
 	world   *World
 	running map[slotkit.Key]int
 	pieces  int
-	// history is the recent course of the load, for lagging reports.
+	// history contains the recent loads, one per change, from which delayed load
+	// reports are produced.
 	history []kernel.Load
-	// busy is the time integral of the slots in use.
+	// busy is the time integral of the number of slots in use.
 	busy      time.Duration
 	busySince time.Time
 }
@@ -30,7 +31,8 @@
 	return &Engine{ID: id, Slots: slots, Pieces: pieces, world: w, running: map[slotkit.Key]int{}, busySince: Epoch}
 }
 
-// Start takes a slot, or refuses when there is none.
+// Start takes a slot and the given pieces of memory for a request. It returns
+// false, and counts a refusal, if the engine has not enough free.
 func (e *Engine) Start(id ident.AttemptID, pieces int) bool {
 	full := len(e.running) >= e.Slots || (e.Pieces > 0 && e.pieces+pieces > e.Pieces)
 	if full {
@@ -44,7 +46,7 @@
 	return true
 }
 
-// End gives a slot back.
+// End releases a request's slot and memory.
 func (e *Engine) End(id ident.AttemptID) {
 	key := slotkit.KeyOf(id)
 	pieces, ok := e.running[key]
@@ -60,7 +62,8 @@
 // Running returns the number of slots in use.
 func (e *Engine) Running() int { return len(e.running) }
 
-// Busy returns the time integral of the slots in use since the last call.
+// Busy returns the time integral of the number of slots in use since the last
+// call.
 func (e *Engine) Busy() time.Duration {
 	e.account()
 	busy := e.busy
@@ -68,12 +71,13 @@
 	return busy
 }
 
+// account adds the time since the last call to busy.
 func (e *Engine) account() {
 	e.busy += time.Duration(len(e.running)) * e.world.now.Sub(e.busySince)
 	e.busySince = e.world.now
 }
 
-// Load returns the engine's load as it is.
+// Load returns the engine's current load.
 func (e *Engine) Load() kernel.Load {
 	return kernel.Load{
 		At:          e.world.now,
@@ -84,9 +88,11 @@
 	}
 }
 
-// historyLength bounds the remembered changes of an engine's load.
+// historyLength is the number of loads that are kept at least, once there were
+// so many.
 const historyLength = 512
 
+// note appends the current load to the history.
 func (e *Engine) note() {
 	e.history = append(e.history, e.Load())
 	if len(e.history) > 2*historyLength {
@@ -94,7 +100,7 @@
 	}
 }
 
-// loadBefore returns the load as it was at a past time.
+// loadBefore returns the engine's load at a past time.
 func (e *Engine) loadBefore(at time.Time) kernel.Load {
 	load := kernel.Load{Slots: e.Slots, PiecesTotal: e.Pieces}
 	for i := len(e.history) - 1; i >= 0; i-- {
--- a/plugins/slots/slottest/network.go
+++ b/plugins/slots/slottest/network.go
@@ -9,40 +9,42 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Network says how messages travel.
+// Network describes the network between the instances.
 type Network struct {
-	// Delay is the time each message takes; up to Jitter is added, which may
-	// let messages overtake each other.
+	// Delay is the time that each message takes. A random part of Jitter is
+	// added to it, so that messages may arrive out of order.
 	Delay, Jitter time.Duration
-	// Loss and Duplicate are the shares of messages lost and doubled.
+	// Loss and Duplicate are the shares of messages that are lost and
+	// duplicated, from 0 to 1.
 	Loss, Duplicate float64
 }
 
-// Traffic counts what was sent.
+// Traffic counts the messages sent.
 type Traffic struct {
 	Messages int
-	// Bytes is the size of the JSON bodies.
+	// Bytes is the total size of the JSON bodies.
 	Bytes  int
 	ByKind map[string]int
 }
 
-// link is a direction between two instances.
+// link is one direction between two instances.
 type link struct{ from, to ident.InstanceID }
 
-// Cut stops the messages between two instances, in both directions. The sender
-// is not told.
+// Cut drops all messages between two instances, in both directions. The sender
+// is not notified.
 func (w *World) Cut(a, b *Node) {
 	w.cuts[link{a.ID(), b.ID()}] = true
 	w.cuts[link{b.ID(), a.ID()}] = true
 }
 
-// Heal undoes all cuts.
+// Heal undoes all calls of Cut.
 func (w *World) Heal() { clear(w.cuts) }
 
-// SetNetwork replaces how messages travel from now on.
+// SetNetwork replaces the description of the network from now on.
 func (w *World) SetNetwork(n Network) { w.options.Network = n }
 
-// send carries a message in its encoded form, so that nothing is shared.
+// send sends a message in its encoded form, so that sender and receiver share no
+// memory.
 func (w *World) send(from *Node, to ident.InstanceID, m kernel.PeerMessage) {
 	body, err := json.Marshal(m)
 	if err != nil {
@@ -60,10 +62,12 @@
 	}
 }
 
+// chance returns true with the given probability.
 func (w *World) chance(share float64) bool {
 	return share > 0 && w.Rand.Float64() < share
 }
 
+// delay returns the delay of the next message.
 func (w *World) delay() time.Duration {
 	n := w.options.Network
 	if n.Jitter <= 0 {
@@ -72,12 +76,12 @@
 	return n.Delay + time.Duration(w.Rand.Int64N(int64(n.Jitter)))
 }
 
-// deliver hands a message over. When the receiver's process is gone, the sender
-// hears that its message was not delivered.
+// deliver decodes a message and passes it to the receiver. If the receiver's
+// process has ended, the sender is told that the message was not delivered.
 func (w *World) deliver(from *Node, to ident.InstanceID, kind string, body []byte) {
 	m, err := kernel.DecodeMessage(kind, body)
 	if err != nil {
-		panic(fmt.Sprintf("slottest: decode: %v", err))
+		panic(fmt.Sprintf("slottest: decode message: %v", err))
 	}
 	n := w.Node(to)
 	if n == nil || n.killed {
--- a/plugins/slots/slottest/node.go
+++ b/plugins/slots/slottest/node.go
@@ -12,15 +12,16 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// Node is one entry instance: a slot policy and the kernel.Host it sees.
+// Node is a fake entry instance: a slot policy together with the kernel.Host
+// that the policy uses.
 type Node struct {
 	Policy kernel.SlotPolicy
 	// Granted and Denied are called when a pending reservation is answered.
 	Granted func(id ident.AttemptID)
 	Denied  func(id ident.AttemptID, retryAt time.Time)
-	// Stepped is called at the end of each event.
+	// Stepped is called at the end of each event of the node.
 	Stepped func()
-	// Silent drops what the policy sends.
+	// Silent drops all messages that the policy sends.
 	Silent bool
 
 	world    *World
@@ -30,7 +31,8 @@
 	sequence uint64
 	killed   bool
 	frozen   bool
-	// missed are the events that a frozen instance will find when it goes on.
+	// missed are the events that arrived while the node was frozen. Thaw handles
+	// them.
 	missed []func()
 	wakeAt time.Time
 }
@@ -50,12 +52,12 @@
 	return n
 }
 
-// start gives the instance a new policy.
+// start creates a new policy for the node.
 func (n *Node) start() {
 	n.Policy = n.world.options.Policy()
 	if p, ok := n.Policy.(plugin.Provisioner); ok {
 		if err := p.Provision(); err != nil {
-			panic(fmt.Sprintf("slottest: provision: %v", err))
+			panic(fmt.Sprintf("slottest: provision slot policy: %v", err))
 		}
 	}
 	n.Policy.Attach(n)
@@ -64,7 +66,7 @@
 // ID returns the instance's ID.
 func (n *Node) ID() ident.InstanceID { return n.self.Instance }
 
-// Node finds an instance, nil if there is none.
+// Node returns the node with the given ID, nil if there is none.
 func (w *World) Node(id ident.InstanceID) *Node {
 	i := slices.IndexFunc(w.Nodes, func(n *Node) bool { return n.ID() == id })
 	if i < 0 {
@@ -73,7 +75,8 @@
 	return w.Nodes[i]
 }
 
-// Reservation returns a new reservation ID with the given time to its deadline.
+// Reservation returns a new reservation ID whose deadline is the given time from
+// now.
 func (n *Node) Reservation(deadline time.Duration) ident.AttemptID {
 	n.sequence++
 	return ident.AttemptID{
@@ -84,8 +87,9 @@
 	}
 }
 
-// Do makes an event of a call into the policy, as the kernel's Step does. It
-// returns false if the instance does not run.
+// Do runs f, which calls the policy, as one event of the node, as the kernel's
+// Step does. It returns false and does not run f if the node is killed or
+// frozen.
 func (n *Node) Do(f func()) bool {
 	if n.killed || n.frozen {
 		return false
@@ -94,7 +98,8 @@
 	return true
 }
 
-// do handles an event, now or when the instance goes on.
+// do runs f as one event of the node. If the node is frozen, f runs when the
+// node is thawed; if it is killed, f does not run.
 func (n *Node) do(f func()) {
 	switch {
 	case n.killed:
@@ -111,7 +116,7 @@
 	n.wake()
 }
 
-// wakePolicy wakes the policy if it asked for it.
+// wakePolicy wakes the policy if its wake-up time has come.
 func (n *Node) wakePolicy() {
 	w, ok := n.Policy.(kernel.Waker)
 	if !ok {
@@ -122,7 +127,8 @@
 	}
 }
 
-// wake schedules the next wake-up.
+// wake schedules the policy's next wake-up, unless an earlier one is already
+// scheduled.
 func (n *Node) wake() {
 	w, ok := n.Policy.(kernel.Waker)
 	if !ok {
@@ -142,26 +148,27 @@
 	})
 }
 
-// handler gives the policy's message handler to f, if it has one.
+// handler calls f with the policy's message handler, if the policy has one.
 func (n *Node) handler(f func(kernel.PeerHandler)) {
 	if h, ok := n.Policy.(kernel.PeerHandler); ok {
 		f(h)
 	}
 }
 
-// Kill ends the instance's process.
+// Kill ends the node's process. The events that it missed while frozen are
+// dropped.
 func (n *Node) Kill() {
 	n.killed = true
 	n.missed = nil
 }
 
-// Killed reports whether the process is gone.
+// Killed reports whether the process has ended.
 func (n *Node) Killed() bool { return n.killed }
 
 // Frozen reports whether the process is paused.
 func (n *Node) Frozen() bool { return n.frozen }
 
-// Restart starts the process anew, with a higher incarnation.
+// Restart starts the process again, with a new policy and the next incarnation.
 func (n *Node) Restart() {
 	n.killed, n.frozen = false, false
 	n.wakeAt = time.Time{}
@@ -174,7 +181,8 @@
 // Freeze pauses the process.
 func (n *Node) Freeze() { n.frozen = true }
 
-// Thaw lets the process go on; what it missed happens at once.
+// Thaw resumes the process. Events that arrived during the pause are handled
+// immediately.
 func (n *Node) Thaw() {
 	if !n.frozen {
 		return
@@ -188,7 +196,7 @@
 	n.do(func() {})
 }
 
-// Believe changes what the instance believes of another one.
+// Believe sets the life of another node in this node's view.
 func (n *Node) Believe(other *Node, life kernel.Life) {
 	n.ChangeView(func(v *kernel.View) {
 		for i := range v.Instances {
@@ -200,7 +208,8 @@
 	})
 }
 
-// ChangeView changes the instance's view.
+// ChangeView applies a change to a copy of the node's view, which becomes the
+// next version of the view.
 func (n *Node) ChangeView(change func(v *kernel.View)) {
 	n.do(func() {
 		next := cloneView(n.view)
@@ -210,7 +219,8 @@
 	})
 }
 
-// SeeLoad hands the instance a load report.
+// SeeLoad gives the node a load report. Reports older than the last one are
+// ignored.
 func (n *Node) SeeLoad(id ident.UpstreamID, load kernel.Load) {
 	u := n.Upstream(id)
 	if u != nil && load.At.After(u.Load.At) {
@@ -224,7 +234,7 @@
 	return v
 }
 
-// The methods below make Node a kernel.Host.
+// Node implements kernel.Host with the methods below.
 var _ kernel.Host = (*Node)(nil)
 
 // Now implements kernel.Host.
--- a/plugins/slots/slottest/world.go
+++ b/plugins/slots/slottest/world.go
@@ -11,24 +11,25 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Epoch is when virtual time begins.
+// Epoch is the start of virtual time.
 var Epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Options describe a world.
+// Options describe a World.
 type Options struct {
 	Seed      uint64
 	Instances int
 	Engines   int
-	// Zones is the number of zones over which instances and engines are spread
-	// in turn; 0 is one zone.
+	// Zones is the number of zones, to which instances and engines are assigned
+	// in turn. 0 stands for one zone.
 	Zones int
-	// Slots and Pieces are each engine's.
+	// Slots and Pieces are the limits of each engine.
 	Slots, Pieces int
 	Network       Network
-	// Policy makes each instance's slot policy.
+	// Policy returns a new slot policy for an instance.
 	Policy func() kernel.SlotPolicy
-	// LoadEvery and LoadLag say how often each instance reads an engine's load
-	// and how old what it reads is. 0 leaves out the reading.
+	// LoadEvery is the interval at which each instance reads each engine's load,
+	// and LoadLag the age of the load that it reads. If LoadEvery is 0, loads
+	// are not read.
 	LoadEvery, LoadLag time.Duration
 }
 
@@ -44,13 +45,13 @@
 	events  events
 	order   uint64
 	cuts    map[link]bool
-	// places finds an upstream in any view: views differ only in instances and
-	// in what they say of the upstreams.
+	// places is an upstream's index in every view. It is the same for all views:
+	// they list the same upstreams in the same order.
 	places map[ident.UpstreamID]int
 }
 
-// NewWorld makes a world in which all instances see each other and all engines
-// live.
+// NewWorld returns a world in which every instance sees all instances and
+// engines as live.
 func NewWorld(o Options) *World {
 	w := &World{
 		Rand:    rand.New(rand.NewPCG(o.Seed, o.Seed^0x5bd1e995)),
@@ -83,6 +84,7 @@
 	return ident.Zone(fmt.Sprintf("hall-%d", i%max(w.options.Zones, 1)+1))
 }
 
+// firstView returns the view with which all instances start.
 func (w *World) firstView() kernel.View {
 	v := kernel.View{Version: 1, Trusted: true}
 	for i := range w.options.Instances {
@@ -109,13 +111,14 @@
 // Now returns the virtual time.
 func (w *World) Now() time.Time { return w.now }
 
-// After does something at a later virtual time.
+// After schedules do to run after the given virtual time.
 func (w *World) After(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.events, event{at: w.now.Add(d), order: w.order, do: do})
 }
 
-// Run lets virtual time pass.
+// Run advances virtual time by d and runs all events that are due by then. It
+// panics if a policy asks to be woken again and again without time passing.
 func (w *World) Run(d time.Duration) {
 	end := w.now.Add(d)
 	same := 0
@@ -126,7 +129,7 @@
 			same = 0
 		}
 		if same > maxBusy {
-			panic("slottest: time does not pass: a policy asks to be woken again and again")
+			panic("slottest: virtual time does not advance: a policy asks to be woken repeatedly")
 		}
 		w.now = e.at
 		e.do()
@@ -135,10 +138,11 @@
 }
 
 // maxBusy is the number of events, each within a millisecond of the one before,
-// that shows a loop.
+// above which Run assumes an endless loop.
 const maxBusy = 1_000_000
 
-// watchLoads lets an instance read all engines' loads again and again.
+// watchLoads makes an instance read the load of every engine once per LoadEvery,
+// from a random start.
 func (w *World) watchLoads(n *Node) {
 	if w.options.LoadEvery == 0 {
 		return
@@ -149,6 +153,8 @@
 	}
 }
 
+// readLoad gives an instance an engine's load as of LoadLag ago and schedules
+// the next reading.
 func (w *World) readLoad(n *Node, e *Engine) {
 	if n.killed {
 		return
@@ -157,14 +163,15 @@
 	w.After(w.options.LoadEvery, func() { w.readLoad(n, e) })
 }
 
-// event is something that will happen.
+// event is a function scheduled for a virtual time.
 type event struct {
 	at    time.Time
 	order uint64
 	do    func()
 }
 
-// events is a heap of events by time and order.
+// events is a heap of events, by time and then by the order in which they were
+// scheduled.
 type events []event
 
 func (q events) Len() int { return len(q) }
