--- a/plugins/slots/dispatch/arrivals.go
+++ b/plugins/slots/dispatch/arrivals.go
@@ -9,31 +9,31 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// arrivals is a first-in, first-out queue order. It replaces the bundle's queue
+// fifoQueue is a first-in, first-out queue order. It replaces the bundle's queue
 // order if that cannot be loaded, so that requests are still served.
-type arrivals struct {
-	list []*kernel.Waiting
+type fifoQueue struct {
+	requests []*kernel.Waiting
 }
 
 // PluginInfo implements plugin.Plugin; arrivals is not registered.
-func (*arrivals) PluginInfo() plugin.Info { return plugin.Info{} }
+func (*fifoQueue) PluginInfo() plugin.Info { return plugin.Info{} }
 
 // Attach implements kernel.Attacher.
-func (*arrivals) Attach(kernel.Host) {}
+func (*fifoQueue) Attach(kernel.Host) {}
 
 // Add implements kernel.QueueOrder.
-func (a *arrivals) Add(w *kernel.Waiting) { a.list = append(a.list, w) }
+func (a *fifoQueue) Add(w *kernel.Waiting) { a.requests = append(a.requests, w) }
 
 // Remove implements kernel.QueueOrder.
-func (a *arrivals) Remove(id ident.RequestID) {
-	a.list = slices.DeleteFunc(a.list, func(w *kernel.Waiting) bool { return w.Request.ID == id })
+func (a *fifoQueue) Remove(id ident.RequestID) {
+	a.requests = slices.DeleteFunc(a.requests, func(w *kernel.Waiting) bool { return w.Request.ID == id })
 }
 
 // All implements kernel.QueueOrder.
-func (a *arrivals) All() iter.Seq[*kernel.Waiting] { return slices.Values(a.list) }
+func (a *fifoQueue) All() iter.Seq[*kernel.Waiting] { return slices.Values(a.requests) }
 
 // Len implements kernel.QueueOrder.
-func (a *arrivals) Len() int { return len(a.list) }
+func (a *fifoQueue) Len() int { return len(a.requests) }
 
 // Served implements kernel.QueueOrder; it changes nothing.
-func (*arrivals) Served(*kernel.Request, float64) {}
+func (*fifoQueue) Served(*kernel.Request, float64) {}
--- a/plugins/slots/dispatch/avoid_test.go
+++ b/plugins/slots/dispatch/avoid_test.go
@@ -25,15 +25,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := settled(1, 3, 20, 200)
+			b := settledBed(1, 3, 20, 200)
 			h := b.holderNode()
 			id := h.place(5*time.Second, tt.avoid...)
 			b.run(10 * time.Millisecond)
-			assert.Equal(t, h.last(id).what, "placed")
+			assert.Equal(t, h.last(id).kind, "placed")
 			assert.Equal(t, h.last(id).prefill, tt.prefill)
 			h.policy.Computed(id)
 			b.run(10 * time.Millisecond)
-			assert.Equal(t, h.last(id).what, "decode")
+			assert.Equal(t, h.last(id).kind, "decode")
 			assert.Equal(t, h.last(id).decode, tt.decode)
 		})
 	}
--- a/plugins/slots/dispatch/bed_test.go
+++ b/plugins/slots/dispatch/bed_test.go
@@ -18,19 +18,20 @@
 
 // answer is what a node's kernel was told about a reservation.
 type answer struct {
-	what            string
+	kind            string
 	prefill, decode ident.UpstreamID
 }
 
 // node is one instance: a policy and the host that it uses.
 type node struct {
-	bed     *bed
+	bed     *testBed
 	self    kernel.Self
 	policy  *Policy
 	view    *kernel.View
 	answers map[ident.AttemptID][]answer
-	// comeBack is the retry delay given with the refusal of a reservation.
-	comeBack map[ident.AttemptID]time.Duration
+	// retryDelays maps each refused reservation to the retry delay given with
+	// its refusal.
+	retryDelays map[ident.AttemptID]time.Duration
 	// transfers are the transfer outcomes that were reported to the node's
 	// kernel.
 	transfers []transfer
@@ -72,15 +73,15 @@
 	return last
 }
 
-// bed is a test bed: several instances in virtual time, with a network that can
-// lose, repeat and reorder messages.
-type bed struct {
-	now     time.Time
-	rand    *rand.Rand
-	nodes   []*node
-	content *config.Content
-	sent    deliveries
-	order   int
+// testBed is a test bed: several instances in virtual time, with a network that
+// can lose, repeat and reorder messages.
+type testBed struct {
+	now      time.Time
+	rand     *rand.Rand
+	nodes    []*node
+	content  *config.Content
+	inFlight deliveries
+	order    int
 	// loss and repeat are the shares of the messages, from 0 to 1, that are lost
 	// and repeated. jitter is the upper limit of the random delay added to the
 	// fixed delay of one millisecond.
@@ -91,11 +92,11 @@
 	zone map[string]ident.Zone
 }
 
-// newBed returns a bed with the given number of instances, two prefill engines
-// (p1, p2) and two decode engines (d1, d2), which have the given numbers of
-// slots and memory pieces each.
-func newBed(seed uint64, instances, slots, pieces int) *bed {
-	b := &bed{now: epoch, rand: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]ident.InstanceID]bool{}}
+// newTestBed returns a bed with the given number of instances, two prefill
+// engines (p1, p2) and two decode engines (d1, d2), which have the given numbers
+// of slots and memory pieces each.
+func newTestBed(seed uint64, instances, slots, pieces int) *testBed {
+	b := &testBed{now: epoch, rand: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]ident.InstanceID]bool{}}
 	b.content = &config.Content{
 		Models: []config.Model{{Name: testModel, PieceTokens: 2000, KVBytesPerToken: 1000}},
 		Policy: config.Policy{Order: "order.deadline", KVLifetime: 900 * time.Millisecond},
@@ -109,7 +110,7 @@
 		b.content.Upstreams = append(b.content.Upstreams, u)
 	}
 	for i := range instances {
-		n := &node{bed: b, answers: map[ident.AttemptID][]answer{}, comeBack: map[ident.AttemptID]time.Duration{}}
+		n := &node{bed: b, answers: map[ident.AttemptID][]answer{}, retryDelays: map[ident.AttemptID]time.Duration{}}
 		n.self = kernel.Self{Instance: ident.InstanceID(fmt.Sprintf("e%d", i+1)), Incarnation: 1, Zone: "z"}
 		b.nodes = append(b.nodes, n)
 	}
@@ -144,7 +145,7 @@
 	n.view = v
 }
 
-func (b *bed) zoneOf(name string) ident.Zone {
+func (b *testBed) zoneOf(name string) ident.Zone {
 	if z, ok := b.zone[name]; ok {
 		return z
 	}
@@ -171,23 +172,23 @@
 	return nil
 }
 
-func (n *node) note(id ident.AttemptID, a answer) { n.answers[id] = append(n.answers[id], a) }
+func (n *node) record(id ident.AttemptID, a answer) { n.answers[id] = append(n.answers[id], a) }
 
-func (n *node) SlotGranted(id ident.AttemptID)             { n.note(id, answer{what: "granted"}) }
-func (n *node) SlotDenied(id ident.AttemptID, _ time.Time) { n.note(id, answer{what: "denied"}) }
+func (n *node) SlotGranted(id ident.AttemptID)             { n.record(id, answer{kind: "granted"}) }
+func (n *node) SlotDenied(id ident.AttemptID, _ time.Time) { n.record(id, answer{kind: "denied"}) }
 func (n *node) TransferEnded(prefill, decode ident.UpstreamID, _ time.Time, stalled bool) {
 	n.transfers = append(n.transfers, transfer{prefill: prefill, decode: decode, stalled: stalled})
 }
 
 func (n *node) PlacementRefused(id ident.AttemptID, comeBack time.Duration) {
-	n.note(id, answer{what: "refused"})
-	n.comeBack[id] = comeBack
+	n.record(id, answer{kind: "refused"})
+	n.retryDelays[id] = comeBack
 }
 func (n *node) PlacementGranted(id ident.AttemptID, p kernel.Placement) {
-	n.note(id, answer{what: "placed", prefill: p.Prefill, decode: p.Decode})
+	n.record(id, answer{kind: "placed", prefill: p.Prefill, decode: p.Decode})
 }
 func (n *node) DecodeGranted(id ident.AttemptID, d ident.UpstreamID) {
-	n.note(id, answer{what: "decode", decode: d})
+	n.record(id, answer{kind: "decode", decode: d})
 }
 
 // Send sends a message, or drops it with the probability loss. Between nodes
@@ -211,19 +212,19 @@
 	}
 }
 
-func (b *bed) post(d delivery) {
+func (b *testBed) post(d delivery) {
 	b.order++
 	d.order = b.order
 	d.at = b.now.Add(time.Millisecond)
 	if b.jitter > 0 {
 		d.at = d.at.Add(time.Duration(b.rand.Int64N(int64(b.jitter))))
 	}
-	heap.Push(&b.sent, d)
+	heap.Push(&b.inFlight, d)
 }
 
 // run advances virtual time by d, delivers the messages due by then, and wakes
 // the policies as they ask for it.
-func (b *bed) run(d time.Duration) {
+func (b *testBed) run(d time.Duration) {
 	end := b.now.Add(d)
 	for {
 		at, ok := b.nextEvent()
@@ -232,8 +233,8 @@
 			return
 		}
 		b.now = at
-		if len(b.sent) > 0 && !b.sent[0].at.After(at) {
-			b.deliver(heap.Pop(&b.sent).(delivery))
+		if len(b.inFlight) > 0 && !b.inFlight[0].at.After(at) {
+			b.deliver(heap.Pop(&b.inFlight).(delivery))
 			continue
 		}
 		for _, n := range b.nodes {
@@ -242,11 +243,11 @@
 	}
 }
 
-func (b *bed) nextEvent() (time.Time, bool) {
+func (b *testBed) nextEvent() (time.Time, bool) {
 	var at time.Time
 	found := false
-	if len(b.sent) > 0 {
-		at, found = b.sent[0].at, true
+	if len(b.inFlight) > 0 {
+		at, found = b.inFlight[0].at, true
 	}
 	for _, n := range b.nodes {
 		t, ok := n.policy.NextWake()
@@ -270,7 +271,7 @@
 	}
 }
 
-func (b *bed) deliver(d delivery) {
+func (b *testBed) deliver(d delivery) {
 	switch {
 	case d.failed:
 		if !d.from.dead {
@@ -321,14 +322,14 @@
 
 // dispatcherNode returns the dispatcher from the point of view of the first node
 // that is not dead.
-func (b *bed) dispatcherNode() *node {
+func (b *testBed) dispatcherNode() *node {
 	for _, n := range b.nodes {
 		if n.dead {
 			continue
 		}
 		n.policy.refresh()
 		for _, d := range b.nodes {
-			if d.self.Instance == n.policy.dispatcher(testModel) {
+			if d.self.Instance == n.policy.dispatcherID(testModel) {
 				return d
 			}
 		}
@@ -337,7 +338,7 @@
 }
 
 // holderNode returns a node that is neither dead nor the dispatcher.
-func (b *bed) holderNode() *node {
+func (b *testBed) holderNode() *node {
 	for _, n := range b.nodes {
 		if n != b.dispatcherNode() && !n.dead {
 			return n
--- a/plugins/slots/dispatch/fallback.go
+++ b/plugins/slots/dispatch/fallback.go
@@ -10,9 +10,9 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// retryShare is the delay after which a request that found no slot in the static
-// share should try again.
-const retryShare = 50 * time.Millisecond
+// shareRetryDelay is the delay after which a request that found no slot in the
+// static share should try again.
+const shareRetryDelay = 50 * time.Millisecond
 
 // Reserve implements kernel.SlotPolicy. It is used while no dispatcher can be
 // reached. The slot is taken from this instance's static share of the engine.
@@ -20,9 +20,9 @@
 	p.refresh()
 	u := p.host.Upstream(a.Upstream)
 	if !slotkit.Usable(u) || !p.shareFree(u, a.Pieces) {
-		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: p.host.Now().Add(retryShare)}
+		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: p.host.Now().Add(shareRetryDelay)}
 	}
-	h := &holding{
+	h := &heldPlacement{
 		id:     a.Reservation,
 		key:    slotkit.KeyOf(a.Reservation),
 		model:  modelOf(u),
@@ -32,7 +32,7 @@
 		decodeAt: p.host.Now(),
 	}
 	h.ask.Pieces = a.Pieces
-	p.holder.holdings[h.key] = h
+	p.holder.placements[h.key] = h
 	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 }
 
@@ -49,7 +49,7 @@
 // and enough memory.
 func (p *Policy) shareFree(u *kernel.Upstream, pieces int) bool {
 	slots, used := 0, 0
-	for _, h := range p.holder.holdings {
+	for _, h := range p.holder.placements {
 		if h.decode == u.ID {
 			slots++
 			used += h.ask.Pieces
@@ -87,33 +87,33 @@
 	return kernel.Availability{Free: max(slotkit.Slots(u)-u.Load.Running, 1)}
 }
 
-// unreachable marks a dispatcher as silent for silenceTime. Placement requests
-// that it has not answered are sent to the next dispatcher, which also receives
-// the renewals from now on. If there is no other dispatcher, the requests are
-// denied, so that the kernel places them itself.
-func (p *Policy) unreachable(d ident.InstanceID) {
+// markUnreachable marks a dispatcher as silent for silencePeriod. Placement
+// requests that it has not answered are sent to the next dispatcher, which also
+// receives the renewals from now on. If there is no other dispatcher, the
+// requests are denied, so that the kernel places them itself.
+func (p *Policy) markUnreachable(d ident.InstanceID) {
 	if p.isSilent(d) {
 		return
 	}
 	now := p.host.Now()
-	p.holder.silent[d] = now.Add(silenceTime)
-	p.moveHoldings()
-	for _, h := range p.sortedHoldings() {
+	p.holder.silent[d] = now.Add(silencePeriod)
+	p.movePlacements()
+	for _, h := range p.sortedPlacements() {
 		if h.dispatcher != d || (h.stage != stageAsked && h.stage != stageComputed) {
 			continue
 		}
-		delete(p.holder.holdings, h.key)
+		delete(p.holder.placements, h.key)
 		p.host.SlotDenied(h.id, now)
 	}
 }
 
-// moveHoldings is called when dispatchers may have changed. Unanswered requests
-// are sent again to the new dispatcher; placements already received are released
-// at the old one and renewed at the new one.
-func (p *Policy) moveHoldings() {
+// movePlacements is called when dispatchers may have changed. Unanswered
+// requests are sent again to the new dispatcher; placements already received are
+// released at the old one and renewed at the new one.
+func (p *Policy) movePlacements() {
 	moved := map[string]bool{}
-	for _, h := range p.sortedHoldings() {
-		d := p.dispatcher(h.model)
+	for _, h := range p.sortedPlacements() {
+		d := p.dispatcherID(h.model)
 		if d == h.dispatcher || d == "" {
 			continue
 		}
@@ -123,22 +123,22 @@
 			h.resent = false
 			p.sendAsk(h)
 		default:
-			p.tellReleased(h)
+			p.sendRelease(h)
 			h.dispatcher = d
 		}
 	}
 	for _, model := range slices.Sorted(maps.Keys(moved)) {
-		p.renewAll(p.dispatcher(model), model)
+		p.renewAll(p.dispatcherID(model), model)
 	}
 }
 
-// sortedHoldings lists the holdings in a reproducible order.
-func (p *Policy) sortedHoldings() []*holding {
-	list := make([]*holding, 0, len(p.holder.holdings))
-	for _, h := range p.holder.holdings {
+// sortedPlacements lists this instance's placements in a reproducible order.
+func (p *Policy) sortedPlacements() []*heldPlacement {
+	list := make([]*heldPlacement, 0, len(p.holder.placements))
+	for _, h := range p.holder.placements {
 		list = append(list, h)
 	}
-	slices.SortFunc(list, func(a, b *holding) int {
+	slices.SortFunc(list, func(a, b *heldPlacement) int {
 		if a.key.Before(b.key) {
 			return -1
 		}
--- a/plugins/slots/dispatch/hold.go
+++ b/plugins/slots/dispatch/hold.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// holdModel estimates how long slots are used, from the most recent uses.
-type holdModel struct {
+// holdTimeModel estimates how long slots are used, from the most recent uses.
+type holdTimeModel struct {
 	// ring holds the most recent uses in order of arrival, overwritten from next
 	// on; sorted holds the same values in ascending order.
 	ring   []time.Duration
@@ -30,11 +30,11 @@
 	minHold = 50 * time.Millisecond
 )
 
-func newHoldModel() holdModel { return holdModel{} }
+func newHoldTimeModel() holdTimeModel { return holdTimeModel{} }
 
-// note adds the length of a slot use that ended. Uses shorter than minHold are
+// add adds the length of a slot use that ended. Uses shorter than minHold are
 // ignored.
-func (h *holdModel) note(held time.Duration) {
+func (h *holdTimeModel) add(held time.Duration) {
 	if held < minHold {
 		return
 	}
@@ -54,7 +54,7 @@
 // given time is released: the remainingQuantile of the samples that lasted
 // longer, less the time used. Before there are enough samples it assumes
 // initialHold.
-func (h *holdModel) remaining(used time.Duration) time.Duration {
+func (h *holdTimeModel) remaining(used time.Duration) time.Duration {
 	if len(h.sorted) < enoughSamples {
 		return max(initialHold-used, initialHold/enoughSamples)
 	}
--- a/plugins/slots/dispatch/holder.go
+++ b/plugins/slots/dispatch/holder.go
@@ -25,8 +25,9 @@
 	stageDecode
 )
 
-// holding is a placement that this instance has requested and not yet released.
-type holding struct {
+// heldPlacement is a placement that this instance has requested and not yet
+// released.
+type heldPlacement struct {
 	id    ident.AttemptID
 	key   slotkit.Key
 	model string
@@ -52,7 +53,7 @@
 // holder is the part of the policy that requests placements for this instance's
 // own requests.
 type holder struct {
-	holdings map[slotkit.Key]*holding
+	placements map[slotkit.Key]*heldPlacement
 	// silent maps each dispatcher that did not answer to the time until which it
 	// is not asked.
 	silent  map[ident.InstanceID]time.Time
@@ -62,24 +63,24 @@
 }
 
 const (
-	// answerTime is how long a dispatcher may take to answer. An unanswered
-	// request is sent once more; after a second answerTime the dispatcher is
+	// answerTimeout is how long a dispatcher may take to answer. An unanswered
+	// request is sent once more; after a second answerTimeout the dispatcher is
 	// treated as unreachable.
-	answerTime = 100 * time.Millisecond
-	// silenceTime is how long an unreachable dispatcher is not asked.
-	silenceTime = 2 * time.Second
-	// renewTime is the interval between renewals.
-	renewTime = 1 * time.Second
-	// renewTimePending is the interval between renewals while requests are
-	// queued at a dispatcher. It is shorter than renewTime so that a
+	answerTimeout = 100 * time.Millisecond
+	// silencePeriod is how long an unreachable dispatcher is not asked.
+	silencePeriod = 2 * time.Second
+	// renewInterval is the interval between renewals.
+	renewInterval = 1 * time.Second
+	// renewIntervalPending is the interval between renewals while requests are
+	// queued at a dispatcher. It is shorter than renewInterval so that a
 	// dispatcher's death is noticed.
-	renewTimePending = 250 * time.Millisecond
+	renewIntervalPending = 250 * time.Millisecond
 	// maxBlocks is the maximum number of block hashes in an Ask.
 	maxBlocks = 24
 )
 
 func (h *holder) init() {
-	h.holdings = map[slotkit.Key]*holding{}
+	h.placements = map[slotkit.Key]*heldPlacement{}
 	h.silent = map[ident.InstanceID]time.Time{}
 	h.wait = map[string]time.Duration{}
 }
@@ -89,17 +90,17 @@
 // region itself.
 func (p *Policy) Joint(model string) bool {
 	p.refresh()
-	return p.dispatcher(model) != "" && p.served(model)
+	return p.dispatcherID(model) != "" && p.servesModel(model)
 }
 
-// served reports whether the region has both prefill and decode engines for the
-// model.
-func (p *Policy) served(model string) bool {
+// servesModel reports whether the region has both prefill and decode engines for
+// the model.
+func (p *Policy) servesModel(model string) bool {
 	prefill, decode := false, false
 	view := p.host.View()
 	for i := range view.Upstreams {
 		u := &view.Upstreams[i]
-		if !p.near(u.Zone) || !u.Serves(model) {
+		if !p.inRegion(u.Zone) || !u.Serves(model) {
 			continue
 		}
 		prefill = prefill || u.Spec.Role == config.RolePrefill
@@ -116,7 +117,7 @@
 func (p *Policy) Place(a kernel.PlacementAsk) {
 	p.refresh()
 	now := p.host.Now()
-	h := &holding{
+	h := &heldPlacement{
 		id:      a.Reservation,
 		key:     slotkit.KeyOf(a.Reservation),
 		model:   a.Request.Model,
@@ -145,15 +146,15 @@
 		Avoid:       slices.Clone(a.Avoid),
 		KV:          a.KV,
 	}
-	p.holder.holdings[h.key] = h
+	p.holder.placements[h.key] = h
 	p.sendAsk(h)
 }
 
-// sendAsk sends a holding's placement request to the model's current dispatcher,
-// with its times relative to now.
-func (p *Policy) sendAsk(h *holding) {
+// sendAsk sends a placement request to the model's current dispatcher, with its
+// times relative to now.
+func (p *Policy) sendAsk(h *heldPlacement) {
 	now := p.host.Now()
-	h.dispatcher = p.dispatcher(h.model)
+	h.dispatcher = p.dispatcherID(h.model)
 	h.sentAt = now
 	ask := h.ask
 	ask.DueIn = millis(h.due.Sub(now))
@@ -162,20 +163,22 @@
 		ask.KVFor = millis(h.kvUntil.Sub(now))
 	}
 	if h.dispatcher == p.host.Self().Instance {
-		p.groupOf(h.model).ask(h.dispatcher, ask)
+		p.dispatcherFor(h.model).handleAsk(h.dispatcher, ask)
 		return
 	}
 	p.host.Send(h.dispatcher, &ask)
 }
 
-// heard records that a dispatcher has sent a message, so that it is asked again.
-func (p *Policy) heard(from ident.InstanceID) {
+// markResponsive records that a dispatcher has sent a message, so that it is
+// asked again.
+func (p *Policy) markResponsive(from ident.InstanceID) {
 	delete(p.holder.silent, from)
 }
 
-// queued handles the dispatcher's answer that a placement request has to wait.
-func (p *Policy) queued(m *Queued) {
-	h, ok := p.holder.holdings[m.Reservation.Key()]
+// handleQueued handles the dispatcher's answer that a placement request has to
+// wait.
+func (p *Policy) handleQueued(m *Queued) {
+	h, ok := p.holder.placements[m.Reservation.Key()]
 	if !ok {
 		return
 	}
@@ -183,10 +186,10 @@
 	p.holder.wait[h.model] = m.Wait.Duration()
 }
 
-// placed handles the dispatcher's answer that names the prefill engine, and
+// handlePlaced handles the dispatcher's answer that names the prefill engine, and
 // passes the placement to the kernel.
-func (p *Policy) placed(m *Placed) {
-	h, ok := p.holder.holdings[m.Reservation.Key()]
+func (p *Policy) handlePlaced(m *Placed) {
+	h, ok := p.holder.placements[m.Reservation.Key()]
 	if !ok || h.stage != stageAsked {
 		return
 	}
@@ -198,10 +201,10 @@
 	p.host.PlacementGranted(h.id, m.placement())
 }
 
-// decodeNamed handles the dispatcher's answer that names the decode engine, and
+// handleDecode handles the dispatcher's answer that names the decode engine, and
 // passes it to the kernel.
-func (p *Policy) decodeNamed(key slotkit.Key, decode ident.UpstreamID) {
-	h, ok := p.holder.holdings[key]
+func (p *Policy) handleDecode(key slotkit.Key, decode ident.UpstreamID) {
+	h, ok := p.holder.placements[key]
 	if !ok || h.stage != stageComputed {
 		return
 	}
@@ -212,16 +215,16 @@
 	p.host.DecodeGranted(h.id, decode)
 }
 
-// denied handles the dispatcher's refusal. An infeasible placement request is
+// handleDeny handles the dispatcher's refusal. An infeasible placement request is
 // refused for good; any other is denied, and the kernel may ask again after
 // RetryIn.
-func (p *Policy) denied(m *Deny) {
+func (p *Policy) handleDeny(m *Deny) {
 	key := m.Reservation.Key()
-	h, ok := p.holder.holdings[key]
+	h, ok := p.holder.placements[key]
 	if !ok || (h.stage != stageAsked && h.stage != stageComputed) {
 		return
 	}
-	delete(p.holder.holdings, key)
+	delete(p.holder.placements, key)
 	if m.Infeasible && h.stage == stageAsked {
 		p.holder.wait[h.model] = m.RetryIn.Duration()
 		p.host.PlacementRefused(h.id, m.RetryIn.Duration())
@@ -234,7 +237,7 @@
 // and tells the dispatcher, which chooses a decode engine if the placement has
 // none.
 func (p *Policy) Computed(id ident.AttemptID) {
-	h, ok := p.holder.holdings[slotkit.KeyOf(id)]
+	h, ok := p.holder.placements[slotkit.KeyOf(id)]
 	if !ok {
 		return
 	}
@@ -247,13 +250,13 @@
 		h.stage = stageComputed
 	}
 	h.sentAt, h.resent, h.answeredAt = now, false, time.Time{}
-	p.tellComputed(h)
+	p.sendComputed(h)
 }
 
-// tellComputed tells the holding's dispatcher that the prefill is done.
-func (p *Policy) tellComputed(h *holding) {
+// sendComputed tells the placement's dispatcher that the prefill is done.
+func (p *Policy) sendComputed(h *heldPlacement) {
 	if h.dispatcher == p.host.Self().Instance {
-		p.groupOf(h.model).computed(h.key, h.prefill)
+		p.dispatcherFor(h.model).handleComputed(h.key, h.prefill)
 		return
 	}
 	p.host.Send(h.dispatcher, &Computed{
@@ -266,22 +269,22 @@
 // Release implements kernel.SlotPolicy.
 func (p *Policy) Release(id ident.AttemptID) {
 	key := slotkit.KeyOf(id)
-	h, ok := p.holder.holdings[key]
+	h, ok := p.holder.placements[key]
 	if !ok {
 		return
 	}
-	delete(p.holder.holdings, key)
-	p.tellReleased(h)
+	delete(p.holder.placements, key)
+	p.sendRelease(h)
 }
 
-// tellReleased tells the holding's dispatcher that it no longer needs to keep
+// sendRelease tells the placement's dispatcher that it no longer needs to keep
 // the placement. For this instance's own dispatcher the transfer's outcome is
 // left out, because its kernel already knows it.
-func (p *Policy) tellReleased(h *holding) {
+func (p *Policy) sendRelease(h *heldPlacement) {
 	switch h.dispatcher {
 	case "":
 	case p.host.Self().Instance:
-		p.groupOf(h.model).release(h.key, TransferEnd(0))
+		p.dispatcherFor(h.model).handleRelease(h.key, TransferEnd(0))
 	default:
 		p.host.Send(h.dispatcher, &Release{Reservation: slotkit.Reservation(h.id), Model: h.model, Transfer: h.transfer})
 	}
@@ -289,7 +292,7 @@
 
 // Started implements kernel.SlotPolicy. It marks the placement's slot as in use.
 func (p *Policy) Started(id ident.AttemptID) {
-	if h, ok := p.holder.holdings[slotkit.KeyOf(id)]; ok {
+	if h, ok := p.holder.placements[slotkit.KeyOf(id)]; ok {
 		h.stage = stageDecode
 		h.decoding = true
 	}
@@ -298,11 +301,11 @@
 // TransferEnded implements kernel.TransferObserver. The outcome is sent to the
 // dispatcher with the release.
 func (p *Policy) TransferEnded(id ident.AttemptID, stalled bool) {
-	h, ok := p.holder.holdings[slotkit.KeyOf(id)]
+	h, ok := p.holder.placements[slotkit.KeyOf(id)]
 	if !ok {
 		return
 	}
-	h.transfer = TransferMoved
+	h.transfer = TransferDone
 	if stalled {
 		h.transfer = TransferStalled
 	}
--- a/plugins/slots/dispatch/lapse.go
+++ b/plugins/slots/dispatch/lapse.go
@@ -8,16 +8,16 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// lapseSettle covers the time from the choice of a decode engine to the start of
+// settleTime covers the time from the choice of a decode engine to the start of
 // the decode and from the decode's end to the arrival of its release. Load
 // reports are not used to judge placements younger than this.
-const lapseSettle = 250 * time.Millisecond
+const settleTime = 250 * time.Millisecond
 
-// unreached returns the set of holders that this instance cannot reach and whose
-// releases therefore do not arrive. It is nil if there are none.
-func (g *group) unreached() map[ident.InstanceID]bool {
+// unreachableHolders returns the set of holders that this instance cannot reach
+// and whose releases therefore do not arrive. It is nil if there are none.
+func (md *modelDispatcher) unreachableHolders() map[ident.InstanceID]bool {
 	var list map[ident.InstanceID]bool
-	for _, in := range g.p.host.View().Instances {
+	for _, in := range md.p.host.View().Instances {
 		if in.Life != kernel.Unreachable {
 			continue
 		}
@@ -34,48 +34,48 @@
 // those with a decode engine, as many end as the engine's load report counts
 // fewer requests than are known. A request that an engine still runs for a
 // frozen holder is in the report, so its placement is kept.
-func (g *group) lapse() {
-	lost := g.unreached()
-	if lost == nil {
+func (md *modelDispatcher) lapse() {
+	unreachable := md.unreachableHolders()
+	if unreachable == nil {
 		return
 	}
-	for _, gr := range g.grants {
-		if lost[gr.holder] && gr.decode == "" && g.now().After(slotkit.Later(gr.doneAt, gr.at)) {
-			g.end(gr)
+	for _, gr := range md.grants {
+		if unreachable[gr.holder] && gr.decode == "" && md.now().After(slotkit.Later(gr.doneAt, gr.at)) {
+			md.endPlacement(gr)
 		}
 	}
-	r := g.engines()
+	r := md.engines()
 	for n, i := range r.decodes {
-		u := &g.p.host.View().Upstreams[i]
-		if g.now().Sub(u.Load.At) > endedTime {
+		u := &md.p.host.View().Upstreams[i]
+		if md.now().Sub(u.Load.At) > pastUseRetention {
 			continue
 		}
-		for range r.books[n].settled(u.Load.At) - u.Load.Running - u.Load.Waiting {
-			if !g.endOldest(r.books[n], lost, u.Load.At) {
+		for range r.usage[n].settledCount(u.Load.At) - u.Load.Running - u.Load.Waiting {
+			if !md.endOldest(r.usage[n], unreachable, u.Load.At) {
 				break
 			}
 		}
 	}
 }
 
-// settled returns the number of placements that a load report made at the given
-// time must include if their requests still run.
-func (b *book) settled(at time.Time) int {
+// settledCount returns the number of placements that a load report made at the
+// given time must include if their requests still run.
+func (su *slotUsage) settledCount(at time.Time) int {
 	n := 0
-	for _, gr := range b.grants {
-		if at.Sub(gr.decodeAt) >= lapseSettle {
+	for _, gr := range su.grants {
+		if at.Sub(gr.decodeAt) >= settleTime {
 			n++
 		}
 	}
 	return n
 }
 
-// endOldest ends the oldest placement of the lost holders that a load report
-// made at the given time must include. It returns false if there is none.
-func (g *group) endOldest(b *book, lost map[ident.InstanceID]bool, at time.Time) bool {
+// endOldest ends the oldest placement of the unreachable holders that a load
+// report made at the given time must include. It returns false if there is none.
+func (md *modelDispatcher) endOldest(su *slotUsage, unreachable map[ident.InstanceID]bool, at time.Time) bool {
 	var oldest *grant
-	for _, gr := range b.grants {
-		if !lost[gr.holder] || at.Sub(gr.decodeAt) < lapseSettle {
+	for _, gr := range su.grants {
+		if !unreachable[gr.holder] || at.Sub(gr.decodeAt) < settleTime {
 			continue
 		}
 		if oldest == nil || gr.decodeAt.Before(oldest.decodeAt) {
@@ -85,6 +85,6 @@
 	if oldest == nil {
 		return false
 	}
-	g.end(oldest)
+	md.endPlacement(oldest)
 	return true
 }
--- a/plugins/slots/dispatch/lapse_test.go
+++ b/plugins/slots/dispatch/lapse_test.go
@@ -9,20 +9,20 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// loseHolder starts a decode for a holder, freezes the holder, and marks it as
-// unreachable in the dispatcher's view. Each engine then reports the given
-// number of running requests, and another node's request triggers a scheduling
-// pass.
-func loseHolder(t *testing.T, running int) (b *bed, lost, other *node) {
+// makeHolderUnreachable starts a decode for a holder, freezes the holder, and
+// marks it as unreachable in the dispatcher's view. Each engine then reports the
+// given number of running requests, and another node's request triggers a
+// scheduling pass.
+func makeHolderUnreachable(t *testing.T, running int) (b *testBed, lost, other *node) {
 	t.Helper()
-	b = settled(1, 3, 2, 200)
+	b = settledBed(1, 3, 2, 200)
 	lost = b.holderNode()
 	d := b.dispatcherNode()
 	id := lost.place(2 * time.Second)
 	b.run(250 * time.Millisecond)
 	lost.policy.Computed(id)
 	b.run(10 * time.Millisecond)
-	assert.Equal(t, lost.last(id).what, "decode")
+	assert.Equal(t, lost.last(id).kind, "decode")
 	lost.policy.Started(id)
 	lost.frozen = true
 	b.run(2 * time.Second)
@@ -46,51 +46,51 @@
 	return b, lost, other
 }
 
-// heldOf returns the number of placements that the dispatcher has recorded for a
-// node.
-func (b *bed) heldOf(n *node) int {
-	return len(b.dispatcherNode().policy.groups[testModel].grantsOf(n.self.Instance))
+// placementsOf returns the number of placements that the dispatcher has recorded
+// for a node.
+func (b *testBed) placementsOf(n *node) int {
+	return len(b.dispatcherNode().policy.dispatchers[testModel].grantsOf(n.self.Instance))
 }
 
 // TestEndedPlacementsOfACutOffHolderLapse checks that a placement ends without a
 // release, which cannot arrive from an unreachable holder, when the engine's
 // load report shows that its request has ended.
 func TestEndedPlacementsOfACutOffHolderLapse(t *testing.T) {
-	b, lost, _ := loseHolder(t, 0)
-	assert.Equal(t, b.heldOf(lost), 0)
+	b, lost, _ := makeHolderUnreachable(t, 0)
+	assert.Equal(t, b.placementsOf(lost), 0)
 }
 
 // TestRunningPlacementsOfACutOffHolderStay checks that the placement of an
 // unreachable holder is kept while the engine reports that the request runs.
 // Otherwise its slot would be promised twice.
 func TestRunningPlacementsOfACutOffHolderStay(t *testing.T) {
-	b, lost, _ := loseHolder(t, 1)
-	assert.Equal(t, b.heldOf(lost), 1)
+	b, lost, _ := makeHolderUnreachable(t, 1)
+	assert.Equal(t, b.placementsOf(lost), 1)
 }
 
 // TestPlacementsOfLiveHoldersDoNotLapse checks that a load report does not end
 // placements of live holders, which send their releases themselves, since the
 // report may be wrong.
 func TestPlacementsOfLiveHoldersDoNotLapse(t *testing.T) {
-	b, lost, _ := loseHolder(t, 1)
+	b, lost, _ := makeHolderUnreachable(t, 1)
 	d := b.dispatcherNode()
 	d.setView(3, nil)
 	for i := range d.view.Upstreams {
 		d.view.Upstreams[i].Load = kernel.Load{At: b.now, Running: 0, Slots: 2, PiecesTotal: 200}
 	}
-	d.policy.groups[testModel].lapse()
-	assert.Equal(t, b.heldOf(lost), 1)
+	d.policy.dispatchers[testModel].lapse()
+	assert.Equal(t, b.placementsOf(lost), 1)
 }
 
 // TestUnfinishedPlacementsOfACutOffHolderLapse checks that the placement of an
 // unreachable holder that has no decode engine ends when its prefill should be
 // done. The holder cannot be told a decode engine, so no slot needs to be kept.
 func TestUnfinishedPlacementsOfACutOffHolderLapse(t *testing.T) {
-	b := settled(1, 3, 2, 200)
+	b := settledBed(1, 3, 2, 200)
 	lost, d := b.holderNode(), b.dispatcherNode()
 	lost.place(2 * time.Second)
 	b.run(10 * time.Millisecond)
-	assert.Equal(t, b.heldOf(lost), 1)
+	assert.Equal(t, b.placementsOf(lost), 1)
 	lost.frozen = true
 	d.setView(2, nil)
 	for i := range d.view.Instances {
@@ -99,9 +99,9 @@
 		}
 	}
 	d.policy.refresh()
-	d.policy.groups[testModel].lapse()
-	assert.Equal(t, b.heldOf(lost), 1, "placement ended while its prefill runs")
+	d.policy.dispatchers[testModel].lapse()
+	assert.Equal(t, b.placementsOf(lost), 1, "placement ended while its prefill runs")
 	b.run(time.Second)
-	d.policy.groups[testModel].lapse()
-	assert.Equal(t, b.heldOf(lost), 0)
+	d.policy.dispatchers[testModel].lapse()
+	assert.Equal(t, b.placementsOf(lost), 0)
 }
--- a/plugins/slots/dispatch/message.go
+++ b/plugins/slots/dispatch/message.go
@@ -77,25 +77,25 @@
 	Decode      ident.UpstreamID    `json:"d,omitempty"`
 	// Cost is the expected time until the prefill is done.
 	Cost Milliseconds `json:"c"`
-	// Others are the best engines that were not chosen, best first, at most
-	// maxOthers.
-	Others []Other `json:"o,omitempty"`
+	// RunnersUp are the best engines that were not chosen, best first, at most
+	// maxRunnersUp.
+	RunnersUp []Alternative `json:"o,omitempty"`
 }
 
-// Other is a prefill engine that was not chosen, with the expected time until it
-// would have finished the prefill.
-type Other struct {
+// Alternative is a prefill engine that was not chosen, with the expected time
+// until it would have finished the prefill.
+type Alternative struct {
 	Prefill ident.UpstreamID `json:"p"`
 	Cost    Milliseconds     `json:"c"`
 }
 
-// maxOthers is the maximum number of engines in Placed.Others.
-const maxOthers = 2
+// maxRunnersUp is the maximum number of engines in Placed.RunnersUp.
+const maxRunnersUp = 2
 
 // placement converts the message to the kernel's form.
 func (m *Placed) placement() kernel.Placement {
 	p := kernel.Placement{Prefill: m.Prefill, Decode: m.Decode, Cost: m.Cost.Duration().Seconds()}
-	for _, o := range m.Others {
+	for _, o := range m.RunnersUp {
 		p.RunnersUp = append(p.RunnersUp, kernel.Alternative{Prefill: o.Prefill, Cost: o.Cost.Duration().Seconds()})
 	}
 	return p
@@ -140,8 +140,8 @@
 
 // The known outcomes of a transfer.
 const (
-	// TransferMoved means that all data was transferred.
-	TransferMoved TransferEnd = iota + 1
+	// TransferDone means that all data was transferred.
+	TransferDone TransferEnd = iota + 1
 	// TransferStalled means that the transfer stopped making progress.
 	TransferStalled
 )
--- a/plugins/slots/dispatch/queue.go
+++ b/plugins/slots/dispatch/queue.go
@@ -13,11 +13,11 @@
 func newQueue(p *Policy) kernel.QueueOrder {
 	loaded, err := plugin.Load(p.order, nil)
 	if err != nil {
-		return &arrivals{}
+		return &fifoQueue{}
 	}
 	q, ok := loaded.(kernel.QueueOrder)
 	if !ok {
-		return &arrivals{}
+		return &fifoQueue{}
 	}
 	q.Attach(p.host)
 	if c, ok := loaded.(kernel.Configurer); ok && p.host.Content() != nil {
@@ -33,8 +33,8 @@
 
 // enqueue adds a placement request to the queue, with its times converted to
 // this instance's clock.
-func (g *group) enqueue(from ident.InstanceID, a Ask, id ident.RequestID) {
-	now := g.now()
+func (md *modelDispatcher) enqueue(from ident.InstanceID, a Ask, id ident.RequestID) {
+	now := md.now()
 	r := &kernel.Request{
 		ID:              id,
 		Workspace:       a.Workspace,
@@ -50,12 +50,12 @@
 		Deadline:        now.Add(a.DeadlineIn.Duration()),
 	}
 	w := &waiting{ask: a, holder: from, entry: &kernel.Waiting{Request: r, Since: now, Delivered: a.Delivered}}
-	g.waiting[id] = w
-	g.queue.Add(w.entry)
+	md.waiting[id] = w
+	md.queue.Add(w.entry)
 }
 
 // dequeue removes a placement request from the queue.
-func (g *group) dequeue(id ident.RequestID) {
-	delete(g.waiting, id)
-	g.queue.Remove(id)
+func (md *modelDispatcher) dequeue(id ident.RequestID) {
+	delete(md.waiting, id)
+	md.queue.Remove(id)
 }
--- a/plugins/slots/dispatch/rapid_test.go
+++ b/plugins/slots/dispatch/rapid_test.go
@@ -11,16 +11,16 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// held is a reservation that is still to be continued or released.
-type held struct {
+// openReservation is a reservation that is still to be continued or released.
+type openReservation struct {
 	n  *node
 	id ident.AttemptID
 }
 
-// machine applies random actions to a bed.
+// machine applies random actions to a testBed.
 type machine struct {
-	b    *bed
-	open []held
+	b    *testBed
+	open []openReservation
 	// dead are the killed nodes, and version is the version of the newest view.
 	dead    map[ident.InstanceID]bool
 	version uint64
@@ -38,7 +38,7 @@
 		return
 	}
 	due := time.Duration(rapid.IntRange(100, 5000).Draw(t, "due")) * time.Millisecond
-	m.open = append(m.open, held{n, n.place(due)})
+	m.open = append(m.open, openReservation{n, n.place(due)})
 }
 
 // advance does for one reservation what the kernel would do next.
@@ -51,12 +51,12 @@
 	if h.n.dead || h.n.frozen {
 		return
 	}
-	switch last := h.n.last(h.id); last.what {
+	switch last := h.n.last(h.id); last.kind {
 	case "placed":
-		h.n.note(h.id, answer{what: "computing"})
+		h.n.record(h.id, answer{kind: "computing"})
 		h.n.policy.Computed(h.id)
 	case "decode":
-		h.n.note(h.id, answer{what: "decoding"})
+		h.n.record(h.id, answer{kind: "decoding"})
 		h.n.policy.Started(h.id)
 	case "decoding", "denied", "refused":
 		h.n.policy.Release(h.id)
@@ -124,12 +124,12 @@
 // and memory of an engine.
 func (m *machine) checkSlots(t *rapid.T) {
 	for _, n := range m.b.nodes {
-		g, ok := n.policy.groups[testModel]
+		md, ok := n.policy.dispatchers[testModel]
 		if !ok {
 			continue
 		}
 		slots, pieces := map[ident.UpstreamID]int{}, map[ident.UpstreamID]int{}
-		for _, gr := range g.grants {
+		for _, gr := range md.grants {
 			if gr.decode != "" && gr.holder != "" {
 				slots[gr.decode]++
 				pieces[gr.decode] += gr.ask.Pieces
@@ -161,7 +161,7 @@
 		if h.n.dead {
 			continue
 		}
-		if what := h.n.last(h.id).what; what == "" || what == "computing" {
+		if what := h.n.last(h.id).kind; what == "" || what == "computing" {
 			t.Fatalf("reservation %s was never answered (last answer %q)", h.id, what)
 		}
 		h.n.policy.Release(h.id)
@@ -171,12 +171,12 @@
 		if n.dead {
 			continue
 		}
-		if len(n.policy.holder.holdings) != 0 {
-			t.Fatalf("%s as holder keeps %d placements", n.self.Instance, len(n.policy.holder.holdings))
+		if len(n.policy.holder.placements) != 0 {
+			t.Fatalf("%s as holder keeps %d placements", n.self.Instance, len(n.policy.holder.placements))
 		}
-		for _, g := range n.policy.groups {
-			if len(g.grants)+len(g.waiting)+len(g.ready) != 0 {
-				t.Fatalf("%s as dispatcher keeps %d placements, %d queued requests", n.self.Instance, len(g.grants), len(g.waiting))
+		for _, md := range n.policy.dispatchers {
+			if len(md.grants)+len(md.waiting)+len(md.ready) != 0 {
+				t.Fatalf("%s as dispatcher keeps %d placements, %d queued requests", n.self.Instance, len(md.grants), len(md.waiting))
 			}
 		}
 	}
@@ -189,7 +189,7 @@
 // at the end.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{b: newBed(rapid.Uint64().Draw(t, "seed"), 3, 3, 24), dead: map[ident.InstanceID]bool{}, version: 1}
+		m := &machine{b: newTestBed(rapid.Uint64().Draw(t, "seed"), 3, 3, 24), dead: map[ident.InstanceID]bool{}, version: 1}
 		m.b.loss = rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss")
 		m.b.repeat = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "repeat")
 		m.b.jitter = time.Duration(rapid.IntRange(0, 50).Draw(t, "jitter")) * time.Millisecond
--- a/plugins/slots/dispatch/region_test.go
+++ b/plugins/slots/dispatch/region_test.go
@@ -10,10 +10,10 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// twoRegions returns a bed with two regions. Each has two instances, a prefill
-// engine and a decode engine.
-func twoRegions() *bed {
-	b := newBed(1, 4, 20, 200)
+// twoRegions returns a testBed with two regions. Each has two instances, a
+// prefill engine and a decode engine.
+func twoRegions() *testBed {
+	b := newTestBed(1, 4, 20, 200)
 	b.zone = map[string]ident.Zone{"p2": "far", "d2": "far"}
 	b.content.Policy.Regions = []config.Region{
 		{Name: "north", Zones: []ident.Zone{"z"}},
@@ -34,7 +34,7 @@
 	b := twoRegions()
 	for _, n := range b.nodes {
 		n.policy.refresh()
-		d := n.policy.dispatcher(testModel)
+		d := n.policy.dispatcherID(testModel)
 		for _, other := range b.nodes {
 			if other.self.Instance == d {
 				assert.Equal(t, other.self.Zone, n.self.Zone)
--- a/plugins/slots/dispatch/renew.go
+++ b/plugins/slots/dispatch/renew.go
@@ -14,13 +14,13 @@
 // nextWake returns when the holder must next be woken, and false if it need not
 // be.
 func (h *holder) nextWake() (time.Time, bool) {
-	if len(h.holdings) == 0 {
+	if len(h.placements) == 0 {
 		return time.Time{}, false
 	}
 	at := h.renewAt
-	for _, x := range h.holdings {
+	for _, x := range h.placements {
 		if x.awaitsAnswer() {
-			at = slotkit.Earlier(at, x.sentAt.Add(answerTime))
+			at = slotkit.Earlier(at, x.sentAt.Add(answerTimeout))
 		}
 	}
 	return at, true
@@ -28,7 +28,7 @@
 
 // awaitsAnswer reports whether the dispatcher has not yet answered the last
 // message that needs an answer.
-func (h *holding) awaitsAnswer() bool {
+func (h *heldPlacement) awaitsAnswer() bool {
 	return (h.stage == stageAsked || h.stage == stageComputed) && h.answeredAt.Before(h.sentAt)
 }
 
@@ -36,12 +36,12 @@
 // answer the second time as unreachable, and sends renewals when they are due.
 func (p *Policy) wakeHolder() {
 	now := p.host.Now()
-	for _, h := range p.sortedHoldings() {
-		if p.holder.holdings[h.key] != h || !h.awaitsAnswer() || now.Before(h.sentAt.Add(answerTime)) {
+	for _, h := range p.sortedPlacements() {
+		if p.holder.placements[h.key] != h || !h.awaitsAnswer() || now.Before(h.sentAt.Add(answerTimeout)) {
 			continue
 		}
 		if h.resent {
-			p.unreachable(h.dispatcher)
+			p.markUnreachable(h.dispatcher)
 			continue
 		}
 		h.resent = true
@@ -55,12 +55,12 @@
 // renew sends each dispatcher the count and digest of the placements that this
 // instance has.
 func (p *Policy) renew(now time.Time) {
-	p.holder.renewAt = now.Add(renewTime)
-	for _, h := range p.sortedHoldings() {
+	p.holder.renewAt = now.Add(renewInterval)
+	for _, h := range p.sortedPlacements() {
 		if h.stage != stageAsked && h.stage != stageComputed {
 			continue
 		}
-		p.holder.renewAt = now.Add(renewTimePending)
+		p.holder.renewAt = now.Add(renewIntervalPending)
 		if !h.awaitsAnswer() && h.dispatcher != p.host.Self().Instance {
 			// A request in a dispatcher's queue is sent again with each renewal.
 			// The answer shows that the dispatcher is alive and still knows the
@@ -70,14 +70,14 @@
 		}
 	}
 	for _, model := range p.heldModels() {
-		p.renewModel(p.dispatcher(model), model, false)
+		p.renewModel(p.dispatcherID(model), model, false)
 	}
 }
 
 // heldModels returns the models of this instance's placements, sorted.
 func (p *Policy) heldModels() []string {
 	models := map[string]bool{}
-	for _, h := range p.holder.holdings {
+	for _, h := range p.holder.placements {
 		models[h.model] = true
 	}
 	return slices.Sorted(maps.Keys(models))
@@ -94,7 +94,7 @@
 		return
 	}
 	m := &Renew{Incarnation: p.host.Self().Incarnation, Model: model, Full: full}
-	for _, h := range p.sortedHoldings() {
+	for _, h := range p.sortedPlacements() {
 		if h.model != model || h.stage == stageAsked {
 			continue
 		}
@@ -112,7 +112,7 @@
 		}
 	}
 	if d == p.host.Self().Instance {
-		p.groupOf(model).renewed(d, *m)
+		p.dispatcherFor(model).handleRenew(d, *m)
 		return
 	}
 	p.host.Send(d, m)
@@ -120,7 +120,7 @@
 
 // used returns how long the decode engine's slot has been taken, 0 if there is
 // none.
-func (h *holding) used(now time.Time) Milliseconds {
+func (h *heldPlacement) used(now time.Time) Milliseconds {
 	if h.decode == "" {
 		return 0
 	}
@@ -138,38 +138,38 @@
 	return xxhash.Sum64(b)
 }
 
-// renewed handles a holder's renewal. If a renewal without a list does not match
-// the known placements, it asks for the full list.
-func (g *group) renewed(from ident.InstanceID, m Renew) {
-	g.heard[from] = struct{}{}
+// handleRenew handles a holder's renewal. If a renewal without a list does not
+// match the known placements, it asks for the full list.
+func (md *modelDispatcher) handleRenew(from ident.InstanceID, m Renew) {
+	md.renewedHolders[from] = struct{}{}
 	if !m.Full {
-		if g.matches(from, m) {
+		if md.matches(from, m) {
 			return
 		}
-		g.send(from, &Resync{Model: g.model})
+		md.send(from, &Resync{Model: md.model})
 		return
 	}
 	listed := make(map[slotkit.Key]bool, len(m.Held))
 	for _, held := range m.Held {
 		listed[held.Reservation.Key()] = true
-		g.adopt(from, held)
+		md.adopt(from, held)
 	}
-	for _, gr := range g.grantsOf(from) {
+	for _, gr := range md.grantsOf(from) {
 		// A recent placement may be missing from the list because its message is
 		// still on the way to the holder.
-		settled := g.now().Sub(gr.at) > renewTime
+		settled := md.now().Sub(gr.at) > renewInterval
 		if !listed[gr.key] && (settled || gr.key.Incarnation != m.Incarnation) {
-			g.end(gr)
+			md.endPlacement(gr)
 		}
 	}
-	g.pass()
+	md.runPass()
 }
 
 // matches reports whether a renewal's count and digest match the placements that
 // this dispatcher knows.
-func (g *group) matches(from ident.InstanceID, m Renew) bool {
+func (md *modelDispatcher) matches(from ident.InstanceID, m Renew) bool {
 	count, sum := 0, uint64(0)
-	for _, gr := range g.grantsOf(from) {
+	for _, gr := range md.grantsOf(from) {
 		count++
 		sum ^= digest(gr.key, gr.decode)
 	}
@@ -180,50 +180,50 @@
 // decode engine but this dispatcher has chosen one, the dispatcher's choice
 // stays: the message that names the engine is still on the way, or was lost and
 // the holder will ask again.
-func (g *group) adopt(from ident.InstanceID, held Held) {
+func (md *modelDispatcher) adopt(from ident.InstanceID, held Held) {
 	key := held.Reservation.Key()
-	gr, ok := g.grants[key]
+	gr, ok := md.grants[key]
 	if !ok {
 		gr = &grant{
 			key:     key,
 			id:      held.Reservation.ID(),
 			holder:  from,
-			at:      g.now(),
-			ask:     Ask{Reservation: held.Reservation, Model: g.model, Pieces: held.Pieces},
+			at:      md.now(),
+			ask:     Ask{Reservation: held.Reservation, Model: md.model, Pieces: held.Pieces},
 			expires: held.Reservation.ID().Deadline,
 		}
-		g.grants[key] = gr
+		md.grants[key] = gr
 	}
 	if held.Decode != "" && gr.decode != held.Decode {
-		g.takeOver(gr, held)
+		md.adoptSlot(gr, held)
 	}
 	if gr.prefill == "" {
 		// The prefill may still be running. The holder reports when it is done.
 		gr.prefill = held.Prefill
 	}
 	if held.Decoding {
-		g.markComputed(gr)
+		md.markComputed(gr)
 	}
 }
 
-// takeOver records the decode slot that a holder reports.
-func (g *group) takeOver(gr *grant, held Held) {
+// adoptSlot records the decode slot that a holder reports.
+func (md *modelDispatcher) adoptSlot(gr *grant, held Held) {
 	if gr.decode != "" {
-		g.freeSlot(gr)
+		md.freeSlot(gr)
 	}
-	if i := slices.Index(g.ready, gr); i >= 0 {
-		g.ready = slices.Delete(g.ready, i, i+1)
+	if i := slices.Index(md.ready, gr); i >= 0 {
+		md.ready = slices.Delete(md.ready, i, i+1)
 	}
-	g.takeSlot(gr, held.Decode)
+	md.takeSlot(gr, held.Decode)
 	// The start of the use is set back so that load reports made since then are
 	// expected to include it, and so that the hold time is measured correctly.
-	gr.decodeAt = g.now().Add(-held.Used.Duration())
+	gr.decodeAt = md.now().Add(-held.Used.Duration())
 }
 
 // grantsOf lists the placements of one holder in a reproducible order.
-func (g *group) grantsOf(from ident.InstanceID) []*grant {
+func (md *modelDispatcher) grantsOf(from ident.InstanceID) []*grant {
 	var list []*grant
-	for _, gr := range g.grants {
+	for _, gr := range md.grants {
 		if gr.holder == from {
 			list = append(list, gr)
 		}
--- a/plugins/slots/dispatch/setup.go
+++ b/plugins/slots/dispatch/setup.go
@@ -30,19 +30,19 @@
 // of its own requests and, for the models assigned to it, the dispatcher for the
 // requests of all instances.
 type Policy struct {
-	host   kernel.JointHost
-	roster slotkit.Roster
-	holder holder
-	groups map[string]*group
-	order  plugin.ID
+	host        kernel.JointHost
+	roster      slotkit.Roster
+	holder      holder
+	dispatchers map[string]*modelDispatcher
+	order       plugin.ID
 	// regions maps each zone to its region, as configured in the bundle.
 	regions map[ident.Zone]ident.Region
 	// kvUsable is how long after the end of its prefill a KV cache may be
 	// imported.
 	kvUsable time.Duration
-	// movedAfter is how long a placement must have had its decode engine before
-	// its KV transfer is considered done.
-	movedAfter time.Duration
+	// transferDoneAfter is how long a placement must have had its decode engine
+	// before its KV transfer is considered done.
+	transferDoneAfter time.Duration
 }
 
 // PluginInfo implements plugin.Plugin.
@@ -53,7 +53,7 @@
 // Attach implements kernel.Attacher. The host must be a kernel.JointHost.
 func (p *Policy) Attach(h kernel.Host) {
 	p.host = h.(kernel.JointHost)
-	p.groups = map[string]*group{}
+	p.dispatchers = map[string]*modelDispatcher{}
 	p.holder.init()
 }
 
@@ -68,9 +68,9 @@
 	// defaultTransferStall is used if the bundle does not set the time after
 	// which a transfer counts as stalled.
 	defaultTransferStall = 3 * time.Second
-	// movedPercent is movedAfter in percent of the time after which a transfer
-	// counts as stalled.
-	movedPercent = 150
+	// transferDonePercent is transferDoneAfter in percent of the time after
+	// which a transfer counts as stalled.
+	transferDonePercent = 150
 	// defaultOrder is used if the bundle names no queue order.
 	defaultOrder plugin.ID = "order.deadline"
 )
@@ -86,7 +86,7 @@
 	if stall <= 0 {
 		stall = defaultTransferStall
 	}
-	p.movedAfter = stall * movedPercent / 100
+	p.transferDoneAfter = stall * transferDonePercent / 100
 	p.regions = map[ident.Zone]ident.Region{}
 	for _, r := range c.Policy.Regions {
 		for _, z := range r.Zones {
@@ -99,8 +99,8 @@
 	}
 }
 
-// near reports whether a zone is in this instance's region.
-func (p *Policy) near(z ident.Zone) bool {
+// inRegion reports whether a zone is in this instance's region.
+func (p *Policy) inRegion(z ident.Zone) bool {
 	return p.regions[z] == p.regions[p.host.Self().Zone]
 }
 
@@ -114,13 +114,13 @@
 	p.refresh()
 	switch m := m.(type) {
 	case *Ask:
-		p.groupOf(m.Model).ask(from, *m)
+		p.dispatcherFor(m.Model).handleAsk(from, *m)
 	case *Computed:
-		p.groupOf(m.Model).computed(m.Reservation.Key(), m.KV)
+		p.dispatcherFor(m.Model).handleComputed(m.Reservation.Key(), m.KV)
 	case *Release:
-		p.groupOf(m.Model).release(m.Reservation.Key(), m.Transfer)
+		p.dispatcherFor(m.Model).handleRelease(m.Reservation.Key(), m.Transfer)
 	case *Renew:
-		p.groupOf(m.Model).renewed(from, *m)
+		p.dispatcherFor(m.Model).handleRenew(from, *m)
 	default:
 		p.receiveAnswer(from, m)
 	}
@@ -128,16 +128,16 @@
 
 // receiveAnswer handles the messages that a dispatcher sends to a holder.
 func (p *Policy) receiveAnswer(from ident.InstanceID, m kernel.PeerMessage) {
-	p.heard(from)
+	p.markResponsive(from)
 	switch m := m.(type) {
 	case *Queued:
-		p.queued(m)
+		p.handleQueued(m)
 	case *Placed:
-		p.placed(m)
+		p.handlePlaced(m)
 	case *Decode:
-		p.decodeNamed(m.Reservation.Key(), m.Decode)
+		p.handleDecode(m.Reservation.Key(), m.Decode)
 	case *Deny:
-		p.denied(m)
+		p.handleDeny(m)
 	case *Resync:
 		p.renewAll(from, m.Model)
 	}
@@ -148,11 +148,11 @@
 	p.refresh()
 	switch m := m.(type) {
 	case *Ask, *Computed, *Renew:
-		p.unreachable(to)
+		p.markUnreachable(to)
 	case *Placed:
-		p.groupOf(m.Model).undelivered(m.Reservation.Key())
+		p.dispatcherFor(m.Model).handleUndelivered(m.Reservation.Key())
 	case *Decode:
-		p.groupOf(m.Model).undelivered(m.Reservation.Key())
+		p.dispatcherFor(m.Model).handleUndelivered(m.Reservation.Key())
 	}
 }
 
@@ -162,44 +162,44 @@
 	if !p.roster.Update(p.host.View(), p.host.Self()) {
 		return
 	}
-	for _, model := range slices.Sorted(maps.Keys(p.groups)) {
-		p.groups[model].viewChanged()
+	for _, model := range slices.Sorted(maps.Keys(p.dispatchers)) {
+		p.dispatchers[model].viewChanged()
 	}
-	p.moveHoldings()
+	p.movePlacements()
 }
 
-// dispatcher returns the instance that dispatches the model in this region,
+// dispatcherID returns the instance that dispatches the model in this region,
 // among those that answer. It is empty if there is none.
-func (p *Policy) dispatcher(model string) ident.InstanceID {
+func (p *Policy) dispatcherID(model string) ident.InstanceID {
 	return p.roster.Chosen("model/"+model, func(in *kernel.Instance) bool {
-		return p.near(in.Zone) && !p.isSilent(in.ID)
+		return p.inRegion(in.Zone) && !p.isSilent(in.ID)
 	})
 }
 
 // isSilent reports whether an instance did not answer a request within the last
-// silenceTime.
+// silencePeriod.
 func (p *Policy) isSilent(d ident.InstanceID) bool {
 	return p.host.Now().Before(p.holder.silent[d])
 }
 
-// groupOf returns the dispatcher's state for a model and creates it if
+// dispatcherFor returns the dispatcher's state for a model and creates it if
 // necessary. An instance that receives a placement request acts as dispatcher
 // even if its own view names another one, because the sender's view may be
 // newer.
-func (p *Policy) groupOf(model string) *group {
-	g, ok := p.groups[model]
+func (p *Policy) dispatcherFor(model string) *modelDispatcher {
+	md, ok := p.dispatchers[model]
 	if !ok {
-		g = newGroup(p, model)
-		p.groups[model] = g
+		md = newModelDispatcher(p, model)
+		p.dispatchers[model] = md
 	}
-	return g
+	return md
 }
 
 // NextWake implements kernel.Waker.
 func (p *Policy) NextWake() (time.Time, bool) {
 	at, ok := p.holder.nextWake()
-	for _, g := range p.groups {
-		t, has := g.nextWake()
+	for _, md := range p.dispatchers {
+		t, has := md.nextWake()
 		if has && (!ok || t.Before(at)) {
 			at, ok = t, true
 		}
@@ -211,7 +211,7 @@
 func (p *Policy) Wake() {
 	p.refresh()
 	p.wakeHolder()
-	for _, model := range slices.Sorted(maps.Keys(p.groups)) {
-		p.groups[model].wake()
+	for _, model := range slices.Sorted(maps.Keys(p.dispatchers)) {
+		p.dispatchers[model].wake()
 	}
 }
--- a/plugins/slots/dispatch/supply.go
+++ b/plugins/slots/dispatch/supply.go
@@ -20,11 +20,11 @@
 	// slots in use, earliest first.
 	engines  []decodeState
 	releases []release
-	// total is the number of slots of all engines. typical is the typical length
-	// of a use, after which slots that are only promised now are expected to be
-	// released.
-	total   int
-	typical time.Duration
+	// total is the number of slots of all engines. typicalUse is the typical
+	// length of a use, after which slots that are only promised now are expected
+	// to be released.
+	total      int
+	typicalUse time.Duration
 }
 
 // release is the expected end of a slot's use.
@@ -39,20 +39,20 @@
 
 // supply computes the free slots and memory of the decode engines, less what is
 // promised to prefills under way, and the expected releases.
-func (g *group) supply(free []decodeState) *slotSupply {
-	s := &g.supplyScratch
-	*s = slotSupply{now: g.now(), engines: free, releases: s.releases[:0], typical: g.hold.remaining(0)}
+func (md *modelDispatcher) supply(free []decodeState) *slotSupply {
+	s := &md.supplyScratch
+	*s = slotSupply{now: md.now(), engines: free, releases: s.releases[:0], typicalUse: md.holdTimes.remaining(0)}
 	for i := range free {
 		s.slots += max(free[i].slots, 0)
 		s.total += slotkit.Slots(free[i].u)
 	}
-	s.slots -= g.takeOverMargin()
-	for _, gr := range g.grants {
+	s.slots -= md.takeOverMargin()
+	for _, gr := range md.grants {
 		if gr.decode == "" {
-			s.take(gr.ask.Pieces, s.engine(gr.planned))
+			s.promise(gr.ask.Pieces, s.engine(gr.planned))
 			continue
 		}
-		left := g.hold.remaining(s.now.Sub(gr.decodeAt))
+		left := md.holdTimes.remaining(s.now.Sub(gr.decodeAt))
 		s.releases = append(s.releases, release{at: s.now.Add(left), decode: gr.decode, pieces: gr.ask.Pieces})
 	}
 	slices.SortFunc(s.releases, func(a, b release) int { return a.at.Compare(b.at) })
@@ -63,13 +63,13 @@
 // prefills that were started by its predecessor and that it does not know yet.
 // The margin ends when all holders have sent a renewal, or after one renewal
 // interval.
-func (g *group) takeOverMargin() int {
-	if g.now().Sub(g.since) > renewTime {
+func (md *modelDispatcher) takeOverMargin() int {
+	if md.now().Sub(md.startedAt) > renewInterval {
 		return 0
 	}
-	for _, in := range g.p.roster.Live() {
-		if _, ok := g.heard[in.ID]; !ok && in.ID != g.p.host.Self().Instance {
-			return marginPerPrefill * len(g.prefills())
+	for _, in := range md.p.roster.Live() {
+		if _, ok := md.renewedHolders[in.ID]; !ok && in.ID != md.p.host.Self().Instance {
+			return marginPerPrefill * len(md.prefills())
 		}
 	}
 	return 0
@@ -82,7 +82,7 @@
 // next returns when a slot and memory for one more request are expected, and the
 // engine on which the memory is expected first, nil if there is none.
 func (s *slotSupply) next(pieces int) (time.Time, *decodeState) {
-	engine, memoryAt := s.memory(pieces)
+	engine, memoryAt := s.memoryAt(pieces)
 	return slotkit.Later(s.slotAt(), memoryAt), engine
 }
 
@@ -93,33 +93,33 @@
 	case missing <= 0:
 		return s.now
 	case missing > len(s.releases):
-		return s.wave(missing-len(s.releases), s.total)
+		return s.waveAt(missing-len(s.releases), s.total)
 	default:
 		return s.releases[missing-1].at
 	}
 }
 
-// wave returns when the given number of units (slots, or pieces of memory)
+// waveAt returns when the given number of units (slots, or pieces of memory)
 // beyond all known releases is expected to be free. total is the number of units
 // that exist. All of them are assumed to be released once per typical use
 // length, so the result is a whole number of such waves from now.
-func (s *slotSupply) wave(beyond, total int) time.Time {
+func (s *slotSupply) waveAt(beyond, total int) time.Time {
 	if total <= 0 {
 		return s.now.Add(never)
 	}
 	waves := 1 + (beyond-1)/total
-	return s.now.Add(time.Duration(waves) * s.typical)
+	return s.now.Add(time.Duration(waves) * s.typicalUse)
 }
 
-// memory returns the engine that is expected to be the first to have the given
+// memoryAt returns the engine that is expected to be the first to have the given
 // amount of free memory, and when. Among equals it returns the engine that keeps
 // most memory free.
-func (s *slotSupply) memory(pieces int) (*decodeState, time.Time) {
+func (s *slotSupply) memoryAt(pieces int) (*decodeState, time.Time) {
 	var best *decodeState
 	bestAt, bestLeft := s.now.Add(never), 0
 	for i := range s.engines {
 		d := &s.engines[i]
-		left := d.pieces - d.planned - pieces
+		left := d.pieces - d.plannedPieces - pieces
 		at := s.now
 		if left < 0 && memoryKnown(d) {
 			at = s.releasedAt(d.u, -left, pieces)
@@ -146,7 +146,7 @@
 	if size > slotkit.Pieces(u) {
 		return s.now.Add(never)
 	}
-	return s.wave(missing, slotkit.Pieces(u))
+	return s.waveAt(missing, slotkit.Pieces(u))
 }
 
 // engine returns the state of a decode engine, nil if the engine is not usable
@@ -160,10 +160,10 @@
 	return nil
 }
 
-// take promises one slot, and memory on the given engine if it is not nil.
-func (s *slotSupply) take(pieces int, on *decodeState) {
+// promise promises one slot, and memory on the given engine if it is not nil.
+func (s *slotSupply) promise(pieces int, on *decodeState) {
 	s.slots--
 	if on != nil {
-		on.planned += pieces
+		on.plannedPieces += pieces
 	}
 }
--- a/plugins/slots/dispatch/takeover_test.go
+++ b/plugins/slots/dispatch/takeover_test.go
@@ -17,16 +17,16 @@
 func TestPrefillOutlivesItsDispatcher(t *testing.T) {
 	for name, until := range map[string]time.Duration{
 		"before a renewal": 10 * time.Millisecond,
-		"after a renewal":  3 * renewTime,
+		"after a renewal":  3 * renewInterval,
 	} {
 		for i := range 2 {
 			t.Run(name, func(t *testing.T) {
-				b := settled(1, 3, 20, 200)
+				b := settledBed(1, 3, 20, 200)
 				d := b.dispatcherNode()
-				h := b.livingExcept(d)[i]
+				h := b.liveNodesExcept(d)[i]
 				id := h.place(10 * time.Second)
 				b.run(10 * time.Millisecond)
-				assert.Equal(t, h.last(id).what, "placed")
+				assert.Equal(t, h.last(id).kind, "placed")
 				d.dead = true
 				for _, n := range b.nodes {
 					n.setView(2, map[ident.InstanceID]bool{d.self.Instance: true})
@@ -35,14 +35,14 @@
 				b.run(until)
 				h.policy.Computed(id)
 				b.run(300 * time.Millisecond)
-				assert.Equal(t, h.last(id).what, "decode", "holder %s got no decode engine", h.self.Instance)
+				assert.Equal(t, h.last(id).kind, "decode", "holder %s got no decode engine", h.self.Instance)
 			})
 		}
 	}
 }
 
-// livingExcept returns the nodes that are not dead, without the given one.
-func (b *bed) livingExcept(out *node) []*node {
+// liveNodesExcept returns the nodes that are not dead, without the given one.
+func (b *testBed) liveNodesExcept(out *node) []*node {
 	var list []*node
 	for _, n := range b.nodes {
 		if n != out && !n.dead {
@@ -54,7 +54,7 @@
 
 // killDispatcher kills the dispatcher and gives all nodes a view in which it is
 // dead.
-func (b *bed) killDispatcher() {
+func (b *testBed) killDispatcher() {
 	d := b.dispatcherNode()
 	d.dead = true
 	for _, n := range b.nodes {
@@ -67,7 +67,7 @@
 // engine. The holder's renewal then lists the placement without a decode engine.
 // The dispatcher must keep its choice and repeat the message.
 func TestLostDecodeIsRepeatedAfterARenewal(t *testing.T) {
-	b := settled(1, 3, 20, 200)
+	b := settledBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	id := h.place(2 * time.Second)
 	b.run(200 * time.Millisecond)
@@ -76,15 +76,15 @@
 	b.run(2 * time.Millisecond)
 	b.loss = 0
 	h.policy.renewAll(d.self.Instance, testModel)
-	b.run(2 * answerTime)
-	assert.Equal(t, h.last(id).what, "decode")
+	b.run(2 * answerTimeout)
+	assert.Equal(t, h.last(id).kind, "decode")
 }
 
 // TestNewDispatcherKnowsHowLongSlotsAreUsed has an engine report a request of
 // which the new dispatcher learns later by a renewal. The dispatcher must count
 // it as one request, not two.
 func TestNewDispatcherKnowsHowLongSlotsAreUsed(t *testing.T) {
-	b := settled(1, 3, 2, 200)
+	b := settledBed(1, 3, 2, 200)
 	h := b.holderNode()
 	id := h.place(2 * time.Second)
 	b.run(250 * time.Millisecond)
@@ -97,7 +97,7 @@
 	used := d.Upstream(h.last(id).decode)
 	used.Load = kernel.Load{At: b.now.Add(-time.Second), Running: 1, Slots: 2, PiecesUsed: 4, PiecesTotal: 200}
 	b.run(50 * time.Millisecond)
-	for _, e := range d.policy.groups[testModel].decodes() {
+	for _, e := range d.policy.dispatchers[testModel].decodes() {
 		want := 2
 		if e.u == used {
 			want = 1
@@ -110,7 +110,7 @@
 // others while its view still shows them as live. The holder must become its own
 // dispatcher, and use the common one again after the cut is healed.
 func TestInstanceThatReachesNobodyDispatchesByItself(t *testing.T) {
-	b := settled(1, 4, 20, 200)
+	b := settledBed(1, 4, 20, 200)
 	h := b.holderNode()
 	for _, n := range b.nodes {
 		b.cut[[2]ident.InstanceID{h.self.Instance, n.self.Instance}] = true
@@ -118,33 +118,33 @@
 	}
 	id := h.place(2 * time.Second)
 	b.run(100 * time.Millisecond)
-	assert.Equal(t, h.last(id).what, "placed")
-	assert.Equal(t, h.policy.dispatcher(testModel), h.self.Instance)
+	assert.Equal(t, h.last(id).kind, "placed")
+	assert.Equal(t, h.policy.dispatcherID(testModel), h.self.Instance)
 	b.cut = map[[2]ident.InstanceID]bool{}
-	b.run(2 * silenceTime)
-	assert.Equal(t, h.policy.dispatcher(testModel), b.nodes[1].policy.dispatcher(testModel), "holder did not return to the common dispatcher")
+	b.run(2 * silencePeriod)
+	assert.Equal(t, h.policy.dispatcherID(testModel), b.nodes[1].policy.dispatcherID(testModel), "holder did not return to the common dispatcher")
 }
 
 // TestPlacementsFollowTheDispatcher checks that a holder which moves a placement
 // to a new dispatcher releases it at the old one. Otherwise the old dispatcher
 // would keep a slot for it.
 func TestPlacementsFollowTheDispatcher(t *testing.T) {
-	b := settled(1, 3, 20, 200)
+	b := settledBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	id := h.place(2 * time.Second)
 	b.run(10 * time.Millisecond)
-	h.policy.unreachable(d.self.Instance)
+	h.policy.markUnreachable(d.self.Instance)
 	b.run(10 * time.Millisecond)
-	assert.Equal(t, len(d.policy.groups[testModel].grants), 0)
+	assert.Equal(t, len(d.policy.dispatchers[testModel].grants), 0)
 	for _, n := range b.nodes {
-		if n.self.Instance == h.policy.dispatcher(testModel) {
-			assert.Equal(t, len(n.policy.groups[testModel].grants), 1)
+		if n.self.Instance == h.policy.dispatcherID(testModel) {
+			assert.Equal(t, len(n.policy.dispatchers[testModel].grants), 1)
 		}
 	}
 	b.run(250 * time.Millisecond)
 	h.policy.Computed(id)
 	b.run(10 * time.Millisecond)
-	assert.Equal(t, h.last(id).what, "decode")
+	assert.Equal(t, h.last(id).kind, "decode")
 }
 
 // TestLeavingInstanceAloneUsesItsShare checks an instance that is leaving and
@@ -153,7 +153,7 @@
 // static share.
 func TestLeavingInstanceAloneUsesItsShare(t *testing.T) {
 	const slots = 4
-	b := settled(1, 3, slots, 200)
+	b := settledBed(1, 3, slots, 200)
 	h := b.holderNode()
 	h.setView(2, map[ident.InstanceID]bool{"e1": true, "e2": true, "e3": true})
 	for i := range h.view.Instances {
--- a/plugins/slots/dispatch/transfer_test.go
+++ b/plugins/slots/dispatch/transfer_test.go
@@ -9,14 +9,14 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// decoding requests a placement, completes its prefill and starts its decode.
-func (n *node) decoding(t *testing.T) ident.AttemptID {
+// startDecode requests a placement, completes its prefill and starts its decode.
+func (n *node) startDecode(t *testing.T) ident.AttemptID {
 	t.Helper()
 	id := n.place(5 * time.Second)
 	n.bed.run(20 * time.Millisecond)
 	n.policy.Computed(id)
 	n.bed.run(20 * time.Millisecond)
-	assert.Equal(t, n.last(id).what, "decode")
+	assert.Equal(t, n.last(id).kind, "decode")
 	n.policy.Started(id)
 	return id
 }
@@ -26,28 +26,28 @@
 // the transfer of a placement in use for a long time succeeded. A recent
 // placement is reported only when it is released.
 func TestDispatcherHearsOfStalledTransfers(t *testing.T) {
-	b := settled(1, 3, 20, 200)
+	b := settledBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
-	good := h.decoding(t)
+	good := h.startDecode(t)
 	b.run(2 * defaultTransferStall)
-	fresh, stalled := h.decoding(t), h.decoding(t)
+	fresh, stalled := h.startDecode(t), h.startDecode(t)
 	h.policy.TransferEnded(stalled, true)
 	h.policy.Release(stalled)
 	b.run(10 * time.Millisecond)
 	assert.Equal(t, len(d.transfers), 2)
-	assert.Equal(t, d.transfers[0], transfer{prefill: h.engines(good).prefill, decode: h.last(good).decode})
-	assert.Equal(t, d.transfers[1], transfer{prefill: h.engines(stalled).prefill, decode: h.last(stalled).decode, stalled: true})
+	assert.Equal(t, d.transfers[0], transfer{prefill: h.placedAnswer(good).prefill, decode: h.last(good).decode})
+	assert.Equal(t, d.transfers[1], transfer{prefill: h.placedAnswer(stalled).prefill, decode: h.last(stalled).decode, stalled: true})
 	h.policy.TransferEnded(fresh, false)
 	h.policy.Release(fresh)
 	b.run(10 * time.Millisecond)
-	assert.Equal(t, d.transfers[2], transfer{prefill: h.engines(fresh).prefill, decode: h.last(fresh).decode})
+	assert.Equal(t, d.transfers[2], transfer{prefill: h.placedAnswer(fresh).prefill, decode: h.last(fresh).decode})
 	assert.Equal(t, len(h.transfers), 0, "outcome reported to the holder's kernel, which knows it already")
 }
 
-// engines returns the answer that named the reservation's prefill engine.
-func (n *node) engines(id ident.AttemptID) answer {
+// placedAnswer returns the answer that named the reservation's prefill engine.
+func (n *node) placedAnswer(id ident.AttemptID) answer {
 	for _, a := range n.answers[id] {
-		if a.what == "placed" {
+		if a.kind == "placed" {
 			return a
 		}
 	}
--- a/plugins/slots/probe/probe.go
+++ b/plugins/slots/probe/probe.go
@@ -8,8 +8,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// hold is a slot that this instance uses or is about to use.
-type hold struct {
+// slotUse is a slot that this instance uses or is about to use.
+type slotUse struct {
 	upstream ident.UpstreamID
 	pieces   int
 	// started is when the use of the slot began, zero if it has not begun.
@@ -34,43 +34,43 @@
 	// maxDoublings limits how often the back-off doubles when an engine refuses
 	// repeatedly.
 	maxDoublings = 3
-	// retryUsual is the minimum delay before a request that got no slot asks
+	// retryDelay is the minimum delay before a request that got no slot asks
 	// again. Random jitter of up to the same length is added.
-	retryUsual = 50 * time.Millisecond
+	retryDelay = 50 * time.Millisecond
 )
 
 // Reserve implements kernel.SlotPolicy. It grants or denies the slot
 // immediately.
 func (p *Policy) Reserve(ask kernel.SlotAsk) kernel.SlotAnswer {
 	key := slotkit.KeyOf(ask.Reservation)
-	if p.holds[key] != nil {
+	if p.uses[key] != nil {
 		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 	}
 	u := p.host.Upstream(ask.Upstream)
-	if !slotkit.Usable(u) || p.free(u) <= 0 || !p.memory(u, ask.Pieces) {
+	if !slotkit.Usable(u) || p.freeSlots(u) <= 0 || !p.hasMemory(u, ask.Pieces) {
 		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: p.retryAt(ask.Upstream)}
 	}
-	p.holds[key] = &hold{upstream: ask.Upstream, pieces: ask.Pieces}
+	p.uses[key] = &slotUse{upstream: ask.Upstream, pieces: ask.Pieces}
 	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 }
 
-// retryAt returns when to ask for the engine again: after retryUsual plus
+// retryAt returns when to ask for the engine again: after retryDelay plus
 // jitter, or at the end of the engine's back-off if that is later.
 func (p *Policy) retryAt(id ident.UpstreamID) time.Time {
 	now := p.host.Now()
-	at := now.Add(retryUsual + time.Duration(p.host.Rand().Int64N(int64(retryUsual))))
+	at := now.Add(retryDelay + time.Duration(p.host.Rand().Int64N(int64(retryDelay))))
 	if blocked := p.engine(id).blockedUntil; blocked.After(at) {
 		return blocked
 	}
 	return at
 }
 
-// free returns how many slots of the engine are assumed to be free: the slots
-// that the load report shows as free, corrected for this instance's uses that
-// began or ended since the report, less Margin for those that other instances
-// have begun. It returns 1 if the number of slots is not known, and 0 while the
-// engine is backed off.
-func (p *Policy) free(u *kernel.Upstream) int {
+// freeSlots returns how many slots of the engine are assumed to be free: the
+// slots that the load report shows as free, corrected for this instance's uses
+// that began or ended since the report, less Margin for those that other
+// instances have begun. It returns 1 if the number of slots is not known, and 0
+// while the engine is backed off.
+func (p *Policy) freeSlots(u *kernel.Upstream) int {
 	slots := slotkit.Slots(u)
 	if slots == 0 {
 		return 1
@@ -80,13 +80,14 @@
 		return 0
 	}
 	used := u.Load.Running + u.Load.Waiting - e.endedAfter(u.Load.At)
-	return slots - max(used, 0) - p.unseen(u) - p.Margin
+	return slots - max(used, 0) - p.unreportedSlots(u) - p.Margin
 }
 
-// unseen counts this instance's slots that the load report does not include yet.
-func (p *Policy) unseen(u *kernel.Upstream) int {
+// unreportedSlots counts this instance's slots that the load report does not
+// include yet.
+func (p *Policy) unreportedSlots(u *kernel.Upstream) int {
 	n := 0
-	for _, h := range p.holds {
+	for _, h := range p.uses {
 		if h.upstream == u.ID && (h.started.IsZero() || h.started.After(u.Load.At)) {
 			n++
 		}
@@ -94,15 +95,15 @@
 	return n
 }
 
-// memory reports whether the engine is assumed to have free memory for the given
-// number of pieces.
-func (p *Policy) memory(u *kernel.Upstream, pieces int) bool {
+// hasMemory reports whether the engine is assumed to have free memory for the
+// given number of pieces.
+func (p *Policy) hasMemory(u *kernel.Upstream, pieces int) bool {
 	total := slotkit.Pieces(u)
 	if total == 0 {
 		return true
 	}
 	used := u.Load.PiecesUsed
-	for _, h := range p.holds {
+	for _, h := range p.uses {
 		if h.upstream == u.ID && (h.started.IsZero() || h.started.After(u.Load.At)) {
 			used += h.pieces
 		}
@@ -134,11 +135,11 @@
 // Release implements kernel.SlotPolicy.
 func (p *Policy) Release(id ident.AttemptID) {
 	key := slotkit.KeyOf(id)
-	h := p.holds[key]
+	h := p.uses[key]
 	if h == nil {
 		return
 	}
-	delete(p.holds, key)
+	delete(p.uses, key)
 	e := p.engine(h.upstream)
 	if h.started.IsZero() {
 		return
@@ -156,7 +157,7 @@
 // Started implements kernel.SlotPolicy. It also ends the series of refusals that
 // lengthens the engine's back-off.
 func (p *Policy) Started(id ident.AttemptID) {
-	if h := p.holds[slotkit.KeyOf(id)]; h != nil {
+	if h := p.uses[slotkit.KeyOf(id)]; h != nil {
 		h.started = p.host.Now()
 		p.engine(h.upstream).refusals = 0
 	}
--- a/plugins/slots/probe/probe_test.go
+++ b/plugins/slots/probe/probe_test.go
@@ -119,7 +119,7 @@
 	b.Run(5 * time.Second)
 	for _, n := range b.Nodes {
 		p := n.Policy.(*Policy)
-		assert.Equal(t, len(p.holds), 0)
+		assert.Equal(t, len(p.uses), 0)
 		assert.Assert(t, len(p.engines[b.Engines[0].ID].ended) <= maxEnded)
 	}
 	assert.Equal(t, b.Traffic.Messages, 0)
--- a/plugins/slots/probe/sample.go
+++ b/plugins/slots/probe/sample.go
@@ -13,7 +13,7 @@
 // decisions made at the same time.
 type sample struct {
 	at    time.Time
-	known bool
+	valid bool
 	ids   []ident.UpstreamID
 }
 
@@ -29,7 +29,7 @@
 func (p *Policy) Availability(u *kernel.Upstream) kernel.Availability {
 	free := 0
 	if slotkit.Usable(u) {
-		free = max(p.free(u), 0)
+		free = max(p.freeSlots(u), 0)
 	}
 	switch {
 	case free == 0:
@@ -44,8 +44,8 @@
 // empty. It draws a new sample if time has passed since the last one.
 func (p *Policy) sampled(id ident.UpstreamID) bool {
 	s := &p.sample
-	if !s.known || !s.at.Equal(p.host.Now()) {
-		p.draw()
+	if !s.valid || !s.at.Equal(p.host.Now()) {
+		p.drawSample()
 	}
 	for _, other := range s.ids {
 		if other == id {
@@ -55,16 +55,17 @@
 	return len(s.ids) == 0
 }
 
-// draw chooses a sample of up to Choices engines among those with a free slot.
-func (p *Policy) draw() {
+// drawSample chooses a sample of up to Choices engines among those with a free
+// slot.
+func (p *Policy) drawSample() {
 	s := &p.sample
-	s.at, s.known = p.host.Now(), true
+	s.at, s.valid = p.host.Now(), true
 	s.ids = s.ids[:0]
 	seen := 0
 	v := p.host.View()
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
-		if u.Spec.Role != config.RoleDecode || !slotkit.Usable(u) || p.free(u) <= 0 {
+		if u.Spec.Role != config.RoleDecode || !slotkit.Usable(u) || p.freeSlots(u) <= 0 {
 			continue
 		}
 		seen++
--- a/plugins/slots/probe/setup.go
+++ b/plugins/slots/probe/setup.go
@@ -46,7 +46,7 @@
 	Settings `yaml:",inline"`
 
 	host    kernel.Host
-	holds   map[slotkit.Key]*hold
+	uses    map[slotkit.Key]*slotUse
 	engines map[ident.UpstreamID]*engine
 	sample  sample
 }
@@ -67,7 +67,7 @@
 	if p.Backoff == 0 {
 		p.Backoff = defaultBackoff
 	}
-	p.holds = map[slotkit.Key]*hold{}
+	p.uses = map[slotkit.Key]*slotUse{}
 	p.engines = map[ident.UpstreamID]*engine{}
 	return nil
 }
--- a/plugins/slots/slotkit/chosen.go
+++ b/plugins/slots/slotkit/chosen.go
@@ -6,13 +6,13 @@
 )
 
 // Chosen returns the live instance that ranks first for a name by rendezvous
-// hashing, among those for which wanted returns true. It is empty if there is
+// hashing, among those for which eligible returns true. It is empty if there is
 // none.
-func (r *Roster) Chosen(name string, wanted func(*kernel.Instance) bool) ident.InstanceID {
+func (r *Roster) Chosen(name string, eligible func(*kernel.Instance) bool) ident.InstanceID {
 	var best ident.InstanceID
 	var bestWeight uint64
 	for i := range r.live {
-		if !wanted(&r.live[i]) {
+		if !eligible(&r.live[i]) {
 			continue
 		}
 		w := weight(r.live[i].ID, ident.UpstreamID(name))
--- a/plugins/slots/slotkit/roster.go
+++ b/plugins/slots/slotkit/roster.go
@@ -15,22 +15,22 @@
 // live instances changes. The zero value is ready for use.
 type Roster struct {
 	version uint64
-	known   bool
+	valid   bool
 	live    []kernel.Instance
 	next    []kernel.Instance
-	// set counts the changes of the set of live instances; it is 1 for the first
-	// set.
-	set      uint64
-	grantors table.Table[granting]
-	ranks    map[ident.UpstreamID]int
+	// generation is the number of the current set of live instances, 1 for the
+	// first.
+	generation uint64
+	grantors   table.Table[cachedGrantor]
+	ranks      map[ident.UpstreamID]int
 }
 
-// granting is the cached grantor of an upstream. It is valid for one set of live
-// instances and for the zone in which the upstream was at that time.
-type granting struct {
-	set     uint64
-	zone    ident.Zone
-	grantor ident.InstanceID
+// cachedGrantor is the cached grantor of an upstream. It is valid for one set of
+// live instances and for the zone in which the upstream was at that time.
+type cachedGrantor struct {
+	generation uint64
+	zone       ident.Zone
+	grantor    ident.InstanceID
 }
 
 // Update adopts the view and reports whether it differs from the one adopted
@@ -39,20 +39,20 @@
 	if r.Current(v) {
 		return false
 	}
-	r.version, r.known = v.Version, true
+	r.version, r.valid = v.Version, true
 	r.next = liveInstances(r.next[:0], v, self)
-	if r.set > 0 && slices.Equal(r.next, r.live) {
+	if r.generation > 0 && slices.Equal(r.next, r.live) {
 		return true
 	}
 	r.live, r.next = r.next, r.live
-	r.set++
+	r.generation++
 	r.ranks = make(map[ident.UpstreamID]int, len(r.ranks))
 	return true
 }
 
 // Current reports whether v is the view that was adopted last.
 func (r *Roster) Current(v *kernel.View) bool {
-	return r.known && r.version == v.Version
+	return r.valid && r.version == v.Version
 }
 
 // Live returns the live instances, including this one unless it is leaving. The
@@ -64,14 +64,14 @@
 // instances if the zone has none. It is empty if no instance is live.
 func (r *Roster) Grantor(u *kernel.Upstream) ident.InstanceID {
 	g := r.grantors.At(u)
-	if g.set == r.set && g.zone == u.Zone {
+	if g.generation == r.generation && g.zone == u.Zone {
 		return g.grantor
 	}
 	id := first(r.live, u.ID, u.Zone)
 	if id == "" {
 		id = first(r.live, u.ID, "")
 	}
-	*g = granting{set: r.set, zone: u.Zone, grantor: id}
+	*g = cachedGrantor{generation: r.generation, zone: u.Zone, grantor: id}
 	return id
 }
 
@@ -150,10 +150,10 @@
 }
 
 // before reports whether the instance id with weight w ranks before the instance
-// other with weight than: by descending weight, then by ID.
-func before(w uint64, id ident.InstanceID, than uint64, other ident.InstanceID) bool {
-	if w != than {
-		return w > than
+// other with weight otherWeight: by descending weight, then by ID.
+func before(w uint64, id ident.InstanceID, otherWeight uint64, other ident.InstanceID) bool {
+	if w != otherWeight {
+		return w > otherWeight
 	}
 	return id < other
 }
--- a/plugins/slots/slottest/bed.go
+++ b/plugins/slots/slottest/bed.go
@@ -45,13 +45,13 @@
 }
 
 const (
-	// usualDue and usualDeadline are the times to the first output and to the
+	// defaultDue and defaultDeadline are the times to the first output and to the
 	// deadline of a use made by Reserve.
-	usualDue      = 5 * time.Second
-	usualDeadline = 30 * time.Second
-	// tryAgain is the delay after which a step is repeated that failed because
+	defaultDue      = 5 * time.Second
+	defaultDeadline = 30 * time.Second
+	// retryDelay is the delay after which a step is repeated that failed because
 	// its node was frozen.
-	tryAgain = 100 * time.Millisecond
+	retryDelay = 100 * time.Millisecond
 )
 
 // NewBed returns a bed with the given options. The message delay defaults to one
@@ -62,8 +62,8 @@
 	}
 	b := &Bed{World: NewWorld(o), byID: map[string]*Use{}}
 	for _, n := range b.Nodes {
-		n.Granted = func(id ident.AttemptID) { b.answer(id, true) }
-		n.Denied = func(id ident.AttemptID, _ time.Time) { b.answer(id, false) }
+		n.Granted = func(id ident.AttemptID) { b.handleAnswer(id, true) }
+		n.Denied = func(id ident.AttemptID, _ time.Time) { b.handleAnswer(id, false) }
 	}
 	return b
 }
@@ -71,7 +71,7 @@
 // Reserve starts a use of one piece of memory. It has no effect if the node is
 // killed or frozen.
 func (b *Bed) Reserve(n *Node, e *Engine, lead, hold time.Duration) *Use {
-	u := &Use{Node: n, Engine: e, Lead: lead, Hold: hold, Pieces: 1, Due: b.Now().Add(usualDue)}
+	u := &Use{Node: n, Engine: e, Lead: lead, Hold: hold, Pieces: 1, Due: b.Now().Add(defaultDue)}
 	b.Ask(u)
 	return u
 }
@@ -79,7 +79,7 @@
 // Ask starts the use u, whose fields from Node to Due other than ID are given by
 // the test. It has no effect if the node is killed or frozen.
 func (b *Bed) Ask(u *Use) {
-	u.ID = u.Node.Reservation(usualDeadline)
+	u.ID = u.Node.Reservation(defaultDeadline)
 	u.Asked = b.Now()
 	u.Node.Do(func() {
 		b.Uses = append(b.Uses, u)
@@ -93,7 +93,7 @@
 		})
 		switch answer.Verdict {
 		case kernel.SlotHeld:
-			b.take(u)
+			b.startGranted(u)
 		case kernel.SlotWaits:
 			u.Pending = true
 		case kernel.SlotNone:
@@ -102,9 +102,9 @@
 	})
 }
 
-// answer handles the answer to a pending use. It panics if the use is not
+// handleAnswer handles the answer to a pending use. It panics if the use is not
 // pending.
-func (b *Bed) answer(id ident.AttemptID, granted bool) {
+func (b *Bed) handleAnswer(id ident.AttemptID, granted bool) {
 	u := b.byID[id.String()]
 	if !u.Pending {
 		panic(fmt.Sprintf("slottest: reservation %s was answered but is not pending", id))
@@ -113,14 +113,14 @@
 	u.Answered++
 	b.Slowest = max(b.Slowest, b.Now().Sub(u.Asked))
 	if granted {
-		b.take(u)
+		b.startGranted(u)
 		return
 	}
 	u.Over = true
 }
 
-// take marks a use as granted and starts it after its lead time.
-func (b *Bed) take(u *Use) {
+// startGranted marks a use as granted and starts it after its lead time.
+func (b *Bed) startGranted(u *Use) {
 	u.Granted = true
 	b.After(u.Lead, func() { b.begin(u) })
 }
@@ -143,7 +143,7 @@
 		b.After(u.Hold, func() { b.Finish(u) })
 	})
 	if !ran && !u.Node.Killed() {
-		b.After(tryAgain, func() { b.begin(u) })
+		b.After(retryDelay, func() { b.begin(u) })
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 	ran := u.Node.Do(func() { b.Release(u) })
 	if !ran && !u.Node.Killed() {
-		b.After(tryAgain, func() { b.Finish(u) })
+		b.After(retryDelay, func() { b.Finish(u) })
 	}
 }
 
--- a/plugins/slots/slottest/engine.go
+++ b/plugins/slots/slottest/engine.go
@@ -39,10 +39,10 @@
 		e.Refused++
 		return false
 	}
-	e.account()
+	e.accumulateBusy()
 	e.running[slotkit.KeyOf(id)] = pieces
 	e.pieces += pieces
-	e.note()
+	e.recordLoad()
 	return true
 }
 
@@ -53,10 +53,10 @@
 	if !ok {
 		return
 	}
-	e.account()
+	e.accumulateBusy()
 	delete(e.running, key)
 	e.pieces -= pieces
-	e.note()
+	e.recordLoad()
 }
 
 // Running returns the number of slots in use.
@@ -65,14 +65,14 @@
 // Busy returns the time integral of the number of slots in use since the last
 // call.
 func (e *Engine) Busy() time.Duration {
-	e.account()
+	e.accumulateBusy()
 	busy := e.busy
 	e.busy = 0
 	return busy
 }
 
-// account adds the time since the last call to busy.
-func (e *Engine) account() {
+// accumulateBusy adds the time since the last call to busy.
+func (e *Engine) accumulateBusy() {
 	e.busy += time.Duration(len(e.running)) * e.world.now.Sub(e.busySince)
 	e.busySince = e.world.now
 }
@@ -92,8 +92,8 @@
 // so many.
 const historyLength = 512
 
-// note appends the current load to the history.
-func (e *Engine) note() {
+// recordLoad appends the current load to the history.
+func (e *Engine) recordLoad() {
 	e.history = append(e.history, e.Load())
 	if len(e.history) > 2*historyLength {
 		e.history = append(e.history[:0], e.history[historyLength:]...)
--- a/plugins/slots/slottest/network.go
+++ b/plugins/slots/slottest/network.go
@@ -86,9 +86,9 @@
 	n := w.Node(to)
 	if n == nil || n.killed {
 		w.After(w.delay(), func() {
-			from.do(func() { from.handler(func(h kernel.PeerHandler) { h.Undelivered(to, m) }) })
+			from.runEvent(func() { from.withHandler(func(h kernel.PeerHandler) { h.Undelivered(to, m) }) })
 		})
 		return
 	}
-	n.do(func() { n.handler(func(h kernel.PeerHandler) { h.Receive(from.ID(), m) }) })
+	n.runEvent(func() { n.withHandler(func(h kernel.PeerHandler) { h.Receive(from.ID(), m) }) })
 }
--- a/plugins/slots/slottest/node.go
+++ b/plugins/slots/slottest/node.go
@@ -94,13 +94,13 @@
 	if n.killed || n.frozen {
 		return false
 	}
-	n.do(f)
+	n.runEvent(f)
 	return true
 }
 
-// do runs f as one event of the node. If the node is frozen, f runs when the
-// node is thawed; if it is killed, f does not run.
-func (n *Node) do(f func()) {
+// runEvent runs f as one event of the node. If the node is frozen, f runs when
+// the node is thawed; if it is killed, f does not run.
+func (n *Node) runEvent(f func()) {
 	switch {
 	case n.killed:
 		return
@@ -113,7 +113,7 @@
 	if n.Stepped != nil {
 		n.Stepped()
 	}
-	n.wake()
+	n.scheduleWake()
 }
 
 // wakePolicy wakes the policy if its wake-up time has come.
@@ -127,9 +127,9 @@
 	}
 }
 
-// wake schedules the policy's next wake-up, unless an earlier one is already
-// scheduled.
-func (n *Node) wake() {
+// scheduleWake schedules the policy's next wake-up, unless an earlier one is
+// already scheduled.
+func (n *Node) scheduleWake() {
 	w, ok := n.Policy.(kernel.Waker)
 	if !ok {
 		return
@@ -143,13 +143,13 @@
 	n.world.After(max(at.Sub(n.world.now), 0), func() {
 		if n.wakeAt.Equal(at) {
 			n.wakeAt = time.Time{}
-			n.do(func() {})
+			n.runEvent(func() {})
 		}
 	})
 }
 
-// handler calls f with the policy's message handler, if the policy has one.
-func (n *Node) handler(f func(kernel.PeerHandler)) {
+// withHandler calls f with the policy's message handler, if the policy has one.
+func (n *Node) withHandler(f func(kernel.PeerHandler)) {
 	if h, ok := n.Policy.(kernel.PeerHandler); ok {
 		f(h)
 	}
@@ -175,7 +175,7 @@
 	n.self.Incarnation++
 	n.start()
 	n.world.watchLoads(n)
-	n.wake()
+	n.scheduleWake()
 }
 
 // Freeze pauses the process.
@@ -191,9 +191,9 @@
 	missed := n.missed
 	n.missed = nil
 	for _, f := range missed {
-		n.do(f)
+		n.runEvent(f)
 	}
-	n.do(func() {})
+	n.runEvent(func() {})
 }
 
 // Believe sets the life of another node in this node's view.
@@ -211,7 +211,7 @@
 // ChangeView applies a change to a copy of the node's view, which becomes the
 // next version of the view.
 func (n *Node) ChangeView(change func(v *kernel.View)) {
-	n.do(func() {
+	n.runEvent(func() {
 		next := cloneView(n.view)
 		next.Version++
 		change(&next)
@@ -251,7 +251,7 @@
 
 // Upstream implements kernel.Host.
 func (n *Node) Upstream(id ident.UpstreamID) *kernel.Upstream {
-	i, ok := n.world.places[id]
+	i, ok := n.world.upstreamIndex[id]
 	if !ok {
 		return nil
 	}
--- a/plugins/slots/slottest/world.go
+++ b/plugins/slots/slottest/world.go
@@ -45,32 +45,32 @@
 	events  events
 	order   uint64
 	cuts    map[link]bool
-	// places is an upstream's index in every view. It is the same for all views:
-	// they list the same upstreams in the same order.
-	places map[ident.UpstreamID]int
+	// upstreamIndex is an upstream's index in every view. It is the same for all
+	// views: they list the same upstreams in the same order.
+	upstreamIndex map[ident.UpstreamID]int
 }
 
 // NewWorld returns a world in which every instance sees all instances and
 // engines as live.
 func NewWorld(o Options) *World {
 	w := &World{
-		Rand:    rand.New(rand.NewPCG(o.Seed, o.Seed^0x5bd1e995)),
-		Traffic: Traffic{ByKind: map[string]int{}},
-		options: o,
-		now:     Epoch,
-		cuts:    map[link]bool{},
-		places:  map[ident.UpstreamID]int{},
+		Rand:          rand.New(rand.NewPCG(o.Seed, o.Seed^0x5bd1e995)),
+		Traffic:       Traffic{ByKind: map[string]int{}},
+		options:       o,
+		now:           Epoch,
+		cuts:          map[link]bool{},
+		upstreamIndex: map[ident.UpstreamID]int{},
 	}
 	for i := range o.Engines {
-		w.places[w.upstreamID(i)] = i
+		w.upstreamIndex[w.upstreamID(i)] = i
 		w.Engines = append(w.Engines, newEngine(w, w.upstreamID(i), o.Slots, o.Pieces))
 	}
-	view := w.firstView()
+	view := w.initialView()
 	for i := range o.Instances {
 		w.Nodes = append(w.Nodes, newNode(w, i, view))
 	}
 	for _, n := range w.Nodes {
-		n.wake()
+		n.scheduleWake()
 		w.watchLoads(n)
 	}
 	return w
@@ -84,8 +84,8 @@
 	return ident.Zone(fmt.Sprintf("hall-%d", i%max(w.options.Zones, 1)+1))
 }
 
-// firstView returns the view with which all instances start.
-func (w *World) firstView() kernel.View {
+// initialView returns the view with which all instances start.
+func (w *World) initialView() kernel.View {
 	v := kernel.View{Version: 1, Trusted: true}
 	for i := range w.options.Instances {
 		v.Instances = append(v.Instances, kernel.Instance{
@@ -121,14 +121,14 @@
 // panics if a policy asks to be woken again and again without time passing.
 func (w *World) Run(d time.Duration) {
 	end := w.now.Add(d)
-	same := 0
+	stalled := 0
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
 		e := heap.Pop(&w.events).(event)
-		same++
+		stalled++
 		if e.at.Sub(w.now) > time.Millisecond {
-			same = 0
+			stalled = 0
 		}
-		if same > maxBusy {
+		if stalled > maxStalledEvents {
 			panic("slottest: virtual time does not advance: a policy asks to be woken repeatedly")
 		}
 		w.now = e.at
@@ -137,9 +137,9 @@
 	w.now = end
 }
 
-// maxBusy is the number of events, each within a millisecond of the one before,
-// above which Run assumes an endless loop.
-const maxBusy = 1_000_000
+// maxStalledEvents is the number of events, each within a millisecond of the one
+// before, above which Run assumes an endless loop.
+const maxStalledEvents = 1_000_000
 
 // watchLoads makes an instance read the load of every engine once per LoadEvery,
 // from a random start.
@@ -159,7 +159,7 @@
 	if n.killed {
 		return
 	}
-	n.do(func() { n.SeeLoad(e.ID, e.loadBefore(w.now.Add(-w.options.LoadLag))) })
+	n.runEvent(func() { n.SeeLoad(e.ID, e.loadBefore(w.now.Add(-w.options.LoadLag))) })
 	w.After(w.options.LoadEvery, func() { w.readLoad(n, e) })
 }
 
