--- a/plugins/slots/dispatch/group.go
+++ b/plugins/slots/dispatch/group.go
@@ -18,10 +18,12 @@
 
 // grant is a placement that the dispatcher made or learned of from a renewal.
 type grant struct {
-	key     slotkit.Key
-	id      ident.AttemptID
-	holder  ident.InstanceID
-	ask     Ask
+	key    slotkit.Key
+	id     ident.AttemptID
+	holder ident.InstanceID
+	ask    Ask
+	// at is when the placement was made or learned of. expires is its request's
+	// deadline, after which the placement is ended.
 	at      time.Time
 	expires time.Time
 	// prefill is the prefill engine, and doneAt the time at which its prefill is
--- a/plugins/slots/dispatch/message.go
+++ b/plugins/slots/dispatch/message.go
@@ -44,11 +44,13 @@
 	// number of tokens still to be generated.
 	Prompt int `json:"p"`
 	Output int `json:"o"`
+	// Pieces is the KV memory that the request needs.
 	Pieces int `json:"n,omitempty"`
 	// Blocks are the prompt's leading block hashes, at most maxBlocks.
-	Blocks    []uint64 `json:"b,omitempty"`
-	Priority  int      `json:"y,omitempty"`
-	Delivered int      `json:"d,omitempty"`
+	Blocks   []uint64 `json:"b,omitempty"`
+	Priority int      `json:"y,omitempty"`
+	// Delivered is the number of output tokens that the caller already has.
+	Delivered int `json:"d,omitempty"`
 	// DueIn is the time left until the first output is due, negative if that
 	// time has passed. DeadlineIn is the time for which the caller still waits.
 	DueIn      Milliseconds       `json:"t"`
--- a/plugins/slots/dispatch/setup.go
+++ b/plugins/slots/dispatch/setup.go
@@ -30,11 +30,14 @@
 // of its own requests and, for the models assigned to it, the dispatcher for the
 // requests of all instances.
 type Policy struct {
-	host        kernel.JointHost
-	roster      slotkit.Roster
-	holder      holder
+	host   kernel.JointHost
+	roster slotkit.Roster
+	holder holder
+	// dispatchers holds, for each model that this instance dispatches or has
+	// dispatched, the dispatcher's state.
 	dispatchers map[string]*modelDispatcher
-	order       plugin.ID
+	// order is the plug-in that sorts the dispatchers' queues.
+	order plugin.ID
 	// regions maps each zone to its region, as configured in the bundle.
 	regions map[ident.Zone]ident.Region
 	// kvUsable is how long after the end of its prefill a KV cache may be
--- a/plugins/slots/probe/probe.go
+++ b/plugins/slots/probe/probe.go
@@ -20,7 +20,9 @@
 type engine struct {
 	// ended are the times at which recent uses ended. A load report made before
 	// such a time still includes the use.
-	ended        []time.Time
+	ended []time.Time
+	// refusals counts the refusals since the engine last started a request of
+	// this instance. blockedUntil is the end of the current back-off.
 	refusals     int
 	blockedUntil time.Time
 }
