--- a/plugins/slots/dispatch/avoid_test.go
+++ b/plugins/slots/dispatch/avoid_test.go
@@ -10,7 +10,8 @@
 )
 
 // TestEnginesThatFailedARequest checks which engines a request gets after some
-// failed it: others while there are any, else the one whose failure is oldest.
+// have failed it: another engine of the role if there is one, otherwise the one
+// whose failure is oldest.
 func TestEnginesThatFailedARequest(t *testing.T) {
 	tests := []struct {
 		name            string
@@ -24,15 +25,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := settled(1, 3, 20, 200)
+			b := settledBed(1, 3, 20, 200)
 			h := b.holderNode()
 			id := h.place(5*time.Second, tt.avoid...)
 			b.run(10 * time.Millisecond)
-			assert.Equal(t, h.last(id).what, "placed")
+			assert.Equal(t, h.last(id).kind, "placed")
 			assert.Equal(t, h.last(id).prefill, tt.prefill)
 			h.policy.Computed(id)
 			b.run(10 * time.Millisecond)
-			assert.Equal(t, h.last(id).what, "decode")
+			assert.Equal(t, h.last(id).kind, "decode")
 			assert.Equal(t, h.last(id).decode, tt.decode)
 		})
 	}
--- a/plugins/slots/dispatch/bed_test.go
+++ b/plugins/slots/dispatch/bed_test.go
@@ -16,22 +16,24 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// answer is what a node's kernel was told of a reservation.
+// answer is what a node's kernel was told about a reservation.
 type answer struct {
-	what            string
+	kind            string
 	prefill, decode ident.UpstreamID
 }
 
-// node is one instance: a policy and the host it sees.
+// node is one instance: a policy and the host that it uses.
 type node struct {
-	bed     *bed
+	bed     *testBed
 	self    kernel.Self
 	policy  *Policy
 	view    *kernel.View
 	answers map[ident.AttemptID][]answer
-	// comeBack is what refused reservations were told.
-	comeBack map[ident.AttemptID]time.Duration
-	// transfers are those that the kernel was told of.
+	// retryDelays maps each refused reservation to the retry delay given with
+	// its refusal.
+	retryDelays map[ident.AttemptID]time.Duration
+	// transfers are the transfer outcomes that were reported to the node's
+	// kernel.
 	transfers []transfer
 	frozen    bool
 	dead      bool
@@ -39,13 +41,13 @@
 	seq       uint64
 }
 
-// transfer is a KV transfer that ended.
+// transfer is the outcome of a KV transfer.
 type transfer struct {
 	prefill, decode ident.UpstreamID
 	stalled         bool
 }
 
-// delivery is a message on its way.
+// delivery is a message that was sent and has not arrived yet.
 type delivery struct {
 	at       time.Time
 	order    int
@@ -71,26 +73,30 @@
 	return last
 }
 
-// bed is a few instances in virtual time, with a network that loses, repeats
-// and reorders messages if told so.
-type bed struct {
-	now     time.Time
-	rand    *rand.Rand
-	nodes   []*node
-	content *config.Content
-	sent    deliveries
-	order   int
-	// loss and repeat are shares of the messages, 0 to 1; jitter is the most
-	// that a message is delayed beyond its millisecond.
+// testBed is a test bed: several instances in virtual time, with a network that
+// can lose, repeat and reorder messages.
+type testBed struct {
+	now      time.Time
+	rand     *rand.Rand
+	nodes    []*node
+	content  *config.Content
+	inFlight deliveries
+	order    int
+	// loss and repeat are the shares of the messages, from 0 to 1, that are lost
+	// and repeated. jitter is the upper limit of the random delay added to the
+	// fixed delay of one millisecond.
 	loss, repeat float64
 	jitter       time.Duration
 	cut          map[[2]ident.InstanceID]bool
-	// zone gives a node or an engine a zone other than "z".
+	// zone is the zone of a node or an engine whose zone is not "z".
 	zone map[string]ident.Zone
 }
 
-func newBed(seed uint64, instances, slots, pieces int) *bed {
-	b := &bed{now: epoch, rand: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]ident.InstanceID]bool{}}
+// newTestBed returns a bed with the given number of instances, two prefill
+// engines (p1, p2) and two decode engines (d1, d2), which have the given numbers
+// of slots and memory pieces each.
+func newTestBed(seed uint64, instances, slots, pieces int) *testBed {
+	b := &testBed{now: epoch, rand: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]ident.InstanceID]bool{}}
 	b.content = &config.Content{
 		Models: []config.Model{{Name: testModel, PieceTokens: 2000, KVBytesPerToken: 1000}},
 		Policy: config.Policy{Order: "order.deadline", KVLifetime: 900 * time.Millisecond},
@@ -104,7 +110,7 @@
 		b.content.Upstreams = append(b.content.Upstreams, u)
 	}
 	for i := range instances {
-		n := &node{bed: b, answers: map[ident.AttemptID][]answer{}, comeBack: map[ident.AttemptID]time.Duration{}}
+		n := &node{bed: b, answers: map[ident.AttemptID][]answer{}, retryDelays: map[ident.AttemptID]time.Duration{}}
 		n.self = kernel.Self{Instance: ident.InstanceID(fmt.Sprintf("e%d", i+1)), Incarnation: 1, Zone: "z"}
 		b.nodes = append(b.nodes, n)
 	}
@@ -114,7 +120,7 @@
 	return b
 }
 
-// start begins a new life of the node.
+// start gives the node a new policy, as after a restart of its process.
 func (n *node) start() {
 	n.policy = &Policy{}
 	n.setView(1, nil)
@@ -122,7 +128,8 @@
 	n.policy.Configure(n.bed.content)
 }
 
-// setView gives the node a view in which the listed instances are dead.
+// setView sets the node's view. The listed instances are dead in it, all others
+// live.
 func (n *node) setView(version uint64, dead map[ident.InstanceID]bool) {
 	v := &kernel.View{Version: version, Trusted: true}
 	for _, other := range n.bed.nodes {
@@ -138,15 +145,14 @@
 	n.view = v
 }
 
-func (b *bed) zoneOf(name string) ident.Zone {
+func (b *testBed) zoneOf(name string) ident.Zone {
 	if z, ok := b.zone[name]; ok {
 		return z
 	}
 	return "z"
 }
 
-// The node is the policy's host.
-
+// The methods below implement kernel.JointHost.
 func (n *node) Now() time.Time                           { return n.bed.now }
 func (n *node) Self() kernel.Self                        { return n.self }
 func (n *node) View() *kernel.View                       { return n.view }
@@ -166,26 +172,28 @@
 	return nil
 }
 
-func (n *node) note(id ident.AttemptID, a answer) { n.answers[id] = append(n.answers[id], a) }
+func (n *node) record(id ident.AttemptID, a answer) { n.answers[id] = append(n.answers[id], a) }
 
-func (n *node) SlotGranted(id ident.AttemptID)             { n.note(id, answer{what: "granted"}) }
-func (n *node) SlotDenied(id ident.AttemptID, _ time.Time) { n.note(id, answer{what: "denied"}) }
+func (n *node) SlotGranted(id ident.AttemptID)             { n.record(id, answer{kind: "granted"}) }
+func (n *node) SlotDenied(id ident.AttemptID, _ time.Time) { n.record(id, answer{kind: "denied"}) }
 func (n *node) TransferEnded(prefill, decode ident.UpstreamID, _ time.Time, stalled bool) {
 	n.transfers = append(n.transfers, transfer{prefill: prefill, decode: decode, stalled: stalled})
 }
 
 func (n *node) PlacementRefused(id ident.AttemptID, comeBack time.Duration) {
-	n.note(id, answer{what: "refused"})
-	n.comeBack[id] = comeBack
+	n.record(id, answer{kind: "refused"})
+	n.retryDelays[id] = comeBack
 }
 func (n *node) PlacementGranted(id ident.AttemptID, p kernel.Placement) {
-	n.note(id, answer{what: "placed", prefill: p.Prefill, decode: p.Decode})
+	n.record(id, answer{kind: "placed", prefill: p.Prefill, decode: p.Decode})
 }
 func (n *node) DecodeGranted(id ident.AttemptID, d ident.UpstreamID) {
-	n.note(id, answer{what: "decode", decode: d})
+	n.record(id, answer{kind: "decode", decode: d})
 }
 
-// Send puts a message on its way, or loses it.
+// Send sends a message, or drops it with the probability loss. Between nodes
+// that are cut off, and to a dead node, the message fails, of which the sender
+// is notified.
 func (n *node) Send(to ident.InstanceID, m kernel.PeerMessage) {
 	b := n.bed
 	for _, other := range b.nodes {
@@ -204,18 +212,19 @@
 	}
 }
 
-func (b *bed) post(d delivery) {
+func (b *testBed) post(d delivery) {
 	b.order++
 	d.order = b.order
 	d.at = b.now.Add(time.Millisecond)
 	if b.jitter > 0 {
 		d.at = d.at.Add(time.Duration(b.rand.Int64N(int64(b.jitter))))
 	}
-	heap.Push(&b.sent, d)
+	heap.Push(&b.inFlight, d)
 }
 
-// run lets virtual time pass.
-func (b *bed) run(d time.Duration) {
+// run advances virtual time by d, delivers the messages due by then, and wakes
+// the policies as they ask for it.
+func (b *testBed) run(d time.Duration) {
 	end := b.now.Add(d)
 	for {
 		at, ok := b.nextEvent()
@@ -224,8 +233,8 @@
 			return
 		}
 		b.now = at
-		if len(b.sent) > 0 && !b.sent[0].at.After(at) {
-			b.deliver(heap.Pop(&b.sent).(delivery))
+		if len(b.inFlight) > 0 && !b.inFlight[0].at.After(at) {
+			b.deliver(heap.Pop(&b.inFlight).(delivery))
 			continue
 		}
 		for _, n := range b.nodes {
@@ -234,11 +243,11 @@
 	}
 }
 
-func (b *bed) nextEvent() (time.Time, bool) {
+func (b *testBed) nextEvent() (time.Time, bool) {
 	var at time.Time
 	found := false
-	if len(b.sent) > 0 {
-		at, found = b.sent[0].at, true
+	if len(b.inFlight) > 0 {
+		at, found = b.inFlight[0].at, true
 	}
 	for _, n := range b.nodes {
 		t, ok := n.policy.NextWake()
@@ -262,7 +271,7 @@
 	}
 }
 
-func (b *bed) deliver(d delivery) {
+func (b *testBed) deliver(d delivery) {
 	switch {
 	case d.failed:
 		if !d.from.dead {
@@ -276,7 +285,7 @@
 	}
 }
 
-// thaw lets a frozen node run on with what came meanwhile.
+// thaw resumes a frozen node and delivers the messages that arrived meanwhile.
 func (n *node) thaw() {
 	n.frozen = false
 	inbox := n.inbox
@@ -286,8 +295,8 @@
 	}
 }
 
-// place asks for a placement due in the given time, on engines that did not
-// fail the request before.
+// place requests a placement whose first output is due in the given time. avoid
+// lists the engines that failed the request before.
 func (n *node) place(due time.Duration, avoid ...ident.UpstreamID) ident.AttemptID {
 	n.seq++
 	id := ident.AttemptID{Instance: n.self.Instance, Incarnation: n.self.Incarnation, Sequence: n.seq,
@@ -302,7 +311,7 @@
 	return id
 }
 
-// last is the newest answer to a reservation.
+// last returns the newest answer to a reservation, or a zero answer.
 func (n *node) last(id ident.AttemptID) answer {
 	list := n.answers[id]
 	if len(list) == 0 {
@@ -311,15 +320,16 @@
 	return list[len(list)-1]
 }
 
-// dispatcherNode is the node that all others take for the dispatcher.
-func (b *bed) dispatcherNode() *node {
+// dispatcherNode returns the dispatcher from the point of view of the first node
+// that is not dead.
+func (b *testBed) dispatcherNode() *node {
 	for _, n := range b.nodes {
 		if n.dead {
 			continue
 		}
 		n.policy.refresh()
 		for _, d := range b.nodes {
-			if d.self.Instance == n.policy.dispatcher(testModel) {
+			if d.self.Instance == n.policy.dispatcherID(testModel) {
 				return d
 			}
 		}
@@ -327,8 +337,8 @@
 	return nil
 }
 
-// holderNode is a living node that is not the dispatcher.
-func (b *bed) holderNode() *node {
+// holderNode returns a node that is neither dead nor the dispatcher.
+func (b *testBed) holderNode() *node {
 	for _, n := range b.nodes {
 		if n != b.dispatcherNode() && !n.dead {
 			return n
--- a/plugins/slots/dispatch/holder.go
+++ b/plugins/slots/dispatch/holder.go
@@ -10,90 +10,97 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// stage is where a holder's placement stands.
+// stage is the progress of a holder's placement.
 type stage int
 
 const (
-	// stageAsked: the dispatcher was asked for a placement.
+	// stageAsked means that a placement has been requested from the dispatcher.
 	stageAsked stage = iota + 1
-	// stagePrefill: the prefill runs.
+	// stagePrefill means that the prefill is running.
 	stagePrefill
-	// stageComputed: the dispatcher was asked for a decode engine.
+	// stageComputed means that the prefill is done and a decode engine has been
+	// requested from the dispatcher.
 	stageComputed
-	// stageDecode: the decode slot is promised or in use.
+	// stageDecode means that the decode slot is promised or in use.
 	stageDecode
 )
 
-// holding is one placement that this instance asked for and has not released.
-type holding struct {
+// heldPlacement is a placement that this instance has requested and not yet
+// released.
+type heldPlacement struct {
 	id    ident.AttemptID
 	key   slotkit.Key
 	model string
 	stage stage
-	// dispatcher is who was asked; empty when the placement is this instance's
-	// own, within its static share.
+	// dispatcher is the instance that was asked. It is empty if the slot comes
+	// from this instance's own static share.
 	dispatcher      ident.InstanceID
 	ask             Ask
 	due, kvUntil    time.Time
 	prefill, decode ident.UpstreamID
-	// transfer is how the KV transfer ended.
+	// transfer is the outcome of the KV transfer, zero if not known.
 	transfer TransferEnd
-	// decodeAt is when the decode engine was named.
+	// decodeAt is when the decode engine was chosen.
 	decodeAt time.Time
 	decoding bool
-	// sentAt is when the dispatcher was last asked and answeredAt when it last
-	// showed that it knows of the ask.
+	// sentAt is when the dispatcher was last asked, and answeredAt when a
+	// message from it last showed that it knows the request.
 	sentAt     time.Time
 	resent     bool
 	answeredAt time.Time
 }
 
-// holder is the part of the policy that asks.
+// holder is the part of the policy that requests placements for this instance's
+// own requests.
 type holder struct {
-	holdings map[slotkit.Key]*holding
-	// silent lists dispatchers that did not answer and until when they are not
-	// asked.
+	placements map[slotkit.Key]*heldPlacement
+	// silent maps each dispatcher that did not answer to the time until which it
+	// is not asked.
 	silent  map[ident.InstanceID]time.Time
 	renewAt time.Time
-	// wait is the last expected wait that a dispatcher told, by model.
+	// wait is the expected wait that a dispatcher last reported, by model.
 	wait map[string]time.Duration
 }
 
 const (
-	// answerTime is how long a dispatcher may take to answer an ask. An ask is
-	// sent again once, then the dispatcher is taken for unreachable.
-	answerTime = 100 * time.Millisecond
-	// silenceTime is how long an unreachable dispatcher is not asked.
-	silenceTime = 2 * time.Second
-	// renewTime is the time between renewals.
-	renewTime = 1 * time.Second
-	// renewTimePending is the time between renewals while asks are queued, by
-	// which a dispatcher's death is noticed.
-	renewTimePending = 250 * time.Millisecond
-	// maxBlocks bounds the block hashes in an ask.
+	// answerTimeout is how long a dispatcher may take to answer. An unanswered
+	// request is sent once more; after a second answerTimeout the dispatcher is
+	// treated as unreachable.
+	answerTimeout = 100 * time.Millisecond
+	// silencePeriod is how long an unreachable dispatcher is not asked.
+	silencePeriod = 2 * time.Second
+	// renewInterval is the interval between renewals.
+	renewInterval = 1 * time.Second
+	// renewIntervalPending is the interval between renewals while requests are
+	// queued at a dispatcher. It is shorter than renewInterval so that a
+	// dispatcher's death is noticed.
+	renewIntervalPending = 250 * time.Millisecond
+	// maxBlocks is the maximum number of block hashes in an Ask.
 	maxBlocks = 24
 )
 
 func (h *holder) init() {
-	h.holdings = map[slotkit.Key]*holding{}
+	h.placements = map[slotkit.Key]*heldPlacement{}
 	h.silent = map[ident.InstanceID]time.Time{}
 	h.wait = map[string]time.Duration{}
 }
 
-// Joint implements kernel.JointPolicy. Where this region has no engines of the
-// model, the kernel places its requests itself, in another region.
+// Joint implements kernel.JointPolicy. It returns false for a model that has no
+// engines in this region; the kernel then places the model's requests in another
+// region itself.
 func (p *Policy) Joint(model string) bool {
 	p.refresh()
-	return p.dispatcher(model) != "" && p.served(model)
+	return p.dispatcherID(model) != "" && p.servesModel(model)
 }
 
-// served reports whether the region has engines of both roles for the model.
-func (p *Policy) served(model string) bool {
+// servesModel reports whether the region has both prefill and decode engines for
+// the model.
+func (p *Policy) servesModel(model string) bool {
 	prefill, decode := false, false
 	view := p.host.View()
 	for i := range view.Upstreams {
 		u := &view.Upstreams[i]
-		if !p.near(u.Zone) || !u.Serves(model) {
+		if !p.inRegion(u.Zone) || !u.Serves(model) {
 			continue
 		}
 		prefill = prefill || u.Spec.Role == config.RolePrefill
@@ -105,11 +112,12 @@
 	return false
 }
 
-// Place implements kernel.JointPolicy.
+// Place implements kernel.JointPolicy. It asks the model's dispatcher for a
+// placement.
 func (p *Policy) Place(a kernel.PlacementAsk) {
 	p.refresh()
 	now := p.host.Now()
-	h := &holding{
+	h := &heldPlacement{
 		id:      a.Reservation,
 		key:     slotkit.KeyOf(a.Reservation),
 		model:   a.Request.Model,
@@ -138,14 +146,15 @@
 		Avoid:       slices.Clone(a.Avoid),
 		KV:          a.KV,
 	}
-	p.holder.holdings[h.key] = h
+	p.holder.placements[h.key] = h
 	p.sendAsk(h)
 }
 
-// sendAsk sends a holding's ask to the model's present dispatcher.
-func (p *Policy) sendAsk(h *holding) {
+// sendAsk sends a placement request to the model's current dispatcher, with its
+// times relative to now.
+func (p *Policy) sendAsk(h *heldPlacement) {
 	now := p.host.Now()
-	h.dispatcher = p.dispatcher(h.model)
+	h.dispatcher = p.dispatcherID(h.model)
 	h.sentAt = now
 	ask := h.ask
 	ask.DueIn = millis(h.due.Sub(now))
@@ -154,19 +163,22 @@
 		ask.KVFor = millis(h.kvUntil.Sub(now))
 	}
 	if h.dispatcher == p.host.Self().Instance {
-		p.groupOf(h.model).ask(h.dispatcher, ask)
+		p.dispatcherFor(h.model).handleAsk(h.dispatcher, ask)
 		return
 	}
 	p.host.Send(h.dispatcher, &ask)
 }
 
-// heard notes a sign of life of a dispatcher.
-func (p *Policy) heard(from ident.InstanceID) {
+// markResponsive records that a dispatcher has sent a message, so that it is
+// asked again.
+func (p *Policy) markResponsive(from ident.InstanceID) {
 	delete(p.holder.silent, from)
 }
 
-func (p *Policy) queued(m *Queued) {
-	h, ok := p.holder.holdings[m.Reservation.Key()]
+// handleQueued handles the dispatcher's answer that a placement request has to
+// wait.
+func (p *Policy) handleQueued(m *Queued) {
+	h, ok := p.holder.placements[m.Reservation.Key()]
 	if !ok {
 		return
 	}
@@ -174,9 +186,10 @@
 	p.holder.wait[h.model] = m.Wait.Duration()
 }
 
-// placed takes a placement from the dispatcher.
-func (p *Policy) placed(m *Placed) {
-	h, ok := p.holder.holdings[m.Reservation.Key()]
+// handlePlaced handles the dispatcher's answer that names the prefill engine, and
+// passes the placement to the kernel.
+func (p *Policy) handlePlaced(m *Placed) {
+	h, ok := p.holder.placements[m.Reservation.Key()]
 	if !ok || h.stage != stageAsked {
 		return
 	}
@@ -188,9 +201,10 @@
 	p.host.PlacementGranted(h.id, m.placement())
 }
 
-// decodeNamed takes a decode engine from the dispatcher.
-func (p *Policy) decodeNamed(key slotkit.Key, decode ident.UpstreamID) {
-	h, ok := p.holder.holdings[key]
+// handleDecode handles the dispatcher's answer that names the decode engine, and
+// passes it to the kernel.
+func (p *Policy) handleDecode(key slotkit.Key, decode ident.UpstreamID) {
+	h, ok := p.holder.placements[key]
 	if !ok || h.stage != stageComputed {
 		return
 	}
@@ -201,14 +215,16 @@
 	p.host.DecodeGranted(h.id, decode)
 }
 
-// denied takes a refusal from the dispatcher.
-func (p *Policy) denied(m *Deny) {
+// handleDeny handles the dispatcher's refusal. An infeasible placement request is
+// refused for good; any other is denied, and the kernel may ask again after
+// RetryIn.
+func (p *Policy) handleDeny(m *Deny) {
 	key := m.Reservation.Key()
-	h, ok := p.holder.holdings[key]
+	h, ok := p.holder.placements[key]
 	if !ok || (h.stage != stageAsked && h.stage != stageComputed) {
 		return
 	}
-	delete(p.holder.holdings, key)
+	delete(p.holder.placements, key)
 	if m.Infeasible && h.stage == stageAsked {
 		p.holder.wait[h.model] = m.RetryIn.Duration()
 		p.host.PlacementRefused(h.id, m.RetryIn.Duration())
@@ -217,9 +233,11 @@
 	p.host.SlotDenied(h.id, p.host.Now().Add(m.RetryIn.Duration()))
 }
 
-// Computed implements kernel.JointPolicy.
+// Computed implements kernel.JointPolicy. It records that the prefill is done
+// and tells the dispatcher, which chooses a decode engine if the placement has
+// none.
 func (p *Policy) Computed(id ident.AttemptID) {
-	h, ok := p.holder.holdings[slotkit.KeyOf(id)]
+	h, ok := p.holder.placements[slotkit.KeyOf(id)]
 	if !ok {
 		return
 	}
@@ -232,12 +250,13 @@
 		h.stage = stageComputed
 	}
 	h.sentAt, h.resent, h.answeredAt = now, false, time.Time{}
-	p.tellComputed(h)
+	p.sendComputed(h)
 }
 
-func (p *Policy) tellComputed(h *holding) {
+// sendComputed tells the placement's dispatcher that the prefill is done.
+func (p *Policy) sendComputed(h *heldPlacement) {
 	if h.dispatcher == p.host.Self().Instance {
-		p.groupOf(h.model).computed(h.key, h.prefill)
+		p.dispatcherFor(h.model).handleComputed(h.key, h.prefill)
 		return
 	}
 	p.host.Send(h.dispatcher, &Computed{
@@ -250,41 +269,43 @@
 // Release implements kernel.SlotPolicy.
 func (p *Policy) Release(id ident.AttemptID) {
 	key := slotkit.KeyOf(id)
-	h, ok := p.holder.holdings[key]
+	h, ok := p.holder.placements[key]
 	if !ok {
 		return
 	}
-	delete(p.holder.holdings, key)
-	p.tellReleased(h)
+	delete(p.holder.placements, key)
+	p.sendRelease(h)
 }
 
-// tellReleased tells the holding's dispatcher that it is over there.
-func (p *Policy) tellReleased(h *holding) {
+// sendRelease tells the placement's dispatcher that it no longer needs to keep
+// the placement. For this instance's own dispatcher the transfer's outcome is
+// left out, because its kernel already knows it.
+func (p *Policy) sendRelease(h *heldPlacement) {
 	switch h.dispatcher {
 	case "":
 	case p.host.Self().Instance:
-		p.groupOf(h.model).release(h.key, TransferEnd(0))
+		p.dispatcherFor(h.model).handleRelease(h.key, TransferEnd(0))
 	default:
 		p.host.Send(h.dispatcher, &Release{Reservation: slotkit.Reservation(h.id), Model: h.model, Transfer: h.transfer})
 	}
 }
 
-// Started implements kernel.SlotPolicy.
+// Started implements kernel.SlotPolicy. It marks the placement's slot as in use.
 func (p *Policy) Started(id ident.AttemptID) {
-	if h, ok := p.holder.holdings[slotkit.KeyOf(id)]; ok {
+	if h, ok := p.holder.placements[slotkit.KeyOf(id)]; ok {
 		h.stage = stageDecode
 		h.decoding = true
 	}
 }
 
-// TransferEnded implements kernel.TransferObserver. The dispatcher learns of it
-// by the release.
+// TransferEnded implements kernel.TransferObserver. The outcome is sent to the
+// dispatcher with the release.
 func (p *Policy) TransferEnded(id ident.AttemptID, stalled bool) {
-	h, ok := p.holder.holdings[slotkit.KeyOf(id)]
+	h, ok := p.holder.placements[slotkit.KeyOf(id)]
 	if !ok {
 		return
 	}
-	h.transfer = TransferMoved
+	h.transfer = TransferDone
 	if stalled {
 		h.transfer = TransferStalled
 	}
--- a/plugins/slots/dispatch/queue.go
+++ b/plugins/slots/dispatch/queue.go
@@ -7,16 +7,17 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// newQueue makes a queue in the bundle's order, which serves the requests of
-// all instances.
+// newQueue returns an empty queue in the bundle's order, for requests of all
+// instances. If the order cannot be loaded, requests are served in order of
+// arrival.
 func newQueue(p *Policy) kernel.QueueOrder {
 	loaded, err := plugin.Load(p.order, nil)
 	if err != nil {
-		return &arrivals{}
+		return &fifoQueue{}
 	}
 	q, ok := loaded.(kernel.QueueOrder)
 	if !ok {
-		return &arrivals{}
+		return &fifoQueue{}
 	}
 	q.Attach(p.host)
 	if c, ok := loaded.(kernel.Configurer); ok && p.host.Content() != nil {
@@ -25,13 +26,15 @@
 	return q
 }
 
-// requestID names an ask in the queue.
+// requestID returns the ID under which a placement request is queued.
 func requestID(a Ask) ident.RequestID {
 	return ident.RequestID(ident.AttemptID(a.Reservation).String())
 }
 
-func (g *group) enqueue(from ident.InstanceID, a Ask, id ident.RequestID) {
-	now := g.now()
+// enqueue adds a placement request to the queue, with its times converted to
+// this instance's clock.
+func (md *modelDispatcher) enqueue(from ident.InstanceID, a Ask, id ident.RequestID) {
+	now := md.now()
 	r := &kernel.Request{
 		ID:              id,
 		Workspace:       a.Workspace,
@@ -47,11 +50,12 @@
 		Deadline:        now.Add(a.DeadlineIn.Duration()),
 	}
 	w := &waiting{ask: a, holder: from, entry: &kernel.Waiting{Request: r, Since: now, Delivered: a.Delivered}}
-	g.waiting[id] = w
-	g.queue.Add(w.entry)
+	md.waiting[id] = w
+	md.queue.Add(w.entry)
 }
 
-func (g *group) dequeue(id ident.RequestID) {
-	delete(g.waiting, id)
-	g.queue.Remove(id)
+// dequeue removes a placement request from the queue.
+func (md *modelDispatcher) dequeue(id ident.RequestID) {
+	delete(md.waiting, id)
+	md.queue.Remove(id)
 }
--- a/plugins/slots/dispatch/region_test.go
+++ b/plugins/slots/dispatch/region_test.go
@@ -10,10 +10,10 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// twoRegions is a bed with two instances, a prefill and a decode engine in each
-// of two regions.
-func twoRegions() *bed {
-	b := newBed(1, 4, 20, 200)
+// twoRegions returns a testBed with two regions. Each has two instances, a
+// prefill engine and a decode engine.
+func twoRegions() *testBed {
+	b := newTestBed(1, 4, 20, 200)
 	b.zone = map[string]ident.Zone{"p2": "far", "d2": "far"}
 	b.content.Policy.Regions = []config.Region{
 		{Name: "north", Zones: []ident.Zone{"z"}},
@@ -34,7 +34,7 @@
 	b := twoRegions()
 	for _, n := range b.nodes {
 		n.policy.refresh()
-		d := n.policy.dispatcher(testModel)
+		d := n.policy.dispatcherID(testModel)
 		for _, other := range b.nodes {
 			if other.self.Instance == d {
 				assert.Equal(t, other.self.Zone, n.self.Zone)
@@ -48,6 +48,9 @@
 	assert.Equal(t, far.last(second).prefill, ident.UpstreamID("p2"))
 }
 
+// TestRegionWithoutEnginesLeavesPlacementToTheKernel checks that Joint is false
+// for a model in a region without prefill engines, so that the kernel places its
+// requests in another region.
 func TestRegionWithoutEnginesLeavesPlacementToTheKernel(t *testing.T) {
 	b := twoRegions()
 	b.zone["p2"] = "z"
--- a/plugins/slots/probe/probe.go
+++ b/plugins/slots/probe/probe.go
@@ -8,58 +8,71 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// hold is one slot this instance uses or is about to.
-type hold struct {
+// slotUse is a slot that this instance uses or is about to use.
+type slotUse struct {
 	upstream ident.UpstreamID
 	pieces   int
-	// started is when the slot was put to use, zero if it was not yet.
+	// started is when the use of the slot began, zero if it has not begun.
 	started time.Time
 }
 
-// engine is what is remembered of one engine.
+// engine is this instance's record of one engine.
 type engine struct {
-	// ended are the times at which uses ended that a load report may still show.
-	ended        []time.Time
+	// ended are the times at which recent uses ended. A load report made before
+	// such a time still includes the use.
+	ended []time.Time
+	// refusals counts the refusals since the engine last started a request of
+	// this instance. blockedUntil is the end of the current back-off.
 	refusals     int
 	blockedUntil time.Time
 }
 
-// maxEnded bounds the remembered ends of uses; older ones are in any report.
+// maxEnded is the maximum number of end times kept per engine. Older ones are
+// assumed to be reflected in every load report.
 const maxEnded = 64
 
-// Bounds on how long a refusing engine is left alone and when to ask again.
+// Limits for retries and for the back-off of an engine that refuses.
 const (
+	// maxDoublings limits how often the back-off doubles when an engine refuses
+	// repeatedly.
 	maxDoublings = 3
-	retryUsual   = 50 * time.Millisecond
+	// retryDelay is the minimum delay before a request that got no slot asks
+	// again. Random jitter of up to the same length is added.
+	retryDelay = 50 * time.Millisecond
 )
 
-// Reserve implements kernel.SlotPolicy. It answers at once.
+// Reserve implements kernel.SlotPolicy. It grants or denies the slot
+// immediately.
 func (p *Policy) Reserve(ask kernel.SlotAsk) kernel.SlotAnswer {
 	key := slotkit.KeyOf(ask.Reservation)
-	if p.holds[key] != nil {
+	if p.uses[key] != nil {
 		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 	}
 	u := p.host.Upstream(ask.Upstream)
-	if !slotkit.Usable(u) || p.free(u) <= 0 || !p.memory(u, ask.Pieces) {
+	if !slotkit.Usable(u) || p.freeSlots(u) <= 0 || !p.hasMemory(u, ask.Pieces) {
 		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: p.retryAt(ask.Upstream)}
 	}
-	p.holds[key] = &hold{upstream: ask.Upstream, pieces: ask.Pieces}
+	p.uses[key] = &slotUse{upstream: ask.Upstream, pieces: ask.Pieces}
 	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 }
 
-// retryAt returns when to ask again, jittered.
+// retryAt returns when to ask for the engine again: after retryDelay plus
+// jitter, or at the end of the engine's back-off if that is later.
 func (p *Policy) retryAt(id ident.UpstreamID) time.Time {
 	now := p.host.Now()
-	at := now.Add(retryUsual + time.Duration(p.host.Rand().Int64N(int64(retryUsual))))
+	at := now.Add(retryDelay + time.Duration(p.host.Rand().Int64N(int64(retryDelay))))
 	if blocked := p.engine(id).blockedUntil; blocked.After(at) {
 		return blocked
 	}
 	return at
 }
 
-// free returns how many slots are believed free: what the load report shows
-// less what it cannot show yet and a margin for what others have begun since.
-func (p *Policy) free(u *kernel.Upstream) int {
+// freeSlots returns how many slots of the engine are assumed to be free: the
+// slots that the load report shows as free, corrected for this instance's uses
+// that began or ended since the report, less Margin for those that other
+// instances have begun. It returns 1 if the number of slots is not known, and 0
+// while the engine is backed off.
+func (p *Policy) freeSlots(u *kernel.Upstream) int {
 	slots := slotkit.Slots(u)
 	if slots == 0 {
 		return 1
@@ -69,13 +82,14 @@
 		return 0
 	}
 	used := u.Load.Running + u.Load.Waiting - e.endedAfter(u.Load.At)
-	return slots - max(used, 0) - p.unseen(u) - p.Margin
+	return slots - max(used, 0) - p.unreportedSlots(u) - p.Margin
 }
 
-// unseen counts this instance's slots that the load report cannot show yet.
-func (p *Policy) unseen(u *kernel.Upstream) int {
+// unreportedSlots counts this instance's slots that the load report does not
+// include yet.
+func (p *Policy) unreportedSlots(u *kernel.Upstream) int {
 	n := 0
-	for _, h := range p.holds {
+	for _, h := range p.uses {
 		if h.upstream == u.ID && (h.started.IsZero() || h.started.After(u.Load.At)) {
 			n++
 		}
@@ -83,14 +97,15 @@
 	return n
 }
 
-// memory reports whether the engine's memory is believed to have room.
-func (p *Policy) memory(u *kernel.Upstream, pieces int) bool {
+// hasMemory reports whether the engine is assumed to have free memory for the
+// given number of pieces.
+func (p *Policy) hasMemory(u *kernel.Upstream, pieces int) bool {
 	total := slotkit.Pieces(u)
 	if total == 0 {
 		return true
 	}
 	used := u.Load.PiecesUsed
-	for _, h := range p.holds {
+	for _, h := range p.uses {
 		if h.upstream == u.ID && (h.started.IsZero() || h.started.After(u.Load.At)) {
 			used += h.pieces
 		}
@@ -98,7 +113,7 @@
 	return used+pieces <= total
 }
 
-// endedAfter counts the uses that ended since the load report was made.
+// endedAfter counts the recorded uses that ended after the given time.
 func (e *engine) endedAfter(at time.Time) int {
 	n := 0
 	for _, end := range e.ended {
@@ -109,7 +124,7 @@
 	return n
 }
 
-// engine returns what is remembered of an engine.
+// engine returns the record of an engine and creates it if necessary.
 func (p *Policy) engine(id ident.UpstreamID) *engine {
 	e := p.engines[id]
 	if e == nil {
@@ -122,17 +137,17 @@
 // Release implements kernel.SlotPolicy.
 func (p *Policy) Release(id ident.AttemptID) {
 	key := slotkit.KeyOf(id)
-	h := p.holds[key]
+	h := p.uses[key]
 	if h == nil {
 		return
 	}
-	delete(p.holds, key)
+	delete(p.uses, key)
 	e := p.engine(h.upstream)
 	if h.started.IsZero() {
 		return
 	}
 	if u := p.host.Upstream(h.upstream); u != nil && h.started.After(u.Load.At) {
-		// The report does not show the use, so its end changes nothing.
+		// The load report does not include the use, so its end changes nothing.
 		return
 	}
 	e.ended = append(e.ended, p.host.Now())
@@ -141,16 +156,18 @@
 	}
 }
 
-// Started implements kernel.SlotPolicy.
+// Started implements kernel.SlotPolicy. It also ends the series of refusals that
+// lengthens the engine's back-off.
 func (p *Policy) Started(id ident.AttemptID) {
-	if h := p.holds[slotkit.KeyOf(id)]; h != nil {
+	if h := p.uses[slotkit.KeyOf(id)]; h != nil {
 		h.started = p.host.Now()
 		p.engine(h.upstream).refusals = 0
 	}
 }
 
-// Refused implements kernel.SlotPolicy: the engine is left alone for a while,
-// longer with each refusal in a row.
+// Refused implements kernel.SlotPolicy. The engine gets no new work for the
+// back-off time, which doubles with each consecutive refusal up to maxDoublings
+// times, plus a random jitter of up to half of it.
 func (p *Policy) Refused(id ident.UpstreamID) {
 	e := p.engine(id)
 	wait := p.Backoff << min(e.refusals, maxDoublings)
--- a/plugins/slots/slotkit/chosen.go
+++ b/plugins/slots/slotkit/chosen.go
@@ -5,13 +5,14 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Chosen returns the live instance that is first by rendezvous hashing for a
-// name among those that are wanted. It is empty when there is none.
-func (r *Roster) Chosen(name string, wanted func(*kernel.Instance) bool) ident.InstanceID {
+// Chosen returns the live instance that ranks first for a name by rendezvous
+// hashing, among those for which eligible returns true. It is empty if there is
+// none.
+func (r *Roster) Chosen(name string, eligible func(*kernel.Instance) bool) ident.InstanceID {
 	var best ident.InstanceID
 	var bestWeight uint64
 	for i := range r.live {
-		if !wanted(&r.live[i]) {
+		if !eligible(&r.live[i]) {
 			continue
 		}
 		w := weight(r.live[i].ID, ident.UpstreamID(name))
--- a/plugins/slots/slottest/bed.go
+++ b/plugins/slots/slottest/bed.go
@@ -8,68 +8,78 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Use is one use of a slot in a test, from the reservation to the release.
+// Use is one use of a slot in a test, from its reservation to its release. Ask
+// reads Node, Engine, Lead, Hold, Pieces and Due; the other fields are set by
+// the Bed.
 type Use struct {
 	Node   *Node
 	Engine *Engine
 	ID     ident.AttemptID
-	// Lead is the time from the grant to the use, Hold the length of the use.
+	// Lead is the time from the grant to the start of the use, Hold the length
+	// of the use.
 	Lead, Hold time.Duration
 	Pieces     int
 	// Due is when the first output is due.
 	Due   time.Time
 	Asked time.Time
-	// Pending is set while the reservation waits for its answer, Over once it
-	// was denied or released.
+	// Pending is set while the reservation waits for an answer. Granted is set
+	// once it was granted and Running while the engine runs the request. Over is
+	// set once the reservation was denied or released.
 	Pending, Granted, Running, Over bool
-	// Answered counts the answers to the pending reservation.
+	// Answered counts the answers to a reservation that was pending.
 	Answered int
 }
 
-// Bed is a world in which tests make and follow uses of slots.
+// Bed is a World with functions to make uses of slots and to follow them to
+// their end.
 type Bed struct {
 	*World
 	Uses []*Use
-	// Slowest is the longest time to an answer.
+	// Slowest is the longest time that a pending reservation waited for its
+	// answer.
 	Slowest time.Duration
-	// Refused counts the uses that an engine refused.
+	// Refused is the number of uses that an engine refused.
 	Refused int
 
 	byID map[string]*Use
 }
 
 const (
-	// usualDue and usualDeadline are the times that Reserve gives a use.
-	usualDue      = 5 * time.Second
-	usualDeadline = 30 * time.Second
-	// tryAgain is when a step is tried again whose node is frozen.
-	tryAgain = 100 * time.Millisecond
+	// defaultDue and defaultDeadline are the times to the first output and to the
+	// deadline of a use made by Reserve.
+	defaultDue      = 5 * time.Second
+	defaultDeadline = 30 * time.Second
+	// retryDelay is the delay after which a step is repeated that failed because
+	// its node was frozen.
+	retryDelay = 100 * time.Millisecond
 )
 
-// NewBed makes a bed. Messages take a millisecond unless the options say
-// otherwise.
+// NewBed returns a bed with the given options. The message delay defaults to one
+// millisecond.
 func NewBed(o Options) *Bed {
 	if o.Network.Delay == 0 {
 		o.Network.Delay = time.Millisecond
 	}
 	b := &Bed{World: NewWorld(o), byID: map[string]*Use{}}
 	for _, n := range b.Nodes {
-		n.Granted = func(id ident.AttemptID) { b.answer(id, true) }
-		n.Denied = func(id ident.AttemptID, _ time.Time) { b.answer(id, false) }
+		n.Granted = func(id ident.AttemptID) { b.handleAnswer(id, true) }
+		n.Denied = func(id ident.AttemptID, _ time.Time) { b.handleAnswer(id, false) }
 	}
 	return b
 }
 
-// Reserve begins a use of one piece of memory, unless the node does not run.
+// Reserve starts a use of one piece of memory. It has no effect if the node is
+// killed or frozen.
 func (b *Bed) Reserve(n *Node, e *Engine, lead, hold time.Duration) *Use {
-	u := &Use{Node: n, Engine: e, Lead: lead, Hold: hold, Pieces: 1, Due: b.Now().Add(usualDue)}
+	u := &Use{Node: n, Engine: e, Lead: lead, Hold: hold, Pieces: 1, Due: b.Now().Add(defaultDue)}
 	b.Ask(u)
 	return u
 }
 
-// Ask begins a use whose first part is filled in.
+// Ask starts the use u, whose fields from Node to Due other than ID are given by
+// the test. It has no effect if the node is killed or frozen.
 func (b *Bed) Ask(u *Use) {
-	u.ID = u.Node.Reservation(usualDeadline)
+	u.ID = u.Node.Reservation(defaultDeadline)
 	u.Asked = b.Now()
 	u.Node.Do(func() {
 		b.Uses = append(b.Uses, u)
@@ -83,7 +93,7 @@
 		})
 		switch answer.Verdict {
 		case kernel.SlotHeld:
-			b.take(u)
+			b.startGranted(u)
 		case kernel.SlotWaits:
 			u.Pending = true
 		case kernel.SlotNone:
@@ -92,29 +102,31 @@
 	})
 }
 
-// answer follows up the answer to a pending use.
-func (b *Bed) answer(id ident.AttemptID, granted bool) {
+// handleAnswer handles the answer to a pending use. It panics if the use is not
+// pending.
+func (b *Bed) handleAnswer(id ident.AttemptID, granted bool) {
 	u := b.byID[id.String()]
 	if !u.Pending {
-		panic(fmt.Sprintf("answer for %s which does not wait", id))
+		panic(fmt.Sprintf("slottest: reservation %s was answered but is not pending", id))
 	}
 	u.Pending = false
 	u.Answered++
 	b.Slowest = max(b.Slowest, b.Now().Sub(u.Asked))
 	if granted {
-		b.take(u)
+		b.startGranted(u)
 		return
 	}
 	u.Over = true
 }
 
-// take goes on with a granted use: to the engine after the lead.
-func (b *Bed) take(u *Use) {
+// startGranted marks a use as granted and starts it after its lead time.
+func (b *Bed) startGranted(u *Use) {
 	u.Granted = true
 	b.After(u.Lead, func() { b.begin(u) })
 }
 
-// begin puts the slot to use.
+// begin starts the use on its engine and schedules its end. If the engine
+// refuses, the reservation is released.
 func (b *Bed) begin(u *Use) {
 	if u.Over {
 		return
@@ -131,11 +143,12 @@
 		b.After(u.Hold, func() { b.Finish(u) })
 	})
 	if !ran && !u.Node.Killed() {
-		b.After(tryAgain, func() { b.begin(u) })
+		b.After(retryDelay, func() { b.begin(u) })
 	}
 }
 
-// Finish ends a use. The engine ends its part also when the node does not run.
+// Finish ends a use. The engine's slot is freed even if the node is killed or
+// frozen; the reservation is released once the node runs again.
 func (b *Bed) Finish(u *Use) {
 	u.Engine.End(u.ID)
 	u.Running = false
@@ -144,11 +157,12 @@
 	}
 	ran := u.Node.Do(func() { b.Release(u) })
 	if !ran && !u.Node.Killed() {
-		b.After(tryAgain, func() { b.Finish(u) })
+		b.After(retryDelay, func() { b.Finish(u) })
 	}
 }
 
-// Withdraw ends a use early.
+// Withdraw ends a use early. Like Finish, it frees the engine's slot even if the
+// node is killed or frozen.
 func (b *Bed) Withdraw(u *Use) {
 	if u.Over {
 		return
@@ -158,14 +172,15 @@
 	u.Running = false
 }
 
-// Release gives the use's reservation back, or withdraws it.
+// Release releases the use's reservation, or withdraws it if it is pending.
 func (b *Bed) Release(u *Use) {
 	u.Over = true
 	u.Pending = false
 	u.Node.Policy.Release(u.ID)
 }
 
-// Held counts the uses that hold a slot of the engine, over all nodes that run.
+// Held returns the number of granted uses that hold a slot of the engine, over
+// all nodes that are not killed.
 func (b *Bed) Held(e *Engine) int {
 	n := 0
 	for _, u := range b.Uses {
@@ -176,7 +191,7 @@
 	return n
 }
 
-// All changes what every node believes of another one.
+// All sets the life of one node in the views of all other nodes.
 func (b *Bed) All(other *Node, life kernel.Life) {
 	for _, n := range b.Nodes {
 		if n != other {
