--- a/plugins/slots/compare/client.go
+++ b/plugins/slots/compare/client.go
@@ -10,28 +10,35 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// client stands in for the kernel of one instance: a queue in deadline order
-// whose requests are placed on the engine with the least expected wait.
+// client simulates the kernel of one instance: a queue in the order of due times,
+// whose requests are placed on the engine with the lowest cost (see rank).
 type client struct {
 	run  *run
 	node *slottest.Node
-	// queue holds the waiting requests, the one due first in front.
-	queue   []*request
+	// queue holds the waiting requests in the order of their due times.
+	queue []*request
+	// pending are the requests whose reservation waits for the policy's answer.
 	pending map[ident.AttemptID]*request
-	// kickAt is when the queue must be looked at again.
+	// kickAt is the time of the next scheduled run of schedule.
 	kickAt time.Time
 }
 
-// Constants of the kernel that matter here.
+// Parameters of the simulated kernel.
 const (
+	// shortlist is the maximum number of engines tried for a request.
 	shortlist      = 8
 	retryPlacement = 100 * time.Millisecond
-	tieBreak       = 0.002
+	// tieBreak is the maximum random cost, in seconds, added to each engine's cost.
+	tieBreak = 0.002
+	// maxEngineQueue is the wait for a prefill engine above which no further
+	// request is placed.
 	maxEngineQueue = 250 * time.Millisecond
-	// balance is the cost of a request already running, in seconds, as the
-	// scorer of the pace gives it for this workload.
+	// balance is the cost, in seconds, of each request that already runs on an
+	// engine. It is the value that the pace scorer (plugins/scorer/pace) yields
+	// for this workload.
 	balance = 0.004
-	// cleanup is when peers have released what a dead instance left behind.
+	// cleanup is the time after an instance's death at which the other instances
+	// have ended the requests that it left on the engines.
 	cleanup = 3 * time.Second
 )
 
@@ -43,17 +50,19 @@
 	return c
 }
 
-// arrive takes a request in.
+// arrive queues a request in an event of the instance, which then schedules it.
 func (c *client) arrive(q *request) {
 	c.node.Do(func() { c.enqueue(q) })
 }
 
+// enqueue inserts a request into the queue by its due time.
 func (c *client) enqueue(q *request) {
 	at, _ := slices.BinarySearchFunc(c.queue, q, func(a, b *request) int { return a.by.Compare(b.by) })
 	c.queue = slices.Insert(c.queue, at, q)
 }
 
-// schedule places what can be placed and gives up what is too late.
+// schedule drops the queued requests that can no longer meet their due time and
+// places the others as far as possible.
 func (c *client) schedule() {
 	now := c.run.world.Now()
 	full := false
@@ -78,13 +87,14 @@
 	}
 }
 
-// lead is the predicted time from now to the use of the request's slot.
+// lead returns the predicted time until the request uses its slot: the wait for a
+// prefill engine, the prefill and the transfer.
 func (c *client) lead(q *request) time.Duration {
 	return c.run.pool.wait(c.run.world.Now()) + q.prefill + q.transfer
 }
 
-// prefillBusy reports whether the prefill engines have as much to do as may be
-// given to them.
+// prefillBusy reports whether the wait for a prefill engine exceeds maxEngineQueue.
+// If so, it arranges for schedule to run again when it no longer does.
 func (c *client) prefillBusy() bool {
 	wait := c.run.pool.wait(c.run.world.Now())
 	if wait <= maxEngineQueue {
@@ -94,13 +104,14 @@
 	return true
 }
 
-// candidate is an engine and its cost.
+// candidate is an engine with its cost for a request, in seconds.
 type candidate struct {
 	engine *slottest.Engine
 	cost   float64
 }
 
-// rank returns the engines, the cheapest first.
+// rank returns up to shortlist engines in the order of their costs, the cheapest
+// first.
 func (c *client) rank(q *request) []candidate {
 	var all []candidate
 	lead := c.lead(q)
@@ -118,7 +129,9 @@
 	return all[:min(len(all), shortlist)]
 }
 
-// place reserves a slot for the request or starts to wait for one.
+// place reserves a slot for the request at the first engine of its ranking where
+// the policy grants one or lets the reservation wait. It returns false if no
+// engine does, and then arranges for a retry.
 func (c *client) place(q *request) bool {
 	now := c.run.world.Now()
 	retryAt := now.Add(retryPlacement)
@@ -151,7 +164,7 @@
 	return false
 }
 
-// kick makes sure that the queue is looked at again.
+// kick makes schedule run at the given time, unless it is already to run earlier.
 func (c *client) kick(at time.Time) {
 	now := c.run.world.Now()
 	if !at.After(now) || (c.kickAt.After(now) && !at.Before(c.kickAt)) {
@@ -161,6 +174,8 @@
 	c.run.world.After(at.Sub(now), func() { c.node.Do(func() {}) })
 }
 
+// granted starts the prefill of a request whose reservation was granted after a
+// wait, or releases the slot if the request can no longer meet its due time.
 func (c *client) granted(id ident.AttemptID) {
 	q := c.pending[id]
 	if q == nil {
@@ -179,6 +194,7 @@
 	c.prefill(q, id, e)
 }
 
+// denied puts a request whose reservation was denied back into the queue.
 func (c *client) denied(id ident.AttemptID, retryAt time.Time) {
 	q := c.pending[id]
 	if q == nil {
@@ -190,7 +206,8 @@
 	c.enqueue(q)
 }
 
-// prefill runs the request's prefill and then its decode.
+// prefill runs the request's prefill and then its decode. The transfer of the KV
+// cache takes up to transferError times as long as predicted.
 func (c *client) prefill(q *request, id ident.AttemptID, e *slottest.Engine) {
 	c.run.note(q, &c.run.count.prefills)
 	now := c.run.world.Now()
@@ -201,8 +218,8 @@
 	})
 }
 
-// whenRunning does something in an event of the instance, later if it is frozen
-// and never if it is dead.
+// whenRunning calls do in an event of the instance. If the instance is frozen, do
+// is called after it resumes; if it is dead, do is not called.
 func (c *client) whenRunning(do func()) {
 	if c.node.Killed() {
 		return
@@ -212,7 +229,9 @@
 	}
 }
 
-// decode takes the slot, which the engine holds also while the KV cache arrives.
+// decode starts the request on the decode engine, where it occupies the slot from
+// the beginning of the KV cache transfer. If the engine refuses the request, its
+// prefill is wasted and the request is queued again.
 func (c *client) decode(q *request, id ident.AttemptID, e *slottest.Engine, transfer time.Duration) {
 	now := c.run.world.Now()
 	started := e.Start(id, q.pieces)
@@ -233,6 +252,7 @@
 	c.run.world.After(transfer+q.hold, func() { c.finish(id, e) })
 }
 
+// finish ends a request on its engine and releases its reservation.
 func (c *client) finish(id ident.AttemptID, e *slottest.Engine) {
 	e.End(id)
 	delete(c.run.running, id)
@@ -242,7 +262,8 @@
 	})
 }
 
-// lost releases, a while after the instance died, what it left on the engines.
+// lost discards the queue of an instance that died and, after the time cleanup,
+// ends the requests that it left on the engines.
 func (c *client) lost() {
 	c.queue = nil
 	c.run.world.After(cleanup, func() {
--- a/plugins/slots/compare/compare_test.go
+++ b/plugins/slots/compare/compare_test.go
@@ -9,7 +9,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/lease"
 )
 
-// TestRunsRepeat: the same cell and seed give the same figures.
+// TestRunsRepeat checks that two runs of one cell with one seed give the same
+// figures, and that the utilisation is plausible.
 func TestRunsRepeat(t *testing.T) {
 	for _, w := range []*workload{&coastline, &lagos} {
 		c := cell{policy: leaseWith("lease", lease.Settings{}), workload: w, scale: 1, instances: 3, load: 1, fault: frozen}
--- a/plugins/slots/compare/main.go
+++ b/plugins/slots/compare/main.go
@@ -1,10 +1,12 @@
-// Command compare measures the slot policies against each other in virtual time
-// and writes the tables of docs/design/slots.md:
+// Command compare simulates the slot policies in virtual time under the same
+// workloads and writes the resulting tables to docs/design/slots.md:
 //
 //	go run ./plugins/slots/compare -o docs/design/slots.md
 //
-// It is a bench: fake engines, no prefill contention, no transfers. The kernel's
-// experiment repeats the comparison with the whole kernel.
+// The model is simplified: engines are simulated, prefills and KV cache transfers
+// are delays that do not slow each other down, and a simple client takes the place
+// of the kernel. The kernel's experiment repeats the comparison with the whole
+// kernel.
 package main
 
 import (
@@ -15,7 +17,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// options are the command line.
+// options are the command-line options.
 type options struct {
 	Seeds    int     `help:"Runs for each cell, seeds 1 to N." default:"5"`
 	Output   string  `short:"o" help:"Markdown page whose marked part is replaced; standard output if empty."`
@@ -33,6 +35,8 @@
 	}
 }
 
+// write measures the selected tables and writes them to the page or to standard
+// output.
 func write(o options) error {
 	var text strings.Builder
 	for _, name := range strings.Split(o.Tables, ",") {
@@ -49,8 +53,10 @@
 	return replaceMarked(o.Output, text.String())
 }
 
-// UnknownTableError reports a table that does not exist.
+// UnknownTableError reports a table name that does not exist.
 type UnknownTableError struct{ Name string }
 
 // Error implements error.
-func (e *UnknownTableError) Error() string { return fmt.Sprintf("no table %q", e.Name) }
+func (e *UnknownTableError) Error() string {
+	return fmt.Sprintf("unknown table %q in --tables", e.Name)
+}
--- a/plugins/slots/compare/page.go
+++ b/plugins/slots/compare/page.go
@@ -6,19 +6,22 @@
 	"strings"
 )
 
-// The marks between which replaceMarked writes.
+// The markers between which replaceMarked replaces the text.
 const (
 	beginMark = "<!-- compare: begin -->\n"
 	endMark   = "<!-- compare: end -->\n"
 )
 
-// MarkError reports a page without the marks.
+// MarkError reports a page in which a marker is missing.
 type MarkError struct{ Path string }
 
 // Error implements error.
-func (e *MarkError) Error() string { return fmt.Sprintf("%s has no marked part", e.Path) }
+func (e *MarkError) Error() string {
+	return fmt.Sprintf("cannot write the tables: %s lacks the begin or end marker", e.Path)
+}
 
-// replaceMarked replaces what is between the marks of a page.
+// replaceMarked replaces the text between the markers of the file at path. The
+// error is a *MarkError if a marker is missing.
 func replaceMarked(path, text string) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
--- a/plugins/slots/compare/policies.go
+++ b/plugins/slots/compare/policies.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/plugins/slots/shares"
 )
 
-// policy is a slot policy with its settings.
+// policy is a slot policy with its settings and the name shown in the tables.
 type policy struct {
 	name string
 	make func() kernel.SlotPolicy
--- a/plugins/slots/compare/pool.go
+++ b/plugins/slots/compare/pool.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// pool is the prefill engines. Each prefill goes to the engine that is free
-// first, which all instances know: what is compared is the decode slots.
+// pool simulates the prefill engines. Each prefill runs on the engine that becomes
+// free first. All instances know the state of the pool exactly, because only the
+// policies for decode slots are compared.
 type pool struct{ freeAt []time.Time }
 
 func newPool(size int) pool { return pool{freeAt: make([]time.Time, max(size, 1))} }
 
-// wait returns how long a prefill begun now waits for an engine.
+// wait returns how long a prefill submitted now waits for an engine.
 func (p *pool) wait(now time.Time) time.Duration {
 	return max(slices.MinFunc(p.freeAt, time.Time.Compare).Sub(now), 0)
 }
 
-// start runs a prefill and returns when it is done.
+// start runs a prefill of duration d and returns when it ends.
 func (p *pool) start(now time.Time, d time.Duration) time.Time {
 	first := 0
 	for i := range p.freeAt {
--- a/plugins/slots/compare/run.go
+++ b/plugins/slots/compare/run.go
@@ -12,7 +12,7 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// fault is what happens to the instance that grants the first engine.
+// fault is a fault of the instance that is the first engine's grantor.
 type fault string
 
 const (
@@ -22,31 +22,35 @@
 	cutOff  fault = "cut off"
 )
 
-// cell is one point of the comparison.
+// cell is one configuration to be measured. It gives one row of a table.
 type cell struct {
 	policy    policy
 	workload  *workload
 	instances int
-	// scale multiplies the workload's engines.
+	// scale multiplies the workload's number of engines.
 	scale int
+	// load is the rate of requests relative to the capacity of the decode slots.
 	load  float64
 	fault fault
-	// loose requests declare more output than they have.
+	// loose makes requests declare a larger output than they have.
 	loose bool
 }
 
 const (
 	slots = 20
-	// warmUp is left out of the figures.
+	// warmUp is the simulated time before the measured period.
 	warmUp = 30 * time.Second
-	// coolDown is how long requests of the measured time are followed after it.
+	// coolDown is the simulated time after the measured period, in which requests
+	// that arrived in that period can still be counted.
 	coolDown = 5 * time.Second
-	// faultAt is when the fault begins in the measured time.
+	// faultAt is the time from the start of the measured period to the fault.
 	faultAt = 10 * time.Second
 	// freezeTime and cutTime are how long an instance is frozen or cut off.
 	freezeTime = 10 * time.Second
 	cutTime    = 20 * time.Second
-	// Others believe an instance dead, or unreachable, after these times.
+	// The notice constants are the times after which an instance's view shows
+	// another instance as dead, unreachable or live again. A random time of up to
+	// noticeSpread is added.
 	noticeDead        = 2 * time.Second
 	noticeUnreachable = 3 * time.Second
 	noticeBack        = 1 * time.Second
@@ -58,16 +62,17 @@
 	networkJitter     = 1 * time.Millisecond
 )
 
-// engines is the number of decode engines.
+// engines returns the number of decode engines.
 func (c *cell) engines() int { return c.workload.decodes * c.scale }
 
-// counts are what is counted in a run.
+// counts are the numbers of requests and prefills in a run, and the waiting times
+// for a slot.
 type counts struct {
 	offered, onTime, late, prefills, wasted int
 	waits                                   *report.Hist
 }
 
-// figures are a run's results.
+// figures are the results of a run.
 type figures struct {
 	utilisation, goodput, wasted  float64
 	waitMedian, waitTail          time.Duration
@@ -83,15 +88,18 @@
 	engineOf map[ident.AttemptID]*slottest.Engine
 	running  map[ident.AttemptID]*slottest.Engine
 	pool     pool
-	// arrivals is drawn from for the workload alone, so that all policies are
-	// offered the same requests.
+	// arrivals is the random source of the workload. Nothing else uses it, so that
+	// all policies are offered the same requests.
 	arrivals *rand.Rand
 	until    time.Time
+	// counting is set during the measured period.
 	counting bool
-	next     int
+	// next is the index of the client that gets the next request.
+	next int
 }
 
-// measure runs one cell with one seed.
+// measure runs one cell with one seed and returns the figures of the measured
+// period, which lasts for duration.
 func measure(c cell, seed uint64, duration time.Duration) figures {
 	r := &run{
 		cell: c,
@@ -124,14 +132,14 @@
 	return f
 }
 
-// note counts what becomes of a request that arrived in the measured time.
+// note increments a counter if the request arrived in the measured period.
 func (r *run) note(q *request, counter *int) {
 	if q.counted {
 		*counter++
 	}
 }
 
-// reset starts the counting.
+// reset clears all counters and starts the measured period.
 func (r *run) reset() {
 	r.counting = true
 	r.count = counts{waits: report.NewHist()}
@@ -142,7 +150,9 @@
 	}
 }
 
-// arriveNext lets the next request arrive, at one instance after the other.
+// arriveNext schedules the arrival of the next request, and the one after it in
+// turn. The gaps are exponentially distributed. Instances get requests in turn
+// (see balance).
 func (r *run) arriveNext() {
 	rate := r.cell.load * float64(r.cell.engines()*slots) / r.cell.workload.slotTime.Seconds()
 	gap := time.Duration(r.arrivals.ExpFloat64() / rate * float64(time.Second))
@@ -160,7 +170,8 @@
 	})
 }
 
-// balance returns the next instance that the balancer believes to run.
+// balance returns the next instance, in turn, that is neither killed nor frozen,
+// or nil if there is none. It simulates the load balancer.
 func (r *run) balance() *client {
 	for range r.clients {
 		c := r.clients[r.next%len(r.clients)]
@@ -172,7 +183,7 @@
 	return nil
 }
 
-// victim is the instance that grants the first engine.
+// victim returns the client of the instance that is the first engine's grantor.
 func (r *run) victim() *client {
 	n := r.clients[0].node
 	var roster slotkit.Roster
@@ -186,7 +197,7 @@
 	return r.clients[0]
 }
 
-// fault makes the cell's fault happen.
+// fault starts the cell's fault and schedules its end and its effect on the views.
 func (r *run) fault() {
 	v := r.victim()
 	switch r.cell.fault {
@@ -217,7 +228,8 @@
 	}
 }
 
-// believe makes each other instance change its belief of v, at its own time.
+// believe sets v's state in the views of all other instances, in each after its
+// own random delay.
 func (r *run) believe(v *client, life kernel.Life, after time.Duration) {
 	for _, c := range r.clients {
 		if c != v {
@@ -226,7 +238,8 @@
 	}
 }
 
-// believeOthers makes v change its belief of all others.
+// believeOthers sets the state of all other instances in v's view, each after its
+// own random delay.
 func (r *run) believeOthers(v *client, life kernel.Life, after time.Duration) {
 	for _, c := range r.clients {
 		if c != v {
@@ -235,11 +248,13 @@
 	}
 }
 
+// spread returns d plus a random time of up to noticeSpread.
 func (r *run) spread(d time.Duration) time.Duration {
 	return d + time.Duration(r.world.Rand.Int64N(int64(noticeSpread)))
 }
 
-// load sums up the engines' load and the messages of the measured time.
+// load returns the figures for the engines' utilisation and for the messages of
+// the measured period.
 func (r *run) load(duration time.Duration) figures {
 	busy := time.Duration(0)
 	for _, e := range r.world.Engines {
@@ -255,7 +270,7 @@
 	}
 }
 
-// sumUp adds what became of the requests.
+// sumUp sets the figures for the outcomes and waiting times of the requests.
 func (r *run) sumUp(f *figures) {
 	f.goodput = float64(r.count.onTime) / float64(max(r.count.offered, 1))
 	f.wasted = float64(r.count.wasted) / float64(max(r.count.prefills, 1))
--- a/plugins/slots/compare/tables.go
+++ b/plugins/slots/compare/tables.go
@@ -11,13 +11,14 @@
 	"github.com/wardspool/wardspool/plugins/slots/probe"
 )
 
-// table is a titled list of cells.
+// table is a list of cells to measure, with the title under which the results are
+// written.
 type table struct {
 	title string
 	cells []cell
 }
 
-// tables are what can be measured.
+// tables are the tables that can be selected on the command line, by name.
 var tables = map[string]table{
 	"policies": {title: "Policies at 2, 8 and 24 instances", cells: policyCells()},
 	"lagos":    {title: "Short outputs after long prompts", cells: lagosCells()},
@@ -106,7 +107,8 @@
 	return cells
 }
 
-// write measures a table's cells and writes them as Markdown.
+// write measures a table's cells, several at a time, and writes the results as
+// Markdown. Each row is also written to standard error when it is measured.
 func (t table) write(to io.Writer, o options) {
 	fmt.Fprintf(to, "### %s\n\n", t.title)
 	fmt.Fprintln(to, "| workload | instances | engines | load | grantor | policy | utilisation | on time | refused by engine | wait p50 | wait p95 | messages a request | bytes a message | bytes/s an instance |")
@@ -133,7 +135,7 @@
 	fmt.Fprintln(to)
 }
 
-// row measures one cell.
+// row measures one cell with each seed and returns the results as a table row.
 func (t table) row(c cell, o options) string {
 	var runs []figures
 	for seed := range o.Seeds {
@@ -161,7 +163,8 @@
 	return sum / float64(len(runs))
 }
 
-// spread writes the mean and, in brackets, the least and the greatest value.
+// spread formats the mean of a value over the runs, followed by its minimum and
+// maximum in brackets unless they are equal when formatted.
 func spread(runs []figures, format string, of func(figures) float64) string {
 	lo, hi := of(runs[0]), of(runs[0])
 	for _, f := range runs {
--- a/plugins/slots/compare/workload.go
+++ b/plugins/slots/compare/workload.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// lengths is a log-normal distribution of token counts, cut at min and max.
+// lengths is a log-normal distribution of token counts, clamped to min and max.
 type lengths struct{ median, sigma, min, max float64 }
 
 func (l lengths) draw(r *rand.Rand) float64 {
 	return min(max(l.median*math.Exp(l.sigma*r.NormFloat64()), l.min), l.max)
 }
 
-// kind is a kind of request.
+// kind is a class of requests. share is its fraction of all requests, firstOutput
+// the time from arrival until the first output is due.
 type kind struct {
 	share          float64
 	prompt, output lengths
 	firstOutput    time.Duration
 }
 
-// workload is what one of the examples' callers ask of the model engines, and
-// the engines it has.
+// workload describes the requests that the callers of one of the example
+// deployments send, and the engines of that deployment.
 type workload struct {
 	name             string
 	kinds            []kind
@@ -33,8 +34,8 @@
 	slotTime time.Duration
 }
 
-// The two examples' workloads: long outputs after short prompts, and short
-// outputs after long prompts.
+// The workloads of the two example deployments: coastline has long outputs after
+// short prompts, lagos short outputs after long prompts.
 var (
 	coastline = sized(workload{
 		name: "coastline",
@@ -64,35 +65,48 @@
 )
 
 const (
+	// prefillPerSecond is the number of prompt tokens that a prefill engine
+	// processes per second.
 	prefillPerSecond = 20000
-	tokenPace        = 29500 * time.Microsecond
-	firstToken       = 20 * time.Millisecond
-	deadline         = 60 * time.Second
-	pieceTokens      = 2000
-	// transferError is how far a transfer may exceed what was predicted, as a
-	// multiple.
+	// tokenPace is the time per output token on a decode engine, firstToken the
+	// time from the end of the transfer to the first output.
+	tokenPace  = 29500 * time.Microsecond
+	firstToken = 20 * time.Millisecond
+	// deadline is the time from the reservation to its deadline.
+	deadline = 60 * time.Second
+	// pieceTokens is the number of tokens whose KV cache fits into one piece.
+	pieceTokens = 2000
+	// transferError is the upper bound of a transfer's duration, as a multiple of
+	// the predicted duration.
 	transferError = 3
-	// looseness is how many times its true output a request may declare when
-	// outputs are not known beforehand.
+	// looseness is the upper bound of the output that a request declares, as a
+	// multiple of its true output, if the length of outputs is not known
+	// beforehand.
 	looseness = 4
 )
 
 // request is one request of the workload.
 type request struct {
+	// by is when the first output is due.
 	by time.Time
-	// prefill and transfer are how long its prompt takes to compute and to move.
+	// prefill and transfer are the predicted times to process the prompt and to
+	// move its KV cache to the decode engine.
 	prefill, transfer time.Duration
-	// declared is the most it may put out, hold how long it holds the slot.
+	// declared is the maximum number of output tokens, hold the time for which the
+	// request decodes.
 	declared int
 	hold     time.Duration
-	pieces   int
-	asked    time.Time
-	retryAt  time.Time
-	// counted is set for requests that arrive in the measured time.
+	// pieces is the KV memory that the request needs on the decode engine.
+	pieces int
+	// asked is when a slot was last requested, retryAt when to try again.
+	asked   time.Time
+	retryAt time.Time
+	// counted is set for requests that arrive in the measured period.
 	counted bool
 }
 
-// draw draws a request. With loose set it declares more than it puts out.
+// draw returns a random request that arrives at the given time. If loose is set,
+// the request declares a larger output than it has.
 func (w *workload) draw(r *rand.Rand, now time.Time, loose bool) *request {
 	k := w.kind(r)
 	prompt := k.prompt.draw(r)
@@ -122,7 +136,7 @@
 	return &w.kinds[last]
 }
 
-// sized fills in the mean time a slot is held, by sampling.
+// sized returns w with slotTime set to the mean hold of a sample of requests.
 func sized(w workload) workload {
 	const samples = 200_000
 	r := rand.New(rand.NewPCG(1, 1))
--- a/plugins/slots/lease/availability.go
+++ b/plugins/slots/lease/availability.go
@@ -8,14 +8,16 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// Availability implements kernel.SlotPolicy. The grantor itself knows; other
-// instances go by the newer of its last word and the engine's load report.
+// Availability implements kernel.SlotPolicy. The grantor answers from its
+// ledger. Other instances use the grantor's last message or the engine's load
+// report, whichever is newer.
 func (p *Policy) Availability(u *kernel.Upstream) kernel.Availability {
 	p.followView()
 	return p.available(u)
 }
 
-// available is Availability by the view that the policy follows already.
+// available is Availability without first updating the policy to the host's
+// current view.
 func (p *Policy) available(u *kernel.Upstream) kernel.Availability {
 	if !slotkit.Usable(u) {
 		return kernel.Availability{NextFree: retryUnusable}
@@ -33,8 +35,9 @@
 	return p.believed(u)
 }
 
-// believed returns what a holder believes of an engine that another instance
-// grants.
+// believed estimates the availability of an engine whose grantor is another
+// instance. Without a message from the grantor and without a load report, it
+// assumes that this instance's static share is free.
 func (p *Policy) believed(u *kernel.Upstream) kernel.Availability {
 	w := p.holder.words.At(u)
 	wait := guessHold / 4
@@ -51,7 +54,7 @@
 	return waitIfNone(kernel.Availability{Free: max(free, 0), NextFree: wait})
 }
 
-// waitIfNone clears the wait when there are free slots.
+// waitIfNone returns a with its wait set to zero if a slot is free.
 func waitIfNone(a kernel.Availability) kernel.Availability {
 	if a.Free > 0 {
 		a.NextFree = 0
@@ -59,13 +62,14 @@
 	return a
 }
 
-// maxLooks bounds the engines that freeElsewhere looks at.
+// maxLooks is the maximum number of engines that freeElsewhere examines.
 const maxLooks = 64
 
-// freeElsewhere reports whether the given engine and also another one that could
-// serve in its place are believed to have a free slot. Then it is not worth
-// waiting for the first if the belief is wrong. An engine that is believed full
-// is asked in order to wait for it.
+// freeElsewhere reports whether both the given engine and another decode engine
+// with the same models appear to have a free slot. If so, the ask should not be
+// queued when u turns out to be full, because the other engine can be tried
+// instead. It returns false if u appears full: such an engine is asked only
+// because the caller is prepared to wait for it.
 func (p *Policy) freeElsewhere(u *kernel.Upstream) bool {
 	if p.available(u).Free <= 0 {
 		return false
@@ -85,7 +89,7 @@
 	return false
 }
 
-// sameModels reports whether the engines run the same models.
+// sameModels reports whether the engines list the same models in the same order.
 func sameModels(a, b *kernel.Upstream) bool {
 	return slices.Equal(a.Spec.Models, b.Spec.Models)
 }
--- a/plugins/slots/lease/bed_test.go
+++ b/plugins/slots/lease/bed_test.go
@@ -6,9 +6,10 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// bed is a bed whose instances run this policy.
+// bed is a simulated system (see slottest) whose instances use this policy.
 type bed struct{ *slottest.Bed }
 
+// newBed creates a bed. Zero settings are replaced by the defaults.
 func newBed(o slottest.Options, settings Settings) *bed {
 	o.Policy = func() kernel.SlotPolicy { return &Policy{Settings: settings} }
 	return &bed{slottest.NewBed(o)}
@@ -16,7 +17,7 @@
 
 func policyOf(n *slottest.Node) *Policy { return n.Policy.(*Policy) }
 
-// grantor returns the node that grants the engine's slots by n's view.
+// grantor returns the node that is the engine's grantor according to n's view.
 func (b *bed) grantor(n *slottest.Node, e *slottest.Engine) *slottest.Node {
 	var id ident.InstanceID
 	n.Do(func() {
--- a/plugins/slots/lease/bench_test.go
+++ b/plugins/slots/lease/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// benchBed is a bed whose instances know the engines' loads; all but one of the
-// engines are full.
+// benchBed returns a bed with 24 instances, of which the first has a load report
+// for each engine. All engines but the middle one are reported full.
 func benchBed(engines int) *bed {
 	b := newBed(slottest.Options{Seed: 1, Instances: 24, Engines: engines, Slots: 20, Pieces: 200}, Settings{})
 	b.Run(2 * time.Second)
@@ -27,8 +27,8 @@
 	return b
 }
 
-// BenchmarkReserve measures a reservation and its release, at the grantor itself
-// and at another instance, where an ask and a release are sent.
+// BenchmarkReserve measures a reservation and its release, both at the grantor
+// and at another instance, which sends an Ask and a Release.
 func BenchmarkReserve(b *testing.B) {
 	for _, engines := range []int{9, 100, 600} {
 		bed := benchBed(engines)
@@ -43,6 +43,8 @@
 	}
 }
 
+// benchReserve measures a reservation and its release at one node, which does
+// not send its messages.
 func benchReserve(b *testing.B, n *slottest.Node, e *slottest.Engine) {
 	n.Silent = true
 	defer func() { n.Silent = false }()
@@ -55,8 +57,8 @@
 	}
 }
 
-// BenchmarkAvailability measures what a decision asks of the policy for each
-// engine, over all engines.
+// BenchmarkAvailability measures one Availability call for each of the engines,
+// as the kernel makes them for each placement decision.
 func BenchmarkAvailability(b *testing.B) {
 	for _, engines := range []int{9, 100, 600} {
 		bed := benchBed(engines)
@@ -72,8 +74,8 @@
 	}
 }
 
-// BenchmarkAsk measures a grantor's answer to an ask and the release that
-// follows.
+// BenchmarkAsk measures how a grantor handles an Ask and the Release that
+// follows it.
 func BenchmarkAsk(b *testing.B) {
 	bed := benchBed(9)
 	e := bed.Engines[0]
--- a/plugins/slots/lease/doc.go
+++ b/plugins/slots/lease/doc.go
@@ -3,13 +3,15 @@
 //
 // The grantor is chosen by rendezvous hashing among the live instances of the
 // engine's zone, so that all instances with the same view agree on it without
-// talking. A holder asks it for a lease; it grants one, queues the ask until a
-// slot falls free, or denies it. Holders list their leases to the grantor
-// regularly, so that a new grantor learns of them and nothing stays leased
-// after a message was lost. A holder that cannot reach the grantor uses a
-// static share of the slots.
+// exchanging messages. The instance that needs a slot, the holder, sends the
+// grantor an ask. The grantor grants a lease, queues the ask until a slot
+// becomes free, or denies it. Each holder regularly sends the grantor the full
+// list of its leases (a Renew), so that a new grantor learns about them and a
+// lost message cannot leave a slot leased. A holder that cannot reach the
+// grantor uses its static share of the slots instead.
 //
-// Two instances that believe themselves grantor of one engine can lease more
-// slots than it has. The engine then refuses, which costs the prefill and
-// nothing else.
+// If instances have different views, two of them can act as grantor of the same
+// engine and together lease more slots than it has. The engine then refuses the
+// excess requests. This wastes the prefill of a refused request and has no
+// other effect.
 package lease
--- a/plugins/slots/lease/fallback.go
+++ b/plugins/slots/lease/fallback.go
@@ -8,21 +8,24 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// Backoff towards a grantor that does not answer, and the wait told to the
-// kernel when the static share is used up.
+// Backoff before a grantor that did not answer is asked again.
 const (
 	firstBackoff = 250 * time.Millisecond
 	maxBackoff   = 4 * time.Second
 	maxDoublings = 4
-	shareRetry   = 100 * time.Millisecond
-	// loadBelieved is the age up to which a load report limits the share.
+	// shareRetry is the retry delay reported to the kernel when the static share
+	// is used up.
+	shareRetry = 100 * time.Millisecond
+	// loadBelieved is the maximum age of a load report that limits the use of
+	// the static share.
 	loadBelieved = 1 * time.Second
 )
 
-// down reports whether a grantor is not to be asked now. After its backoff one
-// ask at a time may try it. What was seen of it long ago no longer counts:
-// otherwise the first asks after a quiet time would use the static share beside
-// a grantor that is well.
+// down reports whether the grantor must not be asked now because it did not
+// answer earlier asks. After the backoff, one ask at a time may be sent to it.
+// Failures are forgotten once the backoff ended more than maxBackoff ago;
+// otherwise the first asks after an idle period would use the static share
+// although the grantor is healthy and may lease the same slots to others.
 func (p *Policy) down(id ident.InstanceID) bool {
 	if p.holder.troubled == 0 {
 		return false
@@ -42,7 +45,7 @@
 	return now.Before(c.downUntil)
 }
 
-// contact returns what is remembered of a grantor.
+// contact returns the record of a grantor, creating it if there is none.
 func (p *Policy) contact(id ident.InstanceID) *contact {
 	c := p.holder.contacts[id]
 	if c == nil {
@@ -52,7 +55,8 @@
 	return c
 }
 
-// incarnationOf returns an instance's life by the view, 0 if it is not listed.
+// incarnationOf returns an instance's incarnation in the view, or 0 if the view
+// does not list the instance.
 func incarnationOf(v *kernel.View, id ident.InstanceID) ident.Incarnation {
 	for i := range v.Instances {
 		if v.Instances[i].ID == id {
@@ -62,7 +66,7 @@
 	return 0
 }
 
-// askLost handles an ask that is known not to have been delivered.
+// askLost handles an ask that the transport reported as undelivered.
 func (p *Policy) askLost(to ident.InstanceID, ask *Ask) {
 	h := p.holder.holds[ask.Reservation.Key()]
 	if h == nil || h.seq != ask.Seq || h.state != stateAsked {
@@ -71,8 +75,8 @@
 	p.unanswered(to)
 }
 
-// unanswered notes that a grantor did not answer, and falls back for all asks
-// that wait for it.
+// unanswered records that a grantor did not answer and starts a backoff with
+// jitter. All open asks to that grantor are answered from the static share.
 func (p *Policy) unanswered(id ident.InstanceID) {
 	c := p.contact(id)
 	c.failures++
@@ -86,12 +90,13 @@
 			i++
 			continue
 		}
-		// fallBack takes h out of the open ones.
+		// fallBack removes h from p.holder.open, so i already points to the next.
 		p.fallBack(h)
 	}
 }
 
-// fallBack answers an open ask from the static share.
+// fallBack grants an open ask from the static share, or denies it if the share
+// is used up or the engine is not usable.
 func (p *Policy) fallBack(h *hold) {
 	u := p.host.Upstream(h.upstream)
 	if slotkit.Usable(u) && p.shareFree(u) > 0 {
@@ -102,7 +107,7 @@
 	p.tellReleased(h, 0)
 }
 
-// reserveShare reserves a slot of the static share.
+// reserveShare reserves a slot of this instance's static share.
 func (p *Policy) reserveShare(h *hold, u *kernel.Upstream) kernel.SlotAnswer {
 	if p.shareFree(u) <= 0 {
 		return none(p.shareRetryAt())
@@ -112,9 +117,10 @@
 	return answerFor(h)
 }
 
-// shareFree returns how many more slots this instance may use by its static
-// share, which counts all it holds, and by the engine's load as far as it is
-// fresh.
+// shareFree returns how many more slots this instance may use without a lease.
+// All slots that it holds count against its static share. A load report no
+// older than loadBelieved further limits the result. The result may be negative;
+// it is 0 for a while after the engine refused a request.
 func (p *Policy) shareFree(u *kernel.Upstream) int {
 	now := p.host.Now()
 	if now.Before(p.holder.refused[u.ID]) {
@@ -128,6 +134,8 @@
 	return free
 }
 
+// shareRetryAt returns when to retry after the static share was used up. The
+// delay is shareRetry plus up to as much jitter.
 func (p *Policy) shareRetryAt() time.Time {
 	jitter := time.Duration(p.host.Rand().Int64N(int64(shareRetry)))
 	return p.host.Now().Add(shareRetry + jitter)
--- a/plugins/slots/lease/grantor.go
+++ b/plugins/slots/lease/grantor.go
@@ -9,24 +9,26 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// grantor is the part of a Policy that leases out slots.
+// grantor is the part of a Policy that leases slots to holders.
 type grantor struct {
-	// ledgers are kept in the order of their upstreams' IDs.
+	// ledgers has one ledger for each engine whose grantor is this instance,
+	// sorted by upstream ID.
 	ledgers []*ledger
 	peers   map[ident.InstanceID]*peer
 }
 
-// peer is what a grantor remembers of a holder's messages, so that it can tell
-// old ones from new.
+// peer records how far a holder's messages have been processed, so that the
+// grantor can recognize outdated ones.
 type peer struct {
 	incarnation ident.Incarnation
-	// renewed and released are the numbers of the newest such messages.
+	// renewed and released are the highest sequence numbers of a Renew and of a
+	// Release received from the holder.
 	renewed, released uint64
 }
 
 func (g *grantor) init() { g.peers = map[ident.InstanceID]*peer{} }
 
-// ledger returns the upstream's ledger, nil if this instance keeps none.
+// ledger returns the upstream's ledger, or nil if this instance has none.
 func (g *grantor) ledger(id ident.UpstreamID) *ledger {
 	i, ok := g.place(id)
 	if !ok {
@@ -35,6 +37,8 @@
 	return g.ledgers[i]
 }
 
+// place returns the index at which the upstream's ledger is, or would have to be
+// inserted, and whether it exists.
 func (g *grantor) place(id ident.UpstreamID) (int, bool) {
 	return slices.BinarySearchFunc(g.ledgers, id, func(l *ledger, id ident.UpstreamID) int {
 		switch {
@@ -47,8 +51,9 @@
 	})
 }
 
-// peer returns what is remembered of a holder in the given incarnation, nil if
-// the message comes from an earlier life of it.
+// peer returns the record of a holder, creating or resetting it if the
+// incarnation is new. It returns nil if a later incarnation of the holder is
+// known, in which case the message is outdated and must be ignored.
 func (g *grantor) peer(id ident.InstanceID, incarnation ident.Incarnation) *peer {
 	known := g.peers[id]
 	switch {
@@ -61,7 +66,7 @@
 	return known
 }
 
-// verdict is a grantor's answer to an ask.
+// verdict is a grantor's decision on an ask.
 type verdict int
 
 const (
@@ -70,7 +75,8 @@
 	verdictDenied
 )
 
-// decide answers an ask, which may be a repeated one.
+// decide grants, queues or denies an ask. A repeated ask for a reservation that
+// is already leased or queued gets the same verdict again.
 func (p *Policy) decide(l *ledger, u *kernel.Upstream, holder ident.InstanceID, ask Ask) verdict {
 	key := ask.Reservation.Key()
 	if l.find(key) >= 0 {
@@ -99,9 +105,10 @@
 	return verdictQueued
 }
 
-// dueTime returns when the ask's first output is due. An ask without a due time
-// goes by its reservation's deadline, and so does one whose due time is past:
-// its request is wanted although it is late, as when an output is resumed.
+// dueTime returns when the ask's first output is due. This is the reservation's
+// deadline if the ask has no due time, or if its due time has passed: the
+// request is then still wanted although it is late, for example because an
+// interrupted output is resumed.
 func dueTime(ask Ask, now time.Time) time.Time {
 	by := time.UnixMilli(ask.FirstOutputBy)
 	if !by.After(now) {
@@ -110,7 +117,9 @@
 	return by
 }
 
-// enqueue puts an ask in the queue, in place of the last one if it is full.
+// enqueue adds an ask to the queue and reports whether it did. An ask that
+// cannot meet its due time is not queued. If the queue is full, the ask with the
+// latest due time is denied in favor of an ask that is due earlier.
 func (p *Policy) enqueue(l *ledger, w waitingAsk) bool {
 	if !w.feasible(p.host.Now()) {
 		return false
@@ -126,7 +135,8 @@
 	return true
 }
 
-// room reports whether the ask can be granted now.
+// room reports whether the engine has a slot and enough memory to grant the ask
+// now. It does not consider the asks that are queued before it.
 func (p *Policy) room(l *ledger, u *kernel.Upstream, w *waitingAsk) bool {
 	now := p.host.Now()
 	if !slotkit.Usable(u) || !p.roomForPieces(l, u, w.ask.Pieces) {
@@ -135,15 +145,17 @@
 	return len(l.leases) < l.limit(u, now, p.Margin)
 }
 
-// roomForPieces reports whether the engine's memory has room for more. An ask
-// for more than the whole memory is let through when the engine is empty, for
-// the engine to refuse.
+// roomForPieces reports whether the given number of pieces fits into the part of
+// the engine's KV memory that is not leased. It is always true if the engine's
+// memory is not known or nothing is leased. So an ask for more than the whole
+// memory is granted when the engine is empty, and the engine refuses it;
+// otherwise it could never leave the queue.
 func (p *Policy) roomForPieces(l *ledger, u *kernel.Upstream, pieces int) bool {
 	total := slotkit.Pieces(u)
 	return total == 0 || len(l.leases) == 0 || l.pieces()+pieces <= total
 }
 
-// enter records the lease that answers an ask.
+// enter adds the lease for a granted ask to the ledger.
 func (p *Policy) enter(l *ledger, u *kernel.Upstream, w *waitingAsk) {
 	now := p.host.Now()
 	l.add(lease{
@@ -156,11 +168,13 @@
 	}, slotkit.Slots(u))
 }
 
-// maxPassed bounds how often an ask that needs much memory is passed by later
-// ones that need less.
+// maxPassed limits how many later asks that need less memory may be granted
+// ahead of an ask whose memory is not available yet, so that it does not starve.
 const maxPassed = 8
 
-// drain answers the asks in the queue that can be answered.
+// drain denies the queued asks that have expired and grants those for which
+// there is a free slot and memory. Asks are granted in the order of the queue,
+// except that an ask waiting for memory may be overtaken up to maxPassed times.
 func (p *Policy) drain(l *ledger, u *kernel.Upstream) {
 	p.denyHopeless(l)
 	for i := 0; i < len(l.queue); {
@@ -177,8 +191,8 @@
 	}
 }
 
-// denyHopeless turns away the asks that have waited long enough or can no
-// longer be met in time.
+// denyHopeless denies the queued asks that have reached their maximum wait or
+// can no longer meet their due time.
 func (p *Policy) denyHopeless(l *ledger) {
 	now := p.host.Now()
 	for i := 0; i < len(l.queue); {
@@ -190,7 +204,8 @@
 	}
 }
 
-// grantQueued grants the ask at place i of the queue.
+// grantQueued grants the ask at index i of the queue and counts it as having
+// overtaken the asks before it.
 func (p *Policy) grantQueued(l *ledger, u *kernel.Upstream, i int) {
 	for j := range i {
 		l.queue[j].passed++
@@ -204,7 +219,7 @@
 	p.host.Send(w.holder, &Grant{Reservation: w.ask.Reservation, Upstream: l.upstream, Free: p.free(l, u)})
 }
 
-// deny refuses an ask that was queued.
+// deny denies an ask that has been removed from the queue.
 func (p *Policy) deny(l *ledger, w waitingAsk) {
 	retry := p.retryIn(l)
 	if w.holder == p.self() {
@@ -214,6 +229,8 @@
 	p.host.Send(w.holder, p.denial(l, w.ask, retry))
 }
 
+// denial returns the message that denies an ask and tells the holder to retry
+// after the given time.
 func (p *Policy) denial(l *ledger, ask Ask, retry time.Duration) *Deny {
 	return &Deny{
 		Reservation: ask.Reservation,
@@ -224,14 +241,15 @@
 	}
 }
 
-// Bounds on when a denied holder is told to ask again.
+// Bounds on the delay, before jitter, after which a denied holder may ask again.
 const (
 	minRetry = 20 * time.Millisecond
 	maxRetry = 1 * time.Second
 )
 
-// retryAfter returns when a holder is to ask again: at once if it believes that
-// another engine has a free slot, having learned that this one has none.
+// retryAfter returns the delay after which a denied holder may ask again. It is
+// zero for a NoWait ask: the holder believes that another engine has a free
+// slot, and now knows that this engine has none.
 func (p *Policy) retryAfter(l *ledger, ask Ask) time.Duration {
 	if ask.NoWait {
 		return 0
@@ -239,15 +257,17 @@
 	return p.retryIn(l)
 }
 
-// retryIn returns when an ask made now is likely to find a slot, jittered so
-// that holders denied together do not come back together.
+// retryIn returns the expected time until a new ask would find a free slot,
+// within minRetry and maxRetry, plus up to half as much jitter. The jitter keeps
+// holders that were denied at the same time from retrying at the same time.
 func (p *Policy) retryIn(l *ledger) time.Duration {
 	wait := l.nextFree() * time.Duration(len(l.queue)+1)
 	wait = min(max(wait, minRetry), maxRetry)
 	return wait + time.Duration(p.host.Rand().Int64N(int64(wait)/2+1))
 }
 
-// free returns how many slots an ask made now could get.
+// free returns how many slots could be leased to new asks now. It is zero while
+// asks are queued, or if the memory left does not suffice for an average ask.
 func (p *Policy) free(l *ledger, u *kernel.Upstream) int {
 	if len(l.queue) > 0 || !slotkit.Usable(u) || !p.roomForPieces(l, u, int(l.need)) {
 		return 0
@@ -256,7 +276,9 @@
 	return max(l.limit(u, now, p.Margin)-len(l.leases), 0)
 }
 
-// release ends a lease or takes an ask out of the queue.
+// release ends a reservation's lease or removes its ask from the queue, unless
+// the lease or ask has the same or a higher sequence number than the release.
+// held is how long the slot was in use, or 0 if it never was.
 func (p *Policy) release(l *ledger, u *kernel.Upstream, key slotkit.Key, seq uint64, held time.Duration) {
 	now := p.host.Now()
 	if i := l.queue.find(key); i >= 0 && l.queue[i].ask.Seq < seq {
--- a/plugins/slots/lease/holder.go
+++ b/plugins/slots/lease/holder.go
@@ -10,15 +10,15 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// state is how far a reservation has come.
+// state is the state of a reservation at its holder.
 type state int
 
 const (
-	// stateAsked: the grantor has not answered.
+	// stateAsked means that the ask was sent and the grantor has not answered.
 	stateAsked state = iota + 1
-	// stateQueued: the grantor will answer when a slot falls free.
+	// stateQueued means that the grantor has queued the ask.
 	stateQueued
-	// stateHeld: the slot is this instance's.
+	// stateHeld means that this instance may use the slot.
 	stateHeld
 )
 
@@ -29,64 +29,76 @@
 	upstream ident.UpstreamID
 	ask      Ask
 	state    state
-	// grantor is the instance that may know of the reservation, empty if none.
+	// grantor is the instance that may know about the reservation, or empty if
+	// none does.
 	grantor ident.InstanceID
-	seq     uint64
-	// since is when the kernel asked, askedAt when the grantor was asked.
+	// seq is the sequence number of the last ask for the reservation.
+	seq uint64
+	// since is when the kernel requested the reservation, askedAt when the
+	// grantor was last asked.
 	since   time.Time
 	askedAt time.Time
-	// until is when an unanswered ask is given up.
+	// until is when an open ask times out.
 	until time.Time
-	// usedAt is when the slot was, or is expected to be, put to use.
+	// usedAt is when the use of the slot began, or is expected to begin if
+	// started is false.
 	usedAt  time.Time
 	started bool
 }
 
-// contact is what a holder remembers of a grantor.
+// contact is a holder's record of a grantor.
 type contact struct {
-	// incarnation is the life that the view last showed, 0 if it has none.
+	// incarnation is the grantor's incarnation in the last view, or 0 if the view
+	// did not list it.
 	incarnation ident.Incarnation
-	// failures counts asks in a row that were not answered.
+	// failures counts the consecutive times that the grantor did not answer.
 	failures int
-	// downUntil is when the grantor may be asked again.
+	// downUntil is the end of the backoff.
 	downUntil time.Time
-	// owed counts the Renews that must still be sent after the last Release, so
-	// that a grantor hears that nothing is held, even if one is lost.
+	// owed is the number of Renews still to be sent to the grantor. It is not
+	// zero for some time after the last Release, so that the grantor learns that
+	// nothing is held any more even if a message is lost.
 	owed int
 }
 
-// renewsOwed is the number of Renews that follow the last Release at least.
+// renewsOwed is the minimum number of Renews sent after the last Release. With
+// two, the grantor learns of the release even if the Release and one Renew are
+// lost.
 const renewsOwed = 2
 
-// word is what a grantor last said of an engine's free slots.
+// word is the availability of an engine as last reported by its grantor.
 type word struct {
 	at       time.Time
 	free     int
 	nextFree time.Duration
 }
 
-// answer is a reservation's answer that the kernel was not told yet.
+// answer is the answer to a reservation that has not been passed to the kernel
+// yet.
 type answer struct {
 	id      ident.AttemptID
 	granted bool
 	retryAt time.Time
 }
 
-// holder is the part of a Policy that keeps this instance's reservations.
+// holder is the part of a Policy that manages this instance's reservations.
 type holder struct {
 	holds map[slotkit.Key]*hold
-	// open are the holds that are not answered yet, in the order asked.
+	// open are the holds in stateAsked or stateQueued, in the order in which the
+	// kernel requested them.
 	open []*hold
-	// held counts the slots held by upstream.
+	// held is the number of slots in stateHeld for each upstream.
 	held     map[ident.UpstreamID]int
 	contacts map[ident.InstanceID]*contact
-	// troubled is how many contacts have failures.
+	// troubled is the number of contacts that have failures.
 	troubled int
 	words    table.Table[word]
-	// refused is until when the engine's last refusal is heeded.
-	refused   map[ident.UpstreamID]time.Time
-	answers   []answer
-	flushing  bool
+	// refused is the time until which the static share is not used after the
+	// engine refused a request.
+	refused  map[ident.UpstreamID]time.Time
+	answers  []answer
+	flushing bool
+	// seq is the sequence number of the last message.
 	seq       uint64
 	nextRenew time.Time
 	nextTidy  time.Time
@@ -99,13 +111,13 @@
 	o.refused = map[ident.UpstreamID]time.Time{}
 }
 
-// nextSeq numbers the next message.
+// nextSeq returns the sequence number for the next message.
 func (o *holder) nextSeq() uint64 {
 	o.seq++
 	return o.seq
 }
 
-// answered notes that a grantor answers.
+// answered clears the failures of a grantor that has answered.
 func (o *holder) answered(id ident.InstanceID) {
 	c := o.contacts[id]
 	if c == nil || c.failures == 0 {
@@ -116,14 +128,14 @@
 	o.countTroubled()
 }
 
-// asking reports whether an ask to the grantor waits for its first answer.
+// asking reports whether an ask to the grantor has not been answered at all.
 func (o *holder) asking(id ident.InstanceID) bool {
 	return slices.ContainsFunc(o.open, func(h *hold) bool {
 		return h.grantor == id && h.state == stateAsked
 	})
 }
 
-// countTroubled counts the contacts that have failures.
+// countTroubled recomputes the number of contacts that have failures.
 func (o *holder) countTroubled() {
 	o.troubled = 0
 	for _, c := range o.contacts {
@@ -133,14 +145,14 @@
 	}
 }
 
-// heard takes a grantor's word unless a newer one is known.
+// heard records a grantor's report on an engine unless a newer one is known.
 func (o *holder) heard(u *kernel.Upstream, w word) {
 	if known := o.words.At(u); !w.at.Before(known.at) {
 		*known = w
 	}
 }
 
-// add enters a new reservation.
+// add records a new reservation.
 func (o *holder) add(h *hold) {
 	o.holds[h.key] = h
 	if h.state == stateHeld {
@@ -150,7 +162,7 @@
 	o.open = append(o.open, h)
 }
 
-// keep makes an open reservation a held one.
+// keep changes an open reservation to stateHeld.
 func (o *holder) keep(h *hold) {
 	if h.state == stateHeld {
 		return
@@ -172,14 +184,15 @@
 	}
 }
 
-// close takes a reservation out of the open ones.
+// close removes a reservation from the open ones.
 func (o *holder) close(h *hold) {
 	if i := slices.Index(o.open, h); i >= 0 {
 		o.open = slices.Delete(o.open, i, i+1)
 	}
 }
 
-// sorted returns the reservations in the order of their keys.
+// sorted returns the reservations sorted by key. Iterating over them in this
+// order, not in that of the map, makes runs repeatable.
 func (o *holder) sorted() []*hold {
 	all := make([]*hold, 0, len(o.holds))
 	for _, h := range o.holds {
--- a/plugins/slots/lease/lease_test.go
+++ b/plugins/slots/lease/lease_test.go
@@ -10,7 +10,7 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// three is a world of three instances that share one engine of four slots.
+// three returns a bed with three instances and one engine of four slots.
 func three(settings Settings) *bed {
 	b := newBed(slottest.Options{
 		Seed: 1, Instances: 3, Engines: 1, Slots: 4, Pieces: 100,
@@ -31,14 +31,16 @@
 	assert.Equal(t, b.Held(b.Engines[0]), 4)
 	assert.Equal(t, b.Engines[0].Running(), 4)
 	b.Run(600 * time.Millisecond)
-	// Those that waited were granted the slots that fell free, in one message.
+	// The waiting asks were granted the slots that became free, with one message
+	// each.
 	assert.Equal(t, b.Engines[0].Running(), 4)
 	assert.Equal(t, b.Refused, 0)
 	b.Run(10 * time.Second)
 	assertQuiet(t, b)
 }
 
-// assertQuiet checks that nothing is held, waits or is remembered as leased.
+// assertQuiet checks that no instance holds a slot, has an open or queued ask or
+// has a lease in a ledger.
 func assertQuiet(t assert.TestingT, b *bed) {
 	for _, n := range b.Nodes {
 		if n.Killed() {
@@ -64,8 +66,8 @@
 	b.Reserve(others[0], e, 10*time.Millisecond, 4*time.Second)
 	b.Run(100 * time.Millisecond)
 	g.Kill()
-	// The others fall back to their shares at once: a third of four slots, of
-	// which the first use has taken one.
+	// The others fall back to their static shares as soon as an ask is reported as
+	// undelivered: a third of four slots, of which the first use has taken one.
 	u := b.Reserve(others[1], e, 10*time.Millisecond, 4*time.Second)
 	b.Run(200 * time.Millisecond)
 	assert.Assert(t, u.Granted)
@@ -73,7 +75,7 @@
 	b.Run(1200 * time.Millisecond)
 	next := b.grantor(others[0], e)
 	assert.Assert(t, next != g)
-	// The new grantor has learned of both.
+	// The new grantor has learned about both leases.
 	assert.Equal(t, len(policyOf(next).grantor.ledgers[0].leases), 2)
 	for range 4 {
 		b.Reserve(others[0], e, 10*time.Millisecond, time.Second)
@@ -85,6 +87,7 @@
 	assertQuiet(t, b)
 }
 
+// without returns the nodes other than gone.
 func without(nodes []*slottest.Node, gone *slottest.Node) []*slottest.Node {
 	var rest []*slottest.Node
 	for _, n := range nodes {
@@ -107,7 +110,7 @@
 	b.Run(100 * time.Millisecond)
 	assert.Assert(t, u.Granted, "granted from the share after the timeout")
 	assert.Assert(t, b.Slowest <= defaultAskTimeout+time.Millisecond, "%v", b.Slowest)
-	// The next one does not wait for the grantor.
+	// During the backoff, the next reservation is answered without an ask.
 	v := b.Reserve(others[0], e, 10*time.Millisecond, time.Second)
 	assert.Assert(t, !v.Pending)
 	b.Run(time.Second)
@@ -121,8 +124,8 @@
 	assertQuiet(t, b)
 }
 
-// TestSharesWithoutGrantor: without their grantor the others use no more than
-// their shares.
+// TestSharesWithoutGrantor checks that instances whose grantor does not answer
+// use no more than their static shares.
 func TestSharesWithoutGrantor(t *testing.T) {
 	b := three(Settings{})
 	e := b.Engines[0]
@@ -153,7 +156,7 @@
 	assert.Assert(t, u.Granted)
 	b.Heal()
 	b.Run(3 * time.Second)
-	// The lease of the share is known to the grantor by the next renewal.
+	// The next Renew tells the grantor about the slot taken from the static share.
 	assert.Equal(t, len(policyOf(g).grantor.ledgers[0].leases), 1)
 	b.Run(10 * time.Second)
 	assertQuiet(t, b)
@@ -177,8 +180,9 @@
 	assert.Equal(t, len(l.leases), 0, "the engine showed the slots free")
 }
 
-// TestWithdrawnTry: the ask that tries a grantor again is withdrawn; the next one
-// must not wait for its answer for ever.
+// TestWithdrawnTry guards against a holder that never asks a grantor again. After
+// the backoff only one ask at a time is sent; if that ask is withdrawn before it
+// is answered, the next reservation must send a new one.
 func TestWithdrawnTry(t *testing.T) {
 	b := three(Settings{})
 	e := b.Engines[0]
@@ -195,8 +199,9 @@
 	assert.Equal(t, b.Traffic.ByKind[KindAsk], asks+1)
 }
 
-// TestNoShareBesideTheGrantor: long after a grantor did not answer, all asks go
-// to it again.
+// TestNoShareBesideTheGrantor checks that old failures of a grantor are forgotten:
+// long after it did not answer, all asks are sent to it at once. Otherwise some
+// would use the static share while the healthy grantor leases the same slots.
 func TestNoShareBesideTheGrantor(t *testing.T) {
 	b := three(Settings{})
 	e := b.Engines[0]
@@ -214,8 +219,9 @@
 	assert.Equal(t, b.Traffic.ByKind[KindAsk], asks+4)
 }
 
-// TestHolderCutOff: its leases lapse as its requests end, and it brings back
-// those that have not when it is reached again.
+// TestHolderCutOff checks that the leases of an unreachable holder end as the
+// engine's load report shows that its requests have ended, and that the leases of
+// its running requests are still known after the connection is restored.
 func TestHolderCutOff(t *testing.T) {
 	b := three(Settings{})
 	e := b.Engines[0]
--- a/plugins/slots/lease/ledger.go
+++ b/plugins/slots/lease/ledger.go
@@ -8,53 +8,58 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// lease is one slot given out, as its grantor knows it.
+// lease is the grantor's record of one leased slot.
 type lease struct {
 	key     slotkit.Key
 	expires time.Time
 	pieces  int
-	// seq is the number of the message that brought the lease about.
+	// seq is the sequence number of the Ask or Renew that created the lease.
 	seq     uint64
 	granted time.Time
-	// usedAt is when the slot was, or is expected to be, put to use.
+	// usedAt is when the use of the slot began or is expected to begin.
 	usedAt time.Time
 }
 
-// ended remembers when a lease that is over was granted and when it ended, so
-// that a load report from before its end can be understood.
+// ended records when a past lease was granted and when it ended. A load report
+// that was made before the end still counts the lease's request.
 type ended struct{ granted, at time.Time }
 
-// Bounds of a ledger, in multiples of the engine's slots.
+// Bounds on the size of a ledger, in multiples of the engine's slots.
 const (
-	// maxLeases is reached when two grantors' leases are put together.
+	// maxLeases leaves room for the leases of two grantors, which are merged when
+	// one of them takes over.
 	maxLeases = 4
-	// maxEnded covers the leases that end during the lag of a load report.
+	// maxEnded is enough for the leases that end while a load report is delayed.
 	maxEnded = 4
 )
 
-// ledger is what a grantor knows of one engine's slots.
+// ledger is a grantor's record of the leases and queued asks of one engine.
 type ledger struct {
 	upstream    ident.UpstreamID
 	incarnation ident.Incarnation
 	leases      []lease
 	ended       []ended
 	queue       askQueue
-	// peak is the most foreign requests seen, last at peakAt.
+	// peak is the highest number of foreign requests seen recently, and peakAt
+	// when it was last seen. See foreign and foreignMemory.
 	peak   int
 	peakAt time.Time
-	// hold is a running mean of the time slots are held, 0 until one was.
+	// hold is the moving average of how long slots are in use, 0 before the first
+	// observation.
 	hold time.Duration
-	// since is when this instance became the grantor.
+	// since is when the take-over began: when this instance became the grantor or
+	// resumed after a pause.
 	since time.Time
-	// settled is set when the take-over is over.
+	// settled is set when the take-over has ended and all leases are taken to be
+	// known.
 	settled bool
-	// heard are the instances that sent a Renew since then.
+	// heard are the instances that have sent a Renew since the take-over began.
 	heard map[ident.InstanceID]struct{}
-	// penalty is the number of slots not believed to exist, because the engine
-	// refused, until penaltyEnd.
+	// penalty is the number of slots that are not leased until penaltyEnd because
+	// the engine refused requests.
 	penalty    int
 	penaltyEnd time.Time
-	// need is a running mean of the pieces asked for.
+	// need is the moving average of the pieces asked for.
 	need float64
 }
 
@@ -67,7 +72,8 @@
 	}
 }
 
-// restart forgets the leases of an engine that has lost its memory.
+// restart clears the leases of an engine that has restarted and therefore lost
+// its requests.
 func (l *ledger) restart(incarnation ident.Incarnation) {
 	l.incarnation = incarnation
 	l.leases = l.leases[:0]
@@ -76,7 +82,7 @@
 	l.peak = 0
 }
 
-// find returns the lease's place, -1 if there is none.
+// find returns the index of the lease, or -1 if there is none.
 func (l *ledger) find(key slotkit.Key) int {
 	for i := range l.leases {
 		if l.leases[i].key == key {
@@ -86,7 +92,7 @@
 	return -1
 }
 
-// add enters a lease unless the ledger is full.
+// add records a lease unless the ledger is full, and reports whether it did.
 func (l *ledger) add(n lease, slots int) bool {
 	if len(l.leases) >= maxLeases*max(slots, 1) {
 		return false
@@ -95,7 +101,7 @@
 	return true
 }
 
-// end removes the lease at place i.
+// end removes the lease at index i and records it as ended.
 func (l *ledger) end(i int, now time.Time, slots int) {
 	l.ended = append(l.ended, ended{granted: l.leases[i].granted, at: now})
 	if drop := len(l.ended) - maxEnded*max(slots, 1); drop > 0 {
@@ -115,7 +121,7 @@
 	return len(l.leases) < before
 }
 
-// pieces returns the KV memory leased out.
+// pieces returns the KV memory of all leases, in pieces.
 func (l *ledger) pieces() int {
 	total := 0
 	for i := range l.leases {
@@ -124,7 +130,7 @@
 	return total
 }
 
-// liveAt returns how many known leases existed at a past time.
+// liveAt returns how many of the known leases existed at a past time.
 func (l *ledger) liveAt(at time.Time) int {
 	n := 0
 	for i := range l.leases {
@@ -140,9 +146,9 @@
 	return n
 }
 
-// foreign returns how many requests the engine runs, by its load report, that
-// no known lease accounts for: those of instances with another view, of static
-// shares, or of an instance that is dead.
+// foreign returns how many requests in the engine's load report are not covered
+// by a known lease. They come from another grantor (if instances have different
+// views), from static shares or from a dead instance.
 func (l *ledger) foreign(u *kernel.Upstream) int {
 	if u.Load.At.IsZero() {
 		return 0
@@ -150,11 +156,13 @@
 	return max(u.Load.Running+u.Load.Waiting-l.liveAt(u.Load.At), 0)
 }
 
-// foreignMemory is how long the most foreign requests seen are reckoned with.
-// Reports are late, and whoever runs them is about to run more.
+// foreignMemory is how long the highest number of foreign requests is taken into
+// account after it was seen. Load reports are delayed, and the instances that
+// sent those requests are likely to send more.
 const foreignMemory = 1 * time.Second
 
-// foreignPeak returns the most foreign requests seen of late.
+// foreignPeak returns the highest number of foreign requests seen within
+// foreignMemory.
 func (l *ledger) foreignPeak(u *kernel.Upstream, now time.Time) int {
 	n := l.foreign(u)
 	if n >= l.peak || now.Sub(l.peakAt) > foreignMemory {
@@ -163,7 +171,9 @@
 	return l.peak
 }
 
-// refused notes that the engine had no slot where one was believed free.
+// refused records that the engine refused a request for lack of a slot. Each
+// refusal within penaltyTime of the one before lowers the limit by one more
+// slot, up to half of the slots but at least one.
 func (l *ledger) refused(now time.Time, slots int) {
 	if now.After(l.penaltyEnd) {
 		l.penalty = 0
@@ -172,15 +182,16 @@
 	l.penaltyEnd = now.Add(penaltyTime)
 }
 
-// penaltyTime is how long a refusal lowers the belief in free slots. Load
-// reports that show the cause arrive well within it.
+// penaltyTime is how long a refusal reduces the slots taken to be free. It is
+// well above the time in which a load report that shows the cause arrives.
 const penaltyTime = 1 * time.Second
 
-// foreignMargin is the number of slots kept back while somebody else seems to
-// give out the engine's slots too.
+// foreignMargin is the number of slots that are not leased while another
+// instance appears to use or lease slots of the same engine.
 const foreignMargin = 1
 
-// limit returns how many slots this instance may have leased out.
+// limit returns the maximum number of leases that this grantor may have now. It
+// may be negative.
 func (l *ledger) limit(u *kernel.Upstream, now time.Time, margin int) int {
 	limit := slotkit.Slots(u)
 	if foreign := l.foreignPeak(u, now); foreign > 0 {
@@ -195,9 +206,10 @@
 	return min(limit, l.unsettledLimit(u, margin))
 }
 
-// unsettledLimit is the limit of a new grantor that may not know all leases
-// yet: what the load report says is free, less a margin for slots leased but
-// not in use when it was made. Without a report nothing is free.
+// unsettledLimit returns the limit for a grantor that may not know all leases
+// yet: the known leases that the load report already counts, plus the slots that
+// it shows as free, less a margin for slots that were leased but not in use when
+// the report was made. Without a load report it is 0.
 func (l *ledger) unsettledLimit(u *kernel.Upstream, margin int) int {
 	if u.Load.At.IsZero() {
 		return 0
@@ -206,7 +218,8 @@
 	return reported + l.usedBefore(u.Load.At)
 }
 
-// usedBefore returns how many leases the load report should already count.
+// usedBefore returns how many leases were in use at the given time, so that a
+// load report made then counts them.
 func (l *ledger) usedBefore(at time.Time) int {
 	n := 0
 	for i := range l.leases {
@@ -217,15 +230,16 @@
 	return n
 }
 
-// newestShare is the inverse weight of the newest observation in running means.
+// newestShare is the inverse of the weight that the newest observation has in a
+// moving average.
 const newestShare = 8
 
-// noteAsk adds an ask to the running mean of the memory needed.
+// noteAsk adds the memory that an ask needs to the moving average.
 func (l *ledger) noteAsk(ask *Ask) {
 	l.need += (float64(ask.Pieces) - l.need) / newestShare
 }
 
-// noteHold adds the time a slot was held to the running mean.
+// noteHold adds the time for which a slot was in use to the moving average.
 func (l *ledger) noteHold(d time.Duration) {
 	if l.hold == 0 {
 		l.hold = d
@@ -234,10 +248,11 @@
 	l.hold += (d - l.hold) / newestShare
 }
 
-// guessHold is taken as the time a slot is held until one was observed.
+// guessHold is the assumed time for which a slot is in use, before any was
+// observed.
 const guessHold = 2 * time.Second
 
-// nextFree returns the expected time until one of the leased slots falls free.
+// nextFree returns the expected time until one of the leased slots becomes free.
 func (l *ledger) nextFree() time.Duration {
 	hold := l.hold
 	if hold == 0 {
@@ -246,7 +261,7 @@
 	return hold / time.Duration(max(len(l.leases), 1))
 }
 
-// wait returns the expected wait of an ask made now.
+// wait returns the expected waiting time of a new ask behind those in the queue.
 func (l *ledger) wait() time.Duration {
 	return l.nextFree() * time.Duration(len(l.queue)+1)
 }
--- a/plugins/slots/lease/message.go
+++ b/plugins/slots/lease/message.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// The kinds of message.
+// Message kinds, as sent on the wire.
 const (
 	KindAsk     = "slots.ask"
 	KindGrant   = "slots.grant"
@@ -19,19 +19,22 @@
 	KindRefused = "slots.refused"
 )
 
-// Milliseconds is a duration as messages carry it.
+// Milliseconds is a duration in a message.
 type Milliseconds int64
 
 // Duration returns m as a time.Duration.
 func (m Milliseconds) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// millis rounds a duration up, so that a wait is never told too short.
+// millis converts a duration to milliseconds. It rounds up, so that a wait is
+// never reported as too short.
 func millis(d time.Duration) Milliseconds {
 	return Milliseconds((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// Ask asks the grantor for a lease. Seq rises with every message a holder
-// sends, so that the grantor can tell in which order they were sent.
+// Ask asks the grantor for a lease. Seq increases with each Ask, Release and
+// Renew that a holder sends, so that the grantor knows in which order they were
+// sent. Lead is the expected time until the slot is put to use. FirstOutputBy is
+// when the first output is due, 0 if it has no due time.
 type Ask struct {
 	Reservation   slotkit.Reservation `json:"r"`
 	Upstream      ident.UpstreamID    `json:"u"`
@@ -39,19 +42,21 @@
 	Pieces        int                 `json:"p,omitempty"`
 	Lead          Milliseconds        `json:"l,omitempty"`
 	FirstOutputBy int64               `json:"b,omitempty"` // Unix milliseconds
-	// NoWait asks for an answer at once, because the holder believes that
-	// another engine has a free slot.
+	// NoWait asks the grantor to deny the ask and not to queue it if no slot is
+	// free, because the holder believes that another engine has a free slot.
 	NoWait bool `json:"w,omitempty"`
 }
 
 // Grant answers an Ask: the slot is leased until the reservation's deadline.
+// Free is the number of slots that can still be leased.
 type Grant struct {
 	Reservation slotkit.Reservation `json:"r"`
 	Upstream    ident.UpstreamID    `json:"u"`
 	Free        int                 `json:"f,omitempty"`
 }
 
-// Queued answers an Ask that waits for a slot; a Grant or Deny will follow.
+// Queued tells the holder that its Ask waits for a slot; a Grant or Deny will
+// follow. NextFree is the expected wait.
 type Queued struct {
 	Reservation slotkit.Reservation `json:"r"`
 	Upstream    ident.UpstreamID    `json:"u"`
@@ -59,7 +64,7 @@
 	NextFree    Milliseconds        `json:"n,omitempty"`
 }
 
-// Deny answers an Ask that gets no slot.
+// Deny answers an Ask that gets no slot. The holder may ask again after RetryIn.
 type Deny struct {
 	Reservation slotkit.Reservation `json:"r"`
 	Upstream    ident.UpstreamID    `json:"u"`
@@ -67,12 +72,12 @@
 	RetryIn     Milliseconds        `json:"t,omitempty"`
 	Free        int                 `json:"f,omitempty"`
 	NextFree    Milliseconds        `json:"n,omitempty"`
-	// NotGrantor says that the receiver does not grant this upstream's slots,
-	// by its own view.
+	// NotGrantor is set if the sender of the Deny is not the upstream's grantor
+	// according to its own view.
 	NotGrantor bool `json:"x,omitempty"`
 }
 
-// Release gives a lease back or withdraws an ask.
+// Release ends a lease or withdraws an ask.
 type Release struct {
 	Reservation slotkit.Reservation `json:"r"`
 	Upstream    ident.UpstreamID    `json:"u"`
@@ -81,8 +86,9 @@
 	Held Milliseconds `json:"h,omitempty"`
 }
 
-// Renew lists all leases and open asks that a holder has at one grantor. What
-// it does not list, and was asked for before it was sent, is over.
+// Renew lists all leases and open asks that a holder has at one grantor. The
+// grantor ends those that are not listed, unless they were asked for after the
+// Renew was sent.
 type Renew struct {
 	Incarnation ident.Incarnation `json:"i"`
 	Seq         uint64            `json:"s"`
@@ -101,15 +107,15 @@
 	Sequence uint64 `json:"q"`
 	Deadline int64  `json:"d"` // Unix milliseconds
 	Pieces   int    `json:"p,omitempty"`
-	// Used is how long the slot has been in use; when negative, how long it
-	// is until it is expected to be.
+	// Used is how long the slot has been in use. If negative, it is the expected
+	// time until the slot is put to use, with the sign reversed.
 	Used Milliseconds `json:"t,omitempty"`
-	// Open marks an ask that was not answered yet.
+	// Open marks an ask that has been neither granted nor denied.
 	Open bool `json:"w,omitempty"`
 }
 
-// Refused tells the grantor that the engine itself refused a holder's request
-// for want of a slot.
+// Refused tells the grantor that the engine refused a holder's request because
+// it had no free slot.
 type Refused struct {
 	Upstream ident.UpstreamID `json:"u"`
 }
--- a/plugins/slots/lease/message_test.go
+++ b/plugins/slots/lease/message_test.go
@@ -17,10 +17,10 @@
 	return grantor, without(b.Nodes, grantor)[0]
 }
 
-// ledgerAt returns a node's ledger of the bed's first engine.
+// ledgerAt returns a node's first ledger.
 func ledgerAt(n *slottest.Node) *ledger { return policyOf(n).grantor.ledgers[0] }
 
-// lossy makes the network lose all messages, or none.
+// lossy sets whether the network loses all messages or none.
 func lossy(b *bed, all bool) {
 	n := slottest.Network{Delay: time.Millisecond}
 	if all {
@@ -41,8 +41,9 @@
 	assertQuiet(t, b)
 }
 
-// TestGrantLost: the holder uses its share, and the lease that it does not know
-// of becomes the slot's.
+// TestGrantLost checks that a holder whose Grant was lost uses its static share,
+// and that the lease in the grantor's ledger then counts for that slot, so that
+// the reservation is not counted twice.
 func TestGrantLost(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
@@ -75,7 +76,8 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 0, "the next Renew does not list it")
 }
 
-// TestGrantAfterWithdrawal: the request ended while the grant was under way.
+// TestGrantAfterWithdrawal checks that a holder releases a lease at once if the
+// request ended before the Grant arrived.
 func TestGrantAfterWithdrawal(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
@@ -88,8 +90,9 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 0, "given back at once")
 }
 
-// TestDenyAfterWithdrawal: an old answer must not end a newer ask for the same
-// reservation.
+// TestDenyAfterWithdrawal checks that a Deny of an earlier ask does not end a
+// newer ask for the same reservation, nor does the Release of the earlier ask if
+// it arrives after the newer ask.
 func TestDenyAfterWithdrawal(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
@@ -107,7 +110,7 @@
 		policyOf(holder).Receive(g.ID(), &Deny{Reservation: slotkit.Reservation(u.ID), Upstream: e.ID, Seq: first})
 	})
 	assert.Equal(t, len(policyOf(holder).holder.open), 1)
-	// The withdrawal overtaken by the newer ask must not end that either.
+	// The Release of the first ask arrives after the newer ask and must not end it.
 	b.Run(5 * time.Millisecond)
 	g.Do(func() {
 		policyOf(g).Receive(holder.ID(), &Release{Reservation: slotkit.Reservation(u.ID), Upstream: e.ID, Seq: first})
@@ -116,8 +119,8 @@
 	assert.Equal(t, len(ledgerAt(g).queue), 1)
 }
 
-// TestRenewOvertakenByRelease: a list that is older than the release must not
-// bring the lease back.
+// TestRenewOvertakenByRelease checks that a Renew that arrives after a Release
+// sent later than the Renew does not restore the released lease.
 func TestRenewOvertakenByRelease(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
@@ -136,7 +139,8 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 0)
 }
 
-// TestRenewOvertakenByAsk: a list sent before an ask says nothing about it.
+// TestRenewOvertakenByAsk checks that a Renew sent before an Ask, but received
+// after it, does not end the lease that the Ask got.
 func TestRenewOvertakenByAsk(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
@@ -149,8 +153,8 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 1)
 }
 
-// TestLedgerIsBounded: more leases than two grantors can have given are not
-// taken over.
+// TestLedgerIsBounded checks that a Renew cannot add more leases to a ledger than
+// maxLeases allows.
 func TestLedgerIsBounded(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
--- a/plugins/slots/lease/queue.go
+++ b/plugins/slots/lease/queue.go
@@ -7,35 +7,37 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// waitingAsk is an ask that waits at the grantor for a slot.
+// waitingAsk is an ask that is queued at the grantor until a slot is free.
 type waitingAsk struct {
 	ask    Ask
 	key    slotkit.Key
 	holder ident.InstanceID
 	// by is when the first output is due.
 	by time.Time
-	// until is when the ask must be answered at the latest.
+	// until is when the ask is denied if it has not been granted.
 	until time.Time
-	// passed counts the later asks that went first because they need less
+	// passed counts the later asks that were granted first because they need less
 	// memory.
 	passed int
 }
 
-// feasible reports whether a slot leased now still meets the due time.
+// feasible reports whether the first output can still meet its due time if a
+// slot is leased now.
 func (w *waitingAsk) feasible(now time.Time) bool {
 	return !now.Add(w.ask.Lead.Duration()).After(w.by)
 }
 
-// lastCall returns when the ask must be denied if it was not granted.
+// lastCall returns when the ask must be denied if it has not been granted: when
+// its wait ends or just after it stops being feasible, whichever is earlier.
 func (w *waitingAsk) lastCall() time.Time {
 	start := w.by.Add(-w.ask.Lead.Duration())
 	return slotkit.Earlier(w.until, start.Add(time.Nanosecond))
 }
 
-// askQueue holds the waiting asks, the one due first in front.
+// askQueue holds the waiting asks in the order of their due times.
 type askQueue []waitingAsk
 
-// insert puts an ask in its place.
+// insert adds an ask, behind those that have the same due time.
 func (q *askQueue) insert(w waitingAsk) {
 	at := len(*q)
 	for at > 0 && w.by.Before((*q)[at-1].by) {
@@ -46,7 +48,7 @@
 	(*q)[at] = w
 }
 
-// find returns the ask's place, -1 if there is none.
+// find returns the index of the ask, or -1 if there is none.
 func (q askQueue) find(key slotkit.Key) int {
 	for i := range q {
 		if q[i].key == key {
@@ -56,7 +58,7 @@
 	return -1
 }
 
-// take removes and returns the ask at place i.
+// take removes and returns the ask at index i.
 func (q *askQueue) take(i int) waitingAsk {
 	w := (*q)[i]
 	*q = append((*q)[:i], (*q)[i+1:]...)
--- a/plugins/slots/lease/queue_test.go
+++ b/plugins/slots/lease/queue_test.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// fill takes all slots of the bed's first engine at its grantor.
+// fill makes the first engine's grantor reserve all of the engine's slots.
 func fill(b *bed, hold time.Duration) {
 	g := b.grantor(b.Nodes[0], b.Engines[0])
 	for range b.Engines[0].Slots {
@@ -20,7 +20,8 @@
 	b.Run(5 * time.Millisecond)
 }
 
-// askFor asks for a slot with the given due time and memory.
+// askFor makes an instance other than the grantor reserve a slot of the first
+// engine. due is the time from now until the first output is due.
 func (b *bed) askFor(due time.Duration, pieces int) *slottest.Use {
 	_, holder := pairOf(b)
 	u := &slottest.Use{
@@ -59,7 +60,7 @@
 	w := b.askFor(5*time.Millisecond, 1)
 	b.Run(5 * time.Millisecond)
 	assert.Assert(t, !w.Pending && !w.Granted, "denied at once")
-	// A request that is late already and still wanted waits like others.
+	// A request whose due time has already passed is still queued.
 	x := b.askFor(-time.Second, 1)
 	b.Run(100 * time.Millisecond)
 	assert.Assert(t, x.Pending)
@@ -89,8 +90,8 @@
 	assert.Assert(t, !u.Pending && !u.Granted)
 }
 
-// TestMemoryIsCounted: a request that needs more memory than is free waits, and
-// is passed by smaller ones only so often.
+// TestMemoryIsCounted checks that an ask that needs more memory than is free
+// waits until memory is released, while an ask that needs less is granted.
 func TestMemoryIsCounted(t *testing.T) {
 	b := three(Settings{QueueWait: 10 * time.Second})
 	big := b.askFor(9*time.Second, 80)
@@ -107,8 +108,8 @@
 	assert.Assert(t, second.Granted)
 }
 
-// TestNoWaitIsDeniedAtOnce: an ask made on a wrong belief does not wait while
-// another engine is believed free.
+// TestNoWaitIsDeniedAtOnce checks that a NoWait ask for a full engine is denied
+// and not queued.
 func TestNoWaitIsDeniedAtOnce(t *testing.T) {
 	b := three(Settings{})
 	fill(b, time.Second)
@@ -121,8 +122,8 @@
 	assert.Equal(t, len(l.queue), 0)
 }
 
-// TestRefusalLowersBelief: after the engine refused, fewer slots are leased for
-// a while.
+// TestRefusalLowersBelief checks that fewer slots are leased for a while after the
+// engine refused a request.
 func TestRefusalLowersBelief(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
@@ -134,8 +135,8 @@
 	assert.Equal(t, ledgerAt(g).limit(u, b.Now(), 0), 4)
 }
 
-// TestBackoff: a grantor that does not answer is asked again only now and then,
-// by one ask at a time.
+// TestBackoff checks that a grantor that does not answer is sent only a few asks,
+// one at a time: at most 6 in 5 s.
 func TestBackoff(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
--- a/plugins/slots/lease/rapid_test.go
+++ b/plugins/slots/lease/rapid_test.go
@@ -12,15 +12,16 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// machine draws interleavings of uses and faults and checks after each step
-// what must hold then.
+// machine is the state machine of the property tests. It performs random
+// sequences of reservations and faults and checks invariants after each step.
 type machine struct {
 	*bed
 	t      *rapid.T
 	frozen map[*slottest.Node]bool
-	// stopped are the nodes that were ever frozen.
+	// stopped are the nodes that have been frozen at some time.
 	stopped map[*slottest.Node]bool
-	// calm is since when all instances run, reach each other and agree.
+	// calm is the start of the test as long as there has been no fault, and zero
+	// after the first fault.
 	calm time.Time
 	// faults counts the faults so far.
 	faults int
@@ -88,7 +89,8 @@
 	n.Kill()
 	for _, u := range m.Uses {
 		if u.Node == n && !u.Over {
-			// The engines notice that nobody reads, or a peer cancels.
+			// After a while the engine notices that the connection is closed, or
+			// another instance cancels the request.
 			u.Over, u.Pending = true, false
 			m.After(m.millis("cleanup", 100, 2000), func() { u.Engine.End(u.ID) })
 		}
@@ -110,7 +112,7 @@
 	}
 }
 
-// after does something a while later unless the node has died.
+// after calls do after a random delay, unless the node has been killed by then.
 func (m *machine) after(n *slottest.Node, do func()) {
 	m.After(m.millis("noticed", 1, 500), func() {
 		if !n.Killed() {
@@ -156,7 +158,7 @@
 	m.Heal()
 }
 
-// disagree makes one instance take another for unreachable.
+// disagree makes one instance believe for a while that another is unreachable.
 func (m *machine) disagree(*rapid.T) {
 	a, b := m.node(), m.node()
 	if a == b || m.frozen[a] {
@@ -167,16 +169,19 @@
 	m.after(a, func() { a.Believe(b, kernel.Live) })
 }
 
+// fault records that there has been a fault.
 func (m *machine) fault() {
 	m.faults++
 	m.calm = time.Time{}
 }
 
-// longestAsk bounds the time to an answer: that of an ask whose grantor changed
-// just before it would have been denied.
+// longestAsk is the maximum time until an ask is answered. It is reached if the
+// grantor changes just before the ask would have been denied, because the new
+// grantor then queues it again.
 const longestAsk = 2*(defaultQueueWait+defaultAskTimeout) + 10*time.Millisecond
 
-// check holds after each step.
+// check checks the invariants after each step. Without any fault so far, the
+// slots held never exceed an engine's slots and no engine refuses a request.
 func (m *machine) check(t *rapid.T) {
 	for _, u := range m.Uses {
 		if u.Pending && !u.Node.Killed() && !m.stopped[u.Node] {
@@ -195,6 +200,8 @@
 	assert.Equal(t, m.Refused, 0)
 }
 
+// checkBounds checks that the records of one policy do not exceed their limits
+// and that no reservation is leased twice, or both leased and queued.
 func (m *machine) checkBounds(t *rapid.T, p *Policy) {
 	assert.Assert(t, len(p.holder.contacts) <= len(m.Nodes))
 	assert.Assert(t, len(p.grantor.peers) <= len(m.Nodes))
@@ -212,8 +219,8 @@
 	}
 }
 
-// settleDown undoes all faults, lets all uses end and checks that nothing is
-// left over.
+// settleDown ends all faults, finishes all uses, and checks that every ask was
+// answered and that nothing stays leased.
 func (m *machine) settleDown(t *rapid.T) {
 	m.SetNetwork(slottest.Network{Delay: time.Millisecond})
 	m.Heal()
@@ -230,8 +237,8 @@
 			m.Finish(u)
 		}
 	}
-	// Three renewals later nothing is leased but what dead instances held, and
-	// that lapses with its deadline.
+	// After these 4 s, one RenewInterval, only leases of dead instances are left.
+	// These expire at their deadlines, at most 30 s later.
 	m.Run(4 * time.Second)
 	if m.faults > 0 {
 		m.Run(30 * time.Second)
@@ -240,7 +247,8 @@
 	m.burst(t)
 }
 
-// burst checks that, when all is well again, the leases add up.
+// burst checks that after the end of all faults the slots held do not exceed the
+// engine's slots under load, and that the engine refuses no request.
 func (m *machine) burst(t *rapid.T) {
 	refused := m.Refused
 	for range 10 {
@@ -276,8 +284,9 @@
 	return all
 }
 
-// TestLeasesNeverExceedSlots: without faults of instances no engine refuses and
-// the leases add up, also when messages overtake each other and are doubled.
+// TestLeasesNeverExceedSlots checks that without faults of instances the slots
+// held never exceed an engine's slots and no engine refuses a request, even if
+// messages are reordered and duplicated.
 func TestLeasesNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t, slottest.Network{Jitter: 20 * time.Millisecond, Duplicate: 0.2})
@@ -286,8 +295,9 @@
 	})
 }
 
-// TestNothingLeaksUnderFaults: whatever fails, every ask is answered and
-// nothing stays leased.
+// TestNothingLeaksUnderFaults checks that every ask is answered and nothing stays
+// leased when instances are killed, frozen, cut off or have different views, and
+// when messages are reordered, duplicated and lost.
 func TestNothingLeaksUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t, slottest.Network{Jitter: 20 * time.Millisecond, Duplicate: 0.1, Loss: 0.1})
--- a/plugins/slots/lease/receive.go
+++ b/plugins/slots/lease/receive.go
@@ -32,8 +32,8 @@
 	p.flush()
 }
 
-// Undelivered implements kernel.PeerHandler. Only a lost ask needs an answer at
-// once; Renew makes up for whatever else was lost.
+// Undelivered implements kernel.PeerHandler. Only a lost Ask is handled at once;
+// the next Renew corrects the effect of any other lost message.
 func (p *Policy) Undelivered(to ident.InstanceID, m kernel.PeerMessage) {
 	p.followView()
 	if ask, ok := m.(*Ask); ok {
@@ -42,8 +42,9 @@
 	p.flush()
 }
 
-// receiveAsk answers a holder's ask. A late or doubled one may bring about a
-// lease that nobody wants; the holder gives that back.
+// receiveAsk answers a holder's ask. A delayed or duplicated ask can create a
+// lease that is no longer wanted; the holder releases it when it receives the
+// Grant.
 func (p *Policy) receiveAsk(from ident.InstanceID, ask Ask) {
 	sender := p.grantor.peer(from, ask.Reservation.Incarnation)
 	if sender == nil || ask.Reservation.Instance != from {
@@ -65,6 +66,7 @@
 	}
 }
 
+// receiveRelease ends the lease or removes the ask that a holder released.
 func (p *Policy) receiveRelease(from ident.InstanceID, m *Release) {
 	sender := p.grantor.peer(from, m.Reservation.Incarnation)
 	if sender == nil {
@@ -78,6 +80,7 @@
 	}
 }
 
+// receiveRefused records a refusal by the engine that a holder reported.
 func (p *Policy) receiveRefused(m *Refused) {
 	u := p.host.Upstream(m.Upstream)
 	l := p.grantor.ledger(m.Upstream)
@@ -86,8 +89,8 @@
 	}
 }
 
-// receiveGrant takes a lease that was asked for. One that is no longer wanted
-// is given back.
+// receiveGrant marks the reservation as held. If the reservation no longer
+// exists, it releases the lease.
 func (p *Policy) receiveGrant(from ident.InstanceID, m *Grant) {
 	p.holder.answered(from)
 	p.heard(m.Upstream, word{at: p.host.Now(), free: m.Free})
@@ -100,6 +103,7 @@
 	p.granted(h.key)
 }
 
+// receiveQueued extends the time-out of an ask that the grantor has queued.
 func (p *Policy) receiveQueued(from ident.InstanceID, m *Queued) {
 	p.holder.answered(from)
 	p.heard(m.Upstream, word{at: p.host.Now(), nextFree: m.NextFree.Duration()})
@@ -111,6 +115,8 @@
 	h.until = h.askedAt.Add(p.QueueWait + p.AskTimeout)
 }
 
+// receiveDeny denies the reservation, or uses the static share if the sender is
+// not the grantor. An answer to an earlier ask does not affect the reservation.
 func (p *Policy) receiveDeny(from ident.InstanceID, m *Deny) {
 	p.holder.answered(from)
 	h := p.holder.holds[m.Reservation.Key()]
@@ -127,7 +133,7 @@
 	}
 }
 
-// heard takes a grantor's word of an engine.
+// heard records a grantor's report on an engine that is in the view.
 func (p *Policy) heard(id ident.UpstreamID, w word) {
 	if u := p.host.Upstream(id); u != nil {
 		p.holder.heard(u, w)
--- a/plugins/slots/lease/renew.go
+++ b/plugins/slots/lease/renew.go
@@ -9,8 +9,9 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// renewAll sends each grantor the list of what is held of it. It forgets
-// reservations whose deadline has passed: their leases have lapsed.
+// renewAll sends each grantor the list of the leases and open asks that this
+// instance has there. Reservations whose deadline has passed are not listed,
+// because their leases have expired.
 func (p *Policy) renewAll() {
 	lists := p.renewLists()
 	for _, id := range p.renewDue(lists) {
@@ -18,7 +19,8 @@
 	}
 }
 
-// renewLists lists the reservations by the grantor of their engine.
+// renewLists groups the reservations by the grantor of their engine. It leaves
+// out those whose grantor is this instance.
 func (p *Policy) renewLists() map[ident.InstanceID][]*hold {
 	lists := map[ident.InstanceID][]*hold{}
 	now := p.host.Now()
@@ -36,7 +38,9 @@
 	return lists
 }
 
-// renewDue returns the grantors that must hear of this holder, sorted.
+// renewDue returns the sorted IDs of the grantors to which a Renew must be sent:
+// those in lists, and those to which Renews are still owed after the last
+// Release.
 func (p *Policy) renewDue(lists map[ident.InstanceID][]*hold) []ident.InstanceID {
 	var due []ident.InstanceID
 	for id := range lists {
@@ -51,7 +55,7 @@
 	return due
 }
 
-// sendRenew lists the holds to a grantor.
+// sendRenew sends a grantor the list of the holds.
 func (p *Policy) sendRenew(to ident.InstanceID, holds []*hold) {
 	p.contact(to).owed--
 	m := &Renew{Incarnation: p.host.Self().Incarnation, Seq: p.holder.nextSeq()}
@@ -63,7 +67,7 @@
 	p.host.Send(to, m)
 }
 
-// add lists one reservation.
+// add adds one reservation to the list.
 func (m *Renew) add(h *hold, now time.Time) {
 	i := slices.IndexFunc(m.Engines, func(e RenewEngine) bool { return e.Upstream == h.upstream })
 	if i < 0 {
@@ -79,8 +83,9 @@
 	})
 }
 
-// usedFor returns how long a hold's slot has been in use. One that is not in use
-// yet is expected to be at any time now at the earliest.
+// usedFor returns the value of RenewLease.Used for a hold: at least 1 if the slot
+// is in use, otherwise 0 or less. If the expected start of a slot that is not in
+// use has already passed, the result is 0.
 func usedFor(h *hold, now time.Time) Milliseconds {
 	used := Milliseconds(now.Sub(h.usedAt) / time.Millisecond)
 	if !h.started {
@@ -89,7 +94,8 @@
 	return max(used, 1)
 }
 
-// receiveRenew makes this grantor's ledgers agree with a holder's list.
+// receiveRenew updates this grantor's ledgers from a holder's list. A Renew that
+// is not newer than the last one received is ignored.
 func (p *Policy) receiveRenew(from ident.InstanceID, m *Renew) {
 	sender := p.grantor.peer(from, m.Incarnation)
 	if sender == nil || m.Seq <= sender.renewed {
@@ -113,8 +119,11 @@
 	}
 }
 
-// reconcile ends the leases that the holder does not list and enters those that
-// this grantor does not know, unless a later release has overtaken the list.
+// reconcile updates one ledger from the part of a Renew that concerns its
+// engine. It ends the holder's leases and asks that are not listed and older than
+// the Renew, and records listed leases that this grantor does not know. If a
+// Release that was sent after the Renew has already arrived (overtaken), unknown
+// leases are not recorded, because the Release may have ended them.
 func (p *Policy) reconcile(l *ledger, u *kernel.Upstream, from ident.InstanceID, m *Renew, listed []RenewLease, overtaken bool) {
 	slots := slotkit.Slots(u)
 	now := p.host.Now()
@@ -133,7 +142,7 @@
 	}
 }
 
-// reconcileOne takes over one listed lease.
+// reconcileOne updates the ledger from one listed lease or open ask.
 func (p *Policy) reconcileOne(l *ledger, u *kernel.Upstream, from ident.InstanceID, m *Renew, r RenewLease, overtaken bool) {
 	key := slotkit.Key{Instance: from, Incarnation: m.Incarnation, Sequence: r.Sequence}
 	usedAt := p.host.Now().Add(-r.Used.Duration())
@@ -148,7 +157,8 @@
 	}
 }
 
-// grantAgain repeats a grant that the holder has not received.
+// grantAgain sends the Grant of a lease again, because the holder still lists
+// its ask as open.
 func (p *Policy) grantAgain(l *ledger, u *kernel.Upstream, x *lease, to ident.InstanceID) {
 	id := ident.AttemptID{
 		Instance:    x.key.Instance,
@@ -159,7 +169,8 @@
 	p.host.Send(to, &Grant{Reservation: slotkit.Reservation(id), Upstream: l.upstream, Free: p.free(l, u)})
 }
 
-// learn enters a lease that another grantor, or a static share, gave out.
+// learn records a lease that another grantor gave or that the holder took from
+// its static share.
 func (p *Policy) learn(l *ledger, u *kernel.Upstream, key slotkit.Key, seq uint64, r RenewLease, usedAt time.Time) {
 	now := p.host.Now()
 	granted := now
@@ -171,7 +182,7 @@
 		return
 	}
 	if i := l.queue.find(key); i >= 0 {
-		// The holder did not wait for the answer.
+		// The holder took a slot without waiting for the answer to its ask.
 		l.queue.take(i)
 	}
 	l.add(lease{
--- a/plugins/slots/lease/reserve.go
+++ b/plugins/slots/lease/reserve.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// retryUnusable is when to ask again for a slot of an engine that is gone.
+// retryUnusable is the retry delay for a slot of an engine that is not usable.
 const retryUnusable = 500 * time.Millisecond
 
 // Reserve implements kernel.SlotPolicy.
@@ -26,7 +26,8 @@
 	grantor := p.roster.Grantor(u)
 	switch {
 	case slotkit.Slots(u) == 0:
-		// The engine's size is not known; only it can tell.
+		// The number of slots is not known, so only the engine can tell whether
+		// one is free. The request is sent to it without a lease.
 		h.state = stateHeld
 		p.holder.add(h)
 		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
@@ -40,6 +41,8 @@
 	return kernel.SlotAnswer{Verdict: kernel.SlotWaits}
 }
 
+// answerFor returns the answer to the kernel for a reservation in its current
+// state.
 func answerFor(h *hold) kernel.SlotAnswer {
 	if h.state == stateHeld {
 		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
@@ -47,10 +50,12 @@
 	return kernel.SlotAnswer{Verdict: kernel.SlotWaits}
 }
 
+// none returns the answer that no slot is available before retryAt.
 func none(retryAt time.Time) kernel.SlotAnswer {
 	return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: retryAt}
 }
 
+// newHold creates the record of a reservation that the kernel requests.
 func (p *Policy) newHold(ask kernel.SlotAsk, now time.Time) *hold {
 	wire := Ask{
 		Reservation: slotkit.Reservation(ask.Reservation),
@@ -73,7 +78,7 @@
 	}
 }
 
-// reserveHere asks this instance itself as the grantor.
+// reserveHere reserves a slot of an engine whose grantor is this instance.
 func (p *Policy) reserveHere(h *hold, u *kernel.Upstream) kernel.SlotAnswer {
 	l := p.ledgerOf(u)
 	h.grantor = p.self()
@@ -93,7 +98,7 @@
 	return answerFor(h)
 }
 
-// sendAsk asks a grantor on another instance.
+// sendAsk sends an Ask to a grantor on another instance.
 func (p *Policy) sendAsk(h *hold, u *kernel.Upstream, grantor ident.InstanceID) {
 	h.state = stateAsked
 	h.grantor = grantor
@@ -122,8 +127,9 @@
 	p.tellReleased(h, held)
 }
 
-// tellReleased tells the grantor that a reservation is over. As the message may
-// be lost, Renews follow.
+// tellReleased tells the grantor that a reservation has ended. Because the
+// Release may be lost, Renews are sent to the grantor afterwards. held is how
+// long the slot was in use, or 0 if it never was.
 func (p *Policy) tellReleased(h *hold, held time.Duration) {
 	switch h.grantor {
 	case "":
@@ -181,12 +187,14 @@
 	}
 }
 
-// refusedAt lowers the grantor's belief in an engine's free slots.
+// refusedAt records in the ledger that the engine refused a request, so that
+// fewer slots are leased for a while.
 func (p *Policy) refusedAt(l *ledger, u *kernel.Upstream) {
 	l.refused(p.host.Now(), slotkit.Slots(u))
 }
 
-// granted marks a reservation as held and tells the kernel if it waits.
+// granted marks an open reservation as held. The kernel is told by the next
+// flush.
 func (p *Policy) granted(key slotkit.Key) {
 	h := p.holder.holds[key]
 	if h == nil || h.state == stateHeld {
@@ -196,7 +204,7 @@
 	p.holder.answers = append(p.holder.answers, answer{id: h.id, granted: true})
 }
 
-// denied drops a reservation and tells the kernel, which waits for it.
+// denied drops an open reservation. The kernel is told by the next flush.
 func (p *Policy) denied(key slotkit.Key, retryAt time.Time) {
 	h := p.holder.holds[key]
 	if h == nil || h.state == stateHeld {
@@ -206,9 +214,10 @@
 	p.holder.answers = append(p.holder.answers, answer{id: h.id, retryAt: retryAt})
 }
 
-// flush tells the kernel the answers that are due. The kernel may release or
-// reserve meanwhile, so that more may come in. It must not be called while the
-// kernel walks its queue: only from Wake, Receive and Undelivered.
+// flush passes the pending answers to the kernel. While it does, the kernel may
+// call Release or Reserve, which can add further answers; these are passed on
+// too. It must not be called while the kernel iterates over its queue, and
+// therefore only from Wake, Receive and Undelivered.
 func (p *Policy) flush() {
 	o := &p.holder
 	if o.flushing {
--- a/plugins/slots/lease/setup.go
+++ b/plugins/slots/lease/setup.go
@@ -12,7 +12,7 @@
 // ID is the policy's plug-in ID.
 const ID plugin.ID = "slots.lease"
 
-// The default settings. docs/design/slots.md gives the measurements behind them.
+// Default settings. See docs/design/slots.md for the measurements behind them.
 const (
 	defaultAskTimeout    = 150 * time.Millisecond
 	defaultQueueWait     = 1 * time.Second
@@ -30,31 +30,32 @@
 	_ kernel.Waker       = (*Policy)(nil)
 )
 
-// Settings are the policy's settings. A zero takes the default.
+// Settings are the policy's settings. Zero values are replaced by the defaults.
 type Settings struct {
 	// AskTimeout is how long a holder waits for the grantor's first answer.
 	AskTimeout time.Duration `yaml:"ask_timeout"`
-	// QueueWait is the longest an ask waits at the grantor.
+	// QueueWait is the maximum time for which an ask waits in the grantor's queue.
 	QueueWait time.Duration `yaml:"queue_wait"`
-	// QueueLimit bounds the asks that wait for one engine.
+	// QueueLimit is the maximum number of asks queued for one engine.
 	QueueLimit int `yaml:"queue_limit"`
-	// RenewInterval is the time between a holder's lists of its leases.
+	// RenewInterval is the time between two Renews of a holder.
 	RenewInterval time.Duration `yaml:"renew_interval"`
-	// TakeOver is how long a new grantor goes by the engine's load unless it has
-	// heard from all holders earlier.
+	// TakeOver is how long a new grantor limits its leases by the engine's load
+	// report, because it may not know all leases yet. It stops earlier once it has
+	// received a Renew from every live instance.
 	TakeOver time.Duration `yaml:"take_over"`
-	// Margin is the number of slots a grantor keeps back while it goes by the
-	// engine's load.
+	// Margin is the number of slots that a new grantor does not lease during
+	// TakeOver although the load report shows them as free.
 	Margin int `yaml:"margin"`
 }
 
-// Policy is the slot policy of one instance, as holder of leases and as
-// grantor of others'.
+// Policy is the slot policy of one instance. The instance is the holder of its
+// own leases, and the grantor of the engines for which it was chosen.
 type Policy struct {
 	Settings `yaml:",inline"`
 
 	host kernel.Host
-	// me is this instance.
+	// me is this instance's ID.
 	me      ident.InstanceID
 	roster  slotkit.Roster
 	holder  holder
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// Validate implements plugin.Validator. Its error is a *SettingError.
+// Validate implements plugin.Validator. The error is a *SettingError.
 func (p *Policy) Validate() error {
 	switch {
 	case p.AskTimeout < 0:
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// SettingError reports a setting out of its range.
+// SettingError reports a setting with a negative value.
 type SettingError struct{ Setting string }
 
 // Error implements error.
--- a/plugins/slots/lease/view.go
+++ b/plugins/slots/lease/view.go
@@ -10,7 +10,7 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// followView brings the policy up to the view in force. It is cheap when the
+// followView updates the policy to the host's current view. It is cheap if the
 // view has not changed.
 func (p *Policy) followView() {
 	v := p.host.View()
@@ -28,9 +28,9 @@
 	p.moveHolds(restarted)
 }
 
-// followInstances forgets instances that left the view and what was known of
-// instances that started anew. It reports whether a grantor did, which must then
-// hear of the leases.
+// followInstances deletes the records of instances that are no longer in the
+// view and resets those of grantors that have restarted. It reports whether a
+// grantor has restarted, in which case the leases must be sent to it.
 func (p *Policy) followInstances(v *kernel.View) bool {
 	listed := make(map[ident.InstanceID]ident.Incarnation, len(v.Instances))
 	for i := range v.Instances {
@@ -58,7 +58,8 @@
 	return restarted
 }
 
-// forgetUpstreams drops the refusals of upstreams that left the view.
+// forgetUpstreams deletes the refusals of upstreams that are no longer in the
+// view.
 func (p *Policy) forgetUpstreams() {
 	for id := range p.holder.refused {
 		if p.host.Upstream(id) == nil {
@@ -67,8 +68,8 @@
 	}
 }
 
-// closeLedgers gives up the ledgers of engines that another instance grants now
-// or that are gone, and empties those of engines that have restarted.
+// closeLedgers removes the ledgers of engines that are gone or now have another
+// grantor, and clears the leases in those of engines that have restarted.
 func (p *Policy) closeLedgers() {
 	p.grantor.ledgers = slices.DeleteFunc(p.grantor.ledgers, func(l *ledger) bool {
 		u := p.host.Upstream(l.upstream)
@@ -83,7 +84,8 @@
 	})
 }
 
-// closeLedger turns away the asks that wait.
+// closeLedger denies the queued asks of other instances, because this instance
+// is no longer the grantor. Its own asks are handled by moveHolds.
 func (p *Policy) closeLedger(l *ledger) {
 	for _, w := range l.queue {
 		if w.holder != p.self() {
@@ -92,8 +94,8 @@
 	}
 }
 
-// ledgerOf returns the ledger of an engine that this instance grants, opening
-// it if need be.
+// ledgerOf returns the ledger of an engine whose grantor is this instance. If
+// there is none, it creates one that contains the slots this instance holds.
 func (p *Policy) ledgerOf(u *kernel.Upstream) *ledger {
 	i, ok := p.grantor.place(u.ID)
 	if ok {
@@ -111,7 +113,7 @@
 	return l
 }
 
-// ownLease is the lease of a slot that this instance already holds.
+// ownLease returns the lease for a slot that this instance already holds.
 func ownLease(h *hold, seq uint64) lease {
 	return lease{
 		key:     h.key,
@@ -123,8 +125,8 @@
 	}
 }
 
-// settle ends the take-over once all live instances were heard or its time is
-// over.
+// settle ends the take-over of a ledger once all other live instances have sent
+// a Renew or TakeOver has passed.
 func (p *Policy) settle(l *ledger) {
 	if l.settled {
 		return
@@ -141,8 +143,9 @@
 	l.settled = true
 }
 
-// unsettle makes all ledgers go by the engines' load for a while: this instance
-// was paused, and another one may have granted meanwhile.
+// unsettle restarts the take-over of all ledgers, so that leases are limited by
+// the engines' load reports for a while. It is called after this process was
+// paused, because another instance may have granted leases in the meantime.
 func (p *Policy) unsettle() {
 	for _, l := range p.grantor.ledgers {
 		l.since = p.host.Now()
@@ -151,9 +154,9 @@
 	}
 }
 
-// moveHolds tells new grantors at once of what is held of them, and asks them
-// what the old ones have not answered. It does so too when a grantor has
-// restarted.
+// moveHolds handles reservations whose engine has a new grantor or is gone. Open
+// asks are sent to the new grantor. If any grantor has changed, or moved is set
+// because one has restarted, all grantors are sent a Renew at once.
 func (p *Policy) moveHolds(moved bool) {
 	for _, h := range p.holder.sorted() {
 		u := p.host.Upstream(h.upstream)
@@ -176,15 +179,15 @@
 	}
 }
 
-// abandon answers an open ask for an engine that is gone.
+// abandon denies an open ask for an engine that is gone.
 func (p *Policy) abandon(h *hold) {
 	if h.state != stateHeld {
 		p.denied(h.key, p.host.Now().Add(retryUnusable))
 	}
 }
 
-// askAnew asks another grantor in place of the one first asked, unless the kernel
-// has waited long enough.
+// askAnew withdraws an open ask from its old grantor and sends it to the new one.
+// If the kernel has already waited longer than QueueWait, the ask is denied.
 func (p *Policy) askAnew(h *hold, u *kernel.Upstream, grantor ident.InstanceID) {
 	p.tellReleased(h, 0)
 	switch {
@@ -200,7 +203,7 @@
 	}
 }
 
-// askSelfAnew puts an open ask to this instance's own ledger.
+// askSelfAnew repeats an open ask at this instance, which has become the grantor.
 func (p *Policy) askSelfAnew(h *hold, u *kernel.Upstream) {
 	l := p.ledgerOf(u)
 	h.grantor = p.self()
@@ -217,5 +220,6 @@
 	}
 }
 
-// pauseGap is the lateness of a wake-up that shows this process was paused.
+// pauseGap is the delay of a wake-up beyond which this process is taken to have
+// been paused.
 const pauseGap = 500 * time.Millisecond
--- a/plugins/slots/lease/view_test.go
+++ b/plugins/slots/lease/view_test.go
@@ -10,8 +10,10 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// TestNewGrantorWaitsForHolders: it grants by the engine's load less a margin
-// until it has heard of the leases.
+// TestNewGrantorWaitsForHolders checks that a new grantor leases only the slots
+// that the engine's load report shows as free, less a margin, until the holders
+// have sent it their leases. Otherwise it would lease slots that its predecessor
+// has already leased.
 func TestNewGrantorWaitsForHolders(t *testing.T) {
 	b := newBed(slottest.Options{
 		Seed: 1, Instances: 3, Engines: 1, Slots: 6,
@@ -20,14 +22,14 @@
 	e := b.Engines[0]
 	b.Run(2 * time.Second)
 	g, holder := pairOf(b)
-	// Two slots in use, two leased for later.
+	// Two slots are in use, two are leased for later use.
 	for _, lead := range []time.Duration{time.Millisecond, time.Millisecond, 800 * time.Millisecond, 800 * time.Millisecond} {
 		b.Reserve(holder, e, lead, 5*time.Second)
 	}
 	b.Run(300 * time.Millisecond)
 	g.Kill()
 	next := without(b.Nodes, g)
-	// Only the next grantor has noticed.
+	// Only the next grantor has noticed that g is dead.
 	for _, n := range next {
 		n.Believe(g, kernel.Dead)
 		if b.grantor(n, e) == n {
@@ -43,7 +45,8 @@
 		b.Reserve(successor, e, time.Millisecond, 5*time.Second)
 	}
 	b.Run(100 * time.Millisecond)
-	// Six slots less two in use less the margin of two.
+	// The new grantor leases two slots: six, less two in use, less the margin of
+	// two.
 	assert.Equal(t, b.Held(e), 4+2)
 	holder.Believe(g, kernel.Dead)
 	b.Run(4 * time.Second)
@@ -51,8 +54,10 @@
 	assert.Equal(t, len(ledgerAt(successor).leases), 6)
 }
 
-// TestTwoGrantors: under differing views both lease, but each sees the other's
-// requests in the engine's load, so that few are refused.
+// TestTwoGrantors checks that few requests (less than 4 %) are refused while two
+// instances with different views both act as grantor of one engine, because each
+// sees the other's requests in the engine's load report. After the views agree
+// again, no request is refused.
 func TestTwoGrantors(t *testing.T) {
 	b := newBed(slottest.Options{
 		Seed: 1, Instances: 2, Engines: 1, Slots: 20,
@@ -88,8 +93,9 @@
 	assertQuiet(t, b)
 }
 
-// TestAskToNonGrantor: an instance that does not take itself for the grantor
-// says so, and the holder uses its share.
+// TestAskToNonGrantor checks that an instance that is not the grantor in its own
+// view denies an Ask with NotGrantor, and that the holder then uses its static
+// share.
 func TestAskToNonGrantor(t *testing.T) {
 	b := three(Settings{})
 	e := b.Engines[0]
@@ -124,7 +130,8 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 0, "the engine has lost its requests")
 }
 
-// TestGrantorRestarted: the new life of the grantor hears of the leases.
+// TestGrantorRestarted checks that holders send their leases at once to a grantor
+// that has restarted.
 func TestGrantorRestarted(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
@@ -139,8 +146,9 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 3)
 }
 
-// TestHolderRestarted: what its earlier life held lapses when the engine shows
-// the slots free; messages of the earlier life are not heeded.
+// TestHolderRestarted checks that the leases of a holder's earlier incarnation end
+// when the engine's load report shows their slots as free, and that messages of
+// the earlier incarnation are ignored.
 func TestHolderRestarted(t *testing.T) {
 	b := three(Settings{})
 	e := b.Engines[0]
@@ -161,7 +169,8 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 1)
 }
 
-// TestGrantorLeaves: in a planned stop the leases move and nothing is refused.
+// TestGrantorLeaves checks that in a planned stop of the grantor its leases move
+// to the next grantor.
 func TestGrantorLeaves(t *testing.T) {
 	b := three(Settings{})
 	e := b.Engines[0]
@@ -184,7 +193,9 @@
 	assert.Equal(t, len(ledgerAt(next).leases), 2)
 }
 
-// TestPausedGrantor: when it goes on it does not trust what it remembers.
+// TestPausedGrantor checks that a grantor that was paused is unsettled for a
+// while when it resumes, because another instance may have granted leases in the
+// meantime.
 func TestPausedGrantor(t *testing.T) {
 	b := three(Settings{})
 	g, _ := pairOf(b)
@@ -197,8 +208,8 @@
 	assert.Assert(t, ledgerAt(g).settled)
 }
 
-// TestDeadlineEndsLease: a holder that never comes back, and is not known to be
-// dead, keeps its slots until its requests' deadline.
+// TestDeadlineEndsLease checks that the lease of a holder that stopped responding,
+// but is not known to be dead, ends at its deadline and not before.
 func TestDeadlineEndsLease(t *testing.T) {
 	b := three(Settings{})
 	g, holder := pairOf(b)
--- a/plugins/slots/lease/wake.go
+++ b/plugins/slots/lease/wake.go
@@ -8,8 +8,9 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// tidyInterval is the time between looks at leases that may have lapsed. It is
-// also how soon a pause of this process is noticed.
+// tidyInterval is the time between checks for leases whose holder cannot release
+// them. A late check also shows that this process was paused, so this is the time
+// within which a pause is noticed.
 const tidyInterval = 1 * time.Second
 
 // NextWake implements kernel.Waker.
@@ -33,7 +34,8 @@
 	return next, true
 }
 
-// ledgerWake returns when a ledger needs attention if that is before next.
+// ledgerWake returns when the ledger's take-over or one of its queued asks times
+// out, or next if that is earlier.
 func (p *Policy) ledgerWake(l *ledger, next time.Time) time.Time {
 	if !l.settled {
 		next = slotkit.Earlier(next, l.since.Add(p.TakeOver))
@@ -67,7 +69,8 @@
 	p.flush()
 }
 
-// timeOut gives up asks that were not answered in time.
+// timeOut handles open asks that were not answered in time. An ask to this
+// instance itself is denied; for other grantors see unanswered.
 func (p *Policy) timeOut(now time.Time) {
 	for i := 0; i < len(p.holder.open); {
 		h := p.holder.open[i]
@@ -84,7 +87,8 @@
 	}
 }
 
-// wakeLedger lets leases lapse and answers what can be answered by now.
+// wakeLedger ends the expired leases of a ledger and answers the queued asks that
+// can be granted or must be denied.
 func (p *Policy) wakeLedger(l *ledger, now time.Time) {
 	u := p.host.Upstream(l.upstream)
 	if u == nil {
@@ -95,8 +99,9 @@
 	p.drain(l, u)
 }
 
-// tidy drops the leases of instances that cannot give them back, once the engine
-// shows that their slots are free.
+// tidy ends the leases of holders that have died, restarted or become unreachable
+// and so cannot release them, once the engine's load report shows that their
+// slots are free.
 func (p *Policy) tidy(now time.Time) {
 	instances := p.host.View().Instances
 	reached := make(map[ident.InstanceID]ident.Incarnation, len(instances))
@@ -114,8 +119,9 @@
 	}
 }
 
-// dropOrphans ends leases of earlier lives than those reached, as many as the
-// engine's load shows to be unused.
+// dropOrphans ends leases whose holder's incarnation is lower than the one in
+// reached. It ends at most as many as there are leases in use beyond the requests
+// in the engine's load report.
 func (l *ledger) dropOrphans(u *kernel.Upstream, reached map[ident.InstanceID]ident.Incarnation, now time.Time) {
 	if u.Load.At.IsZero() {
 		return
--- a/plugins/slots/shares/engine.go
+++ b/plugins/slots/shares/engine.go
@@ -9,47 +9,53 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// engine is what is known of one engine's shares.
+// engine is this instance's record of the slots it uses, lends and borrows at one
+// engine.
 type engine struct {
 	id ident.UpstreamID
-	// held is the number of slots this instance uses or is about to.
+	// held is the number of slots that this instance has reserved.
 	held int
-	// loans are the slots lent out, by borrower, credits the slots borrowed, by
-	// owner, each sorted by instance.
+	// loans are the slots lent, by borrower, and credits the slots borrowed, by
+	// owner. Both are sorted by instance ID.
 	loans   []loan
 	credits []credit
-	// lender is the instance that lent last.
+	// lender is the instance that last lent a slot to this one.
 	lender ident.InstanceID
-	// refusedUntil is until when a refusal of the engine is heeded.
+	// refusedUntil is the time until which no slot is used after the engine
+	// refused a request.
 	refusedUntil time.Time
 }
 
-// loan is the slots lent to one borrower.
+// loan records the slots lent to one borrower.
 type loan struct {
 	borrower ident.InstanceID
 	count    int
-	// given counts the slots lent so far.
+	// given counts the slots lent so far, including those that were returned.
 	given int
-	// confirmed is the number of the borrower's newest Confirm.
+	// confirmed is the sequence number of the borrower's newest Confirm.
 	confirmed uint64
-	// lent and heard are when a slot was last lent and the loan last confirmed.
+	// lent is when a slot was last lent, heard when the loan was last lent or
+	// confirmed.
 	lent, heard time.Time
-	recalled    bool
+	// recalled is set while a Recall has not been answered.
+	recalled bool
 }
 
-// credit is the slots borrowed from one owner.
+// credit records the slots borrowed from one owner.
 type credit struct {
 	owner ident.InstanceID
 	count int
-	// got counts the loans heard of; seen are the numbers of the newest.
-	got      int
-	seen     []uint64
+	// got counts the slots received so far; seen are the sequence numbers of the
+	// newest Lend messages.
+	got  int
+	seen []uint64
+	// recalled is set while the owner waits for a slot to be returned.
 	recalled bool
-	// idleSince is since when a slot of it was not needed.
+	// idleSince is the time since which a borrowed slot has not been needed.
 	idleSince time.Time
 }
 
-// engineOf returns what is known of an engine.
+// engineOf returns the record of an engine, creating it if there is none.
 func (p *Policy) engineOf(id ident.UpstreamID) *engine {
 	i, ok := slices.BinarySearchFunc(p.engines, id, func(e *engine, id ident.UpstreamID) int {
 		return compare(e.id, id)
@@ -60,6 +66,7 @@
 	return p.engines[i]
 }
 
+// compare returns -1, 0 or 1 as a is less than, equal to or greater than b.
 func compare[T ~string](a, b T) int {
 	switch {
 	case a < b:
@@ -70,6 +77,7 @@
 	return 0
 }
 
+// lentOut returns the number of slots lent to other instances.
 func (e *engine) lentOut() int {
 	n := 0
 	for i := range e.loans {
@@ -78,6 +86,7 @@
 	return n
 }
 
+// borrowed returns the number of slots borrowed from other instances.
 func (e *engine) borrowed() int {
 	n := 0
 	for i := range e.credits {
@@ -86,7 +95,7 @@
 	return n
 }
 
-// loanTo returns the loan to a borrower, opening it if need be.
+// loanTo returns the loan to a borrower, creating it if there is none.
 func (e *engine) loanTo(id ident.InstanceID) *loan {
 	i, ok := slices.BinarySearchFunc(e.loans, id, func(l loan, id ident.InstanceID) int {
 		return compare(l.borrower, id)
@@ -97,7 +106,7 @@
 	return &e.loans[i]
 }
 
-// creditFrom returns the credit of an owner, opening it if need be.
+// creditFrom returns the credit from an owner, creating it if there is none.
 func (e *engine) creditFrom(id ident.InstanceID) *credit {
 	i, ok := slices.BinarySearchFunc(e.credits, id, func(c credit, id ident.InstanceID) int {
 		return compare(c.owner, id)
@@ -108,7 +117,8 @@
 	return &e.credits[i]
 }
 
-// free returns how many more slots this instance may use now.
+// free returns how many more slots this instance may use now. The result may be
+// negative.
 func (p *Policy) free(e *engine, u *kernel.Upstream) int {
 	if p.host.Now().Before(e.refusedUntil) {
 		return 0
--- a/plugins/slots/shares/loans.go
+++ b/plugins/slots/shares/loans.go
@@ -10,16 +10,19 @@
 )
 
 const (
-	// maxSeen bounds the loans remembered so that a doubled message is known.
+	// maxSeen is the number of recent loans remembered for each owner in order to
+	// recognize duplicated Lend messages.
 	maxSeen = 16
-	// unconfirmed is after how many confirmation intervals a loan is over.
+	// unconfirmed is the number of confirmation intervals after which a loan that
+	// was not confirmed ends.
 	unconfirmed = 10
-	// inFlight is how long a slot lent may be under way; then it was lost.
+	// inFlight is the time after which a Lend that has not been received is taken
+	// to be lost.
 	inFlight = 300 * time.Millisecond
 )
 
-// recall asks a borrower for a slot back and reports whether one is out that
-// may come.
+// recall asks one borrower to return a slot, unless all borrowers have been asked
+// already. It reports whether a slot is on loan, which may be returned later.
 func (p *Policy) recall(e *engine) bool {
 	out := false
 	for i := range e.loans {
@@ -37,8 +40,9 @@
 	return out
 }
 
-// borrow asks the next instance for a loan and reports whether there was one to
-// ask: first the one that lent last, then others at random.
+// borrow asks one more instance for a loan: first the one that lent last, then
+// others at random. It returns false if all instances, or as many as Tries
+// allows, have been asked.
 func (p *Policy) borrow(e *engine, h *hold) bool {
 	if len(h.tried) >= p.Tries {
 		h.lender = ""
@@ -60,11 +64,15 @@
 	return true
 }
 
+// mayAsk reports whether the instance is live, is not this one and has not been
+// asked for this reservation yet.
 func (p *Policy) mayAsk(h *hold, id ident.InstanceID) bool {
 	live := slices.ContainsFunc(p.roster.Live(), func(in kernel.Instance) bool { return in.ID == id })
 	return live && id != p.self() && !slices.Contains(h.tried, id)
 }
 
+// randomLender returns an instance that may be asked for a loan, starting the
+// search at a random one, or "" if there is none.
 func (p *Policy) randomLender(h *hold) ident.InstanceID {
 	live := p.roster.Live()
 	if len(live) == 0 {
@@ -103,7 +111,9 @@
 	p.flush()
 }
 
-// Undelivered implements kernel.PeerHandler.
+// Undelivered implements kernel.PeerHandler. A lost Borrow is handled as if the
+// owner had answered None; the next Confirm corrects the effect of any other lost
+// message.
 func (p *Policy) Undelivered(to ident.InstanceID, m kernel.PeerMessage) {
 	if ask, ok := m.(*Borrow); ok {
 		p.receiveNone(to, ask.Seq)
@@ -111,7 +121,8 @@
 	p.flush()
 }
 
-// receiveBorrow lends a slot if one of the own share is idle.
+// receiveBorrow lends a slot if one of this instance's own share is idle, and
+// answers None otherwise.
 func (p *Policy) receiveBorrow(from ident.InstanceID, m *Borrow) {
 	u := p.host.Upstream(m.Upstream)
 	if u == nil {
@@ -132,6 +143,8 @@
 	p.host.Send(from, &Lend{Upstream: m.Upstream, Seq: m.Seq})
 }
 
+// receiveLend records a borrowed slot and gives it to a waiting reservation. A
+// duplicated message is ignored.
 func (p *Policy) receiveLend(from ident.InstanceID, m *Lend) {
 	if p.host.Upstream(m.Upstream) == nil {
 		return
@@ -150,7 +163,9 @@
 	p.serveWaiting(e)
 }
 
-// receiveNone asks the next instance.
+// receiveNone asks the next instance for a loan on behalf of the reservation whose
+// Borrow was not successful. If no instance is left to ask and no slot of this
+// instance is on loan, it denies the reservation.
 func (p *Policy) receiveNone(from ident.InstanceID, seq uint64) {
 	for _, h := range p.waiting {
 		if h.lender != from || h.seq != seq {
@@ -167,14 +182,16 @@
 	}
 }
 
+// receiveRecall returns a slot to its owner, now or when one becomes free.
 func (p *Policy) receiveRecall(from ident.InstanceID, m *Recall) {
 	e := p.engineOf(m.Upstream)
 	e.creditFrom(from).recalled = true
 	p.giveBackRecalled(e)
 }
 
-// giveBackRecalled returns slots that their owners want back and that are not
-// in use.
+// giveBackRecalled returns one slot to each owner that has recalled one, as long
+// as there are slots that are not in use. An owner from which nothing is on loan
+// is told so.
 func (p *Policy) giveBackRecalled(e *engine) {
 	u := p.host.Upstream(e.id)
 	for i := range e.credits {
@@ -191,12 +208,14 @@
 	}
 }
 
-// confirm tells an owner how many of its slots are on loan here.
+// confirm tells an owner how many of its slots this instance has on loan.
 func (p *Policy) confirm(e *engine, c *credit) {
 	p.seq++
 	p.host.Send(c.owner, &Confirm{Upstream: e.id, Seq: p.seq, Count: c.count, Got: c.got})
 }
 
+// receiveConfirm updates the loan to a borrower from its Confirm. A Confirm that
+// is not newer than the last one received is ignored.
 func (p *Policy) receiveConfirm(from ident.InstanceID, m *Confirm) {
 	e := p.engineOf(m.Upstream)
 	l := e.loanTo(from)
@@ -208,7 +227,7 @@
 	l.recalled = false
 	l.count = m.Count
 	if now.Sub(l.lent) <= inFlight {
-		// What was lent and has not arrived yet counts too.
+		// Slots whose Lend the borrower had not received yet count as lent too.
 		l.count += max(l.given-m.Got, 0)
 	}
 	p.serveWaiting(e)
--- a/plugins/slots/shares/message.go
+++ b/plugins/slots/shares/message.go
@@ -5,7 +5,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// The kinds of message.
+// Message kinds, as sent on the wire.
 const (
 	KindBorrow  = "shares.borrow"
 	KindLend    = "shares.lend"
@@ -14,7 +14,8 @@
 	KindConfirm = "shares.confirm"
 )
 
-// Borrow asks the owner of a share for the loan of a slot. Seq names the ask.
+// Borrow asks the owner of a share to lend a slot. Seq identifies the request;
+// the answer repeats it.
 type Borrow struct {
 	Upstream ident.UpstreamID `json:"u"`
 	Seq      uint64           `json:"s"`
@@ -32,13 +33,14 @@
 	Seq      uint64           `json:"s"`
 }
 
-// Recall asks for a slot on loan back, when it falls free.
+// Recall asks a borrower to return one slot when it has one that is not in use.
 type Recall struct {
 	Upstream ident.UpstreamID `json:"u"`
 }
 
-// Confirm tells an owner how many slots the sender has on loan from it, having
-// heard of Got loans so far. It also gives slots back.
+// Confirm tells an owner how many slots (Count) the sender has on loan from it,
+// and how many it has received so far (Got). A lower Count than before returns
+// slots to the owner.
 type Confirm struct {
 	Upstream ident.UpstreamID `json:"u"`
 	Seq      uint64           `json:"s"`
--- a/plugins/slots/shares/reserve.go
+++ b/plugins/slots/shares/reserve.go
@@ -14,30 +14,35 @@
 	key      slotkit.Key
 	id       ident.AttemptID
 	upstream ident.UpstreamID
-	held     bool
-	by       time.Time
+	// held is set if the reservation has a slot; otherwise it waits for one.
+	held bool
+	// by is when the first output is due.
+	by time.Time
 	// until is when a waiting reservation is denied.
 	until time.Time
-	// lender is the instance asked for a loan, with the ask's number; it must
-	// answer by askUntil. tried are those that had none.
+	// lender is the instance that has been sent a Borrow with the sequence number
+	// seq and must answer by askUntil; it is empty if there is none. tried are all
+	// instances asked for this reservation, including lender.
 	lender   ident.InstanceID
 	seq      uint64
 	askUntil time.Time
 	tried    []ident.InstanceID
 }
 
-// answer is a reservation's answer that the kernel was not told yet.
+// answer is the answer to a reservation that has not been passed to the kernel
+// yet.
 type answer struct {
 	id      ident.AttemptID
 	granted bool
 }
 
 const (
-	// retryUsual is when a denied reservation is to be tried again.
+	// retryUsual is the retry delay of a denied reservation, before jitter.
 	retryUsual = 100 * time.Millisecond
-	// refusalTime is how long a refusal of the engine is heeded.
+	// refusalTime is how long an engine's slots are not used after it refused a
+	// request.
 	refusalTime = 500 * time.Millisecond
-	// guessWait is the expected wait for a slot when the share is used up.
+	// guessWait is the assumed wait for a slot when the share is used up.
 	guessWait = 300 * time.Millisecond
 )
 
@@ -70,6 +75,8 @@
 	return verdict(h)
 }
 
+// verdict returns the answer to the kernel for a reservation that is held or
+// waits.
 func verdict(h *hold) kernel.SlotAnswer {
 	if h.held {
 		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
@@ -77,6 +84,8 @@
 	return kernel.SlotAnswer{Verdict: kernel.SlotWaits}
 }
 
+// retryAt returns when a denied reservation may be tried again. The delay is
+// retryUsual plus up to as much jitter.
 func (p *Policy) retryAt() time.Time {
 	return p.host.Now().Add(retryUsual + time.Duration(p.host.Rand().Int64N(int64(retryUsual))))
 }
@@ -94,7 +103,7 @@
 	p.serveWaiting(e)
 }
 
-// drop forgets a reservation.
+// drop removes a reservation.
 func (p *Policy) drop(h *hold) {
 	delete(p.holds, h.key)
 	if h.held {
@@ -106,8 +115,8 @@
 	}
 }
 
-// serveWaiting grants free slots to the waiting reservations, the one due first
-// in front.
+// serveWaiting grants an engine's free slots to the waiting reservations in the
+// order of their due times.
 func (p *Policy) serveWaiting(e *engine) {
 	u := p.host.Upstream(e.id)
 	for u != nil && p.free(e, u) > 0 {
@@ -128,14 +137,15 @@
 	}
 }
 
-// deny answers a waiting reservation.
+// deny denies a waiting reservation. The kernel is told by the next flush.
 func (p *Policy) deny(h *hold) {
 	p.drop(h)
 	p.outbox = append(p.outbox, answer{id: h.id})
 }
 
-// flush tells the kernel the answers that are due. It must not be called while
-// the kernel walks its queue: only from Wake, Receive and Undelivered.
+// flush passes the pending answers to the kernel. It must not be called while the
+// kernel iterates over its queue, and therefore only from Wake, Receive and
+// Undelivered.
 func (p *Policy) flush() {
 	if p.flushing {
 		return
--- a/plugins/slots/shares/setup.go
+++ b/plugins/slots/shares/setup.go
@@ -1,11 +1,12 @@
 // Package shares is the slot policy "slots.shares": each instance owns a static
 // share of each decode engine's slots and lends idle ones to instances that ask.
 //
-// Shares follow from the live instances alone, so that instances with the same
-// view agree on them without talking. A loan is used for request after request
-// until its owner wants it back or it has been idle for a while. The borrower
-// tells the owner regularly how many slots it has on loan, which makes up for
-// lost messages; a loan that is not confirmed for a while is over.
+// The shares depend only on the set of live instances, so that instances with the
+// same view agree on them without exchanging messages. A borrower uses a slot on
+// loan for one request after another until the owner recalls it or the slot has
+// been idle for a while. The borrower regularly tells the owner how many slots it
+// has on loan, which corrects the effect of lost messages. A loan that has not
+// been confirmed for a while ends.
 package shares
 
 import (
@@ -20,7 +21,7 @@
 // ID is the policy's plug-in ID.
 const ID plugin.ID = "slots.shares"
 
-// The default settings.
+// Default settings.
 const (
 	defaultAskTimeout = 150 * time.Millisecond
 	defaultWait       = 1 * time.Second
@@ -37,21 +38,23 @@
 	_ kernel.Waker       = (*Policy)(nil)
 )
 
-// Settings are the policy's settings. A zero takes the default.
+// Settings are the policy's settings. Zero values are replaced by the defaults.
 type Settings struct {
-	// AskTimeout is how long to wait for one instance's answer.
+	// AskTimeout is how long to wait for one instance's answer to a Borrow.
 	AskTimeout time.Duration `yaml:"ask_timeout"`
-	// Wait is the longest a reservation waits for a slot of the own share.
+	// Wait is the maximum time for which a reservation waits for a slot.
 	Wait time.Duration `yaml:"wait"`
-	// Tries is how many instances are asked for a loan.
+	// Tries is the maximum number of instances asked for a loan for one
+	// reservation.
 	Tries int `yaml:"tries"`
-	// Idle is how long a loan is kept unused.
+	// Idle is how long a borrowed slot is kept without being needed.
 	Idle time.Duration `yaml:"idle"`
-	// Confirm is the time between a borrower's confirmations.
+	// Confirm is the time between two Confirm messages of a borrower.
 	Confirm time.Duration `yaml:"confirm"`
 }
 
-// Policy is the slot policy of one instance, as owner and as borrower.
+// Policy is the slot policy of one instance, which is both the owner of its shares
+// and a borrower of other instances' slots.
 type Policy struct {
 	Settings `yaml:",inline"`
 
@@ -59,7 +62,7 @@
 	roster  slotkit.Roster
 	holds   map[slotkit.Key]*hold
 	waiting []*hold
-	// engines are kept in the order of their IDs.
+	// engines are sorted by ID.
 	engines     []*engine
 	outbox      []answer
 	flushing    bool
--- a/plugins/slots/shares/shares_test.go
+++ b/plugins/slots/shares/shares_test.go
@@ -12,6 +12,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
+// newBed returns a simulated system (see slottest) with three instances and one
+// engine of six slots, so that each instance's share is two slots.
 func newBed(seed uint64, network slottest.Network) *slottest.Bed {
 	b := slottest.NewBed(slottest.Options{
 		Seed: seed, Instances: 3, Engines: 1, Slots: 6, Network: network,
@@ -23,7 +25,8 @@
 
 func policyOf(n *slottest.Node) *Policy { return n.Policy.(*Policy) }
 
-// assertQuiet checks that nothing is held, waits, is lent or is borrowed.
+// assertQuiet checks that no instance has a reservation or a slot that is held,
+// lent or borrowed.
 func assertQuiet(t assert.TestingT, b *slottest.Bed) {
 	for _, n := range b.Nodes {
 		if n.Killed() {
@@ -60,7 +63,7 @@
 	}
 	b.Run(50 * time.Millisecond)
 	assert.Equal(t, e.Running(), 6)
-	// The owner wants its slots back and gets them as they fall free.
+	// The owner recalls a slot and gets it when it becomes free.
 	u := b.Reserve(b.Nodes[1], e, time.Millisecond, 500*time.Millisecond)
 	assert.Assert(t, u.Pending)
 	b.Run(500 * time.Millisecond)
@@ -106,7 +109,8 @@
 	assert.Assert(t, !u.Pending && !u.Granted)
 }
 
-// TestRefusalIsHeeded: an engine that refused is left alone for a while.
+// TestRefusalIsHeeded checks that no slot of an engine that refused a request is
+// shown as free for a while.
 func TestRefusalIsHeeded(t *testing.T) {
 	b := newBed(1, slottest.Network{})
 	n := b.Nodes[0]
@@ -116,7 +120,8 @@
 	assert.Equal(t, n.Policy.Availability(n.Upstream(b.Engines[0].ID)).Free, 2)
 }
 
-// session draws uses at random and checks the answers' times.
+// session makes random reservations, calls check after each of them, and checks
+// that no reservation waited longer than allowed.
 func session(t *rapid.T, network slottest.Network, check func(b *slottest.Bed)) *slottest.Bed {
 	b := newBed(rapid.Uint64().Draw(t, "seed"), network)
 	millis := func(name string, hi int) time.Duration {
--- a/plugins/slots/shares/wake.go
+++ b/plugins/slots/shares/wake.go
@@ -45,7 +45,8 @@
 	p.flush()
 }
 
-// timeOut gives up reservations and loans that were waited for long enough.
+// timeOut denies the reservations that have waited too long, and handles a Borrow
+// that was not answered in time as if the answer were None.
 func (p *Policy) timeOut(now time.Time) {
 	for _, h := range slices.Clone(p.waiting) {
 		switch {
@@ -57,7 +58,8 @@
 	}
 }
 
-// confirmAll confirms what is on loan here and gives back what is idle.
+// confirmAll returns one borrowed slot to each owner whose slots have been idle
+// for the time Idle, and sends the other owners a Confirm if one is due.
 func (p *Policy) confirmAll(e *engine, now time.Time) {
 	u := p.host.Upstream(e.id)
 	for i := range e.credits {
@@ -77,7 +79,7 @@
 	}
 }
 
-// endLoans takes back what was not confirmed for long.
+// endLoans ends the loans that have not been confirmed for a long time.
 func (p *Policy) endLoans(e *engine, now time.Time) {
 	for i := range e.loans {
 		if now.Sub(e.loans[i].heard) > unconfirmed*p.Confirm {
@@ -86,8 +88,9 @@
 	}
 }
 
-// followView drops loans and credits of instances that are gone, and what is
-// known of engines that are gone.
+// followView updates the policy to the host's current view. It removes the loans
+// and credits of instances that are gone, and the records of engines that are
+// gone and of which no slot is held.
 func (p *Policy) followView() {
 	v := p.host.View()
 	if !p.roster.Update(v, p.host.Self()) {
