--- a/plugins/slots/compare/client.go
+++ b/plugins/slots/compare/client.go
@@ -10,8 +10,9 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// client simulates the kernel of one instance: a queue in the order of due times,
-// whose requests are placed on the engine with the lowest cost (see rank).
+// client simulates the kernel of one instance: a queue in the order of due
+// times, whose requests are placed on the engine with the lowest cost (see
+// rank).
 type client struct {
 	run  *run
 	node *slottest.Node
@@ -19,8 +20,8 @@
 	queue []*request
 	// pending are the requests whose reservation waits for the policy's answer.
 	pending map[ident.AttemptID]*request
-	// kickAt is the time of the next scheduled run of schedule.
-	kickAt time.Time
+	// nextSchedule is the time of the next scheduled run of schedule.
+	nextSchedule time.Time
 }
 
 // Parameters of the simulated kernel.
@@ -28,15 +29,16 @@
 	// shortlist is the maximum number of engines tried for a request.
 	shortlist      = 8
 	retryPlacement = 100 * time.Millisecond
-	// tieBreak is the maximum random cost, in seconds, added to each engine's cost.
+	// tieBreak is the maximum random cost, in seconds, added to each engine's
+	// cost.
 	tieBreak = 0.002
 	// maxEngineQueue is the wait for a prefill engine above which no further
 	// request is placed.
 	maxEngineQueue = 250 * time.Millisecond
-	// balance is the cost, in seconds, of each request that already runs on an
-	// engine. It is the value that the pace scorer (plugins/scorer/pace) yields
-	// for this workload.
-	balance = 0.004
+	// runningCost is the cost, in seconds, of each request that already runs on
+	// an engine. It is the value that the pace scorer (plugins/scorer/pace)
+	// yields for this workload.
+	runningCost = 0.004
 	// cleanup is the time after an instance's death at which the other instances
 	// have ended the requests that it left on the engines.
 	cleanup = 3 * time.Second
@@ -57,7 +59,7 @@
 
 // enqueue inserts a request into the queue by its due time.
 func (c *client) enqueue(q *request) {
-	at, _ := slices.BinarySearchFunc(c.queue, q, func(a, b *request) int { return a.by.Compare(b.by) })
+	at, _ := slices.BinarySearchFunc(c.queue, q, func(a, b *request) int { return a.dueAt.Compare(b.dueAt) })
 	c.queue = slices.Insert(c.queue, at, q)
 }
 
@@ -68,13 +70,13 @@
 	full := false
 	for i := 0; i < len(c.queue); {
 		q := c.queue[i]
-		if now.Add(c.lead(q)).After(q.by) {
+		if now.Add(c.lead(q)).After(q.dueAt) {
 			c.queue = slices.Delete(c.queue, i, i+1)
-			c.run.note(q, &c.run.count.late)
+			c.run.countMeasured(q, &c.run.count.late)
 			continue
 		}
 		if full || q.retryAt.After(now) || c.prefillBusy() {
-			c.kick(q.retryAt)
+			c.scheduleAt(q.retryAt)
 			i++
 			continue
 		}
@@ -87,20 +89,21 @@
 	}
 }
 
-// lead returns the predicted time until the request uses its slot: the wait for a
-// prefill engine, the prefill and the transfer.
+// lead returns the predicted time until the request uses its slot: the wait for
+// a prefill engine, the prefill and the transfer.
 func (c *client) lead(q *request) time.Duration {
 	return c.run.pool.wait(c.run.world.Now()) + q.prefill + q.transfer
 }
 
-// prefillBusy reports whether the wait for a prefill engine exceeds maxEngineQueue.
-// If so, it arranges for schedule to run again when it no longer does.
+// prefillBusy reports whether the wait for a prefill engine exceeds
+// maxEngineQueue. If so, it arranges for schedule to run again when it no
+// longer does.
 func (c *client) prefillBusy() bool {
 	wait := c.run.pool.wait(c.run.world.Now())
 	if wait <= maxEngineQueue {
 		return false
 	}
-	c.kick(c.run.world.Now().Add(wait - maxEngineQueue))
+	c.scheduleAt(c.run.world.Now().Add(wait - maxEngineQueue))
 	return true
 }
 
@@ -122,7 +125,7 @@
 		if a.Free <= 0 {
 			start = max(start, a.NextFree)
 		}
-		cost := start.Seconds() + balance*float64(u.Load.Running) + tieBreak*c.node.Rand().Float64()
+		cost := start.Seconds() + runningCost*float64(u.Load.Running) + tieBreak*c.node.Rand().Float64()
 		all = append(all, candidate{engine: e, cost: cost})
 	}
 	slices.SortStableFunc(all, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
@@ -143,9 +146,9 @@
 			Pieces:        q.pieces,
 			Lead:          c.lead(q),
 			OutputTokens:  q.declared,
-			FirstOutputBy: q.by,
+			FirstOutputBy: q.dueAt,
 		})
-		q.asked = now
+		q.askedAt = now
 		switch answer.Verdict {
 		case kernel.SlotHeld:
 			c.run.count.waits.Record(0)
@@ -160,17 +163,18 @@
 			retryAt = answer.RetryAt
 		}
 	}
-	c.kick(retryAt)
+	c.scheduleAt(retryAt)
 	return false
 }
 
-// kick makes schedule run at the given time, unless it is already to run earlier.
-func (c *client) kick(at time.Time) {
+// scheduleAt makes schedule run at the given time, unless it is already to run
+// earlier.
+func (c *client) scheduleAt(at time.Time) {
 	now := c.run.world.Now()
-	if !at.After(now) || (c.kickAt.After(now) && !at.Before(c.kickAt)) {
+	if !at.After(now) || (c.nextSchedule.After(now) && !at.Before(c.nextSchedule)) {
 		return
 	}
-	c.kickAt = at
+	c.nextSchedule = at
 	c.run.world.After(at.Sub(now), func() { c.node.Do(func() {}) })
 }
 
@@ -185,12 +189,12 @@
 	e := c.run.engineOf[id]
 	delete(c.run.engineOf, id)
 	now := c.run.world.Now()
-	if now.Add(c.lead(q)).After(q.by) {
-		c.run.note(q, &c.run.count.late)
+	if now.Add(c.lead(q)).After(q.dueAt) {
+		c.run.countMeasured(q, &c.run.count.late)
 		c.node.Policy.Release(id)
 		return
 	}
-	c.run.count.waits.Record(now.Sub(q.asked))
+	c.run.count.waits.Record(now.Sub(q.askedAt))
 	c.prefill(q, id, e)
 }
 
@@ -209,7 +213,7 @@
 // prefill runs the request's prefill and then its decode. The transfer of the KV
 // cache takes up to transferError times as long as predicted.
 func (c *client) prefill(q *request, id ident.AttemptID, e *slottest.Engine) {
-	c.run.note(q, &c.run.count.prefills)
+	c.run.countMeasured(q, &c.run.count.prefills)
 	now := c.run.world.Now()
 	done := c.run.pool.start(now, q.prefill)
 	moved := q.transfer + time.Duration(c.run.world.Rand.Int64N(int64((transferError-1)*q.transfer)))
@@ -218,8 +222,8 @@
 	})
 }
 
-// whenRunning calls do in an event of the instance. If the instance is frozen, do
-// is called after it resumes; if it is dead, do is not called.
+// whenRunning calls do in an event of the instance. If the instance is frozen,
+// do is called after it resumes; if it is dead, do is not called.
 func (c *client) whenRunning(do func()) {
 	if c.node.Killed() {
 		return
@@ -229,15 +233,15 @@
 	}
 }
 
-// decode starts the request on the decode engine, where it occupies the slot from
-// the beginning of the KV cache transfer. If the engine refuses the request, its
-// prefill is wasted and the request is queued again.
+// decode starts the request on the decode engine, where it occupies the slot
+// from the beginning of the KV cache transfer. If the engine refuses the
+// request, its prefill is wasted and the request is queued again.
 func (c *client) decode(q *request, id ident.AttemptID, e *slottest.Engine, transfer time.Duration) {
 	now := c.run.world.Now()
 	started := e.Start(id, q.pieces)
 	c.node.SeeLoad(e.ID, e.Load())
 	if !started {
-		c.run.note(q, &c.run.count.wasted)
+		c.run.countMeasured(q, &c.run.count.wasted)
 		c.node.Policy.Refused(e.ID)
 		c.node.Policy.Release(id)
 		q.retryAt = now
@@ -245,8 +249,8 @@
 		return
 	}
 	c.node.Policy.Started(id)
-	if !now.Add(transfer + firstToken).After(q.by) {
-		c.run.note(q, &c.run.count.onTime)
+	if !now.Add(transfer + firstToken).After(q.dueAt) {
+		c.run.countMeasured(q, &c.run.count.onTime)
 	}
 	c.run.running[id] = e
 	c.run.world.After(transfer+q.hold, func() { c.finish(id, e) })
@@ -262,9 +266,9 @@
 	})
 }
 
-// lost discards the queue of an instance that died and, after the time cleanup,
-// ends the requests that it left on the engines.
-func (c *client) lost() {
+// cleanUpDead discards the queue of an instance that died and, after the time
+// cleanup, ends the requests that it left on the engines.
+func (c *client) cleanUpDead() {
 	c.queue = nil
 	c.run.world.After(cleanup, func() {
 		for id, e := range c.run.running {
--- a/plugins/slots/compare/page.go
+++ b/plugins/slots/compare/page.go
@@ -8,33 +8,33 @@
 
 // The markers between which replaceMarked replaces the text.
 const (
-	beginMark = "<!-- compare: begin -->\n"
-	endMark   = "<!-- compare: end -->\n"
+	beginMarker = "<!-- compare: begin -->\n"
+	endMarker   = "<!-- compare: end -->\n"
 )
 
-// MarkError reports a page in which a marker is missing.
-type MarkError struct{ Path string }
+// MissingMarkerError reports a page in which a marker is missing.
+type MissingMarkerError struct{ Path string }
 
 // Error implements error.
-func (e *MarkError) Error() string {
+func (e *MissingMarkerError) Error() string {
 	return fmt.Sprintf("cannot write the tables: %s lacks the begin or end marker", e.Path)
 }
 
 // replaceMarked replaces the text between the markers of the file at path. The
-// error is a *MarkError if a marker is missing.
+// error is a *MissingMarkerError if a marker is missing.
 func replaceMarked(path, text string) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	before, rest, ok := strings.Cut(string(page), beginMark)
+	before, rest, ok := strings.Cut(string(page), beginMarker)
 	if !ok {
-		return &MarkError{Path: path}
+		return &MissingMarkerError{Path: path}
 	}
-	_, after, ok := strings.Cut(rest, endMark)
+	_, after, ok := strings.Cut(rest, endMarker)
 	if !ok {
-		return &MarkError{Path: path}
+		return &MissingMarkerError{Path: path}
 	}
 	const readable = 0o644
-	return os.WriteFile(path, []byte(before+beginMark+text+endMark+after), readable)
+	return os.WriteFile(path, []byte(before+beginMarker+text+endMarker+after), readable)
 }
--- a/plugins/slots/compare/policies.go
+++ b/plugins/slots/compare/policies.go
@@ -23,10 +23,10 @@
 }
 
 var (
-	leaseUsual  = leaseWith("lease", lease.Settings{})
-	sharesUsual = policy{name: "shares", make: func() kernel.SlotPolicy { return &shares.Policy{} }}
-	probeUsual  = probeWith("probe", probe.Settings{})
-	noneUsual   = policy{name: "none", make: func() kernel.SlotPolicy { return &none.Policy{} }}
+	leaseDefault  = leaseWith("lease", lease.Settings{})
+	sharesDefault = policy{name: "shares", make: func() kernel.SlotPolicy { return &shares.Policy{} }}
+	probeDefault  = probeWith("probe", probe.Settings{})
+	noneDefault   = policy{name: "none", make: func() kernel.SlotPolicy { return &none.Policy{} }}
 )
 
-var allPolicies = []policy{leaseUsual, sharesUsual, probeUsual, noneUsual}
+var allPolicies = []policy{leaseDefault, sharesDefault, probeDefault, noneDefault}
--- a/plugins/slots/compare/run.go
+++ b/plugins/slots/compare/run.go
@@ -32,16 +32,16 @@
 	// load is the rate of requests relative to the capacity of the decode slots.
 	load  float64
 	fault fault
-	// loose makes requests declare a larger output than they have.
-	loose bool
+	// overdeclare makes requests declare a larger output than they have.
+	overdeclare bool
 }
 
 const (
 	slots = 20
 	// warmUp is the simulated time before the measured period.
 	warmUp = 30 * time.Second
-	// coolDown is the simulated time after the measured period, in which requests
-	// that arrived in that period can still be counted.
+	// coolDown is the simulated time after the measured period, in which
+	// requests that arrived in that period can still be counted.
 	coolDown = 5 * time.Second
 	// faultAt is the time from the start of the measured period to the fault.
 	faultAt = 10 * time.Second
@@ -49,8 +49,8 @@
 	freezeTime = 10 * time.Second
 	cutTime    = 20 * time.Second
 	// The notice constants are the times after which an instance's view shows
-	// another instance as dead, unreachable or live again. A random time of up to
-	// noticeSpread is added.
+	// another instance as dead, unreachable or live again. A random time of up
+	// to noticeSpread is added.
 	noticeDead        = 2 * time.Second
 	noticeUnreachable = 3 * time.Second
 	noticeBack        = 1 * time.Second
@@ -65,8 +65,8 @@
 // engines returns the number of decode engines.
 func (c *cell) engines() int { return c.workload.decodes * c.scale }
 
-// counts are the numbers of requests and prefills in a run, and the waiting times
-// for a slot.
+// counts are the numbers of requests and prefills in a run, and the waiting
+// times for a slot.
 type counts struct {
 	offered, onTime, late, prefills, wasted int
 	waits                                   *report.Hist
@@ -88,8 +88,8 @@
 	engineOf map[ident.AttemptID]*slottest.Engine
 	running  map[ident.AttemptID]*slottest.Engine
 	pool     pool
-	// arrivals is the random source of the workload. Nothing else uses it, so that
-	// all policies are offered the same requests.
+	// arrivals is the random source of the workload. Nothing else uses it, so
+	// that all policies are offered the same requests.
 	arrivals *rand.Rand
 	until    time.Time
 	// counting is set during the measured period.
@@ -123,17 +123,18 @@
 	r.arriveNext()
 	r.world.Run(warmUp)
 	r.reset()
-	r.world.After(faultAt, r.fault)
+	r.world.After(faultAt, r.startFault)
 	r.world.Run(duration)
-	f := r.load(duration)
+	f := r.systemFigures(duration)
 	r.counting = false
 	r.world.Run(coolDown)
-	r.sumUp(&f)
+	r.addOutcomes(&f)
 	return f
 }
 
-// note increments a counter if the request arrived in the measured period.
-func (r *run) note(q *request, counter *int) {
+// countMeasured increments a counter if the request arrived in the measured
+// period.
+func (r *run) countMeasured(q *request, counter *int) {
 	if q.counted {
 		*counter++
 	}
@@ -152,7 +153,7 @@
 
 // arriveNext schedules the arrival of the next request, and the one after it in
 // turn. The gaps are exponentially distributed. Instances get requests in turn
-// (see balance).
+// (see nextClient).
 func (r *run) arriveNext() {
 	rate := r.cell.load * float64(r.cell.engines()*slots) / r.cell.workload.slotTime.Seconds()
 	gap := time.Duration(r.arrivals.ExpFloat64() / rate * float64(time.Second))
@@ -160,19 +161,19 @@
 		if r.world.Now().After(r.until) {
 			return
 		}
-		q := r.cell.workload.draw(r.arrivals, r.world.Now(), r.cell.loose)
+		q := r.cell.workload.draw(r.arrivals, r.world.Now(), r.cell.overdeclare)
 		q.counted = r.counting
-		r.note(q, &r.count.offered)
-		if c := r.balance(); c != nil {
+		r.countMeasured(q, &r.count.offered)
+		if c := r.nextClient(); c != nil {
 			c.arrive(q)
 		}
 		r.arriveNext()
 	})
 }
 
-// balance returns the next instance, in turn, that is neither killed nor frozen,
-// or nil if there is none. It simulates the load balancer.
-func (r *run) balance() *client {
+// nextClient returns the next instance, in turn, that is neither killed nor
+// frozen, or nil if there is none. It simulates the load balancer.
+func (r *run) nextClient() *client {
 	for range r.clients {
 		c := r.clients[r.next%len(r.clients)]
 		r.next++
@@ -197,20 +198,21 @@
 	return r.clients[0]
 }
 
-// fault starts the cell's fault and schedules its end and its effect on the views.
-func (r *run) fault() {
+// startFault starts the cell's fault and schedules its end and its effect on
+// the views.
+func (r *run) startFault() {
 	v := r.victim()
 	switch r.cell.fault {
 	case killed:
 		v.node.Kill()
-		v.lost()
-		r.believe(v, kernel.Dead, noticeDead)
+		v.cleanUpDead()
+		r.updateOtherViews(v, kernel.Dead, noticeDead)
 	case frozen:
 		v.node.Freeze()
-		r.believe(v, kernel.Unreachable, noticeUnreachable)
+		r.updateOtherViews(v, kernel.Unreachable, noticeUnreachable)
 		r.world.After(freezeTime, func() {
 			v.node.Thaw()
-			r.believe(v, kernel.Live, noticeBack)
+			r.updateOtherViews(v, kernel.Live, noticeBack)
 		})
 	case cutOff:
 		for _, c := range r.clients {
@@ -218,19 +220,19 @@
 				r.world.Cut(c.node, v.node)
 			}
 		}
-		r.believe(v, kernel.Unreachable, noticeUnreachable)
-		r.believeOthers(v, kernel.Unreachable, noticeUnreachable)
+		r.updateOtherViews(v, kernel.Unreachable, noticeUnreachable)
+		r.updateOwnView(v, kernel.Unreachable, noticeUnreachable)
 		r.world.After(cutTime, func() {
 			r.world.Heal()
-			r.believe(v, kernel.Live, noticeBack)
-			r.believeOthers(v, kernel.Live, noticeBack)
+			r.updateOtherViews(v, kernel.Live, noticeBack)
+			r.updateOwnView(v, kernel.Live, noticeBack)
 		})
 	}
 }
 
-// believe sets v's state in the views of all other instances, in each after its
-// own random delay.
-func (r *run) believe(v *client, life kernel.Life, after time.Duration) {
+// updateOtherViews sets v's state in the views of all other instances, in each
+// after its own random delay.
+func (r *run) updateOtherViews(v *client, life kernel.Life, after time.Duration) {
 	for _, c := range r.clients {
 		if c != v {
 			r.world.After(r.spread(after), func() { c.node.Believe(v.node, life) })
@@ -238,9 +240,9 @@
 	}
 }
 
-// believeOthers sets the state of all other instances in v's view, each after its
-// own random delay.
-func (r *run) believeOthers(v *client, life kernel.Life, after time.Duration) {
+// updateOwnView sets the state of all other instances in v's view, each after
+// its own random delay.
+func (r *run) updateOwnView(v *client, life kernel.Life, after time.Duration) {
 	for _, c := range r.clients {
 		if c != v {
 			r.world.After(r.spread(after), func() { v.node.Believe(c.node, life) })
@@ -253,9 +255,9 @@
 	return d + time.Duration(r.world.Rand.Int64N(int64(noticeSpread)))
 }
 
-// load returns the figures for the engines' utilisation and for the messages of
-// the measured period.
-func (r *run) load(duration time.Duration) figures {
+// systemFigures returns the figures for the engines' utilisation and for the
+// messages of the measured period.
+func (r *run) systemFigures(duration time.Duration) figures {
 	busy := time.Duration(0)
 	for _, e := range r.world.Engines {
 		busy += e.Busy()
@@ -270,8 +272,9 @@
 	}
 }
 
-// sumUp sets the figures for the outcomes and waiting times of the requests.
-func (r *run) sumUp(f *figures) {
+// addOutcomes sets the figures for the outcomes and waiting times of the
+// requests.
+func (r *run) addOutcomes(f *figures) {
 	f.goodput = float64(r.count.onTime) / float64(max(r.count.offered, 1))
 	f.wasted = float64(r.count.wasted) / float64(max(r.count.prefills, 1))
 	f.waitMedian = r.count.waits.Quantile(50)
--- a/plugins/slots/compare/tables.go
+++ b/plugins/slots/compare/tables.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/probe"
 )
 
-// table is a list of cells to measure, with the title under which the results are
-// written.
+// table is a list of cells to measure, with the title under which the results
+// are written.
 type table struct {
 	title string
 	cells []cell
@@ -32,7 +32,7 @@
 func policyCells() []cell {
 	var cells []cell
 	for _, load := range []float64{0.8, 1.0, 1.2} {
-		cells = append(cells, cell{policy: leaseUsual, workload: &coastline, scale: 1, instances: 1, load: load, fault: noFault})
+		cells = append(cells, cell{policy: leaseDefault, workload: &coastline, scale: 1, instances: 1, load: load, fault: noFault})
 	}
 	for _, n := range []int{2, 8, 24} {
 		for _, load := range []float64{0.8, 1.0, 1.2} {
@@ -45,7 +45,7 @@
 }
 
 func lagosCells() []cell {
-	cells := []cell{{policy: leaseUsual, workload: &lagos, scale: 1, instances: 1, load: 1, fault: noFault}}
+	cells := []cell{{policy: leaseDefault, workload: &lagos, scale: 1, instances: 1, load: 1, fault: noFault}}
 	for _, load := range []float64{1.0, 1.2} {
 		for _, p := range allPolicies {
 			cells = append(cells, cell{policy: p, workload: &lagos, scale: 1, instances: 8, load: load, fault: noFault})
@@ -102,7 +102,7 @@
 func sizeCells() []cell {
 	var cells []cell
 	for _, size := range []struct{ instances, scale int }{{8, 1}, {24, 3}, {96, 12}} {
-		cells = append(cells, cell{policy: leaseUsual, instances: size.instances, workload: &coastline, scale: size.scale, load: 1, fault: noFault})
+		cells = append(cells, cell{policy: leaseDefault, instances: size.instances, workload: &coastline, scale: size.scale, load: 1, fault: noFault})
 	}
 	return cells
 }
--- a/plugins/slots/lease/availability.go
+++ b/plugins/slots/lease/availability.go
@@ -12,7 +12,7 @@
 // ledger. Other instances use the grantor's last message or the engine's load
 // report, whichever is newer.
 func (p *Policy) Availability(u *kernel.Upstream) kernel.Availability {
-	p.followView()
+	p.updateView()
 	return p.available(u)
 }
 
@@ -29,23 +29,23 @@
 	case grantor == p.self():
 		l := p.ledgerOf(u)
 		return waitIfNone(kernel.Availability{Free: p.free(l, u), NextFree: l.wait()})
-	case grantor == "" || p.down(grantor):
+	case grantor == "" || p.inBackoff(grantor):
 		return waitIfNone(kernel.Availability{Free: max(p.shareFree(u), 0), NextFree: shareRetry})
 	}
-	return p.believed(u)
+	return p.remoteAvailability(u)
 }
 
-// believed estimates the availability of an engine whose grantor is another
-// instance. Without a message from the grantor and without a load report, it
-// assumes that this instance's static share is free.
-func (p *Policy) believed(u *kernel.Upstream) kernel.Availability {
-	w := p.holder.words.At(u)
-	wait := guessHold / 4
-	if w.nextFree > 0 {
-		wait = w.nextFree
+// remoteAvailability estimates the availability of an engine whose grantor is
+// another instance. Without a message from the grantor and without a load
+// report, it assumes that this instance's static share is free.
+func (p *Policy) remoteAvailability(u *kernel.Upstream) kernel.Availability {
+	r := p.holder.reports.At(u)
+	wait := defaultHoldTime / 4
+	if r.nextFree > 0 {
+		wait = r.nextFree
 	}
-	if !w.at.IsZero() && !w.at.Before(u.Load.At) {
-		return waitIfNone(kernel.Availability{Free: w.free, NextFree: wait})
+	if !r.at.IsZero() && !r.at.Before(u.Load.At) {
+		return waitIfNone(kernel.Availability{Free: r.free, NextFree: wait})
 	}
 	if u.Load.At.IsZero() {
 		return waitIfNone(kernel.Availability{Free: p.roster.Share(p.self(), u.ID, slotkit.Slots(u)), NextFree: wait})
@@ -62,8 +62,8 @@
 	return a
 }
 
-// maxLooks is the maximum number of engines that freeElsewhere examines.
-const maxLooks = 64
+// maxExamined is the maximum number of engines that freeElsewhere examines.
+const maxExamined = 64
 
 // freeElsewhere reports whether both the given engine and another decode engine
 // with the same models appear to have a free slot. If so, the ask should not be
@@ -75,13 +75,13 @@
 		return false
 	}
 	all := p.host.View().Upstreams
-	looks := 0
-	for i := 1; i < len(all) && looks < maxLooks; i++ {
+	examined := 0
+	for i := 1; i < len(all) && examined < maxExamined; i++ {
 		other := &all[(u.Index+i)%len(all)]
 		if other.Spec.Role != config.RoleDecode || !sameModels(u, other) {
 			continue
 		}
-		looks++
+		examined++
 		if p.available(other).Free > 0 {
 			return true
 		}
--- a/plugins/slots/lease/bed_test.go
+++ b/plugins/slots/lease/bed_test.go
@@ -22,7 +22,7 @@
 	var id ident.InstanceID
 	n.Do(func() {
 		p := policyOf(n)
-		p.followView()
+		p.updateView()
 		id = p.roster.Grantor(n.Upstream(e.ID))
 	})
 	return b.Node(id)
--- a/plugins/slots/lease/fallback.go
+++ b/plugins/slots/lease/fallback.go
@@ -16,43 +16,43 @@
 	// shareRetry is the retry delay reported to the kernel when the static share
 	// is used up.
 	shareRetry = 100 * time.Millisecond
-	// loadBelieved is the maximum age of a load report that limits the use of
+	// maxLoadAge is the maximum age of a load report that limits the use of
 	// the static share.
-	loadBelieved = 1 * time.Second
+	maxLoadAge = 1 * time.Second
 )
 
-// down reports whether the grantor must not be asked now because it did not
+// inBackoff reports whether the grantor must not be asked now because it did not
 // answer earlier asks. After the backoff, one ask at a time may be sent to it.
 // Failures are forgotten once the backoff ended more than maxBackoff ago;
 // otherwise the first asks after an idle period would use the static share
 // although the grantor is healthy and may lease the same slots to others.
-func (p *Policy) down(id ident.InstanceID) bool {
-	if p.holder.troubled == 0 {
+func (p *Policy) inBackoff(id ident.InstanceID) bool {
+	if p.holder.failingGrantors == 0 {
 		return false
 	}
-	c := p.holder.contacts[id]
-	if c == nil || c.failures == 0 {
+	g := p.holder.grantors[id]
+	if g == nil || g.failures == 0 {
 		return false
 	}
-	if p.holder.asking(id) {
+	if p.holder.hasUnansweredAsk(id) {
 		return true
 	}
 	now := p.host.Now()
-	if now.Sub(c.downUntil) > maxBackoff {
-		p.holder.answered(id)
+	if now.Sub(g.backoffUntil) > maxBackoff {
+		p.holder.clearFailures(id)
 		return false
 	}
-	return now.Before(c.downUntil)
+	return now.Before(g.backoffUntil)
 }
 
-// contact returns the record of a grantor, creating it if there is none.
-func (p *Policy) contact(id ident.InstanceID) *contact {
-	c := p.holder.contacts[id]
-	if c == nil {
-		c = &contact{incarnation: incarnationOf(p.host.View(), id)}
-		p.holder.contacts[id] = c
+// grantorRecord returns the record of a grantor, creating it if there is none.
+func (p *Policy) grantorRecord(id ident.InstanceID) *grantorRecord {
+	g := p.holder.grantors[id]
+	if g == nil {
+		g = &grantorRecord{incarnation: incarnationOf(p.host.View(), id)}
+		p.holder.grantors[id] = g
 	}
-	return c
+	return g
 }
 
 // incarnationOf returns an instance's incarnation in the view, or 0 if the view
@@ -66,31 +66,32 @@
 	return 0
 }
 
-// askLost handles an ask that the transport reported as undelivered.
-func (p *Policy) askLost(to ident.InstanceID, ask *Ask) {
+// askUndelivered handles an ask that the transport reported as undelivered.
+func (p *Policy) askUndelivered(to ident.InstanceID, ask *Ask) {
 	h := p.holder.holds[ask.Reservation.Key()]
 	if h == nil || h.seq != ask.Seq || h.state != stateAsked {
 		return
 	}
-	p.unanswered(to)
+	p.grantorFailed(to)
 }
 
-// unanswered records that a grantor did not answer and starts a backoff with
+// grantorFailed records that a grantor did not answer and starts a backoff with
 // jitter. All open asks to that grantor are answered from the static share.
-func (p *Policy) unanswered(id ident.InstanceID) {
-	c := p.contact(id)
-	c.failures++
-	p.holder.countTroubled()
-	wait := min(firstBackoff<<min(c.failures-1, maxDoublings), maxBackoff)
+func (p *Policy) grantorFailed(id ident.InstanceID) {
+	g := p.grantorRecord(id)
+	g.failures++
+	p.holder.countFailingGrantors()
+	wait := min(firstBackoff<<min(g.failures-1, maxDoublings), maxBackoff)
 	wait += time.Duration(p.host.Rand().Int64N(int64(wait)/2 + 1))
-	c.downUntil = p.host.Now().Add(wait)
+	g.backoffUntil = p.host.Now().Add(wait)
 	for i := 0; i < len(p.holder.open); {
 		h := p.holder.open[i]
 		if h.grantor != id {
 			i++
 			continue
 		}
-		// fallBack removes h from p.holder.open, so i already points to the next.
+		// fallBack removes h from p.holder.open, so i already points to the
+		// next.
 		p.fallBack(h)
 	}
 }
@@ -104,13 +105,13 @@
 		return
 	}
 	p.denied(h.key, p.shareRetryAt())
-	p.tellReleased(h, 0)
+	p.notifyRelease(h, 0)
 }
 
 // reserveShare reserves a slot of this instance's static share.
 func (p *Policy) reserveShare(h *hold, u *kernel.Upstream) kernel.SlotAnswer {
 	if p.shareFree(u) <= 0 {
-		return none(p.shareRetryAt())
+		return noSlot(p.shareRetryAt())
 	}
 	h.state = stateHeld
 	p.holder.add(h)
@@ -118,17 +119,17 @@
 }
 
 // shareFree returns how many more slots this instance may use without a lease.
-// All slots that it holds count against its static share. A load report no
-// older than loadBelieved further limits the result. The result may be negative;
+// All slots that it holds count against its static share. A load report younger
+// than maxLoadAge further limits the result. The result may be negative;
 // it is 0 for a while after the engine refused a request.
 func (p *Policy) shareFree(u *kernel.Upstream) int {
 	now := p.host.Now()
-	if now.Before(p.holder.refused[u.ID]) {
+	if now.Before(p.holder.refusedUntil[u.ID]) {
 		return 0
 	}
 	slots := slotkit.Slots(u)
 	free := p.roster.Share(p.self(), u.ID, slots) - p.holder.held[u.ID]
-	if !u.Load.At.IsZero() && now.Sub(u.Load.At) < loadBelieved {
+	if !u.Load.At.IsZero() && now.Sub(u.Load.At) < maxLoadAge {
 		free = min(free, slots-u.Load.Running-u.Load.Waiting)
 	}
 	return free
--- a/plugins/slots/lease/grantor.go
+++ b/plugins/slots/lease/grantor.go
@@ -21,25 +21,25 @@
 // grantor can recognize outdated ones.
 type peer struct {
 	incarnation ident.Incarnation
-	// renewed and released are the highest sequence numbers of a Renew and of a
-	// Release received from the holder.
-	renewed, released uint64
+	// lastRenewSeq and lastReleaseSeq are the highest sequence numbers of a
+	// Renew and of a Release received from the holder.
+	lastRenewSeq, lastReleaseSeq uint64
 }
 
 func (g *grantor) init() { g.peers = map[ident.InstanceID]*peer{} }
 
 // ledger returns the upstream's ledger, or nil if this instance has none.
 func (g *grantor) ledger(id ident.UpstreamID) *ledger {
-	i, ok := g.place(id)
+	i, ok := g.ledgerIndex(id)
 	if !ok {
 		return nil
 	}
 	return g.ledgers[i]
 }
 
-// place returns the index at which the upstream's ledger is, or would have to be
-// inserted, and whether it exists.
-func (g *grantor) place(id ident.UpstreamID) (int, bool) {
+// ledgerIndex returns the index at which the upstream's ledger is, or would
+// have to be inserted, and whether it exists.
+func (g *grantor) ledgerIndex(id ident.UpstreamID) (int, bool) {
 	return slices.BinarySearchFunc(g.ledgers, id, func(l *ledger, id ident.UpstreamID) int {
 		switch {
 		case l.upstream < id:
@@ -86,16 +86,16 @@
 		return verdictQueued
 	}
 	now := p.host.Now()
-	l.noteAsk(&ask)
-	w := waitingAsk{ask: ask, key: key, holder: holder, by: dueTime(ask, now), until: now.Add(p.QueueWait)}
-	if p.room(l, u, &w) && len(l.queue) == 0 {
-		p.enter(l, u, &w)
+	l.observeAsk(&ask)
+	w := waitingAsk{ask: ask, key: key, holder: holder, dueAt: dueTime(ask, now), waitEnd: now.Add(p.QueueWait)}
+	if p.canGrant(l, u, &w) && len(l.queue) == 0 {
+		p.recordLease(l, u, &w)
 		return verdictGranted
 	}
 	if ask.NoWait || !p.enqueue(l, w) {
 		return verdictDenied
 	}
-	p.drain(l, u)
+	p.serveQueue(l, u)
 	if l.find(key) >= 0 {
 		return verdictGranted
 	}
@@ -126,37 +126,37 @@
 	}
 	if len(l.queue) >= p.QueueLimit {
 		last := len(l.queue) - 1
-		if !w.by.Before(l.queue[last].by) {
+		if !w.dueAt.Before(l.queue[last].dueAt) {
 			return false
 		}
-		p.deny(l, l.queue.take(last))
+		p.deny(l, l.queue.remove(last))
 	}
 	l.queue.insert(w)
 	return true
 }
 
-// room reports whether the engine has a slot and enough memory to grant the ask
-// now. It does not consider the asks that are queued before it.
-func (p *Policy) room(l *ledger, u *kernel.Upstream, w *waitingAsk) bool {
+// canGrant reports whether the engine has a slot and enough memory to grant the
+// ask now. It does not consider the asks that are queued before it.
+func (p *Policy) canGrant(l *ledger, u *kernel.Upstream, w *waitingAsk) bool {
 	now := p.host.Now()
-	if !slotkit.Usable(u) || !p.roomForPieces(l, u, w.ask.Pieces) {
+	if !slotkit.Usable(u) || !p.fitsMemory(l, u, w.ask.Pieces) {
 		return false
 	}
 	return len(l.leases) < l.limit(u, now, p.Margin)
 }
 
-// roomForPieces reports whether the given number of pieces fits into the part of
+// fitsMemory reports whether the given number of pieces fits into the part of
 // the engine's KV memory that is not leased. It is always true if the engine's
 // memory is not known or nothing is leased. So an ask for more than the whole
 // memory is granted when the engine is empty, and the engine refuses it;
 // otherwise it could never leave the queue.
-func (p *Policy) roomForPieces(l *ledger, u *kernel.Upstream, pieces int) bool {
+func (p *Policy) fitsMemory(l *ledger, u *kernel.Upstream, pieces int) bool {
 	total := slotkit.Pieces(u)
 	return total == 0 || len(l.leases) == 0 || l.pieces()+pieces <= total
 }
 
-// enter adds the lease for a granted ask to the ledger.
-func (p *Policy) enter(l *ledger, u *kernel.Upstream, w *waitingAsk) {
+// recordLease adds the lease for a granted ask to the ledger.
+func (p *Policy) recordLease(l *ledger, u *kernel.Upstream, w *waitingAsk) {
 	now := p.host.Now()
 	l.add(lease{
 		key:     w.key,
@@ -168,39 +168,40 @@
 	}, slotkit.Slots(u))
 }
 
-// maxPassed limits how many later asks that need less memory may be granted
+// maxOvertakes limits how many later asks that need less memory may be granted
 // ahead of an ask whose memory is not available yet, so that it does not starve.
-const maxPassed = 8
+const maxOvertakes = 8
 
-// drain denies the queued asks that have expired and grants those for which
-// there is a free slot and memory. Asks are granted in the order of the queue,
-// except that an ask waiting for memory may be overtaken up to maxPassed times.
-func (p *Policy) drain(l *ledger, u *kernel.Upstream) {
-	p.denyHopeless(l)
+// serveQueue denies the queued asks that have expired and grants those for
+// which there is a free slot and memory. Asks are granted in the order of the
+// queue, except that an ask waiting for memory may be overtaken up to
+// maxOvertakes times.
+func (p *Policy) serveQueue(l *ledger, u *kernel.Upstream) {
+	p.denyExpired(l)
 	for i := 0; i < len(l.queue); {
 		w := &l.queue[i]
-		if p.room(l, u, w) {
+		if p.canGrant(l, u, w) {
 			p.grantQueued(l, u, i)
 			i = 0
 			continue
 		}
-		if p.roomForPieces(l, u, w.ask.Pieces) || w.passed >= maxPassed {
+		if p.fitsMemory(l, u, w.ask.Pieces) || w.overtakes >= maxOvertakes {
 			return
 		}
 		i++
 	}
 }
 
-// denyHopeless denies the queued asks that have reached their maximum wait or
+// denyExpired denies the queued asks that have reached their maximum wait or
 // can no longer meet their due time.
-func (p *Policy) denyHopeless(l *ledger) {
+func (p *Policy) denyExpired(l *ledger) {
 	now := p.host.Now()
 	for i := 0; i < len(l.queue); {
-		if l.queue[i].feasible(now) && now.Before(l.queue[i].until) {
+		if l.queue[i].feasible(now) && now.Before(l.queue[i].waitEnd) {
 			i++
 			continue
 		}
-		p.deny(l, l.queue.take(i))
+		p.deny(l, l.queue.remove(i))
 	}
 }
 
@@ -208,10 +209,10 @@
 // overtaken the asks before it.
 func (p *Policy) grantQueued(l *ledger, u *kernel.Upstream, i int) {
 	for j := range i {
-		l.queue[j].passed++
+		l.queue[j].overtakes++
 	}
-	w := l.queue.take(i)
-	p.enter(l, u, &w)
+	w := l.queue.remove(i)
+	p.recordLease(l, u, &w)
 	if w.holder == p.self() {
 		p.granted(w.key)
 		return
@@ -221,17 +222,17 @@
 
 // deny denies an ask that has been removed from the queue.
 func (p *Policy) deny(l *ledger, w waitingAsk) {
-	retry := p.retryIn(l)
+	retry := p.queueRetryDelay(l)
 	if w.holder == p.self() {
 		p.denied(w.key, p.host.Now().Add(retry))
 		return
 	}
-	p.host.Send(w.holder, p.denial(l, w.ask, retry))
+	p.host.Send(w.holder, p.denyMessage(l, w.ask, retry))
 }
 
-// denial returns the message that denies an ask and tells the holder to retry
-// after the given time.
-func (p *Policy) denial(l *ledger, ask Ask, retry time.Duration) *Deny {
+// denyMessage returns the message that denies an ask and tells the holder to
+// retry after the given time.
+func (p *Policy) denyMessage(l *ledger, ask Ask, retry time.Duration) *Deny {
 	return &Deny{
 		Reservation: ask.Reservation,
 		Upstream:    l.upstream,
@@ -247,20 +248,21 @@
 	maxRetry = 1 * time.Second
 )
 
-// retryAfter returns the delay after which a denied holder may ask again. It is
-// zero for a NoWait ask: the holder believes that another engine has a free
-// slot, and now knows that this engine has none.
-func (p *Policy) retryAfter(l *ledger, ask Ask) time.Duration {
+// denyRetryDelay returns the delay after which a denied holder may ask again.
+// It is zero for a NoWait ask: the holder believes that another engine has a
+// free slot, and now knows that this engine has none.
+func (p *Policy) denyRetryDelay(l *ledger, ask Ask) time.Duration {
 	if ask.NoWait {
 		return 0
 	}
-	return p.retryIn(l)
+	return p.queueRetryDelay(l)
 }
 
-// retryIn returns the expected time until a new ask would find a free slot,
-// within minRetry and maxRetry, plus up to half as much jitter. The jitter keeps
-// holders that were denied at the same time from retrying at the same time.
-func (p *Policy) retryIn(l *ledger) time.Duration {
+// queueRetryDelay returns the expected time until a new ask would find a free
+// slot, within minRetry and maxRetry, plus up to half as much jitter. The
+// jitter keeps holders that were denied at the same time from retrying at the
+// same time.
+func (p *Policy) queueRetryDelay(l *ledger) time.Duration {
 	wait := l.nextFree() * time.Duration(len(l.queue)+1)
 	wait = min(max(wait, minRetry), maxRetry)
 	return wait + time.Duration(p.host.Rand().Int64N(int64(wait)/2+1))
@@ -269,7 +271,7 @@
 // free returns how many slots could be leased to new asks now. It is zero while
 // asks are queued, or if the memory left does not suffice for an average ask.
 func (p *Policy) free(l *ledger, u *kernel.Upstream) int {
-	if len(l.queue) > 0 || !slotkit.Usable(u) || !p.roomForPieces(l, u, int(l.need)) {
+	if len(l.queue) > 0 || !slotkit.Usable(u) || !p.fitsMemory(l, u, int(l.meanPieces)) {
 		return 0
 	}
 	now := p.host.Now()
@@ -282,15 +284,15 @@
 func (p *Policy) release(l *ledger, u *kernel.Upstream, key slotkit.Key, seq uint64, held time.Duration) {
 	now := p.host.Now()
 	if i := l.queue.find(key); i >= 0 && l.queue[i].ask.Seq < seq {
-		l.queue.take(i)
+		l.queue.remove(i)
 	}
 	i := l.find(key)
 	if i < 0 || l.leases[i].seq >= seq {
 		return
 	}
 	if held > 0 {
-		l.noteHold(held)
+		l.observeHoldTime(held)
 	}
 	l.end(i, now, slotkit.Slots(u))
-	p.drain(l, u)
+	p.serveQueue(l, u)
 }
--- a/plugins/slots/lease/holder.go
+++ b/plugins/slots/lease/holder.go
@@ -34,40 +34,41 @@
 	grantor ident.InstanceID
 	// seq is the sequence number of the last ask for the reservation.
 	seq uint64
-	// since is when the kernel requested the reservation, askedAt when the
+	// requestedAt is when the kernel requested the reservation, askedAt when the
 	// grantor was last asked.
-	since   time.Time
-	askedAt time.Time
-	// until is when an open ask times out.
-	until time.Time
+	requestedAt time.Time
+	askedAt     time.Time
+	// timeoutAt is when an open ask times out.
+	timeoutAt time.Time
 	// usedAt is when the use of the slot began, or is expected to begin if
 	// started is false.
 	usedAt  time.Time
 	started bool
 }
 
-// contact is a holder's record of a grantor.
-type contact struct {
-	// incarnation is the grantor's incarnation in the last view, or 0 if the view
-	// did not list it.
+// grantorRecord is a holder's record of a grantor.
+type grantorRecord struct {
+	// incarnation is the grantor's incarnation in the last view, or 0 if the
+	// view did not list it.
 	incarnation ident.Incarnation
 	// failures counts the consecutive times that the grantor did not answer.
 	failures int
-	// downUntil is the end of the backoff.
-	downUntil time.Time
-	// owed is the number of Renews still to be sent to the grantor. It is not
-	// zero for some time after the last Release, so that the grantor learns that
-	// nothing is held any more even if a message is lost.
-	owed int
-}
-
-// renewsOwed is the minimum number of Renews sent after the last Release. With
-// two, the grantor learns of the release even if the Release and one Renew are
-// lost.
-const renewsOwed = 2
-
-// word is the availability of an engine as last reported by its grantor.
-type word struct {
+	// backoffUntil is the end of the backoff.
+	backoffUntil time.Time
+	// pendingRenews is the number of Renews still to be sent to the grantor. It
+	// is not zero for some time after the last Release, so that the grantor
+	// learns that nothing is held any more even if a message is lost.
+	pendingRenews int
+}
+
+// renewsAfterRelease is the minimum number of Renews sent after the last
+// Release. With two, the grantor learns of the release even if the Release and
+// one Renew are lost.
+const renewsAfterRelease = 2
+
+// availabilityReport is the availability of an engine as last reported by its
+// grantor.
+type availabilityReport struct {
 	at       time.Time
 	free     int
 	nextFree time.Duration
@@ -89,26 +90,26 @@
 	open []*hold
 	// held is the number of slots in stateHeld for each upstream.
 	held     map[ident.UpstreamID]int
-	contacts map[ident.InstanceID]*contact
-	// troubled is the number of contacts that have failures.
-	troubled int
-	words    table.Table[word]
-	// refused is the time until which the static share is not used after the
-	// engine refused a request.
-	refused  map[ident.UpstreamID]time.Time
-	answers  []answer
-	flushing bool
+	grantors map[ident.InstanceID]*grantorRecord
+	// failingGrantors is the number of grantors that have failures.
+	failingGrantors int
+	reports         table.Table[availabilityReport]
+	// refusedUntil is the time until which the static share is not used after
+	// the engine refused a request.
+	refusedUntil map[ident.UpstreamID]time.Time
+	answers      []answer
+	flushing     bool
 	// seq is the sequence number of the last message.
-	seq       uint64
-	nextRenew time.Time
-	nextTidy  time.Time
+	seq             uint64
+	nextRenew       time.Time
+	nextOrphanCheck time.Time
 }
 
 func (o *holder) init() {
 	o.holds = map[slotkit.Key]*hold{}
 	o.held = map[ident.UpstreamID]int{}
-	o.contacts = map[ident.InstanceID]*contact{}
-	o.refused = map[ident.UpstreamID]time.Time{}
+	o.grantors = map[ident.InstanceID]*grantorRecord{}
+	o.refusedUntil = map[ident.UpstreamID]time.Time{}
 }
 
 // nextSeq returns the sequence number for the next message.
@@ -117,38 +118,40 @@
 	return o.seq
 }
 
-// answered clears the failures of a grantor that has answered.
-func (o *holder) answered(id ident.InstanceID) {
-	c := o.contacts[id]
-	if c == nil || c.failures == 0 {
+// clearFailures clears the failures of a grantor that has answered.
+func (o *holder) clearFailures(id ident.InstanceID) {
+	g := o.grantors[id]
+	if g == nil || g.failures == 0 {
 		return
 	}
-	c.failures = 0
-	c.downUntil = time.Time{}
-	o.countTroubled()
+	g.failures = 0
+	g.backoffUntil = time.Time{}
+	o.countFailingGrantors()
 }
 
-// asking reports whether an ask to the grantor has not been answered at all.
-func (o *holder) asking(id ident.InstanceID) bool {
+// hasUnansweredAsk reports whether an ask to the grantor has not been answered
+// at all.
+func (o *holder) hasUnansweredAsk(id ident.InstanceID) bool {
 	return slices.ContainsFunc(o.open, func(h *hold) bool {
 		return h.grantor == id && h.state == stateAsked
 	})
 }
 
-// countTroubled recomputes the number of contacts that have failures.
-func (o *holder) countTroubled() {
-	o.troubled = 0
-	for _, c := range o.contacts {
-		if c.failures > 0 {
-			o.troubled++
+// countFailingGrantors recomputes the number of grantors that have failures.
+func (o *holder) countFailingGrantors() {
+	o.failingGrantors = 0
+	for _, g := range o.grantors {
+		if g.failures > 0 {
+			o.failingGrantors++
 		}
 	}
 }
 
-// heard records a grantor's report on an engine unless a newer one is known.
-func (o *holder) heard(u *kernel.Upstream, w word) {
-	if known := o.words.At(u); !w.at.Before(known.at) {
-		*known = w
+// recordReport records a grantor's report on an engine unless a newer one is
+// known.
+func (o *holder) recordReport(u *kernel.Upstream, r availabilityReport) {
+	if known := o.reports.At(u); !r.at.Before(known.at) {
+		*known = r
 	}
 }
 
@@ -162,12 +165,12 @@
 	o.open = append(o.open, h)
 }
 
-// keep changes an open reservation to stateHeld.
-func (o *holder) keep(h *hold) {
+// markHeld changes an open reservation to stateHeld.
+func (o *holder) markHeld(h *hold) {
 	if h.state == stateHeld {
 		return
 	}
-	o.close(h)
+	o.removeOpen(h)
 	h.state = stateHeld
 	o.held[h.upstream]++
 }
@@ -176,7 +179,7 @@
 func (o *holder) drop(h *hold) {
 	delete(o.holds, h.key)
 	if h.state != stateHeld {
-		o.close(h)
+		o.removeOpen(h)
 		return
 	}
 	if o.held[h.upstream]--; o.held[h.upstream] == 0 {
@@ -184,8 +187,8 @@
 	}
 }
 
-// close removes a reservation from the open ones.
-func (o *holder) close(h *hold) {
+// removeOpen removes a reservation from the open ones.
+func (o *holder) removeOpen(h *hold) {
 	if i := slices.Index(o.open, h); i >= 0 {
 		o.open = slices.Delete(o.open, i, i+1)
 	}
--- a/plugins/slots/lease/lease_test.go
+++ b/plugins/slots/lease/lease_test.go
@@ -10,8 +10,9 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// three returns a bed with three instances and one engine of four slots.
-func three(settings Settings) *bed {
+// newThreeNodeBed returns a bed with three instances and one engine of four
+// slots.
+func newThreeNodeBed(settings Settings) *bed {
 	b := newBed(slottest.Options{
 		Seed: 1, Instances: 3, Engines: 1, Slots: 4, Pieces: 100,
 		LoadEvery: 500 * time.Millisecond, LoadLag: 200 * time.Millisecond,
@@ -21,7 +22,7 @@
 }
 
 func TestSlotsAreSharedWithoutOvercommitting(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	for range 4 {
 		for _, n := range b.Nodes {
 			b.Reserve(n, b.Engines[0], 10*time.Millisecond, 600*time.Millisecond)
@@ -36,12 +37,12 @@
 	assert.Equal(t, b.Engines[0].Running(), 4)
 	assert.Equal(t, b.Refused, 0)
 	b.Run(10 * time.Second)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
-// assertQuiet checks that no instance holds a slot, has an open or queued ask or
+// assertIdle checks that no instance holds a slot, has an open or queued ask or
 // has a lease in a ledger.
-func assertQuiet(t assert.TestingT, b *bed) {
+func assertIdle(t assert.TestingT, b *bed) {
 	for _, n := range b.Nodes {
 		if n.Killed() {
 			continue
@@ -59,15 +60,16 @@
 }
 
 func TestGrantorKilled(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
 	g := b.grantor(b.Nodes[0], e)
 	others := without(b.Nodes, g)
 	b.Reserve(others[0], e, 10*time.Millisecond, 4*time.Second)
 	b.Run(100 * time.Millisecond)
 	g.Kill()
-	// The others fall back to their static shares as soon as an ask is reported as
-	// undelivered: a third of four slots, of which the first use has taken one.
+	// The others fall back to their static shares as soon as an ask is reported
+	// as undelivered: a third of four slots, of which the first use has taken
+	// one.
 	u := b.Reserve(others[1], e, 10*time.Millisecond, 4*time.Second)
 	b.Run(200 * time.Millisecond)
 	assert.Assert(t, u.Granted)
@@ -84,7 +86,7 @@
 	assert.Equal(t, b.Held(e), 4)
 	b.Run(10 * time.Second)
 	assert.Equal(t, b.Refused, 0)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 // without returns the nodes other than gone.
@@ -99,7 +101,7 @@
 }
 
 func TestGrantorFrozen(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
 	g := b.grantor(b.Nodes[0], e)
 	others := without(b.Nodes, g)
@@ -121,13 +123,13 @@
 	assert.Assert(t, w.Granted, "asked again once it is back")
 	assert.Equal(t, w.Node, others[0])
 	b.Run(10 * time.Second)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 // TestSharesWithoutGrantor checks that instances whose grantor does not answer
 // use no more than their static shares.
 func TestSharesWithoutGrantor(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
 	g := b.grantor(b.Nodes[0], e)
 	others := without(b.Nodes, g)
@@ -144,7 +146,7 @@
 }
 
 func TestGrantorCutOffAndHealed(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
 	g := b.grantor(b.Nodes[0], e)
 	others := without(b.Nodes, g)
@@ -156,14 +158,15 @@
 	assert.Assert(t, u.Granted)
 	b.Heal()
 	b.Run(3 * time.Second)
-	// The next Renew tells the grantor about the slot taken from the static share.
+	// The next Renew tells the grantor about the slot taken from the static
+	// share.
 	assert.Equal(t, len(policyOf(g).grantor.ledgers[0].leases), 1)
 	b.Run(10 * time.Second)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 func TestHolderDead(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
 	g := b.grantor(b.Nodes[0], e)
 	h := without(b.Nodes, g)[0]
@@ -180,11 +183,11 @@
 	assert.Equal(t, len(l.leases), 0, "the engine showed the slots free")
 }
 
-// TestWithdrawnTry guards against a holder that never asks a grantor again. After
-// the backoff only one ask at a time is sent; if that ask is withdrawn before it
-// is answered, the next reservation must send a new one.
+// TestWithdrawnTry guards against a holder that never asks a grantor again.
+// After the backoff only one ask at a time is sent; if that ask is withdrawn
+// before it is answered, the next reservation must send a new one.
 func TestWithdrawnTry(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
 	g := b.grantor(b.Nodes[0], e)
 	h := without(b.Nodes, g)[0]
@@ -199,11 +202,12 @@
 	assert.Equal(t, b.Traffic.ByKind[KindAsk], asks+1)
 }
 
-// TestNoShareBesideTheGrantor checks that old failures of a grantor are forgotten:
-// long after it did not answer, all asks are sent to it at once. Otherwise some
-// would use the static share while the healthy grantor leases the same slots.
+// TestNoShareBesideTheGrantor checks that old failures of a grantor are
+// forgotten: long after it did not answer, all asks are sent to it at once.
+// Otherwise some would use the static share while the healthy grantor leases
+// the same slots.
 func TestNoShareBesideTheGrantor(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
 	g := b.grantor(b.Nodes[0], e)
 	h := without(b.Nodes, g)[0]
@@ -220,10 +224,10 @@
 }
 
 // TestHolderCutOff checks that the leases of an unreachable holder end as the
-// engine's load report shows that its requests have ended, and that the leases of
-// its running requests are still known after the connection is restored.
+// engine's load report shows that its requests have ended, and that the leases
+// of its running requests are still known after the connection is restored.
 func TestHolderCutOff(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
 	g := b.grantor(b.Nodes[0], e)
 	h := without(b.Nodes, g)[0]
@@ -245,5 +249,5 @@
 	assert.Equal(t, len(l.leases), 1)
 	b.Run(20 * time.Second)
 	assert.Equal(t, b.Refused, 0)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
--- a/plugins/slots/lease/ledger.go
+++ b/plugins/slots/lease/ledger.go
@@ -20,14 +20,14 @@
 	usedAt time.Time
 }
 
-// ended records when a past lease was granted and when it ended. A load report
-// that was made before the end still counts the lease's request.
-type ended struct{ granted, at time.Time }
+// endedLease records when a past lease was granted and when it ended. A load
+// report that was made before the end still counts the lease's request.
+type endedLease struct{ granted, endedAt time.Time }
 
 // Bounds on the size of a ledger, in multiples of the engine's slots.
 const (
-	// maxLeases leaves room for the leases of two grantors, which are merged when
-	// one of them takes over.
+	// maxLeases leaves room for the leases of two grantors, which are merged
+	// when one of them takes over.
 	maxLeases = 4
 	// maxEnded is enough for the leases that end while a load report is delayed.
 	maxEnded = 4
@@ -38,37 +38,38 @@
 	upstream    ident.UpstreamID
 	incarnation ident.Incarnation
 	leases      []lease
-	ended       []ended
+	ended       []endedLease
 	queue       askQueue
 	// peak is the highest number of foreign requests seen recently, and peakAt
-	// when it was last seen. See foreign and foreignMemory.
+	// when it was last seen. See foreign and foreignWindow.
 	peak   int
 	peakAt time.Time
-	// hold is the moving average of how long slots are in use, 0 before the first
-	// observation.
-	hold time.Duration
-	// since is when the take-over began: when this instance became the grantor or
-	// resumed after a pause.
-	since time.Time
-	// settled is set when the take-over has ended and all leases are taken to be
-	// known.
-	settled bool
-	// heard are the instances that have sent a Renew since the take-over began.
-	heard map[ident.InstanceID]struct{}
-	// penalty is the number of slots that are not leased until penaltyEnd because
-	// the engine refused requests.
+	// meanHoldTime is the moving average of how long slots are in use, 0 before
+	// the first observation.
+	meanHoldTime time.Duration
+	// takeOverStart is when the take-over began: when this instance became the
+	// grantor or resumed after a pause.
+	takeOverStart time.Time
+	// takeOverDone is set when the take-over has ended and all leases are taken
+	// to be known.
+	takeOverDone bool
+	// renewedBy are the instances that have sent a Renew since the take-over
+	// began.
+	renewedBy map[ident.InstanceID]struct{}
+	// penalty is the number of slots that are not leased until penaltyEnd
+	// because the engine refused requests.
 	penalty    int
 	penaltyEnd time.Time
-	// need is the moving average of the pieces asked for.
-	need float64
+	// meanPieces is the moving average of the pieces asked for.
+	meanPieces float64
 }
 
 func newLedger(u *kernel.Upstream, now time.Time) *ledger {
 	return &ledger{
-		upstream:    u.ID,
-		incarnation: u.Incarnation,
-		since:       now,
-		heard:       map[ident.InstanceID]struct{}{},
+		upstream:      u.ID,
+		incarnation:   u.Incarnation,
+		takeOverStart: now,
+		renewedBy:     map[ident.InstanceID]struct{}{},
 	}
 }
 
@@ -103,7 +104,7 @@
 
 // end removes the lease at index i and records it as ended.
 func (l *ledger) end(i int, now time.Time, slots int) {
-	l.ended = append(l.ended, ended{granted: l.leases[i].granted, at: now})
+	l.ended = append(l.ended, endedLease{granted: l.leases[i].granted, endedAt: now})
 	if drop := len(l.ended) - maxEnded*max(slots, 1); drop > 0 {
 		l.ended = append(l.ended[:0], l.ended[drop:]...)
 	}
@@ -130,8 +131,8 @@
 	return total
 }
 
-// liveAt returns how many of the known leases existed at a past time.
-func (l *ledger) liveAt(at time.Time) int {
+// leasesAt returns how many of the known leases existed at a past time.
+func (l *ledger) leasesAt(at time.Time) int {
 	n := 0
 	for i := range l.leases {
 		if !l.leases[i].granted.After(at) {
@@ -139,7 +140,7 @@
 		}
 	}
 	for i := range l.ended {
-		if !l.ended[i].granted.After(at) && l.ended[i].at.After(at) {
+		if !l.ended[i].granted.After(at) && l.ended[i].endedAt.After(at) {
 			n++
 		}
 	}
@@ -153,28 +154,28 @@
 	if u.Load.At.IsZero() {
 		return 0
 	}
-	return max(u.Load.Running+u.Load.Waiting-l.liveAt(u.Load.At), 0)
+	return max(u.Load.Running+u.Load.Waiting-l.leasesAt(u.Load.At), 0)
 }
 
-// foreignMemory is how long the highest number of foreign requests is taken into
+// foreignWindow is how long the highest number of foreign requests is taken into
 // account after it was seen. Load reports are delayed, and the instances that
 // sent those requests are likely to send more.
-const foreignMemory = 1 * time.Second
+const foreignWindow = 1 * time.Second
 
 // foreignPeak returns the highest number of foreign requests seen within
-// foreignMemory.
+// foreignWindow.
 func (l *ledger) foreignPeak(u *kernel.Upstream, now time.Time) int {
 	n := l.foreign(u)
-	if n >= l.peak || now.Sub(l.peakAt) > foreignMemory {
+	if n >= l.peak || now.Sub(l.peakAt) > foreignWindow {
 		l.peak, l.peakAt = n, now
 	}
 	return l.peak
 }
 
-// refused records that the engine refused a request for lack of a slot. Each
-// refusal within penaltyTime of the one before lowers the limit by one more
-// slot, up to half of the slots but at least one.
-func (l *ledger) refused(now time.Time, slots int) {
+// recordRefusal records that the engine refused a request for lack of a slot.
+// Each refusal within penaltyTime of the one before lowers the limit by one
+// more slot, up to half of the slots but at least one.
+func (l *ledger) recordRefusal(now time.Time, slots int) {
 	if now.After(l.penaltyEnd) {
 		l.penalty = 0
 	}
@@ -200,27 +201,27 @@
 	if !now.After(l.penaltyEnd) {
 		limit -= l.penalty
 	}
-	if l.settled {
+	if l.takeOverDone {
 		return limit
 	}
-	return min(limit, l.unsettledLimit(u, margin))
+	return min(limit, l.takeOverLimit(u, margin))
 }
 
-// unsettledLimit returns the limit for a grantor that may not know all leases
+// takeOverLimit returns the limit for a grantor that may not know all leases
 // yet: the known leases that the load report already counts, plus the slots that
 // it shows as free, less a margin for slots that were leased but not in use when
 // the report was made. Without a load report it is 0.
-func (l *ledger) unsettledLimit(u *kernel.Upstream, margin int) int {
+func (l *ledger) takeOverLimit(u *kernel.Upstream, margin int) int {
 	if u.Load.At.IsZero() {
 		return 0
 	}
 	reported := slotkit.Slots(u) - u.Load.Running - u.Load.Waiting - margin
-	return reported + l.usedBefore(u.Load.At)
+	return reported + l.inUseAt(u.Load.At)
 }
 
-// usedBefore returns how many leases were in use at the given time, so that a
+// inUseAt returns how many leases were in use at the given time, so that a
 // load report made then counts them.
-func (l *ledger) usedBefore(at time.Time) int {
+func (l *ledger) inUseAt(at time.Time) int {
 	n := 0
 	for i := range l.leases {
 		if !l.leases[i].usedAt.After(at) {
@@ -230,33 +231,34 @@
 	return n
 }
 
-// newestShare is the inverse of the weight that the newest observation has in a
-// moving average.
-const newestShare = 8
+// averageDivisor is the inverse of the weight that the newest observation has
+// in a moving average.
+const averageDivisor = 8
 
-// noteAsk adds the memory that an ask needs to the moving average.
-func (l *ledger) noteAsk(ask *Ask) {
-	l.need += (float64(ask.Pieces) - l.need) / newestShare
+// observeAsk adds the memory that an ask needs to the moving average.
+func (l *ledger) observeAsk(ask *Ask) {
+	l.meanPieces += (float64(ask.Pieces) - l.meanPieces) / averageDivisor
 }
 
-// noteHold adds the time for which a slot was in use to the moving average.
-func (l *ledger) noteHold(d time.Duration) {
-	if l.hold == 0 {
-		l.hold = d
+// observeHoldTime adds the time for which a slot was in use to the moving
+// average.
+func (l *ledger) observeHoldTime(d time.Duration) {
+	if l.meanHoldTime == 0 {
+		l.meanHoldTime = d
 		return
 	}
-	l.hold += (d - l.hold) / newestShare
+	l.meanHoldTime += (d - l.meanHoldTime) / averageDivisor
 }
 
-// guessHold is the assumed time for which a slot is in use, before any was
+// defaultHoldTime is the assumed time for which a slot is in use, before any was
 // observed.
-const guessHold = 2 * time.Second
+const defaultHoldTime = 2 * time.Second
 
 // nextFree returns the expected time until one of the leased slots becomes free.
 func (l *ledger) nextFree() time.Duration {
-	hold := l.hold
+	hold := l.meanHoldTime
 	if hold == 0 {
-		hold = guessHold
+		hold = defaultHoldTime
 	}
 	return hold / time.Duration(max(len(l.leases), 1))
 }
--- a/plugins/slots/lease/message_test.go
+++ b/plugins/slots/lease/message_test.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// pairOf returns the first engine's grantor and another instance.
-func pairOf(b *bed) (grantor, holder *slottest.Node) {
+// grantorAndHolder returns the first engine's grantor and another instance.
+func grantorAndHolder(b *bed) (grantor, holder *slottest.Node) {
 	grantor = b.grantor(b.Nodes[0], b.Engines[0])
 	return grantor, without(b.Nodes, grantor)[0]
 }
@@ -20,8 +20,8 @@
 // ledgerAt returns a node's first ledger.
 func ledgerAt(n *slottest.Node) *ledger { return policyOf(n).grantor.ledgers[0] }
 
-// lossy sets whether the network loses all messages or none.
-func lossy(b *bed, all bool) {
+// setLossy sets whether the network loses all messages or none.
+func setLossy(b *bed, all bool) {
 	n := slottest.Network{Delay: time.Millisecond}
 	if all {
 		n.Loss = 1
@@ -30,27 +30,27 @@
 }
 
 func TestAskLost(t *testing.T) {
-	b := three(Settings{})
-	_, holder := pairOf(b)
-	lossy(b, true)
+	b := newThreeNodeBed(Settings{})
+	_, holder := grantorAndHolder(b)
+	setLossy(b, true)
 	u := b.Reserve(holder, b.Engines[0], time.Millisecond, time.Second)
-	lossy(b, false)
+	setLossy(b, false)
 	b.Run(defaultAskTimeout + 10*time.Millisecond)
 	assert.Assert(t, u.Granted, "from the share")
 	b.Run(10 * time.Second)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 // TestGrantLost checks that a holder whose Grant was lost uses its static share,
 // and that the lease in the grantor's ledger then counts for that slot, so that
 // the reservation is not counted twice.
 func TestGrantLost(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	u := b.Reserve(holder, b.Engines[0], 10*time.Millisecond, 8*time.Second)
-	lossy(b, true)
+	setLossy(b, true)
 	b.Run(5 * time.Millisecond)
-	lossy(b, false)
+	setLossy(b, false)
 	assert.Assert(t, u.Pending)
 	assert.Equal(t, len(ledgerAt(g).leases), 1)
 	b.Run(defaultAskTimeout)
@@ -58,18 +58,18 @@
 	b.Run(5 * time.Second)
 	assert.Equal(t, len(ledgerAt(g).leases), 1, "one lease for the one slot")
 	b.Run(10 * time.Second)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 func TestReleaseLost(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	u := b.Reserve(holder, b.Engines[0], 10*time.Millisecond, 100*time.Millisecond)
 	b.Run(50 * time.Millisecond)
 	assert.Assert(t, u.Granted)
-	lossy(b, true)
+	setLossy(b, true)
 	b.Run(100 * time.Millisecond)
-	lossy(b, false)
+	setLossy(b, false)
 	assert.Assert(t, u.Over)
 	assert.Equal(t, len(ledgerAt(g).leases), 1)
 	b.Run(defaultRenewInterval + 10*time.Millisecond)
@@ -79,8 +79,8 @@
 // TestGrantAfterWithdrawal checks that a holder releases a lease at once if the
 // request ended before the Grant arrived.
 func TestGrantAfterWithdrawal(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	u := b.Reserve(holder, b.Engines[0], time.Millisecond, time.Second)
 	policyOf(holder).holder.drop(policyOf(holder).holder.holds[slotkit.KeyOf(u.ID)])
 	u.Pending, u.Over = false, true
@@ -94,8 +94,8 @@
 // newer ask for the same reservation, nor does the Release of the earlier ask if
 // it arrives after the newer ask.
 func TestDenyAfterWithdrawal(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	e := b.Engines[0]
 	for range 4 {
 		b.Reserve(g, e, time.Millisecond, time.Minute)
@@ -110,7 +110,8 @@
 		policyOf(holder).Receive(g.ID(), &Deny{Reservation: slotkit.Reservation(u.ID), Upstream: e.ID, Seq: first})
 	})
 	assert.Equal(t, len(policyOf(holder).holder.open), 1)
-	// The Release of the first ask arrives after the newer ask and must not end it.
+	// The Release of the first ask arrives after the newer ask and must not end
+	// it.
 	b.Run(5 * time.Millisecond)
 	g.Do(func() {
 		policyOf(g).Receive(holder.ID(), &Release{Reservation: slotkit.Reservation(u.ID), Upstream: e.ID, Seq: first})
@@ -122,8 +123,8 @@
 // TestRenewOvertakenByRelease checks that a Renew that arrives after a Release
 // sent later than the Renew does not restore the released lease.
 func TestRenewOvertakenByRelease(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	u := b.Reserve(holder, b.Engines[0], time.Millisecond, time.Second)
 	b.Run(10 * time.Millisecond)
 	p := policyOf(holder)
@@ -142,8 +143,8 @@
 // TestRenewOvertakenByAsk checks that a Renew sent before an Ask, but received
 // after it, does not end the lease that the Ask got.
 func TestRenewOvertakenByAsk(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	p := policyOf(holder)
 	p.holder.seq++
 	old := &Renew{Incarnation: 1, Seq: p.holder.seq}
@@ -153,11 +154,11 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 1)
 }
 
-// TestLedgerIsBounded checks that a Renew cannot add more leases to a ledger than
-// maxLeases allows.
+// TestLedgerIsBounded checks that a Renew cannot add more leases to a ledger
+// than maxLeases allows.
 func TestLedgerIsBounded(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	list := RenewEngine{Upstream: b.Engines[0].ID}
 	for i := range 100 {
 		list.Leases = append(list.Leases, RenewLease{Sequence: uint64(i), Deadline: b.Now().Add(time.Minute).UnixMilli()})
@@ -186,5 +187,5 @@
 	for _, u := range b.Uses {
 		assert.Assert(t, u.Granted && u.Answered <= 1)
 	}
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
--- a/plugins/slots/lease/queue.go
+++ b/plugins/slots/lease/queue.go
@@ -12,26 +12,26 @@
 	ask    Ask
 	key    slotkit.Key
 	holder ident.InstanceID
-	// by is when the first output is due.
-	by time.Time
-	// until is when the ask is denied if it has not been granted.
-	until time.Time
-	// passed counts the later asks that were granted first because they need less
-	// memory.
-	passed int
+	// dueAt is when the first output is due.
+	dueAt time.Time
+	// waitEnd is when the ask is denied if it has not been granted.
+	waitEnd time.Time
+	// overtakes counts the later asks that were granted first because they need
+	// less memory.
+	overtakes int
 }
 
 // feasible reports whether the first output can still meet its due time if a
 // slot is leased now.
 func (w *waitingAsk) feasible(now time.Time) bool {
-	return !now.Add(w.ask.Lead.Duration()).After(w.by)
+	return !now.Add(w.ask.Lead.Duration()).After(w.dueAt)
 }
 
-// lastCall returns when the ask must be denied if it has not been granted: when
+// denyAt returns when the ask must be denied if it has not been granted: when
 // its wait ends or just after it stops being feasible, whichever is earlier.
-func (w *waitingAsk) lastCall() time.Time {
-	start := w.by.Add(-w.ask.Lead.Duration())
-	return slotkit.Earlier(w.until, start.Add(time.Nanosecond))
+func (w *waitingAsk) denyAt() time.Time {
+	start := w.dueAt.Add(-w.ask.Lead.Duration())
+	return slotkit.Earlier(w.waitEnd, start.Add(time.Nanosecond))
 }
 
 // askQueue holds the waiting asks in the order of their due times.
@@ -40,7 +40,7 @@
 // insert adds an ask, behind those that have the same due time.
 func (q *askQueue) insert(w waitingAsk) {
 	at := len(*q)
-	for at > 0 && w.by.Before((*q)[at-1].by) {
+	for at > 0 && w.dueAt.Before((*q)[at-1].dueAt) {
 		at--
 	}
 	*q = append(*q, waitingAsk{})
@@ -58,8 +58,8 @@
 	return -1
 }
 
-// take removes and returns the ask at index i.
-func (q *askQueue) take(i int) waitingAsk {
+// remove removes and returns the ask at index i.
+func (q *askQueue) remove(i int) waitingAsk {
 	w := (*q)[i]
 	*q = append((*q)[:i], (*q)[i+1:]...)
 	return w
--- a/plugins/slots/lease/queue_test.go
+++ b/plugins/slots/lease/queue_test.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// fill makes the first engine's grantor reserve all of the engine's slots.
-func fill(b *bed, hold time.Duration) {
+// fillEngine makes the first engine's grantor reserve all of the engine's slots.
+func fillEngine(b *bed, hold time.Duration) {
 	g := b.grantor(b.Nodes[0], b.Engines[0])
 	for range b.Engines[0].Slots {
 		b.Reserve(g, b.Engines[0], time.Millisecond, hold)
@@ -23,7 +23,7 @@
 // askFor makes an instance other than the grantor reserve a slot of the first
 // engine. due is the time from now until the first output is due.
 func (b *bed) askFor(due time.Duration, pieces int) *slottest.Use {
-	_, holder := pairOf(b)
+	_, holder := grantorAndHolder(b)
 	u := &slottest.Use{
 		Node: holder, Engine: b.Engines[0], Lead: 10 * time.Millisecond, Hold: time.Minute,
 		Pieces: pieces, Due: b.Now().Add(due),
@@ -33,10 +33,10 @@
 }
 
 func TestQueueServesTheEarliestDue(t *testing.T) {
-	b := three(Settings{})
-	fill(b, 300*time.Millisecond)
+	b := newThreeNodeBed(Settings{})
+	fillEngine(b, 300*time.Millisecond)
 	var granted []ident.AttemptID
-	_, holder := pairOf(b)
+	_, holder := grantorAndHolder(b)
 	answer := holder.Granted
 	holder.Granted = func(id ident.AttemptID) {
 		granted = append(granted, id)
@@ -50,8 +50,8 @@
 }
 
 func TestQueueDeniesTheInfeasible(t *testing.T) {
-	b := three(Settings{})
-	fill(b, time.Second)
+	b := newThreeNodeBed(Settings{})
+	fillEngine(b, time.Second)
 	u := b.askFor(200*time.Millisecond, 1)
 	b.Run(150 * time.Millisecond)
 	assert.Assert(t, u.Pending)
@@ -67,8 +67,8 @@
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	b := three(Settings{QueueLimit: 2})
-	fill(b, 800*time.Millisecond)
+	b := newThreeNodeBed(Settings{QueueLimit: 2})
+	fillEngine(b, 800*time.Millisecond)
 	late := b.askFor(3*time.Second, 1)
 	first := b.askFor(2*time.Second, 1)
 	b.Run(10 * time.Millisecond)
@@ -83,8 +83,8 @@
 }
 
 func TestQueueEndsAfterItsTime(t *testing.T) {
-	b := three(Settings{})
-	fill(b, time.Minute)
+	b := newThreeNodeBed(Settings{})
+	fillEngine(b, time.Minute)
 	u := b.askFor(20*time.Second, 1)
 	b.Run(defaultQueueWait + 10*time.Millisecond)
 	assert.Assert(t, !u.Pending && !u.Granted)
@@ -93,7 +93,7 @@
 // TestMemoryIsCounted checks that an ask that needs more memory than is free
 // waits until memory is released, while an ask that needs less is granted.
 func TestMemoryIsCounted(t *testing.T) {
-	b := three(Settings{QueueWait: 10 * time.Second})
+	b := newThreeNodeBed(Settings{QueueWait: 10 * time.Second})
 	big := b.askFor(9*time.Second, 80)
 	b.Run(10 * time.Millisecond)
 	assert.Assert(t, big.Granted)
@@ -111,9 +111,9 @@
 // TestNoWaitIsDeniedAtOnce checks that a NoWait ask for a full engine is denied
 // and not queued.
 func TestNoWaitIsDeniedAtOnce(t *testing.T) {
-	b := three(Settings{})
-	fill(b, time.Second)
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	fillEngine(b, time.Second)
+	g, holder := grantorAndHolder(b)
 	l := ledgerAt(g)
 	ask := Ask{Reservation: slotkit.Reservation(holder.Reservation(time.Second)), Upstream: b.Engines[0].ID, Seq: 1000, NoWait: true}
 	g.Do(func() {
@@ -122,11 +122,11 @@
 	assert.Equal(t, len(l.queue), 0)
 }
 
-// TestRefusalLowersBelief checks that fewer slots are leased for a while after the
-// engine refused a request.
+// TestRefusalLowersBelief checks that fewer slots are leased for a while after
+// the engine refused a request.
 func TestRefusalLowersBelief(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	holder.Do(func() { holder.Policy.Refused(b.Engines[0].ID) })
 	b.Run(5 * time.Millisecond)
 	u := g.Upstream(b.Engines[0].ID)
@@ -135,11 +135,11 @@
 	assert.Equal(t, ledgerAt(g).limit(u, b.Now(), 0), 4)
 }
 
-// TestBackoff checks that a grantor that does not answer is sent only a few asks,
-// one at a time: at most 6 in 5 s.
+// TestBackoff checks that a grantor that does not answer is sent only a few
+// asks, one at a time: at most 6 in 5 s.
 func TestBackoff(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	g.Freeze()
 	asks := func() int { return b.Traffic.ByKind[KindAsk] }
 	b.Reserve(holder, b.Engines[0], time.Millisecond, time.Millisecond)
--- a/plugins/slots/lease/rapid_test.go
+++ b/plugins/slots/lease/rapid_test.go
@@ -18,11 +18,11 @@
 	*bed
 	t      *rapid.T
 	frozen map[*slottest.Node]bool
-	// stopped are the nodes that have been frozen at some time.
-	stopped map[*slottest.Node]bool
-	// calm is the start of the test as long as there has been no fault, and zero
-	// after the first fault.
-	calm time.Time
+	// everFrozen are the nodes that have been frozen at some time.
+	everFrozen map[*slottest.Node]bool
+	// faultFreeSince is the start of the test as long as there has been no
+	// fault, and zero after the first fault.
+	faultFreeSince time.Time
 	// faults counts the faults so far.
 	faults int
 }
@@ -30,16 +30,16 @@
 func newMachine(t *rapid.T, network slottest.Network) *machine {
 	network.Delay = time.Millisecond
 	m := &machine{
-		t:       t,
-		frozen:  map[*slottest.Node]bool{},
-		stopped: map[*slottest.Node]bool{},
+		t:          t,
+		frozen:     map[*slottest.Node]bool{},
+		everFrozen: map[*slottest.Node]bool{},
 		bed: newBed(slottest.Options{
 			Seed: rapid.Uint64().Draw(t, "seed"), Instances: 4, Engines: 2, Slots: 5, Pieces: 8, Zones: 2,
 			Network: network, LoadEvery: 500 * time.Millisecond, LoadLag: 300 * time.Millisecond,
 		}, Settings{}),
 	}
 	m.Run(1500 * time.Millisecond)
-	m.calm = m.Now()
+	m.faultFreeSince = m.Now()
 	return m
 }
 
@@ -78,7 +78,7 @@
 	}
 }
 
-func (m *machine) pass(*rapid.T) { m.Run(m.millis("pass", 1, 400)) }
+func (m *machine) advance(*rapid.T) { m.Run(m.millis("pass", 1, 400)) }
 
 func (m *machine) kill(*rapid.T) {
 	n := m.node()
@@ -129,7 +129,7 @@
 	m.fault()
 	n.Freeze()
 	m.frozen[n] = true
-	m.stopped[n] = true
+	m.everFrozen[n] = true
 	m.After(m.millis("noticed", 1, 1500), func() {
 		if m.frozen[n] {
 			m.All(n, kernel.Unreachable)
@@ -172,26 +172,26 @@
 // fault records that there has been a fault.
 func (m *machine) fault() {
 	m.faults++
-	m.calm = time.Time{}
+	m.faultFreeSince = time.Time{}
 }
 
-// longestAsk is the maximum time until an ask is answered. It is reached if the
+// maxAskTime is the maximum time until an ask is answered. It is reached if the
 // grantor changes just before the ask would have been denied, because the new
 // grantor then queues it again.
-const longestAsk = 2*(defaultQueueWait+defaultAskTimeout) + 10*time.Millisecond
+const maxAskTime = 2*(defaultQueueWait+defaultAskTimeout) + 10*time.Millisecond
 
 // check checks the invariants after each step. Without any fault so far, the
 // slots held never exceed an engine's slots and no engine refuses a request.
 func (m *machine) check(t *rapid.T) {
 	for _, u := range m.Uses {
-		if u.Pending && !u.Node.Killed() && !m.stopped[u.Node] {
-			assert.Assert(t, m.Now().Sub(u.Asked) <= longestAsk, "ask of %s waits too long", u.Node.ID())
+		if u.Pending && !u.Node.Killed() && !m.everFrozen[u.Node] {
+			assert.Assert(t, m.Now().Sub(u.Asked) <= maxAskTime, "ask of %s waits too long", u.Node.ID())
 		}
 	}
 	for _, n := range m.Nodes {
 		m.checkBounds(t, policyOf(n))
 	}
-	if m.calm.IsZero() {
+	if m.faultFreeSince.IsZero() {
 		return
 	}
 	for _, e := range m.Engines {
@@ -203,7 +203,7 @@
 // checkBounds checks that the records of one policy do not exceed their limits
 // and that no reservation is leased twice, or both leased and queued.
 func (m *machine) checkBounds(t *rapid.T, p *Policy) {
-	assert.Assert(t, len(p.holder.contacts) <= len(m.Nodes))
+	assert.Assert(t, len(p.holder.grantors) <= len(m.Nodes))
 	assert.Assert(t, len(p.grantor.peers) <= len(m.Nodes))
 	assert.Assert(t, len(p.grantor.ledgers) <= len(m.Engines))
 	for _, l := range p.grantor.ledgers {
@@ -219,9 +219,9 @@
 	}
 }
 
-// settleDown ends all faults, finishes all uses, and checks that every ask was
-// answered and that nothing stays leased.
-func (m *machine) settleDown(t *rapid.T) {
+// checkRecovery ends all faults, finishes all uses, and checks that every ask
+// was answered and that nothing stays leased.
+func (m *machine) checkRecovery(t *rapid.T) {
 	m.SetNetwork(slottest.Network{Delay: time.Millisecond})
 	m.Heal()
 	m.thaw(t)
@@ -237,19 +237,19 @@
 			m.Finish(u)
 		}
 	}
-	// After these 4 s, one RenewInterval, only leases of dead instances are left.
-	// These expire at their deadlines, at most 30 s later.
+	// After these 4 s, one RenewInterval, only leases of dead instances are
+	// left. These expire at their deadlines, at most 30 s later.
 	m.Run(4 * time.Second)
 	if m.faults > 0 {
 		m.Run(30 * time.Second)
 	}
-	assertQuiet(t, m.bed)
-	m.burst(t)
+	assertIdle(t, m.bed)
+	m.checkBurst(t)
 }
 
-// burst checks that after the end of all faults the slots held do not exceed the
-// engine's slots under load, and that the engine refuses no request.
-func (m *machine) burst(t *rapid.T) {
+// checkBurst checks that after the end of all faults the slots held do not
+// exceed the engine's slots under load, and that the engine refuses no request.
+func (m *machine) checkBurst(t *rapid.T) {
 	refused := m.Refused
 	for range 10 {
 		for _, n := range m.Nodes {
@@ -260,7 +260,7 @@
 	}
 	m.Run(2 * time.Second)
 	assert.Equal(t, m.Refused, refused)
-	assertQuiet(t, m.bed)
+	assertIdle(t, m.bed)
 }
 
 func (m *machine) actions(faults bool) map[string]func(*rapid.T) {
@@ -269,8 +269,8 @@
 		"reserve":  m.reserveOne,
 		"many":     m.reserveMany,
 		"withdraw": m.withdrawOne,
-		"pass":     m.pass,
-		"pass2":    m.pass,
+		"pass":     m.advance,
+		"pass2":    m.advance,
 	}
 	if faults {
 		all["kill"] = m.kill
@@ -291,17 +291,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t, slottest.Network{Jitter: 20 * time.Millisecond, Duplicate: 0.2})
 		t.Repeat(m.actions(false))
-		m.settleDown(t)
+		m.checkRecovery(t)
 	})
 }
 
-// TestNothingLeaksUnderFaults checks that every ask is answered and nothing stays
-// leased when instances are killed, frozen, cut off or have different views, and
-// when messages are reordered, duplicated and lost.
+// TestNothingLeaksUnderFaults checks that every ask is answered and nothing
+// stays leased when instances are killed, frozen, cut off or have different
+// views, and when messages are reordered, duplicated and lost.
 func TestNothingLeaksUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t, slottest.Network{Jitter: 20 * time.Millisecond, Duplicate: 0.1, Loss: 0.1})
 		t.Repeat(m.actions(true))
-		m.settleDown(t)
+		m.checkRecovery(t)
 	})
 }
--- a/plugins/slots/lease/receive.go
+++ b/plugins/slots/lease/receive.go
@@ -12,7 +12,7 @@
 
 // Receive implements kernel.PeerHandler.
 func (p *Policy) Receive(from ident.InstanceID, m kernel.PeerMessage) {
-	p.followView()
+	p.updateView()
 	switch m := m.(type) {
 	case *Ask:
 		p.receiveAsk(from, *m)
@@ -35,9 +35,9 @@
 // Undelivered implements kernel.PeerHandler. Only a lost Ask is handled at once;
 // the next Renew corrects the effect of any other lost message.
 func (p *Policy) Undelivered(to ident.InstanceID, m kernel.PeerMessage) {
-	p.followView()
+	p.updateView()
 	if ask, ok := m.(*Ask); ok {
-		p.askLost(to, ask)
+		p.askUndelivered(to, ask)
 	}
 	p.flush()
 }
@@ -62,7 +62,7 @@
 	case verdictQueued:
 		p.host.Send(from, &Queued{Reservation: ask.Reservation, Upstream: ask.Upstream, Seq: ask.Seq, NextFree: millis(l.wait())})
 	case verdictDenied:
-		p.host.Send(from, p.denial(l, ask, p.retryAfter(l, ask)))
+		p.host.Send(from, p.denyMessage(l, ask, p.denyRetryDelay(l, ask)))
 	}
 }
 
@@ -72,7 +72,7 @@
 	if sender == nil {
 		return
 	}
-	sender.released = max(sender.released, m.Seq)
+	sender.lastReleaseSeq = max(sender.lastReleaseSeq, m.Seq)
 	u := p.host.Upstream(m.Upstream)
 	l := p.grantor.ledger(m.Upstream)
 	if u != nil && l != nil {
@@ -85,15 +85,15 @@
 	u := p.host.Upstream(m.Upstream)
 	l := p.grantor.ledger(m.Upstream)
 	if u != nil && l != nil {
-		p.refusedAt(l, u)
+		p.recordRefusal(l, u)
 	}
 }
 
 // receiveGrant marks the reservation as held. If the reservation no longer
 // exists, it releases the lease.
 func (p *Policy) receiveGrant(from ident.InstanceID, m *Grant) {
-	p.holder.answered(from)
-	p.heard(m.Upstream, word{at: p.host.Now(), free: m.Free})
+	p.holder.clearFailures(from)
+	p.recordReport(m.Upstream, availabilityReport{at: p.host.Now(), free: m.Free})
 	h := p.holder.holds[m.Reservation.Key()]
 	if h == nil || h.upstream != m.Upstream {
 		p.sendRelease(from, m.Reservation.ID(), m.Upstream, 0)
@@ -105,20 +105,20 @@
 
 // receiveQueued extends the time-out of an ask that the grantor has queued.
 func (p *Policy) receiveQueued(from ident.InstanceID, m *Queued) {
-	p.holder.answered(from)
-	p.heard(m.Upstream, word{at: p.host.Now(), nextFree: m.NextFree.Duration()})
+	p.holder.clearFailures(from)
+	p.recordReport(m.Upstream, availabilityReport{at: p.host.Now(), nextFree: m.NextFree.Duration()})
 	h := p.holder.holds[m.Reservation.Key()]
 	if h == nil || h.seq != m.Seq || h.state != stateAsked {
 		return
 	}
 	h.state = stateQueued
-	h.until = h.askedAt.Add(p.QueueWait + p.AskTimeout)
+	h.timeoutAt = h.askedAt.Add(p.QueueWait + p.AskTimeout)
 }
 
 // receiveDeny denies the reservation, or uses the static share if the sender is
 // not the grantor. An answer to an earlier ask does not affect the reservation.
 func (p *Policy) receiveDeny(from ident.InstanceID, m *Deny) {
-	p.holder.answered(from)
+	p.holder.clearFailures(from)
 	h := p.holder.holds[m.Reservation.Key()]
 	wanted := h != nil && h.seq == m.Seq && h.state != stateHeld
 	if m.NotGrantor {
@@ -127,15 +127,15 @@
 		}
 		return
 	}
-	p.heard(m.Upstream, word{at: p.host.Now(), free: m.Free, nextFree: m.NextFree.Duration()})
+	p.recordReport(m.Upstream, availabilityReport{at: p.host.Now(), free: m.Free, nextFree: m.NextFree.Duration()})
 	if wanted {
 		p.denied(h.key, p.host.Now().Add(m.RetryIn.Duration()))
 	}
 }
 
-// heard records a grantor's report on an engine that is in the view.
-func (p *Policy) heard(id ident.UpstreamID, w word) {
+// recordReport records a grantor's report on an engine that is in the view.
+func (p *Policy) recordReport(id ident.UpstreamID, r availabilityReport) {
 	if u := p.host.Upstream(id); u != nil {
-		p.holder.heard(u, w)
+		p.holder.recordReport(u, r)
 	}
 }
--- a/plugins/slots/lease/renew.go
+++ b/plugins/slots/lease/renew.go
@@ -14,7 +14,7 @@
 // because their leases have expired.
 func (p *Policy) renewAll() {
 	lists := p.renewLists()
-	for _, id := range p.renewDue(lists) {
+	for _, id := range p.renewTargets(lists) {
 		p.sendRenew(id, lists[id])
 	}
 }
@@ -38,16 +38,16 @@
 	return lists
 }
 
-// renewDue returns the sorted IDs of the grantors to which a Renew must be sent:
-// those in lists, and those to which Renews are still owed after the last
+// renewTargets returns the sorted IDs of the grantors to which a Renew must be
+// sent: those in lists, and those to which Renews are still owed after the last
 // Release.
-func (p *Policy) renewDue(lists map[ident.InstanceID][]*hold) []ident.InstanceID {
+func (p *Policy) renewTargets(lists map[ident.InstanceID][]*hold) []ident.InstanceID {
 	var due []ident.InstanceID
 	for id := range lists {
-		p.contact(id).owed = renewsOwed
+		p.grantorRecord(id).pendingRenews = renewsAfterRelease
 	}
-	for id, c := range p.holder.contacts {
-		if c.owed > 0 {
+	for id, g := range p.holder.grantors {
+		if g.pendingRenews > 0 {
 			due = append(due, id)
 		}
 	}
@@ -57,7 +57,7 @@
 
 // sendRenew sends a grantor the list of the holds.
 func (p *Policy) sendRenew(to ident.InstanceID, holds []*hold) {
-	p.contact(to).owed--
+	p.grantorRecord(to).pendingRenews--
 	m := &Renew{Incarnation: p.host.Self().Incarnation, Seq: p.holder.nextSeq()}
 	now := p.host.Now()
 	for _, h := range holds {
@@ -78,15 +78,15 @@
 		Sequence: h.key.Sequence,
 		Deadline: h.id.Deadline.UnixMilli(),
 		Pieces:   h.ask.Pieces,
-		Used:     usedFor(h, now),
+		Used:     timeInUse(h, now),
 		Open:     h.state != stateHeld,
 	})
 }
 
-// usedFor returns the value of RenewLease.Used for a hold: at least 1 if the slot
-// is in use, otherwise 0 or less. If the expected start of a slot that is not in
-// use has already passed, the result is 0.
-func usedFor(h *hold, now time.Time) Milliseconds {
+// timeInUse returns the value of RenewLease.Used for a hold: at least 1 if the
+// slot is in use, otherwise 0 or less. If the expected start of a slot that is
+// not in use has already passed, the result is 0.
+func timeInUse(h *hold, now time.Time) Milliseconds {
 	used := Milliseconds(now.Sub(h.usedAt) / time.Millisecond)
 	if !h.started {
 		return min(used, 0)
@@ -98,11 +98,11 @@
 // is not newer than the last one received is ignored.
 func (p *Policy) receiveRenew(from ident.InstanceID, m *Renew) {
 	sender := p.grantor.peer(from, m.Incarnation)
-	if sender == nil || m.Seq <= sender.renewed {
+	if sender == nil || m.Seq <= sender.lastRenewSeq {
 		return
 	}
-	sender.renewed = m.Seq
-	overtaken := m.Seq < sender.released
+	sender.lastRenewSeq = m.Seq
+	overtaken := m.Seq < sender.lastReleaseSeq
 	for _, l := range p.grantor.ledgers {
 		u := p.host.Upstream(l.upstream)
 		if u == nil {
@@ -112,54 +112,54 @@
 		if i := slices.IndexFunc(m.Engines, func(e RenewEngine) bool { return e.Upstream == l.upstream }); i >= 0 {
 			listed = m.Engines[i].Leases
 		}
-		l.heard[from] = struct{}{}
+		l.renewedBy[from] = struct{}{}
 		p.reconcile(l, u, from, m, listed, overtaken)
-		p.settle(l)
-		p.drain(l, u)
+		p.endTakeOver(l)
+		p.serveQueue(l, u)
 	}
 }
 
 // reconcile updates one ledger from the part of a Renew that concerns its
-// engine. It ends the holder's leases and asks that are not listed and older than
-// the Renew, and records listed leases that this grantor does not know. If a
-// Release that was sent after the Renew has already arrived (overtaken), unknown
-// leases are not recorded, because the Release may have ended them.
+// engine. It ends the holder's leases and asks that are not listed and older
+// than the Renew, and records listed leases that this grantor does not know. If
+// a Release that was sent after the Renew has already arrived (overtaken),
+// unknown leases are not recorded, because the Release may have ended them.
 func (p *Policy) reconcile(l *ledger, u *kernel.Upstream, from ident.InstanceID, m *Renew, listed []RenewLease, overtaken bool) {
 	slots := slotkit.Slots(u)
 	now := p.host.Now()
-	gone := func(key slotkit.Key, seq uint64) bool {
+	unlisted := func(key slotkit.Key, seq uint64) bool {
 		return key.Instance == from && key.Incarnation == m.Incarnation && seq < m.Seq &&
 			!slices.ContainsFunc(listed, func(r RenewLease) bool { return r.Sequence == key.Sequence })
 	}
 	for i := len(l.leases) - 1; i >= 0; i-- {
-		if gone(l.leases[i].key, l.leases[i].seq) {
+		if unlisted(l.leases[i].key, l.leases[i].seq) {
 			l.end(i, now, slots)
 		}
 	}
-	l.queue = slices.DeleteFunc(l.queue, func(w waitingAsk) bool { return gone(w.key, w.ask.Seq) })
+	l.queue = slices.DeleteFunc(l.queue, func(w waitingAsk) bool { return unlisted(w.key, w.ask.Seq) })
 	for _, r := range listed {
-		p.reconcileOne(l, u, from, m, r, overtaken)
+		p.reconcileLease(l, u, from, m, r, overtaken)
 	}
 }
 
-// reconcileOne updates the ledger from one listed lease or open ask.
-func (p *Policy) reconcileOne(l *ledger, u *kernel.Upstream, from ident.InstanceID, m *Renew, r RenewLease, overtaken bool) {
+// reconcileLease updates the ledger from one listed lease or open ask.
+func (p *Policy) reconcileLease(l *ledger, u *kernel.Upstream, from ident.InstanceID, m *Renew, r RenewLease, overtaken bool) {
 	key := slotkit.Key{Instance: from, Incarnation: m.Incarnation, Sequence: r.Sequence}
 	usedAt := p.host.Now().Add(-r.Used.Duration())
 	i := l.find(key)
 	switch {
 	case i >= 0 && r.Open:
-		p.grantAgain(l, u, &l.leases[i], from)
+		p.resendGrant(l, u, &l.leases[i], from)
 	case i >= 0:
 		l.leases[i].usedAt = usedAt
 	case !r.Open && !overtaken:
-		p.learn(l, u, key, m.Seq, r, usedAt)
+		p.addUnknownLease(l, u, key, m.Seq, r, usedAt)
 	}
 }
 
-// grantAgain sends the Grant of a lease again, because the holder still lists
+// resendGrant sends the Grant of a lease again, because the holder still lists
 // its ask as open.
-func (p *Policy) grantAgain(l *ledger, u *kernel.Upstream, x *lease, to ident.InstanceID) {
+func (p *Policy) resendGrant(l *ledger, u *kernel.Upstream, x *lease, to ident.InstanceID) {
 	id := ident.AttemptID{
 		Instance:    x.key.Instance,
 		Incarnation: x.key.Incarnation,
@@ -169,9 +169,9 @@
 	p.host.Send(to, &Grant{Reservation: slotkit.Reservation(id), Upstream: l.upstream, Free: p.free(l, u)})
 }
 
-// learn records a lease that another grantor gave or that the holder took from
-// its static share.
-func (p *Policy) learn(l *ledger, u *kernel.Upstream, key slotkit.Key, seq uint64, r RenewLease, usedAt time.Time) {
+// addUnknownLease records a lease that another grantor gave or that the holder
+// took from its static share.
+func (p *Policy) addUnknownLease(l *ledger, u *kernel.Upstream, key slotkit.Key, seq uint64, r RenewLease, usedAt time.Time) {
 	now := p.host.Now()
 	granted := now
 	if usedAt.Before(now) {
@@ -183,7 +183,7 @@
 	}
 	if i := l.queue.find(key); i >= 0 {
 		// The holder took a slot without waiting for the answer to its ask.
-		l.queue.take(i)
+		l.queue.remove(i)
 	}
 	l.add(lease{
 		key:     key,
--- a/plugins/slots/lease/reserve.go
+++ b/plugins/slots/lease/reserve.go
@@ -13,14 +13,14 @@
 
 // Reserve implements kernel.SlotPolicy.
 func (p *Policy) Reserve(ask kernel.SlotAsk) kernel.SlotAnswer {
-	p.followView()
+	p.updateView()
 	if h := p.holder.holds[slotkit.KeyOf(ask.Reservation)]; h != nil {
 		return answerFor(h)
 	}
 	now := p.host.Now()
 	u := p.host.Upstream(ask.Upstream)
 	if !slotkit.Usable(u) {
-		return none(now.Add(retryUnusable))
+		return noSlot(now.Add(retryUnusable))
 	}
 	h := p.newHold(ask, now)
 	grantor := p.roster.Grantor(u)
@@ -32,8 +32,8 @@
 		p.holder.add(h)
 		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 	case grantor == p.self():
-		return p.reserveHere(h, u)
-	case grantor == "" || p.down(grantor):
+		return p.reserveLocal(h, u)
+	case grantor == "" || p.inBackoff(grantor):
 		return p.reserveShare(h, u)
 	}
 	p.holder.add(h)
@@ -50,8 +50,8 @@
 	return kernel.SlotAnswer{Verdict: kernel.SlotWaits}
 }
 
-// none returns the answer that no slot is available before retryAt.
-func none(retryAt time.Time) kernel.SlotAnswer {
+// noSlot returns the answer that no slot is available before retryAt.
+func noSlot(retryAt time.Time) kernel.SlotAnswer {
 	return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: retryAt}
 }
 
@@ -67,24 +67,24 @@
 		wire.FirstOutputBy = ask.FirstOutputBy.UnixMilli()
 	}
 	return &hold{
-		key:      slotkit.KeyOf(ask.Reservation),
-		id:       ask.Reservation,
-		upstream: ask.Upstream,
-		ask:      wire,
-		state:    stateAsked,
-		since:    now,
-		askedAt:  now,
-		usedAt:   now.Add(ask.Lead),
+		key:         slotkit.KeyOf(ask.Reservation),
+		id:          ask.Reservation,
+		upstream:    ask.Upstream,
+		ask:         wire,
+		state:       stateAsked,
+		requestedAt: now,
+		askedAt:     now,
+		usedAt:      now.Add(ask.Lead),
 	}
 }
 
-// reserveHere reserves a slot of an engine whose grantor is this instance.
-func (p *Policy) reserveHere(h *hold, u *kernel.Upstream) kernel.SlotAnswer {
+// reserveLocal reserves a slot of an engine whose grantor is this instance.
+func (p *Policy) reserveLocal(h *hold, u *kernel.Upstream) kernel.SlotAnswer {
 	l := p.ledgerOf(u)
 	h.grantor = p.self()
 	h.seq = p.holder.nextSeq()
 	h.ask.Seq = h.seq
-	h.until = h.askedAt.Add(p.QueueWait + p.AskTimeout)
+	h.timeoutAt = h.askedAt.Add(p.QueueWait + p.AskTimeout)
 	switch p.decide(l, u, p.self(), h.ask) {
 	case verdictGranted:
 		h.state = stateHeld
@@ -93,7 +93,7 @@
 		h.state = stateQueued
 		p.holder.add(h)
 	case verdictDenied:
-		return none(p.host.Now().Add(p.retryIn(l)))
+		return noSlot(p.host.Now().Add(p.queueRetryDelay(l)))
 	}
 	return answerFor(h)
 }
@@ -106,15 +106,15 @@
 	h.ask.Seq = h.seq
 	h.ask.NoWait = p.freeElsewhere(u)
 	h.askedAt = p.host.Now()
-	h.until = h.askedAt.Add(p.AskTimeout)
-	p.contact(grantor)
+	h.timeoutAt = h.askedAt.Add(p.AskTimeout)
+	p.grantorRecord(grantor)
 	ask := h.ask
 	p.host.Send(grantor, &ask)
 }
 
 // Release implements kernel.SlotPolicy.
 func (p *Policy) Release(id ident.AttemptID) {
-	p.followView()
+	p.updateView()
 	h := p.holder.holds[slotkit.KeyOf(id)]
 	if h == nil {
 		return
@@ -124,13 +124,13 @@
 		held = max(p.host.Now().Sub(h.usedAt), time.Millisecond)
 	}
 	p.holder.drop(h)
-	p.tellReleased(h, held)
+	p.notifyRelease(h, held)
 }
 
-// tellReleased tells the grantor that a reservation has ended. Because the
+// notifyRelease tells the grantor that a reservation has ended. Because the
 // Release may be lost, Renews are sent to the grantor afterwards. held is how
 // long the slot was in use, or 0 if it never was.
-func (p *Policy) tellReleased(h *hold, held time.Duration) {
+func (p *Policy) notifyRelease(h *hold, held time.Duration) {
 	switch h.grantor {
 	case "":
 	case p.self():
@@ -140,7 +140,7 @@
 			p.release(l, u, h.key, p.holder.nextSeq(), held)
 		}
 	default:
-		p.contact(h.grantor).owed = renewsOwed
+		p.grantorRecord(h.grantor).pendingRenews = renewsAfterRelease
 		p.sendRelease(h.grantor, h.id, h.upstream, held)
 	}
 }
@@ -171,26 +171,26 @@
 
 // Refused implements kernel.SlotPolicy.
 func (p *Policy) Refused(id ident.UpstreamID) {
-	p.followView()
+	p.updateView()
 	u := p.host.Upstream(id)
 	if u == nil {
 		return
 	}
-	p.holder.refused[id] = p.host.Now().Add(penaltyTime)
+	p.holder.refusedUntil[id] = p.host.Now().Add(penaltyTime)
 	grantor := p.roster.Grantor(u)
 	if grantor != "" && grantor != p.self() {
 		p.host.Send(grantor, &Refused{Upstream: id})
 		return
 	}
 	if l := p.grantor.ledger(id); l != nil {
-		p.refusedAt(l, u)
+		p.recordRefusal(l, u)
 	}
 }
 
-// refusedAt records in the ledger that the engine refused a request, so that
+// recordRefusal records in the ledger that the engine refused a request, so that
 // fewer slots are leased for a while.
-func (p *Policy) refusedAt(l *ledger, u *kernel.Upstream) {
-	l.refused(p.host.Now(), slotkit.Slots(u))
+func (p *Policy) recordRefusal(l *ledger, u *kernel.Upstream) {
+	l.recordRefusal(p.host.Now(), slotkit.Slots(u))
 }
 
 // granted marks an open reservation as held. The kernel is told by the next
@@ -200,7 +200,7 @@
 	if h == nil || h.state == stateHeld {
 		return
 	}
-	p.holder.keep(h)
+	p.holder.markHeld(h)
 	p.holder.answers = append(p.holder.answers, answer{id: h.id, granted: true})
 }
 
--- a/plugins/slots/lease/setup.go
+++ b/plugins/slots/lease/setup.go
@@ -34,15 +34,16 @@
 type Settings struct {
 	// AskTimeout is how long a holder waits for the grantor's first answer.
 	AskTimeout time.Duration `yaml:"ask_timeout"`
-	// QueueWait is the maximum time for which an ask waits in the grantor's queue.
+	// QueueWait is the maximum time for which an ask waits in the grantor's
+	// queue.
 	QueueWait time.Duration `yaml:"queue_wait"`
 	// QueueLimit is the maximum number of asks queued for one engine.
 	QueueLimit int `yaml:"queue_limit"`
 	// RenewInterval is the time between two Renews of a holder.
 	RenewInterval time.Duration `yaml:"renew_interval"`
 	// TakeOver is how long a new grantor limits its leases by the engine's load
-	// report, because it may not know all leases yet. It stops earlier once it has
-	// received a Renew from every live instance.
+	// report, because it may not know all leases yet. It stops earlier once it
+	// has received a Renew from every live instance.
 	TakeOver time.Duration `yaml:"take_over"`
 	// Margin is the number of slots that a new grantor does not lease during
 	// TakeOver although the load report shows them as free.
@@ -55,11 +56,11 @@
 	Settings `yaml:",inline"`
 
 	host kernel.Host
-	// me is this instance's ID.
-	me      ident.InstanceID
-	roster  slotkit.Roster
-	holder  holder
-	grantor grantor
+	// instanceID is this instance's ID.
+	instanceID ident.InstanceID
+	roster     slotkit.Roster
+	holder     holder
+	grantor    grantor
 }
 
 // PluginInfo implements plugin.Plugin.
@@ -108,8 +109,8 @@
 // Attach implements kernel.Attacher.
 func (p *Policy) Attach(h kernel.Host) {
 	p.host = h
-	p.me = h.Self().Instance
+	p.instanceID = h.Self().Instance
 }
 
 // self returns this instance's ID.
-func (p *Policy) self() ident.InstanceID { return p.me }
+func (p *Policy) self() ident.InstanceID { return p.instanceID }
--- a/plugins/slots/lease/view.go
+++ b/plugins/slots/lease/view.go
@@ -10,14 +10,14 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// followView updates the policy to the host's current view. It is cheap if the
+// updateView updates the policy to the host's current view. It is cheap if the
 // view has not changed.
-func (p *Policy) followView() {
+func (p *Policy) updateView() {
 	v := p.host.View()
 	if !p.roster.Update(v, p.host.Self()) {
 		return
 	}
-	restarted := p.followInstances(v)
+	restarted := p.updateInstances(v)
 	p.closeLedgers()
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
@@ -28,23 +28,23 @@
 	p.moveHolds(restarted)
 }
 
-// followInstances deletes the records of instances that are no longer in the
+// updateInstances deletes the records of instances that are no longer in the
 // view and resets those of grantors that have restarted. It reports whether a
 // grantor has restarted, in which case the leases must be sent to it.
-func (p *Policy) followInstances(v *kernel.View) bool {
+func (p *Policy) updateInstances(v *kernel.View) bool {
 	listed := make(map[ident.InstanceID]ident.Incarnation, len(v.Instances))
 	for i := range v.Instances {
 		listed[v.Instances[i].ID] = v.Instances[i].Incarnation
 	}
 	restarted := false
-	for id, c := range p.holder.contacts {
+	for id, g := range p.holder.grantors {
 		incarnation, ok := listed[id]
 		if !ok {
-			delete(p.holder.contacts, id)
+			delete(p.holder.grantors, id)
 			continue
 		}
-		if c.incarnation != incarnation {
-			*c = contact{incarnation: incarnation, owed: renewsOwed}
+		if g.incarnation != incarnation {
+			*g = grantorRecord{incarnation: incarnation, pendingRenews: renewsAfterRelease}
 			restarted = true
 		}
 	}
@@ -53,17 +53,17 @@
 			delete(p.grantor.peers, id)
 		}
 	}
-	p.holder.countTroubled()
-	p.forgetUpstreams()
+	p.holder.countFailingGrantors()
+	p.deleteOldRefusals()
 	return restarted
 }
 
-// forgetUpstreams deletes the refusals of upstreams that are no longer in the
+// deleteOldRefusals deletes the refusals of upstreams that are no longer in the
 // view.
-func (p *Policy) forgetUpstreams() {
-	for id := range p.holder.refused {
+func (p *Policy) deleteOldRefusals() {
+	for id := range p.holder.refusedUntil {
 		if p.host.Upstream(id) == nil {
-			delete(p.holder.refused, id)
+			delete(p.holder.refusedUntil, id)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 // ledgerOf returns the ledger of an engine whose grantor is this instance. If
 // there is none, it creates one that contains the slots this instance holds.
 func (p *Policy) ledgerOf(u *kernel.Upstream) *ledger {
-	i, ok := p.grantor.place(u.ID)
+	i, ok := p.grantor.ledgerIndex(u.ID)
 	if ok {
 		return p.grantor.ledgers[i]
 	}
@@ -109,7 +109,7 @@
 		}
 	}
 	p.grantor.ledgers = slices.Insert(p.grantor.ledgers, i, l)
-	p.settle(l)
+	p.endTakeOver(l)
 	return l
 }
 
@@ -125,32 +125,33 @@
 	}
 }
 
-// settle ends the take-over of a ledger once all other live instances have sent
-// a Renew or TakeOver has passed.
-func (p *Policy) settle(l *ledger) {
-	if l.settled {
+// endTakeOver ends the take-over of a ledger once all other live instances have
+// sent a Renew or TakeOver has passed.
+func (p *Policy) endTakeOver(l *ledger) {
+	if l.takeOverDone {
 		return
 	}
-	if !p.host.Now().Before(l.since.Add(p.TakeOver)) {
-		l.settled = true
+	if !p.host.Now().Before(l.takeOverStart.Add(p.TakeOver)) {
+		l.takeOverDone = true
 		return
 	}
 	for _, in := range p.roster.Live() {
-		if _, ok := l.heard[in.ID]; !ok && in.ID != p.self() {
+		if _, ok := l.renewedBy[in.ID]; !ok && in.ID != p.self() {
 			return
 		}
 	}
-	l.settled = true
+	l.takeOverDone = true
 }
 
-// unsettle restarts the take-over of all ledgers, so that leases are limited by
-// the engines' load reports for a while. It is called after this process was
-// paused, because another instance may have granted leases in the meantime.
-func (p *Policy) unsettle() {
+// restartTakeOver restarts the take-over of all ledgers, so that leases are
+// limited by the engines' load reports for a while. It is called after this
+// process was paused, because another instance may have granted leases in the
+// meantime.
+func (p *Policy) restartTakeOver() {
 	for _, l := range p.grantor.ledgers {
-		l.since = p.host.Now()
-		l.settled = false
-		clear(l.heard)
+		l.takeOverStart = p.host.Now()
+		l.takeOverDone = false
+		clear(l.renewedBy)
 	}
 }
 
@@ -161,7 +162,7 @@
 	for _, h := range p.holder.sorted() {
 		u := p.host.Upstream(h.upstream)
 		if u == nil || u.Life == kernel.Dead {
-			p.abandon(h)
+			p.denyUnusable(h)
 			continue
 		}
 		grantor := p.roster.Grantor(u)
@@ -170,7 +171,7 @@
 		}
 		moved = true
 		if h.state != stateHeld {
-			p.askAnew(h, u, grantor)
+			p.askNewGrantor(h, u, grantor)
 		}
 	}
 	if moved {
@@ -179,23 +180,24 @@
 	}
 }
 
-// abandon denies an open ask for an engine that is gone.
-func (p *Policy) abandon(h *hold) {
+// denyUnusable denies an open ask for an engine that is gone.
+func (p *Policy) denyUnusable(h *hold) {
 	if h.state != stateHeld {
 		p.denied(h.key, p.host.Now().Add(retryUnusable))
 	}
 }
 
-// askAnew withdraws an open ask from its old grantor and sends it to the new one.
-// If the kernel has already waited longer than QueueWait, the ask is denied.
-func (p *Policy) askAnew(h *hold, u *kernel.Upstream, grantor ident.InstanceID) {
-	p.tellReleased(h, 0)
+// askNewGrantor withdraws an open ask from its old grantor and sends it to the
+// new one. If the kernel has already waited longer than QueueWait, the ask is
+// denied.
+func (p *Policy) askNewGrantor(h *hold, u *kernel.Upstream, grantor ident.InstanceID) {
+	p.notifyRelease(h, 0)
 	switch {
-	case p.host.Now().Sub(h.since) > p.QueueWait:
+	case p.host.Now().Sub(h.requestedAt) > p.QueueWait:
 		p.denied(h.key, p.shareRetryAt())
 	case grantor == p.self():
-		p.askSelfAnew(h, u)
-	case p.down(grantor):
+		p.askSelf(h, u)
+	case p.inBackoff(grantor):
 		h.grantor = ""
 		p.fallBack(h)
 	default:
@@ -203,23 +205,23 @@
 	}
 }
 
-// askSelfAnew repeats an open ask at this instance, which has become the grantor.
-func (p *Policy) askSelfAnew(h *hold, u *kernel.Upstream) {
+// askSelf repeats an open ask at this instance, which has become the grantor.
+func (p *Policy) askSelf(h *hold, u *kernel.Upstream) {
 	l := p.ledgerOf(u)
 	h.grantor = p.self()
 	h.seq = p.holder.nextSeq()
 	h.ask.Seq = h.seq
 	h.state = stateQueued
-	h.until = p.host.Now().Add(p.QueueWait + p.AskTimeout)
+	h.timeoutAt = p.host.Now().Add(p.QueueWait + p.AskTimeout)
 	switch p.decide(l, u, p.self(), h.ask) {
 	case verdictGranted:
 		p.granted(h.key)
 	case verdictDenied:
-		p.denied(h.key, p.host.Now().Add(p.retryIn(l)))
+		p.denied(h.key, p.host.Now().Add(p.queueRetryDelay(l)))
 	case verdictQueued:
 	}
 }
 
-// pauseGap is the delay of a wake-up beyond which this process is taken to have
-// been paused.
-const pauseGap = 500 * time.Millisecond
+// pauseThreshold is the delay of a wake-up beyond which this process is taken
+// to have been paused.
+const pauseThreshold = 500 * time.Millisecond
--- a/plugins/slots/lease/view_test.go
+++ b/plugins/slots/lease/view_test.go
@@ -21,7 +21,7 @@
 	}, Settings{})
 	e := b.Engines[0]
 	b.Run(2 * time.Second)
-	g, holder := pairOf(b)
+	g, holder := grantorAndHolder(b)
 	// Two slots are in use, two are leased for later use.
 	for _, lead := range []time.Duration{time.Millisecond, time.Millisecond, 800 * time.Millisecond, 800 * time.Millisecond} {
 		b.Reserve(holder, e, lead, 5*time.Second)
@@ -90,16 +90,16 @@
 	}
 	assert.Equal(t, b.Refused, refused, "none after they agree")
 	b.Run(10 * time.Second)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 // TestAskToNonGrantor checks that an instance that is not the grantor in its own
 // view denies an Ask with NotGrantor, and that the holder then uses its static
 // share.
 func TestAskToNonGrantor(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
-	g, holder := pairOf(b)
+	g, holder := grantorAndHolder(b)
 	holder.Believe(g, kernel.Unreachable)
 	other := b.grantor(holder, e)
 	if other == holder {
@@ -114,12 +114,12 @@
 	b.Run(10 * time.Second)
 	holder.Believe(g, kernel.Live)
 	b.Run(10 * time.Second)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 func TestEngineRestarted(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	for range 4 {
 		b.Reserve(holder, b.Engines[0], time.Millisecond, time.Minute)
 	}
@@ -130,11 +130,11 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 0, "the engine has lost its requests")
 }
 
-// TestGrantorRestarted checks that holders send their leases at once to a grantor
-// that has restarted.
+// TestGrantorRestarted checks that holders send their leases at once to a
+// grantor that has restarted.
 func TestGrantorRestarted(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	for range 3 {
 		b.Reserve(holder, b.Engines[0], time.Millisecond, 8*time.Second)
 	}
@@ -146,13 +146,13 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 3)
 }
 
-// TestHolderRestarted checks that the leases of a holder's earlier incarnation end
-// when the engine's load report shows their slots as free, and that messages of
-// the earlier incarnation are ignored.
+// TestHolderRestarted checks that the leases of a holder's earlier incarnation
+// end when the engine's load report shows their slots as free, and that
+// messages of the earlier incarnation are ignored.
 func TestHolderRestarted(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
-	g, holder := pairOf(b)
+	g, holder := grantorAndHolder(b)
 	old := b.Reserve(holder, e, time.Millisecond, 2*time.Second)
 	b.Run(100 * time.Millisecond)
 	holder.Kill()
@@ -172,9 +172,9 @@
 // TestGrantorLeaves checks that in a planned stop of the grantor its leases move
 // to the next grantor.
 func TestGrantorLeaves(t *testing.T) {
-	b := three(Settings{})
+	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
-	g, holder := pairOf(b)
+	g, holder := grantorAndHolder(b)
 	b.Reserve(holder, e, time.Millisecond, 3*time.Second)
 	b.Reserve(g, e, time.Millisecond, 3*time.Second)
 	b.Run(50 * time.Millisecond)
@@ -193,26 +193,26 @@
 	assert.Equal(t, len(ledgerAt(next).leases), 2)
 }
 
-// TestPausedGrantor checks that a grantor that was paused is unsettled for a
-// while when it resumes, because another instance may have granted leases in the
-// meantime.
+// TestPausedGrantor checks that a grantor that was paused starts another
+// take-over when it resumes, because another instance may have granted leases
+// in the meantime.
 func TestPausedGrantor(t *testing.T) {
-	b := three(Settings{})
-	g, _ := pairOf(b)
-	assert.Assert(t, ledgerAt(g).settled)
+	b := newThreeNodeBed(Settings{})
+	g, _ := grantorAndHolder(b)
+	assert.Assert(t, ledgerAt(g).takeOverDone)
 	g.Freeze()
 	b.Run(3 * time.Second)
 	g.Thaw()
-	assert.Assert(t, !ledgerAt(g).settled)
+	assert.Assert(t, !ledgerAt(g).takeOverDone)
 	b.Run(defaultTakeOver + 100*time.Millisecond)
-	assert.Assert(t, ledgerAt(g).settled)
+	assert.Assert(t, ledgerAt(g).takeOverDone)
 }
 
-// TestDeadlineEndsLease checks that the lease of a holder that stopped responding,
-// but is not known to be dead, ends at its deadline and not before.
+// TestDeadlineEndsLease checks that the lease of a holder that stopped
+// responding, but is not known to be dead, ends at its deadline and not before.
 func TestDeadlineEndsLease(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	b.Reserve(holder, b.Engines[0], time.Millisecond, time.Second)
 	b.Run(10 * time.Millisecond)
 	holder.Freeze()
--- a/plugins/slots/shares/engine.go
+++ b/plugins/slots/shares/engine.go
@@ -9,8 +9,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// engine is this instance's record of the slots it uses, lends and borrows at one
-// engine.
+// engine is this instance's record of the slots it uses, lends and borrows at
+// one engine.
 type engine struct {
 	id ident.UpstreamID
 	// held is the number of slots that this instance has reserved.
@@ -30,13 +30,14 @@
 type loan struct {
 	borrower ident.InstanceID
 	count    int
-	// given counts the slots lent so far, including those that were returned.
-	given int
-	// confirmed is the sequence number of the borrower's newest Confirm.
-	confirmed uint64
-	// lent is when a slot was last lent, heard when the loan was last lent or
-	// confirmed.
-	lent, heard time.Time
+	// totalLent counts the slots lent so far, including those that were
+	// returned.
+	totalLent int
+	// confirmSeq is the sequence number of the borrower's newest Confirm.
+	confirmSeq uint64
+	// lentAt is when a slot was last lent, lastConfirmed when one was last lent
+	// or the loan was last confirmed.
+	lentAt, lastConfirmed time.Time
 	// recalled is set while a Recall has not been answered.
 	recalled bool
 }
@@ -45,10 +46,10 @@
 type credit struct {
 	owner ident.InstanceID
 	count int
-	// got counts the slots received so far; seen are the sequence numbers of the
-	// newest Lend messages.
-	got  int
-	seen []uint64
+	// totalReceived counts the slots received so far; seenSeqs are the sequence
+	// numbers of the newest Lend messages.
+	totalReceived int
+	seenSeqs      []uint64
 	// recalled is set while the owner waits for a slot to be returned.
 	recalled bool
 	// idleSince is the time since which a borrowed slot has not been needed.
--- a/plugins/slots/shares/loans.go
+++ b/plugins/slots/shares/loans.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// maxSeen is the number of recent loans remembered for each owner in order to
-	// recognize duplicated Lend messages.
+	// maxSeen is the number of recent loans remembered for each owner in order
+	// to recognize duplicated Lend messages.
 	maxSeen = 16
-	// unconfirmed is the number of confirmation intervals after which a loan that
-	// was not confirmed ends.
-	unconfirmed = 10
-	// inFlight is the time after which a Lend that has not been received is taken
-	// to be lost.
-	inFlight = 300 * time.Millisecond
+	// maxMissedConfirms is the number of confirmation intervals after which a
+	// loan that was not confirmed ends.
+	maxMissedConfirms = 10
+	// maxInFlight is the time after which a Lend that has not been received is
+	// taken to be lost.
+	maxInFlight = 300 * time.Millisecond
 )
 
-// recall asks one borrower to return a slot, unless all borrowers have been asked
-// already. It reports whether a slot is on loan, which may be returned later.
+// recall asks one borrower to return a slot, unless all borrowers have been
+// asked already. It reports whether a slot is on loan, which may be returned
+// later.
 func (p *Policy) recall(e *engine) bool {
 	out := false
 	for i := range e.loans {
@@ -95,7 +96,7 @@
 
 // Receive implements kernel.PeerHandler.
 func (p *Policy) Receive(from ident.InstanceID, m kernel.PeerMessage) {
-	p.followView()
+	p.updateView()
 	switch m := m.(type) {
 	case *Borrow:
 		p.receiveBorrow(from, m)
@@ -112,8 +113,8 @@
 }
 
 // Undelivered implements kernel.PeerHandler. A lost Borrow is handled as if the
-// owner had answered None; the next Confirm corrects the effect of any other lost
-// message.
+// owner had answered None; the next Confirm corrects the effect of any other
+// lost message.
 func (p *Policy) Undelivered(to ident.InstanceID, m kernel.PeerMessage) {
 	if ask, ok := m.(*Borrow); ok {
 		p.receiveNone(to, ask.Seq)
@@ -136,10 +137,10 @@
 	}
 	l := e.loanTo(from)
 	l.count++
-	l.given++
+	l.totalLent++
 	l.recalled = false
-	l.lent = p.host.Now()
-	l.heard = l.lent
+	l.lentAt = p.host.Now()
+	l.lastConfirmed = l.lentAt
 	p.host.Send(from, &Lend{Upstream: m.Upstream, Seq: m.Seq})
 }
 
@@ -152,20 +153,20 @@
 	e := p.engineOf(m.Upstream)
 	e.lender = from
 	c := e.creditFrom(from)
-	if slices.Contains(c.seen, m.Seq) {
+	if slices.Contains(c.seenSeqs, m.Seq) {
 		return
 	}
-	c.seen = append(c.seen, m.Seq)
-	c.seen = c.seen[max(len(c.seen)-maxSeen, 0):]
-	c.got++
+	c.seenSeqs = append(c.seenSeqs, m.Seq)
+	c.seenSeqs = c.seenSeqs[max(len(c.seenSeqs)-maxSeen, 0):]
+	c.totalReceived++
 	c.count++
 	c.idleSince = p.host.Now()
 	p.serveWaiting(e)
 }
 
-// receiveNone asks the next instance for a loan on behalf of the reservation whose
-// Borrow was not successful. If no instance is left to ask and no slot of this
-// instance is on loan, it denies the reservation.
+// receiveNone asks the next instance for a loan on behalf of the reservation
+// whose Borrow was not successful. If no instance is left to ask and no slot of
+// this instance is on loan, it denies the reservation.
 func (p *Policy) receiveNone(from ident.InstanceID, seq uint64) {
 	for _, h := range p.waiting {
 		if h.lender != from || h.seq != seq {
@@ -186,13 +187,13 @@
 func (p *Policy) receiveRecall(from ident.InstanceID, m *Recall) {
 	e := p.engineOf(m.Upstream)
 	e.creditFrom(from).recalled = true
-	p.giveBackRecalled(e)
+	p.returnRecalled(e)
 }
 
-// giveBackRecalled returns one slot to each owner that has recalled one, as long
+// returnRecalled returns one slot to each owner that has recalled one, as long
 // as there are slots that are not in use. An owner from which nothing is on loan
 // is told so.
-func (p *Policy) giveBackRecalled(e *engine) {
+func (p *Policy) returnRecalled(e *engine) {
 	u := p.host.Upstream(e.id)
 	for i := range e.credits {
 		c := &e.credits[i]
@@ -211,7 +212,7 @@
 // confirm tells an owner how many of its slots this instance has on loan.
 func (p *Policy) confirm(e *engine, c *credit) {
 	p.seq++
-	p.host.Send(c.owner, &Confirm{Upstream: e.id, Seq: p.seq, Count: c.count, Got: c.got})
+	p.host.Send(c.owner, &Confirm{Upstream: e.id, Seq: p.seq, Count: c.count, Got: c.totalReceived})
 }
 
 // receiveConfirm updates the loan to a borrower from its Confirm. A Confirm that
@@ -220,15 +221,15 @@
 	e := p.engineOf(m.Upstream)
 	l := e.loanTo(from)
 	now := p.host.Now()
-	if m.Seq <= l.confirmed {
+	if m.Seq <= l.confirmSeq {
 		return
 	}
-	l.confirmed, l.heard = m.Seq, now
+	l.confirmSeq, l.lastConfirmed = m.Seq, now
 	l.recalled = false
 	l.count = m.Count
-	if now.Sub(l.lent) <= inFlight {
+	if now.Sub(l.lentAt) <= maxInFlight {
 		// Slots whose Lend the borrower had not received yet count as lent too.
-		l.count += max(l.given-m.Got, 0)
+		l.count += max(l.totalLent-m.Got, 0)
 	}
 	p.serveWaiting(e)
 }
--- a/plugins/slots/shares/reserve.go
+++ b/plugins/slots/shares/reserve.go
@@ -16,13 +16,13 @@
 	upstream ident.UpstreamID
 	// held is set if the reservation has a slot; otherwise it waits for one.
 	held bool
-	// by is when the first output is due.
-	by time.Time
-	// until is when a waiting reservation is denied.
-	until time.Time
-	// lender is the instance that has been sent a Borrow with the sequence number
-	// seq and must answer by askUntil; it is empty if there is none. tried are all
-	// instances asked for this reservation, including lender.
+	// dueAt is when the first output is due.
+	dueAt time.Time
+	// denyAt is when a waiting reservation is denied.
+	denyAt time.Time
+	// lender is the instance that has been sent a Borrow with the sequence
+	// number seq and must answer by askUntil; it is empty if there is none.
+	// tried are all instances asked for this reservation, including lender.
 	lender   ident.InstanceID
 	seq      uint64
 	askUntil time.Time
@@ -37,28 +37,28 @@
 }
 
 const (
-	// retryUsual is the retry delay of a denied reservation, before jitter.
-	retryUsual = 100 * time.Millisecond
+	// retryDelay is the retry delay of a denied reservation, before jitter.
+	retryDelay = 100 * time.Millisecond
 	// refusalTime is how long an engine's slots are not used after it refused a
 	// request.
 	refusalTime = 500 * time.Millisecond
-	// guessWait is the assumed wait for a slot when the share is used up.
-	guessWait = 300 * time.Millisecond
+	// assumedWait is the assumed wait for a slot when the share is used up.
+	assumedWait = 300 * time.Millisecond
 )
 
 // Reserve implements kernel.SlotPolicy.
 func (p *Policy) Reserve(ask kernel.SlotAsk) kernel.SlotAnswer {
-	p.followView()
+	p.updateView()
 	key := slotkit.KeyOf(ask.Reservation)
 	if h := p.holds[key]; h != nil {
-		return verdict(h)
+		return answerFor(h)
 	}
 	now := p.host.Now()
 	u := p.host.Upstream(ask.Upstream)
 	if !slotkit.Usable(u) {
-		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: now.Add(retryUsual)}
+		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: now.Add(retryDelay)}
 	}
-	h := &hold{key: key, id: ask.Reservation, upstream: ask.Upstream, by: ask.FirstOutputBy, until: now.Add(p.Wait)}
+	h := &hold{key: key, id: ask.Reservation, upstream: ask.Upstream, dueAt: ask.FirstOutputBy, denyAt: now.Add(p.Wait)}
 	e := p.engineOf(u.ID)
 	switch {
 	case p.free(e, u) > 0 || slotkit.Slots(u) == 0:
@@ -72,12 +72,12 @@
 		p.waiting = append(p.waiting, h)
 	}
 	p.holds[key] = h
-	return verdict(h)
+	return answerFor(h)
 }
 
-// verdict returns the answer to the kernel for a reservation that is held or
+// answerFor returns the answer to the kernel for a reservation that is held or
 // waits.
-func verdict(h *hold) kernel.SlotAnswer {
+func answerFor(h *hold) kernel.SlotAnswer {
 	if h.held {
 		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 	}
@@ -85,21 +85,21 @@
 }
 
 // retryAt returns when a denied reservation may be tried again. The delay is
-// retryUsual plus up to as much jitter.
+// retryDelay plus up to as much jitter.
 func (p *Policy) retryAt() time.Time {
-	return p.host.Now().Add(retryUsual + time.Duration(p.host.Rand().Int64N(int64(retryUsual))))
+	return p.host.Now().Add(retryDelay + time.Duration(p.host.Rand().Int64N(int64(retryDelay))))
 }
 
 // Release implements kernel.SlotPolicy.
 func (p *Policy) Release(id ident.AttemptID) {
-	p.followView()
+	p.updateView()
 	h := p.holds[slotkit.KeyOf(id)]
 	if h == nil {
 		return
 	}
 	e := p.engineOf(h.upstream)
 	p.drop(h)
-	p.giveBackRecalled(e)
+	p.returnRecalled(e)
 	p.serveWaiting(e)
 }
 
@@ -122,7 +122,7 @@
 	for u != nil && p.free(e, u) > 0 {
 		first := -1
 		for i, h := range p.waiting {
-			if h.upstream == e.id && (first < 0 || h.by.Before(p.waiting[first].by)) {
+			if h.upstream == e.id && (first < 0 || h.dueAt.Before(p.waiting[first].dueAt)) {
 				first = i
 			}
 		}
@@ -133,33 +133,33 @@
 		p.waiting = slices.Delete(p.waiting, first, first+1)
 		h.held = true
 		e.held++
-		p.outbox = append(p.outbox, answer{id: h.id, granted: true})
+		p.answers = append(p.answers, answer{id: h.id, granted: true})
 	}
 }
 
 // deny denies a waiting reservation. The kernel is told by the next flush.
 func (p *Policy) deny(h *hold) {
 	p.drop(h)
-	p.outbox = append(p.outbox, answer{id: h.id})
+	p.answers = append(p.answers, answer{id: h.id})
 }
 
-// flush passes the pending answers to the kernel. It must not be called while the
-// kernel iterates over its queue, and therefore only from Wake, Receive and
+// flush passes the pending answers to the kernel. It must not be called while
+// the kernel iterates over its queue, and therefore only from Wake, Receive and
 // Undelivered.
 func (p *Policy) flush() {
 	if p.flushing {
 		return
 	}
 	p.flushing = true
-	for i := 0; i < len(p.outbox); i++ {
-		a := p.outbox[i]
+	for i := 0; i < len(p.answers); i++ {
+		a := p.answers[i]
 		if a.granted {
 			p.host.SlotGranted(a.id)
 			continue
 		}
 		p.host.SlotDenied(a.id, p.retryAt())
 	}
-	p.outbox = p.outbox[:0]
+	p.answers = p.answers[:0]
 	p.flushing = false
 }
 
@@ -173,9 +173,9 @@
 
 // Availability implements kernel.SlotPolicy.
 func (p *Policy) Availability(u *kernel.Upstream) kernel.Availability {
-	p.followView()
+	p.updateView()
 	if !slotkit.Usable(u) {
-		return kernel.Availability{NextFree: guessWait}
+		return kernel.Availability{NextFree: assumedWait}
 	}
 	if slotkit.Slots(u) == 0 {
 		return kernel.Availability{Free: 1}
@@ -183,5 +183,5 @@
 	if free := p.free(p.engineOf(u.ID), u); free > 0 {
 		return kernel.Availability{Free: free}
 	}
-	return kernel.Availability{NextFree: guessWait}
+	return kernel.Availability{NextFree: assumedWait}
 }
--- a/plugins/slots/shares/setup.go
+++ b/plugins/slots/shares/setup.go
@@ -53,8 +53,8 @@
 	Confirm time.Duration `yaml:"confirm"`
 }
 
-// Policy is the slot policy of one instance, which is both the owner of its shares
-// and a borrower of other instances' slots.
+// Policy is the slot policy of one instance, which is both the owner of its
+// shares and a borrower of other instances' slots.
 type Policy struct {
 	Settings `yaml:",inline"`
 
@@ -64,7 +64,7 @@
 	waiting []*hold
 	// engines are sorted by ID.
 	engines     []*engine
-	outbox      []answer
+	answers     []answer
 	flushing    bool
 	seq         uint64
 	nextConfirm time.Time
--- a/plugins/slots/shares/shares_test.go
+++ b/plugins/slots/shares/shares_test.go
@@ -25,9 +25,9 @@
 
 func policyOf(n *slottest.Node) *Policy { return n.Policy.(*Policy) }
 
-// assertQuiet checks that no instance has a reservation or a slot that is held,
+// assertIdle checks that no instance has a reservation or a slot that is held,
 // lent or borrowed.
-func assertQuiet(t assert.TestingT, b *slottest.Bed) {
+func assertIdle(t assert.TestingT, b *slottest.Bed) {
 	for _, n := range b.Nodes {
 		if n.Killed() {
 			continue
@@ -70,7 +70,7 @@
 	assert.Assert(t, u.Granted)
 	b.Run(5 * time.Second)
 	assert.Equal(t, b.Refused, 0)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 func TestNothingToBorrow(t *testing.T) {
@@ -120,9 +120,9 @@
 	assert.Equal(t, n.Policy.Availability(n.Upstream(b.Engines[0].ID)).Free, 2)
 }
 
-// session makes random reservations, calls check after each of them, and checks
-// that no reservation waited longer than allowed.
-func session(t *rapid.T, network slottest.Network, check func(b *slottest.Bed)) *slottest.Bed {
+// runSession makes random reservations, calls check after each of them, and
+// checks that no reservation waited longer than allowed.
+func runSession(t *rapid.T, network slottest.Network, check func(b *slottest.Bed)) *slottest.Bed {
 	b := newBed(rapid.Uint64().Draw(t, "seed"), network)
 	millis := func(name string, hi int) time.Duration {
 		return time.Duration(rapid.IntRange(1, hi).Draw(t, name)) * time.Millisecond
@@ -143,20 +143,20 @@
 
 func TestSharesNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := session(t, slottest.Network{Jitter: 5 * time.Millisecond}, func(b *slottest.Bed) {
+		b := runSession(t, slottest.Network{Jitter: 5 * time.Millisecond}, func(b *slottest.Bed) {
 			assert.Assert(t, b.Held(b.Engines[0]) <= 6)
 		})
 		assert.Equal(t, b.Refused, 0)
 		b.Run(2 * time.Second)
-		assertQuiet(t, b)
+		assertIdle(t, b)
 	})
 }
 
 func TestLoansEndWhenMessagesAreLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := session(t, slottest.Network{Jitter: 5 * time.Millisecond, Loss: 0.2, Duplicate: 0.1}, func(*slottest.Bed) {})
+		b := runSession(t, slottest.Network{Jitter: 5 * time.Millisecond, Loss: 0.2, Duplicate: 0.1}, func(*slottest.Bed) {})
 		b.SetNetwork(slottest.Network{Delay: time.Millisecond})
-		b.Run((unconfirmed + 2) * defaultConfirm)
-		assertQuiet(t, b)
+		b.Run((maxMissedConfirms + 2) * defaultConfirm)
+		assertIdle(t, b)
 	})
 }
--- a/plugins/slots/shares/wake.go
+++ b/plugins/slots/shares/wake.go
@@ -11,7 +11,7 @@
 // NextWake implements kernel.Waker.
 func (p *Policy) NextWake() (time.Time, bool) {
 	now := p.host.Now()
-	if !p.roster.Current(p.host.View()) || len(p.outbox) > 0 {
+	if !p.roster.Current(p.host.View()) || len(p.answers) > 0 {
 		return now, true
 	}
 	if p.nextConfirm.IsZero() {
@@ -19,8 +19,8 @@
 	}
 	next := p.nextConfirm
 	for _, h := range p.waiting {
-		if h.until.Before(next) {
-			next = h.until
+		if h.denyAt.Before(next) {
+			next = h.denyAt
 		}
 		if h.lender != "" && h.askUntil.Before(next) {
 			next = h.askUntil
@@ -31,26 +31,26 @@
 
 // Wake implements kernel.Waker.
 func (p *Policy) Wake() {
-	p.followView()
+	p.updateView()
 	now := p.host.Now()
 	p.timeOut(now)
 	if !now.Before(p.nextConfirm) {
 		p.nextConfirm = now.Add(p.Idle)
 		for _, e := range p.engines {
 			p.confirmAll(e, now)
-			p.endLoans(e, now)
+			p.expireLoans(e, now)
 			p.serveWaiting(e)
 		}
 	}
 	p.flush()
 }
 
-// timeOut denies the reservations that have waited too long, and handles a Borrow
-// that was not answered in time as if the answer were None.
+// timeOut denies the reservations that have waited too long, and handles a
+// Borrow that was not answered in time as if the answer were None.
 func (p *Policy) timeOut(now time.Time) {
 	for _, h := range slices.Clone(p.waiting) {
 		switch {
-		case !h.until.After(now):
+		case !h.denyAt.After(now):
 			p.deny(h)
 		case h.lender != "" && !h.askUntil.After(now):
 			p.receiveNone(h.lender, h.seq)
@@ -79,19 +79,19 @@
 	}
 }
 
-// endLoans ends the loans that have not been confirmed for a long time.
-func (p *Policy) endLoans(e *engine, now time.Time) {
+// expireLoans ends the loans that have not been confirmed for a long time.
+func (p *Policy) expireLoans(e *engine, now time.Time) {
 	for i := range e.loans {
-		if now.Sub(e.loans[i].heard) > unconfirmed*p.Confirm {
+		if now.Sub(e.loans[i].lastConfirmed) > maxMissedConfirms*p.Confirm {
 			e.loans[i].count = 0
 		}
 	}
 }
 
-// followView updates the policy to the host's current view. It removes the loans
+// updateView updates the policy to the host's current view. It removes the loans
 // and credits of instances that are gone, and the records of engines that are
 // gone and of which no slot is held.
-func (p *Policy) followView() {
+func (p *Policy) updateView() {
 	v := p.host.View()
 	if !p.roster.Update(v, p.host.Self()) {
 		return
