--- a/plugins/slots/compare/tables.go
+++ b/plugins/slots/compare/tables.go
@@ -29,6 +29,8 @@
 	"size":     {title: "Messages as the system grows, load 1.0", cells: sizeCells()},
 }
 
+// policyCells compares all policies without faults. A single instance with
+// slots.lease is the baseline.
 func policyCells() []cell {
 	var cells []cell
 	for _, load := range []float64{0.8, 1.0, 1.2} {
@@ -44,6 +46,7 @@
 	return cells
 }
 
+// lagosCells compares all policies under the lagos workload.
 func lagosCells() []cell {
 	cells := []cell{{policy: leaseDefault, workload: &lagos, scale: 1, instances: 1, load: 1, fault: noFault}}
 	for _, load := range []float64{1.0, 1.2} {
@@ -54,6 +57,7 @@
 	return cells
 }
 
+// faultCells compares all policies under each fault of the first engine's grantor.
 func faultCells() []cell {
 	var cells []cell
 	for _, n := range []int{2, 8, 24} {
@@ -66,6 +70,7 @@
 	return cells
 }
 
+// probeCells compares settings of the margin of slots.probe.
 func probeCells() []cell {
 	var cells []cell
 	for _, load := range []float64{0.8, 1.0, 1.2} {
@@ -77,6 +82,7 @@
 	return cells
 }
 
+// queueCells compares settings of QueueWait of slots.lease.
 func queueCells() []cell {
 	var cells []cell
 	for _, load := range []float64{1.0, 1.2} {
@@ -88,6 +94,7 @@
 	return cells
 }
 
+// renewCells compares settings of RenewInterval of slots.lease.
 func renewCells() []cell {
 	var cells []cell
 	for _, f := range []fault{noFault, killed} {
@@ -99,6 +106,7 @@
 	return cells
 }
 
+// sizeCells measures slots.lease with growing numbers of instances and engines.
 func sizeCells() []cell {
 	var cells []cell
 	for _, size := range []struct{ instances, scale int }{{8, 1}, {24, 3}, {96, 12}} {
@@ -155,6 +163,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// mean returns the mean of a value over the runs.
 func mean(runs []figures, of func(figures) float64) float64 {
 	sum := 0.0
 	for _, f := range runs {
@@ -177,6 +186,7 @@
 	return text
 }
 
+// percent formats a fraction like spread, in per cent.
 func percent(runs []figures, of func(figures) float64) string {
 	return spread(runs, "%.1f%%", func(f figures) float64 { return 100 * of(f) })
 }
--- a/plugins/slots/compare/workload.go
+++ b/plugins/slots/compare/workload.go
@@ -9,6 +9,7 @@
 // lengths is a log-normal distribution of token counts, clamped to min and max.
 type lengths struct{ median, sigma, min, max float64 }
 
+// draw returns a random number of tokens.
 func (l lengths) draw(r *rand.Rand) float64 {
 	return min(max(l.median*math.Exp(l.sigma*r.NormFloat64()), l.min), l.max)
 }
@@ -125,6 +126,7 @@
 	}
 }
 
+// drawClass returns a random class of requests, with the probability of its share.
 func (w *workload) drawClass(r *rand.Rand) *requestClass {
 	x := r.Float64()
 	last := len(w.classes) - 1
--- a/plugins/slots/lease/ledger.go
+++ b/plugins/slots/lease/ledger.go
@@ -64,6 +64,7 @@
 	meanPieces float64
 }
 
+// newLedger returns an empty ledger whose take-over begins now.
 func newLedger(u *kernel.Upstream, now time.Time) *ledger {
 	return &ledger{
 		upstream:      u.ID,
@@ -231,8 +232,8 @@
 	return n
 }
 
-// averageDivisor is the inverse of the weight that the newest observation has
-// in a moving average.
+// averageDivisor is the inverse of the weight that the newest observation has in
+// an (exponentially weighted) moving average.
 const averageDivisor = 8
 
 // observeAsk adds the memory that an ask needs to the moving average.
--- a/plugins/slots/lease/reserve.go
+++ b/plugins/slots/lease/reserve.go
@@ -145,6 +145,8 @@
 	}
 }
 
+// sendRelease sends a Release to a grantor on another instance. held is how long
+// the slot was in use, or 0 if it never was.
 func (p *Policy) sendRelease(to ident.InstanceID, id ident.AttemptID, u ident.UpstreamID, held time.Duration) {
 	p.host.Send(to, &Release{
 		Reservation: slotkit.Reservation(id),
@@ -193,8 +195,8 @@
 	l.recordRefusal(p.host.Now(), slotkit.Slots(u))
 }
 
-// granted marks an open reservation as held. The kernel is told by the next
-// flush.
+// granted marks an open reservation as held. The next flush passes the answer to
+// the kernel.
 func (p *Policy) granted(key slotkit.Key) {
 	h := p.holder.holds[key]
 	if h == nil || h.state == stateHeld {
@@ -204,7 +206,8 @@
 	p.holder.answers = append(p.holder.answers, answer{id: h.id, granted: true})
 }
 
-// denied drops an open reservation. The kernel is told by the next flush.
+// denied drops an open reservation. The next flush passes the answer to the
+// kernel.
 func (p *Policy) denied(key slotkit.Key, retryAt time.Time) {
 	h := p.holder.holds[key]
 	if h == nil || h.state == stateHeld {
--- a/plugins/slots/shares/loans.go
+++ b/plugins/slots/shares/loans.go
@@ -192,7 +192,7 @@
 
 // returnRecalled returns one slot to each owner that has recalled one, as long
 // as there are slots that are not in use. An owner from which nothing is on loan
-// is told so.
+// gets a Confirm with a count of 0.
 func (p *Policy) returnRecalled(e *engine) {
 	u := p.host.Upstream(e.id)
 	for i := range e.credits {
--- a/plugins/slots/shares/reserve.go
+++ b/plugins/slots/shares/reserve.go
@@ -137,7 +137,8 @@
 	}
 }
 
-// deny denies a waiting reservation. The kernel is told by the next flush.
+// deny denies a waiting reservation. The next flush passes the answer to the
+// kernel.
 func (p *Policy) deny(h *hold) {
 	p.drop(h)
 	p.answers = append(p.answers, answer{id: h.id})
