--- a/plugins/slots/compare/tables.go
+++ b/plugins/slots/compare/tables.go
@@ -11,13 +11,14 @@
 	"github.com/wardspool/wardspool/plugins/slots/probe"
 )
 
-// table is a titled list of cells.
+// table is a list of cells to measure, with the title under which the results
+// are written.
 type table struct {
 	title string
 	cells []cell
 }
 
-// tables are what can be measured.
+// tables are the tables that can be selected on the command line, by name.
 var tables = map[string]table{
 	"policies": {title: "Policies at 2, 8 and 24 instances", cells: policyCells()},
 	"lagos":    {title: "Short outputs after long prompts", cells: lagosCells()},
@@ -28,10 +29,12 @@
 	"size":     {title: "Messages as the system grows, load 1.0", cells: sizeCells()},
 }
 
+// policyCells compares all policies without faults. A single instance with
+// slots.lease is the baseline.
 func policyCells() []cell {
 	var cells []cell
 	for _, load := range []float64{0.8, 1.0, 1.2} {
-		cells = append(cells, cell{policy: leaseUsual, workload: &coastline, scale: 1, instances: 1, load: load, fault: noFault})
+		cells = append(cells, cell{policy: leaseDefault, workload: &coastline, scale: 1, instances: 1, load: load, fault: noFault})
 	}
 	for _, n := range []int{2, 8, 24} {
 		for _, load := range []float64{0.8, 1.0, 1.2} {
@@ -43,8 +46,9 @@
 	return cells
 }
 
+// lagosCells compares all policies under the lagos workload.
 func lagosCells() []cell {
-	cells := []cell{{policy: leaseUsual, workload: &lagos, scale: 1, instances: 1, load: 1, fault: noFault}}
+	cells := []cell{{policy: leaseDefault, workload: &lagos, scale: 1, instances: 1, load: 1, fault: noFault}}
 	for _, load := range []float64{1.0, 1.2} {
 		for _, p := range allPolicies {
 			cells = append(cells, cell{policy: p, workload: &lagos, scale: 1, instances: 8, load: load, fault: noFault})
@@ -53,6 +57,7 @@
 	return cells
 }
 
+// faultCells compares all policies under each fault of the first engine's grantor.
 func faultCells() []cell {
 	var cells []cell
 	for _, n := range []int{2, 8, 24} {
@@ -65,6 +70,7 @@
 	return cells
 }
 
+// probeCells compares settings of the margin of slots.probe.
 func probeCells() []cell {
 	var cells []cell
 	for _, load := range []float64{0.8, 1.0, 1.2} {
@@ -76,6 +82,7 @@
 	return cells
 }
 
+// queueCells compares settings of QueueWait of slots.lease.
 func queueCells() []cell {
 	var cells []cell
 	for _, load := range []float64{1.0, 1.2} {
@@ -87,6 +94,7 @@
 	return cells
 }
 
+// renewCells compares settings of RenewInterval of slots.lease.
 func renewCells() []cell {
 	var cells []cell
 	for _, f := range []fault{noFault, killed} {
@@ -98,15 +106,17 @@
 	return cells
 }
 
+// sizeCells measures slots.lease with growing numbers of instances and engines.
 func sizeCells() []cell {
 	var cells []cell
 	for _, size := range []struct{ instances, scale int }{{8, 1}, {24, 3}, {96, 12}} {
-		cells = append(cells, cell{policy: leaseUsual, instances: size.instances, workload: &coastline, scale: size.scale, load: 1, fault: noFault})
+		cells = append(cells, cell{policy: leaseDefault, instances: size.instances, workload: &coastline, scale: size.scale, load: 1, fault: noFault})
 	}
 	return cells
 }
 
-// write measures a table's cells and writes them as Markdown.
+// write measures a table's cells, several at a time, and writes the results as
+// Markdown. Each row is also written to standard error when it is measured.
 func (t table) write(to io.Writer, o options) {
 	fmt.Fprintf(to, "### %s\n\n", t.title)
 	fmt.Fprintln(to, "| workload | instances | engines | load | grantor | policy | utilisation | on time | refused by engine | wait p50 | wait p95 | messages a request | bytes a message | bytes/s an instance |")
@@ -133,7 +143,7 @@
 	fmt.Fprintln(to)
 }
 
-// row measures one cell.
+// row measures one cell with each seed and returns the results as a table row.
 func (t table) row(c cell, o options) string {
 	var runs []figures
 	for seed := range o.Seeds {
@@ -153,6 +163,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// mean returns the mean of a value over the runs.
 func mean(runs []figures, of func(figures) float64) float64 {
 	sum := 0.0
 	for _, f := range runs {
@@ -161,7 +172,8 @@
 	return sum / float64(len(runs))
 }
 
-// spread writes the mean and, in brackets, the least and the greatest value.
+// spread formats the mean of a value over the runs, followed by its minimum and
+// maximum in brackets unless they are equal when formatted.
 func spread(runs []figures, format string, of func(figures) float64) string {
 	lo, hi := of(runs[0]), of(runs[0])
 	for _, f := range runs {
@@ -174,6 +186,7 @@
 	return text
 }
 
+// percent formats a fraction like spread, in per cent.
 func percent(runs []figures, of func(figures) float64) string {
 	return spread(runs, "%.1f%%", func(f figures) float64 { return 100 * of(f) })
 }
--- a/plugins/slots/lease/availability.go
+++ b/plugins/slots/lease/availability.go
@@ -8,14 +8,16 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// Availability implements kernel.SlotPolicy. The grantor itself knows; other
-// instances go by the newer of its last word and the engine's load report.
+// Availability implements kernel.SlotPolicy. The grantor answers from its
+// ledger. Other instances use the grantor's last message or the engine's load
+// report, whichever is newer.
 func (p *Policy) Availability(u *kernel.Upstream) kernel.Availability {
-	p.followView()
+	p.updateView()
 	return p.available(u)
 }
 
-// available is Availability by the view that the policy follows already.
+// available is Availability without first updating the policy to the host's
+// current view.
 func (p *Policy) available(u *kernel.Upstream) kernel.Availability {
 	if !slotkit.Usable(u) {
 		return kernel.Availability{NextFree: retryUnusable}
@@ -27,22 +29,23 @@
 	case grantor == p.self():
 		l := p.ledgerOf(u)
 		return waitIfNone(kernel.Availability{Free: p.free(l, u), NextFree: l.wait()})
-	case grantor == "" || p.down(grantor):
+	case grantor == "" || p.inBackoff(grantor):
 		return waitIfNone(kernel.Availability{Free: max(p.shareFree(u), 0), NextFree: shareRetry})
 	}
-	return p.believed(u)
+	return p.remoteAvailability(u)
 }
 
-// believed returns what a holder believes of an engine that another instance
-// grants.
-func (p *Policy) believed(u *kernel.Upstream) kernel.Availability {
-	w := p.holder.words.At(u)
-	wait := guessHold / 4
-	if w.nextFree > 0 {
-		wait = w.nextFree
+// remoteAvailability estimates the availability of an engine whose grantor is
+// another instance. Without a message from the grantor and without a load
+// report, it assumes that this instance's static share is free.
+func (p *Policy) remoteAvailability(u *kernel.Upstream) kernel.Availability {
+	r := p.holder.reports.At(u)
+	wait := defaultHoldTime / 4
+	if r.nextFree > 0 {
+		wait = r.nextFree
 	}
-	if !w.at.IsZero() && !w.at.Before(u.Load.At) {
-		return waitIfNone(kernel.Availability{Free: w.free, NextFree: wait})
+	if !r.at.IsZero() && !r.at.Before(u.Load.At) {
+		return waitIfNone(kernel.Availability{Free: r.free, NextFree: wait})
 	}
 	if u.Load.At.IsZero() {
 		return waitIfNone(kernel.Availability{Free: p.roster.Share(p.self(), u.ID, slotkit.Slots(u)), NextFree: wait})
@@ -51,7 +54,7 @@
 	return waitIfNone(kernel.Availability{Free: max(free, 0), NextFree: wait})
 }
 
-// waitIfNone clears the wait when there are free slots.
+// waitIfNone returns a with its wait set to zero if a slot is free.
 func waitIfNone(a kernel.Availability) kernel.Availability {
 	if a.Free > 0 {
 		a.NextFree = 0
@@ -59,25 +62,26 @@
 	return a
 }
 
-// maxLooks bounds the engines that freeElsewhere looks at.
-const maxLooks = 64
+// maxExamined is the maximum number of engines that freeElsewhere examines.
+const maxExamined = 64
 
-// freeElsewhere reports whether the given engine and also another one that could
-// serve in its place are believed to have a free slot. Then it is not worth
-// waiting for the first if the belief is wrong. An engine that is believed full
-// is asked in order to wait for it.
+// freeElsewhere reports whether both the given engine and another decode engine
+// with the same models appear to have a free slot. If so, the ask should not be
+// queued when u turns out to be full, because the other engine can be tried
+// instead. It returns false if u appears full: such an engine is asked only
+// because the caller is prepared to wait for it.
 func (p *Policy) freeElsewhere(u *kernel.Upstream) bool {
 	if p.available(u).Free <= 0 {
 		return false
 	}
 	all := p.host.View().Upstreams
-	looks := 0
-	for i := 1; i < len(all) && looks < maxLooks; i++ {
+	examined := 0
+	for i := 1; i < len(all) && examined < maxExamined; i++ {
 		other := &all[(u.Index+i)%len(all)]
 		if other.Spec.Role != config.RoleDecode || !sameModels(u, other) {
 			continue
 		}
-		looks++
+		examined++
 		if p.available(other).Free > 0 {
 			return true
 		}
@@ -85,7 +89,7 @@
 	return false
 }
 
-// sameModels reports whether the engines run the same models.
+// sameModels reports whether the engines list the same models in the same order.
 func sameModels(a, b *kernel.Upstream) bool {
 	return slices.Equal(a.Spec.Models, b.Spec.Models)
 }
--- a/plugins/slots/lease/message_test.go
+++ b/plugins/slots/lease/message_test.go
@@ -11,17 +11,17 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// pairOf returns the first engine's grantor and another instance.
-func pairOf(b *bed) (grantor, holder *slottest.Node) {
+// grantorAndHolder returns the first engine's grantor and another instance.
+func grantorAndHolder(b *bed) (grantor, holder *slottest.Node) {
 	grantor = b.grantor(b.Nodes[0], b.Engines[0])
 	return grantor, without(b.Nodes, grantor)[0]
 }
 
-// ledgerAt returns a node's ledger of the bed's first engine.
+// ledgerAt returns a node's first ledger.
 func ledgerAt(n *slottest.Node) *ledger { return policyOf(n).grantor.ledgers[0] }
 
-// lossy makes the network lose all messages, or none.
-func lossy(b *bed, all bool) {
+// setLossy sets whether the network loses all messages or none.
+func setLossy(b *bed, all bool) {
 	n := slottest.Network{Delay: time.Millisecond}
 	if all {
 		n.Loss = 1
@@ -30,26 +30,27 @@
 }
 
 func TestAskLost(t *testing.T) {
-	b := three(Settings{})
-	_, holder := pairOf(b)
-	lossy(b, true)
+	b := newThreeNodeBed(Settings{})
+	_, holder := grantorAndHolder(b)
+	setLossy(b, true)
 	u := b.Reserve(holder, b.Engines[0], time.Millisecond, time.Second)
-	lossy(b, false)
+	setLossy(b, false)
 	b.Run(defaultAskTimeout + 10*time.Millisecond)
 	assert.Assert(t, u.Granted, "from the share")
 	b.Run(10 * time.Second)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
-// TestGrantLost: the holder uses its share, and the lease that it does not know
-// of becomes the slot's.
+// TestGrantLost checks that a holder whose Grant was lost uses its static share,
+// and that the lease in the grantor's ledger then counts for that slot, so that
+// the reservation is not counted twice.
 func TestGrantLost(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	u := b.Reserve(holder, b.Engines[0], 10*time.Millisecond, 8*time.Second)
-	lossy(b, true)
+	setLossy(b, true)
 	b.Run(5 * time.Millisecond)
-	lossy(b, false)
+	setLossy(b, false)
 	assert.Assert(t, u.Pending)
 	assert.Equal(t, len(ledgerAt(g).leases), 1)
 	b.Run(defaultAskTimeout)
@@ -57,28 +58,29 @@
 	b.Run(5 * time.Second)
 	assert.Equal(t, len(ledgerAt(g).leases), 1, "one lease for the one slot")
 	b.Run(10 * time.Second)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 func TestReleaseLost(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	u := b.Reserve(holder, b.Engines[0], 10*time.Millisecond, 100*time.Millisecond)
 	b.Run(50 * time.Millisecond)
 	assert.Assert(t, u.Granted)
-	lossy(b, true)
+	setLossy(b, true)
 	b.Run(100 * time.Millisecond)
-	lossy(b, false)
+	setLossy(b, false)
 	assert.Assert(t, u.Over)
 	assert.Equal(t, len(ledgerAt(g).leases), 1)
 	b.Run(defaultRenewInterval + 10*time.Millisecond)
 	assert.Equal(t, len(ledgerAt(g).leases), 0, "the next Renew does not list it")
 }
 
-// TestGrantAfterWithdrawal: the request ended while the grant was under way.
+// TestGrantAfterWithdrawal checks that a holder releases a lease at once if the
+// request ended before the Grant arrived.
 func TestGrantAfterWithdrawal(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	u := b.Reserve(holder, b.Engines[0], time.Millisecond, time.Second)
 	policyOf(holder).holder.drop(policyOf(holder).holder.holds[slotkit.KeyOf(u.ID)])
 	u.Pending, u.Over = false, true
@@ -88,11 +90,12 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 0, "given back at once")
 }
 
-// TestDenyAfterWithdrawal: an old answer must not end a newer ask for the same
-// reservation.
+// TestDenyAfterWithdrawal checks that a Deny of an earlier ask does not end a
+// newer ask for the same reservation, nor does the Release of the earlier ask if
+// it arrives after the newer ask.
 func TestDenyAfterWithdrawal(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	e := b.Engines[0]
 	for range 4 {
 		b.Reserve(g, e, time.Millisecond, time.Minute)
@@ -107,7 +110,8 @@
 		policyOf(holder).Receive(g.ID(), &Deny{Reservation: slotkit.Reservation(u.ID), Upstream: e.ID, Seq: first})
 	})
 	assert.Equal(t, len(policyOf(holder).holder.open), 1)
-	// The withdrawal overtaken by the newer ask must not end that either.
+	// The Release of the first ask arrives after the newer ask and must not end
+	// it.
 	b.Run(5 * time.Millisecond)
 	g.Do(func() {
 		policyOf(g).Receive(holder.ID(), &Release{Reservation: slotkit.Reservation(u.ID), Upstream: e.ID, Seq: first})
@@ -116,11 +120,11 @@
 	assert.Equal(t, len(ledgerAt(g).queue), 1)
 }
 
-// TestRenewOvertakenByRelease: a list that is older than the release must not
-// bring the lease back.
+// TestRenewOvertakenByRelease checks that a Renew that arrives after a Release
+// sent later than the Renew does not restore the released lease.
 func TestRenewOvertakenByRelease(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	u := b.Reserve(holder, b.Engines[0], time.Millisecond, time.Second)
 	b.Run(10 * time.Millisecond)
 	p := policyOf(holder)
@@ -136,10 +140,11 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 0)
 }
 
-// TestRenewOvertakenByAsk: a list sent before an ask says nothing about it.
+// TestRenewOvertakenByAsk checks that a Renew sent before an Ask, but received
+// after it, does not end the lease that the Ask got.
 func TestRenewOvertakenByAsk(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	p := policyOf(holder)
 	p.holder.seq++
 	old := &Renew{Incarnation: 1, Seq: p.holder.seq}
@@ -149,11 +154,11 @@
 	assert.Equal(t, len(ledgerAt(g).leases), 1)
 }
 
-// TestLedgerIsBounded: more leases than two grantors can have given are not
-// taken over.
+// TestLedgerIsBounded checks that a Renew cannot add more leases to a ledger
+// than maxLeases allows.
 func TestLedgerIsBounded(t *testing.T) {
-	b := three(Settings{})
-	g, holder := pairOf(b)
+	b := newThreeNodeBed(Settings{})
+	g, holder := grantorAndHolder(b)
 	list := RenewEngine{Upstream: b.Engines[0].ID}
 	for i := range 100 {
 		list.Leases = append(list.Leases, RenewLease{Sequence: uint64(i), Deadline: b.Now().Add(time.Minute).UnixMilli()})
@@ -182,5 +187,5 @@
 	for _, u := range b.Uses {
 		assert.Assert(t, u.Granted && u.Answered <= 1)
 	}
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
--- a/plugins/slots/lease/reserve.go
+++ b/plugins/slots/lease/reserve.go
@@ -8,31 +8,32 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// retryUnusable is when to ask again for a slot of an engine that is gone.
+// retryUnusable is the retry delay for a slot of an engine that is not usable.
 const retryUnusable = 500 * time.Millisecond
 
 // Reserve implements kernel.SlotPolicy.
 func (p *Policy) Reserve(ask kernel.SlotAsk) kernel.SlotAnswer {
-	p.followView()
+	p.updateView()
 	if h := p.holder.holds[slotkit.KeyOf(ask.Reservation)]; h != nil {
 		return answerFor(h)
 	}
 	now := p.host.Now()
 	u := p.host.Upstream(ask.Upstream)
 	if !slotkit.Usable(u) {
-		return none(now.Add(retryUnusable))
+		return noSlot(now.Add(retryUnusable))
 	}
 	h := p.newHold(ask, now)
 	grantor := p.roster.Grantor(u)
 	switch {
 	case slotkit.Slots(u) == 0:
-		// The engine's size is not known; only it can tell.
+		// The number of slots is not known, so only the engine can tell whether
+		// one is free. The request is sent to it without a lease.
 		h.state = stateHeld
 		p.holder.add(h)
 		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
 	case grantor == p.self():
-		return p.reserveHere(h, u)
-	case grantor == "" || p.down(grantor):
+		return p.reserveLocal(h, u)
+	case grantor == "" || p.inBackoff(grantor):
 		return p.reserveShare(h, u)
 	}
 	p.holder.add(h)
@@ -40,6 +41,8 @@
 	return kernel.SlotAnswer{Verdict: kernel.SlotWaits}
 }
 
+// answerFor returns the answer to the kernel for a reservation in its current
+// state.
 func answerFor(h *hold) kernel.SlotAnswer {
 	if h.state == stateHeld {
 		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
@@ -47,10 +50,12 @@
 	return kernel.SlotAnswer{Verdict: kernel.SlotWaits}
 }
 
-func none(retryAt time.Time) kernel.SlotAnswer {
+// noSlot returns the answer that no slot is available before retryAt.
+func noSlot(retryAt time.Time) kernel.SlotAnswer {
 	return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: retryAt}
 }
 
+// newHold creates the record of a reservation that the kernel requests.
 func (p *Policy) newHold(ask kernel.SlotAsk, now time.Time) *hold {
 	wire := Ask{
 		Reservation: slotkit.Reservation(ask.Reservation),
@@ -62,24 +67,24 @@
 		wire.FirstOutputBy = ask.FirstOutputBy.UnixMilli()
 	}
 	return &hold{
-		key:      slotkit.KeyOf(ask.Reservation),
-		id:       ask.Reservation,
-		upstream: ask.Upstream,
-		ask:      wire,
-		state:    stateAsked,
-		since:    now,
-		askedAt:  now,
-		usedAt:   now.Add(ask.Lead),
+		key:         slotkit.KeyOf(ask.Reservation),
+		id:          ask.Reservation,
+		upstream:    ask.Upstream,
+		ask:         wire,
+		state:       stateAsked,
+		requestedAt: now,
+		askedAt:     now,
+		usedAt:      now.Add(ask.Lead),
 	}
 }
 
-// reserveHere asks this instance itself as the grantor.
-func (p *Policy) reserveHere(h *hold, u *kernel.Upstream) kernel.SlotAnswer {
+// reserveLocal reserves a slot of an engine whose grantor is this instance.
+func (p *Policy) reserveLocal(h *hold, u *kernel.Upstream) kernel.SlotAnswer {
 	l := p.ledgerOf(u)
 	h.grantor = p.self()
 	h.seq = p.holder.nextSeq()
 	h.ask.Seq = h.seq
-	h.until = h.askedAt.Add(p.QueueWait + p.AskTimeout)
+	h.timeoutAt = h.askedAt.Add(p.QueueWait + p.AskTimeout)
 	switch p.decide(l, u, p.self(), h.ask) {
 	case verdictGranted:
 		h.state = stateHeld
@@ -88,12 +93,12 @@
 		h.state = stateQueued
 		p.holder.add(h)
 	case verdictDenied:
-		return none(p.host.Now().Add(p.retryIn(l)))
+		return noSlot(p.host.Now().Add(p.queueRetryDelay(l)))
 	}
 	return answerFor(h)
 }
 
-// sendAsk asks a grantor on another instance.
+// sendAsk sends an Ask to a grantor on another instance.
 func (p *Policy) sendAsk(h *hold, u *kernel.Upstream, grantor ident.InstanceID) {
 	h.state = stateAsked
 	h.grantor = grantor
@@ -101,15 +106,15 @@
 	h.ask.Seq = h.seq
 	h.ask.NoWait = p.freeElsewhere(u)
 	h.askedAt = p.host.Now()
-	h.until = h.askedAt.Add(p.AskTimeout)
-	p.contact(grantor)
+	h.timeoutAt = h.askedAt.Add(p.AskTimeout)
+	p.grantorRecord(grantor)
 	ask := h.ask
 	p.host.Send(grantor, &ask)
 }
 
 // Release implements kernel.SlotPolicy.
 func (p *Policy) Release(id ident.AttemptID) {
-	p.followView()
+	p.updateView()
 	h := p.holder.holds[slotkit.KeyOf(id)]
 	if h == nil {
 		return
@@ -119,12 +124,13 @@
 		held = max(p.host.Now().Sub(h.usedAt), time.Millisecond)
 	}
 	p.holder.drop(h)
-	p.tellReleased(h, held)
+	p.notifyRelease(h, held)
 }
 
-// tellReleased tells the grantor that a reservation is over. As the message may
-// be lost, Renews follow.
-func (p *Policy) tellReleased(h *hold, held time.Duration) {
+// notifyRelease tells the grantor that a reservation has ended. Because the
+// Release may be lost, Renews are sent to the grantor afterwards. held is how
+// long the slot was in use, or 0 if it never was.
+func (p *Policy) notifyRelease(h *hold, held time.Duration) {
 	switch h.grantor {
 	case "":
 	case p.self():
@@ -134,11 +140,13 @@
 			p.release(l, u, h.key, p.holder.nextSeq(), held)
 		}
 	default:
-		p.contact(h.grantor).owed = renewsOwed
+		p.grantorRecord(h.grantor).pendingRenews = renewsAfterRelease
 		p.sendRelease(h.grantor, h.id, h.upstream, held)
 	}
 }
 
+// sendRelease sends a Release to a grantor on another instance. held is how long
+// the slot was in use, or 0 if it never was.
 func (p *Policy) sendRelease(to ident.InstanceID, id ident.AttemptID, u ident.UpstreamID, held time.Duration) {
 	p.host.Send(to, &Release{
 		Reservation: slotkit.Reservation(id),
@@ -165,38 +173,41 @@
 
 // Refused implements kernel.SlotPolicy.
 func (p *Policy) Refused(id ident.UpstreamID) {
-	p.followView()
+	p.updateView()
 	u := p.host.Upstream(id)
 	if u == nil {
 		return
 	}
-	p.holder.refused[id] = p.host.Now().Add(penaltyTime)
+	p.holder.refusedUntil[id] = p.host.Now().Add(penaltyTime)
 	grantor := p.roster.Grantor(u)
 	if grantor != "" && grantor != p.self() {
 		p.host.Send(grantor, &Refused{Upstream: id})
 		return
 	}
 	if l := p.grantor.ledger(id); l != nil {
-		p.refusedAt(l, u)
+		p.recordRefusal(l, u)
 	}
 }
 
-// refusedAt lowers the grantor's belief in an engine's free slots.
-func (p *Policy) refusedAt(l *ledger, u *kernel.Upstream) {
-	l.refused(p.host.Now(), slotkit.Slots(u))
+// recordRefusal records in the ledger that the engine refused a request, so that
+// fewer slots are leased for a while.
+func (p *Policy) recordRefusal(l *ledger, u *kernel.Upstream) {
+	l.recordRefusal(p.host.Now(), slotkit.Slots(u))
 }
 
-// granted marks a reservation as held and tells the kernel if it waits.
+// granted marks an open reservation as held. The next flush passes the answer to
+// the kernel.
 func (p *Policy) granted(key slotkit.Key) {
 	h := p.holder.holds[key]
 	if h == nil || h.state == stateHeld {
 		return
 	}
-	p.holder.keep(h)
+	p.holder.markHeld(h)
 	p.holder.answers = append(p.holder.answers, answer{id: h.id, granted: true})
 }
 
-// denied drops a reservation and tells the kernel, which waits for it.
+// denied drops an open reservation. The next flush passes the answer to the
+// kernel.
 func (p *Policy) denied(key slotkit.Key, retryAt time.Time) {
 	h := p.holder.holds[key]
 	if h == nil || h.state == stateHeld {
@@ -206,9 +217,10 @@
 	p.holder.answers = append(p.holder.answers, answer{id: h.id, retryAt: retryAt})
 }
 
-// flush tells the kernel the answers that are due. The kernel may release or
-// reserve meanwhile, so that more may come in. It must not be called while the
-// kernel walks its queue: only from Wake, Receive and Undelivered.
+// flush passes the pending answers to the kernel. While it does, the kernel may
+// call Release or Reserve, which can add further answers; these are passed on
+// too. It must not be called while the kernel iterates over its queue, and
+// therefore only from Wake, Receive and Undelivered.
 func (p *Policy) flush() {
 	o := &p.holder
 	if o.flushing {
--- a/plugins/slots/lease/view.go
+++ b/plugins/slots/lease/view.go
@@ -10,14 +10,14 @@
 	"github.com/wardspool/wardspool/plugins/slots/slotkit"
 )
 
-// followView brings the policy up to the view in force. It is cheap when the
+// updateView updates the policy to the host's current view. It is cheap if the
 // view has not changed.
-func (p *Policy) followView() {
+func (p *Policy) updateView() {
 	v := p.host.View()
 	if !p.roster.Update(v, p.host.Self()) {
 		return
 	}
-	restarted := p.followInstances(v)
+	restarted := p.updateInstances(v)
 	p.closeLedgers()
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
@@ -28,23 +28,23 @@
 	p.moveHolds(restarted)
 }
 
-// followInstances forgets instances that left the view and what was known of
-// instances that started anew. It reports whether a grantor did, which must then
-// hear of the leases.
-func (p *Policy) followInstances(v *kernel.View) bool {
+// updateInstances deletes the records of instances that are no longer in the
+// view and resets those of grantors that have restarted. It reports whether a
+// grantor has restarted, in which case the leases must be sent to it.
+func (p *Policy) updateInstances(v *kernel.View) bool {
 	listed := make(map[ident.InstanceID]ident.Incarnation, len(v.Instances))
 	for i := range v.Instances {
 		listed[v.Instances[i].ID] = v.Instances[i].Incarnation
 	}
 	restarted := false
-	for id, c := range p.holder.contacts {
+	for id, g := range p.holder.grantors {
 		incarnation, ok := listed[id]
 		if !ok {
-			delete(p.holder.contacts, id)
+			delete(p.holder.grantors, id)
 			continue
 		}
-		if c.incarnation != incarnation {
-			*c = contact{incarnation: incarnation, owed: renewsOwed}
+		if g.incarnation != incarnation {
+			*g = grantorRecord{incarnation: incarnation, pendingRenews: renewsAfterRelease}
 			restarted = true
 		}
 	}
@@ -53,22 +53,23 @@
 			delete(p.grantor.peers, id)
 		}
 	}
-	p.holder.countTroubled()
-	p.forgetUpstreams()
+	p.holder.countFailingGrantors()
+	p.deleteOldRefusals()
 	return restarted
 }
 
-// forgetUpstreams drops the refusals of upstreams that left the view.
-func (p *Policy) forgetUpstreams() {
-	for id := range p.holder.refused {
+// deleteOldRefusals deletes the refusals of upstreams that are no longer in the
+// view.
+func (p *Policy) deleteOldRefusals() {
+	for id := range p.holder.refusedUntil {
 		if p.host.Upstream(id) == nil {
-			delete(p.holder.refused, id)
+			delete(p.holder.refusedUntil, id)
 		}
 	}
 }
 
-// closeLedgers gives up the ledgers of engines that another instance grants now
-// or that are gone, and empties those of engines that have restarted.
+// closeLedgers removes the ledgers of engines that are gone or now have another
+// grantor, and clears the leases in those of engines that have restarted.
 func (p *Policy) closeLedgers() {
 	p.grantor.ledgers = slices.DeleteFunc(p.grantor.ledgers, func(l *ledger) bool {
 		u := p.host.Upstream(l.upstream)
@@ -83,7 +84,8 @@
 	})
 }
 
-// closeLedger turns away the asks that wait.
+// closeLedger denies the queued asks of other instances, because this instance
+// is no longer the grantor. Its own asks are handled by moveHolds.
 func (p *Policy) closeLedger(l *ledger) {
 	for _, w := range l.queue {
 		if w.holder != p.self() {
@@ -92,10 +94,10 @@
 	}
 }
 
-// ledgerOf returns the ledger of an engine that this instance grants, opening
-// it if need be.
+// ledgerOf returns the ledger of an engine whose grantor is this instance. If
+// there is none, it creates one that contains the slots this instance holds.
 func (p *Policy) ledgerOf(u *kernel.Upstream) *ledger {
-	i, ok := p.grantor.place(u.ID)
+	i, ok := p.grantor.ledgerIndex(u.ID)
 	if ok {
 		return p.grantor.ledgers[i]
 	}
@@ -107,11 +109,11 @@
 		}
 	}
 	p.grantor.ledgers = slices.Insert(p.grantor.ledgers, i, l)
-	p.settle(l)
+	p.endTakeOver(l)
 	return l
 }
 
-// ownLease is the lease of a slot that this instance already holds.
+// ownLease returns the lease for a slot that this instance already holds.
 func ownLease(h *hold, seq uint64) lease {
 	return lease{
 		key:     h.key,
@@ -123,42 +125,44 @@
 	}
 }
 
-// settle ends the take-over once all live instances were heard or its time is
-// over.
-func (p *Policy) settle(l *ledger) {
-	if l.settled {
+// endTakeOver ends the take-over of a ledger once all other live instances have
+// sent a Renew or TakeOver has passed.
+func (p *Policy) endTakeOver(l *ledger) {
+	if l.takeOverDone {
 		return
 	}
-	if !p.host.Now().Before(l.since.Add(p.TakeOver)) {
-		l.settled = true
+	if !p.host.Now().Before(l.takeOverStart.Add(p.TakeOver)) {
+		l.takeOverDone = true
 		return
 	}
 	for _, in := range p.roster.Live() {
-		if _, ok := l.heard[in.ID]; !ok && in.ID != p.self() {
+		if _, ok := l.renewedBy[in.ID]; !ok && in.ID != p.self() {
 			return
 		}
 	}
-	l.settled = true
+	l.takeOverDone = true
 }
 
-// unsettle makes all ledgers go by the engines' load for a while: this instance
-// was paused, and another one may have granted meanwhile.
-func (p *Policy) unsettle() {
+// restartTakeOver restarts the take-over of all ledgers, so that leases are
+// limited by the engines' load reports for a while. It is called after this
+// process was paused, because another instance may have granted leases in the
+// meantime.
+func (p *Policy) restartTakeOver() {
 	for _, l := range p.grantor.ledgers {
-		l.since = p.host.Now()
-		l.settled = false
-		clear(l.heard)
+		l.takeOverStart = p.host.Now()
+		l.takeOverDone = false
+		clear(l.renewedBy)
 	}
 }
 
-// moveHolds tells new grantors at once of what is held of them, and asks them
-// what the old ones have not answered. It does so too when a grantor has
-// restarted.
+// moveHolds handles reservations whose engine has a new grantor or is gone. Open
+// asks are sent to the new grantor. If any grantor has changed, or moved is set
+// because one has restarted, all grantors are sent a Renew at once.
 func (p *Policy) moveHolds(moved bool) {
 	for _, h := range p.holder.sorted() {
 		u := p.host.Upstream(h.upstream)
 		if u == nil || u.Life == kernel.Dead {
-			p.abandon(h)
+			p.denyUnusable(h)
 			continue
 		}
 		grantor := p.roster.Grantor(u)
@@ -167,7 +171,7 @@
 		}
 		moved = true
 		if h.state != stateHeld {
-			p.askAnew(h, u, grantor)
+			p.askNewGrantor(h, u, grantor)
 		}
 	}
 	if moved {
@@ -176,23 +180,24 @@
 	}
 }
 
-// abandon answers an open ask for an engine that is gone.
-func (p *Policy) abandon(h *hold) {
+// denyUnusable denies an open ask for an engine that is gone.
+func (p *Policy) denyUnusable(h *hold) {
 	if h.state != stateHeld {
 		p.denied(h.key, p.host.Now().Add(retryUnusable))
 	}
 }
 
-// askAnew asks another grantor in place of the one first asked, unless the kernel
-// has waited long enough.
-func (p *Policy) askAnew(h *hold, u *kernel.Upstream, grantor ident.InstanceID) {
-	p.tellReleased(h, 0)
+// askNewGrantor withdraws an open ask from its old grantor and sends it to the
+// new one. If the kernel has already waited longer than QueueWait, the ask is
+// denied.
+func (p *Policy) askNewGrantor(h *hold, u *kernel.Upstream, grantor ident.InstanceID) {
+	p.notifyRelease(h, 0)
 	switch {
-	case p.host.Now().Sub(h.since) > p.QueueWait:
+	case p.host.Now().Sub(h.requestedAt) > p.QueueWait:
 		p.denied(h.key, p.shareRetryAt())
 	case grantor == p.self():
-		p.askSelfAnew(h, u)
-	case p.down(grantor):
+		p.askSelf(h, u)
+	case p.inBackoff(grantor):
 		h.grantor = ""
 		p.fallBack(h)
 	default:
@@ -200,22 +205,23 @@
 	}
 }
 
-// askSelfAnew puts an open ask to this instance's own ledger.
-func (p *Policy) askSelfAnew(h *hold, u *kernel.Upstream) {
+// askSelf repeats an open ask at this instance, which has become the grantor.
+func (p *Policy) askSelf(h *hold, u *kernel.Upstream) {
 	l := p.ledgerOf(u)
 	h.grantor = p.self()
 	h.seq = p.holder.nextSeq()
 	h.ask.Seq = h.seq
 	h.state = stateQueued
-	h.until = p.host.Now().Add(p.QueueWait + p.AskTimeout)
+	h.timeoutAt = p.host.Now().Add(p.QueueWait + p.AskTimeout)
 	switch p.decide(l, u, p.self(), h.ask) {
 	case verdictGranted:
 		p.granted(h.key)
 	case verdictDenied:
-		p.denied(h.key, p.host.Now().Add(p.retryIn(l)))
+		p.denied(h.key, p.host.Now().Add(p.queueRetryDelay(l)))
 	case verdictQueued:
 	}
 }
 
-// pauseGap is the lateness of a wake-up that shows this process was paused.
-const pauseGap = 500 * time.Millisecond
+// pauseThreshold is the delay of a wake-up beyond which this process is taken
+// to have been paused.
+const pauseThreshold = 500 * time.Millisecond
--- a/plugins/slots/shares/loans.go
+++ b/plugins/slots/shares/loans.go
@@ -10,16 +10,20 @@
 )
 
 const (
-	// maxSeen bounds the loans remembered so that a doubled message is known.
+	// maxSeen is the number of recent loans remembered for each owner in order
+	// to recognize duplicated Lend messages.
 	maxSeen = 16
-	// unconfirmed is after how many confirmation intervals a loan is over.
-	unconfirmed = 10
-	// inFlight is how long a slot lent may be under way; then it was lost.
-	inFlight = 300 * time.Millisecond
+	// maxMissedConfirms is the number of confirmation intervals after which a
+	// loan that was not confirmed ends.
+	maxMissedConfirms = 10
+	// maxInFlight is the time after which a Lend that has not been received is
+	// taken to be lost.
+	maxInFlight = 300 * time.Millisecond
 )
 
-// recall asks a borrower for a slot back and reports whether one is out that
-// may come.
+// recall asks one borrower to return a slot, unless all borrowers have been
+// asked already. It reports whether a slot is on loan, which may be returned
+// later.
 func (p *Policy) recall(e *engine) bool {
 	out := false
 	for i := range e.loans {
@@ -37,8 +41,9 @@
 	return out
 }
 
-// borrow asks the next instance for a loan and reports whether there was one to
-// ask: first the one that lent last, then others at random.
+// borrow asks one more instance for a loan: first the one that lent last, then
+// others at random. It returns false if all instances, or as many as Tries
+// allows, have been asked.
 func (p *Policy) borrow(e *engine, h *hold) bool {
 	if len(h.tried) >= p.Tries {
 		h.lender = ""
@@ -60,11 +65,15 @@
 	return true
 }
 
+// mayAsk reports whether the instance is live, is not this one and has not been
+// asked for this reservation yet.
 func (p *Policy) mayAsk(h *hold, id ident.InstanceID) bool {
 	live := slices.ContainsFunc(p.roster.Live(), func(in kernel.Instance) bool { return in.ID == id })
 	return live && id != p.self() && !slices.Contains(h.tried, id)
 }
 
+// randomLender returns an instance that may be asked for a loan, starting the
+// search at a random one, or "" if there is none.
 func (p *Policy) randomLender(h *hold) ident.InstanceID {
 	live := p.roster.Live()
 	if len(live) == 0 {
@@ -87,7 +96,7 @@
 
 // Receive implements kernel.PeerHandler.
 func (p *Policy) Receive(from ident.InstanceID, m kernel.PeerMessage) {
-	p.followView()
+	p.updateView()
 	switch m := m.(type) {
 	case *Borrow:
 		p.receiveBorrow(from, m)
@@ -103,7 +112,9 @@
 	p.flush()
 }
 
-// Undelivered implements kernel.PeerHandler.
+// Undelivered implements kernel.PeerHandler. A lost Borrow is handled as if the
+// owner had answered None; the next Confirm corrects the effect of any other
+// lost message.
 func (p *Policy) Undelivered(to ident.InstanceID, m kernel.PeerMessage) {
 	if ask, ok := m.(*Borrow); ok {
 		p.receiveNone(to, ask.Seq)
@@ -111,7 +122,8 @@
 	p.flush()
 }
 
-// receiveBorrow lends a slot if one of the own share is idle.
+// receiveBorrow lends a slot if one of this instance's own share is idle, and
+// answers None otherwise.
 func (p *Policy) receiveBorrow(from ident.InstanceID, m *Borrow) {
 	u := p.host.Upstream(m.Upstream)
 	if u == nil {
@@ -125,13 +137,15 @@
 	}
 	l := e.loanTo(from)
 	l.count++
-	l.given++
+	l.totalLent++
 	l.recalled = false
-	l.lent = p.host.Now()
-	l.heard = l.lent
+	l.lentAt = p.host.Now()
+	l.lastConfirmed = l.lentAt
 	p.host.Send(from, &Lend{Upstream: m.Upstream, Seq: m.Seq})
 }
 
+// receiveLend records a borrowed slot and gives it to a waiting reservation. A
+// duplicated message is ignored.
 func (p *Policy) receiveLend(from ident.InstanceID, m *Lend) {
 	if p.host.Upstream(m.Upstream) == nil {
 		return
@@ -139,18 +153,20 @@
 	e := p.engineOf(m.Upstream)
 	e.lender = from
 	c := e.creditFrom(from)
-	if slices.Contains(c.seen, m.Seq) {
+	if slices.Contains(c.seenSeqs, m.Seq) {
 		return
 	}
-	c.seen = append(c.seen, m.Seq)
-	c.seen = c.seen[max(len(c.seen)-maxSeen, 0):]
-	c.got++
+	c.seenSeqs = append(c.seenSeqs, m.Seq)
+	c.seenSeqs = c.seenSeqs[max(len(c.seenSeqs)-maxSeen, 0):]
+	c.totalReceived++
 	c.count++
 	c.idleSince = p.host.Now()
 	p.serveWaiting(e)
 }
 
-// receiveNone asks the next instance.
+// receiveNone asks the next instance for a loan on behalf of the reservation
+// whose Borrow was not successful. If no instance is left to ask and no slot of
+// this instance is on loan, it denies the reservation.
 func (p *Policy) receiveNone(from ident.InstanceID, seq uint64) {
 	for _, h := range p.waiting {
 		if h.lender != from || h.seq != seq {
@@ -167,15 +183,17 @@
 	}
 }
 
+// receiveRecall returns a slot to its owner, now or when one becomes free.
 func (p *Policy) receiveRecall(from ident.InstanceID, m *Recall) {
 	e := p.engineOf(m.Upstream)
 	e.creditFrom(from).recalled = true
-	p.giveBackRecalled(e)
+	p.returnRecalled(e)
 }
 
-// giveBackRecalled returns slots that their owners want back and that are not
-// in use.
-func (p *Policy) giveBackRecalled(e *engine) {
+// returnRecalled returns one slot to each owner that has recalled one, as long
+// as there are slots that are not in use. An owner from which nothing is on loan
+// gets a Confirm with a count of 0.
+func (p *Policy) returnRecalled(e *engine) {
 	u := p.host.Upstream(e.id)
 	for i := range e.credits {
 		c := &e.credits[i]
@@ -191,25 +209,27 @@
 	}
 }
 
-// confirm tells an owner how many of its slots are on loan here.
+// confirm tells an owner how many of its slots this instance has on loan.
 func (p *Policy) confirm(e *engine, c *credit) {
 	p.seq++
-	p.host.Send(c.owner, &Confirm{Upstream: e.id, Seq: p.seq, Count: c.count, Got: c.got})
+	p.host.Send(c.owner, &Confirm{Upstream: e.id, Seq: p.seq, Count: c.count, Got: c.totalReceived})
 }
 
+// receiveConfirm updates the loan to a borrower from its Confirm. A Confirm that
+// is not newer than the last one received is ignored.
 func (p *Policy) receiveConfirm(from ident.InstanceID, m *Confirm) {
 	e := p.engineOf(m.Upstream)
 	l := e.loanTo(from)
 	now := p.host.Now()
-	if m.Seq <= l.confirmed {
+	if m.Seq <= l.confirmSeq {
 		return
 	}
-	l.confirmed, l.heard = m.Seq, now
+	l.confirmSeq, l.lastConfirmed = m.Seq, now
 	l.recalled = false
 	l.count = m.Count
-	if now.Sub(l.lent) <= inFlight {
-		// What was lent and has not arrived yet counts too.
-		l.count += max(l.given-m.Got, 0)
+	if now.Sub(l.lentAt) <= maxInFlight {
+		// Slots whose Lend the borrower had not received yet count as lent too.
+		l.count += max(l.totalLent-m.Got, 0)
 	}
 	p.serveWaiting(e)
 }
--- a/plugins/slots/shares/shares_test.go
+++ b/plugins/slots/shares/shares_test.go
@@ -12,6 +12,8 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
+// newBed returns a simulated system (see slottest) with three instances and one
+// engine of six slots, so that each instance's share is two slots.
 func newBed(seed uint64, network slottest.Network) *slottest.Bed {
 	b := slottest.NewBed(slottest.Options{
 		Seed: seed, Instances: 3, Engines: 1, Slots: 6, Network: network,
@@ -23,8 +25,9 @@
 
 func policyOf(n *slottest.Node) *Policy { return n.Policy.(*Policy) }
 
-// assertQuiet checks that nothing is held, waits, is lent or is borrowed.
-func assertQuiet(t assert.TestingT, b *slottest.Bed) {
+// assertIdle checks that no instance has a reservation or a slot that is held,
+// lent or borrowed.
+func assertIdle(t assert.TestingT, b *slottest.Bed) {
 	for _, n := range b.Nodes {
 		if n.Killed() {
 			continue
@@ -60,14 +63,14 @@
 	}
 	b.Run(50 * time.Millisecond)
 	assert.Equal(t, e.Running(), 6)
-	// The owner wants its slots back and gets them as they fall free.
+	// The owner recalls a slot and gets it when it becomes free.
 	u := b.Reserve(b.Nodes[1], e, time.Millisecond, 500*time.Millisecond)
 	assert.Assert(t, u.Pending)
 	b.Run(500 * time.Millisecond)
 	assert.Assert(t, u.Granted)
 	b.Run(5 * time.Second)
 	assert.Equal(t, b.Refused, 0)
-	assertQuiet(t, b)
+	assertIdle(t, b)
 }
 
 func TestNothingToBorrow(t *testing.T) {
@@ -106,7 +109,8 @@
 	assert.Assert(t, !u.Pending && !u.Granted)
 }
 
-// TestRefusalIsHeeded: an engine that refused is left alone for a while.
+// TestRefusalIsHeeded checks that no slot of an engine that refused a request is
+// shown as free for a while.
 func TestRefusalIsHeeded(t *testing.T) {
 	b := newBed(1, slottest.Network{})
 	n := b.Nodes[0]
@@ -116,8 +120,9 @@
 	assert.Equal(t, n.Policy.Availability(n.Upstream(b.Engines[0].ID)).Free, 2)
 }
 
-// session draws uses at random and checks the answers' times.
-func session(t *rapid.T, network slottest.Network, check func(b *slottest.Bed)) *slottest.Bed {
+// runSession makes random reservations, calls check after each of them, and
+// checks that no reservation waited longer than allowed.
+func runSession(t *rapid.T, network slottest.Network, check func(b *slottest.Bed)) *slottest.Bed {
 	b := newBed(rapid.Uint64().Draw(t, "seed"), network)
 	millis := func(name string, hi int) time.Duration {
 		return time.Duration(rapid.IntRange(1, hi).Draw(t, name)) * time.Millisecond
@@ -138,20 +143,20 @@
 
 func TestSharesNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := session(t, slottest.Network{Jitter: 5 * time.Millisecond}, func(b *slottest.Bed) {
+		b := runSession(t, slottest.Network{Jitter: 5 * time.Millisecond}, func(b *slottest.Bed) {
 			assert.Assert(t, b.Held(b.Engines[0]) <= 6)
 		})
 		assert.Equal(t, b.Refused, 0)
 		b.Run(2 * time.Second)
-		assertQuiet(t, b)
+		assertIdle(t, b)
 	})
 }
 
 func TestLoansEndWhenMessagesAreLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := session(t, slottest.Network{Jitter: 5 * time.Millisecond, Loss: 0.2, Duplicate: 0.1}, func(*slottest.Bed) {})
+		b := runSession(t, slottest.Network{Jitter: 5 * time.Millisecond, Loss: 0.2, Duplicate: 0.1}, func(*slottest.Bed) {})
 		b.SetNetwork(slottest.Network{Delay: time.Millisecond})
-		b.Run((unconfirmed + 2) * defaultConfirm)
-		assertQuiet(t, b)
+		b.Run((maxMissedConfirms + 2) * defaultConfirm)
+		assertIdle(t, b)
 	})
 }
