--- a/cmd/wardspoolctl/limits.go
+++ b/cmd/wardspoolctl/limits.go
@@ -73,7 +73,7 @@
 	r.Granted += s.Granted
 	r.Refused += s.Refused
 	r.Returned += s.Returned
-	if s.Keeps {
+	if s.Owns {
 		r.Level += s.Level
 		r.Accounts++
 	}
--- a/cmd/wardspoolctl/limits_test.go
+++ b/cmd/wardspoolctl/limits_test.go
@@ -29,10 +29,10 @@
 // TestLimitsOfAFleet: use is added up over instances, levels over the accounts they keep, and
 // the workspace that was refused most comes first.
 func TestLimitsOfAFleet(t *testing.T) {
-	a := limit.Status{Workspace: "a", Rate: 100, Burst: 50, Unit: routing.Tokens, Use: limit.Use{Granted: 10, Refused: 1}, Keeps: true, Level: 20}
+	a := limit.Status{Workspace: "a", Rate: 100, Burst: 50, Unit: routing.Tokens, Use: limit.Use{Granted: 10, Refused: 1}, Owns: true, Level: 20}
 	b := limit.Status{Workspace: "b", Rate: 7, Unit: routing.Requests, Use: limit.Use{Granted: 3, Refused: 9, Returned: 2}}
 	more := a
-	more.Keeps, more.Level = false, 99
+	more.Owns, more.Level = false, 99
 	c := limitsCmd{instanceArgs{Instances: []string{limiting(t, a, b), limiting(t, more, b), limiting(t, a)}, Timeout: time.Minute}}
 	got := c.collect(t.Context())
 	got.Unreached = []string{"x: gone"}
--- a/cmd/wardspoolctl/quarantine.go
+++ b/cmd/wardspoolctl/quarantine.go
@@ -33,7 +33,7 @@
 
 // heldContent is a content and how many instances know of it.
 type heldContent struct {
-	quarantine.Held
+	quarantine.ContentStatus
 	KnownBy int `json:"known_by"`
 }
 
@@ -54,11 +54,11 @@
 func (c *quarantineCmd) collect(ctx context.Context) *heldAnswer {
 	a := &heldAnswer{Asked: len(c.Instances), Contents: []heldContent{}}
 	known := map[string]*heldContent{}
-	a.Unreached = askInstances(ctx, &c.instanceArgs, "/quarantine", func(held []quarantine.Held) {
+	a.Unreached = askInstances(ctx, &c.instanceArgs, "/quarantine", func(held []quarantine.ContentStatus) {
 		for _, h := range held {
 			k := known[h.Content]
 			if k == nil || h.Crashes > k.Crashes {
-				k = &heldContent{Held: h, KnownBy: knownBy(k)}
+				k = &heldContent{ContentStatus: h, KnownBy: knownBy(k)}
 				known[h.Content] = k
 			}
 			k.KnownBy++
@@ -87,8 +87,8 @@
 	fmt.Fprintln(w, "CONTENT\tSTANDING\tCRASHES\tEARLY\tLEFT\tKNOWN BY\tUPSTREAMS")
 	for _, c := range a.Contents {
 		left := "-"
-		if c.LeftSeconds > 0 {
-			left = time.Duration(c.LeftSeconds * float64(time.Second)).Round(time.Second).String()
+		if c.RemainingSeconds > 0 {
+			left = time.Duration(c.RemainingSeconds * float64(time.Second)).Round(time.Second).String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d of %d\t%s\n", c.Content, c.Standing, c.Crashes, c.Early, left, c.KnownBy, a.Asked, joined(c.Upstreams))
 	}
--- a/cmd/wardspoolctl/quarantine_test.go
+++ b/cmd/wardspoolctl/quarantine_test.go
@@ -17,7 +17,7 @@
 )
 
 // holding serves what an instance holds.
-func holding(t *testing.T, held ...quarantine.Held) string {
+func holding(t *testing.T, held ...quarantine.ContentStatus) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/quarantine")
 		assert.Check(t, json.NewEncoder(w).Encode(held))
@@ -28,10 +28,10 @@
 
 // TestQuarantineOfAFleet: a content is shown once, by whoever knows most of it.
 func TestQuarantineOfAFleet(t *testing.T) {
-	known := quarantine.Held{Content: "ab", Standing: "quarantined", Crashes: 2, Early: 2, LeftSeconds: 90, Upstreams: []ident.UpstreamID{"i-1", "i-2"}}
-	less := quarantine.Held{Content: "ab", Standing: "suspect", Crashes: 1, Early: 1, Upstreams: []ident.UpstreamID{"i-1"}}
+	known := quarantine.ContentStatus{Content: "ab", Standing: "quarantined", Crashes: 2, Early: 2, RemainingSeconds: 90, Upstreams: []ident.UpstreamID{"i-1", "i-2"}}
+	less := quarantine.ContentStatus{Content: "ab", Standing: "suspect", Crashes: 1, Early: 1, Upstreams: []ident.UpstreamID{"i-1"}}
 	c := quarantineCmd{instanceArgs{Instances: []string{holding(t, less), holding(t, known), holding(t)}, Timeout: time.Minute}}
-	a := &heldAnswer{Asked: 3, Contents: []heldContent{{Held: known, KnownBy: 2}}, Unreached: []string{"x: gone"}}
+	a := &heldAnswer{Asked: 3, Contents: []heldContent{{ContentStatus: known, KnownBy: 2}}, Unreached: []string{"x: gone"}}
 	got := c.collect(t.Context())
 	assert.DeepEqual(t, got.Contents, a.Contents)
 	var text bytes.Buffer
--- a/gateway/carry/carry.go
+++ b/gateway/carry/carry.go
@@ -31,7 +31,7 @@
 // Options configure a Carrier.
 type Options struct {
 	Dialect dialect.Dialect
-	Books   *schedule.Books
+	Books   *schedule.Scheduler
 	Budget  *schedule.Budget
 	// Zone is the zone of this instance.
 	Zone ident.Zone
@@ -42,21 +42,21 @@
 	Log      *slog.Logger
 	// Register records under which contents upstreams crashed. Trials grants permission to send
 	// a suspect content. Spread notifies the other instances of new evidence in the register.
-	Register *quarantine.Register
-	Trials   Trials
-	Spread   func()
+	Register    *quarantine.Register
+	Trials      Trials
+	NotifyPeers func()
 	// AwaitInformed blocks until this instance knows what its peers know, or until ctx ends.
 	// engines reports whether the request is for a service of engines.
 	AwaitInformed func(ctx context.Context, engines bool)
-	// Ends returns the time at which this instance terminates. The second result is false unless
+	// StopDeadline returns the time at which this instance terminates. The second result is false unless
 	// the instance is shutting down.
-	Ends func() (time.Time, bool)
+	StopDeadline func() (time.Time, bool)
 	// Count increments the event counter with the given name.
 	Count func(name string)
 }
 
-// Carrier forwards requests to upstreams. It is safe for concurrent use.
-type Carrier struct {
+// Forwarder forwards requests to upstreams. It is safe for concurrent use.
+type Forwarder struct {
 	o Options
 
 	mu     sync.Mutex
@@ -75,13 +75,13 @@
 	cleanup sync.WaitGroup
 }
 
-func New(o Options) *Carrier {
-	return &Carrier{o: o, queues: map[string]*waitQueue{}, streams: map[uint64]*stream{}, streamStarted: make(chan struct{}, 1)}
+func New(o Options) *Forwarder {
+	return &Forwarder{o: o, queues: map[string]*waitQueue{}, streams: map[uint64]*stream{}, streamStarted: make(chan struct{}, 1)}
 }
 
 // Close waits until all pending releases have been sent or ctx ends. Reservations and results
 // that were not released by then expire at their engine.
-func (c *Carrier) Close(ctx context.Context) {
+func (c *Forwarder) Close(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		c.cleanup.Wait()
@@ -133,23 +133,23 @@
 // not end a run that has started, but a request that was waiting at that time is not sent any
 // more.
 func (j *Job) holdsKey(s *fleet.Snapshot) bool {
-	return j.Workspace == nil || j.Route.Public || s.Table == nil || s.Table.Workspace(*j.Call.Key) != nil
+	return j.Workspace == nil || j.Route.Public || s.Table == nil || s.Table.WorkspaceByKey(*j.Call.Key) != nil
 }
 
-// Answer is an upstream's complete response.
-type Answer struct {
+// Response is an upstream's complete response.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Fate is the outcome of a request that got no response.
-type Fate int
+// Outcome is the outcome of a request that got no response.
+type Outcome int
 
 // The outcomes of a request without a response.
 const (
 	// NotRun means that the request did not run and will not.
-	NotRun Fate = iota + 1
+	NotRun Outcome = iota + 1
 	// Unknown means that the request may have run.
 	Unknown
 	// TimedOut means that the request may have run and its deadline has passed.
@@ -158,7 +158,7 @@
 
 // outcomeAfter returns the outcome of a request that may have run on the given number of
 // upstreams and is not sent to another one.
-func outcomeAfter(runs int) Fate {
+func outcomeAfter(runs int) Outcome {
 	if runs > 0 {
 		return Unknown
 	}
@@ -170,7 +170,7 @@
 
 // Error reports a request that got no response.
 type Error struct {
-	Fate Fate
+	Outcome Outcome
 	// Reason is a short name for logs and metrics.
 	Reason string
 	// RetryAfter is how long the caller of a request that did not run should wait before it
@@ -214,13 +214,13 @@
 )
 
 // eligible returns the upstreams to which the request may be sent now.
-func (c *Carrier) eligible(j *Job) []dialect.Upstream {
+func (c *Forwarder) eligible(j *Job) []dialect.Upstream {
 	return c.o.View().Eligible(j.Service.Name, j.Regions, c.o.RegionOf)
 }
 
 // noOpenZone reports whether the request's service has upstreams, but all of them are in
 // evacuated zones or outside the request's regions.
-func (c *Carrier) noOpenZone(j *Job) bool {
+func (c *Forwarder) noOpenZone(j *Job) bool {
 	return len(c.eligible(j)) == 0 && len(c.o.View().Upstreams[j.Service.Name]) > 0
 }
 
@@ -230,11 +230,11 @@
 
 // refuseNoOpenZone logs and counts the refusal of a request without an eligible upstream and
 // returns its *Error.
-func (c *Carrier) refuseNoOpenZone(fate Fate, log *slog.Logger) error {
+func (c *Forwarder) refuseNoOpenZone(fate Outcome, log *slog.Logger) error {
 	c.o.Count("refused_no_open_zone")
 	e := c.o.View().Evacuation
 	log.Info("refused", "reason", "no_open_zone", "evacuated", e.Zones)
-	return &Error{Fate: fate, Reason: "no_open_zone", RetryAfter: noOpenZoneRetryAfter}
+	return &Error{Outcome: fate, Reason: "no_open_zone", RetryAfter: noOpenZoneRetryAfter}
 }
 
 // NoUpstreamError reports that no upstream of a service is available.
@@ -247,7 +247,7 @@
 
 // attempt is the result of sending a request to one upstream.
 type attempt struct {
-	response *Answer
+	response *Response
 	verdict  dialect.Verdict
 	err      error
 	// cause is the *UnresponsiveError for which the attempt was canceled, otherwise it equals
@@ -292,7 +292,7 @@
 	if err != nil && (v == dialect.Success || v == dialect.Failure) {
 		return &attempt{err: err}
 	}
-	return &attempt{response: &Answer{Status: resp.StatusCode, Header: roundtrip.EndToEnd(resp.Header), Body: body}, verdict: v}
+	return &attempt{response: &Response{Status: resp.StatusCode, Header: roundtrip.EndToEnd(resp.Header), Body: body}, verdict: v}
 }
 
 // evidence returns whether the request can have run in an attempt that did not succeed.
@@ -308,25 +308,25 @@
 }
 
 // recordAttempt records in the scheduler's records what an attempt revealed about its upstream.
-func (c *Carrier) recordAttempt(u dialect.Upstream, a *attempt, took time.Duration, log *slog.Logger) {
+func (c *Forwarder) recordAttempt(u dialect.Upstream, a *attempt, took time.Duration, log *slog.Logger) {
 	var silent *UnresponsiveError
 	switch {
 	case a.err == nil && a.verdict == dialect.Success:
-		c.o.Books.Answered(clock.Now(), u, took)
+		c.o.Books.RecordSuccess(clock.Now(), u, took)
 	case errors.As(a.err, &silent):
-		c.recordFailure(u, Unreached(silent.Err), a.err, took, log)
+		c.recordFailure(u, ClassifyUnreachable(silent.Err), a.err, took, log)
 	case errors.Is(a.err, context.Canceled):
 	case a.err == nil && (a.verdict == dialect.Failure || a.verdict == dialect.Refused):
 		c.recordFailure(u, schedule.Soft, a.err, took, log)
 	case a.err == nil && a.verdict == dialect.WrongUpstream && u.Stage == "":
-		c.o.Books.Replaced(u)
+		c.o.Books.RecordReplacement(u)
 		log.Warn("upstream replaced", "upstream", u.ID, "address", u.Address)
 	case a.err == nil && a.verdict == dialect.WrongUpstream:
 		// An engine gives the same verdict after it has changed its stage; a probe finds out
 		// which it is.
 		c.recordFailure(u, schedule.Misdirected, a.err, took, log)
 	case a.err != nil && adapter.AsCallError(a.err).Evidence == kernel.NotSent:
-		c.recordFailure(u, Unreached(a.err), a.err, took, log)
+		c.recordFailure(u, ClassifyUnreachable(a.err), a.err, took, log)
 	default:
 		c.recordFailure(u, schedule.Hard, a.err, took, log)
 	}
@@ -335,10 +335,10 @@
 // mayResend reports whether the retry budget allows the given number of sends in addition to the
 // first. A stream that is under way may also use the part of the budget that is reserved for
 // such streams.
-func (c *Carrier) mayResend(service string, sends int, inProgress bool, log *slog.Logger) bool {
+func (c *Forwarder) mayResend(service string, sends int, inProgress bool, log *slog.Logger) bool {
 	allowed := c.o.Budget.Extra
 	if inProgress {
-		allowed = c.o.Budget.Continue
+		allowed = c.o.Budget.ExtraForStream
 	}
 	if allowed(clock.Now(), service, sends) {
 		return true
@@ -348,9 +348,9 @@
 	return false
 }
 
-// Unreached classifies the error of a failure to reach an upstream: Closed if the connection was
+// ClassifyUnreachable classifies the error of a failure to reach an upstream: Closed if the connection was
 // refused, otherwise Unreachable.
-func Unreached(err error) schedule.Failure {
+func ClassifyUnreachable(err error) schedule.Failure {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return schedule.Closed
 	}
@@ -359,8 +359,8 @@
 
 // recordFailure records a failure of an upstream in the scheduler's records, and logs and counts
 // it if the upstream was ejected as a result.
-func (c *Carrier) recordFailure(u dialect.Upstream, f schedule.Failure, err error, took time.Duration, log *slog.Logger) {
-	if !c.o.Books.Failed(clock.Now(), u, f) {
+func (c *Forwarder) recordFailure(u dialect.Upstream, f schedule.Failure, err error, took time.Duration, log *slog.Logger) {
+	if !c.o.Books.RecordFailure(clock.Now(), u, f) {
 		return
 	}
 	c.o.Count("ejected")
--- a/gateway/carry/caution.go
+++ b/gateway/carry/caution.go
@@ -25,7 +25,7 @@
 
 // crashGuard protects upstreams from a request whose content has crashed other upstreams.
 type crashGuard struct {
-	c   *Carrier
+	c   *Forwarder
 	j   *Job
 	log *slog.Logger
 	// releaseTrial ends the trial of a suspect content; nil if none is running. The trial
@@ -41,7 +41,7 @@
 // its content is suspect. The error is an *Error; fate is the outcome to report for a request
 // that is not sent. The deadline is checked here because it may have passed while this instance
 // was paused.
-func (g *crashGuard) admit(ctx context.Context, fate Fate) error {
+func (g *crashGuard) admit(ctx context.Context, fate Outcome) error {
 	g.c.o.AwaitInformed(ctx, g.j.Service.Engine != nil)
 	if clock.Until(g.j.Deadline) <= 0 {
 		return deadlineError(fate)
@@ -49,17 +49,17 @@
 	if !g.j.holdsKey(g.c.o.View()) {
 		g.c.o.Count("refused_key_taken_away")
 		g.log.Info("refused", "reason", ReasonNoKey, "fate", fate)
-		return &Error{Fate: fate, Reason: ReasonNoKey}
+		return &Error{Outcome: fate, Reason: ReasonNoKey}
 	}
 	v := g.c.o.Register.Verdict(clock.Now(), g.j.Content)
 	switch {
 	case v.Standing == quarantine.Quarantined:
-		return g.refuse(fate, "quarantined", v, v.Left)
+		return g.refuse(fate, "quarantined", v, v.Remaining)
 	case v.Standing == quarantine.Clear || g.releaseTrial != nil && clock.Now().Before(g.trialExpires):
 		return nil
 	}
 	g.endTrial()
-	duration := min(quarantine.TrialMost, clock.Until(g.j.Deadline))
+	duration := min(quarantine.MaxTrialTime, clock.Until(g.j.Deadline))
 	g.trialExpires = clock.Now().Add(duration)
 	end, ok := g.c.o.Trials.Begin(ctx, g.j.Content, duration)
 	if !ok {
@@ -68,7 +68,7 @@
 	g.releaseTrial = end
 	// The instance that granted the trial may have had newer evidence.
 	if v := g.c.o.Register.Verdict(clock.Now(), g.j.Content); v.Standing == quarantine.Quarantined {
-		return g.refuse(fate, "quarantined", v, v.Left)
+		return g.refuse(fate, "quarantined", v, v.Remaining)
 	}
 	g.c.o.Count("trial")
 	g.log.Info("trial", "content", g.j.Content.String(), "crashes", v.Crashes, "early", v.Early, "upstreams", v.Upstreams)
@@ -77,20 +77,20 @@
 
 // deadlineError returns the error for a request whose deadline has passed. fate is the outcome to
 // report if the request is not sent.
-func deadlineError(fate Fate) error {
+func deadlineError(fate Outcome) error {
 	if fate == Unknown {
 		fate = TimedOut
 	}
-	return &Error{Fate: fate, Reason: "deadline", RetryAfter: streamRetryAfter, Err: context.DeadlineExceeded}
+	return &Error{Outcome: fate, Reason: "deadline", RetryAfter: streamRetryAfter, Err: context.DeadlineExceeded}
 }
 
 // refuse logs and counts the refusal of the request, with the evidence for it, and returns its
 // *Error.
-func (g *crashGuard) refuse(fate Fate, reason string, v quarantine.Verdict, retry time.Duration) error {
+func (g *crashGuard) refuse(fate Outcome, reason string, v quarantine.Verdict, retry time.Duration) error {
 	g.c.o.Count("refused_" + reason)
 	g.log.Info("refused", "reason", reason, "content", g.j.Content.String(), "crashes", v.Crashes, "early", v.Early,
-		"upstreams", v.Upstreams, "left_ms", v.Left.Milliseconds())
-	return &Error{Fate: fate, Reason: reason, RetryAfter: retry}
+		"upstreams", v.Upstreams, "left_ms", v.Remaining.Milliseconds())
+	return &Error{Outcome: fate, Reason: reason, RetryAfter: retry}
 }
 
 // onTrial reports whether the request is on trial.
--- a/gateway/carry/caution_test.go
+++ b/gateway/carry/caution_test.go
@@ -59,7 +59,7 @@
 		var reqErr *Error
 		assert.Assert(t, errors.As(err, &reqErr))
 		assert.Equal(t, reqErr.Reason, "quarantined")
-		assert.Equal(t, reqErr.RetryAfter, env.o.Register.Verdict(time.Now(), crashingContent).Left)
+		assert.Equal(t, reqErr.RetryAfter, env.o.Register.Verdict(time.Now(), crashingContent).Remaining)
 
 		_, err = env.Plain(t.Context(), withContent(idempotent))
 		assert.Equal(t, outcomeOf(t, err), NotRun)
@@ -102,7 +102,7 @@
 	env := newStreamEnv(t)
 	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 5)})
 	env.d.do["d1"] = []reply{{err: errInterrupted}}
-	env.d.hold["d2"] = []error{&dialect.FullError{}, nil}
+	env.d.hold["d2"] = []error{&dialect.NoCapacityError{}, nil}
 	var got streamRecorder
 	_, err := env.Stream(t.Context(), withContent(resumable), &got)
 	assert.NilError(t, err)
@@ -115,7 +115,7 @@
 // next events there.
 func TestBystanderGoesOnAndIsCleared(t *testing.T) {
 	env := newStreamEnv(t)
-	env.d.hold["d2"] = []error{&dialect.FullError{}, nil}
+	env.d.hold["d2"] = []error{&dialect.NoCapacityError{}, nil}
 	env.crashUpstreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2), breaks: true}, "d1")
 	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 8)}}
 	var got streamRecorder
@@ -123,7 +123,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, got.body.String(), events(1, 8))
 	assert.Equal(t, env.o.Register.Verdict(time.Now(), crashingContent).Standing, quarantine.Clear)
-	noted := env.o.Register.TellOf(time.Now(), crashingContent)
+	noted := env.o.Register.ShareContent(time.Now(), crashingContent)
 	assert.Equal(t, len(noted), 1)
 	assert.Assert(t, noted[0].Cleared)
 }
@@ -188,7 +188,7 @@
 			_, err := env.Stream(t.Context(), withContent(singleRun), &streamRecorder{})
 			assert.Equal(t, outcomeOf(t, err), Unknown)
 			assert.Equal(t, env.o.Register.Verdict(time.Now(), crashingContent).Standing, quarantine.Clear)
-			env.Listed([]dialect.Upstream{later})
+			env.ObserveUpstreams([]dialect.Upstream{later})
 			want := quarantine.Suspect
 			if name == "neither" {
 				want = quarantine.Clear
@@ -209,7 +209,7 @@
 	_, err := env.Stream(t.Context(), withContent(resumable), &streamRecorder{})
 	assert.Equal(t, outcomeOf(t, err), Unknown)
 	assert.Equal(t, env.d.countKind("do"), 2)
-	env.Listed(withIncarnation(6, ups))
+	env.ObserveUpstreams(withIncarnation(6, ups))
 	assert.Equal(t, env.o.Register.Verdict(time.Now(), crashingContent).Standing, quarantine.Clear)
 }
 
@@ -323,7 +323,7 @@
 		var left *AbandonedError
 		assert.Assert(t, errors.As(err, &left), "%v", err)
 		synctest.Wait()
-		env.Listed(withIncarnation(6, ups))
+		env.ObserveUpstreams(withIncarnation(6, ups))
 		assert.Equal(t, env.o.Register.Verdict(time.Now(), crashingContent).Standing, quarantine.Suspect)
 	})
 }
--- a/gateway/carry/cut_test.go
+++ b/gateway/carry/cut_test.go
@@ -30,7 +30,7 @@
 	for _, c := range []struct {
 		ctx  context.Context
 		err  error
-		want Cut
+		want CutReason
 	}{
 		{live, io.ErrUnexpectedEOF, CutByEngine},
 		{live, silent, CutBySilence},
@@ -51,8 +51,8 @@
 	env.o.Count = func(name string) { counted = append(counted, name) }
 	var got streamRecorder
 	_, err := env.Stream(t.Context(), job(singleRun), &got)
-	var broken *BrokenOffError
+	var broken *InterruptedError
 	assert.Assert(t, errors.As(err, &broken), "%v", err)
-	assert.Equal(t, broken.By, CutByEngine)
+	assert.Equal(t, broken.Reason, CutByEngine)
 	assert.DeepEqual(t, counted[len(counted)-1], "answers_cut_engine")
 }
--- a/gateway/carry/decode.go
+++ b/gateway/carry/decode.go
@@ -16,7 +16,7 @@
 
 // decode sends the request to the reserved decode engine and forwards its stream. The second
 // result reports whether another pair of engines may be tried.
-func (s *stream) decode(ctx context.Context, p *placement, h *prefillResult) (*Answer, bool, error) {
+func (s *stream) decode(ctx context.Context, p *placement, h *prefillResult) (*Response, bool, error) {
 	u := p.decode.Upstream
 	if err := s.admit(ctx); err != nil {
 		s.releaseUnused(p, h)
@@ -33,7 +33,7 @@
 	wd := s.streamWatchdog(ctx, u)
 	defer wd.stop()
 	resp, verdict, err := s.c.o.Dialect.Do(wd.ctx, s.j.Call, dialect.Send{
-		To: u, Deadline: s.j.Deadline.Add(-deadlineMargin), Source: source, Hold: p.hold, LastEvent: s.lastEvent,
+		To: u, Deadline: s.j.Deadline.Add(-deadlineMargin), Source: source, Reservation: p.hold, LastEvent: s.lastEvent,
 	})
 	if err != nil {
 		err = wd.attemptError(err)
@@ -109,11 +109,11 @@
 // recordAccepted records that an engine runs the stream. If another engine refused the same
 // prefill result before, that engine is at fault and not the result.
 func (s *stream) recordAccepted(u dialect.Upstream, h *prefillResult) {
-	s.c.o.Books.Kept(u)
+	s.c.o.Books.RecordAcceptance(u)
 	if h == nil {
 		return
 	}
-	s.c.o.Books.Kept(h.engine)
+	s.c.o.Books.RecordAcceptance(h.engine)
 	if h.refusedBy != nil {
 		s.skipEngine(*h.refusedBy, "refused a request for which it had reserved memory")
 	}
@@ -122,7 +122,7 @@
 // skipEngine excludes an engine from scheduling for a time, also at peers, because it refused a
 // request for which it had reserved memory or failed in a similar way.
 func (s *stream) skipEngine(u dialect.Upstream, why string) {
-	s.c.o.Books.Refuses(clock.Now(), u)
+	s.c.o.Books.RecordRejection(clock.Now(), u)
 	s.c.o.Count("engine_passed_over")
 	s.log.Warn("engine passed over", "upstream", u.ID, "stage", u.Stage, "why", why)
 }
@@ -130,7 +130,7 @@
 // handleErrorResponse handles a response that is not a stream. It returns the engine's own
 // failure if that is to be forwarded to the caller, and otherwise whether another pair of
 // engines may be tried.
-func (s *stream) handleErrorResponse(ctx context.Context, p *placement, h *prefillResult, resp *http.Response, v dialect.Verdict) (*Answer, bool, error) {
+func (s *stream) handleErrorResponse(ctx context.Context, p *placement, h *prefillResult, resp *http.Response, v dialect.Verdict) (*Response, bool, error) {
 	u := p.decode.Upstream
 	a := readResponse(ctx, resp, v, s.j.Memory)
 	s.c.recordAttempt(u, a, 0, s.log)
--- a/gateway/carry/ending.go
+++ b/gateway/carry/ending.go
@@ -86,21 +86,21 @@
 }
 
 // checkState checks the state of an upstream after an attempt there was interrupted.
-func (c *Carrier) checkState(u dialect.Upstream) upstreamState {
+func (c *Forwarder) checkState(u dialect.Upstream) upstreamState {
 	check := c.stateChecks.of(clock.Now(), u)
 	check.once.Do(func() { check.state = c.queryState(u) })
 	return check.state
 }
 
 // queryState sends the liveness check to an upstream.
-func (c *Carrier) queryState(u dialect.Upstream) upstreamState {
+func (c *Forwarder) queryState(u dialect.Upstream) upstreamState {
 	ctx, cancel := context.WithTimeout(context.Background(), stateCheckTimeout)
 	defer cancel()
 	if u.Stage == "" {
-		return stateFromError(c.o.Dialect.Reach(ctx, u))
+		return stateFromError(c.o.Dialect.CheckReachable(ctx, u))
 	}
 	r, err := c.o.Dialect.Report(ctx, u)
-	if err == nil && !c.Reported(u, r) {
+	if err == nil && !c.ObserveReport(u, r) {
 		return stateCrashed
 	}
 	return stateFromError(err)
@@ -112,7 +112,7 @@
 	switch {
 	case err == nil:
 		return stateAlive
-	case errors.As(err, &replaced), Unreached(err) == schedule.Closed:
+	case errors.As(err, &replaced), ClassifyUnreachable(err) == schedule.Closed:
 		return stateCrashed
 	default:
 		return stateUnknown
@@ -159,7 +159,7 @@
 
 // plannedShutdown reports whether an upstream had announced its shutdown, or was removed from
 // the list without being replaced. In both cases its end is not a crash.
-func (c *Carrier) plannedShutdown(u dialect.Upstream) bool {
+func (c *Forwarder) plannedShutdown(u dialect.Upstream) bool {
 	list := c.o.View().Upstreams[u.Service]
 	for _, o := range list {
 		if o.ID == u.ID {
@@ -171,7 +171,7 @@
 
 // stateAfter determines the state of an upstream after an attempt was interrupted by cause. If
 // cause is an *UnresponsiveError, the upstream was checked already.
-func (c *Carrier) stateAfter(u dialect.Upstream, cause error) upstreamState {
+func (c *Forwarder) stateAfter(u dialect.Upstream, cause error) upstreamState {
 	var silent *UnresponsiveError
 	if errors.As(cause, &silent) {
 		return stateFromError(silent.Err)
@@ -181,7 +181,7 @@
 
 // recordCrash records evidence of a crash in the register and has it sent to the other instances,
 // because each of them may receive the same content at any moment.
-func (c *Carrier) recordCrash(content quarantine.Content, u dialect.Upstream, eventCount int) {
+func (c *Forwarder) recordCrash(content quarantine.Content, u dialect.Upstream, eventCount int) {
 	now := clock.Now()
 	if !c.o.Register.Crashed(now, content, u, eventCount) {
 		return
@@ -189,7 +189,7 @@
 	if v := c.o.Register.Verdict(now, content); v.Standing == quarantine.Quarantined {
 		c.o.Count("quarantined")
 		c.o.Log.Warn("content quarantined", "content", content.String(), "crashes", v.Crashes, "early", v.Early,
-			"upstreams", v.Upstreams, "left_ms", v.Left.Milliseconds())
+			"upstreams", v.Upstreams, "left_ms", v.Remaining.Milliseconds())
 	}
-	c.o.Spread()
+	c.o.NotifyPeers()
 }
--- a/gateway/carry/failover.go
+++ b/gateway/carry/failover.go
@@ -102,7 +102,7 @@
 // now.
 func (f *failover) tryReserve(ctx context.Context) *placement {
 	size := f.s.sizeWithoutCache()
-	size.Apart = f.isolate
+	size.Isolate = f.isolate
 	return f.s.reservePlacement(ctx, size, f.excluded)
 }
 
@@ -123,7 +123,7 @@
 		// No output would be lost: the request can be refused or started at another engine.
 		return true
 	}
-	s.c.recordFailure(u, Unreached(err), err, clock.Since(start), s.log)
+	s.c.recordFailure(u, ClassifyUnreachable(err), err, clock.Since(start), s.log)
 	p := f.find(ctx, heard)
 	if p == nil {
 		s.c.o.Count("silent_engine_kept")
--- a/gateway/carry/fake_test.go
+++ b/gateway/carry/fake_test.go
@@ -131,7 +131,7 @@
 	return dialect.Handle{Engine: s.To.Address, ID: "h" + strconv.Itoa(len(f.calls))}, nil
 }
 
-func (f *fakeDialect) Hold(_ context.Context, address string, tokens int, _ time.Duration) (string, error) {
+func (f *fakeDialect) Reserve(_ context.Context, address string, tokens int, _ time.Duration) (string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.record("hold %s", address)
@@ -141,7 +141,7 @@
 	return "r", nil
 }
 
-func (f *fakeDialect) Free(context.Context, dialect.Handle) error {
+func (f *fakeDialect) ReleaseHandle(context.Context, dialect.Handle) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.record("free")
@@ -169,7 +169,7 @@
 	}
 	return dialect.Report{Incarnation: f.incarnations[u.ID]}, nil
 }
-func (f *fakeDialect) Reach(_ context.Context, u dialect.Upstream) error {
+func (f *fakeDialect) CheckReachable(_ context.Context, u dialect.Upstream) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.record("reach %s", u.ID)
@@ -201,14 +201,14 @@
 	return dialect.Handle{Engine: m.From.Address, ID: "moved"}, nil
 }
 
-func (f *fakeDialect) Kept(_ context.Context, u dialect.Upstream) (map[string]int, error) {
+func (f *fakeDialect) CachedPromptParts(_ context.Context, u dialect.Upstream) (map[string]int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.record("kept %s", u.ID)
 	return f.kept[u.ID], nil
 }
 
-func (f *fakeDialect) WriteHead(http.Header, *dialect.Call) {}
+func (f *fakeDialect) WriteResponseHeaders(http.Header, *dialect.Call) {}
 
 func (f *fakeDialect) NameWorkspace(*dialect.Call, string, int) {}
 
@@ -243,7 +243,7 @@
 
 // testEnv is a Carrier with fake dependencies.
 type testEnv struct {
-	*Carrier
+	*Forwarder
 	d    *fakeDialect
 	view *fleet.Snapshot
 	// stopDeadline is the time at which the instance terminates, zero unless it is shutting down.
@@ -251,7 +251,7 @@
 }
 
 // Close waits for all releases.
-func (env *testEnv) Close() { env.Carrier.Close(context.Background()) }
+func (env *testEnv) Close() { env.Forwarder.Close(context.Background()) }
 
 // ampleBudget is the retry budget of tests that do not depend on it.
 const ampleBudget = 1000
@@ -263,14 +263,14 @@
 	d := &fakeDialect{do: map[ident.UpstreamID][]reply{}, prefill: map[ident.UpstreamID][]error{}, hold: map[string][]error{}, migrate: map[string][]error{}}
 	view := &fleet.Snapshot{Upstreams: map[string][]dialect.Upstream{"s": ups}, AsOf: time.Now()}
 	env := &testEnv{d: d, view: view}
-	env.Carrier = New(Options{
-		Dialect: d, Books: schedule.NewBooks("a", 1),
+	env.Forwarder = New(Options{
+		Dialect: d, Books: schedule.NewScheduler("a", 1),
 		Budget: schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour, Slack: slack}, func() int { return 1 }),
 		View:   func() *fleet.Snapshot { return env.view },
 		Log:    slog.New(slog.DiscardHandler), Count: func(string) {},
-		Register: quarantine.NewRegister(), Trials: localTrials{quarantine.NewTrials()}, Spread: func() {},
+		Register: quarantine.NewRegister(), Trials: localTrials{quarantine.NewTrials()}, NotifyPeers: func() {},
 		AwaitInformed: func(context.Context, bool) {},
-		Ends:          func() (time.Time, bool) { return env.stopDeadline, !env.stopDeadline.IsZero() },
+		StopDeadline:  func() (time.Time, bool) { return env.stopDeadline, !env.stopDeadline.IsZero() },
 	})
 	t.Cleanup(env.Close)
 	return env
@@ -317,7 +317,7 @@
 		Route: &r, Service: routing.Service{Name: "s"}, Arrived: now, Deadline: now.Add(time.Minute),
 	}
 	if r.Kind == routing.Stream {
-		j.Service.Engine = &routing.Engine{Slots: 8, KVTokens: 10000, Stride: 64, HandleTTL: time.Minute, HoldTTL: time.Second}
+		j.Service.Engine = &routing.Engine{Slots: 8, KVTokens: 10000, TokensPerEvent: 64, HandleTTL: time.Minute, ReservationTTL: time.Second}
 	}
 	return j
 }
--- a/gateway/carry/forward.go
+++ b/gateway/carry/forward.go
@@ -40,7 +40,7 @@
 // forward copies the stream from an engine to the caller, event by event, and continues it
 // elsewhere if it was migrated. The second result reports whether another pair of engines may be
 // tried.
-func (s *stream) forward(ctx context.Context, wd *watchdog, p *placement, resp *http.Response, start time.Time) (*Answer, bool, error) {
+func (s *stream) forward(ctx context.Context, wd *watchdog, p *placement, resp *http.Response, start time.Time) (*Response, bool, error) {
 	u := p.decode.Upstream
 	before := s.events.Load()
 	started := time.Time{}
@@ -83,7 +83,7 @@
 
 // handleStreamEnd handles a stream that ended early, and reports whether it may continue at
 // another engine.
-func (s *stream) handleStreamEnd(ctx context.Context, p *placement, err error, eventCount int, reason Cut) bool {
+func (s *stream) handleStreamEnd(ctx context.Context, p *placement, err error, eventCount int, reason CutReason) bool {
 	u := p.decode.Upstream
 	s.runs++
 	s.cutReason = reason
@@ -132,11 +132,11 @@
 		if end := lastEventEnd(pending); end > 0 {
 			if !started {
 				started = true
-				s.c.o.Books.Computed(p.decode)
+				s.c.o.Books.RecordPromptComputed(p.decode)
 				first()
 			}
 			s.recordPause(clock.Now())
-			s.c.o.Books.Progress(clock.Now(), p.decode, s.produced())
+			s.c.o.Books.RecordProgress(clock.Now(), p.decode, s.produced())
 			if werr := s.deliver(resp, pending[:end]); werr != nil {
 				return &CallerWriteError{Err: werr}
 			}
--- a/gateway/carry/kept.go
+++ b/gateway/carry/kept.go
@@ -68,7 +68,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
-	kept, err := d.Kept(ctx, u)
+	kept, err := d.CachedPromptParts(ctx, u)
 	l.tokensByPart, l.at = kept, clock.Now()
 	return kept[part], err
 }
@@ -84,7 +84,7 @@
 // output were recomputed: 1,000,000 tokens on a day on which all of 62 instances lost power. It
 // returns nil if no engine holds any of it.
 func (s *stream) findCacheHolder(ctx context.Context) *cacheHolder {
-	if s.j.Call.PromptPart == "" {
+	if s.j.Call.LastPromptPart == "" {
 		return nil
 	}
 	var found cacheHolder
@@ -92,7 +92,7 @@
 	var asked sync.WaitGroup
 	for _, u := range s.cacheHolderCandidates() {
 		asked.Go(func() {
-			n, err := s.c.cacheLists.list(u.ID).tokens(ctx, s.c.o.Dialect, u, s.j.Call.PromptPart)
+			n, err := s.c.cacheLists.list(u.ID).tokens(ctx, s.c.o.Dialect, u, s.j.Call.LastPromptPart)
 			if err != nil {
 				s.log.Info("cache list not retrieved", "upstream", u.ID, "error", logs.ErrorText(err))
 			}
--- a/gateway/carry/kept_test.go
+++ b/gateway/carry/kept_test.go
@@ -13,7 +13,7 @@
 // resumedJob returns a stream that its caller resumes after the second event.
 func resumedJob(r routing.Route) *Job {
 	j := job(r)
-	j.Call.LastEvent, j.Call.SeenEvents, j.Call.PromptPart = "2", 2, "part"
+	j.Call.LastEvent, j.Call.ReceivedEvents, j.Call.LastPromptPart = "2", 2, "part"
 	return j
 }
 
@@ -44,7 +44,7 @@
 	full := newStreamEnv(t)
 	full.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(3, 5)})
 	full.d.kept = map[ident.UpstreamID]map[string]int{"d1": {"part": 1100}}
-	full.d.hold["d1"] = []error{&dialect.FullError{}}
+	full.d.hold["d1"] = []error{&dialect.NoCapacityError{}}
 	_, err = full.Stream(t.Context(), resumedJob(resumable), &streamRecorder{})
 	assert.NilError(t, err)
 	assert.Equal(t, full.d.count("do d2"), 1)
@@ -72,7 +72,7 @@
 	}
 	env := newTestEnv(t, ampleBudget, ups...)
 	env.o.Zone = "a"
-	s := &stream{c: env.Carrier, j: resumedJob(resumable), log: env.o.Log}
+	s := &stream{c: env.Forwarder, j: resumedJob(resumable), log: env.o.Log}
 	assert.Equal(t, len(s.cacheHolderCandidates()), 3)
 	env.view.Upstreams["s"] = ups[:12]
 	assert.Equal(t, len(s.cacheHolderCandidates()), 12)
--- a/gateway/carry/line.go
+++ b/gateway/carry/line.go
@@ -119,7 +119,7 @@
 }
 
 // queueOf returns the queue of a service.
-func (c *Carrier) queueOf(service string) *waitQueue {
+func (c *Forwarder) queueOf(service string) *waitQueue {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q := c.queues[service]
--- a/gateway/carry/migrate.go
+++ b/gateway/carry/migrate.go
@@ -127,11 +127,11 @@
 }
 
 // Migrate starts the migration of all running streams that should continue at other engines.
-func (c *Carrier) Migrate(services map[string]routing.Service) {
+func (c *Forwarder) Migrate(services map[string]routing.Service) {
 	view := c.o.View()
 	now := clock.Now()
 	for name, service := range services {
-		if service.Engine == nil || !service.Engine.Migrates {
+		if service.Engine == nil || !service.Engine.SupportsMigration {
 			continue
 		}
 		for _, m := range c.o.Books.Migrants(now, view.Upstreams[name], service.Engine) {
@@ -148,14 +148,14 @@
 }
 
 // runningStream returns the stream that has a placement, nil if it is not running.
-func (c *Carrier) runningStream(t schedule.Ticket) *stream {
+func (c *Forwarder) runningStream(t schedule.Ticket) *stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.streams[t.Number()]
 }
 
 // addStream adds a running stream.
-func (c *Carrier) addStream(t schedule.Ticket, s *stream) {
+func (c *Forwarder) addStream(t schedule.Ticket, s *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.streams[t.Number()] = s
@@ -166,7 +166,7 @@
 }
 
 // AwaitStreams blocks until at least one stream is running. It returns false if ctx ends.
-func (c *Carrier) AwaitStreams(ctx context.Context) bool {
+func (c *Forwarder) AwaitStreams(ctx context.Context) bool {
 	for {
 		c.mu.Lock()
 		n := len(c.streams)
@@ -183,7 +183,7 @@
 }
 
 // removeStream removes a stream that has ended or left its engine.
-func (c *Carrier) removeStream(t schedule.Ticket) {
+func (c *Forwarder) removeStream(t schedule.Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.streams, t.Number())
@@ -194,7 +194,7 @@
 // ms. A failure before the stop leaves the stream unaffected.
 func (s *stream) migrate(m schedule.Migrant, generation int) {
 	from := m.Ticket.Upstream
-	log := s.log.With("from", from.ID, "why", string(m.Why), "memory", m.Memory)
+	log := s.log.With("from", from.ID, "why", string(m.Reason), "memory", m.Memory)
 	to, ok := s.reserveDestination(from)
 	if !ok {
 		s.migration.cancel(generation)
@@ -234,9 +234,9 @@
 // if there is none or the retry budget does not allow the send.
 func (s *stream) reserveDestination(from dialect.Upstream) (schedule.Ticket, bool) {
 	size := s.size()
-	size.Copied = true
+	size.KVCopied = true
 	to, ok := s.c.o.Books.PlaceDecode(clock.Now(), s.c.eligible(s.j), s.j.Service.Engine, size, []ident.UpstreamID{from.ID})
-	if ok && !s.c.o.Budget.Spare(clock.Now(), s.j.Service.Name, sendsToMigrate) {
+	if ok && !s.c.o.Budget.ExtraOptional(clock.Now(), s.j.Service.Name, sendsToMigrate) {
 		s.c.o.Books.Done(to)
 		return to, false
 	}
@@ -289,12 +289,12 @@
 // The instance itself ended a working run, so a single refusal must not end the response: the
 // engine where the stream was stopped is asked too, also if the destination's answer was lost. A
 // handle can be used only once, so the stream cannot continue twice.
-func (s *stream) continueStopped(ctx context.Context, p *placement, cont *continuation) (*Answer, bool, error) {
+func (s *stream) continueStopped(ctx context.Context, p *placement, cont *continuation) (*Response, bool, error) {
 	var err error
 	reason := CutByMigration
 	for i, t := range cont.engines {
 		if i > 0 {
-			s.c.o.Budget.Owed(clock.Now(), s.j.Service.Name, sendsToReturn)
+			s.c.o.Budget.CountRequired(clock.Now(), s.j.Service.Name, sendsToReturn)
 			s.c.o.Count("stream_went_back")
 		}
 		p.decode = t
--- a/gateway/carry/migrate_test.go
+++ b/gateway/carry/migrate_test.go
@@ -30,7 +30,7 @@
 	*testEnv
 	body   *controlledBody
 	got    streamRecorder
-	answer *Answer
+	answer *Response
 	err    error
 	ended  chan struct{}
 }
@@ -43,8 +43,8 @@
 	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: http.StatusOK, body: events(3, 5)}}
 	env.d.stopped = func() { _ = env.body.w.CloseWithError(io.ErrUnexpectedEOF) }
 	j := job(route)
-	j.Service.Engine.Migrates = true
-	full := &dialect.FullError{}
+	j.Service.Engine.SupportsMigration = true
+	full := &dialect.NoCapacityError{}
 	env.d.hold["d2"] = []error{full}
 	go func() {
 		defer close(env.ended)
@@ -82,7 +82,7 @@
 		}
 	}
 	env.mu.Unlock()
-	s.migrate(schedule.Migrant{Ticket: ticket, Why: schedule.WhyLeaving}, turn)
+	s.migrate(schedule.Migrant{Ticket: ticket, Reason: schedule.ReasonLeaving}, turn)
 }
 
 // TestMovedStreamGoesOn checks that a migrated stream continues at the other engine under the
--- a/gateway/carry/plain.go
+++ b/gateway/carry/plain.go
@@ -25,7 +25,7 @@
 )
 
 // Plain forwards a request of a plain service. The error is an *Error or an *AbandonedError.
-func (c *Carrier) Plain(ctx context.Context, j *Job) (*Answer, error) {
+func (c *Forwarder) Plain(ctx context.Context, j *Job) (*Response, error) {
 	p := &plainRequest{c: c, j: j, log: j.log(c.o.Log)}
 	p.crashGuard = crashGuard{c: c, j: j, log: p.log}
 	defer p.crashGuard.endTrial()
@@ -34,7 +34,7 @@
 
 // plainRequest is the state of a request of a plain service.
 type plainRequest struct {
-	c   *Carrier
+	c   *Forwarder
 	j   *Job
 	log *slog.Logger
 	// tried lists the upstreams to which the request was sent. runs counts those that may have
@@ -43,12 +43,12 @@
 	runs     int
 	refusals int
 	// failure is an upstream's own error response, which is forwarded if no attempt succeeds.
-	failure    *Answer
+	failure    *Response
 	crashGuard crashGuard
 }
 
 // run sends the request until an attempt succeeds or no further attempt is allowed.
-func (p *plainRequest) run(ctx context.Context) (*Answer, error) {
+func (p *plainRequest) run(ctx context.Context) (*Response, error) {
 	for {
 		if ctx.Err() != nil {
 			return nil, p.contextError(ctx)
@@ -85,7 +85,7 @@
 // contextError returns the error for a request whose context ended.
 func (p *plainRequest) contextError(ctx context.Context) error {
 	if Stopped(ctx) {
-		return Stopping(p.outcomeUnserved())
+		return NewStoppingError(p.outcomeUnserved())
 	}
 	return &AbandonedError{NotSent: len(p.tried) == 0}
 }
@@ -167,11 +167,11 @@
 }
 
 // outcomeUnserved returns the outcome of a request that is not sent to another upstream.
-func (p *plainRequest) outcomeUnserved() Fate { return outcomeAfter(p.runs) }
+func (p *plainRequest) outcomeUnserved() Outcome { return outcomeAfter(p.runs) }
 
 // refuse ends a request that may not be sent to another upstream. An upstream's own error
 // response is preferred to err.
-func (p *plainRequest) refuse(err error) (*Answer, error) {
+func (p *plainRequest) refuse(err error) (*Response, error) {
 	if p.failure != nil && forwardable(p.failure.Status) {
 		return p.failure, nil
 	}
@@ -179,17 +179,17 @@
 }
 
 // finalResult returns the final result of a request that did not succeed.
-func (p *plainRequest) finalResult(cause error) (*Answer, error) {
+func (p *plainRequest) finalResult(cause error) (*Response, error) {
 	if p.failure != nil && forwardable(p.failure.Status) {
 		return p.failure, nil
 	}
 	switch {
 	case p.runs == 0:
-		return nil, &Error{Fate: NotRun, Reason: "service_full", RetryAfter: plainRetryAfter, Err: cause}
+		return nil, &Error{Outcome: NotRun, Reason: "service_full", RetryAfter: plainRetryAfter, Err: cause}
 	case errors.Is(cause, context.DeadlineExceeded):
-		return nil, &Error{Fate: TimedOut, Reason: "upstream_silent", Err: cause}
+		return nil, &Error{Outcome: TimedOut, Reason: "upstream_silent", Err: cause}
 	default:
-		return nil, &Error{Fate: Unknown, Reason: "upstream_failed", Err: cause}
+		return nil, &Error{Outcome: Unknown, Reason: "upstream_failed", Err: cause}
 	}
 }
 
--- a/gateway/carry/plain_test.go
+++ b/gateway/carry/plain_test.go
@@ -18,11 +18,11 @@
 )
 
 // outcomeOf returns the outcome that an *Error reports, and fails the test for any other error.
-func outcomeOf(t *testing.T, err error) Fate {
+func outcomeOf(t *testing.T, err error) Outcome {
 	t.Helper()
 	var e *Error
 	assert.Assert(t, errors.As(err, &e), "%v", err)
-	return e.Fate
+	return e.Outcome
 }
 
 func TestAnswerIsPassedOn(t *testing.T) {
--- a/gateway/carry/prefill.go
+++ b/gateway/carry/prefill.go
@@ -104,7 +104,7 @@
 	}
 	if err == nil {
 		s.c.o.Books.PrefillDone(s.j.Service.Name, s.j.Call.PromptTokens, took)
-		s.c.o.Books.ObservePrefillPace(clock.Now(), u, s.j.Call.PromptTokens, took)
+		s.c.o.Books.ObservePrefillThroughput(clock.Now(), u, s.j.Call.PromptTokens, took)
 	}
 	s.log.Info("prefill", "upstream", u.ID, "tokens", s.j.Call.PromptTokens, "number", s.prefills, "took_ms", took.Milliseconds(), "error", logs.ErrorText(err))
 	return h, err
@@ -125,7 +125,7 @@
 	late := errors.Is(err, context.DeadlineExceeded)
 	switch {
 	case errors.As(err, &silent):
-		s.c.recordFailure(u, Unreached(silent.Err), err, took, s.log)
+		s.c.recordFailure(u, ClassifyUnreachable(silent.Err), err, took, s.log)
 	case late && s.c.o.Books.AnsweredSince(u, start):
 		// The engine responded to other requests meanwhile, so it is busy.
 	case late:
--- a/gateway/carry/reserve.go
+++ b/gateway/carry/reserve.go
@@ -133,7 +133,7 @@
 	prefill, self := s.prefillWait()
 	size := s.size()
 	size.Overflow = !self && s.prefillBusy(prefill)
-	size.Self = self || size.Overflow
+	size.ComputePrompt = self || size.Overflow
 	return size
 }
 
@@ -143,20 +143,20 @@
 	s.c.o.Count("stream_no_room")
 	s.log.Info("refused", "reason", "no_room", "need_tokens", s.need(), "waiting", q.length(),
 		"waited_ms", waited.Milliseconds(), "view_age_ms", clock.Since(s.c.o.View().AsOf).Milliseconds())
-	return &Error{Fate: s.outcomeUnserved(), Reason: "no_room", RetryAfter: streamRetryAfter}
+	return &Error{Outcome: s.outcomeUnserved(), Reason: "no_room", RetryAfter: streamRetryAfter}
 }
 
 // reserveCacheHolder attempts a reservation at the engine that holds a resumed stream's KV cache
 // and computes only the missing part.
 func (s *stream) reserveCacheHolder(ctx context.Context, holder *cacheHolder) (*placement, error) {
 	size := s.size()
-	size.Self, size.Kept, size.At = true, holder.tokens, holder.upstream.ID
+	size.ComputePrompt, size.CachedTokens, size.CachedOn = true, holder.tokens, holder.upstream.ID
 	return s.reserveFor(ctx, size)
 }
 
 // reserveFor attempts a reservation at any engine with room for size.
 func (s *stream) reserveFor(ctx context.Context, size schedule.Size) (*placement, error) {
-	size.Apart = s.crashGuard.onTrial()
+	size.Isolate = s.crashGuard.onTrial()
 	p := s.reservePlacement(ctx, size, s.excluded)
 	if p == nil && ctx.Err() != nil {
 		return nil, s.contextError(ctx)
@@ -176,9 +176,9 @@
 		start := clock.Now()
 		hold, err := s.holdMemory(ctx, t)
 		if err == nil {
-			s.log.Info("reserved", "upstream", t.Upstream.ID, "tokens", s.need(), "self", size.Self, "overflow", size.Overflow,
+			s.log.Info("reserved", "upstream", t.Upstream.ID, "tokens", s.need(), "self", size.ComputePrompt, "overflow", size.Overflow,
 				"took_ms", clock.Since(start).Milliseconds(), "waited_ms", start.Sub(s.j.Arrived).Milliseconds())
-			return &placement{decode: t, hold: hold, selfPrefill: size.Self}
+			return &placement{decode: t, hold: hold, selfPrefill: size.ComputePrompt}
 		}
 		s.c.o.Books.Done(t)
 	}
@@ -191,18 +191,18 @@
 	start := clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
 	defer cancel()
-	hold, err := s.c.o.Dialect.Hold(ctx, u.Address, s.need(), s.j.Service.Engine.HoldTTL)
-	var full *dialect.FullError
+	hold, err := s.c.o.Dialect.Reserve(ctx, u.Address, s.need(), s.j.Service.Engine.ReservationTTL)
+	var full *dialect.NoCapacityError
 	switch {
 	case err == nil:
-		s.c.o.Books.Heard(clock.Now(), u)
+		s.c.o.Books.RecordContact(clock.Now(), u)
 	case errors.As(err, &full):
-		s.c.o.Books.Full(clock.Now(), u, s.need())
+		s.c.o.Books.RecordFull(clock.Now(), u, s.need())
 		s.c.o.Count("hold_refused")
 	case errors.Is(err, context.Canceled):
 	default:
 		// An engine that does not answer this call does not answer requests either.
-		s.c.recordFailure(u, Unreached(err), err, clock.Since(start), s.log)
+		s.c.recordFailure(u, ClassifyUnreachable(err), err, clock.Since(start), s.log)
 	}
 	return hold, err
 }
@@ -210,7 +210,7 @@
 // freeResult releases a prefill result in the background.
 func (s *stream) freeResult(h *prefillResult) {
 	s.c.cleanup.Go(func() {
-		release(func(ctx context.Context) error { return s.c.o.Dialect.Free(ctx, h.handle) }, s.log, "handle", h.engine.ID)
+		release(func(ctx context.Context) error { return s.c.o.Dialect.ReleaseHandle(ctx, h.handle) }, s.log, "handle", h.engine.ID)
 	})
 }
 
--- a/gateway/carry/restarts.go
+++ b/gateway/carry/restarts.go
@@ -53,17 +53,17 @@
 
 // HasPendingAttempts reports whether any attempt is running or undecided. If not, Listed has no
 // effect.
-func (c *Carrier) HasPendingAttempts() bool {
+func (c *Forwarder) HasPendingAttempts() bool {
 	c.inFlight.mu.Lock()
 	inFlight := len(c.inFlight.byUpstream) > 0
 	c.inFlight.mu.Unlock()
 	return inFlight || c.undecided.nonEmpty()
 }
 
-// Listed processes the current list of upstreams. It cancels the attempts at previous
+// ObserveUpstreams processes the current list of upstreams. It cancels the attempts at previous
 // incarnations of the listed upstreams, and records a crash for the undecided attempts that were
 // interrupted there before.
-func (c *Carrier) Listed(list []dialect.Upstream) {
+func (c *Forwarder) ObserveUpstreams(list []dialect.Upstream) {
 	for _, a := range c.undecided.takeCrashed(clock.Now(), list) {
 		c.recordCrash(a.content, a.upstream, a.eventCount)
 	}
@@ -78,15 +78,15 @@
 	}
 }
 
-// Reported processes an engine's answer to a call of the gateway itself, and reports whether the
+// ObserveReport processes an engine's answer to a call of the gateway itself, and reports whether the
 // engine is still the listed incarnation.
-func (c *Carrier) Reported(u dialect.Upstream, r dialect.Report) bool {
+func (c *Forwarder) ObserveReport(u dialect.Upstream, r dialect.Report) bool {
 	if !u.Restarted(r.Incarnation) {
 		return true
 	}
 	c.o.Log.Info("upstream restarted", "upstream", u.ID, "address", u.Address, "listed", u.Incarnation, "incarnation", r.Incarnation)
 	u.Incarnation = r.Incarnation
-	c.o.Books.Restarted(u)
-	c.Listed([]dialect.Upstream{u})
+	c.o.Books.RecordRestart(u)
+	c.ObserveUpstreams([]dialect.Upstream{u})
 	return false
 }
--- a/gateway/carry/restarts_test.go
+++ b/gateway/carry/restarts_test.go
@@ -33,7 +33,7 @@
 		env.o.Books.PickService(time.Now(), ups[1:], true, nil)
 	}
 	env.d.do["x"] = []reply{{hangs: true}}
-	time.AfterFunc(300*time.Millisecond, func() { env.Listed(withIncarnation(listed, ups[:1])) })
+	time.AfterFunc(300*time.Millisecond, func() { env.ObserveUpstreams(withIncarnation(listed, ups[:1])) })
 	start := time.Now()
 	_, err := env.Plain(t.Context(), job(r))
 	return env, time.Since(start), err
@@ -101,13 +101,13 @@
 	for env.d.count("do d2") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	env.Listed(withIncarnation(6, ups))
+	env.ObserveUpstreams(withIncarnation(6, ups))
 	select {
 	case <-env.ended:
 	case <-time.After(5 * time.Second):
 		t.Fatal("the stream still waits for an engine that has restarted")
 	}
-	var interrupted *BrokenOffError
+	var interrupted *InterruptedError
 	assert.Assert(t, errors.As(env.err, &interrupted), "%v", env.err)
 	assert.Equal(t, env.got.body.String(), events(1, 2))
 }
--- a/gateway/carry/sound_test.go
+++ b/gateway/carry/sound_test.go
@@ -77,9 +77,9 @@
 				env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 4)}}
 				j := job(r)
 				j.Arrived, j.Deadline = time.Now(), time.Now().Add(time.Minute)
-				s := &stream{c: env.Carrier, j: j, w: &streamRecorder{}, log: env.o.Log, headSent: true, lastEvent: "2"}
+				s := &stream{c: env.Forwarder, j: j, w: &streamRecorder{}, log: env.o.Log, headSent: true, lastEvent: "2"}
 				s.events.Store(2)
-				s.crashGuard = crashGuard{c: env.Carrier, j: j, log: s.log}
+				s.crashGuard = crashGuard{c: env.Forwarder, j: j, log: s.log}
 				ups := engineUps(nil, []string{"d1", "d2"})
 				next := &continuation{source: dialect.Handle{Engine: "d1", ID: "moved"}, engines: []schedule.Ticket{{Upstream: ups[1]}, {Upstream: ups[0]}}}
 				start := time.Now()
@@ -127,9 +127,9 @@
 	env.d.mu.Unlock()
 	env.migrate(t)
 	<-env.ended
-	var interrupted *BrokenOffError
+	var interrupted *InterruptedError
 	assert.Assert(t, errors.As(env.err, &interrupted), "%v", env.err)
-	assert.Equal(t, interrupted.By, CutByMigration)
+	assert.Equal(t, interrupted.Reason, CutByMigration)
 	assert.Equal(t, env.got.body.String(), events(1, 2))
 	assert.Equal(t, env.d.countKind("do"), 3)
 	for _, s := range env.d.sends[1:] {
@@ -146,7 +146,7 @@
 // The logs showed an UnresponsiveError, then `not sent again` and the closed connection: 37 and
 // 39 times under two loads with network cuts between zones, 8 times and once under two others.
 func TestSilentEngineKeepsItsStreamWhileThereIsNoOther(t *testing.T) {
-	full := []error{&dialect.FullError{}}
+	full := []error{&dialect.NoCapacityError{}}
 	for name, prepare := range map[string]func(env *testEnv){
 		"no room": func(env *testEnv) { env.d.hold["d2"] = full },
 		"no budget": func(env *testEnv) {
@@ -171,7 +171,7 @@
 // continues while the current one does not answer.
 func TestSilentEngineLosesItsStreamOnceAnotherHasRoom(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		full := &dialect.FullError{}
+		full := &dialect.NoCapacityError{}
 		env, got, took, err := runStalledStreamWith(t, resumable, func(env *testEnv) {
 			env.d.silent = map[ident.UpstreamID]bool{"d1": true}
 			env.d.hold["d2"] = []error{full, full, nil}
@@ -195,7 +195,7 @@
 	assert.Assert(t, !r.set(p), "placement accepted after the stream had ended")
 	assert.Assert(t, r.take() == nil)
 
-	s := &stream{c: env.Carrier, j: job(resumable), log: env.o.Log}
+	s := &stream{c: env.Forwarder, j: job(resumable), log: env.o.Log}
 	s.events.Store(2)
 	f := s.newFailover(engineUps(nil, []string{"d1"})[0])
 	asked := 0
@@ -207,7 +207,7 @@
 	env.Close()
 	assert.Equal(t, env.d.count("hold d2"), 1)
 	assert.Equal(t, env.d.count("release d2"), 1)
-	assert.Equal(t, env.o.Books.Busy("d2"), 0)
+	assert.Equal(t, env.o.Books.RequestCount("d2"), 0)
 }
 
 // TestStreamUnderWayGoesOnWhenRoomComes guards against a connection that is closed while the
@@ -222,7 +222,7 @@
 		env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
 		env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
 		env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
-		full := &dialect.FullError{}
+		full := &dialect.NoCapacityError{}
 		env.d.hold["d2"] = []error{full}
 		time.AfterFunc(20*time.Second, func() {
 			env.d.mu.Lock()
@@ -244,7 +244,7 @@
 	env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
 	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
 	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
-	env.d.hold["d2"] = []error{&dialect.FullError{}, nil}
+	env.d.hold["d2"] = []error{&dialect.NoCapacityError{}, nil}
 	q := env.queueOf("s")
 	var other *waiter
 	env.o.Count = func(name string) {
@@ -269,7 +269,7 @@
 	assert.Assert(t, !env.mayResend("s", 2, false, env.o.Log))
 	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
 	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
-	env.d.hold["d2"] = []error{&dialect.FullError{}, nil}
+	env.d.hold["d2"] = []error{&dialect.NoCapacityError{}, nil}
 	got := &streamRecorder{}
 	_, err := env.Stream(t.Context(), job(resumable), got)
 	assert.NilError(t, err)
--- a/gateway/carry/stop.go
+++ b/gateway/carry/stop.go
@@ -36,7 +36,7 @@
 // wouldOutliveInstance reports whether this instance is shutting down and would probably
 // terminate before the stream ends. It is false for a stream that has started to run.
 func (s *stream) wouldOutliveInstance() bool {
-	end, stopping := s.c.o.Ends()
+	end, stopping := s.c.o.StopDeadline()
 	if !stopping || s.headSent || s.runs > 0 {
 		return false
 	}
@@ -51,10 +51,10 @@
 func (s *stream) refuseStopping() error {
 	s.c.o.Count("refused_" + reasonStopping)
 	s.log.Info("refused", "reason", reasonStopping, "estimate", s.output(), "bound", s.j.Call.MaxOutputTokens)
-	return Stopping(NotRun)
+	return NewStoppingError(NotRun)
 }
 
-// Stopping returns the error for a request that its instance cannot finish.
-func Stopping(fate Fate) *Error {
-	return &Error{Fate: fate, Reason: reasonStopping, RetryAfter: stoppingRetryAfter, Err: &StoppedError{}}
+// NewStoppingError returns the error for a request that its instance cannot finish.
+func NewStoppingError(fate Outcome) *Error {
+	return &Error{Outcome: fate, Reason: reasonStopping, RetryAfter: stoppingRetryAfter, Err: &StoppedError{}}
 }
--- a/gateway/carry/stop_test.go
+++ b/gateway/carry/stop_test.go
@@ -48,7 +48,7 @@
 func TestStreamThatWaitsTooLongIsTurnedAway(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		env := newStreamEnv(t)
-		full := []error{&dialect.FullError{}}
+		full := []error{&dialect.NoCapacityError{}}
 		env.d.hold["d1"], env.d.hold["d2"] = full, full
 		env.stopDeadline = time.Now().Add(5 * time.Second)
 		j := job(singleRun)
@@ -66,7 +66,7 @@
 	for name, c := range map[string]struct {
 		route   routing.Route
 		prepare func(env *testEnv)
-		want    Fate
+		want    Outcome
 	}{
 		"plain, sent":     {atMostOnce, func(env *testEnv) { env.d.do["u1"] = []reply{{hangs: true}} }, Unknown},
 		"plain, not sent": {atMostOnce, func(env *testEnv) { env.d.do["u1"] = []reply{{hangs: true, err: errNotSent}} }, NotRun},
--- a/gateway/carry/stream.go
+++ b/gateway/carry/stream.go
@@ -55,25 +55,25 @@
 	Write(events []byte) error
 }
 
-// BrokenOffError reports a stream that ended early after its response head was sent. The
+// InterruptedError reports a stream that ended early after its response head was sent. The
 // response must not look complete to the caller.
-type BrokenOffError struct {
-	// By is the reason why the last run ended. Err is the reason why the stream did not
+type InterruptedError struct {
+	// Reason is the reason why the last run ended. Err is the reason why the stream did not
 	// continue.
-	By  Cut
-	Err error
+	Reason CutReason
+	Err    error
 }
 
 // Error implements the error interface.
-func (e *BrokenOffError) Error() string { return "stream ended early: " + e.Err.Error() }
+func (e *InterruptedError) Error() string { return "stream ended early: " + e.Err.Error() }
 
 // Unwrap returns the underlying error.
-func (e *BrokenOffError) Unwrap() error { return e.Err }
+func (e *InterruptedError) Unwrap() error { return e.Err }
 
 // Stream forwards a request of a service of engines. The error is an *Error, an *AbandonedError
 // or a *BrokenOffError. An *Answer is an upstream's own error response, which is to be forwarded
 // to the caller.
-func (c *Carrier) Stream(ctx context.Context, j *Job, w StreamWriter) (*Answer, error) {
+func (c *Forwarder) Stream(ctx context.Context, j *Job, w StreamWriter) (*Response, error) {
 	s := &stream{c: c, j: j, w: w, log: j.log(c.o.Log), lastEvent: j.Call.LastEvent}
 	s.crashGuard = crashGuard{c: c, j: j, log: s.log}
 	defer s.crashGuard.endTrial()
@@ -99,7 +99,7 @@
 
 // stream is the state of a request of a service of engines.
 type stream struct {
-	c   *Carrier
+	c   *Forwarder
 	j   *Job
 	w   StreamWriter
 	log *slog.Logger
@@ -116,7 +116,7 @@
 	// headSent means that the response head was sent to the caller.
 	headSent bool
 	// cutReason is the reason why the last run ended.
-	cutReason Cut
+	cutReason CutReason
 	// lastEvent is the ID of the last event that the caller has received.
 	lastEvent string
 	// events counts the events delivered in this request. A migration reads it while the stream
@@ -155,14 +155,14 @@
 // produced returns the length of the output so far, in tokens, including that of the caller's
 // earlier attempts.
 func (s *stream) produced() int {
-	return (s.j.Call.SeenEvents + int(s.events.Load())) * s.j.Service.Engine.Stride
+	return (s.j.Call.ReceivedEvents + int(s.events.Load())) * s.j.Service.Engine.TokensPerEvent
 }
 
 // need returns the memory to reserve, in tokens.
-func (s *stream) need() int { return s.size().HoldTokens() }
+func (s *stream) need() int { return s.size().TokensToReserve() }
 
 // run runs the stream, and restarts it as long as that is allowed.
-func (s *stream) run(ctx context.Context) (*Answer, error) {
+func (s *stream) run(ctx context.Context) (*Response, error) {
 	for {
 		answer, again, err := s.start(ctx)
 		if err == nil || !again {
@@ -176,14 +176,14 @@
 
 // countCut counts a response that ended early.
 func (s *stream) countCut(err error) {
-	var broken *BrokenOffError
+	var broken *InterruptedError
 	if errors.As(err, &broken) {
-		s.c.o.Count("answers_cut_" + string(broken.By))
+		s.c.o.Count("answers_cut_" + string(broken.Reason))
 	}
 }
 
 // start runs the stream at one pair of engines. again reports whether another pair may be tried.
-func (s *stream) start(ctx context.Context) (answer *Answer, again bool, err error) {
+func (s *stream) start(ctx context.Context) (answer *Response, again bool, err error) {
 	s.starts++
 	p, err := s.admitAndReserve(ctx)
 	if err != nil {
@@ -207,7 +207,7 @@
 		return nil, err
 	}
 	if s.starts == 1 {
-		s.c.o.Books.Asked(clock.Now(), s.j.Service.Name, s.j.Call.PromptTokens, s.output())
+		s.c.o.Books.RecordRequest(clock.Now(), s.j.Service.Name, s.j.Call.PromptTokens, s.output())
 	}
 	if p := s.standby.take(); p != nil {
 		return p, nil
@@ -229,13 +229,13 @@
 	case errors.As(err, &abandoned):
 		return err
 	case s.headSent:
-		return &BrokenOffError{By: s.cutReason, Err: err}
+		return &InterruptedError{Reason: s.cutReason, Err: err}
 	case errors.As(err, &reqErr):
 		return reqErr
 	case s.runs == 0:
-		return &Error{Fate: NotRun, Reason: "engines_failed", RetryAfter: streamRetryAfter, Err: err}
+		return &Error{Outcome: NotRun, Reason: "engines_failed", RetryAfter: streamRetryAfter, Err: err}
 	default:
-		return &Error{Fate: Unknown, Reason: "engine_failed", Err: err}
+		return &Error{Outcome: Unknown, Reason: "engine_failed", Err: err}
 	}
 }
 
@@ -277,12 +277,12 @@
 }
 
 // outcomeUnserved returns the outcome of a request that is not sent to another engine.
-func (s *stream) outcomeUnserved() Fate { return outcomeAfter(s.runs) }
+func (s *stream) outcomeUnserved() Outcome { return outcomeAfter(s.runs) }
 
 // contextError returns the error for a request whose context ended.
 func (s *stream) contextError(ctx context.Context) error {
 	if Stopped(ctx) {
-		return Stopping(s.outcomeUnserved())
+		return NewStoppingError(s.outcomeUnserved())
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return deadlineError(s.outcomeUnserved())
--- a/gateway/carry/stream_test.go
+++ b/gateway/carry/stream_test.go
@@ -45,7 +45,7 @@
 	for i, kind := range []string{"hold", "prefill", "do"} {
 		assert.Assert(t, env.d.calls[i][:len(kind)] == kind, "%v", env.d.calls)
 	}
-	assert.Equal(t, env.d.sends[0].Hold, "r")
+	assert.Equal(t, env.d.sends[0].Reservation, "r")
 	assert.Assert(t, env.d.sends[0].Source != nil)
 }
 
@@ -56,7 +56,7 @@
 	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 3) + "id: 4\nda", breaks: true})
 	var got streamRecorder
 	_, err := env.Stream(t.Context(), job(singleRun), &got)
-	var interrupted *BrokenOffError
+	var interrupted *InterruptedError
 	assert.Assert(t, errors.As(err, &interrupted), "%v", err)
 	assert.Equal(t, got.body.String(), events(1, 3), "want complete events only")
 	assert.Equal(t, env.d.countKind("do"), 1)
@@ -123,7 +123,7 @@
 	// Both decode engines refuse this request, so a third one is needed.
 	env.view.Upstreams["s"] = engineUps([]string{"p1", "p2"}, []string{"d1", "d2", "d3"})
 	env.d.do["d3"] = []reply{good}
-	env.d.hold["d3"] = []error{&dialect.FullError{}, &dialect.FullError{}, nil}
+	env.d.hold["d3"] = []error{&dialect.NoCapacityError{}, &dialect.NoCapacityError{}, nil}
 	var got streamRecorder
 	_, err := env.Stream(t.Context(), job(singleRun), &got)
 	assert.NilError(t, err)
@@ -138,7 +138,7 @@
 // when it cannot be on time any more, before anything was computed.
 func TestNothingIsComputedWithoutRoom(t *testing.T) {
 	env := newStreamEnv(t)
-	env.d.hold["d1"], env.d.hold["d2"] = []error{&dialect.FullError{}}, []error{&dialect.FullError{}}
+	env.d.hold["d1"], env.d.hold["d2"] = []error{&dialect.NoCapacityError{}}, []error{&dialect.NoCapacityError{}}
 	j := job(singleRun)
 	j.Route.Objective = 50 * time.Millisecond
 	_, err := env.Stream(t.Context(), j, &streamRecorder{})
@@ -201,7 +201,7 @@
 // TestWaitingInLine checks that a waiting request uses capacity that becomes available in time.
 func TestWaitingInLine(t *testing.T) {
 	env := newStreamEnv(t)
-	full := &dialect.FullError{}
+	full := &dialect.NoCapacityError{}
 	env.d.hold["d1"], env.d.hold["d2"] = []error{full, full, full, nil}, []error{full}
 	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2)})
 	_, err := env.Stream(t.Context(), job(singleRun), &streamRecorder{})
@@ -271,11 +271,11 @@
 func TestBusyPrefillEngineIsNotEjected(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		env := newStreamEnv(t)
-		s := &stream{c: env.Carrier, j: job(singleRun), log: env.o.Log}
+		s := &stream{c: env.Forwarder, j: job(singleRun), log: env.o.Log}
 		u := env.view.Upstreams["s"][0]
 		start := time.Now()
 		if answers {
-			env.o.Books.Answered(start.Add(time.Millisecond), u, time.Millisecond)
+			env.o.Books.RecordSuccess(start.Add(time.Millisecond), u, time.Millisecond)
 		}
 		s.recordPrefill(u, context.DeadlineExceeded, start, time.Second)
 		wait, _ := env.o.Books.PrefillWait(start, env.view.Upstreams["s"][:1], 100)
@@ -329,7 +329,7 @@
 // first event can be on time, and later still if the engine is expected to take longer.
 func TestLivingPrefillEngineIsLeftItsTime(t *testing.T) {
 	env := newStreamEnv(t)
-	s := &stream{c: env.Carrier, j: job(singleRun), log: env.o.Log}
+	s := &stream{c: env.Forwarder, j: job(singleRun), log: env.o.Log}
 	s.j.Route.Objective = 2 * time.Second
 	first := env.o.Books.FirstEvent("s")
 	assert.Equal(t, s.prefillTimeout(s.j.Arrived.Add(300*time.Millisecond), 10*time.Millisecond), 1700*time.Millisecond-first)
--- a/gateway/carry/watch.go
+++ b/gateway/carry/watch.go
@@ -48,10 +48,10 @@
 	start := clock.Now()
 	r, err := s.c.o.Dialect.Report(checkCtx, u)
 	switch {
-	case err == nil && !s.c.Reported(u, r), err != nil && wd.ctx.Err() != nil:
+	case err == nil && !s.c.ObserveReport(u, r), err != nil && wd.ctx.Err() != nil:
 		return false
 	case err == nil:
-		s.c.o.Books.Heard(clock.Now(), u)
+		s.c.o.Books.RecordContact(clock.Now(), u)
 		return true
 	}
 	s.log.Warn("upstream silent", "upstream", u.ID, "asked_ms", clock.Since(start).Milliseconds(), "error", logs.ErrorText(err))
--- a/gateway/carry/watch_test.go
+++ b/gateway/carry/watch_test.go
@@ -30,7 +30,7 @@
 	body := newControlledBody()
 	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, stream: body}}
 	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 5)}}
-	full := &dialect.FullError{}
+	full := &dialect.NoCapacityError{}
 	env.d.hold["d2"] = []error{full, nil}
 	prepare(env)
 	var upstream sync.WaitGroup
--- a/gateway/counters.go
+++ b/gateway/counters.go
@@ -48,7 +48,7 @@
 func (c *counters) handler(held *quarantine.Register, limits func() []limit.Status) http.Handler {
 	r := mux.NewRouter()
 	r.Path("/metrics").Handler(c.reporter)
-	r.Path("/quarantine").Handler(serveJSON(func() any { return held.Held(clock.Now()) }))
+	r.Path("/quarantine").Handler(serveJSON(func() any { return held.List(clock.Now()) }))
 	r.Path("/limits").Handler(serveJSON(func() any { return limits() }))
 	return r
 }
--- a/gateway/dialect/dialect.go
+++ b/gateway/dialect/dialect.go
@@ -101,20 +101,20 @@
 	Caller routing.KeyDigest
 	// Key is the digest of the key that the caller sends; nil if it sends none or a malformed one.
 	Key *routing.KeyDigest
-	// Patience is how long the caller waits, counted from the arrival of the request; 0 if it
+	// CallerTimeout is how long the caller waits, counted from the arrival of the request; 0 if it
 	// does not state it.
-	Patience time.Duration
+	CallerTimeout time.Duration
 	// LastEvent is the number of the last event that a caller which resumes a stream has received.
 	LastEvent string
-	// SeenEvents is how many events a caller which resumes a stream has received, 0 if unknown.
-	SeenEvents int
-	// StatesTokens means that the caller states PromptTokens and MaxOutputTokens.
-	StatesTokens bool
+	// ReceivedEvents is how many events a caller which resumes a stream has received, 0 if unknown.
+	ReceivedEvents int
+	// HasTokenCounts means that the caller states PromptTokens and MaxOutputTokens.
+	HasTokenCounts bool
 	// PromptTokens is the length of the prompt, 0 if unknown.
 	PromptTokens int
-	// PromptPart is the ID of the last part of the prompt, which no other request's prompt has; ""
+	// LastPromptPart is the ID of the last part of the prompt, which no other request's prompt has; ""
 	// if unknown.
-	PromptPart string
+	LastPromptPart string
 	// MaxOutputTokens bounds the length of the output, 0 if unknown.
 	MaxOutputTokens int
 	// OutputEstimate is the caller's estimate of the output's length, in tokens; 0 if it makes
@@ -129,8 +129,8 @@
 	Deadline time.Time
 	// Source is the KV cache to start from; nil to prefill at the upstream.
 	Source *Handle
-	// Hold is the ID of the reservation to use, "" for none.
-	Hold string
+	// Reservation is the ID of the reservation to use, "" for none.
+	Reservation string
 	// LastEvent overrides that of the call if the gateway resumes a stream.
 	LastEvent string
 }
@@ -205,11 +205,11 @@
 	Do(ctx context.Context, c *Call, s Send) (*http.Response, Verdict, error)
 	// Prefill makes an engine compute the KV cache of a call, without running the call.
 	Prefill(ctx context.Context, c *Call, s Send) (Handle, error)
-	// Free releases a prefill result.
-	Free(ctx context.Context, h Handle) error
-	// Hold reserves a slot and memory for tokens at an engine, for ttl at most, and returns the
+	// ReleaseHandle releases a prefill result.
+	ReleaseHandle(ctx context.Context, h Handle) error
+	// Reserve reserves a slot and memory for tokens at an engine, for ttl at most, and returns the
 	// ID of the reservation. If the engine refuses, the error is a *FullError.
-	Hold(ctx context.Context, address string, tokens int, ttl time.Duration) (string, error)
+	Reserve(ctx context.Context, address string, tokens int, ttl time.Duration) (string, error)
 	// Release releases a reservation.
 	Release(ctx context.Context, address, hold string) error
 	// Migrate copies the KV cache of a running request to another engine, where the request can
@@ -218,20 +218,20 @@
 	// *NotRunningError. If it was stopped but not copied, the error is a *NotCopiedError, and the
 	// request can continue at the engine where it was stopped.
 	Migrate(ctx context.Context, m Migration) (Handle, error)
-	// Reach opens a connection to an upstream and closes it. If the process has ended, the
+	// CheckReachable opens a connection to an upstream and closes it. If the process has ended, the
 	// connection is refused.
-	Reach(ctx context.Context, u Upstream) error
+	CheckReachable(ctx context.Context, u Upstream) error
 	// Report requests an engine's load report. Engines answer without using a slot. If another
 	// incarnation answers at the address, the error is a *ReplacedError.
 	Report(ctx context.Context, u Upstream) (Report, error)
-	// Kept returns the IDs of the prompt parts in an engine's KV cache and the length of each in
+	// CachedPromptParts returns the IDs of the prompt parts in an engine's KV cache and the length of each in
 	// tokens, including the output that follows it. The request delays the engine's work.
-	Kept(ctx context.Context, u Upstream) (map[string]int, error)
+	CachedPromptParts(ctx context.Context, u Upstream) (map[string]int, error)
 	// Order orders an engine to change its stage. If the engine has seen a higher fencing number,
 	// the error is a *FencedError.
 	Order(ctx context.Context, o Order) error
-	// WriteHead sets the headers that all responses to callers have.
-	WriteHead(h http.Header, c *Call)
+	// WriteResponseHeaders sets the headers that all responses to callers have.
+	WriteResponseHeaders(h http.Header, c *Call)
 	// Close closes idle connections.
 	Close()
 }
@@ -254,9 +254,9 @@
 	Switching bool
 	// Running and Waiting are numbers of requests.
 	Running, Waiting int
-	// UsedTokens is the memory used by running requests, HeldTokens the memory reserved, both in
+	// UsedTokens is the memory used by running requests, ReservedTokens the memory reserved, both in
 	// tokens.
-	UsedTokens, HeldTokens int
+	UsedTokens, ReservedTokens int
 }
 
 // Order is an order to an engine to change its stage.
@@ -295,7 +295,7 @@
 type Changes struct {
 	// Upstreams lists the upstreams that were added or changed, Gone the IDs of removed ones.
 	Upstreams []Upstream
-	Gone      []ident.UpstreamID
+	Removed   []ident.UpstreamID
 	// DirectivesChanged means that at least one of the operators' items in the store changed.
 	DirectivesChanged bool
 	// Revision is the store's revision; it orders the lists of several readers.
@@ -308,4 +308,4 @@
 }
 
 // UpstreamsChanged reports whether any upstream was added, changed or removed.
-func (c *Changes) UpstreamsChanged() bool { return len(c.Upstreams)+len(c.Gone) > 0 }
+func (c *Changes) UpstreamsChanged() bool { return len(c.Upstreams)+len(c.Removed) > 0 }
--- a/gateway/dialect/errors.go
+++ b/gateway/dialect/errors.go
@@ -6,14 +6,14 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// FullError reports that an engine has no free slot or memory for a reservation.
-type FullError struct {
+// NoCapacityError reports that an engine has no free slot or memory for a reservation.
+type NoCapacityError struct {
 	Address string
 	Tokens  int
 }
 
 // Error implements error.
-func (e *FullError) Error() string {
+func (e *NoCapacityError) Error() string {
 	return fmt.Sprintf("engine %s refused to reserve a slot and memory for %d tokens", e.Address, e.Tokens)
 }
 
@@ -63,11 +63,11 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: status %d", e.Op, e.Status) }
 
-// AbsentError reports a key that the store does not have.
-type AbsentError struct{ Key string }
+// KeyNotFoundError reports a key that the store does not have.
+type KeyNotFoundError struct{ Key string }
 
 // Error implements error.
-func (e *AbsentError) Error() string { return "the store has no key " + e.Key }
+func (e *KeyNotFoundError) Error() string { return "the store has no key " + e.Key }
 
 // HeaderError reports a malformed header of a caller's request.
 type HeaderError struct{ Name, Value string }
@@ -77,19 +77,19 @@
 	return fmt.Sprintf("malformed header %s: %q", e.Name, e.Value)
 }
 
-// StoppedError reports a list that was not read to its end because it was no longer needed.
-type StoppedError struct{}
+// ListAbandonedError reports a list that was not read to its end because it was no longer needed.
+type ListAbandonedError struct{}
 
 // Error implements error.
-func (*StoppedError) Error() string {
+func (*ListAbandonedError) Error() string {
 	return "stopped reading a list from the store because it is no longer needed"
 }
 
-// LongListError reports a list with more pages than are read at most.
-type LongListError struct{ Pages int }
+// TooManyPagesError reports a list with more pages than are read at most.
+type TooManyPagesError struct{ Pages int }
 
 // Error implements error.
-func (e *LongListError) Error() string {
+func (e *TooManyPagesError) Error() string {
 	return fmt.Sprintf("the list in the store has more than %d pages, which is the maximum", e.Pages)
 }
 
--- a/gateway/fleet/crashes.go
+++ b/gateway/fleet/crashes.go
@@ -113,7 +113,7 @@
 // sendNewCrashes sends new evidence to peers and reports whether there was any.
 func (n *Node) sendNewCrashes(ctx context.Context) bool {
 	now := clock.Now()
-	observed, received := n.opts.Register.Fresh(now), n.crashSpreader.takeReceived()
+	observed, received := n.opts.Register.TakeUnsent(now), n.crashSpreader.takeReceived()
 	if len(observed)+len(received) == 0 {
 		return false
 	}
@@ -161,7 +161,7 @@
 		n.informed.markInformed(clock.Now())
 	}
 	if answer.Digest != n.opts.Register.Digest() {
-		n.sendCrashes(ctx, address, n.opts.Register.Tell(clock.Now()))
+		n.sendCrashes(ctx, address, n.opts.Register.SharedRecords(clock.Now()))
 	}
 }
 
@@ -171,7 +171,7 @@
 	n.receiveCrashes(request.Crashes)
 	answer := CrashMessage{Digest: n.opts.Register.Digest(), Informed: n.Informed()}
 	if request.Compare && answer.Digest != request.Digest {
-		answer.Crashes = packCrashes(n.opts.Register.Tell(clock.Now()))
+		answer.Crashes = packCrashes(n.opts.Register.SharedRecords(clock.Now()))
 	}
 	return answer, nil
 }
@@ -186,7 +186,7 @@
 		n.opts.Log.Warn("decoding crash evidence from peer failed", "error", err)
 		return
 	}
-	added := n.opts.Register.Hear(clock.Now(), received)
+	added := n.opts.Register.Merge(clock.Now(), received)
 	if len(added) == 0 {
 		return
 	}
--- a/gateway/fleet/hub.go
+++ b/gateway/fleet/hub.go
@@ -92,7 +92,7 @@
 		if received.load, err = unpackLoad(r.Packed); err != nil {
 			return err
 		}
-		received.load.Refusing, received.load.Switching = r.Load.Refusing, r.Load.Switching
+		received.load.Unavailable, received.load.Switching = r.Load.Unavailable, r.Load.Switching
 	}
 	if r.WholeZone {
 		h.zones[r.Zone] = received
@@ -136,7 +136,7 @@
 	for _, d := range h.zones {
 		others.addUnavailable(d.load)
 	}
-	return LoadAnswer{Sum: h.sum, Included: h.included[to], Refusing: others.Refusing, Switching: others.Switching}
+	return LoadAnswer{Sum: h.sum, Included: h.included[to], Refusing: others.Unavailable, Switching: others.Switching}
 }
 
 // updateSum recomputes the sum of the loads of all zones.
@@ -186,15 +186,15 @@
 		return Load{}, err
 	}
 	sum.subtract(r.loads[a.Included])
-	sum.Refusing, sum.Switching = a.Refusing, a.Switching
+	sum.Unavailable, sum.Switching = a.Refusing, a.Switching
 	return sum, nil
 }
 
 // NewLoad returns an empty load to which others can be added.
 func NewLoad() Load {
 	return Load{
-		InFlight: map[ident.UpstreamID]InFlight{}, Refusing: map[ident.UpstreamID]int64{},
-		Switching: map[ident.UpstreamID]dialect.Stage{}, Demand: map[string]Demand{}, Spent: map[string]int{},
+		InFlight: map[ident.UpstreamID]InFlight{}, Unavailable: map[ident.UpstreamID]int64{},
+		Switching: map[ident.UpstreamID]dialect.Stage{}, Demand: map[string]Demand{}, Retries: map[string]int{},
 	}
 }
 
@@ -205,8 +205,8 @@
 		l.InFlight[id] = l.InFlight[id].plus(f)
 	}
 	l.addUnavailable(o)
-	for service, n := range o.Spent {
-		l.Spent[service] += n
+	for service, n := range o.Retries {
+		l.Retries[service] += n
 	}
 	for service, d := range o.Demand {
 		sum := l.Demand[service]
@@ -221,8 +221,8 @@
 
 // addUnavailable adds the refusing and switching engines of another load.
 func (l *Load) addUnavailable(o Load) {
-	for id, remaining := range o.Refusing {
-		l.Refusing[id] = max(l.Refusing[id], remaining)
+	for id, remaining := range o.Unavailable {
+		l.Unavailable[id] = max(l.Unavailable[id], remaining)
 	}
 	for id, stage := range o.Switching {
 		l.Switching[id] = stage
@@ -238,8 +238,8 @@
 			l.InFlight[id] = rest
 		}
 	}
-	for service, n := range o.Spent {
-		l.Spent[service] -= n
+	for service, n := range o.Retries {
+		l.Retries[service] -= n
 	}
 	for service, d := range o.Demand {
 		sum := l.Demand[service]
--- a/gateway/fleet/hub_test.go
+++ b/gateway/fleet/hub_test.go
@@ -78,13 +78,13 @@
 // time.
 func TestOwnWordDoesNotComeBack(t *testing.T) {
 	h, load := NewHub(), loadOf(1)
-	load.Refusing["e"] = 800
+	load.Unavailable["e"] = 800
 	load.Switching["f"] = "decode"
 	assert.NilError(t, h.Receive(at(0), LoadReport{From: "a1", Zone: "a", Sequence: 1, Load: load}))
 	own := others(t, h, at(10), "a1")
-	assert.Equal(t, len(own.Refusing)+len(own.Switching)+len(own.InFlight), 0)
+	assert.Equal(t, len(own.Unavailable)+len(own.Switching)+len(own.InFlight), 0)
 	other := others(t, h, at(10), "a2")
-	assert.Equal(t, other.Refusing["e"], int64(800))
+	assert.Equal(t, other.Unavailable["e"], int64(800))
 	assert.Equal(t, other.Switching["f"], dialect.Stage("decode"))
 }
 
@@ -115,9 +115,9 @@
 	for _, n := range []int{300, 500, 200} {
 		o := NewLoad()
 		o.InFlight["e"] = InFlight{Unexplained: n}
-		o.Refusing["e"] = int64(n)
+		o.Unavailable["e"] = int64(n)
 		l.Add(o)
 	}
 	assert.Equal(t, l.InFlight["e"].Unexplained, 500)
-	assert.Equal(t, l.Refusing["e"], int64(500))
+	assert.Equal(t, l.Unavailable["e"], int64(500))
 }
--- a/gateway/fleet/informed.go
+++ b/gateway/fleet/informed.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// Refresh makes this instance read the store, or ask its peers, at once. Calls within
+// RequestRead makes this instance read the store, or ask its peers, at once. Calls within
 // startInterval of the previous one have no effect.
-func (n *Node) Refresh() {
+func (n *Node) RequestRead() {
 	n.informed.mu.Lock()
 	defer n.informed.mu.Unlock()
 	now := clock.Now()
@@ -157,9 +157,9 @@
 	for pause.For(ctx, maintenanceInterval) {
 		now := clock.Now()
 		n.informed.recordRunning(now)
-		n.tokens.accounts.Forget(now)
+		n.tokens.accounts.RemoveIdle(now)
 		n.opts.Register.Expire(now)
-		if n.opts.Register.HasUntold() {
+		if n.opts.Register.HasUnsent() {
 			n.crashSpreader.requestSend()
 		}
 		if now := clock.Suspended(); now != asleep {
--- a/gateway/fleet/keeper.go
+++ b/gateway/fleet/keeper.go
@@ -29,10 +29,10 @@
 	answer := accounts.Take(clock.Now(), request.limitAsk())
 	if request.Cost <= 0 {
 		// The request only returns tokens.
-		result.Granted, result.Level = true, answer.Level
+		result.Granted, result.Level = true, answer.Balance
 		return result, nil
 	}
-	if answer.Granted && answer.Level < request.Part.Burst/2 {
+	if answer.Granted && answer.Balance < request.Part.Burst/2 {
 		// Borrow in the background before the account is empty. Full accounts of other zones
 		// accumulate no further tokens, so what they could have gained in the meantime would be
 		// lost.
@@ -41,12 +41,12 @@
 	if !answer.Granted {
 		n.borrow(ctx, request, answer)
 		retry := request.limitAsk()
-		retry.Back, retry.Told = 0, nil
+		retry.Returned, retry.LastReport = 0, nil
 		answer = accounts.Take(clock.Now(), retry)
 	}
-	result.Granted, result.Level = answer.Granted, answer.Level
+	result.Granted, result.Level = answer.Granted, answer.Balance
 	if !answer.Granted {
-		result.WaitMS = accounts.Refuse(clock.Now(), request.Workspace, request.Cost).Milliseconds()
+		result.WaitMS = accounts.RetryAfter(clock.Now(), request.Workspace, request.Cost).Milliseconds()
 	}
 	return result, nil
 }
@@ -54,7 +54,7 @@
 // borrow asks the other zones for the tokens that an account lacks, or for half of what they hold
 // in excess of it. Concurrent requests that lack tokens of the same account wait for the same
 // loans.
-func (n *Node) borrow(ctx context.Context, request TokenRequest, refusal limit.Answer) {
+func (n *Node) borrow(ctx context.Context, request TokenRequest, refusal limit.Response) {
 	// The function always returns a nil error.
 	_, _, _ = n.tokens.borrows.Do(request.Workspace, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), borrowTimeout)
@@ -65,11 +65,11 @@
 }
 
 // borrowAll asks all lenders concurrently and adds the lent tokens to the account.
-func (n *Node) borrowAll(ctx context.Context, request TokenRequest, refusal limit.Answer) {
+func (n *Node) borrowAll(ctx context.Context, request TokenRequest, refusal limit.Response) {
 	lenders := n.lenders(request.Workspace)
 	loan := TokenRequest{
 		Workspace: request.Workspace, Part: request.Part, Version: request.Version,
-		Lend: true, Cost: refusal.Short / float64(max(1, len(lenders))), Level: refusal.Level,
+		Lend: true, Cost: refusal.Missing / float64(max(1, len(lenders))), Level: refusal.Balance,
 	}
 	var wg sync.WaitGroup
 	for zone, holder := range lenders {
@@ -78,7 +78,7 @@
 			if err != nil || answer.Lent <= 0 || answer.Lent < loan.Cost {
 				n.recordEmptyLender(zone, request.Workspace)
 			}
-			n.tokens.accounts.Borrowed(request.Workspace, answer.Lent)
+			n.tokens.accounts.AddBorrowed(request.Workspace, answer.Lent)
 		})
 	}
 	wg.Wait()
@@ -117,7 +117,7 @@
 // first use of a workspace's limit, so that an instance without limits has no wakeups.
 func (n *Node) flushTokens(ctx context.Context) {
 	for n.tokens.client.AwaitFirstUse(ctx) && pause.For(ctx, flushInterval) {
-		for workspace, unused := range n.tokens.client.Idle(clock.Now()) {
+		for workspace, unused := range n.tokens.client.TakeIdle(clock.Now()) {
 			n.returnTokens(ctx, workspace, unused)
 		}
 	}
@@ -130,12 +130,12 @@
 	if s.Table == nil {
 		return
 	}
-	w := s.Table.Named(workspace)
+	w := s.Table.WorkspaceByName(workspace)
 	holder, ok := n.keeper(workspace, n.opts.Self.Zone)
 	if w == nil || !ok {
 		return
 	}
-	request := TokenRequest{Workspace: workspace, Part: limit.PartOf(w.Limit, n.zoneCount()), Version: s.Version(), Returned: tokens}
+	request := TokenRequest{Workspace: workspace, Part: limit.ShareOf(w.Limit, n.zoneCount()), Version: s.Version(), Returned: tokens}
 	if _, err := n.callKeeper(ctx, holder, request); err != nil {
 		n.opts.Log.Info("tokens not given back", "workspace", workspace, "tokens", tokens, "peer", holder.id, "error", err)
 	}
--- a/gateway/fleet/lists_test.go
+++ b/gateway/fleet/lists_test.go
@@ -168,7 +168,7 @@
 	p.pagesRead++
 	for range longListPages - 1 {
 		if !further() {
-			return nil, 0, &dialect.StoppedError{}
+			return nil, 0, &dialect.ListAbandonedError{}
 		}
 		p.pagesRead++
 	}
--- a/gateway/fleet/loads.go
+++ b/gateway/fleet/loads.go
@@ -68,8 +68,8 @@
 	return max(heartbeatInterval, time.Duration(float64(sumBytes)/budget*float64(time.Second)))
 }
 
-// Others returns the sum of the peers' loads.
-func (n *Node) Others() Load {
+// PeerLoad returns the sum of the peers' loads.
+func (n *Node) PeerLoad() Load {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.peerLoad
@@ -140,7 +140,7 @@
 	load := n.hub.ZoneLoad(now)
 	return LoadReport{
 		From: n.opts.Self.ID, Zone: n.opts.Self.Zone, WholeZone: true,
-		Packed: load.pack(), Load: Load{Refusing: load.Refusing, Switching: load.Switching},
+		Packed: load.pack(), Load: Load{Unavailable: load.Unavailable, Switching: load.Switching},
 	}
 }
 
--- a/gateway/fleet/messages.go
+++ b/gateway/fleet/messages.go
@@ -11,29 +11,29 @@
 type Load struct {
 	// InFlight holds the instance's requests in flight at each upstream.
 	InFlight map[ident.UpstreamID]InFlight `json:"f,omitempty"`
-	// Refusing holds the engines that refused a request after they had reserved memory for it, or
+	// Unavailable holds the engines that refused a request after they had reserved memory for it, or
 	// that the instance has ejected or found replaced, with the remaining time, in milliseconds,
 	// for which the instance does not use them.
-	Refusing map[ident.UpstreamID]int64 `json:"x,omitempty"`
+	Unavailable map[ident.UpstreamID]int64 `json:"x,omitempty"`
 	// Switching holds the engines that the instance has ordered to change their stage, with the
 	// new stage.
 	Switching map[ident.UpstreamID]dialect.Stage `json:"w,omitempty"`
 	// Demand is the work that the instance's callers offer to the engines of each service.
 	Demand map[string]Demand `json:"d,omitempty"`
-	// Spent is the number of retries that the instance made to each service within the window of
+	// Retries is the number of retries that the instance made to each service within the window of
 	// the retry budget.
-	Spent map[string]int `json:"b,omitempty"`
+	Retries map[string]int `json:"b,omitempty"`
 }
 
 // empty reports whether the load holds no information, as in a relayed heartbeat.
 func (l *Load) empty() bool {
-	return l.InFlight == nil && l.Demand == nil && l.Refusing == nil && l.Switching == nil
+	return l.InFlight == nil && l.Demand == nil && l.Unavailable == nil && l.Switching == nil
 }
 
 // idle reports whether the load has no requests in flight, no spent retry budget and no refusing
 // or switching upstreams. Demand is ignored because it only decreases without requests.
 func (l *Load) idle() bool {
-	return len(l.InFlight) == 0 && len(l.Refusing) == 0 && len(l.Switching) == 0 && len(l.Spent) == 0
+	return len(l.InFlight) == 0 && len(l.Unavailable) == 0 && len(l.Switching) == 0 && len(l.Retries) == 0
 }
 
 // InFlight is the work that an instance has in flight at an upstream.
@@ -66,7 +66,7 @@
 	// RequestRate is in requests per second.
 	RequestRate float64 `json:"q,omitempty"`
 	// Paces is a histogram of the speeds at which prefill engines computed recent prompts.
-	Paces schedule.Paces `json:"e,omitempty"`
+	Paces schedule.ThroughputHistogram `json:"e,omitempty"`
 }
 
 // Member is the part of a heartbeat that describes one instance.
--- a/gateway/fleet/node.go
+++ b/gateway/fleet/node.go
@@ -72,8 +72,8 @@
 	Source dialect.Source
 	// LinkMbps is the rate of the machine's link in megabits per second, 0 if unknown.
 	LinkMbps float64
-	// InForce is the time within which a change in the store must be in force.
-	InForce time.Duration
+	// ChangeDeadline is the time within which a change in the store must be in force.
+	ChangeDeadline time.Duration
 	// Pool makes calls to peers, Server receives theirs.
 	Pool   *peer.Pool
 	Server *peer.Server
@@ -153,7 +153,7 @@
 
 // NewNode returns a node with an empty view and registers its methods with the peer server.
 func NewNode(o Options) *Node {
-	n := &Node{opts: o, readSchedule: newReadSchedule(o.InForce), reopened: map[ident.Zone]time.Time{}, view: NewView(), hub: NewHub(), peerLoad: NewLoad(), roster: NewRoster(o.Self, o.Seeds), requestArrived: make(chan struct{}, 1)}
+	n := &Node{opts: o, readSchedule: newReadSchedule(o.ChangeDeadline), reopened: map[ident.Zone]time.Time{}, view: NewView(), hub: NewHub(), peerLoad: NewLoad(), roster: NewRoster(o.Self, o.Seeds), requestArrived: make(chan struct{}, 1)}
 	n.createdAt = clock.Now()
 	n.crashSpreader, n.trials, n.tokens = newCrashSpreader(), quarantine.NewTrials(), newTokens()
 	n.snapshot.Store(n.view.Snapshot())
@@ -174,9 +174,9 @@
 // Alive returns the number of instances that count as alive, including this one.
 func (n *Node) Alive() int { return int(n.alive.Load()) }
 
-// Current reports whether a snapshot is recent enough to base orders to engines on. It allows for
+// IsFresh reports whether a snapshot is recent enough to base orders to engines on. It allows for
 // two failed reads in a row.
-func (n *Node) Current(s *Snapshot) bool { return clock.Since(s.AsOf) <= 3*readInterval }
+func (n *Node) IsFresh(s *Snapshot) bool { return clock.Since(s.AsOf) <= 3*readInterval }
 
 // Leave marks this instance as stopping in its further heartbeats.
 func (n *Node) Leave() {
--- a/gateway/fleet/pack.go
+++ b/gateway/fleet/pack.go
@@ -41,8 +41,8 @@
 		}
 		dst = appendInts(dst, d.Paces)
 	}
-	dst = binary.AppendUvarint(dst, uint64(len(l.Spent)))
-	for service, n := range l.Spent {
+	dst = binary.AppendUvarint(dst, uint64(len(l.Retries)))
+	for service, n := range l.Retries {
 		dst = binary.AppendVarint(appendString(dst, service), int64(n))
 	}
 	return dst
@@ -80,7 +80,7 @@
 	}
 	for range r.length() {
 		service := r.str()
-		l.Spent[service] = r.varint()
+		l.Retries[service] = r.varint()
 	}
 	if !r.done() {
 		return Load{}, &PackError{Bytes: len(packed)}
@@ -95,7 +95,7 @@
 		dst = binary.BigEndian.AppendUint64(dst, uint64(c.Content))
 		dst = appendString(dst, string(c.Upstream))
 		dst = binary.BigEndian.AppendUint64(dst, uint64(c.Incarnation))
-		dst = binary.AppendVarint(dst, int64(c.Made))
+		dst = binary.AppendVarint(dst, int64(c.Events))
 		cleared := int64(0)
 		if c.Cleared {
 			cleared = 1
@@ -113,7 +113,7 @@
 	for range r.length() {
 		out = append(out, quarantine.Crash{
 			Content: quarantine.Content(r.fixed64()), Upstream: ident.UpstreamID(r.str()), Incarnation: ident.Incarnation(r.fixed64()),
-			Made: r.varint(), Cleared: r.varint() != 0, Age: time.Duration(r.varint()) * time.Millisecond,
+			Events: r.varint(), Cleared: r.varint() != 0, Age: time.Duration(r.varint()) * time.Millisecond,
 		})
 	}
 	if !r.done() {
--- a/gateway/fleet/pack_test.go
+++ b/gateway/fleet/pack_test.go
@@ -29,10 +29,10 @@
 			}
 		}
 		for _, service := range rapid.SliceOfDistinct(rapid.String(), rapid.ID[string]).Draw(t, "services") {
-			load.Demand[service] = Demand{PrefillRate: rapid.Float64().Draw(t, "rate"), Paces: schedule.Paces{0, 3, 7}}
+			load.Demand[service] = Demand{PrefillRate: rapid.Float64().Draw(t, "rate"), Paces: schedule.ThroughputHistogram{0, 3, 7}}
 		}
 		for _, service := range rapid.SliceOfDistinct(rapid.String(), rapid.ID[string]).Draw(t, "spending") {
-			load.Spent[service] = rapid.Int().Draw(t, "spent")
+			load.Retries[service] = rapid.Int().Draw(t, "spent")
 		}
 		back, err := unpackLoad(load.pack())
 		assert.NilError(t, err)
@@ -48,7 +48,7 @@
 		for range rapid.IntRange(0, 5).Draw(t, "n") {
 			crashes = append(crashes, quarantine.Crash{
 				Content: quarantine.Content(rapid.Uint64().Draw(t, "content")), Upstream: ident.UpstreamID(rapid.String().Draw(t, "upstream")),
-				Incarnation: ident.Incarnation(rapid.Uint64().Draw(t, "incarnation")), Made: rapid.Int().Draw(t, "made"),
+				Incarnation: ident.Incarnation(rapid.Uint64().Draw(t, "incarnation")), Events: rapid.Int().Draw(t, "made"),
 				Cleared: rapid.Bool().Draw(t, "cleared"), Age: time.Duration(rapid.IntRange(0, 1<<30).Draw(t, "age")) * time.Millisecond,
 			})
 		}
@@ -96,7 +96,7 @@
 	for e := range engines {
 		load.InFlight[ident.UpstreamID(fmt.Sprintf("i-%010d", e))] = InFlight{Requests: 12, Memory: []int{51234, 51900, 52333, 50120, 41234, 33333, 25000, 12345, 4321, 999}}
 	}
-	load.Demand["m"] = Demand{PrefillRate: 123456.789, MemoryRate: 98765.4321, StreamRate: 123.456, Paces: schedule.Paces{0, 0, 1, 5, 12, 40, 7}}
+	load.Demand["m"] = Demand{PrefillRate: 123456.789, MemoryRate: 98765.4321, StreamRate: 123.456, Paces: schedule.ThroughputHistogram{0, 0, 1, 5, 12, 40, 7}}
 	return load
 }
 
@@ -117,7 +117,7 @@
 
 // FuzzUnpackCrashes checks that no input makes the decoder panic.
 func FuzzUnpackCrashes(f *testing.F) {
-	f.Add(packCrashes([]quarantine.Crash{{Content: 1, Upstream: "i-1", Made: 3, Age: time.Second}}))
+	f.Add(packCrashes([]quarantine.Crash{{Content: 1, Upstream: "i-1", Events: 3, Age: time.Second}}))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		if crashes, err := unpackCrashes(packed); err == nil && len(crashes) > len(packed) {
--- a/gateway/fleet/reader.go
+++ b/gateway/fleet/reader.go
@@ -158,7 +158,7 @@
 		n.mu.Unlock()
 		return false
 	}
-	changes, applied := n.view.ApplyStored(clock.Now(), started, c.Revision, Difference{Changed: c.Upstreams, Gone: c.Gone})
+	changes, applied := n.view.ApplyStored(clock.Now(), started, c.Revision, Difference{Changed: c.Upstreams, Gone: c.Removed})
 	n.stored.merged = applied
 	n.mu.Unlock()
 	if applied {
@@ -184,7 +184,7 @@
 // furtherPages stopped counts as answered.
 func (n *Node) readList(ctx context.Context) bool {
 	err := n.fetchList(ctx)
-	var stopped *dialect.StoppedError
+	var stopped *dialect.ListAbandonedError
 	if err != nil && !errors.As(err, &stopped) {
 		n.storeFailed(err)
 		return false
--- a/gateway/fleet/relay_test.go
+++ b/gateway/fleet/relay_test.go
@@ -58,7 +58,7 @@
 func largeConfig(version int64) *routing.Config {
 	c := &routing.Config{Version: version, Services: map[string]routing.Service{"s": {Name: "s"}}}
 	for i := range 900 {
-		c.Routes = append(c.Routes, routing.Route{Name: fmt.Sprintf("route-%d", i), Host: "h.example", Prefix: fmt.Sprintf("/p%d/", i), Kind: routing.Stream, Timeout: time.Second, Services: []routing.Weighted{{Service: "s", Weight: 100}}})
+		c.Routes = append(c.Routes, routing.Route{Name: fmt.Sprintf("route-%d", i), Host: "h.example", Prefix: fmt.Sprintf("/p%d/", i), Kind: routing.Stream, Timeout: time.Second, Services: []routing.WeightedService{{Service: "s", Weight: 100}}})
 	}
 	return c
 }
--- a/gateway/fleet/stored.go
+++ b/gateway/fleet/stored.go
@@ -57,7 +57,7 @@
 
 // apply updates the list with changes that follow its revision.
 func (s *storedUpstreams) apply(c dialect.Changes) {
-	for _, id := range c.Gone {
+	for _, id := range c.Removed {
 		delete(s.upstreams, id)
 	}
 	for _, u := range c.Upstreams {
--- a/gateway/fleet/stored_test.go
+++ b/gateway/fleet/stored_test.go
@@ -78,7 +78,7 @@
 	assert.Equal(t, read(), "ab")
 	assert.Equal(t, s.listCalls+s.directivesCalls, 3, "directives may have changed before the list")
 	assert.Equal(t, read(), "ab")
-	s.next = dialect.Changes{Upstreams: []dialect.Upstream{up("c")}, Gone: []ident.UpstreamID{"a"}, Revision: 12}
+	s.next = dialect.Changes{Upstreams: []dialect.Upstream{up("c")}, Removed: []ident.UpstreamID{"a"}, Revision: 12}
 	assert.Equal(t, read(), "bc")
 	assert.Equal(t, n.Snapshot().Revision, int64(12))
 	assert.Equal(t, s.listCalls+s.directivesCalls, 3)
--- a/gateway/fleet/tokens.go
+++ b/gateway/fleet/tokens.go
@@ -54,8 +54,8 @@
 	Workspace string `json:"w"`
 	// Part is the part of the workspace's limit that applies to the zone, as of configuration
 	// Version.
-	Part    limit.Part `json:"p"`
-	Version int64      `json:"v"`
+	Part    limit.Share `json:"p"`
+	Version int64       `json:"v"`
 	// Cost is the number of tokens asked for, Returned the number of unused tokens returned.
 	Cost     float64 `json:"c,omitempty"`
 	Returned float64 `json:"b,omitempty"`
@@ -69,10 +69,10 @@
 }
 
 // limitAsk converts the request to a limit.Ask.
-func (r *TokenRequest) limitAsk() limit.Ask {
-	a := limit.Ask{Workspace: r.Workspace, Part: r.Part, Version: r.Version, Cost: r.Cost, Back: r.Returned}
+func (r *TokenRequest) limitAsk() limit.Request {
+	a := limit.Request{Workspace: r.Workspace, Share: r.Part, Version: r.Version, Cost: r.Cost, Returned: r.Returned}
 	if r.Told {
-		a.Told = &limit.Told{Level: r.ToldLevel, Age: time.Duration(r.ToldAgeMS) * time.Millisecond}
+		a.LastReport = &limit.BalanceReport{Balance: r.ToldLevel, Age: time.Duration(r.ToldAgeMS) * time.Millisecond}
 	}
 	return a
 }
@@ -109,12 +109,12 @@
 	}
 }
 
-// Verdict is the decision on a request of a workspace that has a limit.
-type Verdict struct {
+// TokenDecision is the decision on a request of a workspace that has a limit.
+type TokenDecision struct {
 	Granted bool
-	// Unknown is set if the instance reaches no keeper and its own part of the limit does not
+	// NoKeeper is set if the instance reaches no keeper and its own part of the limit does not
 	// suffice.
-	Unknown bool
+	NoKeeper bool
 	// Wait is the time after which a refused caller may retry; 0 if its request exceeds what the
 	// limit can ever allow.
 	Wait time.Duration
@@ -126,14 +126,14 @@
 
 // Take takes the tokens of a request from its workspace's limit. On an instance that has just
 // started, it first waits until the instance knows its peers.
-func (n *Node) Take(ctx context.Context, w *routing.Workspace, version int64, cost float64) Verdict {
-	if !limit.Payable(w.Limit, cost) {
-		return Verdict{}
+func (n *Node) Take(ctx context.Context, w *routing.Workspace, version int64, cost float64) TokenDecision {
+	if !limit.Grantable(w.Limit, cost) {
+		return TokenDecision{}
 	}
 	n.AwaitInformed(ctx, true)
 	c := n.tokens.client
 	if granted, wait, ok := c.Decide(clock.Now(), w.Name, cost); ok {
-		return Verdict{Granted: granted, Wait: clampWait(wait)}
+		return TokenDecision{Granted: granted, Wait: clampWait(wait)}
 	}
 	for range maxKeeperCalls {
 		keeper, ok := n.keeper(w.Name, n.opts.Self.Zone)
@@ -147,11 +147,11 @@
 			break
 		}
 	}
-	part := limit.PartOf(w.Limit, n.zoneCount()*n.zoneSize())
-	if c.Alone(clock.Now(), w.Name, cost, part) {
-		return Verdict{Granted: true}
+	part := limit.ShareOf(w.Limit, n.zoneCount()*n.zoneSize())
+	if c.DecideLocally(clock.Now(), w.Name, cost, part) {
+		return TokenDecision{Granted: true}
 	}
-	return Verdict{Unknown: true, Wait: addJitter(noKeeperRetry)}
+	return TokenDecision{NoKeeper: true, Wait: addJitter(noKeeperRetry)}
 }
 
 // Return returns the tokens of a request that did not run.
@@ -167,13 +167,13 @@
 		return out
 	}
 	for _, w := range s.Table.Config().Workspaces {
-		if !w.Limit.Bounds() {
+		if !w.Limit.Enabled() {
 			continue
 		}
-		level, keeps := n.tokens.accounts.Level(clock.Now(), w.Name)
+		level, keeps := n.tokens.accounts.Balance(clock.Now(), w.Name)
 		out = append(out, limit.Status{
 			Workspace: w.Name, Rate: w.Limit.Rate, Burst: w.Limit.Burst, Unit: w.Limit.Unit,
-			Use: n.tokens.client.Use(w.Name), Keeps: keeps, Level: math.Round(level),
+			Use: n.tokens.client.Use(w.Name), Owns: keeps, Level: math.Round(level),
 		})
 	}
 	return out
@@ -181,7 +181,7 @@
 
 // clampWait limits a retry time to between minRetryWait and limit.LongestWait.
 func clampWait(wait time.Duration) time.Duration {
-	return min(max(wait, minRetryWait), limit.LongestWait)
+	return min(max(wait, minRetryWait), limit.MaxRetryAfter)
 }
 
 // addJitter prolongs a duration at random by up to half of it, so that callers do not all retry at
@@ -192,21 +192,21 @@
 
 // askKeeper asks a keeper, which may be this instance, for the tokens of a request. It returns
 // false if the keeper does not answer.
-func (n *Node) askKeeper(ctx context.Context, holder dutyHolder, w *routing.Workspace, version int64, cost float64) (Verdict, bool) {
+func (n *Node) askKeeper(ctx context.Context, holder dutyHolder, w *routing.Workspace, version int64, cost float64) (TokenDecision, bool) {
 	now := clock.Now()
-	ask := n.tokens.client.Ask(now, w.Name, cost, limit.Keeper{ID: holder.id, Incarnation: holder.incarnation})
-	request := TokenRequest{Workspace: w.Name, Part: limit.PartOf(w.Limit, n.zoneCount()), Version: version, Cost: cost, Returned: ask.Back}
-	if ask.Told != nil {
-		request.Told, request.ToldLevel, request.ToldAgeMS = true, ask.Told.Level, ask.Told.Age.Milliseconds()
+	ask := n.tokens.client.NewRequest(now, w.Name, cost, limit.Owner{ID: holder.id, Incarnation: holder.incarnation})
+	request := TokenRequest{Workspace: w.Name, Part: limit.ShareOf(w.Limit, n.zoneCount()), Version: version, Cost: cost, Returned: ask.Returned}
+	if ask.LastReport != nil {
+		request.Told, request.ToldLevel, request.ToldAgeMS = true, ask.LastReport.Balance, ask.LastReport.Age.Milliseconds()
 	}
 	answer, err := n.callKeeper(ctx, holder, request)
 	if err != nil {
-		return Verdict{}, false
+		return TokenDecision{}, false
 	}
 	wait := time.Duration(answer.WaitMS) * time.Millisecond
-	keeper := limit.Keeper{ID: holder.id, Incarnation: answer.Incarnation}
-	n.tokens.client.Answered(clock.Now(), w.Name, cost, keeper, limit.Answer{Granted: answer.Granted, Level: answer.Level}, wait)
-	return Verdict{Granted: answer.Granted, Wait: clampWait(wait), Keeper: holder.id, Level: answer.Level}, true
+	keeper := limit.Owner{ID: holder.id, Incarnation: answer.Incarnation}
+	n.tokens.client.RecordResponse(clock.Now(), w.Name, cost, keeper, limit.Response{Granted: answer.Granted, Balance: answer.Level}, wait)
+	return TokenDecision{Granted: answer.Granted, Wait: clampWait(wait), Keeper: holder.id, Level: answer.Level}, true
 }
 
 // callKeeper calls MethodTokens of a keeper.
--- a/gateway/fleet/tokens_test.go
+++ b/gateway/fleet/tokens_test.go
@@ -17,7 +17,7 @@
 func TestWhatComesBackIsNoRequest(t *testing.T) {
 	n := newTestNode(t, &fakeStore{})
 	n.tokens.accounts = limit.NewAccounts(clock.Now().Add(-time.Hour))
-	part := limit.Part{Rate: 1e-6, Burst: 100}
+	part := limit.Share{Rate: 1e-6, Burst: 100}
 	take := func(q TokenRequest) TokenAnswer {
 		q.Workspace, q.Part, q.Version = "w", part, 1
 		a, err := n.onTokens(t.Context(), peer.Identity{}, q)
@@ -39,5 +39,5 @@
 func TestUnpayableRequestsAreRefusedForGood(t *testing.T) {
 	n := newTestNode(t, &fakeStore{})
 	w := &routing.Workspace{Name: "w", Limit: routing.Limit{Rate: 1, Burst: 10, Unit: routing.Tokens}}
-	assert.Equal(t, n.Take(t.Context(), w, 1, 1e18), Verdict{})
+	assert.Equal(t, n.Take(t.Context(), w, 1, 1e18), TokenDecision{})
 }
--- a/gateway/fleet/trials.go
+++ b/gateway/fleet/trials.go
@@ -61,7 +61,7 @@
 func (n *Node) Begin(ctx context.Context, c quarantine.Content, maxDuration time.Duration) (end func(), ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, trialTotalTimeout)
 	defer cancel()
-	request := TrialRequest{From: n.opts.Self.ID, Content: c, LastsMS: maxDuration.Milliseconds(), Crashes: packCrashes(n.opts.Register.TellOf(clock.Now(), c))}
+	request := TrialRequest{From: n.opts.Self.ID, Content: c, LastsMS: maxDuration.Milliseconds(), Crashes: packCrashes(n.opts.Register.ShareContent(clock.Now(), c))}
 	for _, owner := range n.trialOwners(c) {
 		answer, err := n.askTrial(ctx, owner, request)
 		if err != nil {
@@ -117,7 +117,7 @@
 // then.
 func (n *Node) endTrial(owner string, c quarantine.Content) {
 	for range maxTrialEndReports {
-		request := TrialRequest{From: n.opts.Self.ID, Content: c, Over: true, Crashes: packCrashes(n.opts.Register.TellOf(clock.Now(), c))}
+		request := TrialRequest{From: n.opts.Self.ID, Content: c, Over: true, Crashes: packCrashes(n.opts.Register.ShareContent(clock.Now(), c))}
 		if _, err := n.askTrial(context.Background(), owner, request); err == nil {
 			return
 		}
@@ -138,5 +138,5 @@
 	if n.opts.Register.Verdict(now, request.Content).Standing != quarantine.Quarantined && n.trials.Begin(now, request.Content, request.From, maxDuration) {
 		return TrialAnswer{Allowed: true}, nil
 	}
-	return TrialAnswer{Crashes: packCrashes(n.opts.Register.TellOf(now, request.Content))}, nil
+	return TrialAnswer{Crashes: packCrashes(n.opts.Register.ShareContent(now, request.Content))}, nil
 }
--- a/gateway/fleetworld_test.go
+++ b/gateway/fleetworld_test.go
@@ -123,10 +123,10 @@
 		Version: 1,
 		Routes: []routing.Route{{
 			Name: "stream", Host: "h", Prefix: "/", Kind: routing.Stream, Timeout: 14 * time.Second, Objective: 900 * time.Millisecond,
-			PaceObjective: 300 * time.Millisecond, Resumable: true, MaxAttempts: 2, Services: []routing.Weighted{{Service: "llm", Weight: 1}},
+			PaceObjective: 300 * time.Millisecond, Resumable: true, MaxAttempts: 2, Services: []routing.WeightedService{{Service: "llm", Weight: 1}},
 		}},
 		Services: map[string]routing.Service{"llm": {Name: "llm", Engine: &routing.Engine{
-			Slots: simSlots, KVTokens: 90000, Stride: 64, HandleTTL: time.Second, HoldTTL: time.Second,
+			Slots: simSlots, KVTokens: 90000, TokensPerEvent: 64, HandleTTL: time.Second, ReservationTTL: time.Second,
 		}}},
 	}
 	for i := range prefill + decode {
@@ -430,9 +430,9 @@
 func (w *simFleet) Read(r *http.Request) (*dialect.Call, error) {
 	c := &dialect.Call{
 		ID: r.Header.Get("Request-Id"), Method: r.Method, Host: r.Host, Target: r.URL.Path, Header: r.Header,
-		Patience: 14 * time.Second, LastEvent: r.Header.Get("Last-Event-Id"), PromptTokens: 2000, OutputEstimate: 64 * simStreamEvents, MaxOutputTokens: 64 * simStreamEvents,
+		CallerTimeout: 14 * time.Second, LastEvent: r.Header.Get("Last-Event-Id"), PromptTokens: 2000, OutputEstimate: 64 * simStreamEvents, MaxOutputTokens: 64 * simStreamEvents,
 	}
-	c.SeenEvents, _ = strconv.Atoi(c.LastEvent)
+	c.ReceivedEvents, _ = strconv.Atoi(c.LastEvent)
 	return c, nil
 }
 
@@ -452,7 +452,7 @@
 	case e.running >= simSlots:
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, dialect.Refused, nil
 	}
-	if s.Hold != "" {
+	if s.Reservation != "" {
 		e.holds = max(0, e.holds-1)
 	}
 	e.running++
@@ -532,8 +532,8 @@
 	}
 }
 
-// Hold implements dialect.Dialect.
-func (w *simFleet) Hold(ctx context.Context, address string, tokens int, _ time.Duration) (string, error) {
+// Reserve implements dialect.Dialect.
+func (w *simFleet) Reserve(ctx context.Context, address string, tokens int, _ time.Duration) (string, error) {
 	if err := w.dialEngine(ctx, address); err != nil {
 		return "", err
 	}
@@ -544,7 +544,7 @@
 	case !ok:
 		return "", connectionRefused()
 	case e.running+e.holds >= simSlots:
-		return "", &dialect.FullError{Address: address, Tokens: tokens}
+		return "", &dialect.NoCapacityError{Address: address, Tokens: tokens}
 	}
 	e.holds++
 	return "hold", nil
@@ -588,17 +588,19 @@
 
 // The remaining methods of dialect.Dialect do nothing, except that Migrate always fails.
 
-func (w *simFleet) Free(context.Context, dialect.Handle) error { return nil }
+func (w *simFleet) ReleaseHandle(context.Context, dialect.Handle) error { return nil }
 func (w *simFleet) Migrate(context.Context, dialect.Migration) (dialect.Handle, error) {
 	return dialect.Handle{}, &dialect.NotRunningError{}
 }
-func (w *simFleet) Reach(context.Context, dialect.Upstream) error                  { return nil }
-func (w *simFleet) Kept(context.Context, dialect.Upstream) (map[string]int, error) { return nil, nil }
-func (w *simFleet) Order(context.Context, dialect.Order) error                     { return nil }
-func (w *simFleet) WriteHead(http.Header, *dialect.Call)                           {}
-func (w *simFleet) NameWorkspace(*dialect.Call, string, int)                       {}
-func (w *simFleet) Challenge(http.Header)                                          {}
-func (w *simFleet) Close()                                                         {}
+func (w *simFleet) CheckReachable(context.Context, dialect.Upstream) error { return nil }
+func (w *simFleet) CachedPromptParts(context.Context, dialect.Upstream) (map[string]int, error) {
+	return nil, nil
+}
+func (w *simFleet) Order(context.Context, dialect.Order) error      { return nil }
+func (w *simFleet) WriteResponseHeaders(http.Header, *dialect.Call) {}
+func (w *simFleet) NameWorkspace(*dialect.Call, string, int)        {}
+func (w *simFleet) Challenge(http.Header)                           {}
+func (w *simFleet) Close()                                          {}
 
 // response is the response that a caller received. It implements http.ResponseWriter and
 // http.Flusher.
--- a/gateway/front/access.go
+++ b/gateway/front/access.go
@@ -71,12 +71,12 @@
 // routes the error for these is a *KeyError.
 func (f *Front) authorize(j *carry.Job, table *routing.Table) error {
 	j.Priority = j.Route.Priority
-	if !table.Config().Keyed {
+	if !table.Config().KeysRequired {
 		return nil
 	}
 	name := ""
 	if key := j.Call.Key; key != nil {
-		j.Workspace = table.Workspace(*key)
+		j.Workspace = table.WorkspaceByKey(*key)
 	}
 	switch {
 	case j.Workspace != nil:
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -47,7 +47,7 @@
 type Options struct {
 	Dialect dialect.Dialect
 	// Carrier sends requests to upstreams.
-	Carrier *carry.Carrier
+	Carrier *carry.Forwarder
 	// Budget is the retry budget; it counts the requests.
 	Budget *schedule.Budget
 	Limits Limits
@@ -197,7 +197,7 @@
 // refuseStopping refuses a request that had not been sent to any upstream when the instance
 // stopped.
 func (f *Front) refuseStopping(w http.ResponseWriter, j *carry.Job) {
-	e := carry.Stopping(carry.NotRun)
+	e := carry.NewStoppingError(carry.NotRun)
 	f.o.Count("refused_" + e.Reason)
 	f.o.Log.Info("refused", "request", j.Call.ID, "route", j.Route.Name, "reason", e.Reason, "version", j.Version)
 	f.answerNotRun(w, j, e)
@@ -226,8 +226,8 @@
 	if p <= 0 {
 		p = defaultTimeout
 	}
-	if c.Patience > 0 {
-		p = min(p, c.Patience)
+	if c.CallerTimeout > 0 {
+		p = min(p, c.CallerTimeout)
 	}
 	return p
 }
@@ -236,7 +236,7 @@
 // request to the workspace's limit if the request did not run. If the answer broke off or the
 // caller has disconnected, it aborts the handler.
 func (f *Front) carry(ctx context.Context, w http.ResponseWriter, rc *http.ResponseController, j *carry.Job, cost float64) {
-	var answer *carry.Answer
+	var answer *carry.Response
 	var err error
 	sw := &streamWriter{w: w, rc: rc}
 	if j.Service.Engine != nil && j.Route.Kind == routing.Stream {
@@ -255,10 +255,10 @@
 	if answer != nil {
 		status = answer.Status
 	}
-	var cut carry.Cut
-	var broken *carry.BrokenOffError
+	var cut carry.CutReason
+	var broken *carry.InterruptedError
 	if errors.As(err, &broken) {
-		cut = broken.By
+		cut = broken.Reason
 	}
 	f.o.Log.Info("answered", "request", j.Call.ID, "content", j.Content.String(), "route", j.Route.Name, "workspace", j.WorkspaceName(), "outcome", outcome, "cut_by", string(cut), "status", status,
 		"took_ms", took.Milliseconds(), "version", j.Version, "error", logs.ErrorText(err))
@@ -280,9 +280,9 @@
 
 // answer writes a request's answer or, if there is none, a problem document that says why. It
 // returns the outcome. A nil answer without an error means that a stream was written completely.
-func (f *Front) answer(w http.ResponseWriter, j *carry.Job, a *carry.Answer, err error) string {
+func (f *Front) answer(w http.ResponseWriter, j *carry.Job, a *carry.Response, err error) string {
 	var failed *carry.Error
-	var broken *carry.BrokenOffError
+	var broken *carry.InterruptedError
 	var abandoned *carry.AbandonedError
 	switch {
 	case errors.As(err, &abandoned):
@@ -292,7 +292,7 @@
 	case errors.As(err, &failed):
 		return f.answerError(w, j, failed)
 	case err != nil:
-		return f.answerError(w, j, &carry.Error{Fate: carry.Unknown, Reason: "internal", Err: err})
+		return f.answerError(w, j, &carry.Error{Outcome: carry.Unknown, Reason: "internal", Err: err})
 	case a == nil:
 		return outcomeComplete
 	}
@@ -312,7 +312,7 @@
 // answerError answers a request that got no answer from an upstream: the caller learns whether the
 // request may have run. It returns the outcome.
 func (f *Front) answerError(w http.ResponseWriter, j *carry.Job, e *carry.Error) string {
-	switch e.Fate {
+	switch e.Outcome {
 	case carry.NotRun:
 		f.answerNotRun(w, j, e)
 		return outcomeNotRun
@@ -346,7 +346,7 @@
 	}
 	h := w.Header()
 	if c != nil {
-		f.o.Dialect.WriteHead(h, c)
+		f.o.Dialect.WriteResponseHeaders(h, c)
 	}
 	h.Set("Content-Type", api.ProblemContentType)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
--- a/gateway/front/limits.go
+++ b/gateway/front/limits.go
@@ -16,7 +16,7 @@
 type Limits interface {
 	// Take charges the cost of a request to its workspace's limit. The verdict says whether the
 	// limit allows the request. version is that of the configuration that the limit is from.
-	Take(ctx context.Context, w *routing.Workspace, version int64, cost float64) fleet.Verdict
+	Take(ctx context.Context, w *routing.Workspace, version int64, cost float64) fleet.TokenDecision
 	// Return gives back the cost of a request that did not run.
 	Return(w *routing.Workspace, cost float64)
 }
@@ -25,10 +25,10 @@
 // no limit. It returns false if it refused the request. If the caller has disconnected, it aborts
 // the handler.
 func (f *Front) charge(w http.ResponseWriter, r *http.Request, j *carry.Job) (float64, bool) {
-	if j.Workspace == nil || !j.Workspace.Limit.Bounds() {
+	if j.Workspace == nil || !j.Workspace.Limit.Enabled() {
 		return 0, true
 	}
-	cost := limit.CostOf(j.Workspace.Limit, j.Call.StatesTokens, j.Call.PromptTokens, j.Call.MaxOutputTokens)
+	cost := limit.CostOf(j.Workspace.Limit, j.Call.HasTokenCounts, j.Call.PromptTokens, j.Call.MaxOutputTokens)
 	v := f.o.Limits.Take(r.Context(), j.Workspace, j.Version, cost)
 	if v.Granted {
 		f.o.CountLimitUnits(j.Workspace.Name, "granted", cost)
@@ -42,7 +42,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	status, reason := http.StatusTooManyRequests, "over_limit"
-	if v.Unknown {
+	if v.NoKeeper {
 		status, reason = http.StatusServiceUnavailable, "limit_unknown"
 	}
 	f.o.CountLimitUnits(j.Workspace.Name, reason, cost)
@@ -57,7 +57,7 @@
 func didNotRun(err error) bool {
 	var failed *carry.Error
 	if errors.As(err, &failed) {
-		return failed.Fate == carry.NotRun
+		return failed.Outcome == carry.NotRun
 	}
 	var abandoned *carry.AbandonedError
 	return errors.As(err, &abandoned) && abandoned.NotSent
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -93,10 +93,10 @@
 		{ID: "d", Service: "llm", Address: address, Zone: "a", Stage: dialect.StageDecode},
 	}
 	c := *b.source.config
-	c.Keyed = true
+	c.KeysRequired = true
 	c.Routes = append([]routing.Route{{
 		Name: "public", Host: "h.example", Prefix: "/public/", Kind: routing.AtMostOnce, Public: true, MaxAttempts: 1,
-		Timeout: 2 * time.Second, Services: []routing.Weighted{{Service: "app", Weight: 1}},
+		Timeout: 2 * time.Second, Services: []routing.WeightedService{{Service: "app", Weight: 1}},
 	}}, c.Routes...)
 	urgent := 3
 	c.Workspaces = []routing.Workspace{{Name: "a", Keys: digests(keyOfA)}, {Name: "b", Keys: digests(keyOfB), Priority: &urgent}}
--- a/gateway/limit/account.go
+++ b/gateway/limit/account.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// LongestWait is the longest time that a refused caller is told to wait before it retries.
-	LongestWait = 20 * time.Second
+	// MaxRetryAfter is the longest time that a refused caller is told to wait before it retries.
+	MaxRetryAfter = 20 * time.Second
 	// startupPeriod is how long after its start an owner grants a request only if the account already
 	// holds the whole cost. Instances that start together may use several owners for the same
 	// account until they all know each other.
@@ -28,48 +28,48 @@
 	idleAccountTTL = 10 * time.Minute
 )
 
-// Part is a zone's share of a limit. Rate is in tokens per second, Burst is the most tokens
+// Share is a zone's share of a limit. Rate is in tokens per second, Burst is the most tokens
 // that accumulate while none are used.
-type Part struct {
+type Share struct {
 	Rate  float64 `json:"r"`
 	Burst float64 `json:"b"`
 }
 
-// Told is an account's balance as an owner last reported it to a client.
-type Told struct {
-	Level float64
+// BalanceReport is an account's balance as an owner last reported it to a client.
+type BalanceReport struct {
+	Balance float64
 	// Age is the time since the report.
 	Age time.Duration
 }
 
-// Ask is a request for tokens, sent to the owner of an account.
-type Ask struct {
+// Request is a request for tokens, sent to the owner of an account.
+type Request struct {
 	Workspace string
-	Part      Part
+	Share     Share
 	// Version is the version of the configuration that Part comes from. The newest version that
 	// an owner has seen applies.
 	Version int64
 	Cost    float64
-	// Back is the number of tokens that the client was granted before and did not use.
-	Back float64
-	// Told is the balance last reported by a different owner of the account, nil if there is
+	// Returned is the number of tokens that the client was granted before and did not use.
+	Returned float64
+	// LastReport is the balance last reported by a different owner of the account, nil if there is
 	// none. The new owner lowers its own balance to it, so that tokens granted by the previous
 	// owner are not granted again.
-	Told *Told
+	LastReport *BalanceReport
 }
 
-// Answer is an owner's response to an Ask.
-type Answer struct {
+// Response is an owner's response to a Request.
+type Response struct {
 	Granted bool
-	// Short is how many tokens the account lacks for the cost of a request that was not granted.
-	Short float64
-	// Level is the account's balance after the request.
-	Level float64
+	// Missing is how many tokens the account lacks for the cost of a request that was not granted.
+	Missing float64
+	// Balance is the account's balance after the request.
+	Balance float64
 }
 
 // account is the token balance of a workspace in a zone.
 type account struct {
-	part    Part
+	part    Share
 	version int64
 	bucket  tokenbucket.Bucket
 	// borrowed is the number of tokens borrowed from other zones. They are spent first, and are not
@@ -102,45 +102,45 @@
 // the whole cost in advance would starve large requests whenever a workspace is at its limit,
 // because small requests would keep the balance too low for them. Only an owner that has just
 // started (see startupPeriod) requires it, up to the burst.
-func (s *Accounts) Take(now time.Time, q Ask) Answer {
+func (s *Accounts) Take(now time.Time, q Request) Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.account(now, q.Workspace, q.Part, q.Version)
+	a := s.account(now, q.Workspace, q.Share, q.Version)
 	a.lastRequest = now
-	a.refund(q.Back)
-	if q.Told != nil {
-		a.deduct(a.level() - q.Told.Level - a.part.Rate*q.Told.Age.Seconds())
+	a.refund(q.Returned)
+	if q.LastReport != nil {
+		a.deduct(a.level() - q.LastReport.Balance - a.part.Rate*q.LastReport.Age.Seconds())
 	}
 	need := 0.0
 	if now.Sub(s.startedAt) < startupPeriod {
 		need = min(q.Cost, a.part.Burst)
 	}
 	if a.level() <= 0 || a.level() < need {
-		return Answer{Short: q.Cost - a.level(), Level: a.level()}
+		return Response{Missing: q.Cost - a.level(), Balance: a.level()}
 	}
 	a.deduct(q.Cost)
-	return Answer{Granted: true, Level: a.level()}
+	return Response{Granted: true, Balance: a.level()}
 }
 
-// Refuse returns how long the caller of a refused request should wait before it retries: until
+// RetryAfter returns how long the caller of a refused request should wait before it retries: until
 // the account will hold tokens beyond those needed by callers refused earlier, so that they do
 // not all retry for the same tokens. The time is at most LongestWait.
-func (s *Accounts) Refuse(now time.Time, workspace string, cost float64) time.Duration {
+func (s *Accounts) RetryAfter(now time.Time, workspace string, cost float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.byWorkspace[workspace]
 	if a == nil || a.part.Rate <= 0 {
-		return LongestWait
+		return MaxRetryAfter
 	}
 	a.fill(now)
 	before := a.pendingRetries
 	a.pendingRetries += cost
-	return seconds(min((before-a.level())/a.part.Rate, LongestWait.Seconds()))
+	return seconds(min((before-a.level())/a.part.Rate, MaxRetryAfter.Seconds()))
 }
 
-// Borrowed adds tokens borrowed from another zone to an account. It has no effect if this
+// AddBorrowed adds tokens borrowed from another zone to an account. It has no effect if this
 // instance doesn't own the account.
-func (s *Accounts) Borrowed(workspace string, tokens float64) {
+func (s *Accounts) AddBorrowed(workspace string, tokens float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a := s.byWorkspace[workspace]; a != nil {
@@ -152,17 +152,17 @@
 // is the balance of the borrowing account. The loan is the larger of q.Cost and half of the
 // difference between the balances, but no more than this account holds. Evening out the balances
 // wastes the fewest tokens, because a full account accrues none.
-func (s *Accounts) Lend(now time.Time, q Ask, level float64) float64 {
+func (s *Accounts) Lend(now time.Time, q Request, level float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.account(now, q.Workspace, q.Part, q.Version)
+	a := s.account(now, q.Workspace, q.Share, q.Version)
 	lent := max(0, min(a.level(), max(q.Cost, (a.level()-level)/2)))
 	a.deduct(lent)
 	return lent
 }
 
-// Level returns the balance of an account, and false if this instance doesn't own it.
-func (s *Accounts) Level(now time.Time, workspace string) (float64, bool) {
+// Balance returns the balance of an account, and false if this instance doesn't own it.
+func (s *Accounts) Balance(now time.Time, workspace string) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.byWorkspace[workspace]
@@ -173,8 +173,8 @@
 	return a.level(), true
 }
 
-// Forget removes the accounts from which no tokens were requested for idleAccountTTL.
-func (s *Accounts) Forget(now time.Time) {
+// RemoveIdle removes the accounts from which no tokens were requested for idleAccountTTL.
+func (s *Accounts) RemoveIdle(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, a := range s.byWorkspace {
@@ -186,7 +186,7 @@
 
 // account returns an account with its balance as of now, creating it if needed, and applies the
 // part if its version is not older than the account's. The caller holds mu.
-func (s *Accounts) account(now time.Time, name string, part Part, version int64) *account {
+func (s *Accounts) account(now time.Time, name string, part Share, version int64) *account {
 	a := s.byWorkspace[name]
 	if a == nil {
 		a = &account{part: part, version: version, lastRequest: now}
--- a/gateway/limit/account_test.go
+++ b/gateway/limit/account_test.go
@@ -16,9 +16,9 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 // part is the zone's share that all tests use: 100 tokens per second and a burst of 100.
-var part = Part{Rate: 100, Burst: 100}
+var part = Share{Rate: 100, Burst: 100}
 
-func ask(cost float64) Ask { return Ask{Workspace: "w", Part: part, Version: 1, Cost: cost} }
+func ask(cost float64) Request { return Request{Workspace: "w", Share: part, Version: 1, Cost: cost} }
 
 // TestAccountHoldsWhatItSaved checks that the account of an owner that started long ago is full,
 // and that no request is granted while the account is empty.
@@ -31,7 +31,7 @@
 	assert.Assert(t, old.Take(at(time.Hour+20*time.Millisecond), ask(10)).Granted)
 	a := old.Take(at(time.Hour+50*time.Millisecond), ask(30))
 	assert.Assert(t, !a.Granted)
-	assert.Assert(t, math.Abs(a.Short-35) < 1e-6)
+	assert.Assert(t, math.Abs(a.Missing-35) < 1e-6)
 }
 
 // TestKeeperThatHasJustStarted checks that a new owner holds only the tokens accrued since its
@@ -42,7 +42,7 @@
 	assert.Assert(t, !s.Take(start, ask(10)).Granted)
 	a := s.Take(at(200*time.Millisecond), ask(30))
 	assert.Assert(t, !a.Granted)
-	assert.Assert(t, math.Abs(a.Level-20) < 1e-6)
+	assert.Assert(t, math.Abs(a.Balance-20) < 1e-6)
 	assert.Assert(t, s.Take(at(300*time.Millisecond), ask(30)).Granted)
 	assert.Assert(t, !s.Take(at(900*time.Millisecond), ask(500)).Granted)
 	assert.Assert(t, s.Take(at(1500*time.Millisecond), ask(500)).Granted, "the burst suffices for a request that costs more")
@@ -65,10 +65,10 @@
 func TestKeeperLearnsWhatAnotherGaveAway(t *testing.T) {
 	s := NewAccounts(start)
 	q := ask(10)
-	q.Told = &Told{Level: -50, Age: 500 * time.Millisecond}
+	q.LastReport = &BalanceReport{Balance: -50, Age: 500 * time.Millisecond}
 	assert.Assert(t, !s.Take(at(time.Hour), q).Granted)
 	assert.Assert(t, s.Take(at(time.Hour+100*time.Millisecond), ask(10)).Granted)
-	q.Told = &Told{Level: 1000}
+	q.LastReport = &BalanceReport{Balance: 1000}
 	assert.Assert(t, !s.Take(at(time.Hour+100*time.Millisecond), q).Granted)
 }
 
@@ -91,10 +91,10 @@
 	assert.Assert(t, s.Take(now, ask(100)).Granted)
 	for i := range 3 {
 		assert.Assert(t, !s.Take(now, ask(50)).Granted)
-		assert.Equal(t, s.Refuse(now, "w", 50), time.Duration(i)*500*time.Millisecond)
+		assert.Equal(t, s.RetryAfter(now, "w", 50), time.Duration(i)*500*time.Millisecond)
 	}
 	assert.Assert(t, s.Take(now.Add(time.Second), ask(50)).Granted)
-	assert.Equal(t, s.Refuse(now, "unknown", 50), LongestWait)
+	assert.Equal(t, s.RetryAfter(now, "unknown", 50), MaxRetryAfter)
 }
 
 // TestLimitsChange checks that a lower limit applies at once, that a higher limit adds no tokens
@@ -104,22 +104,22 @@
 	s := NewAccounts(start)
 	now := at(time.Hour)
 	assert.Assert(t, s.Take(now, ask(1)).Granted)
-	lower := Ask{Workspace: "w", Part: Part{Rate: 10, Burst: 10}, Version: 2, Cost: 10}
+	lower := Request{Workspace: "w", Share: Share{Rate: 10, Burst: 10}, Version: 2, Cost: 10}
 	assert.Assert(t, s.Take(now, lower).Granted)
 	assert.Assert(t, !s.Take(now, ask(5)).Granted, "the limit of version 1 no longer applies")
-	higher := Ask{Workspace: "w", Part: Part{Rate: 1000, Burst: 1000}, Version: 3, Cost: 100}
+	higher := Request{Workspace: "w", Share: Share{Rate: 1000, Burst: 1000}, Version: 3, Cost: 100}
 	assert.Assert(t, !s.Take(now, higher).Granted)
 	assert.Assert(t, s.Take(now.Add(100*time.Millisecond), higher).Granted)
 	for range 3 {
-		for _, q := range []Ask{lower, higher} {
+		for _, q := range []Request{lower, higher} {
 			q.Version += 10
 			s.Take(now.Add(100*time.Millisecond), q)
 		}
 	}
-	level, kept := s.Level(now.Add(100*time.Millisecond), "w")
+	level, kept := s.Balance(now.Add(100*time.Millisecond), "w")
 	assert.Assert(t, kept && level <= 1000, "%v", level)
-	s.Forget(now.Add(time.Hour))
-	_, kept = s.Level(now.Add(time.Hour), "w")
+	s.RemoveIdle(now.Add(time.Hour))
+	_, kept = s.Balance(now.Add(time.Hour), "w")
 	assert.Assert(t, !kept)
 }
 
@@ -127,18 +127,18 @@
 // each zone's share of a limit. The largest token counts must not overflow, and such requests
 // must always be refused: granting one would block its workspace for a long time.
 func TestCosts(t *testing.T) {
-	l := routing.Limit{Rate: 100, Burst: 50, Unit: routing.Tokens, Plain: 7}
+	l := routing.Limit{Rate: 100, Burst: 50, Unit: routing.Tokens, DefaultCost: 7}
 	assert.Equal(t, CostOf(l, true, 10, 5), 15.0)
 	assert.Equal(t, CostOf(l, false, 10, 5), 7.0)
 	assert.Equal(t, CostOf(l, true, -10, 5), 5.0)
 	assert.Equal(t, CostOf(routing.Limit{Rate: 1, Unit: routing.Requests}, true, 10, 5), 1.0)
 	largest := CostOf(l, true, math.MaxInt, math.MaxInt)
 	assert.Assert(t, largest > math.MaxInt)
-	assert.Assert(t, !Payable(l, largest))
-	assert.Assert(t, Payable(l, 550))
-	assert.Assert(t, !Payable(l, 551))
-	assert.Equal(t, PartOf(l, 0), Part{Rate: 100, Burst: 50})
-	assert.Equal(t, PartOf(l, 4), Part{Rate: 25, Burst: 12.5})
+	assert.Assert(t, !Grantable(l, largest))
+	assert.Assert(t, Grantable(l, 550))
+	assert.Assert(t, !Grantable(l, 551))
+	assert.Equal(t, ShareOf(l, 0), Share{Rate: 100, Burst: 50})
+	assert.Equal(t, ShareOf(l, 4), Share{Rate: 25, Burst: 12.5})
 }
 
 // TestClientDecidesByItself checks what a client does without asking the owner: returned tokens
@@ -147,21 +147,21 @@
 func TestClientDecidesByItself(t *testing.T) {
 	c := NewClient()
 	now := start
-	keeper := Keeper{ID: "k", Incarnation: 1}
+	keeper := Owner{ID: "k", Incarnation: 1}
 	_, _, decided := c.Decide(now, "w", 10)
 	assert.Assert(t, !decided)
 	c.Return(now, "w", 10)
 	granted, _, decided := c.Decide(now, "w", 10)
 	assert.Assert(t, granted && decided)
 	c.Return(now, "w", 10)
-	assert.Equal(t, c.Ask(now, "w", 20, keeper).Back, 10.0)
-	assert.Equal(t, c.Ask(now, "w", 20, keeper).Back, 0.0)
+	assert.Equal(t, c.NewRequest(now, "w", 20, keeper).Returned, 10.0)
+	assert.Equal(t, c.NewRequest(now, "w", 20, keeper).Returned, 0.0)
 	c.Return(now, "w", 10)
-	assert.Equal(t, len(c.Idle(now)), 0)
-	assert.Equal(t, c.Idle(now.Add(idleBalanceTTL))["w"], 10.0)
-	assert.Equal(t, len(c.Idle(now.Add(idleBalanceTTL))), 0)
+	assert.Equal(t, len(c.TakeIdle(now)), 0)
+	assert.Equal(t, c.TakeIdle(now.Add(idleBalanceTTL))["w"], 10.0)
+	assert.Equal(t, len(c.TakeIdle(now.Add(idleBalanceTTL))), 0)
 
-	c.Answered(now, "w", 20, keeper, Answer{Level: 3}, time.Second)
+	c.RecordResponse(now, "w", 20, keeper, Response{Balance: 3}, time.Second)
 	_, _, decided = c.Decide(now, "w", 19)
 	assert.Assert(t, !decided, "the owner may hold enough for a lower cost")
 	last := time.Duration(0)
@@ -173,10 +173,10 @@
 	_, _, decided = c.Decide(now.Add(refusalTTL), "w", 20)
 	assert.Assert(t, !decided)
 
-	assert.Assert(t, c.Ask(now, "w", 1, keeper).Told == nil, "an owner needs no report of its own balance")
-	told := c.Ask(now.Add(time.Second), "w", 1, Keeper{ID: "k", Incarnation: 2}).Told
-	assert.DeepEqual(t, told, &Told{Level: 3, Age: time.Second})
-	assert.Assert(t, c.Ask(now.Add(levelReportTTL), "w", 1, Keeper{ID: "o"}).Told == nil)
+	assert.Assert(t, c.NewRequest(now, "w", 1, keeper).LastReport == nil, "an owner needs no report of its own balance")
+	told := c.NewRequest(now.Add(time.Second), "w", 1, Owner{ID: "k", Incarnation: 2}).LastReport
+	assert.DeepEqual(t, told, &BalanceReport{Balance: 3, Age: time.Second})
+	assert.Assert(t, c.NewRequest(now.Add(levelReportTTL), "w", 1, Owner{ID: "o"}).LastReport == nil)
 }
 
 // TestAloneNothingIsTakenInAdvance checks that an instance that reaches no owner starts with no
@@ -184,10 +184,10 @@
 // while it reaches an owner.
 func TestAloneNothingIsTakenInAdvance(t *testing.T) {
 	c := NewClient()
-	assert.Assert(t, !c.Alone(start, "w", 50, part))
-	assert.Assert(t, !c.Alone(at(400*time.Millisecond), "w", 50, part))
-	assert.Assert(t, c.Alone(at(600*time.Millisecond), "w", 50, part))
-	assert.Assert(t, !c.Alone(at(700*time.Millisecond), "w", 50, part))
-	assert.Assert(t, !c.Alone(at(time.Hour), "w", 50, part))
+	assert.Assert(t, !c.DecideLocally(start, "w", 50, part))
+	assert.Assert(t, !c.DecideLocally(at(400*time.Millisecond), "w", 50, part))
+	assert.Assert(t, c.DecideLocally(at(600*time.Millisecond), "w", 50, part))
+	assert.Assert(t, !c.DecideLocally(at(700*time.Millisecond), "w", 50, part))
+	assert.Assert(t, !c.DecideLocally(at(time.Hour), "w", 50, part))
 	assert.DeepEqual(t, c.Use("w"), Use{Granted: 50, Refused: 200})
 }
--- a/gateway/limit/client.go
+++ b/gateway/limit/client.go
@@ -37,23 +37,23 @@
 	case l.Unit != routing.Tokens:
 		return 1
 	case !stated:
-		return float64(l.Plain)
+		return float64(l.DefaultCost)
 	default:
 		return max(0, float64(prompt)) + max(0, float64(output))
 	}
 }
 
-// Payable reports whether a request of the given cost may be granted at all.
-func Payable(l routing.Limit, cost float64) bool { return cost <= l.Burst+maxCostSeconds*l.Rate }
+// Grantable reports whether a request of the given cost may be granted at all.
+func Grantable(l routing.Limit, cost float64) bool { return cost <= l.Burst+maxCostSeconds*l.Rate }
 
-// PartOf returns the share of a limit that each of the given number of zones has.
-func PartOf(l routing.Limit, zones int) Part {
+// ShareOf returns the share of a limit that each of the given number of zones has.
+func ShareOf(l routing.Limit, zones int) Share {
 	n := float64(max(1, zones))
-	return Part{Rate: l.Rate / n, Burst: l.Burst / n}
+	return Share{Rate: l.Rate / n, Burst: l.Burst / n}
 }
 
-// Keeper identifies the instance that owns an account, and which run of that instance.
-type Keeper struct {
+// Owner identifies the instance that owns an account, and which run of that instance.
+type Owner struct {
 	ID          ident.InstanceID
 	Incarnation ident.Incarnation
 }
@@ -65,7 +65,7 @@
 	balance    float64
 	returnedAt time.Time
 	// level is the account's balance as its owner reported it at reportedAt.
-	owner      Keeper
+	owner      Owner
 	level      float64
 	reportedAt time.Time
 	// refusedCost is the cost of the request that an owner refused last. Until refusedUntil,
@@ -146,26 +146,26 @@
 	}
 }
 
-// Ask returns the request for tokens to send to an owner. It contains the returned tokens, which
+// NewRequest returns the request for tokens to send to an owner. It contains the returned tokens, which
 // the client no longer holds afterwards. The caller sets Part and Version.
-func (c *Client) Ask(now time.Time, name string, cost float64, to Keeper) Ask {
+func (c *Client) NewRequest(now time.Time, name string, cost float64, to Owner) Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.workspace(name)
-	q := Ask{Workspace: name, Cost: cost, Back: s.balance}
+	q := Request{Workspace: name, Cost: cost, Returned: s.balance}
 	s.balance = 0
 	if !s.reportedAt.IsZero() && s.owner != to && now.Sub(s.reportedAt) < levelReportTTL {
-		q.Told = &Told{Level: s.level, Age: now.Sub(s.reportedAt)}
+		q.LastReport = &BalanceReport{Balance: s.level, Age: now.Sub(s.reportedAt)}
 	}
 	return q
 }
 
-// Answered records an owner's answer. wait is the time after which a refused caller should retry.
-func (c *Client) Answered(now time.Time, name string, cost float64, from Keeper, a Answer, wait time.Duration) {
+// RecordResponse records an owner's response. wait is the time after which a refused caller should retry.
+func (c *Client) RecordResponse(now time.Time, name string, cost float64, from Owner, a Response, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.workspace(name)
-	s.owner, s.level, s.reportedAt = from, a.Level, now
+	s.owner, s.level, s.reportedAt = from, a.Balance, now
 	if a.Granted {
 		s.use.Granted += cost
 		return
@@ -174,11 +174,11 @@
 	s.refusedCost, s.refusedUntil, s.localRefusals = cost, now.Add(min(wait, refusalTTL)), 0
 }
 
-// Alone reports whether a request is granted while the client reaches no owner; part is then the
+// DecideLocally reports whether a request is granted while the client reaches no owner; part is then the
 // client's own share of the limit. The client starts with no tokens and accrues them up to the
 // cost of the request, so that many instances that are cut off at the same time together grant
 // no more than their shares.
-func (c *Client) Alone(now time.Time, name string, cost float64, part Part) bool {
+func (c *Client) DecideLocally(now time.Time, name string, cost float64, part Share) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.workspace(name)
@@ -205,9 +205,9 @@
 	s.use.Returned += cost
 }
 
-// Idle removes and returns, by workspace, the returned tokens that were not used for
+// TakeIdle removes and returns, by workspace, the returned tokens that were not used for
 // idleBalanceTTL. The caller gives them back to the owners. The map is nil if there are none.
-func (c *Client) Idle(now time.Time) map[string]float64 {
+func (c *Client) TakeIdle(now time.Time) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out map[string]float64
--- a/gateway/limit/status.go
+++ b/gateway/limit/status.go
@@ -11,7 +11,7 @@
 	Unit      routing.Unit `json:"unit"`
 	// Use counts the requests of the instance's own callers.
 	Use
-	// Keeps reports whether the instance owns its zone's account. Level is then its balance.
-	Keeps bool    `json:"keeps"`
+	// Owns reports whether the instance owns its zone's account. Level is then its balance.
+	Owns  bool    `json:"keeps"`
 	Level float64 `json:"level"`
 }
--- a/gateway/limit/world_test.go
+++ b/gateway/limit/world_test.go
@@ -214,41 +214,41 @@
 	if granted, _, ok := c.Decide(w.now, "w", cost); ok {
 		return granted
 	}
-	part := PartOf(w.limit, zoneCount)
+	part := ShareOf(w.limit, zoneCount)
 	owner := k.ownerOf(w, i, w.zones[i])
 	if owner < 0 {
 		n := float64((len(w.zones) + zoneCount - 1) / zoneCount)
-		return c.Alone(w.now, "w", cost, Part{Rate: part.Rate / n, Burst: part.Burst / n})
+		return c.DecideLocally(w.now, "w", cost, Share{Rate: part.Rate / n, Burst: part.Burst / n})
 	}
-	name := Keeper{ID: ident.InstanceID(fmt.Sprint(owner)), Incarnation: ident.NewIncarnation(w.startedAt[owner])}
-	q := c.Ask(w.now, "w", cost, name)
-	q.Part, q.Version = part, 1
+	name := Owner{ID: ident.InstanceID(fmt.Sprint(owner)), Incarnation: ident.NewIncarnation(w.startedAt[owner])}
+	q := c.NewRequest(w.now, "w", cost, name)
+	q.Share, q.Version = part, 1
 	a := k.accounts[owner].Take(w.now, q)
 	if !a.Granted {
 		k.borrow(w, owner, q, a)
-		q.Back, q.Told = 0, nil
+		q.Returned, q.LastReport = 0, nil
 		a = k.accounts[owner].Take(w.now, q)
 	}
-	if a.Granted && a.Level < part.Burst/2 {
-		k.borrow(w, owner, q, Answer{Level: a.Level})
+	if a.Granted && a.Balance < part.Burst/2 {
+		k.borrow(w, owner, q, Response{Balance: a.Balance})
 	}
 	wait := time.Duration(0)
 	if !a.Granted {
-		wait = k.accounts[owner].Refuse(w.now, "w", cost)
+		wait = k.accounts[owner].RetryAfter(w.now, "w", cost)
 	}
-	c.Answered(w.now, "w", cost, name, a, wait)
+	c.RecordResponse(w.now, "w", cost, name, a, wait)
 	return a.Granted
 }
 
 // borrow moves tokens from the accounts of other zones to that of the owner's zone.
-func (k *ownerLimiter) borrow(w *simulation, owner int, q Ask, short Answer) {
+func (k *ownerLimiter) borrow(w *simulation, owner int, q Request, short Response) {
 	for zone := range zoneCount {
 		from := k.ownerOf(w, owner, zone)
 		if zone == w.zones[owner] || from < 0 {
 			continue
 		}
-		loan := Ask{Workspace: "w", Part: q.Part, Version: 1, Cost: short.Short / (zoneCount - 1)}
-		k.accounts[owner].Borrowed("w", k.accounts[from].Lend(w.now, loan, short.Level))
+		loan := Request{Workspace: "w", Share: q.Share, Version: 1, Cost: short.Missing / (zoneCount - 1)}
+		k.accounts[owner].AddBorrowed("w", k.accounts[from].Lend(w.now, loan, short.Balance))
 	}
 }
 
@@ -318,10 +318,10 @@
 }
 
 // smallestLimit is the smallest limit of the users' workspaces. Some requests cost half of its burst.
-var smallestLimit = routing.Limit{Rate: 29000, Burst: 29000, Unit: routing.Tokens, Plain: 200}
+var smallestLimit = routing.Limit{Rate: 29000, Burst: 29000, Unit: routing.Tokens, DefaultCost: 200}
 
 // usualLimit is the limit of one of the users' larger workspaces.
-var usualLimit = routing.Limit{Rate: 110000, Burst: 110000, Unit: routing.Tokens, Plain: 200}
+var usualLimit = routing.Limit{Rate: 110000, Burst: 110000, Unit: routing.Tokens, DefaultCost: 200}
 
 // fleetSizes are the numbers of instances that are tested.
 var fleetSizes = []int{7, 60, 295, 409}
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -34,14 +34,14 @@
 // limitedWorkspace returns a workspace with a limit of rate tokens per second and a burst of one
 // second.
 func limitedWorkspace(rate float64) *routing.Workspace {
-	return &routing.Workspace{Name: "w", Limit: routing.Limit{Rate: rate, Burst: rate, Unit: routing.Tokens, Plain: 200}}
+	return &routing.Workspace{Name: "w", Limit: routing.Limit{Rate: rate, Burst: rate, Unit: routing.Tokens, DefaultCost: 200}}
 }
 
 // take charges the cost of a request at an instance. It returns false if the instance is down.
-func (b *limitFleet) take(i *simInstance, w *routing.Workspace, version int64, cost float64) (fleet.Verdict, bool) {
+func (b *limitFleet) take(i *simInstance, w *routing.Workspace, version int64, cost float64) (fleet.TokenDecision, bool) {
 	s := i.running()
 	if s == nil {
-		return fleet.Verdict{}, false
+		return fleet.TokenDecision{}, false
 	}
 	v := s.node.Take(context.Background(), w, version, cost)
 	if v.Granted {
@@ -226,7 +226,7 @@
 		assert.Equal(t, status, http.StatusServiceUnavailable, body)
 	}
 	status := i.service.node.Limits()[0]
-	assert.Assert(t, status.Keeps)
+	assert.Assert(t, status.Owns)
 	assert.Equal(t, status.Granted, status.Returned)
 	assert.Assert(t, status.Granted >= 1200)
 }
@@ -248,5 +248,5 @@
 	assert.Equal(t, len(b.upstream.requests()), before)
 	status, _, _ = b.send(t, i, "/plain/x", "Bearer "+keyOfB)
 	assert.Equal(t, status, http.StatusOK, "request of another workspace, which has no limit")
-	assert.Assert(t, limit.Payable(b.source.config.Workspaces[0].Limit, 200))
+	assert.Assert(t, limit.Grantable(b.source.config.Workspaces[0].Limit, 200))
 }
--- a/gateway/orders.go
+++ b/gateway/orders.go
@@ -76,7 +76,7 @@
 		if !s.Ready() {
 			continue
 		}
-		holdsDuty := !g.stopping() && g.node.Current(s) && g.node.Holds(dutyStages, lease, maxPeerAnswerAge)
+		holdsDuty := !g.stopping() && g.node.IsFresh(s) && g.node.Holds(dutyStages, lease, maxPeerAnswerAge)
 		for name, service := range s.Table.Config().Services {
 			if service.Engine == nil {
 				continue
@@ -104,8 +104,8 @@
 // enough. need is the demand to plan for.
 func (g *Service) orderService(ctx context.Context, state *orderState, s *fleet.Snapshot, service routing.Service, need schedule.Need) {
 	now := clock.Now()
-	list := g.books.Staged(now, s.Eligible(service.Name, nil, g.settings.regionOf))
-	need.PrefillRate *= g.books.MeanRelativePace(now, list)
+	list := g.books.WithPendingStages(now, s.Eligible(service.Name, nil, g.settings.regionOf))
+	need.PrefillRate *= g.books.MeanRelativeThroughput(now, list)
 	o := state.service(service.Name)
 	if o.since.IsZero() {
 		o.since = now
@@ -113,7 +113,7 @@
 	if need.PrefillRate == 0 || now.Sub(o.since) < orderWarmup || now.Sub(o.last) < orderCooldown {
 		return
 	}
-	for _, change := range schedule.PlanStages(list, service.Engine, need, g.books.Busy) {
+	for _, change := range schedule.PlanStages(list, service.Engine, need, g.books.RequestCount) {
 		o.last = now
 		g.sendOrder(ctx, state, change)
 	}
@@ -122,14 +122,14 @@
 // fleetDemand returns the demand of a service, summed over all instances.
 func (g *Service) fleetDemand(now time.Time, service string) schedule.Need {
 	n := g.books.Demand(now, service)
-	d := g.node.Others().Demand[service]
+	d := g.node.PeerLoad().Demand[service]
 	n.Prefill += d.PrefillRate
 	n.Memory += d.MemoryRate
 	n.Streams += d.StreamRate
 	// The paces of all instances are combined, because one instance may have measured only
 	// prompts that waited for others.
-	n.Paces = n.Paces.Plus(d.Paces)
-	n.PrefillRate = n.Paces.Rate()
+	n.Throughputs = n.Throughputs.Plus(d.Paces)
+	n.PrefillRate = n.Throughputs.Rate()
 	return n
 }
 
@@ -148,7 +148,7 @@
 	var fenced *dialect.FencedError
 	if !errors.As(err, &status) && !errors.As(err, &fenced) {
 		// The engine accepted the order, or it may have done so although its answer was lost.
-		g.books.Switching(clock.Now(), c.Engine.ID, c.To)
+		g.books.RecordStageOrder(clock.Now(), c.Engine.ID, c.To)
 	}
 	if fenced != nil {
 		// A newer holder of the duty has given orders, which take precedence.
--- a/gateway/quarantine/register.go
+++ b/gateway/quarantine/register.go
@@ -48,8 +48,8 @@
 	// Upstream and Incarnation identify the upstream that crashed.
 	Upstream    ident.UpstreamID
 	Incarnation ident.Incarnation
-	// Made is the number of events that the content had produced there.
-	Made int
+	// Events is the number of events that the content had produced there.
+	Events int
 	// Cleared means that a later run of the content produced more events or completed, so the
 	// content did not cause this crash.
 	Cleared bool
@@ -88,7 +88,7 @@
 func (r *Register) Crashed(now time.Time, c Content, u dialect.Upstream, made int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k, isNew := r.add(now, Crash{Content: c, Upstream: u.ID, Incarnation: u.Incarnation, Made: made})
+	k, isNew := r.add(now, Crash{Content: c, Upstream: u.ID, Incarnation: u.Incarnation, Events: made})
 	if isNew {
 		r.unsent = append(r.unsent, k)
 	}
@@ -101,7 +101,7 @@
 	for _, known := range r.contents[c.Content] {
 		if known.Upstream == c.Upstream && known.Incarnation == c.Incarnation {
 			known.Cleared = known.Cleared || c.Cleared
-			known.Made = max(known.Made, c.Made)
+			known.Events = max(known.Events, c.Events)
 			return known, false
 		}
 	}
@@ -119,7 +119,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, k := range r.contents[c] {
-		if ended || made > k.Made {
+		if ended || made > k.Events {
 			k.Cleared = true
 		}
 	}
--- a/gateway/quarantine/register_test.go
+++ b/gateway/quarantine/register_test.go
@@ -23,9 +23,9 @@
 // TestContentIsThatOfARepeat checks that the fields that callers change in a repetition, such as
 // its ID and time limit, are not part of the content, and that all other fields are.
 func TestContentIsThatOfARepeat(t *testing.T) {
-	call := dialect.Call{ID: "1", Method: "POST", Host: "h", Target: "/x", Caller: routing.DigestKey("c"), Body: []byte("b"), Patience: time.Second}
+	call := dialect.Call{ID: "1", Method: "POST", Host: "h", Target: "/x", Caller: routing.DigestKey("c"), Body: []byte("b"), CallerTimeout: time.Second}
 	repeat := call
-	repeat.ID, repeat.Patience, repeat.LastEvent = "2", time.Minute, "7"
+	repeat.ID, repeat.CallerTimeout, repeat.LastEvent = "2", time.Minute, "7"
 	assert.Equal(t, ContentOf(&call), ContentOf(&repeat))
 	for what, change := range map[string]func(c *dialect.Call){
 		"method": func(c *dialect.Call) { c.Method = "PUT" }, "host": func(c *dialect.Call) { c.Host = "o" },
@@ -51,7 +51,7 @@
 	assert.Assert(t, r.Crashed(start, 1, up("b"), 0))
 	v := r.Verdict(start.Add(time.Second), 1)
 	assert.Equal(t, v.Standing, Quarantined)
-	assert.Equal(t, v.Left, initialQuarantine-time.Second)
+	assert.Equal(t, v.Remaining, initialQuarantine-time.Second)
 	assert.DeepEqual(t, v.Upstreams, []ident.UpstreamID{"a", "b"})
 
 	for i, want := range []Standing{Suspect, Suspect, Quarantined} {
@@ -73,15 +73,15 @@
 		r.Crashed(now, 1, up(fmt.Sprint(i)), 0)
 	}
 	for i := range 3 {
-		left := r.Verdict(now, 1).Left
+		left := r.Verdict(now, 1).Remaining
 		assert.Equal(t, left, initialQuarantine<<i)
 		now = now.Add(left)
 		r.Expire(now)
 		assert.Equal(t, r.Verdict(now, 1).Standing, Suspect)
 		r.Crashed(now, 1, up(fmt.Sprint("more", i)), 0)
 	}
-	assert.Assert(t, r.Verdict(now, 1).Left > time.Hour)
-	now = now.Add(r.Verdict(now, 1).Left + suspectPeriod)
+	assert.Assert(t, r.Verdict(now, 1).Remaining > time.Hour)
+	now = now.Add(r.Verdict(now, 1).Remaining + suspectPeriod)
 	assert.Equal(t, r.Verdict(now, 1).Standing, Clear)
 	r.Expire(now)
 	assert.Equal(t, r.Digest(), uint64(0))
@@ -102,7 +102,7 @@
 	r.Clear(1, 0, true)
 	assert.Equal(t, r.Verdict(start, 1).Standing, Clear)
 	// Cleared crashes stay cleared if a peer sends their records again.
-	r.Hear(start, []Crash{{Content: 1, Upstream: "a"}, {Content: 1, Upstream: "b"}})
+	r.Merge(start, []Crash{{Content: 1, Upstream: "a"}, {Content: 1, Upstream: "b"}})
 	assert.Equal(t, r.Verdict(start, 1).Standing, Clear)
 }
 
@@ -143,9 +143,9 @@
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0, 1:
 				r.Crashed(now, c, up(rapid.StringMatching("[a-f]").Draw(t, "up")), rapid.IntRange(0, 3).Draw(t, "made"))
-				r.Fresh(now)
+				r.TakeUnsent(now)
 			case 2:
-				r.Hear(now, registers[rapid.IntRange(0, 2).Draw(t, "from")].Tell(now))
+				r.Merge(now, registers[rapid.IntRange(0, 2).Draw(t, "from")].SharedRecords(now))
 			case 3:
 				r.Clear(c, rapid.IntRange(0, 4).Draw(t, "got"), false)
 			}
@@ -153,9 +153,9 @@
 		now = now.Add(shareDelay)
 		for range 2 {
 			for i, r := range registers {
-				r.Fresh(now)
-				r.Hear(now, registers[(i+1)%3].Tell(now))
-				r.Hear(now, registers[(i+2)%3].Tell(now))
+				r.TakeUnsent(now)
+				r.Merge(now, registers[(i+1)%3].SharedRecords(now))
+				r.Merge(now, registers[(i+2)%3].SharedRecords(now))
 			}
 		}
 		for c := range Content(5) {
@@ -175,12 +175,12 @@
 	a, b := NewRegister(), NewRegister()
 	a.Crashed(start, 1, up("x"), 0)
 	b.Crashed(start, 1, up("x"), 1)
-	a.Fresh(start)
-	b.Hear(start, a.Tell(start))
+	a.TakeUnsent(start)
+	b.Merge(start, a.SharedRecords(start))
 	b.Clear(1, 5, false)
-	b.Fresh(start.Add(shareDelay))
+	b.TakeUnsent(start.Add(shareDelay))
 	assert.Equal(t, a.Digest(), b.Digest())
-	a.Hear(start, b.Tell(start))
+	a.Merge(start, b.SharedRecords(start))
 	assert.Equal(t, a.Verdict(start, 1).Standing, Clear)
 }
 
@@ -200,12 +200,12 @@
 	}
 	assert.Assert(t, r.size <= maxRecords)
 	assert.Equal(t, r.Verdict(now, queryOfDeath).Standing, Quarantined)
-	r.Fresh(now)
-	assert.Equal(t, len(r.Tell(now)), maxRecordsPerMessage)
+	r.TakeUnsent(now)
+	assert.Equal(t, len(r.SharedRecords(now)), maxRecordsPerMessage)
 	// Expired records don't count in the digest.
 	r.Expire(now.Add(100 * 24 * time.Hour))
 	assert.Equal(t, r.Digest(), uint64(0))
-	assert.Equal(t, len(r.Fresh(now)), 0)
+	assert.Equal(t, len(r.TakeUnsent(now)), 0)
 }
 
 // TestLateComersLearn checks that an instance that starts after eleven minutes receives the records
@@ -216,11 +216,11 @@
 		r.Crashed(start, 1, up(fmt.Sprint(i)), 0)
 	}
 	r.Crashed(start, 2, up("a"), 0)
-	r.Fresh(start)
+	r.TakeUnsent(start)
 	now := start.Add(11 * time.Minute)
-	late.Hear(now, r.Tell(now))
+	late.Merge(now, r.SharedRecords(now))
 	assert.Equal(t, late.Verdict(now, 1).Standing, Quarantined)
-	assert.Equal(t, late.Verdict(now, 1).Left, 9*time.Minute)
+	assert.Equal(t, late.Verdict(now, 1).Remaining, 9*time.Minute)
 	assert.Equal(t, len(late.contents), 1)
 }
 
@@ -232,24 +232,24 @@
 	r.Crashed(start, 1, up("a"), 0)
 	r.Crashed(start, 2, up("a"), 5)
 	r.Crashed(start, 3, up("a"), 5)
-	assert.Equal(t, len(r.Tell(start)), 0)
-	fresh := r.Fresh(start)
+	assert.Equal(t, len(r.SharedRecords(start)), 0)
+	fresh := r.TakeUnsent(start)
 	assert.Equal(t, len(fresh), 1)
 	assert.Equal(t, fresh[0].Content, Content(1))
-	assert.DeepEqual(t, r.Tell(start), fresh)
+	assert.DeepEqual(t, r.SharedRecords(start), fresh)
 	r.Clear(2, 6, false)
-	fresh = r.Fresh(start.Add(shareDelay))
+	fresh = r.TakeUnsent(start.Add(shareDelay))
 	assert.Equal(t, len(fresh), 1)
 	assert.Equal(t, fresh[0].Content, Content(3))
 	assert.Equal(t, fresh[0].Age, shareDelay)
-	assert.Equal(t, len(r.Fresh(start.Add(time.Hour))), 0)
+	assert.Equal(t, len(r.TakeUnsent(start.Add(time.Hour))), 0)
 
 	r.Crashed(start, 4, up("b"), 5)
 	before := r.Digest()
-	assert.Equal(t, len(r.TellOf(start, 4)), 1)
+	assert.Equal(t, len(r.ShareContent(start, 4)), 1)
 	assert.Assert(t, r.Digest() != before)
 	// The record is still sent to the other instances.
-	assert.Equal(t, len(r.Fresh(start.Add(shareDelay))), 1)
+	assert.Equal(t, len(r.TakeUnsent(start.Add(shareDelay))), 1)
 }
 
 // TestHeldNamesTheEvidence checks the list of contents that operators are shown.
@@ -258,9 +258,9 @@
 	r.Crashed(start, 0xab, up("a"), 0)
 	r.Crashed(start, 0xab, up("b"), 0)
 	r.Crashed(start, 0xcd, up("a"), 3)
-	held := r.Held(start.Add(time.Minute))
-	assert.DeepEqual(t, held, []Held{
-		{Content: "00000000000000ab", Standing: "quarantined", Crashes: 2, Early: 2, LeftSeconds: 540, Upstreams: []ident.UpstreamID{"a", "b"}},
+	held := r.List(start.Add(time.Minute))
+	assert.DeepEqual(t, held, []ContentStatus{
+		{Content: "00000000000000ab", Standing: "quarantined", Crashes: 2, Early: 2, RemainingSeconds: 540, Upstreams: []ident.UpstreamID{"a", "b"}},
 		{Content: "00000000000000cd", Standing: "suspect", Crashes: 1, Upstreams: []ident.UpstreamID{"a"}},
 	})
 }
@@ -279,8 +279,8 @@
 	trials.End(1, "x")
 	assert.Assert(t, trials.Begin(start, 1, "y", time.Second))
 	assert.Assert(t, trials.Begin(start.Add(time.Second), 1, "x", time.Second))
-	assert.Assert(t, !trials.Begin(start.Add(TrialMost-1), 2, "x", time.Second))
-	assert.Assert(t, trials.Begin(start.Add(TrialMost), 2, "x", time.Second))
+	assert.Assert(t, !trials.Begin(start.Add(MaxTrialTime-1), 2, "x", time.Second))
+	assert.Assert(t, trials.Begin(start.Add(MaxTrialTime), 2, "x", time.Second))
 	for c := range Content(2 * maxTrials) {
 		trials.Begin(start.Add(time.Hour), 10+c, "x", time.Second)
 	}
--- a/gateway/quarantine/share.go
+++ b/gateway/quarantine/share.go
@@ -35,18 +35,18 @@
 // maxRecordsPerMessage bounds the number of records in one message. A record takes about 35 bytes.
 const maxRecordsPerMessage = 256
 
-// Fresh returns the records of this instance that are due to be sent to all other instances, and
+// TakeUnsent returns the records of this instance that are due to be sent to all other instances, and
 // marks them as shared. It returns each record only once.
-func (r *Register) Fresh(now time.Time) []Crash {
+func (r *Register) TakeUnsent(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Crash
 	var later []*record
 	for _, k := range r.unsent {
 		switch {
-		case k.Made > 0 && now.Sub(k.detectedAt) < shareDelay && !k.Cleared:
+		case k.Events > 0 && now.Sub(k.detectedAt) < shareDelay && !k.Cleared:
 			later = append(later, k)
-		case k.removed, k.Made > 0 && k.Cleared:
+		case k.removed, k.Events > 0 && k.Cleared:
 			// The content did not cause the crash, so no other instance needs the record.
 		default:
 			r.share(k)
@@ -57,8 +57,8 @@
 	return out
 }
 
-// HasUntold reports whether there are records that Fresh may return now or later.
-func (r *Register) HasUntold() bool {
+// HasUnsent reports whether there are records that TakeUnsent may return now or later.
+func (r *Register) HasUnsent() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.unsent) > 0
@@ -71,8 +71,8 @@
 	return c
 }
 
-// Tell returns the shared records, newest first and at most maxRecordsPerMessage.
-func (r *Register) Tell(now time.Time) []Crash {
+// SharedRecords returns the shared records, newest first and at most maxRecordsPerMessage.
+func (r *Register) SharedRecords(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Crash
@@ -89,8 +89,8 @@
 	return out[:min(len(out), maxRecordsPerMessage)]
 }
 
-// TellOf returns all records of a content, and marks them as shared.
-func (r *Register) TellOf(now time.Time, c Content) []Crash {
+// ShareContent returns all records of a content, and marks them as shared.
+func (r *Register) ShareContent(now time.Time, c Content) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Crash
@@ -101,8 +101,8 @@
 	return out
 }
 
-// Hear adds the records that a peer sent, and returns those that were not yet known.
-func (r *Register) Hear(now time.Time, received []Crash) []Crash {
+// Merge adds the records that a peer sent, and returns those that were not yet known.
+func (r *Register) Merge(now time.Time, received []Crash) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var added []Crash
--- a/gateway/quarantine/trials.go
+++ b/gateway/quarantine/trials.go
@@ -10,11 +10,11 @@
 const (
 	// maxTrials bounds the number of trials that one instance tracks at the same time.
 	maxTrials = 1024
-	// TrialMost is the longest time that a trial duration if its holder doesn't end it, which happens
+	// MaxTrialTime is the longest duration of a trial if its holder doesn't end it, which happens
 	// if the holder has crashed. The first event of a stream shows whether the content is harmless,
 	// and is due within a second. A stream that its caller resumes may wait a few seconds for
 	// capacity.
-	TrialMost = 5 * time.Second
+	MaxTrialTime = 5 * time.Second
 )
 
 // Trials tracks the attempts with suspect contents that one instance has allowed, at most one at a
@@ -49,7 +49,7 @@
 	if len(t.active) >= maxTrials {
 		return false
 	}
-	t.active[c] = trial{holder: holder, until: now.Add(min(duration, TrialMost))}
+	t.active[c] = trial{holder: holder, until: now.Add(min(duration, MaxTrialTime))}
 	return true
 }
 
--- a/gateway/quarantine/verdict.go
+++ b/gateway/quarantine/verdict.go
@@ -39,8 +39,8 @@
 	// Crashes counts the upstreams that crashed while running the content, Early those of them
 	// that crashed before the content had produced an event.
 	Crashes, Early int
-	// Left is the remaining time of a quarantine, 0 for other standings.
-	Left time.Duration
+	// Remaining is the remaining time of a quarantine, 0 for other standings.
+	Remaining time.Duration
 	// Upstreams are the upstreams that crashed.
 	Upstreams []ident.UpstreamID
 }
@@ -54,7 +54,7 @@
 			continue
 		}
 		v.Crashes++
-		if k.Made == 0 {
+		if k.Events == 0 {
 			v.Early++
 		}
 		if k.detectedAt.After(last) {
@@ -62,14 +62,14 @@
 		}
 		v.Upstreams = append(v.Upstreams, k.Upstream)
 	}
-	v.Left = last.Add(v.quarantinePeriod()).Sub(now)
+	v.Remaining = last.Add(v.quarantinePeriod()).Sub(now)
 	switch {
 	case v.Crashes == 0:
 		return Verdict{}
-	case v.quarantinePeriod() > 0 && v.Left > 0:
+	case v.quarantinePeriod() > 0 && v.Remaining > 0:
 		v.Standing = Quarantined
 	case now.Before(last.Add(v.quarantinePeriod() + suspectPeriod)):
-		v.Standing, v.Left = Suspect, 0
+		v.Standing, v.Remaining = Suspect, 0
 	default:
 		return Verdict{}
 	}
--- a/gateway/reports.go
+++ b/gateway/reports.go
@@ -47,7 +47,7 @@
 		}
 		assigned := map[ident.UpstreamID]bool{}
 		for _, list := range s.Upstreams {
-			for _, u := range g.books.Trials(clock.Now(), list) {
+			for _, u := range g.books.ProbeCandidates(clock.Now(), list) {
 				go g.probe(ctx, u)
 			}
 			for _, u := range g.node.AssignedInZone(dutyReport, dialect.StageDecode, list) {
@@ -69,20 +69,20 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r, err := g.dialect.Report(ctx, u)
-	if err == nil && !g.carrier.Reported(u, r) {
+	if err == nil && !g.carrier.ObserveReport(u, r) {
 		return
 	}
 	var replaced *dialect.ReplacedError
 	switch {
 	case errors.As(err, &replaced):
-		g.books.Replaced(u)
+		g.books.RecordReplacement(u)
 		g.log.Warn("upstream replaced", "upstream", u.ID, "address", u.Address)
 	case err != nil:
-		g.books.Failed(clock.Now(), u, carry.Unreached(err))
+		g.books.RecordFailure(clock.Now(), u, carry.ClassifyUnreachable(err))
 		g.log.Info("probe failed", "upstream", u.ID, "error", err)
 	case r.Stage != u.Stage:
 		// The engine has changed its stage since the list of upstreams was read.
-		g.books.Failed(clock.Now(), u, schedule.Misdirected)
+		g.books.RecordFailure(clock.Now(), u, schedule.Misdirected)
 		g.log.Info("engine has another stage than listed", "upstream", u.ID, "listed", u.Stage, "stage", r.Stage)
 	default:
 		g.books.Readmit(clock.Now(), u)
@@ -99,13 +99,13 @@
 		g.log.Info("load report failed", "upstream", u.ID, "error", err)
 		return
 	}
-	if !g.carrier.Reported(u, r) {
+	if !g.carrier.ObserveReport(u, r) {
 		return
 	}
-	g.books.Heard(clock.Now(), u)
-	unexplained := g.books.Reported(clock.Now(), u, r)
+	g.books.RecordContact(clock.Now(), u)
+	unexplained := g.books.RecordReport(clock.Now(), u, r)
 	if unexplained > 0 || r.Switching {
-		g.log.Info("report", "upstream", u.ID, "used", r.UsedTokens, "held", r.HeldTokens, "running", r.Running,
+		g.log.Info("report", "upstream", u.ID, "used", r.UsedTokens, "held", r.ReservedTokens, "running", r.Running,
 			"waiting", r.Waiting, "switching", r.Switching, "unexplained", unexplained)
 	}
 }
--- a/gateway/routing/config.go
+++ b/gateway/routing/config.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Weighted is a service and its share of a route's requests.
-type Weighted struct {
+// WeightedService is a service and its share of a route's requests.
+type WeightedService struct {
 	Service string `json:"service"`
 	// Weight is the service's share, relative to the weights of the route's other services.
 	Weight int `json:"weight"`
@@ -60,7 +60,7 @@
 	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int `json:"priority"`
 	// Services are the services that the requests are distributed to, by weight.
-	Services []Weighted `json:"services"`
+	Services []WeightedService `json:"services"`
 	// MaxAttempts is how many upstreams may run one request.
 	MaxAttempts int `json:"max_attempts"`
 	// Resumable means that a stream may continue at another upstream after the last event that
@@ -84,16 +84,16 @@
 	Slots int `json:"slots"`
 	// KVTokens is the KV cache memory of one engine, in tokens.
 	KVTokens int `json:"kv_tokens"`
-	// Stride is how many tokens one event of a stream holds.
-	Stride int `json:"stride"`
+	// TokensPerEvent is how many tokens one event of a stream holds.
+	TokensPerEvent int `json:"stride"`
 	// HandleTTL is how long an engine keeps a prefill result that is not fetched.
 	HandleTTL time.Duration `json:"handle_ttl"`
 	// SwitchTime is how long an engine serves no requests while it changes its stage.
 	SwitchTime time.Duration `json:"switch_time"`
-	// HoldTTL is the longest time for which memory can be reserved.
-	HoldTTL time.Duration `json:"hold_ttl"`
-	// Migrates means that the engines can move running requests to each other.
-	Migrates bool `json:"migrates,omitempty"`
+	// ReservationTTL is the longest time for which memory can be reserved.
+	ReservationTTL time.Duration `json:"hold_ttl"`
+	// SupportsMigration means that the engines can move running requests to each other.
+	SupportsMigration bool `json:"migrates,omitempty"`
 }
 
 // Service is a group of interchangeable upstreams.
@@ -128,7 +128,7 @@
 	Routes   []Route            `json:"routes"`
 	Services map[string]Service `json:"services"`
 	Limits   Limits             `json:"limits"`
-	// Keyed means that callers need a workspace's key, except on public routes.
-	Keyed      bool        `json:"keyed,omitempty"`
-	Workspaces []Workspace `json:"workspaces,omitempty"`
+	// KeysRequired means that callers need a workspace's key, except on public routes.
+	KeysRequired bool        `json:"keyed,omitempty"`
+	Workspaces   []Workspace `json:"workspaces,omitempty"`
 }
--- a/gateway/routing/table.go
+++ b/gateway/routing/table.go
@@ -37,8 +37,8 @@
 	return t
 }
 
-// Named returns the workspace with the given name, or nil if there is none.
-func (t *Table) Named(workspace string) *Workspace {
+// WorkspaceByName returns the workspace with the given name, or nil if there is none.
+func (t *Table) WorkspaceByName(workspace string) *Workspace {
 	for i := range t.config.Workspaces {
 		if w := &t.config.Workspaces[i]; w.Name == workspace {
 			return w
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Workspace returns the workspace that has the given key, or nil if none has it.
-func (t *Table) Workspace(key KeyDigest) *Workspace { return t.byKey[key] }
+// WorkspaceByKey returns the workspace that has the given key, or nil if none has it.
+func (t *Table) WorkspaceByKey(key KeyDigest) *Workspace { return t.byKey[key] }
 
 // Config returns the configuration that the table was built from.
 func (t *Table) Config() *Config { return t.config }
--- a/gateway/routing/table_test.go
+++ b/gateway/routing/table_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestChooseFollowsTheWeights(t *testing.T) {
-	r := Route{Services: []Weighted{{Service: "a", Weight: 9}, {Service: "b", Weight: 1}, {Service: "c"}}}
+	r := Route{Services: []WeightedService{{Service: "a", Weight: 9}, {Service: "b", Weight: 1}, {Service: "c"}}}
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := map[string]int{}
 	for range 10000 {
--- a/gateway/routing/workspace.go
+++ b/gateway/routing/workspace.go
@@ -60,12 +60,12 @@
 	// Burst is how many units may be used at once after a time without requests.
 	Burst float64 `json:"burst,omitempty"`
 	Unit  Unit    `json:"unit,omitempty"`
-	// Plain is the cost of a request that does not state its tokens.
-	Plain int `json:"plain,omitempty"`
+	// DefaultCost is the cost of a request that does not state its tokens.
+	DefaultCost int `json:"plain,omitempty"`
 }
 
-// Bounds reports whether the workspace has a limit.
-func (l Limit) Bounds() bool { return l.Rate > 0 }
+// Enabled reports whether the workspace has a limit.
+func (l Limit) Enabled() bool { return l.Rate > 0 }
 
 // Workspace is a group of callers who share keys.
 type Workspace struct {
--- a/gateway/schedule/away.go
+++ b/gateway/schedule/away.go
@@ -7,11 +7,11 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Refuses records that an engine rejected a request for which it had reserved memory, or the
+// RecordRejection records that an engine rejected a request for which it had reserved memory, or the
 // transfer of a prefill result that it had just computed. The engine gets no requests for a
 // while, from this instance and from its peers. The time doubles with each rejection in a row,
 // from minRejectionBackoff to maxRejectionBackoff.
-func (b *Books) Refuses(now time.Time, u dialect.Upstream) {
+func (b *Scheduler) RecordRejection(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.recordOf(u)
@@ -22,17 +22,17 @@
 	rec.rejections++
 }
 
-// Kept records that an engine accepted a request or transfer that it had reserved. It resets
+// RecordAcceptance records that an engine accepted a request or transfer that it had reserved. It resets
 // the count of rejections in a row.
-func (b *Books) Kept(u dialect.Upstream) {
+func (b *Scheduler) RecordAcceptance(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.recordOf(u).rejections = 0
 }
 
-// Switching records that an engine was ordered to change its stage. Until the change is
+// RecordStageOrder records that an engine was ordered to change its stage. Until the change is
 // complete the engine accepts reservations but rejects requests.
-func (b *Books) Switching(now time.Time, id ident.UpstreamID, to dialect.Stage) {
+func (b *Scheduler) RecordStageOrder(now time.Time, id ident.UpstreamID, to dialect.Stage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if rec := b.records[id]; rec != nil {
@@ -54,56 +54,56 @@
 	return rec.pendingStage != "" && rec.pendingStage != rec.up.Stage && now.Before(rec.pendingUntil)
 }
 
-// Away lists the engines that get no new requests at present, as instances exchange it with
+// UnavailableEngines lists the engines that get no new requests at present, as instances exchange it with
 // their peers.
-type Away struct {
-	// Refusing holds how much longer each engine gets no requests.
-	Refusing map[ident.UpstreamID]time.Duration
-	// Switching holds the stage that each engine was ordered to change to.
-	Switching map[ident.UpstreamID]dialect.Stage
+type UnavailableEngines struct {
+	// Rejecting holds how much longer each engine gets no requests.
+	Rejecting map[ident.UpstreamID]time.Duration
+	// PendingStages holds the stage that each engine was ordered to change to.
+	PendingStages map[ident.UpstreamID]dialect.Stage
 }
 
-// Away returns the unavailable engines that this instance itself has detected. What peers
+// OwnUnavailable returns the unavailable engines that this instance itself has detected. What peers
 // reported is not passed on, except for ordered stage changes.
-func (b *Books) Away(now time.Time) Away {
+func (b *Scheduler) OwnUnavailable(now time.Time) UnavailableEngines {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := Away{Refusing: map[ident.UpstreamID]time.Duration{}, Switching: map[ident.UpstreamID]dialect.Stage{}}
+	a := UnavailableEngines{Rejecting: map[ident.UpstreamID]time.Duration{}, PendingStages: map[ident.UpstreamID]dialect.Stage{}}
 	for id, rec := range b.records {
 		if now.Before(rec.rejectingUntil) {
-			a.Refusing[id] = rec.rejectingUntil.Sub(now)
+			a.Rejecting[id] = rec.rejectingUntil.Sub(now)
 		}
 		if rec.replaced {
-			a.Refusing[id] = maxRejectionBackoff
+			a.Rejecting[id] = maxRejectionBackoff
 		} else if rec.knownDown(now) {
-			a.Refusing[id] = max(minRejectionBackoff, rec.ejectedUntil.Sub(now))
+			a.Rejecting[id] = max(minRejectionBackoff, rec.ejectedUntil.Sub(now))
 		}
 		if rec.changingStage(now) {
-			a.Switching[id] = rec.pendingStage
+			a.PendingStages[id] = rec.pendingStage
 		}
 	}
 	return a
 }
 
-// SetAway records the unavailable engines that peers have detected.
-func (b *Books) SetAway(now time.Time, a Away) {
+// SetPeersUnavailable records the unavailable engines that peers have detected.
+func (b *Scheduler) SetPeersUnavailable(now time.Time, a UnavailableEngines) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, remaining := range a.Refusing {
+	for id, remaining := range a.Rejecting {
 		if rec := b.records[id]; rec != nil {
 			rec.peerRejectingUntil = now.Add(min(maxRejectionBackoff, remaining))
 		}
 	}
-	for id, stage := range a.Switching {
+	for id, stage := range a.PendingStages {
 		if rec := b.records[id]; rec != nil && rec.pendingStage != stage {
 			rec.pendingStage, rec.pendingUntil = stage, now.Add(stageChangeTimeout)
 		}
 	}
 }
 
-// Staged returns a copy of list in which engines with a pending stage change have their new
+// WithPendingStages returns a copy of list in which engines with a pending stage change have their new
 // stage.
-func (b *Books) Staged(now time.Time, list []dialect.Upstream) []dialect.Upstream {
+func (b *Scheduler) WithPendingStages(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	staged := append([]dialect.Upstream(nil), list...)
--- a/gateway/schedule/books.go
+++ b/gateway/schedule/books.go
@@ -113,9 +113,9 @@
 	fullTokens int
 }
 
-// Books holds the load and health of all upstreams and places requests on them. It is safe for
+// Scheduler holds the load and health of all upstreams and places requests on them. It is safe for
 // concurrent use.
-type Books struct {
+type Scheduler struct {
 	zone ident.Zone
 
 	mu           sync.Mutex
@@ -145,10 +145,10 @@
 	reportAge      time.Duration
 }
 
-// NewBooks returns Books without any upstreams for an instance in the given zone. seed seeds
+// NewScheduler returns a Scheduler without any upstreams for an instance in the given zone. seed seeds
 // the random choice between similar upstreams.
-func NewBooks(zone ident.Zone, seed uint64) *Books {
-	return &Books{
+func NewScheduler(zone ident.Zone, seed uint64) *Scheduler {
+	return &Scheduler{
 		zone: zone, records: map[ident.UpstreamID]*upstreamRecord{}, active: map[ident.UpstreamID]bool{},
 		random: rand.New(rand.NewPCG(seed, seed)), performances: map[string]*enginePerformance{}, demands: map[string]*demand{}, suspicions: map[ident.Zone]*zoneSuspicion{}, arrivals: map[string]*arrivals{}, offeredRates: map[string]float64{},
 	}
@@ -158,7 +158,7 @@
 // the same ID gets a new record, without the requests and failures of the former one. For an
 // older incarnation it returns a record that is not stored, so that late results of it are
 // dropped. The caller holds mu.
-func (b *Books) recordOf(u dialect.Upstream) *upstreamRecord {
+func (b *Scheduler) recordOf(u dialect.Upstream) *upstreamRecord {
 	rec := b.records[u.ID]
 	if rec != nil && u.Restarted(rec.up.Incarnation) {
 		// Results of a former incarnation are dropped.
@@ -177,8 +177,8 @@
 	return &upstreamRecord{up: u, success: 1, startTimes: map[uint64]time.Time{}, streams: map[uint64]runningStream{}, computeTokens: map[uint64]int{}}
 }
 
-// Restarted records that an upstream has restarted under the same ID.
-func (b *Books) Restarted(u dialect.Upstream) {
+// RecordRestart records that an upstream has restarted under the same ID.
+func (b *Scheduler) RecordRestart(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.recordOf(u)
@@ -196,7 +196,7 @@
 
 // place adds a request with the given number of tokens to compute to an upstream's load. The
 // caller holds mu.
-func (b *Books) place(now time.Time, rec *upstreamRecord, tokens int) Ticket {
+func (b *Scheduler) place(now time.Time, rec *upstreamRecord, tokens int) Ticket {
 	b.lastNumber++
 	b.active[rec.up.ID] = true
 	b.coldLimits[rec.up.ID].take()
@@ -209,7 +209,7 @@
 
 // Done removes a placement from its upstream's load. Further calls for the same ticket have no
 // effect.
-func (b *Books) Done(t Ticket) {
+func (b *Scheduler) Done(t Ticket) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.records[t.Upstream.ID]
@@ -228,7 +228,7 @@
 
 // usable reports whether an upstream accepts new requests, has quota left if it is cold, and is
 // not excluded. The caller holds mu.
-func (b *Books) usable(now time.Time, u dialect.Upstream, exclude []ident.UpstreamID) bool {
+func (b *Scheduler) usable(now time.Time, u dialect.Upstream, exclude []ident.UpstreamID) bool {
 	if u.Leaving || !b.coldLimits[u.ID].allows(now) {
 		return false
 	}
@@ -247,16 +247,16 @@
 	Tokens int
 	// Memory is the forecast of the memory that requests take at a decode engine.
 	Memory Forecast
-	// Unexplained is the memory that an engine reported beyond that of all known requests, in
+	// UnaccountedMemory is the memory that an engine reported beyond that of all known requests, in
 	// tokens.
-	Unexplained int
-	// Pace is the recent throughput of a prefill engine, as a 1-based bucket of Paces; 0 if
+	UnaccountedMemory int
+	// ThroughputBucket is the recent throughput of a prefill engine, as a 1-based bucket of Throughputs; 0 if
 	// unknown.
-	Pace int
+	ThroughputBucket int
 }
 
 // SetPeers records the load that peers have in flight. It replaces the former report.
-func (b *Books) SetPeers(now time.Time, peers map[ident.UpstreamID]*InFlight) {
+func (b *Scheduler) SetPeers(now time.Time, peers map[ident.UpstreamID]*InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.firstPeerReport.IsZero() {
@@ -278,8 +278,8 @@
 			f = &InFlight{}
 		}
 		rec.peerRequests, rec.peerTokens, rec.peerForecast = f.Requests, f.Tokens, f.Memory
-		rec.peerUnaccounted = f.Unexplained
-		rec.peerThroughput.update(now, f.Pace)
+		rec.peerUnaccounted = f.UnaccountedMemory
+		rec.peerThroughput.update(now, f.ThroughputBucket)
 		b.recordMemory(now, rec)
 	}
 }
@@ -291,9 +291,9 @@
 		rec.peerUnaccounted == 0 && rec.peerForecast == Forecast{} && rec.ownUnaccounted(now) == 0 && !rec.ownThroughput.fresh(now)
 }
 
-// Own returns the load that this instance has in flight, by upstream. Upstreams without any are
+// OwnLoad returns the load that this instance has in flight, by upstream. Upstreams without any are
 // left out.
-func (b *Books) Own(now time.Time) map[ident.UpstreamID]InFlight {
+func (b *Scheduler) OwnLoad(now time.Time) map[ident.UpstreamID]InFlight {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := map[ident.UpstreamID]InFlight{}
@@ -302,9 +302,9 @@
 		if rec == nil {
 			continue
 		}
-		f := InFlight{Requests: rec.requests, Tokens: rec.tokens, Memory: b.ownForecast(rec), Unexplained: rec.ownUnaccounted(now)}
+		f := InFlight{Requests: rec.requests, Tokens: rec.tokens, Memory: b.ownForecast(rec), UnaccountedMemory: rec.ownUnaccounted(now)}
 		if rec.ownThroughput.fresh(now) {
-			f.Pace = rec.ownThroughput.bucket
+			f.ThroughputBucket = rec.ownThroughput.bucket
 		}
 		if f != (InFlight{}) {
 			own[id] = f
@@ -315,7 +315,7 @@
 
 // ownForecast returns the memory forecast of this instance's requests at an engine. The caller
 // holds mu.
-func (b *Books) ownForecast(rec *upstreamRecord) Forecast {
+func (b *Scheduler) ownForecast(rec *upstreamRecord) Forecast {
 	var f Forecast
 	r := b.performanceOf(rec.up.Service)
 	for _, s := range rec.streams {
@@ -324,9 +324,9 @@
 	return f
 }
 
-// Keep removes the upstreams that are no longer listed and have no requests of this instance in
+// RemoveUnlisted removes the upstreams that are no longer listed and have no requests of this instance in
 // flight.
-func (b *Books) Keep(listed map[ident.UpstreamID]bool) {
+func (b *Scheduler) RemoveUnlisted(listed map[ident.UpstreamID]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, rec := range b.records {
@@ -336,9 +336,9 @@
 	}
 }
 
-// Busy returns the number of requests known to be in flight at an upstream, including those of
+// RequestCount returns the number of requests known to be in flight at an upstream, including those of
 // peers.
-func (b *Books) Busy(id ident.UpstreamID) int {
+func (b *Scheduler) RequestCount(id ident.UpstreamID) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.records[id]
--- a/gateway/schedule/books_test.go
+++ b/gateway/schedule/books_test.go
@@ -35,10 +35,10 @@
 	return out
 }
 
-var engine = &routing.Engine{Slots: 64, KVTokens: 90000, Stride: 64}
+var engine = &routing.Engine{Slots: 64, KVTokens: 90000, TokensPerEvent: 64}
 
 func TestRequestsSpreadOverAService(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := service("x", "y", "z")
 	counts := map[ident.UpstreamID]int{}
 	for range 9 {
@@ -50,7 +50,7 @@
 }
 
 func TestPeersRequestsCount(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := service("x", "y")
 	first, _ := b.PickService(at(0), list, false, nil)
 	b.Done(first)
@@ -62,7 +62,7 @@
 }
 
 func TestLeavingAndExcludedGetNothing(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := service("x", "y", "z")
 	list[0].Leaving = true
 	for range 5 {
@@ -78,10 +78,10 @@
 // must not be repeated. An upstream that reset connections is ejected. Once the ejection time
 // has passed, only a repeatable request retries it, and a success ends the ejection.
 func TestFailedUpstreamIsTriedByRepeatableRequestsFirst(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := service("x", "y")
-	assert.Assert(t, !b.Failed(at(0), list[0], Hard))
-	assert.Assert(t, b.Failed(at(0), list[0], Hard))
+	assert.Assert(t, !b.RecordFailure(at(0), list[0], Hard))
+	assert.Assert(t, b.RecordFailure(at(0), list[0], Hard))
 	pick := func(ms int, repeatable bool) ident.UpstreamID {
 		ticket, ok := b.PickService(at(ms), list, repeatable, nil)
 		assert.Assert(t, ok)
@@ -91,8 +91,8 @@
 	assert.Equal(t, pick(100, true), ident.UpstreamID("y"))
 	assert.Equal(t, pick(600, false), ident.UpstreamID("y"))
 	assert.Equal(t, pick(600, true), ident.UpstreamID("x"))
-	b.Answered(at(0), list[0], 50*time.Millisecond)
-	b.Answered(at(0), list[1], 50*time.Millisecond)
+	b.RecordSuccess(at(0), list[0], 50*time.Millisecond)
+	b.RecordSuccess(at(0), list[1], 50*time.Millisecond)
 	seen := map[ident.UpstreamID]bool{}
 	for range 4 {
 		ticket, ok := b.PickService(at(700), list, false, nil)
@@ -104,12 +104,12 @@
 
 // TestEjectionGrows checks that a failed retry ejects the upstream again, for longer.
 func TestEjectionGrows(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	u := service("x")[0]
-	assert.Assert(t, b.Failed(at(0), u, Unreachable))
+	assert.Assert(t, b.RecordFailure(at(0), u, Unreachable))
 	assert.Equal(t, b.records["x"].state(at(499)), stateEjected)
 	assert.Equal(t, b.records["x"].state(at(501)), stateRetry)
-	assert.Assert(t, b.Failed(at(501), u, Hard))
+	assert.Assert(t, b.RecordFailure(at(501), u, Hard))
 	assert.Equal(t, b.records["x"].state(at(1400)), stateEjected)
 	assert.Equal(t, b.records["x"].state(at(1502)), stateRetry)
 }
@@ -117,10 +117,10 @@
 // TestAllEjectedStillServes checks that with all upstreams ejected, the one whose ejection ends
 // first is used.
 func TestAllEjectedStillServes(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := service("x", "y")
-	b.Failed(at(0), list[0], Unreachable)
-	b.Failed(at(100), list[1], Unreachable)
+	b.RecordFailure(at(0), list[0], Unreachable)
+	b.RecordFailure(at(100), list[1], Unreachable)
 	ticket, ok := b.PickService(at(150), list, false, nil)
 	assert.Assert(t, ok)
 	assert.Equal(t, ticket.Upstream.ID, ident.UpstreamID("x"))
@@ -129,10 +129,10 @@
 // TestSilentUpstreamIsAvoided checks that an upstream with an overdue request gets no further
 // ones, before any request to it has failed.
 func TestSilentUpstreamIsAvoided(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := service("x", "y")
 	for _, u := range list {
-		b.Answered(at(0), u, 20*time.Millisecond)
+		b.RecordSuccess(at(0), u, 20*time.Millisecond)
 	}
 	stuck, _ := b.PickService(at(0), list, false, nil)
 	for range 5 {
@@ -142,11 +142,11 @@
 }
 
 func TestDoneTwiceCountsOnce(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	ticket, _ := b.PickService(at(0), service("x"), false, nil)
 	b.Done(ticket)
 	b.Done(ticket)
-	assert.Equal(t, b.Busy("x"), 0)
+	assert.Equal(t, b.RequestCount("x"), 0)
 }
 
 // TestRefusingEngineIsPassedOver checks that an engine that rejected a request despite a
@@ -154,17 +154,17 @@
 // reported.
 func TestRefusingEngineIsPassedOver(t *testing.T) {
 	list := engines(0, 2)
-	here, peer := NewBooks("a", 1), NewBooks("a", 2)
+	here, peer := NewScheduler("a", 1), NewScheduler("a", 2)
 	size := Size{Prompt: 5000, Estimate: 4000}
-	for _, b := range []*Books{here, peer} {
+	for _, b := range []*Scheduler{here, peer} {
 		ticket, _ := b.PlaceDecode(at(0), list, engine, size, nil)
 		b.Done(ticket)
 		b.recordOf(list[0])
 		b.recordOf(list[1])
 	}
-	here.Refuses(at(0), list[0])
-	peer.SetAway(at(100), here.Away(at(100)))
-	for _, b := range []*Books{here, peer} {
+	here.RecordRejection(at(0), list[0])
+	peer.SetPeersUnavailable(at(100), here.OwnUnavailable(at(100)))
+	for _, b := range []*Scheduler{here, peer} {
 		for range 6 {
 			ticket, ok := b.PlaceDecode(at(200), list, engine, size, nil)
 			assert.Assert(t, ok)
@@ -180,15 +180,15 @@
 // TestSwitchingEngineIsPassedOver checks that an engine that was ordered to change its stage
 // gets no requests until the store lists it with the new stage.
 func TestSwitchingEngineIsPassedOver(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(1, 1)
 	size := Size{Prompt: 100, Estimate: 100}
 	ticket, _ := b.PlaceDecode(at(0), list, engine, size, nil)
 	b.Done(ticket)
-	b.Switching(at(0), list[1].ID, dialect.StagePrefill)
+	b.RecordStageOrder(at(0), list[1].ID, dialect.StagePrefill)
 	_, ok := b.PlaceDecode(at(5000), list, engine, size, nil)
 	assert.Assert(t, !ok)
-	staged := b.Staged(at(5000), list)
+	staged := b.WithPendingStages(at(5000), list)
 	assert.Equal(t, staged[1].Stage, dialect.StagePrefill)
 	list[1].Stage = dialect.StagePrefill
 	_, ok = b.PlacePrefill(at(5100), list[1:], 100, "a", nil)
@@ -198,52 +198,52 @@
 // TestFewEnginesOfACutZoneAreProbed guards against an instance probing every engine of a zone
 // that is suspected to be unreachable.
 func TestFewEnginesOfACutZoneAreProbed(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 1000)
 	for i := range list {
 		list[i].Zone = "z"
 	}
-	assert.Equal(t, len(b.Trials(at(0), list)), 0)
-	b.Failed(at(0), list[0], Unreachable)
-	b.Failed(at(100), list[1], Unreachable)
+	assert.Equal(t, len(b.ProbeCandidates(at(0), list)), 0)
+	b.RecordFailure(at(0), list[0], Unreachable)
+	b.RecordFailure(at(100), list[1], Unreachable)
 	probed := map[ident.UpstreamID]bool{}
 	for range 10 {
-		trials := b.Trials(at(200), list)
+		trials := b.ProbeCandidates(at(200), list)
 		assert.Assert(t, len(trials) > 0 && len(trials) <= 5, "%d probed", len(trials))
 		for _, u := range trials {
 			probed[u.ID] = true
 		}
 	}
 	assert.Assert(t, len(probed) > 5, "only the same %d engines are probed", len(probed))
-	b.Heard(at(300), list[2])
-	assert.Equal(t, len(b.Trials(at(400), list)), 0)
+	b.RecordContact(at(300), list[2])
+	assert.Equal(t, len(b.ProbeCandidates(at(400), list)), 0)
 }
 
 // TestZoneThatSeemsCutOff checks that after two unreachable upstreams in another zone the whole
 // zone is avoided until one of its upstreams responds. The instance's own zone is never
 // suspected.
 func TestZoneThatSeemsCutOff(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 5)
 	for i := range list[:4] {
 		list[i].Zone = "z"
 	}
 	size := Size{Prompt: 100, Estimate: 100}
-	b.Failed(at(0), list[0], Unreachable)
-	b.Failed(at(100), list[1], Unreachable)
+	b.RecordFailure(at(0), list[0], Unreachable)
+	b.RecordFailure(at(100), list[1], Unreachable)
 	for range 20 {
 		ticket, ok := b.PlaceDecode(at(200), list, engine, size, nil)
 		assert.Assert(t, ok)
 		assert.Equal(t, ticket.Upstream.ID, list[4].ID)
 	}
-	assert.Equal(t, len(b.Trials(at(200), list)), 2, "engines probed in the suspected zone")
+	assert.Equal(t, len(b.ProbeCandidates(at(200), list)), 2, "engines probed in the suspected zone")
 	b.Readmit(at(300), list[2])
 	_, ok := b.PlaceDecode(at(400), list[2:3], engine, size, nil)
 	assert.Assert(t, ok)
-	assert.Equal(t, len(b.Trials(at(400), list)), 0)
-	own := NewBooks("z", 1)
-	own.Failed(at(0), list[0], Unreachable)
-	own.Failed(at(0), list[1], Unreachable)
+	assert.Equal(t, len(b.ProbeCandidates(at(400), list)), 0)
+	own := NewScheduler("z", 1)
+	own.RecordFailure(at(0), list[0], Unreachable)
+	own.RecordFailure(at(0), list[1], Unreachable)
 	_, ok = own.PlaceDecode(at(10), list[2:3], engine, size, nil)
 	assert.Assert(t, ok)
 }
@@ -251,13 +251,13 @@
 // TestReadmittedEngineIsEjectedBySingleFailures guards against an engine that answers probes
 // but fails requests. Each failure ejects it for longer.
 func TestReadmittedEngineIsEjectedBySingleFailures(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	u := engines(0, 1)[0]
-	b.Failed(at(0), u, Hard)
-	assert.Assert(t, b.Failed(at(0), u, Hard))
+	b.RecordFailure(at(0), u, Hard)
+	assert.Assert(t, b.RecordFailure(at(0), u, Hard))
 	b.Readmit(at(600), u)
 	assert.Equal(t, b.records[u.ID].state(at(600)), stateHealthy)
-	assert.Assert(t, b.Failed(at(700), u, Hard))
+	assert.Assert(t, b.RecordFailure(at(700), u, Hard))
 	assert.Equal(t, b.records[u.ID].state(at(1600)), stateEjected)
 }
 
@@ -265,21 +265,21 @@
 // While one request retries the only upstream, to which a connection has failed, others are
 // refused at once. An upstream that fails in other ways remains in use.
 func TestOutOfReachIsRefusedAtOnce(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := service("x")
-	b.Failed(at(0), list[0], Unreachable)
+	b.RecordFailure(at(0), list[0], Unreachable)
 	first, ok := b.PickService(at(100), list, false, nil)
 	assert.Assert(t, ok)
 	_, ok = b.PickService(at(110), list, false, nil)
 	assert.Assert(t, !ok)
 	b.Done(first)
-	b.Answered(at(200), list[0], time.Millisecond)
+	b.RecordSuccess(at(200), list[0], time.Millisecond)
 	for range 3 {
 		_, ok = b.PickService(at(210), list, false, nil)
 		assert.Assert(t, ok)
 	}
-	b.Failed(at(300), list[0], Hard)
-	b.Failed(at(300), list[0], Hard)
+	b.RecordFailure(at(300), list[0], Hard)
+	b.RecordFailure(at(300), list[0], Hard)
 	_, ok = b.PickService(at(310), list, false, nil)
 	assert.Assert(t, ok)
 }
@@ -287,71 +287,71 @@
 // TestReplacedUpstreamGetsNothing checks that an upstream whose address another incarnation
 // uses gets no requests or probes, even if it is the only one and still listed.
 func TestReplacedUpstreamGetsNothing(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := service("x")
-	b.Replaced(list[0])
+	b.RecordReplacement(list[0])
 	_, ok := b.PickService(at(0), list, true, nil)
 	assert.Assert(t, !ok)
 	prefill := engines(1, 0)
-	b.Replaced(prefill[0])
+	b.RecordReplacement(prefill[0])
 	_, ok = b.PlacePrefill(at(0), prefill, 100, "a", nil)
 	assert.Assert(t, !ok)
-	assert.Equal(t, len(b.Trials(at(0), prefill)), 0)
+	assert.Equal(t, len(b.ProbeCandidates(at(0), prefill)), 0)
 }
 
 // TestPeersHearOfDeadEngines checks that engines that refused a connection or were replaced are
 // reported to peers until a probe succeeds. Time-outs are not reported, since they may be
 // caused by the network path.
 func TestPeersHearOfDeadEngines(t *testing.T) {
-	b, peer := NewBooks("a", 1), NewBooks("b", 1)
+	b, peer := NewScheduler("a", 1), NewScheduler("b", 1)
 	list := engines(3, 0)
 	for _, u := range list {
-		peer.Heard(at(0), u)
+		peer.RecordContact(at(0), u)
 	}
-	b.Failed(at(0), list[0], Closed)
-	b.Failed(at(0), list[1], Unreachable)
-	b.Replaced(list[2])
-	away := b.Away(at(100))
-	assert.Equal(t, len(away.Refusing), 2)
-	peer.SetAway(at(100), away)
+	b.RecordFailure(at(0), list[0], Closed)
+	b.RecordFailure(at(0), list[1], Unreachable)
+	b.RecordReplacement(list[2])
+	away := b.OwnUnavailable(at(100))
+	assert.Equal(t, len(away.Rejecting), 2)
+	peer.SetPeersUnavailable(at(100), away)
 	for range 10 {
 		ticket, ok := peer.PlacePrefill(at(110), list, 100, "b", nil)
 		assert.Assert(t, ok)
 		assert.Equal(t, ticket.Upstream.ID, list[1].ID)
 	}
 	b.Readmit(at(600), list[0])
-	assert.Equal(t, len(b.Away(at(600)).Refusing), 1)
+	assert.Equal(t, len(b.OwnUnavailable(at(600)).Rejecting), 1)
 }
 
 // TestRestartedUpstreamHasANewBook checks that load, rejections, failures and stage changes of
 // a former incarnation do not apply to the new one, and that later results for the former
 // incarnation are dropped.
 func TestRestartedUpstreamHasANewBook(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 1)
 	list[0].Incarnation = 5
 	former := list[0]
 	size := Size{Prompt: 40000, Estimate: 500}
 	old, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, ok)
-	b.Refuses(at(0), former)
-	b.Switching(at(0), former.ID, dialect.StagePrefill)
-	b.Failed(at(0), former, Closed)
+	b.RecordRejection(at(0), former)
+	b.RecordStageOrder(at(0), former.ID, dialect.StagePrefill)
+	b.RecordFailure(at(0), former, Closed)
 	_, ok = b.PlaceDecode(at(10), list, engine, size, nil)
 	assert.Assert(t, !ok)
 
 	fresh := []dialect.Upstream{former}
 	fresh[0].Incarnation = 6
-	b.Restarted(fresh[0])
-	assert.Equal(t, b.Busy(former.ID), 0)
+	b.RecordRestart(fresh[0])
+	assert.Equal(t, b.RequestCount(former.ID), 0)
 	for range 3 {
-		b.Failed(at(20), former, Hard)
-		b.Replaced(former)
+		b.RecordFailure(at(20), former, Hard)
+		b.RecordReplacement(former)
 	}
 	first, ok := b.PlaceDecode(at(30), fresh, engine, size, nil)
 	assert.Assert(t, ok)
 	b.Done(old)
-	assert.Equal(t, b.Busy(former.ID), 1, "the end of a request of the former incarnation changed the load of the new one")
+	assert.Equal(t, b.RequestCount(former.ID), 1, "the end of a request of the former incarnation changed the load of the new one")
 	b.Done(first)
-	assert.Equal(t, b.Busy(former.ID), 0)
+	assert.Equal(t, b.RequestCount(former.ID), 0)
 }
--- a/gateway/schedule/budget.go
+++ b/gateway/schedule/budget.go
@@ -122,8 +122,8 @@
 	return spent
 }
 
-// SetOthers records the extra sends of the other instances, by service.
-func (b *Budget) SetOthers(now time.Time, spent map[string]int) {
+// SetOthersSpent records the extra sends of the other instances, by service.
+func (b *Budget) SetOthersSpent(now time.Time, spent map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.othersSpent, b.othersSpentAt = spent, now
@@ -145,21 +145,21 @@
 	return b.trySpend(now, service, sends, budgetMargin, 1)
 }
 
-// Continue is like Extra for a stream that has already started.
-func (b *Budget) Continue(now time.Time, service string, sends int) bool {
+// ExtraForStream is like Extra for a stream that has already started.
+func (b *Budget) ExtraForStream(now time.Time, service string, sends int) bool {
 	return b.trySpend(now, service, sends, startedStreamMargin, 1)
 }
 
-// Spare is like Extra for optional sends, such as those of a migration. They use at most half
+// ExtraOptional is like Extra for optional sends, such as those of a migration. They use at most half
 // of the budget, which leaves the rest to necessary ones.
-func (b *Budget) Spare(now time.Time, service string, sends int) bool {
+func (b *Budget) ExtraOptional(now time.Time, service string, sends int) bool {
 	return b.trySpend(now, service, sends, budgetMargin/2, budgetMargin/2)
 }
 
-// Owed counts sends that became necessary because of Spare sends, without checking the budget.
-// At most as many can follow as were granted by Spare, so that both together stay within the
+// CountRequired counts sends that became necessary because of ExtraOptional sends, without checking the budget.
+// At most as many can follow as were granted by ExtraOptional, so that both together stay within the
 // budget.
-func (b *Budget) Owed(now time.Time, service string, sends int) {
+func (b *Budget) CountRequired(now time.Time, service string, sends int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spendingOf(now, service).spend(sends)
--- a/gateway/schedule/budget_test.go
+++ b/gateway/schedule/budget_test.go
@@ -61,7 +61,7 @@
 		now := at(step * 200)
 		sum, spent := 0, map[string]int{}
 		for i, b := range budgets {
-			b.SetOthers(now, reported[0])
+			b.SetOthersSpent(now, reported[0])
 			// One stream of the fleet fails every 0.2 s, and those of all instances from 20 s
 			// on.
 			if step > 100 || (step+i)%300 == 0 {
@@ -90,16 +90,16 @@
 // budget only with a recent report of low spending, and not right after its start.
 func TestWholePartOnlyIfTheOthersAreHeard(t *testing.T) {
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
-	b.SetOthers(at(0), nil)
+	b.SetOthersSpent(at(0), nil)
 	assert.Assert(t, b.Extra(at(0), "s", 6))
 	assert.Assert(t, !b.Extra(at(100), "s", 1), "whole part used right after the start")
 	assert.Assert(t, b.Extra(at(21000), "s", 3))
 	assert.Assert(t, b.Extra(at(21000), "s", 3))
 	assert.Assert(t, !b.Extra(at(21000), "s", 1), "whole part used without a recent report")
-	b.SetOthers(at(40000), map[string]int{"s": 1})
+	b.SetOthersSpent(at(40000), map[string]int{"s": 1})
 	assert.Assert(t, b.Extra(at(40000), "s", 2))
 	assert.Assert(t, b.Extra(at(40000), "s", 8), "whole part refused at low spending")
-	b.SetOthers(at(60000), map[string]int{"s": 9})
+	b.SetOthersSpent(at(60000), map[string]int{"s": 9})
 	assert.Assert(t, !b.Extra(at(60000), "s", 7), "whole part used at high spending")
 }
 
@@ -115,8 +115,8 @@
 // necessary ones.
 func TestSpareSendsLeaveHalfOfTheBudget(t *testing.T) {
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
-	assert.Assert(t, b.Spare(at(0), "s", 3))
-	assert.Assert(t, !b.Spare(at(0), "s", 1))
+	assert.Assert(t, b.ExtraOptional(at(0), "s", 3))
+	assert.Assert(t, !b.ExtraOptional(at(0), "s", 1))
 	assert.Assert(t, b.Extra(at(0), "s", 3))
 	assert.Assert(t, !b.Extra(at(0), "s", 1))
 }
@@ -131,7 +131,7 @@
 // TestOwedSendsCount checks that owed sends reduce the budget left for others.
 func TestOwedSendsCount(t *testing.T) {
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
-	b.Owed(at(0), "s", 6)
+	b.CountRequired(at(0), "s", 6)
 	assert.Equal(t, b.Spent(at(0))["s"], 6)
 	assert.Assert(t, !b.Extra(at(0), "s", 1))
 }
@@ -142,6 +142,6 @@
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
 	assert.Assert(t, b.Extra(at(0), "s", 6))
 	assert.Assert(t, !b.Extra(at(0), "s", 1))
-	assert.Assert(t, b.Continue(at(0), "s", 2))
-	assert.Assert(t, !b.Continue(at(0), "s", 1))
+	assert.Assert(t, b.ExtraForStream(at(0), "s", 2))
+	assert.Assert(t, !b.ExtraForStream(at(0), "s", 1))
 }
--- a/gateway/schedule/cold.go
+++ b/gateway/schedule/cold.go
@@ -17,7 +17,7 @@
 
 // SetCold sets this instance's quotas for cold upstreams. Upstreams without a quota are not
 // limited.
-func (b *Books) SetCold(quotas map[ident.UpstreamID]ColdQuota) {
+func (b *Scheduler) SetCold(quotas map[ident.UpstreamID]ColdQuota) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	cold := map[ident.UpstreamID]*coldLimit{}
--- a/gateway/schedule/cold_test.go
+++ b/gateway/schedule/cold_test.go
@@ -14,7 +14,7 @@
 
 // coldFleet is a fleet of instances with one cold upstream, to which some of them may send.
 type coldFleet struct {
-	books   []*Books
+	books   []*Scheduler
 	list    []dialect.Upstream
 	arrived []time.Duration
 }
@@ -22,7 +22,7 @@
 func newColdFleet(instances, senders int, rate float64) *coldFleet {
 	f := &coldFleet{list: []dialect.Upstream{{ID: "u", Service: "s", Zone: "z", Slots: 64, Cold: true}}}
 	for i := range instances {
-		b := NewBooks("z", uint64(i))
+		b := NewScheduler("z", uint64(i))
 		quota := ColdQuota(0)
 		if i < senders {
 			quota = ColdQuota(rate / float64(senders))
@@ -103,7 +103,7 @@
 // TestColdLimitAffectsOnlyColdUpstream guards against a cold upstream's limit holding back warm
 // upstreams, and against the limit outlasting the quota.
 func TestColdLimitAffectsOnlyColdUpstream(t *testing.T) {
-	b := NewBooks("z", 1)
+	b := NewScheduler("z", 1)
 	list := []dialect.Upstream{{ID: "cold", Service: "s", Zone: "z", Cold: true}, {ID: "warm", Service: "s", Zone: "z"}}
 	b.SetCold(map[ident.UpstreamID]ColdQuota{"cold": 0})
 	now := time.Unix(1000, 0)
