--- a/gateway/schedule/compute.go
+++ b/gateway/schedule/compute.go
@@ -15,10 +15,10 @@
 // can continue the output.
 func (s Size) tokensToCompute() int {
 	switch {
-	case s.Copied:
+	case s.KVCopied:
 		return 0
-	case s.Self:
-		return max(0, s.Prompt+s.Produced-s.Kept)
+	case s.ComputePrompt:
+		return max(0, s.Prompt+s.Produced-s.CachedTokens)
 	default:
 		return s.Produced
 	}
@@ -28,19 +28,19 @@
 // its running streams are then not paused for longer than size.MaxPause, if there is no such
 // limit, or if the engine has no requests. A longer computation would delay all of the engine's
 // streams. The caller holds mu.
-func (b *Books) mayCompute(rec *upstreamRecord, e *routing.Engine, size Size) bool {
+func (b *Scheduler) mayCompute(rec *upstreamRecord, e *routing.Engine, size Size) bool {
 	if size.tokensToCompute() == 0 || size.MaxPause <= 0 || rec.requests+rec.peerRequests == 0 {
 		return true
 	}
 	r := b.performanceOf(rec.up.Service)
-	event := r.tokenTime * float64(e.Stride)
+	event := r.tokenTime * float64(e.TokensPerEvent)
 	computing := float64(rec.tokens + rec.peerTokens + size.tokensToCompute())
 	return computing/(decodePrefillSpeed*r.prefill.throughput())+event <= size.MaxPause.Seconds()
 }
 
 // OverflowTime returns how long a decode engine takes to compute a prompt. It reports false if
 // this instance may not use any decode engine for prompts while prefill engines are busy.
-func (b *Books) OverflowTime(service string, tokens int) (time.Duration, bool) {
+func (b *Scheduler) OverflowTime(service string, tokens int) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.overflow) == 0 {
@@ -53,14 +53,14 @@
 // prefill engines are busy. Each engine is assigned to one instance only. A prompt takes 200 ms
 // there, but the load of peers is known only after 300 ms, so that two instances could choose
 // the same engine and pause its streams for longer than their limit.
-func (b *Books) SetOverflow(engines map[ident.UpstreamID]bool) {
+func (b *Scheduler) SetOverflow(engines map[ident.UpstreamID]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.overflow = engines
 }
 
-// Computed records that a decode engine has finished computing a prompt itself.
-func (b *Books) Computed(t Ticket) {
+// RecordPromptComputed records that a decode engine has finished computing a prompt itself.
+func (b *Scheduler) RecordPromptComputed(t Ticket) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.records[t.Upstream.ID]
--- a/gateway/schedule/compute_test.go
+++ b/gateway/schedule/compute_test.go
@@ -13,15 +13,15 @@
 // engine for longer than permitted, by computing several prompts at once, including those of
 // peers, or one that is too long.
 func TestOnePromptAtATimeAtADecodeEngine(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 1)
-	self := Size{Prompt: 5000, Estimate: 1000, Self: true, MaxPause: 300 * time.Millisecond}
+	self := Size{Prompt: 5000, Estimate: 1000, ComputePrompt: true, MaxPause: 300 * time.Millisecond}
 	first, ok := b.PlaceDecode(at(0), list, engine, self, nil)
 	assert.Assert(t, ok)
 	_, ok = b.PlaceDecode(at(10), list, engine, self, nil)
 	assert.Assert(t, !ok)
-	b.Computed(first)
-	b.Computed(first)
+	b.RecordPromptComputed(first)
+	b.RecordPromptComputed(first)
 	second, ok := b.PlaceDecode(at(20), list, engine, self, nil)
 	assert.Assert(t, ok)
 	b.Done(second)
@@ -49,9 +49,9 @@
 // are computed only at the decode engines assigned to this instance, and only as long as the
 // pauses of their streams stay within the limit.
 func TestOverflowGoesToEnginesOfTheInstance(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 2)
-	size := Size{Prompt: 5000, Estimate: 1000, Self: true, Overflow: true, MaxPause: 300 * time.Millisecond}
+	size := Size{Prompt: 5000, Estimate: 1000, ComputePrompt: true, Overflow: true, MaxPause: 300 * time.Millisecond}
 	_, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, !ok)
 	b.SetOverflow(map[ident.UpstreamID]bool{"b": true})
--- a/gateway/schedule/demand.go
+++ b/gateway/schedule/demand.go
@@ -49,7 +49,7 @@
 
 // performanceOf returns the measured performance of a service, with defaults before any
 // measurement. The caller holds mu.
-func (b *Books) performanceOf(service string) *enginePerformance {
+func (b *Scheduler) performanceOf(service string) *enginePerformance {
 	r := b.performances[service]
 	if r == nil {
 		r = &enginePerformance{tokenTime: defaultTokenTime.Seconds(), firstEvent: 0.1, lengthVariance: initialSpread * initialSpread}
@@ -59,14 +59,14 @@
 }
 
 // PrefillDone records how long a prefill engine took for a prompt.
-func (b *Books) PrefillDone(service string, tokens int, took time.Duration) {
+func (b *Scheduler) PrefillDone(service string, tokens int, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.performanceOf(service).prefill.observe(tokens, took)
 }
 
 // StreamStarted records how long a decode engine took until the first event.
-func (b *Books) StreamStarted(service string, took time.Duration) {
+func (b *Scheduler) StreamStarted(service string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.performanceOf(service)
@@ -75,7 +75,7 @@
 
 // StreamDone records the estimated and the actual output length of a completed stream, in
 // tokens.
-func (b *Books) StreamDone(service string, estimate, output int) {
+func (b *Scheduler) StreamDone(service string, estimate, output int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.performanceOf(service).observeSpread(estimate, output)
@@ -97,15 +97,15 @@
 }
 
 // FirstEvent returns how long a decode engine is expected to take until the first event.
-func (b *Books) FirstEvent(service string) time.Duration {
+func (b *Scheduler) FirstEvent(service string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return time.Duration(b.performanceOf(service).firstEvent * float64(time.Second))
 }
 
-// Asked adds a client's request to the demand of a service. prompt and output are in tokens,
+// RecordRequest adds a client's request to the demand of a service. prompt and output are in tokens,
 // output being an estimate.
-func (b *Books) Asked(now time.Time, service string, prompt, output int) {
+func (b *Scheduler) RecordRequest(now time.Time, service string, prompt, output int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	d := b.demands[service]
@@ -140,7 +140,7 @@
 }
 
 // Demand returns the demand of this instance's clients for a service.
-func (b *Books) Demand(now time.Time, service string) Need {
+func (b *Scheduler) Demand(now time.Time, service string) Need {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	d := b.demands[service]
@@ -155,13 +155,13 @@
 	n.Streams *= r.tokenTime
 	if r.tokenMeasured {
 		// Only long prompts count. Their fixed time is included, as it is in the demand.
-		n.Paces = r.prefill.long.histogram()
+		n.Throughputs = r.prefill.long.histogram()
 	}
 	return n
 }
 
 // DemandServices returns the services with demand.
-func (b *Books) DemandServices() []string {
+func (b *Scheduler) DemandServices() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var names []string
--- a/gateway/schedule/demand_test.go
+++ b/gateway/schedule/demand_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestDemandIsARate(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	now := at(0)
 	for range 600 {
 		now = now.Add(100 * time.Millisecond)
-		b.Asked(now, "m", 500, 1000)
+		b.RecordRequest(now, "m", 500, 1000)
 	}
 	need := b.Demand(now, "m")
 	assert.Assert(t, math.Abs(need.Prefill-5000) < 250, "%v", need.Prefill)
@@ -25,12 +25,12 @@
 // TestTokenTimeIsLearnedWhileStreamsRun guards against learning the time per token only from
 // the first completed stream, 3.5 s after a start.
 func TestTokenTimeIsLearnedWhileStreamsRun(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	ticket, ok := b.PlaceDecode(at(0), engines(0, 1), engine, Size{Prompt: 3000, Estimate: 640}, nil)
 	assert.Assert(t, ok)
-	b.Asked(at(0), "m", 3000, 640)
-	b.Progress(at(100), ticket, 9)
-	b.Progress(at(148), ticket, 18)
+	b.RecordRequest(at(0), "m", 3000, 640)
+	b.RecordProgress(at(100), ticket, 9)
+	b.RecordProgress(at(148), ticket, 18)
 	assert.Assert(t, math.Abs(b.performanceOf("m").tokenTime-0.0053) < 0.0001, "%v", b.performanceOf("m").tokenTime)
 	need := b.Demand(at(1000), "m")
 	want := 640 * 0.0053 * need.Prefill / 3000
--- a/gateway/schedule/doubt.go
+++ b/gateway/schedule/doubt.go
@@ -27,7 +27,7 @@
 
 // suspectZone records that an upstream was unreachable. The instance's own zone is never
 // suspected. The caller holds mu.
-func (b *Books) suspectZone(now time.Time, rec *upstreamRecord) {
+func (b *Scheduler) suspectZone(now time.Time, rec *upstreamRecord) {
 	zone := rec.up.Zone
 	if zone == b.zone {
 		return
@@ -44,7 +44,7 @@
 // suspectStalledZones records the engines of other zones whose streams have stalled. This
 // detects a network partition within stallTimeout, instead of only after the first new requests
 // have waited for time-outs of 400 to 500 ms. The caller holds mu.
-func (b *Books) suspectStalledZones(now time.Time) {
+func (b *Scheduler) suspectStalledZones(now time.Time) {
 	for id := range b.active {
 		if rec := b.records[id]; rec != nil && rec.stalled(now) {
 			b.suspectZone(now, rec)
@@ -54,7 +54,7 @@
 
 // inSuspectedZone reports whether an upstream is in a zone that is suspected to be unreachable,
 // and has not responded since the first failure there. The caller holds mu.
-func (b *Books) inSuspectedZone(now time.Time, rec *upstreamRecord) bool {
+func (b *Scheduler) inSuspectedZone(now time.Time, rec *upstreamRecord) bool {
 	s := b.suspicions[rec.up.Zone]
 	if s == nil || len(s.failed) < suspectAfter || now.Sub(s.lastFailure) > suspicionTTL {
 		return false
--- a/gateway/schedule/engines.go
+++ b/gateway/schedule/engines.go
@@ -50,40 +50,40 @@
 	// Produced is the length of the output that another engine has already generated. The
 	// decode engine has to compute its KV cache unless Copied is set.
 	Produced int
-	// Copied means that the KV cache of the output so far is transferred to the engine.
-	Copied bool
-	// Kept is the number of tokens of prompt and output whose KV cache the engine At still
-	// holds. With At set the request can be placed only there.
-	Kept int
-	At   ident.UpstreamID
-	// Self means that the decode engine has to compute the prompt itself, which pauses its
+	// KVCopied means that the KV cache of the output so far is transferred to the engine.
+	KVCopied bool
+	// CachedTokens is the number of tokens of prompt and output whose KV cache the engine CachedOn
+	// still holds. With CachedOn set the request can be placed only there.
+	CachedTokens int
+	CachedOn     ident.UpstreamID
+	// ComputePrompt means that the decode engine has to compute the prompt itself, which pauses its
 	// streams. MaxPause is the longest permitted pause, 0 for no limit.
-	Self     bool
-	MaxPause time.Duration
+	ComputePrompt bool
+	MaxPause      time.Duration
 	// Overflow means that prefill engines are reachable but busy. The request can then only be
 	// placed on an engine given to SetOverflow.
 	Overflow bool
-	// Apart means that the request may crash its engine. It is placed on the engine with the
+	// Isolate means that the request may crash its engine. It is placed on the engine with the
 	// fewest other requests, in any zone.
-	Apart bool
+	Isolate bool
 }
 
-// HoldTokens returns the memory to reserve for a request, in tokens. Memory beyond the
+// TokensToReserve returns the memory to reserve for a request, in tokens. Memory beyond the
 // reservation is accounted for only by the forecast.
-func (s Size) HoldTokens() int {
+func (s Size) TokensToReserve() int {
 	return s.Prompt + s.Produced + int(reservedOutputShare*float64(max(0, s.Estimate-s.Produced)))
 }
 
 // PlaceDecode places a request on a decode engine: among those whose memory is expected to
 // suffice until the request ends, one with the most free memory. It reports false if there is
 // none.
-func (b *Books) PlaceDecode(now time.Time, list []dialect.Upstream, e *routing.Engine, size Size, exclude []ident.UpstreamID) (Ticket, bool) {
+func (b *Scheduler) PlaceDecode(now time.Time, list []dialect.Upstream, e *routing.Engine, size Size, exclude []ident.UpstreamID) (Ticket, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	run := runningStream{prompt: size.Prompt, estimate: size.Estimate, produced: size.Produced, reserved: size.HoldTokens()}
+	run := runningStream{prompt: size.Prompt, estimate: size.Estimate, produced: size.Produced, reserved: size.TokensToReserve()}
 	unseen := b.unseenPlacements(now, serviceOf(list))
 	candidates := b.availableDecode(now, list, e, size, run, exclude, unseen)
-	if !size.Apart {
+	if !size.Isolate {
 		candidates, unseen = b.preferLocalZone(candidates, unseen)
 	}
 	best := b.chooseAmongCheapest(candidates, unseen)
@@ -98,11 +98,11 @@
 
 // availableDecode returns the decode engines with enough memory for the request and for unseen
 // placements of other instances. The caller holds mu.
-func (b *Books) availableDecode(now time.Time, list []dialect.Upstream, e *routing.Engine, size Size, run runningStream, exclude []ident.UpstreamID, unseen float64) []candidate {
+func (b *Scheduler) availableDecode(now time.Time, list []dialect.Upstream, e *routing.Engine, size Size, run runningStream, exclude []ident.UpstreamID, unseen float64) []candidate {
 	b.suspectStalledZones(now)
 	var candidates []candidate
 	for _, u := range list {
-		if u.Stage != dialect.StageDecode || !b.usable(now, u, exclude) || size.At != "" && size.At != u.ID {
+		if u.Stage != dialect.StageDecode || !b.usable(now, u, exclude) || size.CachedOn != "" && size.CachedOn != u.ID {
 			continue
 		}
 		rec := b.recordOf(u)
@@ -114,12 +114,12 @@
 		if u.Zone == b.zone {
 			cost -= localZoneBonus
 		}
-		if size.Apart {
+		if size.Isolate {
 			cost = float64(rec.requests+rec.peerRequests) + b.random.Float64()
 		}
 		candidates = append(candidates, candidate{record: rec, cost: cost, freeShare: free})
 	}
-	if size.At != "" {
+	if size.CachedOn != "" {
 		return candidates
 	}
 	return withMemoryFor(candidates, unseenMemoryShare*unseen*run.finalMemoryShare(e))
@@ -140,7 +140,7 @@
 // preferLocalZone removes the engines of other zones if one of the instance's zone has more
 // than localZoneFreeShare of its memory free. It returns the remaining engines and their part
 // of the unseen placements. The caller holds mu.
-func (b *Books) preferLocalZone(candidates []candidate, unseen float64) ([]candidate, float64) {
+func (b *Scheduler) preferLocalZone(candidates []candidate, unseen float64) ([]candidate, float64) {
 	var own []candidate
 	hasSpace := false
 	for _, c := range candidates {
@@ -165,13 +165,13 @@
 
 // available reports whether an engine may get a request now: it is not expected to reject it,
 // and has answered a probe since its last failure. The caller holds mu.
-func (b *Books) available(now time.Time, rec *upstreamRecord) bool {
+func (b *Scheduler) available(now time.Time, rec *upstreamRecord) bool {
 	return !rec.unavailable(now) && b.stateWithZone(now, rec) == stateHealthy
 }
 
 // freeMemory returns the share of an engine's usable memory that is expected to stay free with
 // one more request, and whether the request fits. The caller holds mu.
-func (b *Books) freeMemory(now time.Time, rec *upstreamRecord, e *routing.Engine, run runningStream) (float64, bool) {
+func (b *Scheduler) freeMemory(now time.Time, rec *upstreamRecord, e *routing.Engine, run runningStream) (float64, bool) {
 	if !b.available(now, rec) {
 		return 0, false
 	}
@@ -187,8 +187,8 @@
 	return free / total, free >= 0
 }
 
-// Progress records the number of output tokens that a request has produced so far.
-func (b *Books) Progress(now time.Time, t Ticket, produced int) {
+// RecordProgress records the number of output tokens that a request has produced so far.
+func (b *Scheduler) RecordProgress(now time.Time, t Ticket, produced int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.records[t.Upstream.ID]
@@ -205,8 +205,8 @@
 	}
 }
 
-// Full records that an engine rejected a reservation of the given number of tokens.
-func (b *Books) Full(now time.Time, u dialect.Upstream, tokens int) {
+// RecordFull records that an engine rejected a reservation of the given number of tokens.
+func (b *Scheduler) RecordFull(now time.Time, u dialect.Upstream, tokens int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.recordOf(u)
@@ -225,7 +225,7 @@
 // It reports false if no prefill engine is reachable. Otherwise each request would wait for two
 // time-outs of 400 ms, with memory reserved, before a decode engine of its zone computed the
 // prompt. Probes detect when an engine is reachable again.
-func (b *Books) PlacePrefill(now time.Time, list []dialect.Upstream, tokens int, near ident.Zone, exclude []ident.UpstreamID) (Ticket, bool) {
+func (b *Scheduler) PlacePrefill(now time.Time, list []dialect.Upstream, tokens int, near ident.Zone, exclude []ident.UpstreamID) (Ticket, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	candidates := b.availablePrefill(now, list, tokens, near, exclude)
@@ -241,7 +241,7 @@
 
 // PrefillWait returns how long a prompt is expected to take at the prefill engine that would
 // complete it first, including the queue. It reports false if no engine is available.
-func (b *Books) PrefillWait(now time.Time, list []dialect.Upstream, tokens int) (time.Duration, bool) {
+func (b *Scheduler) PrefillWait(now time.Time, list []dialect.Upstream, tokens int) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	best := b.chooseAmongCheapest(b.availablePrefill(now, list, tokens, b.zone, nil), 0)
@@ -253,13 +253,13 @@
 
 // prefillTime returns how long an engine takes to complete a prompt, including those queued
 // before it. The caller holds mu.
-func (b *Books) prefillTime(now time.Time, rec *upstreamRecord, tokens int) time.Duration {
+func (b *Scheduler) prefillTime(now time.Time, rec *upstreamRecord, tokens int) time.Duration {
 	usual := b.performanceOf(rec.up.Service).prefill.time(rec.tokens + rec.peerTokens + tokens)
 	return time.Duration(b.slowdown(now, rec) * float64(usual))
 }
 
 // availablePrefill returns the available prefill engines with their costs. The caller holds mu.
-func (b *Books) availablePrefill(now time.Time, list []dialect.Upstream, tokens int, near ident.Zone, exclude []ident.UpstreamID) []candidate {
+func (b *Scheduler) availablePrefill(now time.Time, list []dialect.Upstream, tokens int, near ident.Zone, exclude []ident.UpstreamID) []candidate {
 	usual := b.lowestLatency(dialect.StagePrefill)
 	// A prompt of unknown length has 0 tokens. Its request cost would be 0 and the water level
 	// NaN.
@@ -293,7 +293,7 @@
 // prefillCost returns the number of tokens that an engine has to compute to complete a prompt,
 // scaled by the engine's slowdown. The cost is higher for engines that fail, and for engines of
 // unknown throughput whose latency exceeds usual, in seconds. The caller holds mu.
-func (b *Books) prefillCost(now time.Time, rec *upstreamRecord, tokens int, near ident.Zone, usual float64) float64 {
+func (b *Scheduler) prefillCost(now time.Time, rec *upstreamRecord, tokens int, near ident.Zone, usual float64) float64 {
 	c := float64(rec.tokens+rec.peerTokens+tokens) * b.slowdown(now, rec)
 	if rec.prefillThroughput(now) == 0 && rec.latency > 0 {
 		c *= math.Max(1, rec.latency.Seconds()/usual)
@@ -303,7 +303,7 @@
 
 // lowestLatency returns the lowest mean latency among the engines of a stage, in seconds. The
 // caller holds mu.
-func (b *Books) lowestLatency(s dialect.Stage) float64 {
+func (b *Scheduler) lowestLatency(s dialect.Stage) float64 {
 	lowest := math.Inf(1)
 	for _, rec := range b.records {
 		if rec.up.Stage == s && rec.latency > 0 {
--- a/gateway/schedule/engines_test.go
+++ b/gateway/schedule/engines_test.go
@@ -14,7 +14,7 @@
 // TestDecodeEnginesAreNotOverfilled checks that the memory forecast of all requests stays
 // within the usable memory, and that requests are spread over the engines.
 func TestDecodeEnginesAreNotOverfilled(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 2)
 	size := Size{Prompt: 5000, Estimate: 4000}
 	placed := map[ident.UpstreamID]int{}
@@ -38,7 +38,7 @@
 // TestPeersForecastLeavesNoRoom checks that memory that peers forecast for their requests is
 // not planned for others.
 func TestPeersForecastLeavesNoRoom(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 1)
 	size := Size{Prompt: 5000, Estimate: 1000}
 	ticket, ok := b.PlaceDecode(at(0), list, engine, size, nil)
@@ -54,10 +54,10 @@
 // TestRefusedReservationIsNotRepeatedAtOnce checks that after a rejected reservation the engine
 // is briefly not asked for as much memory again, while smaller reservations are still possible.
 func TestRefusedReservationIsNotRepeatedAtOnce(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 1)
 	large, small := Size{Prompt: 5000, Estimate: 1000}, Size{Prompt: 500, Estimate: 100}
-	b.Full(at(0), list[0], large.HoldTokens())
+	b.RecordFull(at(0), list[0], large.TokensToReserve())
 	_, ok := b.PlaceDecode(at(10), list, engine, large, nil)
 	assert.Assert(t, !ok)
 	_, ok = b.PlaceDecode(at(10), list, engine, small, nil)
@@ -67,7 +67,7 @@
 }
 
 func TestPrefillGoesWhereItIsDoneFirst(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(2, 0)
 	first, _ := b.PlacePrefill(at(0), list, 8000, "a", nil)
 	for range 2 {
@@ -78,10 +78,10 @@
 }
 
 func TestSlowPrefillEngineGetsLess(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(2, 0)
-	b.Answered(at(0), list[0], 900*time.Millisecond)
-	b.Answered(at(0), list[1], 100*time.Millisecond)
+	b.RecordSuccess(at(0), list[0], 900*time.Millisecond)
+	b.RecordSuccess(at(0), list[1], 100*time.Millisecond)
 	for range 5 {
 		ticket, _ := b.PlacePrefill(at(0), list, 1000, "a", nil)
 		assert.Equal(t, ticket.Upstream.ID, list[1].ID)
@@ -110,7 +110,7 @@
 }
 
 func TestSpreadIsLearned(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	for range 400 {
 		b.StreamDone("m", 1000, 1000)
 	}
@@ -122,23 +122,23 @@
 // crashed instance, is not available. Since reports are delayed, the highest recently known
 // memory use accounts for them.
 func TestUnexplainedMemoryLeavesNoRoom(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 1)
 	size := Size{Prompt: 40000, Estimate: 1000}
 	ticket, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, ok)
 	b.SetPeers(at(100), nil)
-	assert.Equal(t, b.Reported(at(200), list[0], dialect.Report{UsedTokens: 90000}), 0, "report used right after the start")
+	assert.Equal(t, b.RecordReport(at(200), list[0], dialect.Report{UsedTokens: 90000}), 0, "report used right after the start")
 	b.SetPeers(at(1200), nil)
 	b.Done(ticket)
-	assert.Equal(t, b.Reported(at(2000), list[0], dialect.Report{UsedTokens: 40000}), 0)
-	assert.Equal(t, b.Reported(at(4000), list[0], dialect.Report{UsedTokens: 60000}), 60000)
+	assert.Equal(t, b.RecordReport(at(2000), list[0], dialect.Report{UsedTokens: 40000}), 0)
+	assert.Equal(t, b.RecordReport(at(4000), list[0], dialect.Report{UsedTokens: 60000}), 60000)
 	_, ok = b.PlaceDecode(at(4100), list, engine, size, nil)
 	assert.Assert(t, !ok)
-	assert.Equal(t, b.Own(at(4100))["a"].Unexplained, 60000)
-	peer := NewBooks("a", 2)
+	assert.Equal(t, b.OwnLoad(at(4100))["a"].UnaccountedMemory, 60000)
+	peer := NewScheduler("a", 2)
 	peer.recordOf(list[0])
-	peer.SetPeers(at(3100), map[ident.UpstreamID]*InFlight{"a": {Unexplained: 60000}})
+	peer.SetPeers(at(3100), map[ident.UpstreamID]*InFlight{"a": {UnaccountedMemory: 60000}})
 	_, ok = peer.PlaceDecode(at(3100), list, engine, size, nil)
 	assert.Assert(t, !ok)
 	_, ok = b.PlaceDecode(at(7000), list, engine, size, nil)
@@ -149,11 +149,11 @@
 // one whose ejection ends first is used, and that PlacePrefill fails for a list without prefill
 // engines.
 func TestPrefillEnginesAreUsedWhileThereAreAny(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(2, 1)
 	for range ejectAfter {
-		b.Failed(at(0), list[0], Hard)
-		b.Failed(at(100), list[1], Hard)
+		b.RecordFailure(at(0), list[0], Hard)
+		b.RecordFailure(at(100), list[1], Hard)
 	}
 	assert.Assert(t, b.PrefillReachable(at(200), list))
 	ticket, ok := b.PlacePrefill(at(200), list, 1000, "a", nil)
@@ -168,7 +168,7 @@
 // TestPrefillWaitGrowsWithTheQueue checks that the expected wait includes the queued prompts of
 // this instance and of its peers.
 func TestPrefillWaitGrowsWithTheQueue(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(1, 0)
 	idle, ok := b.PrefillWait(at(0), list, 5000)
 	assert.Assert(t, ok)
@@ -185,16 +185,16 @@
 // prefill engines to which no connection can be established. A successful probe puts an engine
 // back into use.
 func TestPrefillOutOfReachIsNotWaitedFor(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(2, 1)
-	b.Failed(at(0), list[0], Unreachable)
-	b.Failed(at(0), list[1], Misdirected)
+	b.RecordFailure(at(0), list[0], Unreachable)
+	b.RecordFailure(at(0), list[1], Misdirected)
 	for ms := range 30 {
 		_, ok := b.PlacePrefill(at(100*ms), list, 1000, "a", nil)
 		assert.Assert(t, !ok)
 		assert.Assert(t, !b.PrefillReachable(at(100*ms), list))
 	}
-	assert.Equal(t, len(b.Trials(at(3000), list)), 2)
+	assert.Equal(t, len(b.ProbeCandidates(at(3000), list)), 2)
 	b.Readmit(at(3000), list[1])
 	ticket, ok := b.PlacePrefill(at(3010), list, 1000, "a", nil)
 	assert.Assert(t, ok)
@@ -204,11 +204,11 @@
 // TestResumedStreamTakesWhatItHas checks that the output so far counts in the reservation and
 // in the forecast of a resumed stream.
 func TestResumedStreamTakesWhatItHas(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 1)
 	size := Size{Prompt: 5000, Estimate: 4000, Produced: 3000}
-	assert.Equal(t, size.HoldTokens(), 8250)
-	assert.Equal(t, Size{Prompt: 5000, Estimate: 4000, Produced: 6000}.HoldTokens(), 11000)
+	assert.Equal(t, size.TokensToReserve(), 8250)
+	assert.Equal(t, Size{Prompt: 5000, Estimate: 4000, Produced: 6000}.TokensToReserve(), 11000)
 	_, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, ok)
 	assert.Assert(t, b.ownForecast(b.records["a"])[0] >= 8000)
@@ -217,7 +217,7 @@
 // TestQuietEngineGetsNoMoreRequests checks that an engine whose running streams have stalled
 // gets no further requests until it sends something.
 func TestQuietEngineGetsNoMoreRequests(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 1)
 	size := Size{Prompt: 1000, Estimate: 1000}
 	running, ok := b.PlaceDecode(at(0), list, engine, size, nil)
@@ -226,13 +226,13 @@
 	waiting, ok := b.PlaceDecode(at(later), list, engine, size, nil)
 	assert.Assert(t, ok, "engine avoided because of a stream that has not started")
 	b.Done(waiting)
-	b.Progress(at(1000), running, 64)
+	b.RecordProgress(at(1000), running, 64)
 	_, ok = b.PlaceDecode(at(later), list, engine, size, nil)
 	assert.Assert(t, ok)
 	_, ok = b.PlaceDecode(at(later+1), list, engine, size, nil)
 	assert.Assert(t, !ok)
-	assert.Equal(t, len(b.Trials(at(later+1), list)), 1, "engines to probe")
-	b.Progress(at(later+2), running, 128)
+	assert.Equal(t, len(b.ProbeCandidates(at(later+1), list)), 1, "engines to probe")
+	b.RecordProgress(at(later+2), running, 128)
 	_, ok = b.PlaceDecode(at(later+3), list, engine, size, nil)
 	assert.Assert(t, ok)
 }
@@ -240,7 +240,7 @@
 // TestQuietEnginesShowACut checks that stalled streams at two engines of a zone cause the whole
 // zone to be avoided, including its prefill engines.
 func TestQuietEnginesShowACut(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(2, 3)
 	for _, i := range []int{0, 2, 3} {
 		list[i].Zone = "z"
@@ -249,7 +249,7 @@
 	for _, u := range list[2:] {
 		ticket, ok := b.PlaceDecode(at(0), []dialect.Upstream{u}, engine, size, nil)
 		assert.Assert(t, ok)
-		b.Progress(at(100), ticket, 64)
+		b.RecordProgress(at(100), ticket, 64)
 	}
 	now := at(101 + int(stallTimeout.Milliseconds()))
 	for range 10 {
@@ -263,7 +263,7 @@
 // TestLikelihoodOfEndingInTime checks that the probability follows the output estimate, the
 // output so far, and the output limit.
 func TestLikelihoodOfEndingInTime(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	second := 1000 * defaultTokenTime
 	at := func(within time.Duration, size Size, bound int) float64 {
 		return b.EndsWithin("s", size, bound, within)
--- a/gateway/schedule/fleet_test.go
+++ b/gateway/schedule/fleet_test.go
@@ -111,7 +111,7 @@
 	const tick = 10 * time.Millisecond
 	const placementTimeout, startDelay, reportInterval = 600 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, 9))
-	e := &routing.Engine{Slots: 64, KVTokens: l.memory, Stride: 64}
+	e := &routing.Engine{Slots: 64, KVTokens: l.memory, TokensPerEvent: 64}
 	var list []dialect.Upstream
 	var simulated []*simulatedEngine
 	byID := map[ident.UpstreamID]*simulatedEngine{}
@@ -121,11 +121,11 @@
 		simulated = append(simulated, &simulatedEngine{up: u})
 		byID[u.ID] = simulated[i]
 	}
-	var books []*Books
+	var books []*Scheduler
 	weights, total := make([]float64, l.instances), 0.0
 	for i := range l.instances {
-		b := NewBooks(ident.Zone(rune('a'+i%l.zones)), seed*1000+uint64(i))
-		b.SetFleet(l.instances, l.reportAge)
+		b := NewScheduler(ident.Zone(rune('a'+i%l.zones)), seed*1000+uint64(i))
+		b.SetFleetSize(l.instances, l.reportAge)
 		books = append(books, b)
 		weights[i] = math.Exp(random.NormFloat64())
 		total += weights[i]
@@ -153,7 +153,7 @@
 			s.estimate = int(float64(s.output) * math.Exp(0.5*random.NormFloat64()))
 			s.size = Size{Prompt: s.prompt, Estimate: s.estimate}
 			r.streams++
-			books[i].Asked(now, "m", s.prompt, s.estimate)
+			books[i].RecordRequest(now, "m", s.prompt, s.estimate)
 			heap.Push(&waiting, s)
 		}
 		// Instances exchange load reports, each at its own time. The reports have the age that
@@ -179,8 +179,8 @@
 				}
 			}
 			b.SetPeers(now, peers)
-			b.SetOffered("m", sum.Requests)
-			own[i] = b.Own(now)
+			b.SetOfferedRate("m", sum.Requests)
+			own[i] = b.OwnLoad(now)
 			rates[i] = b.Demand(now, "m")
 		}
 		for len(waiting) > 0 && waiting[0].readyAt <= elapsed {
@@ -189,14 +189,14 @@
 			t, ok := b.PlaceDecode(now, list, e, s.size, nil)
 			if ok {
 				at := byID[t.Upstream.ID]
-				s.reserved = s.size.HoldTokens()
+				s.reserved = s.size.TokensToReserve()
 				if at.used()+s.reserved <= l.memory {
 					s.ticket, s.readyAt = t, elapsed+startDelay
 					at.streams = append(at.streams, s)
 					continue
 				}
 				b.Done(t)
-				b.Full(now, t.Upstream, s.reserved)
+				b.RecordFull(now, t.Upstream, s.reserved)
 			}
 			if elapsed-s.arrived > placementTimeout {
 				r.refused++
@@ -215,7 +215,7 @@
 
 // simulateEngine simulates an engine for one tick. An engine that runs out of memory preempts
 // its newest stream, which continues once there is enough free memory.
-func (l fleetLoad) simulateEngine(d *simulatedEngine, now time.Time, elapsed, tick time.Duration, books []*Books, r *fleetResult) {
+func (l fleetLoad) simulateEngine(d *simulatedEngine, now time.Time, elapsed, tick time.Duration, books []*Scheduler, r *fleetResult) {
 	tokenTime := l.tokenTime.Seconds() * (1 + 0.033*float64(len(d.streams)))
 	remaining := d.streams[:0]
 	for _, s := range d.streams {
@@ -226,7 +226,7 @@
 		before := int(s.produced) / 64
 		s.produced += tick.Seconds() / tokenTime
 		if int(s.produced)/64 > before {
-			books[s.instance].Progress(now, s.ticket, int(s.produced))
+			books[s.instance].RecordProgress(now, s.ticket, int(s.produced))
 		}
 		if s.produced < float64(s.output) {
 			remaining = append(remaining, s)
--- a/gateway/schedule/forecast.go
+++ b/gateway/schedule/forecast.go
@@ -106,7 +106,7 @@
 
 // EndsWithin returns the probability that a stream of a service ends within a time after its
 // first event. bound is the maximum output in tokens, 0 for none.
-func (b *Books) EndsWithin(service string, size Size, bound int, within time.Duration) float64 {
+func (b *Scheduler) EndsWithin(service string, size Size, bound int, within time.Duration) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if within <= 0 {
--- a/gateway/schedule/health.go
+++ b/gateway/schedule/health.go
@@ -31,8 +31,8 @@
 // only while it preempts requests to free memory, which pauses its streams for 300 to 600 ms.
 const stallTimeout = 400 * time.Millisecond
 
-// Answered records a successful response and its latency. It ends any ejection.
-func (b *Books) Answered(now time.Time, u dialect.Upstream, latency time.Duration) {
+// RecordSuccess records a successful response and its latency. It ends any ejection.
+func (b *Scheduler) RecordSuccess(now time.Time, u dialect.Upstream, latency time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.recordOf(u)
@@ -48,21 +48,21 @@
 
 // markSeen records that a message arrived from an upstream. It clears the suspicion that the
 // upstream's zone is unreachable. The caller holds mu.
-func (b *Books) markSeen(now time.Time, rec *upstreamRecord) {
+func (b *Scheduler) markSeen(now time.Time, rec *upstreamRecord) {
 	rec.lastSeen = now
 	delete(b.suspicions, rec.up.Zone)
 }
 
-// Heard records that an engine answered a call that the gateway made on its own behalf.
-func (b *Books) Heard(now time.Time, u dialect.Upstream) {
+// RecordContact records that an engine answered a call that the gateway made on its own behalf.
+func (b *Scheduler) RecordContact(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.markSeen(now, b.recordOf(u))
 }
 
-// Replaced records that the upstream's address is now used by another incarnation. The upstream
+// RecordReplacement records that the upstream's address is now used by another incarnation. The upstream
 // no longer exists and gets no more requests, although the store may still list it for a while.
-func (b *Books) Replaced(u dialect.Upstream) {
+func (b *Scheduler) RecordReplacement(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.recordOf(u).replaced = true
@@ -92,14 +92,14 @@
 
 // AnsweredSince reports whether any message has arrived from an upstream since a time. If so,
 // an upstream that has not answered a request is busy rather than down.
-func (b *Books) AnsweredSince(u dialect.Upstream, since time.Time) bool {
+func (b *Scheduler) AnsweredSince(u dialect.Upstream, since time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.recordOf(u).lastSeen.After(since)
 }
 
-// Failed records a failure and reports whether the upstream was ejected for it.
-func (b *Books) Failed(now time.Time, u dialect.Upstream, f Failure) bool {
+// RecordFailure records a failure and reports whether the upstream was ejected for it.
+func (b *Scheduler) RecordFailure(now time.Time, u dialect.Upstream, f Failure) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.recordOf(u)
@@ -166,7 +166,7 @@
 
 // stateWithZone returns the state of the upstream, also considering stalled streams and
 // suspected zones. The caller holds mu.
-func (b *Books) stateWithZone(now time.Time, rec *upstreamRecord) healthState {
+func (b *Scheduler) stateWithZone(now time.Time, rec *upstreamRecord) healthState {
 	s := rec.state(now)
 	if s == stateHealthy && (rec.stalled(now) || b.inSuspectedZone(now, rec)) {
 		return stateRetry
@@ -176,7 +176,7 @@
 
 // Readmit records that an ejected engine answered a probe, which ends the ejection. A single
 // further failure ejects it again, for longer.
-func (b *Books) Readmit(now time.Time, u dialect.Upstream) {
+func (b *Scheduler) Readmit(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.recordOf(u)
@@ -189,10 +189,10 @@
 // otherwise probe every engine there.
 const maxZoneProbes = 3
 
-// Trials returns the engines of a list to probe: those whose ejection time has passed or whose
+// ProbeCandidates returns the engines of a list to probe: those whose ejection time has passed or whose
 // streams have stalled, and at most maxZoneProbes random ones of each zone that is suspected to
 // be unreachable.
-func (b *Books) Trials(now time.Time, list []dialect.Upstream) []dialect.Upstream {
+func (b *Scheduler) ProbeCandidates(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []dialect.Upstream
--- a/gateway/schedule/idle_test.go
+++ b/gateway/schedule/idle_test.go
@@ -16,8 +16,8 @@
 
 // booksWithEngines returns books with the given number of decode engines and five placed
 // requests.
-func booksWithEngines(engines int) *Books {
-	b := NewBooks("z", 1)
+func booksWithEngines(engines int) *Scheduler {
+	b := NewScheduler("z", 1)
 	var list []dialect.Upstream
 	for i := range engines {
 		list = append(list, dialect.Upstream{ID: ident.UpstreamID(fmt.Sprintf("e%d", i)), Service: "llm", Zone: "z", Stage: dialect.StageDecode})
@@ -43,7 +43,7 @@
 		for i := range 50 {
 			now := time.Unix(1000, 0).Add(time.Duration(i) * 300 * time.Millisecond)
 			start := time.Now()
-			b.Own(now)
+			b.OwnLoad(now)
 			b.SetPeers(now, peers)
 			fastest = min(fastest, time.Since(start))
 		}
--- a/gateway/schedule/migrate.go
+++ b/gateway/schedule/migrate.go
@@ -18,21 +18,21 @@
 	minRemaining = forecastStep
 )
 
-// Why is the reason for which a stream is moved.
-type Why string
+// MoveReason is the reason for which a stream is moved.
+type MoveReason string
 
 // The reasons for moving a stream.
 const (
-	// WhyCrowded means that the engine is about to run out of memory.
-	WhyCrowded Why = "crowded"
-	// WhyLeaving means that the engine will shut down before the stream ends.
-	WhyLeaving Why = "leaving"
+	// ReasonNearFull means that the engine is about to run out of memory.
+	ReasonNearFull MoveReason = "crowded"
+	// ReasonLeaving means that the engine will shut down before the stream ends.
+	ReasonLeaving MoveReason = "leaving"
 )
 
 // Migrant is a stream that should be moved to another engine.
 type Migrant struct {
 	Ticket Ticket
-	Why    Why
+	Reason MoveReason
 	// Memory is the memory use forecast for the engine, in tokens, if Why is WhyCrowded.
 	Memory int
 }
@@ -42,7 +42,7 @@
 // no longer listed, except streams that end soon. A stream of the former is returned with a
 // probability equal to this instance's share of the engine's memory, so that all instances
 // together move about one stream at a time.
-func (b *Books) Migrants(now time.Time, list []dialect.Upstream, e *routing.Engine) []Migrant {
+func (b *Scheduler) Migrants(now time.Time, list []dialect.Upstream, e *routing.Engine) []Migrant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	listed := map[string]bool{}
@@ -71,7 +71,7 @@
 }
 
 // remaining returns how long a stream is expected to continue. The caller holds mu.
-func (b *Books) remaining(rec *upstreamRecord, s runningStream) time.Duration {
+func (b *Scheduler) remaining(rec *upstreamRecord, s runningStream) time.Duration {
 	r := b.performanceOf(rec.up.Service)
 	left := expectedOutput(float64(s.estimate), float64(s.produced), r.spread()) - float64(s.produced)
 	return time.Duration(left * r.tokenTime * float64(time.Second))
@@ -79,11 +79,11 @@
 
 // migrantsFromLeaving returns the running streams to move from a leaving engine. The caller
 // holds mu.
-func (b *Books) migrantsFromLeaving(rec *upstreamRecord) []Migrant {
+func (b *Scheduler) migrantsFromLeaving(rec *upstreamRecord) []Migrant {
 	var out []Migrant
 	for number, s := range rec.streams {
 		if s.started && b.remaining(rec, s) > minRemaining {
-			out = append(out, Migrant{Ticket: Ticket{Upstream: rec.up, number: number}, Why: WhyLeaving})
+			out = append(out, Migrant{Ticket: Ticket{Upstream: rec.up, number: number}, Reason: ReasonLeaving})
 		}
 	}
 	return out
@@ -92,7 +92,7 @@
 // migrantFromFull chooses the stream to move from an engine that is about to run out of memory:
 // the one expected to continue longest. It reports false if none is to be moved. The caller
 // holds mu.
-func (b *Books) migrantFromFull(now time.Time, rec *upstreamRecord, e *routing.Engine) (Migrant, bool) {
+func (b *Scheduler) migrantFromFull(now time.Time, rec *upstreamRecord, e *routing.Engine) (Migrant, bool) {
 	f := b.ownForecast(rec)
 	own := f[0]
 	f.add(rec.peerForecast)
@@ -104,8 +104,8 @@
 	for number, s := range rec.streams {
 		if left := b.remaining(rec, s); s.started && left > longest {
 			longest = left
-			found = Migrant{Ticket: Ticket{Upstream: rec.up, number: number}, Why: WhyCrowded, Memory: expectedUse}
+			found = Migrant{Ticket: Ticket{Upstream: rec.up, number: number}, Reason: ReasonNearFull, Memory: expectedUse}
 		}
 	}
-	return found, found.Why != ""
+	return found, found.Reason != ""
 }
--- a/gateway/schedule/pace.go
+++ b/gateway/schedule/pace.go
@@ -62,8 +62,8 @@
 }
 
 // histogram returns the histogram of the recent prompts' throughput.
-func (f *fastestPrompt) histogram() Paces {
-	var p Paces
+func (f *fastestPrompt) histogram() ThroughputHistogram {
+	var p ThroughputHistogram
 	for _, s := range f.recent {
 		p.add(s.tokens, s.seconds)
 	}
--- a/gateway/schedule/pace_test.go
+++ b/gateway/schedule/pace_test.go
@@ -43,9 +43,9 @@
 // their first. The estimated throughput and the recommended stages must not change.
 func TestKeptPromptsAreNoMeasure(t *testing.T) {
 	list := engines(12, 32)
-	var fleet []*Books
+	var fleet []*Scheduler
 	for range 62 {
-		fleet = append(fleet, NewBooks("a", 1))
+		fleet = append(fleet, NewScheduler("a", 1))
 	}
 	measured := 0
 	for i := range 2000 {
@@ -60,7 +60,7 @@
 			took += time.Duration(i%5) * 50 * time.Millisecond
 		}
 		b.PrefillDone("m", tokens, took)
-		var all Paces
+		var all ThroughputHistogram
 		for _, b := range fleet {
 			all = all.Plus(b.performanceOf("m").prefill.long.histogram())
 		}
@@ -71,7 +71,7 @@
 		measured++
 		assert.Assert(t, rate > 42_000 && rate < 56_000, "%v after %d prompts", rate, i)
 		n := Need{Work: Work{Prefill: 400_000, Memory: 2_000_000, Streams: 200}, PrefillRate: rate}
-		assert.Equal(t, len(PlanStages(list, engine, n, fleet[0].Busy)), 0, "after %d prompts", i)
+		assert.Equal(t, len(PlanStages(list, engine, n, fleet[0].RequestCount)), 0, "after %d prompts", i)
 	}
 	assert.Assert(t, measured > 1900)
 }
@@ -96,18 +96,18 @@
 // its few prompts were all queued behind others. The histograms of all instances correct its
 // estimate.
 func TestFewPromptsOfABurst(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(4, 8)
 	for range 6 {
 		b.PrefillDone("m", 5000, 650*time.Millisecond)
 	}
 	alone, ok := b.PrefillWait(at(0), list, 5000)
 	assert.Assert(t, ok && alone > 600*time.Millisecond, "%v", alone)
-	var others Paces
+	var others ThroughputHistogram
 	for i := range 60 {
 		others.add(5000, 0.1+0.05*float64(i%5))
 	}
-	b.SetPaces(map[string]Paces{"m": others})
+	b.SetThroughputHistograms(map[string]ThroughputHistogram{"m": others})
 	corrected, ok := b.PrefillWait(at(0), list, 5000)
 	assert.Assert(t, ok && corrected > 90*time.Millisecond && corrected < 120*time.Millisecond, "%v", corrected)
 }
@@ -115,12 +115,12 @@
 // TestFirstPromptOfAnInstance checks that an instance that has measured no prompt yet uses the
 // histograms of the others at once.
 func TestFirstPromptOfAnInstance(t *testing.T) {
-	b := NewBooks("a", 1)
-	var others Paces
+	b := NewScheduler("a", 1)
+	var others ThroughputHistogram
 	for range 20 {
 		others.add(5000, 0.2)
 	}
-	b.SetPaces(map[string]Paces{"m": others})
+	b.SetThroughputHistograms(map[string]ThroughputHistogram{"m": others})
 	wait, ok := b.PrefillWait(at(0), engines(2, 2), 5000)
 	assert.Assert(t, ok && wait > 180*time.Millisecond && wait < 220*time.Millisecond, "%v", wait)
 }
--- a/gateway/schedule/paces.go
+++ b/gateway/schedule/paces.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Paces is a histogram of prompts by throughput. The lower bound of bucket i is
+// ThroughputHistogram is a histogram of prompts by throughput. The lower bound of bucket i is
 // minThroughput*bucketRatio^i tokens per second. The first and the last bucket also count
 // prompts beyond their bounds. The histograms of several instances can be added.
-type Paces []int
+type ThroughputHistogram []int
 
 const (
 	// minThroughput is the lower bound of the first bucket, in tokens per second. bucketRatio
@@ -27,8 +27,8 @@
 	outlierShare      = 0.02
 )
 
-// SetPaces records the histograms of the other instances, by service.
-func (b *Books) SetPaces(others map[string]Paces) {
+// SetThroughputHistograms records the histograms of the other instances, by service.
+func (b *Scheduler) SetThroughputHistograms(others map[string]ThroughputHistogram) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for service, histogram := range others {
@@ -38,9 +38,9 @@
 }
 
 // add counts a prompt of the given length and duration.
-func (p *Paces) add(tokens, seconds float64) {
+func (p *ThroughputHistogram) add(tokens, seconds float64) {
 	if *p == nil {
-		*p = make(Paces, bucketCount)
+		*p = make(ThroughputHistogram, bucketCount)
 	}
 	(*p)[throughputBucket(tokens/seconds)]++
 }
@@ -57,8 +57,8 @@
 }
 
 // Plus returns the sum of two histograms.
-func (p Paces) Plus(o Paces) Paces {
-	sum := make(Paces, max(len(p), len(o)))
+func (p ThroughputHistogram) Plus(o ThroughputHistogram) ThroughputHistogram {
+	sum := make(ThroughputHistogram, max(len(p), len(o)))
 	copy(sum, p)
 	for i, n := range o {
 		sum[i] += n
@@ -67,7 +67,7 @@
 }
 
 // Minus returns the histogram without the counts of o, which it must include.
-func (p Paces) Minus(o Paces) Paces {
+func (p ThroughputHistogram) Minus(o ThroughputHistogram) ThroughputHistogram {
 	rest := slices.Clone(p)
 	for i := range min(len(rest), len(o)) {
 		rest[i] -= o[i]
@@ -77,7 +77,7 @@
 
 // Rate returns the throughput of a prefill engine in tokens per second: that of the fastest
 // prompts without the outliers. It is 0 while there are too few prompts.
-func (p Paces) Rate() float64 {
+func (p ThroughputHistogram) Rate() float64 {
 	total := 0
 	for _, n := range p {
 		total += n
--- a/gateway/schedule/peaks_test.go
+++ b/gateway/schedule/peaks_test.go
@@ -41,7 +41,7 @@
 func nineEngines() (*routing.Engine, Work) {
 	const perSecond, prompt, output, seconds = 11.35, 3200, 640, 3.4
 	streams := perSecond * seconds
-	return &routing.Engine{Slots: 64, KVTokens: 41191, Stride: 9},
+	return &routing.Engine{Slots: 64, KVTokens: 41191, TokensPerEvent: 9},
 		Work{Prefill: perSecond * prompt, Memory: streams * (prompt + output/2), Streams: streams}
 }
 
--- a/gateway/schedule/reach.go
+++ b/gateway/schedule/reach.go
@@ -9,7 +9,7 @@
 // reachable returns the upstreams of a list without those that have not recovered since a
 // connection to them failed, and without those in a zone that is suspected to be unreachable.
 // The caller holds mu.
-func (b *Books) reachable(now time.Time, list []dialect.Upstream) []dialect.Upstream {
+func (b *Scheduler) reachable(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	var out []dialect.Upstream
 	for _, u := range list {
 		rec := b.recordOf(u)
@@ -22,7 +22,7 @@
 }
 
 // Reachable returns the engines of a stage that are healthy and accept new requests.
-func (b *Books) Reachable(now time.Time, list []dialect.Upstream, stage dialect.Stage) []dialect.Upstream {
+func (b *Scheduler) Reachable(now time.Time, list []dialect.Upstream, stage dialect.Stage) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.suspectStalledZones(now)
@@ -37,7 +37,7 @@
 
 // PrefillReachable reports whether any prefill engine of a list can be connected to and accepts
 // requests, even if it is ejected.
-func (b *Books) PrefillReachable(now time.Time, list []dialect.Upstream) bool {
+func (b *Scheduler) PrefillReachable(now time.Time, list []dialect.Upstream) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.suspectStalledZones(now)
--- a/gateway/schedule/reported.go
+++ b/gateway/schedule/reported.go
@@ -26,7 +26,7 @@
 
 // recordMemory records the currently known memory use and drops samples older than
 // maxReportAge. The caller holds mu.
-func (b *Books) recordMemory(now time.Time, rec *upstreamRecord) {
+func (b *Scheduler) recordMemory(now time.Time, rec *upstreamRecord) {
 	if rec.up.Stage != dialect.StageDecode {
 		return
 	}
@@ -41,12 +41,12 @@
 	rec.memorySamples = append(rec.memorySamples[:0], rec.memorySamples[expired:]...)
 }
 
-// Reported records an engine's report and returns how much memory it contains that no known
+// RecordReport records an engine's report and returns how much memory it contains that no known
 // request accounts for, in tokens. Such memory belongs to streams of instances that have
 // crashed or are disconnected, which the engine still runs, or to outputs longer than reported.
 // When it was not counted, such engines were filled beyond their memory and preempted running
 // requests.
-func (b *Books) Reported(now time.Time, u dialect.Upstream, r dialect.Report) int {
+func (b *Scheduler) RecordReport(now time.Time, u dialect.Upstream, r dialect.Report) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.recordOf(u)
@@ -84,7 +84,7 @@
 
 // InUse reports whether an engine has, or recently had, known requests of any instance, or
 // memory that no known request accounts for.
-func (b *Books) InUse(now time.Time, u dialect.Upstream) bool {
+func (b *Scheduler) InUse(now time.Time, u dialect.Upstream) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rec := b.recordOf(u)
--- a/gateway/schedule/services.go
+++ b/gateway/schedule/services.go
@@ -11,7 +11,7 @@
 // PickService places a request on an upstream of a service without stages. Requests that are
 // not repeatable are not used to retry upstreams that failed recently, unless there are no
 // others. It reports false if no upstream is available.
-func (b *Books) PickService(now time.Time, list []dialect.Upstream, repeatable bool, exclude []ident.UpstreamID) (Ticket, bool) {
+func (b *Scheduler) PickService(now time.Time, list []dialect.Upstream, repeatable bool, exclude []ident.UpstreamID) (Ticket, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(list) == 0 {
@@ -43,7 +43,7 @@
 
 // cheapest returns the healthy upstream with the lowest cost, and one in stateRetry; nil if
 // there is none. The caller holds mu.
-func (b *Books) cheapest(now time.Time, list []dialect.Upstream, exclude []ident.UpstreamID) (healthy, retry *upstreamRecord) {
+func (b *Scheduler) cheapest(now time.Time, list []dialect.Upstream, exclude []ident.UpstreamID) (healthy, retry *upstreamRecord) {
 	lowest := math.Inf(1)
 	peerWeight := 1 / (1 + b.unseenPlacements(now, serviceOf(list))/float64(len(list)))
 	for _, u := range list {
@@ -65,7 +65,7 @@
 
 // firstToRetry returns the upstream whose ejection ends first. It is tried when no other is
 // left. The caller holds mu.
-func (b *Books) firstToRetry(now time.Time, list []dialect.Upstream, exclude []ident.UpstreamID) *upstreamRecord {
+func (b *Scheduler) firstToRetry(now time.Time, list []dialect.Upstream, exclude []ident.UpstreamID) *upstreamRecord {
 	var first *upstreamRecord
 	for _, u := range list {
 		if !b.usable(now, u, exclude) {
@@ -85,7 +85,7 @@
 // cost returns the expected time of one more request at an upstream, in seconds: its latency,
 // multiplied by its load and raised by its failures. peerWeight is the weight of the load that
 // peers reported. The caller holds mu.
-func (b *Books) cost(now time.Time, rec *upstreamRecord, peerWeight float64) float64 {
+func (b *Scheduler) cost(now time.Time, rec *upstreamRecord, peerWeight float64) float64 {
 	latency := rec.latency
 	if latency == 0 {
 		latency = initialLatency
@@ -104,7 +104,7 @@
 
 // weightedCost returns the cost c, increased for upstreams that fail, have overdue requests, or
 // are outside the zone near. The caller holds mu.
-func (b *Books) weightedCost(now time.Time, rec *upstreamRecord, c float64, near ident.Zone) float64 {
+func (b *Scheduler) weightedCost(now time.Time, rec *upstreamRecord, c float64, near ident.Zone) float64 {
 	c /= math.Pow(math.Max(rec.success, minSuccess), 2)
 	if rec.up.Zone != near {
 		c *= crossZoneFactor
--- a/gateway/schedule/speed.go
+++ b/gateway/schedule/speed.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// ObservePrefillPace records how long an engine took for a prompt and updates the engine's
+// ObservePrefillThroughput records how long an engine took for a prompt and updates the engine's
 // throughput.
-func (b *Books) ObservePrefillPace(now time.Time, u dialect.Upstream, tokens int, took time.Duration) {
+func (b *Scheduler) ObservePrefillThroughput(now time.Time, u dialect.Upstream, tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -85,7 +85,7 @@
 
 // slowdown returns the ratio of the service's throughput to the engine's, at least 1. It is 1
 // if either is unknown. The caller holds mu.
-func (b *Books) slowdown(now time.Time, rec *upstreamRecord) float64 {
+func (b *Scheduler) slowdown(now time.Time, rec *upstreamRecord) float64 {
 	throughput := rec.prefillThroughput(now)
 	p := &b.performanceOf(rec.up.Service).prefill
 	if throughput == 0 || !p.measured() {
@@ -94,10 +94,10 @@
 	return math.Max(1, p.overallThroughput()/throughput)
 }
 
-// MeanRelativePace returns the mean throughput of the prefill engines of a list, relative to
+// MeanRelativeThroughput returns the mean throughput of the prefill engines of a list, relative to
 // the service's throughput, which is close to that of its fastest engines. It is 1 if the list
 // has no prefill engines.
-func (b *Books) MeanRelativePace(now time.Time, list []dialect.Upstream) float64 {
+func (b *Scheduler) MeanRelativeThroughput(now time.Time, list []dialect.Upstream) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	engines := prefillEngines(list)
--- a/gateway/schedule/speed_test.go
+++ b/gateway/schedule/speed_test.go
@@ -17,7 +17,7 @@
 // mixedFleet simulates gateway instances that share prefill engines of different throughput and
 // exchange their loads periodically.
 type mixedFleet struct {
-	books []*Books
+	books []*Scheduler
 	list  []dialect.Upstream
 	// throughput is the throughput in tokens per second.
 	throughput map[ident.UpstreamID]float64
@@ -32,7 +32,7 @@
 // pendingPrefill is a prompt that an engine completes at doneAt.
 type pendingPrefill struct {
 	doneAt time.Time
-	books  *Books
+	books  *Scheduler
 	ticket Ticket
 	took   time.Duration
 }
@@ -53,7 +53,7 @@
 		}
 	}
 	for i := range instances {
-		f.books = append(f.books, NewBooks("z", uint64(i)))
+		f.books = append(f.books, NewScheduler("z", uint64(i)))
 	}
 	return f
 }
@@ -61,28 +61,28 @@
 // exchange sends each instance the load of the others and the throughput histograms of all.
 func (f *mixedFleet) exchange(now time.Time, perSecond float64) {
 	sum := map[ident.UpstreamID]*InFlight{}
-	var paces Paces
+	var paces ThroughputHistogram
 	for _, b := range f.books {
-		for id, own := range b.Own(now) {
+		for id, own := range b.OwnLoad(now) {
 			if sum[id] == nil {
 				sum[id] = &InFlight{}
 			}
 			sum[id].Requests += own.Requests
 			sum[id].Tokens += own.Tokens
-			sum[id].Pace = max(sum[id].Pace, own.Pace)
+			sum[id].ThroughputBucket = max(sum[id].ThroughputBucket, own.ThroughputBucket)
 		}
 		paces = paces.Plus(b.performanceOf("llm").prefill.long.histogram())
 	}
 	for _, b := range f.books {
 		others := map[ident.UpstreamID]*InFlight{}
 		for id, all := range sum {
-			own := b.Own(now)[id]
-			others[id] = &InFlight{Requests: all.Requests - own.Requests, Tokens: all.Tokens - own.Tokens, Pace: all.Pace}
+			own := b.OwnLoad(now)[id]
+			others[id] = &InFlight{Requests: all.Requests - own.Requests, Tokens: all.Tokens - own.Tokens, ThroughputBucket: all.ThroughputBucket}
 		}
-		b.SetOffered("llm", perSecond)
-		b.SetFleet(len(f.books), exchangeInterval)
+		b.SetOfferedRate("llm", perSecond)
+		b.SetFleetSize(len(f.books), exchangeInterval)
 		b.SetPeers(now, others)
-		b.SetPaces(map[string]Paces{"llm": paces})
+		b.SetThroughputHistograms(map[string]ThroughputHistogram{"llm": paces})
 	}
 }
 
@@ -103,7 +103,7 @@
 }
 
 // send places a prompt and queues it at the chosen engine.
-func (f *mixedFleet) send(now time.Time, b *Books) {
+func (f *mixedFleet) send(now time.Time, b *Scheduler) {
 	t, ok := b.PlacePrefill(now, f.list, promptTokens, "z", nil)
 	if !ok {
 		return
@@ -126,9 +126,9 @@
 		p.books.Done(p.ticket)
 		p.books.PrefillDone("llm", promptTokens, p.took)
 		if f.observeThroughput {
-			p.books.ObservePrefillPace(p.doneAt, p.ticket.Upstream, promptTokens, p.took)
+			p.books.ObservePrefillThroughput(p.doneAt, p.ticket.Upstream, promptTokens, p.took)
 		}
-		p.books.Answered(p.doneAt, p.ticket.Upstream, p.took)
+		p.books.RecordSuccess(p.doneAt, p.ticket.Upstream, p.took)
 		f.latencies = append(f.latencies, p.took)
 		return true
 	})
@@ -203,14 +203,14 @@
 // TestPromptsOfUnknownLengthAreSpread guards against placing all prompts of unknown
 // length on one prefill engine.
 func TestPromptsOfUnknownLengthAreSpread(t *testing.T) {
-	b := NewBooks("z", 1)
+	b := NewScheduler("z", 1)
 	var list []dialect.Upstream
 	for i := range 4 {
 		list = append(list, dialect.Upstream{ID: ident.UpstreamID(fmt.Sprintf("e%d", i)), Service: "llm", Zone: "z", Stage: dialect.StagePrefill})
 	}
 	now := time.Unix(1000, 0)
-	b.SetOffered("llm", 100)
-	b.SetFleet(80, exchangeInterval)
+	b.SetOfferedRate("llm", 100)
+	b.SetFleetSize(80, exchangeInterval)
 	counts := map[ident.UpstreamID]int{}
 	for range 1000 {
 		placed, ok := b.PlacePrefill(now, list, 0, "z", nil)
--- a/gateway/schedule/stages.go
+++ b/gateway/schedule/stages.go
@@ -23,9 +23,9 @@
 // Need is the load on a service's engines and the throughput of one prefill engine.
 type Need struct {
 	Work
-	// Paces is the histogram of recent prompts' throughput. PrefillRate is the throughput of an
+	// Throughputs is the histogram of recent prompts' throughput. PrefillRate is the throughput of an
 	// engine derived from it, in prompt tokens per second; 0 while there are too few prompts.
-	Paces       Paces
+	Throughputs ThroughputHistogram
 	PrefillRate float64
 }
 
--- a/gateway/schedule/unseen.go
+++ b/gateway/schedule/unseen.go
@@ -36,18 +36,18 @@
 	return a.decayed(now) * math.Ln2 / arrivalHalfLife.Seconds()
 }
 
-// SetFleet sets the number of instances that share the upstreams, and the mean age of the load
+// SetFleetSize sets the number of instances that share the upstreams, and the mean age of the load
 // reports from the other instances.
-func (b *Books) SetFleet(instances int, age time.Duration) {
+func (b *Scheduler) SetFleetSize(instances int, age time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.otherInstances, b.reportAge = max(0, instances-1), age
 }
 
-// SetOffered sets the rate of requests of all other instances to a service, in requests per
+// SetOfferedRate sets the rate of requests of all other instances to a service, in requests per
 // second. This instance's arrivals are a poor estimate of it, since in a large fleet most
 // instances have received no request for a while.
-func (b *Books) SetOffered(service string, perSecond float64) {
+func (b *Scheduler) SetOfferedRate(service string, perSecond float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.offeredRates[service] = perSecond
@@ -56,7 +56,7 @@
 // unseenPlacements returns how many requests the other instances are expected to have placed at
 // a service since their last load reports. Instances with the same view that did not account
 // for these would all choose the same upstream. The caller holds mu.
-func (b *Books) unseenPlacements(now time.Time, service string) float64 {
+func (b *Scheduler) unseenPlacements(now time.Time, service string) float64 {
 	if offered, ok := b.offeredRates[service]; ok {
 		return offered * b.reportAge.Seconds()
 	}
@@ -68,7 +68,7 @@
 }
 
 // recordArrival counts a request of this instance to a service. The caller holds mu.
-func (b *Books) recordArrival(now time.Time, service string) {
+func (b *Scheduler) recordArrival(now time.Time, service string) {
 	a := b.arrivals[service]
 	if a == nil {
 		a = &arrivals{}
@@ -90,7 +90,7 @@
 // chooseAmongCheapest chooses at random among the cheapest candidates, of which it considers
 // one more than there are unseen placements. It reorders list in place and returns nil if list
 // is empty. The caller holds mu.
-func (b *Books) chooseAmongCheapest(list []candidate, unseen float64) *upstreamRecord {
+func (b *Scheduler) chooseAmongCheapest(list []candidate, unseen float64) *upstreamRecord {
 	if len(list) == 0 {
 		return nil
 	}
@@ -112,7 +112,7 @@
 // grows with the distance of its cost to that level, and falls with the cost of a request
 // there. Without unseen placements it chooses the cheapest engine. It sorts list in place and
 // returns nil if list is empty. The caller holds mu.
-func (b *Books) chooseByWaterLevel(list []candidate, unseen float64) *upstreamRecord {
+func (b *Scheduler) chooseByWaterLevel(list []candidate, unseen float64) *upstreamRecord {
 	slices.SortFunc(list, func(a, c candidate) int { return cmp.Compare(a.cost, c.cost) })
 	if len(list) == 0 {
 		return nil
--- a/gateway/schedule/unseen_test.go
+++ b/gateway/schedule/unseen_test.go
@@ -28,8 +28,8 @@
 	size := Size{Prompt: 3000, Estimate: 1000}
 	counts := map[ident.UpstreamID]int{}
 	for i := range 60 {
-		b := NewBooks("a", uint64(i))
-		b.SetFleet(60, 450*time.Millisecond)
+		b := NewScheduler("a", uint64(i))
+		b.SetFleetSize(60, 450*time.Millisecond)
 		for r := range 8 {
 			ticket, ok := b.PlaceDecode(at(r*250-2000), list, engine, size, nil)
 			assert.Assert(t, ok)
@@ -68,7 +68,7 @@
 // TestOneInstanceChoosesTheBest checks that an instance without peers chooses the cheapest
 // engine.
 func TestOneInstanceChoosesTheBest(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 3)
 	ticket, _ := b.PlaceDecode(at(0), list, engine, Size{Prompt: 30000, Estimate: 1000}, nil)
 	for range 5 {
@@ -81,14 +81,14 @@
 // TestOneEngineIsNotTakenForAll checks that unseen placements of other instances are assumed to
 // be spread over all engines, also for a request that can be placed on only one of them.
 func TestOneEngineIsNotTakenForAll(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 20)
-	b.SetFleet(60, 500*time.Millisecond)
+	b.SetFleetSize(60, 500*time.Millisecond)
 	for range 3 {
 		b.recordArrival(at(0), "m")
 	}
 	assert.Assert(t, b.unseenPlacements(at(0), "m") > 20)
-	size := Size{Prompt: 5000, Estimate: 1000, Produced: 1000, Self: true, Kept: 6000, At: list[7].ID}
+	size := Size{Prompt: 5000, Estimate: 1000, Produced: 1000, ComputePrompt: true, CachedTokens: 6000, CachedOn: list[7].ID}
 	ticket, ok := b.PlaceDecode(at(0), list, engine, size, nil)
 	assert.Assert(t, ok)
 	assert.Equal(t, ticket.Upstream.ID, list[7].ID)
@@ -97,13 +97,13 @@
 // TestZonesServeThemselves checks that streams are placed in the instance's own zone as long as
 // it has enough free memory, and then in other zones too.
 func TestZonesServeThemselves(t *testing.T) {
-	b := NewBooks("a", 1)
+	b := NewScheduler("a", 1)
 	list := engines(0, 12)
 	for i := range list {
 		list[i].Zone = ident.Zone(rune('a' + i%3))
 	}
-	b.SetFleet(60, 300*time.Millisecond)
-	b.SetOffered("m", 20)
+	b.SetFleetSize(60, 300*time.Millisecond)
+	b.SetOfferedRate("m", 20)
 	own, others := 0, 0
 	for {
 		ticket, ok := b.PlaceDecode(at(0), list, engine, Size{Prompt: 5000, Estimate: 1000}, nil)
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -56,11 +56,11 @@
 	log      *slog.Logger
 	dialect  dialect.Dialect
 	node     *fleet.Node
-	books    *schedule.Books
+	books    *schedule.Scheduler
 	budget   *schedule.Budget
 	register *quarantine.Register
 	memory   *memory.Budget
-	carrier  *carry.Carrier
+	carrier  *carry.Forwarder
 	front    *front.Front
 	metrics  *counters
 	pool     *peer.Pool
@@ -84,7 +84,7 @@
 func newService(s *Settings, d dialect.Dialect, source dialect.Source, log *slog.Logger, dialer peer.Dialer) *Service {
 	log = log.With("instance", s.Instance)
 	g := &Service{settings: s, log: log, dialect: d, metrics: newCounters(), register: quarantine.NewRegister()}
-	g.books = schedule.NewBooks(s.Zone, rand.Uint64())
+	g.books = schedule.NewScheduler(s.Zone, rand.Uint64())
 	g.memory = memory.NewBudget(int64(bufferMemoryShare * float64(s.MemoryMB<<20)))
 	incarnation := ident.NewIncarnation(time.Now())
 	config := peer.Config{
@@ -100,18 +100,18 @@
 		Self:  fleet.Member{ID: s.Instance, Zone: s.Zone, Address: s.Listen.Peers, Incarnation: incarnation},
 		Seeds: s.Seeds,
 		Zones: s.Zones, LinkMbps: s.LinkMbps,
-		Source: source, InForce: s.Store.maxChangeDelay(), Pool: g.pool, Server: g.peers, Log: log,
+		Source: source, ChangeDeadline: s.Store.maxChangeDelay(), Pool: g.pool, Server: g.peers, Log: log,
 		Load: g.load, Changed: g.viewChanged, LoadChanged: g.loadChanged, Register: g.register,
 	})
 	g.budget = schedule.NewBudget(clock.Now(), s.Retries.budget(), g.node.Alive)
 	g.carrier = carry.New(carry.Options{
 		Dialect: d, Books: g.books, Budget: g.budget, Zone: s.Zone, RegionOf: s.regionOf, View: g.node.Snapshot, Log: log, Count: g.metrics.count,
-		Ends:     g.requestDeadline,
-		Register: g.register, Trials: g.node, Spread: g.node.SpreadCrashes, AwaitInformed: g.node.AwaitInformed,
+		StopDeadline: g.requestDeadline,
+		Register:     g.register, Trials: g.node, NotifyPeers: g.node.SpreadCrashes, AwaitInformed: g.node.AwaitInformed,
 	})
 	g.front = front.New(front.Options{
 		Dialect: d, Carrier: g.carrier, Budget: g.budget, Limits: g.node, View: g.node.Snapshot,
-		ConfigAge: g.node.ConfigAge, MaxConfigAge: s.Store.maxChangeDelay(), Refresh: g.node.Refresh, RequestArrived: g.node.RequestArrived, Memory: g.memory,
+		ConfigAge: g.node.ConfigAge, MaxConfigAge: s.Store.maxChangeDelay(), Refresh: g.node.RequestRead, RequestArrived: g.node.RequestArrived, Memory: g.memory,
 		Log: log, Count: g.metrics.count, ObserveRequest: g.metrics.observeRequest, CountLimitUnits: g.metrics.countLimitUnits,
 	})
 	return g
@@ -130,23 +130,23 @@
 func (g *Service) load() fleet.Load {
 	l := fleet.Load{InFlight: map[ident.UpstreamID]fleet.InFlight{}, Demand: map[string]fleet.Demand{}}
 	now := clock.Now()
-	for id, f := range g.books.Own(now) {
-		reported := fleet.InFlight{Requests: f.Requests, Tokens: f.Tokens, Unexplained: f.Unexplained, Pace: f.Pace}
+	for id, f := range g.books.OwnLoad(now) {
+		reported := fleet.InFlight{Requests: f.Requests, Tokens: f.Tokens, Unexplained: f.UnaccountedMemory, Pace: f.ThroughputBucket}
 		if f.Memory != (schedule.Forecast{}) {
 			reported.Memory = f.Memory[:]
 		}
 		l.InFlight[id] = reported
 	}
-	l.Spent = g.budget.Spent(now)
-	away := g.books.Away(now)
-	l.Switching = away.Switching
-	l.Refusing = map[ident.UpstreamID]int64{}
-	for id, remaining := range away.Refusing {
-		l.Refusing[id] = remaining.Milliseconds()
+	l.Retries = g.budget.Spent(now)
+	away := g.books.OwnUnavailable(now)
+	l.Switching = away.PendingStages
+	l.Unavailable = map[ident.UpstreamID]int64{}
+	for id, remaining := range away.Rejecting {
+		l.Unavailable[id] = remaining.Milliseconds()
 	}
 	for _, name := range g.books.DemandServices() {
 		n := g.books.Demand(now, name)
-		l.Demand[name] = fleet.Demand{PrefillRate: n.Prefill, MemoryRate: n.Memory, StreamRate: n.Streams, RequestRate: n.Requests, Paces: n.Paces}
+		l.Demand[name] = fleet.Demand{PrefillRate: n.Prefill, MemoryRate: n.Memory, StreamRate: n.Streams, RequestRate: n.Requests, Paces: n.Throughputs}
 	}
 	return l
 }
@@ -156,7 +156,7 @@
 func (g *Service) viewChanged(s *fleet.Snapshot) {
 	g.updateColdQuotas()
 	if g.carrier.HasPendingAttempts() {
-		g.carrier.Listed(s.All())
+		g.carrier.ObserveUpstreams(s.All())
 	}
 }
 
@@ -168,7 +168,7 @@
 			listed[u.ID] = true
 		}
 	}
-	g.books.Keep(listed)
+	g.books.RemoveUnlisted(listed)
 }
 
 // updateColdQuotas updates this instance's request rate limits for cold upstreams.
@@ -180,27 +180,27 @@
 func (g *Service) loadChanged(l fleet.Load, age time.Duration) {
 	peers := map[ident.UpstreamID]*schedule.InFlight{}
 	for id, f := range l.InFlight {
-		in := &schedule.InFlight{Requests: f.Requests, Tokens: f.Tokens, Unexplained: f.Unexplained, Pace: f.Pace}
+		in := &schedule.InFlight{Requests: f.Requests, Tokens: f.Tokens, UnaccountedMemory: f.Unexplained, ThroughputBucket: f.Pace}
 		in.Memory.Add(f.Memory)
 		peers[id] = in
 	}
-	away := schedule.Away{Refusing: map[ident.UpstreamID]time.Duration{}, Switching: l.Switching}
-	for id, remaining := range l.Refusing {
-		away.Refusing[id] = time.Duration(remaining) * time.Millisecond
+	away := schedule.UnavailableEngines{Rejecting: map[ident.UpstreamID]time.Duration{}, PendingStages: l.Switching}
+	for id, remaining := range l.Unavailable {
+		away.Rejecting[id] = time.Duration(remaining) * time.Millisecond
 	}
-	paces := map[string]schedule.Paces{}
+	paces := map[string]schedule.ThroughputHistogram{}
 	for service, d := range l.Demand {
 		paces[service] = d.Paces
 	}
 	now := clock.Now()
 	for service, d := range l.Demand {
-		g.books.SetOffered(service, d.RequestRate)
+		g.books.SetOfferedRate(service, d.RequestRate)
 	}
-	g.books.SetPaces(paces)
-	g.books.SetFleet(g.node.Alive(), age)
+	g.books.SetThroughputHistograms(paces)
+	g.books.SetFleetSize(g.node.Alive(), age)
 	g.books.SetPeers(now, peers)
-	g.books.SetAway(now, away)
-	g.budget.SetOthers(now, l.Spent)
+	g.books.SetPeersUnavailable(now, away)
+	g.budget.SetOthersSpent(now, l.Retries)
 }
 
 // ListenError reports an address at which the service could not listen.
--- a/gateway/service_test.go
+++ b/gateway/service_test.go
@@ -113,12 +113,12 @@
 	config := &routing.Config{
 		Version: 5,
 		Routes: []routing.Route{
-			{Name: "plain", Host: "h.example", Prefix: "/plain/", Kind: routing.AtMostOnce, Timeout: 2 * time.Second, Services: []routing.Weighted{{Service: "app", Weight: 1}}, MaxAttempts: 1},
-			{Name: "stream", Host: "h.example", Prefix: "/stream/", Kind: routing.Stream, Timeout: 5 * time.Second, Objective: 4 * time.Second, Services: []routing.Weighted{{Service: "llm", Weight: 1}}, MaxAttempts: 1},
+			{Name: "plain", Host: "h.example", Prefix: "/plain/", Kind: routing.AtMostOnce, Timeout: 2 * time.Second, Services: []routing.WeightedService{{Service: "app", Weight: 1}}, MaxAttempts: 1},
+			{Name: "stream", Host: "h.example", Prefix: "/stream/", Kind: routing.Stream, Timeout: 5 * time.Second, Objective: 4 * time.Second, Services: []routing.WeightedService{{Service: "llm", Weight: 1}}, MaxAttempts: 1},
 		},
 		Services: map[string]routing.Service{
 			"app": {Name: "app"},
-			"llm": {Name: "llm", Engine: &routing.Engine{Slots: 8, KVTokens: 90000, Stride: 64, HandleTTL: time.Second, HoldTTL: time.Second}},
+			"llm": {Name: "llm", Engine: &routing.Engine{Slots: 8, KVTokens: 90000, TokensPerEvent: 64, HandleTTL: time.Second, ReservationTTL: time.Second}},
 		},
 	}
 	return &localFleet{
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -76,7 +76,7 @@
 	prefill.Stage, decode.Stage = dialect.StagePrefill, dialect.StageDecode
 	b.source.list = []dialect.Upstream{app, prefill, decode}
 	engine := *b.source.config.Services["llm"].Engine
-	engine.Stride = tokensPerEvent
+	engine.TokensPerEvent = tokensPerEvent
 	llm := b.source.config.Services["llm"]
 	llm.Engine = &engine
 	b.source.config.Services["llm"] = llm
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -109,13 +109,13 @@
 	runSuspensionTest(t, func(t *testing.T, w *simFleet, c *testclock.Clock) {
 		w.sendCrashingRepeatedly(400*time.Millisecond, 3*time.Second)
 		before, _ := w.crashCounts()
-		left := w.instances[0].running().register.Held(clock.Now())[0].LeftSeconds
+		left := w.instances[0].running().register.List(clock.Now())[0].RemainingSeconds
 		c.Suspend(time.Minute)
 		w.sendCrashingToAll()
 		w.sendCrashingRepeatedly(200*time.Millisecond, 2*time.Second)
 		sent, _ := w.crashCounts()
 		assert.Equal(t, sent, before)
-		now := w.instances[0].running().register.Held(clock.Now())[0].LeftSeconds
+		now := w.instances[0].running().register.List(clock.Now())[0].RemainingSeconds
 		assert.Assert(t, left-now >= 60, "%v, %v", left, now)
 	})
 }
