--- a/gateway/carry/carry.go
+++ b/gateway/carry/carry.go
@@ -28,11 +28,11 @@
 	"github.com/wardspool/wardspool/logs"
 )
 
-// Options configure a Carrier.
+// Options configure a Forwarder.
 type Options struct {
-	Dialect dialect.Dialect
-	Books   *schedule.Scheduler
-	Budget  *schedule.Budget
+	Dialect   dialect.Dialect
+	Scheduler *schedule.Scheduler
+	Budget    *schedule.Budget
 	// Zone is the zone of this instance.
 	Zone ident.Zone
 	// View returns the current view of the upstreams.
@@ -41,15 +41,16 @@
 	RegionOf func(ident.Zone) ident.Region
 	Log      *slog.Logger
 	// Register records under which contents upstreams crashed. Trials grants permission to send
-	// a suspect content. Spread notifies the other instances of new evidence in the register.
+	// a suspect content. NotifyPeers notifies the other instances of
+	// new crash records in the register.
 	Register    *quarantine.Register
 	Trials      Trials
 	NotifyPeers func()
 	// AwaitInformed blocks until this instance knows what its peers know, or until ctx ends.
 	// engines reports whether the request is for a service of engines.
 	AwaitInformed func(ctx context.Context, engines bool)
-	// StopDeadline returns the time at which this instance terminates. The second result is false unless
-	// the instance is shutting down.
+	// StopDeadline returns the time at which this instance terminates. The second result is false
+	// unless the instance is shutting down.
 	StopDeadline func() (time.Time, bool)
 	// Count increments the event counter with the given name.
 	Count func(name string)
@@ -230,11 +231,11 @@
 
 // refuseNoOpenZone logs and counts the refusal of a request without an eligible upstream and
 // returns its *Error.
-func (c *Forwarder) refuseNoOpenZone(fate Outcome, log *slog.Logger) error {
+func (c *Forwarder) refuseNoOpenZone(outcome Outcome, log *slog.Logger) error {
 	c.o.Count("refused_no_open_zone")
 	e := c.o.View().Evacuation
 	log.Info("refused", "reason", "no_open_zone", "evacuated", e.Zones)
-	return &Error{Outcome: fate, Reason: "no_open_zone", RetryAfter: noOpenZoneRetryAfter}
+	return &Error{Outcome: outcome, Reason: "no_open_zone", RetryAfter: noOpenZoneRetryAfter}
 }
 
 // NoUpstreamError reports that no upstream of a service is available.
@@ -312,14 +313,14 @@
 	var silent *UnresponsiveError
 	switch {
 	case a.err == nil && a.verdict == dialect.Success:
-		c.o.Books.RecordSuccess(clock.Now(), u, took)
+		c.o.Scheduler.RecordSuccess(clock.Now(), u, took)
 	case errors.As(a.err, &silent):
 		c.recordFailure(u, ClassifyUnreachable(silent.Err), a.err, took, log)
 	case errors.Is(a.err, context.Canceled):
 	case a.err == nil && (a.verdict == dialect.Failure || a.verdict == dialect.Refused):
 		c.recordFailure(u, schedule.Soft, a.err, took, log)
 	case a.err == nil && a.verdict == dialect.WrongUpstream && u.Stage == "":
-		c.o.Books.RecordReplacement(u)
+		c.o.Scheduler.RecordReplacement(u)
 		log.Warn("upstream replaced", "upstream", u.ID, "address", u.Address)
 	case a.err == nil && a.verdict == dialect.WrongUpstream:
 		// An engine gives the same verdict after it has changed its stage; a probe finds out
@@ -333,7 +334,7 @@
 }
 
 // mayResend reports whether the retry budget allows the given number of sends in addition to the
-// first. A stream that is under way may also use the part of the budget that is reserved for
+// first. A stream that is under way may also use the share of the budget that is reserved for
 // such streams.
 func (c *Forwarder) mayResend(service string, sends int, inProgress bool, log *slog.Logger) bool {
 	allowed := c.o.Budget.Extra
@@ -348,8 +349,8 @@
 	return false
 }
 
-// ClassifyUnreachable classifies the error of a failure to reach an upstream: Closed if the connection was
-// refused, otherwise Unreachable.
+// ClassifyUnreachable classifies the error of a failure to reach an upstream: Closed if the
+// connection was refused, otherwise Unreachable.
 func ClassifyUnreachable(err error) schedule.Failure {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return schedule.Closed
@@ -360,7 +361,7 @@
 // recordFailure records a failure of an upstream in the scheduler's records, and logs and counts
 // it if the upstream was ejected as a result.
 func (c *Forwarder) recordFailure(u dialect.Upstream, f schedule.Failure, err error, took time.Duration, log *slog.Logger) {
-	if !c.o.Books.RecordFailure(clock.Now(), u, f) {
+	if !c.o.Scheduler.RecordFailure(clock.Now(), u, f) {
 		return
 	}
 	c.o.Count("ejected")
--- a/gateway/carry/caution.go
+++ b/gateway/carry/caution.go
@@ -38,23 +38,23 @@
 }
 
 // admit reports whether the request may be sent to an upstream now, and first obtains a trial if
-// its content is suspect. The error is an *Error; fate is the outcome to report for a request
+// its content is suspect. The error is an *Error; outcome is the outcome to report for a request
 // that is not sent. The deadline is checked here because it may have passed while this instance
 // was paused.
-func (g *crashGuard) admit(ctx context.Context, fate Outcome) error {
+func (g *crashGuard) admit(ctx context.Context, outcome Outcome) error {
 	g.c.o.AwaitInformed(ctx, g.j.Service.Engine != nil)
 	if clock.Until(g.j.Deadline) <= 0 {
-		return deadlineError(fate)
+		return deadlineError(outcome)
 	}
 	if !g.j.holdsKey(g.c.o.View()) {
 		g.c.o.Count("refused_key_taken_away")
-		g.log.Info("refused", "reason", ReasonNoKey, "fate", fate)
-		return &Error{Outcome: fate, Reason: ReasonNoKey}
+		g.log.Info("refused", "reason", ReasonNoKey, "fate", outcome)
+		return &Error{Outcome: outcome, Reason: ReasonNoKey}
 	}
 	v := g.c.o.Register.Verdict(clock.Now(), g.j.Content)
 	switch {
 	case v.Standing == quarantine.Quarantined:
-		return g.refuse(fate, "quarantined", v, v.Remaining)
+		return g.refuse(outcome, "quarantined", v, v.Remaining)
 	case v.Standing == quarantine.Clear || g.releaseTrial != nil && clock.Now().Before(g.trialExpires):
 		return nil
 	}
@@ -63,34 +63,34 @@
 	g.trialExpires = clock.Now().Add(duration)
 	end, ok := g.c.o.Trials.Begin(ctx, g.j.Content, duration)
 	if !ok {
-		return g.refuse(fate, "on_trial", v, trialRetryAfter)
+		return g.refuse(outcome, "on_trial", v, trialRetryAfter)
 	}
 	g.releaseTrial = end
-	// The instance that granted the trial may have had newer evidence.
+	// The instance that granted the trial may have had newer crash records.
 	if v := g.c.o.Register.Verdict(clock.Now(), g.j.Content); v.Standing == quarantine.Quarantined {
-		return g.refuse(fate, "quarantined", v, v.Remaining)
+		return g.refuse(outcome, "quarantined", v, v.Remaining)
 	}
 	g.c.o.Count("trial")
 	g.log.Info("trial", "content", g.j.Content.String(), "crashes", v.Crashes, "early", v.Early, "upstreams", v.Upstreams)
 	return nil
 }
 
-// deadlineError returns the error for a request whose deadline has passed. fate is the outcome to
-// report if the request is not sent.
-func deadlineError(fate Outcome) error {
-	if fate == Unknown {
-		fate = TimedOut
+// deadlineError returns the error for a request whose deadline has passed. outcome is the outcome
+// to report if the request is not sent.
+func deadlineError(outcome Outcome) error {
+	if outcome == Unknown {
+		outcome = TimedOut
 	}
-	return &Error{Outcome: fate, Reason: "deadline", RetryAfter: streamRetryAfter, Err: context.DeadlineExceeded}
+	return &Error{Outcome: outcome, Reason: "deadline", RetryAfter: streamRetryAfter, Err: context.DeadlineExceeded}
 }
 
-// refuse logs and counts the refusal of the request, with the evidence for it, and returns its
+// refuse logs and counts the refusal of the request, with its crash records, and returns its
 // *Error.
-func (g *crashGuard) refuse(fate Outcome, reason string, v quarantine.Verdict, retry time.Duration) error {
+func (g *crashGuard) refuse(outcome Outcome, reason string, v quarantine.Verdict, retry time.Duration) error {
 	g.c.o.Count("refused_" + reason)
 	g.log.Info("refused", "reason", reason, "content", g.j.Content.String(), "crashes", v.Crashes, "early", v.Early,
 		"upstreams", v.Upstreams, "left_ms", v.Remaining.Milliseconds())
-	return &Error{Outcome: fate, Reason: reason, RetryAfter: retry}
+	return &Error{Outcome: outcome, Reason: reason, RetryAfter: retry}
 }
 
 // onTrial reports whether the request is on trial.
--- a/gateway/carry/caution_test.go
+++ b/gateway/carry/caution_test.go
@@ -102,7 +102,7 @@
 	env := newStreamEnv(t)
 	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 5)})
 	env.d.do["d1"] = []reply{{err: errInterrupted}}
-	env.d.hold["d2"] = []error{&dialect.NoCapacityError{}, nil}
+	env.d.reserve["d2"] = []error{&dialect.NoCapacityError{}, nil}
 	var got streamRecorder
 	_, err := env.Stream(t.Context(), withContent(resumable), &got)
 	assert.NilError(t, err)
@@ -115,7 +115,7 @@
 // next events there.
 func TestBystanderGoesOnAndIsCleared(t *testing.T) {
 	env := newStreamEnv(t)
-	env.d.hold["d2"] = []error{&dialect.NoCapacityError{}, nil}
+	env.d.reserve["d2"] = []error{&dialect.NoCapacityError{}, nil}
 	env.crashUpstreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2), breaks: true}, "d1")
 	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 8)}}
 	var got streamRecorder
@@ -158,8 +158,8 @@
 	})
 }
 
-// TestNewsStopARequestOnItsWay checks that evidence which arrives while the prompt is computed
-// keeps the request from the decode engine, and that its reservation and prefill result are
+// TestNewsStopARequestOnItsWay checks that crash records which arrive while the prompt is
+// computed keep the request from the decode engine, and that its reservation and prefill result are
 // released.
 func TestNewsStopARequestOnItsWay(t *testing.T) {
 	env := newStreamEnv(t)
@@ -228,8 +228,8 @@
 	assert.Equal(t, env.d.countKind("do"), 2)
 }
 
-// TestCrashedPrefillEngineIsEvidence checks that the crash of a prefill engine counts as
-// evidence too. The prompt is given to one more engine, on trial, and to none after that.
+// TestCrashedPrefillEngineIsEvidence checks that the crash of a prefill engine is
+// recorded too. The prompt is given to one more engine, on trial, and to none after that.
 func TestCrashedPrefillEngineIsEvidence(t *testing.T) {
 	env := newStreamEnv(t)
 	env.d.prefill["p1"], env.d.prefill["p2"] = []error{errInterrupted}, []error{errInterrupted}
@@ -253,7 +253,7 @@
 	env.d.crashed = map[ident.UpstreamID]bool{"p1": true}
 	for range 3 {
 		// p2 gets more work, so that p1 is chosen.
-		env.o.Books.PlacePrefill(time.Now(), engineUps([]string{"p2"}, nil), 1000, "a", nil)
+		env.o.Scheduler.PlacePrefill(time.Now(), engineUps([]string{"p2"}, nil), 1000, "a", nil)
 	}
 	_, err := env.Stream(t.Context(), withContent(singleRun), &streamRecorder{})
 	assert.NilError(t, err)
@@ -271,11 +271,11 @@
 	ups := engineUps(nil, []string{"d1", "d2"})
 	service := withContent(singleRun).Service
 	for range 3 {
-		_, ok := env.o.Books.PlaceDecode(time.Now(), ups[1:], service.Engine, sizeOf(10), nil)
+		_, ok := env.o.Scheduler.PlaceDecode(time.Now(), ups[1:], service.Engine, sizeOf(10), nil)
 		assert.Assert(t, ok)
 	}
 	// One large request runs at d1, three small ones at d2.
-	_, ok := env.o.Books.PlaceDecode(time.Now(), ups[:1], service.Engine, sizeOf(6000), nil)
+	_, ok := env.o.Scheduler.PlaceDecode(time.Now(), ups[:1], service.Engine, sizeOf(6000), nil)
 	assert.Assert(t, ok)
 	_, err := env.Stream(t.Context(), withContent(singleRun), &streamRecorder{})
 	assert.NilError(t, err)
@@ -307,9 +307,9 @@
 	}
 }
 
-// TestSilentEngineWhoseCallerLeaves checks that evidence is not lost when the caller disconnects
-// first: an engine accepts the stream and stops responding, and nobody has checked it when the
-// caller leaves. It counts as crashed when a newer incarnation is listed.
+// TestSilentEngineWhoseCallerLeaves checks that a crash record is not lost when the caller
+// disconnects first: an engine accepts the stream and stops responding, and nobody has checked it
+// when the caller leaves. It counts as crashed when a newer incarnation is listed.
 func TestSilentEngineWhoseCallerLeaves(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ups := withIncarnation(5, engineUps([]string{"p1"}, []string{"d1"}))
--- a/gateway/carry/decode.go
+++ b/gateway/carry/decode.go
@@ -33,7 +33,7 @@
 	wd := s.streamWatchdog(ctx, u)
 	defer wd.stop()
 	resp, verdict, err := s.c.o.Dialect.Do(wd.ctx, s.j.Call, dialect.Send{
-		To: u, Deadline: s.j.Deadline.Add(-deadlineMargin), Source: source, Reservation: p.hold, LastEvent: s.lastEvent,
+		To: u, Deadline: s.j.Deadline.Add(-deadlineMargin), Source: source, Reservation: p.reservation, LastEvent: s.lastEvent,
 	})
 	if err != nil {
 		err = wd.attemptError(err)
@@ -106,23 +106,23 @@
 	return s.callerError(err)
 }
 
-// recordAccepted records that an engine runs the stream. If another engine refused the same
+// recordAccepted records that an engine runs the stream. If another engine rejected the same
 // prefill result before, that engine is at fault and not the result.
 func (s *stream) recordAccepted(u dialect.Upstream, h *prefillResult) {
-	s.c.o.Books.RecordAcceptance(u)
+	s.c.o.Scheduler.RecordAcceptance(u)
 	if h == nil {
 		return
 	}
-	s.c.o.Books.RecordAcceptance(h.engine)
-	if h.refusedBy != nil {
-		s.skipEngine(*h.refusedBy, "refused a request for which it had reserved memory")
+	s.c.o.Scheduler.RecordAcceptance(h.engine)
+	if h.rejectedBy != nil {
+		s.skipEngine(*h.rejectedBy, "rejected a request for which it had reserved memory")
 	}
 }
 
-// skipEngine excludes an engine from scheduling for a time, also at peers, because it refused a
+// skipEngine excludes an engine from scheduling for a time, also at peers, because it rejected a
 // request for which it had reserved memory or failed in a similar way.
 func (s *stream) skipEngine(u dialect.Upstream, why string) {
-	s.c.o.Books.RecordRejection(clock.Now(), u)
+	s.c.o.Scheduler.RecordRejection(clock.Now(), u)
 	s.c.o.Count("engine_passed_over")
 	s.log.Warn("engine passed over", "upstream", u.ID, "stage", u.Stage, "why", why)
 }
@@ -139,7 +139,7 @@
 	err := &dialect.StatusError{Op: "decode", Status: resp.StatusCode}
 	if a.evidence() != kernel.Ambiguous {
 		s.c.o.Count("decode_refused")
-		return nil, s.handleRefusal(ctx, p, h, err), s.callerError(err)
+		return nil, s.handleRejection(ctx, p, h, err), s.callerError(err)
 	}
 	s.runs++
 	if v == dialect.Failure {
@@ -156,25 +156,25 @@
 	return nil, false, s.callerError(err)
 }
 
-// handleRefusal handles the refusal of a request by a decode engine that had reserved memory for
+// handleRejection handles the rejection of a request by a decode engine that had reserved memory for
 // it, and reports whether another pair of engines may be tried. Either the engine is changing
 // its stage or the prefill result is gone. A second engine is asked with the same prefill result
 // to find out which, so that the prompt is not computed again.
-func (s *stream) handleRefusal(ctx context.Context, p *placement, h *prefillResult, err error) bool {
+func (s *stream) handleRejection(ctx context.Context, p *placement, h *prefillResult, err error) bool {
 	u := p.decode.Upstream
 	switch {
 	case h == nil:
-		s.skipEngine(u, "refused a request for which it had reserved memory")
-	case h.refusedBy == nil && h.fetchable(s.j.Service.Engine.HandleTTL):
+		s.skipEngine(u, "rejected a request for which it had reserved memory")
+	case h.rejectedBy == nil && h.fetchable(s.j.Service.Engine.HandleTTL):
 		s.releaseUnused(p, nil)
 		if s.mayRestart(ctx, err, sendsDecodeOnly) {
-			h.refusedBy = &u
+			h.rejectedBy = &u
 			s.retained = h
 			return true
 		}
 		s.freeResult(h)
 		return false
-	case h.refusedBy != nil:
+	case h.rejectedBy != nil:
 		s.skipEngine(h.engine, "two decode engines could not fetch its prefill result")
 		s.excluded = append(s.excluded, h.engine.ID)
 	}
--- a/gateway/carry/ending.go
+++ b/gateway/carry/ending.go
@@ -123,7 +123,7 @@
 // number of events, and checks whether the upstream crashed. headReceived means that the
 // upstream had sent a response head.
 func (g *crashGuard) handleInterruption(u dialect.Upstream, start time.Time, headReceived bool, eventCount int, cause error) {
-	if g.recordInterruption(u, headReceived || g.c.o.Books.AnsweredSince(u, start), eventCount, cause) == stateCrashed && eventCount == 0 {
+	if g.recordInterruption(u, headReceived || g.c.o.Scheduler.AnsweredSince(u, start), eventCount, cause) == stateCrashed && eventCount == 0 {
 		g.crashedEarly = true
 	}
 }
@@ -139,7 +139,7 @@
 // recordInterruption determines the state of an upstream after an attempt there was interrupted,
 // logs it and records a crash in the register. wasAlive means that the upstream showed a sign of
 // life after the request was sent. Without one, an upstream that does not answer may have been
-// gone before the request, and the attempt is not kept as possible evidence.
+// gone before the request, and the attempt is not kept as a possible crash.
 func (g *crashGuard) recordInterruption(u dialect.Upstream, wasAlive bool, eventCount int, cause error) upstreamState {
 	e := g.c.stateAfter(u, cause)
 	if e == stateCrashed && g.c.plannedShutdown(u) {
@@ -179,7 +179,7 @@
 	return c.checkState(u)
 }
 
-// recordCrash records evidence of a crash in the register and has it sent to the other instances,
+// recordCrash adds a crash record to the register and has it sent to the other instances,
 // because each of them may receive the same content at any moment.
 func (c *Forwarder) recordCrash(content quarantine.Content, u dialect.Upstream, eventCount int) {
 	now := clock.Now()
--- a/gateway/carry/fake_test.go
+++ b/gateway/carry/fake_test.go
@@ -42,14 +42,14 @@
 	mu sync.Mutex
 	// do holds the replies of each upstream, in order; the last one repeats.
 	do map[ident.UpstreamID][]reply
-	// prefill and hold hold the errors of prefills and reservations in the same way.
+	// prefill and reserve hold the errors of prefills and reservations in the same way.
 	prefill map[ident.UpstreamID][]error
-	hold    map[string][]error
+	reserve map[string][]error
 	// migrate holds the errors of copying ("copy") and of stopping ("stop") in the same way.
 	// stopped is called when a stream was stopped.
 	migrate map[string][]error
-	// kept holds the cache lists of engines.
-	kept map[ident.UpstreamID]map[string]int
+	// cached holds the cache lists of engines.
+	cached map[ident.UpstreamID]map[string]int
 	// silent engines do not answer requests for a report.
 	silent map[ident.UpstreamID]bool
 	// crashed upstreams refuse connections.
@@ -135,7 +135,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.record("hold %s", address)
-	if err, _ := next(f.hold, address); err != nil {
+	if err, _ := next(f.reserve, address); err != nil {
 		return "", err
 	}
 	return "r", nil
@@ -205,7 +205,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.record("kept %s", u.ID)
-	return f.kept[u.ID], nil
+	return f.cached[u.ID], nil
 }
 
 func (f *fakeDialect) WriteResponseHeaders(http.Header, *dialect.Call) {}
@@ -241,7 +241,7 @@
 	return n
 }
 
-// testEnv is a Carrier with fake dependencies.
+// testEnv is a Forwarder with fake dependencies.
 type testEnv struct {
 	*Forwarder
 	d    *fakeDialect
@@ -260,11 +260,11 @@
 // number of retries that the budget allows beyond its share of the requests.
 func newTestEnv(t *testing.T, slack float64, ups ...dialect.Upstream) *testEnv {
 	t.Helper()
-	d := &fakeDialect{do: map[ident.UpstreamID][]reply{}, prefill: map[ident.UpstreamID][]error{}, hold: map[string][]error{}, migrate: map[string][]error{}}
+	d := &fakeDialect{do: map[ident.UpstreamID][]reply{}, prefill: map[ident.UpstreamID][]error{}, reserve: map[string][]error{}, migrate: map[string][]error{}}
 	view := &fleet.Snapshot{Upstreams: map[string][]dialect.Upstream{"s": ups}, AsOf: time.Now()}
 	env := &testEnv{d: d, view: view}
 	env.Forwarder = New(Options{
-		Dialect: d, Books: schedule.NewScheduler("a", 1),
+		Dialect: d, Scheduler: schedule.NewScheduler("a", 1),
 		Budget: schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour, Slack: slack}, func() int { return 1 }),
 		View:   func() *fleet.Snapshot { return env.view },
 		Log:    slog.New(slog.DiscardHandler), Count: func(string) {},
--- a/gateway/carry/forward.go
+++ b/gateway/carry/forward.go
@@ -61,12 +61,12 @@
 	took := clock.Since(start)
 	eventCount := int(s.events.Load() - before)
 	if !started.IsZero() {
-		s.c.o.Books.StreamStarted(s.j.Service.Name, started.Sub(start))
+		s.c.o.Scheduler.StreamStarted(s.j.Service.Name, started.Sub(start))
 	}
 	if err == nil {
 		s.crashGuard.recordCompletion()
 		s.c.recordAttempt(u, &attempt{verdict: dialect.Success}, took, s.log)
-		s.c.o.Books.StreamDone(s.j.Service.Name, s.output(), s.produced())
+		s.c.o.Scheduler.StreamDone(s.j.Service.Name, s.output(), s.produced())
 		s.log.Info("stream complete", "upstream", u.ID, "events", s.events.Load(), "took_ms", took.Milliseconds(),
 			"first_ms", s.firstAt.Sub(s.j.Arrived).Milliseconds(), "longest_pause_ms", s.longestPause.Milliseconds(),
 			"prompt", s.j.Call.PromptTokens, "estimate", s.output(), "bound", s.j.Call.MaxOutputTokens)
@@ -132,11 +132,11 @@
 		if end := lastEventEnd(pending); end > 0 {
 			if !started {
 				started = true
-				s.c.o.Books.RecordPromptComputed(p.decode)
+				s.c.o.Scheduler.RecordPromptComputed(p.decode)
 				first()
 			}
 			s.recordPause(clock.Now())
-			s.c.o.Books.RecordProgress(clock.Now(), p.decode, s.produced())
+			s.c.o.Scheduler.RecordProgress(clock.Now(), p.decode, s.produced())
 			if werr := s.deliver(resp, pending[:end]); werr != nil {
 				return &CallerWriteError{Err: werr}
 			}
--- a/gateway/carry/guard.go
+++ b/gateway/carry/guard.go
@@ -54,7 +54,7 @@
 
 // streamWatchdog returns the watchdog for a running stream. The engine is checked only if the
 // stream may continue elsewhere; a stream that may run at most once is left alone while its
-// engine lives. Without the check, a stream that crosses a network cut between zones stalls
+// engine lives. Without the check, a stream that crosses a network partition between zones stalls
 // until its caller disconnects, and the callers of all such streams retry at the same moment.
 func (s *stream) streamWatchdog(ctx context.Context, u dialect.Upstream) *watchdog {
 	after := stallFactor * s.j.Route.PaceObjective
--- a/gateway/carry/kept.go
+++ b/gateway/carry/kept.go
@@ -68,9 +68,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
-	kept, err := d.CachedPromptParts(ctx, u)
-	l.tokensByPart, l.at = kept, clock.Now()
-	return kept[part], err
+	cached, err := d.CachedPromptParts(ctx, u)
+	l.tokensByPart, l.at = cached, clock.Now()
+	return cached[part], err
 }
 
 // cacheHolder is the decode engine that holds the largest part of a resumed stream's KV cache.
@@ -114,7 +114,7 @@
 
 // cacheHolderCandidates returns the decode engines to ask.
 func (s *stream) cacheHolderCandidates() []dialect.Upstream {
-	list := s.c.o.Books.Reachable(clock.Now(), s.c.eligible(s.j), dialect.StageDecode)
+	list := s.c.o.Scheduler.Reachable(clock.Now(), s.c.eligible(s.j), dialect.StageDecode)
 	if len(list) <= maxAskedAcrossZones {
 		return list
 	}
--- a/gateway/carry/kept_test.go
+++ b/gateway/carry/kept_test.go
@@ -21,7 +21,7 @@
 // holds most of its KV cache, which computes the rest, without a new prefill.
 func TestResumedStreamGoesWhereItsCacheIs(t *testing.T) {
 	env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1", "d2", "d3"})...)
-	env.d.kept = map[ident.UpstreamID]map[string]int{"d1": {"part": 300, "other": 9000}, "d3": {"part": 1100}}
+	env.d.cached = map[ident.UpstreamID]map[string]int{"d1": {"part": 300, "other": 9000}, "d3": {"part": 1100}}
 	env.d.do["d3"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 5)}}
 	var got streamRecorder
 	_, err := env.Stream(t.Context(), resumedJob(resumable), &got)
@@ -43,8 +43,8 @@
 	assert.Equal(t, env.d.countKind("prefill"), 1)
 	full := newStreamEnv(t)
 	full.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(3, 5)})
-	full.d.kept = map[ident.UpstreamID]map[string]int{"d1": {"part": 1100}}
-	full.d.hold["d1"] = []error{&dialect.NoCapacityError{}}
+	full.d.cached = map[ident.UpstreamID]map[string]int{"d1": {"part": 1100}}
+	full.d.reserve["d1"] = []error{&dialect.NoCapacityError{}}
 	_, err = full.Stream(t.Context(), resumedJob(resumable), &streamRecorder{})
 	assert.NilError(t, err)
 	assert.Equal(t, full.d.count("do d2"), 1)
--- a/gateway/carry/migrate.go
+++ b/gateway/carry/migrate.go
@@ -26,7 +26,7 @@
 	// stopped, because the stream pauses while the remainder is copied.
 	maxCopyTime = 150 * time.Millisecond
 	// stopTimeout limits the stopping of a stream and the copying of the remainder. Without the
-	// engine's answer a stopped stream has no handle from which to continue, so the wait is as
+	// engine's response a stopped stream has no handle from which to continue, so the wait is as
 	// long as callers tolerate.
 	stopTimeout = 2 * time.Second
 	// maxMigrations limits how often one stream is migrated.
@@ -134,7 +134,7 @@
 		if service.Engine == nil || !service.Engine.SupportsMigration {
 			continue
 		}
-		for _, m := range c.o.Books.Migrants(now, view.Upstreams[name], service.Engine) {
+		for _, m := range c.o.Scheduler.Migrants(now, view.Upstreams[name], service.Engine) {
 			s := c.runningStream(m.Ticket)
 			if s == nil || view.Evacuation.Covers(m.Ticket.Upstream.Zone) {
 				// A failed migration may resume at the source, which must get no new requests.
@@ -207,7 +207,7 @@
 		s.freeResult(&prefillResult{handle: copied, engine: from})
 	}
 	if err != nil || !s.migration.beginStop(generation, to) {
-		s.c.o.Books.Done(to)
+		s.c.o.Scheduler.Done(to)
 		s.migration.cancel(generation)
 		if err == nil {
 			s.freeResult(&prefillResult{handle: copied, engine: from})
@@ -235,9 +235,9 @@
 func (s *stream) reserveDestination(from dialect.Upstream) (schedule.Ticket, bool) {
 	size := s.size()
 	size.KVCopied = true
-	to, ok := s.c.o.Books.PlaceDecode(clock.Now(), s.c.eligible(s.j), s.j.Service.Engine, size, []ident.UpstreamID{from.ID})
+	to, ok := s.c.o.Scheduler.PlaceDecode(clock.Now(), s.c.eligible(s.j), s.j.Service.Engine, size, []ident.UpstreamID{from.ID})
 	if ok && !s.c.o.Budget.ExtraOptional(clock.Now(), s.j.Service.Name, sendsToMigrate) {
-		s.c.o.Books.Done(to)
+		s.c.o.Scheduler.Done(to)
 		return to, false
 	}
 	return to, ok
@@ -276,18 +276,18 @@
 	case m.err == nil:
 		return &continuation{source: m.handle, engines: []schedule.Ticket{m.to, p.decode}}, false
 	case errors.As(m.err, &notCopied):
-		s.c.o.Books.Done(m.to)
+		s.c.o.Scheduler.Done(m.to)
 		return &continuation{source: notCopied.Handle, engines: []schedule.Ticket{p.decode}}, false
 	default:
-		s.c.o.Books.Done(m.to)
+		s.c.o.Scheduler.Done(m.to)
 		return nil, !errors.As(m.err, &notRunning)
 	}
 }
 
 // continueStopped continues a stopped stream from its KV cache. This counts as the same run.
 //
-// The instance itself ended a working run, so a single refusal must not end the response: the
-// engine where the stream was stopped is asked too, also if the destination's answer was lost. A
+// The instance itself ended a working run, so a single rejection must not end the response: the
+// engine where the stream was stopped is asked too, also if the destination's response was lost. A
 // handle can be used only once, so the stream cannot continue twice.
 func (s *stream) continueStopped(ctx context.Context, p *placement, cont *continuation) (*Response, bool, error) {
 	var err error
@@ -347,7 +347,7 @@
 // handleNotResumed handles an engine that did not accept a stopped stream while another one
 // still can.
 func (s *stream) handleNotResumed(ctx context.Context, t schedule.Ticket, start time.Time, err error) {
-	s.c.o.Books.Done(t)
+	s.c.o.Scheduler.Done(t)
 	s.excluded = append(s.excluded, t.Upstream.ID)
 	var status *dialect.StatusError
 	if errors.As(err, &status) {
@@ -362,7 +362,7 @@
 // endPlacements ends placements that the stream does not use.
 func (s *stream) endPlacements(tickets []schedule.Ticket) {
 	for _, t := range tickets {
-		s.c.o.Books.Done(t)
+		s.c.o.Scheduler.Done(t)
 	}
 }
 
--- a/gateway/carry/migrate_test.go
+++ b/gateway/carry/migrate_test.go
@@ -28,11 +28,11 @@
 // migrationEnv is a stream that runs at d1 and can be migrated to d2.
 type migrationEnv struct {
 	*testEnv
-	body   *controlledBody
-	got    streamRecorder
-	answer *Response
-	err    error
-	ended  chan struct{}
+	body     *controlledBody
+	got      streamRecorder
+	response *Response
+	err      error
+	ended    chan struct{}
 }
 
 // startStreamAtD1 starts a stream that runs at d1 and has delivered two events.
@@ -45,10 +45,10 @@
 	j := job(route)
 	j.Service.Engine.SupportsMigration = true
 	full := &dialect.NoCapacityError{}
-	env.d.hold["d2"] = []error{full}
+	env.d.reserve["d2"] = []error{full}
 	go func() {
 		defer close(env.ended)
-		env.answer, env.err = env.Stream(t.Context(), j, &env.got)
+		env.response, env.err = env.Stream(t.Context(), j, &env.got)
 	}()
 	_, err := io.WriteString(env.body.w, events(1, 2))
 	assert.NilError(t, err)
--- a/gateway/carry/plain.go
+++ b/gateway/carry/plain.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// maxRefusals is the number of refusals by upstreams after which a request may still be sent
+	// maxRejections is the number of rejections by upstreams after which a request may still be sent
 	// again. After one more, the caller is told that the service is full.
-	maxRefusals = 2
+	maxRejections = 2
 	// attemptShare is the share of the remaining time that a repeatable request waits for one
 	// upstream while another may still be tried.
 	attemptShare = 0.45
@@ -39,9 +39,9 @@
 	log *slog.Logger
 	// tried lists the upstreams to which the request was sent. runs counts those that may have
 	// run it, refusals those that did not.
-	tried    []ident.UpstreamID
-	runs     int
-	refusals int
+	tried      []ident.UpstreamID
+	runs       int
+	rejections int
 	// failure is an upstream's own error response, which is forwarded if no attempt succeeds.
 	failure    *Response
 	crashGuard crashGuard
@@ -92,7 +92,7 @@
 
 // pickUpstream chooses the next upstream.
 func (p *plainRequest) pickUpstream() (schedule.Ticket, bool) {
-	t, ok := p.c.o.Books.PickService(clock.Now(), p.c.eligible(p.j), p.j.Route.Repeatable(), p.tried)
+	t, ok := p.c.o.Scheduler.PickService(clock.Now(), p.c.eligible(p.j), p.j.Route.Repeatable(), p.tried)
 	if ok {
 		p.tried = append(p.tried, t.Upstream.ID)
 	}
@@ -101,7 +101,7 @@
 
 // send makes one attempt and records its result.
 func (p *plainRequest) send(ctx context.Context, t schedule.Ticket) *attempt {
-	defer p.c.o.Books.Done(t)
+	defer p.c.o.Scheduler.Done(t)
 	start := clock.Now()
 	ctx, _, end := p.c.inFlight.track(ctx, t.Upstream)
 	defer end()
@@ -149,7 +149,7 @@
 		p.runs++
 		return
 	}
-	p.refusals++
+	p.rejections++
 }
 
 // mayRetry reports whether another attempt is allowed and worthwhile.
@@ -160,7 +160,7 @@
 	if a.evidence() == kernel.Ambiguous && (!p.j.Route.Repeatable() || p.runs >= p.j.Route.MaxAttempts) {
 		return false
 	}
-	if p.refusals > maxRefusals {
+	if p.rejections > maxRejections {
 		return false
 	}
 	return p.c.mayResend(p.j.Service.Name, 1, false, p.log)
--- a/gateway/carry/prefill.go
+++ b/gateway/carry/prefill.go
@@ -20,8 +20,8 @@
 	handle    dialect.Handle
 	engine    dialect.Upstream
 	createdAt time.Time
-	// refusedBy is the decode engine that refused to fetch the result.
-	refusedBy *dialect.Upstream
+	// rejectedBy is the decode engine that rejected the result.
+	rejectedBy *dialect.Upstream
 }
 
 // resultReuseShare is the share of a prefill result's lifetime in which it is still offered to
@@ -62,12 +62,12 @@
 func (s *stream) prefill(ctx context.Context, p *placement) (*prefillResult, error) {
 	var tried []ident.UpstreamID
 	for {
-		t, ok := s.c.o.Books.PlacePrefill(clock.Now(), s.c.eligible(s.j), s.j.Call.PromptTokens, p.decode.Upstream.Zone, append(tried, s.excluded...))
+		t, ok := s.c.o.Scheduler.PlacePrefill(clock.Now(), s.c.eligible(s.j), s.j.Call.PromptTokens, p.decode.Upstream.Zone, append(tried, s.excluded...))
 		if !ok {
 			return nil, nil
 		}
 		if err := s.admit(ctx); err != nil {
-			s.c.o.Books.Done(t)
+			s.c.o.Scheduler.Done(t)
 			return nil, err
 		}
 		h, err := s.prefillAt(ctx, t)
@@ -86,7 +86,7 @@
 
 // prefillAt has the prompt computed at one engine.
 func (s *stream) prefillAt(ctx context.Context, t schedule.Ticket) (dialect.Handle, error) {
-	defer s.c.o.Books.Done(t)
+	defer s.c.o.Scheduler.Done(t)
 	s.prefills++
 	u := t.Upstream
 	expected, _ := s.prefillWait()
@@ -100,11 +100,11 @@
 	err = wd.attemptError(err)
 	s.recordPrefill(u, err, start, took)
 	if err != nil && adapter.AsCallError(err).Evidence == kernel.Ambiguous && adapter.AsCallError(err).Status == 0 && ctx.Err() == nil {
-		s.crashGuard.recordInterruption(u, s.c.o.Books.AnsweredSince(u, start), 0, err)
+		s.crashGuard.recordInterruption(u, s.c.o.Scheduler.AnsweredSince(u, start), 0, err)
 	}
 	if err == nil {
-		s.c.o.Books.PrefillDone(s.j.Service.Name, s.j.Call.PromptTokens, took)
-		s.c.o.Books.ObservePrefillThroughput(clock.Now(), u, s.j.Call.PromptTokens, took)
+		s.c.o.Scheduler.PrefillDone(s.j.Service.Name, s.j.Call.PromptTokens, took)
+		s.c.o.Scheduler.ObservePrefillThroughput(clock.Now(), u, s.j.Call.PromptTokens, took)
 	}
 	s.log.Info("prefill", "upstream", u.ID, "tokens", s.j.Call.PromptTokens, "number", s.prefills, "took_ms", took.Milliseconds(), "error", logs.ErrorText(err))
 	return h, err
@@ -114,7 +114,7 @@
 // gets all the time in which the first event can still be on time. Canceling earlier discards
 // its work, and another engine has to start over.
 func (s *stream) prefillTimeout(start time.Time, expected time.Duration) time.Duration {
-	first := s.c.o.Books.FirstEvent(s.j.Service.Name)
+	first := s.c.o.Scheduler.FirstEvent(s.j.Service.Name)
 	onTime := s.j.Arrived.Add(s.j.Route.Objective - first).Sub(start)
 	return max(minPrefillTimeout, prefillTimeoutFactor*expected, onTime)
 }
@@ -126,7 +126,7 @@
 	switch {
 	case errors.As(err, &silent):
 		s.c.recordFailure(u, ClassifyUnreachable(silent.Err), err, took, s.log)
-	case late && s.c.o.Books.AnsweredSince(u, start):
+	case late && s.c.o.Scheduler.AnsweredSince(u, start):
 		// The engine responded to other requests meanwhile, so it is busy.
 	case late:
 		// Nothing arrived from the engine, so it is down or unreachable.
--- a/gateway/carry/reserve.go
+++ b/gateway/carry/reserve.go
@@ -16,15 +16,15 @@
 
 // placement is a reserved decode engine for a stream.
 type placement struct {
-	decode schedule.Ticket
-	hold   string
+	decode      schedule.Ticket
+	reservation string
 	// selfPrefill means that the decode engine computes the prompt itself.
 	selfPrefill bool
 }
 
 // leavePlacement ends a placement and wakes the head of the service's queue.
 func (s *stream) leavePlacement(p *placement) {
-	s.c.o.Books.Done(p.decode)
+	s.c.o.Scheduler.Done(p.decode)
 	s.c.queueOf(s.j.Service.Name).capacityFreed()
 }
 
@@ -34,8 +34,8 @@
 func (s *stream) prefillWait() (wait time.Duration, self bool) {
 	now := clock.Now()
 	list := s.c.eligible(s.j)
-	wait, open := s.c.o.Books.PrefillWait(now, list, s.j.Call.PromptTokens)
-	return wait, !open && !s.c.o.Books.PrefillReachable(now, list)
+	wait, open := s.c.o.Scheduler.PrefillWait(now, list, s.j.Call.PromptTokens)
+	return wait, !open && !s.c.o.Scheduler.PrefillReachable(now, list)
 }
 
 // tooLate reports whether the first event could not be on time even if the request got its
@@ -52,10 +52,10 @@
 	}
 	service := s.j.Service.Name
 	prefill, _ := s.prefillWait()
-	if overflow, ok := s.c.o.Books.OverflowTime(service, s.j.Call.PromptTokens); ok {
+	if overflow, ok := s.c.o.Scheduler.OverflowTime(service, s.j.Call.PromptTokens); ok {
 		prefill = min(prefill, overflow)
 	}
-	ready := now.Add(prefill + s.c.o.Books.FirstEvent(service))
+	ready := now.Add(prefill + s.c.o.Scheduler.FirstEvent(service))
 	return ready.After(s.j.Arrived.Add(s.j.Route.Objective))
 }
 
@@ -169,42 +169,42 @@
 func (s *stream) reservePlacement(ctx context.Context, size schedule.Size, excluded []ident.UpstreamID) *placement {
 	size.MaxPause = s.j.Route.PaceObjective
 	for ctx.Err() == nil {
-		t, ok := s.c.o.Books.PlaceDecode(clock.Now(), s.c.eligible(s.j), s.j.Service.Engine, size, excluded)
+		t, ok := s.c.o.Scheduler.PlaceDecode(clock.Now(), s.c.eligible(s.j), s.j.Service.Engine, size, excluded)
 		if !ok {
 			return nil
 		}
 		start := clock.Now()
-		hold, err := s.holdMemory(ctx, t)
+		reservation, err := s.reserveMemory(ctx, t)
 		if err == nil {
 			s.log.Info("reserved", "upstream", t.Upstream.ID, "tokens", s.need(), "self", size.ComputePrompt, "overflow", size.Overflow,
 				"took_ms", clock.Since(start).Milliseconds(), "waited_ms", start.Sub(s.j.Arrived).Milliseconds())
-			return &placement{decode: t, hold: hold, selfPrefill: size.ComputePrompt}
+			return &placement{decode: t, reservation: reservation, selfPrefill: size.ComputePrompt}
 		}
-		s.c.o.Books.Done(t)
+		s.c.o.Scheduler.Done(t)
 	}
 	return nil
 }
 
-// holdMemory reserves memory at the placement's engine and returns the ID of the reservation.
-func (s *stream) holdMemory(ctx context.Context, t schedule.Ticket) (string, error) {
+// reserveMemory reserves memory at the placement's engine and returns the ID of the reservation.
+func (s *stream) reserveMemory(ctx context.Context, t schedule.Ticket) (string, error) {
 	u := t.Upstream
 	start := clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	hold, err := s.c.o.Dialect.Reserve(ctx, u.Address, s.need(), s.j.Service.Engine.ReservationTTL)
+	reservation, err := s.c.o.Dialect.Reserve(ctx, u.Address, s.need(), s.j.Service.Engine.ReservationTTL)
 	var full *dialect.NoCapacityError
 	switch {
 	case err == nil:
-		s.c.o.Books.RecordContact(clock.Now(), u)
+		s.c.o.Scheduler.RecordContact(clock.Now(), u)
 	case errors.As(err, &full):
-		s.c.o.Books.RecordFull(clock.Now(), u, s.need())
+		s.c.o.Scheduler.RecordFull(clock.Now(), u, s.need())
 		s.c.o.Count("hold_refused")
 	case errors.Is(err, context.Canceled):
 	default:
 		// An engine that does not answer this call does not answer requests either.
 		s.c.recordFailure(u, ClassifyUnreachable(err), err, clock.Since(start), s.log)
 	}
-	return hold, err
+	return reservation, err
 }
 
 // freeResult releases a prefill result in the background.
@@ -222,7 +222,7 @@
 	}
 	s.c.cleanup.Go(func() {
 		release(func(ctx context.Context) error {
-			return s.c.o.Dialect.Release(ctx, p.decode.Upstream.Address, p.hold)
+			return s.c.o.Dialect.Release(ctx, p.decode.Upstream.Address, p.reservation)
 		}, s.log, "hold", p.decode.Upstream.ID)
 	})
 }
--- a/gateway/carry/restarts.go
+++ b/gateway/carry/restarts.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// HasPendingAttempts reports whether any attempt is running or undecided. If not, Listed has no
-// effect.
+// HasPendingAttempts reports whether any attempt is running or undecided. If not,
+// ObserveUpstreams has no effect.
 func (c *Forwarder) HasPendingAttempts() bool {
 	c.inFlight.mu.Lock()
 	inFlight := len(c.inFlight.byUpstream) > 0
@@ -78,15 +78,15 @@
 	}
 }
 
-// ObserveReport processes an engine's answer to a call of the gateway itself, and reports whether the
-// engine is still the listed incarnation.
+// ObserveReport processes an engine's response to a call of the gateway itself, and reports whether
+// the engine is still the listed incarnation.
 func (c *Forwarder) ObserveReport(u dialect.Upstream, r dialect.Report) bool {
 	if !u.Restarted(r.Incarnation) {
 		return true
 	}
 	c.o.Log.Info("upstream restarted", "upstream", u.ID, "address", u.Address, "listed", u.Incarnation, "incarnation", r.Incarnation)
 	u.Incarnation = r.Incarnation
-	c.o.Books.RecordRestart(u)
+	c.o.Scheduler.RecordRestart(u)
 	c.ObserveUpstreams([]dialect.Upstream{u})
 	return false
 }
--- a/gateway/carry/restarts_test.go
+++ b/gateway/carry/restarts_test.go
@@ -30,7 +30,7 @@
 	env := newTestEnv(t, ampleBudget, ups...)
 	for range 9 {
 		// y has more requests in flight, so that x is chosen.
-		env.o.Books.PickService(time.Now(), ups[1:], true, nil)
+		env.o.Scheduler.PickService(time.Now(), ups[1:], true, nil)
 	}
 	env.d.do["x"] = []reply{{hangs: true}}
 	time.AfterFunc(300*time.Millisecond, func() { env.ObserveUpstreams(withIncarnation(listed, ups[:1])) })
@@ -69,7 +69,7 @@
 }
 
 // TestReportShowsARestart checks that a restart is detected from an engine's report before any
-// list shows it. The stream continues elsewhere, and failures of the old incarnation do not
+// list shows it. The stream continues elsewhere, and failures of the previous incarnation do not
 // count against the new one.
 func TestReportShowsARestart(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
@@ -82,7 +82,7 @@
 		assert.Assert(t, took < time.Second, "%v", took)
 		assert.Equal(t, env.d.count("do d2"), 1)
 		fresh := withIncarnation(6, engineUps(nil, []string{"d1"}))
-		assert.Equal(t, len(env.o.Books.Reachable(time.Now(), fresh, dialect.StageDecode)), 1)
+		assert.Equal(t, len(env.o.Scheduler.Reachable(time.Now(), fresh, dialect.StageDecode)), 1)
 	})
 }
 
--- a/gateway/carry/sound_test.go
+++ b/gateway/carry/sound_test.go
@@ -36,12 +36,12 @@
 
 // TestMovedStreamGoesBackWhenItIsNotTaken guards against a connection that is closed a few ms
 // after a stream was moved away from a crowded engine: the KV cache was copied and the run
-// stopped, and then the destination refused the request. The instance asked only the
+// stopped, and then the destination rejected the request. The instance asked only the
 // destination, and only once; the source, which still has the KV cache, was not asked. This
 // holds for routes that allow one run too.
 //
 // The logs showed `stream moved`, then within 5 ms `stream broke off` with status 503 from the
-// destination, where a third of the engines refused part of their requests, and nowhere else. In
+// destination, where a third of the engines rejected some of their requests, and nowhere else. In
 // production the last two lines were 90 us apart. There was no `not sent again`, so the retry
 // budget was not the cause.
 func TestMovedStreamGoesBackWhenItIsNotTaken(t *testing.T) {
@@ -148,7 +148,7 @@
 func TestSilentEngineKeepsItsStreamWhileThereIsNoOther(t *testing.T) {
 	full := []error{&dialect.NoCapacityError{}}
 	for name, prepare := range map[string]func(env *testEnv){
-		"no room": func(env *testEnv) { env.d.hold["d2"] = full },
+		"no room": func(env *testEnv) { env.d.reserve["d2"] = full },
 		"no budget": func(env *testEnv) {
 			env.o.Budget = schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour}, func() int { return 1 })
 		},
@@ -174,7 +174,7 @@
 		full := &dialect.NoCapacityError{}
 		env, got, took, err := runStalledStreamWith(t, resumable, func(env *testEnv) {
 			env.d.silent = map[ident.UpstreamID]bool{"d1": true}
-			env.d.hold["d2"] = []error{full, full, nil}
+			env.d.reserve["d2"] = []error{full, full, nil}
 		})
 		assert.NilError(t, err)
 		assert.Equal(t, got.body.String(), events(1, 5))
@@ -207,15 +207,15 @@
 	env.Close()
 	assert.Equal(t, env.d.count("hold d2"), 1)
 	assert.Equal(t, env.d.count("release d2"), 1)
-	assert.Equal(t, env.o.Books.RequestCount("d2"), 0)
+	assert.Equal(t, env.o.Scheduler.RequestCount("d2"), 0)
 }
 
 // TestStreamUnderWayGoesOnWhenRoomComes guards against a connection that is closed while the
 // service is busy, after a stream has lost its engine. The stream waited behind all other
-// requests for at most a quarter of its time, and its sends were charged to the part of the
+// requests for at most a quarter of its time, and its sends were charged to the share of the
 // retry budget that any request may use, about two sends per instance in a large fleet.
 //
-// Under three loads with network cuts and crashes, 301 streams lost their engine and 182
+// Under three loads with network partitions and crashes, 301 streams lost their engine and 182
 // responses were cut off: 157 of them after `not sent again` (`retry_budget`), 3 with `no_room`.
 func TestStreamUnderWayGoesOnWhenRoomComes(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
@@ -223,11 +223,11 @@
 		env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
 		env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
 		full := &dialect.NoCapacityError{}
-		env.d.hold["d2"] = []error{full}
+		env.d.reserve["d2"] = []error{full}
 		time.AfterFunc(20*time.Second, func() {
 			env.d.mu.Lock()
 			defer env.d.mu.Unlock()
-			env.d.hold["d2"] = nil
+			env.d.reserve["d2"] = nil
 		})
 		j := job(resumable)
 		j.Arrived, j.Deadline = time.Now(), time.Now().Add(time.Minute)
@@ -244,7 +244,7 @@
 	env := newTestEnv(t, ampleBudget, engineUps([]string{"p1"}, []string{"d1", "d2"})...)
 	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
 	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
-	env.d.hold["d2"] = []error{&dialect.NoCapacityError{}, nil}
+	env.d.reserve["d2"] = []error{&dialect.NoCapacityError{}, nil}
 	q := env.queueOf("s")
 	var other *waiter
 	env.o.Count = func(name string) {
@@ -261,7 +261,7 @@
 }
 
 // TestStreamUnderWayUsesWhatTheBudgetKeepsBack checks that a stream that is under way may use
-// the reserved part of the retry budget when new requests are no longer sent again.
+// the reserved share of the retry budget when new requests are no longer sent again.
 func TestStreamUnderWayUsesWhatTheBudgetKeepsBack(t *testing.T) {
 	env := newStreamEnv(t)
 	env.o.Budget = schedule.NewBudget(time.Now(), schedule.BudgetOptions{Window: time.Hour, Slack: 5}, func() int { return 1 })
@@ -269,7 +269,7 @@
 	assert.Assert(t, !env.mayResend("s", 2, false, env.o.Log))
 	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, body: events(1, 3), breaks: true}}
 	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(4, 6)}}
-	env.d.hold["d2"] = []error{&dialect.NoCapacityError{}, nil}
+	env.d.reserve["d2"] = []error{&dialect.NoCapacityError{}, nil}
 	got := &streamRecorder{}
 	_, err := env.Stream(t.Context(), job(resumable), got)
 	assert.NilError(t, err)
--- a/gateway/carry/stop.go
+++ b/gateway/carry/stop.go
@@ -42,8 +42,8 @@
 	}
 	service := s.j.Service.Name
 	prefill, _ := s.prefillWait()
-	left := clock.Until(end) - prefill - s.c.o.Books.FirstEvent(service)
-	return s.c.o.Books.EndsWithin(service, s.size(), s.j.Call.MaxOutputTokens, left) < minCompletionProbability
+	left := clock.Until(end) - prefill - s.c.o.Scheduler.FirstEvent(service)
+	return s.c.o.Scheduler.EndsWithin(service, s.size(), s.j.Call.MaxOutputTokens, left) < minCompletionProbability
 }
 
 // refuseStopping logs and counts the refusal of a stream that would outlast this instance, and
@@ -55,6 +55,6 @@
 }
 
 // NewStoppingError returns the error for a request that its instance cannot finish.
-func NewStoppingError(fate Outcome) *Error {
-	return &Error{Outcome: fate, Reason: reasonStopping, RetryAfter: stoppingRetryAfter, Err: &StoppedError{}}
+func NewStoppingError(outcome Outcome) *Error {
+	return &Error{Outcome: outcome, Reason: reasonStopping, RetryAfter: stoppingRetryAfter, Err: &StoppedError{}}
 }
--- a/gateway/carry/stop_test.go
+++ b/gateway/carry/stop_test.go
@@ -49,7 +49,7 @@
 	bubble.Test(t, func(t *testing.T) {
 		env := newStreamEnv(t)
 		full := []error{&dialect.NoCapacityError{}}
-		env.d.hold["d1"], env.d.hold["d2"] = full, full
+		env.d.reserve["d1"], env.d.reserve["d2"] = full, full
 		env.stopDeadline = time.Now().Add(5 * time.Second)
 		j := job(singleRun)
 		j.Arrived, j.Deadline = time.Now(), time.Now().Add(time.Minute)
--- a/gateway/carry/stream.go
+++ b/gateway/carry/stream.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// holdTimeout limits a reservation call, which engines answer in a few ms.
-	holdTimeout = 250 * time.Millisecond
+	// reserveTimeout limits a reservation call, which engines answer in a few ms.
+	reserveTimeout = 250 * time.Millisecond
 	// releaseTimeout limits one attempt to release a resource at an engine. releaseTries is the
 	// maximum number of attempts.
 	releaseTimeout = 500 * time.Millisecond
@@ -71,8 +71,8 @@
 func (e *InterruptedError) Unwrap() error { return e.Err }
 
 // Stream forwards a request of a service of engines. The error is an *Error, an *AbandonedError
-// or a *BrokenOffError. An *Answer is an upstream's own error response, which is to be forwarded
-// to the caller.
+// or an *InterruptedError. A *Response is an upstream's own error response, which is to be
+// forwarded to the caller.
 func (c *Forwarder) Stream(ctx context.Context, j *Job, w StreamWriter) (*Response, error) {
 	s := &stream{c: c, j: j, w: w, log: j.log(c.o.Log), lastEvent: j.Call.LastEvent}
 	s.crashGuard = crashGuard{c: c, j: j, log: s.log}
@@ -110,7 +110,7 @@
 	starts   int
 	runs     int
 	prefills int
-	// retained is a prefill result that a decode engine refused to fetch and that is offered to
+	// retained is a prefill result that a decode engine rejected and that is offered to
 	// another one.
 	retained *prefillResult
 	// headSent means that the response head was sent to the caller.
@@ -164,18 +164,18 @@
 // run runs the stream, and restarts it as long as that is allowed.
 func (s *stream) run(ctx context.Context) (*Response, error) {
 	for {
-		answer, again, err := s.start(ctx)
+		response, again, err := s.start(ctx)
 		if err == nil || !again {
-			s.countCut(err)
-			return answer, err
+			s.countInterrupted(err)
+			return response, err
 		}
 		s.log.Info("stream is started again", "starts", s.starts, "last_event", s.lastEvent, "error", logs.ErrorText(err))
 		s.c.o.Count("stream_restarted")
 	}
 }
 
-// countCut counts a response that ended early.
-func (s *stream) countCut(err error) {
+// countInterrupted counts a response that ended early.
+func (s *stream) countInterrupted(err error) {
 	var broken *InterruptedError
 	if errors.As(err, &broken) {
 		s.c.o.Count("answers_cut_" + string(broken.Reason))
@@ -183,7 +183,7 @@
 }
 
 // start runs the stream at one pair of engines. again reports whether another pair may be tried.
-func (s *stream) start(ctx context.Context) (answer *Response, again bool, err error) {
+func (s *stream) start(ctx context.Context) (response *Response, again bool, err error) {
 	s.starts++
 	p, err := s.admitAndReserve(ctx)
 	if err != nil {
@@ -207,7 +207,7 @@
 		return nil, err
 	}
 	if s.starts == 1 {
-		s.c.o.Books.RecordRequest(clock.Now(), s.j.Service.Name, s.j.Call.PromptTokens, s.output())
+		s.c.o.Scheduler.RecordRequest(clock.Now(), s.j.Service.Name, s.j.Call.PromptTokens, s.output())
 	}
 	if p := s.standby.take(); p != nil {
 		return p, nil
@@ -216,7 +216,7 @@
 }
 
 // admit reports whether the content may be sent to an engine. It is checked before each send,
-// because evidence of crashes may have arrived while the request waited.
+// because crash records may have arrived while the request waited.
 func (s *stream) admit(ctx context.Context) error {
 	return s.crashGuard.admit(ctx, s.outcomeUnserved())
 }
--- a/gateway/carry/stream_test.go
+++ b/gateway/carry/stream_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestRefusedDecodeKeepsThePrefillResult checks that the second engine is offered the prefill
-// result that the first one refused, that nothing is computed twice, and that the engine at
+// result that the first one rejected, that nothing is computed twice, and that the engine at
 // fault is passed over afterwards.
 func TestRefusedDecodeKeepsThePrefillResult(t *testing.T) {
 	env := newStreamEnv(t)
@@ -120,10 +120,10 @@
 	env := newStreamEnv(t)
 	good := reply{verdict: dialect.Success, status: 200, body: events(1, 2)}
 	env.d.do["d1"], env.d.do["d2"] = []reply{refusal, good}, []reply{refusal, good}
-	// Both decode engines refuse this request, so a third one is needed.
+	// Both decode engines reject this request, so a third one is needed.
 	env.view.Upstreams["s"] = engineUps([]string{"p1", "p2"}, []string{"d1", "d2", "d3"})
 	env.d.do["d3"] = []reply{good}
-	env.d.hold["d3"] = []error{&dialect.NoCapacityError{}, &dialect.NoCapacityError{}, nil}
+	env.d.reserve["d3"] = []error{&dialect.NoCapacityError{}, &dialect.NoCapacityError{}, nil}
 	var got streamRecorder
 	_, err := env.Stream(t.Context(), job(singleRun), &got)
 	assert.NilError(t, err)
@@ -138,7 +138,7 @@
 // when it cannot be on time any more, before anything was computed.
 func TestNothingIsComputedWithoutRoom(t *testing.T) {
 	env := newStreamEnv(t)
-	env.d.hold["d1"], env.d.hold["d2"] = []error{&dialect.NoCapacityError{}}, []error{&dialect.NoCapacityError{}}
+	env.d.reserve["d1"], env.d.reserve["d2"] = []error{&dialect.NoCapacityError{}}, []error{&dialect.NoCapacityError{}}
 	j := job(singleRun)
 	j.Route.Objective = 50 * time.Millisecond
 	_, err := env.Stream(t.Context(), j, &streamRecorder{})
@@ -202,7 +202,7 @@
 func TestWaitingInLine(t *testing.T) {
 	env := newStreamEnv(t)
 	full := &dialect.NoCapacityError{}
-	env.d.hold["d1"], env.d.hold["d2"] = []error{full, full, full, nil}, []error{full}
+	env.d.reserve["d1"], env.d.reserve["d2"] = []error{full, full, full, nil}, []error{full}
 	env.serveStreams(reply{verdict: dialect.Success, status: 200, body: events(1, 2)})
 	_, err := env.Stream(t.Context(), job(singleRun), &streamRecorder{})
 	assert.NilError(t, err)
@@ -234,7 +234,7 @@
 func TestBusyPrefillEnginesKeepRequestsInLine(t *testing.T) {
 	env := newStreamEnv(t)
 	for range 2 {
-		_, ok := env.o.Books.PlacePrefill(time.Now(), env.view.Upstreams["s"], 1<<20, "a", nil)
+		_, ok := env.o.Scheduler.PlacePrefill(time.Now(), env.view.Upstreams["s"], 1<<20, "a", nil)
 		assert.Assert(t, ok)
 	}
 	j := job(singleRun)
@@ -251,10 +251,10 @@
 	for _, assigned := range []bool{true, false} {
 		env := newStreamEnv(t)
 		for range 2 {
-			_, ok := env.o.Books.PlacePrefill(time.Now(), env.view.Upstreams["s"], 1<<20, "a", nil)
+			_, ok := env.o.Scheduler.PlacePrefill(time.Now(), env.view.Upstreams["s"], 1<<20, "a", nil)
 			assert.Assert(t, ok)
 		}
-		env.o.Books.SetOverflow(map[ident.UpstreamID]bool{"d1": assigned})
+		env.o.Scheduler.SetOverflow(map[ident.UpstreamID]bool{"d1": assigned})
 		j := job(singleRun)
 		j.Route.Objective = time.Second
 		_, err := env.Stream(t.Context(), j, &streamRecorder{})
@@ -275,10 +275,10 @@
 		u := env.view.Upstreams["s"][0]
 		start := time.Now()
 		if answers {
-			env.o.Books.RecordSuccess(start.Add(time.Millisecond), u, time.Millisecond)
+			env.o.Scheduler.RecordSuccess(start.Add(time.Millisecond), u, time.Millisecond)
 		}
 		s.recordPrefill(u, context.DeadlineExceeded, start, time.Second)
-		wait, _ := env.o.Books.PrefillWait(start, env.view.Upstreams["s"][:1], 100)
+		wait, _ := env.o.Scheduler.PrefillWait(start, env.view.Upstreams["s"][:1], 100)
 		assert.Equal(t, wait > 0, answers)
 	}
 }
@@ -331,7 +331,7 @@
 	env := newStreamEnv(t)
 	s := &stream{c: env.Forwarder, j: job(singleRun), log: env.o.Log}
 	s.j.Route.Objective = 2 * time.Second
-	first := env.o.Books.FirstEvent("s")
+	first := env.o.Scheduler.FirstEvent("s")
 	assert.Equal(t, s.prefillTimeout(s.j.Arrived.Add(300*time.Millisecond), 10*time.Millisecond), 1700*time.Millisecond-first)
 	assert.Equal(t, s.prefillTimeout(s.j.Arrived.Add(1900*time.Millisecond), 10*time.Millisecond), minPrefillTimeout)
 	assert.Equal(t, s.prefillTimeout(s.j.Arrived, time.Second), 4*time.Second)
--- a/gateway/carry/undecided.go
+++ b/gateway/carry/undecided.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// undecidedTTL is how long to wait for evidence that an upstream that does not answer had
+	// undecidedTTL is how long to wait for proof that an upstream that does not answer had
 	// crashed. A crashed upstream is back after some seconds, as a newer incarnation.
 	undecidedTTL = 15 * time.Second
-	// maxUndecided limits the number of attempts that are kept. A network cut of a zone
+	// maxUndecided limits the number of attempts that are kept. A network partition of a zone
 	// interrupts several hundred.
 	maxUndecided = 512
 )
@@ -50,7 +50,7 @@
 }
 
 // takeCrashed removes and returns the attempts whose upstreams have been replaced according to
-// the current list. Attempts for which no evidence arrived within undecidedTTL are dropped.
+// the current list. Attempts for which no proof arrived within undecidedTTL are dropped.
 func (ua *undecidedAttempts) takeCrashed(now time.Time, list []dialect.Upstream) []undecidedAttempt {
 	ua.mu.Lock()
 	defer ua.mu.Unlock()
--- a/gateway/carry/watch.go
+++ b/gateway/carry/watch.go
@@ -14,9 +14,9 @@
 
 const (
 	// livenessDelayFactor is the time that a prefill may take before the engine is checked for a
-	// sign of life, as a multiple of the expected time; at least minLivenessDelay. A network cut
-	// or a crash is then detected after about 350 ms, while a busy engine is not mistaken for a
-	// dead one and ejected.
+	// sign of life, as a multiple of the expected time; at least minLivenessDelay. A network
+	// partition or a crash is then detected after about 350 ms, while a busy engine is not mistaken
+	// for a dead one and ejected.
 	livenessDelayFactor = 2
 	minLivenessDelay    = 150 * time.Millisecond
 	// livenessTimeout limits the check. Engines answer it in a few ms, however busy they are.
@@ -51,7 +51,7 @@
 	case err == nil && !s.c.ObserveReport(u, r), err != nil && wd.ctx.Err() != nil:
 		return false
 	case err == nil:
-		s.c.o.Books.RecordContact(clock.Now(), u)
+		s.c.o.Scheduler.RecordContact(clock.Now(), u)
 		return true
 	}
 	s.log.Warn("upstream silent", "upstream", u.ID, "asked_ms", clock.Since(start).Milliseconds(), "error", logs.ErrorText(err))
--- a/gateway/carry/watch_test.go
+++ b/gateway/carry/watch_test.go
@@ -31,7 +31,7 @@
 	env.d.do["d1"] = []reply{{verdict: dialect.Success, status: 200, stream: body}}
 	env.d.do["d2"] = []reply{{verdict: dialect.Success, status: 200, body: events(3, 5)}}
 	full := &dialect.NoCapacityError{}
-	env.d.hold["d2"] = []error{full, nil}
+	env.d.reserve["d2"] = []error{full, nil}
 	prepare(env)
 	var upstream sync.WaitGroup
 	defer upstream.Wait()
--- a/gateway/dialect/dialect.go
+++ b/gateway/dialect/dialect.go
@@ -112,8 +112,8 @@
 	HasTokenCounts bool
 	// PromptTokens is the length of the prompt, 0 if unknown.
 	PromptTokens int
-	// LastPromptPart is the ID of the last part of the prompt, which no other request's prompt has; ""
-	// if unknown.
+	// LastPromptPart is the ID of the last part of the prompt, which no other request's prompt has;
+	// "" if unknown.
 	LastPromptPart string
 	// MaxOutputTokens bounds the length of the output, 0 if unknown.
 	MaxOutputTokens int
@@ -149,16 +149,16 @@
 
 // The verdicts.
 const (
-	// Success is a successful answer, to be forwarded to the caller.
+	// Success is a successful response, to be forwarded to the caller.
 	Success Verdict = iota + 1
-	// Failure is an error answer of the upstream itself: the request ran.
+	// Failure is an error response of the upstream itself: the request ran.
 	Failure
 	// Refused means that the upstream states that the request did not run and will not run.
 	Refused
 	// WrongUpstream means that another incarnation than the expected one has the address. The
 	// request did not run.
 	WrongUpstream
-	// Invalid means that the response is not the upstream's answer to this request.
+	// Invalid means that the response does not belong to this request.
 	Invalid
 )
 
@@ -208,10 +208,10 @@
 	// ReleaseHandle releases a prefill result.
 	ReleaseHandle(ctx context.Context, h Handle) error
 	// Reserve reserves a slot and memory for tokens at an engine, for ttl at most, and returns the
-	// ID of the reservation. If the engine refuses, the error is a *FullError.
+	// ID of the reservation. If the engine rejects it, the error is a *NoCapacityError.
 	Reserve(ctx context.Context, address string, tokens int, ttl time.Duration) (string, error)
 	// Release releases a reservation.
-	Release(ctx context.Context, address, hold string) error
+	Release(ctx context.Context, address, reservation string) error
 	// Migrate copies the KV cache of a running request to another engine, where the request can
 	// continue with the returned handle as its source. With Stop the request first ends at its
 	// engine, otherwise it continues to run there. If it is not running there, the error is a
@@ -224,8 +224,9 @@
 	// Report requests an engine's load report. Engines answer without using a slot. If another
 	// incarnation answers at the address, the error is a *ReplacedError.
 	Report(ctx context.Context, u Upstream) (Report, error)
-	// CachedPromptParts returns the IDs of the prompt parts in an engine's KV cache and the length of each in
-	// tokens, including the output that follows it. The request delays the engine's work.
+	// CachedPromptParts returns the IDs of the prompt parts in an engine's KV cache and the length
+	// of each in tokens, including the output that follows it. The request delays the engine's
+	// work.
 	CachedPromptParts(ctx context.Context, u Upstream) (map[string]int, error)
 	// Order orders an engine to change its stage. If the engine has seen a higher fencing number,
 	// the error is a *FencedError.
@@ -254,8 +255,8 @@
 	Switching bool
 	// Running and Waiting are numbers of requests.
 	Running, Waiting int
-	// UsedTokens is the memory used by running requests, ReservedTokens the memory reserved, both in
-	// tokens.
+	// UsedTokens is the memory used by running requests, ReservedTokens the memory reserved, both
+	// in tokens.
 	UsedTokens, ReservedTokens int
 }
 
@@ -280,11 +281,11 @@
 // Source is the store that the operators and the upstreams write to. The gateway only reads it.
 type Source interface {
 	// Directives returns the current directives. If there is no configuration, the error is an
-	// *AbsentError.
+	// *KeyNotFoundError.
 	Directives(ctx context.Context) (Directives, error)
 	// Upstreams lists all upstreams and returns the store's revision that the list reflects. A
 	// long list takes several requests to the store. Before each one except the first, Upstreams
-	// calls further; if that returns false, it stops with a *StoppedError.
+	// calls further; if that returns false, it stops with a *ListAbandonedError.
 	Upstreams(ctx context.Context, further func() bool) (list []Upstream, revision int64, err error)
 	// Changes returns the changes after a revision. If the store no longer has the history since
 	// that revision, the error is a *HistoryLostError.
@@ -293,7 +294,7 @@
 
 // Changes describes the differences between two revisions of the store.
 type Changes struct {
-	// Upstreams lists the upstreams that were added or changed, Gone the IDs of removed ones.
+	// Upstreams lists the upstreams that were added or changed, Removed the IDs of removed ones.
 	Upstreams []Upstream
 	Removed   []ident.UpstreamID
 	// DirectivesChanged means that at least one of the operators' items in the store changed.
--- a/gateway/dialect/errors.go
+++ b/gateway/dialect/errors.go
@@ -14,7 +14,7 @@
 
 // Error implements error.
 func (e *NoCapacityError) Error() string {
-	return fmt.Sprintf("engine %s refused to reserve a slot and memory for %d tokens", e.Address, e.Tokens)
+	return fmt.Sprintf("engine %s rejected a reservation of a slot and memory for %d tokens", e.Address, e.Tokens)
 }
 
 // ReplacedError reports that another incarnation answers at an upstream's address.
@@ -45,12 +45,12 @@
 	return "request stopped at " + e.Handle.Engine + " but its KV cache was not copied"
 }
 
-// FencedError reports an order that an engine refused because it has seen a higher fencing number.
+// FencedError reports an order that an engine rejected because it has seen a higher fencing number.
 type FencedError struct{ Fence int64 }
 
 // Error implements error.
 func (e *FencedError) Error() string {
-	return fmt.Sprintf("order refused: fencing number %d is lower than one the engine has seen", e.Fence)
+	return fmt.Sprintf("order rejected: fencing number %d is lower than one the engine has seen", e.Fence)
 }
 
 // StatusError reports a response with an unexpected HTTP status.
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -78,8 +78,8 @@
 
 // TestEvacuatedZoneGetsNoRequests guards, at several fleet sizes, against requests to an evacuated
 // zone: from instances whose requests the store rejects, from instances that start during the
-// evacuation, while the instance that reads the store for the zone is down, and while a zone is cut
-// off from the others.
+// evacuation, while the instance that reads the store for the zone is down, and during a network
+// partition of a zone.
 func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	sizes := []int{7, 60}
 	if *largeFlag {
@@ -125,14 +125,15 @@
 	time.Sleep(evacuationDeadline)
 	assert.Check(t, w.sentTo("a", asked.Add(-2*time.Second), asked) > 0, "no request was sent to the zone before the evacuation")
 
-	// Two instances start during the evacuation, then zone b is cut off from the others.
+	// Two instances start during the evacuation, then a network partition separates zone b from the
+	// others.
 	reader.start()
 	last := w.instances[len(w.instances)-1]
 	last.kill()
 	last.start()
-	w.cutZone("b")
+	w.partitionZone("b")
 	time.Sleep(3 * time.Second)
-	w.cutZone("")
+	w.partitionZone("")
 	time.Sleep(2 * time.Second)
 	assert.Equal(t, w.sentTo("a", asked.Add(evacuationDeadline), time.Now()), 0)
 
@@ -187,8 +188,8 @@
 }
 
 // TestRequestsStayInAllowedRegions guards against requests being sent outside the regions of their
-// route, for prefill, decode or the resumption of a stream and while a zone is cut off, and against
-// delays in refusing requests that no zone may serve.
+// route, for prefill, decode or the resumption of a stream and during a network partition of a
+// zone, and against delays in refusing requests that no zone may serve.
 func TestRequestsStayInAllowedRegions(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		w := newSimFleet(t, 6, 3, 6, 12)
@@ -218,11 +219,11 @@
 		// While the only allowed region is unreachable, no request goes to another one.
 		restrict("west")
 		began = time.Now()
-		w.cutZone("c")
+		w.partitionZone("c")
 		for _, i := range w.instances {
 			w.send(i, "harmless", "")
 		}
-		w.cutZone("")
+		w.partitionZone("")
 		assert.Equal(t, w.sentTo("a", began, time.Now())+w.sentTo("b", began, time.Now()), 0)
 
 		restrict("nowhere")
--- a/gateway/fleetcrash_test.go
+++ b/gateway/fleetcrash_test.go
@@ -322,12 +322,12 @@
 	})
 }
 
-// TestHealedZoneLearns guards against a zone that was cut off while a content was quarantined in
-// the others not learning of it. Until then the zone may have crashes of its own, but three seconds
-// after it is reconnected it must not send the request to any engine.
+// TestHealedZoneLearns guards against a zone that was partitioned while a content was quarantined
+// in the others not learning of it. Until then the zone may have crashes of its own, but three
+// seconds after it is reconnected it must not send the request to any engine.
 func TestHealedZoneLearns(t *testing.T) {
 	runAllFleetSizes(t, func(t *testing.T, s fleetSize, w *simFleet) {
-		w.cutZone("c")
+		w.partitionZone("c")
 		time.Sleep(500 * time.Millisecond)
 		for range 6 {
 			// These are instances of the two other zones.
@@ -335,7 +335,7 @@
 			w.send(w.instances[1], crashingPrompt, "")
 			time.Sleep(300 * time.Millisecond)
 		}
-		w.cutZone("")
+		w.partitionZone("")
 		time.Sleep(quarantineDeadline)
 		before, _ := w.crashCounts()
 		for n, i := range w.instances {
--- a/gateway/fleetworld_test.go
+++ b/gateway/fleetworld_test.go
@@ -57,8 +57,9 @@
 	revision int64
 	// evacuated are the evacuated zones.
 	evacuated []ident.Zone
-	// cutOffZone is the zone whose instances are cut off from those of other zones, "" for none.
-	cutOffZone ident.Zone
+	// partitionedZone is the zone that a network partition separates from the other zones, "" for
+	// none.
+	partitionedZone ident.Zone
 	// silentCrashes means that crashed engines do not refuse connections: until they have
 	// restarted, nothing answers and nothing closes existing connections.
 	silentCrashes bool
@@ -111,7 +112,7 @@
 	downSince    time.Time
 	disconnected chan struct{}
 	running      int
-	holds        int
+	reservations int
 }
 
 // newSimFleet starts a fleet and waits until all instances are ready and know each other. prefill
@@ -264,14 +265,14 @@
 func (w *simFleet) separated(a, b ident.Zone) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return a != b && (w.cutOffZone == a || w.cutOffZone == b)
+	return a != b && (w.partitionedZone == a || w.partitionedZone == b)
 }
 
-// cutZone cuts a zone off from the others and closes all connections between instances. With "" it
-// reconnects all zones.
-func (w *simFleet) cutZone(zone ident.Zone) {
+// partitionZone separates a zone from the others by a network partition and closes all connections
+// between instances. With "" it reconnects all zones.
+func (w *simFleet) partitionZone(zone ident.Zone) {
 	w.mu.Lock()
-	w.cutOffZone = zone
+	w.partitionedZone = zone
 	w.mu.Unlock()
 	for _, i := range w.instances {
 		i.mu.Lock()
@@ -293,7 +294,7 @@
 	}
 	e.starts++
 	e.upstream.ID = ident.UpstreamID(fmt.Sprintf("%s.%d", e.upstream.Address, e.starts))
-	e.downSince, e.disconnected, e.running, e.holds = time.Time{}, make(chan struct{}), 0, 0
+	e.downSince, e.disconnected, e.running, e.reservations = time.Time{}, make(chan struct{}), 0, 0
 	w.revision++
 }
 
@@ -453,7 +454,7 @@
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, dialect.Refused, nil
 	}
 	if s.Reservation != "" {
-		e.holds = max(0, e.holds-1)
+		e.reservations = max(0, e.reservations-1)
 	}
 	e.running++
 	w.record(e)
@@ -543,10 +544,10 @@
 	switch {
 	case !ok:
 		return "", connectionRefused()
-	case e.running+e.holds >= simSlots:
+	case e.running+e.reservations >= simSlots:
 		return "", &dialect.NoCapacityError{Address: address, Tokens: tokens}
 	}
-	e.holds++
+	e.reservations++
 	return "hold", nil
 }
 
@@ -561,7 +562,7 @@
 	if !ok {
 		return connectionRefused()
 	}
-	e.holds = max(0, e.holds-1)
+	e.reservations = max(0, e.reservations-1)
 	return nil
 }
 
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -46,8 +46,8 @@
 // Options holds the dependencies of a Front.
 type Options struct {
 	Dialect dialect.Dialect
-	// Carrier sends requests to upstreams.
-	Carrier *carry.Forwarder
+	// Forwarder sends requests to upstreams.
+	Forwarder *carry.Forwarder
 	// Budget is the retry budget; it counts the requests.
 	Budget *schedule.Budget
 	Limits Limits
@@ -232,28 +232,28 @@
 	return p
 }
 
-// carry has the Carrier send a request to upstreams, and answers it. It returns the cost of the
+// carry has the Forwarder send a request to upstreams, and answers it. It returns the cost of the
 // request to the workspace's limit if the request did not run. If the answer broke off or the
 // caller has disconnected, it aborts the handler.
 func (f *Front) carry(ctx context.Context, w http.ResponseWriter, rc *http.ResponseController, j *carry.Job, cost float64) {
-	var answer *carry.Response
+	var response *carry.Response
 	var err error
 	sw := &streamWriter{w: w, rc: rc}
 	if j.Service.Engine != nil && j.Route.Kind == routing.Stream {
-		answer, err = f.o.Carrier.Stream(ctx, j, sw)
+		response, err = f.o.Forwarder.Stream(ctx, j, sw)
 	} else {
-		answer, err = f.o.Carrier.Plain(ctx, j)
+		response, err = f.o.Forwarder.Plain(ctx, j)
 	}
 	if cost > 0 && didNotRun(err) {
 		f.o.Limits.Return(j.Workspace, cost)
 		f.o.CountLimitUnits(j.Workspace.Name, "returned", cost)
 	}
-	outcome := f.answer(w, j, answer, err)
+	outcome := f.answer(w, j, response, err)
 	took := clock.Since(j.Arrived)
 	f.o.ObserveRequest(j.Route, outcome, took)
 	status := 0
-	if answer != nil {
-		status = answer.Status
+	if response != nil {
+		status = response.Status
 	}
 	var cut carry.CutReason
 	var broken *carry.InterruptedError
@@ -309,8 +309,8 @@
 	return outcomeComplete
 }
 
-// answerError answers a request that got no answer from an upstream: the caller learns whether the
-// request may have run. It returns the outcome.
+// answerError answers a request that got no response from an upstream: the caller learns whether
+// the request may have run. It returns the outcome.
 func (f *Front) answerError(w http.ResponseWriter, j *carry.Job, e *carry.Error) string {
 	switch e.Outcome {
 	case carry.NotRun:
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -153,18 +153,18 @@
 }
 
 // TestLimitHoldsUnderFaults guards against a limit that allows too much during failures, under
-// eight times its rate. A zone is cut off, then all instances of another zone are killed, including
-// those that keep the account of the limit there, and then all instances are killed and restarted
-// at the same time, twice.
+// eight times its rate. A zone is partitioned, then all instances of another zone are killed,
+// including those that own the account of the limit there, and then all instances are killed and
+// restarted at the same time, twice.
 func TestLimitHoldsUnderFaults(t *testing.T) {
 	runLimitTest(t, func(t *testing.T, b *limitFleet) {
 		w := limitedWorkspace(100000)
 		var running sync.WaitGroup
 		running.Go(func() { b.sendLoad(b.instances, w, 8*w.Limit.Rate, 40*time.Second) })
 		time.Sleep(8 * time.Second)
-		b.cutZone("b")
+		b.partitionZone("b")
 		time.Sleep(5 * time.Second)
-		b.cutZone("")
+		b.partitionZone("")
 		time.Sleep(3 * time.Second)
 		for i, in := range b.instances {
 			if i%3 == 0 {
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -14,9 +14,9 @@
 // migrate moves streams away from engines that are running out of memory or are leaving, until
 // ctx ends. It does not poll while no stream is running.
 func (g *Service) migrate(ctx context.Context) {
-	for g.carrier.AwaitStreams(ctx) && pause.For(ctx, migrateInterval) {
+	for g.forwarder.AwaitStreams(ctx) && pause.For(ctx, migrateInterval) {
 		if s := g.node.Snapshot(); s.Ready() {
-			g.carrier.Migrate(s.Table.Config().Services)
+			g.forwarder.Migrate(s.Table.Config().Services)
 		}
 	}
 }
--- a/gateway/orders.go
+++ b/gateway/orders.go
@@ -27,9 +27,9 @@
 	// order depends only on the ratio of prefill work to memory use, which about ten requests
 	// show. The sooner it is given, the fewer requests of an initial burst it affects.
 	orderWarmup = 1500 * time.Millisecond
-	// maxPeerAnswerAge is the maximum age of the peers' answers for an order to be given, so that
-	// an instance that may be cut off gives none.
-	maxPeerAnswerAge = 1500 * time.Millisecond
+	// maxPeerResponseAge is the maximum age of the peers' responses for an order to be given, so
+	// that an instance that may be partitioned gives none.
+	maxPeerResponseAge = 1500 * time.Millisecond
 	// orderTimeout bounds the sending of one order.
 	orderTimeout = time.Second
 	// leaseMargin is added to the lease. The former holder of the duty may believe for that
@@ -76,7 +76,7 @@
 		if !s.Ready() {
 			continue
 		}
-		holdsDuty := !g.stopping() && g.node.IsFresh(s) && g.node.Holds(dutyStages, lease, maxPeerAnswerAge)
+		holdsDuty := !g.stopping() && g.node.IsFresh(s) && g.node.Holds(dutyStages, lease, maxPeerResponseAge)
 		for name, service := range s.Table.Config().Services {
 			if service.Engine == nil {
 				continue
@@ -104,8 +104,8 @@
 // enough. need is the demand to plan for.
 func (g *Service) orderService(ctx context.Context, state *orderState, s *fleet.Snapshot, service routing.Service, need schedule.Need) {
 	now := clock.Now()
-	list := g.books.WithPendingStages(now, s.Eligible(service.Name, nil, g.settings.regionOf))
-	need.PrefillRate *= g.books.MeanRelativeThroughput(now, list)
+	list := g.scheduler.WithPendingStages(now, s.Eligible(service.Name, nil, g.settings.regionOf))
+	need.PrefillRate *= g.scheduler.MeanRelativeThroughput(now, list)
 	o := state.service(service.Name)
 	if o.since.IsZero() {
 		o.since = now
@@ -113,7 +113,7 @@
 	if need.PrefillRate == 0 || now.Sub(o.since) < orderWarmup || now.Sub(o.last) < orderCooldown {
 		return
 	}
-	for _, change := range schedule.PlanStages(list, service.Engine, need, g.books.RequestCount) {
+	for _, change := range schedule.PlanStages(list, service.Engine, need, g.scheduler.RequestCount) {
 		o.last = now
 		g.sendOrder(ctx, state, change)
 	}
@@ -121,12 +121,12 @@
 
 // fleetDemand returns the demand of a service, summed over all instances.
 func (g *Service) fleetDemand(now time.Time, service string) schedule.Need {
-	n := g.books.Demand(now, service)
+	n := g.scheduler.Demand(now, service)
 	d := g.node.PeerLoad().Demand[service]
 	n.Prefill += d.PrefillRate
 	n.Memory += d.MemoryRate
 	n.Streams += d.StreamRate
-	// The paces of all instances are combined, because one instance may have measured only
+	// The throughputs of all instances are combined, because one instance may have measured only
 	// prompts that waited for others.
 	n.Throughputs = n.Throughputs.Plus(d.Paces)
 	n.PrefillRate = n.Throughputs.Rate()
@@ -134,7 +134,7 @@
 }
 
 // sendOrder sends one order to an engine and records that the engine is changing its stage, unless
-// the engine refused the order.
+// the engine rejected the order.
 func (g *Service) sendOrder(ctx context.Context, state *orderState, c schedule.Switch) {
 	// This must be the wall clock, because the fencing numbers of other instances are made of it
 	// too.
@@ -147,15 +147,15 @@
 	var status *dialect.StatusError
 	var fenced *dialect.FencedError
 	if !errors.As(err, &status) && !errors.As(err, &fenced) {
-		// The engine accepted the order, or it may have done so although its answer was lost.
-		g.books.RecordStageOrder(clock.Now(), c.Engine.ID, c.To)
+		// The engine accepted the order, or it may have done so although its response was lost.
+		g.scheduler.RecordStageOrder(clock.Now(), c.Engine.ID, c.To)
 	}
 	if fenced != nil {
 		// A newer holder of the duty has given orders, which take precedence.
 		for _, o := range state.services {
 			o.last = time.Time{}
 		}
-		g.log.Warn("order refused, another instance holds the duty", "fence", fenced.Fence)
+		g.log.Warn("order rejected, another instance holds the duty", "fence", fenced.Fence)
 	}
 }
 
--- a/gateway/reports.go
+++ b/gateway/reports.go
@@ -47,18 +47,18 @@
 		}
 		assigned := map[ident.UpstreamID]bool{}
 		for _, list := range s.Upstreams {
-			for _, u := range g.books.ProbeCandidates(clock.Now(), list) {
+			for _, u := range g.scheduler.ProbeCandidates(clock.Now(), list) {
 				go g.probe(ctx, u)
 			}
 			for _, u := range g.node.AssignedInZone(dutyReport, dialect.StageDecode, list) {
 				assigned[u.ID] = true
 				idleTurn := (xxhash.Sum64String(string(u.ID))+round)%idlePollRounds == 0
-				if g.books.InUse(clock.Now(), u) || idleTurn {
+				if g.scheduler.InUse(clock.Now(), u) || idleTurn {
 					go g.requestReport(ctx, u)
 				}
 			}
 		}
-		g.books.SetOverflow(assigned)
+		g.scheduler.SetOverflow(assigned)
 		g.updateColdQuotas()
 	}
 }
@@ -69,23 +69,23 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r, err := g.dialect.Report(ctx, u)
-	if err == nil && !g.carrier.ObserveReport(u, r) {
+	if err == nil && !g.forwarder.ObserveReport(u, r) {
 		return
 	}
 	var replaced *dialect.ReplacedError
 	switch {
 	case errors.As(err, &replaced):
-		g.books.RecordReplacement(u)
+		g.scheduler.RecordReplacement(u)
 		g.log.Warn("upstream replaced", "upstream", u.ID, "address", u.Address)
 	case err != nil:
-		g.books.RecordFailure(clock.Now(), u, carry.ClassifyUnreachable(err))
+		g.scheduler.RecordFailure(clock.Now(), u, carry.ClassifyUnreachable(err))
 		g.log.Info("probe failed", "upstream", u.ID, "error", err)
 	case r.Stage != u.Stage:
 		// The engine has changed its stage since the list of upstreams was read.
-		g.books.RecordFailure(clock.Now(), u, schedule.Misdirected)
+		g.scheduler.RecordFailure(clock.Now(), u, schedule.Misdirected)
 		g.log.Info("engine has another stage than listed", "upstream", u.ID, "listed", u.Stage, "stage", r.Stage)
 	default:
-		g.books.Readmit(clock.Now(), u)
+		g.scheduler.Readmit(clock.Now(), u)
 		g.log.Info("upstream readmitted", "upstream", u.ID)
 	}
 }
@@ -99,13 +99,13 @@
 		g.log.Info("load report failed", "upstream", u.ID, "error", err)
 		return
 	}
-	if !g.carrier.ObserveReport(u, r) {
+	if !g.forwarder.ObserveReport(u, r) {
 		return
 	}
-	g.books.RecordContact(clock.Now(), u)
-	unexplained := g.books.RecordReport(clock.Now(), u, r)
-	if unexplained > 0 || r.Switching {
+	g.scheduler.RecordContact(clock.Now(), u)
+	unaccounted := g.scheduler.RecordReport(clock.Now(), u, r)
+	if unaccounted > 0 || r.Switching {
 		g.log.Info("report", "upstream", u.ID, "used", r.UsedTokens, "held", r.ReservedTokens, "running", r.Running,
-			"waiting", r.Waiting, "switching", r.Switching, "unexplained", unexplained)
+			"waiting", r.Waiting, "switching", r.Switching, "unexplained", unaccounted)
 	}
 }
--- a/gateway/schedule/away.go
+++ b/gateway/schedule/away.go
@@ -7,10 +7,10 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// RecordRejection records that an engine rejected a request for which it had reserved memory, or the
-// transfer of a prefill result that it had just computed. The engine gets no requests for a
-// while, from this instance and from its peers. The time doubles with each rejection in a row,
-// from minRejectionBackoff to maxRejectionBackoff.
+// RecordRejection records that an engine rejected a request for which it had reserved memory, or
+// the transfer of a prefill result that it had just computed. The engine gets no requests for a
+// while, from this instance and from its peers. The time doubles with each rejection in a row, from
+// minRejectionBackoff to maxRejectionBackoff.
 func (b *Scheduler) RecordRejection(now time.Time, u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -22,8 +22,8 @@
 	rec.rejections++
 }
 
-// RecordAcceptance records that an engine accepted a request or transfer that it had reserved. It resets
-// the count of rejections in a row.
+// RecordAcceptance records that an engine accepted a request or transfer that it had reserved. It
+// resets the count of rejections in a row.
 func (b *Scheduler) RecordAcceptance(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,8 +54,8 @@
 	return rec.pendingStage != "" && rec.pendingStage != rec.up.Stage && now.Before(rec.pendingUntil)
 }
 
-// UnavailableEngines lists the engines that get no new requests at present, as instances exchange it with
-// their peers.
+// UnavailableEngines lists the engines that get no new requests at present, as instances exchange
+// it with their peers.
 type UnavailableEngines struct {
 	// Rejecting holds how much longer each engine gets no requests.
 	Rejecting map[ident.UpstreamID]time.Duration
@@ -101,8 +101,8 @@
 	}
 }
 
-// WithPendingStages returns a copy of list in which engines with a pending stage change have their new
-// stage.
+// WithPendingStages returns a copy of list in which engines with a pending stage change have their
+// new stage.
 func (b *Scheduler) WithPendingStages(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/books.go
+++ b/gateway/schedule/books.go
@@ -126,7 +126,7 @@
 	demands      map[string]*demand
 	suspicions   map[ident.Zone]*zoneSuspicion
 	arrivals     map[string]*arrivals
-	// active holds the upstreams that may not be idle. Own and SetPeers iterate only over
+	// active holds the upstreams that may not be idle. OwnLoad and SetPeers iterate only over
 	// these, since usually only a few of thousands of upstreams are in use.
 	active map[ident.UpstreamID]bool
 	// firstPeerReport is when the first load report from peers arrived.
@@ -145,8 +145,8 @@
 	reportAge      time.Duration
 }
 
-// NewScheduler returns a Scheduler without any upstreams for an instance in the given zone. seed seeds
-// the random choice between similar upstreams.
+// NewScheduler returns a Scheduler without any upstreams for an instance in the given zone. seed
+// seeds the random choice between similar upstreams.
 func NewScheduler(zone ident.Zone, seed uint64) *Scheduler {
 	return &Scheduler{
 		zone: zone, records: map[ident.UpstreamID]*upstreamRecord{}, active: map[ident.UpstreamID]bool{},
@@ -250,8 +250,8 @@
 	// UnaccountedMemory is the memory that an engine reported beyond that of all known requests, in
 	// tokens.
 	UnaccountedMemory int
-	// ThroughputBucket is the recent throughput of a prefill engine, as a 1-based bucket of Throughputs; 0 if
-	// unknown.
+	// ThroughputBucket is the recent throughput of a prefill engine, as a 1-based bucket of
+	// a ThroughputHistogram; 0 if unknown.
 	ThroughputBucket int
 }
 
@@ -324,8 +324,8 @@
 	return f
 }
 
-// RemoveUnlisted removes the upstreams that are no longer listed and have no requests of this instance in
-// flight.
+// RemoveUnlisted removes the upstreams that are no longer listed and have no requests of this
+// instance in flight.
 func (b *Scheduler) RemoveUnlisted(listed map[ident.UpstreamID]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -336,8 +336,8 @@
 	}
 }
 
-// RequestCount returns the number of requests known to be in flight at an upstream, including those of
-// peers.
+// RequestCount returns the number of requests known to be in flight at an upstream, including those
+// of peers.
 func (b *Scheduler) RequestCount(id ident.UpstreamID) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/books_test.go
+++ b/gateway/schedule/books_test.go
@@ -172,7 +172,7 @@
 			b.Done(ticket)
 		}
 		ticket, ok := b.PlaceDecode(at(1200), list[:1], engine, size, nil)
-		assert.Assert(t, ok, "engine not retried after the refusal time")
+		assert.Assert(t, ok, "engine not retried after the rejection backoff")
 		b.Done(ticket)
 	}
 }
--- a/gateway/schedule/budget.go
+++ b/gateway/schedule/budget.go
@@ -26,8 +26,8 @@
 
 const (
 	// lowSpendingShare is the share of the slack up to which the spending of all instances
-	// together counts as low. Each instance may then use its whole part. In a large fleet that
-	// part is about two sends, and restarting a stream takes two.
+	// together counts as low. Each instance may then use its whole share. In a large fleet that
+	// share is about two sends, and restarting a stream takes two.
 	lowSpendingShare = 0.3
 	// spendingTTL is how long the reported spending of the other instances stays valid. In
 	// large fleets load reports pass through two hubs, each of which adds 0.3 s.
@@ -41,9 +41,9 @@
 	countedSteps = budgetSteps + 1
 )
 
-// Budget limits the extra sends to each service. Every instance spends only its own part of the
+// Budget limits the extra sends to each service. Every instance spends only its own share of the
 // budget, so that the total stays within the limit without coordination. The spending reported
-// by other instances only determines how much of its part an instance may use. Budget is safe
+// by other instances only determines how much of its share an instance may use. Budget is safe
 // for concurrent use.
 type Budget struct {
 	options   BudgetOptions
@@ -101,7 +101,7 @@
 	return s
 }
 
-// Request counts a request from a client.
+// Request counts a request from a caller.
 func (b *Budget) Request(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,24 +150,24 @@
 	return b.trySpend(now, service, sends, startedStreamMargin, 1)
 }
 
-// ExtraOptional is like Extra for optional sends, such as those of a migration. They use at most half
-// of the budget, which leaves the rest to necessary ones.
+// ExtraOptional is like Extra for optional sends, such as those of a migration. They use at most
+// half of the budget, which leaves the rest to necessary ones.
 func (b *Budget) ExtraOptional(now time.Time, service string, sends int) bool {
 	return b.trySpend(now, service, sends, budgetMargin/2, budgetMargin/2)
 }
 
-// CountRequired counts sends that became necessary because of ExtraOptional sends, without checking the budget.
-// At most as many can follow as were granted by ExtraOptional, so that both together stay within the
-// budget.
+// CountRequired counts sends that became necessary because of ExtraOptional sends, without checking
+// the budget. At most as many can follow as were granted by ExtraOptional, so that both together
+// stay within the budget.
 func (b *Budget) CountRequired(now time.Time, service string, sends int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spendingOf(now, service).spend(sends)
 }
 
-// trySpend counts sends and returns true if this instance then stays within a share of its part
-// of the budget. The share is lowShare while all instances together spend little, and share
-// otherwise.
+// trySpend counts sends and returns true if this instance then stays within a fraction of its
+// share of the budget. The fraction is lowShare while all instances together spend little, and
+// share otherwise.
 func (b *Budget) trySpend(now time.Time, service string, sends int, share, lowShare float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/budget_test.go
+++ b/gateway/schedule/budget_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSumStaysInBudget checks that instances that each spend their whole part, without
+// TestSumStaysInBudget checks that instances that each spend their whole share, without
 // coordination, together stay within the budget in every window.
 func TestSumStaysInBudget(t *testing.T) {
 	const instances = 8
@@ -43,7 +43,7 @@
 }
 
 // TestStreamsStartAnewInALargeFleet guards against streams that cannot be restarted in a large
-// fleet, where an instance's part of the budget is about the two sends that a restart takes.
+// fleet, where an instance's share of the budget is about the two sends that a restart takes.
 // While the total spending is low, each of 295 instances may restart a stream. When streams
 // fail at all instances at once, and each instance learns of the others' spending one second
 // late, the total stays within the budget in every window.
@@ -86,21 +86,21 @@
 	assert.Assert(t, float64(most) <= o.Slack, "%d extra sends in 10 s", most)
 }
 
-// TestWholePartOnlyIfTheOthersAreHeard checks that an instance uses its whole part of the
+// TestWholePartOnlyIfTheOthersAreHeard checks that an instance uses its whole share of the
 // budget only with a recent report of low spending, and not right after its start.
 func TestWholePartOnlyIfTheOthersAreHeard(t *testing.T) {
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
 	b.SetOthersSpent(at(0), nil)
 	assert.Assert(t, b.Extra(at(0), "s", 6))
-	assert.Assert(t, !b.Extra(at(100), "s", 1), "whole part used right after the start")
+	assert.Assert(t, !b.Extra(at(100), "s", 1), "whole share used right after the start")
 	assert.Assert(t, b.Extra(at(21000), "s", 3))
 	assert.Assert(t, b.Extra(at(21000), "s", 3))
-	assert.Assert(t, !b.Extra(at(21000), "s", 1), "whole part used without a recent report")
+	assert.Assert(t, !b.Extra(at(21000), "s", 1), "whole share used without a recent report")
 	b.SetOthersSpent(at(40000), map[string]int{"s": 1})
 	assert.Assert(t, b.Extra(at(40000), "s", 2))
-	assert.Assert(t, b.Extra(at(40000), "s", 8), "whole part refused at low spending")
+	assert.Assert(t, b.Extra(at(40000), "s", 8), "whole share refused at low spending")
 	b.SetOthersSpent(at(60000), map[string]int{"s": 9})
-	assert.Assert(t, !b.Extra(at(60000), "s", 7), "whole part used at high spending")
+	assert.Assert(t, !b.Extra(at(60000), "s", 7), "whole share used at high spending")
 }
 
 func TestSeveralSendsCountAsMany(t *testing.T) {
--- a/gateway/schedule/cold_test.go
+++ b/gateway/schedule/cold_test.go
@@ -14,9 +14,9 @@
 
 // coldFleet is a fleet of instances with one cold upstream, to which some of them may send.
 type coldFleet struct {
-	books   []*Scheduler
-	list    []dialect.Upstream
-	arrived []time.Duration
+	schedulers []*Scheduler
+	list       []dialect.Upstream
+	arrived    []time.Duration
 }
 
 func newColdFleet(instances, senders int, rate float64) *coldFleet {
@@ -28,7 +28,7 @@
 			quota = ColdQuota(rate / float64(senders))
 		}
 		b.SetCold(map[ident.UpstreamID]ColdQuota{"u": quota})
-		f.books = append(f.books, b)
+		f.schedulers = append(f.schedulers, b)
 	}
 	return f
 }
@@ -44,7 +44,7 @@
 			rate *= 10
 		}
 		at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-		b := f.books[random.IntN(len(f.books))]
+		b := f.schedulers[random.IntN(len(f.schedulers))]
 		if t, ok := b.PickService(start.Add(at), f.list, true, nil); ok {
 			f.arrived = append(f.arrived, at)
 			b.Done(t)
--- a/gateway/schedule/demand.go
+++ b/gateway/schedule/demand.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// demandHalfLife is the half-life of old demand. It matches how fast the memory use of a
+	// demandHalfLife is the half-life of past demand. It matches how fast the memory use of a
 	// decode engine follows the demand, with streams of 2.7 to 3.5 s, so that a burst of 4 s is
 	// visible. Peaks retains the demand of bursts for longer.
 	demandHalfLife = 2 * time.Second
@@ -36,7 +36,7 @@
 	lengthVariance float64
 }
 
-// demand is the exponentially decaying sum of the work that clients requested from a service.
+// demand is the exponentially decaying sum of the work that callers requested from a service.
 type demand struct {
 	// firstRequest is when the first request arrived.
 	firstRequest time.Time
@@ -103,8 +103,8 @@
 	return time.Duration(b.performanceOf(service).firstEvent * float64(time.Second))
 }
 
-// RecordRequest adds a client's request to the demand of a service. prompt and output are in tokens,
-// output being an estimate.
+// RecordRequest adds a caller's request to the demand of a service. prompt and output are in
+// tokens, output being an estimate.
 func (b *Scheduler) RecordRequest(now time.Time, service string, prompt, output int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -139,7 +139,7 @@
 	return math.Ln2 / demandHalfLife.Seconds() / steadyShare
 }
 
-// Demand returns the demand of this instance's clients for a service.
+// Demand returns the demand of this instance's callers for a service.
 func (b *Scheduler) Demand(now time.Time, service string) Need {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/engines.go
+++ b/gateway/schedule/engines.go
@@ -48,7 +48,7 @@
 	// Estimate is the expected length of the whole output.
 	Estimate int
 	// Produced is the length of the output that another engine has already generated. The
-	// decode engine has to compute its KV cache unless Copied is set.
+	// decode engine has to compute its KV cache unless KVCopied is set.
 	Produced int
 	// KVCopied means that the KV cache of the output so far is transferred to the engine.
 	KVCopied bool
@@ -125,7 +125,7 @@
 	return withMemoryFor(candidates, unseenMemoryShare*unseen*run.finalMemoryShare(e))
 }
 
-// withMemoryFor returns the largest set of engines that can each hold an equal part of the
+// withMemoryFor returns the largest set of engines that can each hold an equal share of the
 // placements expected from other instances. placed and the free memory are shares of one
 // engine's memory. Other instances, too, place requests only where memory is free. It sorts
 // open in place.
@@ -138,7 +138,7 @@
 }
 
 // preferLocalZone removes the engines of other zones if one of the instance's zone has more
-// than localZoneFreeShare of its memory free. It returns the remaining engines and their part
+// than localZoneFreeShare of its memory free. It returns the remaining engines and their share
 // of the unseen placements. The caller holds mu.
 func (b *Scheduler) preferLocalZone(candidates []candidate, unseen float64) ([]candidate, float64) {
 	var own []candidate
--- a/gateway/schedule/fleet_test.go
+++ b/gateway/schedule/fleet_test.go
@@ -121,12 +121,12 @@
 		simulated = append(simulated, &simulatedEngine{up: u})
 		byID[u.ID] = simulated[i]
 	}
-	var books []*Scheduler
+	var schedulers []*Scheduler
 	weights, total := make([]float64, l.instances), 0.0
 	for i := range l.instances {
 		b := NewScheduler(ident.Zone(rune('a'+i%l.zones)), seed*1000+uint64(i))
 		b.SetFleetSize(l.instances, l.reportAge)
-		books = append(books, b)
+		schedulers = append(schedulers, b)
 		weights[i] = math.Exp(random.NormFloat64())
 		total += weights[i]
 	}
@@ -153,18 +153,18 @@
 			s.estimate = int(float64(s.output) * math.Exp(0.5*random.NormFloat64()))
 			s.size = Size{Prompt: s.prompt, Estimate: s.estimate}
 			r.streams++
-			books[i].RecordRequest(now, "m", s.prompt, s.estimate)
+			schedulers[i].RecordRequest(now, "m", s.prompt, s.estimate)
 			heap.Push(&waiting, s)
 		}
 		// Instances exchange load reports, each at its own time. The reports have the age that
 		// the load specifies.
-		for i, b := range books {
+		for i, b := range schedulers {
 			if int(elapsed/tick)%int(reportInterval/tick) != i%int(reportInterval/tick) {
 				continue
 			}
 			peers := map[ident.UpstreamID]*InFlight{}
 			sum := Need{}
-			for j := range books {
+			for j := range schedulers {
 				if i == j {
 					continue
 				}
@@ -185,7 +185,7 @@
 		}
 		for len(waiting) > 0 && waiting[0].readyAt <= elapsed {
 			s := heap.Pop(&waiting).(*simulatedStream)
-			b := books[s.instance]
+			b := schedulers[s.instance]
 			t, ok := b.PlaceDecode(now, list, e, s.size, nil)
 			if ok {
 				at := byID[t.Upstream.ID]
@@ -206,7 +206,7 @@
 			heap.Push(&waiting, s)
 		}
 		for _, d := range simulated {
-			l.simulateEngine(d, now, elapsed, tick, books, &r)
+			l.simulateEngine(d, now, elapsed, tick, schedulers, &r)
 		}
 	}
 	r.recomputed /= float64(r.streams)
@@ -215,7 +215,7 @@
 
 // simulateEngine simulates an engine for one tick. An engine that runs out of memory preempts
 // its newest stream, which continues once there is enough free memory.
-func (l fleetLoad) simulateEngine(d *simulatedEngine, now time.Time, elapsed, tick time.Duration, books []*Scheduler, r *fleetResult) {
+func (l fleetLoad) simulateEngine(d *simulatedEngine, now time.Time, elapsed, tick time.Duration, schedulers []*Scheduler, r *fleetResult) {
 	tokenTime := l.tokenTime.Seconds() * (1 + 0.033*float64(len(d.streams)))
 	remaining := d.streams[:0]
 	for _, s := range d.streams {
@@ -226,14 +226,14 @@
 		before := int(s.produced) / 64
 		s.produced += tick.Seconds() / tokenTime
 		if int(s.produced)/64 > before {
-			books[s.instance].RecordProgress(now, s.ticket, int(s.produced))
+			schedulers[s.instance].RecordProgress(now, s.ticket, int(s.produced))
 		}
 		if s.produced < float64(s.output) {
 			remaining = append(remaining, s)
 			continue
 		}
-		books[s.instance].Done(s.ticket)
-		books[s.instance].StreamDone("m", s.estimate, s.output)
+		schedulers[s.instance].Done(s.ticket)
+		schedulers[s.instance].StreamDone("m", s.estimate, s.output)
 	}
 	d.streams = remaining
 	for _, s := range d.streams {
@@ -270,7 +270,7 @@
 
 // maxLost is the maximum weighted share of streams that a fleet may lose on each load: those
 // refused for lack of memory, plus twice those preempted because an engine ran out of memory,
-// which costs clients and engines about twice as much.
+// which costs callers and engines about twice as much.
 const maxLost = 0.4
 
 // TestFleetsPlaceStreams guards against instances that all fill the same engines because they
--- a/gateway/schedule/health.go
+++ b/gateway/schedule/health.go
@@ -60,8 +60,9 @@
 	b.markSeen(now, b.recordOf(u))
 }
 
-// RecordReplacement records that the upstream's address is now used by another incarnation. The upstream
-// no longer exists and gets no more requests, although the store may still list it for a while.
+// RecordReplacement records that the upstream's address is now used by another incarnation. The
+// upstream no longer exists and gets no more requests, although the store may still list it for a
+// while.
 func (b *Scheduler) RecordReplacement(u dialect.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -185,13 +186,13 @@
 }
 
 // maxZoneProbes is the maximum number of engines to probe at a time in a zone that is suspected
-// to be unreachable. One answer clears the suspicion, and in a large fleet each instance would
+// to be unreachable. One response clears the suspicion, and in a large fleet each instance would
 // otherwise probe every engine there.
 const maxZoneProbes = 3
 
-// ProbeCandidates returns the engines of a list to probe: those whose ejection time has passed or whose
-// streams have stalled, and at most maxZoneProbes random ones of each zone that is suspected to
-// be unreachable.
+// ProbeCandidates returns the engines of a list to probe: those whose ejection time has passed or
+// whose streams have stalled, and at most maxZoneProbes random ones of each zone that is suspected
+// to be unreachable.
 func (b *Scheduler) ProbeCandidates(now time.Time, list []dialect.Upstream) []dialect.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/schedule/idle_test.go
+++ b/gateway/schedule/idle_test.go
@@ -14,9 +14,9 @@
 // take one percent of a core.
 const exchangeBudget = time.Second / 100 / 3
 
-// booksWithEngines returns books with the given number of decode engines and five placed
+// schedulerWithEngines returns a scheduler with the given number of decode engines and five placed
 // requests.
-func booksWithEngines(engines int) *Scheduler {
+func schedulerWithEngines(engines int) *Scheduler {
 	b := NewScheduler("z", 1)
 	var list []dialect.Upstream
 	for i := range engines {
@@ -34,7 +34,7 @@
 func TestLoadExchangeTimeWithIdleEngines(t *testing.T) {
 	smallest := time.Duration(0)
 	for _, engines := range []int{600, 6000, 12000} {
-		b := booksWithEngines(engines)
+		b := schedulerWithEngines(engines)
 		peers := map[ident.UpstreamID]*InFlight{}
 		for i := range 200 {
 			peers[ident.UpstreamID(fmt.Sprintf("e%d", i))] = &InFlight{Requests: 1, Memory: Forecast{5000}}
--- a/gateway/schedule/migrate.go
+++ b/gateway/schedule/migrate.go
@@ -33,7 +33,7 @@
 type Migrant struct {
 	Ticket Ticket
 	Reason MoveReason
-	// Memory is the memory use forecast for the engine, in tokens, if Why is WhyCrowded.
+	// Memory is the memory use forecast for the engine, in tokens, if Reason is ReasonNearFull.
 	Memory int
 }
 
--- a/gateway/schedule/speed.go
+++ b/gateway/schedule/speed.go
@@ -22,7 +22,7 @@
 const maxRelativeThroughput = 1.3
 
 // measuredThroughput is the measured throughput of a prefill engine, as a 1-based bucket of
-// Paces; 0 if unknown.
+// a ThroughputHistogram; 0 if unknown.
 type measuredThroughput struct {
 	bucket int
 	at     time.Time
--- a/gateway/schedule/speed_test.go
+++ b/gateway/schedule/speed_test.go
@@ -17,8 +17,8 @@
 // mixedFleet simulates gateway instances that share prefill engines of different throughput and
 // exchange their loads periodically.
 type mixedFleet struct {
-	books []*Scheduler
-	list  []dialect.Upstream
+	schedulers []*Scheduler
+	list       []dialect.Upstream
 	// throughput is the throughput in tokens per second.
 	throughput map[ident.UpstreamID]float64
 	// idleAt is when an engine has completed its queue.
@@ -31,10 +31,10 @@
 
 // pendingPrefill is a prompt that an engine completes at doneAt.
 type pendingPrefill struct {
-	doneAt time.Time
-	books  *Scheduler
-	ticket Ticket
-	took   time.Duration
+	doneAt    time.Time
+	scheduler *Scheduler
+	ticket    Ticket
+	took      time.Duration
 }
 
 const (
@@ -42,8 +42,8 @@
 	exchangeInterval = 300 * time.Millisecond
 )
 
-func newMixedFleet(instances, engines int, observePaces bool) *mixedFleet {
-	f := &mixedFleet{throughput: map[ident.UpstreamID]float64{}, idleAt: map[ident.UpstreamID]time.Time{}, observeThroughput: observePaces}
+func newMixedFleet(instances, engines int, observeThroughputs bool) *mixedFleet {
+	f := &mixedFleet{throughput: map[ident.UpstreamID]float64{}, idleAt: map[ident.UpstreamID]time.Time{}, observeThroughput: observeThroughputs}
 	for i := range engines {
 		id := ident.UpstreamID(fmt.Sprintf("e%d", i))
 		f.list = append(f.list, dialect.Upstream{ID: id, Service: "llm", Zone: "z", Stage: dialect.StagePrefill})
@@ -53,7 +53,7 @@
 		}
 	}
 	for i := range instances {
-		f.books = append(f.books, NewScheduler("z", uint64(i)))
+		f.schedulers = append(f.schedulers, NewScheduler("z", uint64(i)))
 	}
 	return f
 }
@@ -61,8 +61,8 @@
 // exchange sends each instance the load of the others and the throughput histograms of all.
 func (f *mixedFleet) exchange(now time.Time, perSecond float64) {
 	sum := map[ident.UpstreamID]*InFlight{}
-	var paces ThroughputHistogram
-	for _, b := range f.books {
+	var throughputs ThroughputHistogram
+	for _, b := range f.schedulers {
 		for id, own := range b.OwnLoad(now) {
 			if sum[id] == nil {
 				sum[id] = &InFlight{}
@@ -71,18 +71,18 @@
 			sum[id].Tokens += own.Tokens
 			sum[id].ThroughputBucket = max(sum[id].ThroughputBucket, own.ThroughputBucket)
 		}
-		paces = paces.Plus(b.performanceOf("llm").prefill.long.histogram())
+		throughputs = throughputs.Plus(b.performanceOf("llm").prefill.long.histogram())
 	}
-	for _, b := range f.books {
+	for _, b := range f.schedulers {
 		others := map[ident.UpstreamID]*InFlight{}
 		for id, all := range sum {
 			own := b.OwnLoad(now)[id]
 			others[id] = &InFlight{Requests: all.Requests - own.Requests, Tokens: all.Tokens - own.Tokens, ThroughputBucket: all.ThroughputBucket}
 		}
 		b.SetOfferedRate("llm", perSecond)
-		b.SetFleetSize(len(f.books), exchangeInterval)
+		b.SetFleetSize(len(f.schedulers), exchangeInterval)
 		b.SetPeers(now, others)
-		b.SetThroughputHistograms(map[string]ThroughputHistogram{"llm": paces})
+		b.SetThroughputHistograms(map[string]ThroughputHistogram{"llm": throughputs})
 	}
 }
 
@@ -98,7 +98,7 @@
 			f.exchange(exchanged, perSecond)
 		}
 		f.finish(now)
-		f.send(now, f.books[random.IntN(len(f.books))])
+		f.send(now, f.schedulers[random.IntN(len(f.schedulers))])
 	}
 }
 
@@ -114,7 +114,7 @@
 		begins = now
 	}
 	f.idleAt[id] = begins.Add(time.Duration(promptTokens / f.throughput[id] * float64(time.Second)))
-	f.pending = append(f.pending, pendingPrefill{doneAt: f.idleAt[id], books: b, ticket: t, took: f.idleAt[id].Sub(now)})
+	f.pending = append(f.pending, pendingPrefill{doneAt: f.idleAt[id], scheduler: b, ticket: t, took: f.idleAt[id].Sub(now)})
 }
 
 // finish completes the prompts that are due by now.
@@ -123,12 +123,12 @@
 		if p.doneAt.After(now) {
 			return false
 		}
-		p.books.Done(p.ticket)
-		p.books.PrefillDone("llm", promptTokens, p.took)
+		p.scheduler.Done(p.ticket)
+		p.scheduler.PrefillDone("llm", promptTokens, p.took)
 		if f.observeThroughput {
-			p.books.ObservePrefillThroughput(p.doneAt, p.ticket.Upstream, promptTokens, p.took)
+			p.scheduler.ObservePrefillThroughput(p.doneAt, p.ticket.Upstream, promptTokens, p.took)
 		}
-		p.books.RecordSuccess(p.doneAt, p.ticket.Upstream, p.took)
+		p.scheduler.RecordSuccess(p.doneAt, p.ticket.Upstream, p.took)
 		f.latencies = append(f.latencies, p.took)
 		return true
 	})
@@ -155,9 +155,9 @@
 		f.run(perSecond, 30*time.Second)
 		baseline := newMixedFleet(n, engines, false)
 		baseline.run(perSecond, 30*time.Second)
-		t.Logf("%d instances: share within 600 ms: %.3f, without engine paces: %.3f", n, f.shareWithin(600*time.Millisecond), baseline.shareWithin(600*time.Millisecond))
+		t.Logf("%d instances: share within 600 ms: %.3f, without engine throughputs: %.3f", n, f.shareWithin(600*time.Millisecond), baseline.shareWithin(600*time.Millisecond))
 		late, lateWithout := 1-f.shareWithin(600*time.Millisecond), 1-baseline.shareWithin(600*time.Millisecond)
-		assert.Check(t, late <= 0.7*lateWithout, "%d instances: late %.3f, without engine paces %.3f", n, late, lateWithout)
+		assert.Check(t, late <= 0.7*lateWithout, "%d instances: late %.3f, without engine throughputs %.3f", n, late, lateWithout)
 		assert.Check(t, f.shareWithin(600*time.Millisecond) >= 0.9)
 	}
 }
--- a/gateway/schedule/stages.go
+++ b/gateway/schedule/stages.go
@@ -23,8 +23,8 @@
 // Need is the load on a service's engines and the throughput of one prefill engine.
 type Need struct {
 	Work
-	// Throughputs is the histogram of recent prompts' throughput. PrefillRate is the throughput of an
-	// engine derived from it, in prompt tokens per second; 0 while there are too few prompts.
+	// Throughputs is the histogram of recent prompts' throughput. PrefillRate is the throughput of
+	// an engine derived from it, in prompt tokens per second; 0 while there are too few prompts.
 	Throughputs ThroughputHistogram
 	PrefillRate float64
 }
--- a/gateway/schedule/unseen.go
+++ b/gateway/schedule/unseen.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// arrivalHalfLife is the half-life of old arrivals. It is shorter than a burst.
+// arrivalHalfLife is the half-life of past arrivals. It is shorter than a burst.
 const arrivalHalfLife = 2 * time.Second
 
 // arrivals is an exponentially decaying count of requests.
@@ -83,7 +83,7 @@
 	cost   float64
 	// freeShare is the share of a decode engine's memory that is expected to stay free.
 	freeShare float64
-	// requestCost is the part of a prefill engine's cost that the request itself adds.
+	// requestCost is the portion of a prefill engine's cost that the request itself adds.
 	requestCost float64
 }
 
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -52,19 +52,19 @@
 
 // Service is one instance of the gateway. It implements process.Service.
 type Service struct {
-	settings *Settings
-	log      *slog.Logger
-	dialect  dialect.Dialect
-	node     *fleet.Node
-	books    *schedule.Scheduler
-	budget   *schedule.Budget
-	register *quarantine.Register
-	memory   *memory.Budget
-	carrier  *carry.Forwarder
-	front    *front.Front
-	metrics  *counters
-	pool     *peer.Pool
-	peers    *peer.Server
+	settings  *Settings
+	log       *slog.Logger
+	dialect   dialect.Dialect
+	node      *fleet.Node
+	scheduler *schedule.Scheduler
+	budget    *schedule.Budget
+	register  *quarantine.Register
+	memory    *memory.Budget
+	forwarder *carry.Forwarder
+	front     *front.Front
+	metrics   *counters
+	pool      *peer.Pool
+	peers     *peer.Server
 	// stopDeadline is when a stopping instance ends the remaining requests; nil until the stop
 	// begins.
 	stopDeadline atomic.Pointer[time.Time]
@@ -84,7 +84,7 @@
 func newService(s *Settings, d dialect.Dialect, source dialect.Source, log *slog.Logger, dialer peer.Dialer) *Service {
 	log = log.With("instance", s.Instance)
 	g := &Service{settings: s, log: log, dialect: d, metrics: newCounters(), register: quarantine.NewRegister()}
-	g.books = schedule.NewScheduler(s.Zone, rand.Uint64())
+	g.scheduler = schedule.NewScheduler(s.Zone, rand.Uint64())
 	g.memory = memory.NewBudget(int64(bufferMemoryShare * float64(s.MemoryMB<<20)))
 	incarnation := ident.NewIncarnation(time.Now())
 	config := peer.Config{
@@ -104,13 +104,13 @@
 		Load: g.load, Changed: g.viewChanged, LoadChanged: g.loadChanged, Register: g.register,
 	})
 	g.budget = schedule.NewBudget(clock.Now(), s.Retries.budget(), g.node.Alive)
-	g.carrier = carry.New(carry.Options{
-		Dialect: d, Books: g.books, Budget: g.budget, Zone: s.Zone, RegionOf: s.regionOf, View: g.node.Snapshot, Log: log, Count: g.metrics.count,
+	g.forwarder = carry.New(carry.Options{
+		Dialect: d, Scheduler: g.scheduler, Budget: g.budget, Zone: s.Zone, RegionOf: s.regionOf, View: g.node.Snapshot, Log: log, Count: g.metrics.count,
 		StopDeadline: g.requestDeadline,
 		Register:     g.register, Trials: g.node, NotifyPeers: g.node.SpreadCrashes, AwaitInformed: g.node.AwaitInformed,
 	})
 	g.front = front.New(front.Options{
-		Dialect: d, Carrier: g.carrier, Budget: g.budget, Limits: g.node, View: g.node.Snapshot,
+		Dialect: d, Forwarder: g.forwarder, Budget: g.budget, Limits: g.node, View: g.node.Snapshot,
 		ConfigAge: g.node.ConfigAge, MaxConfigAge: s.Store.maxChangeDelay(), Refresh: g.node.RequestRead, RequestArrived: g.node.RequestArrived, Memory: g.memory,
 		Log: log, Count: g.metrics.count, ObserveRequest: g.metrics.observeRequest, CountLimitUnits: g.metrics.countLimitUnits,
 	})
@@ -118,8 +118,8 @@
 }
 
 // peerLimits keep connections between instances responsive: a connection that has fallen silent
-// is given up within a second. The back-off is short enough for an instance that was away to be
-// called again by the second heartbeat, because it waits only half a second for the state of its
+// is given up within a second. The back-off is short enough for an instance that was unavailable to
+// be called again by the second heartbeat, because it waits only half a second for the state of its
 // peers before it sends anything to upstreams.
 var peerLimits = peer.Limits{
 	Dial: 500 * time.Millisecond, Hello: 700 * time.Millisecond, Call: time.Second, Write: time.Second,
@@ -130,7 +130,7 @@
 func (g *Service) load() fleet.Load {
 	l := fleet.Load{InFlight: map[ident.UpstreamID]fleet.InFlight{}, Demand: map[string]fleet.Demand{}}
 	now := clock.Now()
-	for id, f := range g.books.OwnLoad(now) {
+	for id, f := range g.scheduler.OwnLoad(now) {
 		reported := fleet.InFlight{Requests: f.Requests, Tokens: f.Tokens, Unexplained: f.UnaccountedMemory, Pace: f.ThroughputBucket}
 		if f.Memory != (schedule.Forecast{}) {
 			reported.Memory = f.Memory[:]
@@ -138,14 +138,14 @@
 		l.InFlight[id] = reported
 	}
 	l.Retries = g.budget.Spent(now)
-	away := g.books.OwnUnavailable(now)
-	l.Switching = away.PendingStages
+	unavailable := g.scheduler.OwnUnavailable(now)
+	l.Switching = unavailable.PendingStages
 	l.Unavailable = map[ident.UpstreamID]int64{}
-	for id, remaining := range away.Rejecting {
+	for id, remaining := range unavailable.Rejecting {
 		l.Unavailable[id] = remaining.Milliseconds()
 	}
-	for _, name := range g.books.DemandServices() {
-		n := g.books.Demand(now, name)
+	for _, name := range g.scheduler.DemandServices() {
+		n := g.scheduler.Demand(now, name)
 		l.Demand[name] = fleet.Demand{PrefillRate: n.Prefill, MemoryRate: n.Memory, StreamRate: n.Streams, RequestRate: n.Requests, Paces: n.Throughputs}
 	}
 	return l
@@ -155,8 +155,8 @@
 // upstreams and ends attempts at upstreams that have restarted.
 func (g *Service) viewChanged(s *fleet.Snapshot) {
 	g.updateColdQuotas()
-	if g.carrier.HasPendingAttempts() {
-		g.carrier.ObserveUpstreams(s.All())
+	if g.forwarder.HasPendingAttempts() {
+		g.forwarder.ObserveUpstreams(s.All())
 	}
 }
 
@@ -168,12 +168,12 @@
 			listed[u.ID] = true
 		}
 	}
-	g.books.RemoveUnlisted(listed)
+	g.scheduler.RemoveUnlisted(listed)
 }
 
 // updateColdQuotas updates this instance's request rate limits for cold upstreams.
 func (g *Service) updateColdQuotas() {
-	g.books.SetCold(g.node.ColdQuotas(clock.Now()))
+	g.scheduler.SetCold(g.node.ColdQuotas(clock.Now()))
 }
 
 // loadChanged records the sum of the peers' loads. age is how old they are on average.
@@ -184,22 +184,22 @@
 		in.Memory.Add(f.Memory)
 		peers[id] = in
 	}
-	away := schedule.UnavailableEngines{Rejecting: map[ident.UpstreamID]time.Duration{}, PendingStages: l.Switching}
+	unavailable := schedule.UnavailableEngines{Rejecting: map[ident.UpstreamID]time.Duration{}, PendingStages: l.Switching}
 	for id, remaining := range l.Unavailable {
-		away.Rejecting[id] = time.Duration(remaining) * time.Millisecond
+		unavailable.Rejecting[id] = time.Duration(remaining) * time.Millisecond
 	}
-	paces := map[string]schedule.ThroughputHistogram{}
+	throughputs := map[string]schedule.ThroughputHistogram{}
 	for service, d := range l.Demand {
-		paces[service] = d.Paces
+		throughputs[service] = d.Paces
 	}
 	now := clock.Now()
 	for service, d := range l.Demand {
-		g.books.SetOfferedRate(service, d.RequestRate)
+		g.scheduler.SetOfferedRate(service, d.RequestRate)
 	}
-	g.books.SetThroughputHistograms(paces)
-	g.books.SetFleetSize(g.node.Alive(), age)
-	g.books.SetPeers(now, peers)
-	g.books.SetPeersUnavailable(now, away)
+	g.scheduler.SetThroughputHistograms(throughputs)
+	g.scheduler.SetFleetSize(g.node.Alive(), age)
+	g.scheduler.SetPeers(now, peers)
+	g.scheduler.SetPeersUnavailable(now, unavailable)
 	g.budget.SetOthersSpent(now, l.Retries)
 }
 
@@ -270,7 +270,7 @@
 	g.closeServer(metricsServer)
 	g.closePeers()
 	running.Wait()
-	g.carrier.Close(exit)
+	g.forwarder.Close(exit)
 	g.dialect.Close()
 	g.metrics.close()
 	g.log.Info("stopped")
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -21,7 +21,7 @@
 	Instance ident.InstanceID `yaml:"instance"`
 	Zone     ident.Zone       `yaml:"zone"`
 	// Zones are all availability zones of the deployment. The limits of workspaces are divided
-	// among them, even while some of them are cut off.
+	// among them, even while some of them are partitioned.
 	Zones []ident.Zone `yaml:"zones"`
 	// Regions maps each zone to its region. Requests restricted to regions are never sent to
 	// zones without one.
--- a/gateway/slowreaders_test.go
+++ b/gateway/slowreaders_test.go
@@ -16,15 +16,15 @@
 	"github.com/wardspool/wardspool/gateway/dialect"
 )
 
-// largeAnswerBytes is the size of a large answer. It exceeds the socket buffers between an instance
-// and its caller.
-const largeAnswerBytes = 12 << 20
+// largeResponseBytes is the size of a large response. It exceeds the socket buffers between an
+// instance and its caller.
+const largeResponseBytes = 12 << 20
 
-// startLargeAnswerUpstream starts an upstream that answers with largeAnswerBytes bytes, or with
+// startLargeResponseUpstream starts an upstream that answers with largeResponseBytes bytes, or with
 // a short body on paths that end in "small".
-func startLargeAnswerUpstream(t *testing.T) dialect.Upstream {
+func startLargeResponseUpstream(t *testing.T) dialect.Upstream {
 	t.Helper()
-	body := bytes.Repeat([]byte("x"), largeAnswerBytes)
+	body := bytes.Repeat([]byte("x"), largeResponseBytes)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 		w.Header().Set("Response-Signature", "sig")
@@ -71,21 +71,21 @@
 // of the memory budget, blocking other callers or small answers, or leaking reservations.
 func TestSlowReadersHoldBoundedMemory(t *testing.T) {
 	b := newLocalFleet(t)
-	b.source.list = []dialect.Upstream{startLargeAnswerUpstream(t)}
+	b.source.list = []dialect.Upstream{startLargeResponseUpstream(t)}
 	i := b.start(t, "one")
 	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
 	budget := int64(bufferMemoryShare * float64(i.settings.MemoryMB<<20))
 	for range 20 {
 		requestWithoutReading(t, i)
 	}
-	await(t, "half of a large answer is buffered", func() bool { return i.service.memory.Used() > largeAnswerBytes/2 })
+	await(t, "half of a large answer is buffered", func() bool { return i.service.memory.Used() > largeResponseBytes/2 })
 	for start := time.Now(); time.Since(start) < time.Second; time.Sleep(10 * time.Millisecond) {
 		used := i.service.memory.Used()
 		assert.Assert(t, used <= budget/2, "one caller holds %d of %d bytes", used, budget)
 	}
 	status, length := getFrom(t, i, "127.0.0.2", "/plain/large")
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, length, largeAnswerBytes)
+	assert.Equal(t, length, largeResponseBytes)
 	status, _ = getFrom(t, i, "127.0.0.1", "/plain/small")
 	assert.Equal(t, status, http.StatusOK)
 	await(t, "all memory is released", func() bool { return i.service.memory.Used() == 0 })
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -137,7 +137,7 @@
 	b := newPacedFleet(t, func() bool { return true })
 	i := b.startWithGrace(t, "one", 3)
 	await(t, "ready", func() bool { return b.readiness(t, i) == http.StatusOK })
-	// After one complete stream the instance knows the pace of the engines.
+	// After one complete stream the instance knows the throughput of the engines.
 	assert.Assert(t, b.call(t, i, "/stream/x", 50).served())
 	i.stop()
 	await(t, "not ready", func() bool { return b.readiness(t, i) == http.StatusServiceUnavailable })
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -72,7 +72,7 @@
 		holds := func() int {
 			n := 0
 			for _, i := range w.instances {
-				if i.running().node.Holds(dutyStages, lease, maxPeerAnswerAge) {
+				if i.running().node.Holds(dutyStages, lease, maxPeerResponseAge) {
 					n++
 				}
 			}
