--- a/gateway/carry/decode.go
+++ b/gateway/carry/decode.go
@@ -156,10 +156,10 @@
 	return nil, false, s.callerError(err)
 }
 
-// handleRejection handles the rejection of a request by a decode engine that had reserved memory for
-// it, and reports whether another pair of engines may be tried. Either the engine is changing
-// its stage or the prefill result is gone. A second engine is asked with the same prefill result
-// to find out which, so that the prompt is not computed again.
+// handleRejection handles the rejection of a request by a decode engine that had reserved memory
+// for it, and reports whether another pair of engines may be tried. Either the engine is changing
+// its stage or the prefill result is gone. A second engine is asked with the same prefill result to
+// find out which, so that the prompt is not computed again.
 func (s *stream) handleRejection(ctx context.Context, p *placement, h *prefillResult, err error) bool {
 	u := p.decode.Upstream
 	switch {
--- a/gateway/carry/plain.go
+++ b/gateway/carry/plain.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxRejections is the number of rejections by upstreams after which a request may still be sent
-	// again. After one more, the caller is told that the service is full.
+	// maxRejections is the number of rejections by upstreams after which a request may still be
+	// sent again. After one more, the caller is told that the service is full.
 	maxRejections = 2
 	// attemptShare is the share of the remaining time that a repeatable request waits for one
 	// upstream while another may still be tried.
--- a/gateway/carry/sound_test.go
+++ b/gateway/carry/sound_test.go
@@ -35,10 +35,10 @@
 }
 
 // TestMovedStreamGoesBackWhenItIsNotTaken guards against a connection that is closed a few ms
-// after a stream was moved away from a crowded engine: the KV cache was copied and the run
-// stopped, and then the destination rejected the request. The instance asked only the
-// destination, and only once; the source, which still has the KV cache, was not asked. This
-// holds for routes that allow one run too.
+// after a stream was moved away from an engine that was nearly full: the KV cache was copied and
+// the run stopped, and then the destination rejected the request. The instance asked only the
+// destination, and only once; the source, which still has the KV cache, was not asked. This holds
+// for routes that allow one run too.
 //
 // The logs showed `stream moved`, then within 5 ms `stream broke off` with status 503 from the
 // destination, where a third of the engines rejected some of their requests, and nowhere else. In
--- a/gateway/schedule/budget_test.go
+++ b/gateway/schedule/budget_test.go
@@ -136,7 +136,7 @@
 	assert.Assert(t, !b.Extra(at(0), "s", 1))
 }
 
-// TestStreamsUnderWayMaySpendMore checks that streams that have already started may use a part
+// TestStreamsUnderWayMaySpendMore checks that streams that have already started may use a share
 // of the budget that is closed to other requests.
 func TestStreamsUnderWayMaySpendMore(t *testing.T) {
 	b := NewBudget(at(0), BudgetOptions{Window: 10 * time.Second, Slack: 10}, func() int { return 1 })
