--- a/gateway/fleet/apply_test.go
+++ b/gateway/fleet/apply_test.go
@@ -56,12 +56,12 @@
 		changes, taken, err := follower.Apply(at(ms+10), at(ms), int64(step+1), d, source.digest)
 		assert.NilError(t, err)
 		assert.Assert(t, taken)
-		assert.Assert(t, len(changes) <= 2*(len(d.Changed)+len(d.Gone)))
+		assert.Assert(t, len(changes) <= 2*(len(d.Changed)+len(d.Removed)))
 		assert.DeepEqual(t, follower.Snapshot().Upstreams, source.Snapshot().Upstreams)
 		assert.Equal(t, follower.digest, source.digest)
 		assert.DeepEqual(t, follower.Snapshot().Upstreams, follower.buildLists())
 	}
-	// Entries of gone upstreams and old changes must not accumulate.
+	// Entries of removed upstreams and outdated changes must not accumulate.
 	assert.Assert(t, len(follower.entries) < len(list)+150, "%d entries, %d listed", len(follower.entries), len(list))
 	assert.Assert(t, len(follower.recentChanges) < 1000, "%d changes", len(follower.recentChanges))
 }
@@ -72,7 +72,7 @@
 	v := NewView()
 	v.MergeList(at(0), at(0), 1, []dialect.Upstream{up("a"), up("b")}, FromPeer)
 	before := v.Snapshot()
-	_, taken, err := v.Apply(at(10), at(5), 2, Difference{Changed: []dialect.Upstream{up("c")}, Gone: []ident.UpstreamID{"a"}}, before.Digest())
+	_, taken, err := v.Apply(at(10), at(5), 2, Difference{Changed: []dialect.Upstream{up("c")}, Removed: []ident.UpstreamID{"a"}}, before.Digest())
 	var misfit *DigestMismatchError
 	assert.Assert(t, errors.As(err, &misfit) && !taken)
 	assert.DeepEqual(t, v.Snapshot().Upstreams, before.Upstreams)
@@ -85,10 +85,10 @@
 	v := NewView()
 	v.MergeList(at(0), at(0), 1, []dialect.Upstream{up("a"), up("b")}, FromStore)
 	v.MergeList(at(5000), at(5000), 2, []dialect.Upstream{up("a")}, FromStoreAfterFailure)
-	_, applied := v.ApplyStored(at(6000), at(6000), 3, Difference{Gone: []ident.UpstreamID{"b"}})
+	_, applied := v.ApplyStored(at(6000), at(6000), 3, Difference{Removed: []ident.UpstreamID{"b"}})
 	assert.Assert(t, !applied)
 	v.MergeList(at(9000), at(9000), 4, []dialect.Upstream{up("a"), up("b")}, FromStore)
-	changes, applied := v.ApplyStored(at(9500), at(9500), 5, Difference{Gone: []ident.UpstreamID{"b"}})
+	changes, applied := v.ApplyStored(at(9500), at(9500), 5, Difference{Removed: []ident.UpstreamID{"b"}})
 	assert.Assert(t, applied)
 	assert.Equal(t, len(changes), 1)
 	assert.Equal(t, len(v.Snapshot().All()), 1)
--- a/gateway/fleet/crashes.go
+++ b/gateway/fleet/crashes.go
@@ -13,51 +13,50 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// MethodCrashes sends evidence of crashes to a peer and, on request, returns the peer's own
-// evidence.
+// MethodCrashes sends crash records to a peer and, on request, returns the peer's own.
 const MethodCrashes = "gateway.crashes"
 
 const (
-	// crashBatchDelay is how long new evidence is collected before it is sent. A crash fails about a
-	// dozen requests, each of which is a separate piece of evidence.
+	// crashBatchDelay is how long new records are collected before they are sent. A crash fails
+	// about a dozen requests, each of which gives a separate record.
 	crashBatchDelay = 20 * time.Millisecond
 	// crashSendInterval is the minimum time between two transmissions. If all engines of a fleet
-	// crash at once, each of 295 instances would otherwise send new evidence every 20 ms.
+	// crash at once, each of 295 instances would otherwise send new records every 20 ms.
 	crashSendInterval = 100 * time.Millisecond
 	// crashCompareInterval is the minimum time between two comparisons with a peer. Comparisons
-	// transfer evidence that was not delivered because a connection failed.
+	// transfer records that were not delivered because a connection failed.
 	crashCompareInterval = time.Second
 )
 
-// CrashMessage carries evidence of crashes from one instance to another.
+// CrashMessage carries crash records from one instance to another.
 type CrashMessage struct {
-	// Digest is the digest of all evidence that the sender shares.
+	// Digest is the digest of all crash records that the sender shares.
 	Digest uint64 `json:"d"`
-	// Crashes is the evidence, encoded by packCrashes.
+	// Crashes is the crash records, encoded by packCrashes.
 	Crashes []byte `json:"c,omitempty"`
-	// Compare asks for all of the receiver's evidence if its digest differs.
+	// Compare asks for all of the receiver's crash records if its digest differs.
 	Compare bool `json:"m,omitempty"`
 	// Informed has the same meaning as in Heartbeat.
 	Informed bool `json:"k,omitempty"`
 }
 
-// crashSpreader holds the state for spreading evidence of crashes. Evidence that this instance
-// observed is sent at once to the instances that Roster.CrashRecipients returns. Instances that
-// missed it notice the different digest in a heartbeat or in an answer to a load report, and ask
-// for it.
+// crashSpreader holds the state for spreading crash records. Records of crashes that this instance
+// observed are sent at once to the instances that Roster.CrashRecipients returns. Instances that
+// missed them notice the different digest in a heartbeat or in an answer to a load report, and ask
+// for them.
 type crashSpreader struct {
 	wake chan struct{}
 
 	mu sync.Mutex
-	// received is the new evidence received from peers and not yet forwarded. lastCompared is the
-	// time of the last comparison.
+	// received holds the new records received from peers and not yet forwarded. lastCompared is
+	// the time of the last comparison.
 	received     []quarantine.Crash
 	lastCompared time.Time
 }
 
 func newCrashSpreader() *crashSpreader { return &crashSpreader{wake: make(chan struct{}, 1)} }
 
-// requestSend requests that new evidence be sent soon.
+// requestSend requests that new records be sent soon.
 func (c *crashSpreader) requestSend() {
 	select {
 	case c.wake <- struct{}{}:
@@ -65,14 +64,14 @@
 	}
 }
 
-// addReceived adds evidence received from a peer, to be forwarded.
+// addReceived adds records received from a peer, to be forwarded.
 func (c *crashSpreader) addReceived(crashes []quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.received = append(c.received, crashes...)
 }
 
-// takeReceived returns the evidence to be forwarded and clears it.
+// takeReceived returns the records to be forwarded and clears them.
 func (c *crashSpreader) takeReceived() []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,10 +91,11 @@
 	return true
 }
 
-// SpreadCrashes sends evidence that this instance has just added to the register to its peers.
+// SpreadCrashes sends the crash records that this instance has just added to the register to its
+// peers.
 func (n *Node) SpreadCrashes() { n.crashSpreader.requestSend() }
 
-// spreadCrashes sends new evidence of crashes to peers until ctx ends.
+// spreadCrashes sends new crash records to peers until ctx ends.
 func (n *Node) spreadCrashes(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -110,7 +110,7 @@
 	}
 }
 
-// sendNewCrashes sends new evidence to peers and reports whether there was any.
+// sendNewCrashes sends new records to peers and reports whether there was any.
 func (n *Node) sendNewCrashes(ctx context.Context) bool {
 	now := clock.Now()
 	observed, received := n.opts.Register.TakeUnsent(now), n.crashSpreader.takeReceived()
@@ -130,14 +130,14 @@
 	return true
 }
 
-// sendCrashes sends evidence to a peer. Failures are logged at debug level only, since a later
+// sendCrashes sends crash records to a peer. Failures are logged at debug level only, since a later
 // comparison of digests makes up for them.
 func (n *Node) sendCrashes(ctx context.Context, address string, crashes []quarantine.Crash) {
 	if len(crashes) == 0 {
 		return
 	}
 	if _, err := n.callCrashes(ctx, address, CrashMessage{Crashes: packCrashes(crashes)}); err != nil {
-		n.opts.Log.Debug("sending crash evidence to peer failed", "peer", address, "error", err)
+		n.opts.Log.Debug("sending crash records to peer failed", "peer", address, "error", err)
 	}
 }
 
@@ -149,11 +149,11 @@
 	return peer.Call[CrashMessage](ctx, n.opts.Pool, address, MethodCrashes, m)
 }
 
-// exchangeCrashes exchanges all evidence with a peer: each side sends what the other lacks.
+// exchangeCrashes exchanges all crash records with a peer: each side sends what the other lacks.
 func (n *Node) exchangeCrashes(ctx context.Context, address string) {
 	answer, err := n.callCrashes(ctx, address, CrashMessage{Compare: true})
 	if err != nil {
-		n.opts.Log.Debug("comparing crash evidence with peer failed", "peer", address, "error", err)
+		n.opts.Log.Debug("comparing crash records with peer failed", "peer", address, "error", err)
 		return
 	}
 	n.receiveCrashes(answer.Crashes)
@@ -165,8 +165,8 @@
 	}
 }
 
-// onCrashes processes evidence from a peer and returns this instance's own if the peer asked for
-// it and the digests differ.
+// onCrashes processes crash records from a peer and returns this instance's own if the peer asked
+// for them and the digests differ.
 func (n *Node) onCrashes(_ context.Context, _ peer.Identity, request CrashMessage) (CrashMessage, error) {
 	n.receiveCrashes(request.Crashes)
 	answer := CrashMessage{Digest: n.opts.Register.Digest(), Informed: n.Informed()}
@@ -176,14 +176,14 @@
 	return answer, nil
 }
 
-// receiveCrashes adds a peer's encoded evidence to the register and forwards what is new.
+// receiveCrashes adds a peer's encoded crash records to the register and forwards the new ones.
 func (n *Node) receiveCrashes(packed []byte) {
 	if len(packed) == 0 {
 		return
 	}
 	received, err := unpackCrashes(packed)
 	if err != nil {
-		n.opts.Log.Warn("decoding crash evidence from peer failed", "error", err)
+		n.opts.Log.Warn("decoding crash records from peer failed", "error", err)
 		return
 	}
 	added := n.opts.Register.Merge(clock.Now(), received)
@@ -195,9 +195,9 @@
 	n.crashSpreader.requestSend()
 }
 
-// compareCrashDigest starts an exchange of all evidence with a peer in the background if the digest
-// that the peer sent differs. An uninformed instance does so with every informed peer, others at
-// most once per crashCompareInterval.
+// compareCrashDigest starts an exchange of all crash records with a peer in the background if the
+// digest that the peer sent differs. An uninformed instance does so with every informed peer,
+// others at most once per crashCompareInterval.
 func (n *Node) compareCrashDigest(ctx context.Context, address string, digest uint64, informed bool) {
 	now := clock.Now()
 	switch {
@@ -211,9 +211,9 @@
 	}
 }
 
-// CrashRecipients returns the addresses of the instances that evidence of crashes is sent to at
-// once. The instances in observed get only the evidence that this instance observed itself, those
-// in all also the evidence that it received. In a small fleet, observed holds all peers. In a
+// CrashRecipients returns the addresses of the instances that crash records are sent to at once.
+// The instances in observed get only the records of crashes that this instance observed itself,
+// those in all also the records that it received. In a small fleet, observed holds all peers. In a
 // large fleet it holds the hubs of the zones, and all holds the instances of this zone if this
 // instance is its hub.
 func (r *Roster) CrashRecipients(now time.Time) (observed, all []string) {
--- a/gateway/fleet/gossip_test.go
+++ b/gateway/fleet/gossip_test.go
@@ -27,8 +27,8 @@
 	next    []int
 	down    []bool
 	loss    float64
-	// cut is the zone that is partitioned from the others, if any.
-	cut ident.Zone
+	// partitionedZone is the zone that is partitioned from the others, if any.
+	partitionedZone ident.Zone
 	// bytes is the number of bytes of each instance's messages, counted while measuring is set.
 	bytes     []int
 	measuring bool
@@ -78,7 +78,7 @@
 	for _, address := range r.Partners(now, g.random) {
 		j := g.address[address]
 		other := g.rosters[j]
-		if g.down[j] || g.random.Float64() < g.loss || other.self.Zone != r.self.Zone && (g.cut == r.self.Zone || g.cut == other.self.Zone) {
+		if g.down[j] || g.random.Float64() < g.loss || other.self.Zone != r.self.Zone && (g.partitionedZone == r.self.Zone || g.partitionedZone == other.self.Zone) {
 			continue
 		}
 		answer := g.call(i, j, h)
@@ -138,8 +138,8 @@
 	return true
 }
 
-// oldest returns the age of the oldest news of an instance of the own zone and of another zone.
-// Each result is at least the corresponding argument.
+// oldest returns the age of the oldest heartbeat known of an instance of the own zone and of
+// another zone. Each result is at least the corresponding argument.
 func (g *gossip) oldest(own, otherZone time.Duration) (time.Duration, time.Duration) {
 	for _, r := range g.rosters {
 		for _, p := range r.peers {
@@ -213,7 +213,7 @@
 	clear(g.down)
 	zoneBack := g.until("return of a zone", 8000, all)
 
-	g.cut = "hall-c"
+	g.partitionedZone = "hall-c"
 	partitioned := g.until("cut", 18000, func(r *Roster) int {
 		inside := zoneSize(size, zones, 2)
 		if r.self.Zone == "hall-c" {
@@ -221,9 +221,9 @@
 		}
 		return size - inside
 	})
-	g.cut = ""
+	g.partitionedZone = ""
 	healed := g.until("healing", 8000, all)
-	t.Logf("%d instances: all known after %d ms; %.1f KB/s on average, %.1f at most; news at most %v old in the own zone and %v in others; time until known: death %d, zone lost %d, zone back %d, partition %d, partition healed %d ms",
+	t.Logf("%d instances: all known after %d ms; %.1f KB/s on average, %.1f at most; heartbeats at most %v old in the own zone and %v in others; time until known: death %d, zone lost %d, zone back %d, partition %d, partition healed %d ms",
 		size, started, mean/1000, most/1000, own, otherZone, died, zoneLost, zoneBack, partitioned, healed)
 	assert.Assert(t, mean < float64(4000+24*size), "%.0f bytes per second", mean)
 }
--- a/gateway/fleet/hub.go
+++ b/gateway/fleet/hub.go
@@ -28,7 +28,7 @@
 	IntervalMS int64 `json:"e,omitempty"`
 	Load       Load  `json:"load"`
 	// Packed is the encoded load of a whole zone: its requests in flight, demand and retries. If
-	// it is set, Load holds only the refusing and switching engines.
+	// it is set, Load holds only the unavailable and the switching engines.
 	Packed []byte `json:"p,omitempty"`
 }
 
@@ -40,10 +40,10 @@
 	// Included is the sequence of the receiver's own report that is part of Sum, 0 if there is
 	// none.
 	Included uint64 `json:"i,omitempty"`
-	// Refusing and Switching are as in Load, but without what the receiver itself reported: an
+	// Unavailable and Switching are as in Load, but without what the receiver itself reported: an
 	// instance must not take its own report for that of a peer.
-	Refusing  map[ident.UpstreamID]int64         `json:"x,omitempty"`
-	Switching map[ident.UpstreamID]dialect.Stage `json:"w,omitempty"`
+	Unavailable map[ident.UpstreamID]int64         `json:"x,omitempty"`
+	Switching   map[ident.UpstreamID]dialect.Stage `json:"w,omitempty"`
 	// ZoneLoad is set in the answer to the hub of another zone. It holds the load of the answering
 	// hub's zone.
 	ZoneLoad *LoadReport `json:"whole,omitempty"`
@@ -136,7 +136,7 @@
 	for _, d := range h.zones {
 		others.addUnavailable(d.load)
 	}
-	return LoadAnswer{Sum: h.sum, Included: h.included[to], Refusing: others.Unavailable, Switching: others.Switching}
+	return LoadAnswer{Sum: h.sum, Included: h.included[to], Unavailable: others.Unavailable, Switching: others.Switching}
 }
 
 // updateSum recomputes the sum of the loads of all zones.
@@ -179,14 +179,14 @@
 }
 
 // PeerLoad returns the sum of the other instances' loads: the sum in an answer without this
-// instance's own part. The error is a *PackError.
+// instance's own load. The error is a *PackError.
 func (r *ReportHistory) PeerLoad(a LoadAnswer) (Load, error) {
 	sum, err := unpackLoad(a.Sum)
 	if err != nil {
 		return Load{}, err
 	}
 	sum.subtract(r.loads[a.Included])
-	sum.Unavailable, sum.Switching = a.Refusing, a.Switching
+	sum.Unavailable, sum.Switching = a.Unavailable, a.Switching
 	return sum, nil
 }
 
@@ -219,7 +219,7 @@
 	}
 }
 
-// addUnavailable adds the refusing and switching engines of another load.
+// addUnavailable adds the unavailable and switching engines of another load.
 func (l *Load) addUnavailable(o Load) {
 	for id, remaining := range o.Unavailable {
 		l.Unavailable[id] = max(l.Unavailable[id], remaining)
@@ -252,8 +252,8 @@
 	}
 }
 
-// minus subtracts a part from the load of an upstream. Values that the engine reported about
-// itself are dropped if the maximum may have come from that part.
+// minus subtracts a load from the load of an upstream. Values that the engine reported about
+// itself are dropped if the maximum may have come from the subtracted load.
 func (f InFlight) minus(o InFlight) InFlight {
 	rest := InFlight{Requests: f.Requests - o.Requests, Tokens: f.Tokens - o.Tokens, Memory: slices.Clone(f.Memory)}
 	if f.Unexplained > o.Unexplained {
--- a/gateway/fleet/hub_test.go
+++ b/gateway/fleet/hub_test.go
@@ -45,8 +45,8 @@
 	assert.DeepEqual(t, others(t, a, at(200), "").InFlight["e"].Memory, []int{1110, 2020, 3000})
 }
 
-// TestOldLoadsDontCount guards against loads of instances that died, or of zones that are cut
-// off, that remain in the sum.
+// TestOldLoadsDontCount guards against loads of instances that died, or of zones
+// behind a network partition, that remain in the sum.
 func TestOldLoadsDontCount(t *testing.T) {
 	h := NewHub()
 	assert.NilError(t, h.Receive(at(0), LoadReport{From: "a1", Zone: "a", Load: loadOf(1)}))
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestOwnWordDoesNotComeBack guards against an instance that gets its own report of a refusing or
-// switching engine back as if it were another instance's. It would then renew that report each
+// TestOwnWordDoesNotComeBack guards against an instance that gets its own report of an unavailable
+// or switching engine back as if it were another instance's. It would then renew that report each
 // time.
 func TestOwnWordDoesNotComeBack(t *testing.T) {
 	h, load := NewHub(), loadOf(1)
--- a/gateway/fleet/informed.go
+++ b/gateway/fleet/informed.go
@@ -11,14 +11,14 @@
 
 const (
 	// informTimeout is how long an instance that has started or was paused waits for an informed
-	// peer. If it hears of none in that time, it is alone, it is cut off, or all instances have
+	// peer. If it hears of none in that time, it is alone, it is isolated, or all instances have
 	// just started. Peers of a small fleet call every 300 ms.
 	informTimeout = 500 * time.Millisecond
 	// informedPollInterval is how often a waiting request checks whether its instance is
 	// informed. Peers usually answer within some milliseconds of a start.
 	informedPollInterval = 10 * time.Millisecond
 	// maintenanceInterval is how often an instance checks whether it was paused, drops expired
-	// state and sends delayed evidence of crashes.
+	// state and sends delayed crash records.
 	maintenanceInterval = 250 * time.Millisecond
 )
 
@@ -31,16 +31,16 @@
 	// recorded.
 	since, lastRunning time.Time
 	// paused is set if the instance was paused at since. peerInformed is set once an informed
-	// peer has shared its evidence after that.
+	// peer has shared its crash records after that.
 	paused, peerInformed bool
-	// lastRefresh is when Refresh last had the view read again.
-	lastRefresh time.Time
+	// lastReadRequest is when RequestRead last had the view read again.
+	lastReadRequest time.Time
 	// wakeChans holds the channels that end the waits of the read and heartbeat loops.
 	wakeChans []chan struct{}
 }
 
 // subscribeWake returns a channel that receives a value when the instance resumes after a pause,
-// or on Refresh.
+// or on RequestRead.
 func (i *informed) subscribeWake() <-chan struct{} {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -99,9 +99,9 @@
 	i.peerInformed = true
 }
 
-// isInformed reports whether the instance is informed: a peer has shared its evidence and, after
-// a pause, the list of upstreams comes from a read that began after it; or informTimeout has
-// passed. view is the time of that list.
+// isInformed reports whether the instance is informed: a peer has shared its crash records and,
+// after a pause, the list of upstreams comes from a read that began after it; or informTimeout
+// has passed. view is the time of that list.
 func (i *informed) isInformed(now, view time.Time) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -142,15 +142,15 @@
 	n.informed.mu.Lock()
 	defer n.informed.mu.Unlock()
 	now := clock.Now()
-	if now.Sub(n.informed.lastRefresh) < startInterval {
+	if now.Sub(n.informed.lastReadRequest) < startInterval {
 		return
 	}
-	n.informed.lastRefresh = now
+	n.informed.lastReadRequest = now
 	n.informed.wake()
 }
 
-// maintain detects pauses of this instance, drops expired state and sends delayed evidence of
-// crashes until ctx ends. These tasks share a loop because each wakeup of an idle instance
+// maintain detects pauses of this instance, drops expired state and sends delayed crash
+// records until ctx ends. These tasks share a loop because each wakeup of an idle instance
 // costs processor time.
 func (n *Node) maintain(ctx context.Context) {
 	asleep := clock.Suspended()
--- a/gateway/fleet/keeper.go
+++ b/gateway/fleet/keeper.go
@@ -17,35 +17,35 @@
 	workspace string
 }
 
-// onTokens answers a peer's request for tokens as the keeper of a workspace's account. If the
-// account holds too few, it first borrows from the keepers in other zones.
+// onTokens answers a peer's request for tokens as the owner of a workspace's account. If the
+// account holds too few, it first borrows from the owners in other zones.
 func (n *Node) onTokens(ctx context.Context, _ peer.Identity, request TokenRequest) (TokenAnswer, error) {
 	accounts := n.tokens.accounts
 	result := TokenAnswer{Incarnation: n.opts.Self.Incarnation}
 	if request.Lend {
-		result.Lent = accounts.Lend(clock.Now(), request.limitAsk(), request.Level)
+		result.Lent = accounts.Lend(clock.Now(), request.limitRequest(), request.Balance)
 		return result, nil
 	}
-	answer := accounts.Take(clock.Now(), request.limitAsk())
+	response := accounts.Take(clock.Now(), request.limitRequest())
 	if request.Cost <= 0 {
 		// The request only returns tokens.
-		result.Granted, result.Level = true, answer.Balance
+		result.Granted, result.Balance = true, response.Balance
 		return result, nil
 	}
-	if answer.Granted && answer.Balance < request.Part.Burst/2 {
+	if response.Granted && response.Balance < request.Share.Burst/2 {
 		// Borrow in the background before the account is empty. Full accounts of other zones
 		// accumulate no further tokens, so what they could have gained in the meantime would be
 		// lost.
-		go n.borrow(context.WithoutCancel(ctx), request, answer)
+		go n.borrow(context.WithoutCancel(ctx), request, response)
 	}
-	if !answer.Granted {
-		n.borrow(ctx, request, answer)
-		retry := request.limitAsk()
+	if !response.Granted {
+		n.borrow(ctx, request, response)
+		retry := request.limitRequest()
 		retry.Returned, retry.LastReport = 0, nil
-		answer = accounts.Take(clock.Now(), retry)
+		response = accounts.Take(clock.Now(), retry)
 	}
-	result.Granted, result.Level = answer.Granted, answer.Balance
-	if !answer.Granted {
+	result.Granted, result.Balance = response.Granted, response.Balance
+	if !response.Granted {
 		result.WaitMS = accounts.RetryAfter(clock.Now(), request.Workspace, request.Cost).Milliseconds()
 	}
 	return result, nil
@@ -68,13 +68,13 @@
 func (n *Node) borrowAll(ctx context.Context, request TokenRequest, refusal limit.Response) {
 	lenders := n.lenders(request.Workspace)
 	loan := TokenRequest{
-		Workspace: request.Workspace, Part: request.Part, Version: request.Version,
-		Lend: true, Cost: refusal.Missing / float64(max(1, len(lenders))), Level: refusal.Balance,
+		Workspace: request.Workspace, Share: request.Share, Version: request.Version,
+		Lend: true, Cost: refusal.Missing / float64(max(1, len(lenders))), Balance: refusal.Balance,
 	}
 	var wg sync.WaitGroup
 	for zone, holder := range lenders {
 		wg.Go(func() {
-			answer, err := n.callKeeper(ctx, holder, loan)
+			answer, err := n.callOwner(ctx, holder, loan)
 			if err != nil || answer.Lent <= 0 || answer.Lent < loan.Cost {
 				n.recordEmptyLender(zone, request.Workspace)
 			}
@@ -92,7 +92,7 @@
 	t.emptyUntil[lenderKey{zone, workspace}] = clock.Now().Add(lenderRetryInterval)
 }
 
-// lenders returns the keepers of a workspace's accounts in the other zones, without the zones
+// lenders returns the owners of a workspace's accounts in the other zones, without the zones
 // that recently had nothing to lend.
 func (n *Node) lenders(workspace string) map[ident.Zone]dutyHolder {
 	n.mu.Lock()
@@ -106,37 +106,37 @@
 		if empty {
 			continue
 		}
-		if holder, ok := n.keeper(workspace, zone); ok {
+		if holder, ok := n.accountOwner(workspace, zone); ok {
 			out[zone] = holder
 		}
 	}
 	return out
 }
 
-// flushTokens returns unused tokens to the keepers until ctx ends. It does not poll before the
+// flushTokens returns unused tokens to the owners until ctx ends. It does not poll before the
 // first use of a workspace's limit, so that an instance without limits has no wakeups.
 func (n *Node) flushTokens(ctx context.Context) {
 	for n.tokens.client.AwaitFirstUse(ctx) && pause.For(ctx, flushInterval) {
 		for workspace, unused := range n.tokens.client.TakeIdle(clock.Now()) {
-			n.returnTokens(ctx, workspace, unused)
+			n.returnToOwner(ctx, workspace, unused)
 		}
 	}
 }
 
-// returnTokens returns tokens to the keeper of a workspace's account. Tokens are lost to the
+// returnToOwner returns tokens to the owner of a workspace's account. Tokens are lost to the
 // workspace if the call fails.
-func (n *Node) returnTokens(ctx context.Context, workspace string, tokens float64) {
+func (n *Node) returnToOwner(ctx context.Context, workspace string, tokens float64) {
 	s := n.Snapshot()
 	if s.Table == nil {
 		return
 	}
 	w := s.Table.WorkspaceByName(workspace)
-	holder, ok := n.keeper(workspace, n.opts.Self.Zone)
+	holder, ok := n.accountOwner(workspace, n.opts.Self.Zone)
 	if w == nil || !ok {
 		return
 	}
-	request := TokenRequest{Workspace: workspace, Part: limit.ShareOf(w.Limit, n.zoneCount()), Version: s.Version(), Returned: tokens}
-	if _, err := n.callKeeper(ctx, holder, request); err != nil {
+	request := TokenRequest{Workspace: workspace, Share: limit.ShareOf(w.Limit, n.zoneCount()), Version: s.Version(), Returned: tokens}
+	if _, err := n.callOwner(ctx, holder, request); err != nil {
 		n.opts.Log.Info("tokens not given back", "workspace", workspace, "tokens", tokens, "peer", holder.id, "error", err)
 	}
 }
--- a/gateway/fleet/lists.go
+++ b/gateway/fleet/lists.go
@@ -123,10 +123,10 @@
 
 // Difference is the change from one version of a list to a newer one.
 type Difference struct {
-	// Changed holds the new and the changed upstreams in their new state, Gone the IDs of the
+	// Changed holds the new and the changed upstreams in their new state, Removed the IDs of the
 	// removed ones.
 	Changed []dialect.Upstream
-	Gone    []ident.UpstreamID
+	Removed []ident.UpstreamID
 }
 
 // DifferenceFrom returns the difference between the current list and the version with the given
@@ -144,7 +144,7 @@
 		}
 		seen[c.id] = true
 		if e := v.entries[c.id]; e == nil || e.gone {
-			d.Gone = append(d.Gone, c.id)
+			d.Removed = append(d.Removed, c.id)
 		} else {
 			d.Changed = append(d.Changed, e.upstream)
 		}
@@ -155,7 +155,7 @@
 // apply returns the list that results from applying the difference to the given one.
 func (d Difference) apply(list []dialect.Upstream) []dialect.Upstream {
 	replaced := map[ident.UpstreamID]bool{}
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		replaced[id] = true
 	}
 	for _, u := range d.Changed {
--- a/gateway/fleet/lists_test.go
+++ b/gateway/fleet/lists_test.go
@@ -73,7 +73,7 @@
 			assert.Assert(t, ok)
 			packed, err := unpackUpstreams(packUpstreams(d.Changed))
 			assert.NilError(t, err)
-			assert.Equal(t, listDigest(Difference{Changed: packed, Gone: d.Gone}.apply(old.All())), s.Digest())
+			assert.Equal(t, listDigest(Difference{Changed: packed, Removed: d.Removed}.apply(old.All())), s.Digest())
 		}
 		before = append(before, s)
 	}
@@ -191,7 +191,7 @@
 }
 
 // TestFewFollowersReadLongLists guards against all followers of a zone reading a long list to its
-// end when their view is old. A few do so, and all of them read the configuration.
+// end when their view is stale. A few do so, and all of them read the configuration.
 func TestFewFollowersReadLongLists(t *testing.T) {
 	const members = 60
 	listed, configured := 0, 0
--- a/gateway/fleet/messages.go
+++ b/gateway/fleet/messages.go
@@ -11,8 +11,8 @@
 type Load struct {
 	// InFlight holds the instance's requests in flight at each upstream.
 	InFlight map[ident.UpstreamID]InFlight `json:"f,omitempty"`
-	// Unavailable holds the engines that refused a request after they had reserved memory for it, or
-	// that the instance has ejected or found replaced, with the remaining time, in milliseconds,
+	// Unavailable holds the engines that rejected a request after they had reserved memory for it,
+	// or that the instance has ejected or found replaced, with the remaining time, in milliseconds,
 	// for which the instance does not use them.
 	Unavailable map[ident.UpstreamID]int64 `json:"x,omitempty"`
 	// Switching holds the engines that the instance has ordered to change their stage, with the
@@ -30,8 +30,8 @@
 	return l.InFlight == nil && l.Demand == nil && l.Unavailable == nil && l.Switching == nil
 }
 
-// idle reports whether the load has no requests in flight, no spent retry budget and no refusing
-// or switching upstreams. Demand is ignored because it only decreases without requests.
+// idle reports whether the load has no requests in flight, no retries and no unavailable or
+// switching upstreams. Demand is ignored because it only decreases without requests.
 func (l *Load) idle() bool {
 	return len(l.InFlight) == 0 && len(l.Unavailable) == 0 && len(l.Switching) == 0 && len(l.Retries) == 0
 }
@@ -45,11 +45,11 @@
 	// Memory is the forecast of the memory that the requests hold at a decode engine, in tokens,
 	// at fixed time steps from the heartbeat.
 	Memory []int `json:"m,omitempty"`
-	// Unexplained is the memory use, in tokens, that the engine reported to the instance beyond
-	// that of all known requests.
+	// Unexplained is the unaccounted memory of the engine, in tokens: the use that it reported to
+	// the instance beyond that of all known requests.
 	Unexplained int `json:"u,omitempty"`
-	// Pace is the recent speed of a prefill engine as a 1-based bucket of schedule.Paces, 0 if
-	// unknown. When loads are added, the maximum is kept.
+	// Pace is the recent throughput of a prefill engine as a 1-based bucket of
+	// schedule.ThroughputHistogram, 0 if unknown. When loads are added, the maximum is kept.
 	Pace int `json:"p,omitempty"`
 }
 
@@ -65,7 +65,7 @@
 	StreamRate float64 `json:"s"`
 	// RequestRate is in requests per second.
 	RequestRate float64 `json:"q,omitempty"`
-	// Paces is a histogram of the speeds at which prefill engines computed recent prompts.
+	// Paces is a histogram of the throughputs at which prefill engines computed recent prompts.
 	Paces schedule.ThroughputHistogram `json:"e,omitempty"`
 }
 
@@ -99,9 +99,9 @@
 	Relayed []Relayed `json:"others,omitempty"`
 	// Zones holds the sequences of all live instances by zone. It is used in a large fleet only.
 	Zones []ZoneRecords `json:"zones,omitempty"`
-	// Crashes is the digest of the crash evidence that the sender shares, 0 if there is none.
+	// Crashes is the digest of the crash records that the sender shares, 0 if there is none.
 	Crashes uint64 `json:"q,omitempty"`
-	// Informed is set once the sender has received the crash evidence that its peers had when it
+	// Informed is set once the sender has received the crash records that its peers had when it
 	// started or resumed; see Node.Informed.
 	Informed bool `json:"k,omitempty"`
 }
--- a/gateway/fleet/node.go
+++ b/gateway/fleet/node.go
@@ -84,7 +84,7 @@
 	// the peers' loads has been recomputed; age is the average age of that sum.
 	Changed     func(*Snapshot)
 	LoadChanged func(sum Load, age time.Duration)
-	// Register holds the evidence about request contents that upstreams crashed on.
+	// Register holds the crash records of the request contents that upstreams crashed on.
 	Register *quarantine.Register
 }
 
@@ -97,7 +97,7 @@
 }
 
 // Node keeps an instance's view of the deployment up to date. It reads the store or asks peers,
-// exchanges heartbeats and loads, and spreads evidence of crashes.
+// exchanges heartbeats and loads, and spreads crash records.
 type Node struct {
 	opts Options
 
--- a/gateway/fleet/pack.go
+++ b/gateway/fleet/pack.go
@@ -14,7 +14,7 @@
 // times, which is most of the cost of large sums; see BenchmarkPackedLoad.
 
 // PackError reports that bytes received from a peer are not a valid encoding of a load, of crash
-// evidence or of a list of upstreams. Bytes is their number.
+// records or of a list of upstreams. Bytes is their number.
 type PackError struct{ Bytes int }
 
 // Error implements error.
@@ -88,7 +88,7 @@
 	return l, nil
 }
 
-// packCrashes encodes evidence of crashes, in about 35 bytes for each piece.
+// packCrashes encodes crash records, in about 35 bytes each.
 func packCrashes(crashes []quarantine.Crash) []byte {
 	dst := binary.AppendUvarint(nil, uint64(len(crashes)))
 	for _, c := range crashes {
--- a/gateway/fleet/pack_test.go
+++ b/gateway/fleet/pack_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// TestPackedCrashesComeBack checks that decoding encoded evidence gives the same evidence, and
+// TestPackedCrashesComeBack checks that decoding encoded crash records gives the same records, and
 // that truncated input is rejected.
 func TestPackedCrashesComeBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -121,7 +121,7 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		if crashes, err := unpackCrashes(packed); err == nil && len(crashes) > len(packed) {
-			t.Errorf("decoded %d pieces of evidence from %d bytes", len(crashes), len(packed))
+			t.Errorf("decoded %d crash records from %d bytes", len(crashes), len(packed))
 		}
 	})
 }
--- a/gateway/fleet/reader.go
+++ b/gateway/fleet/reader.go
@@ -18,7 +18,7 @@
 	// maxLoggedChanges is the largest number of changes of a list that are logged one by one.
 	maxLoggedChanges = 64
 	// longListFollowers is the average number of followers of a zone that read a long list to its
-	// end when the view of all of them is old.
+	// end when the view of all of them is stale.
 	longListFollowers = 2.0
 	// longListStarting is the same while they have no list yet. It is higher since the store may
 	// reject the reads of the zone's reader and standbys.
@@ -26,8 +26,8 @@
 )
 
 // maintainView keeps the view up to date until ctx ends. An instance reads the store if it is its
-// zone's reader, and otherwise asks the reader. When the view grows old, it does both and also
-// asks a peer chosen at random.
+// zone's reader, and otherwise asks the reader. When the view becomes stale, it does both and
+// also asks a peer chosen at random.
 func (n *Node) maintainView(ctx context.Context) {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	wake := n.informed.subscribeWake()
@@ -158,7 +158,7 @@
 		n.mu.Unlock()
 		return false
 	}
-	changes, applied := n.view.ApplyStored(clock.Now(), started, c.Revision, Difference{Changed: c.Upstreams, Gone: c.Removed})
+	changes, applied := n.view.ApplyStored(clock.Now(), started, c.Revision, Difference{Changed: c.Upstreams, Removed: c.Removed})
 	n.stored.merged = applied
 	n.mu.Unlock()
 	if applied {
@@ -184,8 +184,8 @@
 // furtherPages stopped counts as answered.
 func (n *Node) readList(ctx context.Context) bool {
 	err := n.fetchList(ctx)
-	var stopped *dialect.ListAbandonedError
-	if err != nil && !errors.As(err, &stopped) {
+	var abandoned *dialect.ListAbandonedError
+	if err != nil && !errors.As(err, &abandoned) {
 		n.storeFailed(err)
 		return false
 	}
@@ -439,7 +439,7 @@
 		n.mu.Unlock()
 		return false
 	}
-	changes, taken, err := n.view.Apply(clock.Now(), started, answer.Revision, Difference{Changed: changed, Gone: answer.Gone}, answer.Digest)
+	changes, taken, err := n.view.Apply(clock.Now(), started, answer.Revision, Difference{Changed: changed, Removed: answer.Removed}, answer.Digest)
 	n.stored.merged = n.stored.merged && !taken
 	n.mu.Unlock()
 	if err != nil {
--- a/gateway/fleet/reading.go
+++ b/gateway/fleet/reading.go
@@ -9,7 +9,7 @@
 	// startInterval is the time between two requests to the reader until the instance has a
 	// configuration and a list of upstreams.
 	startInterval = 200 * time.Millisecond
-	// staleAfter is the age from which a view counts as old, which means that the zone's reader
+	// staleAfter is the age from which a view counts as stale, which means that the zone's reader
 	// fails: two reads in a row were lost.
 	staleAfter = 1200 * time.Millisecond
 	// propagationReserve is the part of the time limit for putting a change in force that is
@@ -17,14 +17,14 @@
 	// instance that reads the store itself, and to fetch the configuration from that instance.
 	propagationReserve = 2500 * time.Millisecond
 	// standbyReaders is the number of instances of a zone, in addition to its reader, that read
-	// the store as soon as their view is old. The others (followers) start later, in time to meet
+	// the store as soon as their view is stale. The others (followers) start later, in time to meet
 	// the limit for putting a change in force, and with growing intervals.
 	standbyReaders = 2
 	// maxDoublings is how often the interval between two reads of a follower is doubled at most,
 	// which bounds it at 7 s.
 	maxDoublings = 3
 	// fallbackInterval is the time between two reads of a standby, and the initial one of a
-	// follower, while the view is old.
+	// follower, while the view is stale.
 	fallbackInterval = 900 * time.Millisecond
 	// startFallbackInterval is the same while the instance has no configuration or list yet. It is
 	// longer, since there may be nothing to read until the first configuration is published, and
@@ -64,7 +64,7 @@
 // The roles.
 const (
 	// A reader reads the store for its zone at every interval. A standby reads it as soon as its
-	// view is old, a follower some time later.
+	// view is stale, a follower some time later.
 	reader role = iota
 	standby
 	follower
@@ -87,7 +87,7 @@
 }
 
 // mayFallBack reports whether an instance that is not the zone's reader may read the store now.
-// The caller has checked that its view is old.
+// The caller has checked that its view is stale.
 func (r *readSchedule) mayFallBack(now time.Time, as role, ready bool, age time.Duration) bool {
 	interval := fallbackInterval
 	if !ready {
--- a/gateway/fleet/reading_test.go
+++ b/gateway/fleet/reading_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestWhoReadsTheStore guards against too many reads of the store. While the view is fresh, only
-// the zone's reader reads. When it is old, the standbys read too, and then the followers with
+// the zone's reader reads. When it is stale, the standbys read too, and then the followers with
 // growing intervals. During an outage of 9 s, 59 instances of a zone make 208 reads; if each of
 // them read at every interval, it was 490.
 func TestWhoReadsTheStore(t *testing.T) {
@@ -49,7 +49,7 @@
 }
 
 // TestFollowerReadsBeforeTheBound guards against changes that come into force too late. While its
-// view is old, each instance reads the store itself, whatever its peers answer, early enough that
+// view is stale, each instance reads the store itself, whatever its peers answer, early enough that
 // instances which the store rejects have time to hear of the change.
 func TestFollowerReadsBeforeTheBound(t *testing.T) {
 	for bound, most := range map[time.Duration]time.Duration{
--- a/gateway/fleet/roster.go
+++ b/gateway/fleet/roster.go
@@ -12,10 +12,10 @@
 	// fleet. Heartbeats are exchanged every 300 ms, so several in a row must be lost before it no
 	// longer does.
 	aliveTimeout = 2 * time.Second
-	// aliveTimeoutLarge is the same in a large fleet. There the time counts from the arrival of the
-	// news of a heartbeat, which takes about three rounds of one second to reach all instances of
-	// the zone. aliveTimeoutOtherZone applies to instances of other zones, whose news takes a few
-	// rounds more.
+	// aliveTimeoutLarge is the same in a large fleet. There the time counts from the arrival of a
+	// relayed heartbeat, which takes about three rounds of one second to reach all instances of
+	// the zone. aliveTimeoutOtherZone applies to instances of other zones, whose heartbeats take a
+	// few rounds more.
 	aliveTimeoutLarge     = 6 * time.Second
 	aliveTimeoutOtherZone = 9 * time.Second
 	// pauseThreshold is the time without activity after which this instance concludes that its
@@ -26,7 +26,7 @@
 	peerRetention = 90 * time.Second
 	// maxMeshPeers is the largest number of peers with which every pair of instances exchanges
 	// heartbeats. In larger fleets, each instance calls fanout others of its zone in each round
-	// and relays what it knows. One more partner would make the news a quarter younger at the
+	// and relays what it knows. One more partner would make what it relays a quarter younger at the
 	// cost of half as many bytes again.
 	maxMeshPeers = 16
 	fanout       = 2
@@ -51,7 +51,7 @@
 	// key is the key of the member's description.
 	key recordKey
 	// lastHeartbeat is when the peer's newest heartbeat was made, by this instance's clock. In a
-	// large fleet it is when the news of that heartbeat arrived.
+	// large fleet it is when that heartbeat arrived, directly or relayed.
 	lastHeartbeat time.Time
 	// lastAnswer is when the peer last answered a call of this instance. lastDirect is when a
 	// heartbeat last came directly from the peer, in a call or in an answer.
--- a/gateway/fleet/roster_test.go
+++ b/gateway/fleet/roster_test.go
@@ -117,7 +117,7 @@
 }
 
 // TestInTouchNeedsAnswersOfMost guards against an instance that acts for the fleet after a pause
-// or while it is cut off: its roster still lists all peers, but none has answered recently.
+// or while it is isolated: its roster still lists all peers, but none has answered recently.
 func TestInTouchNeedsAnswersOfMost(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	for i := 1; i < 4; i++ {
@@ -263,7 +263,7 @@
 }
 
 // TestForeignInstancesMayBeSilentLonger checks that instances of other zones count as alive for
-// longer in a large fleet, since news of them takes longer to arrive.
+// longer in a large fleet, since their heartbeats take longer to arrive.
 func TestForeignInstancesMayBeSilentLonger(t *testing.T) {
 	r := NewRoster(member(0, "a"), nil)
 	for i := 1; i <= 30; i++ {
--- a/gateway/fleet/stored_test.go
+++ b/gateway/fleet/stored_test.go
@@ -188,7 +188,7 @@
 	return dialect.Changes{Upstreams: list, Next: revision, Revision: revision}, nil
 }
 
-// TestRelistDoesNotDelayChanges guards against a reader whose view grows old while it reads a
+// TestRelistDoesNotDelayChanges guards against a reader whose view becomes stale while it reads a
 // long list again, so that other instances read the store too, and against losing changes when
 // that list, which is older than they are, arrives.
 func TestRelistDoesNotDelayChanges(t *testing.T) {
@@ -238,8 +238,8 @@
 	assert.Equal(t, names(n.Snapshot()), "ab")
 }
 
-// TestQuietStoreKeepsTheViewFresh guards against a view that grows old because a peer's list has
-// a higher revision than the last change.
+// TestQuietStoreKeepsTheViewFresh guards against a view that becomes stale because a peer's list
+// has a higher revision than the last change.
 func TestQuietStoreKeepsTheViewFresh(t *testing.T) {
 	s := &changingStore{version: 1, list: []dialect.Upstream{up("a")}, revision: 10}
 	n := newTestNode(t, s)
--- a/gateway/fleet/tokens.go
+++ b/gateway/fleet/tokens.go
@@ -18,85 +18,85 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// MethodTokens asks the keeper of a workspace's account for tokens of the workspace's limit, or
-// returns tokens to it. A keeper is the instance that holds the account of a workspace in a zone.
+// MethodTokens asks the owner of a workspace's account for tokens of the workspace's limit, or
+// returns tokens to it. The owner is the instance that holds the account of a workspace in a zone.
 const MethodTokens = "gateway.tokens"
 
 const (
-	// dutyLimit is the prefix of the name of the duty to keep a workspace's account in a zone.
+	// dutyLimit is the prefix of the name of the duty to own a workspace's account in a zone.
 	// The workspace follows.
 	dutyLimit = "limit/"
-	// keeperTimeout bounds a call to a keeper, which takes one or two milliseconds. borrowTimeout
-	// bounds the keeper's own calls to other zones within it.
-	keeperTimeout = 200 * time.Millisecond
+	// ownerTimeout bounds a call to an owner, which takes one or two milliseconds. borrowTimeout
+	// bounds the owner's own calls to other zones within it.
+	ownerTimeout  = 200 * time.Millisecond
 	borrowTimeout = 80 * time.Millisecond
-	// maxKeeperCalls is the number of calls to keepers that are attempted for a request.
-	maxKeeperCalls = 3
-	// maxUnansweredCalls is the number of consecutive calls that a keeper may leave unanswered
-	// before the next candidate replaces it. While two instances act as keepers of the same
-	// account, the zone uses more than its part of the limit.
+	// maxOwnerCalls is the number of calls to owners that are attempted for a request.
+	maxOwnerCalls = 3
+	// maxUnansweredCalls is the number of consecutive calls that an owner may leave unanswered
+	// before the next candidate replaces it. While two instances act as owners of the same
+	// account, the zone uses more than its share of the limit.
 	maxUnansweredCalls = 2
 	// lenderRetryInterval is how long a zone that had nothing to lend, or did not answer, is not
 	// asked again for tokens of the same workspace.
 	lenderRetryInterval = 250 * time.Millisecond
-	// noKeeperRetry is the retry time given to callers of an instance that cannot reach a keeper.
+	// noOwnerRetry is the retry time given to callers of an instance that cannot reach an owner.
 	// The retry will most likely reach another instance.
-	noKeeperRetry = 100 * time.Millisecond
+	noOwnerRetry = 100 * time.Millisecond
 	// minRetryWait is the minimum retry time given to a caller over its limit.
 	minRetryWait = 50 * time.Millisecond
 	// flushInterval is the time between two returns of unused tokens.
 	flushInterval = 250 * time.Millisecond
 )
 
-// TokenRequest asks a keeper for the tokens of a request, or for a loan to another zone's
+// TokenRequest asks an owner for the tokens of a request, or for a loan to another zone's
 // account. It also returns unused tokens.
 type TokenRequest struct {
 	Workspace string `json:"w"`
-	// Part is the part of the workspace's limit that applies to the zone, as of configuration
-	// Version.
-	Part    limit.Share `json:"p"`
+	// Share is the zone's share of the workspace's limit, as of configuration Version.
+	Share   limit.Share `json:"p"`
 	Version int64       `json:"v"`
 	// Cost is the number of tokens asked for, Returned the number of unused tokens returned.
 	Cost     float64 `json:"c,omitempty"`
 	Returned float64 `json:"b,omitempty"`
-	// ToldLevel and ToldAgeMS are the fields of limit.Told. They are valid if Told is set.
-	Told      bool    `json:"t,omitempty"`
-	ToldLevel float64 `json:"tl,omitempty"`
-	ToldAgeMS int64   `json:"ta,omitempty"`
-	// Lend asks for a loan to the account of another zone, which holds Level tokens.
-	Lend  bool    `json:"l,omitempty"`
-	Level float64 `json:"ll,omitempty"`
+	// ReportedBalance and ReportAgeMS are the fields of limit.BalanceReport. They are valid if
+	// HasReport is set.
+	HasReport       bool    `json:"t,omitempty"`
+	ReportedBalance float64 `json:"tl,omitempty"`
+	ReportAgeMS     int64   `json:"ta,omitempty"`
+	// Lend asks for a loan to the account of another zone, whose balance is Balance.
+	Lend    bool    `json:"l,omitempty"`
+	Balance float64 `json:"ll,omitempty"`
 }
 
-// limitAsk converts the request to a limit.Ask.
-func (r *TokenRequest) limitAsk() limit.Request {
-	a := limit.Request{Workspace: r.Workspace, Share: r.Part, Version: r.Version, Cost: r.Cost, Returned: r.Returned}
-	if r.Told {
-		a.LastReport = &limit.BalanceReport{Balance: r.ToldLevel, Age: time.Duration(r.ToldAgeMS) * time.Millisecond}
+// limitRequest converts the request to a limit.Request.
+func (r *TokenRequest) limitRequest() limit.Request {
+	q := limit.Request{Workspace: r.Workspace, Share: r.Share, Version: r.Version, Cost: r.Cost, Returned: r.Returned}
+	if r.HasReport {
+		q.LastReport = &limit.BalanceReport{Balance: r.ReportedBalance, Age: time.Duration(r.ReportAgeMS) * time.Millisecond}
 	}
-	return a
+	return q
 }
 
-// TokenAnswer is a keeper's answer to a TokenRequest.
+// TokenAnswer is an owner's answer to a TokenRequest.
 type TokenAnswer struct {
 	Granted bool    `json:"g,omitempty"`
-	Level   float64 `json:"l"`
+	Balance float64 `json:"l"`
 	// WaitMS is the time, in milliseconds, after which a refused caller may retry.
 	WaitMS int64 `json:"w,omitempty"`
 	// Lent is the number of tokens that were lent.
 	Lent float64 `json:"n,omitempty"`
-	// Incarnation is the keeper's incarnation.
+	// Incarnation is the owner's incarnation.
 	Incarnation ident.Incarnation `json:"i"`
 }
 
-// tokens is a node's state for workspace limits: as a client of keepers and as a keeper.
+// tokens is a node's state for workspace limits: as a client of owners and as an owner.
 type tokens struct {
 	client   *limit.Client
 	accounts *limit.Accounts
 	borrows  singleflight.Group
 
 	mu sync.Mutex
-	// unanswered counts the consecutive calls that each keeper left unanswered.
+	// unanswered counts the consecutive calls that each owner left unanswered.
 	unanswered map[ident.InstanceID]int
 	// emptyUntil holds the time until which a zone is not asked for a workspace's tokens.
 	emptyUntil map[lenderKey]time.Time
@@ -112,9 +112,9 @@
 // TokenDecision is the decision on a request of a workspace that has a limit.
 type TokenDecision struct {
 	Granted bool
-	// NoKeeper is set if the instance reaches no keeper and its own part of the limit does not
+	// NoOwner is set if the instance reaches no owner and its own share of the limit does not
 	// suffice.
-	NoKeeper bool
+	NoOwner bool
 	// Wait is the time after which a refused caller may retry; 0 if its request exceeds what the
 	// limit can ever allow.
 	Wait time.Duration
@@ -124,9 +124,9 @@
 	Level  float64
 }
 
-// Take takes the tokens of a request from its workspace's limit. On an instance that has just
-// started, it first waits until the instance knows its peers.
-func (n *Node) Take(ctx context.Context, w *routing.Workspace, version int64, cost float64) TokenDecision {
+// TakeTokens takes the tokens of a request from its workspace's limit. On an instance that has
+// just started, it first waits until the instance knows its peers.
+func (n *Node) TakeTokens(ctx context.Context, w *routing.Workspace, version int64, cost float64) TokenDecision {
 	if !limit.Grantable(w.Limit, cost) {
 		return TokenDecision{}
 	}
@@ -135,27 +135,27 @@
 	if granted, wait, ok := c.Decide(clock.Now(), w.Name, cost); ok {
 		return TokenDecision{Granted: granted, Wait: clampWait(wait)}
 	}
-	for range maxKeeperCalls {
-		keeper, ok := n.keeper(w.Name, n.opts.Self.Zone)
+	for range maxOwnerCalls {
+		owner, ok := n.accountOwner(w.Name, n.opts.Self.Zone)
 		if !ok {
 			break
 		}
-		if v, ok := n.askKeeper(ctx, keeper, w, version, cost); ok {
-			return v
+		if decision, ok := n.askOwner(ctx, owner, w, version, cost); ok {
+			return decision
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	part := limit.ShareOf(w.Limit, n.zoneCount()*n.zoneSize())
-	if c.DecideLocally(clock.Now(), w.Name, cost, part) {
+	share := limit.ShareOf(w.Limit, n.zoneCount()*n.zoneSize())
+	if c.DecideLocally(clock.Now(), w.Name, cost, share) {
 		return TokenDecision{Granted: true}
 	}
-	return TokenDecision{NoKeeper: true, Wait: addJitter(noKeeperRetry)}
+	return TokenDecision{NoOwner: true, Wait: addJitter(noOwnerRetry)}
 }
 
-// Return returns the tokens of a request that did not run.
-func (n *Node) Return(w *routing.Workspace, cost float64) {
+// ReturnTokens returns the tokens of a request that did not run.
+func (n *Node) ReturnTokens(w *routing.Workspace, cost float64) {
 	n.tokens.client.Return(clock.Now(), w.Name, cost)
 }
 
@@ -170,16 +170,16 @@
 		if !w.Limit.Enabled() {
 			continue
 		}
-		level, keeps := n.tokens.accounts.Balance(clock.Now(), w.Name)
+		balance, owns := n.tokens.accounts.Balance(clock.Now(), w.Name)
 		out = append(out, limit.Status{
 			Workspace: w.Name, Rate: w.Limit.Rate, Burst: w.Limit.Burst, Unit: w.Limit.Unit,
-			Use: n.tokens.client.Use(w.Name), Owns: keeps, Level: math.Round(level),
+			Use: n.tokens.client.Use(w.Name), Owns: owns, Level: math.Round(balance),
 		})
 	}
 	return out
 }
 
-// clampWait limits a retry time to between minRetryWait and limit.LongestWait.
+// clampWait limits a retry time to between minRetryWait and limit.MaxRetryAfter.
 func clampWait(wait time.Duration) time.Duration {
 	return min(max(wait, minRetryWait), limit.MaxRetryAfter)
 }
@@ -190,43 +190,43 @@
 	return d + time.Duration(rand.Int64N(int64(d)/2+1))
 }
 
-// askKeeper asks a keeper, which may be this instance, for the tokens of a request. It returns
-// false if the keeper does not answer.
-func (n *Node) askKeeper(ctx context.Context, holder dutyHolder, w *routing.Workspace, version int64, cost float64) (TokenDecision, bool) {
+// askOwner asks an owner, which may be this instance, for the tokens of a request. It returns
+// false if the owner does not answer.
+func (n *Node) askOwner(ctx context.Context, holder dutyHolder, w *routing.Workspace, version int64, cost float64) (TokenDecision, bool) {
 	now := clock.Now()
-	ask := n.tokens.client.NewRequest(now, w.Name, cost, limit.Owner{ID: holder.id, Incarnation: holder.incarnation})
-	request := TokenRequest{Workspace: w.Name, Part: limit.ShareOf(w.Limit, n.zoneCount()), Version: version, Cost: cost, Returned: ask.Returned}
-	if ask.LastReport != nil {
-		request.Told, request.ToldLevel, request.ToldAgeMS = true, ask.LastReport.Balance, ask.LastReport.Age.Milliseconds()
+	limitRequest := n.tokens.client.NewRequest(now, w.Name, cost, limit.Owner{ID: holder.id, Incarnation: holder.incarnation})
+	request := TokenRequest{Workspace: w.Name, Share: limit.ShareOf(w.Limit, n.zoneCount()), Version: version, Cost: cost, Returned: limitRequest.Returned}
+	if limitRequest.LastReport != nil {
+		request.HasReport, request.ReportedBalance, request.ReportAgeMS = true, limitRequest.LastReport.Balance, limitRequest.LastReport.Age.Milliseconds()
 	}
-	answer, err := n.callKeeper(ctx, holder, request)
+	answer, err := n.callOwner(ctx, holder, request)
 	if err != nil {
 		return TokenDecision{}, false
 	}
 	wait := time.Duration(answer.WaitMS) * time.Millisecond
-	keeper := limit.Owner{ID: holder.id, Incarnation: answer.Incarnation}
-	n.tokens.client.RecordResponse(clock.Now(), w.Name, cost, keeper, limit.Response{Granted: answer.Granted, Balance: answer.Level}, wait)
-	return TokenDecision{Granted: answer.Granted, Wait: clampWait(wait), Keeper: holder.id, Level: answer.Level}, true
+	owner := limit.Owner{ID: holder.id, Incarnation: answer.Incarnation}
+	n.tokens.client.RecordResponse(clock.Now(), w.Name, cost, owner, limit.Response{Granted: answer.Granted, Balance: answer.Balance}, wait)
+	return TokenDecision{Granted: answer.Granted, Wait: clampWait(wait), Keeper: holder.id, Level: answer.Balance}, true
 }
 
-// callKeeper calls MethodTokens of a keeper.
-func (n *Node) callKeeper(ctx context.Context, holder dutyHolder, request TokenRequest) (TokenAnswer, error) {
+// callOwner calls MethodTokens of an owner.
+func (n *Node) callOwner(ctx context.Context, holder dutyHolder, request TokenRequest) (TokenAnswer, error) {
 	if holder.self {
 		return n.onTokens(ctx, peer.Identity{}, request)
 	}
-	limited, cancel := context.WithTimeout(ctx, keeperTimeout)
+	limited, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	answer, err := peer.Call[TokenAnswer](limited, n.opts.Pool, holder.address, MethodTokens, request)
 	if ctx.Err() == nil {
-		n.recordKeeperCall(holder, err)
+		n.recordOwnerCall(holder, err)
 	}
 	return answer, err
 }
 
-// recordKeeperCall records whether a keeper answered. A keeper that refuses the connection has ended
+// recordOwnerCall records whether an owner answered. An owner that refuses the connection has ended
 // and is skipped at once; one that does not answer may only be busy and is skipped after
 // maxUnansweredCalls calls.
-func (n *Node) recordKeeperCall(holder dutyHolder, err error) {
+func (n *Node) recordOwnerCall(holder dutyHolder, err error) {
 	t := n.tokens
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -245,9 +245,9 @@
 	n.roster.RecordCall(clock.Now(), holder.address, false)
 }
 
-// keeper returns the keeper of a workspace's account in a zone. It returns false if this instance
-// has lost contact with all others, or if the zone has no live instance.
-func (n *Node) keeper(workspace string, zone ident.Zone) (dutyHolder, bool) {
+// accountOwner returns the owner of a workspace's account in a zone. It returns false if this
+// instance has lost contact with all others, or if the zone has no live instance.
+func (n *Node) accountOwner(workspace string, zone ident.Zone) (dutyHolder, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
--- a/gateway/fleet/trials.go
+++ b/gateway/fleet/trials.go
@@ -41,7 +41,7 @@
 	LastsMS int64 `json:"t,omitempty"`
 	// Over is set if the trial is over.
 	Over bool `json:"o,omitempty"`
-	// Crashes is the sender's evidence on the content, encoded by packCrashes. The result of a
+	// Crashes is the sender's crash records of the content, encoded by packCrashes. The result of a
 	// trial must be known before the next one is allowed.
 	Crashes []byte `json:"k,omitempty"`
 }
@@ -49,8 +49,8 @@
 // TrialAnswer is the answer to a TrialRequest.
 type TrialAnswer struct {
 	Allowed bool `json:"a,omitempty"`
-	// Crashes is the answering instance's evidence on the content, encoded by packCrashes. It is
-	// sent if the trial is not allowed.
+	// Crashes is the answering instance's crash records of the content, encoded by packCrashes. It
+	// is sent if the trial is not allowed.
 	Crashes []byte `json:"k,omitempty"`
 }
 
@@ -113,8 +113,8 @@
 	return peer.Call[TrialAnswer](ctx, n.opts.Pool, address, MethodTrial, request)
 }
 
-// endTrial reports to the instance that allowed a trial that it is over, with the evidence since
-// then.
+// endTrial reports to the instance that allowed a trial that it is over, with the crash records
+// since then.
 func (n *Node) endTrial(owner string, c quarantine.Content) {
 	for range maxTrialEndReports {
 		request := TrialRequest{From: n.opts.Self.ID, Content: c, Over: true, Crashes: packCrashes(n.opts.Register.ShareContent(clock.Now(), c))}
--- a/gateway/fleet/view.go
+++ b/gateway/fleet/view.go
@@ -30,9 +30,9 @@
 	// returnGrace is how long after an outage upstreams that are missing from the list are kept.
 	// Entries that expired during the outage are back about 2 s after the store.
 	returnGrace = 2500 * time.Millisecond
-	// goneRetention is how long a removed upstream is remembered, so that an old list from a peer
-	// does not add it again.
-	goneRetention = time.Minute
+	// removalRetention is how long a removed upstream is remembered, so that a stale list from a
+	// peer does not add it again.
+	removalRetention = time.Minute
 )
 
 // entry is an upstream with its state in the view.
@@ -83,7 +83,7 @@
 	// that have changed since, by the services whose lists they belong to or belonged to.
 	lists map[string][]dialect.Upstream
 	dirty map[string]map[ident.UpstreamID]struct{}
-	// removals holds the upstreams removed from the list within goneRetention, oldest first.
+	// removals holds the upstreams removed from the list within removalRetention, oldest first.
 	removals []removal
 	// graceUntil is the end of the grace period after an outage, in which missing upstreams are
 	// kept.
@@ -153,7 +153,7 @@
 	if v.hasList && (revision < v.revision || !started.After(v.asOf)) {
 		return nil, false
 	}
-	// A view can also be old because the zone's reader died. That is no outage, and upstreams
+	// A view can also be stale because the zone's reader died. That is no outage, and upstreams
 	// missing from the next list have left.
 	if from == FromStoreAfterFailure && v.hasList && started.Sub(v.asOf) > outageGap {
 		v.graceUntil = started.Add(returnGrace)
@@ -199,7 +199,7 @@
 	v.revision, v.asOf, v.mergedAsOf = revision, started, started
 	v.listCount++
 	changes := v.merge(now, d.Changed)
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		if e := v.entries[id]; e != nil && !e.gone {
 			changes = append(changes, v.markGone(now, e))
 		}
@@ -218,7 +218,7 @@
 		}
 		digest += upstreamHash(&d.Changed[i])
 	}
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		if e := v.entries[id]; e != nil {
 			digest -= e.hash
 		}
@@ -341,10 +341,11 @@
 	return Change{Upstream: e.upstream, Kind: Gone}
 }
 
-// removeExpired deletes the entries of upstreams that have been gone for longer than goneRetention.
+// removeExpired deletes the entries of upstreams that were removed more than removalRetention
+// ago.
 func (v *View) removeExpired(now time.Time) {
 	n := 0
-	for n < len(v.removals) && now.Sub(v.removals[n].at) > goneRetention {
+	for n < len(v.removals) && now.Sub(v.removals[n].at) > removalRetention {
 		r := v.removals[n]
 		// An upstream that was listed again meanwhile has a later time or is not gone.
 		if e := v.entries[r.id]; e != nil && e.gone && e.updatedAt.Equal(r.at) {
--- a/gateway/fleet/view_test.go
+++ b/gateway/fleet/view_test.go
@@ -78,7 +78,7 @@
 }
 
 // TestRestartUnderTheSameID guards against a restarted upstream that gets no requests because its
-// former incarnation was leaving or gone, and against older news of the former incarnation
+// former incarnation was leaving or gone, and against older reports of the former incarnation
 // replacing the new one.
 func TestRestartUnderTheSameID(t *testing.T) {
 	former, fresh := up("a"), up("a")
@@ -125,7 +125,7 @@
 	assert.Assert(t, v.Snapshot().Ready())
 }
 
-// TestOldViewIsNoOutage guards against keeping upstreams that have left. If the view was old
+// TestOldViewIsNoOutage guards against keeping upstreams that have left. If the view was stale
 // without failed reads, for example after the death of the zone's reader, upstreams missing from
 // the next list have left, whether it comes from the store or from a peer. A peer's list already
 // contains the upstreams to keep after an outage.
--- a/gateway/fleet/views.go
+++ b/gateway/fleet/views.go
@@ -44,13 +44,13 @@
 	Digest uint64 `json:"digest"`
 	// Same is set if the requesting instance has the same list. It can't tell by Revision, which
 	// increases with each heartbeat of an upstream. Otherwise the answer holds either the
-	// difference from the requesting instance's list, in Changed and Gone, or the whole list, in
+	// difference from the requesting instance's list, in Changed and Removed, or the whole list, in
 	// Whole. Changed is encoded, Whole encoded and compressed. If all of these are empty, the
 	// answering instance has just sent the whole list to many others, and the rate limit does not
 	// allow sending it again.
 	Same    bool               `json:"same,omitempty"`
 	Changed []byte             `json:"changed,omitempty"`
-	Gone    []ident.UpstreamID `json:"gone,omitempty"`
+	Removed []ident.UpstreamID `json:"gone,omitempty"`
 	Whole   []byte             `json:"whole,omitempty"`
 }
 
@@ -70,7 +70,7 @@
 		return answer, nil
 	}
 	if d, ok := n.differenceFor(request); ok {
-		answer.Changed, answer.Gone = packUpstreams(d.Changed), d.Gone
+		answer.Changed, answer.Removed = packUpstreams(d.Changed), d.Removed
 		return answer, nil
 	}
 	whole, err := n.wholeList(s)
@@ -120,7 +120,7 @@
 
 // hasDifference reports whether the answer holds a difference.
 func (a *ViewAnswer) hasDifference() bool {
-	return !a.Same && a.Whole == nil && (a.Changed != nil || a.Gone != nil)
+	return !a.Same && a.Whole == nil && (a.Changed != nil || a.Removed != nil)
 }
 
 // list returns the list of an answer, where s is the snapshot whose digest was in the request. It
@@ -143,7 +143,7 @@
 	if err != nil {
 		return nil, err
 	}
-	list := Difference{Changed: changed, Gone: a.Gone}.apply(s.All())
+	list := Difference{Changed: changed, Removed: a.Removed}.apply(s.All())
 	if listDigest(list) != a.Digest {
 		return nil, &DigestMismatchError{}
 	}
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -245,7 +245,7 @@
 		response, err = f.o.Forwarder.Plain(ctx, j)
 	}
 	if cost > 0 && didNotRun(err) {
-		f.o.Limits.Return(j.Workspace, cost)
+		f.o.Limits.ReturnTokens(j.Workspace, cost)
 		f.o.CountLimitUnits(j.Workspace.Name, "returned", cost)
 	}
 	outcome := f.answer(w, j, response, err)
--- a/gateway/front/limits.go
+++ b/gateway/front/limits.go
@@ -14,11 +14,11 @@
 
 // Limits enforces the rate limits of workspaces across all instances.
 type Limits interface {
-	// Take charges the cost of a request to its workspace's limit. The verdict says whether the
+	// TakeTokens charges the cost of a request to its workspace's limit. The verdict says whether the
 	// limit allows the request. version is that of the configuration that the limit is from.
-	Take(ctx context.Context, w *routing.Workspace, version int64, cost float64) fleet.TokenDecision
-	// Return gives back the cost of a request that did not run.
-	Return(w *routing.Workspace, cost float64)
+	TakeTokens(ctx context.Context, w *routing.Workspace, version int64, cost float64) fleet.TokenDecision
+	// ReturnTokens gives back the cost of a request that did not run.
+	ReturnTokens(w *routing.Workspace, cost float64)
 }
 
 // charge charges the cost of a request to its workspace's limit and returns it; it is 0 if there is
@@ -29,7 +29,7 @@
 		return 0, true
 	}
 	cost := limit.CostOf(j.Workspace.Limit, j.Call.HasTokenCounts, j.Call.PromptTokens, j.Call.MaxOutputTokens)
-	v := f.o.Limits.Take(r.Context(), j.Workspace, j.Version, cost)
+	v := f.o.Limits.TakeTokens(r.Context(), j.Workspace, j.Version, cost)
 	if v.Granted {
 		f.o.CountLimitUnits(j.Workspace.Name, "granted", cost)
 		return cost, true
@@ -42,7 +42,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	status, reason := http.StatusTooManyRequests, "over_limit"
-	if v.NoKeeper {
+	if v.NoOwner {
 		status, reason = http.StatusServiceUnavailable, "limit_unknown"
 	}
 	f.o.CountLimitUnits(j.Workspace.Name, reason, cost)
--- a/gateway/limit/account.go
+++ b/gateway/limit/account.go
@@ -6,8 +6,8 @@
 // tokens of a request from this owner before they send the request (Client). An owner that has
 // too few tokens borrows from the owners in other zones. Borrowed tokens are deducted from the
 // lender's bucket before they are added to the borrower's, so a lost message can lose tokens but
-// never create any. A zone that is cut off continues with its own share. An instance that
-// reaches no owner uses an equal share of its zone's share.
+// never create any. A zone behind a network partition continues with its own share. An
+// instance that reaches no owner uses an equal share of its zone's share.
 package limit
 
 import (
@@ -20,9 +20,9 @@
 const (
 	// MaxRetryAfter is the longest time that a refused caller is told to wait before it retries.
 	MaxRetryAfter = 20 * time.Second
-	// startupPeriod is how long after its start an owner grants a request only if the account already
-	// holds the whole cost. Instances that start together may use several owners for the same
-	// account until they all know each other.
+	// startupPeriod is how long after its start an owner grants a request only if the account
+	// already holds the whole cost. Instances that start together may use several owners for the
+	// same account until they all know each other.
 	startupPeriod = 3 * time.Second
 	// idleAccountTTL is the time without requests after which an account is removed.
 	idleAccountTTL = 10 * time.Minute
@@ -46,7 +46,7 @@
 type Request struct {
 	Workspace string
 	Share     Share
-	// Version is the version of the configuration that Part comes from. The newest version that
+	// Version is the version of the configuration that Share comes from. The newest version that
 	// an owner has seen applies.
 	Version int64
 	Cost    float64
@@ -69,7 +69,7 @@
 
 // account is the token balance of a workspace in a zone.
 type account struct {
-	part    Share
+	share   Share
 	version int64
 	bucket  tokenbucket.Bucket
 	// borrowed is the number of tokens borrowed from other zones. They are spent first, and are not
@@ -109,33 +109,33 @@
 	a.lastRequest = now
 	a.refund(q.Returned)
 	if q.LastReport != nil {
-		a.deduct(a.level() - q.LastReport.Balance - a.part.Rate*q.LastReport.Age.Seconds())
+		a.deduct(a.balance() - q.LastReport.Balance - a.share.Rate*q.LastReport.Age.Seconds())
 	}
 	need := 0.0
 	if now.Sub(s.startedAt) < startupPeriod {
-		need = min(q.Cost, a.part.Burst)
+		need = min(q.Cost, a.share.Burst)
 	}
-	if a.level() <= 0 || a.level() < need {
-		return Response{Missing: q.Cost - a.level(), Balance: a.level()}
+	if a.balance() <= 0 || a.balance() < need {
+		return Response{Missing: q.Cost - a.balance(), Balance: a.balance()}
 	}
 	a.deduct(q.Cost)
-	return Response{Granted: true, Balance: a.level()}
+	return Response{Granted: true, Balance: a.balance()}
 }
 
 // RetryAfter returns how long the caller of a refused request should wait before it retries: until
 // the account will hold tokens beyond those needed by callers refused earlier, so that they do
-// not all retry for the same tokens. The time is at most LongestWait.
+// not all retry for the same tokens. The time is at most MaxRetryAfter.
 func (s *Accounts) RetryAfter(now time.Time, workspace string, cost float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.byWorkspace[workspace]
-	if a == nil || a.part.Rate <= 0 {
+	if a == nil || a.share.Rate <= 0 {
 		return MaxRetryAfter
 	}
 	a.fill(now)
 	before := a.pendingRetries
 	a.pendingRetries += cost
-	return seconds(min((before-a.level())/a.part.Rate, MaxRetryAfter.Seconds()))
+	return seconds(min((before-a.balance())/a.share.Rate, MaxRetryAfter.Seconds()))
 }
 
 // AddBorrowed adds tokens borrowed from another zone to an account. It has no effect if this
@@ -148,15 +148,15 @@
 	}
 }
 
-// Lend deducts tokens from an account to lend them to another zone, and returns how many. level
+// Lend deducts tokens from an account to lend them to another zone, and returns how many. balance
 // is the balance of the borrowing account. The loan is the larger of q.Cost and half of the
 // difference between the balances, but no more than this account holds. Evening out the balances
 // wastes the fewest tokens, because a full account accrues none.
-func (s *Accounts) Lend(now time.Time, q Request, level float64) float64 {
+func (s *Accounts) Lend(now time.Time, q Request, balance float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(now, q.Workspace, q.Share, q.Version)
-	lent := max(0, min(a.level(), max(q.Cost, (a.level()-level)/2)))
+	lent := max(0, min(a.balance(), max(q.Cost, (a.balance()-balance)/2)))
 	a.deduct(lent)
 	return lent
 }
@@ -170,7 +170,7 @@
 		return 0, false
 	}
 	a.fill(now)
-	return a.level(), true
+	return a.balance(), true
 }
 
 // RemoveIdle removes the accounts from which no tokens were requested for idleAccountTTL.
@@ -185,25 +185,25 @@
 }
 
 // account returns an account with its balance as of now, creating it if needed, and applies the
-// part if its version is not older than the account's. The caller holds mu.
-func (s *Accounts) account(now time.Time, name string, part Share, version int64) *account {
+// share if its version is not older than the account's. The caller holds mu.
+func (s *Accounts) account(now time.Time, name string, share Share, version int64) *account {
 	a := s.byWorkspace[name]
 	if a == nil {
-		a = &account{part: part, version: version, lastRequest: now}
-		a.bucket.Fill(now, part.Rate, part.Burst, part.Rate*now.Sub(s.startedAt).Seconds())
+		a = &account{share: share, version: version, lastRequest: now}
+		a.bucket.Fill(now, share.Rate, share.Burst, share.Rate*now.Sub(s.startedAt).Seconds())
 		s.byWorkspace[name] = a
 	}
 	a.fill(now)
-	if version >= a.version && (version > a.version || part != a.part) {
-		a.part, a.version = part, version
-		a.borrowed = min(a.borrowed, part.Burst)
+	if version >= a.version && (version > a.version || share != a.share) {
+		a.share, a.version = share, version
+		a.borrowed = min(a.borrowed, share.Burst)
 		a.fill(now)
 	}
 	return a
 }
 
-// level returns the account's balance, which may be negative.
-func (a *account) level() float64 { return a.bucket.Tokens + a.borrowed }
+// balance returns the account's balance, which may be negative.
+func (a *account) balance() float64 { return a.bucket.Tokens + a.borrowed }
 
 // deduct deducts tokens from the account, borrowed ones first. A negative number deducts none.
 func (a *account) deduct(tokens float64) {
@@ -215,13 +215,13 @@
 
 // fill adds the tokens that accrued until now.
 func (a *account) fill(now time.Time) {
-	a.pendingRetries = max(0, a.pendingRetries-a.part.Rate*max(0, now.Sub(a.bucket.FilledAt()).Seconds()))
-	a.bucket.Fill(now, a.part.Rate, a.part.Burst, 0)
+	a.pendingRetries = max(0, a.pendingRetries-a.share.Rate*max(0, now.Sub(a.bucket.FilledAt()).Seconds()))
+	a.bucket.Fill(now, a.share.Rate, a.share.Burst, 0)
 }
 
 // refund returns unused tokens to the account, up to the burst.
 func (a *account) refund(tokens float64) {
-	a.bucket.Tokens = min(a.bucket.Tokens+max(0, tokens), max(a.part.Burst, a.bucket.Tokens))
+	a.bucket.Tokens = min(a.bucket.Tokens+max(0, tokens), max(a.share.Burst, a.bucket.Tokens))
 }
 
 // seconds converts seconds to a duration. A negative number gives 0.
--- a/gateway/limit/account_test.go
+++ b/gateway/limit/account_test.go
@@ -15,21 +15,23 @@
 // at returns the time at the given offset from start.
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// part is the zone's share that all tests use: 100 tokens per second and a burst of 100.
-var part = Share{Rate: 100, Burst: 100}
+// share is the zone's share that all tests use: 100 tokens per second and a burst of 100.
+var share = Share{Rate: 100, Burst: 100}
 
-func ask(cost float64) Request { return Request{Workspace: "w", Share: part, Version: 1, Cost: cost} }
+func requestOf(cost float64) Request {
+	return Request{Workspace: "w", Share: share, Version: 1, Cost: cost}
+}
 
 // TestAccountHoldsWhatItSaved checks that the account of an owner that started long ago is full,
 // and that no request is granted while the account is empty.
 func TestAccountHoldsWhatItSaved(t *testing.T) {
-	old := NewAccounts(start)
+	s := NewAccounts(start)
 	for range 10 {
-		assert.Assert(t, old.Take(at(time.Hour), ask(10)).Granted)
+		assert.Assert(t, s.Take(at(time.Hour), requestOf(10)).Granted)
 	}
-	assert.Assert(t, !old.Take(at(time.Hour), ask(1)).Granted)
-	assert.Assert(t, old.Take(at(time.Hour+20*time.Millisecond), ask(10)).Granted)
-	a := old.Take(at(time.Hour+50*time.Millisecond), ask(30))
+	assert.Assert(t, !s.Take(at(time.Hour), requestOf(1)).Granted)
+	assert.Assert(t, s.Take(at(time.Hour+20*time.Millisecond), requestOf(10)).Granted)
+	a := s.Take(at(time.Hour+50*time.Millisecond), requestOf(30))
 	assert.Assert(t, !a.Granted)
 	assert.Assert(t, math.Abs(a.Missing-35) < 1e-6)
 }
@@ -39,13 +41,13 @@
 // much would be granted while other instances are used as owners of the same account.
 func TestKeeperThatHasJustStarted(t *testing.T) {
 	s := NewAccounts(start)
-	assert.Assert(t, !s.Take(start, ask(10)).Granted)
-	a := s.Take(at(200*time.Millisecond), ask(30))
+	assert.Assert(t, !s.Take(start, requestOf(10)).Granted)
+	a := s.Take(at(200*time.Millisecond), requestOf(30))
 	assert.Assert(t, !a.Granted)
 	assert.Assert(t, math.Abs(a.Balance-20) < 1e-6)
-	assert.Assert(t, s.Take(at(300*time.Millisecond), ask(30)).Granted)
-	assert.Assert(t, !s.Take(at(900*time.Millisecond), ask(500)).Granted)
-	assert.Assert(t, s.Take(at(1500*time.Millisecond), ask(500)).Granted, "the burst suffices for a request that costs more")
+	assert.Assert(t, s.Take(at(300*time.Millisecond), requestOf(30)).Granted)
+	assert.Assert(t, !s.Take(at(900*time.Millisecond), requestOf(500)).Granted)
+	assert.Assert(t, s.Take(at(1500*time.Millisecond), requestOf(500)).Granted, "the burst suffices for a request that costs more")
 }
 
 // TestLargeRequestIsPaidAfterwards checks that a request that costs more than the account holds
@@ -54,20 +56,20 @@
 func TestLargeRequestIsPaidAfterwards(t *testing.T) {
 	s := NewAccounts(start)
 	now := at(time.Hour)
-	assert.Assert(t, s.Take(now, ask(90)).Granted)
-	assert.Assert(t, s.Take(now, ask(300)).Granted)
-	assert.Assert(t, !s.Take(now.Add(2900*time.Millisecond-time.Millisecond), ask(1)).Granted)
-	assert.Assert(t, s.Take(now.Add(2900*time.Millisecond+20*time.Millisecond), ask(1)).Granted)
+	assert.Assert(t, s.Take(now, requestOf(90)).Granted)
+	assert.Assert(t, s.Take(now, requestOf(300)).Granted)
+	assert.Assert(t, !s.Take(now.Add(2900*time.Millisecond-time.Millisecond), requestOf(1)).Granted)
+	assert.Assert(t, s.Take(now.Add(2900*time.Millisecond+20*time.Millisecond), requestOf(1)).Granted)
 }
 
 // TestKeeperLearnsWhatAnotherGaveAway checks that a new owner lowers its balance to the one that
 // clients report of the previous owner, and that a reported balance never raises it.
 func TestKeeperLearnsWhatAnotherGaveAway(t *testing.T) {
 	s := NewAccounts(start)
-	q := ask(10)
+	q := requestOf(10)
 	q.LastReport = &BalanceReport{Balance: -50, Age: 500 * time.Millisecond}
 	assert.Assert(t, !s.Take(at(time.Hour), q).Granted)
-	assert.Assert(t, s.Take(at(time.Hour+100*time.Millisecond), ask(10)).Granted)
+	assert.Assert(t, s.Take(at(time.Hour+100*time.Millisecond), requestOf(10)).Granted)
 	q.LastReport = &BalanceReport{Balance: 1000}
 	assert.Assert(t, !s.Take(at(time.Hour+100*time.Millisecond), q).Granted)
 }
@@ -77,10 +79,10 @@
 func TestLoansMoveTokens(t *testing.T) {
 	s := NewAccounts(start)
 	now := at(time.Hour)
-	assert.Equal(t, s.Lend(now, ask(20), -20), 60.0, "half of the difference of the balances")
-	assert.Equal(t, s.Lend(now, ask(30), 0), 30.0, "the requested number")
-	assert.Equal(t, s.Lend(now, ask(30), 0), 10.0, "no more than the balance")
-	assert.Equal(t, s.Lend(now, ask(30), 0), 0.0)
+	assert.Equal(t, s.Lend(now, requestOf(20), -20), 60.0, "half of the difference of the balances")
+	assert.Equal(t, s.Lend(now, requestOf(30), 0), 30.0, "the requested number")
+	assert.Equal(t, s.Lend(now, requestOf(30), 0), 10.0, "no more than the balance")
+	assert.Equal(t, s.Lend(now, requestOf(30), 0), 0.0)
 }
 
 // TestCallersAreSentBackOneAfterTheOther checks that refused callers are given different times to
@@ -88,12 +90,12 @@
 func TestCallersAreSentBackOneAfterTheOther(t *testing.T) {
 	s := NewAccounts(start)
 	now := at(time.Hour)
-	assert.Assert(t, s.Take(now, ask(100)).Granted)
+	assert.Assert(t, s.Take(now, requestOf(100)).Granted)
 	for i := range 3 {
-		assert.Assert(t, !s.Take(now, ask(50)).Granted)
+		assert.Assert(t, !s.Take(now, requestOf(50)).Granted)
 		assert.Equal(t, s.RetryAfter(now, "w", 50), time.Duration(i)*500*time.Millisecond)
 	}
-	assert.Assert(t, s.Take(now.Add(time.Second), ask(50)).Granted)
+	assert.Assert(t, s.Take(now.Add(time.Second), requestOf(50)).Granted)
 	assert.Equal(t, s.RetryAfter(now, "unknown", 50), MaxRetryAfter)
 }
 
@@ -103,10 +105,10 @@
 func TestLimitsChange(t *testing.T) {
 	s := NewAccounts(start)
 	now := at(time.Hour)
-	assert.Assert(t, s.Take(now, ask(1)).Granted)
+	assert.Assert(t, s.Take(now, requestOf(1)).Granted)
 	lower := Request{Workspace: "w", Share: Share{Rate: 10, Burst: 10}, Version: 2, Cost: 10}
 	assert.Assert(t, s.Take(now, lower).Granted)
-	assert.Assert(t, !s.Take(now, ask(5)).Granted, "the limit of version 1 no longer applies")
+	assert.Assert(t, !s.Take(now, requestOf(5)).Granted, "the limit of version 1 no longer applies")
 	higher := Request{Workspace: "w", Share: Share{Rate: 1000, Burst: 1000}, Version: 3, Cost: 100}
 	assert.Assert(t, !s.Take(now, higher).Granted)
 	assert.Assert(t, s.Take(now.Add(100*time.Millisecond), higher).Granted)
@@ -116,11 +118,11 @@
 			s.Take(now.Add(100*time.Millisecond), q)
 		}
 	}
-	level, kept := s.Balance(now.Add(100*time.Millisecond), "w")
-	assert.Assert(t, kept && level <= 1000, "%v", level)
+	balance, owned := s.Balance(now.Add(100*time.Millisecond), "w")
+	assert.Assert(t, owned && balance <= 1000, "%v", balance)
 	s.RemoveIdle(now.Add(time.Hour))
-	_, kept = s.Balance(now.Add(time.Hour), "w")
-	assert.Assert(t, !kept)
+	_, owned = s.Balance(now.Add(time.Hour), "w")
+	assert.Assert(t, !owned)
 }
 
 // TestCosts checks the cost of requests in each unit, with and without stated token counts, and
@@ -147,21 +149,21 @@
 func TestClientDecidesByItself(t *testing.T) {
 	c := NewClient()
 	now := start
-	keeper := Owner{ID: "k", Incarnation: 1}
+	owner := Owner{ID: "k", Incarnation: 1}
 	_, _, decided := c.Decide(now, "w", 10)
 	assert.Assert(t, !decided)
 	c.Return(now, "w", 10)
 	granted, _, decided := c.Decide(now, "w", 10)
 	assert.Assert(t, granted && decided)
 	c.Return(now, "w", 10)
-	assert.Equal(t, c.NewRequest(now, "w", 20, keeper).Returned, 10.0)
-	assert.Equal(t, c.NewRequest(now, "w", 20, keeper).Returned, 0.0)
+	assert.Equal(t, c.NewRequest(now, "w", 20, owner).Returned, 10.0)
+	assert.Equal(t, c.NewRequest(now, "w", 20, owner).Returned, 0.0)
 	c.Return(now, "w", 10)
 	assert.Equal(t, len(c.TakeIdle(now)), 0)
 	assert.Equal(t, c.TakeIdle(now.Add(idleBalanceTTL))["w"], 10.0)
 	assert.Equal(t, len(c.TakeIdle(now.Add(idleBalanceTTL))), 0)
 
-	c.RecordResponse(now, "w", 20, keeper, Response{Balance: 3}, time.Second)
+	c.RecordResponse(now, "w", 20, owner, Response{Balance: 3}, time.Second)
 	_, _, decided = c.Decide(now, "w", 19)
 	assert.Assert(t, !decided, "the owner may hold enough for a lower cost")
 	last := time.Duration(0)
@@ -173,10 +175,10 @@
 	_, _, decided = c.Decide(now.Add(refusalTTL), "w", 20)
 	assert.Assert(t, !decided)
 
-	assert.Assert(t, c.NewRequest(now, "w", 1, keeper).LastReport == nil, "an owner needs no report of its own balance")
-	told := c.NewRequest(now.Add(time.Second), "w", 1, Owner{ID: "k", Incarnation: 2}).LastReport
-	assert.DeepEqual(t, told, &BalanceReport{Balance: 3, Age: time.Second})
-	assert.Assert(t, c.NewRequest(now.Add(levelReportTTL), "w", 1, Owner{ID: "o"}).LastReport == nil)
+	assert.Assert(t, c.NewRequest(now, "w", 1, owner).LastReport == nil, "an owner needs no report of its own balance")
+	report := c.NewRequest(now.Add(time.Second), "w", 1, Owner{ID: "k", Incarnation: 2}).LastReport
+	assert.DeepEqual(t, report, &BalanceReport{Balance: 3, Age: time.Second})
+	assert.Assert(t, c.NewRequest(now.Add(balanceReportTTL), "w", 1, Owner{ID: "o"}).LastReport == nil)
 }
 
 // TestAloneNothingIsTakenInAdvance checks that an instance that reaches no owner starts with no
@@ -184,10 +186,10 @@
 // while it reaches an owner.
 func TestAloneNothingIsTakenInAdvance(t *testing.T) {
 	c := NewClient()
-	assert.Assert(t, !c.DecideLocally(start, "w", 50, part))
-	assert.Assert(t, !c.DecideLocally(at(400*time.Millisecond), "w", 50, part))
-	assert.Assert(t, c.DecideLocally(at(600*time.Millisecond), "w", 50, part))
-	assert.Assert(t, !c.DecideLocally(at(700*time.Millisecond), "w", 50, part))
-	assert.Assert(t, !c.DecideLocally(at(time.Hour), "w", 50, part))
+	assert.Assert(t, !c.DecideLocally(start, "w", 50, share))
+	assert.Assert(t, !c.DecideLocally(at(400*time.Millisecond), "w", 50, share))
+	assert.Assert(t, c.DecideLocally(at(600*time.Millisecond), "w", 50, share))
+	assert.Assert(t, !c.DecideLocally(at(700*time.Millisecond), "w", 50, share))
+	assert.Assert(t, !c.DecideLocally(at(time.Hour), "w", 50, share))
 	assert.DeepEqual(t, c.Use("w"), Use{Granted: 50, Refused: 200})
 }
--- a/gateway/limit/client.go
+++ b/gateway/limit/client.go
@@ -25,13 +25,13 @@
 	// maxCostSeconds bounds the cost of a single request to the burst of a limit and this many
 	// seconds of its rate. A request that costs more would block its workspace for longer.
 	maxCostSeconds = 5
-	// levelReportTTL is how long a balance that an owner reported is passed on to its successor.
-	levelReportTTL = time.Minute
+	// balanceReportTTL is how long a balance that an owner reported is passed on to its successor.
+	balanceReportTTL = time.Minute
 )
 
 // CostOf returns the cost of a request in the unit of a limit: 1 if the limit counts requests,
 // otherwise its prompt and output tokens. stated reports whether the request states its token
-// counts; if not, the cost is the limit's Plain.
+// counts; if not, the cost is the limit's DefaultCost.
 func CostOf(l routing.Limit, stated bool, prompt, output int) float64 {
 	switch {
 	case l.Unit != routing.Tokens:
@@ -64,10 +64,10 @@
 	// tokens were last returned.
 	balance    float64
 	returnedAt time.Time
-	// level is the account's balance as its owner reported it at reportedAt.
-	owner      Owner
-	level      float64
-	reportedAt time.Time
+	// reportedBalance is the account's balance as its owner reported it at reportedAt.
+	owner           Owner
+	reportedBalance float64
+	reportedAt      time.Time
 	// refusedCost is the cost of the request that an owner refused last. Until refusedUntil,
 	// requests of that cost or more are refused without asking the owner; localRefusals counts
 	// them.
@@ -146,26 +146,27 @@
 	}
 }
 
-// NewRequest returns the request for tokens to send to an owner. It contains the returned tokens, which
-// the client no longer holds afterwards. The caller sets Part and Version.
+// NewRequest returns the request for tokens to send to an owner. It contains the returned tokens,
+// which the client no longer holds afterwards. The caller sets Share and Version.
 func (c *Client) NewRequest(now time.Time, name string, cost float64, to Owner) Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.workspace(name)
 	q := Request{Workspace: name, Cost: cost, Returned: s.balance}
 	s.balance = 0
-	if !s.reportedAt.IsZero() && s.owner != to && now.Sub(s.reportedAt) < levelReportTTL {
-		q.LastReport = &BalanceReport{Balance: s.level, Age: now.Sub(s.reportedAt)}
+	if !s.reportedAt.IsZero() && s.owner != to && now.Sub(s.reportedAt) < balanceReportTTL {
+		q.LastReport = &BalanceReport{Balance: s.reportedBalance, Age: now.Sub(s.reportedAt)}
 	}
 	return q
 }
 
-// RecordResponse records an owner's response. wait is the time after which a refused caller should retry.
+// RecordResponse records an owner's response. wait is the time after which a refused caller should
+// retry.
 func (c *Client) RecordResponse(now time.Time, name string, cost float64, from Owner, a Response, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.workspace(name)
-	s.owner, s.level, s.reportedAt = from, a.Balance, now
+	s.owner, s.reportedBalance, s.reportedAt = from, a.Balance, now
 	if a.Granted {
 		s.use.Granted += cost
 		return
@@ -174,18 +175,18 @@
 	s.refusedCost, s.refusedUntil, s.localRefusals = cost, now.Add(min(wait, refusalTTL)), 0
 }
 
-// DecideLocally reports whether a request is granted while the client reaches no owner; part is then the
-// client's own share of the limit. The client starts with no tokens and accrues them up to the
-// cost of the request, so that many instances that are cut off at the same time together grant
-// no more than their shares.
-func (c *Client) DecideLocally(now time.Time, name string, cost float64, part Share) bool {
+// DecideLocally reports whether a request is granted while the client reaches no owner; share is
+// then the client's own share of the limit. The client starts with no tokens and accrues them up
+// to the cost of the request, so that many instances that are isolated at the same time together
+// grant no more than their shares.
+func (c *Client) DecideLocally(now time.Time, name string, cost float64, share Share) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.workspace(name)
 	if s.localBucket.Filled() && now.Sub(s.localBucket.FilledAt()) > localResetAfter {
 		s.localBucket = tokenbucket.Bucket{}
 	}
-	s.localBucket.Fill(now, part.Rate, max(part.Burst, cost), 0)
+	s.localBucket.Fill(now, share.Rate, max(share.Burst, cost), 0)
 	if s.localBucket.Tokens < cost {
 		s.use.Refused += cost
 		return false
--- a/gateway/limit/world_test.go
+++ b/gateway/limit/world_test.go
@@ -34,8 +34,8 @@
 	// zones holds the zone of each instance, isolated whether it can't communicate with the others.
 	zones    []int
 	isolated []bool
-	// cutZone is the zone that can't communicate with the others, -1 for none.
-	cutZone int
+	// partitionedZone is the zone that can't communicate with the others, -1 for none.
+	partitionedZone int
 	// startedAt is when each instance last started.
 	startedAt []time.Time
 }
@@ -54,7 +54,7 @@
 // newSimulation returns a simulation of instances that started a minute before it. The requests are
 // spread unevenly: a few instances get most of them.
 func newSimulation(instances int, seed uint64, l routing.Limit) *simulation {
-	w := &simulation{limit: l, random: rand.New(rand.NewPCG(seed, 1)), now: start, cutZone: -1}
+	w := &simulation{limit: l, random: rand.New(rand.NewPCG(seed, 1)), now: start, partitionedZone: -1}
 	for i := range instances {
 		w.weights = append(w.weights, math.Exp(1.5*w.random.NormFloat64()))
 		w.total += w.weights[i]
@@ -70,7 +70,7 @@
 	if from == to {
 		return true
 	}
-	return !w.isolated[from] && !w.isolated[to] && (w.zones[from] == w.zones[to] || w.cutZone != w.zones[from] && w.cutZone != w.zones[to])
+	return !w.isolated[from] && !w.isolated[to] && (w.zones[from] == w.zones[to] || w.partitionedZone != w.zones[from] && w.partitionedZone != w.zones[to])
 }
 
 // drawInstance draws an instance according to the weights.
@@ -214,22 +214,22 @@
 	if granted, _, ok := c.Decide(w.now, "w", cost); ok {
 		return granted
 	}
-	part := ShareOf(w.limit, zoneCount)
+	share := ShareOf(w.limit, zoneCount)
 	owner := k.ownerOf(w, i, w.zones[i])
 	if owner < 0 {
 		n := float64((len(w.zones) + zoneCount - 1) / zoneCount)
-		return c.DecideLocally(w.now, "w", cost, Share{Rate: part.Rate / n, Burst: part.Burst / n})
+		return c.DecideLocally(w.now, "w", cost, Share{Rate: share.Rate / n, Burst: share.Burst / n})
 	}
 	name := Owner{ID: ident.InstanceID(fmt.Sprint(owner)), Incarnation: ident.NewIncarnation(w.startedAt[owner])}
 	q := c.NewRequest(w.now, "w", cost, name)
-	q.Share, q.Version = part, 1
+	q.Share, q.Version = share, 1
 	a := k.accounts[owner].Take(w.now, q)
 	if !a.Granted {
 		k.borrow(w, owner, q, a)
 		q.Returned, q.LastReport = 0, nil
 		a = k.accounts[owner].Take(w.now, q)
 	}
-	if a.Granted && a.Balance < part.Burst/2 {
+	if a.Granted && a.Balance < share.Burst/2 {
 		k.borrow(w, owner, q, Response{Balance: a.Balance})
 	}
 	wait := time.Duration(0)
@@ -241,14 +241,14 @@
 }
 
 // borrow moves tokens from the accounts of other zones to that of the owner's zone.
-func (k *ownerLimiter) borrow(w *simulation, owner int, q Request, short Response) {
+func (k *ownerLimiter) borrow(w *simulation, owner int, q Request, refusal Response) {
 	for zone := range zoneCount {
 		from := k.ownerOf(w, owner, zone)
 		if zone == w.zones[owner] || from < 0 {
 			continue
 		}
-		loan := Request{Workspace: "w", Share: q.Share, Version: 1, Cost: short.Missing / (zoneCount - 1)}
-		k.accounts[owner].AddBorrowed("w", k.accounts[from].Lend(w.now, loan, short.Balance))
+		loan := Request{Workspace: "w", Share: q.Share, Version: 1, Cost: refusal.Missing / (zoneCount - 1)}
+		k.accounts[owner].AddBorrowed("w", k.accounts[from].Lend(w.now, loan, refusal.Balance))
 	}
 }
 
@@ -309,7 +309,7 @@
 // limiters holds a constructor for each method.
 var limiters = map[string]func(w *simulation) limiter{
 	"keepers": func(w *simulation) limiter { return newOwnerLimiter(w) },
-	"equal parts": func(w *simulation) limiter {
+	"equal shares": func(w *simulation) limiter {
 		return &equalShareLimiter{buckets: make([]tokenbucket.Bucket, len(w.zones))}
 	},
 	"sums": func(w *simulation) limiter {
@@ -382,9 +382,9 @@
 			}
 		}
 	}},
-	{name: "zone cut off", step: func(w *simulation, _ limiter, since time.Duration) {
-		atStep(10*time.Second, since, func() { w.cutZone = 1 })
-		atStep(20*time.Second, since, func() { w.cutZone = -1 })
+	{name: "zone partitioned", step: func(w *simulation, _ limiter, since time.Duration) {
+		atStep(10*time.Second, since, func() { w.partitionedZone = 1 })
+		atStep(20*time.Second, since, func() { w.partitionedZone = -1 })
 	}},
 	{name: "a third isolated", step: func(w *simulation, _ limiter, since time.Duration) {
 		atStep(10*time.Second, since, func() {
@@ -402,10 +402,10 @@
 			}
 		})
 	}},
-	{name: "all killed twice, zone cut off", step: func(w *simulation, lim limiter, since time.Duration) {
+	{name: "all killed twice, zone partitioned", step: func(w *simulation, lim limiter, since time.Duration) {
 		for _, at := range []time.Duration{10 * time.Second, 13 * time.Second} {
 			atStep(at, since, func() {
-				w.cutZone = 2
+				w.partitionedZone = 2
 				for i := range w.zones {
 					w.startedAt[i] = w.now
 					lim.restart(w, i)
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -43,7 +43,7 @@
 	if s == nil {
 		return fleet.TokenDecision{}, false
 	}
-	v := s.node.Take(context.Background(), w, version, cost)
+	v := s.node.TakeTokens(context.Background(), w, version, cost)
 	if v.Granted {
 		b.mu.Lock()
 		b.allowed = append(b.allowed, allowedRequest{time.Now(), cost})
--- a/gateway/quarantine/held.go
+++ b/gateway/quarantine/held.go
@@ -8,8 +8,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// ContentStatus describes a content that is suspect or quarantined, for operators. See Verdict for the
-// fields.
+// ContentStatus describes a content that is suspect or quarantined, for operators. See Verdict for
+// the fields.
 type ContentStatus struct {
 	Content  string `json:"content"`
 	Standing string `json:"standing"`
--- a/gateway/quarantine/register.go
+++ b/gateway/quarantine/register.go
@@ -85,10 +85,10 @@
 
 // Crashed records that an upstream crashed while it was running a content, after the content had
 // produced the given number of events. It reports whether the crash was not yet recorded.
-func (r *Register) Crashed(now time.Time, c Content, u dialect.Upstream, made int) bool {
+func (r *Register) Crashed(now time.Time, c Content, u dialect.Upstream, events int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k, isNew := r.add(now, Crash{Content: c, Upstream: u.ID, Incarnation: u.Incarnation, Events: made})
+	k, isNew := r.add(now, Crash{Content: c, Upstream: u.ID, Incarnation: u.Incarnation, Events: events})
 	if isNew {
 		r.unsent = append(r.unsent, k)
 	}
@@ -115,11 +115,11 @@
 // Clear records that a run of a content produced the given number of events at an upstream, or
 // completed (ended). The content did not cause the crashes before which it had produced fewer
 // events.
-func (r *Register) Clear(c Content, made int, ended bool) {
+func (r *Register) Clear(c Content, events int, ended bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, k := range r.contents[c] {
-		if ended || made > k.Events {
+		if ended || events > k.Events {
 			k.Cleared = true
 		}
 	}
--- a/gateway/quarantine/register_test.go
+++ b/gateway/quarantine/register_test.go
@@ -73,9 +73,9 @@
 		r.Crashed(now, 1, up(fmt.Sprint(i)), 0)
 	}
 	for i := range 3 {
-		left := r.Verdict(now, 1).Remaining
-		assert.Equal(t, left, initialQuarantine<<i)
-		now = now.Add(left)
+		remaining := r.Verdict(now, 1).Remaining
+		assert.Equal(t, remaining, initialQuarantine<<i)
+		now = now.Add(remaining)
 		r.Expire(now)
 		assert.Equal(t, r.Verdict(now, 1).Standing, Suspect)
 		r.Crashed(now, 1, up(fmt.Sprint("more", i)), 0)
@@ -226,22 +226,22 @@
 
 // TestBystandersAreNotTold checks that the record of a crash before the content had produced an
 // event is sent at once, and that of another crash after shareDelay, unless it is cleared by then.
-// TellOf returns and shares all records of a content, since a trial needs them.
+// ShareContent returns and shares all records of a content, since a trial needs them.
 func TestBystandersAreNotTold(t *testing.T) {
 	r := NewRegister()
 	r.Crashed(start, 1, up("a"), 0)
 	r.Crashed(start, 2, up("a"), 5)
 	r.Crashed(start, 3, up("a"), 5)
 	assert.Equal(t, len(r.SharedRecords(start)), 0)
-	fresh := r.TakeUnsent(start)
-	assert.Equal(t, len(fresh), 1)
-	assert.Equal(t, fresh[0].Content, Content(1))
-	assert.DeepEqual(t, r.SharedRecords(start), fresh)
+	unsent := r.TakeUnsent(start)
+	assert.Equal(t, len(unsent), 1)
+	assert.Equal(t, unsent[0].Content, Content(1))
+	assert.DeepEqual(t, r.SharedRecords(start), unsent)
 	r.Clear(2, 6, false)
-	fresh = r.TakeUnsent(start.Add(shareDelay))
-	assert.Equal(t, len(fresh), 1)
-	assert.Equal(t, fresh[0].Content, Content(3))
-	assert.Equal(t, fresh[0].Age, shareDelay)
+	unsent = r.TakeUnsent(start.Add(shareDelay))
+	assert.Equal(t, len(unsent), 1)
+	assert.Equal(t, unsent[0].Content, Content(3))
+	assert.Equal(t, unsent[0].Age, shareDelay)
 	assert.Equal(t, len(r.TakeUnsent(start.Add(time.Hour))), 0)
 
 	r.Crashed(start, 4, up("b"), 5)
@@ -258,8 +258,8 @@
 	r.Crashed(start, 0xab, up("a"), 0)
 	r.Crashed(start, 0xab, up("b"), 0)
 	r.Crashed(start, 0xcd, up("a"), 3)
-	held := r.List(start.Add(time.Minute))
-	assert.DeepEqual(t, held, []ContentStatus{
+	list := r.List(start.Add(time.Minute))
+	assert.DeepEqual(t, list, []ContentStatus{
 		{Content: "00000000000000ab", Standing: "quarantined", Crashes: 2, Early: 2, RemainingSeconds: 540, Upstreams: []ident.UpstreamID{"a", "b"}},
 		{Content: "00000000000000cd", Standing: "suspect", Crashes: 1, Upstreams: []ident.UpstreamID{"a"}},
 	})
--- a/gateway/quarantine/share.go
+++ b/gateway/quarantine/share.go
@@ -35,8 +35,8 @@
 // maxRecordsPerMessage bounds the number of records in one message. A record takes about 35 bytes.
 const maxRecordsPerMessage = 256
 
-// TakeUnsent returns the records of this instance that are due to be sent to all other instances, and
-// marks them as shared. It returns each record only once.
+// TakeUnsent returns the records of this instance that are due to be sent to all other instances,
+// and marks them as shared. It returns each record only once.
 func (r *Register) TakeUnsent(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/quarantine/trials.go
+++ b/gateway/quarantine/trials.go
@@ -10,10 +10,10 @@
 const (
 	// maxTrials bounds the number of trials that one instance tracks at the same time.
 	maxTrials = 1024
-	// MaxTrialTime is the longest duration of a trial if its holder doesn't end it, which happens
-	// if the holder has crashed. The first event of a stream shows whether the content is harmless,
-	// and is due within a second. A stream that its caller resumes may wait a few seconds for
-	// capacity.
+	// MaxTrialTime is the longest time that a trial lasts if its holder doesn't end it, which
+	// happens if the holder has crashed. The first event of a stream shows whether the content is
+	// harmless, and is due within a second. A stream that its caller resumes may wait a few
+	// seconds for capacity.
 	MaxTrialTime = 5 * time.Second
 )
 
@@ -36,7 +36,7 @@
 
 // Begin reports whether an instance may make an attempt with a content, and records the trial if
 // so. It is refused while another trial of the content is in progress, and while maxTrials
-// trials are. The trial lapses after the given time or TrialMost, whichever is shorter.
+// trials are. The trial lapses after the given duration or MaxTrialTime, whichever is shorter.
 func (t *Trials) Begin(now time.Time, c Content, holder ident.InstanceID, duration time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
