--- a/plugins/filter/ejected/ejected.go
+++ b/plugins/filter/ejected/ejected.go
@@ -1,5 +1,5 @@
-// Package ejected drops upstreams that were taken out of use after repeated
-// failures, until their time is over.
+// Package ejected excludes upstreams that were ejected after repeated failures,
+// until their ejection ends.
 package ejected
 
 import (
@@ -10,9 +10,9 @@
 // Filter implements kernel.Filter.
 type Filter struct{}
 
-// Keep implements kernel.Filter. After its time an upstream gets one request of
-// this instance at a time until one has succeeded: the kernel counts ejections
-// in a row and forgets them at a success.
+// Keep implements kernel.Filter. After its ejection an upstream gets one request
+// of this instance at a time until one of them succeeds: the kernel counts
+// consecutive ejections and resets the count after a success.
 func (*Filter) Keep(d *kernel.Decision, u *kernel.Upstream, _ config.Role) bool {
 	if u.Health.Ejections == 0 {
 		return true
--- a/plugins/filter/filter_test.go
+++ b/plugins/filter/filter_test.go
@@ -1,5 +1,5 @@
-// Package filter_test has the filters' tables of cases side by side, since all
-// answer the same question.
+// Package filter_test tests all filters with one table, because they have the same
+// interface: whether an upstream is kept for a role.
 package filter_test
 
 import (
@@ -19,6 +19,7 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
+// TestKeep checks for each filter which upstreams it keeps.
 func TestKeep(t *testing.T) {
 	start := plugintest.Start
 	tests := []struct {
@@ -119,7 +120,9 @@
 	}
 }
 
-// TestStaleFollowsTimeAndView uses one filter for decisions at several times.
+// TestStaleFollowsTimeAndView checks that the stale filter does not reuse cached
+// values: a report that was current becomes too old after a minute, and the share
+// of the slots grows when a new view has fewer instances.
 func TestStaleFollowsTimeAndView(t *testing.T) {
 	f := &stale.Filter{}
 	v := plugintest.View(0, 2)
--- a/plugins/filter/leaving/leaving.go
+++ b/plugins/filter/leaving/leaving.go
@@ -1,5 +1,5 @@
-// Package leaving drops upstreams that are leaving, cannot be reached or no
-// longer run.
+// Package leaving excludes upstreams that are leaving, unreachable or dead, or
+// whose state is not known.
 package leaving
 
 import (
@@ -10,8 +10,8 @@
 // Filter implements kernel.Filter.
 type Filter struct{}
 
-// Keep implements kernel.Filter. A suspect upstream is kept: nothing speaks
-// against it, and in a partition it may be the only one left.
+// Keep implements kernel.Filter. A suspect upstream is kept: it is not known to
+// have failed, and during a network partition it may be the only one left.
 func (*Filter) Keep(_ *kernel.Decision, u *kernel.Upstream, _ config.Role) bool {
 	return u.Life == kernel.Live || u.Life == kernel.Suspect
 }
--- a/plugins/filter/model/model.go
+++ b/plugins/filter/model/model.go
@@ -1,5 +1,5 @@
-// Package model keeps only upstreams that serve a request's model, or run its
-// plain service.
+// Package model keeps only upstreams that serve the model of the request, or run
+// its plain service if the request is a service call.
 package model
 
 import (
--- a/plugins/filter/role/role.go
+++ b/plugins/filter/role/role.go
@@ -1,4 +1,5 @@
-// Package role keeps only upstreams that run in the role a placement needs.
+// Package role keeps only upstreams that have the role required by a placement:
+// prefill, decode or service.
 package role
 
 import (
--- a/plugins/filter/stale/stale.go
+++ b/plugins/filter/stale/stale.go
@@ -1,4 +1,5 @@
-// Package stale bounds the use of upstreams whose load report is old.
+// Package stale limits the number of requests to upstreams whose load report is
+// too old.
 package stale
 
 import (
@@ -8,20 +9,23 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// defaultAge is used where the bundle sets no view_stale.
+// defaultAge is the maximum age of a load report if the bundle does not set
+// view_stale.
 const defaultAge = 2 * time.Second
 
-// probes is how many of this instance's requests may be in flight at an engine
-// whose load is not known and that has no slots to share.
+// probes is the maximum number of this instance's requests in flight at an engine
+// whose load is not known and for which no number of slots is declared.
 const probes = 2
 
 // Filter implements kernel.Filter.
 type Filter struct {
+	// age is the maximum age of a load report; 0 means defaultAge.
 	age time.Duration
-	// now and oldest are the time of the decision at hand, and the time of the
-	// oldest report believed then.
+	// now is the time of the current decision. oldest is the time of the oldest
+	// load report that is still accepted at that time.
 	now, oldest time.Time
-	// version and instances are the view's version and its live instances.
+	// instances is the number of instances in the view with the given version
+	// that may be sending requests.
 	version   uint64
 	instances int
 }
@@ -32,11 +36,12 @@
 	f.now = time.Time{}
 }
 
-// Keep implements kernel.Filter. An upstream with an old report is not shut
-// out, as then no response could ever bring a newer one. It gets no more of
-// this instance's requests at a time than would be right if all instances sent
-// it as many. Plain services report no load: the kernel bounds their calls by
-// the concurrency that the bundle declares.
+// Keep implements kernel.Filter. An upstream with an old report is not excluded
+// completely, because a newer report can only arrive with a response to a request.
+// Instead, the number of this instance's concurrent requests to it is limited to
+// an equal share of the upstream's slots among all instances. Plain services
+// report no load; the kernel limits their calls to the concurrency that the bundle
+// declares.
 func (f *Filter) Keep(d *kernel.Decision, u *kernel.Upstream, role config.Role) bool {
 	if role == config.RoleService {
 		return true
@@ -50,7 +55,7 @@
 	return u.Own.Requests < f.share(d.View, u)
 }
 
-// begin prepares the decisions at the given time.
+// begin computes the values that all decisions at the given time have in common.
 func (f *Filter) begin(now time.Time) {
 	age := f.age
 	if age <= 0 {
@@ -60,7 +65,8 @@
 	f.oldest = now.Add(-age)
 }
 
-// share is how many of u's places this instance may use blindly.
+// share returns the number of requests that this instance may have in flight at u
+// without a current load report.
 func (f *Filter) share(v *kernel.View, u *kernel.Upstream) int {
 	if f.version != v.Version || f.instances == 0 {
 		f.version = v.Version
@@ -72,7 +78,8 @@
 	return max(u.Spec.Slots/f.instances, 1)
 }
 
-// live counts the instances that may be sending requests.
+// live returns the number of instances that may be sending requests, that is, all
+// that are not dead.
 func live(v *kernel.View) int {
 	n := 0
 	for i := range v.Instances {
--- a/plugins/internal/plugintest/plugintest.go
+++ b/plugins/internal/plugintest/plugintest.go
@@ -1,4 +1,4 @@
-// Package plugintest builds views, decisions and hosts for the tests of plug-ins.
+// Package plugintest provides views, decisions and a host for tests of plug-ins.
 package plugintest
 
 import (
@@ -11,10 +11,11 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Start is the time at which tests begin.
+// Start is the initial time of the test host and the time of all decisions and
+// load reports.
 var Start = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// Model is the model that the fixture's engines serve.
+// Model is the model that the engines of this package serve.
 var Model = config.Model{
 	Name:            "reader",
 	MaxContext:      32000,
@@ -22,13 +23,14 @@
 	PieceTokens:     2000,
 }
 
-// Service is the plain service that the fixture's service upstreams run.
+// Service is the plain service that the service upstreams of this package run.
 const Service = "billing"
 
-// zones are those that upstreams and instances are spread over.
+// zones are the availability zones over which upstreams and instances are
+// distributed.
 var zones = []ident.Zone{"hall-a", "hall-b", "hall-c"}
 
-// Prefill returns a prefill engine.
+// Prefill returns an idle prefill engine with the given index in the view.
 func Prefill(index int) kernel.Upstream {
 	u := upstream(index, config.RolePrefill)
 	u.Spec.PrefillTokensPerSecond = 20_000
@@ -37,7 +39,7 @@
 	return u
 }
 
-// Decode returns a decode engine.
+// Decode returns an idle decode engine with the given index in the view.
 func Decode(index int) kernel.Upstream {
 	u := upstream(index, config.RoleDecode)
 	u.Spec.Slots = 20
@@ -48,7 +50,7 @@
 	return u
 }
 
-// Runner returns a plain service's upstream.
+// Runner returns an idle upstream that runs the plain service Service.
 func Runner(index int) kernel.Upstream {
 	u := upstream(index, config.RoleService)
 	u.Spec.Service = Service
@@ -56,7 +58,8 @@
 	return u
 }
 
-// upstream returns a live upstream with a fresh report of an empty load.
+// upstream returns a live upstream with a load report of the time Start that shows
+// no load.
 func upstream(index int, role config.Role) kernel.Upstream {
 	id := ident.UpstreamID(fmt.Sprintf("%s-%d", role, index))
 	return kernel.Upstream{
@@ -70,8 +73,9 @@
 	}
 }
 
-// View returns a view of n engines, a third of them prefill engines, and of
-// the given number of live instances.
+// View returns a view of n engines and the given number of live instances. Every
+// third engine is a prefill engine, beginning with the first; the others are decode
+// engines.
 func View(n, instances int) *kernel.View {
 	v := &kernel.View{Version: 1, Trusted: true}
 	for i := range n {
@@ -79,7 +83,8 @@
 		if i%3 == 0 {
 			u = Prefill(i)
 		}
-		// Zones must not follow the roles.
+		// Zones change every three engines, so that each zone has engines of
+		// both roles.
 		u.Zone = zones[i/3%len(zones)]
 		v.Upstreams = append(v.Upstreams, u)
 	}
@@ -94,7 +99,7 @@
 	return v
 }
 
-// Request returns a request to the model.
+// Request returns a request with the given ID to the model Model.
 func Request(id string) *kernel.Request {
 	return &kernel.Request{
 		ID:              ident.RequestID(id),
@@ -112,7 +117,7 @@
 	}
 }
 
-// Decision returns a decision about the request over the view.
+// Decision returns a decision at the time Start for the request and the view.
 func Decision(r *kernel.Request, v *kernel.View) *kernel.Decision {
 	return &kernel.Decision{
 		Now:          Start,
@@ -124,28 +129,36 @@
 	}
 }
 
-// Sent is a message that a plug-in sent.
+// Sent is a message that a plug-in sent through Host.Send.
 type Sent struct {
 	To      ident.InstanceID
 	Message kernel.PeerMessage
 }
 
-// Host implements kernel.Host over settable fields.
+// Host is a fake kernel.Host that returns the values of its fields.
 type Host struct {
-	Time   time.Time
-	Is     kernel.Self
-	Fleet  *kernel.View
+	// Time is the result of Now.
+	Time time.Time
+	// Is is the result of Self.
+	Is kernel.Self
+	// Fleet is the result of View.
+	Fleet *kernel.View
+	// Bundle is the result of Content.
 	Bundle *config.Content
-	Queue  int
-	// Predict gives Estimate's answer; nil gives an immediate first output.
+	// Queue is the result of QueueLength.
+	Queue int
+	// Predict computes the result of Estimate. If it is nil, Estimate predicts
+	// an immediate first output.
 	Predict func(*kernel.Request) kernel.Estimate
-	Outbox  []Sent
-	random  *rand.Rand
+	// Outbox has the messages passed to Send.
+	Outbox []Sent
+	random *rand.Rand
 }
 
 var _ kernel.Host = (*Host)(nil)
 
-// NewHost returns a host at Start with the given view.
+// NewHost returns a host at the time Start with the given view. Its random numbers
+// have a fixed seed.
 func NewHost(v *kernel.View) *Host {
 	return &Host{
 		Time:   Start,
@@ -188,10 +201,10 @@
 	return nil
 }
 
-// Rand implements kernel.Host.
+// Rand implements kernel.Host. It returns a generator with a fixed seed.
 func (h *Host) Rand() *rand.Rand { return h.random }
 
-// Send implements kernel.Host.
+// Send implements kernel.Host. It appends the message to Outbox.
 func (h *Host) Send(to ident.InstanceID, m kernel.PeerMessage) {
 	h.Outbox = append(h.Outbox, Sent{To: to, Message: m})
 }
@@ -207,8 +220,8 @@
 	return h.Predict(r)
 }
 
-// SlotGranted implements kernel.Host.
+// SlotGranted implements kernel.Host. It does nothing.
 func (*Host) SlotGranted(ident.AttemptID) {}
 
-// SlotDenied implements kernel.Host.
+// SlotDenied implements kernel.Host. It does nothing.
 func (*Host) SlotDenied(ident.AttemptID, time.Time) {}
--- a/plugins/order/cluster_test.go
+++ b/plugins/order/cluster_test.go
@@ -17,91 +17,105 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// tokenTime is the time per output token, and prefillRate the prompt rate, of
-// the engines of this small cluster.
+// tokenTime is the time per output token of a decode engine. prefillRate is the
+// rate of a prefill engine in prompt tokens per second.
 const (
 	tokenTime   = 30 * time.Millisecond
 	prefillRate = 20_000.0
 )
 
-// piecesPerSlot is the KV memory of a decode engine, for each of its slots.
+// piecesPerSlot is the KV memory of a decode engine in pieces, per slot.
 const piecesPerSlot = 6
 
-// maxPrefillWait is how much work may wait at a prefill engine.
+// maxPrefillWait is the maximum queueing time at a prefill engine. While it is
+// exceeded at all engines, no request is placed.
 const maxPrefillWait = 250 * time.Millisecond
 
-// engine is a decode engine with slots and memory.
+// engine is a simulated decode engine with slots and KV memory.
 type engine struct {
-	models       []string
-	slots        int
+	models []string
+	slots  int
+	// busy is the number of slots, and pieces the memory in pieces, in use.
 	busy, pieces int
 }
 
-// limit is the engine's memory, in pieces.
+// limit returns the size of the engine's KV memory in pieces.
 func (e *engine) limit() int { return piecesPerSlot * e.slots }
 
-// customer is one workspace and what it sends.
+// customer is one workspace and its workload.
 type customer struct {
 	name   ident.Workspace
 	weight float64
-	// models are chosen from evenly.
+	// models are the models that requests are sent to, with equal probability.
 	models []string
 	// perSecond is the mean rate of requests.
 	perSecond float64
-	prompt    int
-	// output is the mean true output, and declared what max_tokens is as a
-	// multiple of the true output.
+	// prompt is the prompt length in tokens.
+	prompt int
+	// output is the mean length of the actual output in tokens. declared is
+	// max_tokens as a multiple of the actual output.
 	output   int
 	declared float64
-	// parts splits each request into several shorter ones.
+	// parts is the number of shorter requests into which each request is split;
+	// 0 and 1 mean that requests are not split.
 	parts int
-	// target is the time to first output.
+	// target is the required time to first output.
 	target time.Duration
 }
 
-// result is what one workspace got.
+// result has the totals of one workspace over a run. A request is in time if its
+// first output meets the target; other requests are refused.
 type result struct {
+	// offered is the number of requests sent, and inTime of those served in time.
 	offered, inTime int
-	// seconds is the engine time of the requests in time.
+	// seconds is the engine time used by the requests served in time.
 	seconds float64
-	// tokens is the output of the requests in time.
+	// tokens is the number of output tokens of the requests served in time.
 	tokens int
 }
 
-// cluster runs one queue order over engines in virtual time.
+// cluster simulates a set of engines with one queue order in virtual time.
 type cluster struct {
 	t       *testing.T
 	host    *plugintest.Host
 	order   kernel.QueueOrder
 	engines []engine
-	// prefills are the times at which the prefill engines will be idle; each
-	// serves all models.
+	// prefills has the time at which each prefill engine will be idle. Prefill
+	// engines serve all models.
 	prefills []time.Time
 	random   *rand.Rand
 	events   events
 	results  map[ident.Workspace]*result
-	truth    map[ident.RequestID]job
-	next     int
-	// waking is when the next wake-up is due, if it is later than now.
+	// truth has the actual work of each request, by its ID.
+	truth map[ident.RequestID]job
+	// next is the last number used for an event or a request.
+	next int
+	// waking is the time of the scheduled wake-up; none is scheduled if it is not
+	// in the future.
 	waking time.Time
 }
 
-// job is what a request really needs.
+// job is the actual work of a request, whatever it declares.
 type job struct {
 	request *kernel.Request
-	tokens  int
+	// tokens is the length of the output.
+	tokens int
+	// seconds is the time for prefill and decode.
 	seconds float64
 }
 
-// event is an arrival, a completion when engine is not nil, or a mere wake-up.
+// event is a completion if engine is set, an arrival if customer is set, and
+// otherwise a wake-up at which placements are tried again.
 type event struct {
-	at       time.Time
+	at time.Time
+	// sequence is the order of events that have the same time.
 	sequence int
 	customer *customer
 	engine   *engine
 	request  *kernel.Request
 }
 
+// events is a heap of events in order of time.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -119,7 +133,7 @@
 	return last
 }
 
-// newCluster returns a cluster with the given order and nothing in it.
+// newCluster returns an idle cluster for the scenario with the given queue order.
 func newCluster(t *testing.T, id plugin.ID, s scenario, seed uint64) *cluster {
 	t.Helper()
 	p, err := plugin.Load(id, nil)
@@ -164,7 +178,8 @@
 	}
 }
 
-// run lets the customers send for the given time, and returns what they got.
+// run simulates the workloads for the given time and until all requests have
+// ended, and returns the totals by workspace.
 func (c *cluster) run(customers []customer, length time.Duration) map[ident.Workspace]*result {
 	for i := range customers {
 		c.results[customers[i].name] = &result{}
@@ -187,18 +202,21 @@
 	return c.results
 }
 
+// schedule adds an event.
 func (c *cluster) schedule(e event) {
 	c.next++
 	e.sequence = c.next
 	heap.Push(&c.events, e)
 }
 
-// gap draws the time of a customer's next arrival.
+// gap returns a random time for the next arrival. Arrivals are a Poisson process.
 func (c *cluster) gap(who *customer) time.Time {
 	return c.host.Time.Add(time.Duration(c.random.ExpFloat64() / who.perSecond * 1e9))
 }
 
-// arrive queues a request of the customer, in parts if it splits them.
+// arrive adds a request of the workspace to the queue, or several if the workspace
+// splits its requests. The output length is 20 tokens plus an exponentially
+// distributed number of tokens.
 func (c *cluster) arrive(who *customer) {
 	model := who.models[c.random.IntN(len(who.models))]
 	tokens := 20 + int(c.random.ExpFloat64()*float64(who.output-20))
@@ -220,7 +238,8 @@
 	}
 }
 
-// place starts what it can in queue order and drops what is too late.
+// place starts, in queue order, all requests for which there is capacity, and
+// refuses those that can no longer meet their target.
 func (c *cluster) place() {
 	var waiting []*kernel.Waiting
 	for w := range c.order.All() {
@@ -248,7 +267,8 @@
 	}
 }
 
-// wake looks again when the first prefill engine has room.
+// wake schedules a wake-up for the time at which a prefill engine can next accept
+// a request, unless an earlier one is scheduled.
 func (c *cluster) wake() {
 	at := c.idlest().Add(-maxPrefillWait)
 	pending := c.waking.After(c.host.Time) && !c.waking.After(at)
@@ -258,7 +278,7 @@
 	}
 }
 
-// idlest is the prefill engine that will be idle first.
+// idlest returns the entry of the prefill engine that will be idle first.
 func (c *cluster) idlest() *time.Time {
 	best := &c.prefills[0]
 	for i := range c.prefills {
@@ -269,8 +289,9 @@
 	return best
 }
 
-// free returns the emptiest engine that serves the request's model and has a
-// slot and memory for it.
+// free returns the decode engine with the fewest busy slots among those that serve
+// the request's model and have a free slot and enough memory, or nil if there is
+// none.
 func (c *cluster) free(r *kernel.Request) *engine {
 	var best *engine
 	for i := range c.engines {
@@ -285,6 +306,8 @@
 	return best
 }
 
+// start runs a request on the decode engine e, after it has waited for its prefill,
+// and counts it as served in time.
 func (c *cluster) start(r *kernel.Request, e *engine, wait time.Duration) {
 	e.busy++
 	e.pieces += r.Pieces(2000)
@@ -297,6 +320,7 @@
 	got.tokens += j.tokens
 }
 
+// complete releases the resources of a completed request.
 func (c *cluster) complete(e event) {
 	e.engine.busy--
 	e.engine.pieces -= e.request.Pieces(2000)
@@ -304,6 +328,7 @@
 	c.observe(e.request, kernel.StepCompleted)
 }
 
+// observe reports a step of a request to the queue order if it is an observer.
 func (c *cluster) observe(r *kernel.Request, step kernel.Step) {
 	if o, ok := c.order.(kernel.Observer); ok {
 		o.Observe(r, kernel.Record{Time: c.host.Time, Step: step})
--- a/plugins/order/compare_test.go
+++ b/plugins/order/compare_test.go
@@ -1,6 +1,6 @@
-// Package order_test compares the queue orders with one another on a small
-// cluster in virtual time. docs/design/fairness.md quotes its tables; print
-// them with go test -v -run Compare ./plugins/order.
+// Package order_test compares the queue orders with each other on a small
+// simulated cluster in virtual time. docs/design/fairness.md quotes the resulting
+// tables. To print them, run go test -v -run Compare ./plugins/order.
 package order_test
 
 import (
@@ -23,9 +23,10 @@
 
 var seeds = []uint64{1, 2, 3}
 
+// length is the virtual time for which requests arrive in a run.
 const length = 4 * time.Minute
 
-// scenario is a cluster and its customers.
+// scenario is a cluster configuration and the workspaces that use it.
 type scenario struct {
 	name      string
 	engines   []engine
@@ -33,15 +34,15 @@
 	customers []customer
 }
 
-// constrained has engines that serve one model or the other or both; each
-// supplier may use some models only.
+// constrained has decode engines that serve one of two models or both. Workspaces
+// may be limited to some of the models, and so to some of the engines.
 var constrained = []engine{
 	{models: []string{"logs"}, slots: 20},
 	{models: []string{"logs", "triage"}, slots: 20},
 	{models: []string{"triage"}, slots: 20},
 }
 
-// supplier returns a customer whose requests hold a slot for 6.25 s on average.
+// supplier returns a workspace whose requests hold a slot for 6.25 s on average.
 func supplier(name ident.Workspace, perSecond float64, models ...string) customer {
 	return customer{
 		name: name, weight: 1, models: models, perSecond: perSecond,
@@ -49,8 +50,8 @@
 	}
 }
 
-// scenarios all overload the cluster, which holds 60 requests of 6.25 s: 9.6 a
-// second.
+// scenarios returns the scenarios to compare. All of them overload the cluster,
+// which has 60 slots. With requests of 6.25 s it can serve 9.6 requests per second.
 func scenarios() []scenario {
 	either := []string{"logs", "triage"}
 	plain := func(name ident.Workspace, perSecond float64) customer {
@@ -88,19 +89,23 @@
 	}
 }
 
-// summary is what a scenario gave under one order, over all seeds.
+// summary has the results of a scenario under one queue order, over all seeds.
 type summary struct {
-	// goodput is the share of requests in time, and useful the engine time of
-	// these as a share of all.
+	// goodput is the fraction of requests served in time. useful is the engine
+	// time of these requests as a fraction of the total engine time.
 	goodput, useful float64
-	// least is the smallest gain of a workspace: its requests in time, divided
-	// by those it would have in time on its own part of each engine. Below 1, it
-	// would be better off alone. fairness is Jain's index of the gains.
+	// The gain of a workspace is the number of its requests served in time,
+	// divided by the number that would be served in time if it had its weight's
+	// part of each engine to itself. Below 1, sharing is a disadvantage for it.
+	// least is the smallest gain of any workspace, and fairness is Jain's fairness
+	// index of the gains.
 	fairness, least float64
-	by              map[ident.Workspace]*result
+	// by has the totals by workspace.
+	by map[ident.Workspace]*result
 }
 
-// measure runs a scenario under an order with all seeds.
+// measure runs a scenario under a queue order once for each seed and adds up the
+// totals.
 func measure(t *testing.T, s scenario, id plugin.ID) summary {
 	t.Helper()
 	sum := summary{by: map[ident.Workspace]*result{}}
@@ -115,6 +120,7 @@
 	return sum
 }
 
+// add adds the totals of another run.
 func (r *result) add(other *result) {
 	r.offered += other.offered
 	r.inTime += other.inTime
@@ -122,8 +128,8 @@
 	r.tokens += other.tokens
 }
 
-// alone is how many requests each workspace has in time on its weight's part of
-// each engine.
+// alone returns for each workspace the number of requests that are served in time,
+// over all seeds, if it has its weight's part of each engine to itself.
 func alone(t *testing.T, s scenario) map[ident.Workspace]float64 {
 	t.Helper()
 	total := 0.0
@@ -148,7 +154,8 @@
 	return inTime
 }
 
-// rate derives the figures from the results.
+// rate computes the figures of the summary from the totals by workspace and the
+// results of alone.
 func (s *summary) rate(of scenario, alone map[ident.Workspace]float64) {
 	offered, inTime, seconds := 0, 0, 0.0
 	total, squares, n := 0.0, 0.0, 0.0
@@ -169,7 +176,7 @@
 	s.fairness = total * total / (n * squares)
 }
 
-// capacity is the engine time of the whole run over all seeds, in seconds.
+// capacity returns the total engine time, in seconds, of the runs with all seeds.
 func capacity(engines []engine) float64 {
 	slots := 0
 	for _, e := range engines {
@@ -178,8 +185,9 @@
 	return float64(slots) * length.Seconds() * float64(len(seeds))
 }
 
-// bounds are the least goodput and gain that a scenario must give under
-// order.tsf, just below what it gave when they were written down.
+// bounds has the goodput and the smallest gain that each scenario must exceed under
+// order.tsf. The values are slightly below the results measured when the test was
+// written.
 var bounds = map[string]struct{ goodput, least float64 }{
 	"one floods":                            {0.60, 0.99},
 	"one floods one model":                  {0.52, 0.98},
@@ -191,6 +199,9 @@
 	"weights 3, 1, 1":                       {0.53, 0.95},
 }
 
+// TestCompare prints the results of all scenarios under all queue orders, and checks
+// those of order.tsf against bounds. It guards against changes that lower its
+// goodput or leave a workspace with less than before.
 func TestCompare(t *testing.T) {
 	for _, s := range scenarios() {
 		t.Log(s.name)
@@ -208,7 +219,8 @@
 	}
 }
 
-// line is the summary as a row of a table.
+// line formats the summary as a row of the table. Its last columns are the fraction
+// of each workspace's requests that were served in time.
 func (s *summary) line(id plugin.ID, of scenario) string {
 	line := fmt.Sprintf("  %-14s goodput %.3f  useful %.3f  fairness %.3f  least %.3f |",
 		id, s.goodput, s.useful, s.fairness, s.least)
@@ -219,8 +231,10 @@
 	return line
 }
 
-// TestGaming lets one of three flooding workspaces misstate what it needs, and
-// compares what it gets with what the truth would have given it.
+// TestGaming checks that a workspace cannot gain by misstating its needs. One of
+// three workspaces that overload the cluster misstates them, and its output in time
+// is compared with a run in which it states them correctly. Under order.fair and
+// order.tsf it must be less than 1.06 times as large.
 func TestGaming(t *testing.T) {
 	tests := []struct {
 		name string
@@ -238,13 +252,14 @@
 			gain := float64(lying.tokens) / float64(honest.tokens)
 			t.Logf("%-26s %-14s output in time %.3f times that of the truth", tt.name, id, gain)
 			if id == fair.ID || id == tsf.ID {
-				assert.Assert(t, gain < 1.06, "%s gains under %s", tt.name, id)
+				assert.Assert(t, gain < 1.06, "a workspace that %s gains output under %s", tt.name, id)
 			}
 		}
 	}
 }
 
-// gamed returns what the misstating workspace gets.
+// gamed returns the totals of workspace alpha in a scenario in which lie changes its
+// workload.
 func gamed(t *testing.T, id plugin.ID, name string, lie func(*customer)) *result {
 	t.Helper()
 	alpha := supplier("alpha", 6, "logs", "triage")
--- a/plugins/order/deadline/deadline.go
+++ b/plugins/order/deadline/deadline.go
@@ -1,6 +1,6 @@
 // Package deadline serves waiting requests in the order in which their first
-// output is due. Answers that were interrupted come first, and requests whose
-// target has passed come last.
+// output is due. Requests that resume an interrupted response come first, and
+// requests whose first output is overdue come last.
 package deadline
 
 import (
@@ -32,5 +32,6 @@
 // Len implements kernel.QueueOrder.
 func (o *Order) Len() int { return o.queue.Len() }
 
-// Served implements kernel.QueueOrder; it changes nothing.
+// Served implements kernel.QueueOrder. It does nothing, because the order does not
+// depend on past usage.
 func (*Order) Served(*kernel.Request, float64) {}
--- a/plugins/order/fifo/fifo.go
+++ b/plugins/order/fifo/fifo.go
@@ -1,5 +1,5 @@
-// Package fifo serves waiting requests in the order in which they came. It is
-// the naive policy that others are compared with.
+// Package fifo serves waiting requests in order of arrival. It serves as the
+// baseline for comparisons with other policies.
 package fifo
 
 import (
@@ -34,5 +34,6 @@
 // Len implements kernel.QueueOrder.
 func (o *Order) Len() int { return len(o.waiting) }
 
-// Served implements kernel.QueueOrder; it changes nothing.
+// Served implements kernel.QueueOrder. It does nothing, because the order does not
+// depend on past usage.
 func (*Order) Served(*kernel.Request, float64) {}
--- a/plugins/order/internal/due/due.go
+++ b/plugins/order/internal/due/due.go
@@ -1,5 +1,5 @@
-// Package due sorts waiting requests by when their first output is due. The
-// queue orders share it.
+// Package due provides a queue of waiting requests that is sorted by the time at
+// which their first output is due. Several queue orders use it.
 package due
 
 import (
@@ -18,8 +18,8 @@
 	waiting []*kernel.Waiting
 }
 
-// Time is when w should be served by: when its first output is due, or for a
-// request without that target when its caller stops waiting.
+// Time returns the time by which w should be served. This is the time at which its
+// first output is due, or the request's deadline if it has no such target.
 func Time(w *kernel.Waiting) time.Time {
 	if w.Request.FirstOutputBy.IsZero() {
 		return w.Request.Deadline
@@ -28,16 +28,19 @@
 }
 
 // Late reports whether w can no longer meet its target. A request whose caller
-// has part of the output is not late: its stream stands still meanwhile.
+// has received part of the output is never late: its stream is interrupted while
+// it waits, so it must not be moved behind other requests.
 func Late(w *kernel.Waiting, now time.Time) bool {
 	return w.Delivered == 0 && now.After(Time(w))
 }
 
-// Resumed reports whether w is the rest of an answer that its caller reads.
+// Resumed reports whether w continues an interrupted response of which the caller
+// has already received a part.
 func Resumed(w *kernel.Waiting) bool { return w.Delivered > 0 }
 
-// compare puts resumed requests first, then orders by due time, and by ID where
-// that is equal, so that the order does not depend on that of the calls.
+// compare sorts resumed requests first, then by due time. Requests with equal due
+// times are sorted by ID, so that the result does not depend on the order in which
+// they were added.
 func compare(a, b *kernel.Waiting) int {
 	if Resumed(a) != Resumed(b) {
 		if Resumed(a) {
@@ -70,9 +73,9 @@
 // Len returns the number of requests.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// At returns the i-th request to be served at the given time, late requests
-// being served after all others. late is the number of late requests, as
-// returned by Late for the same time.
+// At returns the request to be served at position i, counted from 0. Late requests
+// are served after all others. The argument late is the range of late requests,
+// as returned by Queue.Late for the time in question.
 func (q *Queue) At(i int, late Span) *kernel.Waiting {
 	if i < late.from {
 		return q.waiting[i]
@@ -83,13 +86,16 @@
 	return q.waiting[i-(len(q.waiting)-late.to)]
 }
 
-// Span is the part of a queue that is late.
+// Span is the range of late requests in a queue, as the indices from (inclusive)
+// and to (exclusive).
 type Span struct{ from, to int }
 
+// count returns the number of requests in the range.
 func (s Span) count() int { return s.to - s.from }
 
-// Late returns the part of the queue that is late at the given time. Resumed
-// requests come first and the rest is sorted by due time, so it is one piece.
+// Late returns the range of requests that are late at the given time. The range is
+// contiguous: resumed requests, which are never late, come first, and the rest is
+// sorted by due time.
 func (q *Queue) Late(now time.Time) Span {
 	from := 0
 	for from < len(q.waiting) && Resumed(q.waiting[from]) {
@@ -102,7 +108,8 @@
 	return Span{from: from, to: to}
 }
 
-// All yields the requests, the first to be served at the given time first.
+// All yields the requests in the order in which they are to be served at the given
+// time.
 func (q *Queue) All(now time.Time) iter.Seq[*kernel.Waiting] {
 	return func(yield func(*kernel.Waiting) bool) {
 		late := q.Late(now)
--- a/plugins/order/internal/maxmin/maxmin.go
+++ b/plugins/order/internal/maxmin/maxmin.go
@@ -1,6 +1,7 @@
-// Package maxmin serves first the workspace whose running requests are the
-// smallest share of the engines, divided by its weight. The queue orders that
-// share engines between workspaces differ in how they count a request's share.
+// Package maxmin implements weighted max-min fairness between workspaces. The
+// workspace whose running requests hold the smallest share of the engines, divided
+// by its weight, is served first. The queue orders that are based on this package
+// differ only in the function that computes the share of a request.
 package maxmin
 
 import (
@@ -13,42 +14,49 @@
 	"github.com/wardspool/wardspool/plugins/order/internal/due"
 )
 
-// Order implements kernel.QueueOrder but for its name, and kernel.Observer.
+// Order implements kernel.Observer and the methods of kernel.QueueOrder except
+// PluginInfo, which the embedding plug-in provides.
 type Order struct {
-	// Share is the share of the engines that one request holds while it runs.
+	// Share returns the share of the engines that a request holds while it runs.
 	Share func(r *kernel.Request) float64
-	// Completed, if set, is told for how long a request held its share.
+	// Completed, if not nil, is called when a request completes, with the time
+	// for which it held its share.
 	Completed func(r *kernel.Request, held time.Duration)
 
 	host    kernel.Host
 	weights map[ident.Workspace]float64
 	spaces  map[spaceKey]*space
+	// busy has the workspaces that have requests waiting.
 	busy    busy
 	waiting map[ident.RequestID]*space
 	running map[ident.RequestID]held
 	turns   turns
 }
 
-// spaceKey names one workspace's use of one kind of engines: the model engines
-// together, since many serve several models, or those of one plain service.
+// spaceKey identifies the requests of one workspace to one group of engines. All
+// model engines form a single group, because many of them serve several models.
+// The upstreams of each plain service form a group of their own.
 type spaceKey struct {
 	workspace ident.Workspace
-	service   string
+	// service is empty for requests to models.
+	service string
 }
 
-// space is one workspace's requests. It is dropped when there are none.
+// space is the state of one workspace's requests to one group of engines. It is
+// deleted when no request is waiting or running.
 type space struct {
 	key    spaceKey
 	weight float64
 	queue  due.Queue
-	// share is that of the running requests, divided by the weight.
+	// share is the total share of the running requests, divided by the weight.
 	share   float64
 	running int
-	// at is the workspace's index in busy.
+	// at is the index in Order.busy while requests are waiting.
 	at int
 }
 
-// held is the share that one running request holds.
+// held is the share that one running request holds. The share is divided by the
+// workspace's weight at the start of the request.
 type held struct {
 	space *space
 	share float64
@@ -63,8 +71,8 @@
 	o.running = map[ident.RequestID]held{}
 }
 
-// Configure implements kernel.Configurer. A new weight counts for the requests
-// placed from then on.
+// Configure implements kernel.Configurer. A new weight applies to requests that
+// are placed after the change.
 func (o *Order) Configure(c *config.Content) {
 	o.weights = make(map[ident.Workspace]float64, len(c.Workspaces))
 	for _, w := range c.Workspaces {
@@ -75,7 +83,7 @@
 	}
 }
 
-// weight returns a workspace's weight, 1 where none is declared.
+// weight returns the weight of a workspace, or 1 if the bundle declares none.
 func (o *Order) weight(w ident.Workspace) float64 {
 	if weight := o.weights[w]; weight > 0 {
 		return weight
@@ -83,7 +91,7 @@
 	return 1
 }
 
-// space returns the entry that a request is counted in.
+// space returns the state to which a request belongs, and creates it if necessary.
 func (o *Order) space(r *kernel.Request) *space {
 	key := spaceKey{workspace: r.Workspace, service: r.Service}
 	s, ok := o.spaces[key]
@@ -94,15 +102,16 @@
 	return s
 }
 
-// drop forgets a workspace that has no requests.
+// drop deletes s if it has no waiting and no running requests.
 func (o *Order) drop(s *space) {
 	if s.running == 0 && s.queue.Len() == 0 {
 		delete(o.spaces, s.key)
 	}
 }
 
-// Add implements kernel.QueueOrder. What waits here holds nothing, also when
-// its slot was denied after it had been awaited.
+// Add implements kernel.QueueOrder. A waiting request holds no share. Add therefore
+// also releases the share of a request that returns to the queue because the slot
+// that it was waiting for was denied.
 func (o *Order) Add(w *kernel.Waiting) {
 	o.end(w.Request.ID)
 	s := o.space(w.Request)
@@ -130,7 +139,8 @@
 // Len implements kernel.QueueOrder.
 func (o *Order) Len() int { return len(o.waiting) }
 
-// All implements kernel.QueueOrder.
+// All implements kernel.QueueOrder. It yields the requests as if each were placed
+// when it is yielded, so that its share counts for those that follow.
 func (o *Order) All() iter.Seq[*kernel.Waiting] {
 	return func(yield func(*kernel.Waiting) bool) {
 		o.turns.begin(o)
@@ -142,12 +152,12 @@
 	}
 }
 
-// Served implements kernel.QueueOrder. The order counts what requests hold
-// while they hold it, so there is nothing to charge afterwards.
+// Served implements kernel.QueueOrder. It does nothing: shares are counted while
+// requests hold them, so there is no usage to account for afterwards.
 func (*Order) Served(*kernel.Request, float64) {}
 
-// Observe implements kernel.Observer: a request holds its share from when its
-// decode slot is asked for or reserved to its end.
+// Observe implements kernel.Observer. A request holds its share from the time at
+// which its decode slot is requested or reserved until it ends.
 func (o *Order) Observe(r *kernel.Request, rec kernel.Record) {
 	switch rec.Step {
 	case kernel.StepWaiting:
@@ -165,7 +175,8 @@
 	}
 }
 
-// start counts a request as running, once.
+// start adds the request's share to its workspace. It does nothing if the request
+// is already counted as running.
 func (o *Order) start(r *kernel.Request) {
 	if _, counted := o.running[r.ID]; counted {
 		return
@@ -177,7 +188,8 @@
 	o.running[r.ID] = held{space: s, share: share, since: o.host.Now()}
 }
 
-// completed tells how long a request held its share.
+// completed calls Order.Completed with the time for which the request held its
+// share.
 func (o *Order) completed(r *kernel.Request) {
 	h, ok := o.running[r.ID]
 	if ok && o.Completed != nil {
@@ -185,7 +197,8 @@
 	}
 }
 
-// end uncounts a request, if it was counted.
+// end releases the share of a request. It does nothing if the request is not
+// counted as running.
 func (o *Order) end(id ident.RequestID) {
 	h, ok := o.running[id]
 	if !ok {
@@ -195,7 +208,8 @@
 	h.space.running--
 	h.space.share -= h.share
 	if h.space.running == 0 {
-		// Sums of fractions do not cancel exactly.
+		// Rounding errors would otherwise remain: adding and subtracting
+		// floating-point fractions does not cancel exactly.
 		h.space.share = 0
 	}
 	o.drop(h.space)
--- a/plugins/order/internal/maxmin/maxmin_test.go
+++ b/plugins/order/internal/maxmin/maxmin_test.go
@@ -18,24 +18,29 @@
 	"github.com/wardspool/wardspool/plugins/order/internal/due"
 )
 
+// content declares the workspaces of the tests with their weights.
 var content = &config.Content{Workspaces: []config.Workspace{
 	{Name: "a", Weight: 1}, {Name: "b", Weight: 2}, {Name: "c", Weight: 4},
 }}
 
-// byPrompt makes shares that are exact in floating point, so that the naive
-// order adds up to the same.
+// byPrompt returns the prompt length as the share of a request. These shares are
+// exact in floating point, so that Order and the naive implementation compute
+// equal sums.
 func byPrompt(r *kernel.Request) float64 { return float64(r.PromptTokens) }
 
-// naive is the same order by definition: at each turn it looks at all requests
-// and takes the best one of the workspace with the smallest share.
+// naive is a reference implementation of the order that follows its definition: in
+// each step it looks at all waiting requests and selects the one to be served
+// first.
 type naive struct {
 	waiting []*kernel.Waiting
 	running []*kernel.Request
 }
 
-// weights are those of content.
+// weights has the weights that content declares.
 var weights = map[ident.Workspace]float64{"a": 1, "b": 2, "c": 4}
 
+// all returns the IDs of the waiting requests in the order in which they are to be
+// served.
 func (n *naive) all(now time.Time) []ident.RequestID {
 	left := slices.Clone(n.waiting)
 	share := map[ident.Workspace]float64{}
@@ -58,6 +63,9 @@
 	return ids
 }
 
+// comesBefore reports whether x is served before y: by class (resumed, in time,
+// late), then by the share of the workspace, the due time, the workspace's name and
+// the request's ID.
 func comesBefore(x, y *kernel.Waiting, share map[ident.Workspace]float64, now time.Time) bool {
 	rank := func(w *kernel.Waiting) int {
 		switch {
@@ -84,7 +92,7 @@
 	return a.ID < b.ID
 }
 
-// newOrder returns an order that counts shares by prompt length.
+// newOrder returns an order whose shares are the prompt lengths, and its host.
 func newOrder() (*Order, *plugintest.Host) {
 	host := plugintest.NewHost(&kernel.View{})
 	o := &Order{Share: byPrompt}
@@ -93,6 +101,7 @@
 	return o, host
 }
 
+// ids returns the IDs of the waiting requests in the order of o.All.
 func ids(o *Order) []ident.RequestID {
 	var got []ident.RequestID
 	for w := range o.All() {
@@ -101,8 +110,9 @@
 	return got
 }
 
-// TestAgainstNaive drives both with the same random arrivals, placements and
-// ends.
+// TestAgainstNaive compares Order with the naive implementation for random
+// sequences of arrivals, placements, denied slots and ends of requests, and checks
+// that no state remains after all requests have ended.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o, host := newOrder()
@@ -133,11 +143,12 @@
 		for len(n.waiting) > 0 {
 			n.place(o, false)
 		}
-		assert.Equal(t, len(o.spaces)+len(o.running)+len(o.waiting)+len(o.busy), 0, "something is kept for ever")
+		assert.Equal(t, len(o.spaces)+len(o.running)+len(o.waiting)+len(o.busy), 0, "state remains after all requests ended")
 	})
 }
 
-// place takes the first waiting request out, and starts it if it is placed.
+// place removes the first waiting request from the queue, and starts it if placed
+// is true.
 func (n *naive) place(o *Order, placed bool) {
 	if len(n.waiting) == 0 {
 		return
@@ -148,13 +159,15 @@
 	if placed {
 		n.running = append(n.running, r)
 		o.Observe(r, kernel.Record{Step: kernel.StepPlaced})
-		// A decode that is moved elsewhere is not counted twice.
+		// A request whose decode moves to another engine is placed again, but
+		// must not be counted twice.
 		o.Observe(r, kernel.Record{Step: kernel.StepPlaced})
 	}
 }
 
-// denied takes the first waiting request out to await its slot, which may then
-// be denied.
+// denied removes the first waiting request from the queue while its slot is
+// pending. If the argument denied is true, the slot is denied and the request
+// returns to the queue; otherwise the request runs.
 func (n *naive) denied(o *Order, denied bool) {
 	if len(n.waiting) == 0 {
 		return
@@ -172,7 +185,8 @@
 	n.running = append(n.running, w.Request)
 }
 
-// end finishes the first running request, and says so twice.
+// end ends the first running request. The end is reported twice, and the second
+// report must have no effect.
 func (n *naive) end(o *Order, how kernel.Step) {
 	if len(n.running) == 0 {
 		return
@@ -183,6 +197,9 @@
 	o.Observe(r, kernel.Record{Step: how})
 }
 
+// TestServicesAreCountedApart checks that a call to a plain service does not count
+// towards the workspace's share of the model engines: workspace a still comes
+// before b.
 func TestServicesAreCountedApart(t *testing.T) {
 	o, _ := newOrder()
 	call := plugintest.Request("call")
@@ -196,6 +213,8 @@
 	assert.DeepEqual(t, ids(o), []ident.RequestID{"a1", "b1"})
 }
 
+// TestStopsWhenAsked checks that an iteration can be ended early and that the next
+// one starts again with all requests.
 func TestStopsWhenAsked(t *testing.T) {
 	o, _ := newOrder()
 	for i := range 3 {
@@ -208,7 +227,7 @@
 	assert.Equal(t, len(ids(o)), 3)
 }
 
-// TestDueOrder checks the queue inside a workspace against sorting.
+// TestDueOrder compares the order of due.Queue with that of a sorted slice.
 func TestDueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q due.Queue
--- a/plugins/order/internal/maxmin/turns.go
+++ b/plugins/order/internal/maxmin/turns.go
@@ -8,7 +8,8 @@
 	"github.com/wardspool/wardspool/plugins/order/internal/due"
 )
 
-// busy lists the workspaces that have requests waiting, in no particular order.
+// busy is the list of workspaces that have requests waiting, in no particular
+// order.
 type busy []*space
 
 // add appends a workspace.
@@ -17,7 +18,7 @@
 	*b = append(*b, s)
 }
 
-// remove takes a workspace out.
+// remove deletes a workspace by moving the last one to its index.
 func (b *busy) remove(s *space) {
 	last := len(*b) - 1
 	moved := (*b)[last]
@@ -27,40 +28,48 @@
 	*b = (*b)[:last]
 }
 
-// class ranks requests above the shares of their workspaces.
+// class is the priority of a request. It takes precedence over the shares of the
+// workspaces; lower values are served first.
 type class int
 
 const (
-	// resumed requests come first: their callers' streams stand still, and the
-	// work done so far would be lost.
+	// resumed requests come first: their callers' streams are interrupted, and
+	// the work done so far would be lost.
 	resumed class = iota
+	// intime requests can still meet their target for the first output.
 	intime
-	// late requests can gain nothing for themselves, and cost others.
+	// late requests come last: they have already missed their target, and serving
+	// them earlier would only delay others.
 	late
 )
 
-// turn is a workspace's place in an iteration.
+// turn is the position of one workspace in an iteration over the queue.
 type turn struct {
 	space *space
-	late  due.Span
-	// taken counts the requests taken, and share includes these.
+	// late is the range of late requests in the workspace's queue.
+	late due.Span
+	// taken is the number of requests returned so far. share is the workspace's
+	// share including these requests.
 	taken int
 	share float64
-	// head is the next request; class and due are its own.
+	// head is the next request to return; class and due belong to it.
 	head  *kernel.Waiting
 	class class
 	due   time.Time
 }
 
-// turns takes the workspaces' requests in turn for one iteration, as if each
-// were placed when it is taken.
+// turns iterates over the waiting requests of all workspaces, as if each request
+// were placed when it is returned. It is a heap of the workspaces by the order in
+// which they are served. The memory is reused by later iterations.
 type turns struct {
-	now   time.Time
+	now time.Time
+	// queue is the heap.
 	queue []*turn
+	// spare has unused turns for reuse.
 	spare []*turn
 }
 
-// begin prepares an iteration.
+// begin starts an iteration over the requests that are waiting in o.
 func (t *turns) begin(o *Order) {
 	t.now = o.host.Now()
 	t.spare = append(t.spare, t.queue...)
@@ -74,7 +83,7 @@
 	heap.Init(t)
 }
 
-// take returns a turn for use.
+// take returns an unused turn, and allocates one only if there is none.
 func (t *turns) take() *turn {
 	last := len(t.spare) - 1
 	if last < 0 {
@@ -85,7 +94,7 @@
 	return x
 }
 
-// next takes the next request, nil when there is none.
+// next returns the next request to be served, or nil if there are no more.
 func (t *turns) next(o *Order) *kernel.Waiting {
 	if len(t.queue) == 0 {
 		return nil
@@ -103,7 +112,7 @@
 	return w
 }
 
-// advance makes the workspace's next request its head.
+// advance sets head to the workspace's next request.
 func (x *turn) advance(now time.Time) {
 	x.head = x.space.queue.At(x.taken, x.late)
 	x.due = due.Time(x.head)
@@ -116,7 +125,8 @@
 	}
 }
 
-// before orders the turns. The keys differ, so that the order is total and equal events give equal orders.
+// before reports whether x is served before y. The keys are unique, so the order is
+// total, and the same sequence of events always gives the same order.
 func (x *turn) before(y *turn) bool {
 	if x.class != y.class {
 		return x.class < y.class
--- a/plugins/order/tsf/tsf.go
+++ b/plugins/order/tsf/tsf.go
@@ -1,11 +1,12 @@
 // Package tsf orders workspaces by task share fairness (W. Wang, B. Li, B. Liang
 // and J. Li, "Towards Multi-Resource Fair Allocation with Placement
-// Constraints", SIGMETRICS 2016, doi:10.1145/2896377.2901493): the workspace
-// whose running requests are the smallest share of those it could run if it had
-// all engines to itself, and could use each of them, is served first.
+// Constraints", SIGMETRICS 2016, doi:10.1145/2896377.2901493). The task share of
+// a workspace is the number of its running requests divided by the number that
+// it could run if it had all engines to itself and could use each of them. The
+// workspace with the smallest task share is served first.
 //
 // The resources are decode slots, KV memory and prefill time.
-// docs/design/fairness.md weighs it against the alternatives.
+// docs/design/fairness.md compares this policy with the alternatives.
 package tsf
 
 import (
@@ -18,10 +19,10 @@
 )
 
 const (
-	// learning is the weight of the newest request in the mean time for which a
-	// workspace's requests hold their slots.
+	// learning is the weight of the newest request in the moving average of the
+	// time for which a workspace's requests hold their slots.
 	learning = 0.1
-	// maxLearned bounds the workspaces whose mean is kept.
+	// maxLearned limits the number of workspaces whose average is stored.
 	maxLearned = 8192
 )
 
@@ -29,16 +30,19 @@
 type Order struct {
 	maxmin.Order
 	host kernel.Host
-	// engines is what all engines have together.
+	// engines is the total of the resources of all engines.
 	engines engines
-	// holding is how long a workspace's requests hold their slots, in seconds.
+	// holding is the moving average of the time, in seconds, for which a
+	// workspace's requests hold their slots.
 	holding map[ident.Workspace]float64
 }
 
-// engines sums up the engines' resources.
+// engines is the total of the resources of all engines.
 type engines struct {
+	// slots is the number of decode slots, and pieces the KV memory of the decode
+	// engines in pieces.
 	slots, pieces float64
-	// promptRate is in tokens a second.
+	// promptRate is the prefill rate in prompt tokens per second.
 	promptRate float64
 }
 
@@ -51,7 +55,7 @@
 	o.Order.Attach(h)
 }
 
-// Configure implements kernel.Configurer.
+// Configure implements kernel.Configurer. It adds up the engines' resources.
 func (o *Order) Configure(c *config.Content) {
 	o.Order.Configure(c)
 	o.engines = engines{}
@@ -67,8 +71,10 @@
 	}
 }
 
-// share is the request's share of the resource of which it needs most: one over
-// the number of its like that all engines could run at once.
+// share returns the request's dominant share, that is its share of the resource
+// of which it needs the largest share. This is 1 divided by the number of such
+// requests that all engines together could run at once. Each call to a plain
+// service counts as 1.
 func (o *Order) share(r *kernel.Request) float64 {
 	if r.Route == config.RouteService {
 		return 1
@@ -76,6 +82,7 @@
 	return max(o.slotShare(), o.memoryShare(r), o.promptShare(r))
 }
 
+// slotShare returns the share that one request takes of the decode slots.
 func (o *Order) slotShare() float64 {
 	if o.engines.slots <= 0 {
 		return 0
@@ -83,6 +90,8 @@
 	return 1 / o.engines.slots
 }
 
+// memoryShare returns the share that the request takes of the KV memory of all
+// decode engines, or 0 if the model is not known.
 func (o *Order) memoryShare(r *kernel.Request) float64 {
 	m := o.host.Model(r.Model)
 	if m == nil || o.engines.pieces <= 0 {
@@ -91,8 +100,9 @@
 	return float64(r.Pieces(m.PieceTokens)) / o.engines.pieces
 }
 
-// promptShare is the share of the prompt rate that the request takes up, on
-// average over the time for which it is counted.
+// promptShare returns the share that the request takes of the prefill rate,
+// averaged over the time for which requests of its workspace hold their slots. It
+// is 0 until a request of the workspace has completed.
 func (o *Order) promptShare(r *kernel.Request) float64 {
 	holding := o.holding[r.Workspace]
 	if holding <= 0 || o.engines.promptRate <= 0 {
@@ -102,7 +112,8 @@
 	return min(rate/o.engines.promptRate, 1)
 }
 
-// learn notes for how long a request held its slot.
+// learn updates the workspace's average with the time for which a request held its
+// slot. At maxLearned workspaces it discards all averages.
 func (o *Order) learn(r *kernel.Request, held time.Duration) {
 	if r.Route == config.RouteService {
 		return
--- a/plugins/order/tsf/tsf_test.go
+++ b/plugins/order/tsf/tsf_test.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// TestShare checks which resource counts, for engines with 40 slots, 240
-// pieces and 20,000 prompt tokens a second.
+// TestShare checks which resource determines the share, for engines with a total
+// of 40 slots, 240 pieces of KV memory and 20,000 prompt tokens per second.
 func TestShare(t *testing.T) {
 	host := plugintest.NewHost(&kernel.View{})
 	var content config.Content
@@ -26,7 +26,8 @@
 	tests := []struct {
 		name           string
 		prompt, output int
-		// held is for how long an earlier request held its slot.
+		// held is the time for which an earlier request held its slot; 0 means
+		// that there was none.
 		held time.Duration
 		want float64
 	}{
@@ -53,6 +54,8 @@
 	}
 }
 
+// TestWithoutBundle checks that the share is 0, and nothing is divided by 0, before
+// the first bundle is in force.
 func TestWithoutBundle(t *testing.T) {
 	o := &Order{}
 	o.Attach(plugintest.NewHost(&kernel.View{}))
--- a/plugins/scorer/bench_test.go
+++ b/plugins/scorer/bench_test.go
@@ -1,5 +1,5 @@
-// Package scorer_test measures the cost of a whole decision with the standard
-// filters and scorers.
+// Package scorer_test measures the time and the allocations of a complete
+// placement decision with the standard filters and scorers.
 package scorer_test
 
 import (
@@ -22,10 +22,11 @@
 	"github.com/wardspool/wardspool/plugins/scorer/zone"
 )
 
-// top is how many engines of each role are paired.
+// top is the number of lowest-cost engines of each role that are combined into
+// pairs.
 const top = 4
 
-// search is a plain form of the kernel's candidate search.
+// search is a simplified copy of the kernel's candidate search.
 type search struct {
 	filters  []kernel.Filter
 	scorers  []kernel.Scorer
@@ -34,11 +35,14 @@
 	byRole   map[config.Role][]int
 }
 
+// candidate is an upstream and its cost in one role.
 type candidate struct {
 	u    *kernel.Upstream
 	cost float64
 }
 
+// run returns the prefill and decode engine of the pair with the lowest total
+// cost.
 func (s *search) run(d *kernel.Decision) (p, q *kernel.Upstream) {
 	s.prefills = s.rate(s.prefills[:0], d, config.RolePrefill)
 	s.decodes = s.rate(s.decodes[:0], d, config.RoleDecode)
@@ -57,7 +61,8 @@
 	return p, q
 }
 
-// rate keeps the cheapest engines of a role.
+// rate computes the cost of the engines that run in the role want and pass all
+// filters, and returns best with the engines of lowest cost, in ascending order.
 func (s *search) rate(best []candidate, d *kernel.Decision, want config.Role) []candidate {
 	for _, i := range s.byRole[want] {
 		u := &d.View.Upstreams[i]
@@ -77,6 +82,7 @@
 	return best
 }
 
+// keep reports whether u passes all filters for the role want.
 func (s *search) keep(d *kernel.Decision, u *kernel.Upstream, want config.Role) bool {
 	for _, f := range s.filters {
 		if !f.Keep(d, u, want) {
@@ -86,6 +92,7 @@
 	return true
 }
 
+// insert adds c to best, which is sorted by cost and holds at most top candidates.
 func insert(best []candidate, c candidate) []candidate {
 	if len(best) == top && best[top-1].cost <= c.cost {
 		return best
--- a/plugins/scorer/firstoutput/firstoutput.go
+++ b/plugins/scorer/firstoutput/firstoutput.go
@@ -1,6 +1,7 @@
-// Package firstoutput rates a placement by its expected time to first output:
-// the queue at the prefill engine, the uncached part of the prompt, the KV
-// transfer behind those already on the links, and the wait for a decode slot.
+// Package firstoutput scores a placement by its expected time to first output.
+// This covers the queue at the prefill engine, the computation of the uncached
+// part of the prompt, the KV cache transfer after the transfers that are already
+// on the links, and the wait for a decode slot.
 package firstoutput
 
 import (
@@ -11,13 +12,15 @@
 	"github.com/wardspool/wardspool/kernel/table"
 )
 
-// memoryWait is the cost, in seconds, of a decode engine whose KV memory is
-// too full for the request: it must wait for others to finish.
+// memoryWait is the assumed wait, in seconds, at a decode engine that has too
+// little free KV memory for the request, so that other requests must finish
+// first.
 const memoryWait = 1.0
 
-// Scorer implements kernel.Scorer. The parts overlap: a slot may fall free
-// while the prompt is computed. Prefill and Decode give each part in full and
-// Pair takes back what they have in common, so that the sum is
+// Scorer implements kernel.Scorer. The parts of the time to first output overlap:
+// a slot may become free while the prompt is computed. Prefill and Decode return
+// the full time of their part, and Pair subtracts the overlap, so that the sum of
+// the three is
 //
 //	max(prefill end + transfer, slot wait).
 type Scorer struct {
@@ -29,7 +32,8 @@
 // Attach implements kernel.Attacher.
 func (s *Scorer) Attach(h kernel.Host) { s.host = h }
 
-// Prefill implements kernel.Scorer: the queue and the prompt's computation.
+// Prefill implements kernel.Scorer. The cost, in seconds, is the time until u has
+// worked through its queue and computed the uncached part of the prompt.
 func (s *Scorer) Prefill(d *kernel.Decision, u *kernel.Upstream) float64 {
 	rate := u.Spec.PrefillTokensPerSecond
 	if rate <= 0 {
@@ -42,8 +46,8 @@
 	return end
 }
 
-// Decode implements kernel.Scorer: the wait for a slot, or for a plain service
-// the wait for those ahead.
+// Decode implements kernel.Scorer. The cost, in seconds, is the wait for a decode
+// slot, or for a plain service the wait for the calls that are ahead.
 func (s *Scorer) Decode(d *kernel.Decision, u *kernel.Upstream) float64 {
 	if u.Spec.Role == config.RoleService {
 		return s.calls.cost(d, u)
@@ -51,8 +55,9 @@
 	return slotWait(d, u)
 }
 
-// Pair implements kernel.Scorer: the transfer of the KV cache, less what the
-// waits have in common.
+// Pair implements kernel.Scorer. The cost, in seconds, is the time for the
+// transfer of the KV cache minus the overlap of the prefill time and the slot
+// wait. It may be negative.
 func (s *Scorer) Pair(d *kernel.Decision, prefill, decode *kernel.Upstream) float64 {
 	from := s.links.At(prefill)
 	to := s.links.At(decode)
@@ -66,7 +71,7 @@
 	return max(arrived, slot) - end - slot
 }
 
-// slotWait is the expected wait for a slot and memory on u, in seconds.
+// slotWait returns the expected wait, in seconds, for a slot and KV memory on u.
 func slotWait(d *kernel.Decision, u *kernel.Upstream) float64 {
 	wait := 0.0
 	if d.Slots != nil {
@@ -81,7 +86,8 @@
 	return wait
 }
 
-// fits reports whether u has KV memory for the request, as far as is known.
+// fits reports whether u has enough free KV memory for the request. It returns
+// true if the model or the engine's memory size is not known.
 func fits(d *kernel.Decision, u *kernel.Upstream) bool {
 	if d.Model == nil || u.Spec.Pieces <= 0 {
 		return true
@@ -90,8 +96,8 @@
 	return used+d.Request.Pieces(d.Model.PieceTokens) <= u.Spec.Pieces
 }
 
-// transfer is the time to move the prompt's KV cache over idle links, in
-// seconds.
+// transfer returns the time, in seconds, to transfer the prompt's KV cache over
+// idle links, or 0 if the model is not known.
 func transfer(d *kernel.Decision, from, to *kernel.Upstream) float64 {
 	if d.Model == nil {
 		return 0
@@ -100,15 +106,18 @@
 }
 
 const (
-	// slowStart is how long an upstream that came back is given work gradually.
+	// slowStart is the period during which the load on an upstream that has
+	// returned to service is increased gradually.
 	slowStart = 10 * time.Second
-	// rampStep is by how much each request already there makes the next one
-	// seem longer, at the beginning of the slow start.
+	// rampStep is the amount by which each of this instance's requests at the
+	// upstream raises the cost factor of the next one at the beginning of the
+	// slow start.
 	rampStep = 2.0
 )
 
-// ramp is the factor by which work for u is overrated during its slow start.
-// The first request is not held back, so that an idle upstream gets its share.
+// ramp returns the factor by which the cost of work on u is multiplied. It is
+// above 1 during the slow start of u and falls linearly to 1 at its end. It is 1
+// for the first request, so that an idle upstream still receives requests.
 func ramp(u *kernel.Upstream, now time.Time) float64 {
 	if u.Own.Requests == 0 {
 		return 1
--- a/plugins/scorer/firstoutput/firstoutput_test.go
+++ b/plugins/scorer/firstoutput/firstoutput_test.go
@@ -15,7 +15,8 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// setup returns a scorer, a decision and the first prefill and decode engine.
+// setup returns a scorer, a decision, and the first prefill engine and the first
+// decode engine of its view.
 func setup() (*Scorer, *kernel.Decision, *kernel.Upstream, *kernel.Upstream) {
 	v := plugintest.View(6, 2)
 	s := &Scorer{}
@@ -24,18 +25,20 @@
 	return s, d, &v.Upstreams[0], &v.Upstreams[1]
 }
 
-// total is the whole cost of a placement.
+// total returns the total cost of a placement, in seconds.
 func total(s *Scorer, d *kernel.Decision, p, q *kernel.Upstream) float64 {
 	return s.Prefill(d, p) + s.Decode(d, q) + s.Pair(d, p, q)
 }
 
-// about compares with a tolerance for rounding to nanoseconds.
+// about asserts that got equals want, with a tolerance for durations that are
+// rounded to nanoseconds.
 func about(t *testing.T, got, want float64) {
 	t.Helper()
 	assert.Assert(t, math.Abs(got-want) < 1e-6, "got %v, want %v", got, want)
 }
 
-// slots is a slot policy of which only Availability is used.
+// slots is a slot policy that returns the same availability for all upstreams.
+// Its other methods must not be called.
 type slots struct {
 	kernel.SlotPolicy
 	answer kernel.Availability
@@ -43,15 +46,18 @@
 
 func (s slots) Availability(*kernel.Upstream) kernel.Availability { return s.answer }
 
-// fixedPrefix answers the same for all engines.
+// fixedPrefix is a prefix index that returns the same number of cached blocks for
+// all engines.
 type fixedPrefix int
 
 func (f fixedPrefix) CachedBlocks(*kernel.Upstream, []uint64) int { return int(f) }
 
-// An idle pair takes 5,000 tokens / 20,000 per second and 0.5 GB / 5 GB per
+// idle is the time to first output on an idle pair of engines, in seconds: 5,000
+// prompt tokens at 20,000 tokens per second, and 0.5 GB of KV cache at 5 GB per
 // second.
 const idle = 0.25 + 0.1
 
+// TestCost checks the total cost of a placement for each of its parts.
 func TestCost(t *testing.T) {
 	full := func(wait time.Duration) slots {
 		return slots{answer: kernel.Availability{NextFree: wait}}
@@ -102,8 +108,9 @@
 	}
 }
 
-// TestTotalIsTheLongerWay checks the sum against its definition, and that Pair
-// does not depend on which engine was rated last.
+// TestTotalIsTheLongerWay checks that the total cost is the larger of the prefill
+// end plus transfer and the slot wait, and that Pair returns the same after
+// Prefill was called for another request.
 func TestTotalIsTheLongerWay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, d, p, q := setup()
@@ -121,6 +128,9 @@
 	})
 }
 
+// TestSlowStart checks that the cost at an upstream that has just returned to
+// service is raised for the second request but not for the first, and that it is
+// normal again after the slow start.
 func TestSlowStart(t *testing.T) {
 	s, d, p, _ := setup()
 	p.Health.BackSince = d.Now
@@ -133,6 +143,8 @@
 	about(t, s.Prefill(d, p), 2*first)
 }
 
+// TestServiceCalls checks that the cost at a plain service's upstream follows the
+// durations of completed calls only.
 func TestServiceCalls(t *testing.T) {
 	u := plugintest.Runner(0)
 	u.Load.Slots = 4
@@ -154,7 +166,7 @@
 	s.Observe(r, kernel.Record{Time: began.Add(2 * time.Second), Step: kernel.StepCompleted})
 	about(t, s.Decode(d, &v.Upstreams[0]), before*2/firstGuess)
 
-	// What was retried or given up teaches nothing and is forgotten.
+	// A call that failed does not change the average and is no longer stored.
 	s.Observe(r, kernel.Record{Time: began, Step: kernel.StepCalled})
 	s.Observe(r, kernel.Record{Time: began.Add(time.Hour), Step: kernel.StepFailed})
 	s.Observe(r, kernel.Record{Time: began.Add(time.Hour), Step: kernel.StepCompleted})
--- a/plugins/scorer/firstoutput/link.go
+++ b/plugins/scorer/firstoutput/link.go
@@ -6,38 +6,42 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// link is what this instance has put on an engine's KV transfer link, and the
-// engine's prefill time in the decision at hand.
+// link is the state that is kept for one engine: the bytes of this instance's
+// requests that are still to be transferred over the engine's KV transfer link,
+// and the prefill end of the current decision.
 type link struct {
-	// bytes were still to be transferred at the time at.
+	// bytes is the number of bytes that were still to be transferred at the
+	// time at.
 	bytes float64
 	at    time.Time
-	// end is what Prefill gave for request at the time now.
+	// end is the result of Prefill for request at the time now, in seconds.
 	request *kernel.Request
 	now     time.Time
 	end     float64
 }
 
-// remember keeps the prefill's end for Pair, which is called for many decode
-// engines with the same prefill engine.
+// remember caches the prefill end, in seconds, of the decision. Pair needs it for
+// many decode engines with the same prefill engine.
 func (l *link) remember(d *kernel.Decision, end float64) {
 	l.request = d.Request
 	l.now = d.Now
 	l.end = end
 }
 
-// recall returns what remember kept for the decision, if it was the last.
+// recall returns the cached prefill end, in seconds. The second result is false
+// if the cached value belongs to another decision.
 func (l *link) recall(d *kernel.Decision) (float64, bool) {
 	return l.end, l.request == d.Request && l.now == d.Now
 }
 
-// add puts a transfer on u's link.
+// add adds a transfer of the given number of bytes to u's link.
 func (l *link) add(u *kernel.Upstream, bytes float64, now time.Time) {
 	l.bytes = l.left(u, now) + bytes
 	l.at = now
 }
 
-// left is the number of bytes not yet transferred.
+// left returns the number of bytes that are still to be transferred at the time
+// now, assuming that the link has transferred at its full rate.
 func (l *link) left(u *kernel.Upstream, now time.Time) float64 {
 	if l.bytes == 0 {
 		return 0
@@ -46,7 +50,8 @@
 	return max(l.bytes-passed*u.Spec.LinkBytesPerSecond, 0)
 }
 
-// wait is the time until u's link is idle, in seconds.
+// wait returns the time, in seconds, until u's link is idle. It is 0 if the link's
+// rate is not known.
 func (l *link) wait(u *kernel.Upstream, now time.Time) float64 {
 	rate := u.Spec.LinkBytesPerSecond
 	if l.bytes == 0 || rate <= 0 {
@@ -55,10 +60,11 @@
 	return l.left(u, now) / rate
 }
 
-// Observe implements kernel.Observer. A placement puts the prompt's KV cache on
-// both links; they drain at their rates from then on. That is too early by the
-// prefill's time, for which Pair makes up: a transfer cannot begin before its
-// prefill ends either.
+// Observe implements kernel.Observer. A placement adds the prompt's KV cache to
+// the links of both engines, which are assumed to transfer it from that time on.
+// This is too early by the duration of the prefill. Pair compensates for it: it
+// lets a transfer start only when both the links are idle and its own prefill has
+// ended.
 func (s *Scorer) Observe(r *kernel.Request, rec kernel.Record) {
 	s.calls.observe(r, rec)
 	if rec.Step != kernel.StepPlaced {
--- a/plugins/scorer/firstoutput/service.go
+++ b/plugins/scorer/firstoutput/service.go
@@ -8,25 +8,29 @@
 )
 
 const (
-	// firstGuess is a call's time before any was seen, in seconds.
+	// firstGuess is the assumed duration of a call, in seconds, to a service of
+	// which no call has completed yet.
 	firstGuess = 0.02
-	// learning is the weight of the newest call in the mean.
+	// learning is the weight of the newest call in the moving average.
 	learning = 0.1
-	// balance is the cost of an occupied place, as a share of a call's time. It
-	// spreads calls while no one has to wait yet.
+	// balance is the cost of one occupied slot, as a fraction of a call's
+	// duration. It spreads calls over the upstreams while no call has to wait.
 	balance = 0.1
-	// maxCalls bounds the calls whose start is remembered.
+	// maxCalls limits the number of calls whose start time is stored.
 	maxCalls = 1 << 16
 )
 
-// services learns how long calls of plain services take.
+// services measures the durations of calls to plain services.
 type services struct {
+	// started is the start time of each call in progress.
 	started map[ident.RequestID]time.Time
-	// mean is the mean time of a call by service, in seconds.
+	// mean is the exponential moving average of the call duration, in seconds,
+	// by service.
 	mean map[string]float64
 }
 
-// cost is the expected wait at u, in seconds, for those ahead.
+// cost returns the expected wait at u, in seconds, for the calls that are ahead,
+// plus a small amount for each occupied slot.
 func (s *services) cost(d *kernel.Decision, u *kernel.Upstream) float64 {
 	mean, ok := s.mean[d.Request.Service]
 	if !ok {
@@ -39,7 +43,8 @@
 	return mean * (queued + balance*ahead) / places
 }
 
-// observe follows calls from start to end.
+// observe records the start and the completion of calls. Calls that end in any
+// other way are not measured.
 func (s *services) observe(r *kernel.Request, rec kernel.Record) {
 	switch rec.Step {
 	case kernel.StepCalled:
@@ -51,7 +56,8 @@
 	}
 }
 
-// start notes a call's start.
+// start stores the start time of a call. At maxCalls it discards all stored times,
+// so that calls of which no end is observed cannot fill the memory.
 func (s *services) start(r *kernel.Request, now time.Time) {
 	if s.started == nil || len(s.started) >= maxCalls {
 		s.started = map[ident.RequestID]time.Time{}
@@ -59,7 +65,8 @@
 	s.started[r.ID] = now
 }
 
-// completed learns from a call's time.
+// completed adds the duration of a completed call to the moving average of its
+// service.
 func (s *services) completed(r *kernel.Request, now time.Time) {
 	began, ok := s.started[r.ID]
 	if !ok {
--- a/plugins/scorer/pace/pace.go
+++ b/plugins/scorer/pace/pace.go
@@ -1,5 +1,5 @@
-// Package pace rates a decode engine by how far one more request would slow
-// its requests down.
+// Package pace scores a decode engine by how much one more request would slow
+// down the token output of the requests that run on it.
 package pace
 
 import (
@@ -10,23 +10,25 @@
 )
 
 const (
-	// maxTokens bounds the output length that is counted with, so that an
-	// overstated one cannot outweigh the time to first output.
+	// maxTokens limits the output length, in tokens, that is used for the cost,
+	// so that an overstated length cannot outweigh the time to first output.
 	maxTokens = 500
-	// left is the share of their output that the requests already running have
-	// before them, on average.
+	// left is the average fraction of its output that a running request still
+	// has to produce.
 	left = 0.5
-	// balance is the cost of a slowdown that leaves all within their targets, as
-	// a share of the time lost. It prefers emptier engines.
+	// balance is the weight of a slowdown that keeps all requests within their
+	// targets, as a fraction of the time lost. It favours less loaded engines.
 	balance = 0.02
 )
 
-// Scorer implements kernel.Scorer.
+// Scorer implements kernel.Scorer. Only decode placements have a cost.
 type Scorer struct{ kernel.NoCost }
 
-// Decode implements kernel.Scorer. The cost is the time by which outputs exceed
-// their target pace, summed over the request's own output and the rest of the
-// outputs already running, which are taken to have the same target.
+// Decode implements kernel.Scorer. The cost, in seconds, is the time by which
+// outputs take longer than their target time per output token allows. It is the
+// sum over the request's own output and the remaining outputs of the requests
+// that already run on u, which are assumed to have the same target and length.
+// Upstreams that are not decode engines cost 0.
 func (*Scorer) Decode(d *kernel.Decision, u *kernel.Upstream) float64 {
 	if u.Spec.Role != config.RoleDecode {
 		return 0
@@ -46,5 +48,6 @@
 	return tokens * (own + harm + balance*others*step)
 }
 
-// seconds is Duration.Seconds without its division; decisions call it often.
+// seconds returns d in seconds. It multiplies where Duration.Seconds divides,
+// because it is called many times in each decision.
 func seconds(d time.Duration) float64 { return float64(d) * 1e-9 }
--- a/plugins/scorer/pace/pace_test.go
+++ b/plugins/scorer/pace/pace_test.go
@@ -13,7 +13,8 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// cost rates an engine on which the given number of requests run.
+// cost returns the cost of placing a request with the given target and output
+// length on an engine that already runs the given number of requests.
 func cost(running int, target time.Duration, tokens int) float64 {
 	u := plugintest.Decode(0)
 	u.Load.Running = running
@@ -23,16 +24,21 @@
 	return (&Scorer{}).Decode(plugintest.Decision(r, &kernel.View{}), &u)
 }
 
+// TestDecode checks the cost around the load at which the target is missed, the
+// limit on the output length, and that upstreams of plain services cost 0.
 func TestDecode(t *testing.T) {
 	const target = 25 * time.Millisecond
 	assert.Equal(t, cost(0, target, 400), 0.0)
-	// The eleventh request runs at 25 ms, the twelfth would be too slow.
+	// With eleven requests a token takes 25 ms, which meets the target. With
+	// twelve it takes 25.5 ms, which misses it.
 	within := cost(10, target, 400)
 	missed := cost(11, target, 400)
 	assert.Assert(t, within < 0.1)
-	// Its own 400 tokens are 0.5 ms late, and half of those of eleven others.
+	// Each of the request's 400 tokens is 0.5 ms late, and so is each of the
+	// remaining 200 tokens of the eleven other requests.
 	assert.Assert(t, missed > 0.2+1.1)
-	// What others lose counts also where they were late before.
+	// A slowdown of the other requests also counts if they already missed their
+	// target.
 	assert.Assert(t, cost(15, target, 400) > missed)
 	assert.Equal(t, cost(11, target, 1_000_000), cost(11, target, maxTokens))
 	service := plugintest.Runner(0)
@@ -40,7 +46,8 @@
 	assert.Equal(t, (&Scorer{}).Decode(d, &service), 0.0)
 }
 
-// TestMoreLoadNeverCostsLess holds for any target and length.
+// TestMoreLoadNeverCostsLess checks, for random targets and output lengths, that
+// the cost does not fall when the engine runs one more request.
 func TestMoreLoadNeverCostsLess(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		running := rapid.IntRange(0, 30).Draw(t, "running")
--- a/plugins/scorer/prefix/counter.go
+++ b/plugins/scorer/prefix/counter.go
@@ -5,21 +5,23 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// counter counts the prefill engines of each model, anew for each view and
-// bundle version.
+// counter counts the prefill engines of each model. The counts are cached and
+// recomputed when the view's version or the bundle changes.
 type counter struct {
 	version uint64
-	// model and engines are the last answer; the calls for one decision all ask
-	// for the same model.
+	// model and engines cache the most recent lookup, because all calls for one
+	// decision are about the same model.
 	model   string
 	engines int
 	byModel map[string]int
 }
 
-// Configure implements kernel.Configurer: a bundle may change what engines run.
+// Configure implements kernel.Configurer. It discards the counts, because a new
+// bundle may change the roles and models of engines.
 func (s *Scorer) Configure(*config.Content) { s.count = counter{} }
 
-// of returns the number of engines among which the decision's model has homes.
+// of returns the number of prefill engines that serve the decision's model. The
+// homes of the model's prefixes are chosen from these engines.
 func (c *counter) of(d *kernel.Decision) int {
 	if c.byModel == nil || c.version != d.View.Version {
 		c.recount(d.View)
@@ -31,7 +33,8 @@
 	return c.engines
 }
 
-// recount counts anew.
+// recount counts the view's prefill engines by model. It leaves out engines that
+// are leaving, unreachable or dead.
 func (c *counter) recount(v *kernel.View) {
 	*c = counter{version: v.Version, byModel: map[string]int{}}
 	for i := range v.Upstreams {
--- a/plugins/scorer/prefix/prefix.go
+++ b/plugins/scorer/prefix/prefix.go
@@ -1,10 +1,11 @@
-// Package prefix gives each prompt prefix a home among the prefill engines, so
-// that instances which exchange no messages send equal prefixes to the same
-// engine and it is computed once.
+// Package prefix assigns each prompt prefix a home among the prefill engines by
+// rendezvous hashing. Instances therefore send equal prefixes to the same engine
+// without exchanging messages, and a prefix is computed only once.
 //
-// What a cached prefix saves now is counted by scorer.first_output; this scorer
-// counts what a further copy costs later: engine memory taken from other
-// prefixes, and the copy's own computation.
+// scorer.first_output accounts for the time that a cached prefix saves for the
+// current request. This scorer accounts for the later cost of one more copy: the
+// engine memory that it takes from other prefixes and the computation of the
+// copy itself.
 package prefix
 
 import (
@@ -15,24 +16,27 @@
 )
 
 const (
-	// keyBlocks is how many leading blocks choose the home. More would scatter
-	// prompts that share a long beginning.
+	// keyBlocks is the number of leading blocks that determine the home. With
+	// more blocks, prompts that share a long prefix would be spread over
+	// several engines.
 	keyBlocks = 2
-	// worth is the value of the home, as a share of the time to compute the key
-	// blocks. Below 1, so that queueing for the home never costs more than
-	// computing the prefix elsewhere.
+	// worth is the value of placing a request at the home, as a fraction of the
+	// time to compute the key blocks. It is below 1 so that waiting in the
+	// home's queue never costs more than computing the prefix elsewhere.
 	worth = 0.5
 )
 
-// Scorer implements kernel.Scorer.
+// Scorer implements kernel.Scorer. Only prefill placements have a cost.
 type Scorer struct {
 	kernel.NoCost
+	// hashes caches the hash of each upstream's ID; 0 means not computed yet.
 	hashes table.Table[uint64]
 	count  counter
 }
 
-// Prefill implements kernel.Scorer: nothing where the prefix is cached already,
-// else the more the further u is from being the prefix's home.
+// Prefill implements kernel.Scorer. The cost, in seconds, is 0 if u has the
+// prefix in its cache. Otherwise it grows with the number of engines that are
+// expected to rank before u as the prefix's home.
 func (s *Scorer) Prefill(d *kernel.Decision, u *kernel.Upstream) float64 {
 	blocks := d.Request.Blocks
 	rate := u.Spec.PrefillTokensPerSecond
@@ -48,8 +52,9 @@
 	return value * before / (before + 1)
 }
 
-// expectedBefore is how many engines are expected to have a higher rendezvous
-// hash than u. It orders the engines as exact ranks would, without sorting.
+// expectedBefore returns the expected number of engines whose rendezvous hash
+// for the key is higher than that of u. It orders the engines in the same way as
+// their exact ranks, without sorting them.
 func (s *Scorer) expectedBefore(d *kernel.Decision, u *kernel.Upstream, key uint64) float64 {
 	h := s.hashes.At(u)
 	if *h == 0 {
@@ -59,7 +64,7 @@
 	return max(others, 0) * (1 - unit(mix(*h^key)))
 }
 
-// mix scrambles x; it is the finalizer of SplitMix64.
+// mix is the finalizer of SplitMix64, a hash function for integers.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -68,5 +73,5 @@
 	return x ^ x>>31
 }
 
-// unit maps x evenly to [0, 1).
+// unit maps x uniformly to [0, 1).
 func unit(x uint64) float64 { return float64(x>>11) / (1 << 53) }
--- a/plugins/scorer/prefix/prefix_test.go
+++ b/plugins/scorer/prefix/prefix_test.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// best returns the cheapest prefill engine of the decision's view.
+// best returns the prefill engine with the lowest cost in the decision's view.
 func best(s *Scorer, d *kernel.Decision) *kernel.Upstream {
 	var found *kernel.Upstream
 	least := math.Inf(1)
@@ -27,15 +27,16 @@
 	return found
 }
 
-// decision returns a decision about a prompt with the given blocks.
+// decision returns a decision for a prompt with the given block hashes.
 func decision(v *kernel.View, blocks ...uint64) *kernel.Decision {
 	r := plugintest.Request("r")
 	r.Blocks = blocks
 	return plugintest.Decision(r, v)
 }
 
-// TestInstancesAgree: two instances whose views list the engines in different
-// order send equal beginnings to the same engine.
+// TestInstancesAgree checks that two instances whose views list the engines in
+// different orders send equal prefixes to the same engine, and that the prefixes
+// are spread over all engines.
 func TestInstancesAgree(t *testing.T) {
 	a := plugintest.View(60, 2)
 	b := plugintest.View(60, 2)
@@ -52,14 +53,16 @@
 		assert.Equal(t, home.ID, best(&Scorer{}, decision(b, 77, key, 2, 3)).ID)
 		homes[string(home.ID)]++
 	}
-	// 1,000 prefixes over 20 engines: 50 each, with a spread of about 7.
+	// 1,000 prefixes over 20 engines are 50 for each engine on average, with a
+	// standard deviation of about 7.
 	assert.Equal(t, len(homes), 20)
 	for id, count := range homes {
-		assert.Assert(t, count > 15 && count < 85, "%s has %d", id, count)
+		assert.Assert(t, count > 15 && count < 85, "engine %s is the home of %d prefixes", id, count)
 	}
 }
 
-// TestFewMove: when one engine of twenty leaves, only its prefixes move.
+// TestFewMove checks that only the prefixes of the removed engine get another
+// home when one of twenty engines is removed.
 func TestFewMove(t *testing.T) {
 	before := plugintest.View(60, 2)
 	after := plugintest.View(60, 2)
@@ -74,6 +77,8 @@
 	}
 }
 
+// cachedAt is a prefix index in which only the engine u has blocks cached, and
+// has all of them.
 type cachedAt struct{ u *kernel.Upstream }
 
 func (c cachedAt) CachedBlocks(u *kernel.Upstream, blocks []uint64) int {
@@ -83,6 +88,8 @@
 	return 0
 }
 
+// TestCost checks that the cost of a prefix is bounded, and that it is 0 where
+// the prefix is cached and for a prompt without blocks.
 func TestCost(t *testing.T) {
 	v := plugintest.View(60, 2)
 	s := &Scorer{}
@@ -99,6 +106,9 @@
 	assert.Equal(t, s.Prefill(decision(v), &v.Upstreams[0]), 0.0)
 }
 
+// TestBundleChangesCount checks that engines are counted again only after a new
+// bundle: the view keeps its version here, so the cached count of 20 stays valid
+// until Configure is called.
 func TestBundleChangesCount(t *testing.T) {
 	v := plugintest.View(60, 2)
 	s := &Scorer{}
--- a/plugins/scorer/roundrobin/roundrobin.go
+++ b/plugins/scorer/roundrobin/roundrobin.go
@@ -1,5 +1,5 @@
-// Package roundrobin takes the upstreams in turn, whatever their load. It is
-// the naive policy that others are compared with.
+// Package roundrobin selects the upstreams in rotation, independently of their
+// load. It serves as the baseline for comparisons with other policies.
 package roundrobin
 
 import (
@@ -11,24 +11,28 @@
 type Scorer struct {
 	kernel.NoCost
 	host kernel.Host
-	// nextPrefill and nextDecode are the indices to be served next.
+	// nextPrefill and nextDecode are the view indices at which the search for the
+	// next prefill and decode upstream starts.
 	nextPrefill, nextDecode int
 }
 
 // Attach implements kernel.Attacher.
 func (s *Scorer) Attach(h kernel.Host) { s.host = h }
 
-// Prefill implements kernel.Scorer.
+// Prefill implements kernel.Scorer. The cost is the distance of u from the next
+// index in the rotation.
 func (s *Scorer) Prefill(d *kernel.Decision, u *kernel.Upstream) float64 {
 	return turns(s.nextPrefill, u, len(d.View.Upstreams))
 }
 
-// Decode implements kernel.Scorer.
+// Decode implements kernel.Scorer. The cost is the distance of u from the next
+// index in the rotation.
 func (s *Scorer) Decode(d *kernel.Decision, u *kernel.Upstream) float64 {
 	return turns(s.nextDecode, u, len(d.View.Upstreams))
 }
 
-// Observe implements kernel.Observer: it passes the turn on.
+// Observe implements kernel.Observer. It advances the rotation past the
+// upstreams of each placement and of each service call.
 func (s *Scorer) Observe(_ *kernel.Request, rec kernel.Record) {
 	if rec.Step != kernel.StepPlaced && rec.Step != kernel.StepCalled {
 		return
@@ -37,7 +41,8 @@
 	s.nextDecode = s.after(rec.Decode, s.nextDecode)
 }
 
-// after returns the index that follows an upstream's, or old if it is unknown.
+// after returns the index that follows that of the upstream id, or old if id is
+// empty or not in the view.
 func (s *Scorer) after(id ident.UpstreamID, old int) int {
 	if id == "" {
 		return old
@@ -49,7 +54,8 @@
 	return u.Index + 1
 }
 
-// turns counts the upstreams that come before u, starting from next.
+// turns returns the number of upstreams from index next up to u, not including u,
+// in a view of n upstreams that wraps around.
 func turns(next int, u *kernel.Upstream, n int) float64 {
 	if n == 0 {
 		return 0
--- a/plugins/scorer/roundrobin/roundrobin_test.go
+++ b/plugins/scorer/roundrobin/roundrobin_test.go
@@ -11,6 +11,8 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
+// TestTakesTurns checks that placements rotate over the engines of each role, and
+// that the placement at an upstream that is no longer in the view is ignored.
 func TestTakesTurns(t *testing.T) {
 	v := plugintest.View(9, 1)
 	s := &Scorer{}
@@ -26,13 +28,13 @@
 		s.Observe(d.Request, kernel.Record{Step: kernel.StepPlaced, Prefill: p, Decode: q})
 		s.Observe(d.Request, kernel.Record{Step: kernel.StepWaiting})
 	}
-	// Six turns over three prefill and six decode engines.
+	// Six placements over three prefill and six decode engines.
 	assert.DeepEqual(t, prefills, map[ident.UpstreamID]int{"prefill-0": 2, "prefill-3": 2, "prefill-6": 2})
 	assert.Equal(t, len(decodes), 6)
 	s.Observe(d.Request, kernel.Record{Step: kernel.StepPlaced, Prefill: "gone", Decode: "gone"})
 }
 
-// cheapest returns the engine of the role with the least cost.
+// cheapest returns the engine with the lowest cost among those of the role.
 func cheapest(d *kernel.Decision, role config.Role, cost func(*kernel.Decision, *kernel.Upstream) float64) ident.UpstreamID {
 	var found ident.UpstreamID
 	least := 1e9
--- a/plugins/scorer/zone/zone.go
+++ b/plugins/scorer/zone/zone.go
@@ -1,5 +1,6 @@
-// Package zone rates a placement by the availability-zone borders it crosses,
-// so that a border is crossed only when that pays.
+// Package zone scores a placement by the number of availability-zone boundaries
+// that it crosses, so that a request leaves its zone only if the gain elsewhere
+// is larger than the cost of the crossing.
 package zone
 
 import (
@@ -9,37 +10,43 @@
 )
 
 const (
-	// oneWay is the time across a border, one way. Deployments have 0.5 to
-	// 1.5 ms; the larger value leans towards the own zone.
+	// oneWay is the one-way network latency between two zones. It is 0.5 to
+	// 1.5 ms in deployments; the upper end is used to favour the local zone.
 	oneWay = 1500 * time.Microsecond
-	// cutRisk is the cost of depending on a border that may be cut while the
-	// request runs.
+	// cutRisk is the cost of the risk that the network between two zones
+	// partitions while the request runs.
 	cutRisk = 2 * time.Millisecond
-	// crossing is the cost of one border, there and back, in seconds.
+	// crossing is the cost, in seconds, of a call to another zone: the round
+	// trip and the risk of a partition.
 	crossing = float64(2*oneWay+cutRisk) / float64(time.Second)
 )
 
-// Scorer implements kernel.Scorer. All of an engine's transfers run over its
-// one link whether or not they cross a border, so that a crossing costs no more
-// link time; scorer.first_output counts the links.
+// Scorer implements kernel.Scorer. It adds no cost for link bandwidth: an engine
+// has a single link that carries all of its transfers, so a transfer to another
+// zone takes no more link time than one inside the zone. scorer.first_output
+// accounts for the time on the links.
 type Scorer struct{}
 
-// Prefill implements kernel.Scorer.
+// Prefill implements kernel.Scorer. The cost, in seconds, is that of the path
+// from this instance to the prefill engine.
 func (*Scorer) Prefill(d *kernel.Decision, u *kernel.Upstream) float64 {
 	return between(d.Self.Zone == u.Zone)
 }
 
-// Decode implements kernel.Scorer.
+// Decode implements kernel.Scorer. The cost, in seconds, is that of the path
+// from this instance to u.
 func (*Scorer) Decode(d *kernel.Decision, u *kernel.Upstream) float64 {
 	return between(d.Self.Zone == u.Zone)
 }
 
-// Pair implements kernel.Scorer.
+// Pair implements kernel.Scorer. The cost, in seconds, is that of the path from
+// the prefill engine to the decode engine.
 func (*Scorer) Pair(_ *kernel.Decision, prefill, decode *kernel.Upstream) float64 {
 	return between(prefill.Zone == decode.Zone)
 }
 
-// between is the cost between two places.
+// between returns the cost, in seconds, of a path whose ends are in the same
+// zone or in different zones.
 func between(same bool) float64 {
 	if same {
 		return 0
--- a/plugins/scorer/zone/zone_test.go
+++ b/plugins/scorer/zone/zone_test.go
@@ -9,6 +9,9 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
+// TestBordersCrossed checks that each of the three paths of a placement (instance to
+// prefill engine, instance to decode engine, prefill to decode engine) adds the cost
+// of a crossing if its ends are in different zones.
 func TestBordersCrossed(t *testing.T) {
 	own := plugintest.Prefill(0)
 	own.Zone = "hall-a"
--- a/plugins/standard/standard.go
+++ b/plugins/standard/standard.go
@@ -1,6 +1,6 @@
-// Package standard links the standard plug-ins into a binary: import it for
-// its effect. One line a plug-in; leave some out, or add your own, in a package
-// like this one.
+// Package standard registers the standard plug-ins. It is imported for this side
+// effect only. To build a binary with other plug-ins, write a package like this one
+// that imports the plug-ins to include.
 package standard
 
 import (
