--- a/plugins/filter/stale/stale.go
+++ b/plugins/filter/stale/stale.go
@@ -9,30 +9,31 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// defaultAge is the maximum age of a load report if the bundle does not set
+// defaultMaxAge is the maximum age of a load report if the bundle does not set
 // view_stale.
-const defaultAge = 2 * time.Second
+const defaultMaxAge = 2 * time.Second
 
-// probes is the maximum number of this instance's requests in flight at an engine
-// whose load is not known and for which no number of slots is declared.
-const probes = 2
+// maxBlindRequests is the maximum number of this instance's requests in flight
+// at an engine whose load is not known and for which no number of slots is
+// declared.
+const maxBlindRequests = 2
 
 // Filter implements kernel.Filter.
 type Filter struct {
-	// age is the maximum age of a load report; 0 means defaultAge.
-	age time.Duration
-	// now is the time of the current decision. oldest is the time of the oldest
-	// load report that is still accepted at that time.
-	now, oldest time.Time
-	// instances is the number of instances in the view with the given version
-	// that may be sending requests.
+	// maxAge is the maximum age of a load report; 0 means defaultMaxAge.
+	maxAge time.Duration
+	// now is the time of the current decision. oldestAccepted is the time of
+	// the oldest load report that is still accepted at that time.
+	now, oldestAccepted time.Time
+	// version is the version of the view in which instances was counted, the
+	// number of instances that may be sending requests.
 	version   uint64
 	instances int
 }
 
 // Configure implements kernel.Configurer.
 func (f *Filter) Configure(c *config.Content) {
-	f.age = c.Policy.ViewStale
+	f.maxAge = c.Policy.ViewStale
 	f.now = time.Time{}
 }
 
@@ -49,7 +50,7 @@
 	if d.Now != f.now {
 		f.begin(d.Now)
 	}
-	if !u.Load.At.Before(f.oldest) {
+	if !u.Load.At.Before(f.oldestAccepted) {
 		return true
 	}
 	return u.Own.Requests < f.share(d.View, u)
@@ -57,12 +58,12 @@
 
 // begin computes the values that all decisions at the given time have in common.
 func (f *Filter) begin(now time.Time) {
-	age := f.age
+	age := f.maxAge
 	if age <= 0 {
-		age = defaultAge
+		age = defaultMaxAge
 	}
 	f.now = now
-	f.oldest = now.Add(-age)
+	f.oldestAccepted = now.Add(-age)
 }
 
 // share returns the number of requests that this instance may have in flight at u
@@ -70,17 +71,17 @@
 func (f *Filter) share(v *kernel.View, u *kernel.Upstream) int {
 	if f.version != v.Version || f.instances == 0 {
 		f.version = v.Version
-		f.instances = max(live(v), 1)
+		f.instances = max(notDead(v), 1)
 	}
 	if u.Spec.Slots <= 0 {
-		return probes
+		return maxBlindRequests
 	}
 	return max(u.Spec.Slots/f.instances, 1)
 }
 
-// live returns the number of instances that may be sending requests, that is, all
-// that are not dead.
-func live(v *kernel.View) int {
+// notDead returns the number of instances that may be sending requests, that
+// is, all that are not dead.
+func notDead(v *kernel.View) int {
 	n := 0
 	for i := range v.Instances {
 		if v.Instances[i].Life < kernel.Dead {
--- a/plugins/internal/plugintest/plugintest.go
+++ b/plugins/internal/plugintest/plugintest.go
@@ -50,8 +50,8 @@
 	return u
 }
 
-// Runner returns an idle upstream that runs the plain service Service.
-func Runner(index int) kernel.Upstream {
+// ServiceUpstream returns an idle upstream that runs the plain service Service.
+func ServiceUpstream(index int) kernel.Upstream {
 	u := upstream(index, config.RoleService)
 	u.Spec.Service = Service
 	u.Spec.Models = nil
--- a/plugins/order/cluster_test.go
+++ b/plugins/order/cluster_test.go
@@ -42,8 +42,8 @@
 // limit returns the size of the engine's KV memory in pieces.
 func (e *engine) limit() int { return piecesPerSlot * e.slots }
 
-// customer is one workspace and its workload.
-type customer struct {
+// workload describes one workspace and the requests that it sends.
+type workload struct {
 	name   ident.Workspace
 	weight float64
 	// models are the models that requests are sent to, with equal probability.
@@ -56,9 +56,9 @@
 	// max_tokens as a multiple of the actual output.
 	output   int
 	declared float64
-	// parts is the number of shorter requests into which each request is split;
+	// splitInto is the number of shorter requests into which each request is split;
 	// 0 and 1 mean that requests are not split.
-	parts int
+	splitInto int
 	// target is the required time to first output.
 	target time.Duration
 }
@@ -86,13 +86,13 @@
 	random   *rand.Rand
 	events   events
 	results  map[ident.Workspace]*result
-	// truth has the actual work of each request, by its ID.
-	truth map[ident.RequestID]job
-	// next is the last number used for an event or a request.
-	next int
-	// waking is the time of the scheduled wake-up; none is scheduled if it is not
-	// in the future.
-	waking time.Time
+	// jobs has the actual work of each request, by its ID.
+	jobs map[ident.RequestID]job
+	// lastNumber is the last number used for an event or a request.
+	lastNumber int
+	// nextWakeup is the time of the scheduled wake-up; none is scheduled if it
+	// is not in the future.
+	nextWakeup time.Time
 }
 
 // job is the actual work of a request, whatever it declares.
@@ -104,13 +104,13 @@
 	seconds float64
 }
 
-// event is a completion if engine is set, an arrival if customer is set, and
+// event is a completion if engine is set, an arrival if workload is set, and
 // otherwise a wake-up at which placements are tried again.
 type event struct {
 	at time.Time
 	// sequence is the order of events that have the same time.
 	sequence int
-	customer *customer
+	workload *workload
 	engine   *engine
 	request  *kernel.Request
 }
@@ -153,7 +153,7 @@
 		})
 	}
 	models := map[string]bool{}
-	for _, c := range s.customers {
+	for _, c := range s.workloads {
 		content.Workspaces = append(content.Workspaces, config.Workspace{Name: c.name, Weight: c.weight})
 		for _, m := range c.models {
 			if !models[m] {
@@ -174,16 +174,16 @@
 		prefills: make([]time.Time, s.prefills),
 		random:   rand.New(rand.NewPCG(seed, 7)),
 		results:  map[ident.Workspace]*result{},
-		truth:    map[ident.RequestID]job{},
+		jobs:     map[ident.RequestID]job{},
 	}
 }
 
 // run simulates the workloads for the given time and until all requests have
 // ended, and returns the totals by workspace.
-func (c *cluster) run(customers []customer, length time.Duration) map[ident.Workspace]*result {
-	for i := range customers {
-		c.results[customers[i].name] = &result{}
-		c.schedule(event{at: c.gap(&customers[i]), customer: &customers[i]})
+func (c *cluster) run(workloads []workload, length time.Duration) map[ident.Workspace]*result {
+	for i := range workloads {
+		c.results[workloads[i].name] = &result{}
+		c.schedule(event{at: c.nextArrival(&workloads[i]), workload: &workloads[i]})
 	}
 	end := plugintest.Start.Add(length)
 	for len(c.events) > 0 {
@@ -192,9 +192,9 @@
 		switch {
 		case e.engine != nil:
 			c.complete(e)
-		case e.customer != nil && e.at.Before(end):
-			c.arrive(e.customer)
-			c.schedule(event{at: c.gap(e.customer), customer: e.customer})
+		case e.workload != nil && e.at.Before(end):
+			c.arrive(e.workload)
+			c.schedule(event{at: c.nextArrival(e.workload), workload: e.workload})
 		}
 		c.place()
 	}
@@ -204,36 +204,37 @@
 
 // schedule adds an event.
 func (c *cluster) schedule(e event) {
-	c.next++
-	e.sequence = c.next
+	c.lastNumber++
+	e.sequence = c.lastNumber
 	heap.Push(&c.events, e)
 }
 
-// gap returns a random time for the next arrival. Arrivals are a Poisson process.
-func (c *cluster) gap(who *customer) time.Time {
-	return c.host.Time.Add(time.Duration(c.random.ExpFloat64() / who.perSecond * 1e9))
+// nextArrival returns a random time for the next arrival. Arrivals are a
+// Poisson process.
+func (c *cluster) nextArrival(load *workload) time.Time {
+	return c.host.Time.Add(time.Duration(c.random.ExpFloat64() / load.perSecond * 1e9))
 }
 
 // arrive adds a request of the workspace to the queue, or several if the workspace
 // splits its requests. The output length is 20 tokens plus an exponentially
 // distributed number of tokens.
-func (c *cluster) arrive(who *customer) {
-	model := who.models[c.random.IntN(len(who.models))]
-	tokens := 20 + int(c.random.ExpFloat64()*float64(who.output-20))
-	parts := max(who.parts, 1)
+func (c *cluster) arrive(load *workload) {
+	model := load.models[c.random.IntN(len(load.models))]
+	tokens := 20 + int(c.random.ExpFloat64()*float64(load.output-20))
+	parts := max(load.splitInto, 1)
 	for range parts {
-		c.next++
+		c.lastNumber++
 		r := &kernel.Request{
-			ID: ident.RequestID(fmt.Sprintf("r%07d", c.next)), Workspace: who.name,
-			Route: config.RouteModel, Model: model, PromptTokens: who.prompt / parts,
-			MaxOutputTokens: int(float64(tokens/parts) * max(who.declared, 1)),
+			ID: ident.RequestID(fmt.Sprintf("r%07d", c.lastNumber)), Workspace: load.name,
+			Route: config.RouteModel, Model: model, PromptTokens: load.prompt / parts,
+			MaxOutputTokens: int(float64(tokens/parts) * max(load.declared, 1)),
 			Arrived:         c.host.Time,
-			FirstOutputBy:   c.host.Time.Add(who.target),
+			FirstOutputBy:   c.host.Time.Add(load.target),
 			Deadline:        c.host.Time.Add(time.Minute),
 		}
 		seconds := float64(r.PromptTokens)/prefillRate + float64(tokens/parts)*tokenTime.Seconds()
-		c.truth[r.ID] = job{request: r, tokens: tokens / parts, seconds: seconds}
-		c.results[who.name].offered++
+		c.jobs[r.ID] = job{request: r, tokens: tokens / parts, seconds: seconds}
+		c.results[load.name].offered++
 		c.order.Add(&kernel.Waiting{Request: r, Since: c.host.Time})
 	}
 }
@@ -246,7 +247,7 @@
 		waiting = append(waiting, w)
 	}
 	for _, w := range waiting {
-		prefill := c.idlest()
+		prefill := c.firstIdlePrefill()
 		wait := max(prefill.Sub(c.host.Time), 0)
 		took := time.Duration(float64(w.Request.PromptTokens) / prefillRate * 1e9)
 		if c.host.Time.Add(took + wait).After(w.Request.FirstOutputBy) {
@@ -254,7 +255,7 @@
 			c.observe(w.Request, kernel.StepRefused)
 			continue
 		}
-		e := c.free(w.Request)
+		e := c.leastLoaded(w.Request)
 		if e == nil || wait > maxPrefillWait {
 			continue
 		}
@@ -263,23 +264,23 @@
 		c.start(w.Request, e, wait)
 	}
 	if len(waiting) > 0 {
-		c.wake()
+		c.scheduleWakeup()
 	}
 }
 
-// wake schedules a wake-up for the time at which a prefill engine can next accept
-// a request, unless an earlier one is scheduled.
-func (c *cluster) wake() {
-	at := c.idlest().Add(-maxPrefillWait)
-	pending := c.waking.After(c.host.Time) && !c.waking.After(at)
+// scheduleWakeup schedules a wake-up for the time at which a prefill engine can
+// next accept a request, unless an earlier one is scheduled.
+func (c *cluster) scheduleWakeup() {
+	at := c.firstIdlePrefill().Add(-maxPrefillWait)
+	pending := c.nextWakeup.After(c.host.Time) && !c.nextWakeup.After(at)
 	if at.After(c.host.Time) && !pending {
-		c.waking = at
+		c.nextWakeup = at
 		c.schedule(event{at: at})
 	}
 }
 
-// idlest returns the entry of the prefill engine that will be idle first.
-func (c *cluster) idlest() *time.Time {
+// firstIdlePrefill returns the entry of the prefill engine that will be idle first.
+func (c *cluster) firstIdlePrefill() *time.Time {
 	best := &c.prefills[0]
 	for i := range c.prefills {
 		if c.prefills[i].Before(*best) {
@@ -289,10 +290,10 @@
 	return best
 }
 
-// free returns the decode engine with the fewest busy slots among those that serve
-// the request's model and have a free slot and enough memory, or nil if there is
-// none.
-func (c *cluster) free(r *kernel.Request) *engine {
+// leastLoaded returns the decode engine with the fewest busy slots among those
+// that serve the request's model and have a free slot and enough memory, or nil
+// if there is none.
+func (c *cluster) leastLoaded(r *kernel.Request) *engine {
 	var best *engine
 	for i := range c.engines {
 		e := &c.engines[i]
@@ -311,7 +312,7 @@
 func (c *cluster) start(r *kernel.Request, e *engine, wait time.Duration) {
 	e.busy++
 	e.pieces += r.Pieces(2000)
-	j := c.truth[r.ID]
+	j := c.jobs[r.ID]
 	c.observe(r, kernel.StepPlaced)
 	c.schedule(event{at: c.host.Time.Add(wait + time.Duration(j.seconds*1e9)), engine: e, request: r})
 	got := c.results[r.Workspace]
@@ -324,7 +325,7 @@
 func (c *cluster) complete(e event) {
 	e.engine.busy--
 	e.engine.pieces -= e.request.Pieces(2000)
-	c.order.Served(e.request, c.truth[e.request.ID].seconds)
+	c.order.Served(e.request, c.jobs[e.request.ID].seconds)
 	c.observe(e.request, kernel.StepCompleted)
 }
 
--- a/plugins/order/compare_test.go
+++ b/plugins/order/compare_test.go
@@ -23,15 +23,15 @@
 
 var seeds = []uint64{1, 2, 3}
 
-// length is the virtual time for which requests arrive in a run.
-const length = 4 * time.Minute
+// runLength is the virtual time for which requests arrive in a run.
+const runLength = 4 * time.Minute
 
 // scenario is a cluster configuration and the workspaces that use it.
 type scenario struct {
 	name      string
 	engines   []engine
 	prefills  int
-	customers []customer
+	workloads []workload
 }
 
 // constrained has decode engines that serve one of two models or both. Workspaces
@@ -42,9 +42,9 @@
 	{models: []string{"triage"}, slots: 20},
 }
 
-// supplier returns a workspace whose requests hold a slot for 6.25 s on average.
-func supplier(name ident.Workspace, perSecond float64, models ...string) customer {
-	return customer{
+// newWorkload returns a workspace whose requests hold a slot for 6.25 s on average.
+func newWorkload(name ident.Workspace, perSecond float64, models ...string) workload {
+	return workload{
 		name: name, weight: 1, models: models, perSecond: perSecond,
 		prompt: 5000, output: 200, declared: 1, target: 2 * time.Second,
 	}
@@ -54,14 +54,14 @@
 // which has 60 slots. With requests of 6.25 s it can serve 9.6 requests per second.
 func scenarios() []scenario {
 	either := []string{"logs", "triage"}
-	plain := func(name ident.Workspace, perSecond float64) customer {
-		return supplier(name, perSecond, either...)
+	plain := func(name ident.Workspace, perSecond float64) workload {
+		return newWorkload(name, perSecond, either...)
 	}
 	memory := plain("alpha", 6)
 	memory.prompt, memory.target = 26_000, 4*time.Second
 	prompts := plain("alpha", 3)
 	prompts.prompt, prompts.output, prompts.target = 20_000, 40, 4*time.Second
-	long := supplier("alpha", 2.4, "logs")
+	long := newWorkload("alpha", 2.4, "logs")
 	long.output, long.prompt = 800, 20_000
 	tight := plain("gamma", 1.6)
 	tight.target = 600 * time.Millisecond
@@ -70,51 +70,51 @@
 	heavy := plain("alpha", 6)
 	heavy.weight = 3
 	return []scenario{
-		{"one floods", constrained, 8, []customer{
+		{"one floods", constrained, 8, []workload{
 			plain("alpha", 12), plain("beta", 2), plain("gamma", 2)}},
-		{"one floods one model", constrained, 8, []customer{
-			supplier("alpha", 12, "logs"), plain("beta", 3), supplier("gamma", 3, "triage")}},
-		{"long prompts fill the memory", constrained, 8, []customer{
+		{"one floods one model", constrained, 8, []workload{
+			newWorkload("alpha", 12, "logs"), plain("beta", 3), newWorkload("gamma", 3, "triage")}},
+		{"long prompts fill the memory", constrained, 8, []workload{
 			memory, plain("beta", 6), plain("gamma", 6)}},
-		{"long prompts fill the prefill engines", constrained, 3, []customer{
+		{"long prompts fill the prefill engines", constrained, 3, []workload{
 			prompts, plain("beta", 6), plain("gamma", 6)}},
-		{"long against short", constrained, 8, []customer{
-			long, plain("beta", 4), supplier("gamma", 4, "triage")}},
-		{"one has tight targets", constrained, 8, []customer{
+		{"long against short", constrained, 8, []workload{
+			long, plain("beta", 4), newWorkload("gamma", 4, "triage")}},
+		{"one has tight targets", constrained, 8, []workload{
 			plain("alpha", 8), plain("beta", 4), tight}},
-		{"all flood, one has tight targets", constrained, 8, []customer{
+		{"all flood, one has tight targets", constrained, 8, []workload{
 			plain("alpha", 6), plain("beta", 6), tightFlood}},
-		{"weights 3, 1, 1", constrained, 8, []customer{
+		{"weights 3, 1, 1", constrained, 8, []workload{
 			heavy, plain("beta", 6), plain("gamma", 6)}},
 	}
 }
 
 // summary has the results of a scenario under one queue order, over all seeds.
 type summary struct {
-	// goodput is the fraction of requests served in time. useful is the engine
+	// goodput is the fraction of requests served in time. utilization is the engine
 	// time of these requests as a fraction of the total engine time.
-	goodput, useful float64
+	goodput, utilization float64
 	// The gain of a workspace is the number of its requests served in time,
 	// divided by the number that would be served in time if it had its weight's
 	// part of each engine to itself. Below 1, sharing is a disadvantage for it.
-	// least is the smallest gain of any workspace, and fairness is Jain's fairness
-	// index of the gains.
-	fairness, least float64
-	// by has the totals by workspace.
-	by map[ident.Workspace]*result
+	// leastGain is the smallest gain of any workspace, and fairness is Jain's
+	// fairness index of the gains.
+	fairness, leastGain float64
+	// totals has the totals by workspace.
+	totals map[ident.Workspace]*result
 }
 
 // measure runs a scenario under a queue order once for each seed and adds up the
 // totals.
 func measure(t *testing.T, s scenario, id plugin.ID) summary {
 	t.Helper()
-	sum := summary{by: map[ident.Workspace]*result{}}
+	sum := summary{totals: map[ident.Workspace]*result{}}
 	for _, seed := range seeds {
-		for name, r := range newCluster(t, id, s, seed).run(s.customers, length) {
-			if sum.by[name] == nil {
-				sum.by[name] = &result{}
+		for name, r := range newCluster(t, id, s, seed).run(s.workloads, runLength) {
+			if sum.totals[name] == nil {
+				sum.totals[name] = &result{}
 			}
-			sum.by[name].add(r)
+			sum.totals[name].add(r)
 		}
 	}
 	return sum
@@ -128,18 +128,19 @@
 	r.tokens += other.tokens
 }
 
-// alone returns for each workspace the number of requests that are served in time,
-// over all seeds, if it has its weight's part of each engine to itself.
-func alone(t *testing.T, s scenario) map[ident.Workspace]float64 {
+// inTimeAlone returns for each workspace the number of requests that are served
+// in time, over all seeds, if it has its weight's part of each engine to
+// itself.
+func inTimeAlone(t *testing.T, s scenario) map[ident.Workspace]float64 {
 	t.Helper()
 	total := 0.0
-	for _, c := range s.customers {
+	for _, c := range s.workloads {
 		total += c.weight
 	}
 	inTime := map[ident.Workspace]float64{}
-	for _, c := range s.customers {
+	for _, c := range s.workloads {
 		own := s
-		own.customers = []customer{c}
+		own.workloads = []workload{c}
 		own.prefills = int(math.Ceil(float64(s.prefills) * c.weight / total))
 		own.engines = nil
 		for _, e := range s.engines {
@@ -147,21 +148,21 @@
 			own.engines = append(own.engines, e)
 		}
 		for _, seed := range seeds {
-			got := newCluster(t, deadline.ID, own, seed).run(own.customers, length)
+			got := newCluster(t, deadline.ID, own, seed).run(own.workloads, runLength)
 			inTime[c.name] += float64(got[c.name].inTime)
 		}
 	}
 	return inTime
 }
 
-// rate computes the figures of the summary from the totals by workspace and the
-// results of alone.
-func (s *summary) rate(of scenario, alone map[ident.Workspace]float64) {
+// computeFigures computes the figures of the summary from the totals by
+// workspace and the results of inTimeAlone.
+func (s *summary) computeFigures(sc scenario, alone map[ident.Workspace]float64) {
 	offered, inTime, seconds := 0, 0, 0.0
 	total, squares, n := 0.0, 0.0, 0.0
-	s.least = math.Inf(1)
-	for _, c := range of.customers {
-		r := s.by[c.name]
+	s.leastGain = math.Inf(1)
+	for _, c := range sc.workloads {
+		r := s.totals[c.name]
 		offered += r.offered
 		inTime += r.inTime
 		seconds += r.seconds
@@ -169,10 +170,10 @@
 		total += gain
 		squares += gain * gain
 		n++
-		s.least = min(s.least, gain)
+		s.leastGain = min(s.leastGain, gain)
 	}
 	s.goodput = float64(inTime) / float64(offered)
-	s.useful = seconds / capacity(of.engines)
+	s.utilization = seconds / capacity(sc.engines)
 	s.fairness = total * total / (n * squares)
 }
 
@@ -182,13 +183,13 @@
 	for _, e := range engines {
 		slots += e.slots
 	}
-	return float64(slots) * length.Seconds() * float64(len(seeds))
+	return float64(slots) * runLength.Seconds() * float64(len(seeds))
 }
 
-// bounds has the goodput and the smallest gain that each scenario must exceed under
-// order.tsf. The values are slightly below the results measured when the test was
-// written.
-var bounds = map[string]struct{ goodput, least float64 }{
+// lowerBounds has the goodput and the smallest gain that each scenario must
+// exceed under order.tsf. The values are slightly below the results measured
+// when the test was written.
+var lowerBounds = map[string]struct{ goodput, leastGain float64 }{
 	"one floods":                            {0.60, 0.99},
 	"one floods one model":                  {0.52, 0.98},
 	"long prompts fill the memory":          {0.51, 1.05},
@@ -199,21 +200,21 @@
 	"weights 3, 1, 1":                       {0.53, 0.95},
 }
 
-// TestCompare prints the results of all scenarios under all queue orders, and checks
-// those of order.tsf against bounds. It guards against changes that lower its
-// goodput or leave a workspace with less than before.
+// TestCompare prints the results of all scenarios under all queue orders, and
+// checks those of order.tsf against lowerBounds. It guards against changes that
+// lower its goodput or leave a workspace with less than before.
 func TestCompare(t *testing.T) {
 	for _, s := range scenarios() {
 		t.Log(s.name)
-		byItself := alone(t, s)
+		alone := inTimeAlone(t, s)
 		for _, id := range orders {
 			got := measure(t, s, id)
-			got.rate(s, byItself)
+			got.computeFigures(s, alone)
 			t.Log(got.line(id, s))
 			if id == tsf.ID {
-				bound := bounds[s.name]
+				bound := lowerBounds[s.name]
 				assert.Assert(t, got.goodput > bound.goodput, s.name)
-				assert.Assert(t, got.least > bound.least, s.name)
+				assert.Assert(t, got.leastGain > bound.leastGain, s.name)
 			}
 		}
 	}
@@ -221,11 +222,11 @@
 
 // line formats the summary as a row of the table. Its last columns are the fraction
 // of each workspace's requests that were served in time.
-func (s *summary) line(id plugin.ID, of scenario) string {
+func (s *summary) line(id plugin.ID, sc scenario) string {
 	line := fmt.Sprintf("  %-14s goodput %.3f  useful %.3f  fairness %.3f  least %.3f |",
-		id, s.goodput, s.useful, s.fairness, s.least)
-	for _, c := range of.customers {
-		r := s.by[c.name]
+		id, s.goodput, s.utilization, s.fairness, s.leastGain)
+	for _, c := range sc.workloads {
+		r := s.totals[c.name]
 		line += fmt.Sprintf(" %s %.3f", c.name, float64(r.inTime)/float64(r.offered))
 	}
 	return line
@@ -237,19 +238,19 @@
 // order.tsf it must be less than 1.06 times as large.
 func TestGaming(t *testing.T) {
 	tests := []struct {
-		name string
-		lie  func(*customer)
+		name     string
+		misstate func(*workload)
 	}{
-		{"overstates output", func(c *customer) { c.declared = 8 }},
-		{"splits requests in four", func(c *customer) { c.parts = 4 }},
-		{"claims to need one model", func(c *customer) { c.models = c.models[:1] }},
-		{"claims to take any model", func(c *customer) { c.models = []string{"logs", "triage"} }},
+		{"overstates output", func(c *workload) { c.declared = 8 }},
+		{"splits requests in four", func(c *workload) { c.splitInto = 4 }},
+		{"claims to need one model", func(c *workload) { c.models = c.models[:1] }},
+		{"claims to take any model", func(c *workload) { c.models = []string{"logs", "triage"} }},
 	}
 	for _, tt := range tests {
 		for _, id := range orders {
-			honest := gamed(t, id, tt.name, func(*customer) {})
-			lying := gamed(t, id, tt.name, tt.lie)
-			gain := float64(lying.tokens) / float64(honest.tokens)
+			truthful := measureMisstated(t, id, tt.name, func(*workload) {})
+			misstated := measureMisstated(t, id, tt.name, tt.misstate)
+			gain := float64(misstated.tokens) / float64(truthful.tokens)
 			t.Logf("%-26s %-14s output in time %.3f times that of the truth", tt.name, id, gain)
 			if id == fair.ID || id == tsf.ID {
 				assert.Assert(t, gain < 1.06, "a workspace that %s gains output under %s", tt.name, id)
@@ -258,16 +259,16 @@
 	}
 }
 
-// gamed returns the totals of workspace alpha in a scenario in which lie changes its
-// workload.
-func gamed(t *testing.T, id plugin.ID, name string, lie func(*customer)) *result {
+// measureMisstated returns the totals of workspace alpha in a scenario in which
+// misstate changes its workload.
+func measureMisstated(t *testing.T, id plugin.ID, name string, misstate func(*workload)) *result {
 	t.Helper()
-	alpha := supplier("alpha", 6, "logs", "triage")
+	alpha := newWorkload("alpha", 6, "logs", "triage")
 	if name == "claims to take any model" {
 		alpha.models = alpha.models[:1]
 	}
-	lie(&alpha)
-	s := scenario{name, constrained, 8, []customer{
-		alpha, supplier("beta", 6, "logs", "triage"), supplier("gamma", 6, "logs", "triage")}}
-	return measure(t, s, id).by["alpha"]
+	misstate(&alpha)
+	s := scenario{name, constrained, 8, []workload{
+		alpha, newWorkload("beta", 6, "logs", "triage"), newWorkload("gamma", 6, "logs", "triage")}}
+	return measure(t, s, id).totals["alpha"]
 }
--- a/plugins/order/internal/due/due.go
+++ b/plugins/order/internal/due/due.go
@@ -77,35 +77,35 @@
 // are served after all others. The argument late is the range of late requests,
 // as returned by Queue.Late for the time in question.
 func (q *Queue) At(i int, late Span) *kernel.Waiting {
-	if i < late.from {
+	if i < late.start {
 		return q.waiting[i]
 	}
 	if i < len(q.waiting)-late.count() {
 		return q.waiting[i+late.count()]
 	}
-	return q.waiting[i-(len(q.waiting)-late.to)]
+	return q.waiting[i-(len(q.waiting)-late.end)]
 }
 
-// Span is the range of late requests in a queue, as the indices from (inclusive)
-// and to (exclusive).
-type Span struct{ from, to int }
+// Span is the range of late requests in a queue, as the indices start (inclusive)
+// and end (exclusive).
+type Span struct{ start, end int }
 
 // count returns the number of requests in the range.
-func (s Span) count() int { return s.to - s.from }
+func (s Span) count() int { return s.end - s.start }
 
 // Late returns the range of requests that are late at the given time. The range is
 // contiguous: resumed requests, which are never late, come first, and the rest is
 // sorted by due time.
 func (q *Queue) Late(now time.Time) Span {
-	from := 0
-	for from < len(q.waiting) && Resumed(q.waiting[from]) {
-		from++
+	start := 0
+	for start < len(q.waiting) && Resumed(q.waiting[start]) {
+		start++
 	}
-	to := from
-	for to < len(q.waiting) && Late(q.waiting[to], now) {
-		to++
+	end := start
+	for end < len(q.waiting) && Late(q.waiting[end], now) {
+		end++
 	}
-	return Span{from: from, to: to}
+	return Span{start: start, end: end}
 }
 
 // All yields the requests in the order in which they are to be served at the given
--- a/plugins/order/internal/maxmin/maxmin.go
+++ b/plugins/order/internal/maxmin/maxmin.go
@@ -25,40 +25,40 @@
 
 	host    kernel.Host
 	weights map[ident.Workspace]float64
-	spaces  map[spaceKey]*space
-	// busy has the workspaces that have requests waiting.
-	busy    busy
-	waiting map[ident.RequestID]*space
-	running map[ident.RequestID]held
-	turns   turns
+	states  map[stateKey]*workspaceState
+	// backlogged has the workspaces that have requests waiting.
+	backlogged backloggedList
+	waiting    map[ident.RequestID]*workspaceState
+	running    map[ident.RequestID]heldShare
+	iteration  iteration
 }
 
-// spaceKey identifies the requests of one workspace to one group of engines. All
+// stateKey identifies the requests of one workspace to one group of engines. All
 // model engines form a single group, because many of them serve several models.
 // The upstreams of each plain service form a group of their own.
-type spaceKey struct {
+type stateKey struct {
 	workspace ident.Workspace
 	// service is empty for requests to models.
 	service string
 }
 
-// space is the state of one workspace's requests to one group of engines. It is
-// deleted when no request is waiting or running.
-type space struct {
-	key    spaceKey
+// workspaceState is the state of one workspace's requests to one group of
+// engines. It is deleted when no request is waiting or running.
+type workspaceState struct {
+	key    stateKey
 	weight float64
 	queue  due.Queue
 	// share is the total share of the running requests, divided by the weight.
 	share   float64
 	running int
-	// at is the index in Order.busy while requests are waiting.
-	at int
+	// backloggedIndex is the index in Order.backlogged while requests are waiting.
+	backloggedIndex int
 }
 
-// held is the share that one running request holds. The share is divided by the
-// workspace's weight at the start of the request.
-type held struct {
-	space *space
+// heldShare is the share that one running request holds. The share is divided
+// by the workspace's weight at the start of the request.
+type heldShare struct {
+	state *workspaceState
 	share float64
 	since time.Time
 }
@@ -66,9 +66,9 @@
 // Attach implements kernel.Attacher.
 func (o *Order) Attach(h kernel.Host) {
 	o.host = h
-	o.spaces = map[spaceKey]*space{}
-	o.waiting = map[ident.RequestID]*space{}
-	o.running = map[ident.RequestID]held{}
+	o.states = map[stateKey]*workspaceState{}
+	o.waiting = map[ident.RequestID]*workspaceState{}
+	o.running = map[ident.RequestID]heldShare{}
 }
 
 // Configure implements kernel.Configurer. A new weight applies to requests that
@@ -78,7 +78,7 @@
 	for _, w := range c.Workspaces {
 		o.weights[w.Name] = w.Weight
 	}
-	for _, s := range o.spaces {
+	for _, s := range o.states {
 		s.weight = o.weight(s.key.workspace)
 	}
 }
@@ -91,21 +91,21 @@
 	return 1
 }
 
-// space returns the state to which a request belongs, and creates it if necessary.
-func (o *Order) space(r *kernel.Request) *space {
-	key := spaceKey{workspace: r.Workspace, service: r.Service}
-	s, ok := o.spaces[key]
+// state returns the state to which a request belongs, and creates it if necessary.
+func (o *Order) state(r *kernel.Request) *workspaceState {
+	key := stateKey{workspace: r.Workspace, service: r.Service}
+	s, ok := o.states[key]
 	if !ok {
-		s = &space{key: key, weight: o.weight(r.Workspace)}
-		o.spaces[key] = s
+		s = &workspaceState{key: key, weight: o.weight(r.Workspace)}
+		o.states[key] = s
 	}
 	return s
 }
 
-// drop deletes s if it has no waiting and no running requests.
-func (o *Order) drop(s *space) {
+// deleteIfEmpty deletes s if it has no waiting and no running requests.
+func (o *Order) deleteIfEmpty(s *workspaceState) {
 	if s.running == 0 && s.queue.Len() == 0 {
-		delete(o.spaces, s.key)
+		delete(o.states, s.key)
 	}
 }
 
@@ -113,10 +113,10 @@
 // also releases the share of a request that returns to the queue because the slot
 // that it was waiting for was denied.
 func (o *Order) Add(w *kernel.Waiting) {
-	o.end(w.Request.ID)
-	s := o.space(w.Request)
+	o.release(w.Request.ID)
+	s := o.state(w.Request)
 	if s.queue.Len() == 0 {
-		o.busy.add(s)
+		o.backlogged.add(s)
 	}
 	s.queue.Add(w)
 	o.waiting[w.Request.ID] = s
@@ -131,8 +131,8 @@
 	delete(o.waiting, id)
 	s.queue.Remove(id)
 	if s.queue.Len() == 0 {
-		o.busy.remove(s)
-		o.drop(s)
+		o.backlogged.remove(s)
+		o.deleteIfEmpty(s)
 	}
 }
 
@@ -143,8 +143,8 @@
 // when it is yielded, so that its share counts for those that follow.
 func (o *Order) All() iter.Seq[*kernel.Waiting] {
 	return func(yield func(*kernel.Waiting) bool) {
-		o.turns.begin(o)
-		for w := o.turns.next(o); w != nil; w = o.turns.next(o) {
+		o.iteration.begin(o)
+		for w := o.iteration.next(o); w != nil; w = o.iteration.next(o) {
 			if !yield(w) {
 				return
 			}
@@ -168,10 +168,10 @@
 		o.start(r)
 	case kernel.StepCompleted:
 		o.completed(r)
-		o.end(r.ID)
+		o.release(r.ID)
 	case kernel.StepRetrying, kernel.StepResuming, kernel.StepRefused,
 		kernel.StepCancelled, kernel.StepFailed:
-		o.end(r.ID)
+		o.release(r.ID)
 	}
 }
 
@@ -181,11 +181,11 @@
 	if _, counted := o.running[r.ID]; counted {
 		return
 	}
-	s := o.space(r)
+	s := o.state(r)
 	share := o.Share(r) / s.weight
 	s.share += share
 	s.running++
-	o.running[r.ID] = held{space: s, share: share, since: o.host.Now()}
+	o.running[r.ID] = heldShare{state: s, share: share, since: o.host.Now()}
 }
 
 // completed calls Order.Completed with the time for which the request held its
@@ -197,20 +197,20 @@
 	}
 }
 
-// end releases the share of a request. It does nothing if the request is not
+// release releases the share of a request. It does nothing if the request is not
 // counted as running.
-func (o *Order) end(id ident.RequestID) {
+func (o *Order) release(id ident.RequestID) {
 	h, ok := o.running[id]
 	if !ok {
 		return
 	}
 	delete(o.running, id)
-	h.space.running--
-	h.space.share -= h.share
-	if h.space.running == 0 {
+	h.state.running--
+	h.state.share -= h.share
+	if h.state.running == 0 {
 		// Rounding errors would otherwise remain: adding and subtracting
 		// floating-point fractions does not cancel exactly.
-		h.space.share = 0
+		h.state.share = 0
 	}
-	o.drop(h.space)
+	o.deleteIfEmpty(h.state)
 }
--- a/plugins/order/internal/maxmin/maxmin_test.go
+++ b/plugins/order/internal/maxmin/maxmin_test.go
@@ -24,14 +24,13 @@
 }}
 
 // byPrompt returns the prompt length as the share of a request. These shares are
-// exact in floating point, so that Order and the naive implementation compute
-// equal sums.
+// exact in floating point, so that Order and the reference compute equal sums.
 func byPrompt(r *kernel.Request) float64 { return float64(r.PromptTokens) }
 
-// naive is a reference implementation of the order that follows its definition: in
-// each step it looks at all waiting requests and selects the one to be served
-// first.
-type naive struct {
+// reference is a simple implementation of the order that follows its
+// definition: in each step it looks at all waiting requests and selects the one
+// to be served first.
+type reference struct {
 	waiting []*kernel.Waiting
 	running []*kernel.Request
 }
@@ -41,24 +40,24 @@
 
 // all returns the IDs of the waiting requests in the order in which they are to be
 // served.
-func (n *naive) all(now time.Time) []ident.RequestID {
-	left := slices.Clone(n.waiting)
+func (ref *reference) all(now time.Time) []ident.RequestID {
+	remaining := slices.Clone(ref.waiting)
 	share := map[ident.Workspace]float64{}
-	for _, r := range n.running {
+	for _, r := range ref.running {
 		share[r.Workspace] += byPrompt(r) / weights[r.Workspace]
 	}
 	var ids []ident.RequestID
-	for len(left) > 0 {
+	for len(remaining) > 0 {
 		best := 0
-		for i := range left {
-			if comesBefore(left[i], left[best], share, now) {
+		for i := range remaining {
+			if comesBefore(remaining[i], remaining[best], share, now) {
 				best = i
 			}
 		}
-		r := left[best].Request
+		r := remaining[best].Request
 		ids = append(ids, r.ID)
 		share[r.Workspace] += byPrompt(r) / weights[r.Workspace]
-		left = slices.Delete(left, best, best+1)
+		remaining = slices.Delete(remaining, best, best+1)
 	}
 	return ids
 }
@@ -110,13 +109,13 @@
 	return got
 }
 
-// TestAgainstNaive compares Order with the naive implementation for random
+// TestAgainstNaive compares Order with the reference for random
 // sequences of arrivals, placements, denied slots and ends of requests, and checks
 // that no state remains after all requests have ended.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o, host := newOrder()
-		n := &naive{}
+		ref := &reference{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			host.Time = host.Time.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
@@ -127,37 +126,37 @@
 				r.FirstOutputBy = host.Time.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "due")) * time.Second)
 				w := &kernel.Waiting{Request: r, Delivered: rapid.SampledFrom([]int{0, 0, 0, 7}).Draw(t, "delivered")}
 				o.Add(w)
-				n.waiting = append(n.waiting, w)
+				ref.waiting = append(ref.waiting, w)
 			case 3:
-				n.place(o, rapid.Bool().Draw(t, "placed"))
-				n.denied(o, rapid.Bool().Draw(t, "denied"))
+				ref.place(o, rapid.Bool().Draw(t, "placed"))
+				ref.denied(o, rapid.Bool().Draw(t, "denied"))
 			case 4:
-				n.end(o, rapid.SampledFrom([]kernel.Step{kernel.StepCompleted, kernel.StepFailed}).Draw(t, "how"))
+				ref.end(o, rapid.SampledFrom([]kernel.Step{kernel.StepCompleted, kernel.StepFailed}).Draw(t, "how"))
 			}
-			assert.DeepEqual(t, ids(o), n.all(host.Time))
-			assert.Equal(t, o.Len(), len(n.waiting))
+			assert.DeepEqual(t, ids(o), ref.all(host.Time))
+			assert.Equal(t, o.Len(), len(ref.waiting))
 		}
-		for len(n.running) > 0 {
-			n.end(o, kernel.StepCompleted)
+		for len(ref.running) > 0 {
+			ref.end(o, kernel.StepCompleted)
 		}
-		for len(n.waiting) > 0 {
-			n.place(o, false)
+		for len(ref.waiting) > 0 {
+			ref.place(o, false)
 		}
-		assert.Equal(t, len(o.spaces)+len(o.running)+len(o.waiting)+len(o.busy), 0, "state remains after all requests ended")
+		assert.Equal(t, len(o.states)+len(o.running)+len(o.waiting)+len(o.backlogged), 0, "state remains after all requests ended")
 	})
 }
 
 // place removes the first waiting request from the queue, and starts it if placed
 // is true.
-func (n *naive) place(o *Order, placed bool) {
-	if len(n.waiting) == 0 {
+func (ref *reference) place(o *Order, placed bool) {
+	if len(ref.waiting) == 0 {
 		return
 	}
-	r := n.waiting[0].Request
-	n.waiting = n.waiting[1:]
+	r := ref.waiting[0].Request
+	ref.waiting = ref.waiting[1:]
 	o.Remove(r.ID)
 	if placed {
-		n.running = append(n.running, r)
+		ref.running = append(ref.running, r)
 		o.Observe(r, kernel.Record{Step: kernel.StepPlaced})
 		// A request whose decode moves to another engine is placed again, but
 		// must not be counted twice.
@@ -168,31 +167,31 @@
 // denied removes the first waiting request from the queue while its slot is
 // pending. If the argument denied is true, the slot is denied and the request
 // returns to the queue; otherwise the request runs.
-func (n *naive) denied(o *Order, denied bool) {
-	if len(n.waiting) == 0 {
+func (ref *reference) denied(o *Order, denied bool) {
+	if len(ref.waiting) == 0 {
 		return
 	}
-	w := n.waiting[0]
-	n.waiting = n.waiting[1:]
+	w := ref.waiting[0]
+	ref.waiting = ref.waiting[1:]
 	o.Remove(w.Request.ID)
 	o.Observe(w.Request, kernel.Record{Step: kernel.StepWaiting, Reason: kernel.ReasonSlotPending})
 	if denied {
 		o.Add(w)
 		o.Observe(w.Request, kernel.Record{Step: kernel.StepWaiting, Reason: kernel.ReasonNoSlot})
-		n.waiting = append(n.waiting, w)
+		ref.waiting = append(ref.waiting, w)
 		return
 	}
-	n.running = append(n.running, w.Request)
+	ref.running = append(ref.running, w.Request)
 }
 
 // end ends the first running request. The end is reported twice, and the second
 // report must have no effect.
-func (n *naive) end(o *Order, how kernel.Step) {
-	if len(n.running) == 0 {
+func (ref *reference) end(o *Order, how kernel.Step) {
+	if len(ref.running) == 0 {
 		return
 	}
-	r := n.running[0]
-	n.running = n.running[1:]
+	r := ref.running[0]
+	ref.running = ref.running[1:]
 	o.Observe(r, kernel.Record{Step: how})
 	o.Observe(r, kernel.Record{Step: how})
 }
--- a/plugins/order/internal/maxmin/turns.go
+++ b/plugins/order/internal/maxmin/turns.go
@@ -8,22 +8,22 @@
 	"github.com/wardspool/wardspool/plugins/order/internal/due"
 )
 
-// busy is the list of workspaces that have requests waiting, in no particular
-// order.
-type busy []*space
+// backloggedList is the list of workspaces that have requests waiting, in no
+// particular order.
+type backloggedList []*workspaceState
 
 // add appends a workspace.
-func (b *busy) add(s *space) {
-	s.at = len(*b)
+func (b *backloggedList) add(s *workspaceState) {
+	s.backloggedIndex = len(*b)
 	*b = append(*b, s)
 }
 
 // remove deletes a workspace by moving the last one to its index.
-func (b *busy) remove(s *space) {
+func (b *backloggedList) remove(s *workspaceState) {
 	last := len(*b) - 1
 	moved := (*b)[last]
-	(*b)[s.at] = moved
-	moved.at = s.at
+	(*b)[s.backloggedIndex] = moved
+	moved.backloggedIndex = s.backloggedIndex
 	(*b)[last] = nil
 	*b = (*b)[:last]
 }
@@ -36,87 +36,88 @@
 	// resumed requests come first: their callers' streams are interrupted, and
 	// the work done so far would be lost.
 	resumed class = iota
-	// intime requests can still meet their target for the first output.
-	intime
+	// inTime requests can still meet their target for the first output.
+	inTime
 	// late requests come last: they have already missed their target, and serving
 	// them earlier would only delay others.
 	late
 )
 
-// turn is the position of one workspace in an iteration over the queue.
-type turn struct {
-	space *space
+// cursor is the position of one workspace in an iteration over the queue.
+type cursor struct {
+	state *workspaceState
 	// late is the range of late requests in the workspace's queue.
 	late due.Span
-	// taken is the number of requests returned so far. share is the workspace's
+	// returned is the number of requests returned so far. share is the workspace's
 	// share including these requests.
-	taken int
-	share float64
+	returned int
+	share    float64
 	// head is the next request to return; class and due belong to it.
 	head  *kernel.Waiting
 	class class
 	due   time.Time
 }
 
-// turns iterates over the waiting requests of all workspaces, as if each request
-// were placed when it is returned. It is a heap of the workspaces by the order in
-// which they are served. The memory is reused by later iterations.
-type turns struct {
+// iteration iterates over the waiting requests of all workspaces, as if each
+// request were placed when it is returned. It is a heap of the workspaces by
+// the order in which they are served. The memory is reused by later iterations.
+type iteration struct {
 	now time.Time
-	// queue is the heap.
-	queue []*turn
-	// spare has unused turns for reuse.
-	spare []*turn
+	// heap has the cursors of workspaces with requests that were not returned yet.
+	// It is maintained with package container/heap.
+	heap []*cursor
+	// unused has cursors that later iterations reuse.
+	unused []*cursor
 }
 
 // begin starts an iteration over the requests that are waiting in o.
-func (t *turns) begin(o *Order) {
-	t.now = o.host.Now()
-	t.spare = append(t.spare, t.queue...)
-	t.queue = t.queue[:0]
-	for _, s := range o.busy {
-		x := t.take()
-		*x = turn{space: s, late: s.queue.Late(t.now), share: s.share}
-		x.advance(t.now)
-		t.queue = append(t.queue, x)
+func (it *iteration) begin(o *Order) {
+	it.now = o.host.Now()
+	it.unused = append(it.unused, it.heap...)
+	it.heap = it.heap[:0]
+	for _, s := range o.backlogged {
+		x := it.newCursor()
+		*x = cursor{state: s, late: s.queue.Late(it.now), share: s.share}
+		x.advance(it.now)
+		it.heap = append(it.heap, x)
 	}
-	heap.Init(t)
+	heap.Init(it)
 }
 
-// take returns an unused turn, and allocates one only if there is none.
-func (t *turns) take() *turn {
-	last := len(t.spare) - 1
+// newCursor returns an unused cursor, and allocates one only if there is none.
+func (it *iteration) newCursor() *cursor {
+	last := len(it.unused) - 1
 	if last < 0 {
-		return &turn{}
+		return &cursor{}
 	}
-	x := t.spare[last]
-	t.spare = t.spare[:last]
+	x := it.unused[last]
+	it.unused = it.unused[:last]
 	return x
 }
 
 // next returns the next request to be served, or nil if there are no more.
-func (t *turns) next(o *Order) *kernel.Waiting {
-	if len(t.queue) == 0 {
+func (it *iteration) next(o *Order) *kernel.Waiting {
+	if len(it.heap) == 0 {
 		return nil
 	}
-	x := t.queue[0]
+	x := it.heap[0]
 	w := x.head
-	x.taken++
-	if x.taken == x.space.queue.Len() {
-		t.spare = append(t.spare, heap.Pop(t).(*turn))
+	x.returned++
+	if x.returned == x.state.queue.Len() {
+		it.unused = append(it.unused, heap.Pop(it).(*cursor))
 		return w
 	}
-	x.share += o.Share(w.Request) / x.space.weight
-	x.advance(t.now)
-	heap.Fix(t, 0)
+	x.share += o.Share(w.Request) / x.state.weight
+	x.advance(it.now)
+	heap.Fix(it, 0)
 	return w
 }
 
 // advance sets head to the workspace's next request.
-func (x *turn) advance(now time.Time) {
-	x.head = x.space.queue.At(x.taken, x.late)
+func (x *cursor) advance(now time.Time) {
+	x.head = x.state.queue.At(x.returned, x.late)
 	x.due = due.Time(x.head)
-	x.class = intime
+	x.class = inTime
 	if due.Resumed(x.head) {
 		x.class = resumed
 	}
@@ -127,7 +128,7 @@
 
 // before reports whether x is served before y. The keys are unique, so the order is
 // total, and the same sequence of events always gives the same order.
-func (x *turn) before(y *turn) bool {
+func (x *cursor) before(y *cursor) bool {
 	if x.class != y.class {
 		return x.class < y.class
 	}
@@ -137,7 +138,7 @@
 	if c := x.due.Compare(y.due); c != 0 {
 		return c < 0
 	}
-	a, b := x.space.key, y.space.key
+	a, b := x.state.key, y.state.key
 	if a.workspace != b.workspace {
 		return a.workspace < b.workspace
 	}
@@ -145,21 +146,21 @@
 }
 
 // Len implements heap.Interface.
-func (t *turns) Len() int { return len(t.queue) }
+func (it *iteration) Len() int { return len(it.heap) }
 
 // Less implements heap.Interface.
-func (t *turns) Less(i, j int) bool { return t.queue[i].before(t.queue[j]) }
+func (it *iteration) Less(i, j int) bool { return it.heap[i].before(it.heap[j]) }
 
 // Swap implements heap.Interface.
-func (t *turns) Swap(i, j int) { t.queue[i], t.queue[j] = t.queue[j], t.queue[i] }
+func (it *iteration) Swap(i, j int) { it.heap[i], it.heap[j] = it.heap[j], it.heap[i] }
 
 // Push implements heap.Interface.
-func (t *turns) Push(x any) { t.queue = append(t.queue, x.(*turn)) }
+func (it *iteration) Push(x any) { it.heap = append(it.heap, x.(*cursor)) }
 
 // Pop implements heap.Interface.
-func (t *turns) Pop() any {
-	last := len(t.queue) - 1
-	x := t.queue[last]
-	t.queue = t.queue[:last]
+func (it *iteration) Pop() any {
+	last := len(it.heap) - 1
+	x := it.heap[last]
+	it.heap = it.heap[:last]
 	return x
 }
--- a/plugins/order/tsf/tsf.go
+++ b/plugins/order/tsf/tsf.go
@@ -19,54 +19,54 @@
 )
 
 const (
-	// learning is the weight of the newest request in the moving average of the
-	// time for which a workspace's requests hold their slots.
-	learning = 0.1
-	// maxLearned limits the number of workspaces whose average is stored.
-	maxLearned = 8192
+	// averageWeight is the weight of the newest request in the moving average
+	// of the time for which a workspace's requests hold their slots.
+	averageWeight = 0.1
+	// maxSlotTimes limits the number of workspaces whose average is stored.
+	maxSlotTimes = 8192
 )
 
 // Order implements kernel.QueueOrder and kernel.Observer.
 type Order struct {
 	maxmin.Order
 	host kernel.Host
-	// engines is the total of the resources of all engines.
-	engines engines
-	// holding is the moving average of the time, in seconds, for which a
+	// totals is the total of the resources of all engines.
+	totals resources
+	// slotTimes is the moving average of the time, in seconds, for which a
 	// workspace's requests hold their slots.
-	holding map[ident.Workspace]float64
+	slotTimes map[ident.Workspace]float64
 }
 
-// engines is the total of the resources of all engines.
-type engines struct {
+// resources is an amount of each of the resources.
+type resources struct {
 	// slots is the number of decode slots, and pieces the KV memory of the decode
 	// engines in pieces.
 	slots, pieces float64
-	// promptRate is the prefill rate in prompt tokens per second.
-	promptRate float64
+	// prefillRate is the prefill rate in prompt tokens per second.
+	prefillRate float64
 }
 
 // Attach implements kernel.Attacher.
 func (o *Order) Attach(h kernel.Host) {
 	o.host = h
 	o.Share = o.share
-	o.Completed = o.learn
-	o.holding = map[ident.Workspace]float64{}
+	o.Completed = o.recordSlotTime
+	o.slotTimes = map[ident.Workspace]float64{}
 	o.Order.Attach(h)
 }
 
 // Configure implements kernel.Configurer. It adds up the engines' resources.
 func (o *Order) Configure(c *config.Content) {
 	o.Order.Configure(c)
-	o.engines = engines{}
+	o.totals = resources{}
 	for i := range c.Upstreams {
 		u := &c.Upstreams[i]
 		switch u.Role {
 		case config.RoleDecode:
-			o.engines.slots += float64(u.Slots)
-			o.engines.pieces += float64(u.Pieces)
+			o.totals.slots += float64(u.Slots)
+			o.totals.pieces += float64(u.Pieces)
 		case config.RolePrefill:
-			o.engines.promptRate += u.PrefillTokensPerSecond
+			o.totals.prefillRate += u.PrefillTokensPerSecond
 		}
 	}
 }
@@ -79,51 +79,51 @@
 	if r.Route == config.RouteService {
 		return 1
 	}
-	return max(o.slotShare(), o.memoryShare(r), o.promptShare(r))
+	return max(o.slotShare(), o.memoryShare(r), o.prefillShare(r))
 }
 
 // slotShare returns the share that one request takes of the decode slots.
 func (o *Order) slotShare() float64 {
-	if o.engines.slots <= 0 {
+	if o.totals.slots <= 0 {
 		return 0
 	}
-	return 1 / o.engines.slots
+	return 1 / o.totals.slots
 }
 
 // memoryShare returns the share that the request takes of the KV memory of all
 // decode engines, or 0 if the model is not known.
 func (o *Order) memoryShare(r *kernel.Request) float64 {
 	m := o.host.Model(r.Model)
-	if m == nil || o.engines.pieces <= 0 {
+	if m == nil || o.totals.pieces <= 0 {
 		return 0
 	}
-	return float64(r.Pieces(m.PieceTokens)) / o.engines.pieces
+	return float64(r.Pieces(m.PieceTokens)) / o.totals.pieces
 }
 
-// promptShare returns the share that the request takes of the prefill rate,
+// prefillShare returns the share that the request takes of the prefill rate,
 // averaged over the time for which requests of its workspace hold their slots. It
 // is 0 until a request of the workspace has completed.
-func (o *Order) promptShare(r *kernel.Request) float64 {
-	holding := o.holding[r.Workspace]
-	if holding <= 0 || o.engines.promptRate <= 0 {
+func (o *Order) prefillShare(r *kernel.Request) float64 {
+	slotTime := o.slotTimes[r.Workspace]
+	if slotTime <= 0 || o.totals.prefillRate <= 0 {
 		return 0
 	}
-	rate := float64(r.PromptTokens) / holding
-	return min(rate/o.engines.promptRate, 1)
+	rate := float64(r.PromptTokens) / slotTime
+	return min(rate/o.totals.prefillRate, 1)
 }
 
-// learn updates the workspace's average with the time for which a request held its
-// slot. At maxLearned workspaces it discards all averages.
-func (o *Order) learn(r *kernel.Request, held time.Duration) {
+// recordSlotTime updates the workspace's average with the time for which a
+// request held its slot. At maxSlotTimes workspaces it discards all averages.
+func (o *Order) recordSlotTime(r *kernel.Request, held time.Duration) {
 	if r.Route == config.RouteService {
 		return
 	}
-	old, seen := o.holding[r.Workspace]
+	old, seen := o.slotTimes[r.Workspace]
 	if !seen {
-		if len(o.holding) >= maxLearned {
-			clear(o.holding)
+		if len(o.slotTimes) >= maxSlotTimes {
+			clear(o.slotTimes)
 		}
 		old = held.Seconds()
 	}
-	o.holding[r.Workspace] = old + learning*(held.Seconds()-old)
+	o.slotTimes[r.Workspace] = old + averageWeight*(held.Seconds()-old)
 }
--- a/plugins/scorer/bench_test.go
+++ b/plugins/scorer/bench_test.go
@@ -22,9 +22,9 @@
 	"github.com/wardspool/wardspool/plugins/scorer/zone"
 )
 
-// top is the number of lowest-cost engines of each role that are combined into
-// pairs.
-const top = 4
+// maxCandidates is the number of lowest-cost engines of each role that are
+// combined into pairs.
+const maxCandidates = 4
 
 // search is a simplified copy of the kernel's candidate search.
 type search struct {
@@ -44,8 +44,8 @@
 // run returns the prefill and decode engine of the pair with the lowest total
 // cost.
 func (s *search) run(d *kernel.Decision) (p, q *kernel.Upstream) {
-	s.prefills = s.rate(s.prefills[:0], d, config.RolePrefill)
-	s.decodes = s.rate(s.decodes[:0], d, config.RoleDecode)
+	s.prefills = s.lowestCost(s.prefills[:0], d, config.RolePrefill)
+	s.decodes = s.lowestCost(s.decodes[:0], d, config.RoleDecode)
 	least := 0.0
 	for _, a := range s.prefills {
 		for _, b := range s.decodes {
@@ -61,9 +61,10 @@
 	return p, q
 }
 
-// rate computes the cost of the engines that run in the role want and pass all
-// filters, and returns best with the engines of lowest cost, in ascending order.
-func (s *search) rate(best []candidate, d *kernel.Decision, want config.Role) []candidate {
+// lowestCost computes the cost of the engines that run in the role want and
+// pass all filters, and returns best with the engines of lowest cost, in
+// ascending order.
+func (s *search) lowestCost(best []candidate, d *kernel.Decision, want config.Role) []candidate {
 	for _, i := range s.byRole[want] {
 		u := &d.View.Upstreams[i]
 		if !s.keep(d, u, want) {
@@ -94,11 +95,11 @@
 
 // insert adds c to best, which is sorted by cost and holds at most top candidates.
 func insert(best []candidate, c candidate) []candidate {
-	if len(best) == top && best[top-1].cost <= c.cost {
+	if len(best) == maxCandidates && best[maxCandidates-1].cost <= c.cost {
 		return best
 	}
-	if len(best) == top {
-		best = best[:top-1]
+	if len(best) == maxCandidates {
+		best = best[:maxCandidates-1]
 	}
 	i, _ := slices.BinarySearchFunc(best, c.cost, func(x candidate, cost float64) int {
 		if x.cost <= cost {
--- a/plugins/scorer/firstoutput/firstoutput.go
+++ b/plugins/scorer/firstoutput/firstoutput.go
@@ -12,10 +12,10 @@
 	"github.com/wardspool/wardspool/kernel/table"
 )
 
-// memoryWait is the assumed wait, in seconds, at a decode engine that has too
+// fullMemoryWait is the assumed wait, in seconds, at a decode engine that has too
 // little free KV memory for the request, so that other requests must finish
 // first.
-const memoryWait = 1.0
+const fullMemoryWait = 1.0
 
 // Scorer implements kernel.Scorer. The parts of the time to first output overlap:
 // a slot may become free while the prompt is computed. Prefill and Decode return
@@ -24,9 +24,9 @@
 //
 //	max(prefill end + transfer, slot wait).
 type Scorer struct {
-	host  kernel.Host
-	links table.Table[link]
-	calls services
+	host         kernel.Host
+	links        table.Table[link]
+	serviceCalls callTimes
 }
 
 // Attach implements kernel.Attacher.
@@ -41,8 +41,8 @@
 	}
 	queued := kernel.QueuedPrefillTokens(u, d.Now)
 	uncached := float64(kernel.UncachedTokens(d, u))
-	end := (queued + uncached*ramp(u, d.Now)) / rate
-	s.links.At(u).remember(d, end)
+	end := (queued + uncached*slowStartFactor(u, d.Now)) / rate
+	s.links.At(u).storePrefillEnd(d, end)
 	return end
 }
 
@@ -50,7 +50,7 @@
 // slot, or for a plain service the wait for the calls that are ahead.
 func (s *Scorer) Decode(d *kernel.Decision, u *kernel.Upstream) float64 {
 	if u.Spec.Role == config.RoleService {
-		return s.calls.cost(d, u)
+		return s.serviceCalls.cost(d, u)
 	}
 	return slotWait(d, u)
 }
@@ -61,11 +61,11 @@
 func (s *Scorer) Pair(d *kernel.Decision, prefill, decode *kernel.Upstream) float64 {
 	from := s.links.At(prefill)
 	to := s.links.At(decode)
-	end, ok := from.recall(d)
+	end, ok := from.storedPrefillEnd(d)
 	if !ok {
 		end = s.Prefill(d, prefill)
 	}
-	backlog := max(from.wait(prefill, d.Now), to.wait(decode, d.Now))
+	backlog := max(from.timeUntilIdle(prefill, d.Now), to.timeUntilIdle(decode, d.Now))
 	arrived := max(end, backlog) + transfer(d, prefill, decode)
 	slot := slotWait(d, decode)
 	return max(arrived, slot) - end - slot
@@ -81,7 +81,7 @@
 		}
 	}
 	if !fits(d, u) {
-		wait = max(wait, memoryWait)
+		wait = max(wait, fullMemoryWait)
 	}
 	return wait
 }
@@ -106,26 +106,27 @@
 }
 
 const (
-	// slowStart is the period during which the load on an upstream that has
+	// slowStartPeriod is the period during which the load on an upstream that has
 	// returned to service is increased gradually.
-	slowStart = 10 * time.Second
-	// rampStep is the amount by which each of this instance's requests at the
+	slowStartPeriod = 10 * time.Second
+	// slowStartStep is the amount by which each of this instance's requests at the
 	// upstream raises the cost factor of the next one at the beginning of the
 	// slow start.
-	rampStep = 2.0
+	slowStartStep = 2.0
 )
 
-// ramp returns the factor by which the cost of work on u is multiplied. It is
-// above 1 during the slow start of u and falls linearly to 1 at its end. It is 1
-// for the first request, so that an idle upstream still receives requests.
-func ramp(u *kernel.Upstream, now time.Time) float64 {
+// slowStartFactor returns the factor by which the cost of work on u is
+// multiplied. It is above 1 during the slow start of u and falls linearly to 1
+// at its end. It is 1 for the first request, so that an idle upstream still
+// receives requests.
+func slowStartFactor(u *kernel.Upstream, now time.Time) float64 {
 	if u.Own.Requests == 0 {
 		return 1
 	}
 	since := now.Sub(u.Health.BackSince)
-	if since >= slowStart {
+	if since >= slowStartPeriod {
 		return 1
 	}
-	left := 1 - max(since.Seconds(), 0)/slowStart.Seconds()
-	return 1 + rampStep*left*float64(u.Own.Requests)
+	remaining := 1 - max(since.Seconds(), 0)/slowStartPeriod.Seconds()
+	return 1 + slowStartStep*remaining*float64(u.Own.Requests)
 }
--- a/plugins/scorer/firstoutput/firstoutput_test.go
+++ b/plugins/scorer/firstoutput/firstoutput_test.go
@@ -30,9 +30,9 @@
 	return s.Prefill(d, p) + s.Decode(d, q) + s.Pair(d, p, q)
 }
 
-// about asserts that got equals want, with a tolerance for durations that are
+// assertNear asserts that got equals want, with a tolerance for durations that are
 // rounded to nanoseconds.
-func about(t *testing.T, got, want float64) {
+func assertNear(t *testing.T, got, want float64) {
 	t.Helper()
 	assert.Assert(t, math.Abs(got-want) < 1e-6, "got %v, want %v", got, want)
 }
@@ -86,7 +86,7 @@
 		}, 1},
 		{"memory full", func(_ *Scorer, _ *kernel.Decision, _, q *kernel.Upstream) {
 			q.Load.PiecesUsed = q.Spec.Pieces - 2
-		}, memoryWait},
+		}, fullMemoryWait},
 		{"link busy", func(s *Scorer, d *kernel.Decision, p, q *kernel.Upstream) {
 			for range 5 {
 				s.Observe(d.Request, kernel.Record{Time: d.Now, Step: kernel.StepPlaced, Prefill: p.ID, Decode: q.ID})
@@ -103,7 +103,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s, d, p, q := setup()
 			tt.change(s, d, p, q)
-			about(t, total(s, d, p, q), tt.want)
+			assertNear(t, total(s, d, p, q), tt.want)
 		})
 	}
 }
@@ -135,18 +135,18 @@
 	s, d, p, _ := setup()
 	p.Health.BackSince = d.Now
 	first := s.Prefill(d, p)
-	about(t, first, 0.25)
+	assertNear(t, first, 0.25)
 	p.Own.Requests = 1
 	p.Own.Tokens = 5000
 	assert.Assert(t, s.Prefill(d, p) > 3*first)
-	d.Now = d.Now.Add(slowStart)
-	about(t, s.Prefill(d, p), 2*first)
+	d.Now = d.Now.Add(slowStartPeriod)
+	assertNear(t, s.Prefill(d, p), 2*first)
 }
 
 // TestServiceCalls checks that the cost at a plain service's upstream follows the
 // durations of completed calls only.
 func TestServiceCalls(t *testing.T) {
-	u := plugintest.Runner(0)
+	u := plugintest.ServiceUpstream(0)
 	u.Load.Slots = 4
 	v := &kernel.View{Upstreams: []kernel.Upstream{u}}
 	s := &Scorer{}
@@ -156,20 +156,20 @@
 	r.Service = plugintest.Service
 	d := plugintest.Decision(r, v)
 	idleCost := s.Decode(d, &v.Upstreams[0])
-	about(t, idleCost, 0)
+	assertNear(t, idleCost, 0)
 	v.Upstreams[0].Own.Requests = 4
 	before := s.Decode(d, &v.Upstreams[0])
-	assert.Assert(t, before >= firstGuess/4)
+	assert.Assert(t, before >= initialCallTime/4)
 
 	began := plugintest.Start
 	s.Observe(r, kernel.Record{Time: began, Step: kernel.StepCalled})
 	s.Observe(r, kernel.Record{Time: began.Add(2 * time.Second), Step: kernel.StepCompleted})
-	about(t, s.Decode(d, &v.Upstreams[0]), before*2/firstGuess)
+	assertNear(t, s.Decode(d, &v.Upstreams[0]), before*2/initialCallTime)
 
 	// A call that failed does not change the average and is no longer stored.
 	s.Observe(r, kernel.Record{Time: began, Step: kernel.StepCalled})
 	s.Observe(r, kernel.Record{Time: began.Add(time.Hour), Step: kernel.StepFailed})
 	s.Observe(r, kernel.Record{Time: began.Add(time.Hour), Step: kernel.StepCompleted})
-	about(t, s.Decode(d, &v.Upstreams[0]), before*2/firstGuess)
-	assert.Equal(t, len(s.calls.started), 0)
+	assertNear(t, s.Decode(d, &v.Upstreams[0]), before*2/initialCallTime)
+	assert.Equal(t, len(s.serviceCalls.started), 0)
 }
--- a/plugins/scorer/firstoutput/link.go
+++ b/plugins/scorer/firstoutput/link.go
@@ -14,35 +14,35 @@
 	// time at.
 	bytes float64
 	at    time.Time
-	// end is the result of Prefill for request at the time now, in seconds.
-	request *kernel.Request
-	now     time.Time
-	end     float64
+	// prefillEnd is the result of Prefill for request at the time now, in seconds.
+	request    *kernel.Request
+	now        time.Time
+	prefillEnd float64
 }
 
-// remember caches the prefill end, in seconds, of the decision. Pair needs it for
-// many decode engines with the same prefill engine.
-func (l *link) remember(d *kernel.Decision, end float64) {
+// storePrefillEnd caches the prefill end, in seconds, of the decision. Pair
+// needs it for many decode engines with the same prefill engine.
+func (l *link) storePrefillEnd(d *kernel.Decision, end float64) {
 	l.request = d.Request
 	l.now = d.Now
-	l.end = end
+	l.prefillEnd = end
 }
 
-// recall returns the cached prefill end, in seconds. The second result is false
-// if the cached value belongs to another decision.
-func (l *link) recall(d *kernel.Decision) (float64, bool) {
-	return l.end, l.request == d.Request && l.now == d.Now
+// storedPrefillEnd returns the cached prefill end, in seconds. The second
+// result is false if the cached value belongs to another decision.
+func (l *link) storedPrefillEnd(d *kernel.Decision) (float64, bool) {
+	return l.prefillEnd, l.request == d.Request && l.now == d.Now
 }
 
 // add adds a transfer of the given number of bytes to u's link.
 func (l *link) add(u *kernel.Upstream, bytes float64, now time.Time) {
-	l.bytes = l.left(u, now) + bytes
+	l.bytes = l.remainingBytes(u, now) + bytes
 	l.at = now
 }
 
-// left returns the number of bytes that are still to be transferred at the time
-// now, assuming that the link has transferred at its full rate.
-func (l *link) left(u *kernel.Upstream, now time.Time) float64 {
+// remainingBytes returns the number of bytes that are still to be transferred
+// at the time now, assuming that the link has transferred at its full rate.
+func (l *link) remainingBytes(u *kernel.Upstream, now time.Time) float64 {
 	if l.bytes == 0 {
 		return 0
 	}
@@ -50,14 +50,14 @@
 	return max(l.bytes-passed*u.Spec.LinkBytesPerSecond, 0)
 }
 
-// wait returns the time, in seconds, until u's link is idle. It is 0 if the link's
-// rate is not known.
-func (l *link) wait(u *kernel.Upstream, now time.Time) float64 {
+// timeUntilIdle returns the time, in seconds, until u's link is idle. It is 0
+// if the link's rate is not known.
+func (l *link) timeUntilIdle(u *kernel.Upstream, now time.Time) float64 {
 	rate := u.Spec.LinkBytesPerSecond
 	if l.bytes == 0 || rate <= 0 {
 		return 0
 	}
-	return l.left(u, now) / rate
+	return l.remainingBytes(u, now) / rate
 }
 
 // Observe implements kernel.Observer. A placement adds the prompt's KV cache to
@@ -66,7 +66,7 @@
 // lets a transfer start only when both the links are idle and its own prefill has
 // ended.
 func (s *Scorer) Observe(r *kernel.Request, rec kernel.Record) {
-	s.calls.observe(r, rec)
+	s.serviceCalls.observe(r, rec)
 	if rec.Step != kernel.StepPlaced {
 		return
 	}
--- a/plugins/scorer/firstoutput/service.go
+++ b/plugins/scorer/firstoutput/service.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// firstGuess is the assumed duration of a call, in seconds, to a service of
-	// which no call has completed yet.
-	firstGuess = 0.02
-	// learning is the weight of the newest call in the moving average.
-	learning = 0.1
-	// balance is the cost of one occupied slot, as a fraction of a call's
+	// initialCallTime is the assumed duration of a call, in seconds, to a
+	// service of which no call has completed yet.
+	initialCallTime = 0.02
+	// averageWeight is the weight of the newest call in the moving average.
+	averageWeight = 0.1
+	// occupancyWeight is the cost of one occupied slot, as a fraction of a call's
 	// duration. It spreads calls over the upstreams while no call has to wait.
-	balance = 0.1
+	occupancyWeight = 0.1
 	// maxCalls limits the number of calls whose start time is stored.
 	maxCalls = 1 << 16
 )
 
-// services measures the durations of calls to plain services.
-type services struct {
+// callTimes measures the durations of calls to plain services.
+type callTimes struct {
 	// started is the start time of each call in progress.
 	started map[ident.RequestID]time.Time
 	// mean is the exponential moving average of the call duration, in seconds,
@@ -31,21 +31,21 @@
 
 // cost returns the expected wait at u, in seconds, for the calls that are ahead,
 // plus a small amount for each occupied slot.
-func (s *services) cost(d *kernel.Decision, u *kernel.Upstream) float64 {
+func (s *callTimes) cost(d *kernel.Decision, u *kernel.Upstream) float64 {
 	mean, ok := s.mean[d.Request.Service]
 	if !ok {
-		mean = firstGuess
+		mean = initialCallTime
 	}
-	places := float64(max(u.Load.Slots, 1))
+	slots := float64(max(u.Load.Slots, 1))
 	ahead := float64(max(u.Own.Requests, u.Load.Running+u.Load.Waiting))
-	ahead *= ramp(u, d.Now)
-	queued := max(ahead+1-places, 0)
-	return mean * (queued + balance*ahead) / places
+	ahead *= slowStartFactor(u, d.Now)
+	queued := max(ahead+1-slots, 0)
+	return mean * (queued + occupancyWeight*ahead) / slots
 }
 
 // observe records the start and the completion of calls. Calls that end in any
 // other way are not measured.
-func (s *services) observe(r *kernel.Request, rec kernel.Record) {
+func (s *callTimes) observe(r *kernel.Request, rec kernel.Record) {
 	switch rec.Step {
 	case kernel.StepCalled:
 		s.start(r, rec.Time)
@@ -58,7 +58,7 @@
 
 // start stores the start time of a call. At maxCalls it discards all stored times,
 // so that calls of which no end is observed cannot fill the memory.
-func (s *services) start(r *kernel.Request, now time.Time) {
+func (s *callTimes) start(r *kernel.Request, now time.Time) {
 	if s.started == nil || len(s.started) >= maxCalls {
 		s.started = map[ident.RequestID]time.Time{}
 	}
@@ -67,7 +67,7 @@
 
 // completed adds the duration of a completed call to the moving average of its
 // service.
-func (s *services) completed(r *kernel.Request, now time.Time) {
+func (s *callTimes) completed(r *kernel.Request, now time.Time) {
 	began, ok := s.started[r.ID]
 	if !ok {
 		return
@@ -82,5 +82,5 @@
 		s.mean[r.Service] = took
 		return
 	}
-	s.mean[r.Service] = old + learning*(took-old)
+	s.mean[r.Service] = old + averageWeight*(took-old)
 }
--- a/plugins/scorer/pace/pace.go
+++ b/plugins/scorer/pace/pace.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// maxTokens limits the output length, in tokens, that is used for the cost,
-	// so that an overstated length cannot outweigh the time to first output.
-	maxTokens = 500
-	// left is the average fraction of its output that a running request still
-	// has to produce.
-	left = 0.5
-	// balance is the weight of a slowdown that keeps all requests within their
-	// targets, as a fraction of the time lost. It favours less loaded engines.
-	balance = 0.02
+	// maxCountedTokens limits the output length, in tokens, that is used for
+	// the cost, so that an overstated length cannot outweigh the time to first
+	// output.
+	maxCountedTokens = 500
+	// remainingShare is the average fraction of its output that a running
+	// request still has to produce.
+	remainingShare = 0.5
+	// slowdownWeight is the weight of a slowdown that keeps all requests within
+	// their targets, as a fraction of the time lost. It favours less loaded
+	// engines.
+	slowdownWeight = 0.02
 )
 
 // Scorer implements kernel.Scorer. Only decode placements have a cost.
@@ -34,18 +36,18 @@
 		return 0
 	}
 	others := float64(max(u.Load.Running, u.Own.Requests))
-	step := seconds(u.Spec.DecodeStepPerRequest)
+	perRequest := seconds(u.Spec.DecodeStepPerRequest)
 	alone := seconds(u.Spec.DecodeStep)
-	before := alone + max(others-1, 0)*step
-	after := alone + others*step
-	tokens := float64(min(d.Request.MaxOutputTokens, maxTokens))
+	before := alone + max(others-1, 0)*perRequest
+	after := alone + others*perRequest
+	tokens := float64(min(d.Request.MaxOutputTokens, maxCountedTokens))
 	target := seconds(d.Request.Pace)
 	if target <= 0 {
-		return tokens * balance * others * step
+		return tokens * slowdownWeight * others * perRequest
 	}
-	own := max(after-target, 0)
-	harm := max(after-max(before, target), 0) * others * left
-	return tokens * (own + harm + balance*others*step)
+	ownDelay := max(after-target, 0)
+	othersDelay := max(after-max(before, target), 0) * others * remainingShare
+	return tokens * (ownDelay + othersDelay + slowdownWeight*others*perRequest)
 }
 
 // seconds returns d in seconds. It multiplies where Duration.Seconds divides,
--- a/plugins/scorer/pace/pace_test.go
+++ b/plugins/scorer/pace/pace_test.go
@@ -40,8 +40,8 @@
 	// A slowdown of the other requests also counts if they already missed their
 	// target.
 	assert.Assert(t, cost(15, target, 400) > missed)
-	assert.Equal(t, cost(11, target, 1_000_000), cost(11, target, maxTokens))
-	service := plugintest.Runner(0)
+	assert.Equal(t, cost(11, target, 1_000_000), cost(11, target, maxCountedTokens))
+	service := plugintest.ServiceUpstream(0)
 	d := plugintest.Decision(plugintest.Request("r"), &kernel.View{})
 	assert.Equal(t, (&Scorer{}).Decode(d, &service), 0.0)
 }
--- a/plugins/scorer/prefix/counter.go
+++ b/plugins/scorer/prefix/counter.go
@@ -5,9 +5,9 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// counter counts the prefill engines of each model. The counts are cached and
+// engineCounter counts the prefill engines of each model. The counts are cached and
 // recomputed when the view's version or the bundle changes.
-type counter struct {
+type engineCounter struct {
 	version uint64
 	// model and engines cache the most recent lookup, because all calls for one
 	// decision are about the same model.
@@ -18,11 +18,12 @@
 
 // Configure implements kernel.Configurer. It discards the counts, because a new
 // bundle may change the roles and models of engines.
-func (s *Scorer) Configure(*config.Content) { s.count = counter{} }
+func (s *Scorer) Configure(*config.Content) { s.engineCounts = engineCounter{} }
 
-// of returns the number of prefill engines that serve the decision's model. The
-// homes of the model's prefixes are chosen from these engines.
-func (c *counter) of(d *kernel.Decision) int {
+// prefillEngines returns the number of prefill engines that serve the
+// decision's model. The homes of the model's prefixes are chosen from these
+// engines.
+func (c *engineCounter) prefillEngines(d *kernel.Decision) int {
 	if c.byModel == nil || c.version != d.View.Version {
 		c.recount(d.View)
 	}
@@ -35,8 +36,8 @@
 
 // recount counts the view's prefill engines by model. It leaves out engines that
 // are leaving, unreachable or dead.
-func (c *counter) recount(v *kernel.View) {
-	*c = counter{version: v.Version, byModel: map[string]int{}}
+func (c *engineCounter) recount(v *kernel.View) {
+	*c = engineCounter{version: v.Version, byModel: map[string]int{}}
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
 		if u.Spec.Role != config.RolePrefill || u.Life > kernel.Suspect {
--- a/plugins/scorer/prefix/prefix.go
+++ b/plugins/scorer/prefix/prefix.go
@@ -20,18 +20,18 @@
 	// more blocks, prompts that share a long prefix would be spread over
 	// several engines.
 	keyBlocks = 2
-	// worth is the value of placing a request at the home, as a fraction of the
+	// homeValue is the value of placing a request at the home, as a fraction of the
 	// time to compute the key blocks. It is below 1 so that waiting in the
 	// home's queue never costs more than computing the prefix elsewhere.
-	worth = 0.5
+	homeValue = 0.5
 )
 
 // Scorer implements kernel.Scorer. Only prefill placements have a cost.
 type Scorer struct {
 	kernel.NoCost
 	// hashes caches the hash of each upstream's ID; 0 means not computed yet.
-	hashes table.Table[uint64]
-	count  counter
+	hashes       table.Table[uint64]
+	engineCounts engineCounter
 }
 
 // Prefill implements kernel.Scorer. The cost, in seconds, is 0 if u has the
@@ -48,7 +48,7 @@
 		return 0
 	}
 	before := s.expectedBefore(d, u, blocks[keyed-1])
-	value := worth * float64(keyed*d.Model.PieceTokens) / rate
+	value := homeValue * float64(keyed*d.Model.PieceTokens) / rate
 	return value * before / (before + 1)
 }
 
@@ -60,8 +60,8 @@
 	if *h == 0 {
 		*h = xxhash.Sum64String(string(u.ID)) | 1
 	}
-	others := float64(s.count.of(d) - 1)
-	return max(others, 0) * (1 - unit(mix(*h^key)))
+	others := float64(s.engineCounts.prefillEngines(d) - 1)
+	return max(others, 0) * (1 - toUnitInterval(mix(*h^key)))
 }
 
 // mix is the finalizer of SplitMix64, a hash function for integers.
@@ -73,5 +73,5 @@
 	return x ^ x>>31
 }
 
-// unit maps x uniformly to [0, 1).
-func unit(x uint64) float64 { return float64(x>>11) / (1 << 53) }
+// toUnitInterval maps x uniformly to [0, 1).
+func toUnitInterval(x uint64) float64 { return float64(x>>11) / (1 << 53) }
--- a/plugins/scorer/prefix/prefix_test.go
+++ b/plugins/scorer/prefix/prefix_test.go
@@ -94,7 +94,7 @@
 	v := plugintest.View(60, 2)
 	s := &Scorer{}
 	d := decision(v, 1, 2, 3)
-	bound := worth * keyBlocks * 2000 / 20_000.0
+	bound := homeValue * keyBlocks * 2000 / 20_000.0
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
 		c := s.Prefill(d, u)
@@ -113,10 +113,10 @@
 	v := plugintest.View(60, 2)
 	s := &Scorer{}
 	d := decision(v, 1)
-	assert.Equal(t, s.count.of(d), 20)
+	assert.Equal(t, s.engineCounts.prefillEngines(d), 20)
 	v.Upstreams[0].Spec.Models = []string{"other"}
 	v.Upstreams[3].Life = kernel.Leaving
-	assert.Equal(t, s.count.of(d), 20)
+	assert.Equal(t, s.engineCounts.prefillEngines(d), 20)
 	s.Configure(&config.Content{})
-	assert.Equal(t, s.count.of(d), 18)
+	assert.Equal(t, s.engineCounts.prefillEngines(d), 18)
 }
--- a/plugins/scorer/roundrobin/roundrobin.go
+++ b/plugins/scorer/roundrobin/roundrobin.go
@@ -22,13 +22,13 @@
 // Prefill implements kernel.Scorer. The cost is the distance of u from the next
 // index in the rotation.
 func (s *Scorer) Prefill(d *kernel.Decision, u *kernel.Upstream) float64 {
-	return turns(s.nextPrefill, u, len(d.View.Upstreams))
+	return distance(s.nextPrefill, u, len(d.View.Upstreams))
 }
 
 // Decode implements kernel.Scorer. The cost is the distance of u from the next
 // index in the rotation.
 func (s *Scorer) Decode(d *kernel.Decision, u *kernel.Upstream) float64 {
-	return turns(s.nextDecode, u, len(d.View.Upstreams))
+	return distance(s.nextDecode, u, len(d.View.Upstreams))
 }
 
 // Observe implements kernel.Observer. It advances the rotation past the
@@ -37,13 +37,13 @@
 	if rec.Step != kernel.StepPlaced && rec.Step != kernel.StepCalled {
 		return
 	}
-	s.nextPrefill = s.after(rec.Prefill, s.nextPrefill)
-	s.nextDecode = s.after(rec.Decode, s.nextDecode)
+	s.nextPrefill = s.indexAfter(rec.Prefill, s.nextPrefill)
+	s.nextDecode = s.indexAfter(rec.Decode, s.nextDecode)
 }
 
-// after returns the index that follows that of the upstream id, or old if id is
-// empty or not in the view.
-func (s *Scorer) after(id ident.UpstreamID, old int) int {
+// indexAfter returns the index that follows that of the upstream id, or old if
+// id is empty or not in the view.
+func (s *Scorer) indexAfter(id ident.UpstreamID, old int) int {
 	if id == "" {
 		return old
 	}
@@ -54,9 +54,9 @@
 	return u.Index + 1
 }
 
-// turns returns the number of upstreams from index next up to u, not including u,
-// in a view of n upstreams that wraps around.
-func turns(next int, u *kernel.Upstream, n int) float64 {
+// distance returns the number of upstreams from index next up to u, not
+// including u, in a view of n upstreams that wraps around.
+func distance(next int, u *kernel.Upstream, n int) float64 {
 	if n == 0 {
 		return 0
 	}
--- a/plugins/scorer/zone/zone.go
+++ b/plugins/scorer/zone/zone.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// oneWay is the one-way network latency between two zones. It is 0.5 to
+	// oneWayLatency is the one-way network latency between two zones. It is 0.5 to
 	// 1.5 ms in deployments; the upper end is used to favour the local zone.
-	oneWay = 1500 * time.Microsecond
-	// cutRisk is the cost of the risk that the network between two zones
+	oneWayLatency = 1500 * time.Microsecond
+	// partitionRisk is the cost of the risk that the network between two zones
 	// partitions while the request runs.
-	cutRisk = 2 * time.Millisecond
-	// crossing is the cost, in seconds, of a call to another zone: the round
+	partitionRisk = 2 * time.Millisecond
+	// crossingCost is the cost, in seconds, of a call to another zone: the round
 	// trip and the risk of a partition.
-	crossing = float64(2*oneWay+cutRisk) / float64(time.Second)
+	crossingCost = float64(2*oneWayLatency+partitionRisk) / float64(time.Second)
 )
 
 // Scorer implements kernel.Scorer. It adds no cost for link bandwidth: an engine
@@ -30,26 +30,26 @@
 // Prefill implements kernel.Scorer. The cost, in seconds, is that of the path
 // from this instance to the prefill engine.
 func (*Scorer) Prefill(d *kernel.Decision, u *kernel.Upstream) float64 {
-	return between(d.Self.Zone == u.Zone)
+	return pathCost(d.Self.Zone == u.Zone)
 }
 
 // Decode implements kernel.Scorer. The cost, in seconds, is that of the path
 // from this instance to u.
 func (*Scorer) Decode(d *kernel.Decision, u *kernel.Upstream) float64 {
-	return between(d.Self.Zone == u.Zone)
+	return pathCost(d.Self.Zone == u.Zone)
 }
 
 // Pair implements kernel.Scorer. The cost, in seconds, is that of the path from
 // the prefill engine to the decode engine.
 func (*Scorer) Pair(_ *kernel.Decision, prefill, decode *kernel.Upstream) float64 {
-	return between(prefill.Zone == decode.Zone)
+	return pathCost(prefill.Zone == decode.Zone)
 }
 
-// between returns the cost, in seconds, of a path whose ends are in the same
+// pathCost returns the cost, in seconds, of a path whose ends are in the same
 // zone or in different zones.
-func between(same bool) float64 {
-	if same {
+func pathCost(sameZone bool) float64 {
+	if sameZone {
 		return 0
 	}
-	return crossing
+	return crossingCost
 }
--- a/plugins/scorer/zone/zone_test.go
+++ b/plugins/scorer/zone/zone_test.go
@@ -23,7 +23,7 @@
 		return s.Prefill(d, p) + s.Decode(d, q) + s.Pair(d, p, q)
 	}
 	assert.Equal(t, total(&own, &own), 0.0)
-	assert.Equal(t, total(&own, &other), 2*crossing)
-	assert.Equal(t, total(&other, &own), 2*crossing)
-	assert.Equal(t, total(&other, &other), 2*crossing)
+	assert.Equal(t, total(&own, &other), 2*crossingCost)
+	assert.Equal(t, total(&other, &own), 2*crossingCost)
+	assert.Equal(t, total(&other, &other), 2*crossingCost)
 }
