--- a/plugins/order/cluster_test.go
+++ b/plugins/order/cluster_test.go
@@ -17,91 +17,105 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// tokenTime is the time per output token, and prefillRate the prompt rate, of
-// the engines of this small cluster.
+// tokenTime is the time per output token of a decode engine. prefillRate is the
+// rate of a prefill engine in prompt tokens per second.
 const (
 	tokenTime   = 30 * time.Millisecond
 	prefillRate = 20_000.0
 )
 
-// piecesPerSlot is the KV memory of a decode engine, for each of its slots.
+// piecesPerSlot is the KV memory of a decode engine in pieces, per slot.
 const piecesPerSlot = 6
 
-// maxPrefillWait is how much work may wait at a prefill engine.
+// maxPrefillWait is the maximum queueing time at a prefill engine. While it is
+// exceeded at all engines, no request is placed.
 const maxPrefillWait = 250 * time.Millisecond
 
-// engine is a decode engine with slots and memory.
+// engine is a simulated decode engine with slots and KV memory.
 type engine struct {
-	models       []string
-	slots        int
+	models []string
+	slots  int
+	// busy is the number of slots, and pieces the memory in pieces, in use.
 	busy, pieces int
 }
 
-// limit is the engine's memory, in pieces.
+// limit returns the size of the engine's KV memory in pieces.
 func (e *engine) limit() int { return piecesPerSlot * e.slots }
 
-// customer is one workspace and what it sends.
-type customer struct {
+// workload describes one workspace and the requests that it sends.
+type workload struct {
 	name   ident.Workspace
 	weight float64
-	// models are chosen from evenly.
+	// models are the models that requests are sent to, with equal probability.
 	models []string
 	// perSecond is the mean rate of requests.
 	perSecond float64
-	prompt    int
-	// output is the mean true output, and declared what max_tokens is as a
-	// multiple of the true output.
+	// prompt is the prompt length in tokens.
+	prompt int
+	// output is the mean length of the actual output in tokens. declared is
+	// max_tokens as a multiple of the actual output.
 	output   int
 	declared float64
-	// parts splits each request into several shorter ones.
-	parts int
-	// target is the time to first output.
+	// splitInto is the number of shorter requests into which each request is split;
+	// 0 and 1 mean that requests are not split.
+	splitInto int
+	// target is the required time to first output.
 	target time.Duration
 }
 
-// result is what one workspace got.
+// result has the totals of one workspace over a run. A request is in time if its
+// first output meets the target; other requests are refused.
 type result struct {
+	// offered is the number of requests sent, and inTime of those served in time.
 	offered, inTime int
-	// seconds is the engine time of the requests in time.
+	// seconds is the engine time used by the requests served in time.
 	seconds float64
-	// tokens is the output of the requests in time.
+	// tokens is the number of output tokens of the requests served in time.
 	tokens int
 }
 
-// cluster runs one queue order over engines in virtual time.
+// cluster simulates a set of engines with one queue order in virtual time.
 type cluster struct {
 	t       *testing.T
 	host    *plugintest.Host
 	order   kernel.QueueOrder
 	engines []engine
-	// prefills are the times at which the prefill engines will be idle; each
-	// serves all models.
+	// prefills has the time at which each prefill engine will be idle. Prefill
+	// engines serve all models.
 	prefills []time.Time
 	random   *rand.Rand
 	events   events
 	results  map[ident.Workspace]*result
-	truth    map[ident.RequestID]job
-	next     int
-	// waking is when the next wake-up is due, if it is later than now.
-	waking time.Time
+	// jobs has the actual work of each request, by its ID.
+	jobs map[ident.RequestID]job
+	// lastNumber is the last number used for an event or a request.
+	lastNumber int
+	// nextWakeup is the time of the scheduled wake-up; none is scheduled if it
+	// is not in the future.
+	nextWakeup time.Time
 }
 
-// job is what a request really needs.
+// job is the actual work of a request, whatever it declares.
 type job struct {
 	request *kernel.Request
-	tokens  int
+	// tokens is the length of the output.
+	tokens int
+	// seconds is the time for prefill and decode.
 	seconds float64
 }
 
-// event is an arrival, a completion when engine is not nil, or a mere wake-up.
+// event is a completion if engine is set, an arrival if workload is set, and
+// otherwise a wake-up at which placements are tried again.
 type event struct {
-	at       time.Time
+	at time.Time
+	// sequence is the order of events that have the same time.
 	sequence int
-	customer *customer
+	workload *workload
 	engine   *engine
 	request  *kernel.Request
 }
 
+// events is a heap of events in order of time.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -119,7 +133,7 @@
 	return last
 }
 
-// newCluster returns a cluster with the given order and nothing in it.
+// newCluster returns an idle cluster for the scenario with the given queue order.
 func newCluster(t *testing.T, id plugin.ID, s scenario, seed uint64) *cluster {
 	t.Helper()
 	p, err := plugin.Load(id, nil)
@@ -139,7 +153,7 @@
 		})
 	}
 	models := map[string]bool{}
-	for _, c := range s.customers {
+	for _, c := range s.workloads {
 		content.Workspaces = append(content.Workspaces, config.Workspace{Name: c.name, Weight: c.weight})
 		for _, m := range c.models {
 			if !models[m] {
@@ -160,15 +174,16 @@
 		prefills: make([]time.Time, s.prefills),
 		random:   rand.New(rand.NewPCG(seed, 7)),
 		results:  map[ident.Workspace]*result{},
-		truth:    map[ident.RequestID]job{},
+		jobs:     map[ident.RequestID]job{},
 	}
 }
 
-// run lets the customers send for the given time, and returns what they got.
-func (c *cluster) run(customers []customer, length time.Duration) map[ident.Workspace]*result {
-	for i := range customers {
-		c.results[customers[i].name] = &result{}
-		c.schedule(event{at: c.gap(&customers[i]), customer: &customers[i]})
+// run simulates the workloads for the given time and until all requests have
+// ended, and returns the totals by workspace.
+func (c *cluster) run(workloads []workload, length time.Duration) map[ident.Workspace]*result {
+	for i := range workloads {
+		c.results[workloads[i].name] = &result{}
+		c.schedule(event{at: c.nextArrival(&workloads[i]), workload: &workloads[i]})
 	}
 	end := plugintest.Start.Add(length)
 	for len(c.events) > 0 {
@@ -177,9 +192,9 @@
 		switch {
 		case e.engine != nil:
 			c.complete(e)
-		case e.customer != nil && e.at.Before(end):
-			c.arrive(e.customer)
-			c.schedule(event{at: c.gap(e.customer), customer: e.customer})
+		case e.workload != nil && e.at.Before(end):
+			c.arrive(e.workload)
+			c.schedule(event{at: c.nextArrival(e.workload), workload: e.workload})
 		}
 		c.place()
 	}
@@ -187,47 +202,52 @@
 	return c.results
 }
 
+// schedule adds an event.
 func (c *cluster) schedule(e event) {
-	c.next++
-	e.sequence = c.next
+	c.lastNumber++
+	e.sequence = c.lastNumber
 	heap.Push(&c.events, e)
 }
 
-// gap draws the time of a customer's next arrival.
-func (c *cluster) gap(who *customer) time.Time {
-	return c.host.Time.Add(time.Duration(c.random.ExpFloat64() / who.perSecond * 1e9))
+// nextArrival returns a random time for the next arrival. Arrivals are a
+// Poisson process.
+func (c *cluster) nextArrival(load *workload) time.Time {
+	return c.host.Time.Add(time.Duration(c.random.ExpFloat64() / load.perSecond * 1e9))
 }
 
-// arrive queues a request of the customer, in parts if it splits them.
-func (c *cluster) arrive(who *customer) {
-	model := who.models[c.random.IntN(len(who.models))]
-	tokens := 20 + int(c.random.ExpFloat64()*float64(who.output-20))
-	parts := max(who.parts, 1)
+// arrive adds a request of the workspace to the queue, or several if the workspace
+// splits its requests. The output length is 20 tokens plus an exponentially
+// distributed number of tokens.
+func (c *cluster) arrive(load *workload) {
+	model := load.models[c.random.IntN(len(load.models))]
+	tokens := 20 + int(c.random.ExpFloat64()*float64(load.output-20))
+	parts := max(load.splitInto, 1)
 	for range parts {
-		c.next++
+		c.lastNumber++
 		r := &kernel.Request{
-			ID: ident.RequestID(fmt.Sprintf("r%07d", c.next)), Workspace: who.name,
-			Route: config.RouteModel, Model: model, PromptTokens: who.prompt / parts,
-			MaxOutputTokens: int(float64(tokens/parts) * max(who.declared, 1)),
+			ID: ident.RequestID(fmt.Sprintf("r%07d", c.lastNumber)), Workspace: load.name,
+			Route: config.RouteModel, Model: model, PromptTokens: load.prompt / parts,
+			MaxOutputTokens: int(float64(tokens/parts) * max(load.declared, 1)),
 			Arrived:         c.host.Time,
-			FirstOutputBy:   c.host.Time.Add(who.target),
+			FirstOutputBy:   c.host.Time.Add(load.target),
 			Deadline:        c.host.Time.Add(time.Minute),
 		}
 		seconds := float64(r.PromptTokens)/prefillRate + float64(tokens/parts)*tokenTime.Seconds()
-		c.truth[r.ID] = job{request: r, tokens: tokens / parts, seconds: seconds}
-		c.results[who.name].offered++
+		c.jobs[r.ID] = job{request: r, tokens: tokens / parts, seconds: seconds}
+		c.results[load.name].offered++
 		c.order.Add(&kernel.Waiting{Request: r, Since: c.host.Time})
 	}
 }
 
-// place starts what it can in queue order and drops what is too late.
+// place starts, in queue order, all requests for which there is capacity, and
+// refuses those that can no longer meet their target.
 func (c *cluster) place() {
 	var waiting []*kernel.Waiting
 	for w := range c.order.All() {
 		waiting = append(waiting, w)
 	}
 	for _, w := range waiting {
-		prefill := c.idlest()
+		prefill := c.firstIdlePrefill()
 		wait := max(prefill.Sub(c.host.Time), 0)
 		took := time.Duration(float64(w.Request.PromptTokens) / prefillRate * 1e9)
 		if c.host.Time.Add(took + wait).After(w.Request.FirstOutputBy) {
@@ -235,7 +255,7 @@
 			c.observe(w.Request, kernel.StepRefused)
 			continue
 		}
-		e := c.free(w.Request)
+		e := c.leastLoaded(w.Request)
 		if e == nil || wait > maxPrefillWait {
 			continue
 		}
@@ -244,22 +264,23 @@
 		c.start(w.Request, e, wait)
 	}
 	if len(waiting) > 0 {
-		c.wake()
+		c.scheduleWakeup()
 	}
 }
 
-// wake looks again when the first prefill engine has room.
-func (c *cluster) wake() {
-	at := c.idlest().Add(-maxPrefillWait)
-	pending := c.waking.After(c.host.Time) && !c.waking.After(at)
+// scheduleWakeup schedules a wake-up for the time at which a prefill engine can
+// next accept a request, unless an earlier one is scheduled.
+func (c *cluster) scheduleWakeup() {
+	at := c.firstIdlePrefill().Add(-maxPrefillWait)
+	pending := c.nextWakeup.After(c.host.Time) && !c.nextWakeup.After(at)
 	if at.After(c.host.Time) && !pending {
-		c.waking = at
+		c.nextWakeup = at
 		c.schedule(event{at: at})
 	}
 }
 
-// idlest is the prefill engine that will be idle first.
-func (c *cluster) idlest() *time.Time {
+// firstIdlePrefill returns the entry of the prefill engine that will be idle first.
+func (c *cluster) firstIdlePrefill() *time.Time {
 	best := &c.prefills[0]
 	for i := range c.prefills {
 		if c.prefills[i].Before(*best) {
@@ -269,9 +290,10 @@
 	return best
 }
 
-// free returns the emptiest engine that serves the request's model and has a
-// slot and memory for it.
-func (c *cluster) free(r *kernel.Request) *engine {
+// leastLoaded returns the decode engine with the fewest busy slots among those
+// that serve the request's model and have a free slot and enough memory, or nil
+// if there is none.
+func (c *cluster) leastLoaded(r *kernel.Request) *engine {
 	var best *engine
 	for i := range c.engines {
 		e := &c.engines[i]
@@ -285,10 +307,12 @@
 	return best
 }
 
+// start runs a request on the decode engine e, after it has waited for its prefill,
+// and counts it as served in time.
 func (c *cluster) start(r *kernel.Request, e *engine, wait time.Duration) {
 	e.busy++
 	e.pieces += r.Pieces(2000)
-	j := c.truth[r.ID]
+	j := c.jobs[r.ID]
 	c.observe(r, kernel.StepPlaced)
 	c.schedule(event{at: c.host.Time.Add(wait + time.Duration(j.seconds*1e9)), engine: e, request: r})
 	got := c.results[r.Workspace]
@@ -297,13 +321,15 @@
 	got.tokens += j.tokens
 }
 
+// complete releases the resources of a completed request.
 func (c *cluster) complete(e event) {
 	e.engine.busy--
 	e.engine.pieces -= e.request.Pieces(2000)
-	c.order.Served(e.request, c.truth[e.request.ID].seconds)
+	c.order.Served(e.request, c.jobs[e.request.ID].seconds)
 	c.observe(e.request, kernel.StepCompleted)
 }
 
+// observe reports a step of a request to the queue order if it is an observer.
 func (c *cluster) observe(r *kernel.Request, step kernel.Step) {
 	if o, ok := c.order.(kernel.Observer); ok {
 		o.Observe(r, kernel.Record{Time: c.host.Time, Step: step})
--- a/plugins/order/internal/maxmin/maxmin_test.go
+++ b/plugins/order/internal/maxmin/maxmin_test.go
@@ -18,46 +18,53 @@
 	"github.com/wardspool/wardspool/plugins/order/internal/due"
 )
 
+// content declares the workspaces of the tests with their weights.
 var content = &config.Content{Workspaces: []config.Workspace{
 	{Name: "a", Weight: 1}, {Name: "b", Weight: 2}, {Name: "c", Weight: 4},
 }}
 
-// byPrompt makes shares that are exact in floating point, so that the naive
-// order adds up to the same.
+// byPrompt returns the prompt length as the share of a request. These shares are
+// exact in floating point, so that Order and the reference compute equal sums.
 func byPrompt(r *kernel.Request) float64 { return float64(r.PromptTokens) }
 
-// naive is the same order by definition: at each turn it looks at all requests
-// and takes the best one of the workspace with the smallest share.
-type naive struct {
+// reference is a simple implementation of the order that follows its
+// definition: in each step it looks at all waiting requests and selects the one
+// to be served first.
+type reference struct {
 	waiting []*kernel.Waiting
 	running []*kernel.Request
 }
 
-// weights are those of content.
+// weights has the weights that content declares.
 var weights = map[ident.Workspace]float64{"a": 1, "b": 2, "c": 4}
 
-func (n *naive) all(now time.Time) []ident.RequestID {
-	left := slices.Clone(n.waiting)
+// all returns the IDs of the waiting requests in the order in which they are to be
+// served.
+func (ref *reference) all(now time.Time) []ident.RequestID {
+	remaining := slices.Clone(ref.waiting)
 	share := map[ident.Workspace]float64{}
-	for _, r := range n.running {
+	for _, r := range ref.running {
 		share[r.Workspace] += byPrompt(r) / weights[r.Workspace]
 	}
 	var ids []ident.RequestID
-	for len(left) > 0 {
+	for len(remaining) > 0 {
 		best := 0
-		for i := range left {
-			if comesBefore(left[i], left[best], share, now) {
+		for i := range remaining {
+			if comesBefore(remaining[i], remaining[best], share, now) {
 				best = i
 			}
 		}
-		r := left[best].Request
+		r := remaining[best].Request
 		ids = append(ids, r.ID)
 		share[r.Workspace] += byPrompt(r) / weights[r.Workspace]
-		left = slices.Delete(left, best, best+1)
+		remaining = slices.Delete(remaining, best, best+1)
 	}
 	return ids
 }
 
+// comesBefore reports whether x is served before y: by class (resumed, in time,
+// late), then by the share of the workspace, the due time, the workspace's name and
+// the request's ID.
 func comesBefore(x, y *kernel.Waiting, share map[ident.Workspace]float64, now time.Time) bool {
 	rank := func(w *kernel.Waiting) int {
 		switch {
@@ -84,7 +91,7 @@
 	return a.ID < b.ID
 }
 
-// newOrder returns an order that counts shares by prompt length.
+// newOrder returns an order whose shares are the prompt lengths, and its host.
 func newOrder() (*Order, *plugintest.Host) {
 	host := plugintest.NewHost(&kernel.View{})
 	o := &Order{Share: byPrompt}
@@ -93,6 +100,7 @@
 	return o, host
 }
 
+// ids returns the IDs of the waiting requests in the order of o.All.
 func ids(o *Order) []ident.RequestID {
 	var got []ident.RequestID
 	for w := range o.All() {
@@ -101,12 +109,13 @@
 	return got
 }
 
-// TestAgainstNaive drives both with the same random arrivals, placements and
-// ends.
+// TestAgainstNaive compares Order with the reference for random
+// sequences of arrivals, placements, denied slots and ends of requests, and checks
+// that no state remains after all requests have ended.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o, host := newOrder()
-		n := &naive{}
+		ref := &reference{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			host.Time = host.Time.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
@@ -117,72 +126,79 @@
 				r.FirstOutputBy = host.Time.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "due")) * time.Second)
 				w := &kernel.Waiting{Request: r, Delivered: rapid.SampledFrom([]int{0, 0, 0, 7}).Draw(t, "delivered")}
 				o.Add(w)
-				n.waiting = append(n.waiting, w)
+				ref.waiting = append(ref.waiting, w)
 			case 3:
-				n.place(o, rapid.Bool().Draw(t, "placed"))
-				n.denied(o, rapid.Bool().Draw(t, "denied"))
+				ref.place(o, rapid.Bool().Draw(t, "placed"))
+				ref.denied(o, rapid.Bool().Draw(t, "denied"))
 			case 4:
-				n.end(o, rapid.SampledFrom([]kernel.Step{kernel.StepCompleted, kernel.StepFailed}).Draw(t, "how"))
+				ref.end(o, rapid.SampledFrom([]kernel.Step{kernel.StepCompleted, kernel.StepFailed}).Draw(t, "how"))
 			}
-			assert.DeepEqual(t, ids(o), n.all(host.Time))
-			assert.Equal(t, o.Len(), len(n.waiting))
+			assert.DeepEqual(t, ids(o), ref.all(host.Time))
+			assert.Equal(t, o.Len(), len(ref.waiting))
 		}
-		for len(n.running) > 0 {
-			n.end(o, kernel.StepCompleted)
+		for len(ref.running) > 0 {
+			ref.end(o, kernel.StepCompleted)
 		}
-		for len(n.waiting) > 0 {
-			n.place(o, false)
+		for len(ref.waiting) > 0 {
+			ref.place(o, false)
 		}
-		assert.Equal(t, len(o.spaces)+len(o.running)+len(o.waiting)+len(o.busy), 0, "something is kept for ever")
+		assert.Equal(t, len(o.states)+len(o.running)+len(o.waiting)+len(o.backlogged), 0, "state remains after all requests ended")
 	})
 }
 
-// place takes the first waiting request out, and starts it if it is placed.
-func (n *naive) place(o *Order, placed bool) {
-	if len(n.waiting) == 0 {
+// place removes the first waiting request from the queue, and starts it if placed
+// is true.
+func (ref *reference) place(o *Order, placed bool) {
+	if len(ref.waiting) == 0 {
 		return
 	}
-	r := n.waiting[0].Request
-	n.waiting = n.waiting[1:]
+	r := ref.waiting[0].Request
+	ref.waiting = ref.waiting[1:]
 	o.Remove(r.ID)
 	if placed {
-		n.running = append(n.running, r)
+		ref.running = append(ref.running, r)
 		o.Observe(r, kernel.Record{Step: kernel.StepPlaced})
-		// A decode that is moved elsewhere is not counted twice.
+		// A request whose decode moves to another engine is placed again, but
+		// must not be counted twice.
 		o.Observe(r, kernel.Record{Step: kernel.StepPlaced})
 	}
 }
 
-// denied takes the first waiting request out to await its slot, which may then
-// be denied.
-func (n *naive) denied(o *Order, denied bool) {
-	if len(n.waiting) == 0 {
+// denied removes the first waiting request from the queue while its slot is
+// pending. If the argument denied is true, the slot is denied and the request
+// returns to the queue; otherwise the request runs.
+func (ref *reference) denied(o *Order, denied bool) {
+	if len(ref.waiting) == 0 {
 		return
 	}
-	w := n.waiting[0]
-	n.waiting = n.waiting[1:]
+	w := ref.waiting[0]
+	ref.waiting = ref.waiting[1:]
 	o.Remove(w.Request.ID)
 	o.Observe(w.Request, kernel.Record{Step: kernel.StepWaiting, Reason: kernel.ReasonSlotPending})
 	if denied {
 		o.Add(w)
 		o.Observe(w.Request, kernel.Record{Step: kernel.StepWaiting, Reason: kernel.ReasonNoSlot})
-		n.waiting = append(n.waiting, w)
+		ref.waiting = append(ref.waiting, w)
 		return
 	}
-	n.running = append(n.running, w.Request)
+	ref.running = append(ref.running, w.Request)
 }
 
-// end finishes the first running request, and says so twice.
-func (n *naive) end(o *Order, how kernel.Step) {
-	if len(n.running) == 0 {
+// end ends the first running request. The end is reported twice, and the second
+// report must have no effect.
+func (ref *reference) end(o *Order, how kernel.Step) {
+	if len(ref.running) == 0 {
 		return
 	}
-	r := n.running[0]
-	n.running = n.running[1:]
+	r := ref.running[0]
+	ref.running = ref.running[1:]
 	o.Observe(r, kernel.Record{Step: how})
 	o.Observe(r, kernel.Record{Step: how})
 }
 
+// TestServicesAreCountedApart checks that a call to a plain service does not count
+// towards the workspace's share of the model engines: workspace a still comes
+// before b.
 func TestServicesAreCountedApart(t *testing.T) {
 	o, _ := newOrder()
 	call := plugintest.Request("call")
@@ -196,6 +212,8 @@
 	assert.DeepEqual(t, ids(o), []ident.RequestID{"a1", "b1"})
 }
 
+// TestStopsWhenAsked checks that an iteration can be ended early and that the next
+// one starts again with all requests.
 func TestStopsWhenAsked(t *testing.T) {
 	o, _ := newOrder()
 	for i := range 3 {
@@ -208,7 +226,7 @@
 	assert.Equal(t, len(ids(o)), 3)
 }
 
-// TestDueOrder checks the queue inside a workspace against sorting.
+// TestDueOrder compares the order of due.Queue with that of a sorted slice.
 func TestDueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q due.Queue
