--- a/plugins/admission/feasible/comeback.go
+++ b/plugins/admission/feasible/comeback.go
@@ -8,33 +8,36 @@
 )
 
 const (
-	// leastComeBack and mostComeBack bound what a refused caller is told, before
-	// it is spread.
+	// leastComeBack and mostComeBack bound the Retry-After time of a refused
+	// request before jitter is applied.
 	leastComeBack = 500 * time.Millisecond
 	mostComeBack  = 20 * time.Second
-	// returning is the share of refused callers that are expected to come back.
+	// returning is the fraction of refused callers that are expected to retry.
 	returning = 0.5
-	// firstInterval is the time between placements before any was seen.
+	// firstInterval is the assumed time between placements until one has been
+	// measured.
 	firstInterval = 50 * time.Millisecond
-	// mostInterval bounds one measured interval, so that an idle time does not
-	// count as slowness.
+	// mostInterval bounds one measured interval, so that an idle period is not
+	// taken for a low rate of placements.
 	mostInterval = time.Second
-	// smoothing is the weight of the newest interval.
+	// smoothing is the weight of the newest interval in the moving average.
 	smoothing = 0.1
 )
 
-// comeBack schedules refused callers. Each takes its turn after those refused
-// before it, at the pace of placements, so that the time told grows with the
-// number of callers that were sent away.
+// comeBack computes Retry-After times. It schedules each refused caller after
+// those refused before it, at the rate of placements, so that the time grows with
+// the number of callers that were recently refused.
 type comeBack struct {
-	// until is when the last caller sent away is expected.
+	// until is the time at which the most recently refused caller is expected to
+	// retry.
 	until time.Time
-	// interval is the mean time between placements, lastPlaced the last one.
+	// interval is the moving average of the time between placements, and
+	// lastPlaced the time of the last one.
 	interval   time.Duration
 	lastPlaced time.Time
 }
 
-// placed notes a placement.
+// placed records a placement at time now.
 func (b *comeBack) placed(now time.Time) {
 	if !b.lastPlaced.IsZero() {
 		took := min(now.Sub(b.lastPlaced), mostInterval)
@@ -43,7 +46,7 @@
 	b.lastPlaced = now
 }
 
-// pace is the mean time between placements.
+// pace returns the mean time between placements.
 func (b *comeBack) pace() time.Duration {
 	if b.interval <= 0 {
 		return firstInterval
@@ -51,7 +54,8 @@
 	return b.interval
 }
 
-// after is what to tell the caller of a request that would be late by excess.
+// after returns the Retry-After time for a refused request whose first output
+// would be late by excess, and adds its caller to the schedule.
 func (b *comeBack) after(id ident.RequestID, excess time.Duration, now time.Time) time.Duration {
 	if b.until.Before(now) {
 		b.until = now
--- a/plugins/admission/feasible/correction.go
+++ b/plugins/admission/feasible/correction.go
@@ -6,27 +6,29 @@
 )
 
 const (
-	// halfLife is the time after which what was learned counts half. It bounds
-	// how long a lesson of an overload outlives it.
+	// halfLife is the time in which the weight of an observation halves. It
+	// bounds the time for which observations from an overload affect admission
+	// after the overload has ended.
 	halfLife = 3 * time.Second
-	// trust is the weight of the uncorrected prediction, in seconds of
-	// predictions seen.
+	// trust is the weight of the uncorrected prediction. It is equivalent to that
+	// many seconds of predicted time observed without an error.
 	trust = 1.0
-	// leastFactor and mostFactor bound the correction.
+	// leastFactor and mostFactor bound the correction factor.
 	leastFactor = 0.7
 	mostFactor  = 3.0
 )
 
-// correction learns by what factor the times to first output differ from their
-// predictions. With no news it returns to 1, so that requests refused by a
-// lesson that is out of date are admitted again and teach a new one.
+// correction estimates the ratio of measured to predicted times to first output.
+// Without new observations the factor returns to 1. Otherwise an outdated factor
+// could refuse all requests, and no request would be left to correct it.
 type correction struct {
-	// predicted and took are sums in seconds that fade with halfLife.
+	// predicted and took are sums in seconds that decay with halfLife.
 	predicted, took float64
-	at              time.Time
+	// at is the time up to which the decay has been applied.
+	at time.Time
 }
 
-// fade lets time pass.
+// fade applies the decay up to time now.
 func (c *correction) fade(now time.Time) {
 	if now.After(c.at) && !c.at.IsZero() {
 		left := math.Exp2(-now.Sub(c.at).Seconds() / halfLife.Seconds())
@@ -36,23 +38,23 @@
 	c.at = now
 }
 
-// learn takes in one request.
+// learn adds the predicted and the measured time of one request.
 func (c *correction) learn(predicted, took time.Duration, now time.Time) {
 	c.fade(now)
 	c.predicted += predicted.Seconds()
-	// A request cannot teach more than the bound, or one that was held up for
-	// a reason of its own would refuse many others.
+	// The measured time is bounded. Otherwise a single request that was delayed
+	// for an unrelated reason could cause many others to be refused.
 	c.took += min(took.Seconds(), mostFactor*predicted.Seconds())
 }
 
-// factor is the correction at the given time.
+// factor returns the correction factor at time now.
 func (c *correction) factor(now time.Time) float64 {
 	c.fade(now)
 	f := (c.took + trust) / (c.predicted + trust)
 	return min(max(f, leastFactor), mostFactor)
 }
 
-// apply corrects a prediction.
+// apply returns the prediction multiplied by the correction factor.
 func (c *correction) apply(predicted time.Duration, now time.Time) time.Duration {
 	return time.Duration(float64(predicted) * c.factor(now))
 }
--- a/plugins/admission/feasible/feasible.go
+++ b/plugins/admission/feasible/feasible.go
@@ -1,5 +1,6 @@
-// Package feasible refuses requests at once whose first output cannot be in
-// time, and says when to come back. docs/design/admission.md explains how.
+// Package feasible refuses requests on arrival if their first output is not
+// expected in time, and computes when the caller should retry.
+// docs/design/admission.md describes the algorithm.
 package feasible
 
 import (
@@ -13,33 +14,37 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// margin is the error granted to a prediction before it refuses a request.
+// margin is the tolerance for errors of the prediction: a request is refused only
+// if its first output is expected to be late by more than this.
 const margin = 20 * time.Millisecond
 
-// inVainFactor is by how much a request that waited in vain is taken to have
-// missed the time that it had.
+// inVainFactor is the assumed ratio of the time that a request would have needed
+// to the time that it had, for a request that was given up before its first
+// output.
 const inVainFactor = 2
 
 // Check implements kernel.Admission and kernel.Observer.
 type Check struct {
 	host kernel.Host
-	// corrections are learned for each kind of request to each model: kinds with
-	// tight targets are served before others.
+	// corrections are learned separately for each kind of request to each model,
+	// since kinds with tight targets are served before others.
 	corrections map[target]*correction
 	comeBacks   map[string]*comeBack
-	// admitted is what was predicted for the requests admitted and not over.
+	// admitted holds the predicted time to first output of requests that were
+	// admitted and have neither started decoding nor finished.
 	admitted map[ident.RequestID]time.Duration
-	// ended is a request that is over without a first output, until the record
-	// that says why.
+	// ended is the last request that finished before it started decoding. It is
+	// kept until the record with the reason is observed.
 	ended ended
-	// links is the slowest KV transfer link of each model, in bytes a second.
+	// links is the bandwidth of the slowest KV transfer link of each model, in
+	// bytes per second.
 	links map[string]float64
 }
 
-// target is a kind of request to a model.
+// target identifies a kind of request to a model.
 type target struct{ model, kind string }
 
-// ended is a request that is over, and what was predicted for it.
+// ended is a finished request and its predicted time to first output.
 type ended struct {
 	id        ident.RequestID
 	predicted time.Duration
@@ -66,13 +71,14 @@
 			c.noteLink(m, u.LinkBytesPerSecond)
 		}
 	}
-	// What was learned of models that are gone is of no more use.
+	// Delete the state of models that are no longer declared.
 	gone := func(model string) bool { return !declared[model] }
 	maps.DeleteFunc(c.corrections, func(t target, _ *correction) bool { return gone(t.model) })
 	maps.DeleteFunc(c.comeBacks, func(m string, _ *comeBack) bool { return gone(m) })
 }
 
-// noteLink keeps the slowest link of a model.
+// noteLink records the bandwidth of a link of a model, in bytes per second, if it
+// is the slowest so far. Rates that are not positive are ignored.
 func (c *Check) noteLink(model string, rate float64) {
 	if rate <= 0 {
 		return
@@ -82,8 +88,8 @@
 	}
 }
 
-// Admit implements kernel.Admission. Plain services have no prediction and are
-// admitted.
+// Admit implements kernel.Admission. Calls of plain services have no prediction
+// and are always admitted.
 func (c *Check) Admit(r *kernel.Request) *kernel.Refusal {
 	if r.Route != config.RouteModel {
 		return nil
@@ -102,8 +108,8 @@
 	return nil
 }
 
-// latest is when the first output must be there: by its target, or before the
-// caller goes.
+// latest returns the latest time for the first output: the request's target for
+// the first output or its deadline, whichever is earlier.
 func latest(r *kernel.Request) time.Time {
 	if r.FirstOutputBy.IsZero() || r.Deadline.Before(r.FirstOutputBy) {
 		return r.Deadline
@@ -111,18 +117,19 @@
 	return r.FirstOutputBy
 }
 
-// infeasible refuses a request whose first output would be late by excess.
+// infeasible returns the refusal of a request whose first output would be late by
+// excess.
 func (c *Check) infeasible(r *kernel.Request, expected, excess time.Duration) *kernel.Refusal {
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonInfeasible,
 		Problem: api.ProblemInfeasible,
-		Detail: fmt.Sprintf("the first output is expected in %v, which is %v too late",
+		Detail: fmt.Sprintf("the first output is expected in %v, which is %v after its target or deadline",
 			expected.Round(time.Millisecond), excess.Round(time.Millisecond)),
 		RetryAfter: c.comeBack(r.Model).after(r.ID, excess, c.host.Now()),
 	}
 }
 
-// impossible refuses a request for which no upstream is left.
+// impossible returns the refusal of a request for which no upstream is available.
 func (c *Check) impossible(r *kernel.Request) *kernel.Refusal {
 	reason := kernel.ReasonNoPrefill
 	if c.hasPrefill(r.Model) {
@@ -131,12 +138,13 @@
 	return &kernel.Refusal{
 		Reason:     reason,
 		Problem:    api.ProblemNoUpstream,
-		Detail:     fmt.Sprintf("no upstream for model %q can be reached from here", r.Model),
+		Detail:     fmt.Sprintf("no upstream for model %q is reachable from this instance", r.Model),
 		RetryAfter: c.comeBack(r.Model).after(r.ID, 0, c.host.Now()),
 	}
 }
 
-// hasPrefill reports whether a prefill engine of the model may be usable.
+// hasPrefill reports whether the view has a prefill engine for the model that may
+// be usable.
 func (c *Check) hasPrefill(model string) bool {
 	v := c.host.View()
 	for i := range v.Upstreams {
@@ -148,7 +156,8 @@
 	return false
 }
 
-// correction returns what was learned for requests like r.
+// correction returns the correction for the kind and model of r, and creates it
+// if there is none.
 func (c *Check) correction(r *kernel.Request) *correction {
 	t := target{model: r.Model, kind: r.Kind}
 	k, ok := c.corrections[t]
@@ -159,7 +168,8 @@
 	return k
 }
 
-// comeBack returns the model's schedule of refused callers.
+// comeBack returns the model's schedule of refused callers, and creates it if
+// there is none.
 func (c *Check) comeBack(model string) *comeBack {
 	b, ok := c.comeBacks[model]
 	if !ok {
@@ -169,7 +179,8 @@
 	return b
 }
 
-// Observe implements kernel.Observer. It compares predictions with what came.
+// Observe implements kernel.Observer. It compares predictions with the measured
+// times and records placements.
 func (c *Check) Observe(r *kernel.Request, rec kernel.Record) {
 	if r.Route != config.RouteModel {
 		return
@@ -184,8 +195,9 @@
 	}
 }
 
-// gaveUp learns from a request that waited in vain. One that a later check
-// refused, or that ended for another reason, teaches nothing.
+// gaveUp updates the correction for an admitted request that was refused later
+// because it could no longer be served in time. Requests that were refused by a
+// later check, or that ended for another reason, are ignored.
 func (c *Check) gaveUp(r *kernel.Request, rec kernel.Record) {
 	if c.ended.id != r.ID || rec.Reason != kernel.ReasonInfeasible {
 		return
@@ -194,15 +206,16 @@
 	c.ended = ended{}
 }
 
-// inVain is the time to first output that a request is taken to have needed
-// which was given up after waiting. The true one is not known, only that it is
-// more than there was.
+// inVain returns the assumed time to first output of a request that was given up
+// after waiting. The real time is not known, except that it exceeds the time that
+// the request had.
 func inVain(r *kernel.Request) time.Duration {
 	return inVainFactor * latest(r).Sub(r.Arrived)
 }
 
-// learn compares the time to first output with the prediction at admission.
-// Only the first decode of a request counts; later ones follow a failure.
+// learn updates the correction with the measured time to first output and the
+// prediction made at admission. Only the first decode of a request counts, since
+// later ones follow a failure.
 func (c *Check) learn(r *kernel.Request, took time.Duration, now time.Time) {
 	predicted, ok := c.admitted[r.ID]
 	if !ok {
@@ -212,8 +225,9 @@
 	c.correction(r).learn(predicted, took, now)
 }
 
-// transfer is the time to move the request's KV cache over an idle link, which
-// comes after StepDecoding.
+// transfer returns the time to move the request's KV cache over an idle link. The
+// transfer takes place after StepDecoding, so the record's Waited does not
+// include it.
 func (c *Check) transfer(r *kernel.Request) time.Duration {
 	m := c.host.Model(r.Model)
 	rate := c.links[r.Model]
@@ -224,8 +238,9 @@
 	return time.Duration(bytes / rate * float64(time.Second))
 }
 
-// Finished implements kernel.Admission. The record of the request's end, which
-// says why, comes next.
+// Finished implements kernel.Admission. It keeps the prediction of a request that
+// never started decoding until Observe is called with the reason, which happens
+// next.
 func (c *Check) Finished(r *kernel.Request, _ api.Outcome) {
 	predicted, ok := c.admitted[r.ID]
 	if !ok {
--- a/plugins/admission/feasible/feasible_test.go
+++ b/plugins/admission/feasible/feasible_test.go
@@ -15,7 +15,8 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// newCheck returns a check whose host predicts the given time.
+// newCheck returns a check whose host predicts firstOutput as the time to first
+// output of every request.
 func newCheck(firstOutput time.Duration) (*Check, *plugintest.Host) {
 	host := plugintest.NewHost(plugintest.View(6, 2))
 	host.Predict = func(*kernel.Request) kernel.Estimate {
@@ -81,14 +82,16 @@
 	}
 }
 
-// TestLearns: predictions are half of what comes, until requests that would be
-// late are refused; with no news they are admitted again.
+// TestLearns checks that requests are refused after the measured times have been
+// twice the predicted ones, and are admitted again after a time without
+// observations.
 func TestLearns(t *testing.T) {
 	c, host := newCheck(1200 * time.Millisecond)
 	for range 20 {
 		r := plugintest.Request("r")
 		assert.Assert(t, c.Admit(r) == nil)
-		// 0.1 s of the 2.4 s is the transfer after StepDecoding.
+		// The measured time is 2.4 s: 2.3 s until StepDecoding and 0.1 s for the
+		// transfer after it.
 		c.Observe(r, kernel.Record{Time: host.Time, Step: kernel.StepDecoding, Waited: 2300 * time.Millisecond})
 		if c.correction(r).factor(host.Time) > 1.7 {
 			break
@@ -101,6 +104,8 @@
 	assert.Assert(t, c.Admit(r) == nil)
 }
 
+// TestLearnsFromWaitingInVain checks that requests that are given up after
+// waiting raise the correction.
 func TestLearnsFromWaitingInVain(t *testing.T) {
 	c, host := newCheck(500 * time.Millisecond)
 	for range 20 {
@@ -113,8 +118,9 @@
 	assert.Equal(t, len(c.admitted), 0)
 }
 
-// TestLearnsNothingFromOtherEnds: a later check refuses the request, its caller
-// goes, or the instance stops.
+// TestLearnsNothingFromOtherEnds checks that the correction is not changed by
+// requests that end for another reason than waiting too long: a later check
+// refuses the request, its caller disconnects, or the instance stops.
 func TestLearnsNothingFromOtherEnds(t *testing.T) {
 	for _, reason := range []kernel.Reason{
 		kernel.ReasonQueueFull, kernel.ReasonCallerGone, kernel.ReasonStopping,
@@ -128,8 +134,8 @@
 	}
 }
 
-// TestKindsAreLearnedApart: one kind is served late, another of the same model in
-// time.
+// TestKindsAreLearnedApart checks that requests of one kind that are served late
+// do not cause requests of another kind for the same model to be refused.
 func TestKindsAreLearnedApart(t *testing.T) {
 	c, host := newCheck(1200 * time.Millisecond)
 	slow := plugintest.Request("slow")
@@ -156,7 +162,8 @@
 	assert.Equal(t, len(c.admitted), 0)
 }
 
-// TestCorrectionIsBounded holds for any lessons.
+// TestCorrectionIsBounded checks that the factor stays within its bounds for any
+// observations, and returns to 1 without new ones.
 func TestCorrectionIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var k correction
@@ -191,13 +198,13 @@
 		told[wait.Round(10*time.Millisecond)]++
 		sums[i/100] += wait
 	}
-	assert.Assert(t, sums[1] > 2*sums[0], "later callers are sent away for longer")
+	assert.Assert(t, sums[1] > 2*sums[0], "callers refused later are not told to wait longer")
 	for wait, n := range told {
-		assert.Assert(t, n < 20 || wait < 2*leastComeBack, "%d callers come back in %v", n, wait)
+		assert.Assert(t, n < 20 || wait < 2*leastComeBack, "%d callers were told the same time of %v", n, wait)
 	}
-	// The same request is always told the same.
+	// The time is a function of the request ID and the schedule.
 	x, y := b, b
 	assert.Equal(t, x.after("r", time.Second, now), y.after("r", time.Second, now))
-	// Sent-away callers are forgotten with time.
+	// The schedule is empty again after the last expected retry.
 	assert.Assert(t, b.after("r", 0, now.Add(mostComeBack)) < 2*leastComeBack)
 }
--- a/plugins/admission/feasible/overload_test.go
+++ b/plugins/admission/feasible/overload_test.go
@@ -14,8 +14,8 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// The small system of this test has 60 slots, held 6 s on average: 10 requests a
-// second. A prefill takes 0.25 s.
+// The simulated system has 60 slots, and a request holds one for 6 s on average.
+// Its capacity is thus 10 requests per second. A prefill takes 0.25 s.
 const (
 	slots   = 60
 	holding = 6 * time.Second
@@ -23,19 +23,19 @@
 	tick    = 5 * time.Millisecond
 )
 
-// system runs requests in order of arrival behind the check.
+// system simulates the check and a queue that is served in order of arrival.
 type system struct {
 	check   *Check
 	host    *plugintest.Host
 	random  *rand.Rand
 	waiting []*kernel.Request
 	ends    []time.Time
-	// optimism is what the estimate of the wait is divided by.
+	// optimism is the divisor applied to the estimated waiting time.
 	optimism float64
 	tally    tally
 }
 
-// tally counts requests by what became of them.
+// tally counts requests by their outcome.
 type tally struct{ offered, inTime, refused, gaveUp int }
 
 func newSystem(optimism float64) *system {
@@ -45,7 +45,8 @@
 	return s
 }
 
-// predict is the kernel's kind of estimate: the queue at the pace of slots.
+// predict estimates the time to first output as the kernel does: from the length
+// of the queue and the rate at which slots become free.
 func (s *system) predict(*kernel.Request) kernel.Estimate {
 	wait := time.Duration(0)
 	if len(s.ends) == slots {
@@ -55,7 +56,8 @@
 	return kernel.Estimate{Possible: true, FirstOutput: wait + prefill}
 }
 
-// run offers load times the capacity for the given time, and returns the tally.
+// run simulates a duration of length in which load times the capacity is offered,
+// and returns the tally for that time.
 func (s *system) run(load float64, length time.Duration) tally {
 	s.tally = tally{}
 	perTick := load * slots / holding.Seconds() * tick.Seconds()
@@ -82,7 +84,8 @@
 	s.waiting = append(s.waiting, r)
 }
 
-// serve ends what is over, gives up what is late and starts what it can.
+// serve frees the slots of requests that have ended, gives up requests that can
+// no longer meet their target, and starts requests while slots are free.
 func (s *system) serve() {
 	now := s.host.Time
 	s.ends = slices.DeleteFunc(s.ends, func(t time.Time) bool { return !t.After(now) })
@@ -97,7 +100,8 @@
 			s.tally.inTime++
 			s.ends = append(s.ends, now.Add(time.Duration(s.random.ExpFloat64()*float64(holding))))
 			s.observe(r, kernel.StepPlaced, now.Sub(r.Arrived))
-			// The transfer that follows is part of the prefill's time here.
+			// The prefill time of this simulation includes the transfer of 0.1 s
+			// that the check adds to Waited.
 			s.observe(r, kernel.StepDecoding, now.Sub(r.Arrived)+prefill-100*time.Millisecond)
 		default:
 			return
@@ -114,8 +118,10 @@
 	s.check.Observe(r, rec)
 }
 
-// TestOverloadAndBack goes from 0.8 to 1.5 of capacity and back, with
-// predictions that are right, twice too short and twice too long.
+// TestOverloadAndBack offers 0.8, 1.5 and again 0.8 times the capacity, with
+// waiting times that are predicted correctly, at half and at twice the right
+// value. It guards against a collapse of goodput under overload, and against
+// refusals that go on after the overload has ended.
 func TestOverloadAndBack(t *testing.T) {
 	for _, optimism := range []float64{1, 2, 0.5} {
 		t.Run(fmt.Sprint("optimism ", optimism), func(t *testing.T) {
@@ -123,15 +129,16 @@
 			s.run(0.8, 20*time.Second)
 			over := s.run(1.5, 60*time.Second)
 			t.Logf("1.5: %+v", over)
-			// 600 fit into a minute.
+			// The capacity is 600 requests per minute.
 			assert.Assert(t, over.inTime > 570, "goodput collapsed")
-			// Few wait in vain: most are refused on arrival.
+			// Most requests that cannot be served are refused on arrival, and few
+			// are given up after waiting.
 			assert.Assert(t, over.gaveUp*2 < over.refused)
 			assert.Assert(t, over.gaveUp*10 < over.offered)
 			settle := s.run(0.8, 3*time.Second)
 			after := s.run(0.8, 30*time.Second)
 			t.Logf("0.8: %+v, then %+v", settle, after)
-			assert.Assert(t, after.inTime*100 >= after.offered*99, "the overload outlives itself")
+			assert.Assert(t, after.inTime*100 >= after.offered*99, "requests are refused or late after the end of the overload")
 			assert.Equal(t, len(s.check.admitted), len(s.waiting))
 		})
 	}
--- a/plugins/admission/internal/jitter/jitter.go
+++ b/plugins/admission/internal/jitter/jitter.go
@@ -1,4 +1,5 @@
-// Package jitter spreads the times at which refused callers come back.
+// Package jitter spreads the times at which refused callers retry, so that they
+// do not all retry at once.
 package jitter
 
 import (
@@ -9,16 +10,16 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// share is the part by which a time is prolonged at most.
+// share is the largest fraction by which a time is extended.
 const share = 0.5
 
-// Prolong returns wait prolonged by up to half, evenly over requests and always
-// the same for one request.
+// Prolong returns wait extended by up to half. The extension is uniformly
+// distributed over requests and always the same for one request ID.
 func Prolong(wait time.Duration, id ident.RequestID) time.Duration {
 	return wait + time.Duration(share*unit(id)*float64(wait))
 }
 
-// unit maps a request to [0, 1).
+// unit maps a request ID to a uniformly distributed number in [0, 1).
 func unit(id ident.RequestID) float64 {
 	return float64(xxhash.Sum64String(string(id))>>11) / (1 << 53)
 }
--- a/plugins/admission/known/known.go
+++ b/plugins/admission/known/known.go
@@ -1,5 +1,5 @@
-// Package known refuses requests that name a workspace, model or service which
-// the bundle does not declare, or that ask for more context than the model has.
+// Package known refuses requests that name a workspace, model or service that
+// the bundle does not declare, or that exceed the model's context length.
 package known
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Check implements kernel.Admission. Its refusals carry no Retry-After: the
-// same request would be refused again.
+// Check implements kernel.Admission. Its refusals carry no Retry-After, since a
+// repeated request would be refused again.
 type Check struct {
 	workspaces map[ident.Workspace]config.Workspace
 	models     map[string]config.Model
@@ -46,7 +46,7 @@
 		return &kernel.Refusal{
 			Reason:  kernel.ReasonUnknownWorkspace,
 			Problem: api.ProblemUnknownWorkspace,
-			Detail:  fmt.Sprintf("workspace %q is not in the bundle", r.Workspace),
+			Detail:  fmt.Sprintf("workspace %q is not declared in the bundle", r.Workspace),
 		}
 	}
 	if r.Route == config.RouteService {
@@ -63,7 +63,7 @@
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonUnknownService,
 		Problem: api.ProblemUnknownService,
-		Detail:  fmt.Sprintf("service %q is not in the bundle", r.Service),
+		Detail:  fmt.Sprintf("service %q is not declared in the bundle", r.Service),
 	}
 }
 
@@ -74,7 +74,7 @@
 		return &kernel.Refusal{
 			Reason:  kernel.ReasonUnknownModel,
 			Problem: api.ProblemUnknownModel,
-			Detail:  fmt.Sprintf("workspace %q has no model %q", r.Workspace, r.Model),
+			Detail:  fmt.Sprintf("workspace %q has no access to a model named %q", r.Workspace, r.Model),
 		}
 	}
 	total := r.PromptTokens + r.MaxOutputTokens
@@ -82,17 +82,19 @@
 		return &kernel.Refusal{
 			Reason:  kernel.ReasonContextTooLong,
 			Problem: api.ProblemMalformed,
-			Detail: fmt.Sprintf("%d prompt and %d output tokens exceed the model's context of %d",
+			Detail: fmt.Sprintf("%d prompt tokens and %d output tokens exceed the model's context length of %d tokens",
 				r.PromptTokens, r.MaxOutputTokens, m.MaxContext),
 		}
 	}
 	return nil
 }
 
-// mayUse reports whether the workspace may use the model.
+// mayUse reports whether the workspace may use the model. A workspace that lists
+// no models may use all.
 func mayUse(w config.Workspace, model string) bool {
 	return len(w.Models) == 0 || slices.Contains(w.Models, model)
 }
 
-// Finished implements kernel.Admission; there is nothing to give back.
+// Finished implements kernel.Admission. It does nothing, since Admit keeps no
+// state for a request.
 func (*Check) Finished(*kernel.Request, api.Outcome) {}
--- a/plugins/admission/known/known_test.go
+++ b/plugins/admission/known/known_test.go
@@ -52,7 +52,7 @@
 				return
 			}
 			assert.Equal(t, refusal.Reason, tt.want)
-			// The same request would be refused again.
+			// No Retry-After, since a repeated request would be refused again.
 			assert.Equal(t, refusal.RetryAfter.Nanoseconds(), int64(0))
 			assert.Assert(t, refusal.Detail != "")
 		})
--- a/plugins/admission/limits/borrowing.go
+++ b/plugins/admission/limits/borrowing.go
@@ -8,35 +8,38 @@
 )
 
 const (
-	// askEvery is how often an instance that needs more asks, and one that has
-	// loans asks again. It is below half a lease, so that a lost message costs
-	// nothing.
+	// askEvery is the interval at which an instance requests more capacity and
+	// renews its loans. It is less than half a lease, so a loan does not expire
+	// when a single message is lost.
 	askEvery = 500 * time.Millisecond
-	// askNew is how many peers that lend nothing so far are asked at a time.
+	// askNew is the maximum number of additional peers to ask in one round.
 	askNew = 2
-	// maxSilent is how many asks in a row may go unanswered, and how often a
-	// return is repeated, before the peer is left alone.
+	// maxSilent is the number of consecutive unanswered asks after which a peer
+	// that lends nothing is no longer asked. It also bounds how often the return
+	// of a loan is repeated.
 	maxSilent = 3
 )
 
-// debt is what this instance has from one peer.
+// debt is the capacity that this instance has borrowed from one peer.
 type debt struct {
-	// number and askedAt are those of the last ask, silent how many in a row had
-	// no answer.
+	// number and askedAt are the message number and the time of the last ask.
+	// silent is the number of consecutive asks without an answer.
 	number  uint64
 	askedAt time.Time
 	silent  int
-	// want is what to ask for next.
+	// want is the total amount to ask for next.
 	want Amount
-	// right is what may be used until the given time.
+	// right is the amount that may be used before the time until.
 	right Amount
 	until time.Time
-	// held is the number of slots not given back yet: at least right.Slots, and
-	// more while requests run that were admitted under an earlier right.
+	// held is the number of slots not yet returned to the lender. It is at least
+	// right.Slots, and greater while requests that were admitted under an earlier
+	// grant are still in flight.
 	held int
 }
 
-// at returns what may be used at the given time.
+// at returns the borrowed amount that may be used at time now. It is zero once
+// the loan has expired.
 func (d *debt) at(now time.Time) Amount {
 	if now.Before(d.until) {
 		return d.right
@@ -44,7 +47,7 @@
 	return Amount{}
 }
 
-// borrowed sums up what peers lend.
+// borrowed returns the sum of the unexpired loans from all peers.
 func (s *space) borrowed(now time.Time) Amount {
 	var sum Amount
 	for _, d := range s.debts.all() {
@@ -53,8 +56,8 @@
 	return sum
 }
 
-// settle gives up slots that are held but no longer in use. own is what the
-// instance has without loans.
+// settle reduces the held slots of each debt to those that are still granted or
+// in use. own is the amount that the instance may use without loans.
 func (s *space) settle(own Amount, now time.Time) {
 	excess := max(s.active-own.Slots, 0)
 	for _, d := range s.debts.all() {
@@ -68,8 +71,9 @@
 	}
 }
 
-// borrow sends what this instance asks of its peers for the workspace. It
-// reports whether there will be more to ask.
+// borrow adds this instance's asks for the workspace to out. It reports whether
+// another round is needed, because the instance still has loans or its own
+// capacity does not cover its demand.
 func (c *Check) borrow(s *space, out *outbox) bool {
 	now := c.host.Now()
 	own := c.own(s, now)
@@ -87,7 +91,8 @@
 	return s.debts.len() > 0 || !need.isZero()
 }
 
-// choose makes entries for peers to ask for more.
+// choose creates debts for up to askNew randomly selected peers that this
+// instance does not borrow from yet. It does nothing if more is zero.
 func (c *Check) choose(s *space, more Amount) {
 	if more.isZero() {
 		return
@@ -105,8 +110,9 @@
 	}
 }
 
-// split sets what to ask of each peer: what it lends now and an equal part of
-// what is missing, or less where less is needed.
+// split sets the amount to ask of each peer: its present loan plus an equal part
+// of the missing amount, or less if this instance has borrowed more than it
+// needs.
 func (s *space) split(need, have Amount, now time.Time) {
 	missing := need.less(have)
 	tooMuch := have.less(need)
@@ -125,7 +131,8 @@
 	}
 }
 
-// ask sends one ask. From here on no more is used than it says is held.
+// ask adds one ask to out. From then on this instance uses no more of the peer's
+// capacity than the ask's Hold, until the peer answers.
 func (d *debt) ask(name ident.Workspace, peer ident.InstanceID, out *outbox, now time.Time) {
 	d.right = d.at(now).atMost(d.want)
 	d.held = max(d.right.Slots, d.held)
@@ -135,13 +142,15 @@
 	d.silent++
 }
 
-// done reports whether the peer need not be asked again.
+// done reports whether the peer need not be asked again: nothing is borrowed
+// from it, and more than maxSilent asks in a row were not answered.
 func (d *debt) done() bool {
 	nothing := d.right.isZero() && d.held == 0
 	return nothing && d.silent > maxSilent
 }
 
-// answered takes in the answer to the last ask.
+// answered applies the answer to the last ask. The lease starts when the ask was
+// sent, so it ends before the lender's.
 func (d *debt) answered(grant Amount) {
 	d.silent = 0
 	d.right = grant
--- a/plugins/admission/limits/bound_test.go
+++ b/plugins/admission/limits/bound_test.go
@@ -12,13 +12,17 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// allowance is what may be used beyond the limits, as docs/design/limits.md
-// states it: the part of each instance that is missing from a peer's view, or
-// was within a lease (for slots: within a lease and a request's lifetime), and of
-// each that died, for as long as its loans may be used, if it was missing (for
-// slots: in any case, and until the requests admitted under its loans are over);
-// and one slot for each instance while they divide among different ones, since
-// they may round up for different instances.
+// allowance returns the amount by which the limits may be exceeded, as stated in
+// docs/design/limits.md. It is the sum of:
+//   - the share of each instance that is missing from the view of a peer, or was
+//     missing within the last lease (for slots: within the last lease plus the
+//     lifetime of a request);
+//   - the share of each instance that died, for as long as its loans may be used.
+//     For the rate this applies only if the instance was missing from a peer's
+//     view. For slots it applies in any case, until the requests admitted under
+//     its loans have ended;
+//   - one slot for each instance while the instances divide among different sets
+//     of instances, since the sets may round up for different instances.
 func (w *world) allowance() Amount {
 	var sum Amount
 	for _, n := range w.living() {
@@ -45,7 +49,8 @@
 	return sum
 }
 
-// agree reports whether all living nodes divide among the same ones.
+// agree reports whether all living nodes divide the limits among the same set of
+// instances.
 func (w *world) agree() bool {
 	living := w.living()
 	for _, n := range living {
@@ -57,13 +62,13 @@
 	return true
 }
 
-// settled reports whether all living peers have had the node in their views for
-// long enough.
+// settled reports whether the node has been in the views of all living peers for
+// at least the time enough.
 func (n *node) settled(enough time.Duration) bool {
 	return !n.listedSince.IsZero() && n.w.now.Sub(n.listedSince) >= enough
 }
 
-// part is the node's part of the limits, which it may use or lend.
+// part returns the node's share of the limits, which it may use or lend.
 func (n *node) part() Amount {
 	base := n.check.base(n.space())
 	if n.check.members.warm {
@@ -72,7 +77,7 @@
 	return base
 }
 
-// noteListed keeps since when all living peers have the node in their views.
+// noteListed updates listedSince from the present views of the living peers.
 func (n *node) noteListed() {
 	for _, peer := range n.w.living() {
 		peer.space()
@@ -87,7 +92,8 @@
 	}
 }
 
-// total is what all nodes together may use or use.
+// total returns the sum of the amounts that the nodes may use, or do use where
+// that is more.
 func (w *world) total() Amount {
 	var sum Amount
 	for _, n := range w.living() {
@@ -96,24 +102,26 @@
 	return sum
 }
 
-// violation returns what is used beyond the bound.
+// violation returns the amount by which usage exceeds the limits plus the
+// allowance.
 func (w *world) violation() Amount {
 	return w.total().less(Amount{Rate: limitRate, Slots: limitSlots}).less(w.allowance())
 }
 
-// TestBound checks the bound after each step of random sequences of requests,
-// lost, repeated and overtaking messages, deaths, restarts, freezes, and views
-// that lag.
+// TestBound checks the bound after each step of a random sequence of requests,
+// lost, duplicated and reordered messages, crashes, restarts, frozen instances,
+// and outdated views.
 func TestBound(t *testing.T) { rapid.Check(t, checkBound) }
 
-// init raises the number of sequences tried; -rapid.checks on the command line
-// goes before.
+// init raises the number of sequences tried. The flag -rapid.checks on the command
+// line takes precedence.
 func init() {
 	if err := flag.Set("rapid.checks", "1000"); err != nil {
 		panic(err)
 	}
 }
 
+// checkBound runs one random sequence.
 func checkBound(t *rapid.T) {
 	w := newWorld(rapid.IntRange(1, 4).Draw(t, "nodes"))
 	for _, n := range w.nodes {
@@ -125,13 +133,13 @@
 	for range rapid.IntRange(1, 200).Draw(t, "steps") {
 		w.step(t)
 		v := w.violation()
-		assert.Assert(t, v.isZero(), "%+v beyond %+v", v, w.allowance())
+		assert.Assert(t, v.isZero(), "limits exceeded by %+v more than the allowance of %+v", v, w.allowance())
 		assert.Assert(t, float64(w.admitted) <= w.credit+limitBurst+float64(w.lives),
-			"%d admitted, %.1f allowed", w.admitted, w.credit)
+			"%d requests admitted, credit from the rate and the allowance %.1f", w.admitted, w.credit)
 	}
 }
 
-// step does one random thing.
+// step performs one random action.
 func (w *world) step(t *rapid.T) {
 	n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
 	what := rapid.SampledFrom([]string{
@@ -168,7 +176,7 @@
 	}
 }
 
-// mailStep does something with a random message.
+// mailStep delivers, duplicates or loses a random message.
 func (w *world) mailStep(t *rapid.T, what string) {
 	if len(w.mail) == 0 {
 		return
--- a/plugins/admission/limits/lending_test.go
+++ b/plugins/admission/limits/lending_test.go
@@ -8,16 +8,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSharesFollowDemand: one instance gets all the traffic, then another.
+// TestSharesFollowDemand checks that an instance that receives all traffic borrows
+// the rate of its peers, also after the traffic has moved to another instance, and
+// that all loans are returned when the traffic ends.
 func TestSharesFollowDemand(t *testing.T) {
 	w := startAll(4)
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, hot := range []int{0, 2} {
 		w.nodes[hot].hammer(100, 3*time.Second, 300*time.Millisecond, random)
-		// 0.25 + 3 * 0.25 * 0.9 of 40 a second, for 4 seconds.
+		// The instance may use its own share of 0.25, and 0.9 of the shares of its
+		// 3 peers, of 40 requests per second, for 4 seconds.
 		got := w.nodes[hot].hammer(100, 4*time.Second, 300*time.Millisecond, random)
-		t.Logf("instance %d: %d in 4 s", hot, got)
-		assert.Assert(t, got > 140 && got <= 160+limitBurst, "%d", got)
+		t.Logf("instance %d: %d requests admitted in 4 s", hot, got)
+		assert.Assert(t, got > 140 && got <= 160+limitBurst, "%d requests admitted in 4 s", got)
 		w.within(t)
 	}
 	w.pass(10*time.Second, true)
@@ -33,13 +36,15 @@
 	w := startAll(4)
 	random := rand.New(rand.NewPCG(1, 1))
 	w.nodes[0].hammer(30, 5*time.Second, lifetime, random)
-	// All but the slot that each of the others keeps.
+	// The instance has all slots except the one that each of its 3 peers never
+	// lends.
 	assert.Equal(t, w.nodes[0].space().active, limitSlots-3)
 	w.within(t)
 }
 
-// TestReclaim: lenders need their part back while the requests that were
-// admitted under their loans still run.
+// TestReclaim checks that the limits hold when a lender needs its share back while
+// requests that were admitted under its loan are still in flight, and that it gets
+// the share back in the end.
 func TestReclaim(t *testing.T) {
 	w := startAll(2)
 	borrower, lender := w.nodes[0], w.nodes[1]
@@ -57,7 +62,8 @@
 	assert.Assert(t, lender.space().active >= limitSlots/2)
 }
 
-// TestCutBorrower: a borrower's peers hear nothing more while its requests run.
+// TestCutBorrower checks that the limits hold when all messages between a borrower
+// and its lender are lost while requests under the loan are still in flight.
 func TestCutBorrower(t *testing.T) {
 	w := startAll(2)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -72,15 +78,15 @@
 	assert.Equal(t, w.nodes[0].use().Slots, limitSlots/2)
 }
 
-// TestGivesBackAtOnce: what a borrower gives back may be used by the lender
-// before the borrower has its answer.
+// TestGivesBackAtOnce checks that the limits hold when a lender uses returned
+// capacity before the borrower has received the answer.
 func TestGivesBackAtOnce(t *testing.T) {
 	w := startAll(2)
 	random := rand.New(rand.NewPCG(1, 1))
 	w.nodes[0].hammer(100, 2*time.Second, 100*time.Millisecond, random)
 	lent := w.nodes[1].space().lent("", w.now)
 	assert.Assert(t, !lent.isZero())
-	// The borrower's demand fades, and its next ask arrives; no answer does.
+	// The borrower's demand decays. Its asks arrive, but all answers are lost.
 	for range 20 {
 		w.pass(100*time.Millisecond, false)
 		for len(w.mail) > 0 {
@@ -95,8 +101,8 @@
 	assert.Assert(t, w.nodes[1].space().lent("", w.now).Rate < lent.Rate)
 }
 
-// TestOvertakenDemand: a copy of a borrower's first demand comes after its
-// second, when the lender needs its own part itself.
+// TestOvertakenDemand checks that a lender ignores a copy of a borrower's first
+// Demand that arrives after a later one, when the lender needs its share itself.
 func TestOvertakenDemand(t *testing.T) {
 	w := startAll(2)
 	borrower, lender := w.nodes[0], w.nodes[1]
@@ -119,8 +125,8 @@
 	w.within(t)
 }
 
-// TestOvertakenAnswer: a grant comes after the borrower has asked for less, and
-// the lender has taken it back.
+// TestOvertakenAnswer checks that a borrower ignores a grant that arrives after the
+// borrower has asked for less and the lender has taken the capacity back.
 func TestOvertakenAnswer(t *testing.T) {
 	w := startAll(2)
 	borrower, lender := w.nodes[0], w.nodes[1]
--- a/plugins/admission/limits/limits.go
+++ b/plugins/admission/limits/limits.go
@@ -1,10 +1,11 @@
-// Package limits holds workspaces to their limits of rate and concurrency over
-// all instances, without a coordinator.
+// Package limits enforces the rate and concurrency limits of workspaces across
+// all instances without a coordinator.
 //
-// Each zone has an equal part of a limit, which it keeps when it is cut off.
-// Inside a zone each instance has an equal part of that, and lends for a short
-// time what it does not need to peers that need more. docs/design/limits.md
-// states the bound on what is admitted in excess, and why it holds.
+// Each zone has an equal share of a limit, which it keeps while it is
+// partitioned from the others. Within a zone each instance has an equal share of
+// the zone's share, and lends unused capacity for a short time to peers that
+// need more. docs/design/limits.md states by how much a limit can be exceeded,
+// and why that bound holds.
 package limits
 
 import (
@@ -20,29 +21,34 @@
 )
 
 const (
-	// leastComeBack and mostComeBack bound what a caller is told that exceeds a
-	// rate.
+	// leastComeBack and mostComeBack bound the Retry-After time, before jitter,
+	// of requests refused for exceeding a rate limit.
 	leastComeBack = 100 * time.Millisecond
 	mostComeBack  = 20 * time.Second
-	// comeBackActive is what a caller is told that exceeds a concurrency: the
-	// end of other requests is not known.
+	// comeBackActive is the Retry-After time, before jitter, of requests refused
+	// for exceeding a concurrency limit. It is fixed because the time at which
+	// other requests end is not known.
 	comeBackActive = time.Second
 )
 
 // Check implements kernel.Admission, kernel.PeerHandler and kernel.Waker. It
-// counts a request's token when it admits it, so it should be the last check.
+// takes a token from the workspace's bucket when it admits a request, so it
+// should be the last check: a token is not returned if a later check refuses the
+// request.
 type Check struct {
 	host    kernel.Host
 	members members
 	spaces  map[ident.Workspace]*space
-	// names lists the spaces' names, sorted.
+	// names lists the keys of spaces, sorted.
 	names []ident.Workspace
-	// longest is the longest that a request may be in flight.
+	// longest is the longest time for which a request may be in flight.
 	longest time.Duration
-	number  uint64
+	// number is the number of the last Demand that was sent.
+	number uint64
 	// restless is set while there is something to ask of peers.
 	restless bool
-	asked    time.Time
+	// asked is the time of the last call of Wake.
+	asked time.Time
 }
 
 // Attach implements kernel.Attacher.
@@ -77,7 +83,8 @@
 	c.restless = len(c.names) > 0
 }
 
-// longest is the longest that a request of the kinds may be in flight.
+// longest returns the longest time for which a request may be in flight: the
+// largest deadline of the kinds, and at least api.DefaultDeadline.
 func longest(kinds []config.Kind) time.Duration {
 	most := api.DefaultDeadline
 	for i := range kinds {
@@ -86,7 +93,8 @@
 	return most
 }
 
-// base is this instance's equal part of the workspace's limits.
+// base returns this instance's equal share of the workspace's limits. It is
+// recomputed when the set of zones or instances has changed.
 func (c *Check) base(s *space) Amount {
 	c.members.update(c.host)
 	if s.baseVersion != c.members.version {
@@ -96,7 +104,8 @@
 	return s.base
 }
 
-// own is what this instance may use without loans.
+// own returns the amount that this instance may use without borrowing: its equal
+// share less what it has lent, or only the reserve during warm-up.
 func (c *Check) own(s *space, now time.Time) Amount {
 	base := c.base(s)
 	if c.members.warm {
@@ -105,12 +114,14 @@
 	return base.less(s.lent("", now))
 }
 
-// right is what this instance may use at this time.
+// right returns the amount that this instance may use at time now, including
+// loans from peers.
 func (c *Check) right(s *space, now time.Time) Amount {
 	return c.own(s, now).add(s.borrowed(now))
 }
 
-// fill brings the workspace's bucket up to the present right.
+// fill refills the workspace's token bucket at the rate that this instance may
+// use now. The burst is scaled by this instance's share of the rate limit.
 func (c *Check) fill(s *space, now time.Time) {
 	if s.limit.Rate <= 0 {
 		return
@@ -146,18 +157,19 @@
 	return nil
 }
 
-// tooMany refuses a request over the concurrency.
+// tooMany returns the refusal of a request that exceeds the concurrency limit.
 func (c *Check) tooMany(r *kernel.Request, s *space, right Amount) *kernel.Refusal {
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonWorkspaceActive,
 		Problem: api.ProblemLimit,
-		Detail: fmt.Sprintf("%d requests of workspace %q are in flight here; this instance's share of its %d is %d",
+		Detail: fmt.Sprintf("%d requests of workspace %q are in flight at this instance; its share of the workspace's limit of %d is %d",
 			s.active, s.name, s.limit.Slots, right.Slots),
 		RetryAfter: jitter.Prolong(comeBackActive, r.ID),
 	}
 }
 
-// tooFast refuses a request over the rate.
+// tooFast returns the refusal of a request that exceeds the rate limit. The
+// caller is told to retry when the bucket has a token again.
 func (c *Check) tooFast(r *kernel.Request, s *space, right Amount) *kernel.Refusal {
 	wait := mostComeBack
 	if right.Rate > 0 {
@@ -167,7 +179,7 @@
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonWorkspaceRate,
 		Problem: api.ProblemLimit,
-		Detail: fmt.Sprintf("this instance's share of workspace %q's %.4g requests a second is %.4g",
+		Detail: fmt.Sprintf("this instance's share of workspace %q's limit of %.4g requests per second is exhausted; the share is %.4g requests per second",
 			s.name, s.limit.Rate, right.Rate),
 		RetryAfter: jitter.Prolong(wait, r.ID),
 	}
--- a/plugins/admission/limits/limits_test.go
+++ b/plugins/admission/limits/limits_test.go
@@ -14,7 +14,8 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// startAll returns a world whose nodes all run and are past their warm-up.
+// startAll returns a world in which all n nodes run and have finished their
+// warm-up.
 func startAll(n int, zones ...ident.Zone) *world {
 	w := newWorld(n, zones...)
 	for _, x := range w.nodes {
@@ -27,12 +28,12 @@
 	return w
 }
 
-// within checks that no more is used than the limits allow.
+// within checks that the limits are not exceeded.
 func (w *world) within(t *testing.T) {
 	t.Helper()
 	sum := w.total()
-	assert.Assert(t, sum.Slots <= limitSlots, "%d slots", sum.Slots)
-	assert.Assert(t, sum.Rate <= limitRate+negligible, "%.3f a second", sum.Rate)
+	assert.Assert(t, sum.Slots <= limitSlots, "%d slots in use or usable", sum.Slots)
+	assert.Assert(t, sum.Rate <= limitRate+negligible, "%.3f requests per second usable", sum.Rate)
 }
 
 func TestPartsAddUp(t *testing.T) {
@@ -57,7 +58,7 @@
 		assert.Equal(t, sum, 20)
 	}
 	for _, z := range zones {
-		assert.Assert(t, extra[z] > 150 && extra[z] < 250, "%s has one more %d times", z, extra[z])
+		assert.Assert(t, extra[z] > 150 && extra[z] < 250, "zone %s received the extra slot %d times", z, extra[z])
 	}
 }
 
@@ -104,14 +105,15 @@
 	admitted, _ = offer("narrow", 10)
 	assert.Equal(t, admitted, 1)
 
-	// A bundle without the limit frees the workspace at once.
+	// A bundle without the limit takes effect at once.
 	c.Configure(&config.Content{})
 	admitted, _ = offer("narrow", 10)
 	assert.Equal(t, admitted, 10)
 	c.Finished(r, api.Complete)
 }
 
-// TestMessagesAreBounded: a thousand workspaces in need fit into few messages.
+// TestMessagesAreBounded checks that the asks for 1000 workspaces are combined into
+// few messages, and that no message has more than maxAsks.
 func TestMessagesAreBounded(t *testing.T) {
 	var many config.Content
 	for i := range 1000 {
@@ -137,12 +139,12 @@
 		assert.Assert(t, len(d.Asks) <= maxAsks)
 		asks += len(d.Asks)
 	}
-	assert.Equal(t, asks, 2000, "each asks both peers")
+	assert.Equal(t, asks, 2000, "not every workspace asks both peers")
 	assert.Equal(t, len(n.host.Outbox), 10)
 }
 
-// TestIgnoresStrangers: what does not come from an instance of the zone, or makes
-// no sense, changes nothing.
+// TestIgnoresStrangers checks that messages from instances outside the zone, and
+// messages with invalid contents, have no effect.
 func TestIgnoresStrangers(t *testing.T) {
 	w := startAll(2, "hall-b")
 	n := w.nodes[0]
--- a/plugins/admission/limits/members.go
+++ b/plugins/admission/limits/members.go
@@ -12,46 +12,51 @@
 )
 
 const (
-	// warmUp is how long a new instance uses its reserve only. Its peers have
-	// learned of it by then, and loans of an earlier incarnation are over or
-	// were made known by their holders.
+	// warmUp is the longest time for which a new instance uses only its reserve.
+	// By then its peers have learned of it, and loans that an earlier incarnation
+	// made have expired or have been reported by their borrowers.
 	warmUp = 2*lease + time.Second
-	// quarantine is how long an instance keeps its part after it was found dead:
-	// peers that borrowed from it may still use the loans.
+	// quarantine is the time for which an instance keeps its share after it was
+	// found dead, since peers that borrowed from it may still use the loans.
 	quarantine = 2 * lease
-	// zoneMemory is how long a zone keeps its share after its last instance
-	// and upstream have gone from the view. A zone that is cut off goes on
-	// serving, whatever the platform lists.
+	// zoneMemory is the time for which a zone keeps its share after its last
+	// instance and upstream have disappeared from the view. A zone that is
+	// partitioned from the others keeps serving, even if the platform no longer
+	// lists it.
 	zoneMemory = 10 * time.Minute
 )
 
-// members knows among whom the limits are divided.
+// members tracks the zones and instances among which the limits are divided.
 type members struct {
-	// version rises whenever the division changes.
+	// version is incremented whenever the division changes.
 	version uint64
 	started time.Time
-	// zones and peers are the zones, and the instances of the own zone, that have
-	// a part, and since when they are missing from the view; zero if they are
-	// not.
+	// zones and peers are the zones, and the instances of this instance's zone,
+	// that have a share. The value is the time since which the entry has been
+	// missing from the view, and zero if it is in the view. peers includes this
+	// instance.
 	zones map[ident.Zone]time.Time
 	peers map[ident.InstanceID]time.Time
 
+	// view is the version of the last view that was read, and recheck the time
+	// at which the division must be computed again without a new view.
 	view    uint64
 	recheck time.Time
-	// zoneNames and instances are those that have a share, sorted.
+	// zoneNames and instances are the keys of zones and peers, sorted.
 	zoneNames []string
 	instances []string
-	warm      bool
+	// warm is set while this instance is warming up and limited to its reserve.
+	warm bool
 	// lenders are the peers that may be asked for loans.
 	lenders []ident.InstanceID
-	// listed says that the view is trusted and has this instance in it.
+	// listed reports whether the view is trusted and contains this instance.
 	listed bool
-	// confirmed are the peers that count this instance and have no loan that an
-	// earlier life of it gave them.
+	// confirmed are the peers that include this instance in their division and
+	// hold no loan made by an earlier incarnation of it.
 	confirmed map[ident.InstanceID]bool
 }
 
-// start begins a new instance's warm-up.
+// start initializes m and begins the warm-up.
 func (m *members) start(now time.Time) {
 	m.started = now
 	m.zones = map[ident.Zone]time.Time{}
@@ -59,8 +64,8 @@
 	m.confirmed = map[ident.InstanceID]bool{}
 }
 
-// update takes in the view and the time. It does nothing when neither can have
-// changed the division.
+// update recomputes the division from the host's view and the time. It does
+// nothing if neither can have changed the division.
 func (m *members) update(h kernel.Host) {
 	now, v := h.Now(), h.View()
 	if v.Version == m.view && now.Before(m.recheck) && m.version > 0 {
@@ -71,7 +76,7 @@
 	m.count(h.Self(), now)
 }
 
-// see notes who is in the view.
+// see records which zones and instances are in the view.
 func (m *members) see(v *kernel.View, self kernel.Self, now time.Time) {
 	miss(m.zones, now)
 	miss(m.peers, now)
@@ -89,7 +94,8 @@
 	}
 }
 
-// seeInstance notes one instance of the view.
+// seeInstance records one instance of the view. The zone of a dead instance
+// counts as present, the instance itself does not.
 func (m *members) seeInstance(x *kernel.Instance, self kernel.Self, trusted bool) {
 	m.zones[x.Zone] = time.Time{}
 	if x.Zone != self.Zone || x.Life == kernel.Dead {
@@ -105,7 +111,8 @@
 	}
 }
 
-// miss marks all as missing that were not yet.
+// miss marks all entries as missing from now on. Entries that are already
+// missing keep their time.
 func miss[K ~string](since map[K]time.Time, now time.Time) {
 	for name, at := range since {
 		if at.IsZero() {
@@ -114,7 +121,8 @@
 	}
 }
 
-// count decides who has a share, and when that must be looked at again.
+// count computes which zones and instances have a share and whether this
+// instance is warming up, and sets the time of the next check.
 func (m *members) count(self kernel.Self, now time.Time) {
 	m.recheck = now.Add(recheckEvery)
 	zones := living(m.zones, zoneMemory, now)
@@ -127,8 +135,9 @@
 	m.version++
 }
 
-// warming reports whether this instance must keep to its reserve: until all
-// peers have confirmed that they count it, or long enough.
+// warming reports whether this instance must use only its reserve. Warm-up ends
+// when the instance is in a trusted view and all peers have confirmed that they
+// include it in their division, or after warmUp. It does not start again.
 func (m *members) warming(self kernel.Self, instances []string, now time.Time) bool {
 	if m.version > 0 && !m.warm {
 		return false
@@ -144,8 +153,9 @@
 	return !m.listed
 }
 
-// confirm takes a peer's word that it counts this instance, if the peer divides
-// among no more instances than this one does.
+// confirm records that a peer includes this instance in its division. among is
+// the number of instances that the peer divides by; the confirmation is ignored
+// if it is greater than this instance's own number.
 func (m *members) confirm(peer ident.InstanceID, among int) {
 	if m.warm && among <= len(m.instances) {
 		m.confirmed[peer] = true
@@ -153,7 +163,8 @@
 	}
 }
 
-// unconfirmed lists the peers that can be asked to confirm.
+// unconfirmed returns the peers that may be asked for loans and have not yet
+// confirmed that they include this instance in their division.
 func (m *members) unconfirmed() []ident.InstanceID {
 	var peers []ident.InstanceID
 	for _, x := range m.lenders {
@@ -164,11 +175,12 @@
 	return peers
 }
 
-// recheckEvery is how often the division is looked at without a new view.
+// recheckEvery is the interval at which the division is recomputed without a new
+// view.
 const recheckEvery = 100 * time.Millisecond
 
-// living returns the names missing for no longer than memory, sorted, and
-// forgets the others.
+// living returns the sorted names that have been missing for no longer than
+// memory, and deletes the others.
 func living[K ~string](since map[K]time.Time, memory time.Duration, now time.Time) []string {
 	var names []string
 	for name, at := range since {
@@ -188,8 +200,8 @@
 	return found
 }
 
-// base is this instance's part of a workspace's limits when all instances have
-// equal parts of their zone's part.
+// base returns this instance's equal share of a workspace's limits: the limits
+// are divided equally among zones, and a zone's share among its instances.
 func (m *members) base(self kernel.Self, name ident.Workspace, limit Amount) Amount {
 	zone := Amount{
 		Rate:  limit.Rate / float64(len(m.zoneNames)),
@@ -201,8 +213,9 @@
 	}
 }
 
-// part divides a whole number among the holders, and returns own's part. The
-// parts add up to the whole; who gets one more differs by workspace.
+// part divides whole among the holders and returns the part of own. The parts
+// add up to whole. The holders that receive one more than the others are chosen
+// by a hash, and differ from workspace to workspace.
 func part(whole int, name ident.Workspace, own string, holders []string) int {
 	each := whole / len(holders)
 	rest := whole % len(holders)
@@ -223,7 +236,7 @@
 	return each
 }
 
-// rank orders the holders for a workspace.
+// rank returns the hash that orders the holders for a workspace.
 func rank(name ident.Workspace, holder string) uint64 {
 	return xxhash.Sum64String(string(name) + "/" + holder)
 }
--- a/plugins/admission/limits/messages.go
+++ b/plugins/admission/limits/messages.go
@@ -5,85 +5,88 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// The kinds of message between the instances of a zone.
+// Message kinds exchanged by the instances of a zone.
 const (
 	kindDemand = "limits.demand"
 	kindMove   = "limits.move"
 )
 
-// Amount is a part of a workspace's limits.
+// Amount is a part of a workspace's rate and concurrency limits.
 type Amount struct {
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64 `json:"rate,omitempty"`
-	// Slots counts requests in flight.
+	// Slots is a number of requests in flight.
 	Slots int `json:"slots,omitempty"`
 }
 
-// add returns the sum of two amounts.
+// add returns a plus b.
 func (a Amount) add(b Amount) Amount {
 	return Amount{Rate: a.Rate + b.Rate, Slots: a.Slots + b.Slots}
 }
 
-// less returns a without b, and nothing of what would be negative.
+// less returns a minus b. Negative results become zero.
 func (a Amount) less(b Amount) Amount {
 	return Amount{Rate: max(a.Rate-b.Rate, 0), Slots: max(a.Slots-b.Slots, 0)}
 }
 
-// atLeast returns the larger of each.
+// atLeast returns the larger rate and the larger number of slots of a and b.
 func (a Amount) atLeast(b Amount) Amount {
 	return Amount{Rate: max(a.Rate, b.Rate), Slots: max(a.Slots, b.Slots)}
 }
 
-// atMost returns the smaller of each.
+// atMost returns the smaller rate and the smaller number of slots of a and b.
 func (a Amount) atMost(b Amount) Amount {
 	return Amount{Rate: min(a.Rate, b.Rate), Slots: min(a.Slots, b.Slots)}
 }
 
-// negligible is the rate below which there is none; differences of fractions
-// are seldom exactly zero.
+// negligible is the rate, in requests per second, below which a rate counts as
+// zero. Differences of floating-point numbers are seldom exactly zero.
 const negligible = 1e-6
 
-// isZero reports whether there is nothing.
+// isZero reports whether the amount has no slots and only a negligible rate.
 func (a Amount) isZero() bool { return a.Rate < negligible && a.Slots == 0 }
 
-// valid reports whether an amount from a peer makes sense.
+// valid reports whether an amount received from a peer is not negative.
 func (a Amount) valid() bool { return a.Rate >= 0 && a.Slots >= 0 }
 
-// Demand asks a peer to lend shares, to go on lending them, or gives them back.
+// Demand asks a peer to lend capacity or to renew its loans, or returns borrowed
+// capacity to it.
 type Demand struct {
-	// Incarnation is the asking instance's.
+	// Incarnation is the sender's incarnation.
 	Incarnation ident.Incarnation `json:"incarnation"`
-	// Number rises with each message of the incarnation.
+	// Number increases with each message of the incarnation.
 	Number uint64 `json:"number"`
 	Asks   []Ask  `json:"asks,omitempty"`
-	// Greet asks the peer to confirm that it counts the asking instance, which is
-	// new.
+	// Greet asks the peer to confirm that it includes the sender, which is
+	// warming up, in its division of the limits.
 	Greet bool `json:"greet,omitempty"`
 }
 
-// Ask is about one workspace.
+// Ask is the part of a Demand for one workspace.
 type Ask struct {
 	Workspace ident.Workspace `json:"workspace"`
-	// Want is how much the asking instance wants in all.
+	// Want is the total amount that the sender wants to borrow from the peer.
 	Want Amount `json:"want"`
-	// Hold is what it has from the peer and keeps whatever the answer is. It
-	// uses no more than that from here on, unless a Move says otherwise.
+	// Hold is the amount that the sender has borrowed from the peer and keeps
+	// whatever the answer is. The sender uses no more than Hold until a Move
+	// grants more.
 	Hold Amount `json:"hold"`
 }
 
-// Move answers a Demand with what is lent.
+// Move answers a Demand with the amounts that are lent.
 type Move struct {
 	// Incarnation and Number are those of the Demand.
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Number      uint64            `json:"number"`
 	Grants      []Grant           `json:"grants,omitempty"`
-	// Members answers Greet: among how many instances the zone's part of the
-	// limits is divided by the answering one, the asking one included. It is 0
-	// while the answering instance still uses what now is the asking one's.
+	// Members answers Greet. It is the number of instances among which the sender
+	// of the Move divides the zone's share of the limits, including the sender of
+	// the Demand. It is 0 while the sender of the Move still uses capacity that
+	// now belongs to the sender of the Demand.
 	Members int `json:"members,omitempty"`
 }
 
-// Grant is what is lent of one workspace's limits, in all.
+// Grant is the total amount lent of one workspace's limits.
 type Grant struct {
 	Workspace ident.Workspace `json:"workspace"`
 	Amount    Amount          `json:"amount"`
--- a/plugins/admission/limits/newcomer_test.go
+++ b/plugins/admission/limits/newcomer_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNewcomerWaitsForRoom: the part of a new instance is in use by others when
-// it comes.
+// TestNewcomerWaitsForRoom checks that a new instance stays in warm-up while its
+// share is still used by peers that had divided the limits without it.
 func TestNewcomerWaitsForRoom(t *testing.T) {
 	w := startAll(3)
 	w.nodes[2].kill()
@@ -27,15 +27,16 @@
 		n.look()
 	}
 	w.pass(time.Second, true)
-	assert.Assert(t, w.nodes[2].check.members.warm, "took what is in use")
+	assert.Assert(t, w.nodes[2].check.members.warm, "warm-up ended while peers still use the new instance's share")
 	assert.Equal(t, w.nodes[2].use().Slots, 1)
 	w.pass(2*time.Second, true)
 	assert.Assert(t, !w.nodes[2].check.members.warm)
 	w.within(t)
 }
 
-// TestNewcomerDividesAsItsPeers: peers still count a dead instance that the new
-// one never saw.
+// TestNewcomerDividesAsItsPeers checks that a new instance stays in warm-up while
+// its peers still include a dead instance that it has never seen. Otherwise it
+// would divide the limits by fewer instances than its peers.
 func TestNewcomerDividesAsItsPeers(t *testing.T) {
 	w := startAll(4)
 	w.nodes[3].kill()
@@ -51,11 +52,12 @@
 	w.pass(warmUp, true)
 	assert.Assert(t, !w.nodes[2].check.members.warm)
 	w.within(t)
-	assert.Equal(t, w.total().Slots, limitSlots, "the dead instance's part is used again")
+	assert.Equal(t, w.total().Slots, limitSlots, "the dead instance's share is not in use again")
 }
 
-// TestLoanOutlivesQuarantine: a peer is taken for gone while its next life has a
-// loan.
+// TestLoanOutlivesQuarantine checks the bound when an instance restarts, borrows
+// from its peers, and the peers then drop it at the end of the quarantine because
+// it is still missing from their views.
 func TestLoanOutlivesQuarantine(t *testing.T) {
 	w := startAll(3)
 	w.nodes[0].kill()
@@ -72,18 +74,18 @@
 			w.nodes[1].arrive(10 * time.Millisecond)
 		}
 		w.deliverUnconfirmed()
-		// Its peers divide by two after the quarantine: what it has of its own is
-		// used twice, but no more.
+		// After the quarantine its peers divide by two. Only the restarted
+		// instance's own share may then be used twice.
 		allowed := limitRate + w.nodes[0].part().Rate
 		rate := w.total().Rate
-		assert.Assert(t, rate <= allowed+negligible, "%.2f of %.2f", rate, allowed)
+		assert.Assert(t, rate <= allowed+negligible, "%.2f requests per second usable, %.2f allowed", rate, allowed)
 	}
 	assert.Assert(t, w.nodes[0].check.members.warm)
 	assert.Assert(t, !w.nodes[0].space().borrowed(w.now).isZero())
 }
 
-// deliverUnconfirmed delivers all mail, but no word that a new instance is
-// counted.
+// deliverUnconfirmed delivers all messages, but removes the confirmations that a
+// new instance is included.
 func (w *world) deliverUnconfirmed() {
 	for len(w.mail) > 0 {
 		if m, ok := w.mail[0].message.(*Move); ok {
@@ -93,16 +95,18 @@
 	}
 }
 
+// TestZoneKeepsItsPart checks that zones that disappear from the view keep their
+// shares for zoneMemory, and lose them afterwards.
 func TestZoneKeepsItsPart(t *testing.T) {
 	w := startAll(2, "hall-b", "hall-c")
 	third := limitRate / 3
 	isThird := func() {
 		t.Helper()
 		rate := w.total().Rate
-		assert.Assert(t, rate > third-negligible && rate < third+negligible, "%.3f", rate)
+		assert.Assert(t, rate > third-negligible && rate < third+negligible, "%.3f requests per second usable", rate)
 	}
 	isThird()
-	// The platform lists the other zones no more.
+	// The platform no longer lists the other zones.
 	w.zones = nil
 	for _, n := range w.nodes {
 		n.look()
--- a/plugins/admission/limits/outbox.go
+++ b/plugins/admission/limits/outbox.go
@@ -5,26 +5,28 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// maxAsks bounds the workspaces in one message, for the peer protocol's bound on
-// frames.
+// maxAsks bounds the number of workspaces in one message, to keep it within the
+// peer protocol's limit on frame size.
 const maxAsks = 200
 
-// outbox collects the asks of one round into few messages.
+// outbox combines the asks of one round into as few messages as possible.
 type outbox struct {
 	incarnation ident.Incarnation
-	// number is that of the last message made.
+	// number is the number of the last message created.
 	number uint64
-	full   []outgoing
-	open   roster[Demand]
+	// full are the messages that hold maxAsks asks. open is the message to each
+	// peer that can take more.
+	full []outgoing
+	open roster[Demand]
 }
 
-// outgoing is a message that is complete.
+// outgoing is a complete message and its recipient.
 type outgoing struct {
 	to     ident.InstanceID
 	demand *Demand
 }
 
-// add puts an ask into a message to the peer and returns the message's number.
+// add adds an ask to a message to the peer and returns the message's number.
 func (o *outbox) add(to ident.InstanceID, ask Ask) uint64 {
 	d := o.to(to)
 	d.Asks = append(d.Asks, ask)
@@ -35,7 +37,7 @@
 	return d.Number
 }
 
-// to returns the open message to a peer.
+// to returns the open message to a peer, and creates it if there is none.
 func (o *outbox) to(to ident.InstanceID) *Demand {
 	d := o.open.get(to)
 	if d == nil {
--- a/plugins/admission/limits/peers.go
+++ b/plugins/admission/limits/peers.go
@@ -21,8 +21,8 @@
 	return c.asked.Add(askEvery), true
 }
 
-// Wake implements kernel.Waker: it asks for what is needed, asks again for what
-// is borrowed, and gives back what is not needed.
+// Wake implements kernel.Waker. It asks peers for missing capacity, renews loans
+// that are still needed and returns the others.
 func (c *Check) Wake() {
 	c.asked = c.host.Now()
 	c.members.update(c.host)
@@ -40,8 +40,9 @@
 	out.send(c.host)
 }
 
-// greetPeers asks peers that have not done so yet to confirm that they count
-// this instance. It reports whether the warm-up goes on.
+// greetPeers asks the peers that have not yet confirmed that they include this
+// instance in their division to do so. It reports whether this instance is still
+// warming up.
 func (c *Check) greetPeers(out *outbox) bool {
 	if !c.members.warm {
 		return false
@@ -69,11 +70,13 @@
 	}
 }
 
-// Undelivered implements kernel.PeerHandler. A message that may not have come
-// is as one that was lost: what was lent stays lent until the lease is over.
+// Undelivered implements kernel.PeerHandler. It does nothing: a message that may
+// not have arrived is treated like a lost one, and a loan stays in force until
+// its lease ends.
 func (*Check) Undelivered(ident.InstanceID, kernel.PeerMessage) {}
 
-// demanded answers a peer's demand.
+// demanded handles a peer's Demand and answers it with a Move. Asks for unknown
+// workspaces and asks with invalid amounts are ignored.
 func (c *Check) demanded(from ident.InstanceID, d *Demand) {
 	answer := &Move{Incarnation: d.Incarnation, Number: d.Number}
 	for _, ask := range d.Asks {
@@ -92,9 +95,10 @@
 	c.host.Send(from, answer)
 }
 
-// clear reports whether this instance uses nothing that is another's under the
-// present division: neither loans that an earlier life of the peer gave, nor
-// more than its own part, as it may for a while after the peer came.
+// clear reports whether this instance uses no capacity that belongs to others
+// under the present division. It must hold no loan that an earlier incarnation of
+// the peer made, and use or lend no more than its own share, which may happen for
+// a while after the peer has joined.
 func (c *Check) clear(peer ident.InstanceID) bool {
 	now := c.host.Now()
 	for _, name := range c.names {
@@ -113,7 +117,8 @@
 	return true
 }
 
-// moved takes in a peer's answer, if it is to the last ask.
+// moved handles a peer's Move. A grant that does not answer the last ask, or that
+// is for an earlier incarnation of this instance, is ignored.
 func (c *Check) moved(from ident.InstanceID, m *Move) {
 	if m.Incarnation != c.host.Self().Incarnation {
 		return
--- a/plugins/admission/limits/roster.go
+++ b/plugins/admission/limits/roster.go
@@ -8,20 +8,22 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// roster keeps one item for each peer, in the order of their names: sums of
-// fractions depend on the order, and equal events must give equal results.
+// roster is a map from peer to item that is ordered by the peer's ID.
+// Floating-point sums depend on the order of their terms, and equal sequences of
+// events must give equal results.
 type roster[T any] struct {
 	peers []ident.InstanceID
 	items []*T
 }
 
+// find returns the position of the peer and whether the peer is present.
 func (r *roster[T]) find(peer ident.InstanceID) (int, bool) {
 	return slices.BinarySearchFunc(r.peers, peer, func(a, b ident.InstanceID) int {
 		return strings.Compare(string(a), string(b))
 	})
 }
 
-// get returns the peer's item, nil if there is none.
+// get returns the peer's item, or nil if there is none.
 func (r *roster[T]) get(peer ident.InstanceID) *T {
 	i, ok := r.find(peer)
 	if !ok {
@@ -41,7 +43,7 @@
 	r.items = slices.Insert(r.items, i, item)
 }
 
-// remove drops the peer's item, if there is one.
+// remove deletes the peer's item, if there is one.
 func (r *roster[T]) remove(peer ident.InstanceID) {
 	i, ok := r.find(peer)
 	if !ok {
@@ -51,7 +53,7 @@
 	r.items = slices.Delete(r.items, i, i+1)
 }
 
-// removeIf drops the items for which drop reports true.
+// removeIf deletes the items for which drop returns true.
 func (r *roster[T]) removeIf(drop func(ident.InstanceID, *T) bool) {
 	for i := len(r.peers) - 1; i >= 0; i-- {
 		if drop(r.peers[i], r.items[i]) {
@@ -61,8 +63,8 @@
 	}
 }
 
-// all yields the items by name of their peer. The roster must not be changed
-// meanwhile.
+// all iterates over the items in the order of the peers' IDs. The roster must not
+// be changed during the iteration.
 func (r *roster[T]) all() iter.Seq2[ident.InstanceID, *T] {
 	return func(yield func(ident.InstanceID, *T) bool) {
 		for i := range r.peers {
--- a/plugins/admission/limits/space.go
+++ b/plugins/admission/limits/space.go
@@ -11,33 +11,37 @@
 const (
 	// demandMemory is the time constant of the measured demand.
 	demandMemory = time.Second
-	// headroom is by what factor an instance provides for more than its
-	// measured demand.
+	// headroom is the factor by which the capacity that an instance claims
+	// exceeds its measured demand.
 	headroom = 1.25
-	// newBucket is what the bucket of a new instance holds.
+	// newBucket is the number of tokens in the bucket of a new instance.
 	newBucket = 1
-	// forgotten is the demand below which there is none.
+	// forgotten is the demand, in requests per second or slots, below which it
+	// counts as zero.
 	forgotten = 0.05
 )
 
-// space is what this instance keeps of one workspace with limits.
+// space is this instance's state for one workspace that has limits.
 type space struct {
 	name ident.Workspace
-	// limit is that of all instances together; a zero part is no limit.
+	// limit applies to all instances together. A zero rate or number of slots
+	// means no limit.
 	limit Amount
 	burst float64
-	// active counts the requests in flight here.
+	// active is the number of requests in flight at this instance.
 	active int
 	bucket tokenbucket.Bucket
 	demand demand
-	// base is this instance's equal part under division baseVersion.
+	// base is this instance's equal share, computed for version baseVersion of
+	// the division.
 	base        Amount
 	baseVersion uint64
 	loans       roster[loan]
 	debts       roster[debt]
 }
 
-// needs is what the instance needs for itself, with headroom.
+// needs returns the amount that the instance needs for its own requests, with
+// headroom, bounded by the workspace's limit.
 func (s *space) needs(now time.Time) Amount {
 	s.demand.fade(now)
 	need := Amount{Rate: s.demand.rate * headroom}
@@ -51,15 +55,18 @@
 	return need.atMost(s.limit)
 }
 
-// demand measures what callers ask for, whether or not they get it.
+// demand measures the requests offered by callers, whether or not they are
+// admitted. All values decay exponentially with demandMemory.
 type demand struct {
+	// rate is in requests per second, slots in concurrent requests.
 	rate, slots float64
-	// refused counts the requests refused lately for want of slots.
+	// refused is the decayed number of requests refused for lack of slots.
 	refused float64
-	at      time.Time
+	// at is the time up to which the decay has been applied.
+	at time.Time
 }
 
-// fade lets time pass.
+// fade applies the decay up to time now.
 func (d *demand) fade(now time.Time) {
 	if !d.at.IsZero() {
 		left := math.Exp(-max(now.Sub(d.at).Seconds(), 0) / demandMemory.Seconds())
@@ -70,12 +77,12 @@
 	d.at = now
 }
 
-// arrival counts a request that comes while others are in flight.
+// arrival records the arrival of a request while active others are in flight.
 func (d *demand) arrival(active int, now time.Time) {
 	d.fade(now)
 	d.rate += 1 / demandMemory.Seconds()
 	d.slots = max(d.slots, float64(active+1)+d.refused)
 }
 
-// refuse counts a request refused for want of slots.
+// refuse records a request that was refused for lack of slots.
 func (d *demand) refuse() { d.refused++ }
--- a/plugins/admission/limits/world_test.go
+++ b/plugins/admission/limits/world_test.go
@@ -13,12 +13,13 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// Limits of the one workspace in these tests, which all is one zone's.
+// Limits of the single workspace in these tests. Unless a test adds zones, all of
+// it belongs to one zone.
 const (
 	limitRate  = 40.0
 	limitBurst = 20
 	limitSlots = 20
-	// lifetime bounds a request's time in flight.
+	// lifetime is the longest time for which a request is in flight.
 	lifetime = 5 * time.Second
 )
 
@@ -30,40 +31,45 @@
 	}},
 }
 
-// world is one zone's instances, the network between them, and a clock.
+// world simulates the instances of one zone, the network between them, and a
+// clock.
 type world struct {
 	now   time.Time
 	nodes []*node
 	mail  []mail
-	// admitted counts all requests admitted.
+	// admitted is the number of requests admitted by all nodes.
 	admitted int
-	// credit is how many the rate and the allowance let through so far, and
-	// lives how many lives began, each with one token.
+	// credit is the number of requests that the rate and the allowance have
+	// permitted so far. lives is the number of incarnations started, each of which
+	// begins with one token.
 	credit float64
 	lives  int
 	deaths []death
-	zones  []ident.Zone
+	// zones are the other zones in the nodes' views.
+	zones []ident.Zone
 }
 
-// death is a node's end.
+// death is the end of one incarnation of a node.
 type death struct {
 	at time.Time
-	// part was the node's part, and settled says that all had it in view.
+	// part is the node's share when it died. settled reports whether it had been
+	// in all peers' views for long enough.
 	part    Amount
 	settled bool
 }
 
-// node is one instance, through all its lives.
+// node is one instance, through all its incarnations.
 type node struct {
 	w     *world
 	id    ident.InstanceID
 	alive bool
-	// frozen nodes do nothing, and get no messages.
+	// frozen nodes do not wake and receive no messages.
 	frozen bool
 	host   *plugintest.Host
 	check  *Check
 	flying []flight
-	// listedSince is since when all living peers have this life in their views.
+	// listedSince is the time since which all living peers have had this
+	// incarnation in their views, and zero if some have not.
 	listedSince time.Time
 }
 
@@ -73,7 +79,7 @@
 	until   time.Time
 }
 
-// mail is a message on its way.
+// mail is a message in transit.
 type mail struct {
 	from, to ident.InstanceID
 	message  kernel.PeerMessage
@@ -87,7 +93,7 @@
 	return w
 }
 
-// start begins a new life of a node, whose view is that of this moment.
+// start begins a new incarnation of a node with an up-to-date view.
 func (n *node) start() {
 	n.alive, n.frozen = true, false
 	n.w.lives++
@@ -104,7 +110,7 @@
 	n.check.Configure(content)
 }
 
-// kill ends a node's life, and with it its requests.
+// kill ends the node's incarnation and its requests.
 func (n *node) kill() {
 	n.w.deaths = append(n.w.deaths, death{at: n.w.now, part: n.part(), settled: n.settled(lease + guard)})
 	n.alive = false
@@ -112,7 +118,7 @@
 	n.check = nil
 }
 
-// look gives the node a new view with what is true now.
+// look gives the node an up-to-date view.
 func (n *node) look() {
 	v := &kernel.View{Version: n.host.Fleet.Version + 1, Trusted: true}
 	for _, other := range n.w.nodes {
@@ -128,7 +134,8 @@
 	n.host.Fleet = v
 }
 
-// arrive offers one request, and reports whether it was admitted.
+// arrive offers one request that would be in flight for the time lasts, and
+// reports whether it was admitted.
 func (n *node) arrive(lasts time.Duration) bool {
 	r := plugintest.Request(fmt.Sprint("r", n.w.admitted))
 	r.Workspace = workspace
@@ -141,7 +148,7 @@
 	return true
 }
 
-// work ends what is over and lets the check wake.
+// work finishes the requests that have ended and wakes the check if it is due.
 func (n *node) work() {
 	n.host.Time = n.w.now
 	n.flying = slices.DeleteFunc(n.flying, func(f flight) bool {
@@ -161,7 +168,7 @@
 	n.post()
 }
 
-// post hands what the check sent to the network.
+// post moves the messages that the check has sent to the network.
 func (n *node) post() {
 	for _, m := range n.host.Outbox {
 		n.w.mail = append(n.w.mail, mail{from: n.id, to: m.To, message: m.Message})
@@ -169,7 +176,8 @@
 	n.host.Outbox = nil
 }
 
-// pass lets time pass in small steps, delivering all mail when asked to.
+// pass advances the clock by d in small steps. If deliver is set, all messages are
+// delivered after each step.
 func (w *world) pass(d time.Duration, deliver bool) {
 	const step = 10 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); {
@@ -185,7 +193,7 @@
 	}
 }
 
-// deliver delivers the i-th message; a copy may stay on its way.
+// deliver delivers the i-th message. If again is set, a copy stays in transit.
 func (w *world) deliver(i int, again bool) {
 	m := w.mail[i]
 	if !again {
@@ -211,7 +219,8 @@
 	return living
 }
 
-// space is the node's state of the workspace, brought up to the present.
+// space returns the node's state of the workspace after an update to the present
+// time.
 func (n *node) space() *space {
 	n.host.Time = n.w.now
 	s := n.check.spaces[workspace]
@@ -219,14 +228,15 @@
 	return s
 }
 
-// use is what the node may use or uses at this moment.
+// use returns the amount that the node may use now, or the slots that it does use
+// if they are more.
 func (n *node) use() Amount {
 	s := n.space()
 	return n.check.right(s, n.w.now).atLeast(Amount{Slots: s.active})
 }
 
-// hammer offers requests evenly at a rate for a while, and returns how many were
-// admitted.
+// hammer offers requests at random times, at an average rate of perSecond, for the
+// time length, and returns the number admitted.
 func (n *node) hammer(perSecond float64, length, lasts time.Duration, random *rand.Rand) int {
 	const step = 10 * time.Millisecond
 	admitted := 0
--- a/plugins/admission/queue/queue.go
+++ b/plugins/admission/queue/queue.go
@@ -1,4 +1,4 @@
-// Package queue bounds the requests that wait at one instance.
+// Package queue bounds the number of requests queued at one instance.
 package queue
 
 import (
@@ -11,10 +11,12 @@
 	"github.com/wardspool/wardspool/plugins/admission/internal/jitter"
 )
 
-// defaultLimit is used where the bundle sets no queue_limit.
+// defaultLimit is the maximum queue length, in requests, if the bundle sets no
+// queue_limit.
 const defaultLimit = 256
 
-// comeBack is the least that a refused caller is told; see package jitter.
+// comeBack is the shortest Retry-After time that a refused caller is given.
+// Package jitter extends it.
 const comeBack = time.Second
 
 // Check implements kernel.Admission.
@@ -42,10 +44,11 @@
 	return &kernel.Refusal{
 		Reason:     kernel.ReasonQueueFull,
 		Problem:    api.ProblemOverloaded,
-		Detail:     fmt.Sprintf("%d requests wait here, the limit is %d", waiting, limit),
+		Detail:     fmt.Sprintf("%d requests are queued at this instance; the limit is %d", waiting, limit),
 		RetryAfter: jitter.Prolong(comeBack, r.ID),
 	}
 }
 
-// Finished implements kernel.Admission; there is nothing to give back.
+// Finished implements kernel.Admission. It does nothing, since Admit keeps no
+// state for a request.
 func (*Check) Finished(*kernel.Request, api.Outcome) {}
--- a/plugins/engine/openai/bench_test.go
+++ b/plugins/engine/openai/bench_test.go
@@ -10,12 +10,13 @@
 	"github.com/wardspool/wardspool/adapter"
 )
 
-// discard is a sink that keeps nothing.
+// discard is a sink that discards all tokens.
 type discard struct{}
 
 func (discard) Token(adapter.Chunk) error { return nil }
 
-// BenchmarkToken is the reading of one token of a stream, as an engine sends it.
+// BenchmarkToken measures the time to read one token of a stream in the format
+// that engines send.
 func BenchmarkToken(b *testing.B) {
 	var body bytes.Buffer
 	for i := range b.N {
--- a/plugins/engine/openai/body.go
+++ b/plugins/engine/openai/body.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/adapter"
 )
 
-// overrides are the members that the adapter sets in place of the caller's.
+// overrides are the JSON members that the adapter sets instead of the caller's.
 type overrides struct {
 	Model            string          `json:"model"`
 	MaxTokens        int             `json:"max_tokens"`
@@ -19,12 +19,13 @@
 	KVTransferParams json.RawMessage `json:"kv_transfer_params,omitempty"`
 }
 
-// streamOptions asks for the usage chunk at the end of a stream.
+// streamOptions requests the usage chunk at the end of a stream.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// overridden reports whether the adapter sets the member itself.
+// overridden reports whether the adapter sets or drops the caller's member of
+// that name.
 func overridden(name string) bool {
 	switch name {
 	case "model", "max_tokens", "max_completion_tokens", "stream", "stream_options",
@@ -35,17 +36,19 @@
 	}
 }
 
-// prefillParams ask an engine to keep its KV cache for a decode engine.
+// prefillParams ask a prefill engine to keep the KV cache of the request for a
+// decode engine.
 var prefillParams = json.RawMessage(`{"do_remote_decode":true,"do_remote_prefill":false}`)
 
-// compose returns the body of a request and its length. The caller's members
-// are read where they lie and not copied, since prompts can be long.
+// compose returns the body of a request and its length in bytes. The caller's
+// members are read in place and not copied, since prompts can be long. The error
+// is a *adapter.ProtocolError.
 func compose(o *overrides, fields []adapter.Field) (io.Reader, int64, error) {
 	head, err := json.Marshal(o)
 	if err != nil {
 		return nil, 0, &adapter.ProtocolError{Part: "kv_transfer_params", Err: err}
 	}
-	// The closing brace comes after the caller's members.
+	// The closing brace is written after the caller's members.
 	head = head[:len(head)-1]
 	parts := []io.Reader{bytes.NewReader(head)}
 	length := int64(len(head))
@@ -64,7 +67,7 @@
 // appendName appends a comma, a member's quoted name and a colon.
 func appendName(b []byte, name string) []byte {
 	b = append(b, ',')
-	// Strings always marshal.
+	// Marshaling a string never fails.
 	quoted, _ := json.Marshal(name)
 	b = append(b, quoted...)
 	return append(b, ':')
--- a/plugins/engine/openai/engine.go
+++ b/plugins/engine/openai/engine.go
@@ -13,14 +13,14 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Request headers of the engines' protocol.
+// Request headers of the engine protocol.
 const (
 	headerAttempt     = "X-Request-Id"
 	headerCorrelation = "X-Correlation-Id"
 	headerLastEvent   = "Last-Event-ID"
 )
 
-// Paths of the engines' protocol.
+// URL paths of the engine protocol.
 const (
 	pathCompletions = "/v1/completions"
 	pathChat        = "/v1/chat/completions"
@@ -28,11 +28,11 @@
 	pathAbort       = "/abort_request"
 )
 
-// maxAnswerBytes bounds the answers that are read whole: prefills, aborts and
-// errors.
+// maxAnswerBytes bounds the size of responses that are read into memory as a
+// whole: those to prefill and abort requests, and errors.
 const maxAnswerBytes = 1 << 20
 
-// path returns the path of an endpoint.
+// path returns the URL path of an endpoint.
 func path(e adapter.Endpoint) string {
 	if e == adapter.Chat {
 		return pathChat
@@ -40,7 +40,8 @@
 	return pathCompletions
 }
 
-// prefillAnswer is what the adapter reads of a prefill's answer.
+// prefillAnswer holds the members that the adapter reads from the response to a
+// prefill request.
 type prefillAnswer struct {
 	KVTransferParams json.RawMessage `json:"kv_transfer_params"`
 	Usage            *struct {
@@ -50,11 +51,11 @@
 	} `json:"usage"`
 }
 
-// Prefill implements adapter.Engine.
+// Prefill implements adapter.Engine. The error is a *adapter.CallError.
 func (e *Engine) Prefill(ctx context.Context, c *adapter.PrefillCall) (adapter.Prefilled, error) {
 	body, length, err := compose(&overrides{
 		Model: c.Model.Model,
-		// vLLM's prefill engines make one token and throw it away.
+		// vLLM's prefill engines generate one token and discard it.
 		MaxTokens:        1,
 		Priority:         c.Model.Priority,
 		ContinueFrom:     c.ContinueFrom,
@@ -73,7 +74,7 @@
 		return adapter.Prefilled{}, err
 	}
 	if len(a.KVTransferParams) == 0 || bytes.Equal(a.KVTransferParams, []byte("null")) {
-		return adapter.Prefilled{}, broken(&adapter.ProtocolError{Part: "no kv_transfer_params"})
+		return adapter.Prefilled{}, broken(&adapter.ProtocolError{Part: "kv_transfer_params is missing"})
 	}
 	out := adapter.Prefilled{Params: a.KVTransferParams}
 	if a.Usage != nil && a.Usage.PromptTokensDetails != nil {
@@ -101,11 +102,12 @@
 		return adapter.Decoded{}, err
 	}
 	defer resp.Body.Close()
-	resp.Header = nil // nobody reads it while the stream is open
+	resp.Header = nil // not used below; frees its memory while the stream is open
 	return readStream(resp.Body, c.Attempt.String(), c.ContinueFrom, sink)
 }
 
-// Reattach implements adapter.Engine.
+// Reattach implements adapter.Engine. It reads the output of an attempt that was
+// sent before, from token c.Offset on.
 func (e *Engine) Reattach(ctx context.Context, c *adapter.ReattachCall, sink adapter.Sink) (adapter.Decoded, error) {
 	attempt := c.Attempt.String()
 	req, err := e.request(ctx, http.MethodGet, &c.Target, pathStreams+url.PathEscape(attempt))
@@ -124,8 +126,9 @@
 	return readStream(resp.Body, attempt, c.Offset, sink)
 }
 
-// ran corrects the evidence of a failed reattachment: the attempt itself was
-// sent before, whatever became of this call.
+// ran returns the error of a failed reattachment with its evidence changed to
+// kernel.Ambiguous. The attempt itself was sent earlier and may have run, even if
+// the engine did not receive this call or refused it.
 func ran(err error) error {
 	e := *adapter.AsCallError(err)
 	e.Evidence = kernel.Ambiguous
@@ -151,7 +154,8 @@
 	return nil
 }
 
-// post sends a JSON body and returns a successful response.
+// post sends a JSON body of length bytes and returns the response if its status
+// is 200. The error is a *adapter.CallError.
 func (e *Engine) post(ctx context.Context, t *adapter.Target, path string, body io.Reader, length int64) (*http.Response, error) {
 	req, err := e.request(ctx, http.MethodPost, t, path)
 	if err != nil {
@@ -161,7 +165,8 @@
 	return e.do(req, t, body, length)
 }
 
-// request returns a request without body.
+// request returns a request without a body, with the headers that identify the
+// attempt and the caller's request.
 func (e *Engine) request(ctx context.Context, method string, t *adapter.Target, path string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+t.Address+path, nil)
 	if err != nil {
@@ -172,8 +177,8 @@
 	return req, nil
 }
 
-// do sends a request, reports the load in the response and turns refusals into
-// errors.
+// do sends a request and reports the load in the response. It returns the
+// response if its status is 200, and an error otherwise.
 func (e *Engine) do(req *http.Request, t *adapter.Target, body io.Reader, length int64) (*http.Response, error) {
 	resp, err := e.client.Do(req, body, length)
 	if err != nil {
@@ -189,7 +194,8 @@
 	return resp, nil
 }
 
-// decode reads a bounded JSON answer.
+// decode reads a JSON response of at most maxAnswerBytes into the value that into
+// points to.
 func decode(r io.Reader, into any) error {
 	data, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes+1))
 	if err != nil {
@@ -204,8 +210,8 @@
 	return nil
 }
 
-// drain reads the rest of a small answer, so that its connection can be used
-// again, and closes it.
+// drain reads the rest of a small response, so that its connection can be reused,
+// and closes the body.
 func drain(body io.ReadCloser) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxAnswerBytes))
 	_ = body.Close()
--- a/plugins/engine/openai/errors.go
+++ b/plugins/engine/openai/errors.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// errorBody is an engine's error answer, in OpenAI's form.
+// errorBody is the body of an engine's error response in the OpenAI format.
 type errorBody struct {
 	Error struct {
 		Code    errorCode `json:"code"`
@@ -19,8 +19,8 @@
 	} `json:"error"`
 }
 
-// errorCode is an engine's error code. OpenAI's form allows numbers, which
-// attest nothing.
+// errorCode is an engine's error code. The OpenAI format also allows numbers.
+// They are read as the empty code, since they do not show whether the attempt ran.
 type errorCode string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -32,14 +32,14 @@
 	return nil
 }
 
-// verdict is what an error code says of an attempt.
+// verdict is the meaning of an error code for an attempt.
 type verdict struct {
 	evidence kernel.Evidence
 	code     kernel.FailureCode
 }
 
-// verdicts lists the codes of the engines' protocol. Those with evidence
-// kernel.Refused are the engine's word that the attempt did not run on it.
+// verdicts lists the error codes of the engine protocol. With those that have the
+// evidence kernel.Refused the engine states that the attempt did not run on it.
 var verdicts = map[errorCode]verdict{
 	"not_started":             {kernel.Refused, kernel.FailureCapacity},
 	"draining":                {kernel.Refused, kernel.FailureDraining},
@@ -52,12 +52,14 @@
 	"transfer_failed":         {kernel.Ambiguous, kernel.FailureStalled},
 }
 
-// refusal turns an answer with an error status into a *adapter.CallError.
+// refusal converts a response with an error status to a *adapter.CallError. An
+// unknown code gives the evidence kernel.Ambiguous.
 func refusal(resp *http.Response) *adapter.CallError {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	var b errorBody
 	if err == nil {
-		// A body of another form attests nothing.
+		// A body in another format leaves the code empty, and the evidence
+		// ambiguous.
 		_ = json.Unmarshal(data, &b)
 	}
 	v, known := verdicts[b.Error.Code]
@@ -73,7 +75,8 @@
 	}
 }
 
-// retryAfter reads a Retry-After header in seconds.
+// retryAfter returns the value of a Retry-After header that is given in seconds,
+// or 0 if there is none.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || seconds < 0 {
@@ -82,12 +85,14 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// unsent reports a request that could not even be made.
+// unsent returns the error of a request that could not be created and was
+// therefore not sent.
 func unsent(err error) *adapter.CallError {
 	return &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureRejected, Err: err}
 }
 
-// broken reports an answer that broke off or cannot be read.
+// broken returns the error of a response that is truncated or cannot be parsed.
+// The attempt may have run.
 func broken(err error) *adapter.CallError {
 	return &adapter.CallError{Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Err: err}
 }
--- a/plugins/engine/openai/events.go
+++ b/plugins/engine/openai/events.go
@@ -9,40 +9,41 @@
 	"github.com/wardspool/wardspool/adapter"
 )
 
-// streamBufferBytes is the size of the read buffer of an engine connection. Tokens
-// come one by one, so that small ones do.
+// streamBufferBytes is the size of the read buffer of an engine connection. A
+// small buffer is sufficient, since tokens arrive one by one.
 const streamBufferBytes = 1 << 10
 
-// lineBufferBytes is the size of the buffer in which lines are found. Tokens'
-// events are a few hundred bytes.
+// lineBufferBytes is the size of the buffer that is scanned for line ends. The
+// event of a token is a few hundred bytes long.
 const lineBufferBytes = 512
 
-// maxLineBytes bounds one line of a stream.
+// maxLineBytes bounds one line of a stream, and the data of one event.
 const maxLineBytes = 1 << 20
 
-// event is one server-sent event. Its slices are valid until the next one is
+// event is one server-sent event. Its slices are valid until the next event is
 // read.
 type event struct {
 	id   []byte
 	data []byte
 }
 
-// eventReader reads server-sent events, as far as engines use them.
+// eventReader reads a stream of server-sent events. It supports only the fields
+// that engines use, id and data.
 type eventReader struct {
 	r *bufio.Reader
-	// long collects a line that does not fit the reader's buffer.
+	// long holds a line that does not fit into the reader's buffer.
 	long []byte
 	id   []byte
 	data []byte
 }
 
-// newEventReader returns a reader of r.
+// newEventReader returns a reader of the events in r.
 func newEventReader(r io.Reader) *eventReader {
 	return &eventReader{r: bufio.NewReaderSize(r, lineBufferBytes)}
 }
 
-// next reads one event. It returns io.EOF at a clean end between events, and
-// io.ErrUnexpectedEOF at an end inside one.
+// next reads one event. It returns io.EOF if the stream ends between events, and
+// io.ErrUnexpectedEOF if it ends within one.
 func (e *eventReader) next() (event, error) {
 	e.id = e.id[:0]
 	e.data = e.data[:0]
@@ -68,8 +69,8 @@
 	}
 }
 
-// field takes one line of an event. It reports false for comments and for
-// fields that engines do not use.
+// field parses one line of an event. It reports false for comments and for fields
+// that engines do not use.
 func (e *eventReader) field(line []byte) bool {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
@@ -87,7 +88,8 @@
 	return true
 }
 
-// line reads one line without its end, valid until the next call.
+// line reads one line and returns it without its line end. The slice is valid
+// until the next call.
 func (e *eventReader) line() ([]byte, error) {
 	e.long = e.long[:0]
 	for {
@@ -110,7 +112,7 @@
 	}
 }
 
-// trimEnd cuts the line end off.
+// trimEnd removes the line end, "\n" or "\r\n".
 func trimEnd(line []byte) []byte {
 	line = bytes.TrimSuffix(line, []byte{'\n'})
 	return bytes.TrimSuffix(line, []byte{'\r'})
--- a/plugins/engine/openai/load.go
+++ b/plugins/engine/openai/load.go
@@ -10,13 +10,13 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// headerLoad carries an ORCA load report in its JSON form.
+// headerLoad is the response header with an ORCA load report in JSON format.
 const headerLoad = "endpoint-load-metrics"
 
 // loadFormat is the format name that may precede the report.
 const loadFormat = "JSON "
 
-// loadMetrics is what the adapter reads of a load report.
+// loadMetrics holds the members that the adapter reads from a load report.
 type loadMetrics struct {
 	NamedMetrics struct {
 		Waiting       int `json:"num_requests_waiting"`
@@ -29,8 +29,9 @@
 	} `json:"named_metrics"`
 }
 
-// parseLoad reads the load report of a response. It is fresh, so its time is
-// that of the reading.
+// parseLoad parses the load report in a response's headers. It reports false if
+// there is none or it is malformed. The observation's time is the present time,
+// since the engine has just written the report.
 func parseLoad(h http.Header) (adapter.Observation, bool) {
 	text := strings.TrimPrefix(h.Get(headerLoad), loadFormat)
 	if text == "" {
--- a/plugins/engine/openai/openai_test.go
+++ b/plugins/engine/openai/openai_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// texts is a sink that keeps texts.
+// texts is a sink that records the text of each token and the last finish reason.
 type texts struct {
 	got  []string
 	last string
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// newEngine starts an engine of one handler and returns an adapter and the
-// target of attempt a.1.1.rs.
+// newEngine starts a server with handler h in the role of an engine. It returns an
+// adapter and the target for attempt a.1.1.rs.
 func newEngine(t *testing.T, h http.HandlerFunc) (*Engine, adapter.Target) {
 	t.Helper()
 	srv := httptest.NewServer(h)
@@ -50,7 +50,7 @@
 
 const attempt = "a.1.1.rs"
 
-// tokenEvent returns the event of a token.
+// tokenEvent returns the server-sent event of a token. finish is a JSON value.
 func tokenEvent(offset, text, finish string) string {
 	return "id: " + attempt + ":" + offset + "\ndata: {\"choices\":[{\"text\":\"" + text + "\",\"finish_reason\":" + finish + "}]}\n\n"
 }
@@ -172,8 +172,9 @@
 	}
 }
 
-// TestReattachIsNeverUnsent: the attempt itself ran, whatever became of the
-// call that reads on.
+// TestReattachIsNeverUnsent checks that a failed reattachment is ambiguous even if
+// the call could not be sent, since the attempt itself was sent before and may
+// have run.
 func TestReattachIsNeverUnsent(t *testing.T) {
 	e, target := newEngine(t, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -204,8 +205,8 @@
 	assert.NilError(t, e.Cancel(t.Context(), &target))
 }
 
-// FuzzStream feeds streams of any shape: each ends in an output whose tokens
-// were passed on in full, or in a failure.
+// FuzzStream checks that arbitrary input results either in an error or in an
+// output with tokens and a finish reason.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte(tokenEvent("0", "a", "null") + tokenEvent("1", "b", `"stop"`) + "data: [DONE]\n\n"))
 	f.Add([]byte("id: " + attempt + ":0\r\ndata: {\"choices\":[{\"delta\":{\"content\":\"x\"}}]}\r\n\r\n"))
@@ -217,24 +218,26 @@
 			return
 		}
 		if got.FinishReason == "" || len(sink.got) == 0 || got.Tokens <= 0 {
-			t.Fatalf("taken for whole: %+v", got)
+			t.Fatalf("incomplete stream accepted as complete: %+v", got)
 		}
 	})
 }
 
-// FuzzLoad feeds load reports of any shape.
+// FuzzLoad checks that parsing an arbitrary load report does not panic, and that a
+// rejected report gives no observation.
 func FuzzLoad(f *testing.F) {
 	f.Add(`JSON {"named_metrics":{"slots":20}}`)
 	f.Add(`{"named_metrics":7}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		o, ok := parseLoad(http.Header{http.CanonicalHeaderKey(headerLoad): {text}})
 		if !ok && o != (adapter.Observation{}) {
-			t.Fatal("an observation that is none")
+			t.Fatal("rejected load report returned an observation")
 		}
 	})
 }
 
-// callError returns the *adapter.CallError that a call must have failed with.
+// callError returns the *adapter.CallError in err's chain, and fails the test if
+// there is none.
 func callError(t *testing.T, err error) *adapter.CallError {
 	t.Helper()
 	var e *adapter.CallError
--- a/plugins/engine/openai/setup.go
+++ b/plugins/engine/openai/setup.go
@@ -1,5 +1,5 @@
-// Package openai is the engine adapter "engine.openai". It speaks the
-// OpenAI-compatible format with vLLM's KV-transfer parameters; see README.md.
+// Package openai implements the engine adapter "engine.openai". It uses the
+// OpenAI-compatible API with vLLM's KV transfer parameters; see README.md.
 package openai
 
 import (
@@ -10,17 +10,17 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// ID is the plug-in's name.
+// ID is the name under which bundles select the plug-in.
 const ID plugin.ID = "engine.openai"
 
 func init() { plugin.Register(&Engine{}) }
 
-// Engine is the adapter. Its exported fields are its settings; zero fields take
-// the defaults of package roundtrip.
+// Engine implements adapter.Engine. Its exported fields are its settings. Fields
+// that are zero take the defaults of package roundtrip.
 type Engine struct {
-	// DialTimeout bounds a TCP connect.
+	// DialTimeout bounds the time to establish a TCP connection.
 	DialTimeout time.Duration `yaml:"dial_timeout"`
-	// IdlePerUpstream is how many idle connections to keep for each engine.
+	// IdlePerUpstream is the number of idle connections kept for each engine.
 	IdlePerUpstream int `yaml:"idle_per_upstream"`
 
 	client *roundtrip.Client
--- a/plugins/engine/openai/stream.go
+++ b/plugins/engine/openai/stream.go
@@ -12,22 +12,24 @@
 	"github.com/wardspool/wardspool/adapter"
 )
 
-// doneMark is the data of a stream's last event.
+// doneMark is the data of the last event of a stream.
 var doneMark = []byte("[DONE]")
 
-// stream reads one attempt's output.
+// stream is the state of reading the output of one attempt.
 type stream struct {
 	attempt string
 	sink    adapter.Sink
 	// next is the offset after the last token read.
-	next   int
+	next int
+	// finish is the last finish_reason read, or empty if there was none.
 	finish string
-	usage  json.RawMessage
+	// usage is the last usage object read, or nil if there was none.
+	usage json.RawMessage
 }
 
-// readStream reads an attempt's output from token from on into sink, to its
-// end. The output is whole when its last token named a reason to finish and the
-// end mark came.
+// readStream reads the output of an attempt, starting at token from, until its
+// end and passes the tokens to sink. The output is complete if a token had a
+// finish_reason and the stream ended with doneMark; anything else is an error.
 func readStream(body io.Reader, attempt string, from int, sink adapter.Sink) (adapter.Decoded, error) {
 	s := &stream{attempt: attempt, sink: sink, next: from}
 	events := newEventReader(body)
@@ -45,7 +47,8 @@
 	}
 }
 
-// cut names the end of a stream that lacks its end mark.
+// cut returns io.ErrUnexpectedEOF for an end of the stream without doneMark, and
+// other errors unchanged.
 func cut(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -53,15 +56,16 @@
 	return err
 }
 
-// whole checks that the output is whole at its end mark.
+// whole returns the result of a stream that has ended with doneMark, or an error
+// if no token had a finish_reason.
 func (s *stream) whole() (adapter.Decoded, error) {
 	if s.finish == "" {
-		return adapter.Decoded{}, broken(&adapter.ProtocolError{Part: "end without finish_reason"})
+		return adapter.Decoded{}, broken(&adapter.ProtocolError{Part: "[DONE] without a finish_reason"})
 	}
 	return adapter.Decoded{Tokens: s.next, FinishReason: s.finish, Usage: s.usage}, nil
 }
 
-// take handles one event before the end mark.
+// take handles one event before doneMark. Events without an ID carry no token.
 func (s *stream) take(ev event) error {
 	if !gjson.ValidBytes(ev.data) {
 		return broken(&adapter.ProtocolError{Part: "chunk"})
@@ -78,9 +82,9 @@
 	return s.token(ev.id, member(ev.data, "choices"))
 }
 
-// member returns a member of a chunk. It copies only what it finds, while parsing
-// the chunk as a whole would copy all of it for each token; and most chunks show
-// at a glance that they don't have it.
+// member returns a member of a chunk. Only the member's value is copied, whereas
+// parsing the whole chunk would copy all of it for each token. Most chunks do not
+// contain the member's name at all, which is cheap to check first.
 func member(chunk []byte, name string) gjson.Result {
 	if !bytes.Contains(chunk, []byte(name)) {
 		return gjson.Result{}
@@ -88,7 +92,7 @@
 	return gjson.GetBytes(chunk, name)
 }
 
-// token hands on the token of a chunk that has an ID.
+// token passes the token of a chunk with an event ID to the sink.
 func (s *stream) token(id []byte, choices gjson.Result) error {
 	offset, ok := s.offset(id)
 	if !ok {
@@ -111,7 +115,8 @@
 	})
 }
 
-// only returns the only choice of a chunk.
+// only returns the choice of a chunk that has exactly one, and reports false for
+// any other number of choices.
 func only(choices gjson.Result) (choice gjson.Result, ok bool) {
 	count := 0
 	if choices.IsArray() {
@@ -124,7 +129,8 @@
 	return choice, count == 1 && choice.IsObject()
 }
 
-// offset reads a token's offset from its event ID, "<attempt>:<offset>".
+// offset parses the offset of a token from its event ID, "<attempt>:<offset>". It
+// reports false if the ID has another format or is that of another attempt.
 func (s *stream) offset(id []byte) (int, bool) {
 	rest, ok := bytes.CutPrefix(id, []byte(s.attempt))
 	if !ok || len(rest) < 2 || rest[0] != ':' {
--- a/plugins/platform/http/setup.go
+++ b/plugins/platform/http/setup.go
@@ -1,5 +1,5 @@
-// Package http is the platform adapter "platform.http": it reads the
-// configuration service by the protocol of docs/protocols/platform.md.
+// Package http implements the platform adapter "platform.http". It reads the
+// configuration service with the protocol described in docs/protocols/platform.md.
 package http
 
 import (
@@ -7,12 +7,13 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// ID is the plug-in's name.
+// ID is the name under which the plug-in is registered.
 const ID plugin.ID = "platform.http"
 
 func init() { plugin.Register(&HTTP{}) }
 
-// HTTP is the adapter. The methods of configservice.Reader may be used after Provision.
+// HTTP implements configservice.Adapter. The methods of configservice.Reader may
+// be used only after Provision.
 type HTTP struct {
 	options configservice.Options
 
--- a/plugins/platform/http/setup_test.go
+++ b/plugins/platform/http/setup_test.go
@@ -35,7 +35,7 @@
 	assert.Assert(t, errors.As(err, &missing))
 }
 
-// noAdapter is a plug-in that reads nothing.
+// noAdapter is a plug-in that does not implement configservice.Adapter.
 type noAdapter struct{}
 
 const noAdapterID plugin.ID = "platform.nothing"
--- a/plugins/service/http/call.go
+++ b/plugins/service/http/call.go
@@ -16,14 +16,15 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Request headers of the services' protocol.
+// Request headers of the service protocol.
 const (
 	headerAttempt     = "X-Request-Id"
 	headerCorrelation = "X-Correlation-Id"
 )
 
-// Call implements adapter.Service. An answer with a status below 500 is the
-// service's whole answer, whatever it says.
+// Call implements adapter.Service. A response with a status from 200 to 499 is
+// the service's answer and is returned as it is; other statuses are failures. The
+// error is a *adapter.CallError.
 func (s *Service) Call(ctx context.Context, c *adapter.ServiceCall) (*adapter.ServiceAnswer, error) {
 	if c.Timeout > 0 {
 		bounded, cancel := context.WithTimeout(ctx, c.Timeout)
@@ -59,7 +60,7 @@
 	}, nil
 }
 
-// request returns the request of a call, without its body.
+// request returns the HTTP request for a call, without its body.
 func request(ctx context.Context, c *adapter.ServiceCall) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Address+c.Path, nil)
 	if err != nil {
@@ -75,8 +76,9 @@
 	return req, nil
 }
 
-// readAll reads a whole answer. It was sent by then, so that every failure is
-// ambiguous.
+// readAll reads a response body of at most limit bytes. The request has been sent
+// by then and the service may have run it, so every failure has the evidence
+// kernel.Ambiguous.
 func readAll(ctx context.Context, r io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err == nil && int64(len(body)) > limit {
@@ -92,7 +94,7 @@
 	return nil, &adapter.CallError{Evidence: kernel.Ambiguous, Code: code, Err: err}
 }
 
-// errorBody is a service's own word on why it failed.
+// errorBody is the body of a service's error response.
 type errorBody struct {
 	Error struct {
 		Code    string `json:"code"`
@@ -100,16 +102,17 @@
 	} `json:"error"`
 }
 
-// Codes by which a service attests that a call did not run.
+// Error codes with which a service states that it did not run a call.
 const (
 	codeNotStarted = "not_started"
 	codeDraining   = "draining"
 )
 
-// failure turns an answer with status 500 and above into an error.
+// failure converts a response with a status of 500 or above to an error. Only
+// status 503 with one of the codes above shows that the call did not run.
 func failure(resp *http.Response, body []byte) *adapter.CallError {
 	var b errorBody
-	// A body of another form attests nothing.
+	// A body in another format leaves the code empty, and the evidence ambiguous.
 	_ = json.Unmarshal(body, &b)
 	e := &adapter.CallError{
 		Evidence:   kernel.Ambiguous,
@@ -130,7 +133,8 @@
 	return e
 }
 
-// retryAfter reads a Retry-After header in seconds.
+// retryAfter returns the value of a Retry-After header that is given in seconds,
+// or 0 if there is none.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || seconds < 0 {
--- a/plugins/service/http/http_test.go
+++ b/plugins/service/http/http_test.go
@@ -20,7 +20,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// newCall starts a service of one handler and returns an adapter and a call.
+// newCall starts a server with handler h in the role of a service, and returns an
+// adapter and a call for it.
 func newCall(t *testing.T, h http.HandlerFunc) (*Service, *adapter.ServiceCall) {
 	t.Helper()
 	srv := httptest.NewServer(h)
@@ -65,7 +66,7 @@
 	assert.Equal(t, string(got.Body), "taken")
 	assert.Equal(t, got.Header.Get("X-Answer"), "2")
 	assert.Equal(t, got.Header.Get("Keep-Alive"), "")
-	assert.Equal(t, c.Header.Get(headerAttempt), "callers", "the call's own headers are left alone")
+	assert.Equal(t, c.Header.Get(headerAttempt), "callers", "Call modified the headers of its argument")
 }
 
 func TestFailures(t *testing.T) {
@@ -145,7 +146,8 @@
 	}
 }
 
-// callError returns the *adapter.CallError that a call must have failed with.
+// callError returns the *adapter.CallError in err's chain, and fails the test if
+// there is none.
 func callError(t *testing.T, err error) *adapter.CallError {
 	t.Helper()
 	var e *adapter.CallError
--- a/plugins/service/http/setup.go
+++ b/plugins/service/http/setup.go
@@ -1,5 +1,5 @@
-// Package http is the service adapter "service.http". It calls plain services
-// over HTTP/1.1; see README.md.
+// Package http implements the service adapter "service.http". It calls plain
+// services over HTTP/1.1; see README.md.
 package http
 
 import (
@@ -10,17 +10,17 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// ID is the plug-in's name.
+// ID is the name under which bundles select the plug-in.
 const ID plugin.ID = "service.http"
 
 func init() { plugin.Register(&Service{}) }
 
-// Service is the adapter. Its exported fields are its settings; zero fields
-// take the defaults of package roundtrip.
+// Service implements adapter.Service. Its exported fields are its settings.
+// Fields that are zero take the defaults of package roundtrip.
 type Service struct {
-	// DialTimeout bounds a TCP connect.
+	// DialTimeout bounds the time to establish a TCP connection.
 	DialTimeout time.Duration `yaml:"dial_timeout"`
-	// IdlePerUpstream is how many idle connections to keep for each service.
+	// IdlePerUpstream is the number of idle connections kept for each service.
 	IdlePerUpstream int `yaml:"idle_per_upstream"`
 
 	client *roundtrip.Client
