--- a/plugins/admission/feasible/feasible.go
+++ b/plugins/admission/feasible/feasible.go
@@ -18,34 +18,34 @@
 // if its first output is expected to be late by more than this.
 const margin = 20 * time.Millisecond
 
-// inVainFactor is the assumed ratio of the time that a request would have needed
-// to the time that it had, for a request that was given up before its first
-// output.
-const inVainFactor = 2
+// assumedTimeFactor is the assumed ratio of the time that a request would have
+// needed to the time that it had, for a request that was given up before its
+// first output.
+const assumedTimeFactor = 2
 
 // Check implements kernel.Admission and kernel.Observer.
 type Check struct {
 	host kernel.Host
 	// corrections are learned separately for each kind of request to each model,
 	// since kinds with tight targets are served before others.
-	corrections map[target]*correction
-	comeBacks   map[string]*comeBack
+	corrections    map[target]*correction
+	retrySchedules map[string]*retrySchedule
 	// admitted holds the predicted time to first output of requests that were
 	// admitted and have neither started decoding nor finished.
 	admitted map[ident.RequestID]time.Duration
-	// ended is the last request that finished before it started decoding. It is
-	// kept until the record with the reason is observed.
-	ended ended
-	// links is the bandwidth of the slowest KV transfer link of each model, in
-	// bytes per second.
-	links map[string]float64
+	// lastEnded is the last request that finished before it started decoding. It
+	// is kept until the record with the reason is observed.
+	lastEnded endedRequest
+	// linkRates is the bandwidth of the slowest KV transfer link of each model,
+	// in bytes per second.
+	linkRates map[string]float64
 }
 
 // target identifies a kind of request to a model.
 type target struct{ model, kind string }
 
-// ended is a finished request and its predicted time to first output.
-type ended struct {
+// endedRequest is a finished request and its predicted time to first output.
+type endedRequest struct {
 	id        ident.RequestID
 	predicted time.Duration
 }
@@ -54,13 +54,13 @@
 func (c *Check) Attach(h kernel.Host) {
 	c.host = h
 	c.corrections = map[target]*correction{}
-	c.comeBacks = map[string]*comeBack{}
+	c.retrySchedules = map[string]*retrySchedule{}
 	c.admitted = map[ident.RequestID]time.Duration{}
 }
 
 // Configure implements kernel.Configurer.
 func (c *Check) Configure(content *config.Content) {
-	c.links = map[string]float64{}
+	c.linkRates = map[string]float64{}
 	declared := map[string]bool{}
 	for i := range content.Models {
 		declared[content.Models[i].Name] = true
@@ -68,23 +68,23 @@
 	for i := range content.Upstreams {
 		u := &content.Upstreams[i]
 		for _, m := range u.Models {
-			c.noteLink(m, u.LinkBytesPerSecond)
+			c.recordLink(m, u.LinkBytesPerSecond)
 		}
 	}
 	// Delete the state of models that are no longer declared.
 	gone := func(model string) bool { return !declared[model] }
 	maps.DeleteFunc(c.corrections, func(t target, _ *correction) bool { return gone(t.model) })
-	maps.DeleteFunc(c.comeBacks, func(m string, _ *comeBack) bool { return gone(m) })
+	maps.DeleteFunc(c.retrySchedules, func(m string, _ *retrySchedule) bool { return gone(m) })
 }
 
-// noteLink records the bandwidth of a link of a model, in bytes per second, if it
-// is the slowest so far. Rates that are not positive are ignored.
-func (c *Check) noteLink(model string, rate float64) {
+// recordLink records the bandwidth of a link of a model, in bytes per second, if
+// it is the slowest so far. Rates that are not positive are ignored.
+func (c *Check) recordLink(model string, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	if old, ok := c.links[model]; !ok || rate < old {
-		c.links[model] = rate
+	if old, ok := c.linkRates[model]; !ok || rate < old {
+		c.linkRates[model] = rate
 	}
 }
 
@@ -97,40 +97,41 @@
 	now := c.host.Now()
 	e := c.host.Estimate(r)
 	if !e.Possible {
-		return c.impossible(r)
+		return c.refuseUnreachable(r)
 	}
 	expected := c.correction(r).apply(e.FirstOutput, now)
-	excess := now.Add(expected).Sub(latest(r))
+	excess := now.Add(expected).Sub(latestFirstOutput(r))
 	if excess > margin {
-		return c.infeasible(r, expected, excess)
+		return c.refuseInfeasible(r, expected, excess)
 	}
 	c.admitted[r.ID] = e.FirstOutput
 	return nil
 }
 
-// latest returns the latest time for the first output: the request's target for
-// the first output or its deadline, whichever is earlier.
-func latest(r *kernel.Request) time.Time {
+// latestFirstOutput returns the latest time for the first output: the request's
+// target for the first output or its deadline, whichever is earlier.
+func latestFirstOutput(r *kernel.Request) time.Time {
 	if r.FirstOutputBy.IsZero() || r.Deadline.Before(r.FirstOutputBy) {
 		return r.Deadline
 	}
 	return r.FirstOutputBy
 }
 
-// infeasible returns the refusal of a request whose first output would be late by
-// excess.
-func (c *Check) infeasible(r *kernel.Request, expected, excess time.Duration) *kernel.Refusal {
+// refuseInfeasible returns the refusal of a request whose first output would be
+// late by excess.
+func (c *Check) refuseInfeasible(r *kernel.Request, expected, excess time.Duration) *kernel.Refusal {
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonInfeasible,
 		Problem: api.ProblemInfeasible,
 		Detail: fmt.Sprintf("the first output is expected in %v, which is %v after its target or deadline",
 			expected.Round(time.Millisecond), excess.Round(time.Millisecond)),
-		RetryAfter: c.comeBack(r.Model).after(r.ID, excess, c.host.Now()),
+		RetryAfter: c.retrySchedule(r.Model).retryAfter(r.ID, excess, c.host.Now()),
 	}
 }
 
-// impossible returns the refusal of a request for which no upstream is available.
-func (c *Check) impossible(r *kernel.Request) *kernel.Refusal {
+// refuseUnreachable returns the refusal of a request for which no upstream is
+// available.
+func (c *Check) refuseUnreachable(r *kernel.Request) *kernel.Refusal {
 	reason := kernel.ReasonNoPrefill
 	if c.hasPrefill(r.Model) {
 		reason = kernel.ReasonNoDecode
@@ -139,7 +140,7 @@
 		Reason:     reason,
 		Problem:    api.ProblemNoUpstream,
 		Detail:     fmt.Sprintf("no upstream for model %q is reachable from this instance", r.Model),
-		RetryAfter: c.comeBack(r.Model).after(r.ID, 0, c.host.Now()),
+		RetryAfter: c.retrySchedule(r.Model).retryAfter(r.ID, 0, c.host.Now()),
 	}
 }
 
@@ -168,13 +169,13 @@
 	return k
 }
 
-// comeBack returns the model's schedule of refused callers, and creates it if
-// there is none.
-func (c *Check) comeBack(model string) *comeBack {
-	b, ok := c.comeBacks[model]
+// retrySchedule returns the model's schedule of refused callers, and creates it
+// if there is none.
+func (c *Check) retrySchedule(model string) *retrySchedule {
+	b, ok := c.retrySchedules[model]
 	if !ok {
-		b = &comeBack{}
-		c.comeBacks[model] = b
+		b = &retrySchedule{}
+		c.retrySchedules[model] = b
 	}
 	return b
 }
@@ -187,50 +188,50 @@
 	}
 	switch rec.Step {
 	case kernel.StepPlaced:
-		c.comeBack(r.Model).placed(rec.Time)
+		c.retrySchedule(r.Model).recordPlacement(rec.Time)
 	case kernel.StepDecoding:
-		c.learn(r, rec.Waited+c.transfer(r), rec.Time)
+		c.learn(r, rec.Waited+c.transferTime(r), rec.Time)
 	case kernel.StepRefused:
-		c.gaveUp(r, rec)
+		c.learnFromTimeout(r, rec)
 	}
 }
 
-// gaveUp updates the correction for an admitted request that was refused later
-// because it could no longer be served in time. Requests that were refused by a
-// later check, or that ended for another reason, are ignored.
-func (c *Check) gaveUp(r *kernel.Request, rec kernel.Record) {
-	if c.ended.id != r.ID || rec.Reason != kernel.ReasonInfeasible {
+// learnFromTimeout updates the correction for an admitted request that was
+// refused later because it could no longer be served in time. Requests that were
+// refused by a later check, or that ended for another reason, are ignored.
+func (c *Check) learnFromTimeout(r *kernel.Request, rec kernel.Record) {
+	if c.lastEnded.id != r.ID || rec.Reason != kernel.ReasonInfeasible {
 		return
 	}
-	c.correction(r).learn(c.ended.predicted, inVain(r), rec.Time)
-	c.ended = ended{}
+	c.correction(r).observe(c.lastEnded.predicted, assumedTime(r), rec.Time)
+	c.lastEnded = endedRequest{}
 }
 
-// inVain returns the assumed time to first output of a request that was given up
-// after waiting. The real time is not known, except that it exceeds the time that
-// the request had.
-func inVain(r *kernel.Request) time.Duration {
-	return inVainFactor * latest(r).Sub(r.Arrived)
+// assumedTime returns the assumed time to first output of a request that was
+// given up after waiting. The real time is not known, except that it exceeds the
+// time that the request had.
+func assumedTime(r *kernel.Request) time.Duration {
+	return assumedTimeFactor * latestFirstOutput(r).Sub(r.Arrived)
 }
 
 // learn updates the correction with the measured time to first output and the
 // prediction made at admission. Only the first decode of a request counts, since
 // later ones follow a failure.
-func (c *Check) learn(r *kernel.Request, took time.Duration, now time.Time) {
+func (c *Check) learn(r *kernel.Request, measured time.Duration, now time.Time) {
 	predicted, ok := c.admitted[r.ID]
 	if !ok {
 		return
 	}
 	delete(c.admitted, r.ID)
-	c.correction(r).learn(predicted, took, now)
+	c.correction(r).observe(predicted, measured, now)
 }
 
-// transfer returns the time to move the request's KV cache over an idle link. The
-// transfer takes place after StepDecoding, so the record's Waited does not
+// transferTime returns the time to move the request's KV cache over an idle link.
+// The transfer takes place after StepDecoding, so the record's Waited does not
 // include it.
-func (c *Check) transfer(r *kernel.Request) time.Duration {
+func (c *Check) transferTime(r *kernel.Request) time.Duration {
 	m := c.host.Model(r.Model)
-	rate := c.links[r.Model]
+	rate := c.linkRates[r.Model]
 	if m == nil || rate <= 0 {
 		return 0
 	}
@@ -247,5 +248,5 @@
 		return
 	}
 	delete(c.admitted, r.ID)
-	c.ended = ended{id: r.ID, predicted: predicted}
+	c.lastEnded = endedRequest{id: r.ID, predicted: predicted}
 }
--- a/plugins/admission/feasible/feasible_test.go
+++ b/plugins/admission/feasible/feasible_test.go
@@ -75,7 +75,7 @@
 				return
 			}
 			assert.Equal(t, refusal.Reason, tt.want)
-			assert.Assert(t, refusal.RetryAfter >= leastComeBack)
+			assert.Assert(t, refusal.RetryAfter >= minRetryAfter)
 			assert.Assert(t, refusal.Detail != "")
 			assert.Equal(t, len(c.admitted), 0)
 		})
@@ -172,9 +172,9 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 			predicted := time.Duration(rapid.IntRange(0, 10_000).Draw(t, "predicted"))
 			took := time.Duration(rapid.IntRange(0, 1_000_000).Draw(t, "took"))
-			k.learn(predicted*time.Millisecond, took*time.Millisecond, now)
+			k.observe(predicted*time.Millisecond, took*time.Millisecond, now)
 			f := k.factor(now)
-			assert.Assert(t, f >= leastFactor && f <= mostFactor)
+			assert.Assert(t, f >= minFactor && f <= maxFactor)
 		}
 		f := k.factor(now.Add(time.Hour))
 		assert.Assert(t, f > 0.999 && f < 1.001)
@@ -182,29 +182,29 @@
 }
 
 func TestComeBackGrowsAndSpreads(t *testing.T) {
-	var b comeBack
+	var b retrySchedule
 	now := plugintest.Start
-	b.placed(now)
+	b.recordPlacement(now)
 	for i := range 100 {
-		b.placed(now.Add(time.Duration(i) * 100 * time.Millisecond))
+		b.recordPlacement(now.Add(time.Duration(i) * 100 * time.Millisecond))
 	}
-	assert.Assert(t, b.pace() > 95*time.Millisecond && b.pace() <= 100*time.Millisecond)
+	assert.Assert(t, b.meanInterval() > 95*time.Millisecond && b.meanInterval() <= 100*time.Millisecond)
 	now = now.Add(10 * time.Second)
 	told := map[time.Duration]int{}
 	sums := [2]time.Duration{}
 	for i := range 200 {
 		id := plugintest.Request(string(rune('a' + i))).ID
-		wait := b.after(id, 0, now)
+		wait := b.retryAfter(id, 0, now)
 		told[wait.Round(10*time.Millisecond)]++
 		sums[i/100] += wait
 	}
 	assert.Assert(t, sums[1] > 2*sums[0], "callers refused later are not told to wait longer")
 	for wait, n := range told {
-		assert.Assert(t, n < 20 || wait < 2*leastComeBack, "%d callers were told the same time of %v", n, wait)
+		assert.Assert(t, n < 20 || wait < 2*minRetryAfter, "%d callers were told the same time of %v", n, wait)
 	}
 	// The time is a function of the request ID and the schedule.
 	x, y := b, b
-	assert.Equal(t, x.after("r", time.Second, now), y.after("r", time.Second, now))
+	assert.Equal(t, x.retryAfter("r", time.Second, now), y.retryAfter("r", time.Second, now))
 	// The schedule is empty again after the last expected retry.
-	assert.Assert(t, b.after("r", 0, now.Add(mostComeBack)) < 2*leastComeBack)
+	assert.Assert(t, b.retryAfter("r", 0, now.Add(maxRetryAfter)) < 2*minRetryAfter)
 }
--- a/plugins/admission/internal/jitter/jitter.go
+++ b/plugins/admission/internal/jitter/jitter.go
@@ -10,13 +10,13 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// share is the largest fraction by which a time is extended.
-const share = 0.5
+// maxFraction is the largest fraction by which a time is extended.
+const maxFraction = 0.5
 
 // Prolong returns wait extended by up to half. The extension is uniformly
 // distributed over requests and always the same for one request ID.
 func Prolong(wait time.Duration, id ident.RequestID) time.Duration {
-	return wait + time.Duration(share*unit(id)*float64(wait))
+	return wait + time.Duration(maxFraction*unit(id)*float64(wait))
 }
 
 // unit maps a request ID to a uniformly distributed number in [0, 1).
--- a/plugins/admission/limits/bound_test.go
+++ b/plugins/admission/limits/bound_test.go
@@ -25,36 +25,36 @@
 //     of instances, since the sets may round up for different instances.
 func (w *world) allowance() Amount {
 	var sum Amount
-	for _, n := range w.living() {
-		n.noteListed()
-		if !n.settled(lease + guard) {
-			sum.Rate += n.part().Rate
+	for _, n := range w.aliveNodes() {
+		n.updateListedSince()
+		if !n.settled(lease + driftMargin) {
+			sum.Rate += n.share().Rate
 		}
-		if !n.settled(lease + guard + lifetime) {
-			sum.Slots += n.part().Slots
+		if !n.settled(lease + driftMargin + lifetime) {
+			sum.Slots += n.share().Slots
 		}
 	}
-	if !w.agree() {
-		sum.Slots += len(w.living())
+	if !w.sameMembers() {
+		sum.Slots += len(w.aliveNodes())
 	}
 	for _, d := range w.deaths {
 		passed := w.now.Sub(d.at)
 		if !d.settled && passed < lease {
-			sum.Rate += d.part.Rate
+			sum.Rate += d.share.Rate
 		}
 		if passed < lease+lifetime {
-			sum.Slots += d.part.Slots
+			sum.Slots += d.share.Slots
 		}
 	}
 	return sum
 }
 
-// agree reports whether all living nodes divide the limits among the same set of
-// instances.
-func (w *world) agree() bool {
-	living := w.living()
+// sameMembers reports whether all living nodes divide the limits among the same
+// set of instances.
+func (w *world) sameMembers() bool {
+	living := w.aliveNodes()
 	for _, n := range living {
-		n.space()
+		n.state()
 		if !slices.Equal(n.check.members.instances, living[0].check.members.instances) {
 			return false
 		}
@@ -68,19 +68,20 @@
 	return !n.listedSince.IsZero() && n.w.now.Sub(n.listedSince) >= enough
 }
 
-// part returns the node's share of the limits, which it may use or lend.
-func (n *node) part() Amount {
-	base := n.check.base(n.space())
-	if n.check.members.warm {
-		return kept(base)
+// share returns the node's share of the limits, which it may use or lend.
+func (n *node) share() Amount {
+	base := n.check.base(n.state())
+	if n.check.members.warmingUp {
+		return reservedPart(base)
 	}
 	return base
 }
 
-// noteListed updates listedSince from the present views of the living peers.
-func (n *node) noteListed() {
-	for _, peer := range n.w.living() {
-		peer.space()
+// updateListedSince updates listedSince from the present views of the living
+// peers.
+func (n *node) updateListedSince() {
+	for _, peer := range n.w.aliveNodes() {
+		peer.state()
 		missing, known := peer.check.members.peers[n.id]
 		if !known || !missing.IsZero() {
 			n.listedSince = time.Time{}
@@ -92,12 +93,12 @@
 	}
 }
 
-// total returns the sum of the amounts that the nodes may use, or do use where
-// that is more.
-func (w *world) total() Amount {
+// totalUsage returns the sum of the amounts that the nodes may use, or do use
+// where that is more.
+func (w *world) totalUsage() Amount {
 	var sum Amount
-	for _, n := range w.living() {
-		sum = sum.add(n.use())
+	for _, n := range w.aliveNodes() {
+		sum = sum.add(n.usage())
 	}
 	return sum
 }
@@ -105,7 +106,7 @@
 // violation returns the amount by which usage exceeds the limits plus the
 // allowance.
 func (w *world) violation() Amount {
-	return w.total().less(Amount{Rate: limitRate, Slots: limitSlots}).less(w.allowance())
+	return w.totalUsage().minus(Amount{Rate: limitRate, Slots: limitSlots}).minus(w.allowance())
 }
 
 // TestBound checks the bound after each step of a random sequence of requests,
@@ -113,8 +114,8 @@
 // and outdated views.
 func TestBound(t *testing.T) { rapid.Check(t, checkBound) }
 
-// init raises the number of sequences tried. The flag -rapid.checks on the command
-// line takes precedence.
+// init raises the number of sequences tried. The flag -rapid.checks on the
+// command line takes precedence.
 func init() {
 	if err := flag.Set("rapid.checks", "1000"); err != nil {
 		panic(err)
@@ -134,7 +135,7 @@
 		w.step(t)
 		v := w.violation()
 		assert.Assert(t, v.isZero(), "limits exceeded by %+v more than the allowance of %+v", v, w.allowance())
-		assert.Assert(t, float64(w.admitted) <= w.credit+limitBurst+float64(w.lives),
+		assert.Assert(t, float64(w.admitted) <= w.credit+limitBurst+float64(w.incarnations),
 			"%d requests admitted, credit from the rate and the allowance %.1f", w.admitted, w.credit)
 	}
 }
@@ -155,18 +156,18 @@
 	switch what {
 	case "pass":
 		d := time.Duration(rapid.IntRange(1, 40).Draw(t, "time")) * 20 * time.Millisecond
-		w.pass(d, rapid.Bool().Draw(t, "deliver all"))
+		w.advance(d, rapid.Bool().Draw(t, "deliver all"))
 	case "arrive":
 		lasts := time.Duration(rapid.IntRange(0, 5).Draw(t, "seconds")) * time.Second
 		for range rapid.IntRange(1, 30).Draw(t, "requests") {
 			if !n.frozen {
-				n.arrive(lasts)
+				n.offerRequest(lasts)
 			}
 		}
 	case "deliver", "repeat", "lose":
-		w.mailStep(t, what)
+		w.messageStep(t, what)
 	case "look":
-		n.look()
+		n.refreshView()
 	case "die":
 		n.kill()
 	case "freeze":
@@ -176,14 +177,14 @@
 	}
 }
 
-// mailStep delivers, duplicates or loses a random message.
-func (w *world) mailStep(t *rapid.T, what string) {
-	if len(w.mail) == 0 {
+// messageStep delivers, duplicates or loses a random message.
+func (w *world) messageStep(t *rapid.T, what string) {
+	if len(w.inTransit) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.mail)-1).Draw(t, "message")
+	i := rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "message")
 	if what == "lose" {
-		w.mail = append(w.mail[:i], w.mail[i+1:]...)
+		w.inTransit = append(w.inTransit[:i], w.inTransit[i+1:]...)
 		return
 	}
 	w.deliver(i, what == "repeat")
--- a/plugins/admission/limits/limits_test.go
+++ b/plugins/admission/limits/limits_test.go
@@ -14,9 +14,9 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// startAll returns a world in which all n nodes run and have finished their
+// startWorld returns a world in which all n nodes run and have finished their
 // warm-up.
-func startAll(n int, zones ...ident.Zone) *world {
+func startWorld(n int, zones ...ident.Zone) *world {
 	w := newWorld(n, zones...)
 	for _, x := range w.nodes {
 		x.alive = true
@@ -24,23 +24,23 @@
 	for _, x := range w.nodes {
 		x.start()
 	}
-	w.pass(warmUp, true)
+	w.advance(warmUp, true)
 	return w
 }
 
-// within checks that the limits are not exceeded.
-func (w *world) within(t *testing.T) {
+// assertWithinLimits checks that the limits are not exceeded.
+func (w *world) assertWithinLimits(t *testing.T) {
 	t.Helper()
-	sum := w.total()
+	sum := w.totalUsage()
 	assert.Assert(t, sum.Slots <= limitSlots, "%d slots in use or usable", sum.Slots)
-	assert.Assert(t, sum.Rate <= limitRate+negligible, "%.3f requests per second usable", sum.Rate)
+	assert.Assert(t, sum.Rate <= limitRate+negligibleRate, "%.3f requests per second usable", sum.Rate)
 }
 
 func TestPartsAddUp(t *testing.T) {
 	for n := 1; n <= 7; n++ {
-		sum := startAll(n).total()
+		sum := startWorld(n).totalUsage()
 		assert.Equal(t, sum.Slots, limitSlots)
-		assert.Assert(t, sum.Rate > limitRate-negligible && sum.Rate < limitRate+negligible)
+		assert.Assert(t, sum.Rate > limitRate-negligibleRate && sum.Rate < limitRate+negligibleRate)
 	}
 }
 
@@ -51,7 +51,7 @@
 		name := ident.Workspace(fmt.Sprint("w", i))
 		sum := 0
 		for _, z := range zones {
-			p := part(20, name, z, zones)
+			p := apportion(20, name, z, zones)
 			sum += p
 			extra[z] += p - 6
 		}
@@ -68,7 +68,7 @@
 		{Name: "rated", RatePerSecond: 10, Burst: 3},
 		{Name: "narrow", Concurrency: 2},
 	}
-	w := startAll(1)
+	w := startWorld(1)
 	c := w.nodes[0].check
 	c.Configure(&config.Content{Workspaces: configs})
 	w.nodes[0].host.Time = w.now.Add(time.Minute)
@@ -94,7 +94,7 @@
 	assert.Equal(t, admitted, 3)
 	assert.Equal(t, refusal.Reason, kernel.ReasonWorkspaceRate)
 	assert.Equal(t, refusal.Problem, api.ProblemLimit)
-	assert.Assert(t, refusal.RetryAfter >= leastComeBack && refusal.RetryAfter <= time.Second)
+	assert.Assert(t, refusal.RetryAfter >= minRetryAfter && refusal.RetryAfter <= time.Second)
 
 	admitted, refusal = offer("narrow", 10)
 	assert.Equal(t, admitted, 2)
@@ -112,8 +112,8 @@
 	c.Finished(r, api.Complete)
 }
 
-// TestMessagesAreBounded checks that the asks for 1000 workspaces are combined into
-// few messages, and that no message has more than maxAsks.
+// TestMessagesAreBounded checks that the asks for 1000 workspaces are combined
+// into few messages, and that no message has more than maxAsks.
 func TestMessagesAreBounded(t *testing.T) {
 	var many config.Content
 	for i := range 1000 {
@@ -121,7 +121,7 @@
 			Name: ident.Workspace(fmt.Sprint("w", i)), RatePerSecond: 2, Burst: 1,
 		})
 	}
-	w := startAll(3)
+	w := startWorld(3)
 	n := w.nodes[0]
 	n.check.Configure(&many)
 	for i := range many.Workspaces {
@@ -131,7 +131,7 @@
 			n.check.Admit(r)
 		}
 	}
-	n.host.Time = w.now.Add(askEvery)
+	n.host.Time = w.now.Add(askInterval)
 	n.check.Wake()
 	asks := 0
 	for _, m := range n.host.Outbox {
@@ -146,7 +146,7 @@
 // TestIgnoresStrangers checks that messages from instances outside the zone, and
 // messages with invalid contents, have no effect.
 func TestIgnoresStrangers(t *testing.T) {
-	w := startAll(2, "hall-b")
+	w := startWorld(2, "hall-b")
 	n := w.nodes[0]
 	ask := Ask{Workspace: workspace, Want: Amount{Rate: 1, Slots: 1}}
 	n.check.Receive("of-hall-b", &Demand{Number: 1, Asks: []Ask{ask}})
@@ -154,14 +154,14 @@
 	ask.Want.Rate = -5
 	n.check.Receive(w.nodes[1].id, &Demand{Number: 1, Asks: []Ask{ask}})
 	n.check.Receive(w.nodes[1].id, &Demand{Number: 2, Asks: []Ask{{Workspace: "unknown"}}})
-	n.check.Receive(w.nodes[1].id, &Move{Incarnation: n.host.Is.Incarnation, Number: 9,
+	n.check.Receive(w.nodes[1].id, &Reply{Incarnation: n.host.Is.Incarnation, Number: 9,
 		Grants: []Grant{{Workspace: workspace, Amount: Amount{Rate: 100}}}})
-	s := n.space()
-	assert.Equal(t, n.check.right(s, w.now), n.check.base(s))
+	s := n.state()
+	assert.Equal(t, n.check.usableAmount(s, w.now), n.check.base(s))
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	w := startAll(8)
+	w := startWorld(8)
 	n := w.nodes[0]
 	r := plugintest.Request("r")
 	r.Workspace = workspace
--- a/plugins/admission/limits/members.go
+++ b/plugins/admission/limits/members.go
@@ -19,11 +19,11 @@
 	// quarantine is the time for which an instance keeps its share after it was
 	// found dead, since peers that borrowed from it may still use the loans.
 	quarantine = 2 * lease
-	// zoneMemory is the time for which a zone keeps its share after its last
+	// zoneRetention is the time for which a zone keeps its share after its last
 	// instance and upstream have disappeared from the view. A zone that is
 	// partitioned from the others keeps serving, even if the platform no longer
 	// lists it.
-	zoneMemory = 10 * time.Minute
+	zoneRetention = 10 * time.Minute
 )
 
 // members tracks the zones and instances among which the limits are divided.
@@ -38,15 +38,16 @@
 	zones map[ident.Zone]time.Time
 	peers map[ident.InstanceID]time.Time
 
-	// view is the version of the last view that was read, and recheck the time
-	// at which the division must be computed again without a new view.
-	view    uint64
-	recheck time.Time
+	// viewVersion is the version of the last view that was read, and recheckAt
+	// the time at which the division must be computed again without a new view.
+	viewVersion uint64
+	recheckAt   time.Time
 	// zoneNames and instances are the keys of zones and peers, sorted.
 	zoneNames []string
 	instances []string
-	// warm is set while this instance is warming up and limited to its reserve.
-	warm bool
+	// warmingUp is set while this instance is warming up and limited to the
+	// reserveFraction of its share.
+	warmingUp bool
 	// lenders are the peers that may be asked for loans.
 	lenders []ident.InstanceID
 	// listed reports whether the view is trusted and contains this instance.
@@ -68,18 +69,18 @@
 // nothing if neither can have changed the division.
 func (m *members) update(h kernel.Host) {
 	now, v := h.Now(), h.View()
-	if v.Version == m.view && now.Before(m.recheck) && m.version > 0 {
+	if v.Version == m.viewVersion && now.Before(m.recheckAt) && m.version > 0 {
 		return
 	}
-	m.view = v.Version
-	m.see(v, h.Self(), now)
-	m.count(h.Self(), now)
+	m.viewVersion = v.Version
+	m.recordView(v, h.Self(), now)
+	m.recompute(h.Self(), now)
 }
 
-// see records which zones and instances are in the view.
-func (m *members) see(v *kernel.View, self kernel.Self, now time.Time) {
-	miss(m.zones, now)
-	miss(m.peers, now)
+// recordView records which zones and instances are in the view.
+func (m *members) recordView(v *kernel.View, self kernel.Self, now time.Time) {
+	markMissing(m.zones, now)
+	markMissing(m.peers, now)
 	m.zones[self.Zone] = time.Time{}
 	m.peers[self.Instance] = time.Time{}
 	m.lenders = m.lenders[:0]
@@ -90,13 +91,13 @@
 		}
 	}
 	for i := range v.Instances {
-		m.seeInstance(&v.Instances[i], self, v.Trusted)
+		m.recordInstance(&v.Instances[i], self, v.Trusted)
 	}
 }
 
-// seeInstance records one instance of the view. The zone of a dead instance
+// recordInstance records one instance of the view. The zone of a dead instance
 // counts as present, the instance itself does not.
-func (m *members) seeInstance(x *kernel.Instance, self kernel.Self, trusted bool) {
+func (m *members) recordInstance(x *kernel.Instance, self kernel.Self, trusted bool) {
 	m.zones[x.Zone] = time.Time{}
 	if x.Zone != self.Zone || x.Life == kernel.Dead {
 		return
@@ -111,9 +112,9 @@
 	}
 }
 
-// miss marks all entries as missing from now on. Entries that are already
+// markMissing marks all entries as missing from now on. Entries that are already
 // missing keep their time.
-func miss[K ~string](since map[K]time.Time, now time.Time) {
+func markMissing[K ~string](since map[K]time.Time, now time.Time) {
 	for name, at := range since {
 		if at.IsZero() {
 			since[name] = now
@@ -121,25 +122,25 @@
 	}
 }
 
-// count computes which zones and instances have a share and whether this
+// recompute computes which zones and instances have a share and whether this
 // instance is warming up, and sets the time of the next check.
-func (m *members) count(self kernel.Self, now time.Time) {
-	m.recheck = now.Add(recheckEvery)
-	zones := living(m.zones, zoneMemory, now)
-	instances := living(m.peers, quarantine, now)
-	warm := m.warming(self, instances, now)
-	if slices.Equal(zones, m.zoneNames) && slices.Equal(instances, m.instances) && warm == m.warm && m.version > 0 {
+func (m *members) recompute(self kernel.Self, now time.Time) {
+	m.recheckAt = now.Add(recheckInterval)
+	zones := removeExpired(m.zones, zoneRetention, now)
+	instances := removeExpired(m.peers, quarantine, now)
+	warmingUp := m.isWarmingUp(self, instances, now)
+	if slices.Equal(zones, m.zoneNames) && slices.Equal(instances, m.instances) && warmingUp == m.warmingUp && m.version > 0 {
 		return
 	}
-	m.zoneNames, m.instances, m.warm = zones, instances, warm
+	m.zoneNames, m.instances, m.warmingUp = zones, instances, warmingUp
 	m.version++
 }
 
-// warming reports whether this instance must use only its reserve. Warm-up ends
-// when the instance is in a trusted view and all peers have confirmed that they
-// include it in their division, or after warmUp. It does not start again.
-func (m *members) warming(self kernel.Self, instances []string, now time.Time) bool {
-	if m.version > 0 && !m.warm {
+// isWarmingUp reports whether this instance must use only its reserve. Warm-up
+// ends when the instance is in a trusted view and all peers have confirmed that
+// they include it in their division, or after warmUp. It does not start again.
+func (m *members) isWarmingUp(self kernel.Self, instances []string, now time.Time) bool {
+	if m.version > 0 && !m.warmingUp {
 		return false
 	}
 	if now.Sub(m.started) >= warmUp {
@@ -157,9 +158,9 @@
 // the number of instances that the peer divides by; the confirmation is ignored
 // if it is greater than this instance's own number.
 func (m *members) confirm(peer ident.InstanceID, among int) {
-	if m.warm && among <= len(m.instances) {
+	if m.warmingUp && among <= len(m.instances) {
 		m.confirmed[peer] = true
-		m.recheck = time.Time{}
+		m.recheckAt = time.Time{}
 	}
 }
 
@@ -175,16 +176,16 @@
 	return peers
 }
 
-// recheckEvery is the interval at which the division is recomputed without a new
-// view.
-const recheckEvery = 100 * time.Millisecond
+// recheckInterval is the interval at which the division is recomputed without a
+// new view.
+const recheckInterval = 100 * time.Millisecond
 
-// living returns the sorted names that have been missing for no longer than
-// memory, and deletes the others.
-func living[K ~string](since map[K]time.Time, memory time.Duration, now time.Time) []string {
+// removeExpired returns the sorted names that have been missing for no longer
+// than retention, and deletes the others.
+func removeExpired[K ~string](since map[K]time.Time, retention time.Duration, now time.Time) []string {
 	var names []string
 	for name, at := range since {
-		if !at.IsZero() && now.Sub(at) > memory {
+		if !at.IsZero() && now.Sub(at) > retention {
 			delete(since, name)
 			continue
 		}
@@ -194,8 +195,8 @@
 	return names
 }
 
-// counts reports whether the instance has a share in this zone.
-func (m *members) counts(id ident.InstanceID) bool {
+// includes reports whether the instance has a share in this zone.
+func (m *members) includes(id ident.InstanceID) bool {
 	_, found := slices.BinarySearch(m.instances, string(id))
 	return found
 }
@@ -205,18 +206,18 @@
 func (m *members) base(self kernel.Self, name ident.Workspace, limit Amount) Amount {
 	zone := Amount{
 		Rate:  limit.Rate / float64(len(m.zoneNames)),
-		Slots: part(limit.Slots, name, string(self.Zone), m.zoneNames),
+		Slots: apportion(limit.Slots, name, string(self.Zone), m.zoneNames),
 	}
 	return Amount{
 		Rate:  zone.Rate / float64(len(m.instances)),
-		Slots: part(zone.Slots, name, string(self.Instance), m.instances),
+		Slots: apportion(zone.Slots, name, string(self.Instance), m.instances),
 	}
 }
 
-// part divides whole among the holders and returns the part of own. The parts
-// add up to whole. The holders that receive one more than the others are chosen
-// by a hash, and differ from workspace to workspace.
-func part(whole int, name ident.Workspace, own string, holders []string) int {
+// apportion divides whole among the holders and returns the part of own. The
+// parts add up to whole. The holders that receive one more than the others are
+// chosen by a hash, and differ from workspace to workspace.
+func apportion(whole int, name ident.Workspace, own string, holders []string) int {
 	each := whole / len(holders)
 	rest := whole % len(holders)
 	if rest == 0 {
--- a/plugins/admission/limits/messages.go
+++ b/plugins/admission/limits/messages.go
@@ -8,7 +8,7 @@
 // Message kinds exchanged by the instances of a zone.
 const (
 	kindDemand = "limits.demand"
-	kindMove   = "limits.move"
+	kindReply  = "limits.move"
 )
 
 // Amount is a part of a workspace's rate and concurrency limits.
@@ -24,8 +24,8 @@
 	return Amount{Rate: a.Rate + b.Rate, Slots: a.Slots + b.Slots}
 }
 
-// less returns a minus b. Negative results become zero.
-func (a Amount) less(b Amount) Amount {
+// minus returns a minus b. Negative results become zero.
+func (a Amount) minus(b Amount) Amount {
 	return Amount{Rate: max(a.Rate-b.Rate, 0), Slots: max(a.Slots-b.Slots, 0)}
 }
 
@@ -39,12 +39,12 @@
 	return Amount{Rate: min(a.Rate, b.Rate), Slots: min(a.Slots, b.Slots)}
 }
 
-// negligible is the rate, in requests per second, below which a rate counts as
-// zero. Differences of floating-point numbers are seldom exactly zero.
-const negligible = 1e-6
+// negligibleRate is the rate, in requests per second, below which a rate counts
+// as zero. Differences of floating-point numbers are seldom exactly zero.
+const negligibleRate = 1e-6
 
 // isZero reports whether the amount has no slots and only a negligible rate.
-func (a Amount) isZero() bool { return a.Rate < negligible && a.Slots == 0 }
+func (a Amount) isZero() bool { return a.Rate < negligibleRate && a.Slots == 0 }
 
 // valid reports whether an amount received from a peer is not negative.
 func (a Amount) valid() bool { return a.Rate >= 0 && a.Slots >= 0 }
@@ -57,9 +57,9 @@
 	// Number increases with each message of the incarnation.
 	Number uint64 `json:"number"`
 	Asks   []Ask  `json:"asks,omitempty"`
-	// Greet asks the peer to confirm that it includes the sender, which is
-	// warming up, in its division of the limits.
-	Greet bool `json:"greet,omitempty"`
+	// RequestConfirmation asks the peer to confirm that it includes the sender,
+	// which is warming up, in its division of the limits.
+	RequestConfirmation bool `json:"greet,omitempty"`
 }
 
 // Ask is the part of a Demand for one workspace.
@@ -68,21 +68,21 @@
 	// Want is the total amount that the sender wants to borrow from the peer.
 	Want Amount `json:"want"`
 	// Hold is the amount that the sender has borrowed from the peer and keeps
-	// whatever the answer is. The sender uses no more than Hold until a Move
+	// whatever the answer is. The sender uses no more than Hold until a Reply
 	// grants more.
 	Hold Amount `json:"hold"`
 }
 
-// Move answers a Demand with the amounts that are lent.
-type Move struct {
+// Reply answers a Demand with the amounts that are lent.
+type Reply struct {
 	// Incarnation and Number are those of the Demand.
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Number      uint64            `json:"number"`
 	Grants      []Grant           `json:"grants,omitempty"`
-	// Members answers Greet. It is the number of instances among which the sender
-	// of the Move divides the zone's share of the limits, including the sender of
-	// the Demand. It is 0 while the sender of the Move still uses capacity that
-	// now belongs to the sender of the Demand.
+	// Members answers RequestConfirmation. It is the number of instances among
+	// which the sender of the Reply divides the zone's share of the limits,
+	// including the sender of the Demand. It is 0 while the sender of the Reply
+	// still uses capacity that now belongs to the sender of the Demand.
 	Members int `json:"members,omitempty"`
 }
 
@@ -96,9 +96,9 @@
 func (*Demand) MessageKind() string { return kindDemand }
 
 // MessageKind implements kernel.PeerMessage.
-func (*Move) MessageKind() string { return kindMove }
+func (*Reply) MessageKind() string { return kindReply }
 
 func init() {
 	kernel.RegisterMessage(func() kernel.PeerMessage { return new(Demand) })
-	kernel.RegisterMessage(func() kernel.PeerMessage { return new(Move) })
+	kernel.RegisterMessage(func() kernel.PeerMessage { return new(Reply) })
 }
--- a/plugins/admission/limits/outbox.go
+++ b/plugins/admission/limits/outbox.go
@@ -17,7 +17,7 @@
 	// full are the messages that hold maxAsks asks. open is the message to each
 	// peer that can take more.
 	full []outgoing
-	open roster[Demand]
+	open peerMap[Demand]
 }
 
 // outgoing is a complete message and its recipient.
@@ -28,7 +28,7 @@
 
 // add adds an ask to a message to the peer and returns the message's number.
 func (o *outbox) add(to ident.InstanceID, ask Ask) uint64 {
-	d := o.to(to)
+	d := o.demandTo(to)
 	d.Asks = append(d.Asks, ask)
 	if len(d.Asks) == maxAsks {
 		o.open.remove(to)
@@ -37,8 +37,8 @@
 	return d.Number
 }
 
-// to returns the open message to a peer, and creates it if there is none.
-func (o *outbox) to(to ident.InstanceID) *Demand {
+// demandTo returns the open message to a peer, and creates it if there is none.
+func (o *outbox) demandTo(to ident.InstanceID) *Demand {
 	d := o.open.get(to)
 	if d == nil {
 		o.number++
--- a/plugins/admission/limits/roster.go
+++ b/plugins/admission/limits/roster.go
@@ -8,23 +8,23 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// roster is a map from peer to item that is ordered by the peer's ID.
+// peerMap is a map from peer to item that is ordered by the peer's ID.
 // Floating-point sums depend on the order of their terms, and equal sequences of
 // events must give equal results.
-type roster[T any] struct {
+type peerMap[T any] struct {
 	peers []ident.InstanceID
 	items []*T
 }
 
 // find returns the position of the peer and whether the peer is present.
-func (r *roster[T]) find(peer ident.InstanceID) (int, bool) {
+func (r *peerMap[T]) find(peer ident.InstanceID) (int, bool) {
 	return slices.BinarySearchFunc(r.peers, peer, func(a, b ident.InstanceID) int {
 		return strings.Compare(string(a), string(b))
 	})
 }
 
 // get returns the peer's item, or nil if there is none.
-func (r *roster[T]) get(peer ident.InstanceID) *T {
+func (r *peerMap[T]) get(peer ident.InstanceID) *T {
 	i, ok := r.find(peer)
 	if !ok {
 		return nil
@@ -33,7 +33,7 @@
 }
 
 // put sets the peer's item.
-func (r *roster[T]) put(peer ident.InstanceID, item *T) {
+func (r *peerMap[T]) put(peer ident.InstanceID, item *T) {
 	i, ok := r.find(peer)
 	if ok {
 		r.items[i] = item
@@ -44,7 +44,7 @@
 }
 
 // remove deletes the peer's item, if there is one.
-func (r *roster[T]) remove(peer ident.InstanceID) {
+func (r *peerMap[T]) remove(peer ident.InstanceID) {
 	i, ok := r.find(peer)
 	if !ok {
 		return
@@ -54,7 +54,7 @@
 }
 
 // removeIf deletes the items for which drop returns true.
-func (r *roster[T]) removeIf(drop func(ident.InstanceID, *T) bool) {
+func (r *peerMap[T]) removeIf(drop func(ident.InstanceID, *T) bool) {
 	for i := len(r.peers) - 1; i >= 0; i-- {
 		if drop(r.peers[i], r.items[i]) {
 			r.peers = slices.Delete(r.peers, i, i+1)
@@ -63,9 +63,9 @@
 	}
 }
 
-// all iterates over the items in the order of the peers' IDs. The roster must not
+// all iterates over the items in the order of the peers' IDs. The map must not
 // be changed during the iteration.
-func (r *roster[T]) all() iter.Seq2[ident.InstanceID, *T] {
+func (r *peerMap[T]) all() iter.Seq2[ident.InstanceID, *T] {
 	return func(yield func(ident.InstanceID, *T) bool) {
 		for i := range r.peers {
 			if !yield(r.peers[i], r.items[i]) {
@@ -76,4 +76,4 @@
 }
 
 // len returns the number of items.
-func (r *roster[T]) len() int { return len(r.peers) }
+func (r *peerMap[T]) len() int { return len(r.peers) }
--- a/plugins/admission/limits/space.go
+++ b/plugins/admission/limits/space.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// demandMemory is the time constant of the measured demand.
-	demandMemory = time.Second
+	// demandTimeConstant is the time constant of the measured demand.
+	demandTimeConstant = time.Second
 	// headroom is the factor by which the capacity that an instance claims
 	// exceeds its measured demand.
 	headroom = 1.25
-	// newBucket is the number of tokens in the bucket of a new instance.
-	newBucket = 1
-	// forgotten is the demand, in requests per second or slots, below which it
-	// counts as zero.
-	forgotten = 0.05
+	// initialTokens is the number of tokens in the bucket of a new instance.
+	initialTokens = 1
+	// negligibleDemand is the demand, in requests per second or slots, below
+	// which it counts as zero.
+	negligibleDemand = 0.05
 )
 
-// space is this instance's state for one workspace that has limits.
-type space struct {
+// workspaceState is this instance's state for one workspace that has limits.
+type workspaceState struct {
 	name ident.Workspace
 	// limit applies to all instances together. A zero rate or number of slots
 	// means no limit.
@@ -36,27 +36,28 @@
 	// the division.
 	base        Amount
 	baseVersion uint64
-	loans       roster[loan]
-	debts       roster[debt]
+	loans       peerMap[loan]
+	borrowings  peerMap[borrowing]
 }
 
 // needs returns the amount that the instance needs for its own requests, with
 // headroom, bounded by the workspace's limit.
-func (s *space) needs(now time.Time) Amount {
-	s.demand.fade(now)
+func (s *workspaceState) needs(now time.Time) Amount {
+	s.demand.decay(now)
 	need := Amount{Rate: s.demand.rate * headroom}
-	if need.Rate < forgotten {
+	if need.Rate < negligibleDemand {
 		need.Rate = 0
 	}
 	slots := max(s.demand.slots, float64(s.active))
-	if slots >= forgotten {
+	if slots >= negligibleDemand {
 		need.Slots = int(math.Ceil(slots * headroom))
 	}
 	return need.atMost(s.limit)
 }
 
 // demand measures the requests offered by callers, whether or not they are
-// admitted. All values decay exponentially with demandMemory.
+// admitted. All values decay exponentially with the time constant
+// demandTimeConstant.
 type demand struct {
 	// rate is in requests per second, slots in concurrent requests.
 	rate, slots float64
@@ -66,10 +67,10 @@
 	at time.Time
 }
 
-// fade applies the decay up to time now.
-func (d *demand) fade(now time.Time) {
+// decay applies the decay up to time now.
+func (d *demand) decay(now time.Time) {
 	if !d.at.IsZero() {
-		left := math.Exp(-max(now.Sub(d.at).Seconds(), 0) / demandMemory.Seconds())
+		left := math.Exp(-max(now.Sub(d.at).Seconds(), 0) / demandTimeConstant.Seconds())
 		d.rate *= left
 		d.slots *= left
 		d.refused *= left
@@ -77,12 +78,13 @@
 	d.at = now
 }
 
-// arrival records the arrival of a request while active others are in flight.
-func (d *demand) arrival(active int, now time.Time) {
-	d.fade(now)
-	d.rate += 1 / demandMemory.Seconds()
+// recordArrival records the arrival of a request while active others are in
+// flight.
+func (d *demand) recordArrival(active int, now time.Time) {
+	d.decay(now)
+	d.rate += 1 / demandTimeConstant.Seconds()
 	d.slots = max(d.slots, float64(active+1)+d.refused)
 }
 
-// refuse records a request that was refused for lack of slots.
-func (d *demand) refuse() { d.refused++ }
+// recordRefusal records a request that was refused for lack of slots.
+func (d *demand) recordRefusal() { d.refused++ }
--- a/plugins/admission/limits/world_test.go
+++ b/plugins/admission/limits/world_test.go
@@ -34,17 +34,17 @@
 // world simulates the instances of one zone, the network between them, and a
 // clock.
 type world struct {
-	now   time.Time
-	nodes []*node
-	mail  []mail
+	now       time.Time
+	nodes     []*node
+	inTransit []transitMessage
 	// admitted is the number of requests admitted by all nodes.
 	admitted int
 	// credit is the number of requests that the rate and the allowance have
-	// permitted so far. lives is the number of incarnations started, each of which
-	// begins with one token.
-	credit float64
-	lives  int
-	deaths []death
+	// permitted so far. incarnations is the number of incarnations started, each of
+	// which begins with one token.
+	credit       float64
+	incarnations int
+	deaths       []death
 	// zones are the other zones in the nodes' views.
 	zones []ident.Zone
 }
@@ -52,9 +52,9 @@
 // death is the end of one incarnation of a node.
 type death struct {
 	at time.Time
-	// part is the node's share when it died. settled reports whether it had been
+	// share is the node's share when it died. settled reports whether it had been
 	// in all peers' views for long enough.
-	part    Amount
+	share   Amount
 	settled bool
 }
 
@@ -64,10 +64,10 @@
 	id    ident.InstanceID
 	alive bool
 	// frozen nodes do not wake and receive no messages.
-	frozen bool
-	host   *plugintest.Host
-	check  *Check
-	flying []flight
+	frozen   bool
+	host     *plugintest.Host
+	check    *Check
+	inFlight []flight
 	// listedSince is the time since which all living peers have had this
 	// incarnation in their views, and zero if some have not.
 	listedSince time.Time
@@ -79,8 +79,8 @@
 	until   time.Time
 }
 
-// mail is a message in transit.
-type mail struct {
+// transitMessage is a message in transit.
+type transitMessage struct {
 	from, to ident.InstanceID
 	message  kernel.PeerMessage
 }
@@ -96,7 +96,7 @@
 // start begins a new incarnation of a node with an up-to-date view.
 func (n *node) start() {
 	n.alive, n.frozen = true, false
-	n.w.lives++
+	n.w.incarnations++
 	n.host = plugintest.NewHost(&kernel.View{})
 	n.host.Time = n.w.now
 	n.host.Is = kernel.Self{
@@ -105,21 +105,21 @@
 	}
 	n.check = &Check{}
 	n.listedSince = time.Time{}
-	n.look()
+	n.refreshView()
 	n.check.Attach(n.host)
 	n.check.Configure(content)
 }
 
 // kill ends the node's incarnation and its requests.
 func (n *node) kill() {
-	n.w.deaths = append(n.w.deaths, death{at: n.w.now, part: n.part(), settled: n.settled(lease + guard)})
+	n.w.deaths = append(n.w.deaths, death{at: n.w.now, share: n.share(), settled: n.settled(lease + driftMargin)})
 	n.alive = false
-	n.flying = nil
+	n.inFlight = nil
 	n.check = nil
 }
 
-// look gives the node an up-to-date view.
-func (n *node) look() {
+// refreshView gives the node an up-to-date view.
+func (n *node) refreshView() {
 	v := &kernel.View{Version: n.host.Fleet.Version + 1, Trusted: true}
 	for _, other := range n.w.nodes {
 		if other.alive {
@@ -134,9 +134,9 @@
 	n.host.Fleet = v
 }
 
-// arrive offers one request that would be in flight for the time lasts, and
+// offerRequest offers one request that would be in flight for the time lasts, and
 // reports whether it was admitted.
-func (n *node) arrive(lasts time.Duration) bool {
+func (n *node) offerRequest(lasts time.Duration) bool {
 	r := plugintest.Request(fmt.Sprint("r", n.w.admitted))
 	r.Workspace = workspace
 	n.host.Time = n.w.now
@@ -144,14 +144,14 @@
 		return false
 	}
 	n.w.admitted++
-	n.flying = append(n.flying, flight{request: r, until: n.w.now.Add(min(lasts, lifetime))})
+	n.inFlight = append(n.inFlight, flight{request: r, until: n.w.now.Add(min(lasts, lifetime))})
 	return true
 }
 
-// work finishes the requests that have ended and wakes the check if it is due.
-func (n *node) work() {
+// tick finishes the requests that have ended and wakes the check if it is due.
+func (n *node) tick() {
 	n.host.Time = n.w.now
-	n.flying = slices.DeleteFunc(n.flying, func(f flight) bool {
+	n.inFlight = slices.DeleteFunc(n.inFlight, func(f flight) bool {
 		if f.until.After(n.w.now) {
 			return false
 		}
@@ -165,29 +165,29 @@
 	if ok && !at.After(n.w.now) {
 		n.check.Wake()
 	}
-	n.post()
+	n.sendOutbox()
 }
 
-// post moves the messages that the check has sent to the network.
-func (n *node) post() {
+// sendOutbox moves the messages that the check has sent to the network.
+func (n *node) sendOutbox() {
 	for _, m := range n.host.Outbox {
-		n.w.mail = append(n.w.mail, mail{from: n.id, to: m.To, message: m.Message})
+		n.w.inTransit = append(n.w.inTransit, transitMessage{from: n.id, to: m.To, message: m.Message})
 	}
 	n.host.Outbox = nil
 }
 
-// pass advances the clock by d in small steps. If deliver is set, all messages are
-// delivered after each step.
-func (w *world) pass(d time.Duration, deliver bool) {
+// advance advances the clock by d in small steps. If deliver is set, all messages
+// are delivered after each step.
+func (w *world) advance(d time.Duration, deliver bool) {
 	const step = 10 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); {
 		passed := min(step, end.Sub(w.now))
 		w.credit += passed.Seconds() * (limitRate + w.allowance().Rate)
 		w.now = w.now.Add(passed)
-		for _, n := range w.living() {
-			n.work()
+		for _, n := range w.aliveNodes() {
+			n.tick()
 		}
-		for deliver && len(w.mail) > 0 {
+		for deliver && len(w.inTransit) > 0 {
 			w.deliver(0, false)
 		}
 	}
@@ -195,21 +195,21 @@
 
 // deliver delivers the i-th message. If again is set, a copy stays in transit.
 func (w *world) deliver(i int, again bool) {
-	m := w.mail[i]
+	m := w.inTransit[i]
 	if !again {
-		w.mail = slices.Delete(w.mail, i, i+1)
+		w.inTransit = slices.Delete(w.inTransit, i, i+1)
 	}
-	for _, n := range w.living() {
+	for _, n := range w.aliveNodes() {
 		if n.id != m.to || n.frozen {
 			continue
 		}
 		n.host.Time = w.now
 		n.check.Receive(m.from, m.message)
-		n.post()
+		n.sendOutbox()
 	}
 }
 
-func (w *world) living() []*node {
+func (w *world) aliveNodes() []*node {
 	var living []*node
 	for _, n := range w.nodes {
 		if n.alive {
@@ -219,30 +219,30 @@
 	return living
 }
 
-// space returns the node's state of the workspace after an update to the present
+// state returns the node's state of the workspace after an update to the present
 // time.
-func (n *node) space() *space {
+func (n *node) state() *workspaceState {
 	n.host.Time = n.w.now
-	s := n.check.spaces[workspace]
+	s := n.check.workspaces[workspace]
 	n.check.base(s)
 	return s
 }
 
-// use returns the amount that the node may use now, or the slots that it does use
-// if they are more.
-func (n *node) use() Amount {
-	s := n.space()
-	return n.check.right(s, n.w.now).atLeast(Amount{Slots: s.active})
+// usage returns the amount that the node may use now, or the slots that it does
+// use if they are more.
+func (n *node) usage() Amount {
+	s := n.state()
+	return n.check.usableAmount(s, n.w.now).atLeast(Amount{Slots: s.active})
 }
 
-// hammer offers requests at random times, at an average rate of perSecond, for the
-// time length, and returns the number admitted.
-func (n *node) hammer(perSecond float64, length, lasts time.Duration, random *rand.Rand) int {
+// offerLoad offers requests at random times, at an average rate of perSecond, for
+// the time length, and returns the number admitted.
+func (n *node) offerLoad(perSecond float64, length, lasts time.Duration, random *rand.Rand) int {
 	const step = 10 * time.Millisecond
 	admitted := 0
 	for range int(length / step) {
-		n.w.pass(step, true)
-		if random.Float64() < perSecond*step.Seconds() && n.arrive(lasts) {
+		n.w.advance(step, true)
+		if random.Float64() < perSecond*step.Seconds() && n.offerRequest(lasts) {
 			admitted++
 		}
 	}
--- a/plugins/admission/queue/queue.go
+++ b/plugins/admission/queue/queue.go
@@ -15,9 +15,9 @@
 // queue_limit.
 const defaultLimit = 256
 
-// comeBack is the shortest Retry-After time that a refused caller is given.
+// minRetryAfter is the shortest Retry-After time that a refused caller is given.
 // Package jitter extends it.
-const comeBack = time.Second
+const minRetryAfter = time.Second
 
 // Check implements kernel.Admission.
 type Check struct {
@@ -45,7 +45,7 @@
 		Reason:     kernel.ReasonQueueFull,
 		Problem:    api.ProblemOverloaded,
 		Detail:     fmt.Sprintf("%d requests are queued at this instance; the limit is %d", waiting, limit),
-		RetryAfter: jitter.Prolong(comeBack, r.ID),
+		RetryAfter: jitter.Prolong(minRetryAfter, r.ID),
 	}
 }
 
--- a/plugins/admission/queue/queue_test.go
+++ b/plugins/admission/queue/queue_test.go
@@ -34,7 +34,7 @@
 			assert.Equal(t, refusal == nil, tt.admitted)
 			if refusal != nil {
 				assert.Equal(t, refusal.Reason, kernel.ReasonQueueFull)
-				assert.Assert(t, refusal.RetryAfter >= comeBack)
+				assert.Assert(t, refusal.RetryAfter >= minRetryAfter)
 			}
 		})
 	}
--- a/plugins/engine/openai/body.go
+++ b/plugins/engine/openai/body.go
@@ -40,10 +40,10 @@
 // decode engine.
 var prefillParams = json.RawMessage(`{"do_remote_decode":true,"do_remote_prefill":false}`)
 
-// compose returns the body of a request and its length in bytes. The caller's
+// composeBody returns the body of a request and its length in bytes. The caller's
 // members are read in place and not copied, since prompts can be long. The error
 // is a *adapter.ProtocolError.
-func compose(o *overrides, fields []adapter.Field) (io.Reader, int64, error) {
+func composeBody(o *overrides, fields []adapter.Field) (io.Reader, int64, error) {
 	head, err := json.Marshal(o)
 	if err != nil {
 		return nil, 0, &adapter.ProtocolError{Part: "kv_transfer_params", Err: err}
--- a/plugins/engine/openai/engine.go
+++ b/plugins/engine/openai/engine.go
@@ -28,9 +28,9 @@
 	pathAbort       = "/abort_request"
 )
 
-// maxAnswerBytes bounds the size of responses that are read into memory as a
+// maxResponseBytes bounds the size of responses that are read into memory as a
 // whole: those to prefill and abort requests, and errors.
-const maxAnswerBytes = 1 << 20
+const maxResponseBytes = 1 << 20
 
 // path returns the URL path of an endpoint.
 func path(e adapter.Endpoint) string {
@@ -40,9 +40,9 @@
 	return pathCompletions
 }
 
-// prefillAnswer holds the members that the adapter reads from the response to a
+// prefillResponse holds the members that the adapter reads from the response to a
 // prefill request.
-type prefillAnswer struct {
+type prefillResponse struct {
 	KVTransferParams json.RawMessage `json:"kv_transfer_params"`
 	Usage            *struct {
 		PromptTokensDetails *struct {
@@ -53,7 +53,7 @@
 
 // Prefill implements adapter.Engine. The error is a *adapter.CallError.
 func (e *Engine) Prefill(ctx context.Context, c *adapter.PrefillCall) (adapter.Prefilled, error) {
-	body, length, err := compose(&overrides{
+	body, length, err := composeBody(&overrides{
 		Model: c.Model.Model,
 		// vLLM's prefill engines generate one token and discard it.
 		MaxTokens:        1,
@@ -62,19 +62,19 @@
 		KVTransferParams: prefillParams,
 	}, c.Model.Fields)
 	if err != nil {
-		return adapter.Prefilled{}, unsent(err)
+		return adapter.Prefilled{}, unsentError(err)
 	}
 	resp, err := e.post(ctx, &c.Target, path(c.Model.Endpoint), body, length)
 	if err != nil {
 		return adapter.Prefilled{}, err
 	}
 	defer drain(resp.Body)
-	var a prefillAnswer
-	if err := decode(resp.Body, &a); err != nil {
+	var a prefillResponse
+	if err := decodeJSON(resp.Body, &a); err != nil {
 		return adapter.Prefilled{}, err
 	}
 	if len(a.KVTransferParams) == 0 || bytes.Equal(a.KVTransferParams, []byte("null")) {
-		return adapter.Prefilled{}, broken(&adapter.ProtocolError{Part: "kv_transfer_params is missing"})
+		return adapter.Prefilled{}, brokenError(&adapter.ProtocolError{Part: "kv_transfer_params is missing"})
 	}
 	out := adapter.Prefilled{Params: a.KVTransferParams}
 	if a.Usage != nil && a.Usage.PromptTokensDetails != nil {
@@ -85,7 +85,7 @@
 
 // Decode implements adapter.Engine.
 func (e *Engine) Decode(ctx context.Context, c *adapter.DecodeCall, sink adapter.Sink) (adapter.Decoded, error) {
-	body, length, err := compose(&overrides{
+	body, length, err := composeBody(&overrides{
 		Model:            c.Model.Model,
 		MaxTokens:        c.Model.MaxTokens,
 		Stream:           true,
@@ -95,7 +95,7 @@
 		KVTransferParams: c.Params,
 	}, c.Model.Fields)
 	if err != nil {
-		return adapter.Decoded{}, unsent(err)
+		return adapter.Decoded{}, unsentError(err)
 	}
 	resp, err := e.post(ctx, &c.Target, path(c.Model.Endpoint), body, length)
 	if err != nil {
@@ -112,24 +112,24 @@
 	attempt := c.Attempt.String()
 	req, err := e.request(ctx, http.MethodGet, &c.Target, pathStreams+url.PathEscape(attempt))
 	if err != nil {
-		return adapter.Decoded{}, unsent(err)
+		return adapter.Decoded{}, unsentError(err)
 	}
 	if c.Offset > 0 {
 		req.Header.Set(headerLastEvent, attempt+":"+strconv.Itoa(c.Offset-1))
 	}
 	resp, err := e.do(req, &c.Target, http.NoBody, 0)
 	if err != nil {
-		return adapter.Decoded{}, ran(err)
+		return adapter.Decoded{}, ambiguousError(err)
 	}
 	defer resp.Body.Close()
 	resp.Header = nil // as in Decode
 	return readStream(resp.Body, attempt, c.Offset, sink)
 }
 
-// ran returns the error of a failed reattachment with its evidence changed to
-// kernel.Ambiguous. The attempt itself was sent earlier and may have run, even if
-// the engine did not receive this call or refused it.
-func ran(err error) error {
+// ambiguousError returns the error of a failed reattachment with its evidence
+// changed to kernel.Ambiguous. The attempt itself was sent earlier and may have
+// run, even if the engine did not receive this call or refused it.
+func ambiguousError(err error) error {
 	e := *adapter.AsCallError(err)
 	e.Evidence = kernel.Ambiguous
 	return &e
@@ -144,7 +144,7 @@
 func (e *Engine) Cancel(ctx context.Context, t *adapter.Target) error {
 	body, err := json.Marshal(abortRequest{RID: t.Attempt.String()})
 	if err != nil {
-		return unsent(err)
+		return unsentError(err)
 	}
 	resp, err := e.post(ctx, t, pathAbort, bytes.NewReader(body), int64(len(body)))
 	if err != nil {
@@ -159,7 +159,7 @@
 func (e *Engine) post(ctx context.Context, t *adapter.Target, path string, body io.Reader, length int64) (*http.Response, error) {
 	req, err := e.request(ctx, http.MethodPost, t, path)
 	if err != nil {
-		return nil, unsent(err)
+		return nil, unsentError(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	return e.do(req, t, body, length)
@@ -189,23 +189,23 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer drain(resp.Body)
-		return nil, refusal(resp)
+		return nil, responseError(resp)
 	}
 	return resp, nil
 }
 
-// decode reads a JSON response of at most maxAnswerBytes into the value that into
-// points to.
-func decode(r io.Reader, into any) error {
-	data, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes+1))
+// decodeJSON reads a JSON response of at most maxResponseBytes into the value
+// that into points to.
+func decodeJSON(r io.Reader, into any) error {
+	data, err := io.ReadAll(io.LimitReader(r, maxResponseBytes+1))
 	if err != nil {
-		return broken(err)
+		return brokenError(err)
 	}
-	if len(data) > maxAnswerBytes {
-		return broken(&adapter.TooLargeError{Limit: maxAnswerBytes})
+	if len(data) > maxResponseBytes {
+		return brokenError(&adapter.TooLargeError{Limit: maxResponseBytes})
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return broken(&adapter.ProtocolError{Part: "body", Err: err})
+		return brokenError(&adapter.ProtocolError{Part: "body", Err: err})
 	}
 	return nil
 }
@@ -213,6 +213,6 @@
 // drain reads the rest of a small response, so that its connection can be reused,
 // and closes the body.
 func drain(body io.ReadCloser) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxAnswerBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxResponseBytes))
 	_ = body.Close()
 }
--- a/plugins/engine/openai/errors.go
+++ b/plugins/engine/openai/errors.go
@@ -20,7 +20,8 @@
 }
 
 // errorCode is an engine's error code. The OpenAI format also allows numbers.
-// They are read as the empty code, since they do not show whether the attempt ran.
+// They are read as the empty code, since they do not show whether the attempt
+// ran.
 type errorCode string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -32,15 +33,16 @@
 	return nil
 }
 
-// verdict is the meaning of an error code for an attempt.
-type verdict struct {
+// errorMeaning is the meaning of an error code for an attempt.
+type errorMeaning struct {
 	evidence kernel.Evidence
 	code     kernel.FailureCode
 }
 
-// verdicts lists the error codes of the engine protocol. With those that have the
-// evidence kernel.Refused the engine states that the attempt did not run on it.
-var verdicts = map[errorCode]verdict{
+// errorMeanings lists the error codes of the engine protocol. With those that
+// have the evidence kernel.Refused the engine states that the attempt did not run
+// on it.
+var errorMeanings = map[errorCode]errorMeaning{
 	"not_started":             {kernel.Refused, kernel.FailureCapacity},
 	"draining":                {kernel.Refused, kernel.FailureDraining},
 	"model_not_found":         {kernel.Refused, kernel.FailureModel},
@@ -52,19 +54,19 @@
 	"transfer_failed":         {kernel.Ambiguous, kernel.FailureStalled},
 }
 
-// refusal converts a response with an error status to a *adapter.CallError. An
-// unknown code gives the evidence kernel.Ambiguous.
-func refusal(resp *http.Response) *adapter.CallError {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+// responseError converts a response with an error status to a *adapter.CallError.
+// An unknown code gives the evidence kernel.Ambiguous.
+func responseError(resp *http.Response) *adapter.CallError {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	var b errorBody
 	if err == nil {
 		// A body in another format leaves the code empty, and the evidence
 		// ambiguous.
 		_ = json.Unmarshal(data, &b)
 	}
-	v, known := verdicts[b.Error.Code]
+	v, known := errorMeanings[b.Error.Code]
 	if !known {
-		v = verdict{kernel.Ambiguous, kernel.FailureUpstream}
+		v = errorMeaning{kernel.Ambiguous, kernel.FailureUpstream}
 	}
 	return &adapter.CallError{
 		Evidence:   v.evidence,
@@ -85,14 +87,14 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// unsent returns the error of a request that could not be created and was
+// unsentError returns the error of a request that could not be created and was
 // therefore not sent.
-func unsent(err error) *adapter.CallError {
+func unsentError(err error) *adapter.CallError {
 	return &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureRejected, Err: err}
 }
 
-// broken returns the error of a response that is truncated or cannot be parsed.
-// The attempt may have run.
-func broken(err error) *adapter.CallError {
+// brokenError returns the error of a response that is truncated or cannot be
+// parsed. The attempt may have run.
+func brokenError(err error) *adapter.CallError {
 	return &adapter.CallError{Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Err: err}
 }
--- a/plugins/engine/openai/events.go
+++ b/plugins/engine/openai/events.go
@@ -31,10 +31,10 @@
 // that engines use, id and data.
 type eventReader struct {
 	r *bufio.Reader
-	// long holds a line that does not fit into the reader's buffer.
-	long []byte
-	id   []byte
-	data []byte
+	// longLine holds a line that does not fit into the reader's buffer.
+	longLine []byte
+	id       []byte
+	data     []byte
 }
 
 // newEventReader returns a reader of the events in r.
@@ -91,29 +91,29 @@
 // line reads one line and returns it without its line end. The slice is valid
 // until the next call.
 func (e *eventReader) line() ([]byte, error) {
-	e.long = e.long[:0]
+	e.longLine = e.longLine[:0]
 	for {
 		part, err := e.r.ReadSlice('\n')
-		if err == nil && len(e.long) == 0 {
-			return trimEnd(part), nil
+		if err == nil && len(e.longLine) == 0 {
+			return trimLineEnd(part), nil
 		}
-		e.long = append(e.long, part...)
+		e.longLine = append(e.longLine, part...)
 		switch {
 		case err == nil:
-			return trimEnd(e.long), nil
+			return trimLineEnd(e.longLine), nil
 		case !errors.Is(err, bufio.ErrBufferFull):
-			if len(e.long) > 0 && errors.Is(err, io.EOF) {
+			if len(e.longLine) > 0 && errors.Is(err, io.EOF) {
 				return nil, io.ErrUnexpectedEOF
 			}
 			return nil, err
-		case len(e.long) > maxLineBytes:
+		case len(e.longLine) > maxLineBytes:
 			return nil, &adapter.TooLargeError{Limit: maxLineBytes}
 		}
 	}
 }
 
-// trimEnd removes the line end, "\n" or "\r\n".
-func trimEnd(line []byte) []byte {
+// trimLineEnd removes the line end, "\n" or "\r\n".
+func trimLineEnd(line []byte) []byte {
 	line = bytes.TrimSuffix(line, []byte{'\n'})
 	return bytes.TrimSuffix(line, []byte{'\r'})
 }
--- a/plugins/engine/openai/openai_test.go
+++ b/plugins/engine/openai/openai_test.go
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// newEngine starts a server with handler h in the role of an engine. It returns an
-// adapter and the target for attempt a.1.1.rs.
+// newEngine starts a server with handler h in the role of an engine. It returns
+// an adapter and the target for attempt a.1.1.rs.
 func newEngine(t *testing.T, h http.HandlerFunc) (*Engine, adapter.Target) {
 	t.Helper()
 	srv := httptest.NewServer(h)
@@ -119,7 +119,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	for code, want := range map[string]verdict{
+	for code, want := range map[string]errorMeaning{
 		"not_started":     {kernel.Refused, kernel.FailureCapacity},
 		"draining":        {kernel.Refused, kernel.FailureDraining},
 		"model_not_found": {kernel.Refused, kernel.FailureModel},
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestReattachIsNeverUnsent checks that a failed reattachment is ambiguous even if
-// the call could not be sent, since the attempt itself was sent before and may
+// TestReattachIsNeverUnsent checks that a failed reattachment is ambiguous even
+// if the call could not be sent, since the attempt itself was sent before and may
 // have run.
 func TestReattachIsNeverUnsent(t *testing.T) {
 	e, target := newEngine(t, nil)
@@ -223,8 +223,8 @@
 	})
 }
 
-// FuzzLoad checks that parsing an arbitrary load report does not panic, and that a
-// rejected report gives no observation.
+// FuzzLoad checks that parsing an arbitrary load report does not panic, and that
+// a rejected report gives no observation.
 func FuzzLoad(f *testing.F) {
 	f.Add(`JSON {"named_metrics":{"slots":20}}`)
 	f.Add(`{"named_metrics":7}`)
--- a/plugins/engine/openai/stream.go
+++ b/plugins/engine/openai/stream.go
@@ -36,42 +36,43 @@
 	for {
 		ev, err := events.next()
 		if err != nil {
-			return adapter.Decoded{}, broken(cut(err))
+			return adapter.Decoded{}, brokenError(unexpectedEOF(err))
 		}
 		if bytes.Equal(ev.data, doneMark) {
-			return s.whole()
+			return s.result()
 		}
-		if err := s.take(ev); err != nil {
+		if err := s.handleEvent(ev); err != nil {
 			return adapter.Decoded{}, err
 		}
 	}
 }
 
-// cut returns io.ErrUnexpectedEOF for an end of the stream without doneMark, and
-// other errors unchanged.
-func cut(err error) error {
+// unexpectedEOF returns io.ErrUnexpectedEOF for an end of the stream without
+// doneMark, and other errors unchanged.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// whole returns the result of a stream that has ended with doneMark, or an error
+// result returns the result of a stream that has ended with doneMark, or an error
 // if no token had a finish_reason.
-func (s *stream) whole() (adapter.Decoded, error) {
+func (s *stream) result() (adapter.Decoded, error) {
 	if s.finish == "" {
-		return adapter.Decoded{}, broken(&adapter.ProtocolError{Part: "[DONE] without a finish_reason"})
+		return adapter.Decoded{}, brokenError(&adapter.ProtocolError{Part: "[DONE] without a finish_reason"})
 	}
 	return adapter.Decoded{Tokens: s.next, FinishReason: s.finish, Usage: s.usage}, nil
 }
 
-// take handles one event before doneMark. Events without an ID carry no token.
-func (s *stream) take(ev event) error {
+// handleEvent handles one event before doneMark. Events without an ID carry no
+// token.
+func (s *stream) handleEvent(ev event) error {
 	if !gjson.ValidBytes(ev.data) {
-		return broken(&adapter.ProtocolError{Part: "chunk"})
+		return brokenError(&adapter.ProtocolError{Part: "chunk"})
 	}
 	if e := member(ev.data, "error"); e.Exists() {
-		return broken(&adapter.UpstreamError{Code: "stream", Message: e.Raw})
+		return brokenError(&adapter.UpstreamError{Code: "stream", Message: e.Raw})
 	}
 	if u := member(ev.data, "usage"); u.IsObject() {
 		s.usage = json.RawMessage(u.Raw)
@@ -79,7 +80,7 @@
 	if len(ev.id) == 0 {
 		return nil
 	}
-	return s.token(ev.id, member(ev.data, "choices"))
+	return s.passToken(ev.id, member(ev.data, "choices"))
 }
 
 // member returns a member of a chunk. Only the member's value is copied, whereas
@@ -92,15 +93,15 @@
 	return gjson.GetBytes(chunk, name)
 }
 
-// token passes the token of a chunk with an event ID to the sink.
-func (s *stream) token(id []byte, choices gjson.Result) error {
+// passToken passes the token of a chunk with an event ID to the sink.
+func (s *stream) passToken(id []byte, choices gjson.Result) error {
 	offset, ok := s.offset(id)
 	if !ok {
-		return broken(&adapter.ProtocolError{Part: "event ID"})
+		return brokenError(&adapter.ProtocolError{Part: "event ID"})
 	}
-	choice, ok := only(choices)
+	choice, ok := onlyChoice(choices)
 	if !ok {
-		return broken(&adapter.ProtocolError{Part: "choices"})
+		return brokenError(&adapter.ProtocolError{Part: "choices"})
 	}
 	finish := choice.Get("finish_reason").String()
 	if finish != "" {
@@ -115,9 +116,9 @@
 	})
 }
 
-// only returns the choice of a chunk that has exactly one, and reports false for
-// any other number of choices.
-func only(choices gjson.Result) (choice gjson.Result, ok bool) {
+// onlyChoice returns the choice of a chunk that has exactly one, and reports
+// false for any other number of choices.
+func onlyChoice(choices gjson.Result) (choice gjson.Result, ok bool) {
 	count := 0
 	if choices.IsArray() {
 		choices.ForEach(func(_, c gjson.Result) bool {
--- a/plugins/service/http/call.go
+++ b/plugins/service/http/call.go
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		return nil, failure(resp, body)
+		return nil, responseError(resp, body)
 	}
 	return &adapter.ServiceAnswer{
 		Status: resp.StatusCode,
@@ -108,9 +108,9 @@
 	codeDraining   = "draining"
 )
 
-// failure converts a response with a status of 500 or above to an error. Only
-// status 503 with one of the codes above shows that the call did not run.
-func failure(resp *http.Response, body []byte) *adapter.CallError {
+// responseError converts a response with a status of 500 or above to an error.
+// Only status 503 with one of the codes above shows that the call did not run.
+func responseError(resp *http.Response, body []byte) *adapter.CallError {
 	var b errorBody
 	// A body in another format leaves the code empty, and the evidence ambiguous.
 	_ = json.Unmarshal(body, &b)
