--- a/plugins/admission/feasible/comeback.go
+++ b/plugins/admission/feasible/comeback.go
@@ -8,58 +8,63 @@
 )
 
 const (
-	// leastComeBack and mostComeBack bound what a refused caller is told, before
-	// it is spread.
-	leastComeBack = 500 * time.Millisecond
-	mostComeBack  = 20 * time.Second
-	// returning is the share of refused callers that are expected to come back.
-	returning = 0.5
-	// firstInterval is the time between placements before any was seen.
-	firstInterval = 50 * time.Millisecond
-	// mostInterval bounds one measured interval, so that an idle time does not
-	// count as slowness.
-	mostInterval = time.Second
-	// smoothing is the weight of the newest interval.
+	// minRetryAfter and maxRetryAfter bound the Retry-After time of a refused
+	// request before jitter is applied.
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 20 * time.Second
+	// retryFraction is the fraction of refused callers that are expected to
+	// retry.
+	retryFraction = 0.5
+	// initialInterval is the assumed time between placements until one has been
+	// measured.
+	initialInterval = 50 * time.Millisecond
+	// maxInterval bounds one measured interval, so that an idle period is not
+	// taken for a low rate of placements.
+	maxInterval = time.Second
+	// smoothing is the weight of the newest interval in the moving average.
 	smoothing = 0.1
 )
 
-// comeBack schedules refused callers. Each takes its turn after those refused
-// before it, at the pace of placements, so that the time told grows with the
-// number of callers that were sent away.
-type comeBack struct {
-	// until is when the last caller sent away is expected.
+// retrySchedule computes Retry-After times. It schedules each refused caller
+// after those refused before it, at the rate of placements, so that the time
+// grows with the number of callers that were recently refused.
+type retrySchedule struct {
+	// until is the time at which the most recently refused caller is expected to
+	// retry.
 	until time.Time
-	// interval is the mean time between placements, lastPlaced the last one.
-	interval   time.Duration
-	lastPlaced time.Time
+	// interval is the moving average of the time between placements, and
+	// lastPlacement the time of the last one.
+	interval      time.Duration
+	lastPlacement time.Time
 }
 
-// placed notes a placement.
-func (b *comeBack) placed(now time.Time) {
-	if !b.lastPlaced.IsZero() {
-		took := min(now.Sub(b.lastPlaced), mostInterval)
-		b.interval = b.pace() + time.Duration(smoothing*float64(took-b.pace()))
+// recordPlacement records a placement at time now.
+func (b *retrySchedule) recordPlacement(now time.Time) {
+	if !b.lastPlacement.IsZero() {
+		interval := min(now.Sub(b.lastPlacement), maxInterval)
+		b.interval = b.meanInterval() + time.Duration(smoothing*float64(interval-b.meanInterval()))
 	}
-	b.lastPlaced = now
+	b.lastPlacement = now
 }
 
-// pace is the mean time between placements.
-func (b *comeBack) pace() time.Duration {
+// meanInterval returns the mean time between placements.
+func (b *retrySchedule) meanInterval() time.Duration {
 	if b.interval <= 0 {
-		return firstInterval
+		return initialInterval
 	}
 	return b.interval
 }
 
-// after is what to tell the caller of a request that would be late by excess.
-func (b *comeBack) after(id ident.RequestID, excess time.Duration, now time.Time) time.Duration {
+// retryAfter returns the Retry-After time for a refused request whose first
+// output would be late by excess, and adds its caller to the schedule.
+func (b *retrySchedule) retryAfter(id ident.RequestID, excess time.Duration, now time.Time) time.Duration {
 	if b.until.Before(now) {
 		b.until = now
 	}
-	b.until = b.until.Add(time.Duration(returning * float64(b.pace())))
-	if limit := now.Add(mostComeBack); b.until.After(limit) {
+	b.until = b.until.Add(time.Duration(retryFraction * float64(b.meanInterval())))
+	if limit := now.Add(maxRetryAfter); b.until.After(limit) {
 		b.until = limit
 	}
-	wait := max(excess, b.until.Sub(now), leastComeBack)
-	return jitter.Prolong(min(wait, mostComeBack), id)
+	wait := max(excess, b.until.Sub(now), minRetryAfter)
+	return jitter.Prolong(min(wait, maxRetryAfter), id)
 }
--- a/plugins/admission/feasible/feasible.go
+++ b/plugins/admission/feasible/feasible.go
@@ -1,5 +1,6 @@
-// Package feasible refuses requests at once whose first output cannot be in
-// time, and says when to come back. docs/design/admission.md explains how.
+// Package feasible refuses requests on arrival if their first output is not
+// expected in time, and computes when the caller should retry.
+// docs/design/admission.md describes the algorithm.
 package feasible
 
 import (
@@ -13,34 +14,38 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// margin is the error granted to a prediction before it refuses a request.
+// margin is the tolerance for errors of the prediction: a request is refused only
+// if its first output is expected to be late by more than this.
 const margin = 20 * time.Millisecond
 
-// inVainFactor is by how much a request that waited in vain is taken to have
-// missed the time that it had.
-const inVainFactor = 2
+// assumedTimeFactor is the assumed ratio of the time that a request would have
+// needed to the time that it had, for a request that was given up before its
+// first output.
+const assumedTimeFactor = 2
 
 // Check implements kernel.Admission and kernel.Observer.
 type Check struct {
 	host kernel.Host
-	// corrections are learned for each kind of request to each model: kinds with
-	// tight targets are served before others.
-	corrections map[target]*correction
-	comeBacks   map[string]*comeBack
-	// admitted is what was predicted for the requests admitted and not over.
+	// corrections are learned separately for each kind of request to each model,
+	// since kinds with tight targets are served before others.
+	corrections    map[target]*correction
+	retrySchedules map[string]*retrySchedule
+	// admitted holds the predicted time to first output of requests that were
+	// admitted and have neither started decoding nor finished.
 	admitted map[ident.RequestID]time.Duration
-	// ended is a request that is over without a first output, until the record
-	// that says why.
-	ended ended
-	// links is the slowest KV transfer link of each model, in bytes a second.
-	links map[string]float64
+	// lastEnded is the last request that finished before it started decoding. It
+	// is kept until the record with the reason is observed.
+	lastEnded endedRequest
+	// linkRates is the bandwidth of the slowest KV transfer link of each model,
+	// in bytes per second.
+	linkRates map[string]float64
 }
 
-// target is a kind of request to a model.
+// target identifies a kind of request to a model.
 type target struct{ model, kind string }
 
-// ended is a request that is over, and what was predicted for it.
-type ended struct {
+// endedRequest is a finished request and its predicted time to first output.
+type endedRequest struct {
 	id        ident.RequestID
 	predicted time.Duration
 }
@@ -49,13 +54,13 @@
 func (c *Check) Attach(h kernel.Host) {
 	c.host = h
 	c.corrections = map[target]*correction{}
-	c.comeBacks = map[string]*comeBack{}
+	c.retrySchedules = map[string]*retrySchedule{}
 	c.admitted = map[ident.RequestID]time.Duration{}
 }
 
 // Configure implements kernel.Configurer.
 func (c *Check) Configure(content *config.Content) {
-	c.links = map[string]float64{}
+	c.linkRates = map[string]float64{}
 	declared := map[string]bool{}
 	for i := range content.Models {
 		declared[content.Models[i].Name] = true
@@ -63,27 +68,28 @@
 	for i := range content.Upstreams {
 		u := &content.Upstreams[i]
 		for _, m := range u.Models {
-			c.noteLink(m, u.LinkBytesPerSecond)
+			c.recordLink(m, u.LinkBytesPerSecond)
 		}
 	}
-	// What was learned of models that are gone is of no more use.
+	// Delete the state of models that are no longer declared.
 	gone := func(model string) bool { return !declared[model] }
 	maps.DeleteFunc(c.corrections, func(t target, _ *correction) bool { return gone(t.model) })
-	maps.DeleteFunc(c.comeBacks, func(m string, _ *comeBack) bool { return gone(m) })
+	maps.DeleteFunc(c.retrySchedules, func(m string, _ *retrySchedule) bool { return gone(m) })
 }
 
-// noteLink keeps the slowest link of a model.
-func (c *Check) noteLink(model string, rate float64) {
+// recordLink records the bandwidth of a link of a model, in bytes per second, if
+// it is the slowest so far. Rates that are not positive are ignored.
+func (c *Check) recordLink(model string, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	if old, ok := c.links[model]; !ok || rate < old {
-		c.links[model] = rate
+	if old, ok := c.linkRates[model]; !ok || rate < old {
+		c.linkRates[model] = rate
 	}
 }
 
-// Admit implements kernel.Admission. Plain services have no prediction and are
-// admitted.
+// Admit implements kernel.Admission. Calls of plain services have no prediction
+// and are always admitted.
 func (c *Check) Admit(r *kernel.Request) *kernel.Refusal {
 	if r.Route != config.RouteModel {
 		return nil
@@ -91,39 +97,41 @@
 	now := c.host.Now()
 	e := c.host.Estimate(r)
 	if !e.Possible {
-		return c.impossible(r)
+		return c.refuseUnreachable(r)
 	}
 	expected := c.correction(r).apply(e.FirstOutput, now)
-	excess := now.Add(expected).Sub(latest(r))
+	excess := now.Add(expected).Sub(latestFirstOutput(r))
 	if excess > margin {
-		return c.infeasible(r, expected, excess)
+		return c.refuseInfeasible(r, expected, excess)
 	}
 	c.admitted[r.ID] = e.FirstOutput
 	return nil
 }
 
-// latest is when the first output must be there: by its target, or before the
-// caller goes.
-func latest(r *kernel.Request) time.Time {
+// latestFirstOutput returns the latest time for the first output: the request's
+// target for the first output or its deadline, whichever is earlier.
+func latestFirstOutput(r *kernel.Request) time.Time {
 	if r.FirstOutputBy.IsZero() || r.Deadline.Before(r.FirstOutputBy) {
 		return r.Deadline
 	}
 	return r.FirstOutputBy
 }
 
-// infeasible refuses a request whose first output would be late by excess.
-func (c *Check) infeasible(r *kernel.Request, expected, excess time.Duration) *kernel.Refusal {
+// refuseInfeasible returns the refusal of a request whose first output would be
+// late by excess.
+func (c *Check) refuseInfeasible(r *kernel.Request, expected, excess time.Duration) *kernel.Refusal {
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonInfeasible,
 		Problem: api.ProblemInfeasible,
-		Detail: fmt.Sprintf("the first output is expected in %v, which is %v too late",
+		Detail: fmt.Sprintf("the first output is expected in %v, which is %v after its target or deadline",
 			expected.Round(time.Millisecond), excess.Round(time.Millisecond)),
-		RetryAfter: c.comeBack(r.Model).after(r.ID, excess, c.host.Now()),
+		RetryAfter: c.retrySchedule(r.Model).retryAfter(r.ID, excess, c.host.Now()),
 	}
 }
 
-// impossible refuses a request for which no upstream is left.
-func (c *Check) impossible(r *kernel.Request) *kernel.Refusal {
+// refuseUnreachable returns the refusal of a request for which no upstream is
+// available.
+func (c *Check) refuseUnreachable(r *kernel.Request) *kernel.Refusal {
 	reason := kernel.ReasonNoPrefill
 	if c.hasPrefill(r.Model) {
 		reason = kernel.ReasonNoDecode
@@ -131,12 +139,13 @@
 	return &kernel.Refusal{
 		Reason:     reason,
 		Problem:    api.ProblemNoUpstream,
-		Detail:     fmt.Sprintf("no upstream for model %q can be reached from here", r.Model),
-		RetryAfter: c.comeBack(r.Model).after(r.ID, 0, c.host.Now()),
+		Detail:     fmt.Sprintf("no upstream for model %q is reachable from this instance", r.Model),
+		RetryAfter: c.retrySchedule(r.Model).retryAfter(r.ID, 0, c.host.Now()),
 	}
 }
 
-// hasPrefill reports whether a prefill engine of the model may be usable.
+// hasPrefill reports whether the view has a prefill engine for the model that may
+// be usable.
 func (c *Check) hasPrefill(model string) bool {
 	v := c.host.View()
 	for i := range v.Upstreams {
@@ -148,7 +157,8 @@
 	return false
 }
 
-// correction returns what was learned for requests like r.
+// correction returns the correction for the kind and model of r, and creates it
+// if there is none.
 func (c *Check) correction(r *kernel.Request) *correction {
 	t := target{model: r.Model, kind: r.Kind}
 	k, ok := c.corrections[t]
@@ -159,64 +169,69 @@
 	return k
 }
 
-// comeBack returns the model's schedule of refused callers.
-func (c *Check) comeBack(model string) *comeBack {
-	b, ok := c.comeBacks[model]
+// retrySchedule returns the model's schedule of refused callers, and creates it
+// if there is none.
+func (c *Check) retrySchedule(model string) *retrySchedule {
+	b, ok := c.retrySchedules[model]
 	if !ok {
-		b = &comeBack{}
-		c.comeBacks[model] = b
+		b = &retrySchedule{}
+		c.retrySchedules[model] = b
 	}
 	return b
 }
 
-// Observe implements kernel.Observer. It compares predictions with what came.
+// Observe implements kernel.Observer. It compares predictions with the measured
+// times and records placements.
 func (c *Check) Observe(r *kernel.Request, rec kernel.Record) {
 	if r.Route != config.RouteModel {
 		return
 	}
 	switch rec.Step {
 	case kernel.StepPlaced:
-		c.comeBack(r.Model).placed(rec.Time)
+		c.retrySchedule(r.Model).recordPlacement(rec.Time)
 	case kernel.StepDecoding:
-		c.learn(r, rec.Waited+c.transfer(r), rec.Time)
+		c.learn(r, rec.Waited+c.transferTime(r), rec.Time)
 	case kernel.StepRefused:
-		c.gaveUp(r, rec)
+		c.learnFromTimeout(r, rec)
 	}
 }
 
-// gaveUp learns from a request that waited in vain. One that a later check
-// refused, or that ended for another reason, teaches nothing.
-func (c *Check) gaveUp(r *kernel.Request, rec kernel.Record) {
-	if c.ended.id != r.ID || rec.Reason != kernel.ReasonInfeasible {
+// learnFromTimeout updates the correction for an admitted request that was
+// refused later because it could no longer be served in time. Requests that were
+// refused by a later check, or that ended for another reason, are ignored.
+func (c *Check) learnFromTimeout(r *kernel.Request, rec kernel.Record) {
+	if c.lastEnded.id != r.ID || rec.Reason != kernel.ReasonInfeasible {
 		return
 	}
-	c.correction(r).learn(c.ended.predicted, inVain(r), rec.Time)
-	c.ended = ended{}
+	c.correction(r).observe(c.lastEnded.predicted, assumedTime(r), rec.Time)
+	c.lastEnded = endedRequest{}
 }
 
-// inVain is the time to first output that a request is taken to have needed
-// which was given up after waiting. The true one is not known, only that it is
-// more than there was.
-func inVain(r *kernel.Request) time.Duration {
-	return inVainFactor * latest(r).Sub(r.Arrived)
+// assumedTime returns the assumed time to first output of a request that was
+// given up after waiting. The real time is not known, except that it exceeds the
+// time that the request had.
+func assumedTime(r *kernel.Request) time.Duration {
+	return assumedTimeFactor * latestFirstOutput(r).Sub(r.Arrived)
 }
 
-// learn compares the time to first output with the prediction at admission.
-// Only the first decode of a request counts; later ones follow a failure.
-func (c *Check) learn(r *kernel.Request, took time.Duration, now time.Time) {
+// learn updates the correction with the measured time to first output and the
+// prediction made at admission. Only the first decode of a request counts, since
+// later ones follow a failure.
+func (c *Check) learn(r *kernel.Request, measured time.Duration, now time.Time) {
 	predicted, ok := c.admitted[r.ID]
 	if !ok {
 		return
 	}
 	delete(c.admitted, r.ID)
-	c.correction(r).learn(predicted, took, now)
+	c.correction(r).observe(predicted, measured, now)
 }
 
-// transfer is the time to move the request's KV cache over an idle link, which
-// comes after StepDecoding.
-func (c *Check) transfer(r *kernel.Request) time.Duration {
+// transferTime returns the time to move the request's KV cache over an idle link.
+// The transfer takes place after StepDecoding, so the record's Waited does not
+// include it.
+func (c *Check) transferTime(r *kernel.Request) time.Duration {
 	m := c.host.Model(r.Model)
-	rate := c.links[r.Model]
+	rate := c.linkRates[r.Model]
 	if m == nil || rate <= 0 {
 		return 0
 	}
@@ -224,13 +239,14 @@
 	return time.Duration(bytes / rate * float64(time.Second))
 }
 
-// Finished implements kernel.Admission. The record of the request's end, which
-// says why, comes next.
+// Finished implements kernel.Admission. It keeps the prediction of a request that
+// never started decoding until Observe is called with the reason, which happens
+// next.
 func (c *Check) Finished(r *kernel.Request, _ api.Outcome) {
 	predicted, ok := c.admitted[r.ID]
 	if !ok {
 		return
 	}
 	delete(c.admitted, r.ID)
-	c.ended = ended{id: r.ID, predicted: predicted}
+	c.lastEnded = endedRequest{id: r.ID, predicted: predicted}
 }
--- a/plugins/admission/limits/bound_test.go
+++ b/plugins/admission/limits/bound_test.go
@@ -12,44 +12,49 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// allowance is what may be used beyond the limits, as docs/design/limits.md
-// states it: the part of each instance that is missing from a peer's view, or
-// was within a lease (for slots: within a lease and a request's lifetime), and of
-// each that died, for as long as its loans may be used, if it was missing (for
-// slots: in any case, and until the requests admitted under its loans are over);
-// and one slot for each instance while they divide among different ones, since
-// they may round up for different instances.
+// allowance returns the amount by which the limits may be exceeded, as stated in
+// docs/design/limits.md. It is the sum of:
+//   - the share of each instance that is missing from the view of a peer, or was
+//     missing within the last lease (for slots: within the last lease plus the
+//     lifetime of a request);
+//   - the share of each instance that died, for as long as its loans may be used.
+//     For the rate this applies only if the instance was missing from a peer's
+//     view. For slots it applies in any case, until the requests admitted under
+//     its loans have ended;
+//   - one slot for each instance while the instances divide among different sets
+//     of instances, since the sets may round up for different instances.
 func (w *world) allowance() Amount {
 	var sum Amount
-	for _, n := range w.living() {
-		n.noteListed()
-		if !n.settled(lease + guard) {
-			sum.Rate += n.part().Rate
+	for _, n := range w.aliveNodes() {
+		n.updateListedSince()
+		if !n.settled(lease + driftMargin) {
+			sum.Rate += n.share().Rate
 		}
-		if !n.settled(lease + guard + lifetime) {
-			sum.Slots += n.part().Slots
+		if !n.settled(lease + driftMargin + lifetime) {
+			sum.Slots += n.share().Slots
 		}
 	}
-	if !w.agree() {
-		sum.Slots += len(w.living())
+	if !w.sameMembers() {
+		sum.Slots += len(w.aliveNodes())
 	}
 	for _, d := range w.deaths {
 		passed := w.now.Sub(d.at)
 		if !d.settled && passed < lease {
-			sum.Rate += d.part.Rate
+			sum.Rate += d.share.Rate
 		}
 		if passed < lease+lifetime {
-			sum.Slots += d.part.Slots
+			sum.Slots += d.share.Slots
 		}
 	}
 	return sum
 }
 
-// agree reports whether all living nodes divide among the same ones.
-func (w *world) agree() bool {
-	living := w.living()
+// sameMembers reports whether all living nodes divide the limits among the same
+// set of instances.
+func (w *world) sameMembers() bool {
+	living := w.aliveNodes()
 	for _, n := range living {
-		n.space()
+		n.state()
 		if !slices.Equal(n.check.members.instances, living[0].check.members.instances) {
 			return false
 		}
@@ -57,25 +62,26 @@
 	return true
 }
 
-// settled reports whether all living peers have had the node in their views for
-// long enough.
+// settled reports whether the node has been in the views of all living peers for
+// at least the time enough.
 func (n *node) settled(enough time.Duration) bool {
 	return !n.listedSince.IsZero() && n.w.now.Sub(n.listedSince) >= enough
 }
 
-// part is the node's part of the limits, which it may use or lend.
-func (n *node) part() Amount {
-	base := n.check.base(n.space())
-	if n.check.members.warm {
-		return kept(base)
+// share returns the node's share of the limits, which it may use or lend.
+func (n *node) share() Amount {
+	base := n.check.base(n.state())
+	if n.check.members.warmingUp {
+		return reservedPart(base)
 	}
 	return base
 }
 
-// noteListed keeps since when all living peers have the node in their views.
-func (n *node) noteListed() {
-	for _, peer := range n.w.living() {
-		peer.space()
+// updateListedSince updates listedSince from the present views of the living
+// peers.
+func (n *node) updateListedSince() {
+	for _, peer := range n.w.aliveNodes() {
+		peer.state()
 		missing, known := peer.check.members.peers[n.id]
 		if !known || !missing.IsZero() {
 			n.listedSince = time.Time{}
@@ -87,33 +93,36 @@
 	}
 }
 
-// total is what all nodes together may use or use.
-func (w *world) total() Amount {
+// totalUsage returns the sum of the amounts that the nodes may use, or do use
+// where that is more.
+func (w *world) totalUsage() Amount {
 	var sum Amount
-	for _, n := range w.living() {
-		sum = sum.add(n.use())
+	for _, n := range w.aliveNodes() {
+		sum = sum.add(n.usage())
 	}
 	return sum
 }
 
-// violation returns what is used beyond the bound.
+// violation returns the amount by which usage exceeds the limits plus the
+// allowance.
 func (w *world) violation() Amount {
-	return w.total().less(Amount{Rate: limitRate, Slots: limitSlots}).less(w.allowance())
+	return w.totalUsage().minus(Amount{Rate: limitRate, Slots: limitSlots}).minus(w.allowance())
 }
 
-// TestBound checks the bound after each step of random sequences of requests,
-// lost, repeated and overtaking messages, deaths, restarts, freezes, and views
-// that lag.
+// TestBound checks the bound after each step of a random sequence of requests,
+// lost, duplicated and reordered messages, crashes, restarts, frozen instances,
+// and outdated views.
 func TestBound(t *testing.T) { rapid.Check(t, checkBound) }
 
-// init raises the number of sequences tried; -rapid.checks on the command line
-// goes before.
+// init raises the number of sequences tried. The flag -rapid.checks on the
+// command line takes precedence.
 func init() {
 	if err := flag.Set("rapid.checks", "1000"); err != nil {
 		panic(err)
 	}
 }
 
+// checkBound runs one random sequence.
 func checkBound(t *rapid.T) {
 	w := newWorld(rapid.IntRange(1, 4).Draw(t, "nodes"))
 	for _, n := range w.nodes {
@@ -125,13 +134,13 @@
 	for range rapid.IntRange(1, 200).Draw(t, "steps") {
 		w.step(t)
 		v := w.violation()
-		assert.Assert(t, v.isZero(), "%+v beyond %+v", v, w.allowance())
-		assert.Assert(t, float64(w.admitted) <= w.credit+limitBurst+float64(w.lives),
-			"%d admitted, %.1f allowed", w.admitted, w.credit)
+		assert.Assert(t, v.isZero(), "limits exceeded by %+v more than the allowance of %+v", v, w.allowance())
+		assert.Assert(t, float64(w.admitted) <= w.credit+limitBurst+float64(w.incarnations),
+			"%d requests admitted, credit from the rate and the allowance %.1f", w.admitted, w.credit)
 	}
 }
 
-// step does one random thing.
+// step performs one random action.
 func (w *world) step(t *rapid.T) {
 	n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
 	what := rapid.SampledFrom([]string{
@@ -147,18 +156,18 @@
 	switch what {
 	case "pass":
 		d := time.Duration(rapid.IntRange(1, 40).Draw(t, "time")) * 20 * time.Millisecond
-		w.pass(d, rapid.Bool().Draw(t, "deliver all"))
+		w.advance(d, rapid.Bool().Draw(t, "deliver all"))
 	case "arrive":
 		lasts := time.Duration(rapid.IntRange(0, 5).Draw(t, "seconds")) * time.Second
 		for range rapid.IntRange(1, 30).Draw(t, "requests") {
 			if !n.frozen {
-				n.arrive(lasts)
+				n.offerRequest(lasts)
 			}
 		}
 	case "deliver", "repeat", "lose":
-		w.mailStep(t, what)
+		w.messageStep(t, what)
 	case "look":
-		n.look()
+		n.refreshView()
 	case "die":
 		n.kill()
 	case "freeze":
@@ -168,14 +177,14 @@
 	}
 }
 
-// mailStep does something with a random message.
-func (w *world) mailStep(t *rapid.T, what string) {
-	if len(w.mail) == 0 {
+// messageStep delivers, duplicates or loses a random message.
+func (w *world) messageStep(t *rapid.T, what string) {
+	if len(w.inTransit) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.mail)-1).Draw(t, "message")
+	i := rapid.IntRange(0, len(w.inTransit)-1).Draw(t, "message")
 	if what == "lose" {
-		w.mail = append(w.mail[:i], w.mail[i+1:]...)
+		w.inTransit = append(w.inTransit[:i], w.inTransit[i+1:]...)
 		return
 	}
 	w.deliver(i, what == "repeat")
--- a/plugins/admission/limits/world_test.go
+++ b/plugins/admission/limits/world_test.go
@@ -13,12 +13,13 @@
 	"github.com/wardspool/wardspool/plugins/internal/plugintest"
 )
 
-// Limits of the one workspace in these tests, which all is one zone's.
+// Limits of the single workspace in these tests. Unless a test adds zones, all of
+// it belongs to one zone.
 const (
 	limitRate  = 40.0
 	limitBurst = 20
 	limitSlots = 20
-	// lifetime bounds a request's time in flight.
+	// lifetime is the longest time for which a request is in flight.
 	lifetime = 5 * time.Second
 )
 
@@ -30,40 +31,45 @@
 	}},
 }
 
-// world is one zone's instances, the network between them, and a clock.
+// world simulates the instances of one zone, the network between them, and a
+// clock.
 type world struct {
-	now   time.Time
-	nodes []*node
-	mail  []mail
-	// admitted counts all requests admitted.
+	now       time.Time
+	nodes     []*node
+	inTransit []transitMessage
+	// admitted is the number of requests admitted by all nodes.
 	admitted int
-	// credit is how many the rate and the allowance let through so far, and
-	// lives how many lives began, each with one token.
-	credit float64
-	lives  int
-	deaths []death
-	zones  []ident.Zone
+	// credit is the number of requests that the rate and the allowance have
+	// permitted so far. incarnations is the number of incarnations started, each of
+	// which begins with one token.
+	credit       float64
+	incarnations int
+	deaths       []death
+	// zones are the other zones in the nodes' views.
+	zones []ident.Zone
 }
 
-// death is a node's end.
+// death is the end of one incarnation of a node.
 type death struct {
 	at time.Time
-	// part was the node's part, and settled says that all had it in view.
-	part    Amount
+	// share is the node's share when it died. settled reports whether it had been
+	// in all peers' views for long enough.
+	share   Amount
 	settled bool
 }
 
-// node is one instance, through all its lives.
+// node is one instance, through all its incarnations.
 type node struct {
 	w     *world
 	id    ident.InstanceID
 	alive bool
-	// frozen nodes do nothing, and get no messages.
-	frozen bool
-	host   *plugintest.Host
-	check  *Check
-	flying []flight
-	// listedSince is since when all living peers have this life in their views.
+	// frozen nodes do not wake and receive no messages.
+	frozen   bool
+	host     *plugintest.Host
+	check    *Check
+	inFlight []flight
+	// listedSince is the time since which all living peers have had this
+	// incarnation in their views, and zero if some have not.
 	listedSince time.Time
 }
 
@@ -73,8 +79,8 @@
 	until   time.Time
 }
 
-// mail is a message on its way.
-type mail struct {
+// transitMessage is a message in transit.
+type transitMessage struct {
 	from, to ident.InstanceID
 	message  kernel.PeerMessage
 }
@@ -87,10 +93,10 @@
 	return w
 }
 
-// start begins a new life of a node, whose view is that of this moment.
+// start begins a new incarnation of a node with an up-to-date view.
 func (n *node) start() {
 	n.alive, n.frozen = true, false
-	n.w.lives++
+	n.w.incarnations++
 	n.host = plugintest.NewHost(&kernel.View{})
 	n.host.Time = n.w.now
 	n.host.Is = kernel.Self{
@@ -99,21 +105,21 @@
 	}
 	n.check = &Check{}
 	n.listedSince = time.Time{}
-	n.look()
+	n.refreshView()
 	n.check.Attach(n.host)
 	n.check.Configure(content)
 }
 
-// kill ends a node's life, and with it its requests.
+// kill ends the node's incarnation and its requests.
 func (n *node) kill() {
-	n.w.deaths = append(n.w.deaths, death{at: n.w.now, part: n.part(), settled: n.settled(lease + guard)})
+	n.w.deaths = append(n.w.deaths, death{at: n.w.now, share: n.share(), settled: n.settled(lease + driftMargin)})
 	n.alive = false
-	n.flying = nil
+	n.inFlight = nil
 	n.check = nil
 }
 
-// look gives the node a new view with what is true now.
-func (n *node) look() {
+// refreshView gives the node an up-to-date view.
+func (n *node) refreshView() {
 	v := &kernel.View{Version: n.host.Fleet.Version + 1, Trusted: true}
 	for _, other := range n.w.nodes {
 		if other.alive {
@@ -128,8 +134,9 @@
 	n.host.Fleet = v
 }
 
-// arrive offers one request, and reports whether it was admitted.
-func (n *node) arrive(lasts time.Duration) bool {
+// offerRequest offers one request that would be in flight for the time lasts, and
+// reports whether it was admitted.
+func (n *node) offerRequest(lasts time.Duration) bool {
 	r := plugintest.Request(fmt.Sprint("r", n.w.admitted))
 	r.Workspace = workspace
 	n.host.Time = n.w.now
@@ -137,14 +144,14 @@
 		return false
 	}
 	n.w.admitted++
-	n.flying = append(n.flying, flight{request: r, until: n.w.now.Add(min(lasts, lifetime))})
+	n.inFlight = append(n.inFlight, flight{request: r, until: n.w.now.Add(min(lasts, lifetime))})
 	return true
 }
 
-// work ends what is over and lets the check wake.
-func (n *node) work() {
+// tick finishes the requests that have ended and wakes the check if it is due.
+func (n *node) tick() {
 	n.host.Time = n.w.now
-	n.flying = slices.DeleteFunc(n.flying, func(f flight) bool {
+	n.inFlight = slices.DeleteFunc(n.inFlight, func(f flight) bool {
 		if f.until.After(n.w.now) {
 			return false
 		}
@@ -158,50 +165,51 @@
 	if ok && !at.After(n.w.now) {
 		n.check.Wake()
 	}
-	n.post()
+	n.sendOutbox()
 }
 
-// post hands what the check sent to the network.
-func (n *node) post() {
+// sendOutbox moves the messages that the check has sent to the network.
+func (n *node) sendOutbox() {
 	for _, m := range n.host.Outbox {
-		n.w.mail = append(n.w.mail, mail{from: n.id, to: m.To, message: m.Message})
+		n.w.inTransit = append(n.w.inTransit, transitMessage{from: n.id, to: m.To, message: m.Message})
 	}
 	n.host.Outbox = nil
 }
 
-// pass lets time pass in small steps, delivering all mail when asked to.
-func (w *world) pass(d time.Duration, deliver bool) {
+// advance advances the clock by d in small steps. If deliver is set, all messages
+// are delivered after each step.
+func (w *world) advance(d time.Duration, deliver bool) {
 	const step = 10 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); {
 		passed := min(step, end.Sub(w.now))
 		w.credit += passed.Seconds() * (limitRate + w.allowance().Rate)
 		w.now = w.now.Add(passed)
-		for _, n := range w.living() {
-			n.work()
+		for _, n := range w.aliveNodes() {
+			n.tick()
 		}
-		for deliver && len(w.mail) > 0 {
+		for deliver && len(w.inTransit) > 0 {
 			w.deliver(0, false)
 		}
 	}
 }
 
-// deliver delivers the i-th message; a copy may stay on its way.
+// deliver delivers the i-th message. If again is set, a copy stays in transit.
 func (w *world) deliver(i int, again bool) {
-	m := w.mail[i]
+	m := w.inTransit[i]
 	if !again {
-		w.mail = slices.Delete(w.mail, i, i+1)
+		w.inTransit = slices.Delete(w.inTransit, i, i+1)
 	}
-	for _, n := range w.living() {
+	for _, n := range w.aliveNodes() {
 		if n.id != m.to || n.frozen {
 			continue
 		}
 		n.host.Time = w.now
 		n.check.Receive(m.from, m.message)
-		n.post()
+		n.sendOutbox()
 	}
 }
 
-func (w *world) living() []*node {
+func (w *world) aliveNodes() []*node {
 	var living []*node
 	for _, n := range w.nodes {
 		if n.alive {
@@ -211,28 +219,30 @@
 	return living
 }
 
-// space is the node's state of the workspace, brought up to the present.
-func (n *node) space() *space {
+// state returns the node's state of the workspace after an update to the present
+// time.
+func (n *node) state() *workspaceState {
 	n.host.Time = n.w.now
-	s := n.check.spaces[workspace]
+	s := n.check.workspaces[workspace]
 	n.check.base(s)
 	return s
 }
 
-// use is what the node may use or uses at this moment.
-func (n *node) use() Amount {
-	s := n.space()
-	return n.check.right(s, n.w.now).atLeast(Amount{Slots: s.active})
+// usage returns the amount that the node may use now, or the slots that it does
+// use if they are more.
+func (n *node) usage() Amount {
+	s := n.state()
+	return n.check.usableAmount(s, n.w.now).atLeast(Amount{Slots: s.active})
 }
 
-// hammer offers requests evenly at a rate for a while, and returns how many were
-// admitted.
-func (n *node) hammer(perSecond float64, length, lasts time.Duration, random *rand.Rand) int {
+// offerLoad offers requests at random times, at an average rate of perSecond, for
+// the time length, and returns the number admitted.
+func (n *node) offerLoad(perSecond float64, length, lasts time.Duration, random *rand.Rand) int {
 	const step = 10 * time.Millisecond
 	admitted := 0
 	for range int(length / step) {
-		n.w.pass(step, true)
-		if random.Float64() < perSecond*step.Seconds() && n.arrive(lasts) {
+		n.w.advance(step, true)
+		if random.Float64() < perSecond*step.Seconds() && n.offerRequest(lasts) {
 			admitted++
 		}
 	}
