--- a/gateway/carry/carry.go
+++ b/gateway/carry/carry.go
@@ -243,7 +243,7 @@
 
 // Error implements the error interface.
 func (e *NoUpstreamError) Error() string {
-	return "service " + e.Service + " has no available upstream"
+	return "service " + e.Service + " has no upstream"
 }
 
 // attempt is the result of sending a request to one upstream.
--- a/gateway/orders.go
+++ b/gateway/orders.go
@@ -155,7 +155,7 @@
 		for _, o := range state.services {
 			o.last = time.Time{}
 		}
-		g.log.Warn("order rejected, another instance holds the duty", "fence", fenced.Fence)
+		g.log.Warn("order refused, another instance holds the duty", "fence", fenced.Fence)
 	}
 }
 
--- a/kernel/arrive.go
+++ b/kernel/arrive.go
@@ -79,21 +79,21 @@
 		return &Refusal{
 			Reason:  ReasonDeadlinePassed,
 			Problem: api.ProblemDeadline,
-			Detail:  "the deadline had already passed when the request arrived",
+			Detail:  "the deadline had passed on arrival",
 		}
 	}
 	if r.Route == config.RouteModel && k.catalog.models[r.Model] == nil {
 		return &Refusal{
 			Reason:  ReasonUnknownModel,
 			Problem: api.ProblemUnknownModel,
-			Detail:  "the bundle in force does not declare this model",
+			Detail:  "the bundle in force declares no such model",
 		}
 	}
 	if r.Route == config.RouteService && k.catalog.services[r.Service] == nil {
 		return &Refusal{
 			Reason:  ReasonUnknownService,
 			Problem: api.ProblemUnknownService,
-			Detail:  "the bundle in force does not declare this service",
+			Detail:  "the bundle in force declares no such service",
 		}
 	}
 	return nil
--- a/kernel/failure.go
+++ b/kernel/failure.go
@@ -152,7 +152,7 @@
 	c.state = callQueued
 	reason := failureReason(e.Code)
 	if e.Code == FailureRejected {
-		k.fail(c, reason, api.ProblemUpstreamRefused, "the upstream rejected the request as invalid")
+		k.fail(c, reason, api.ProblemUpstreamRefused, "the upstream found fault with the request")
 		return
 	}
 	if c.mayHaveEffects && !c.request.MayRepeat() {
@@ -168,7 +168,7 @@
 	}
 	if !k.budget.take() {
 		k.fail(c, ReasonRetryBudget, api.ProblemUpstreamFailed,
-			"an attempt failed and the retry budget of this instance is exhausted")
+			"an attempt failed and too many others did as well")
 		return
 	}
 	k.requeue(c, reason, k.now.Add(k.backoff(c.failedAttempts+1)))
@@ -191,11 +191,11 @@
 func (k *Kernel) requeue(c *call, reason Reason, at time.Time) {
 	c.failedAttempts++
 	if c.failedAttempts >= k.maxAttempts() {
-		k.fail(c, ReasonAttempts, api.ProblemUpstreamFailed, "all attempts failed and no more are allowed")
+		k.fail(c, ReasonAttempts, api.ProblemUpstreamFailed, "every attempt failed")
 		return
 	}
 	if !at.Before(c.request.Deadline) {
-		k.fail(c, reason, api.ProblemDeadline, "an attempt failed and the deadline leaves no time for another one")
+		k.fail(c, reason, api.ProblemDeadline, "no time is left for another attempt")
 		return
 	}
 	step := StepRetrying
--- a/kernel/finish.go
+++ b/kernel/finish.go
@@ -52,7 +52,7 @@
 	k.end(c, StepFailed, &Refusal{
 		Reason:     ReasonDeadlinePassed,
 		Problem:    api.ProblemDeadline,
-		Detail:     "the deadline passed before the answer was complete",
+		Detail:     "the deadline passed before the whole answer was there",
 		RetryAfter: k.retryAfter(c.request),
 	})
 }
--- a/kernel/peer.go
+++ b/kernel/peer.go
@@ -19,7 +19,7 @@
 
 // Error implements error.
 func (e *MessageKindError) Error() string {
-	return fmt.Sprintf("decoding peer message: unknown message kind %q", e.Kind)
+	return fmt.Sprintf("unknown peer message kind %q", e.Kind)
 }
 
 // MessageBodyError reports a peer message whose body cannot be decoded as its
@@ -31,7 +31,7 @@
 
 // Error implements error.
 func (e *MessageBodyError) Error() string {
-	return fmt.Sprintf("decoding the body of peer message %s: %v", e.Kind, e.Err)
+	return fmt.Sprintf("peer message %s: %v", e.Kind, e.Err)
 }
 
 // Unwrap returns the decoder's error.
@@ -50,7 +50,7 @@
 	messagesMu.Lock()
 	defer messagesMu.Unlock()
 	if _, taken := messages[kind]; taken {
-		panic(fmt.Sprintf("kernel: peer message kind %q is already registered", kind))
+		panic(fmt.Sprintf("kernel: peer message kind %q registered twice", kind))
 	}
 	messages[kind] = empty
 }
--- a/kernel/schedule.go
+++ b/kernel/schedule.go
@@ -206,7 +206,7 @@
 	return &Refusal{
 		Reason:     ReasonInfeasible,
 		Problem:    api.ProblemInfeasible,
-		Detail:     "no upstream became available in time to meet the first-output target",
+		Detail:     "no upstream became free in time for the first-output target",
 		RetryAfter: retryAfter,
 	}
 }
--- a/plugins/admission/feasible/feasible.go
+++ b/plugins/admission/feasible/feasible.go
@@ -123,7 +123,7 @@
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonInfeasible,
 		Problem: api.ProblemInfeasible,
-		Detail: fmt.Sprintf("the first output is expected in %v, which is %v after its target or deadline",
+		Detail: fmt.Sprintf("the first output is expected in %v, which is %v too late",
 			expected.Round(time.Millisecond), excess.Round(time.Millisecond)),
 		RetryAfter: c.retrySchedule(r.Model).retryAfter(r.ID, excess, c.host.Now()),
 	}
@@ -139,7 +139,7 @@
 	return &kernel.Refusal{
 		Reason:     reason,
 		Problem:    api.ProblemNoUpstream,
-		Detail:     fmt.Sprintf("no upstream for model %q is reachable from this instance", r.Model),
+		Detail:     fmt.Sprintf("no upstream for model %q can be reached from here", r.Model),
 		RetryAfter: c.retrySchedule(r.Model).retryAfter(r.ID, 0, c.host.Now()),
 	}
 }
--- a/plugins/admission/known/known.go
+++ b/plugins/admission/known/known.go
@@ -46,7 +46,7 @@
 		return &kernel.Refusal{
 			Reason:  kernel.ReasonUnknownWorkspace,
 			Problem: api.ProblemUnknownWorkspace,
-			Detail:  fmt.Sprintf("workspace %q is not declared in the bundle", r.Workspace),
+			Detail:  fmt.Sprintf("workspace %q is not in the bundle", r.Workspace),
 		}
 	}
 	if r.Route == config.RouteService {
@@ -63,7 +63,7 @@
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonUnknownService,
 		Problem: api.ProblemUnknownService,
-		Detail:  fmt.Sprintf("service %q is not declared in the bundle", r.Service),
+		Detail:  fmt.Sprintf("service %q is not in the bundle", r.Service),
 	}
 }
 
@@ -74,7 +74,7 @@
 		return &kernel.Refusal{
 			Reason:  kernel.ReasonUnknownModel,
 			Problem: api.ProblemUnknownModel,
-			Detail:  fmt.Sprintf("workspace %q has no access to a model named %q", r.Workspace, r.Model),
+			Detail:  fmt.Sprintf("workspace %q has no model %q", r.Workspace, r.Model),
 		}
 	}
 	total := r.PromptTokens + r.MaxOutputTokens
@@ -82,7 +82,7 @@
 		return &kernel.Refusal{
 			Reason:  kernel.ReasonContextTooLong,
 			Problem: api.ProblemMalformed,
-			Detail: fmt.Sprintf("%d prompt tokens and %d output tokens exceed the model's context length of %d tokens",
+			Detail: fmt.Sprintf("%d prompt and %d output tokens exceed the model's context of %d",
 				r.PromptTokens, r.MaxOutputTokens, m.MaxContext),
 		}
 	}
--- a/plugins/admission/limits/limits.go
+++ b/plugins/admission/limits/limits.go
@@ -164,7 +164,7 @@
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonWorkspaceActive,
 		Problem: api.ProblemLimit,
-		Detail: fmt.Sprintf("%d requests of workspace %q are in flight at this instance; its share of the workspace's limit of %d is %d",
+		Detail: fmt.Sprintf("%d requests of workspace %q are in flight here; this instance's share of its %d is %d",
 			s.active, s.name, s.limit.Slots, usable.Slots),
 		RetryAfter: jitter.Prolong(concurrencyRetryAfter, r.ID),
 	}
@@ -181,7 +181,7 @@
 	return &kernel.Refusal{
 		Reason:  kernel.ReasonWorkspaceRate,
 		Problem: api.ProblemLimit,
-		Detail: fmt.Sprintf("this instance's share of workspace %q's limit of %.4g requests per second is exhausted; the share is %.4g requests per second",
+		Detail: fmt.Sprintf("this instance's share of workspace %q's %.4g requests a second is %.4g",
 			s.name, s.limit.Rate, usable.Rate),
 		RetryAfter: jitter.Prolong(wait, r.ID),
 	}
--- a/plugins/admission/queue/queue.go
+++ b/plugins/admission/queue/queue.go
@@ -44,7 +44,7 @@
 	return &kernel.Refusal{
 		Reason:     kernel.ReasonQueueFull,
 		Problem:    api.ProblemOverloaded,
-		Detail:     fmt.Sprintf("%d requests are queued at this instance; the limit is %d", waiting, limit),
+		Detail:     fmt.Sprintf("%d requests wait here, the limit is %d", waiting, limit),
 		RetryAfter: jitter.Prolong(minRetryAfter, r.ID),
 	}
 }
