--- a/gateway/carry/plain.go
+++ b/gateway/carry/plain.go
@@ -38,7 +38,7 @@
 	j   *Job
 	log *slog.Logger
 	// tried lists the upstreams to which the request was sent. runs counts those that may have
-	// run it, refusals those that did not.
+	// run it, rejections those that did not.
 	tried      []ident.UpstreamID
 	runs       int
 	rejections int
--- a/gateway/fleetworld_test.go
+++ b/gateway/fleetworld_test.go
@@ -107,7 +107,7 @@
 type simEngine struct {
 	upstream dialect.Upstream
 	starts   int
-	// downSince is when the engine crashed, zero while it runs. dead is closed when its
+	// downSince is when the engine crashed, zero while it runs. disconnected is closed when its
 	// connections end: at the crash or, if crashed engines are silent, at the restart.
 	downSince    time.Time
 	disconnected chan struct{}
--- a/plugins/slots/dispatch/arrivals.go
+++ b/plugins/slots/dispatch/arrivals.go
@@ -15,7 +15,7 @@
 	requests []*kernel.Waiting
 }
 
-// PluginInfo implements plugin.Plugin; arrivals is not registered.
+// PluginInfo implements plugin.Plugin; fifoQueue is not registered.
 func (*fifoQueue) PluginInfo() plugin.Info { return plugin.Info{} }
 
 // Attach implements kernel.Attacher.
