--- a/agent/upstreams_test.go
+++ b/agent/upstreams_test.go
@@ -54,8 +54,8 @@
 }
 
 // lives returns what an entry believes of an upstream on each of the nodes.
-func lives(nodes []*node, id ident.UpstreamID) []kernel.Life {
-	var out []kernel.Life
+func lives(nodes []*node, id ident.UpstreamID) []kernel.Liveness {
+	var out []kernel.Liveness
 	for _, n := range nodes {
 		if u := n.entry.upstream(id); u != nil {
 			out = append(out, u.Life)
@@ -65,7 +65,7 @@
 }
 
 // all reports whether every node believes the same of an upstream.
-func all(nodes []*node, id ident.UpstreamID, want kernel.Life) func() bool {
+func all(nodes []*node, id ident.UpstreamID, want kernel.Liveness) func() bool {
 	return func() bool {
 		list := lives(nodes, id)
 		for _, life := range list {
@@ -264,7 +264,7 @@
 			defer close(stopped)
 			nodes[0].stopAgent()
 		}()
-		is := func(life kernel.Life) func() bool {
+		is := func(life kernel.Liveness) func() bool {
 			return func() bool {
 				return nodes[1].entry.instance("hall-a-1").Life == life && nodes[2].entry.instance("hall-a-1").Life == life
 			}
--- a/agent/views.go
+++ b/agent/views.go
@@ -88,7 +88,7 @@
 }
 
 // selfLife returns the life of this instance's own entry.
-func (a *Agent) selfLife() kernel.Life {
+func (a *Agent) selfLife() kernel.Liveness {
 	if a.view.Leaving {
 		return kernel.Leaving
 	}
@@ -97,7 +97,7 @@
 
 // upstreamLife maps what is believed of an upstream. One that the platform does
 // not list any more gets no new work, but may be listed again.
-func upstreamLife(u *membership.Upstream) kernel.Life {
+func upstreamLife(u *membership.Upstream) kernel.Liveness {
 	life := membership.Life(u.State, u.Leaving)
 	if !u.Listed {
 		return max(life, kernel.Unreachable)
@@ -200,14 +200,14 @@
 	for i := range v.Instances {
 		in := &v.Instances[i]
 		out.Instances = append(out.Instances, kernel.Instance{
-			ID: in.ID, Zone: in.Zone, Incarnation: in.Incarnation, Life: membership.Life(in.State, in.Leaving),
+			ID: in.ID, Zone: in.Zone, Incarnation: in.Incarnation, Liveness: membership.Life(in.State, in.Leaving),
 		})
 	}
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
 		out.Upstreams = append(out.Upstreams, kernel.Upstream{
 			Index: i, ID: u.ID, Zone: u.Zone, Address: u.Address,
-			Incarnation: u.Incarnation, Life: upstreamLife(u), Spec: a.spec(u.ID),
+			Incarnation: u.Incarnation, Liveness: upstreamLife(u), Spec: a.spec(u.ID),
 		})
 	}
 	return out
--- a/assign/assign.go
+++ b/assign/assign.go
@@ -97,7 +97,7 @@
 	listed := false
 	for _, in := range v.Instances {
 		listed = listed || in.ID == self.Instance
-		if in.Life <= kernel.Suspect {
+		if in.Liveness <= kernel.Suspect {
 			out = append(out, in)
 		}
 	}
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -12,10 +12,10 @@
 
 // view returns a view with one instance for each of lives and 20 upstreams, all
 // in one zone.
-func view(lives ...kernel.Life) *kernel.View {
+func view(lives ...kernel.Liveness) *kernel.View {
 	v := &kernel.View{}
 	for i, l := range lives {
-		v.Instances = append(v.Instances, kernel.Instance{ID: ident.InstanceID(fmt.Sprintf("n%d", i)), Zone: "hall-a", Life: l})
+		v.Instances = append(v.Instances, kernel.Instance{ID: ident.InstanceID(fmt.Sprintf("n%d", i)), Zone: "hall-a", Liveness: l})
 	}
 	for i := range 20 {
 		v.Upstreams = append(v.Upstreams, kernel.Upstream{ID: ident.UpstreamID(fmt.Sprintf("u%d", i)), Zone: "hall-a"})
--- a/entry/console/meaning.go
+++ b/entry/console/meaning.go
@@ -33,13 +33,13 @@
 	kernel.ReasonCallerGone:       "the caller closed the connection",
 	kernel.ReasonUpstreamRefused:  "the upstream refused it",
 	kernel.ReasonUpstreamFailed:   "the upstream failed",
-	kernel.ReasonKVGone:           "the KV cache was evicted before its import",
+	kernel.ReasonKVEvicted:        "the KV cache was evicted before its import",
 	kernel.ReasonStalled:          "a transfer or stream made no progress",
 	kernel.ReasonBroken:           "the connection or the answer broke off",
 	kernel.ReasonNotRepeatable:    "it may have run and must not run twice",
 	kernel.ReasonRetryBudget:      "too many other requests were being retried",
 	kernel.ReasonAttempts:         "every attempt failed",
-	kernel.ReasonWhole:            "the whole answer was returned",
+	kernel.ReasonWholeAnswer:      "the whole answer was returned",
 	driver.ReasonDuplicateID:      "another request with its ID was in flight",
 }
 
--- a/entry/driver/attempt.go
+++ b/entry/driver/attempt.go
@@ -90,7 +90,7 @@
 // observed passes on what an upstream said of itself.
 func (d *Driver) observed(upstream ident.UpstreamID, o adapter.Observation) {
 	d.opts.Observer.Observed(upstream, o)
-	d.offer(kernel.LoadSeen{Upstream: upstream, Load: o.Load})
+	d.offer(kernel.LoadReported{Upstream: upstream, Load: o.Load})
 }
 
 // run carries out an attempt in a goroutine of its own: carry makes the call
--- a/entry/driver/driver.go
+++ b/entry/driver/driver.go
@@ -23,7 +23,7 @@
 	Step(now time.Time, ev kernel.Event) []kernel.Action
 	NextWake() (time.Time, bool)
 	InFlight() int
-	Unreleased() int
+	PendingCancels() int
 	Version() uint64
 }
 
--- a/entry/driver/driver_test.go
+++ b/entry/driver/driver_test.go
@@ -65,7 +65,7 @@
 		switch e := ev.(type) {
 		case kernel.Arrive:
 			return []kernel.Action{kernel.StartDecode{Attempt: attemptID(1), Request: "r-1", Upstream: "dc-1"}}
-		case kernel.LoadSeen:
+		case kernel.LoadReported:
 			return []kernel.Action{
 				kernel.CancelAttempt{Attempt: attemptID(1), Upstream: "dc-1"},
 				kernel.StartDecode{Attempt: attemptID(2), Request: "r-1", Upstream: "dc-2", ContinueFrom: 1},
@@ -90,7 +90,7 @@
 		}
 		go func() {
 			time.Sleep(500 * time.Millisecond)
-			r.driver.Post(kernel.LoadSeen{})
+			r.driver.Post(kernel.LoadReported{})
 		}()
 		assert.Equal(t, r.submit(t.Context()).Outcome, api.Complete)
 		time.Sleep(2 * time.Second)
--- a/entry/driver/patience.go
+++ b/entry/driver/patience.go
@@ -75,7 +75,7 @@
 
 // prefillEngine describes a prefill engine as far as the estimates need it.
 func (d *Driver) prefillEngine(id ident.UpstreamID) *kernel.Upstream {
-	u := &kernel.Upstream{ID: id, Own: kernel.Own{Tokens: d.prefilling[id]}}
+	u := &kernel.Upstream{ID: id, LocalLoad: kernel.LocalLoad{Tokens: d.prefilling[id]}}
 	if spec := d.specs[id]; spec != nil {
 		u.Spec = *spec
 	}
@@ -103,7 +103,7 @@
 }
 
 // seen keeps the newest load report of an upstream.
-func (d *Driver) seen(e kernel.LoadSeen) {
+func (d *Driver) seen(e kernel.LoadReported) {
 	u := d.upstreams[e.Upstream]
 	if u != nil && !e.Load.At.Before(u.Load.At) {
 		u.Load = e.Load
--- a/entry/driver/patience_test.go
+++ b/entry/driver/patience_test.go
@@ -64,8 +64,8 @@
 
 	bubble.Test(t, func(t *testing.T) {
 		d.upstreams["pf-1"] = &kernel.Upstream{}
-		d.external(kernel.LoadSeen{Upstream: "pf-1", Load: kernel.Load{At: time.Now(), QueuedTokens: 1000}})
-		d.external(kernel.LoadSeen{Upstream: "pf-1", Load: kernel.Load{At: time.Now().Add(-time.Second)}})
+		d.external(kernel.LoadReported{Upstream: "pf-1", Load: kernel.Load{At: time.Now(), QueuedTokens: 1000}})
+		d.external(kernel.LoadReported{Upstream: "pf-1", Load: kernel.Load{At: time.Now().Add(-time.Second)}})
 		assert.Equal(t, bound(), 2*prefillSlack*time.Second+stall, "newest report")
 	})
 }
--- a/entry/driver/pause_test.go
+++ b/entry/driver/pause_test.go
@@ -73,12 +73,12 @@
 	s := &script{decide: func(kernel.Event) []kernel.Action { return nil }}
 	d := New(Options{Kernel: s, Observer: &fakeObserver{}, Log: discard()})
 	d.gate.beat(time.Now().Add(-time.Minute))
-	d.receive(message{event: kernel.LoadSeen{}})
+	d.receive(message{event: kernel.LoadReported{}})
 	assert.Equal(t, len(s.events), 2)
 	paused, ok := s.events[0].(kernel.Paused)
 	assert.Assert(t, ok, "%T comes first", s.events[0])
 	assert.Assert(t, paused.Gap >= time.Minute)
-	d.receive(message{event: kernel.LoadSeen{}})
+	d.receive(message{event: kernel.LoadReported{}})
 	assert.Equal(t, len(s.events), 3, "the pause is told once")
 }
 
--- a/entry/driver/rig_test.go
+++ b/entry/driver/rig_test.go
@@ -43,7 +43,7 @@
 
 func (s *script) NextWake() (time.Time, bool) { return time.Time{}, false }
 func (s *script) InFlight() int               { return s.open }
-func (s *script) Unreleased() int             { return 0 }
+func (s *script) PendingCancels() int         { return 0 }
 func (s *script) Version() uint64             { return 7 }
 
 // seen returns the events of a type.
--- a/entry/driver/step.go
+++ b/entry/driver/step.go
@@ -36,7 +36,7 @@
 			d.upstreams[u.ID] = &u
 		}
 		d.step(ev)
-	case kernel.LoadSeen:
+	case kernel.LoadReported:
 		d.seen(e)
 		d.step(ev)
 	case kernel.Configured:
@@ -117,7 +117,7 @@
 
 // checkQuiet wakes those that wait for quiet.
 func (d *Driver) checkQuiet() {
-	if len(d.quiet) == 0 || len(d.exchanges) > 0 || d.opts.Kernel.Unreleased() > 0 {
+	if len(d.quiet) == 0 || len(d.exchanges) > 0 || d.opts.Kernel.PendingCancels() > 0 {
 		return
 	}
 	for _, q := range d.quiet {
--- a/entry/peering/feed.go
+++ b/entry/peering/feed.go
@@ -44,13 +44,13 @@
 	}
 	for _, i := range v.Instances {
 		out.Instances = append(out.Instances, kernel.Instance{
-			ID: i.ID, Zone: i.Zone, Incarnation: i.Incarnation, Life: i.Life,
+			ID: i.ID, Zone: i.Zone, Incarnation: i.Incarnation, Liveness: i.Life,
 		})
 	}
 	for n, u := range v.Upstreams {
 		k := kernel.Upstream{
 			Index: n, ID: u.ID, Zone: u.Zone, Address: u.Address,
-			Incarnation: u.Incarnation, Life: u.Life,
+			Incarnation: u.Incarnation, Liveness: u.Life,
 		}
 		if u.Load != nil {
 			k.Load = *u.Load
--- a/entry/peering/peering_test.go
+++ b/entry/peering/peering_test.go
@@ -22,7 +22,7 @@
 			{ID: "u-2", Load: &kernel.Load{Running: 4}, LoadAgeMS: 1500},
 		},
 	}, now)
-	assert.Equal(t, v.Instances[0], kernel.Instance{ID: "e-1", Zone: "hall-a", Incarnation: 5, Life: kernel.Leaving})
+	assert.Equal(t, v.Instances[0], kernel.Instance{ID: "e-1", Zone: "hall-a", Incarnation: 5, Liveness: kernel.Leaving})
 	assert.Equal(t, v.Upstreams[0].Address, "10.0.0.2:9")
 	assert.Assert(t, v.Upstreams[0].Load.At.IsZero(), "no report is known")
 	assert.Equal(t, v.Upstreams[1].Index, 1)
--- a/entry/peering/views_test.go
+++ b/entry/peering/views_test.go
@@ -36,8 +36,8 @@
 	assert.Equal(t, w.Number(), uint64(2))
 	assert.Equal(t, addresses["i-1"], "p", "what did not change stays")
 	assert.Assert(t, second.Trusted && !first.Trusted, "views that were given away stay as they were")
-	assert.Equal(t, first.Upstreams[1].Life, kernel.Live)
-	assert.Equal(t, second.Upstreams[1].Life, kernel.Leaving)
+	assert.Equal(t, first.Upstreams[1].Liveness, kernel.Live)
+	assert.Equal(t, second.Upstreams[1].Liveness, kernel.Leaving)
 	assert.Equal(t, second.Upstreams[0].Address, "a")
 	assert.Equal(t, second.Upstreams[0].Index, 0)
 }
--- a/entry/static.go
+++ b/entry/static.go
@@ -36,7 +36,7 @@
 			ID:          self.Instance,
 			Zone:        self.Zone,
 			Incarnation: self.Incarnation,
-			Life:        kernel.Live,
+			Liveness:    kernel.Live,
 		}},
 	}
 	for i, u := range s.Static.Upstreams {
@@ -46,7 +46,7 @@
 			Zone:        u.Zone,
 			Address:     u.Address,
 			Incarnation: ident.Incarnation(1),
-			Life:        kernel.Live,
+			Liveness:    kernel.Live,
 			Load:        kernel.Load{At: now},
 		})
 	}
--- a/experiment/decode.go
+++ b/experiment/decode.go
@@ -51,7 +51,7 @@
 	}
 	source, ok := e.source(a)
 	if !ok {
-		return refusal(a, kernel.FailureKVGone)
+		return refusal(a, kernel.FailureKVMissing)
 	}
 	e.held = append(e.held, a)
 	e.piecesUsed += a.pieces(e.params)
@@ -63,7 +63,7 @@
 	})
 	if !pulled {
 		e.release(a)
-		return refusal(a, kernel.FailureKVGone)
+		return refusal(a, kernel.FailureKVMissing)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 func (e *decodeEngine) imported(a *attempt, sent bool) {
 	if !sent {
 		e.release(a)
-		e.w.report(a, *refusal(a, kernel.FailureKVGone))
+		e.w.report(a, *refusal(a, kernel.FailureKVMissing))
 		return
 	}
 	a.ran = true
--- a/experiment/feeds.go
+++ b/experiment/feeds.go
@@ -39,7 +39,7 @@
 func (f *feeds) reportLoad(b backend) {
 	f.w.clock.after(loadPeriod, func() { f.reportLoad(b) })
 	if b.base().alive {
-		f.publish(b, f.w.cell.LoadLag, kernel.LoadSeen{Upstream: b.base().spec.ID, Load: b.load()})
+		f.publish(b, f.w.cell.LoadLag, kernel.LoadReported{Upstream: b.base().spec.ID, Load: b.load()})
 	}
 }
 
--- a/experiment/instance.go
+++ b/experiment/instance.go
@@ -91,7 +91,7 @@
 // isState reports whether an event brings news of the fleet, not of a request.
 func isState(ev kernel.Event) bool {
 	switch ev.(type) {
-	case kernel.ViewChanged, kernel.LoadSeen, kernel.CacheChanged:
+	case kernel.ViewChanged, kernel.LoadReported, kernel.CacheChanged:
 		return true
 	default:
 		return false
--- a/experiment/view.go
+++ b/experiment/view.go
@@ -42,14 +42,14 @@
 		v.Instances = append(v.Instances, kernel.Instance{
 			ID: other.id, Zone: other.zone,
 			Incarnation: w.incarnationSeen(other),
-			Life:        w.lifeOfInstance(inst, other),
+			Liveness:    w.lifeOfInstance(inst, other),
 		})
 	}
 	for _, id := range w.order {
 		b := w.backends[id].base()
 		v.Upstreams = append(v.Upstreams, kernel.Upstream{
 			ID: id, Zone: b.zone, Incarnation: b.incarnation, Spec: b.spec,
-			Life: w.lifeOfUpstream(inst, b),
+			Liveness: w.lifeOfUpstream(inst, b),
 		})
 	}
 	return v
@@ -63,7 +63,7 @@
 	return other.life.incarnation
 }
 
-func (w *world) lifeOfInstance(viewer, other *instance) kernel.Life {
+func (w *world) lifeOfInstance(viewer, other *instance) kernel.Liveness {
 	now := w.clock.now
 	switch {
 	case viewer == other || other.life == nil:
@@ -79,7 +79,7 @@
 	}
 }
 
-func (w *world) lifeOfUpstream(viewer *instance, u *upstream) kernel.Life {
+func (w *world) lifeOfUpstream(viewer *instance, u *upstream) kernel.Liveness {
 	switch {
 	case !u.alive:
 		return w.lifeAfter(w.clock.now - u.downAt)
@@ -91,7 +91,7 @@
 }
 
 // lifeAfter is what is believed a time after a death.
-func (w *world) lifeAfter(since time.Duration) kernel.Life {
+func (w *world) lifeAfter(since time.Duration) kernel.Liveness {
 	switch {
 	case since >= platformLag && !w.platformDown:
 		return kernel.Dead
@@ -128,8 +128,8 @@
 			if other.ID != a.id.Instance {
 				continue
 			}
-			newer := other.Incarnation > a.id.Incarnation && other.Life == kernel.Live
-			if newer || (other.Life == kernel.Dead && other.Incarnation >= a.id.Incarnation) {
+			newer := other.Incarnation > a.id.Incarnation && other.Liveness == kernel.Live
+			if newer || (other.Liveness == kernel.Dead && other.Incarnation >= a.id.Incarnation) {
 				b.cancel(a.id)
 			}
 		}
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -209,7 +209,7 @@
 // where the response has headers for it.
 func (w *world) report(a *attempt, ev kernel.Event) {
 	up := a.upstream.base()
-	load := kernel.LoadSeen{Upstream: up.spec.ID, Load: a.upstream.load()}
+	load := kernel.LoadReported{Upstream: up.spec.ID, Load: a.upstream.load()}
 	_, done := ev.(kernel.AttemptDone)
 	inBand := !done || a.role == config.RoleService
 	w.clock.after(w.delay(up.zone, a.owner.place()), func() {
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -62,7 +62,7 @@
 	ID          ident.InstanceID  `json:"id"`
 	Zone        ident.Zone        `json:"zone"`
 	Incarnation ident.Incarnation `json:"incarnation"`
-	Life        kernel.Life       `json:"life"`
+	Life        kernel.Liveness   `json:"life"`
 	// PeerAddress is where its entry takes jsonrpc2 from peers, "IP:port".
 	PeerAddress string `json:"peer_address"`
 }
@@ -73,7 +73,7 @@
 	Zone        ident.Zone        `json:"zone"`
 	Address     string            `json:"address"`
 	Incarnation ident.Incarnation `json:"incarnation"`
-	Life        kernel.Life       `json:"life"`
+	Life        kernel.Liveness   `json:"life"`
 	// Load is absent when no report is known; LoadAgeMS is its age.
 	Load      *kernel.Load `json:"load,omitempty"`
 	LoadAgeMS int64        `json:"load_age_ms"`
--- a/gateway/fleet/hub.go
+++ b/gateway/fleet/hub.go
@@ -214,7 +214,7 @@
 		sum.MemoryRate += d.MemoryRate
 		sum.StreamRate += d.StreamRate
 		sum.RequestRate += d.RequestRate
-		sum.Paces = sum.Paces.Plus(d.Paces)
+		sum.Throughputs = sum.Throughputs.Plus(d.Throughputs)
 		l.Demand[service] = sum
 	}
 }
@@ -247,7 +247,7 @@
 		sum.MemoryRate = max(0, sum.MemoryRate-d.MemoryRate)
 		sum.StreamRate = max(0, sum.StreamRate-d.StreamRate)
 		sum.RequestRate = max(0, sum.RequestRate-d.RequestRate)
-		sum.Paces = sum.Paces.Minus(d.Paces)
+		sum.Throughputs = sum.Throughputs.Minus(d.Throughputs)
 		l.Demand[service] = sum
 	}
 }
@@ -256,11 +256,11 @@
 // itself are dropped if the maximum may have come from the subtracted load.
 func (f InFlight) minus(o InFlight) InFlight {
 	rest := InFlight{Requests: f.Requests - o.Requests, Tokens: f.Tokens - o.Tokens, Memory: slices.Clone(f.Memory)}
-	if f.Unexplained > o.Unexplained {
-		rest.Unexplained = f.Unexplained
+	if f.UnaccountedMemory > o.UnaccountedMemory {
+		rest.UnaccountedMemory = f.UnaccountedMemory
 	}
-	if f.Pace > o.Pace {
-		rest.Pace = f.Pace
+	if f.ThroughputBucket > o.ThroughputBucket {
+		rest.ThroughputBucket = f.ThroughputBucket
 	}
 	for i := range min(len(rest.Memory), len(o.Memory)) {
 		rest.Memory[i] -= o.Memory[i]
@@ -270,14 +270,14 @@
 
 // empty reports whether there is neither work in flight nor a value reported by the engine.
 func (f InFlight) empty() bool {
-	return f.Requests == 0 && f.Tokens == 0 && f.Unexplained == 0 && f.Pace == 0 && !slices.ContainsFunc(f.Memory, func(n int) bool { return n != 0 })
+	return f.Requests == 0 && f.Tokens == 0 && f.UnaccountedMemory == 0 && f.ThroughputBucket == 0 && !slices.ContainsFunc(f.Memory, func(n int) bool { return n != 0 })
 }
 
 // plus returns the sum of two loads of an upstream.
 func (f InFlight) plus(o InFlight) InFlight {
 	sum := InFlight{
 		Requests: f.Requests + o.Requests, Tokens: f.Tokens + o.Tokens,
-		Unexplained: max(f.Unexplained, o.Unexplained), Pace: max(f.Pace, o.Pace),
+		UnaccountedMemory: max(f.UnaccountedMemory, o.UnaccountedMemory), ThroughputBucket: max(f.ThroughputBucket, o.ThroughputBucket),
 		Memory: make([]int, max(len(f.Memory), len(o.Memory))),
 	}
 	for i := range sum.Memory {
--- a/gateway/fleet/hub_test.go
+++ b/gateway/fleet/hub_test.go
@@ -114,10 +114,10 @@
 	l := NewLoad()
 	for _, n := range []int{300, 500, 200} {
 		o := NewLoad()
-		o.InFlight["e"] = InFlight{Unexplained: n}
+		o.InFlight["e"] = InFlight{UnaccountedMemory: n}
 		o.Unavailable["e"] = int64(n)
 		l.Add(o)
 	}
-	assert.Equal(t, l.InFlight["e"].Unexplained, 500)
+	assert.Equal(t, l.InFlight["e"].UnaccountedMemory, 500)
 	assert.Equal(t, l.Unavailable["e"], int64(500))
 }
--- a/gateway/fleet/messages.go
+++ b/gateway/fleet/messages.go
@@ -45,12 +45,12 @@
 	// Memory is the forecast of the memory that the requests hold at a decode engine, in tokens,
 	// at fixed time steps from the heartbeat.
 	Memory []int `json:"m,omitempty"`
-	// Unexplained is the unaccounted memory of the engine, in tokens: the use that it reported to
+	// UnaccountedMemory is the unaccounted memory of the engine, in tokens: the use that it reported to
 	// the instance beyond that of all known requests.
-	Unexplained int `json:"u,omitempty"`
-	// Pace is the recent throughput of a prefill engine as a 1-based bucket of
+	UnaccountedMemory int `json:"u,omitempty"`
+	// ThroughputBucket is the recent throughput of a prefill engine as a 1-based bucket of
 	// schedule.ThroughputHistogram, 0 if unknown. When loads are added, the maximum is kept.
-	Pace int `json:"p,omitempty"`
+	ThroughputBucket int `json:"p,omitempty"`
 }
 
 // Demand is the rate of work offered to the engines of a service.
@@ -65,8 +65,8 @@
 	StreamRate float64 `json:"s"`
 	// RequestRate is in requests per second.
 	RequestRate float64 `json:"q,omitempty"`
-	// Paces is a histogram of the throughputs at which prefill engines computed recent prompts.
-	Paces schedule.ThroughputHistogram `json:"e,omitempty"`
+	// Throughputs is a histogram of the throughputs at which prefill engines computed recent prompts.
+	Throughputs schedule.ThroughputHistogram `json:"e,omitempty"`
 }
 
 // Member is the part of a heartbeat that describes one instance.
--- a/gateway/fleet/pack.go
+++ b/gateway/fleet/pack.go
@@ -29,8 +29,8 @@
 		dst = appendString(dst, string(id))
 		dst = binary.AppendVarint(dst, int64(f.Requests))
 		dst = binary.AppendVarint(dst, int64(f.Tokens))
-		dst = binary.AppendVarint(dst, int64(f.Unexplained))
-		dst = binary.AppendVarint(dst, int64(f.Pace))
+		dst = binary.AppendVarint(dst, int64(f.UnaccountedMemory))
+		dst = binary.AppendVarint(dst, int64(f.ThroughputBucket))
 		dst = appendInts(dst, f.Memory)
 	}
 	dst = binary.AppendUvarint(dst, uint64(len(l.Demand)))
@@ -39,7 +39,7 @@
 		for _, rate := range []float64{d.PrefillRate, d.MemoryRate, d.StreamRate, d.RequestRate} {
 			dst = binary.BigEndian.AppendUint64(dst, math.Float64bits(rate))
 		}
-		dst = appendInts(dst, d.Paces)
+		dst = appendInts(dst, d.Throughputs)
 	}
 	dst = binary.AppendUvarint(dst, uint64(len(l.Retries)))
 	for service, n := range l.Retries {
@@ -71,12 +71,12 @@
 	l := NewLoad()
 	for range r.length() {
 		id := ident.UpstreamID(r.str())
-		f := InFlight{Requests: r.varint(), Tokens: r.varint(), Unexplained: r.varint(), Pace: r.varint(), Memory: r.ints()}
+		f := InFlight{Requests: r.varint(), Tokens: r.varint(), UnaccountedMemory: r.varint(), ThroughputBucket: r.varint(), Memory: r.ints()}
 		l.InFlight[id] = f
 	}
 	for range r.length() {
 		service := r.str()
-		l.Demand[service] = Demand{PrefillRate: r.float(), MemoryRate: r.float(), StreamRate: r.float(), RequestRate: r.float(), Paces: r.ints()}
+		l.Demand[service] = Demand{PrefillRate: r.float(), MemoryRate: r.float(), StreamRate: r.float(), RequestRate: r.float(), Throughputs: r.ints()}
 	}
 	for range r.length() {
 		service := r.str()
--- a/gateway/fleet/pack_test.go
+++ b/gateway/fleet/pack_test.go
@@ -24,12 +24,12 @@
 		for _, id := range rapid.SliceOfDistinct(rapid.String(), rapid.ID[string]).Draw(t, "engines") {
 			load.InFlight[ident.UpstreamID(id)] = InFlight{
 				Requests: rapid.Int().Draw(t, "requests"), Tokens: rapid.Int().Draw(t, "tokens"),
-				Unexplained: rapid.Int().Draw(t, "unexplained"),
-				Memory:      rapid.SliceOfN(rapid.IntRange(-1<<40, 1<<40), 1, 12).Draw(t, "memory"),
+				UnaccountedMemory: rapid.Int().Draw(t, "unexplained"),
+				Memory:            rapid.SliceOfN(rapid.IntRange(-1<<40, 1<<40), 1, 12).Draw(t, "memory"),
 			}
 		}
 		for _, service := range rapid.SliceOfDistinct(rapid.String(), rapid.ID[string]).Draw(t, "services") {
-			load.Demand[service] = Demand{PrefillRate: rapid.Float64().Draw(t, "rate"), Paces: schedule.ThroughputHistogram{0, 3, 7}}
+			load.Demand[service] = Demand{PrefillRate: rapid.Float64().Draw(t, "rate"), Throughputs: schedule.ThroughputHistogram{0, 3, 7}}
 		}
 		for _, service := range rapid.SliceOfDistinct(rapid.String(), rapid.ID[string]).Draw(t, "spending") {
 			load.Retries[service] = rapid.Int().Draw(t, "spent")
@@ -96,7 +96,7 @@
 	for e := range engines {
 		load.InFlight[ident.UpstreamID(fmt.Sprintf("i-%010d", e))] = InFlight{Requests: 12, Memory: []int{51234, 51900, 52333, 50120, 41234, 33333, 25000, 12345, 4321, 999}}
 	}
-	load.Demand["m"] = Demand{PrefillRate: 123456.789, MemoryRate: 98765.4321, StreamRate: 123.456, Paces: schedule.ThroughputHistogram{0, 0, 1, 5, 12, 40, 7}}
+	load.Demand["m"] = Demand{PrefillRate: 123456.789, MemoryRate: 98765.4321, StreamRate: 123.456, Throughputs: schedule.ThroughputHistogram{0, 0, 1, 5, 12, 40, 7}}
 	return load
 }
 
--- a/gateway/fleet/tokens.go
+++ b/gateway/fleet/tokens.go
@@ -118,10 +118,10 @@
 	// Wait is the time after which a refused caller may retry; 0 if its request exceeds what the
 	// limit can ever allow.
 	Wait time.Duration
-	// Keeper is the instance that decided, empty if this instance decided by itself. Level is the
+	// Owner is the instance that decided, empty if this instance decided by itself. Level is the
 	// number of tokens left in the account.
-	Keeper ident.InstanceID
-	Level  float64
+	Owner   ident.InstanceID
+	Balance float64
 }
 
 // TakeTokens takes the tokens of a request from its workspace's limit. On an instance that has
@@ -206,7 +206,7 @@
 	wait := time.Duration(answer.WaitMS) * time.Millisecond
 	owner := limit.Owner{ID: holder.id, Incarnation: answer.Incarnation}
 	n.tokens.client.RecordResponse(clock.Now(), w.Name, cost, owner, limit.Response{Granted: answer.Granted, Balance: answer.Balance}, wait)
-	return TokenDecision{Granted: answer.Granted, Wait: clampWait(wait), Keeper: holder.id, Level: answer.Balance}, true
+	return TokenDecision{Granted: answer.Granted, Wait: clampWait(wait), Owner: holder.id, Balance: answer.Balance}, true
 }
 
 // callOwner calls MethodTokens of an owner.
--- a/gateway/front/limits.go
+++ b/gateway/front/limits.go
@@ -47,8 +47,8 @@
 	}
 	f.o.CountLimitUnits(j.Workspace.Name, reason, cost)
 	f.o.Count("refused_" + reason)
-	f.o.Log.Info("refused", "request", j.Call.ID, "reason", reason, "workspace", j.Workspace.Name, "cost", cost, "keeper", v.Keeper,
-		"level", v.Level, "rate", j.Workspace.Limit.Rate, "burst", j.Workspace.Limit.Burst, "retry_ms", v.Wait.Milliseconds(), "version", j.Version)
+	f.o.Log.Info("refused", "request", j.Call.ID, "reason", reason, "workspace", j.Workspace.Name, "cost", cost, "keeper", v.Owner,
+		"level", v.Balance, "rate", j.Workspace.Limit.Rate, "burst", j.Workspace.Limit.Burst, "retry_ms", v.Wait.Milliseconds(), "version", j.Version)
 	f.problem(w, j.Call, status, reason, api.NotRun, v.Wait)
 	return 0, false
 }
--- a/gateway/orders.go
+++ b/gateway/orders.go
@@ -128,7 +128,7 @@
 	n.Streams += d.StreamRate
 	// The throughputs of all instances are combined, because one instance may have measured only
 	// prompts that waited for others.
-	n.Throughputs = n.Throughputs.Plus(d.Paces)
+	n.Throughputs = n.Throughputs.Plus(d.Throughputs)
 	n.PrefillRate = n.Throughputs.Rate()
 	return n
 }
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -131,7 +131,7 @@
 	l := fleet.Load{InFlight: map[ident.UpstreamID]fleet.InFlight{}, Demand: map[string]fleet.Demand{}}
 	now := clock.Now()
 	for id, f := range g.scheduler.OwnLoad(now) {
-		reported := fleet.InFlight{Requests: f.Requests, Tokens: f.Tokens, Unexplained: f.UnaccountedMemory, Pace: f.ThroughputBucket}
+		reported := fleet.InFlight{Requests: f.Requests, Tokens: f.Tokens, UnaccountedMemory: f.UnaccountedMemory, ThroughputBucket: f.ThroughputBucket}
 		if f.Memory != (schedule.Forecast{}) {
 			reported.Memory = f.Memory[:]
 		}
@@ -146,7 +146,7 @@
 	}
 	for _, name := range g.scheduler.DemandServices() {
 		n := g.scheduler.Demand(now, name)
-		l.Demand[name] = fleet.Demand{PrefillRate: n.Prefill, MemoryRate: n.Memory, StreamRate: n.Streams, RequestRate: n.Requests, Paces: n.Throughputs}
+		l.Demand[name] = fleet.Demand{PrefillRate: n.Prefill, MemoryRate: n.Memory, StreamRate: n.Streams, RequestRate: n.Requests, Throughputs: n.Throughputs}
 	}
 	return l
 }
@@ -180,7 +180,7 @@
 func (g *Service) loadChanged(l fleet.Load, age time.Duration) {
 	peers := map[ident.UpstreamID]*schedule.InFlight{}
 	for id, f := range l.InFlight {
-		in := &schedule.InFlight{Requests: f.Requests, Tokens: f.Tokens, UnaccountedMemory: f.Unexplained, ThroughputBucket: f.Pace}
+		in := &schedule.InFlight{Requests: f.Requests, Tokens: f.Tokens, UnaccountedMemory: f.UnaccountedMemory, ThroughputBucket: f.ThroughputBucket}
 		in.Memory.Add(f.Memory)
 		peers[id] = in
 	}
@@ -190,7 +190,7 @@
 	}
 	throughputs := map[string]schedule.ThroughputHistogram{}
 	for service, d := range l.Demand {
-		throughputs[service] = d.Paces
+		throughputs[service] = d.Throughputs
 	}
 	now := clock.Now()
 	for service, d := range l.Demand {
--- a/kernel/arrive.go
+++ b/kernel/arrive.go
@@ -102,7 +102,7 @@
 // enqueue puts a call in the queue. It is not placed before notBefore.
 func (k *Kernel) enqueue(c *call, notBefore time.Time) {
 	c.state = callQueued
-	c.waiting = &Waiting{
+	c.waiting = &QueuedRequest{
 		Request:   c.request,
 		Since:     k.now,
 		NotBefore: notBefore,
--- a/kernel/call.go
+++ b/kernel/call.go
@@ -30,7 +30,7 @@
 	request *Request
 	state   callState
 	// waiting is set while the request is in the queue.
-	waiting *Waiting
+	waiting *QueuedRequest
 	// admitted lists the admission checks that admitted the request. Their
 	// Finished method is called when the request ends.
 	admitted []Admission
@@ -142,9 +142,9 @@
 		return
 	}
 	a.incarnation = u.Incarnation
-	u.Own.Requests++
-	u.Own.Tokens += a.tokens
-	u.Own.Pieces += a.pieces
+	u.LocalLoad.Requests++
+	u.LocalLoad.Tokens += a.tokens
+	u.LocalLoad.Pieces += a.pieces
 }
 
 // untrack removes an attempt that holds no more resources on its upstream, or
@@ -160,9 +160,9 @@
 	if u == nil || !sameIncarnation(u.Incarnation, a.incarnation) {
 		return
 	}
-	u.Own.Requests--
-	u.Own.Tokens -= a.tokens
-	u.Own.Pieces -= a.pieces
+	u.LocalLoad.Requests--
+	u.LocalLoad.Tokens -= a.tokens
+	u.LocalLoad.Pieces -= a.pieces
 }
 
 // prefillComputed removes a finished prefill's prompt tokens from its
@@ -171,7 +171,7 @@
 func (k *Kernel) prefillComputed(a *attempt) {
 	u := k.fleet.upstream(a.upstream)
 	if u != nil && sameIncarnation(u.Incarnation, a.incarnation) {
-		u.Own.Tokens -= a.tokens
+		u.LocalLoad.Tokens -= a.tokens
 	}
 	a.tokens = 0
 }
--- a/kernel/estimate.go
+++ b/kernel/estimate.go
@@ -19,7 +19,7 @@
 	if age := now.Sub(u.Load.At); age > 0 {
 		reported -= age.Seconds() * u.Spec.PrefillTokensPerSecond
 	}
-	return max(reported, float64(u.Own.Tokens), 0)
+	return max(reported, float64(u.LocalLoad.Tokens), 0)
 }
 
 // PrefillWait returns the expected time before a new prefill on u starts.
--- a/kernel/event.go
+++ b/kernel/event.go
@@ -68,16 +68,16 @@
 
 // The failure codes.
 const (
-	FailureConnect  FailureCode = "connect"      // no connection could be made
-	FailureCapacity FailureCode = "capacity"     // the upstream had no free capacity
-	FailureDraining FailureCode = "draining"     // the upstream is shutting down
-	FailureModel    FailureCode = "model"        // the upstream does not serve the model
-	FailureKVGone   FailureCode = "kv_missing"   // the KV cache was evicted before import
-	FailureStalled  FailureCode = "stalled"      // a transfer or stream made no progress
-	FailureBroken   FailureCode = "broken"       // the connection broke or the answer was incomplete
-	FailureRejected FailureCode = "rejected"     // the upstream rejected the request as invalid
-	FailureUpstream FailureCode = "upstream"     // the upstream reported an internal error
-	FailureTimeout  FailureCode = "call_timeout" // a service call exceeded its timeout
+	FailureConnect   FailureCode = "connect"      // no connection could be made
+	FailureCapacity  FailureCode = "capacity"     // the upstream had no free capacity
+	FailureDraining  FailureCode = "draining"     // the upstream is shutting down
+	FailureModel     FailureCode = "model"        // the upstream does not serve the model
+	FailureKVMissing FailureCode = "kv_missing"   // the KV cache was evicted before import
+	FailureStalled   FailureCode = "stalled"      // a transfer or stream made no progress
+	FailureBroken    FailureCode = "broken"       // the connection broke or the answer was incomplete
+	FailureRejected  FailureCode = "rejected"     // the upstream rejected the request as invalid
+	FailureUpstream  FailureCode = "upstream"     // the upstream reported an internal error
+	FailureTimeout   FailureCode = "call_timeout" // a service call exceeded its timeout
 )
 
 // AttemptFailed reports an attempt that ended without a complete answer.
@@ -106,8 +106,8 @@
 // ViewChanged replaces the kernel's view of instances and upstreams.
 type ViewChanged struct{ View *View }
 
-// LoadSeen reports an upstream's load, taken from one of its responses.
-type LoadSeen struct {
+// LoadReported reports an upstream's load, taken from one of its responses.
+type LoadReported struct {
 	Upstream ident.UpstreamID
 	Load     Load
 }
@@ -164,7 +164,7 @@
 func (CancelAcked) event()     {}
 func (CancelFailed) event()    {}
 func (ViewChanged) event()     {}
-func (LoadSeen) event()        {}
+func (LoadReported) event()    {}
 func (CacheChanged) event()    {}
 func (Configured) event()      {}
 func (PeerReceived) event()    {}
--- a/kernel/failure.go
+++ b/kernel/failure.go
@@ -76,7 +76,7 @@
 	if a.stage == stageDecode && e.Code == FailureCapacity && a.call.slot.policy != nil {
 		a.call.slot.policy.Refused(u.ID)
 	}
-	if e.Code == FailureKVGone {
+	if e.Code == FailureKVMissing {
 		return
 	}
 	c := a.call
@@ -133,7 +133,7 @@
 
 func (k *Kernel) decodeFailed(c *call, e AttemptFailed) {
 	ran := e.Evidence == Ambiguous || c.reattachCount > 0
-	if !ran && e.Code != FailureKVGone {
+	if !ran && e.Code != FailureKVMissing {
 		// The decode did not start, so the prefill's KV cache may still be used.
 		k.retryDecode(c, failureReason(e.Code))
 		return
@@ -211,8 +211,8 @@
 	switch code {
 	case FailureCapacity, FailureDraining, FailureModel, FailureRejected:
 		return ReasonUpstreamRefused
-	case FailureKVGone:
-		return ReasonKVGone
+	case FailureKVMissing:
+		return ReasonKVEvicted
 	case FailureStalled:
 		return ReasonStalled
 	case FailureBroken:
--- a/kernel/finish.go
+++ b/kernel/finish.go
@@ -10,7 +10,7 @@
 // complete ends a call whose whole answer has been returned.
 func (k *Kernel) complete(c *call) {
 	k.finish(c, Answer{Request: c.request.ID, Outcome: api.Complete},
-		Record{Step: StepCompleted, Reason: ReasonWhole})
+		Record{Step: StepCompleted, Reason: ReasonWholeAnswer})
 }
 
 // refuseCall ends a call that has no attempt in flight.
--- a/kernel/fleet.go
+++ b/kernel/fleet.go
@@ -59,12 +59,12 @@
 // carryOver copies the state that this instance has recorded from the upstream's
 // entry in the old view, if that is the same incarnation.
 func (f *fleet) carryOver(u *Upstream, old []Upstream, now time.Time) {
-	u.Own = Own{}
+	u.LocalLoad = LocalLoad{}
 	u.Health = Health{}
 	if len(old) > 0 {
 		// The upstream is new in the fleet and gets slow start. In the first
 		// view it is not known which upstreams are new, so none gets it.
-		u.Health.BackSince = now
+		u.Health.AvailableSince = now
 	}
 	i, ok := f.byID[u.ID]
 	if !ok {
@@ -74,12 +74,12 @@
 	if u.Incarnation < prev.Incarnation {
 		// The view lags: a newer incarnation has been seen already.
 		u.Incarnation = prev.Incarnation
-		u.Life = prev.Life
+		u.Liveness = prev.Liveness
 	}
 	if !sameIncarnation(u.Incarnation, prev.Incarnation) {
 		return
 	}
-	u.Own = prev.Own
+	u.LocalLoad = prev.LocalLoad
 	u.Health = prev.Health
 	if prev.Load.At.After(u.Load.At) {
 		u.Load = prev.Load
@@ -89,13 +89,13 @@
 // restoreLeaving makes the state Leaving sticky: once any source has reported
 // that an incarnation is leaving, a view that is older cannot undo it.
 func (f *fleet) restoreLeaving(u *Upstream) {
-	if u.Life == Leaving {
+	if u.Liveness == Leaving {
 		f.leavingIncarnations[u.ID] = u.Incarnation
 		return
 	}
 	inc, left := f.leavingIncarnations[u.ID]
-	if left && inc == u.Incarnation && u.Life < Leaving {
-		u.Life = Leaving
+	if left && inc == u.Incarnation && u.Liveness < Leaving {
+		u.Liveness = Leaving
 	}
 }
 
@@ -141,8 +141,8 @@
 // markLeaving records that an upstream itself has said that it is leaving.
 func (f *fleet) markLeaving(u *Upstream) {
 	f.leavingIncarnations[u.ID] = u.Incarnation
-	if u.Life < Leaving {
-		u.Life = Leaving
+	if u.Liveness < Leaving {
+		u.Liveness = Leaving
 	}
 }
 
@@ -187,7 +187,7 @@
 	if u == nil {
 		return false
 	}
-	return u.Life == Dead || !sameIncarnation(u.Incarnation, inc)
+	return u.Liveness == Dead || !sameIncarnation(u.Incarnation, inc)
 }
 
 // sameIncarnation reports whether two incarnations may be the same process. The
@@ -195,7 +195,7 @@
 // matches every incarnation.
 func sameIncarnation(a, b ident.Incarnation) bool { return a == b || a == 0 || b == 0 }
 
-func (k *Kernel) loadSeen(e LoadSeen) {
+func (k *Kernel) loadSeen(e LoadReported) {
 	u := k.fleet.upstream(e.Upstream)
 	if u == nil || e.Load.At.Before(u.Load.At) {
 		return
--- a/kernel/fleet_test.go
+++ b/kernel/fleet_test.go
@@ -15,12 +15,12 @@
 	var f fleet
 	f.init()
 	f.replace(&View{Version: 1, Upstreams: []Upstream{{ID: "d1", Incarnation: 1}}}, now)
-	assert.Assert(t, f.upstream("d1").Health.BackSince.IsZero())
+	assert.Assert(t, f.upstream("d1").Health.AvailableSince.IsZero())
 	f.replace(&View{Version: 2, Upstreams: []Upstream{{ID: "d1", Incarnation: 1}, {ID: "d2", Incarnation: 1}}}, now)
-	assert.Assert(t, f.upstream("d1").Health.BackSince.IsZero())
-	assert.Equal(t, f.upstream("d2").Health.BackSince, now)
+	assert.Assert(t, f.upstream("d1").Health.AvailableSince.IsZero())
+	assert.Equal(t, f.upstream("d2").Health.AvailableSince, now)
 	later := now.Add(time.Minute)
 	f.replace(&View{Version: 3, Upstreams: []Upstream{{ID: "d1", Incarnation: 2}, {ID: "d2", Incarnation: 1}}}, later)
-	assert.Equal(t, f.upstream("d1").Health.BackSince, later, "a restarted engine must get slow start")
-	assert.Equal(t, f.upstream("d2").Health.BackSince, now)
+	assert.Equal(t, f.upstream("d1").Health.AvailableSince, later, "a restarted engine must get slow start")
+	assert.Equal(t, f.upstream("d2").Health.AvailableSince, now)
 }
--- a/kernel/health.go
+++ b/kernel/health.go
@@ -69,7 +69,7 @@
 	u.Health.Ejections++
 	u.Health.Failures = 0
 	u.Health.EjectedUntil = k.now.Add(length)
-	u.Health.BackSince = u.Health.EjectedUntil
+	u.Health.AvailableSince = u.Health.EjectedUntil
 	k.scheduleAt(u.Health.EjectedUntil)
 }
 
--- a/kernel/interleaving_test.go
+++ b/kernel/interleaving_test.go
@@ -126,14 +126,14 @@
 		if u.ID != f.upstream {
 			continue
 		}
-		if u.Life >= kernel.Leaving && u.Incarnation >= w.upstream(u.ID).Incarnation {
-			w.t.Fatalf("new work was sent to %s, which is in state %d according to the view", u.ID, u.Life)
+		if u.Liveness >= kernel.Leaving && u.Incarnation >= w.upstream(u.ID).Incarnation {
+			w.t.Fatalf("new work was sent to %s, which is in state %d according to the view", u.ID, u.Liveness)
 		}
 		if w.left[u.ID] != 0 && w.left[u.ID] == w.upstream(u.ID).Incarnation {
 			w.t.Fatalf("new work was sent to %s, which has reported that it is leaving", u.ID)
 		}
 	}
-	f.dead = w.upstream(f.upstream).Life == kernel.Dead
+	f.dead = w.upstream(f.upstream).Liveness == kernel.Dead
 	w.inFlight = append(w.inFlight, f)
 }
 
@@ -233,7 +233,7 @@
 		w.left[f.upstream] = w.upstream(f.upstream).Incarnation
 	case "kv":
 		if f.model && !f.prefill {
-			fail.Code = kernel.FailureKVGone
+			fail.Code = kernel.FailureKVMissing
 			delete(w.held, w.kvOf[f.id])
 		}
 	case "broken", "stalled":
@@ -333,7 +333,7 @@
 	if n := w.k.InFlight(); n != 0 {
 		t.Fatalf("%d requests have no answer after all attempts ended", n)
 	}
-	if n := w.k.Unreleased(); n != 0 {
+	if n := w.k.PendingCancels(); n != 0 {
 		t.Fatalf("%d cancels are pending after all were acknowledged", n)
 	}
 	for id, at := range w.held {
--- a/kernel/interleavingfaults_test.go
+++ b/kernel/interleavingfaults_test.go
@@ -85,7 +85,7 @@
 func (w *simulation) setView(v *kernel.View) {
 	w.kernelView = v
 	for _, u := range v.Upstreams {
-		if u.Life == kernel.Leaving {
+		if u.Liveness == kernel.Leaving {
 			w.left[u.ID] = max(w.left[u.ID], u.Incarnation)
 		}
 	}
@@ -102,13 +102,13 @@
 
 // markLeaving reports a random upstream as leaving.
 func (w *simulation) markLeaving(t *rapid.T) {
-	w.changeView(t, func(u *kernel.Upstream) { u.Life = max(u.Life, kernel.Leaving) })
+	w.changeView(t, func(u *kernel.Upstream) { u.Liveness = max(u.Liveness, kernel.Leaving) })
 }
 
 // endUpstream ends a random upstream, which loses all resources that it holds.
 func (w *simulation) endUpstream(t *rapid.T) {
 	w.changeView(t, func(u *kernel.Upstream) {
-		u.Life = kernel.Dead
+		u.Liveness = kernel.Dead
 		w.dropHeld(u.ID)
 	})
 }
@@ -117,7 +117,7 @@
 func (w *simulation) restart(t *rapid.T) {
 	w.changeView(t, func(u *kernel.Upstream) {
 		w.dropHeld(u.ID)
-		u.Life = kernel.Live
+		u.Liveness = kernel.Live
 		u.Incarnation++
 	})
 }
--- a/kernel/joint.go
+++ b/kernel/joint.go
@@ -6,8 +6,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// PlacementAsk asks a JointPolicy for a prefill and a decode engine.
-type PlacementAsk struct {
+// PlacementRequest asks a JointPolicy for a prefill and a decode engine.
+type PlacementRequest struct {
 	// Reservation is the ID that the decode attempt will have.
 	Reservation ident.AttemptID
 	Request     *Request
@@ -36,7 +36,7 @@
 	Joint(model string) bool
 	// Place requests a placement. The policy answers by calling a method of
 	// JointHost.
-	Place(ask PlacementAsk)
+	Place(ask PlacementRequest)
 	// Computed reports that the reservation's prefill is done. If the placement
 	// named no decode engine, the policy answers by calling a method of
 	// JointHost.
@@ -112,7 +112,7 @@
 	c.slot = reservation{id: id, policy: jp}
 	k.reserved[id] = c
 	k.awaitSlot(c)
-	ask := PlacementAsk{
+	ask := PlacementRequest{
 		Reservation: id,
 		Request:     c.request,
 		Delivered:   c.delivered,
@@ -182,7 +182,7 @@
 	c.plan.decode = reply.decode
 	if !k.kvFresh(c) || !k.usable(reply.decode) {
 		c.avoid = append(c.avoid, reply.decode)
-		k.retryDecode(c, ReasonKVGone)
+		k.retryDecode(c, ReasonKVEvicted)
 		return
 	}
 	k.leaveReserving(c)
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -70,7 +70,7 @@
 	pendingReplies []policyReply
 	// queueSnapshot is the list of waiting requests over which schedule iterates,
 	// kept to save allocations.
-	queueSnapshot []*Waiting
+	queueSnapshot []*QueuedRequest
 	placer        placer
 }
 
@@ -127,9 +127,9 @@
 // InFlight returns the number of requests without a final answer.
 func (k *Kernel) InFlight() int { return len(k.calls) }
 
-// Unreleased returns the number of cancellations that upstreams have not
+// PendingCancels returns the number of cancellations that upstreams have not
 // acknowledged yet.
-func (k *Kernel) Unreleased() int { return len(k.cancels) }
+func (k *Kernel) PendingCancels() int { return len(k.cancels) }
 
 // Version returns the bundle version in force, 0 if none.
 func (k *Kernel) Version() uint64 { return k.catalog.version }
@@ -166,7 +166,7 @@
 	switch e := ev.(type) {
 	case ViewChanged:
 		k.viewChanged(e.View)
-	case LoadSeen:
+	case LoadReported:
 		k.loadSeen(e)
 	case CacheChanged:
 		k.cacheChanged(e)
--- a/kernel/kv.go
+++ b/kernel/kv.go
@@ -68,11 +68,11 @@
 	k.placer.prefills.insert(prefill.Index, 0)
 	pairs := k.rankPairs(d)
 	for i := range pairs {
-		switch k.reserve(c, k.plan(d, pairs, i)).Verdict {
-		case SlotHeld:
+		switch k.reserve(c, k.plan(d, pairs, i)).Result {
+		case SlotReserved:
 			k.startDecode(c)
 			return true
-		case SlotWaits:
+		case SlotPending:
 			k.awaitSlot(c)
 			return true
 		}
--- a/kernel/model.go
+++ b/kernel/model.go
@@ -118,7 +118,7 @@
 // usable reports whether new work may be sent to the upstream.
 func (k *Kernel) usable(id ident.UpstreamID) bool {
 	u := k.fleet.upstream(id)
-	return u != nil && u.Life <= Suspect
+	return u != nil && u.Liveness <= Suspect
 }
 
 // startDecode sends the call to its decode engine.
--- a/kernel/mute_test.go
+++ b/kernel/mute_test.go
@@ -25,12 +25,12 @@
 }
 func (m *unresponsivePolicy) Attach(h kernel.Host) { m.host = h.(kernel.JointHost) }
 func (*unresponsivePolicy) Joint(string) bool      { return true }
-func (m *unresponsivePolicy) Place(a kernel.PlacementAsk) {
+func (m *unresponsivePolicy) Place(a kernel.PlacementRequest) {
 	m.host.PlacementGranted(a.Reservation, kernel.Placement{Prefill: "p1"})
 }
 func (*unresponsivePolicy) Computed(ident.AttemptID) {}
-func (*unresponsivePolicy) Reserve(kernel.SlotAsk) kernel.SlotAnswer {
-	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
+func (*unresponsivePolicy) Reserve(kernel.SlotRequest) kernel.SlotAnswer {
+	return kernel.SlotAnswer{Result: kernel.SlotReserved}
 }
 func (*unresponsivePolicy) Release(ident.AttemptID)  {}
 func (*unresponsivePolicy) Started(ident.AttemptID)  {}
--- a/kernel/plugins.go
+++ b/kernel/plugins.go
@@ -113,21 +113,21 @@
 	Pair(d *Decision, prefill, decode *Upstream) float64
 }
 
-// NoCost implements the methods of Scorer with cost 0. Scorers embed it and
+// ZeroCost implements the methods of Scorer with cost 0. Scorers embed it and
 // override the methods for the parts of a placement that they rate.
-type NoCost struct{}
+type ZeroCost struct{}
 
 // Prefill returns 0.
-func (NoCost) Prefill(*Decision, *Upstream) float64 { return 0 }
+func (ZeroCost) Prefill(*Decision, *Upstream) float64 { return 0 }
 
 // Decode returns 0.
-func (NoCost) Decode(*Decision, *Upstream) float64 { return 0 }
+func (ZeroCost) Decode(*Decision, *Upstream) float64 { return 0 }
 
 // Pair returns 0.
-func (NoCost) Pair(*Decision, *Upstream, *Upstream) float64 { return 0 }
+func (ZeroCost) Pair(*Decision, *Upstream, *Upstream) float64 { return 0 }
 
-// SlotAsk asks for a decode slot.
-type SlotAsk struct {
+// SlotRequest asks for a decode slot.
+type SlotRequest struct {
 	// Reservation is the ID of the decode attempt that will use the slot. It
 	// contains the request's deadline, after which the slot is certainly free.
 	Reservation ident.AttemptID
@@ -143,23 +143,23 @@
 	FirstOutputBy time.Time
 }
 
-// SlotVerdict is the immediate result of a slot request.
-type SlotVerdict int
+// SlotResult is the immediate result of a slot request.
+type SlotResult int
 
 // The results of a slot request.
 const (
-	// SlotHeld means that the slot is reserved.
-	SlotHeld SlotVerdict = iota + 1
-	// SlotWaits means that the answer is pending: the policy will call
+	// SlotReserved means that the slot is reserved.
+	SlotReserved SlotResult = iota + 1
+	// SlotPending means that the answer is pending: the policy will call
 	// Host.SlotGranted or Host.SlotDenied.
-	SlotWaits
-	// SlotNone means that no slot is free.
-	SlotNone
+	SlotPending
+	// SlotUnavailable means that no slot is free.
+	SlotUnavailable
 )
 
 // SlotAnswer is a slot policy's immediate answer to a slot request.
 type SlotAnswer struct {
-	Verdict SlotVerdict
+	Result SlotResult
 	// RetryAt is, for SlotNone, the time at which a slot may become free. The
 	// zero time means that it is not known.
 	RetryAt time.Time
@@ -180,7 +180,7 @@
 	plugin.Plugin
 	Attacher
 	// Reserve requests a slot.
-	Reserve(ask SlotAsk) SlotAnswer
+	Reserve(ask SlotRequest) SlotAnswer
 	// Release gives a reservation back or withdraws a pending one. It is
 	// idempotent.
 	Release(reservation ident.AttemptID)
@@ -205,8 +205,8 @@
 	Undelivered(to ident.InstanceID, m PeerMessage)
 }
 
-// Waiting is a request in the queue.
-type Waiting struct {
+// QueuedRequest is a request in the queue.
+type QueuedRequest struct {
 	Request *Request
 	// Since is the time at which the request was queued, which for a retry is
 	// later than its arrival.
@@ -223,11 +223,11 @@
 type QueueOrder interface {
 	plugin.Plugin
 	Attacher
-	Add(w *Waiting)
+	Add(w *QueuedRequest)
 	Remove(id ident.RequestID)
 	// All yields the waiting requests in the order in which they are to be
 	// placed. The queue must not be changed during the iteration.
-	All() iter.Seq[*Waiting]
+	All() iter.Seq[*QueuedRequest]
 	Len() int
 	// Served charges a request's workspace for the engine time that it used.
 	Served(r *Request, engineSeconds float64)
--- a/kernel/policy.go
+++ b/kernel/policy.go
@@ -99,7 +99,7 @@
 	if previous == nil || previous == k.policy.order {
 		return
 	}
-	var waiting []*Waiting
+	var waiting []*QueuedRequest
 	for w := range previous.All() {
 		waiting = append(waiting, w)
 	}
--- a/kernel/record.go
+++ b/kernel/record.go
@@ -56,13 +56,13 @@
 	ReasonCallerGone       Reason = "caller_gone"
 	ReasonUpstreamRefused  Reason = "upstream_refused"
 	ReasonUpstreamFailed   Reason = "upstream_failed"
-	ReasonKVGone           Reason = "kv_evicted"
+	ReasonKVEvicted        Reason = "kv_evicted"
 	ReasonStalled          Reason = "stalled"
 	ReasonBroken           Reason = "connection_broken"
 	ReasonNotRepeatable    Reason = "not_repeatable"
 	ReasonRetryBudget      Reason = "retry_budget"
 	ReasonAttempts         Reason = "attempts_exhausted"
-	ReasonWhole            Reason = "whole_answer"
+	ReasonWholeAnswer      Reason = "whole_answer"
 )
 
 // Alternative is a placement that was considered but not chosen.
--- a/kernel/schedule.go
+++ b/kernel/schedule.go
@@ -55,7 +55,7 @@
 
 // tryWaiting tries to place one waiting request. If that fails and the request
 // can no longer meet its first-output target, it refuses the request.
-func (k *Kernel) tryWaiting(w *Waiting, blockedKeys blocked) {
+func (k *Kernel) tryWaiting(w *QueuedRequest, blockedKeys blocked) {
 	c, ok := k.calls[w.Request.ID]
 	if !ok || c.waiting != w || w.NotBefore.After(k.now) {
 		return
@@ -149,12 +149,12 @@
 		count++
 		plan := k.plan(d, pairs, i)
 		answer := k.reserve(c, plan)
-		switch answer.Verdict {
-		case SlotHeld:
+		switch answer.Result {
+		case SlotReserved:
 			k.dequeue(c)
 			k.startPrefill(c)
 			return ""
-		case SlotWaits:
+		case SlotPending:
 			k.dequeue(c)
 			k.awaitSlot(c)
 			return ""
--- a/kernel/service.go
+++ b/kernel/service.go
@@ -16,7 +16,7 @@
 	limit := k.catalog.services[c.request.Service].Concurrency
 	for i, candidate := range list {
 		u := &k.fleet.view.Upstreams[candidate.index]
-		if limit > 0 && u.Own.Requests >= limit {
+		if limit > 0 && u.LocalLoad.Requests >= limit {
 			continue
 		}
 		k.dequeue(c)
--- a/kernel/session_test.go
+++ b/kernel/session_test.go
@@ -40,7 +40,7 @@
 	{"kv_evicted_prefills_again", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
-		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Refused, Code: kernel.FailureKVGone})
+		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Refused, Code: kernel.FailureKVMissing})
 		s.advance(100 * time.Millisecond)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p2")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
--- a/kernel/slots.go
+++ b/kernel/slots.go
@@ -11,7 +11,7 @@
 // reservation.
 func (k *Kernel) reserve(c *call, plan placement) SlotAnswer {
 	id := k.newAttemptID(c.request)
-	answer := k.policy.slots.Reserve(SlotAsk{
+	answer := k.policy.slots.Reserve(SlotRequest{
 		Reservation:   id,
 		Upstream:      plan.decode,
 		Workspace:     c.request.Workspace,
@@ -20,7 +20,7 @@
 		OutputTokens:  c.request.MaxOutputTokens - c.delivered,
 		FirstOutputBy: c.request.FirstOutputBy,
 	})
-	if answer.Verdict == SlotNone {
+	if answer.Result == SlotUnavailable {
 		return answer
 	}
 	c.plan = plan
@@ -58,7 +58,7 @@
 	if !ok || c.state != callReserving || c.prefill == nil || k.kvFresh(c) {
 		return
 	}
-	k.retryDecode(c, ReasonKVGone)
+	k.retryDecode(c, ReasonKVEvicted)
 }
 
 // leaveReserving returns a call in state callReserving to callQueued.
--- a/kernel/stalls.go
+++ b/kernel/stalls.go
@@ -169,7 +169,7 @@
 	total, ejected := 0, 1
 	for i := range k.fleet.view.Upstreams {
 		other := &k.fleet.view.Upstreams[i]
-		if other.Life > Suspect || !interchangeable(u, other) {
+		if other.Liveness > Suspect || !interchangeable(u, other) {
 			continue
 		}
 		total++
--- a/kernel/throughput.go
+++ b/kernel/throughput.go
@@ -68,7 +68,7 @@
 	least := time.Duration(-1)
 	for _, i := range k.fleet.prefills[r.Model] {
 		u := &k.fleet.view.Upstreams[i]
-		if u.Life > Suspect {
+		if u.Liveness > Suspect {
 			continue
 		}
 		need := PrefillTime(u, k.uncachedTokens(u, r)) + TransferTime(m, r.PromptTokens, u, u)
@@ -119,7 +119,7 @@
 	least, found := time.Duration(0), false
 	for _, i := range k.fleet.prefills[r.Model] {
 		u := &k.fleet.view.Upstreams[i]
-		if u.Life > Suspect {
+		if u.Liveness > Suspect {
 			continue
 		}
 		need := PrefillWait(u, k.now) +
@@ -138,7 +138,7 @@
 func (k *Kernel) estimateDecode(r *Request) (wait, pace time.Duration, found bool) {
 	for _, i := range k.fleet.decodes[r.Model] {
 		u := &k.fleet.view.Upstreams[i]
-		if u.Life > Suspect {
+		if u.Liveness > Suspect {
 			continue
 		}
 		a := k.policy.slots.Availability(u)
--- a/kernel/view.go
+++ b/kernel/view.go
@@ -7,13 +7,13 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Life is the presumed state of an instance or upstream.
-type Life int
+// Liveness is the presumed state of an instance or upstream.
+type Liveness int
 
 // The states, ordered from best to worst, so that they can be compared.
 const (
 	// Live means that there is recent evidence that it runs.
-	Live Life = iota + 1
+	Live Liveness = iota + 1
 	// Suspect means that there is neither recent evidence that it runs nor
 	// evidence that it does not.
 	Suspect
@@ -40,9 +40,9 @@
 	QueuedTokens int
 }
 
-// Own is the load that this instance itself has in flight on an upstream. Unlike
+// LocalLoad is the load that this instance itself has in flight on an upstream. Unlike
 // Load, it is always up to date.
-type Own struct {
+type LocalLoad struct {
 	// Requests is the number of attempts in flight.
 	Requests int
 	// Tokens is the number of prompt tokens in flight that are not computed yet
@@ -60,13 +60,13 @@
 	Zone        ident.Zone
 	Address     string
 	Incarnation ident.Incarnation
-	Life        Life
+	Liveness    Liveness
 	// Spec is the upstream's declaration in the bundle.
 	Spec config.Upstream
 	// Load is the newest load report. It may be old; see Load.At.
 	Load Load
-	// Own is maintained by the kernel and carried over to each new view.
-	Own Own
+	// LocalLoad is maintained by the kernel and carried over to each new view.
+	LocalLoad LocalLoad
 	// Health is maintained by the kernel and carried over to each new view.
 	Health Health
 }
@@ -84,9 +84,9 @@
 	// LastSuccess is the time at which an attempt from this instance last
 	// succeeded.
 	LastSuccess time.Time
-	// BackSince is the time at which the upstream last became available, by
+	// AvailableSince is the time at which the upstream last became available, by
 	// joining the fleet or by the end of an ejection. Slow start begins then.
-	BackSince time.Time
+	AvailableSince time.Time
 }
 
 // Serves reports whether the upstream runs the model.
@@ -104,7 +104,7 @@
 	ID          ident.InstanceID
 	Zone        ident.Zone
 	Incarnation ident.Incarnation
-	Life        Life
+	Liveness    Liveness
 }
 
 // View is the state of the other instances and the upstreams as known to this
--- a/kernel/world_test.go
+++ b/kernel/world_test.go
@@ -71,10 +71,10 @@
 // testView returns a view in which every declared upstream is live.
 func testView(c *config.Content, now time.Time) *kernel.View {
 	v := &kernel.View{Version: 1, Trusted: true}
-	v.Instances = []kernel.Instance{{ID: "e1", Zone: "hall-a", Incarnation: 1, Life: kernel.Live}}
+	v.Instances = []kernel.Instance{{ID: "e1", Zone: "hall-a", Incarnation: 1, Liveness: kernel.Live}}
 	for _, u := range c.Upstreams {
 		v.Upstreams = append(v.Upstreams, kernel.Upstream{
-			ID: u.ID, Zone: "hall-a", Incarnation: 1, Life: kernel.Live,
+			ID: u.ID, Zone: "hall-a", Incarnation: 1, Liveness: kernel.Live,
 			Load: kernel.Load{At: now, Slots: u.Slots, PiecesTotal: u.Pieces},
 		})
 	}
@@ -196,13 +196,13 @@
 func (s *session) transcript() string { return strings.Join(s.lines, "\n") + "\n" }
 
 // setLife sets the Life of one upstream in a new view.
-func (s *session) setLife(id ident.UpstreamID, life kernel.Life) {
+func (s *session) setLife(id ident.UpstreamID, life kernel.Liveness) {
 	v := *s.view
 	v.Version++
 	v.Upstreams = append([]kernel.Upstream(nil), v.Upstreams...)
 	for i := range v.Upstreams {
 		if v.Upstreams[i].ID == id {
-			v.Upstreams[i].Life = life
+			v.Upstreams[i].Liveness = life
 		}
 	}
 	s.view = &v
--- a/leftover/engine.go
+++ b/leftover/engine.go
@@ -52,5 +52,5 @@
 // watchable reports whether the upstream is an engine that can be asked.
 func watchable(u *kernel.Upstream) bool {
 	isEngine := u.Spec.Role == config.RolePrefill || u.Spec.Role == config.RoleDecode
-	return isEngine && u.Life != kernel.Dead
+	return isEngine && u.Liveness != kernel.Dead
 }
--- a/leftover/fleet_test.go
+++ b/leftover/fleet_test.go
@@ -91,7 +91,7 @@
 			life = kernel.Unreachable
 		}
 		v.Instances = append(v.Instances, kernel.Instance{
-			ID: p.self.Instance, Zone: "hall-a", Incarnation: p.self.Incarnation, Life: life,
+			ID: p.self.Instance, Zone: "hall-a", Incarnation: p.self.Incarnation, Liveness: life,
 		})
 	}
 	f.views = append(f.views, v)
--- a/leftover/judge.go
+++ b/leftover/judge.go
@@ -62,7 +62,7 @@
 		return Abandoned
 	case owner != nil && a.Incarnation < owner.Incarnation:
 		return OwnerReplaced
-	case owner != nil && a.Incarnation == owner.Incarnation && owner.Life == kernel.Dead:
+	case owner != nil && a.Incarnation == owner.Incarnation && owner.Liveness == kernel.Dead:
 		return OwnerDead
 	case e.Now.After(e.expiry(a)):
 		return DeadlinePassed
@@ -82,7 +82,7 @@
 		}
 	}
 	if id == e.Self.Instance {
-		return &kernel.Instance{ID: id, Zone: e.Self.Zone, Incarnation: e.Self.Incarnation, Life: kernel.Live}
+		return &kernel.Instance{ID: id, Zone: e.Self.Zone, Incarnation: e.Self.Incarnation, Liveness: kernel.Live}
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 // nothing is gained by watching for its deadline.
 func (e *Evidence) cares(a ident.AttemptID) bool {
 	owner := e.owner(a.Instance)
-	return owner != nil && a.Incarnation == owner.Incarnation && owner.Life <= kernel.Leaving
+	return owner != nil && a.Incarnation == owner.Incarnation && owner.Liveness <= kernel.Leaving
 }
 
 // parse reads an attempt ID as an engine lists it. It returns false for IDs
--- a/leftover/judge_test.go
+++ b/leftover/judge_test.go
@@ -15,8 +15,8 @@
 	testSelf  = kernel.Self{Instance: "self", Incarnation: 100, Zone: "hall-a"}
 )
 
-func instance(id ident.InstanceID, inc ident.Incarnation, l kernel.Life) kernel.Instance {
-	return kernel.Instance{ID: id, Zone: "hall-a", Incarnation: inc, Life: l}
+func instance(id ident.InstanceID, inc ident.Incarnation, l kernel.Liveness) kernel.Instance {
+	return kernel.Instance{ID: id, Zone: "hall-a", Incarnation: inc, Liveness: l}
 }
 
 func attempt(id ident.InstanceID, inc ident.Incarnation, seq uint64) ident.AttemptID {
--- a/leftover/planner.go
+++ b/leftover/planner.go
@@ -82,10 +82,10 @@
 	lives := make(map[ident.InstanceID]ident.Incarnation, len(p.lives))
 	for _, in := range p.evidence.View.Instances {
 		last, known := p.lives[in.ID]
-		if known && (in.Life == kernel.Dead || last < in.Incarnation) {
+		if known && (in.Liveness == kernel.Dead || last < in.Incarnation) {
 			ended = true
 		}
-		if in.Life != kernel.Dead {
+		if in.Liveness != kernel.Dead {
 			lives[in.ID] = in.Incarnation
 		}
 	}
--- a/leftover/planner_test.go
+++ b/leftover/planner_test.go
@@ -14,11 +14,11 @@
 )
 
 func engineOf(id ident.UpstreamID, z ident.Zone) kernel.Upstream {
-	return kernel.Upstream{ID: id, Zone: z, Life: kernel.Live, Incarnation: 1, Spec: config.Upstream{Role: config.RoleDecode}}
+	return kernel.Upstream{ID: id, Zone: z, Liveness: kernel.Live, Incarnation: 1, Spec: config.Upstream{Role: config.RoleDecode}}
 }
 
 // scene is two instances of a zone, one owner elsewhere and one engine.
-func scene(owner kernel.Life) *kernel.View {
+func scene(owner kernel.Liveness) *kernel.View {
 	elsewhere := instance("owner", 10, owner)
 	elsewhere.Zone = "hall-b"
 	return &kernel.View{
@@ -118,7 +118,7 @@
 	p, held := planners[0], []string{attempt("owner", 10, 1).String()}
 	for _, change := range []func(u *kernel.Upstream){
 		func(u *kernel.Upstream) { u.Incarnation++ },
-		func(u *kernel.Upstream) { u.Life = kernel.Dead },
+		func(u *kernel.Upstream) { u.Liveness = kernel.Dead },
 		func(u *kernel.Upstream) { u.Spec.Role = config.RoleService },
 	} {
 		p.SetView(testStart, selves[0], v)
@@ -135,7 +135,7 @@
 	far := kernel.Self{Instance: "far", Incarnation: 1, Zone: "hall-b"}
 	v := scene(kernel.Live)
 	for name, c := range map[string]struct {
-		one, two kernel.Life
+		one, two kernel.Liveness
 		want     bool
 	}{
 		"the zone has instances":    {kernel.Live, kernel.Live, false},
@@ -174,7 +174,7 @@
 	zone := func(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%6)) }
 	for i := range instances {
 		v.Instances = append(v.Instances, kernel.Instance{
-			ID: ident.InstanceID(fmt.Sprintf("entry-%d", i)), Zone: zone(i), Incarnation: 1, Life: kernel.Live,
+			ID: ident.InstanceID(fmt.Sprintf("entry-%d", i)), Zone: zone(i), Incarnation: 1, Liveness: kernel.Live,
 		})
 	}
 	for i := range upstreams {
--- a/load/agreement/faults.go
+++ b/load/agreement/faults.go
@@ -122,13 +122,13 @@
 func (b *bench) dispatcher(fleet *testbed.Fleet) *testbed.Instance {
 	view := &kernel.View{Version: 1}
 	for _, in := range fleet.Instances {
-		view.Instances = append(view.Instances, kernel.Instance{ID: in.ID, Zone: in.Zone, Life: kernel.Live})
+		view.Instances = append(view.Instances, kernel.Instance{ID: in.ID, Zone: in.Zone, Liveness: kernel.Live})
 	}
 	first := fleet.Instances[0]
 	var roster slotkit.Roster
 	roster.Update(view, kernel.Self{Instance: first.ID, Zone: first.Zone})
 	name := "model/" + b.place.Content.Models[0].Name
-	chosen := roster.Chosen(name, func(*kernel.Instance) bool { return true })
+	chosen := roster.Select(name, func(*kernel.Instance) bool { return true })
 	for _, in := range fleet.Instances {
 		if in.ID == chosen {
 			return in
--- a/membership/state.go
+++ b/membership/state.go
@@ -40,7 +40,7 @@
 }
 
 // Life maps a state and the leaving mark to the kernel's scale.
-func Life(s State, leaving bool) kernel.Life {
+func Life(s State, leaving bool) kernel.Liveness {
 	switch {
 	case s == Dead:
 		return kernel.Dead
--- a/membership/state_test.go
+++ b/membership/state_test.go
@@ -255,7 +255,7 @@
 	for _, tt := range []struct {
 		state   State
 		leaving bool
-		want    kernel.Life
+		want    kernel.Liveness
 	}{
 		{Alive, false, kernel.Live}, {Alive, true, kernel.Leaving},
 		{Suspect, false, kernel.Suspect}, {Suspect, true, kernel.Leaving},
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -92,11 +92,11 @@
 	for i := range engines {
 		e := &fakeEngine{checks: checks(i), state: Observation{Incarnation: 1, Placement: modelOf(0)}}
 		z.engines[engineID(i)] = e
-		z.view.Upstreams = append(z.view.Upstreams, kernel.Upstream{ID: engineID(i), Zone: "hall-a", Life: kernel.Live})
+		z.view.Upstreams = append(z.view.Upstreams, kernel.Upstream{ID: engineID(i), Zone: "hall-a", Liveness: kernel.Live})
 	}
 	for i := range agents {
 		id := ident.InstanceID(fmt.Sprintf("n%d", i))
-		z.view.Instances = append(z.view.Instances, kernel.Instance{ID: id, Zone: "hall-a", Life: kernel.Live})
+		z.view.Instances = append(z.view.Instances, kernel.Instance{ID: id, Zone: "hall-a", Liveness: kernel.Live})
 		z.agents = append(z.agents, &agent{
 			self: kernel.Self{Instance: id, Zone: "hall-a"}, planner: NewPlanner(DefaultSettings()),
 		})
--- a/orders/planner.go
+++ b/orders/planner.go
@@ -75,7 +75,7 @@
 	p.currency.others = nil
 	for i := range v.Instances {
 		in := &v.Instances[i]
-		if in.Zone == self.Zone && in.ID != self.Instance && in.Life != kernel.Dead {
+		if in.Zone == self.Zone && in.ID != self.Instance && in.Liveness != kernel.Dead {
 			p.currency.others = append(p.currency.others, in.ID)
 		}
 	}
@@ -129,7 +129,7 @@
 // orderable reports whether the upstream is an engine that can be given orders:
 // one that the bundle names and that is there to stay.
 func orderable(u *kernel.Upstream, spec *config.Upstream) bool {
-	return spec != nil && spec.Role != config.RoleService && u.Life <= kernel.Suspect
+	return spec != nil && spec.Role != config.RoleService && u.Liveness <= kernel.Suspect
 }
 
 // take returns what is known of an engine that this instance orders.
--- a/orders/planner_test.go
+++ b/orders/planner_test.go
@@ -44,7 +44,7 @@
 	without.Instances = slices.Clone(z.view.Instances)
 	for i, b := range z.agents {
 		if b == a {
-			without.Instances[i].Life = kernel.Unreachable
+			without.Instances[i].Liveness = kernel.Unreachable
 		}
 	}
 	for _, b := range z.agents {
@@ -199,30 +199,30 @@
 
 func TestConfirmation(t *testing.T) {
 	for name, c := range map[string]struct {
-		lives    []kernel.Life
+		lives    []kernel.Liveness
 		said     []uint64
 		platform uint64
 		want     bool
 	}{
-		"all say so":                   {[]kernel.Life{kernel.Live, kernel.Live}, []uint64{7, 7}, 0, true},
-		"most say so":                  {[]kernel.Life{kernel.Live, kernel.Live}, []uint64{7, 0}, 0, true},
-		"half say so":                  {[]kernel.Life{kernel.Live, kernel.Live, kernel.Live}, []uint64{7, 0, 0}, 0, false},
-		"one knows better":             {[]kernel.Life{kernel.Live, kernel.Live}, []uint64{7, 8}, 0, false},
-		"cut off from the only peer":   {[]kernel.Life{kernel.Unreachable}, []uint64{0}, 7, false},
-		"the only peer is dead":        {[]kernel.Life{kernel.Dead}, []uint64{0}, 7, true},
+		"all say so":                   {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{7, 7}, 0, true},
+		"most say so":                  {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{7, 0}, 0, true},
+		"half say so":                  {[]kernel.Liveness{kernel.Live, kernel.Live, kernel.Live}, []uint64{7, 0, 0}, 0, false},
+		"one knows better":             {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{7, 8}, 0, false},
+		"cut off from the only peer":   {[]kernel.Liveness{kernel.Unreachable}, []uint64{0}, 7, false},
+		"the only peer is dead":        {[]kernel.Liveness{kernel.Dead}, []uint64{0}, 7, true},
 		"alone":                        {nil, nil, 7, true},
 		"alone, platform is behind":    {nil, nil, 6, false},
 		"alone, platform knows better": {nil, nil, 8, false},
 		"alone, platform is down":      {nil, nil, 0, false},
-		"platform alone does not do":   {[]kernel.Life{kernel.Live, kernel.Live}, []uint64{0, 0}, 7, false},
-		"platform knows better":        {[]kernel.Life{kernel.Live}, []uint64{7}, 8, false},
+		"platform alone does not do":   {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{0, 0}, 7, false},
+		"platform knows better":        {[]kernel.Liveness{kernel.Live}, []uint64{7}, 8, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := NewPlanner(DefaultSettings())
-			v := &kernel.View{Instances: []kernel.Instance{{ID: "far", Zone: "hall-b", Life: kernel.Live}}}
+			v := &kernel.View{Instances: []kernel.Instance{{ID: "far", Zone: "hall-b", Liveness: kernel.Live}}}
 			for i, l := range c.lives {
 				id := ident.InstanceID(fmt.Sprint("n", i))
-				v.Instances = append(v.Instances, kernel.Instance{ID: id, Zone: "hall-a", Life: l})
+				v.Instances = append(v.Instances, kernel.Instance{ID: id, Zone: "hall-a", Liveness: l})
 				p.PeerInForce(testStart, id, c.said[i])
 			}
 			p.SetView(testStart, kernel.Self{Instance: "self", Zone: "hall-a"}, v)
@@ -309,8 +309,8 @@
 
 func TestWhatIsNotOrdered(t *testing.T) {
 	z := newZone(1, 4, checking)
-	z.view.Upstreams[0].Life = kernel.Leaving
-	z.view.Upstreams[1].Life = kernel.Unreachable
+	z.view.Upstreams[0].Liveness = kernel.Leaving
+	z.view.Upstreams[1].Liveness = kernel.Unreachable
 	z.view.Upstreams[2].Zone = "hall-b" // nobody is there
 	z.all(1)
 	z.agents[0].planner.SetView(z.now, z.agents[0].self, z.view)
--- a/plugins/admission/feasible/feasible.go
+++ b/plugins/admission/feasible/feasible.go
@@ -150,7 +150,7 @@
 	v := c.host.View()
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
-		if u.Spec.Role == config.RolePrefill && u.Life <= kernel.Suspect && u.Serves(model) {
+		if u.Spec.Role == config.RolePrefill && u.Liveness <= kernel.Suspect && u.Serves(model) {
 			return true
 		}
 	}
--- a/plugins/admission/feasible/feasible_test.go
+++ b/plugins/admission/feasible/feasible_test.go
@@ -25,7 +25,7 @@
 	c := &Check{}
 	c.Attach(host)
 	content := &config.Content{Models: []config.Model{plugintest.Model}}
-	for _, u := range host.Fleet.Upstreams {
+	for _, u := range host.CurrentView.Upstreams {
 		content.Upstreams = append(content.Upstreams, u.Spec)
 	}
 	c.Configure(content)
@@ -59,8 +59,8 @@
 		}, kernel.ReasonNoDecode},
 		{"no prefill engine", 0, func(h *plugintest.Host, _ *kernel.Request) {
 			h.Predict = func(*kernel.Request) kernel.Estimate { return kernel.Estimate{} }
-			for i := range h.Fleet.Upstreams {
-				h.Fleet.Upstreams[i].Life = kernel.Dead
+			for i := range h.CurrentView.Upstreams {
+				h.CurrentView.Upstreams[i].Liveness = kernel.Dead
 			}
 		}, kernel.ReasonNoPrefill},
 	}
--- a/plugins/admission/limits/limits_test.go
+++ b/plugins/admission/limits/limits_test.go
@@ -154,7 +154,7 @@
 	ask.Want.Rate = -5
 	n.check.Receive(w.nodes[1].id, &Demand{Number: 1, Asks: []Ask{ask}})
 	n.check.Receive(w.nodes[1].id, &Demand{Number: 2, Asks: []Ask{{Workspace: "unknown"}}})
-	n.check.Receive(w.nodes[1].id, &Reply{Incarnation: n.host.Is.Incarnation, Number: 9,
+	n.check.Receive(w.nodes[1].id, &Reply{Incarnation: n.host.SelfInfo.Incarnation, Number: 9,
 		Grants: []Grant{{Workspace: workspace, Amount: Amount{Rate: 100}}}})
 	s := n.state()
 	assert.Equal(t, n.check.usableAmount(s, w.now), n.check.base(s))
--- a/plugins/admission/limits/members.go
+++ b/plugins/admission/limits/members.go
@@ -99,7 +99,7 @@
 // counts as present, the instance itself does not.
 func (m *members) recordInstance(x *kernel.Instance, self kernel.Self, trusted bool) {
 	m.zones[x.Zone] = time.Time{}
-	if x.Zone != self.Zone || x.Life == kernel.Dead {
+	if x.Zone != self.Zone || x.Liveness == kernel.Dead {
 		return
 	}
 	m.peers[x.ID] = time.Time{}
@@ -107,7 +107,7 @@
 		m.listed = trusted
 		return
 	}
-	if x.Life <= kernel.Leaving {
+	if x.Liveness <= kernel.Leaving {
 		m.lenders = append(m.lenders, x.ID)
 	}
 }
--- a/plugins/admission/limits/world_test.go
+++ b/plugins/admission/limits/world_test.go
@@ -99,7 +99,7 @@
 	n.w.incarnations++
 	n.host = plugintest.NewHost(&kernel.View{})
 	n.host.Time = n.w.now
-	n.host.Is = kernel.Self{
+	n.host.SelfInfo = kernel.Self{
 		Instance: n.id, Zone: "hall-a",
 		Incarnation: ident.NewIncarnation(n.w.now),
 	}
@@ -120,18 +120,18 @@
 
 // refreshView gives the node an up-to-date view.
 func (n *node) refreshView() {
-	v := &kernel.View{Version: n.host.Fleet.Version + 1, Trusted: true}
+	v := &kernel.View{Version: n.host.CurrentView.Version + 1, Trusted: true}
 	for _, other := range n.w.nodes {
 		if other.alive {
 			v.Instances = append(v.Instances, kernel.Instance{
-				ID: other.id, Zone: "hall-a", Life: kernel.Live,
+				ID: other.id, Zone: "hall-a", Liveness: kernel.Live,
 			})
 		}
 	}
 	for _, z := range n.w.zones {
-		v.Instances = append(v.Instances, kernel.Instance{ID: ident.InstanceID("of-" + z), Zone: z, Life: kernel.Live})
+		v.Instances = append(v.Instances, kernel.Instance{ID: ident.InstanceID("of-" + z), Zone: z, Liveness: kernel.Live})
 	}
-	n.host.Fleet = v
+	n.host.CurrentView = v
 }
 
 // offerRequest offers one request that would be in flight for the time lasts, and
--- a/plugins/engine/openai/errors.go
+++ b/plugins/engine/openai/errors.go
@@ -47,7 +47,7 @@
 	"draining":                {kernel.Refused, kernel.FailureDraining},
 	"model_not_found":         {kernel.Refused, kernel.FailureModel},
 	"wrong_role":              {kernel.Refused, kernel.FailureModel},
-	"kv_missing":              {kernel.Refused, kernel.FailureKVGone},
+	"kv_missing":              {kernel.Refused, kernel.FailureKVMissing},
 	"invalid_request":         {kernel.Refused, kernel.FailureRejected},
 	"context_length_exceeded": {kernel.Refused, kernel.FailureRejected},
 	"aborted_early":           {kernel.Refused, kernel.FailureRejected},
--- a/plugins/engine/openai/openai_test.go
+++ b/plugins/engine/openai/openai_test.go
@@ -123,7 +123,7 @@
 		"not_started":     {kernel.Refused, kernel.FailureCapacity},
 		"draining":        {kernel.Refused, kernel.FailureDraining},
 		"model_not_found": {kernel.Refused, kernel.FailureModel},
-		"kv_missing":      {kernel.Refused, kernel.FailureKVGone},
+		"kv_missing":      {kernel.Refused, kernel.FailureKVMissing},
 		"internal":        {kernel.Ambiguous, kernel.FailureUpstream},
 		"":                {kernel.Ambiguous, kernel.FailureUpstream},
 	} {
--- a/plugins/filter/ejected/ejected.go
+++ b/plugins/filter/ejected/ejected.go
@@ -20,5 +20,5 @@
 	if d.Now.Before(u.Health.EjectedUntil) {
 		return false
 	}
-	return u.Own.Requests == 0
+	return u.LocalLoad.Requests == 0
 }
--- a/plugins/filter/filter_test.go
+++ b/plugins/filter/filter_test.go
@@ -46,22 +46,22 @@
 		{"service not run", model.ID, config.RoleService, func(*kernel.Upstream) {}, false},
 		{"live", leaving.ID, config.RoleDecode, func(*kernel.Upstream) {}, true},
 		{"suspect", leaving.ID, config.RoleDecode, func(u *kernel.Upstream) {
-			u.Life = kernel.Suspect
+			u.Liveness = kernel.Suspect
 		}, true},
 		{"leaving", leaving.ID, config.RoleDecode, func(u *kernel.Upstream) {
-			u.Life = kernel.Leaving
+			u.Liveness = kernel.Leaving
 		}, false},
 		{"unreachable", leaving.ID, config.RoleDecode, func(u *kernel.Upstream) {
-			u.Life = kernel.Unreachable
+			u.Liveness = kernel.Unreachable
 		}, false},
 		{"dead", leaving.ID, config.RoleDecode, func(u *kernel.Upstream) {
-			u.Life = kernel.Dead
+			u.Liveness = kernel.Dead
 		}, false},
 		{"life unknown", leaving.ID, config.RoleDecode, func(u *kernel.Upstream) {
-			u.Life = 0
+			u.Liveness = 0
 		}, false},
 		{"never ejected", ejected.ID, config.RoleDecode, func(u *kernel.Upstream) {
-			u.Own.Requests = 20
+			u.LocalLoad.Requests = 20
 		}, true},
 		{"ejected", ejected.ID, config.RoleDecode, func(u *kernel.Upstream) {
 			u.Health = kernel.Health{Ejections: 1, EjectedUntil: start.Add(1)}
@@ -71,24 +71,24 @@
 		}, true},
 		{"ejection over, one request there", ejected.ID, config.RoleDecode, func(u *kernel.Upstream) {
 			u.Health = kernel.Health{Ejections: 1, EjectedUntil: start}
-			u.Own.Requests = 1
+			u.LocalLoad.Requests = 1
 		}, false},
 		{"report as old as allowed", stale.ID, config.RoleDecode, func(u *kernel.Upstream) {
 			u.Load.At = start.Add(-time.Second)
-			u.Own.Requests = 20
+			u.LocalLoad.Requests = 20
 		}, true},
 		{"report too old, share used up", stale.ID, config.RoleDecode, func(u *kernel.Upstream) {
 			u.Load.At = start.Add(-time.Second - 1)
-			u.Own.Requests = 5
+			u.LocalLoad.Requests = 5
 		}, false},
 		{"report too old, share left", stale.ID, config.RoleDecode, func(u *kernel.Upstream) {
 			u.Load.At = start.Add(-time.Second - 1)
-			u.Own.Requests = 4
+			u.LocalLoad.Requests = 4
 		}, true},
 		{"no report ever, no slots declared", stale.ID, config.RoleDecode, func(u *kernel.Upstream) {
 			u.Load.At = time.Time{}
 			u.Spec.Slots = 0
-			u.Own.Requests = 2
+			u.LocalLoad.Requests = 2
 		}, false},
 		{"no report ever, first request", stale.ID, config.RoleDecode, func(u *kernel.Upstream) {
 			u.Load.At = time.Time{}
@@ -97,7 +97,7 @@
 		{"services report no load", stale.ID, config.RoleService, func(u *kernel.Upstream) {
 			u.Load.At = time.Time{}
 			u.Spec.Slots = 0
-			u.Own.Requests = 20
+			u.LocalLoad.Requests = 20
 		}, true},
 	}
 	for _, tt := range tests {
@@ -109,7 +109,7 @@
 			}
 			// Four live instances share 20 slots.
 			v := plugintest.View(0, 5)
-			v.Instances[4].Life = kernel.Dead
+			v.Instances[4].Liveness = kernel.Dead
 			u := plugintest.Decode(0)
 			tt.change(&u)
 			r := plugintest.Request("r")
@@ -127,7 +127,7 @@
 	f := &stale.Filter{}
 	v := plugintest.View(0, 2)
 	u := plugintest.Decode(0)
-	u.Own.Requests = 10
+	u.LocalLoad.Requests = 10
 	d := plugintest.Decision(plugintest.Request("r"), v)
 	assert.Assert(t, f.Keep(d, &u, config.RoleDecode))
 	d.Now = d.Now.Add(time.Minute)
--- a/plugins/filter/leaving/leaving.go
+++ b/plugins/filter/leaving/leaving.go
@@ -13,5 +13,5 @@
 // Keep implements kernel.Filter. A suspect upstream is kept: it is not known to
 // have failed, and during a network partition it may be the only one left.
 func (*Filter) Keep(_ *kernel.Decision, u *kernel.Upstream, _ config.Role) bool {
-	return u.Life == kernel.Live || u.Life == kernel.Suspect
+	return u.Liveness == kernel.Live || u.Liveness == kernel.Suspect
 }
--- a/plugins/filter/stale/stale.go
+++ b/plugins/filter/stale/stale.go
@@ -53,7 +53,7 @@
 	if !u.Load.At.Before(f.oldestAccepted) {
 		return true
 	}
-	return u.Own.Requests < f.share(d.View, u)
+	return u.LocalLoad.Requests < f.share(d.View, u)
 }
 
 // begin computes the values that all decisions at the given time have in common.
@@ -84,7 +84,7 @@
 func notDead(v *kernel.View) int {
 	n := 0
 	for i := range v.Instances {
-		if v.Instances[i].Life < kernel.Dead {
+		if v.Instances[i].Liveness < kernel.Dead {
 			n++
 		}
 	}
--- a/plugins/internal/plugintest/plugintest.go
+++ b/plugins/internal/plugintest/plugintest.go
@@ -67,7 +67,7 @@
 		ID:          id,
 		Zone:        zones[index%len(zones)],
 		Incarnation: 1,
-		Life:        kernel.Live,
+		Liveness:    kernel.Live,
 		Spec:        config.Upstream{ID: id, Role: role, Models: []string{Model.Name}},
 		Load:        kernel.Load{At: Start},
 	}
@@ -93,7 +93,7 @@
 			ID:          ident.InstanceID(fmt.Sprintf("entry-%d", i)),
 			Zone:        zones[i%len(zones)],
 			Incarnation: 1,
-			Life:        kernel.Live,
+			Liveness:    kernel.Live,
 		})
 	}
 	return v
@@ -139,10 +139,10 @@
 type Host struct {
 	// Time is the result of Now.
 	Time time.Time
-	// Is is the result of Self.
-	Is kernel.Self
-	// Fleet is the result of View.
-	Fleet *kernel.View
+	// SelfInfo is the result of Self.
+	SelfInfo kernel.Self
+	// CurrentView is the result of View.
+	CurrentView *kernel.View
 	// Bundle is the result of Content.
 	Bundle *config.Content
 	// Queue is the result of QueueLength.
@@ -161,11 +161,11 @@
 // have a fixed seed.
 func NewHost(v *kernel.View) *Host {
 	return &Host{
-		Time:   Start,
-		Is:     kernel.Self{Instance: "entry-0", Incarnation: 1, Zone: zones[0]},
-		Fleet:  v,
-		Bundle: &config.Content{Models: []config.Model{Model}},
-		random: rand.New(rand.NewPCG(1, 2)),
+		Time:        Start,
+		SelfInfo:    kernel.Self{Instance: "entry-0", Incarnation: 1, Zone: zones[0]},
+		CurrentView: v,
+		Bundle:      &config.Content{Models: []config.Model{Model}},
+		random:      rand.New(rand.NewPCG(1, 2)),
 	}
 }
 
@@ -173,19 +173,19 @@
 func (h *Host) Now() time.Time { return h.Time }
 
 // Self implements kernel.Host.
-func (h *Host) Self() kernel.Self { return h.Is }
+func (h *Host) Self() kernel.Self { return h.SelfInfo }
 
 // View implements kernel.Host.
-func (h *Host) View() *kernel.View { return h.Fleet }
+func (h *Host) View() *kernel.View { return h.CurrentView }
 
 // Content implements kernel.Host.
 func (h *Host) Content() *config.Content { return h.Bundle }
 
 // Upstream implements kernel.Host.
 func (h *Host) Upstream(id ident.UpstreamID) *kernel.Upstream {
-	for i := range h.Fleet.Upstreams {
-		if h.Fleet.Upstreams[i].ID == id {
-			return &h.Fleet.Upstreams[i]
+	for i := range h.CurrentView.Upstreams {
+		if h.CurrentView.Upstreams[i].ID == id {
+			return &h.CurrentView.Upstreams[i]
 		}
 	}
 	return nil
--- a/plugins/order/cluster_test.go
+++ b/plugins/order/cluster_test.go
@@ -235,14 +235,14 @@
 		seconds := float64(r.PromptTokens)/prefillRate + float64(tokens/parts)*tokenTime.Seconds()
 		c.jobs[r.ID] = job{request: r, tokens: tokens / parts, seconds: seconds}
 		c.results[load.name].offered++
-		c.order.Add(&kernel.Waiting{Request: r, Since: c.host.Time})
+		c.order.Add(&kernel.QueuedRequest{Request: r, Since: c.host.Time})
 	}
 }
 
 // place starts, in queue order, all requests for which there is capacity, and
 // refuses those that can no longer meet their target.
 func (c *cluster) place() {
-	var waiting []*kernel.Waiting
+	var waiting []*kernel.QueuedRequest
 	for w := range c.order.All() {
 		waiting = append(waiting, w)
 	}
--- a/plugins/order/deadline/deadline.go
+++ b/plugins/order/deadline/deadline.go
@@ -21,13 +21,13 @@
 func (o *Order) Attach(h kernel.Host) { o.host = h }
 
 // Add implements kernel.QueueOrder.
-func (o *Order) Add(w *kernel.Waiting) { o.queue.Add(w) }
+func (o *Order) Add(w *kernel.QueuedRequest) { o.queue.Add(w) }
 
 // Remove implements kernel.QueueOrder.
 func (o *Order) Remove(id ident.RequestID) { o.queue.Remove(id) }
 
 // All implements kernel.QueueOrder.
-func (o *Order) All() iter.Seq[*kernel.Waiting] { return o.queue.All(o.host.Now()) }
+func (o *Order) All() iter.Seq[*kernel.QueuedRequest] { return o.queue.All(o.host.Now()) }
 
 // Len implements kernel.QueueOrder.
 func (o *Order) Len() int { return o.queue.Len() }
--- a/plugins/order/fifo/fifo.go
+++ b/plugins/order/fifo/fifo.go
@@ -12,24 +12,24 @@
 
 // Order implements kernel.QueueOrder.
 type Order struct {
-	waiting []*kernel.Waiting
+	waiting []*kernel.QueuedRequest
 }
 
 // Attach implements kernel.Attacher.
 func (*Order) Attach(kernel.Host) {}
 
 // Add implements kernel.QueueOrder.
-func (o *Order) Add(w *kernel.Waiting) { o.waiting = append(o.waiting, w) }
+func (o *Order) Add(w *kernel.QueuedRequest) { o.waiting = append(o.waiting, w) }
 
 // Remove implements kernel.QueueOrder.
 func (o *Order) Remove(id ident.RequestID) {
-	o.waiting = slices.DeleteFunc(o.waiting, func(w *kernel.Waiting) bool {
+	o.waiting = slices.DeleteFunc(o.waiting, func(w *kernel.QueuedRequest) bool {
 		return w.Request.ID == id
 	})
 }
 
 // All implements kernel.QueueOrder.
-func (o *Order) All() iter.Seq[*kernel.Waiting] { return slices.Values(o.waiting) }
+func (o *Order) All() iter.Seq[*kernel.QueuedRequest] { return slices.Values(o.waiting) }
 
 // Len implements kernel.QueueOrder.
 func (o *Order) Len() int { return len(o.waiting) }
--- a/plugins/order/internal/due/due.go
+++ b/plugins/order/internal/due/due.go
@@ -15,12 +15,12 @@
 // Queue holds waiting requests. The zero Queue is empty and ready for use.
 type Queue struct {
 	// waiting is sorted by compare.
-	waiting []*kernel.Waiting
+	waiting []*kernel.QueuedRequest
 }
 
 // Time returns the time by which w should be served. This is the time at which its
 // first output is due, or the request's deadline if it has no such target.
-func Time(w *kernel.Waiting) time.Time {
+func Time(w *kernel.QueuedRequest) time.Time {
 	if w.Request.FirstOutputBy.IsZero() {
 		return w.Request.Deadline
 	}
@@ -30,18 +30,18 @@
 // Late reports whether w can no longer meet its target. A request whose caller
 // has received part of the output is never late: its stream is interrupted while
 // it waits, so it must not be moved behind other requests.
-func Late(w *kernel.Waiting, now time.Time) bool {
+func Late(w *kernel.QueuedRequest, now time.Time) bool {
 	return w.Delivered == 0 && now.After(Time(w))
 }
 
 // Resumed reports whether w continues an interrupted response of which the caller
 // has already received a part.
-func Resumed(w *kernel.Waiting) bool { return w.Delivered > 0 }
+func Resumed(w *kernel.QueuedRequest) bool { return w.Delivered > 0 }
 
 // compare sorts resumed requests first, then by due time. Requests with equal due
 // times are sorted by ID, so that the result does not depend on the order in which
 // they were added.
-func compare(a, b *kernel.Waiting) int {
+func compare(a, b *kernel.QueuedRequest) int {
 	if Resumed(a) != Resumed(b) {
 		if Resumed(a) {
 			return -1
@@ -55,14 +55,14 @@
 }
 
 // Add puts a request into the queue.
-func (q *Queue) Add(w *kernel.Waiting) {
+func (q *Queue) Add(w *kernel.QueuedRequest) {
 	i, _ := slices.BinarySearchFunc(q.waiting, w, compare)
 	q.waiting = slices.Insert(q.waiting, i, w)
 }
 
 // Remove takes a request out of the queue, if it is there.
 func (q *Queue) Remove(id ident.RequestID) {
-	i := slices.IndexFunc(q.waiting, func(w *kernel.Waiting) bool {
+	i := slices.IndexFunc(q.waiting, func(w *kernel.QueuedRequest) bool {
 		return w.Request.ID == id
 	})
 	if i >= 0 {
@@ -76,7 +76,7 @@
 // At returns the request to be served at position i, counted from 0. Late requests
 // are served after all others. The argument late is the range of late requests,
 // as returned by Queue.Late for the time in question.
-func (q *Queue) At(i int, late Span) *kernel.Waiting {
+func (q *Queue) At(i int, late Span) *kernel.QueuedRequest {
 	if i < late.start {
 		return q.waiting[i]
 	}
@@ -110,8 +110,8 @@
 
 // All yields the requests in the order in which they are to be served at the given
 // time.
-func (q *Queue) All(now time.Time) iter.Seq[*kernel.Waiting] {
-	return func(yield func(*kernel.Waiting) bool) {
+func (q *Queue) All(now time.Time) iter.Seq[*kernel.QueuedRequest] {
+	return func(yield func(*kernel.QueuedRequest) bool) {
 		late := q.Late(now)
 		for i := range q.waiting {
 			if !yield(q.At(i, late)) {
--- a/plugins/order/internal/maxmin/maxmin.go
+++ b/plugins/order/internal/maxmin/maxmin.go
@@ -112,7 +112,7 @@
 // Add implements kernel.QueueOrder. A waiting request holds no share. Add therefore
 // also releases the share of a request that returns to the queue because the slot
 // that it was waiting for was denied.
-func (o *Order) Add(w *kernel.Waiting) {
+func (o *Order) Add(w *kernel.QueuedRequest) {
 	o.release(w.Request.ID)
 	s := o.state(w.Request)
 	if s.queue.Len() == 0 {
@@ -141,8 +141,8 @@
 
 // All implements kernel.QueueOrder. It yields the requests as if each were placed
 // when it is yielded, so that its share counts for those that follow.
-func (o *Order) All() iter.Seq[*kernel.Waiting] {
-	return func(yield func(*kernel.Waiting) bool) {
+func (o *Order) All() iter.Seq[*kernel.QueuedRequest] {
+	return func(yield func(*kernel.QueuedRequest) bool) {
 		o.iteration.begin(o)
 		for w := o.iteration.next(o); w != nil; w = o.iteration.next(o) {
 			if !yield(w) {
--- a/plugins/order/internal/maxmin/maxmin_test.go
+++ b/plugins/order/internal/maxmin/maxmin_test.go
@@ -31,7 +31,7 @@
 // definition: in each step it looks at all waiting requests and selects the one
 // to be served first.
 type reference struct {
-	waiting []*kernel.Waiting
+	waiting []*kernel.QueuedRequest
 	running []*kernel.Request
 }
 
@@ -65,8 +65,8 @@
 // comesBefore reports whether x is served before y: by class (resumed, in time,
 // late), then by the share of the workspace, the due time, the workspace's name and
 // the request's ID.
-func comesBefore(x, y *kernel.Waiting, share map[ident.Workspace]float64, now time.Time) bool {
-	rank := func(w *kernel.Waiting) int {
+func comesBefore(x, y *kernel.QueuedRequest, share map[ident.Workspace]float64, now time.Time) bool {
+	rank := func(w *kernel.QueuedRequest) int {
 		switch {
 		case w.Delivered > 0:
 			return 0
@@ -124,7 +124,7 @@
 				r.Workspace = rapid.SampledFrom([]ident.Workspace{"a", "b", "c"}).Draw(t, "workspace")
 				r.PromptTokens = rapid.IntRange(1, 4).Draw(t, "share")
 				r.FirstOutputBy = host.Time.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "due")) * time.Second)
-				w := &kernel.Waiting{Request: r, Delivered: rapid.SampledFrom([]int{0, 0, 0, 7}).Draw(t, "delivered")}
+				w := &kernel.QueuedRequest{Request: r, Delivered: rapid.SampledFrom([]int{0, 0, 0, 7}).Draw(t, "delivered")}
 				o.Add(w)
 				ref.waiting = append(ref.waiting, w)
 			case 3:
@@ -207,7 +207,7 @@
 	for _, id := range []string{"a1", "b1"} {
 		r := plugintest.Request(id)
 		r.Workspace = ident.Workspace(id[:1])
-		o.Add(&kernel.Waiting{Request: r})
+		o.Add(&kernel.QueuedRequest{Request: r})
 	}
 	assert.DeepEqual(t, ids(o), []ident.RequestID{"a1", "b1"})
 }
@@ -217,7 +217,7 @@
 func TestStopsWhenAsked(t *testing.T) {
 	o, _ := newOrder()
 	for i := range 3 {
-		o.Add(&kernel.Waiting{Request: plugintest.Request(fmt.Sprint(i))})
+		o.Add(&kernel.QueuedRequest{Request: plugintest.Request(fmt.Sprint(i))})
 	}
 	for w := range o.All() {
 		assert.Equal(t, w.Request.ID, ident.RequestID("0"))
@@ -231,16 +231,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var q due.Queue
 		now := plugintest.Start.Add(2 * time.Second)
-		var all []*kernel.Waiting
+		var all []*kernel.QueuedRequest
 		for i := range rapid.IntRange(0, 12).Draw(t, "n") {
 			r := plugintest.Request(fmt.Sprintf("r%02d", i))
 			r.FirstOutputBy = plugintest.Start.Add(time.Duration(rapid.IntRange(0, 4).Draw(t, "due")) * time.Second)
-			w := &kernel.Waiting{Request: r, Delivered: rapid.IntRange(0, 1).Draw(t, "delivered")}
+			w := &kernel.QueuedRequest{Request: r, Delivered: rapid.IntRange(0, 1).Draw(t, "delivered")}
 			q.Add(w)
 			all = append(all, w)
 		}
 		want := slices.Clone(all)
-		slices.SortFunc(want, func(a, b *kernel.Waiting) int {
+		slices.SortFunc(want, func(a, b *kernel.QueuedRequest) int {
 			if comesBefore(a, b, nil, now) {
 				return -1
 			}
@@ -261,7 +261,7 @@
 		r := plugintest.Request(fmt.Sprint(i))
 		r.Workspace = ident.Workspace(fmt.Sprint("w", i%40))
 		r.FirstOutputBy = host.Time.Add(time.Duration(i*7919%1000) * time.Millisecond)
-		o.Add(&kernel.Waiting{Request: r})
+		o.Add(&kernel.QueuedRequest{Request: r})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/plugins/order/internal/maxmin/turns.go
+++ b/plugins/order/internal/maxmin/turns.go
@@ -53,7 +53,7 @@
 	returned int
 	share    float64
 	// head is the next request to return; class and due belong to it.
-	head  *kernel.Waiting
+	head  *kernel.QueuedRequest
 	class class
 	due   time.Time
 }
@@ -96,7 +96,7 @@
 }
 
 // next returns the next request to be served, or nil if there are no more.
-func (it *iteration) next(o *Order) *kernel.Waiting {
+func (it *iteration) next(o *Order) *kernel.QueuedRequest {
 	if len(it.heap) == 0 {
 		return nil
 	}
--- a/plugins/scorer/firstoutput/firstoutput.go
+++ b/plugins/scorer/firstoutput/firstoutput.go
@@ -92,7 +92,7 @@
 	if d.Model == nil || u.Spec.Pieces <= 0 {
 		return true
 	}
-	used := max(u.Load.PiecesUsed, u.Own.Pieces)
+	used := max(u.Load.PiecesUsed, u.LocalLoad.Pieces)
 	return used+d.Request.Pieces(d.Model.PieceTokens) <= u.Spec.Pieces
 }
 
@@ -120,13 +120,13 @@
 // at its end. It is 1 for the first request, so that an idle upstream still
 // receives requests.
 func slowStartFactor(u *kernel.Upstream, now time.Time) float64 {
-	if u.Own.Requests == 0 {
+	if u.LocalLoad.Requests == 0 {
 		return 1
 	}
-	since := now.Sub(u.Health.BackSince)
+	since := now.Sub(u.Health.AvailableSince)
 	if since >= slowStartPeriod {
 		return 1
 	}
 	remaining := 1 - max(since.Seconds(), 0)/slowStartPeriod.Seconds()
-	return 1 + slowStartStep*remaining*float64(u.Own.Requests)
+	return 1 + slowStartStep*remaining*float64(u.LocalLoad.Requests)
 }
--- a/plugins/scorer/firstoutput/firstoutput_test.go
+++ b/plugins/scorer/firstoutput/firstoutput_test.go
@@ -133,11 +133,11 @@
 // normal again after the slow start.
 func TestSlowStart(t *testing.T) {
 	s, d, p, _ := setup()
-	p.Health.BackSince = d.Now
+	p.Health.AvailableSince = d.Now
 	first := s.Prefill(d, p)
 	assertNear(t, first, 0.25)
-	p.Own.Requests = 1
-	p.Own.Tokens = 5000
+	p.LocalLoad.Requests = 1
+	p.LocalLoad.Tokens = 5000
 	assert.Assert(t, s.Prefill(d, p) > 3*first)
 	d.Now = d.Now.Add(slowStartPeriod)
 	assertNear(t, s.Prefill(d, p), 2*first)
@@ -157,7 +157,7 @@
 	d := plugintest.Decision(r, v)
 	idleCost := s.Decode(d, &v.Upstreams[0])
 	assertNear(t, idleCost, 0)
-	v.Upstreams[0].Own.Requests = 4
+	v.Upstreams[0].LocalLoad.Requests = 4
 	before := s.Decode(d, &v.Upstreams[0])
 	assert.Assert(t, before >= initialCallTime/4)
 
--- a/plugins/scorer/firstoutput/service.go
+++ b/plugins/scorer/firstoutput/service.go
@@ -37,7 +37,7 @@
 		mean = initialCallTime
 	}
 	slots := float64(max(u.Load.Slots, 1))
-	ahead := float64(max(u.Own.Requests, u.Load.Running+u.Load.Waiting))
+	ahead := float64(max(u.LocalLoad.Requests, u.Load.Running+u.Load.Waiting))
 	ahead *= slowStartFactor(u, d.Now)
 	queued := max(ahead+1-slots, 0)
 	return mean * (queued + occupancyWeight*ahead) / slots
--- a/plugins/scorer/pace/pace.go
+++ b/plugins/scorer/pace/pace.go
@@ -24,7 +24,7 @@
 )
 
 // Scorer implements kernel.Scorer. Only decode placements have a cost.
-type Scorer struct{ kernel.NoCost }
+type Scorer struct{ kernel.ZeroCost }
 
 // Decode implements kernel.Scorer. The cost, in seconds, is the time by which
 // outputs take longer than their target time per output token allows. It is the
@@ -35,7 +35,7 @@
 	if u.Spec.Role != config.RoleDecode {
 		return 0
 	}
-	others := float64(max(u.Load.Running, u.Own.Requests))
+	others := float64(max(u.Load.Running, u.LocalLoad.Requests))
 	perRequest := seconds(u.Spec.DecodeStepPerRequest)
 	alone := seconds(u.Spec.DecodeStep)
 	before := alone + max(others-1, 0)*perRequest
--- a/plugins/scorer/prefix/counter.go
+++ b/plugins/scorer/prefix/counter.go
@@ -40,7 +40,7 @@
 	*c = engineCounter{version: v.Version, byModel: map[string]int{}}
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
-		if u.Spec.Role != config.RolePrefill || u.Life > kernel.Suspect {
+		if u.Spec.Role != config.RolePrefill || u.Liveness > kernel.Suspect {
 			continue
 		}
 		for _, m := range u.Spec.Models {
--- a/plugins/scorer/prefix/prefix.go
+++ b/plugins/scorer/prefix/prefix.go
@@ -28,7 +28,7 @@
 
 // Scorer implements kernel.Scorer. Only prefill placements have a cost.
 type Scorer struct {
-	kernel.NoCost
+	kernel.ZeroCost
 	// hashes caches the hash of each upstream's ID; 0 means not computed yet.
 	hashes       table.Table[uint64]
 	engineCounts engineCounter
--- a/plugins/scorer/prefix/prefix_test.go
+++ b/plugins/scorer/prefix/prefix_test.go
@@ -115,7 +115,7 @@
 	d := decision(v, 1)
 	assert.Equal(t, s.engineCounts.prefillEngines(d), 20)
 	v.Upstreams[0].Spec.Models = []string{"other"}
-	v.Upstreams[3].Life = kernel.Leaving
+	v.Upstreams[3].Liveness = kernel.Leaving
 	assert.Equal(t, s.engineCounts.prefillEngines(d), 20)
 	s.Configure(&config.Content{})
 	assert.Equal(t, s.engineCounts.prefillEngines(d), 18)
--- a/plugins/scorer/roundrobin/roundrobin.go
+++ b/plugins/scorer/roundrobin/roundrobin.go
@@ -9,7 +9,7 @@
 
 // Scorer implements kernel.Scorer.
 type Scorer struct {
-	kernel.NoCost
+	kernel.ZeroCost
 	host kernel.Host
 	// nextPrefill and nextDecode are the view indices at which the search for the
 	// next prefill and decode upstream starts.
--- a/plugins/slots/compare/client.go
+++ b/plugins/slots/compare/client.go
@@ -48,7 +48,7 @@
 	c := &client{run: r, node: n, pending: map[ident.AttemptID]*request{}}
 	n.Granted = c.granted
 	n.Denied = c.denied
-	n.Stepped = c.schedule
+	n.AfterEvent = c.schedule
 	return c
 }
 
@@ -140,7 +140,7 @@
 	retryAt := now.Add(retryPlacement)
 	for _, option := range c.rank(q) {
 		id := c.node.Reservation(deadline)
-		answer := c.node.Policy.Reserve(kernel.SlotAsk{
+		answer := c.node.Policy.Reserve(kernel.SlotRequest{
 			Reservation:   id,
 			Upstream:      option.engine.ID,
 			Pieces:        q.pieces,
@@ -149,12 +149,12 @@
 			FirstOutputBy: q.dueAt,
 		})
 		q.askedAt = now
-		switch answer.Verdict {
-		case kernel.SlotHeld:
+		switch answer.Result {
+		case kernel.SlotReserved:
 			c.run.count.waits.Record(0)
 			c.prefill(q, id, option.engine)
 			return true
-		case kernel.SlotWaits:
+		case kernel.SlotPending:
 			c.pending[id] = q
 			c.run.engineOf[id] = option.engine
 			return true
@@ -239,7 +239,7 @@
 func (c *client) decode(q *request, id ident.AttemptID, e *slottest.Engine, transfer time.Duration) {
 	now := c.run.world.Now()
 	started := e.Start(id, q.pieces)
-	c.node.SeeLoad(e.ID, e.Load())
+	c.node.ReceiveLoad(e.ID, e.Load())
 	if !started {
 		c.run.countMeasured(q, &c.run.count.wasted)
 		c.node.Policy.Refused(e.ID)
@@ -261,7 +261,7 @@
 	e.End(id)
 	delete(c.run.running, id)
 	c.whenRunning(func() {
-		c.node.SeeLoad(e.ID, e.Load())
+		c.node.ReceiveLoad(e.ID, e.Load())
 		c.node.Policy.Release(id)
 	})
 }
--- a/plugins/slots/compare/run.go
+++ b/plugins/slots/compare/run.go
@@ -223,7 +223,7 @@
 		r.updateOtherViews(v, kernel.Unreachable, noticeUnreachable)
 		r.updateOwnView(v, kernel.Unreachable, noticeUnreachable)
 		r.world.After(cutTime, func() {
-			r.world.Heal()
+			r.world.RemoveCuts()
 			r.updateOtherViews(v, kernel.Live, noticeBack)
 			r.updateOwnView(v, kernel.Live, noticeBack)
 		})
@@ -232,20 +232,20 @@
 
 // updateOtherViews sets v's state in the views of all other instances, in each
 // after its own random delay.
-func (r *run) updateOtherViews(v *client, life kernel.Life, after time.Duration) {
+func (r *run) updateOtherViews(v *client, life kernel.Liveness, after time.Duration) {
 	for _, c := range r.clients {
 		if c != v {
-			r.world.After(r.spread(after), func() { c.node.Believe(v.node, life) })
+			r.world.After(r.spread(after), func() { c.node.SetLivenessInView(v.node, life) })
 		}
 	}
 }
 
 // updateOwnView sets the state of all other instances in v's view, each after
 // its own random delay.
-func (r *run) updateOwnView(v *client, life kernel.Life, after time.Duration) {
+func (r *run) updateOwnView(v *client, life kernel.Liveness, after time.Duration) {
 	for _, c := range r.clients {
 		if c != v {
-			r.world.After(r.spread(after), func() { v.node.Believe(c.node, life) })
+			r.world.After(r.spread(after), func() { v.node.SetLivenessInView(c.node, life) })
 		}
 	}
 }
--- a/plugins/slots/dispatch/arrivals.go
+++ b/plugins/slots/dispatch/arrivals.go
@@ -12,7 +12,7 @@
 // fifoQueue is a first-in, first-out queue order. It replaces the bundle's queue
 // order if that cannot be loaded, so that requests are still served.
 type fifoQueue struct {
-	requests []*kernel.Waiting
+	requests []*kernel.QueuedRequest
 }
 
 // PluginInfo implements plugin.Plugin; fifoQueue is not registered.
@@ -22,15 +22,15 @@
 func (*fifoQueue) Attach(kernel.Host) {}
 
 // Add implements kernel.QueueOrder.
-func (a *fifoQueue) Add(w *kernel.Waiting) { a.requests = append(a.requests, w) }
+func (a *fifoQueue) Add(w *kernel.QueuedRequest) { a.requests = append(a.requests, w) }
 
 // Remove implements kernel.QueueOrder.
 func (a *fifoQueue) Remove(id ident.RequestID) {
-	a.requests = slices.DeleteFunc(a.requests, func(w *kernel.Waiting) bool { return w.Request.ID == id })
+	a.requests = slices.DeleteFunc(a.requests, func(w *kernel.QueuedRequest) bool { return w.Request.ID == id })
 }
 
 // All implements kernel.QueueOrder.
-func (a *fifoQueue) All() iter.Seq[*kernel.Waiting] { return slices.Values(a.requests) }
+func (a *fifoQueue) All() iter.Seq[*kernel.QueuedRequest] { return slices.Values(a.requests) }
 
 // Len implements kernel.QueueOrder.
 func (a *fifoQueue) Len() int { return len(a.requests) }
--- a/plugins/slots/dispatch/bed_test.go
+++ b/plugins/slots/dispatch/bed_test.go
@@ -137,10 +137,10 @@
 		if dead[other.self.Instance] {
 			life = kernel.Dead
 		}
-		v.Instances = append(v.Instances, kernel.Instance{ID: other.self.Instance, Zone: other.self.Zone, Incarnation: other.self.Incarnation, Life: life})
+		v.Instances = append(v.Instances, kernel.Instance{ID: other.self.Instance, Zone: other.self.Zone, Incarnation: other.self.Incarnation, Liveness: life})
 	}
 	for i, u := range n.bed.content.Upstreams {
-		v.Upstreams = append(v.Upstreams, kernel.Upstream{Index: i, ID: u.ID, Zone: n.bed.zoneOf(string(u.ID)), Incarnation: 1, Life: kernel.Live, Spec: u})
+		v.Upstreams = append(v.Upstreams, kernel.Upstream{Index: i, ID: u.ID, Zone: n.bed.zoneOf(string(u.ID)), Incarnation: 1, Liveness: kernel.Live, Spec: u})
 	}
 	n.view = v
 }
@@ -301,7 +301,7 @@
 	n.seq++
 	id := ident.AttemptID{Instance: n.self.Instance, Incarnation: n.self.Incarnation, Sequence: n.seq,
 		Deadline: n.bed.now.Add(20 * time.Second)}
-	n.policy.Place(kernel.PlacementAsk{
+	n.policy.Place(kernel.PlacementRequest{
 		Reservation: id,
 		Pieces:      4,
 		Avoid:       avoid,
--- a/plugins/slots/dispatch/engines.go
+++ b/plugins/slots/dispatch/engines.go
@@ -97,7 +97,7 @@
 
 // usable reports whether the engine may be given new work.
 func (md *modelDispatcher) usable(u *kernel.Upstream) bool {
-	return u.Life <= kernel.Suspect && !md.now().Before(u.Health.EjectedUntil)
+	return u.Liveness <= kernel.Suspect && !md.now().Before(u.Health.EjectedUntil)
 }
 
 // overdueDivisor sets the assumed remaining time of a prefill that has passed
--- a/plugins/slots/dispatch/fallback.go
+++ b/plugins/slots/dispatch/fallback.go
@@ -16,11 +16,11 @@
 
 // Reserve implements kernel.SlotPolicy. It is used while no dispatcher can be
 // reached. The slot is taken from this instance's static share of the engine.
-func (p *Policy) Reserve(a kernel.SlotAsk) kernel.SlotAnswer {
+func (p *Policy) Reserve(a kernel.SlotRequest) kernel.SlotAnswer {
 	p.refresh()
 	u := p.host.Upstream(a.Upstream)
 	if !slotkit.Usable(u) || !p.shareFree(u, a.Pieces) {
-		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: p.host.Now().Add(shareRetryDelay)}
+		return kernel.SlotAnswer{Result: kernel.SlotUnavailable, RetryAt: p.host.Now().Add(shareRetryDelay)}
 	}
 	h := &heldPlacement{
 		id:     a.Reservation,
@@ -33,7 +33,7 @@
 	}
 	h.ask.Pieces = a.Pieces
 	p.holder.placements[h.key] = h
-	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
+	return kernel.SlotAnswer{Result: kernel.SlotReserved}
 }
 
 // modelOf returns the model under which a placement on u is renewed: the first
--- a/plugins/slots/dispatch/group.go
+++ b/plugins/slots/dispatch/group.go
@@ -13,7 +13,7 @@
 type waiting struct {
 	ask    Ask
 	holder ident.InstanceID
-	entry  *kernel.Waiting
+	entry  *kernel.QueuedRequest
 }
 
 // grant is a placement that the dispatcher made or learned of from a renewal.
@@ -81,7 +81,7 @@
 	decodeScratch  []decodeState
 	grantScratch   []*grant
 	supplyScratch  slotSupply
-	orderScratch   []*kernel.Waiting
+	orderScratch   []*kernel.QueuedRequest
 }
 
 // pollInterval is the interval between scheduling passes while requests wait and
@@ -296,7 +296,7 @@
 // viewChanged ends the placements and drops the queued requests of dead holders.
 func (md *modelDispatcher) viewChanged() {
 	for _, in := range md.p.host.View().Instances {
-		if in.Life != kernel.Dead {
+		if in.Liveness != kernel.Dead {
 			continue
 		}
 		for _, gr := range md.grantsOf(in.ID) {
--- a/plugins/slots/dispatch/holder.go
+++ b/plugins/slots/dispatch/holder.go
@@ -114,7 +114,7 @@
 
 // Place implements kernel.JointPolicy. It asks the model's dispatcher for a
 // placement.
-func (p *Policy) Place(a kernel.PlacementAsk) {
+func (p *Policy) Place(a kernel.PlacementRequest) {
 	p.refresh()
 	now := p.host.Now()
 	h := &heldPlacement{
--- a/plugins/slots/dispatch/lapse.go
+++ b/plugins/slots/dispatch/lapse.go
@@ -18,7 +18,7 @@
 func (md *modelDispatcher) unreachableHolders() map[ident.InstanceID]bool {
 	var list map[ident.InstanceID]bool
 	for _, in := range md.p.host.View().Instances {
-		if in.Life != kernel.Unreachable {
+		if in.Liveness != kernel.Unreachable {
 			continue
 		}
 		if list == nil {
--- a/plugins/slots/dispatch/lapse_test.go
+++ b/plugins/slots/dispatch/lapse_test.go
@@ -29,7 +29,7 @@
 	d.setView(2, nil)
 	for i := range d.view.Instances {
 		if d.view.Instances[i].ID == lost.self.Instance {
-			d.view.Instances[i].Life = kernel.Unreachable
+			d.view.Instances[i].Liveness = kernel.Unreachable
 		}
 	}
 	for i := range d.view.Upstreams {
@@ -95,7 +95,7 @@
 	d.setView(2, nil)
 	for i := range d.view.Instances {
 		if d.view.Instances[i].ID == lost.self.Instance {
-			d.view.Instances[i].Life = kernel.Unreachable
+			d.view.Instances[i].Liveness = kernel.Unreachable
 		}
 	}
 	d.policy.refresh()
--- a/plugins/slots/dispatch/queue.go
+++ b/plugins/slots/dispatch/queue.go
@@ -49,7 +49,7 @@
 		FirstOutputBy:   now.Add(a.DueIn.Duration()),
 		Deadline:        now.Add(a.DeadlineIn.Duration()),
 	}
-	w := &waiting{ask: a, holder: from, entry: &kernel.Waiting{Request: r, Since: now, Delivered: a.Delivered}}
+	w := &waiting{ask: a, holder: from, entry: &kernel.QueuedRequest{Request: r, Since: now, Delivered: a.Delivered}}
 	md.waiting[id] = w
 	md.queue.Add(w.entry)
 }
--- a/plugins/slots/dispatch/setup.go
+++ b/plugins/slots/dispatch/setup.go
@@ -174,7 +174,7 @@
 // dispatcherID returns the instance that dispatches the model in this region,
 // among those that answer. It is empty if there is none.
 func (p *Policy) dispatcherID(model string) ident.InstanceID {
-	return p.roster.Chosen("model/"+model, func(in *kernel.Instance) bool {
+	return p.roster.Select("model/"+model, func(in *kernel.Instance) bool {
 		return p.inRegion(in.Zone) && !p.isSilent(in.ID)
 	})
 }
--- a/plugins/slots/dispatch/takeover_test.go
+++ b/plugins/slots/dispatch/takeover_test.go
@@ -158,7 +158,7 @@
 	h.setView(2, map[ident.InstanceID]bool{"e1": true, "e2": true, "e3": true})
 	for i := range h.view.Instances {
 		if h.view.Instances[i].ID == h.self.Instance {
-			h.view.Instances[i].Life = kernel.Leaving
+			h.view.Instances[i].Liveness = kernel.Leaving
 		}
 	}
 	assert.Assert(t, !h.policy.Joint(testModel), "model has a dispatcher")
@@ -166,7 +166,7 @@
 	for range 2 * slots {
 		h.seq++
 		id := ident.AttemptID{Instance: h.self.Instance, Incarnation: 1, Sequence: h.seq, Deadline: b.now.Add(20 * time.Second)}
-		if h.policy.Reserve(kernel.SlotAsk{Reservation: id, Upstream: "d1", Pieces: 4}).Verdict == kernel.SlotHeld {
+		if h.policy.Reserve(kernel.SlotRequest{Reservation: id, Upstream: "d1", Pieces: 4}).Result == kernel.SlotReserved {
 			got++
 		}
 	}
--- a/plugins/slots/lease/bed_test.go
+++ b/plugins/slots/lease/bed_test.go
@@ -7,12 +7,12 @@
 )
 
 // bed is a simulated system (see slottest) whose instances use this policy.
-type bed struct{ *slottest.Bed }
+type bed struct{ *slottest.TestBed }
 
 // newBed creates a bed. Zero settings are replaced by the defaults.
 func newBed(o slottest.Options, settings Settings) *bed {
 	o.Policy = func() kernel.SlotPolicy { return &Policy{Settings: settings} }
-	return &bed{slottest.NewBed(o)}
+	return &bed{slottest.NewTestBed(o)}
 }
 
 func policyOf(n *slottest.Node) *Policy { return n.Policy.(*Policy) }
--- a/plugins/slots/lease/bench_test.go
+++ b/plugins/slots/lease/bench_test.go
@@ -21,7 +21,7 @@
 			if i == engines/2 {
 				load.Running = 10
 			}
-			n.SeeLoad(e.ID, load)
+			n.ReceiveLoad(e.ID, load)
 		}
 	}
 	return b
@@ -48,7 +48,7 @@
 func benchReserve(b *testing.B, n *slottest.Node, e *slottest.Engine) {
 	n.Silent = true
 	defer func() { n.Silent = false }()
-	ask := kernel.SlotAsk{Upstream: e.ID, Pieces: 3, Lead: 300 * time.Millisecond, OutputTokens: 400}
+	ask := kernel.SlotRequest{Upstream: e.ID, Pieces: 3, Lead: 300 * time.Millisecond, OutputTokens: 400}
 	b.ReportAllocs()
 	for b.Loop() {
 		ask.Reservation = n.Reservation(time.Minute)
--- a/plugins/slots/lease/lease_test.go
+++ b/plugins/slots/lease/lease_test.go
@@ -73,7 +73,7 @@
 	u := b.Reserve(others[1], e, 10*time.Millisecond, 4*time.Second)
 	b.Run(200 * time.Millisecond)
 	assert.Assert(t, u.Granted)
-	b.All(g, kernel.Dead)
+	b.SetLivenessInAllViews(g, kernel.Dead)
 	b.Run(1200 * time.Millisecond)
 	next := b.grantor(others[0], e)
 	assert.Assert(t, next != g)
@@ -111,7 +111,7 @@
 	assert.Assert(t, u.Pending)
 	b.Run(100 * time.Millisecond)
 	assert.Assert(t, u.Granted, "granted from the share after the timeout")
-	assert.Assert(t, b.Slowest <= defaultAskTimeout+time.Millisecond, "%v", b.Slowest)
+	assert.Assert(t, b.MaxAnswerTime <= defaultAskTimeout+time.Millisecond, "%v", b.MaxAnswerTime)
 	// During the backoff, the next reservation is answered without an ask.
 	v := b.Reserve(others[0], e, 10*time.Millisecond, time.Second)
 	assert.Assert(t, !v.Pending)
@@ -156,7 +156,7 @@
 	u := b.Reserve(others[0], e, 10*time.Millisecond, 6*time.Second)
 	b.Run(200 * time.Millisecond)
 	assert.Assert(t, u.Granted)
-	b.Heal()
+	b.RemoveCuts()
 	b.Run(3 * time.Second)
 	// The next Renew tells the grantor about the slot taken from the static
 	// share.
@@ -175,7 +175,7 @@
 	}
 	b.Run(500 * time.Millisecond)
 	h.Kill()
-	b.All(h, kernel.Dead)
+	b.SetLivenessInAllViews(h, kernel.Dead)
 	b.Run(time.Second)
 	l := policyOf(g).grantor.ledgers[0]
 	assert.Equal(t, len(l.leases), 4, "its requests still run")
@@ -195,7 +195,7 @@
 	b.Reserve(h, e, time.Millisecond, time.Millisecond)
 	b.Run(time.Second)
 	b.Withdraw(b.Reserve(h, e, time.Millisecond, time.Millisecond))
-	b.Heal()
+	b.RemoveCuts()
 	b.Run(time.Millisecond)
 	asks := b.Traffic.ByKind[KindAsk]
 	b.Reserve(h, e, time.Millisecond, time.Millisecond)
@@ -214,7 +214,7 @@
 	b.Cut(g, h)
 	b.Reserve(h, e, time.Millisecond, time.Millisecond)
 	b.Run(time.Second)
-	b.Heal()
+	b.RemoveCuts()
 	b.Run(10 * time.Second)
 	asks := b.Traffic.ByKind[KindAsk]
 	for range 4 {
@@ -235,16 +235,16 @@
 	b.Reserve(h, e, 10*time.Millisecond, 20*time.Second)
 	b.Run(500 * time.Millisecond)
 	b.Cut(g, h)
-	g.Believe(h, kernel.Unreachable)
-	h.Believe(g, kernel.Unreachable)
+	g.SetLivenessInView(h, kernel.Unreachable)
+	h.SetLivenessInView(g, kernel.Unreachable)
 	l := policyOf(g).grantor.ledgers[0]
 	b.Run(2 * time.Second)
 	assert.Equal(t, len(l.leases), 2, "both requests run")
 	b.Run(3 * time.Second)
 	assert.Equal(t, len(l.leases), 1)
-	b.Heal()
-	g.Believe(h, kernel.Live)
-	h.Believe(g, kernel.Live)
+	b.RemoveCuts()
+	g.SetLivenessInView(h, kernel.Live)
+	h.SetLivenessInView(g, kernel.Live)
 	b.Run(time.Second)
 	assert.Equal(t, len(l.leases), 1)
 	b.Run(20 * time.Second)
--- a/plugins/slots/lease/message_test.go
+++ b/plugins/slots/lease/message_test.go
@@ -104,7 +104,7 @@
 	first := policyOf(holder).holder.holds[slotkit.KeyOf(u.ID)].seq
 	b.Run(10 * time.Millisecond)
 	b.Withdraw(u)
-	ask := kernel.SlotAsk{Reservation: u.ID, Upstream: e.ID, FirstOutputBy: b.Now().Add(5 * time.Second)}
+	ask := kernel.SlotRequest{Reservation: u.ID, Upstream: e.ID, FirstOutputBy: b.Now().Add(5 * time.Second)}
 	holder.Do(func() { holder.Policy.Reserve(ask) })
 	holder.Do(func() {
 		policyOf(holder).Receive(g.ID(), &Deny{Reservation: slotkit.Reservation(u.ID), Upstream: e.ID, Seq: first})
--- a/plugins/slots/lease/queue_test.go
+++ b/plugins/slots/lease/queue_test.go
@@ -28,7 +28,7 @@
 		Node: holder, Engine: b.Engines[0], Lead: 10 * time.Millisecond, Hold: time.Minute,
 		Pieces: pieces, Due: b.Now().Add(due),
 	}
-	b.Ask(u)
+	b.StartUse(u)
 	return u
 }
 
--- a/plugins/slots/lease/rapid_test.go
+++ b/plugins/slots/lease/rapid_test.go
@@ -97,7 +97,7 @@
 	}
 	m.After(m.millis("noticed", 1, 1500), func() {
 		if n.Killed() {
-			m.All(n, kernel.Dead)
+			m.SetLivenessInAllViews(n, kernel.Dead)
 		}
 	})
 }
@@ -107,7 +107,7 @@
 		if n.Killed() {
 			m.fault()
 			n.Restart()
-			m.after(n, func() { m.All(n, kernel.Live) })
+			m.after(n, func() { m.SetLivenessInAllViews(n, kernel.Live) })
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	m.everFrozen[n] = true
 	m.After(m.millis("noticed", 1, 1500), func() {
 		if m.frozen[n] {
-			m.All(n, kernel.Unreachable)
+			m.SetLivenessInAllViews(n, kernel.Unreachable)
 		}
 	})
 }
@@ -143,7 +143,7 @@
 			m.fault()
 			delete(m.frozen, n)
 			n.Thaw()
-			m.after(n, func() { m.All(n, kernel.Live) })
+			m.after(n, func() { m.SetLivenessInAllViews(n, kernel.Live) })
 		}
 	}
 }
@@ -155,7 +155,7 @@
 
 func (m *machine) heal(*rapid.T) {
 	m.fault()
-	m.Heal()
+	m.RemoveCuts()
 }
 
 // disagree makes one instance believe for a while that another is unreachable.
@@ -165,8 +165,8 @@
 		return
 	}
 	m.fault()
-	a.Believe(b, kernel.Unreachable)
-	m.after(a, func() { a.Believe(b, kernel.Live) })
+	a.SetLivenessInView(b, kernel.Unreachable)
+	m.after(a, func() { a.SetLivenessInView(b, kernel.Live) })
 }
 
 // fault records that there has been a fault.
@@ -223,12 +223,12 @@
 // was answered and that nothing stays leased.
 func (m *machine) checkRecovery(t *rapid.T) {
 	m.SetNetwork(slottest.Network{Delay: time.Millisecond})
-	m.Heal()
+	m.RemoveCuts()
 	m.thaw(t)
 	m.restart(t)
 	m.Run(2 * time.Second)
 	for _, a := range m.Nodes {
-		m.All(a, kernel.Live)
+		m.SetLivenessInAllViews(a, kernel.Live)
 	}
 	m.Run(3 * time.Second)
 	for _, u := range m.Uses {
--- a/plugins/slots/lease/reserve.go
+++ b/plugins/slots/lease/reserve.go
@@ -12,7 +12,7 @@
 const retryUnusable = 500 * time.Millisecond
 
 // Reserve implements kernel.SlotPolicy.
-func (p *Policy) Reserve(ask kernel.SlotAsk) kernel.SlotAnswer {
+func (p *Policy) Reserve(ask kernel.SlotRequest) kernel.SlotAnswer {
 	p.updateView()
 	if h := p.holder.holds[slotkit.KeyOf(ask.Reservation)]; h != nil {
 		return answerFor(h)
@@ -30,7 +30,7 @@
 		// one is free. The request is sent to it without a lease.
 		h.state = stateHeld
 		p.holder.add(h)
-		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
+		return kernel.SlotAnswer{Result: kernel.SlotReserved}
 	case grantor == p.self():
 		return p.reserveLocal(h, u)
 	case grantor == "" || p.inBackoff(grantor):
@@ -38,25 +38,25 @@
 	}
 	p.holder.add(h)
 	p.sendAsk(h, u, grantor)
-	return kernel.SlotAnswer{Verdict: kernel.SlotWaits}
+	return kernel.SlotAnswer{Result: kernel.SlotPending}
 }
 
 // answerFor returns the answer to the kernel for a reservation in its current
 // state.
 func answerFor(h *hold) kernel.SlotAnswer {
 	if h.state == stateHeld {
-		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
+		return kernel.SlotAnswer{Result: kernel.SlotReserved}
 	}
-	return kernel.SlotAnswer{Verdict: kernel.SlotWaits}
+	return kernel.SlotAnswer{Result: kernel.SlotPending}
 }
 
 // noSlot returns the answer that no slot is available before retryAt.
 func noSlot(retryAt time.Time) kernel.SlotAnswer {
-	return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: retryAt}
+	return kernel.SlotAnswer{Result: kernel.SlotUnavailable, RetryAt: retryAt}
 }
 
 // newHold creates the record of a reservation that the kernel requests.
-func (p *Policy) newHold(ask kernel.SlotAsk, now time.Time) *hold {
+func (p *Policy) newHold(ask kernel.SlotRequest, now time.Time) *hold {
 	wire := Ask{
 		Reservation: slotkit.Reservation(ask.Reservation),
 		Upstream:    ask.Upstream,
--- a/plugins/slots/lease/view.go
+++ b/plugins/slots/lease/view.go
@@ -73,7 +73,7 @@
 func (p *Policy) closeLedgers() {
 	p.grantor.ledgers = slices.DeleteFunc(p.grantor.ledgers, func(l *ledger) bool {
 		u := p.host.Upstream(l.upstream)
-		if u == nil || u.Life == kernel.Dead || p.roster.Grantor(u) != p.self() {
+		if u == nil || u.Liveness == kernel.Dead || p.roster.Grantor(u) != p.self() {
 			p.closeLedger(l)
 			return true
 		}
@@ -161,7 +161,7 @@
 func (p *Policy) moveHolds(moved bool) {
 	for _, h := range p.holder.sorted() {
 		u := p.host.Upstream(h.upstream)
-		if u == nil || u.Life == kernel.Dead {
+		if u == nil || u.Liveness == kernel.Dead {
 			p.denyUnusable(h)
 			continue
 		}
--- a/plugins/slots/lease/view_test.go
+++ b/plugins/slots/lease/view_test.go
@@ -31,7 +31,7 @@
 	next := without(b.Nodes, g)
 	// Only the next grantor has noticed that g is dead.
 	for _, n := range next {
-		n.Believe(g, kernel.Dead)
+		n.SetLivenessInView(g, kernel.Dead)
 		if b.grantor(n, e) == n {
 			break
 		}
@@ -40,7 +40,7 @@
 	if successor == holder {
 		t.Fatal("the seed makes the holder the next grantor")
 	}
-	successor.Believe(g, kernel.Dead)
+	successor.SetLivenessInView(g, kernel.Dead)
 	for range 4 {
 		b.Reserve(successor, e, time.Millisecond, 5*time.Second)
 	}
@@ -48,7 +48,7 @@
 	// The new grantor leases two slots: six, less two in use, less the margin of
 	// two.
 	assert.Equal(t, b.Held(e), 4+2)
-	holder.Believe(g, kernel.Dead)
+	holder.SetLivenessInView(g, kernel.Dead)
 	b.Run(4 * time.Second)
 	assert.Equal(t, b.Refused, 0)
 	assert.Equal(t, len(ledgerAt(successor).leases), 6)
@@ -65,8 +65,8 @@
 	}, Settings{})
 	e := b.Engines[0]
 	b.Run(2 * time.Second)
-	b.Nodes[0].Believe(b.Nodes[1], kernel.Unreachable)
-	b.Nodes[1].Believe(b.Nodes[0], kernel.Unreachable)
+	b.Nodes[0].SetLivenessInView(b.Nodes[1], kernel.Unreachable)
+	b.Nodes[1].SetLivenessInView(b.Nodes[0], kernel.Unreachable)
 	b.Run(2 * time.Second)
 	tries := 0
 	for range 200 {
@@ -78,8 +78,8 @@
 	}
 	assert.Assert(t, b.Refused*100 < tries*4, "%d of %d refused", b.Refused, tries)
 	refused := b.Refused
-	b.Nodes[0].Believe(b.Nodes[1], kernel.Live)
-	b.Nodes[1].Believe(b.Nodes[0], kernel.Live)
+	b.Nodes[0].SetLivenessInView(b.Nodes[1], kernel.Live)
+	b.Nodes[1].SetLivenessInView(b.Nodes[0], kernel.Live)
 	b.Run(4 * time.Second)
 	for range 30 {
 		for _, n := range b.Nodes {
@@ -100,11 +100,11 @@
 	b := newThreeNodeBed(Settings{})
 	e := b.Engines[0]
 	g, holder := grantorAndHolder(b)
-	holder.Believe(g, kernel.Unreachable)
+	holder.SetLivenessInView(g, kernel.Unreachable)
 	other := b.grantor(holder, e)
 	if other == holder {
 		holder = without(without(b.Nodes, g), holder)[0]
-		holder.Believe(g, kernel.Unreachable)
+		holder.SetLivenessInView(g, kernel.Unreachable)
 		other = b.grantor(holder, e)
 	}
 	assert.Assert(t, other != g && other != holder)
@@ -112,7 +112,7 @@
 	b.Run(5 * time.Millisecond)
 	assert.Assert(t, u.Granted)
 	b.Run(10 * time.Second)
-	holder.Believe(g, kernel.Live)
+	holder.SetLivenessInView(g, kernel.Live)
 	b.Run(10 * time.Second)
 	assertIdle(t, b)
 }
@@ -141,7 +141,7 @@
 	b.Run(100 * time.Millisecond)
 	g.Kill()
 	g.Restart()
-	b.All(g, kernel.Live)
+	b.SetLivenessInAllViews(g, kernel.Live)
 	b.Run(100 * time.Millisecond)
 	assert.Equal(t, len(ledgerAt(g).leases), 3)
 }
@@ -157,7 +157,7 @@
 	b.Run(100 * time.Millisecond)
 	holder.Kill()
 	holder.Restart()
-	b.All(holder, kernel.Live)
+	b.SetLivenessInAllViews(holder, kernel.Live)
 	u := b.Reserve(holder, e, time.Millisecond, 8*time.Second)
 	b.Run(time.Second)
 	assert.Assert(t, u.Granted)
@@ -181,11 +181,11 @@
 	g.ChangeView(func(v *kernel.View) {
 		for i := range v.Instances {
 			if v.Instances[i].ID == g.ID() {
-				v.Instances[i].Life = kernel.Leaving
+				v.Instances[i].Liveness = kernel.Leaving
 			}
 		}
 	})
-	b.All(g, kernel.Leaving)
+	b.SetLivenessInAllViews(g, kernel.Leaving)
 	b.Run(100 * time.Millisecond)
 	next := b.grantor(holder, e)
 	assert.Assert(t, next != g)
--- a/plugins/slots/lease/wake.go
+++ b/plugins/slots/lease/wake.go
@@ -108,7 +108,7 @@
 	for i := range instances {
 		in := &instances[i]
 		minIncarnations[in.ID] = in.Incarnation
-		if in.Life == kernel.Dead || in.Life == kernel.Unreachable {
+		if in.Liveness == kernel.Dead || in.Liveness == kernel.Unreachable {
 			minIncarnations[in.ID]++
 		}
 	}
--- a/plugins/slots/none/none.go
+++ b/plugins/slots/none/none.go
@@ -13,8 +13,8 @@
 func (*Policy) Attach(kernel.Host) {}
 
 // Reserve implements kernel.SlotPolicy. It always grants the slot.
-func (*Policy) Reserve(kernel.SlotAsk) kernel.SlotAnswer {
-	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
+func (*Policy) Reserve(kernel.SlotRequest) kernel.SlotAnswer {
+	return kernel.SlotAnswer{Result: kernel.SlotReserved}
 }
 
 // Release implements kernel.SlotPolicy. It does nothing.
--- a/plugins/slots/none/none_test.go
+++ b/plugins/slots/none/none_test.go
@@ -14,7 +14,7 @@
 	assert.NilError(t, err)
 	p := loaded.(kernel.SlotPolicy)
 	for range 100 {
-		assert.Equal(t, p.Reserve(kernel.SlotAsk{}).Verdict, kernel.SlotHeld)
+		assert.Equal(t, p.Reserve(kernel.SlotRequest{}).Result, kernel.SlotReserved)
 	}
 	full := &kernel.Upstream{Load: kernel.Load{Running: 20, Slots: 20}}
 	assert.Equal(t, p.Availability(full).Free, 20)
--- a/plugins/slots/probe/probe.go
+++ b/plugins/slots/probe/probe.go
@@ -43,17 +43,17 @@
 
 // Reserve implements kernel.SlotPolicy. It grants or denies the slot
 // immediately.
-func (p *Policy) Reserve(ask kernel.SlotAsk) kernel.SlotAnswer {
+func (p *Policy) Reserve(ask kernel.SlotRequest) kernel.SlotAnswer {
 	key := slotkit.KeyOf(ask.Reservation)
 	if p.uses[key] != nil {
-		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
+		return kernel.SlotAnswer{Result: kernel.SlotReserved}
 	}
 	u := p.host.Upstream(ask.Upstream)
 	if !slotkit.Usable(u) || p.freeSlots(u) <= 0 || !p.hasMemory(u, ask.Pieces) {
-		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: p.retryAt(ask.Upstream)}
+		return kernel.SlotAnswer{Result: kernel.SlotUnavailable, RetryAt: p.retryAt(ask.Upstream)}
 	}
 	p.uses[key] = &slotUse{upstream: ask.Upstream, pieces: ask.Pieces}
-	return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
+	return kernel.SlotAnswer{Result: kernel.SlotReserved}
 }
 
 // retryAt returns when to ask for the engine again: after retryDelay plus
--- a/plugins/slots/probe/probe_test.go
+++ b/plugins/slots/probe/probe_test.go
@@ -13,8 +13,8 @@
 // newBed returns a bed of two instances and the given number of engines, which
 // have 4 slots and 40 pieces of memory each and send no load reports by
 // themselves.
-func newBed(engines int) *slottest.Bed {
-	b := slottest.NewBed(slottest.Options{
+func newBed(engines int) *slottest.TestBed {
+	b := slottest.NewTestBed(slottest.Options{
 		Seed: 1, Instances: 2, Engines: engines, Slots: 4, Pieces: 40,
 		Policy: func() kernel.SlotPolicy { return &Policy{} },
 	})
@@ -24,7 +24,7 @@
 
 // free returns the number of slots of the first engine that the node assumes to
 // be free.
-func free(b *slottest.Bed, n *slottest.Node) int {
+func free(b *slottest.TestBed, n *slottest.Node) int {
 	return n.Policy.Availability(n.Upstream(b.Engines[0].ID)).Free
 }
 
@@ -40,7 +40,7 @@
 	assert.Equal(t, free(b, n), 1)
 	b.Run(10 * time.Millisecond)
 	// The report includes the first use, which must not be counted twice.
-	n.SeeLoad(e.ID, e.Load())
+	n.ReceiveLoad(e.ID, e.Load())
 	assert.Equal(t, free(b, n), 1)
 	b.Run(995 * time.Millisecond)
 	assert.Equal(t, free(b, n), 2, "the first use has ended since the report")
@@ -54,7 +54,7 @@
 	}
 	b.Run(10 * time.Millisecond)
 	assert.Equal(t, free(b, b.Nodes[0]), 3, "uses not in a load report yet")
-	b.Nodes[0].SeeLoad(e.ID, e.Load())
+	b.Nodes[0].ReceiveLoad(e.ID, e.Load())
 	assert.Equal(t, free(b, b.Nodes[0]), 0)
 	u := b.Reserve(b.Nodes[0], e, time.Millisecond, time.Second)
 	assert.Assert(t, !u.Granted && !u.Pending, "reservation not denied immediately")
@@ -101,10 +101,10 @@
 func TestMemoryIsCounted(t *testing.T) {
 	b := newBed(1)
 	u := &slottest.Use{Node: b.Nodes[0], Engine: b.Engines[0], Lead: time.Second, Hold: time.Second, Pieces: 30}
-	b.Ask(u)
+	b.StartUse(u)
 	assert.Assert(t, u.Granted)
 	v := &slottest.Use{Node: b.Nodes[0], Engine: b.Engines[0], Lead: time.Second, Hold: time.Second, Pieces: 30}
-	b.Ask(v)
+	b.StartUse(v)
 	assert.Assert(t, !v.Granted)
 }
 
--- a/plugins/slots/shares/reserve.go
+++ b/plugins/slots/shares/reserve.go
@@ -47,7 +47,7 @@
 )
 
 // Reserve implements kernel.SlotPolicy.
-func (p *Policy) Reserve(ask kernel.SlotAsk) kernel.SlotAnswer {
+func (p *Policy) Reserve(ask kernel.SlotRequest) kernel.SlotAnswer {
 	p.updateView()
 	key := slotkit.KeyOf(ask.Reservation)
 	if h := p.holds[key]; h != nil {
@@ -56,7 +56,7 @@
 	now := p.host.Now()
 	u := p.host.Upstream(ask.Upstream)
 	if !slotkit.Usable(u) {
-		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: now.Add(retryDelay)}
+		return kernel.SlotAnswer{Result: kernel.SlotUnavailable, RetryAt: now.Add(retryDelay)}
 	}
 	h := &hold{key: key, id: ask.Reservation, upstream: ask.Upstream, dueAt: ask.FirstOutputBy, denyAt: now.Add(p.Wait)}
 	e := p.engineOf(u.ID)
@@ -65,9 +65,9 @@
 		h.held = true
 		e.held++
 	case now.Before(e.refusedUntil):
-		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: e.refusedUntil}
+		return kernel.SlotAnswer{Result: kernel.SlotUnavailable, RetryAt: e.refusedUntil}
 	case !p.recall(e) && !p.borrow(e, h):
-		return kernel.SlotAnswer{Verdict: kernel.SlotNone, RetryAt: p.retryAt()}
+		return kernel.SlotAnswer{Result: kernel.SlotUnavailable, RetryAt: p.retryAt()}
 	default:
 		p.waiting = append(p.waiting, h)
 	}
@@ -79,9 +79,9 @@
 // waits.
 func answerFor(h *hold) kernel.SlotAnswer {
 	if h.held {
-		return kernel.SlotAnswer{Verdict: kernel.SlotHeld}
+		return kernel.SlotAnswer{Result: kernel.SlotReserved}
 	}
-	return kernel.SlotAnswer{Verdict: kernel.SlotWaits}
+	return kernel.SlotAnswer{Result: kernel.SlotPending}
 }
 
 // retryAt returns when a denied reservation may be tried again. The delay is
--- a/plugins/slots/shares/shares_test.go
+++ b/plugins/slots/shares/shares_test.go
@@ -14,8 +14,8 @@
 
 // newBed returns a simulated system (see slottest) with three instances and one
 // engine of six slots, so that each instance's share is two slots.
-func newBed(seed uint64, network slottest.Network) *slottest.Bed {
-	b := slottest.NewBed(slottest.Options{
+func newBed(seed uint64, network slottest.Network) *slottest.TestBed {
+	b := slottest.NewTestBed(slottest.Options{
 		Seed: seed, Instances: 3, Engines: 1, Slots: 6, Network: network,
 		Policy: func() kernel.SlotPolicy { return &Policy{} },
 	})
@@ -27,7 +27,7 @@
 
 // assertIdle checks that no instance has a reservation or a slot that is held,
 // lent or borrowed.
-func assertIdle(t assert.TestingT, b *slottest.Bed) {
+func assertIdle(t assert.TestingT, b *slottest.TestBed) {
 	for _, n := range b.Nodes {
 		if n.Killed() {
 			continue
@@ -92,7 +92,7 @@
 	}
 	b.Run(50 * time.Millisecond)
 	b.Nodes[0].Kill()
-	b.All(b.Nodes[0], kernel.Dead)
+	b.SetLivenessInAllViews(b.Nodes[0], kernel.Dead)
 	b.Run(50 * time.Millisecond)
 	assert.Equal(t, policyOf(b.Nodes[1]).engines[0].lentOut(), 0)
 }
@@ -122,7 +122,7 @@
 
 // runSession makes random reservations, calls check after each of them, and
 // checks that no reservation waited longer than allowed.
-func runSession(t *rapid.T, network slottest.Network, check func(b *slottest.Bed)) *slottest.Bed {
+func runSession(t *rapid.T, network slottest.Network, check func(b *slottest.TestBed)) *slottest.TestBed {
 	b := newBed(rapid.Uint64().Draw(t, "seed"), network)
 	millis := func(name string, hi int) time.Duration {
 		return time.Duration(rapid.IntRange(1, hi).Draw(t, name)) * time.Millisecond
@@ -137,13 +137,13 @@
 		check(b)
 	}
 	b.Run(3 * time.Second)
-	assert.Assert(t, b.Slowest <= defaultWait+10*time.Millisecond, "%v", b.Slowest)
+	assert.Assert(t, b.MaxAnswerTime <= defaultWait+10*time.Millisecond, "%v", b.MaxAnswerTime)
 	return b
 }
 
 func TestSharesNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := runSession(t, slottest.Network{Jitter: 5 * time.Millisecond}, func(b *slottest.Bed) {
+		b := runSession(t, slottest.Network{Jitter: 5 * time.Millisecond}, func(b *slottest.TestBed) {
 			assert.Assert(t, b.Held(b.Engines[0]) <= 6)
 		})
 		assert.Equal(t, b.Refused, 0)
@@ -154,7 +154,7 @@
 
 func TestLoansEndWhenMessagesAreLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := runSession(t, slottest.Network{Jitter: 5 * time.Millisecond, Loss: 0.2, Duplicate: 0.1}, func(*slottest.Bed) {})
+		b := runSession(t, slottest.Network{Jitter: 5 * time.Millisecond, Loss: 0.2, Duplicate: 0.1}, func(*slottest.TestBed) {})
 		b.SetNetwork(slottest.Network{Delay: time.Millisecond})
 		b.Run((maxMissedConfirms + 2) * defaultConfirm)
 		assertIdle(t, b)
--- a/plugins/slots/shares/wake.go
+++ b/plugins/slots/shares/wake.go
@@ -98,7 +98,7 @@
 	}
 	dead := func(id ident.InstanceID) bool {
 		i := slices.IndexFunc(v.Instances, func(in kernel.Instance) bool { return in.ID == id })
-		return i < 0 || v.Instances[i].Life == kernel.Dead
+		return i < 0 || v.Instances[i].Liveness == kernel.Dead
 	}
 	for _, e := range p.engines {
 		e.loans = slices.DeleteFunc(e.loans, func(l loan) bool { return dead(l.borrower) })
--- a/plugins/slots/slotkit/chosen.go
+++ b/plugins/slots/slotkit/chosen.go
@@ -5,10 +5,10 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Chosen returns the live instance that ranks first for a name by rendezvous
+// Select returns the live instance that ranks first for a name by rendezvous
 // hashing, among those for which eligible returns true. It is empty if there is
 // none.
-func (r *Roster) Chosen(name string, eligible func(*kernel.Instance) bool) ident.InstanceID {
+func (r *Roster) Select(name string, eligible func(*kernel.Instance) bool) ident.InstanceID {
 	var best ident.InstanceID
 	var bestWeight uint64
 	for i := range r.live {
--- a/plugins/slots/slotkit/limits.go
+++ b/plugins/slots/slotkit/limits.go
@@ -24,5 +24,5 @@
 // Usable reports whether new work may be sent to u. It returns false if u is
 // nil.
 func Usable(u *kernel.Upstream) bool {
-	return u != nil && u.Life != kernel.Leaving && u.Life != kernel.Dead
+	return u != nil && u.Liveness != kernel.Leaving && u.Liveness != kernel.Dead
 }
--- a/plugins/slots/slotkit/roster.go
+++ b/plugins/slots/slotkit/roster.go
@@ -117,17 +117,17 @@
 	for _, in := range v.Instances {
 		if in.ID == self.Instance {
 			listed = true
-			if in.Life == kernel.Leaving {
+			if in.Liveness == kernel.Leaving {
 				continue
 			}
 			in.Zone = self.Zone
-		} else if in.Life != kernel.Live {
+		} else if in.Liveness != kernel.Live {
 			continue
 		}
 		to = append(to, in)
 	}
 	if !listed {
-		to = append(to, kernel.Instance{ID: self.Instance, Zone: self.Zone, Incarnation: self.Incarnation, Life: kernel.Live})
+		to = append(to, kernel.Instance{ID: self.Instance, Zone: self.Zone, Incarnation: self.Incarnation, Liveness: kernel.Live})
 	}
 	return to
 }
--- a/plugins/slots/slotkit/roster_test.go
+++ b/plugins/slots/slotkit/roster_test.go
@@ -18,9 +18,9 @@
 	v := &kernel.View{Version: 1}
 	for i := range n {
 		v.Instances = append(v.Instances, kernel.Instance{
-			ID:   ident.InstanceID(fmt.Sprintf("entry-%d", i)),
-			Zone: ident.Zone(fmt.Sprintf("hall-%d", i%3)),
-			Life: kernel.Live,
+			ID:       ident.InstanceID(fmt.Sprintf("entry-%d", i)),
+			Zone:     ident.Zone(fmt.Sprintf("hall-%d", i%3)),
+			Liveness: kernel.Live,
 		})
 	}
 	return v
@@ -66,7 +66,7 @@
 	before.Update(v, selfOf(v, 0))
 	changed := fleet(9)
 	changed.Version = 2
-	changed.Instances[1].Life = kernel.Unreachable
+	changed.Instances[1].Liveness = kernel.Unreachable
 	after.Update(changed, selfOf(v, 0))
 	for i := range 100 {
 		was, is := before.Grantor(engine(i)), after.Grantor(engine(i))
@@ -76,7 +76,7 @@
 
 func TestGrantorOfAZoneWithoutInstances(t *testing.T) {
 	v := fleet(3)
-	v.Instances[1].Life = kernel.Dead
+	v.Instances[1].Liveness = kernel.Dead
 	var r Roster
 	r.Update(v, selfOf(v, 0))
 	assert.Assert(t, r.Grantor(engine(1)) != "")
@@ -84,7 +84,7 @@
 
 func TestLeavingInstanceIsNoGrantor(t *testing.T) {
 	v := fleet(1)
-	v.Instances[0].Life = kernel.Leaving
+	v.Instances[0].Liveness = kernel.Leaving
 	var r Roster
 	r.Update(v, selfOf(v, 0))
 	assert.Equal(t, r.Grantor(engine(1)), ident.InstanceID(""))
--- a/plugins/slots/slottest/bed.go
+++ b/plugins/slots/slottest/bed.go
@@ -30,14 +30,14 @@
 	Answered int
 }
 
-// Bed is a World with functions to make uses of slots and to follow them to
+// TestBed is a World with functions to make uses of slots and to follow them to
 // their end.
-type Bed struct {
+type TestBed struct {
 	*World
 	Uses []*Use
-	// Slowest is the longest time that a pending reservation waited for its
+	// MaxAnswerTime is the longest time that a pending reservation waited for its
 	// answer.
-	Slowest time.Duration
+	MaxAnswerTime time.Duration
 	// Refused is the number of uses that an engine refused.
 	Refused int
 
@@ -54,13 +54,13 @@
 	retryDelay = 100 * time.Millisecond
 )
 
-// NewBed returns a bed with the given options. The message delay defaults to one
+// NewTestBed returns a bed with the given options. The message delay defaults to one
 // millisecond.
-func NewBed(o Options) *Bed {
+func NewTestBed(o Options) *TestBed {
 	if o.Network.Delay == 0 {
 		o.Network.Delay = time.Millisecond
 	}
-	b := &Bed{World: NewWorld(o), byID: map[string]*Use{}}
+	b := &TestBed{World: NewWorld(o), byID: map[string]*Use{}}
 	for _, n := range b.Nodes {
 		n.Granted = func(id ident.AttemptID) { b.handleAnswer(id, true) }
 		n.Denied = func(id ident.AttemptID, _ time.Time) { b.handleAnswer(id, false) }
@@ -70,33 +70,33 @@
 
 // Reserve starts a use of one piece of memory. It has no effect if the node is
 // killed or frozen.
-func (b *Bed) Reserve(n *Node, e *Engine, lead, hold time.Duration) *Use {
+func (b *TestBed) Reserve(n *Node, e *Engine, lead, hold time.Duration) *Use {
 	u := &Use{Node: n, Engine: e, Lead: lead, Hold: hold, Pieces: 1, Due: b.Now().Add(defaultDue)}
-	b.Ask(u)
+	b.StartUse(u)
 	return u
 }
 
-// Ask starts the use u, whose fields from Node to Due other than ID are given by
+// StartUse starts the use u, whose fields from Node to Due other than ID are given by
 // the test. It has no effect if the node is killed or frozen.
-func (b *Bed) Ask(u *Use) {
+func (b *TestBed) StartUse(u *Use) {
 	u.ID = u.Node.Reservation(defaultDeadline)
 	u.Asked = b.Now()
 	u.Node.Do(func() {
 		b.Uses = append(b.Uses, u)
 		b.byID[u.ID.String()] = u
-		answer := u.Node.Policy.Reserve(kernel.SlotAsk{
+		answer := u.Node.Policy.Reserve(kernel.SlotRequest{
 			Reservation:   u.ID,
 			Upstream:      u.Engine.ID,
 			Pieces:        u.Pieces,
 			Lead:          u.Lead,
 			FirstOutputBy: u.Due,
 		})
-		switch answer.Verdict {
-		case kernel.SlotHeld:
+		switch answer.Result {
+		case kernel.SlotReserved:
 			b.startGranted(u)
-		case kernel.SlotWaits:
+		case kernel.SlotPending:
 			u.Pending = true
-		case kernel.SlotNone:
+		case kernel.SlotUnavailable:
 			u.Over = true
 		}
 	})
@@ -104,14 +104,14 @@
 
 // handleAnswer handles the answer to a pending use. It panics if the use is not
 // pending.
-func (b *Bed) handleAnswer(id ident.AttemptID, granted bool) {
+func (b *TestBed) handleAnswer(id ident.AttemptID, granted bool) {
 	u := b.byID[id.String()]
 	if !u.Pending {
 		panic(fmt.Sprintf("slottest: reservation %s was answered but is not pending", id))
 	}
 	u.Pending = false
 	u.Answered++
-	b.Slowest = max(b.Slowest, b.Now().Sub(u.Asked))
+	b.MaxAnswerTime = max(b.MaxAnswerTime, b.Now().Sub(u.Asked))
 	if granted {
 		b.startGranted(u)
 		return
@@ -120,14 +120,14 @@
 }
 
 // startGranted marks a use as granted and starts it after its lead time.
-func (b *Bed) startGranted(u *Use) {
+func (b *TestBed) startGranted(u *Use) {
 	u.Granted = true
 	b.After(u.Lead, func() { b.begin(u) })
 }
 
 // begin starts the use on its engine and schedules its end. If the engine
 // refuses, the reservation is released.
-func (b *Bed) begin(u *Use) {
+func (b *TestBed) begin(u *Use) {
 	if u.Over {
 		return
 	}
@@ -149,7 +149,7 @@
 
 // Finish ends a use. The engine's slot is freed even if the node is killed or
 // frozen; the reservation is released once the node runs again.
-func (b *Bed) Finish(u *Use) {
+func (b *TestBed) Finish(u *Use) {
 	u.Engine.End(u.ID)
 	u.Running = false
 	if u.Over {
@@ -163,7 +163,7 @@
 
 // Withdraw ends a use early. Like Finish, it frees the engine's slot even if the
 // node is killed or frozen.
-func (b *Bed) Withdraw(u *Use) {
+func (b *TestBed) Withdraw(u *Use) {
 	if u.Over {
 		return
 	}
@@ -173,7 +173,7 @@
 }
 
 // Release releases the use's reservation, or withdraws it if it is pending.
-func (b *Bed) Release(u *Use) {
+func (b *TestBed) Release(u *Use) {
 	u.Over = true
 	u.Pending = false
 	u.Node.Policy.Release(u.ID)
@@ -181,7 +181,7 @@
 
 // Held returns the number of granted uses that hold a slot of the engine, over
 // all nodes that are not killed.
-func (b *Bed) Held(e *Engine) int {
+func (b *TestBed) Held(e *Engine) int {
 	n := 0
 	for _, u := range b.Uses {
 		if u.Engine == e && u.Granted && !u.Over && !u.Node.Killed() {
@@ -191,11 +191,11 @@
 	return n
 }
 
-// All sets the life of one node in the views of all other nodes.
-func (b *Bed) All(other *Node, life kernel.Life) {
+// SetLivenessInAllViews sets the life of one node in the views of all other nodes.
+func (b *TestBed) SetLivenessInAllViews(other *Node, life kernel.Liveness) {
 	for _, n := range b.Nodes {
 		if n != other {
-			n.Believe(other, life)
+			n.SetLivenessInView(other, life)
 		}
 	}
 }
--- a/plugins/slots/slottest/network.go
+++ b/plugins/slots/slottest/network.go
@@ -37,8 +37,8 @@
 	w.cuts[link{b.ID(), a.ID()}] = true
 }
 
-// Heal undoes all calls of Cut.
-func (w *World) Heal() { clear(w.cuts) }
+// RemoveCuts undoes all calls of Cut.
+func (w *World) RemoveCuts() { clear(w.cuts) }
 
 // SetNetwork replaces the description of the network from now on.
 func (w *World) SetNetwork(n Network) { w.options.Network = n }
--- a/plugins/slots/slottest/node.go
+++ b/plugins/slots/slottest/node.go
@@ -19,8 +19,8 @@
 	// Granted and Denied are called when a pending reservation is answered.
 	Granted func(id ident.AttemptID)
 	Denied  func(id ident.AttemptID, retryAt time.Time)
-	// Stepped is called at the end of each event of the node.
-	Stepped func()
+	// AfterEvent is called at the end of each event of the node.
+	AfterEvent func()
 	// Silent drops all messages that the policy sends.
 	Silent bool
 
@@ -110,8 +110,8 @@
 	}
 	n.wakePolicy()
 	f()
-	if n.Stepped != nil {
-		n.Stepped()
+	if n.AfterEvent != nil {
+		n.AfterEvent()
 	}
 	n.scheduleWake()
 }
@@ -196,12 +196,12 @@
 	n.runEvent(func() {})
 }
 
-// Believe sets the life of another node in this node's view.
-func (n *Node) Believe(other *Node, life kernel.Life) {
+// SetLivenessInView sets the life of another node in this node's view.
+func (n *Node) SetLivenessInView(other *Node, life kernel.Liveness) {
 	n.ChangeView(func(v *kernel.View) {
 		for i := range v.Instances {
 			if v.Instances[i].ID == other.ID() {
-				v.Instances[i].Life = life
+				v.Instances[i].Liveness = life
 				v.Instances[i].Incarnation = other.self.Incarnation
 			}
 		}
@@ -219,9 +219,9 @@
 	})
 }
 
-// SeeLoad gives the node a load report. Reports older than the last one are
+// ReceiveLoad gives the node a load report. Reports older than the last one are
 // ignored.
-func (n *Node) SeeLoad(id ident.UpstreamID, load kernel.Load) {
+func (n *Node) ReceiveLoad(id ident.UpstreamID, load kernel.Load) {
 	u := n.Upstream(id)
 	if u != nil && load.At.After(u.Load.At) {
 		u.Load = load
--- a/plugins/slots/slottest/world.go
+++ b/plugins/slots/slottest/world.go
@@ -92,7 +92,7 @@
 			ID:          instanceID(i),
 			Zone:        w.zone(i),
 			Incarnation: 1,
-			Life:        kernel.Live,
+			Liveness:    kernel.Live,
 		})
 	}
 	for i, e := range w.Engines {
@@ -101,7 +101,7 @@
 			ID:          e.ID,
 			Zone:        w.zone(i),
 			Incarnation: 1,
-			Life:        kernel.Live,
+			Liveness:    kernel.Live,
 			Spec:        config.Upstream{ID: e.ID, Role: config.RoleDecode, Slots: e.Slots, Pieces: e.Pieces},
 		})
 	}
@@ -159,7 +159,7 @@
 	if n.killed {
 		return
 	}
-	n.runEvent(func() { n.SeeLoad(e.ID, e.loadBefore(w.now.Add(-w.options.LoadLag))) })
+	n.runEvent(func() { n.ReceiveLoad(e.ID, e.loadBefore(w.now.Add(-w.options.LoadLag))) })
 	w.After(w.options.LoadEvery, func() { w.readLoad(n, e) })
 }
 
--- a/ticket/executor_test.go
+++ b/ticket/executor_test.go
@@ -210,8 +210,8 @@
 func TestRoute(t *testing.T) {
 	tk := Ticket{Executor: lifeA}
 	other := Life{Instance: "b", Incarnation: 1}
-	view := func(inc uint64, l kernel.Life) *kernel.View {
-		return &kernel.View{Instances: []kernel.Instance{{ID: "b"}, {ID: "a", Incarnation: ident.Incarnation(inc), Life: l}}}
+	view := func(inc uint64, l kernel.Liveness) *kernel.View {
+		return &kernel.View{Instances: []kernel.Instance{{ID: "b"}, {ID: "a", Incarnation: ident.Incarnation(inc), Liveness: l}}}
 	}
 	for name, c := range map[string]struct {
 		self  Life
--- a/ticket/fleet_test.go
+++ b/ticket/fleet_test.go
@@ -148,7 +148,7 @@
 		v.Instances = append(v.Instances, kernel.Instance{
 			ID:          instanceID(i),
 			Incarnation: ident.Incarnation(f.draw(3, "incarnation")),
-			Life:        kernel.Life(f.draw(5, "life") + 1),
+			Liveness:    kernel.Liveness(f.draw(5, "life") + 1),
 		})
 	}
 	return v
--- a/ticket/route.go
+++ b/ticket/route.go
@@ -59,7 +59,7 @@
 
 // isDead reports whether the ticket's own life of the instance is over.
 func isDead(in *kernel.Instance, t Ticket) bool {
-	return in.Life == kernel.Dead && in.Incarnation == t.Executor.Incarnation
+	return in.Liveness == kernel.Dead && in.Incarnation == t.Executor.Incarnation
 }
 
 // foreignProblem is the answer of a life to a ticket of another one.
