--- a/agent/console/fleet.go
+++ b/agent/console/fleet.go
@@ -1,5 +1,5 @@
-// Package console shows operators what agents say of themselves and of the
-// fleet.
+// Package console shows operators the status that agents report of themselves
+// and of the fleet.
 package console
 
 import (
@@ -17,14 +17,15 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Fleet is what agents said at one time.
+// Fleet holds the status of a set of agents at one time.
 type Fleet struct {
 	At        time.Time           `json:"at"`
 	Agents    []wire.Status       `json:"agents"`
 	Unreached []inquiry.Unreached `json:"unreached,omitempty"`
 }
 
-// Look asks the agents at the operators' addresses, all at once.
+// Look requests the status of the agents at the given operators' addresses, all
+// in parallel.
 func Look(ctx context.Context, pool *peer.Pool, addresses []string) *Fleet {
 	f := &Fleet{At: time.Now()}
 	f.Agents, f.Unreached = inquiry.All[wire.Status](ctx, pool, addresses, wire.MethodStatus, wire.Nothing{})
@@ -35,7 +36,8 @@
 	return f
 }
 
-// Versions counts the agents by bundle version in force, lowest first.
+// Versions returns the number of agents per bundle version in force, lowest
+// version first.
 func (f *Fleet) Versions() []VersionCount {
 	var out []VersionCount
 	for _, s := range f.Agents {
@@ -50,7 +52,7 @@
 	return out
 }
 
-// VersionCount is how many agents have a bundle version in force.
+// VersionCount is the number of agents that have a bundle version in force.
 type VersionCount struct {
 	Version uint64 `json:"version"`
 	Agents  int    `json:"agents"`
@@ -80,7 +82,7 @@
 	return t.Flush()
 }
 
-// versionText renders a version, "none" for 0.
+// versionText formats a version, with "none" for 0.
 func versionText(v uint64) string {
 	if v == 0 {
 		return "none"
@@ -88,7 +90,7 @@
 	return fmt.Sprint(v)
 }
 
-// writeAgent writes an agent's line.
+// writeAgent writes one agent's row of the table.
 func writeAgent(w io.Writer, s *wire.Status) {
 	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d %s\t%s\t%s\t%s\t%s\t%s\t%s\n",
 		s.Instance, s.Zone, versionText(s.Bundle.Version), entryText(&s.Entry), s.Bundle.Status,
@@ -96,7 +98,7 @@
 		platformText(&s.Platform), cpuText(&s.Process), sizeText(s.Process.RSSBytes), trafficText(s))
 }
 
-// entryText says which version the entry decides under, or why that is not known.
+// entryText returns the bundle version that the entry uses, or why it is unknown.
 func entryText(e *wire.EntryStatus) string {
 	switch {
 	case e.Incarnation == 0:
@@ -110,7 +112,7 @@
 	}
 }
 
-// viewText says whether the view may be acted on.
+// viewText returns whether the agent may act on its view of the fleet, or why not.
 func viewText(f *wire.FleetStatus) string {
 	switch {
 	case f.Superseded:
@@ -124,7 +126,8 @@
 	}
 }
 
-// seesText counts the instances and upstreams that are believed to live.
+// seesText returns how many of the known instances are alive and how many of the
+// known upstreams are usable, as the agent believes.
 func seesText(f *wire.FleetStatus) string {
 	alive, up := 0, 0
 	for _, i := range f.Instances {
@@ -140,19 +143,19 @@
 	return fmt.Sprintf("%d/%d instances %d/%d upstreams", alive, len(f.Instances), up, len(f.Upstreams))
 }
 
-// States as package membership names them.
+// State names of package membership.
 const (
 	stateAlive   = "alive"
 	stateSuspect = "suspect"
 )
 
-// usable reports whether an upstream gets work.
+// usable reports whether an upstream is sent requests. A suspect upstream still is.
 func usable(u *wire.UpstreamStatus) bool {
 	return u.Listed && !u.Leaving && (u.State == stateAlive || u.State == stateSuspect)
 }
 
-// platformText says how long ago the platform was heard of, and by how many
-// watches of this instance.
+// platformText returns the time since the last known response of the platform,
+// and the number of watches that this instance holds.
 func platformText(p *wire.PlatformStatus) string {
 	if p.SeenAgeMS < 0 {
 		return "never"
@@ -160,15 +163,17 @@
 	return fmt.Sprintf("%ds ago, %d watches", p.SeenAgeMS/1000, len(p.Watches))
 }
 
-// cpuText is the average processor time since the start, in per cent of a core.
+// cpuText returns the average CPU usage since the start, as a percentage of one
+// core.
 func cpuText(p *wire.ProcessStatus) string {
 	return fmt.Sprintf("%.2f%%", 100*float64(p.CPUMS)/float64(max(p.UptimeMS, 1)))
 }
 
-// sizeText renders bytes.
+// sizeText formats a number of bytes in units of 2^20 bytes.
 func sizeText(n uint64) string { return fmt.Sprintf("%.1f MB", float64(n)/(1<<20)) }
 
-// trafficText is the average control traffic since the start.
+// trafficText returns the average control traffic since the start. Bytes per
+// millisecond are KB/s. Traffic with the entry is over loopback and not included.
 func trafficText(s *wire.Status) string {
 	var total uint64
 	for _, t := range []wire.Traffic{s.Traffic.Peers, s.Traffic.Upstreams, s.Traffic.Platform} {
@@ -177,7 +182,8 @@
 	return fmt.Sprintf("%.2f KB/s", float64(total)/float64(max(s.Process.UptimeMS, 1)))
 }
 
-// writeDoubts writes what an agent does not believe to be well.
+// writeDoubts writes the instances and upstreams that an agent believes to be
+// unhealthy or leaving, if any.
 func writeDoubts(w io.Writer, s *wire.Status) {
 	var doubts []string
 	for _, i := range s.Fleet.Instances {
@@ -195,7 +201,7 @@
 	}
 }
 
-// doubt renders one process that is not well.
+// doubt formats one process that is unhealthy or leaving.
 func doubt(id, state string, leaving bool) string {
 	if leaving {
 		state = "leaving, " + state
--- a/agent/console/fleet_test.go
+++ b/agent/console/fleet_test.go
@@ -15,7 +15,8 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// statusOf returns a status for tests.
+// statusOf returns a status with the given bundle version in force, as modified
+// by change, which may be nil.
 func statusOf(version uint64, change func(*wire.Status)) wire.Status {
 	s := wire.Status{
 		Instance: "a-1", Zone: "hall-a",
--- a/agent/engines/attempts.go
+++ b/agent/engines/attempts.go
@@ -5,14 +5,14 @@
 	"net/http"
 )
 
-// heldBody is the answer to a read of the held attempts.
+// heldBody is the body of the response that lists the held attempts.
 type heldBody struct {
 	Requests []struct {
 		ID string `json:"id"`
 	} `json:"requests"`
 }
 
-// Held lists the IDs of the attempts that an engine holds.
+// Held returns the IDs of the attempts that an engine holds.
 func (c *Client) Held(ctx context.Context, address string) ([]string, error) {
 	var b heldBody
 	if _, err := c.call(ctx, http.MethodGet, address, pathRequests, nil, &b); err != nil {
@@ -25,18 +25,19 @@
 	return ids, nil
 }
 
-// abortBody is the body of an abort.
+// abortBody is the body of an abort request.
 type abortBody struct {
 	Attempt string `json:"rid"`
 }
 
-// abortAnswer is the answer to an abort.
+// abortAnswer is the body of the response to an abort request.
 type abortAnswer struct {
 	Released bool `json:"released"`
 }
 
-// Abort has an engine release an attempt. It reports whether this call released
-// something; a nil error alone is the acknowledgement that nothing is held.
+// Abort makes an engine release an attempt. It reports whether this call released
+// anything. A nil error acknowledges that the engine no longer holds the attempt,
+// whatever the result.
 func (c *Client) Abort(ctx context.Context, address, attempt string) (bool, error) {
 	var a abortAnswer
 	_, err := c.call(ctx, http.MethodPost, address, pathAbort, abortBody{Attempt: attempt}, &a)
--- a/agent/engines/client.go
+++ b/agent/engines/client.go
@@ -1,6 +1,5 @@
-// Package engines speaks the control part of the engines' protocol: load
-// reports, held attempts, aborts and orders. docs/protocols/engine.md describes
-// it.
+// Package engines is a client of the control part of the engine protocol: load
+// reports, held attempts, aborts and orders. See docs/protocols/engine.md.
 package engines
 
 import (
@@ -19,7 +18,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Paths of the engines' protocol.
+// Paths of the engine protocol.
 const (
 	pathHealth   = "/healthz"
 	pathLoad     = "/load"
@@ -31,26 +30,28 @@
 // headerLoad carries a load report on each response.
 const headerLoad = "endpoint-load-metrics"
 
-// maxBody bounds an answer, in bytes.
+// maxBody limits the body of a response, in bytes.
 const maxBody = 4 << 20
 
-// Client calls engines. It is safe for concurrent use.
+// Client sends control requests to engines. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
 	meter   meter.Meter
 }
 
-// Connections to upstreams are few and their answers small.
+// Limits of the transport. They are low because connections to upstreams are few
+// and responses small.
 const (
 	bufferBytes     = 2 << 10
 	idlePerUpstream = 1
-	// idleTimeout is longer than the time between two reads of one engine's load;
-	// connections for rarer calls must not be kept.
+	// idleTimeout exceeds the interval between two load reads of one engine, so
+	// that the connection is reused. Connections of less frequent calls must not
+	// be kept open.
 	idleTimeout = 10 * time.Second
 )
 
-// New returns a client that opens connections by d and gives a call up after
+// New returns a client that opens connections with d and cancels a call after
 // timeout.
 func New(d meter.Dialer, timeout time.Duration) *Client {
 	c := &Client{timeout: timeout}
@@ -68,25 +69,27 @@
 	return c
 }
 
-// Close closes idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Meter returns the count of the client's bytes.
+// Meter returns the counter of the bytes sent and received by the client.
 func (c *Client) Meter() *meter.Meter { return &c.meter }
 
-// CallError reports a call of an engine that failed.
+// CallError reports a failed call to an engine.
 type CallError struct {
 	Address string
 	Path    string
-	// Kind says how.
+	// Kind classifies the failure.
 	Kind Failure
-	// Status is the HTTP status, 0 if there was no answer.
+	// Status is the HTTP status code, 0 if there was no response.
 	Status int
-	// Code is the engine's error code, if it gave one.
+	// Code is the error code in the response, empty if it has none.
 	Code string
-	// Highest is the highest fencing number taken, with CodeStaleFence.
+	// Highest is the highest fencing number that the engine has accepted, set if
+	// Code is CodeStaleFence.
 	Highest uint64
-	// Err is the network's or the decoder's error, nil if the engine refused.
+	// Err is the error of the network or of encoding, nil if the engine responded
+	// with an error status.
 	Err error
 }
 
@@ -102,26 +105,28 @@
 	return text
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Failure says how a call failed.
+// Failure classifies how a call failed.
 type Failure string
 
 // The kinds of failure.
 const (
-	// FailRefused means that the remote kernel refused the connection: nothing
-	// listens there.
+	// FailRefused means that the remote host refused the connection: no process
+	// listens on the address.
 	FailRefused Failure = "connection refused"
-	// FailTimeout means that nothing answered in time or the network failed.
+	// FailTimeout means that no complete response arrived in time, or that the
+	// network failed.
 	FailTimeout Failure = "no answer"
-	// FailStatus means that the engine answered with an error.
-	FailStatus Failure = "refused by the engine"
-	// FailBody means that the engine's answer could not be understood.
-	FailBody Failure = "bad answer"
+	// FailStatus means that the status of the response was not 200.
+	FailStatus Failure = "error response"
+	// FailBody means that the response could not be decoded, or the request not
+	// be built.
+	FailBody Failure = "invalid response"
 )
 
-// Answered reports whether the upstream gave an answer, be it an error. It
+// Answered reports whether the upstream responded, be it with an error. It
 // returns true for a nil error.
 func Answered(err error) bool {
 	var call *CallError
@@ -131,7 +136,8 @@
 	return call.Kind == FailStatus || call.Kind == FailBody
 }
 
-// KindOf returns how a call failed; FailTimeout for errors of other types.
+// KindOf returns the kind of a failed call, and FailTimeout for errors of other
+// types than *CallError.
 func KindOf(err error) Failure {
 	var call *CallError
 	if errors.As(err, &call) {
@@ -140,7 +146,7 @@
 	return FailTimeout
 }
 
-// errorBody is the body of an engine's error.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error struct {
 		Code string `json:"code"`
@@ -148,8 +154,8 @@
 	Highest uint64 `json:"highest"`
 }
 
-// call makes a request and decodes the answer into into, which may be nil. It
-// returns the response's header. Errors are *CallError.
+// call sends a request and decodes the response body into into, which may be nil.
+// It returns the response header. Errors are *CallError.
 func (c *Client) call(ctx context.Context, method, address, path string, body, into any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -161,7 +167,7 @@
 	if err != nil {
 		return nil, &CallError{Address: address, Path: path, Kind: networkFailure(err), Err: err}
 	}
-	// The body was read to its end or is given up.
+	// An error of Close is ignored: the body was read to its end or is discarded.
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
@@ -169,7 +175,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		var refusal errorBody
-		// A body of another form has no code.
+		// The error is ignored: a body of another form leaves the code empty.
 		_ = json.Unmarshal(data, &refusal)
 		return nil, &CallError{Address: address, Path: path, Kind: FailStatus, Status: resp.StatusCode,
 			Code: refusal.Error.Code, Highest: refusal.Highest}
@@ -183,7 +189,7 @@
 	return resp.Header, nil
 }
 
-// request builds a request.
+// request builds a request; a body that is not nil is sent as JSON.
 func request(ctx context.Context, method, address, path string, body any) (*http.Request, error) {
 	var content io.Reader
 	if body != nil {
@@ -197,7 +203,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// An empty value keeps the library from sending its own.
+	// An empty value stops net/http from sending its default User-Agent.
 	req.Header.Set("User-Agent", "")
 	if body != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -214,13 +220,13 @@
 	return FailTimeout
 }
 
-// Health asks whether an upstream of any kind answers.
+// Health checks that an upstream of any kind responds with status 200.
 func (c *Client) Health(ctx context.Context, address string) error {
 	_, err := c.call(ctx, http.MethodGet, address, pathHealth, nil, nil)
 	return err
 }
 
-// loadPrefix comes before the JSON of the load header.
+// loadPrefix precedes the JSON in the load header.
 const loadPrefix = "JSON "
 
 // Load is an engine's report of its own load.
@@ -251,8 +257,10 @@
 	} `json:"named_metrics"`
 }
 
-// Load reads an engine's load. The report of the response's header is taken
-// where there is one: it is fresh, while the body's lags.
+// Load reads an engine's load. It prefers the report in the response header,
+// which is current while the one in the body lags, provided that both are of the
+// same incarnation and the header's is not older. Draining is set if either report
+// sets it.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
 	var l Load
 	header, err := c.call(ctx, http.MethodGet, address, pathLoad, nil, &l)
@@ -266,7 +274,8 @@
 	return l, nil
 }
 
-// parseHeader decodes the load header. It returns false if there is none.
+// parseHeader decodes the load header. It returns false if the header is missing
+// or malformed.
 func parseHeader(text string) (Load, bool) {
 	var m metrics
 	text, ok := strings.CutPrefix(text, loadPrefix)
--- a/agent/engines/client_test.go
+++ b/agent/engines/client_test.go
@@ -17,21 +17,21 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// newClient returns a client for tests.
 func newClient(t *testing.T) *Client {
 	c := New(&net.Dialer{}, 5*time.Second)
 	t.Cleanup(c.Close)
 	return c
 }
 
-// address starts a server and returns its address.
+// address starts a server with the handler and returns its host and port.
 func address(t *testing.T, h http.Handler) string {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// standin starts a stand-in engine that checks fencing numbers.
+// standin starts a stand-in engine that checks fencing numbers and returns its
+// address.
 func standin(t *testing.T) string {
 	e := engine.New(engine.Config{
 		ID: "dc-1", Role: config.RoleDecode, Models: []string{"m"}, Version: "1",
@@ -41,7 +41,7 @@
 	return address(t, e.Handler())
 }
 
-// answering answers every request alike.
+// answering returns a handler that sends the same response to every request.
 func answering(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -85,8 +85,9 @@
 	assert.Assert(t, Answered(err))
 }
 
-// TestFreshHeader: the header's report is newer than the body's, but only counts
-// for the same life.
+// TestFreshHeader checks that the load report of the header is preferred to the
+// body's only if it is valid, of the same incarnation and not older. A header of a
+// previous incarnation would otherwise replace the current load.
 func TestFreshHeader(t *testing.T) {
 	for name, c := range map[string]struct {
 		header  string
--- a/agent/meter/meter.go
+++ b/agent/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts what a process costs: bytes on its connections, processor
-// time and memory.
+// Package meter measures the resource usage of a process: bytes on its
+// connections, CPU time and memory.
 package meter
 
 import (
@@ -13,26 +13,26 @@
 	DialContext(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Meter counts bytes over many connections. Its zero value is ready for use, and
-// safe for concurrent use.
+// Meter counts the bytes of any number of connections. The zero value is ready
+// for use. A Meter is safe for concurrent use.
 type Meter struct {
 	sent     atomic.Uint64
 	received atomic.Uint64
 }
 
-// Sent returns the bytes written so far.
+// Sent returns the number of bytes written so far.
 func (m *Meter) Sent() uint64 { return m.sent.Load() }
 
-// Received returns the bytes read so far.
+// Received returns the number of bytes read so far.
 func (m *Meter) Received() uint64 { return m.received.Load() }
 
-// Total returns the bytes written and read so far.
+// Total returns the number of bytes written and read so far.
 func (m *Meter) Total() uint64 { return m.Sent() + m.Received() }
 
-// Counting returns a dialer whose connections are counted.
+// Counting returns a dialer that opens connections with d and counts their bytes.
 func (m *Meter) Counting(d Dialer) Dialer { return &countingDialer{meter: m, dialer: d} }
 
-// countingDialer opens counted connections.
+// countingDialer opens connections whose bytes are counted.
 type countingDialer struct {
 	meter  *Meter
 	dialer Dialer
@@ -47,7 +47,7 @@
 	return &countedConn{Conn: c, meter: d.meter}, nil
 }
 
-// countedConn counts the bytes that pass through a connection.
+// countedConn counts the bytes read from and written to a connection.
 type countedConn struct {
 	net.Conn
 	meter *Meter
--- a/agent/meter/process.go
+++ b/agent/meter/process.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Process is what this process has cost so far.
+// Process is the resource usage of this process so far.
 type Process struct {
-	// CPU is its processor time, user and system.
+	// CPU is the CPU time, user and system.
 	CPU time.Duration
-	// RSS is its resident memory in bytes, 0 where the system doesn't say, and
-	// PeakRSS the highest so far.
+	// RSS is the resident memory in bytes and PeakRSS its maximum so far. Both
+	// are 0 if the operating system doesn't report them.
 	RSS     uint64
 	PeakRSS uint64
 }
 
-// Lines of /proc/self/status; sizes are in kB. The peak of getrusage is of no use:
-// it counts the memory of the process that started this one.
+// Lines of /proc/self/status; sizes are in kB. The maximum that getrusage reports
+// is not used, because it includes the memory of the process that started this one.
 const (
 	fileStatus = "/proc/self/status"
 	lineRSS    = "VmRSS:"
@@ -27,7 +27,8 @@
 	sizeUnit   = 1 << 10
 )
 
-// ReadProcess reads what this process has cost. What cannot be read is 0.
+// ReadProcess returns the resource usage of this process. Values that cannot be
+// read are 0.
 func ReadProcess() Process {
 	var p Process
 	var u syscall.Rusage
@@ -38,7 +39,7 @@
 	return p
 }
 
-// resident reads the resident memory and its peak, in bytes.
+// resident returns the resident memory and its peak, in bytes.
 func resident() (now, peak uint64) {
 	b, err := os.ReadFile(fileStatus)
 	if err != nil {
@@ -57,7 +58,8 @@
 	return now, peak
 }
 
-// size reads a size, 0 if it is none.
+// size parses a size in kB and returns it in bytes, 0 if it is not valid. A limit
+// of 54 bits keeps the product within 64 bits.
 func size(text []byte) uint64 {
 	n, err := strconv.ParseUint(string(text), 10, 54)
 	if err != nil {
--- a/agent/wire/status.go
+++ b/agent/wire/status.go
@@ -5,7 +5,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Status describes an agent and what it believes, for operators.
+// Status describes an agent and its view of the fleet, for operators.
 type Status struct {
 	Instance    ident.InstanceID  `json:"instance"`
 	Zone        ident.Zone        `json:"zone"`
@@ -21,9 +21,9 @@
 	Process     ProcessStatus     `json:"process"`
 }
 
-// BundleStatus says which bundle is in force and how it came so.
+// BundleStatus describes the bundle in force and the roll that selected it.
 type BundleStatus struct {
-	// Version is 0 while no bundle is in force.
+	// Version is the version in force, 0 while there is none.
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest,omitempty"`
 	// InForceSinceMS is the Unix time at which it came into force, in
@@ -32,22 +32,22 @@
 	Status         ledger.Status `json:"status"`
 	RollSequence   uint64        `json:"roll_sequence"`
 	RollStage      string        `json:"roll_stage,omitempty"`
-	// Newest is the highest signed version known, rolled or not.
+	// Newest is the highest signed version known, whether or not it is rolled out.
 	Newest       uint64 `json:"newest"`
 	MissingParts int    `json:"missing_parts,omitempty"`
 }
 
-// AlarmStatus is an alarm that stands.
+// AlarmStatus is an active alarm.
 type AlarmStatus struct {
 	Type ledger.AlarmType `json:"type"`
-	// Text is the whole alarm and Step what operators do about it.
+	// Text is the full text of the alarm, Step the action that operators take.
 	Text string `json:"text"`
 	Step string `json:"step"`
 }
 
-// EntryStatus describes the entry beside the agent.
+// EntryStatus describes the entry on the agent's host.
 type EntryStatus struct {
-	// Incarnation is 0 while none has answered.
+	// Incarnation is 0 until an entry has replied.
 	Incarnation   ident.Incarnation `json:"incarnation"`
 	BundleVersion uint64            `json:"bundle_version"`
 	Answers       bool              `json:"answers"`
@@ -55,20 +55,20 @@
 	InFlight      int               `json:"in_flight"`
 }
 
-// FleetStatus is what the agent believes of the others.
+// FleetStatus is the agent's view of the other instances and of the upstreams.
 type FleetStatus struct {
 	ViewVersion uint64 `json:"view_version"`
 	Trusted     bool   `json:"trusted"`
 	Leaving     bool   `json:"leaving,omitempty"`
 	Superseded  bool   `json:"superseded,omitempty"`
-	// IntervalMS is the time between two heartbeats with one partner.
+	// IntervalMS is the interval between two heartbeats with one partner.
 	IntervalMS int64            `json:"interval_ms"`
 	Partners   int              `json:"partners"`
 	Instances  []InstanceStatus `json:"instances"`
 	Upstreams  []UpstreamStatus `json:"upstreams"`
 }
 
-// InstanceStatus is what is believed of another instance.
+// InstanceStatus is the agent's view of another instance.
 type InstanceStatus struct {
 	ID          ident.InstanceID  `json:"id"`
 	Zone        ident.Zone        `json:"zone"`
@@ -77,11 +77,12 @@
 	Leaving     bool              `json:"leaving,omitempty"`
 	Reachable   bool              `json:"reachable"`
 	Listed      bool              `json:"listed"`
-	// AgeMS is the time since its last sign of life, -1 if there was none.
+	// AgeMS is the time since the last evidence that it was alive, -1 if there
+	// was none.
 	AgeMS int64 `json:"age_ms"`
 }
 
-// UpstreamStatus is what is believed of an upstream.
+// UpstreamStatus is the agent's view of an upstream.
 type UpstreamStatus struct {
 	ID          ident.UpstreamID  `json:"id"`
 	Zone        ident.Zone        `json:"zone"`
@@ -89,28 +90,29 @@
 	State       string            `json:"state"`
 	Leaving     bool              `json:"leaving,omitempty"`
 	Listed      bool              `json:"listed"`
-	// LoadAgeMS is the age of its newest load report, -1 if there is none.
+	// LoadAgeMS is the age of the latest load report, -1 if there is none.
 	LoadAgeMS int64 `json:"load_age_ms"`
 }
 
-// PlatformStatus describes the reading of the platform.
+// PlatformStatus describes the agent's reads from the platform.
 type PlatformStatus struct {
 	// Watches lists the keys that this instance watches for its zone.
 	Watches []string `json:"watches,omitempty"`
 	// Instances and Upstreams are the indexes of the lists in use.
 	Instances uint64 `json:"instances"`
 	Upstreams uint64 `json:"upstreams"`
-	// SeenAgeMS is the time since the platform last answered an instance that
-	// this one has word of, -1 if never.
+	// SeenAgeMS is the time since the latest response of the platform, to any
+	// instance, that this instance knows of; -1 if there was none.
 	SeenAgeMS int64 `json:"seen_age_ms"`
-	// Calls counts this instance's calls; the others count what came of them.
+	// Calls counts the calls of this instance; the fields after it count calls by
+	// their result.
 	Calls       uint64 `json:"calls"`
 	Unavailable uint64 `json:"unavailable"`
 	Stale       uint64 `json:"stale"`
 	RateLimited uint64 `json:"rate_limited"`
 }
 
-// Counters count what the agent did since its start.
+// Counters are the agent's event counts since its start.
 type Counters struct {
 	Heartbeats       uint64 `json:"heartbeats"`
 	HeartbeatsFailed uint64 `json:"heartbeats_failed"`
@@ -135,27 +137,27 @@
 	Pauses           uint64 `json:"pauses"`
 }
 
-// Traffic counts bytes, IP and TCP headers not included.
+// Traffic is a number of bytes sent and received, without IP and TCP headers.
 type Traffic struct {
 	Sent     uint64 `json:"sent"`
 	Received uint64 `json:"received"`
 }
 
-// TrafficStatus is the agent's traffic since its start, by whom it was with.
+// TrafficStatus is the agent's traffic since its start, by type of remote process.
 type TrafficStatus struct {
 	Peers     Traffic `json:"peers"`
 	Upstreams Traffic `json:"upstreams"`
 	Platform  Traffic `json:"platform"`
-	// Entry is over loopback and no part of the control budget.
+	// Entry is traffic over loopback, which is not part of the control budget.
 	Entry Traffic `json:"entry"`
 }
 
-// ProcessStatus is what the process costs.
+// ProcessStatus is the resource usage of the agent's process.
 type ProcessStatus struct {
 	UptimeMS int64 `json:"uptime_ms"`
-	// CPUMS is processor time, user and system, in milliseconds.
+	// CPUMS is the CPU time, user and system, in milliseconds.
 	CPUMS int64 `json:"cpu_ms"`
-	// RSSBytes is resident memory now, and PeakRSSBytes its highest so far.
+	// RSSBytes is the current resident memory, PeakRSSBytes its maximum so far.
 	RSSBytes     uint64 `json:"rss_bytes"`
 	PeakRSSBytes uint64 `json:"peak_rss_bytes"`
 	Goroutines   int    `json:"goroutines"`
--- a/agent/wire/wire.go
+++ b/agent/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire defines what agents tell each other over jsonrpc2, besides the
-// heartbeats of package membership. docs/design/agent.md gives the reasons.
+// Package wire defines the messages that agents exchange over jsonrpc2, besides
+// the heartbeats of package membership. See docs/design/agent.md for the reasons.
 package wire
 
 import (
@@ -14,12 +14,12 @@
 
 // Methods of agents.
 const (
-	// MethodHeartbeat exchanges Heartbeats: one each way.
+	// MethodHeartbeat takes a Heartbeat and returns the receiver's Heartbeat.
 	MethodHeartbeat = membership.MethodHeartbeat
 	// MethodLists takes a ListsRequest and returns Lists.
 	MethodLists = "fleet.lists"
-	// MethodProbe is called at entries only to learn whether they answer; they
-	// need not know it.
+	// MethodProbe is called on entries only to check that they reply; an entry
+	// need not implement it.
 	MethodProbe = "fleet.probe"
 	// MethodRoll and MethodManifest take Nothing and return a Document: the
 	// newest signed roll and the newest signed bundle head.
@@ -35,43 +35,45 @@
 	MethodStatus = "agent.status"
 )
 
-// Nothing is the parameter of methods that have none.
+// Nothing is the parameter of methods that take no parameters.
 type Nothing struct{}
 
-// Heartbeat is a heartbeat of package membership and what agents add to it.
+// Heartbeat is a heartbeat of package membership with the fields that agents add.
 type Heartbeat struct {
 	membership.Heartbeat
-	// Mark is the sender's News.Mark. Partners with equal marks know the same
+	// Mark is the sender's News.Mark. Partners with equal marks have the same
 	// bundles and lists.
 	Mark uint64 `json:"k"`
-	// News is there if the receiver's mark is another, as far as the sender
-	// knows.
+	// News is set if the receiver's mark, as last known to the sender, differs
+	// from Mark.
 	News *News `json:"n,omitempty"`
 	// Version is the bundle version in force on the sender, 0 if there is none.
 	Version uint64 `json:"v,omitempty"`
-	// PlatformAge is the time since the platform last answered an instance that
-	// the sender has word of, in seconds plus one; 0 is never.
+	// PlatformAge is the time since the latest response of the platform, to any
+	// instance, that the sender knows of, in seconds plus one; 0 if there was
+	// none.
 	PlatformAge int `json:"p,omitempty"`
 }
 
-// News is the newest that an agent has of what all instances should have.
+// News identifies the latest versions that an agent has of the data that all
+// instances should have: the roll, the bundle and the platform's lists.
 type News struct {
 	RollSequence uint64        `json:"roll_sequence,omitempty"`
 	RollDigest   bundle.Digest `json:"roll_digest"`
-	// Newest is the highest signed bundle.
+	// Newest is the signed bundle with the highest version.
 	Newest bundle.Ref `json:"newest"`
-	// Instances and Upstreams are the platform's indexes of its lists.
+	// Instances and Upstreams are the platform's indexes of the two lists.
 	Instances uint64 `json:"instances,omitempty"`
 	Upstreams uint64 `json:"upstreams,omitempty"`
 }
 
-// Mark is a fingerprint of the news.
+// Mark returns a hash of the news, for comparison with that of a partner.
 func (n *News) Mark() uint64 {
 	h := xxhash.New()
 	var b [8]byte
 	for _, v := range []uint64{n.RollSequence, n.Newest.Version, n.Instances, n.Upstreams} {
 		binary.BigEndian.PutUint64(b[:], v)
-		// A Digest's writes never fail.
+		// Write of xxhash.Digest never returns an error.
 		_, _ = h.Write(b[:])
 	}
 	_, _ = h.Write(n.RollDigest[:])
@@ -79,12 +81,12 @@
 	return h.Sum64()
 }
 
-// Summary returns the part of the news that is the ledger's.
+// Summary returns the part of the news that the ledger uses.
 func (n *News) Summary() ledger.Summary {
 	return ledger.Summary{RollSequence: n.RollSequence, RollDigest: n.RollDigest, Newest: n.Newest}
 }
 
-// Document is a document in its canonical form; empty if there is none.
+// Document is a document in canonical form, empty if there is none.
 type Document struct {
 	Bytes []byte `json:"bytes,omitempty"`
 }
@@ -94,7 +96,7 @@
 	Digests []bundle.Digest `json:"digests"`
 }
 
-// Parts are those of the parts asked for that the sender has and that fit.
+// Parts holds the requested parts that the sender has, as many as fit in a reply.
 type Parts struct {
 	Parts []Part `json:"parts"`
 }
@@ -105,28 +107,29 @@
 	Bytes  []byte        `json:"bytes"`
 }
 
-// Floor is what an instance knows of the version below which none may serve.
+// Floor is what an instance knows of the version floor, below which no instance
+// may serve.
 type Floor struct {
-	// Ready says that the instance itself may serve.
+	// Ready reports whether the instance itself may serve.
 	Ready   bool       `json:"ready"`
 	InForce bundle.Ref `json:"in_force"`
-	// Roll is its newest signed roll, empty if it has none.
+	// Roll is the instance's latest signed roll, empty if it has none.
 	Roll []byte `json:"roll,omitempty"`
 }
 
-// InForce names the bundle version in force on an instance, 0 if there is none.
+// InForce is the bundle version in force on an instance, 0 if there is none.
 type InForce struct {
 	Version uint64 `json:"version"`
 }
 
-// ListsRequest asks for the platform's lists that are newer than those of the
-// given indexes.
+// ListsRequest requests the platform's lists that have higher indexes than the
+// given ones.
 type ListsRequest struct {
 	Instances uint64 `json:"instances"`
 	Upstreams uint64 `json:"upstreams"`
 }
 
-// Lists are the platform's lists, nil where the sender has none that is newer.
+// Lists holds the platform's lists; a list is nil if the sender has no newer one.
 type Lists struct {
 	Instances *List `json:"instances,omitempty"`
 	Upstreams *List `json:"upstreams,omitempty"`
@@ -134,10 +137,10 @@
 
 // List is one of the platform's lists.
 type List struct {
-	// Index is the platform's.
+	// Index is the platform's index of the list.
 	Index uint64 `json:"index"`
-	// AgeMS is how long ago it was read from the platform.
+	// AgeMS is the time since the list was read from the platform.
 	AgeMS int64 `json:"age_ms"`
-	// Gzip is the document, compressed.
+	// Gzip is the document, compressed with gzip.
 	Gzip []byte `json:"gzip"`
 }
--- a/entry/console/explain.go
+++ b/entry/console/explain.go
@@ -1,5 +1,5 @@
-// Package console is what operators see of running entries: why a request went
-// where it did, and what each bundle version does. wardspoolctl uses it.
+// Package console shows operators the state of running entries: the decisions
+// about a request, and statistics per bundle version. wardspoolctl uses it.
 package console
 
 import (
@@ -19,17 +19,17 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Explanation is what the instances know of a request.
+// Explanation holds the decision records that the instances have of a request.
 type Explanation struct {
 	Request ident.RequestID        `json:"request"`
 	Found   []peering.ExplainReply `json:"found"`
-	// Unreached lists instances whose answer is missing: the explanation may
-	// lack their part.
+	// Unreached lists instances that did not reply; the explanation lacks any
+	// records that they have.
 	Unreached []inquiry.Unreached `json:"unreached,omitempty"`
 }
 
-// Explain asks the instances at the given operators' addresses for the decision
-// records of a request.
+// Explain requests the decision records of a request from the instances at the
+// given operators' addresses.
 func Explain(ctx context.Context, pool *peer.Pool, addresses []string, id ident.RequestID) Explanation {
 	out := Explanation{Request: id}
 	req := peering.ExplainRequest{Request: id}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// writeFound writes what one instance knows.
+// writeFound writes the records of one instance.
 func (e *Explanation) writeFound(w io.Writer, f *peering.ExplainReply) error {
 	for _, p := range f.Presentations {
 		fmt.Fprintf(w, "request %s on %s (%s) at %s: %s\n",
@@ -73,7 +73,7 @@
 	return writeRecords(w, f.Records)
 }
 
-// writeRecords writes one line a decision, and what its reason means.
+// writeRecords writes one row per decision, with the meaning of its reason.
 func writeRecords(w io.Writer, records []kernel.Record) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "AFTER\tSTEP\tREASON\tWHERE\tWHY")
@@ -84,7 +84,7 @@
 	return t.Flush()
 }
 
-// round makes a duration readable.
+// round rounds a duration for display: to 1 ms from one second on, else to 0.1 ms.
 func round(d time.Duration) time.Duration {
 	if d >= time.Second {
 		return d.Round(time.Millisecond)
@@ -92,7 +92,7 @@
 	return d.Round(100 * time.Microsecond)
 }
 
-// where names the upstreams concerned.
+// where returns the upstreams of a decision, "-" if there are none.
 func where(r *kernel.Record) string {
 	switch {
 	case r.Prefill != "" && r.Decode != "":
@@ -106,7 +106,7 @@
 	}
 }
 
-// why puts a decision's figures into words.
+// why describes the reason of a decision and the figures recorded with it.
 func why(r *kernel.Record) string {
 	parts := []string{Meaning(r.Reason)}
 	if r.Cost != 0 {
@@ -136,7 +136,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// alternative names a placement that was not chosen.
+// alternative formats a placement that was not chosen, with its cost.
 func alternative(a kernel.Alternative) string {
 	r := kernel.Record{Prefill: a.Prefill, Decode: a.Decode}
 	return fmt.Sprintf("%s (%.3f)", where(&r), a.Cost)
--- a/entry/console/meaning.go
+++ b/entry/console/meaning.go
@@ -5,8 +5,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// meanings explains each reason in a few words. docs/operators/reasons.md says
-// what to do about each.
+// meanings maps each reason to a short description. docs/operators/reasons.md
+// lists the operators' action for each.
 var meanings = map[kernel.Reason]string{
 	kernel.ReasonBest:             "the cheapest of those that could take it",
 	kernel.ReasonOnlyCandidate:    "the only one that could take it",
@@ -43,8 +43,8 @@
 	driver.ReasonDuplicateID:      "another request with its ID was in flight",
 }
 
-// Meaning explains a reason; one that this build does not know is returned as
-// it is.
+// Meaning returns the description of a reason. A reason that this build does not
+// know is returned unchanged.
 func Meaning(r kernel.Reason) string {
 	if m, ok := meanings[r]; ok {
 		return m
--- a/entry/console/meaning_test.go
+++ b/entry/console/meaning_test.go
@@ -15,7 +15,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// constants returns the values of the kernel's constants of a type.
+// constants returns the values of the constants of the given type in the source
+// file kernel/record.go.
 func constants(t *testing.T, typeName string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "../../kernel/record.go", nil, 0)
@@ -38,8 +39,9 @@
 	return values
 }
 
-// TestEveryReasonIsExplained compares the kernel's closed lists with the
-// explanations here and in the operators' page.
+// TestEveryReasonIsExplained checks that every reason and step declared in package
+// kernel is described here and in the operators' page, so that none is added to the
+// kernel without a description.
 func TestEveryReasonIsExplained(t *testing.T) {
 	data, err := os.ReadFile("../../docs/operators/reasons.md")
 	assert.NilError(t, err)
--- a/entry/console/presentation.go
+++ b/entry/console/presentation.go
@@ -6,7 +6,7 @@
 	"github.com/wardspool/wardspool/entry/journal"
 )
 
-// presentation puts what became of a ticket's call into words.
+// presentation describes how a call that presented a ticket was handled.
 func presentation(p *journal.Presentation) string {
 	switch p.Action {
 	case journal.PresentationRun:
--- a/entry/console/watch.go
+++ b/entry/console/watch.go
@@ -16,44 +16,45 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// InForce counts the instances that decide under one bundle version.
+// InForce is the number of instances that use a bundle version for their
+// decisions.
 type InForce struct {
 	Version   uint64 `json:"version"`
 	Instances int    `json:"instances"`
 }
 
-// Snapshot is the sum of the instances' statistics at one time.
+// Snapshot is the sum of the statistics of all instances at one time.
 type Snapshot struct {
 	At       time.Time `json:"at"`
 	InFlight int       `json:"in_flight"`
 	InForce  []InForce `json:"in_force"`
-	// Versions is what happened under each bundle version since the instances
-	// seen began.
+	// Versions holds the statistics per bundle version since the start of the
+	// observed instances.
 	Versions  []stats.Version     `json:"versions"`
 	Unreached []inquiry.Unreached `json:"unreached,omitempty"`
 }
 
-// Watcher takes snapshots of a set of instances. It keeps the counts of
-// instances that have gone, so that totals do not fall when one is replaced.
+// Watcher takes snapshots of a set of instances. It keeps the counts of processes
+// that no longer run, so that totals do not decrease when one is replaced.
 type Watcher struct {
 	pool      *peer.Pool
 	addresses []string
-	// lives holds the newest counts of each life of each instance.
+	// lives holds the latest counts of each incarnation of each instance.
 	lives map[life][]stats.Version
 }
 
-// life is one life of one instance.
+// life identifies one incarnation of one instance.
 type life struct {
 	instance    ident.InstanceID
 	incarnation ident.Incarnation
 }
 
-// NewWatcher returns a watcher of the instances at the operators' addresses.
+// NewWatcher returns a watcher of the instances at the given operators' addresses.
 func NewWatcher(pool *peer.Pool, addresses []string) *Watcher {
 	return &Watcher{pool: pool, addresses: addresses, lives: map[life][]stats.Version{}}
 }
 
-// Look takes a snapshot.
+// Look requests the statistics of all instances and returns their sum.
 func (w *Watcher) Look(ctx context.Context, now time.Time) Snapshot {
 	replies, unreached := inquiry.All[peering.StatsReply](ctx, w.pool, w.addresses, peering.MethodStats, peering.Nothing{})
 	s := Snapshot{At: now, Unreached: unreached}
@@ -101,7 +102,7 @@
 	return t.Flush()
 }
 
-// writeKinds writes one line a kind.
+// writeKinds writes one row per kind of request.
 func writeKinds(w io.Writer, v stats.Version) {
 	for _, k := range v.Kinds {
 		fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%s\t%d\t%d\t%d\t%d\n", v.Version, k.Kind, k.Offered, k.OnTime,
@@ -109,7 +110,7 @@
 	}
 }
 
-// share is a part of a whole in per cent, "-" of nothing.
+// share formats part as a percentage of whole, "-" if whole is 0.
 func share(part, whole int64) string {
 	if whole == 0 {
 		return "-"
--- a/entry/intake/body.go
+++ b/entry/intake/body.go
@@ -12,29 +12,29 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// maxFields bounds the top-level members of a body.
+// maxFields limits the number of top-level members of a body.
 const maxFields = 128
 
-// ModelBody is the checked body of a request to a model.
+// ModelBody is the validated body of a request to a model.
 type ModelBody struct {
 	Model string
 	// Prompt is the text to count and hash.
 	Prompt string
-	// MaxTokens is 0 if the caller set no bound.
+	// MaxTokens limits the output tokens, 0 if the caller set no limit.
 	MaxTokens int
 	Stream    bool
 	// IncludeUsage asks for a usage chunk at the end of a stream.
 	IncludeUsage bool
-	// Fields are the members to pass on.
+	// Fields are the members to forward to the engine.
 	Fields []adapter.Field
 }
 
-// malformed returns the problem of a bad body.
+// malformed returns the problem document for an invalid body.
 func malformed(format string, args ...any) *api.Problem {
 	return api.NewProblem(api.ProblemMalformed, api.NotRun, fmt.Sprintf(format, args...))
 }
 
-// ReadModelBody checks the JSON body of a request to an endpoint.
+// ReadModelBody parses and validates the JSON body of a request to an endpoint.
 func ReadModelBody(endpoint adapter.Endpoint, data []byte) (*ModelBody, *api.Problem) {
 	members, problem := splitMembers(data)
 	if problem != nil {
@@ -62,8 +62,8 @@
 	return b, nil
 }
 
-// splitMembers reads the top level of a JSON object. Of a member that comes
-// twice the last one counts.
+// splitMembers parses the top level of a JSON object. If a member occurs more than
+// once, the last one is used.
 func splitMembers(data []byte) (map[string]json.RawMessage, *api.Problem) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
@@ -94,7 +94,7 @@
 	return members, nil
 }
 
-// bodyReader reads members and keeps the first problem.
+// bodyReader reads members of a body and records the first problem.
 type bodyReader struct {
 	members map[string]json.RawMessage
 	problem *api.Problem
@@ -106,7 +106,7 @@
 	}
 }
 
-// read decodes a member if it is there and not null.
+// read decodes a member and reports whether it is present, not null and valid.
 func (r *bodyReader) read(name string, into any, want string) bool {
 	raw, ok := r.members[name]
 	if !ok || string(raw) == "null" {
@@ -131,7 +131,7 @@
 	return b
 }
 
-// count reads a number that must not be negative.
+// count reads a non-negative integer.
 func (r *bodyReader) count(name string) int {
 	var n int
 	if r.read(name, &n, "a whole number") && n < 0 {
@@ -141,7 +141,8 @@
 	return n
 }
 
-// maxTokens reads the bound on the output under either of its names.
+// maxTokens reads the limit on output tokens. For chats, max_completion_tokens
+// takes precedence over the older max_tokens.
 func (r *bodyReader) maxTokens(endpoint adapter.Endpoint) int {
 	n := r.count("max_tokens")
 	if endpoint == adapter.Chat {
@@ -152,7 +153,7 @@
 	return n
 }
 
-// includeUsage reads stream_options.
+// includeUsage reads include_usage of stream_options.
 func (r *bodyReader) includeUsage(stream bool) bool {
 	var o struct {
 		IncludeUsage bool `json:"include_usage"`
@@ -163,8 +164,9 @@
 	return o.IncludeUsage
 }
 
-// refuseUnsupported refuses what could not be answered whole: several choices,
-// and parts of an unstreamed answer that are not text.
+// refuseUnsupported rejects requests that could not be answered completely: those
+// for several choices or an echo of the prompt, and those for an unstreamed answer
+// with parts other than text.
 func (r *bodyReader) refuseUnsupported(stream bool) {
 	for _, name := range []string{"n", "best_of"} {
 		if r.count(name) > 1 {
@@ -185,7 +187,8 @@
 	}
 }
 
-// prompt reads the prompt of a completion: a string, or an array of one.
+// prompt reads the prompt of a completion: a string, or an array of one string,
+// which it replaces by the string.
 func (r *bodyReader) prompt() string {
 	raw := r.members["prompt"]
 	if len(raw) > 0 && raw[0] == '[' {
@@ -204,7 +207,7 @@
 	return s
 }
 
-// set replaces a member.
+// set replaces the value of a member.
 func (r *bodyReader) set(name string, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -214,7 +217,7 @@
 	r.members[name] = raw
 }
 
-// passOn lists the members in the order of their names.
+// passOn returns the members to forward, sorted by name.
 func (r *bodyReader) passOn() []adapter.Field {
 	fields := make([]adapter.Field, 0, len(r.members))
 	for name, raw := range r.members {
--- a/entry/intake/catalog.go
+++ b/entry/intake/catalog.go
@@ -1,6 +1,6 @@
-// Package intake turns what callers send into requests the kernel can decide
-// on: it checks headers and bodies and fills in the defaults of the bundle in
-// force. Its failures are *api.Problem with the outcome "not-run".
+// Package intake converts callers' HTTP requests to requests for the kernel: it
+// validates headers and bodies and applies the defaults of the bundle in force.
+// It reports failures as *api.Problem with the outcome "not-run".
 package intake
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Catalog is a bundle version's declarations as the intake needs them. It is
-// not changed after NewCatalog.
+// Catalog indexes the declarations of a bundle version that the intake uses. It is
+// immutable after NewCatalog.
 type Catalog struct {
 	Version uint64
 	Content *config.Content
@@ -18,8 +18,8 @@
 	kinds  map[string]*config.Kind
 	first  map[config.Route]*config.Kind
 	models map[string]*config.Model
-	// deduplicates says of each service whether its upstreams run an
-	// idempotency key at most once.
+	// deduplicates holds, by service, whether its upstreams run an idempotency
+	// key at most once.
 	deduplicates map[string]bool
 	workspaces   map[ident.Workspace]bool
 }
@@ -54,7 +54,8 @@
 	return cat
 }
 
-// Workspace returns a problem if the bundle does not declare the workspace.
+// Workspace returns a problem if the bundle does not declare the workspace, else
+// nil.
 func (c *Catalog) Workspace(name ident.Workspace) *api.Problem {
 	if c.workspaces[name] {
 		return nil
--- a/entry/intake/chat.go
+++ b/entry/intake/chat.go
@@ -15,16 +15,17 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// part is a part of a message's content.
+// part is one part of a message's content.
 type part struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
 
-// partText is the type of part that is supported.
+// partText is the only supported type of part.
 const partText = "text"
 
-// messages reads the messages of a chat and returns their prompt text.
+// messages reads the messages of a chat and returns the prompt text that they
+// form.
 func (r *bodyReader) messages() string {
 	var list []*message
 	if !r.read("messages", &list, "an array of messages") {
@@ -56,7 +57,8 @@
 	return tokens.FlattenChat(flat)
 }
 
-// text returns a message's text, and whether it came in parts.
+// text returns the text of a message and whether it was split into parts. It
+// returns false for ok if the content is not text only.
 func (m *message) text() (text string, split, ok bool) {
 	if len(m.Content) == 0 || string(m.Content) == "null" {
 		return "", false, true
@@ -78,14 +80,14 @@
 	return b.String(), true, true
 }
 
-// joinParts replaces the messages' parts by their text, for engines that take
-// strings only. It keeps the other members of each message.
+// joinParts replaces the content of the messages by their joined text, for engines
+// that accept only strings. It keeps the other members of each message.
 func (r *bodyReader) joinParts(flat []tokens.Message) {
 	var whole []map[string]json.RawMessage
-	// The member was decoded before.
+	// The error is ignored: messages has decoded the member before.
 	_ = json.Unmarshal(r.members["messages"], &whole)
 	for i := range whole {
-		// Decoders take a member's name in any case.
+		// Decoders may match the names of members without regard to case.
 		maps.DeleteFunc(whole[i], func(name string, _ json.RawMessage) bool {
 			return strings.EqualFold(name, "content")
 		})
--- a/entry/intake/fuzz_test.go
+++ b/entry/intake/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// FuzzModelBody feeds bodies of any shape: each gives a request or a problem,
-// and what is passed on is valid JSON.
+// FuzzModelBody checks that any body yields either a request or a problem, and that
+// the members to forward are valid JSON.
 func FuzzModelBody(f *testing.F) {
 	f.Add(false, []byte(`{"model":"m","prompt":"a b","max_tokens":3,"stream":true,"stream_options":{"include_usage":true}}`))
 	f.Add(true, []byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"x"}]}],"n":1}`))
@@ -24,24 +24,25 @@
 		}
 		b, problem := ReadModelBody(endpoint, data)
 		if (b == nil) == (problem == nil) {
-			t.Fatal("neither or both of request and problem")
+			t.Fatal("got neither or both of request and problem, want exactly one")
 		}
 		if problem != nil {
 			checkProblem(t, problem)
 			return
 		}
 		if b.Model == "" || b.MaxTokens < 0 {
-			t.Fatalf("accepted: %+v", b)
+			t.Fatalf("invalid body was accepted: %+v", b)
 		}
 		for _, field := range b.Fields {
 			if !json.Valid(field.Raw) {
-				t.Fatalf("member %q is passed on as %q", field.Name, field.Raw)
+				t.Fatalf("member %q is forwarded as invalid JSON: %q", field.Name, field.Raw)
 			}
 		}
 	})
 }
 
-// FuzzHeaders feeds header values of any shape.
+// FuzzHeaders checks that any header values yield either headers within their
+// limits or a problem.
 func FuzzHeaders(f *testing.F) {
 	f.Add("default", "review", "yes", "1000", "id", "key", "ticket")
 	f.Add("A", "\x00", "YES", "-1", "\n", "ü", " ")
@@ -60,18 +61,19 @@
 			return
 		}
 		if h.Workspace == "" || h.Deadline < 0 || h.Deadline > MaxDeadline {
-			t.Fatalf("accepted: %+v", h)
+			t.Fatalf("invalid headers were accepted: %+v", h)
 		}
 		if len(h.RequestID) > maxIDBytes || len(h.IdempotencyKey) > maxKeyBytes || len(h.Ticket) > maxTicketBytes {
-			t.Fatalf("too long: %+v", h)
+			t.Fatalf("over-long headers were accepted: %+v", h)
 		}
 	})
 }
 
+// checkProblem checks that a problem has outcome not-run and a 4xx status.
 func checkProblem(t *testing.T, p *api.Problem) {
 	t.Helper()
 	if p.Outcome != api.NotRun || p.Status < 400 || p.Status > 499 {
-		t.Fatalf("problem: %+v", p)
+		t.Fatalf("problem is not a 4xx with outcome not-run: %+v", p)
 	}
 	if _, err := json.Marshal(p); err != nil {
 		t.Fatal(err)
--- a/entry/intake/headers.go
+++ b/entry/intake/headers.go
@@ -11,35 +11,36 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// MaxDeadline bounds how long a caller may say that it waits.
+// MaxDeadline is the longest deadline that a caller may set.
 const MaxDeadline = time.Hour
 
-// Bounds of the headers that wardspool reads.
+// Length limits of the headers that wardspool reads.
 const (
 	maxIDBytes     = 128
 	maxKeyBytes    = 256
 	maxTicketBytes = 2048
-	// maxDeadlineDigits bounds the header's length before it is parsed.
+	// maxDeadlineDigits limits the length of the deadline header.
 	maxDeadlineDigits = 9
 )
 
-// Headers are the checked request headers, before the bundle's defaults.
+// Headers holds the validated request headers, before the bundle's defaults are
+// applied.
 type Headers struct {
 	Workspace ident.Workspace
-	// Kind is empty if the caller named none.
+	// Kind is empty if the caller set none.
 	Kind string
-	// Repeatable is nil if the caller did not say.
+	// Repeatable is nil if the caller did not set it.
 	Repeatable *bool
-	// Deadline is 0 if the caller did not say.
+	// Deadline is 0 if the caller set none.
 	Deadline time.Duration
-	// RequestID is empty if the caller chose none.
+	// RequestID is empty if the caller set none.
 	RequestID      ident.RequestID
 	IdempotencyKey string
 	Ticket         string
 }
 
-// ReadHeaders checks the headers of a request. On failure the request ID is
-// still returned, if that was fit.
+// ReadHeaders parses and validates the headers of a request. On failure it still
+// returns the request ID, if that is valid.
 func ReadHeaders(h http.Header) (Headers, *api.Problem) {
 	out := Headers{Workspace: api.DefaultWorkspace}
 	r := headerReader{header: h}
@@ -55,21 +56,22 @@
 	return out, r.problem
 }
 
-// headerReader reads headers and keeps the first problem.
+// headerReader reads headers and records the first problem.
 type headerReader struct {
 	header  http.Header
 	problem *api.Problem
 }
 
-// fail notes a problem with a header. The value is not repeated: it may be
-// hostile.
+// fail records a problem with a header. The text does not include the value, which
+// may be hostile.
 func (r *headerReader) fail(name, fault string) {
 	if r.problem == nil {
 		r.problem = api.NewProblem(api.ProblemMalformed, api.NotRun, fmt.Sprintf("header %s %s", name, fault))
 	}
 }
 
-// value returns the only value of a header.
+// value returns the value of a header, empty if there is none. More than one value
+// is a problem.
 func (r *headerReader) value(name string) string {
 	values := r.header.Values(name)
 	if len(values) > 1 {
@@ -98,7 +100,7 @@
 	return v
 }
 
-// name reads a header that holds a name as in the bundle.
+// name reads a header that holds the name of something declared in the bundle.
 func (r *headerReader) name(name string) string {
 	v := r.value(name)
 	if v != "" && !ident.ValidName(v) {
@@ -123,7 +125,7 @@
 	}
 }
 
-// milliseconds reads a positive time.
+// milliseconds reads a positive duration of at most MaxDeadline.
 func (r *headerReader) milliseconds(name string) time.Duration {
 	v := r.value(name)
 	if v == "" {
@@ -142,7 +144,8 @@
 	return d
 }
 
-// kind returns the declared kind of a request.
+// kind returns the declaration of a kind of request. If name is empty, that is the
+// first kind declared for the route.
 func (c *Catalog) kind(name string, route config.Route) (*config.Kind, *api.Problem) {
 	if name == "" {
 		if k := c.first[route]; k != nil {
@@ -163,8 +166,8 @@
 	return k, nil
 }
 
-// Repeatable reports whether a request may run more than once: as its headers
-// say, or else its kind.
+// Repeatable reports whether a request may run more than once, as set by its
+// headers or else by its kind.
 func (c *Catalog) Repeatable(h Headers, route config.Route) (bool, *api.Problem) {
 	kind, problem := c.kind(h.Kind, route)
 	if problem != nil {
@@ -177,14 +180,14 @@
 }
 
 // TicketRequired reports whether requests of the given kind that must run at most
-// once are refused when they carry no ticket.
+// once are rejected if they carry no ticket.
 func (c *Catalog) TicketRequired(name string, route config.Route) bool {
 	kind, problem := c.kind(name, route)
 	return problem == nil && kind.TicketRequired
 }
 
-// Wait returns how long the caller of a request waits: as its headers say, or
-// else its kind.
+// Wait returns how long the caller of a request waits for the answer, as set by
+// the headers or else by the kind.
 func (c *Catalog) Wait(h Headers, route config.Route) (time.Duration, *api.Problem) {
 	kind, problem := c.kind(h.Kind, route)
 	if problem != nil {
@@ -193,6 +196,6 @@
 	return deadline(h, kind), nil
 }
 
-// Deduplicates reports whether a service's upstreams run an idempotency key at
-// most once themselves.
+// Deduplicates reports whether the upstreams of a service ensure themselves that
+// an idempotency key runs at most once.
 func (c *Catalog) Deduplicates(service string) bool { return c.deduplicates[service] }
--- a/entry/intake/intake_test.go
+++ b/entry/intake/intake_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// manyMembers returns n members of an object.
+// manyMembers returns n members of a JSON object, with distinct names.
 func manyMembers(n int) string {
 	parts := make([]string, n)
 	for i := range parts {
--- a/entry/intake/request.go
+++ b/entry/intake/request.go
@@ -10,11 +10,12 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// defaultOutputTokens is assumed where neither the request nor its kind bounds
-// the output.
+// defaultOutputTokens is used if neither the request nor its kind limits the
+// output.
 const defaultOutputTokens = 256
 
-// Model makes the kernel's and the engines' form of a request to a model.
+// Model returns the kernel's and the engine adapter's representation of a request
+// to a model.
 func (c *Catalog) Model(h Headers, endpoint adapter.Endpoint, b *ModelBody, now time.Time) (*kernel.Request, *adapter.ModelRequest, *api.Problem) {
 	kind, problem := c.kind(h.Kind, config.RouteModel)
 	if problem != nil {
@@ -37,7 +38,7 @@
 	}, nil
 }
 
-// Service makes the kernel's form of a call of a plain service.
+// Service returns the kernel's representation of a call to a plain service.
 func (c *Catalog) Service(h Headers, service string, now time.Time) (*kernel.Request, *api.Problem) {
 	kind, problem := c.kind(h.Kind, config.RouteService)
 	if problem != nil {
@@ -49,7 +50,7 @@
 	return r, nil
 }
 
-// newRequest fills in what both routes share.
+// newRequest returns a request with the fields that both routes have in common.
 func newRequest(h Headers, kind *config.Kind, now time.Time) *kernel.Request {
 	r := &kernel.Request{
 		ID:         h.RequestID,
@@ -73,7 +74,7 @@
 	return r
 }
 
-// deadline is how long the caller waits.
+// deadline returns how long the caller waits for the answer.
 func deadline(h Headers, kind *config.Kind) time.Duration {
 	switch {
 	case h.Deadline > 0:
@@ -85,7 +86,7 @@
 	}
 }
 
-// outputTokens is the length that the output may reach.
+// outputTokens returns the maximum length of the output, in tokens.
 func outputTokens(b *ModelBody, kind *config.Kind) int {
 	switch {
 	case b.MaxTokens > 0:
@@ -97,7 +98,8 @@
 	}
 }
 
-// blocks returns the chained hashes of the prompt's whole pieces.
+// blocks returns the chained hashes of the prompt's complete blocks, each of
+// pieceTokens tokens.
 func blocks(prompt string, pieceTokens int) []uint64 {
 	hashes := tokens.BlockHashes(prompt, pieceTokens)
 	out := make([]uint64, len(hashes))
--- a/feed/changes.go
+++ b/feed/changes.go
@@ -7,28 +7,29 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Splice says how a list came from the one before: its first Keep entries, then
-// Insert, then its last Tail entries.
+// Splice describes a new list relative to the previous one: the first Keep entries
+// of the previous list, then Insert, then its last Tail entries.
 type Splice[T any] struct {
 	Keep   int `json:"keep"`
 	Insert []T `json:"insert,omitempty"`
 	Tail   int `json:"tail"`
 }
 
-// Changes says how a bundle's content differs from that of another version: the
-// two long lists by what changed, all else whole.
+// Changes describes a bundle's content relative to that of another version: the
+// two long lists as splices, all other fields in full.
 type Changes struct {
-	// Base is the digest of the bundle that they belong on.
+	// Base is the digest of the bundle that the changes apply to.
 	Base string `json:"base"`
-	// Rest is the new content without workspaces and upstreams.
+	// Rest is the new content, without workspaces and upstreams.
 	Rest       config.Content           `json:"rest"`
 	Workspaces Splice[config.Workspace] `json:"workspaces"`
 	Upstreams  Splice[config.Upstream]  `json:"upstreams"`
 }
 
-// SpliceError reports a splice of a list that is shorter than it keeps.
+// SpliceError reports a splice that keeps more entries than the list has.
 type SpliceError struct {
-	// Keep and Tail are the splice's, Length is the list's, in entries.
+	// Keep and Tail are those of the splice. Length is the number of entries in
+	// the list.
 	Keep, Tail, Length int
 }
 
@@ -37,8 +38,8 @@
 	return fmt.Sprintf("a splice keeps %d and %d entries of %d", e.Keep, e.Tail, e.Length)
 }
 
-// NewChanges returns how after differs from before, the content of the bundle with
-// the digest base.
+// NewChanges returns the changes from before, the content of the bundle with the
+// digest base, to after.
 func NewChanges(base string, before, after *config.Content) *Changes {
 	c := &Changes{
 		Base: base, Rest: *after,
@@ -49,8 +50,8 @@
 	return c
 }
 
-// On returns the content that the changes make of before, which stays as it is;
-// the two share memory. The error is a *SpliceError.
+// On applies the changes to before and returns the new content. It does not modify
+// before, but the two share memory. The error is a *SpliceError.
 func (c *Changes) On(before *config.Content) (*config.Content, error) {
 	after := c.Rest
 	var err error
@@ -63,7 +64,8 @@
 	return &after, nil
 }
 
-// splice returns how after came from before.
+// splice returns the splice from before to after, with the longest common prefix
+// and then the longest common suffix kept.
 func splice[T any](before, after []T) Splice[T] {
 	shorter := min(len(before), len(after))
 	keep := 0
@@ -77,7 +79,7 @@
 	return Splice[T]{Keep: keep, Insert: after[keep : len(after)-tail], Tail: tail}
 }
 
-// on returns the list that the splice makes of before.
+// on applies the splice to before and returns the new list.
 func (s Splice[T]) on(before []T) ([]T, error) {
 	if s.Keep < 0 || s.Tail < 0 || s.Keep > len(before) || s.Tail > len(before)-s.Keep {
 		return nil, &SpliceError{Keep: s.Keep, Tail: s.Tail, Length: len(before)}
--- a/feed/changes_test.go
+++ b/feed/changes_test.go
@@ -14,7 +14,8 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// contents draws a content with short lists of few different entries.
+// contents draws a content with short lists of few distinct entries, so that
+// common prefixes and suffixes are frequent.
 func contents(t *rapid.T) *config.Content {
 	c := &config.Content{Deployment: rapid.SampledFrom([]string{"coastline", "lagos"}).Draw(t, "deployment")}
 	for _, name := range rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 6).Draw(t, "workspaces") {
@@ -26,8 +27,9 @@
 	return c
 }
 
-// The changes between any two contents make the one of the other, also after
-// their way over the network.
+// TestChangesMakeTheContent checks that the changes between any two contents, after
+// they are encoded and decoded as JSON, produce the second content from the first
+// and do not modify the first.
 func TestChangesMakeTheContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := contents(t), contents(t)
--- a/inquiry/inquiry.go
+++ b/inquiry/inquiry.go
@@ -1,5 +1,5 @@
-// Package inquiry asks several of wardspool's processes the same, all at once, for
-// operators' tools.
+// Package inquiry sends the same call to several wardspool processes in parallel,
+// for operators' tools.
 package inquiry
 
 import (
@@ -10,20 +10,20 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Unreached is a process that gave no answer.
+// Unreached is a process that returned no reply, and the error of the call.
 type Unreached struct {
 	Address string `json:"address"`
 	Error   string `json:"error"`
 }
 
-// result is how one call ended.
+// result is the reply or error of one call.
 type result[Reply any] struct {
 	reply Reply
 	err   error
 }
 
-// All calls a method at all addresses ("ip:port") at once. It returns the answers and
-// those who gave none, both in the order of the addresses.
+// All calls a method at all addresses ("ip:port") in parallel. It returns the replies
+// and the processes that returned none, both in the order of the addresses.
 func All[Reply any](ctx context.Context, pool *peer.Pool, addresses []string, method string, req any) ([]Reply, []Unreached) {
 	results := make([]chan result[Reply], len(addresses))
 	for i, addr := range addresses {
@@ -46,7 +46,7 @@
 	return replies, unreached
 }
 
-// WriteUnreached writes a line for each that gave no answer.
+// WriteUnreached writes one line for each process that returned no reply.
 func WriteUnreached(w io.Writer, list []Unreached) {
 	for _, u := range list {
 		fmt.Fprintf(w, "not reached: %s: %s\n", u.Address, u.Error)
