--- a/agent/console/fleet.go
+++ b/agent/console/fleet.go
@@ -19,20 +19,20 @@
 
 // Fleet holds the status of a set of agents at one time.
 type Fleet struct {
-	At        time.Time           `json:"at"`
-	Agents    []wire.Status       `json:"agents"`
-	Unreached []inquiry.Unreached `json:"unreached,omitempty"`
+	At        time.Time             `json:"at"`
+	Agents    []wire.Status         `json:"agents"`
+	Unreached []inquiry.Unreachable `json:"unreached,omitempty"`
 }
 
 // Look requests the status of the agents at the given operators' addresses, all
 // in parallel.
 func Look(ctx context.Context, pool *peer.Pool, addresses []string) *Fleet {
 	f := &Fleet{At: time.Now()}
-	f.Agents, f.Unreached = inquiry.All[wire.Status](ctx, pool, addresses, wire.MethodStatus, wire.Nothing{})
+	f.Agents, f.Unreached = inquiry.CallAll[wire.Status](ctx, pool, addresses, wire.MethodStatus, wire.Nothing{})
 	slices.SortFunc(f.Agents, func(a, b wire.Status) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Instance, b.Instance))
 	})
-	slices.SortFunc(f.Unreached, func(a, b inquiry.Unreached) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(f.Unreached, func(a, b inquiry.Unreachable) int { return cmp.Compare(a.Address, b.Address) })
 	return f
 }
 
@@ -71,14 +71,14 @@
 		writeAgent(t, &f.Agents[i])
 	}
 	for i := range f.Agents {
-		writeDoubts(t, &f.Agents[i])
+		writeUnhealthy(t, &f.Agents[i])
 	}
 	for i := range f.Agents {
 		for _, a := range f.Agents[i].Alarms {
 			fmt.Fprintf(t, "ALARM on %s: %s\n", f.Agents[i].Instance, a.Text)
 		}
 	}
-	inquiry.WriteUnreached(t, f.Unreached)
+	inquiry.WriteUnreachable(t, f.Unreached)
 	return t.Flush()
 }
 
@@ -94,7 +94,7 @@
 func writeAgent(w io.Writer, s *wire.Status) {
 	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d %s\t%s\t%s\t%s\t%s\t%s\t%s\n",
 		s.Instance, s.Zone, versionText(s.Bundle.Version), entryText(&s.Entry), s.Bundle.Status,
-		s.Bundle.RollSequence, s.Bundle.RollStage, viewText(&s.Fleet), seesText(&s.Fleet),
+		s.Bundle.RollSequence, s.Bundle.RollStage, viewText(&s.Fleet), aliveText(&s.Fleet),
 		platformText(&s.Platform), cpuText(&s.Process), sizeText(s.Process.RSSBytes), trafficText(s))
 }
 
@@ -126,9 +126,9 @@
 	}
 }
 
-// seesText returns how many of the known instances are alive and how many of the
+// aliveText returns how many of the known instances are alive and how many of the
 // known upstreams are usable, as the agent believes.
-func seesText(f *wire.FleetStatus) string {
+func aliveText(f *wire.FleetStatus) string {
 	alive, up := 0, 0
 	for _, i := range f.Instances {
 		if i.State == stateAlive && !i.Leaving {
@@ -182,27 +182,27 @@
 	return fmt.Sprintf("%.2f KB/s", float64(total)/float64(max(s.Process.UptimeMS, 1)))
 }
 
-// writeDoubts writes the instances and upstreams that an agent believes to be
+// writeUnhealthy writes the instances and upstreams that an agent believes to be
 // unhealthy or leaving, if any.
-func writeDoubts(w io.Writer, s *wire.Status) {
-	var doubts []string
+func writeUnhealthy(w io.Writer, s *wire.Status) {
+	var unhealthy []string
 	for _, i := range s.Fleet.Instances {
 		if i.State != stateAlive || i.Leaving {
-			doubts = append(doubts, doubt(string(i.ID), i.State, i.Leaving))
+			unhealthy = append(unhealthy, unhealthyText(string(i.ID), i.State, i.Leaving))
 		}
 	}
 	for _, u := range s.Fleet.Upstreams {
 		if !usable(&u) {
-			doubts = append(doubts, doubt(string(u.ID), u.State, u.Leaving))
+			unhealthy = append(unhealthy, unhealthyText(string(u.ID), u.State, u.Leaving))
 		}
 	}
-	if len(doubts) > 0 {
-		fmt.Fprintf(w, "%s sees: %s\n", s.Instance, strings.Join(doubts, ", "))
+	if len(unhealthy) > 0 {
+		fmt.Fprintf(w, "%s sees: %s\n", s.Instance, strings.Join(unhealthy, ", "))
 	}
 }
 
-// doubt formats one process that is unhealthy or leaving.
-func doubt(id, state string, leaving bool) string {
+// unhealthyText formats one process that is unhealthy or leaving.
+func unhealthyText(id, state string, leaving bool) string {
 	if leaving {
 		state = "leaving, " + state
 	}
--- a/agent/console/fleet_test.go
+++ b/agent/console/fleet_test.go
@@ -49,7 +49,7 @@
 				s.Alarms = []wire.AlarmStatus{{Type: ledger.AlarmNothingRolled, Text: "nothing-rolled; step: publish"}}
 			}),
 		},
-		Unreached: []inquiry.Unreached{{Address: "127.0.0.1:1", Error: "refused"}},
+		Unreached: []inquiry.Unreachable{{Address: "127.0.0.1:1", Error: "refused"}},
 	}
 	var b bytes.Buffer
 	assert.NilError(t, f.Write(&b))
--- a/agent/engines/attempts.go
+++ b/agent/engines/attempts.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// heldBody is the body of the response that lists the held attempts.
-type heldBody struct {
+// attemptsBody is the body of the response that lists the held attempts.
+type attemptsBody struct {
 	Requests []struct {
 		ID string `json:"id"`
 	} `json:"requests"`
@@ -14,7 +14,7 @@
 
 // Held returns the IDs of the attempts that an engine holds.
 func (c *Client) Held(ctx context.Context, address string) ([]string, error) {
-	var b heldBody
+	var b attemptsBody
 	if _, err := c.call(ctx, http.MethodGet, address, pathRequests, nil, &b); err != nil {
 		return nil, err
 	}
@@ -25,13 +25,13 @@
 	return ids, nil
 }
 
-// abortBody is the body of an abort request.
-type abortBody struct {
+// abortRequest is the body of an abort request.
+type abortRequest struct {
 	Attempt string `json:"rid"`
 }
 
-// abortAnswer is the body of the response to an abort request.
-type abortAnswer struct {
+// abortResponse is the body of the response to an abort request.
+type abortResponse struct {
 	Released bool `json:"released"`
 }
 
@@ -39,7 +39,7 @@
 // anything. A nil error acknowledges that the engine no longer holds the attempt,
 // whatever the result.
 func (c *Client) Abort(ctx context.Context, address, attempt string) (bool, error) {
-	var a abortAnswer
-	_, err := c.call(ctx, http.MethodPost, address, pathAbort, abortBody{Attempt: attempt}, &a)
+	var a abortResponse
+	_, err := c.call(ctx, http.MethodPost, address, pathAbort, abortRequest{Attempt: attempt}, &a)
 	return a.Released, err
 }
--- a/agent/engines/client.go
+++ b/agent/engines/client.go
@@ -174,11 +174,11 @@
 		return nil, &CallError{Address: address, Path: path, Kind: FailTimeout, Err: err}
 	}
 	if resp.StatusCode != http.StatusOK {
-		var refusal errorBody
+		var failure errorBody
 		// The error is ignored: a body of another form leaves the code empty.
-		_ = json.Unmarshal(data, &refusal)
+		_ = json.Unmarshal(data, &failure)
 		return nil, &CallError{Address: address, Path: path, Kind: FailStatus, Status: resp.StatusCode,
-			Code: refusal.Error.Code, Highest: refusal.Highest}
+			Code: failure.Error.Code, Highest: failure.Highest}
 	}
 	if into == nil {
 		return resp.Header, nil
--- a/agent/engines/client_test.go
+++ b/agent/engines/client_test.go
@@ -41,8 +41,8 @@
 	return address(t, e.Handler())
 }
 
-// answering returns a handler that sends the same response to every request.
-func answering(status int, body string) http.HandlerFunc {
+// respondWith returns a handler that sends the same response to every request.
+func respondWith(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = w.Write([]byte(body))
@@ -117,26 +117,26 @@
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, closed.Close())
-	hang := make(chan struct{})
-	silent := address(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hang }))
-	t.Cleanup(func() { close(hang) })
+	release := make(chan struct{})
+	silent := address(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
+	t.Cleanup(func() { close(release) })
 	for name, c := range map[string]struct {
 		addr     string
 		kind     Failure
 		answered bool
 	}{
 		"refused":  {closed.Addr().String(), FailRefused, false},
-		"error":    {address(t, answering(http.StatusServiceUnavailable, `{"error":{"code":"draining"}}`)), FailStatus, true},
-		"no JSON":  {address(t, answering(http.StatusOK, "<html>")), FailBody, true},
-		"redirect": {address(t, answering(http.StatusFound, "")), FailStatus, true},
+		"error":    {address(t, respondWith(http.StatusServiceUnavailable, `{"error":{"code":"draining"}}`)), FailStatus, true},
+		"no JSON":  {address(t, respondWith(http.StatusOK, "<html>")), FailBody, true},
+		"redirect": {address(t, respondWith(http.StatusFound, "")), FailStatus, true},
 		"silent":   {silent, FailTimeout, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
 			if c.kind == FailTimeout {
-				ended, cancel := context.WithCancel(ctx)
+				canceled, cancel := context.WithCancel(ctx)
 				cancel()
-				ctx = ended
+				ctx = canceled
 			}
 			_, err := newClient(t).Load(ctx, c.addr)
 			assert.Equal(t, KindOf(err), c.kind)
--- a/agent/meter/process.go
+++ b/agent/meter/process.go
@@ -35,12 +35,12 @@
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err == nil {
 		p.CPU = time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
-	p.RSS, p.PeakRSS = resident()
+	p.RSS, p.PeakRSS = residentMemory()
 	return p
 }
 
-// resident returns the resident memory and its peak, in bytes.
-func resident() (now, peak uint64) {
+// residentMemory returns the resident memory and its peak, in bytes.
+func residentMemory() (now, peak uint64) {
 	b, err := os.ReadFile(fileStatus)
 	if err != nil {
 		return 0, 0
@@ -50,17 +50,17 @@
 		switch {
 		case len(fields) < 2:
 		case string(fields[0]) == lineRSS:
-			now = size(fields[1])
+			now = parseSize(fields[1])
 		case string(fields[0]) == linePeak:
-			peak = size(fields[1])
+			peak = parseSize(fields[1])
 		}
 	}
 	return now, peak
 }
 
-// size parses a size in kB and returns it in bytes, 0 if it is not valid. A limit
-// of 54 bits keeps the product within 64 bits.
-func size(text []byte) uint64 {
+// parseSize parses a size in kB and returns it in bytes, 0 if it is not valid. A
+// limit of 54 bits keeps the product within 64 bits.
+func parseSize(text []byte) uint64 {
 	n, err := strconv.ParseUint(string(text), 10, 54)
 	if err != nil {
 		return 0
--- a/entry/console/explain.go
+++ b/entry/console/explain.go
@@ -25,7 +25,7 @@
 	Found   []peering.ExplainReply `json:"found"`
 	// Unreached lists instances that did not reply; the explanation lacks any
 	// records that they have.
-	Unreached []inquiry.Unreached `json:"unreached,omitempty"`
+	Unreached []inquiry.Unreachable `json:"unreached,omitempty"`
 }
 
 // Explain requests the decision records of a request from the instances at the
@@ -33,8 +33,8 @@
 func Explain(ctx context.Context, pool *peer.Pool, addresses []string, id ident.RequestID) Explanation {
 	out := Explanation{Request: id}
 	req := peering.ExplainRequest{Request: id}
-	replies, unreached := inquiry.All[peering.ExplainReply](ctx, pool, addresses, peering.MethodExplain, req)
-	out.Unreached = unreached
+	replies, unreachable := inquiry.CallAll[peering.ExplainReply](ctx, pool, addresses, peering.MethodExplain, req)
+	out.Unreached = unreachable
 	for _, r := range replies {
 		if len(r.Records) > 0 || len(r.Presentations) > 0 {
 			out.Found = append(out.Found, r)
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	inquiry.WriteUnreached(w, e.Unreached)
+	inquiry.WriteUnreachable(w, e.Unreached)
 	return nil
 }
 
@@ -62,7 +62,7 @@
 func (e *Explanation) writeFound(w io.Writer, f *peering.ExplainReply) error {
 	for _, p := range f.Presentations {
 		fmt.Fprintf(w, "request %s on %s (%s) at %s: %s\n",
-			p.Request, f.Instance, f.Zone, p.Time.Format(time.RFC3339Nano), presentation(&p))
+			p.Request, f.Instance, f.Zone, p.Time.Format(time.RFC3339Nano), presentationText(&p))
 	}
 	if len(f.Records) == 0 {
 		return nil
@@ -79,21 +79,22 @@
 	fmt.Fprintln(t, "AFTER\tSTEP\tREASON\tWHERE\tWHY")
 	for i := range records {
 		r := &records[i]
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", round(r.Waited), r.Step, r.Reason, where(r), why(r))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", roundDuration(r.Waited), r.Step, r.Reason, upstreamsText(r), reasonText(r))
 	}
 	return t.Flush()
 }
 
-// round rounds a duration for display: to 1 ms from one second on, else to 0.1 ms.
-func round(d time.Duration) time.Duration {
+// roundDuration rounds a duration for display: to 1 ms from one second on, else to
+// 0.1 ms.
+func roundDuration(d time.Duration) time.Duration {
 	if d >= time.Second {
 		return d.Round(time.Millisecond)
 	}
 	return d.Round(100 * time.Microsecond)
 }
 
-// where returns the upstreams of a decision, "-" if there are none.
-func where(r *kernel.Record) string {
+// upstreamsText returns the upstreams of a decision, "-" if there are none.
+func upstreamsText(r *kernel.Record) string {
 	switch {
 	case r.Prefill != "" && r.Decode != "":
 		return string(r.Prefill) + " > " + string(r.Decode)
@@ -106,20 +107,20 @@
 	}
 }
 
-// why describes the reason of a decision and the figures recorded with it.
-func why(r *kernel.Record) string {
+// reasonText describes the reason of a decision and the figures recorded with it.
+func reasonText(r *kernel.Record) string {
 	parts := []string{Meaning(r.Reason)}
 	if r.Cost != 0 {
 		parts = append(parts, fmt.Sprintf("cost %.3f", r.Cost))
 	}
 	for _, a := range r.RunnersUp {
-		parts = append(parts, "not "+alternative(a))
+		parts = append(parts, "not "+alternativeText(a))
 	}
 	if r.PredictedFirstOutput > 0 {
-		parts = append(parts, "first output expected in "+round(r.PredictedFirstOutput).String())
+		parts = append(parts, "first output expected in "+roundDuration(r.PredictedFirstOutput).String())
 	}
 	if r.ViewAge > 0 {
-		parts = append(parts, "view "+round(r.ViewAge).String()+" old")
+		parts = append(parts, "view "+roundDuration(r.ViewAge).String()+" old")
 	}
 	if r.QueueLength > 0 {
 		parts = append(parts, fmt.Sprintf("%d waiting", r.QueueLength))
@@ -131,13 +132,13 @@
 		parts = append(parts, "outcome "+string(r.Outcome))
 	}
 	if r.RetryAfter > 0 {
-		parts = append(parts, "retry after "+round(r.RetryAfter).String())
+		parts = append(parts, "retry after "+roundDuration(r.RetryAfter).String())
 	}
 	return strings.Join(parts, "; ")
 }
 
-// alternative formats a placement that was not chosen, with its cost.
-func alternative(a kernel.Alternative) string {
+// alternativeText formats a placement that was not chosen, with its cost.
+func alternativeText(a kernel.Alternative) string {
 	r := kernel.Record{Prefill: a.Prefill, Decode: a.Decode}
-	return fmt.Sprintf("%s (%.3f)", where(&r), a.Cost)
+	return fmt.Sprintf("%s (%.3f)", upstreamsText(&r), a.Cost)
 }
--- a/entry/console/presentation.go
+++ b/entry/console/presentation.go
@@ -6,8 +6,8 @@
 	"github.com/wardspool/wardspool/entry/journal"
 )
 
-// presentation describes how a call that presented a ticket was handled.
-func presentation(p *journal.Presentation) string {
+// presentationText describes how a call that presented a ticket was handled.
+func presentationText(p *journal.Presentation) string {
 	switch p.Action {
 	case journal.PresentationRun:
 		return fmt.Sprintf("its ticket was used here, the call runs as %s", p.Run)
--- a/entry/console/watch.go
+++ b/entry/console/watch.go
@@ -30,8 +30,8 @@
 	InForce  []InForce `json:"in_force"`
 	// Versions holds the statistics per bundle version since the start of the
 	// observed instances.
-	Versions  []stats.Version     `json:"versions"`
-	Unreached []inquiry.Unreached `json:"unreached,omitempty"`
+	Versions  []stats.Version       `json:"versions"`
+	Unreached []inquiry.Unreachable `json:"unreached,omitempty"`
 }
 
 // Watcher takes snapshots of a set of instances. It keeps the counts of processes
@@ -39,37 +39,37 @@
 type Watcher struct {
 	pool      *peer.Pool
 	addresses []string
-	// lives holds the latest counts of each incarnation of each instance.
-	lives map[life][]stats.Version
+	// latest holds the latest counts of each incarnation of each instance.
+	latest map[incarnationKey][]stats.Version
 }
 
-// life identifies one incarnation of one instance.
-type life struct {
+// incarnationKey identifies one incarnation of one instance.
+type incarnationKey struct {
 	instance    ident.InstanceID
 	incarnation ident.Incarnation
 }
 
 // NewWatcher returns a watcher of the instances at the given operators' addresses.
 func NewWatcher(pool *peer.Pool, addresses []string) *Watcher {
-	return &Watcher{pool: pool, addresses: addresses, lives: map[life][]stats.Version{}}
+	return &Watcher{pool: pool, addresses: addresses, latest: map[incarnationKey][]stats.Version{}}
 }
 
 // Look requests the statistics of all instances and returns their sum.
 func (w *Watcher) Look(ctx context.Context, now time.Time) Snapshot {
-	replies, unreached := inquiry.All[peering.StatsReply](ctx, w.pool, w.addresses, peering.MethodStats, peering.Nothing{})
-	s := Snapshot{At: now, Unreached: unreached}
+	replies, unreachable := inquiry.CallAll[peering.StatsReply](ctx, w.pool, w.addresses, peering.MethodStats, peering.Nothing{})
+	s := Snapshot{At: now, Unreached: unreachable}
 	inForce := map[uint64]int{}
 	for _, r := range replies {
 		s.InFlight += r.InFlight
 		inForce[r.BundleVersion]++
-		w.lives[life{r.Instance, r.Incarnation}] = r.Versions
+		w.latest[incarnationKey{r.Instance, r.Incarnation}] = r.Versions
 	}
 	for version, n := range inForce {
 		s.InForce = append(s.InForce, InForce{Version: version, Instances: n})
 	}
 	slices.SortFunc(s.InForce, func(a, b InForce) int { return cmp.Compare(a.Version, b.Version) })
-	all := make([][]stats.Version, 0, len(w.lives))
-	for _, v := range w.lives {
+	all := make([][]stats.Version, 0, len(w.latest))
+	for _, v := range w.latest {
 		all = append(all, v)
 	}
 	s.Versions = stats.Sum(all...)
@@ -90,7 +90,7 @@
 	}
 	fmt.Fprintln(t, "\nBUNDLE\tPREFILL TOKENS\tWASTED\tSHARE")
 	for _, v := range s.Versions {
-		fmt.Fprintf(t, "%d\t%d\t%d\t%s\n", v.Version, v.PrefillTokens, v.WastedTokens, share(v.WastedTokens, v.PrefillTokens))
+		fmt.Fprintf(t, "%d\t%d\t%d\t%s\n", v.Version, v.PrefillTokens, v.WastedTokens, percentage(v.WastedTokens, v.PrefillTokens))
 	}
 	fmt.Fprintln(t, "\nBUNDLE\tGIVEN UP\tREASON\tCOUNT\tMEANING")
 	for _, v := range s.Versions {
@@ -98,7 +98,7 @@
 			fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%s\n", v.Version, r.Step, r.Reason, r.Count, Meaning(r.Reason))
 		}
 	}
-	inquiry.WriteUnreached(t, s.Unreached)
+	inquiry.WriteUnreachable(t, s.Unreached)
 	return t.Flush()
 }
 
@@ -106,12 +106,12 @@
 func writeKinds(w io.Writer, v stats.Version) {
 	for _, k := range v.Kinds {
 		fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%s\t%d\t%d\t%d\t%d\n", v.Version, k.Kind, k.Offered, k.OnTime,
-			share(k.OnTime, k.Offered), k.Complete-k.OnTime, k.NotRun, k.Unknown, k.Tokens)
+			percentage(k.OnTime, k.Offered), k.Complete-k.OnTime, k.NotRun, k.Unknown, k.Tokens)
 	}
 }
 
-// share formats part as a percentage of whole, "-" if whole is 0.
-func share(part, whole int64) string {
+// percentage formats part as a percentage of whole, "-" if whole is 0.
+func percentage(part, whole int64) string {
 	if whole == 0 {
 		return "-"
 	}
--- a/entry/intake/body.go
+++ b/entry/intake/body.go
@@ -46,7 +46,7 @@
 	b.MaxTokens = r.maxTokens(endpoint)
 	b.Stream = r.flag("stream")
 	b.IncludeUsage = r.includeUsage(b.Stream)
-	r.refuseUnsupported(b.Stream)
+	r.rejectUnsupported(b.Stream)
 	if endpoint == adapter.Chat {
 		b.Prompt = r.messages()
 	} else {
@@ -58,7 +58,7 @@
 	if r.problem != nil {
 		return nil, r.problem
 	}
-	b.Fields = r.passOn()
+	b.Fields = r.forwardedFields()
 	return b, nil
 }
 
@@ -164,10 +164,10 @@
 	return o.IncludeUsage
 }
 
-// refuseUnsupported rejects requests that could not be answered completely: those
+// rejectUnsupported rejects requests that could not be answered completely: those
 // for several choices or an echo of the prompt, and those for an unstreamed answer
 // with parts other than text.
-func (r *bodyReader) refuseUnsupported(stream bool) {
+func (r *bodyReader) rejectUnsupported(stream bool) {
 	for _, name := range []string{"n", "best_of"} {
 		if r.count(name) > 1 {
 			r.fail(name, "is more than 1, which is not supported")
@@ -217,8 +217,8 @@
 	r.members[name] = raw
 }
 
-// passOn returns the members to forward, sorted by name.
-func (r *bodyReader) passOn() []adapter.Field {
+// forwardedFields returns the members to forward, sorted by name.
+func (r *bodyReader) forwardedFields() []adapter.Field {
 	fields := make([]adapter.Field, 0, len(r.members))
 	for name, raw := range r.members {
 		fields = append(fields, adapter.Field{Name: name, Raw: raw})
--- a/entry/intake/catalog.go
+++ b/entry/intake/catalog.go
@@ -15,9 +15,9 @@
 	Version uint64
 	Content *config.Content
 
-	kinds  map[string]*config.Kind
-	first  map[config.Route]*config.Kind
-	models map[string]*config.Model
+	kinds        map[string]*config.Kind
+	defaultKinds map[config.Route]*config.Kind
+	models       map[string]*config.Model
 	// deduplicates holds, by service, whether its upstreams run an idempotency
 	// key at most once.
 	deduplicates map[string]bool
@@ -30,7 +30,7 @@
 		Version:      version,
 		Content:      c,
 		kinds:        make(map[string]*config.Kind, len(c.Kinds)),
-		first:        map[config.Route]*config.Kind{},
+		defaultKinds: map[config.Route]*config.Kind{},
 		models:       make(map[string]*config.Model, len(c.Models)),
 		deduplicates: make(map[string]bool, len(c.Services)),
 		workspaces:   make(map[ident.Workspace]bool, len(c.Workspaces)),
@@ -38,8 +38,8 @@
 	for i := range c.Kinds {
 		k := &c.Kinds[i]
 		cat.kinds[k.Name] = k
-		if cat.first[k.Route] == nil {
-			cat.first[k.Route] = k
+		if cat.defaultKinds[k.Route] == nil {
+			cat.defaultKinds[k.Route] = k
 		}
 	}
 	for i := range c.Models {
--- a/entry/intake/chat.go
+++ b/entry/intake/chat.go
@@ -37,7 +37,7 @@
 		return ""
 	}
 	flat := make([]tokens.Message, len(list))
-	parts := false
+	hasParts := false
 	for i, m := range list {
 		if m == nil {
 			r.fail("messages", fmt.Sprintf("has null in place of a message, at index %d", i))
@@ -48,10 +48,10 @@
 			r.fail("messages", fmt.Sprintf("has content that is not text, at index %d", i))
 			return ""
 		}
-		parts = parts || split
+		hasParts = hasParts || split
 		flat[i] = tokens.Message{Role: m.Role, Content: text}
 	}
-	if parts {
+	if hasParts {
 		r.joinParts(flat)
 	}
 	return tokens.FlattenChat(flat)
@@ -83,16 +83,16 @@
 // joinParts replaces the content of the messages by their joined text, for engines
 // that accept only strings. It keeps the other members of each message.
 func (r *bodyReader) joinParts(flat []tokens.Message) {
-	var whole []map[string]json.RawMessage
+	var rawMessages []map[string]json.RawMessage
 	// The error is ignored: messages has decoded the member before.
-	_ = json.Unmarshal(r.members["messages"], &whole)
-	for i := range whole {
+	_ = json.Unmarshal(r.members["messages"], &rawMessages)
+	for i := range rawMessages {
 		// Decoders may match the names of members without regard to case.
-		maps.DeleteFunc(whole[i], func(name string, _ json.RawMessage) bool {
+		maps.DeleteFunc(rawMessages[i], func(name string, _ json.RawMessage) bool {
 			return strings.EqualFold(name, "content")
 		})
 		content, _ := json.Marshal(flat[i].Content)
-		whole[i]["content"] = content
+		rawMessages[i]["content"] = content
 	}
-	r.set("messages", whole)
+	r.set("messages", rawMessages)
 }
--- a/entry/intake/headers.go
+++ b/entry/intake/headers.go
@@ -148,7 +148,7 @@
 // first kind declared for the route.
 func (c *Catalog) kind(name string, route config.Route) (*config.Kind, *api.Problem) {
 	if name == "" {
-		if k := c.first[route]; k != nil {
+		if k := c.defaultKinds[route]; k != nil {
 			return k, nil
 		}
 		return nil, api.NewProblem(api.ProblemUnknownKind, api.NotRun,
--- a/feed/changes.go
+++ b/feed/changes.go
@@ -43,8 +43,8 @@
 func NewChanges(base string, before, after *config.Content) *Changes {
 	c := &Changes{
 		Base: base, Rest: *after,
-		Workspaces: splice(before.Workspaces, after.Workspaces),
-		Upstreams:  splice(before.Upstreams, after.Upstreams),
+		Workspaces: newSplice(before.Workspaces, after.Workspaces),
+		Upstreams:  newSplice(before.Upstreams, after.Upstreams),
 	}
 	c.Rest.Workspaces, c.Rest.Upstreams = nil, nil
 	return c
@@ -55,18 +55,18 @@
 func (c *Changes) On(before *config.Content) (*config.Content, error) {
 	after := c.Rest
 	var err error
-	if after.Workspaces, err = c.Workspaces.on(before.Workspaces); err != nil {
+	if after.Workspaces, err = c.Workspaces.apply(before.Workspaces); err != nil {
 		return nil, err
 	}
-	if after.Upstreams, err = c.Upstreams.on(before.Upstreams); err != nil {
+	if after.Upstreams, err = c.Upstreams.apply(before.Upstreams); err != nil {
 		return nil, err
 	}
 	return &after, nil
 }
 
-// splice returns the splice from before to after, with the longest common prefix
+// newSplice returns the splice from before to after, with the longest common prefix
 // and then the longest common suffix kept.
-func splice[T any](before, after []T) Splice[T] {
+func newSplice[T any](before, after []T) Splice[T] {
 	shorter := min(len(before), len(after))
 	keep := 0
 	for keep < shorter && reflect.DeepEqual(&before[keep], &after[keep]) {
@@ -79,8 +79,8 @@
 	return Splice[T]{Keep: keep, Insert: after[keep : len(after)-tail], Tail: tail}
 }
 
-// on applies the splice to before and returns the new list.
-func (s Splice[T]) on(before []T) ([]T, error) {
+// apply applies the splice to before and returns the new list.
+func (s Splice[T]) apply(before []T) ([]T, error) {
 	if s.Keep < 0 || s.Tail < 0 || s.Keep > len(before) || s.Tail > len(before)-s.Keep {
 		return nil, &SpliceError{Keep: s.Keep, Tail: s.Tail, Length: len(before)}
 	}
--- a/feed/changes_test.go
+++ b/feed/changes_test.go
@@ -14,9 +14,9 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// contents draws a content with short lists of few distinct entries, so that
+// drawContent draws a content with short lists of few distinct entries, so that
 // common prefixes and suffixes are frequent.
-func contents(t *rapid.T) *config.Content {
+func drawContent(t *rapid.T) *config.Content {
 	c := &config.Content{Deployment: rapid.SampledFrom([]string{"coastline", "lagos"}).Draw(t, "deployment")}
 	for _, name := range rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 6).Draw(t, "workspaces") {
 		c.Workspaces = append(c.Workspaces, config.Workspace{Name: ident.Workspace(name), Models: []string{name}})
@@ -32,8 +32,8 @@
 // and do not modify the first.
 func TestChangesMakeTheContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		before, after := contents(t), contents(t)
-		kept := &config.Content{Deployment: before.Deployment, Workspaces: slices.Clone(before.Workspaces), Upstreams: slices.Clone(before.Upstreams)}
+		before, after := drawContent(t), drawContent(t)
+		original := &config.Content{Deployment: before.Deployment, Workspaces: slices.Clone(before.Workspaces), Upstreams: slices.Clone(before.Upstreams)}
 		doc, err := json.Marshal(NewChanges("base", before, after))
 		assert.NilError(t, err)
 		var c Changes
@@ -41,7 +41,7 @@
 		got, err := c.On(before)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, got, after)
-		assert.DeepEqual(t, before, kept)
+		assert.DeepEqual(t, before, original)
 	})
 }
 
--- a/inquiry/inquiry.go
+++ b/inquiry/inquiry.go
@@ -10,8 +10,8 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Unreached is a process that returned no reply, and the error of the call.
-type Unreached struct {
+// Unreachable is a process that returned no reply, and the error of the call.
+type Unreachable struct {
 	Address string `json:"address"`
 	Error   string `json:"error"`
 }
@@ -22,9 +22,9 @@
 	err   error
 }
 
-// All calls a method at all addresses ("ip:port") in parallel. It returns the replies
-// and the processes that returned none, both in the order of the addresses.
-func All[Reply any](ctx context.Context, pool *peer.Pool, addresses []string, method string, req any) ([]Reply, []Unreached) {
+// CallAll calls a method at all addresses ("ip:port") in parallel. It returns the
+// replies and the processes that returned none, both in the order of the addresses.
+func CallAll[Reply any](ctx context.Context, pool *peer.Pool, addresses []string, method string, req any) ([]Reply, []Unreachable) {
 	results := make([]chan result[Reply], len(addresses))
 	for i, addr := range addresses {
 		results[i] = make(chan result[Reply], 1)
@@ -34,20 +34,20 @@
 		}()
 	}
 	var replies []Reply
-	var unreached []Unreached
+	var unreachable []Unreachable
 	for i, addr := range addresses {
 		r := <-results[i]
 		if r.err != nil {
-			unreached = append(unreached, Unreached{Address: addr, Error: r.err.Error()})
+			unreachable = append(unreachable, Unreachable{Address: addr, Error: r.err.Error()})
 			continue
 		}
 		replies = append(replies, r.reply)
 	}
-	return replies, unreached
+	return replies, unreachable
 }
 
-// WriteUnreached writes one line for each process that returned no reply.
-func WriteUnreached(w io.Writer, list []Unreached) {
+// WriteUnreachable writes one line for each process that returned no reply.
+func WriteUnreachable(w io.Writer, list []Unreachable) {
 	for _, u := range list {
 		fmt.Fprintf(w, "not reached: %s: %s\n", u.Address, u.Error)
 	}
