--- a/agent/console/fleet_test.go
+++ b/agent/console/fleet_test.go
@@ -15,7 +15,8 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// statusOf returns a status for tests.
+// statusOf returns a status with the given bundle version in force, as modified
+// by change, which may be nil.
 func statusOf(version uint64, change func(*wire.Status)) wire.Status {
 	s := wire.Status{
 		Instance: "a-1", Zone: "hall-a",
@@ -48,7 +49,7 @@
 				s.Alarms = []wire.AlarmStatus{{Type: ledger.AlarmNothingRolled, Text: "nothing-rolled; step: publish"}}
 			}),
 		},
-		Unreached: []inquiry.Unreached{{Address: "127.0.0.1:1", Error: "refused"}},
+		Unreached: []inquiry.Unreachable{{Address: "127.0.0.1:1", Error: "refused"}},
 	}
 	var b bytes.Buffer
 	assert.NilError(t, f.Write(&b))
--- a/agent/engines/client_test.go
+++ b/agent/engines/client_test.go
@@ -17,21 +17,21 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// newClient returns a client for tests.
 func newClient(t *testing.T) *Client {
 	c := New(&net.Dialer{}, 5*time.Second)
 	t.Cleanup(c.Close)
 	return c
 }
 
-// address starts a server and returns its address.
+// address starts a server with the handler and returns its host and port.
 func address(t *testing.T, h http.Handler) string {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// standin starts a stand-in engine that checks fencing numbers.
+// standin starts a stand-in engine that checks fencing numbers and returns its
+// address.
 func standin(t *testing.T) string {
 	e := engine.New(engine.Config{
 		ID: "dc-1", Role: config.RoleDecode, Models: []string{"m"}, Version: "1",
@@ -41,8 +41,8 @@
 	return address(t, e.Handler())
 }
 
-// answering answers every request alike.
-func answering(status int, body string) http.HandlerFunc {
+// respondWith returns a handler that sends the same response to every request.
+func respondWith(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = w.Write([]byte(body))
@@ -85,8 +85,9 @@
 	assert.Assert(t, Answered(err))
 }
 
-// TestFreshHeader: the header's report is newer than the body's, but only counts
-// for the same life.
+// TestFreshHeader checks that the load report of the header is preferred to the
+// body's only if it is valid, of the same incarnation and not older. A header of a
+// previous incarnation would otherwise replace the current load.
 func TestFreshHeader(t *testing.T) {
 	for name, c := range map[string]struct {
 		header  string
@@ -116,26 +117,26 @@
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, closed.Close())
-	hang := make(chan struct{})
-	silent := address(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hang }))
-	t.Cleanup(func() { close(hang) })
+	release := make(chan struct{})
+	silent := address(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
+	t.Cleanup(func() { close(release) })
 	for name, c := range map[string]struct {
 		addr     string
 		kind     Failure
 		answered bool
 	}{
 		"refused":  {closed.Addr().String(), FailRefused, false},
-		"error":    {address(t, answering(http.StatusServiceUnavailable, `{"error":{"code":"draining"}}`)), FailStatus, true},
-		"no JSON":  {address(t, answering(http.StatusOK, "<html>")), FailBody, true},
-		"redirect": {address(t, answering(http.StatusFound, "")), FailStatus, true},
+		"error":    {address(t, respondWith(http.StatusServiceUnavailable, `{"error":{"code":"draining"}}`)), FailStatus, true},
+		"no JSON":  {address(t, respondWith(http.StatusOK, "<html>")), FailBody, true},
+		"redirect": {address(t, respondWith(http.StatusFound, "")), FailStatus, true},
 		"silent":   {silent, FailTimeout, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
 			if c.kind == FailTimeout {
-				ended, cancel := context.WithCancel(ctx)
+				canceled, cancel := context.WithCancel(ctx)
 				cancel()
-				ctx = ended
+				ctx = canceled
 			}
 			_, err := newClient(t).Load(ctx, c.addr)
 			assert.Equal(t, KindOf(err), c.kind)
--- a/entry/console/presentation.go
+++ b/entry/console/presentation.go
@@ -6,8 +6,8 @@
 	"github.com/wardspool/wardspool/entry/journal"
 )
 
-// presentation puts what became of a ticket's call into words.
-func presentation(p *journal.Presentation) string {
+// presentationText describes how a call that presented a ticket was handled.
+func presentationText(p *journal.Presentation) string {
 	switch p.Action {
 	case journal.PresentationRun:
 		return fmt.Sprintf("its ticket was used here, the call runs as %s", p.Run)
