--- a/entry/check.go
+++ b/entry/check.go
@@ -39,7 +39,7 @@
 	common.CheckAddress(r, "callers.listen", s.Callers.Listen, common.Required)
 	common.CheckAddress(r, "peers.listen", s.Peers.Listen, common.Optional)
 	common.CheckLoopback(r, "feed.listen", s.Feed.Listen, common.Optional,
-		"the agent runs beside the entry: use 127.0.0.1")
+		"the agent runs on the same host as the entry: use 127.0.0.1")
 }
 
 func (s *Settings) checkLimits(r *settings.Report) {
@@ -74,7 +74,8 @@
 	}
 }
 
-// checkTickets checks the keys without printing any part of them.
+// checkTickets checks the ticket keys. Its findings never contain any part of a
+// secret.
 func (s *Settings) checkTickets(r *settings.Report) {
 	if s.Tickets.Lifetime <= 0 {
 		r.Add("tickets.lifetime", "is not positive", "for example 2m")
@@ -84,7 +85,8 @@
 	}
 }
 
-// checkAdapters loads each adapter with its settings.
+// checkAdapters checks that both adapters load with their settings and have the
+// right type, and that no settings are given for a plug-in that is not used.
 func (s *Settings) checkAdapters(r *settings.Report) {
 	engine := s.checkAdapter(r, "engine", s.Engine)
 	if _, ok := engine.(adapter.Engine); engine != nil && !ok {
@@ -101,6 +103,8 @@
 	}
 }
 
+// checkAdapter loads a plug-in with its settings and returns it, or reports why it
+// could not be loaded and returns nil.
 func (s *Settings) checkAdapter(r *settings.Report, field string, id plugin.ID) plugin.Plugin {
 	var decodeErr error
 	p, err := plugin.Load(id, func(into any) error {
@@ -113,14 +117,15 @@
 	case err != nil:
 		r.Add(field, err.Error(), "link the plug-in or name another")
 	default:
-		// The plug-in was made for the check only.
+		// The plug-in was loaded for this check only.
 		_ = plugin.Unload(id, p)
 		return p
 	}
 	return nil
 }
 
-// checkSource checks where bundle and view come from.
+// checkSource checks the source of the bundle and the view: the agent's feed, or
+// the static fleet.
 func (s *Settings) checkSource(r *settings.Report) {
 	if s.Static == nil {
 		common.CheckAddress(r, "feed.listen", s.Feed.Listen, common.Required)
--- a/entry/connections.go
+++ b/entry/connections.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// limitedListener bounds the connections that are open at a time: further ones
-// wait in the system's queue until one closes.
+// limitedListener limits the number of connections that are open at the same time.
+// Further connections wait in the operating system's accept queue until one closes.
 type limitedListener struct {
 	net.Listener
 	slots  chan struct{}
@@ -14,7 +14,7 @@
 	once   sync.Once
 }
 
-// limitConnections returns a listener that keeps at most limit connections.
+// limitConnections returns a listener that has at most limit open connections.
 func limitConnections(l net.Listener, limit int) net.Listener {
 	return &limitedListener{
 		Listener: l,
@@ -44,7 +44,7 @@
 	return l.Listener.Close()
 }
 
-// limitedConn gives its place back when it closes.
+// limitedConn frees its slot in the listener when it is closed.
 type limitedConn struct {
 	net.Conn
 	slots chan struct{}
--- a/entry/counters.go
+++ b/entry/counters.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// counters are the metrics of an entry instance.
+// counters holds the metrics of an entry instance.
 type counters struct {
 	scope tally.Scope
 	late,
@@ -30,12 +30,13 @@
 	firsts    map[string]tally.Histogram
 }
 
-// decisionKey and requestKey are the labels of two metrics.
+// decisionKey holds the label values of the metric "decisions".
 type decisionKey struct {
 	step   kernel.Step
 	reason kernel.Reason
 }
 
+// requestKey holds the label values of the metric "requests".
 type requestKey struct {
 	kind, outcome string
 	onTime        bool
@@ -59,10 +60,10 @@
 	}
 }
 
-// firstOutputBuckets are the upper bounds of the histogram of first output.
+// firstOutputBuckets are the upper bounds of the first_output_seconds histogram.
 var firstOutputBuckets = tally.MustMakeExponentialDurationBuckets(10*time.Millisecond, 2, 13)
 
-// decided counts a decision.
+// decided counts a decision by step and reason.
 func (c *counters) decided(r *kernel.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +77,7 @@
 	counter.Inc(1)
 }
 
-// ended counts a request that ended.
+// ended counts a request that ended, its tokens and its time to first output.
 func (c *counters) ended(s *driver.Summary) {
 	c.tokens.Inc(int64(s.Tokens))
 	c.prefillTokens.Inc(int64(s.PrefillTokens))
--- a/entry/docs_test.go
+++ b/entry/docs_test.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/entry"
 )
 
-// fields returns the paths of a settings type's fields.
+// fields returns the YAML paths of all fields of a settings type.
 func fields(t reflect.Type, prefix string) []string {
 	var out []string
 	for i := range t.NumField() {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// TestSettingsPage compares the settings with their page.
+// TestSettingsPage checks that docs/settings.md mentions every field of the settings.
 func TestSettingsPage(t *testing.T) {
 	data, err := os.ReadFile("../docs/settings.md")
 	assert.NilError(t, err)
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestCallersPage compares the constants of package api with the callers' page.
+// TestCallersPage checks that docs/callers.md mentions every header and problem type
+// of package api.
 func TestCallersPage(t *testing.T) {
 	page, err := os.ReadFile("../docs/callers.md")
 	assert.NilError(t, err)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is an entry instance: the HTTP interface to callers, the driver
-// of the decision kernel, the adapters to upstreams, and the connections to the
-// agent, to the other instances and to operators.
+// Package entry implements an entry instance: the HTTP interface for callers, the
+// driver of the decision kernel, the adapters to upstreams, and the connections to
+// the agent, to the other instances and to operators' tools.
 package entry
 
 import (
@@ -27,7 +27,7 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// Entry is one entry instance. New makes it, Listen opens its addresses, Serve
+// Entry is one entry instance. New creates it, Listen opens its listeners and Serve
 // runs it.
 type Entry struct {
 	settings *Settings
@@ -41,7 +41,7 @@
 	recorder *recorder
 	driver   *driver.Driver
 	front    *front.Front
-	// desk is nil without ticket keys.
+	// desk is nil if no ticket keys are configured.
 	desk     *tickets.Desk
 	book     *peering.Book
 	views    peering.Views
@@ -49,20 +49,21 @@
 	pool     *peer.Pool
 	servers  servers
 
-	// catalog is the bundle version in force, nil before the first.
+	// catalog describes the bundle version in force; it is nil before the first one.
 	catalog atomic.Pointer[intake.Catalog]
-	// ready is the agent's word; notReady and stopping are the two steps of a
-	// shutdown.
+	// ready is set once the agent has reported that it is ready. notReady and stopping
+	// are set by the two steps of a shutdown: notReady makes the readiness probe fail,
+	// stopping makes the instance refuse new requests.
 	ready    atomic.Bool
 	notReady atomic.Bool
 	stopping atomic.Bool
 	inFlight atomic.Int64
-	// staticVersion numbers the views of a static fleet.
+	// staticVersion is the version of the latest view of a static fleet.
 	staticVersion atomic.Uint64
 }
 
-// New makes an entry instance of checked settings. Its errors are those of the
-// plug-ins and of the static bundle.
+// New creates an entry instance from settings that have been checked. It fails if a
+// plug-in, a TLS file or the ticket keys cannot be loaded.
 func New(s *Settings, log *slog.Logger) (*Entry, error) {
 	e := &Entry{
 		settings: s,
@@ -86,7 +87,7 @@
 		Prefix: prefix.New(),
 	})
 	if err != nil {
-		return nil, oops.In("entry").Wrapf(err, "make the kernel")
+		return nil, oops.In("entry").Wrapf(err, "create the kernel")
 	}
 	reporter := metrics.NewReporter()
 	scope, closer := metrics.NewScope(reporter, "wardspool_entry")
@@ -96,13 +97,13 @@
 	e.pool = peer.NewPool(e.peerConfig(e.book.Known))
 	e.driver = e.newDriver(k)
 	if e.desk, err = newDesk(&s.Tickets, e.self, e.book, e.pool, e.recorder); err != nil {
-		return nil, oops.In("entry").Wrapf(err, "make the tickets' keys")
+		return nil, oops.In("entry").Wrapf(err, "load the ticket keys")
 	}
 	e.front = e.newFront(reporter)
 	return e, nil
 }
 
-// newDriver returns the driver of the kernel.
+// newDriver returns the driver that runs the kernel.
 func (e *Entry) newDriver(k *kernel.Kernel) *driver.Driver {
 	return driver.New(driver.Options{
 		Kernel:       k,
@@ -117,7 +118,7 @@
 	})
 }
 
-// newFront returns the HTTP interface, connected to the tickets' desk.
+// newFront returns the HTTP interface, connected to the ticket desk if there is one.
 func (e *Entry) newFront(reporter *metrics.Reporter) *front.Front {
 	options := front.Options{
 		Instance: e.self.Instance,
@@ -137,7 +138,7 @@
 	return f
 }
 
-// knownPeers indexes the settings' peers.
+// knownPeers indexes the peers of the settings by instance.
 func knownPeers(list []PeerAddress) map[ident.InstanceID]string {
 	out := make(map[ident.InstanceID]string, len(list))
 	for _, p := range list {
@@ -146,8 +147,8 @@
 	return out
 }
 
-// AdapterTypeError reports a plug-in that is not the adapter that its place
-// needs.
+// AdapterTypeError reports that a plug-in is not the type of adapter that it is
+// configured as.
 type AdapterTypeError struct {
 	ID   plugin.ID
 	Want string
@@ -158,7 +159,7 @@
 	return "plug-in " + string(e.ID) + " is not " + e.Want
 }
 
-// loadAdapters makes the adapters that the settings name.
+// loadAdapters loads the adapters that the settings name.
 func (e *Entry) loadAdapters() error {
 	var err error
 	e.engine, err = loadAdapter[adapter.Engine](e.settings, e.settings.Engine, "an engine adapter")
@@ -169,7 +170,7 @@
 	return err
 }
 
-// loadAdapter makes one adapter with its settings.
+// loadAdapter loads one adapter with its settings and checks its type.
 func loadAdapter[A plugin.Plugin](s *Settings, id plugin.ID, want string) (A, error) {
 	var none A
 	p, err := plugin.Load(id, s.Plugins[id].Decode)
@@ -183,7 +184,7 @@
 	return a, nil
 }
 
-// counting counts the requests in flight.
+// counting is a front.Submitter that counts the requests in flight.
 type counting struct{ e *Entry }
 
 // Submit implements front.Submitter.
@@ -193,7 +194,7 @@
 	return c.e.driver.Submit(ctx, ex)
 }
 
-// unready says why the instance takes no new requests.
+// unready returns why the instance is not ready, or front.IsReady.
 func (e *Entry) unready() front.Unready {
 	switch {
 	case e.stopping.Load():
@@ -209,32 +210,32 @@
 	}
 }
 
-// configured notes the bundle version that came into force.
+// configured publishes a bundle version that came into force to the HTTP interface.
 func (e *Entry) configured(version uint64, c *config.Content) {
 	e.catalog.Store(intake.NewCatalog(version, c))
 	e.recorder.info("bundle in force", "bundle_version", version)
 }
 
-// paused follows up on a pause of the process.
+// paused handles a pause of the process that the driver detected.
 func (e *Entry) paused(gap time.Duration) {
 	e.recorder.counters.pauses.Inc(1)
 	if e.desk != nil {
 		e.desk.Paused(gap)
 	}
 	if e.settings.Static != nil {
-		// There is no agent that would refresh the view. The driver calls this
-		// from its own goroutine, which must not wait for itself.
+		// Without an agent nothing else refreshes the view. The driver calls this from
+		// its own goroutine, which must not wait for a post to itself.
 		go e.postStaticView()
 	}
 }
 
-// postStaticView hands the kernel a fresh view of the static fleet.
+// postStaticView sends the kernel a new view of the static fleet.
 func (e *Entry) postStaticView() {
 	version := e.staticVersion.Add(1)
 	e.driver.Post(kernel.ViewChanged{View: staticView(e.settings, e.self, version, time.Now())})
 }
 
-// startStatic brings the static bundle and view into force.
+// startStatic puts the bundle and the view of a static fleet into force.
 func (e *Entry) startStatic() error {
 	content, err := loadStatic(e.settings.Static)
 	if err != nil {
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -20,7 +20,7 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// setFaults makes a stand-in misbehave.
+// setFaults sets the faults that a simulated upstream injects.
 func (b *bed) setFaults(id ident.UpstreamID, faults any) {
 	b.t.Helper()
 	body, err := json.Marshal(faults)
@@ -34,7 +34,7 @@
 	assert.Equal(b.t, resp.StatusCode, http.StatusOK, "%s", text)
 }
 
-// readJudge reads a stand-in's report.
+// readJudge returns the report of a simulated upstream on the calls that it received.
 func readJudge[T any](b *bed, id ident.UpstreamID) T {
 	b.t.Helper()
 	resp, err := http.Get("http://" + b.addresses[id] + control.PathJudge)
@@ -45,7 +45,7 @@
 	return out
 }
 
-// await waits until a condition holds.
+// await waits about 4 s at most until a condition holds.
 func (b *bed) await(what string, holds func() bool) {
 	b.t.Helper()
 	for range 2000 {
@@ -54,25 +54,26 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	b.t.Fatalf("%s: not within the time", what)
+	b.t.Fatalf("timed out waiting for: %s", what)
 }
 
-// nothingHeld waits until no engine holds anything.
+// nothingHeld waits until no engine holds memory for any attempt.
 func (b *bed) nothingHeld() {
 	b.t.Helper()
 	for _, id := range []ident.UpstreamID{"pf-1", "dc-1", "dc-2"} {
-		b.await("memory of "+string(id), func() bool {
+		b.await("release of memory on "+string(id), func() bool {
 			return readJudge[judge.Engine](b, id).Held == judge.Held{}
 		})
 	}
 }
 
-// completion returns the body of a request for n tokens.
+// completion returns the body of a completion request for n tokens.
 func completion(n int, stream bool) string {
 	return fmt.Sprintf(`{"model":"reader","prompt":%q,"max_tokens":%d,"stream":%t}`, prompt, n, stream)
 }
 
-// streamedText joins the text of a stream's events and returns the rest.
+// streamedText returns the joined text of a stream's events, whether the stream was
+// completed, and the problem that ended it, if any.
 func streamedText(t *testing.T, body string) (text string, done bool, problem *api.Problem) {
 	t.Helper()
 	for event := range strings.SplitSeq(body, "\n\n") {
@@ -99,6 +100,8 @@
 	return text, done, problem
 }
 
+// TestCallerGoneReleasesMemory checks that the engines release a request's memory after
+// its caller has closed the connection in the middle of a stream.
 func TestCallerGoneReleasesMemory(t *testing.T) {
 	b := newBed(t, nil)
 	ctx, hangUp := context.WithCancel(t.Context())
@@ -113,6 +116,8 @@
 	b.nothingHeld()
 }
 
+// TestDecodeFailureIsResumedElsewhere checks that a request whose decode engine fails is
+// resumed on the other one, and that the output has no gaps or repeated tokens.
 func TestDecodeFailureIsResumedElsewhere(t *testing.T) {
 	for _, stream := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stream=%t", stream), func(t *testing.T) {
@@ -134,6 +139,9 @@
 	}
 }
 
+// TestDroppedConnectionIsReadOn checks that after a connection to the decode engine has
+// broken, the rest of the stream is read over a new connection and nothing is decoded
+// a second time.
 func TestDroppedConnectionIsReadOn(t *testing.T) {
 	b := newBed(t, nil)
 	req, err := http.NewRequest(http.MethodPost, b.url+"/v1/completions", strings.NewReader(completion(400, true)))
@@ -153,10 +161,12 @@
 	assert.Assert(t, done, "%v", problem)
 	assert.NilError(t, answer.Check(prompt, text, 400))
 	runs := readJudge[judge.Engine](b, "dc-1").Totals.DecodeRuns + readJudge[judge.Engine](b, "dc-2").Totals.DecodeRuns
-	assert.Equal(t, runs, 1, "the stream was read on, not started again")
+	assert.Equal(t, runs, 1, "the stream must be resumed, not started again")
 	b.nothingHeld()
 }
 
+// TestStreamThatFailsEndsWithProblem checks that a stream of a request that is not
+// repeatable ends with a problem and the outcome unknown when its decode engine fails.
 func TestStreamThatFailsEndsWithProblem(t *testing.T) {
 	b := newBed(t, nil)
 	b.setFaults("dc-1", control.EngineFaults{FailAfterTokens: 5})
@@ -172,6 +182,8 @@
 	b.nothingHeld()
 }
 
+// TestServiceFailures checks the outcome of calls to a service that fails or refuses,
+// against whether the service ran them.
 func TestServiceFailures(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -181,11 +193,11 @@
 		outcome api.Outcome
 		runs    int
 	}{
-		{"order dies before its run", "order", control.ServiceFaults{DieBeforeRun: true}, 502, api.Unknown, 0},
-		{"order dies after its run", "order", control.ServiceFaults{DieAfterRun: true}, 502, api.Unknown, 1},
-		{"order fails", "order", control.ServiceFaults{ErrorRate: 1}, 502, api.Unknown, 1},
-		{"order refused", "order", control.ServiceFaults{Refuse: true}, 503, api.NotRun, 0},
-		{"lookup refused", "lookup", control.ServiceFaults{Draining: true}, 503, api.NotRun, 0},
+		{"order: service fails before the run", "order", control.ServiceFaults{DieBeforeRun: true}, 502, api.Unknown, 0},
+		{"order: service fails after the run", "order", control.ServiceFaults{DieAfterRun: true}, 502, api.Unknown, 1},
+		{"order: service answers an error", "order", control.ServiceFaults{ErrorRate: 1}, 502, api.Unknown, 1},
+		{"order: service refuses", "order", control.ServiceFaults{Refuse: true}, 503, api.NotRun, 0},
+		{"lookup: service is draining", "lookup", control.ServiceFaults{Draining: true}, 503, api.NotRun, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t, nil)
@@ -202,6 +214,8 @@
 	}
 }
 
+// TestStopFinishesWhatIsInFlight checks that during a shutdown a stream that is open runs
+// to its end while new requests are refused with Retry-After.
 func TestStopFinishesWhatIsInFlight(t *testing.T) {
 	b := newBed(t, nil)
 	resp, err := http.Post(b.url+"/v1/completions", "application/json", strings.NewReader(completion(200, true)))
--- a/entry/fed_test.go
+++ b/entry/fed_test.go
@@ -28,7 +28,7 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// fleet is two entries that the test feeds as their agents would.
+// fleet is two entries whose agents are simulated by the test.
 type fleet struct {
 	*bed
 	entries []*entry.Entry
@@ -36,7 +36,7 @@
 	stops   []func()
 }
 
-// fleetSettings are the settings of one entry of a fleet.
+// fleetSettings is the settings file of one entry of a fleet.
 const fleetSettings = `
 instance: entry-%d
 zone: hall-a
@@ -48,6 +48,7 @@
 tickets: {keys: [{id: k1, secret: "MDEyMzQ1Njc4OWFiY2RlZjAxMjM0NTY3ODlhYmNkZWY="}]}
 `
 
+// newFleet starts two entries and their upstreams. No bundle is in force yet.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	ignore := goleak.IgnoreCurrent()
@@ -92,7 +93,7 @@
 	f.t.Cleanup(stop)
 }
 
-// update feeds an entry and returns its reply.
+// update sends an update to entry number i, as its agent would, and returns the reply.
 func (f *fleet) update(i int, u feed.Update) feed.Reply {
 	f.t.Helper()
 	r, err := peer.Call[feed.Reply](f.t.Context(), f.pools[i], f.entries[i].FeedAddress(), feed.MethodUpdate, u)
@@ -100,7 +101,7 @@
 	return r
 }
 
-// content is the bundle that fleets run.
+// content returns the content of testBundle.
 func (f *fleet) content() *config.Content {
 	f.t.Helper()
 	c, findings := bundle.ParseSource("test.yaml", []byte(testBundle))
@@ -108,7 +109,7 @@
 	return c
 }
 
-// view is the view of the whole fleet.
+// view returns a view with both entries and all upstreams.
 func (f *fleet) view(version uint64) *feed.View {
 	v := &feed.View{Version: version, Trusted: true}
 	for i, e := range f.entries {
@@ -123,7 +124,7 @@
 	return v
 }
 
-// feedAll makes all entries ready.
+// feedAll sends all entries the bundle and the view and waits until they are ready.
 func (f *fleet) feedAll() {
 	f.t.Helper()
 	for i := range f.entries {
@@ -135,9 +136,11 @@
 	}
 }
 
-// use directs requests to entry number i.
+// use makes do send requests to entry number i.
 func (f *fleet) use(i int) { f.url = "http://" + f.entries[i].CallerAddress() }
 
+// TestFeed checks that an entry refuses requests until the agent has sent a bundle and a
+// view, and that its replies to the agent report evidence from live traffic.
 func TestFeed(t *testing.T) {
 	f := newFleet(t)
 	f.use(0)
@@ -162,8 +165,8 @@
 
 }
 
-// TestReadiness: an entry is not ready before its agent is, and stays ready when
-// the agent is restarted and has yet to learn what the fleet has accepted.
+// TestReadiness checks that an entry is not ready before its agent is, and that it stays
+// ready while a restarted agent does not yet know what the fleet has accepted.
 func TestReadiness(t *testing.T) {
 	f := newFleet(t)
 	f.use(0)
@@ -181,7 +184,8 @@
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 }
 
-// TestLargeBundle feeds a bundle that exceeds the usual frame between processes.
+// TestLargeBundle checks that the feed takes a bundle that exceeds the usual frame limit
+// between processes.
 func TestLargeBundle(t *testing.T) {
 	f := newFleet(t)
 	c := f.content()
@@ -192,8 +196,8 @@
 	f.await("bundle in force", func() bool { return f.update(0, feed.Update{}).BundleVersion == 4 })
 }
 
-// TestOldBundleIsIgnored: an accepted version never reverts, whoever sends an
-// older one.
+// TestOldBundleIsIgnored checks that a bundle with a lower version than the one in force
+// is ignored, whoever sends it.
 func TestOldBundleIsIgnored(t *testing.T) {
 	f := newFleet(t)
 	f.feedAll()
@@ -201,6 +205,7 @@
 	assert.Equal(t, f.update(0, feed.Update{Ready: true}).BundleVersion, uint64(3))
 }
 
+// TestStrangersCannotFeed checks that the feed rejects another instance's agent.
 func TestStrangersCannotFeed(t *testing.T) {
 	f := newFleet(t)
 	_, err := peer.Call[feed.Reply](t.Context(), f.pools[1], f.entries[0].FeedAddress(), feed.MethodUpdate, feed.Update{})
@@ -208,7 +213,7 @@
 	assert.Assert(t, asError(err, &refused), "%v", err)
 }
 
-// ticket takes a ticket from entry number i.
+// ticket requests a ticket from entry number i.
 func (f *fleet) ticket(i int) string {
 	f.t.Helper()
 	f.use(i)
@@ -220,7 +225,7 @@
 	return got.Ticket
 }
 
-// order sends an order that carries a ticket through entry number i.
+// order sends an order with a ticket to entry number i.
 func (f *fleet) order(i int, ticket, body string, headers ...string) (*http.Response, string) {
 	f.t.Helper()
 	f.use(i)
@@ -228,10 +233,12 @@
 	return f.do(http.MethodPost, "/services/desk/orders?x=1", body, headers...)
 }
 
-// runs returns how many calls the desk ran.
+// runs returns the number of calls that the service ran.
 func (f *fleet) runs() int { return readJudge[judge.Service](f.bed, "desk-1").Runs }
 
-// TestTicketRunsOnce presents a ticket at both instances, at once and again.
+// TestTicketRunsOnce checks that a call runs once when its ticket is presented to both
+// instances concurrently and again later, and that reuse of the ticket with another body
+// is refused.
 func TestTicketRunsOnce(t *testing.T) {
 	f := newFleet(t)
 	f.feedAll()
@@ -255,7 +262,7 @@
 	together.Wait()
 	resp, body := f.order(1, text, `{"n":1}`)
 	assert.Equal(t, resp.Header.Get(api.HeaderOutcome), string(api.Complete), body)
-	assert.Assert(t, resp.Header.Get(api.HeaderBundleVersion) != "", "the version it was decided under is missing")
+	assert.Assert(t, resp.Header.Get(api.HeaderBundleVersion) != "", "the header with the bundle version of the decision is missing")
 	assert.Equal(t, f.runs(), 1)
 
 	resp, body = f.order(1, text, `{"n":2}`)
@@ -264,8 +271,9 @@
 	assert.Equal(t, f.runs(), 1)
 }
 
-// TestTicketOfGoneInstance: when the executor is gone nothing runs, and the
-// answer does not claim that nothing ran.
+// TestTicketOfGoneInstance checks that a call with a ticket does not run again after its
+// executor has shut down, and that the outcome is unknown: another instance cannot know
+// that nothing ran.
 func TestTicketOfGoneInstance(t *testing.T) {
 	f := newFleet(t)
 	f.feedAll()
@@ -280,6 +288,9 @@
 	assert.Equal(t, f.runs(), 1)
 }
 
+// TestTicketRefusals checks the status and the outcome of calls whose ticket is forged or
+// missing, whose body is too large or whose answer is to be streamed, and of a request
+// for a ticket of an unknown workspace.
 func TestTicketRefusals(t *testing.T) {
 	f := newFleet(t)
 	f.feedAll()
@@ -296,16 +307,17 @@
 	resp, body = f.order(1, offered, "{}")
 	assert.Equal(t, resp.StatusCode, http.StatusOK, body)
 
-	// A refusal by an instance that is not the executor must not claim that
-	// nothing ran.
+	// The executor may have run the call before, so a refusal by another instance must
+	// not claim that nothing ran.
 	resp, body = f.order(1, f.ticket(0), strings.Repeat("x", 9<<20))
 	assert.Equal(t, resp.StatusCode, http.StatusRequestEntityTooLarge, body)
 	assert.Equal(t, resp.Header.Get(api.HeaderOutcome), string(api.Unknown))
 
 	resp, body = f.order(0, f.ticket(0), strings.Repeat("x", 1<<20))
 	assert.Equal(t, resp.StatusCode, http.StatusRequestEntityTooLarge, body)
-	// The largest body that is forwarded is taken, however slow the machine: how deadlines
-	// end a forwarded call is for TestForwardEndsWithTheDeadline.
+	// The largest body that can be forwarded is accepted. The long deadline keeps a slow
+	// machine from failing the test; TestForwardEndsWithTheDeadline checks how deadlines
+	// end forwarded calls.
 	resp, body = f.order(1, f.ticket(0), strings.Repeat("x", 500<<10), api.HeaderDeadlineMS, "60000")
 	assert.Equal(t, resp.StatusCode, http.StatusOK, body)
 
@@ -318,9 +330,9 @@
 	assert.Equal(t, resp.StatusCode, http.StatusOK, body)
 }
 
-// TestRejected: an entry that lacks a plug-in of a version says so to its agent and
-// goes on under the version before; it says no more once it decides under a higher
-// one.
+// TestRejected checks that an entry that lacks a plug-in of a bundle version reports the
+// rejection to its agent and keeps deciding under the version before, and that it stops
+// reporting it once a higher version is in force.
 func TestRejected(t *testing.T) {
 	f := newFleet(t)
 	f.feedAll()
--- a/entry/feed.go
+++ b/entry/feed.go
@@ -9,8 +9,9 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Update implements peering.FeedTaker: it takes over what the agent sends and
-// replies with what live traffic showed since the last call.
+// Update implements peering.FeedTaker: it applies what the agent sends and replies
+// with the evidence that live traffic gave about upstreams and peers since the last
+// call.
 func (e *Entry) Update(_ context.Context, u feed.Update) (feed.Reply, error) {
 	now := time.Now()
 	if u.PauseMS > 0 {
@@ -28,8 +29,8 @@
 		}
 	}
 	if u.Ready {
-		// A restarted agent is not ready for a while; what this entry has in
-		// force is good all the same.
+		// The entry stays ready when its agent is not: a restarted agent is not ready at
+		// first, but the bundle and the view that this entry has remain valid.
 		e.ready.Store(true)
 	}
 	if e.driver.Stopped() {
@@ -38,7 +39,7 @@
 	return e.reply(now), nil
 }
 
-// reply describes the entry to its agent.
+// reply describes the state of the entry to its agent.
 func (e *Entry) reply(now time.Time) feed.Reply {
 	r := feed.Reply{
 		Incarnation: e.self.Incarnation,
--- a/entry/logline.go
+++ b/entry/logline.go
@@ -7,7 +7,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// logRecord writes the log line of a decision.
+// logRecord logs a decision.
 func logRecord(log *slog.Logger, r *kernel.Record) {
 	attrs := make([]slog.Attr, 0, 20)
 	attrs = append(attrs,
@@ -34,7 +34,8 @@
 	log.LogAttrs(context.Background(), slog.LevelInfo, "decision", attrs...)
 }
 
-// appendPlacement adds what was chosen and what was not.
+// appendPlacement appends the attempt, the upstreams that were chosen and the
+// alternatives that were not.
 func appendPlacement(attrs []slog.Attr, r *kernel.Record) []slog.Attr {
 	if !r.Attempt.IsZero() {
 		attrs = append(attrs, slog.String("attempt", r.Attempt.String()))
--- a/entry/logline_test.go
+++ b/entry/logline_test.go
@@ -15,7 +15,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// fullRecord is a placement with all that a record can say.
+// fullRecord returns the record of a placement with every field set.
 func fullRecord() kernel.Record {
 	return kernel.Record{
 		Time: time.Now(), Request: "01M8VJH29SG2WFKSRETDMRA0S9", Workspace: "head-office", Kind: "review",
@@ -31,6 +31,8 @@
 	}
 }
 
+// TestLogLine checks that the log line of a decision has an attribute for every field of
+// the record.
 func TestLogLine(t *testing.T) {
 	var out bytes.Buffer
 	r := fullRecord()
@@ -41,11 +43,11 @@
 		"request", "workspace", "kind", "step", "reason", "attempt", "prefill", "decode", "cost", "runners_up",
 		"predicted_first_output", "waited", "view_age", "queue_length", "bundle_version", "outcome", "offset", "retry_after",
 	} {
-		assert.Check(t, line[name] != nil, "%s is missing in %s", name, out.String())
+		assert.Check(t, line[name] != nil, "attribute %s is missing in %s", name, out.String())
 	}
 }
 
-// stuckWriter is a log that nobody reads.
+// stuckWriter blocks writes until release is closed, like a log that nobody reads.
 type stuckWriter struct{ release chan struct{} }
 
 func (w stuckWriter) Write(p []byte) (int, error) {
@@ -53,13 +55,14 @@
 	return len(p), nil
 }
 
-// TestUnreadLogHoldsUpNoDecision: lines are dropped and counted instead.
+// TestUnreadLogHoldsUpNoDecision checks that decisions are not delayed when the log is
+// blocked: lines that do not fit in the queue are dropped and counted.
 func TestUnreadLogHoldsUpNoDecision(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	w := stuckWriter{release: make(chan struct{})}
 	r := newRecorder(slog.New(slog.NewJSONHandler(w, nil)), scope, 10)
 	const over = 50
-	// One record is in the writer's hands.
+	// The writer's goroutine may already have taken one record from the queue.
 	for range recordQueue + 1 + over {
 		r.Decided(fullRecord())
 	}
@@ -70,7 +73,7 @@
 	r.close()
 }
 
-// BenchmarkLogLine is the cost of one decision's line, formatted as JSON.
+// BenchmarkLogLine measures formatting one decision's log line as JSON.
 func BenchmarkLogLine(b *testing.B) {
 	log := slog.New(slog.NewJSONHandler(io.Discard, nil))
 	r := fullRecord()
@@ -80,8 +83,8 @@
 	}
 }
 
-// BenchmarkDecided is what one decision costs the driver's goroutine: the
-// journal, the counts and the queue to the log.
+// BenchmarkDecided measures the cost of recording a decision in the driver's goroutine:
+// the journal, the counters and the queue to the log.
 func BenchmarkDecided(b *testing.B) {
 	r := newRecorder(slog.New(slog.DiscardHandler), tally.NoopScope, 0)
 	defer r.close()
--- a/entry/operate_test.go
+++ b/entry/operate_test.go
@@ -15,7 +15,7 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// operator returns connections of an operator's tool.
+// operator returns a connection pool with the identity of an operator's tool.
 func operator(t *testing.T, name ident.InstanceID) *peer.Pool {
 	pool := peer.NewPool(peer.Config{
 		Self:  peer.Identity{Instance: name, Incarnation: 1, Zone: "operators"},
@@ -25,6 +25,8 @@
 	return pool
 }
 
+// TestExplain checks that an operator's tool gets the decision records of a request, and
+// nothing for a request that the entry does not know.
 func TestExplain(t *testing.T) {
 	b := newBed(t, nil)
 	_, body := b.do(http.MethodPost, "/v1/completions", completion(5, false), api.HeaderRequestID, "why-me")
@@ -37,7 +39,7 @@
 		"request why-me on entry-1 (hall-a): kind review, workspace default, bundle version 1",
 		"placed", "pf-1 > dc-", "best_score", "completed", "whole_answer", "outcome complete", "not pf-1 > dc-",
 	} {
-		assert.Assert(t, strings.Contains(out.String(), want), "%q in\n%s", want, out.String())
+		assert.Assert(t, strings.Contains(out.String(), want), "%q is missing in\n%s", want, out.String())
 	}
 
 	none := console.Explain(t.Context(), pool, []string{b.entry.OperatorAddress()}, "nonesuch")
@@ -45,6 +47,8 @@
 	assert.Equal(t, len(none.Unreached), 0)
 }
 
+// TestOperatorsMustBeNamed checks that only operators listed in the settings are
+// accepted.
 func TestOperatorsMustBeNamed(t *testing.T) {
 	b := newBed(t, nil)
 	e := console.Explain(t.Context(), operator(t, "stranger"), []string{b.entry.OperatorAddress()}, "x")
@@ -52,6 +56,7 @@
 	assert.Assert(t, strings.Contains(e.Unreached[0].Error, "not allowed"), e.Unreached[0].Error)
 }
 
+// TestWatch checks the counts by bundle version that operators' tools read.
 func TestWatch(t *testing.T) {
 	b := newBed(t, nil)
 	for range 3 {
@@ -76,11 +81,12 @@
 	var out bytes.Buffer
 	assert.NilError(t, s.Write(&out))
 	for _, want := range []string{"bundle 1 on 1", "75.0%", "unknown_model", "0.0%"} {
-		assert.Assert(t, strings.Contains(out.String(), want), "%q in\n%s", want, out.String())
+		assert.Assert(t, strings.Contains(out.String(), want), "%q is missing in\n%s", want, out.String())
 	}
 }
 
-// TestWatchKeepsWhatIsGone: totals must not fall when an instance is replaced.
+// TestWatchKeepsWhatIsGone checks that totals do not fall when an instance is gone, for
+// example while it is replaced.
 func TestWatchKeepsWhatIsGone(t *testing.T) {
 	b := newBed(t, nil)
 	b.do(http.MethodGet, "/services/desk/x", "")
@@ -92,6 +98,7 @@
 	assert.Equal(t, len(after.Unreached), 1)
 }
 
+// TestMetrics checks the metrics of a completed request.
 func TestMetrics(t *testing.T) {
 	b := newBed(t, nil)
 	b.do(http.MethodPost, "/v1/completions", completion(5, true))
--- a/entry/overhead_test.go
+++ b/entry/overhead_test.go
@@ -25,13 +25,13 @@
 	"github.com/wardspool/wardspool/settings"
 )
 
-// The benchmarks here compare a client that calls engines itself with one that
-// calls the router. Engines, router and clients share this process, so that the
-// difference of the two is the router's part.
+// The benchmarks in this file compare a client that calls the engines itself with one
+// that calls the router. Engines, router and clients share one process, so that the
+// difference between the two results is the cost of the router.
 
-// instantEngine is an engine that does no work: a prefill answers at once, a
-// decode streams tokens at a pace. Each token's text is the time it was
-// written, in Unix nanoseconds.
+// instantEngine returns an engine that computes nothing: a prefill returns at once, and a
+// decode streams tokens with an interval of pace. The text of each token is the time at
+// which it was written, in Unix nanoseconds.
 func instantEngine(tokens int, pace time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -63,13 +63,13 @@
 	})
 }
 
-// overheadRig is a prefill and a decode engine, and a router before them.
+// overheadRig is a prefill engine, a decode engine and a router in front of them.
 type overheadRig struct {
 	prefill, decode, router string
 	client                  *http.Client
 }
 
-// limitless is testBundle without the bounds that 1,000 streams would meet.
+// limitless is testBundle with limits that 1,000 concurrent streams do not reach.
 var limitless = strings.NewReplacer("slots: 20,", "slots: 5000,", "queue_limit: 100", "queue_limit: 5000",
 	"deadline: 20s", "deadline: 120s", "first_output: 5s", "first_output: 60s").Replace(testBundle)
 
@@ -135,7 +135,7 @@
 	prefillBody = `{"model":"reader","prompt":"one two three four","max_tokens":1,"kv_transfer_params":{"do_remote_decode":true}}`
 )
 
-// post posts a body and returns the response's body.
+// post sends a request and returns the body of the response.
 func (r *overheadRig) post(address, body string) (io.ReadCloser, error) {
 	resp, err := r.client.Post("http://"+address+"/v1/completions", "application/json", strings.NewReader(body))
 	if err != nil {
@@ -144,7 +144,7 @@
 	return resp.Body, nil
 }
 
-// open opens a stream through the router, or by calling the engines directly.
+// open opens a stream, either through the router or by calling the engines directly.
 func (r *overheadRig) open(router bool, tokens int) (io.ReadCloser, error) {
 	if router {
 		return r.post(r.router, fmt.Sprintf(streamBody, tokens))
@@ -158,8 +158,8 @@
 	return r.post(r.decode, fmt.Sprintf(streamBody, tokens))
 }
 
-// read reads a stream to its end and returns the delay of each token from its
-// writing by the engine to its arrival here.
+// read reads a stream to its end. It returns the delay of each token from the time at
+// which the engine wrote it to its arrival, and the arrival time of the first token.
 func read(body io.ReadCloser) (delays []time.Duration, first time.Time, err error) {
 	defer body.Close()
 	lines := bufio.NewScanner(body)
@@ -188,8 +188,8 @@
 	router bool
 }{{"direct", false}, {"router", true}}
 
-// BenchmarkStream is one stream of 100 tokens after the other, without pace:
-// the processor time and the allocations of a request.
+// BenchmarkStream runs streams of 100 tokens one after the other, with no interval
+// between tokens. It measures the processor time and the allocations of a request.
 func BenchmarkStream(b *testing.B) {
 	const tokens = 100
 	for _, way := range ways {
@@ -208,9 +208,9 @@
 	}
 }
 
-// BenchmarkThousandStreams holds 1,000 streams at the target pace of 54 ms and
-// reports the delay that tokens have, the time to first output, and the memory
-// in use while all are open.
+// BenchmarkThousandStreams opens 1,000 streams with the target interval of 54 ms between
+// tokens. It reports the delay of tokens, the time to first output, and the memory in
+// use while all streams are open.
 func BenchmarkThousandStreams(b *testing.B) {
 	const (
 		streams = 1000
@@ -240,7 +240,7 @@
 	}
 }
 
-// measure reads one stream and collects its delays.
+// measure reads one stream and records its delays and its time to first output.
 func (r *overheadRig) measure(b *testing.B, router bool, tokens int, all, firsts *collected) {
 	begin := time.Now()
 	body, err := r.open(router, tokens)
@@ -250,8 +250,8 @@
 	delays, first, err := read(body)
 	assert.Check(b, err)
 	assert.Check(b, len(delays) == tokens, "%d tokens", len(delays))
-	// The router holds the last token back until the request has ended, which
-	// is a pace after it was written.
+	// The last token is left out: the router holds it back until the request has ended,
+	// which is one interval after the token was written.
 	all.add(delays[:len(delays)-1]...)
 	firsts.add(first.Sub(begin))
 }
@@ -264,7 +264,7 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// collected is durations of many streams.
+// collected holds durations of many streams. It is safe for concurrent use.
 type collected struct {
 	mu  sync.Mutex
 	all []time.Duration
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -16,7 +16,7 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// client returns the well-known client library, pointed at the entry.
+// client returns a client of the OpenAI library that calls the entry.
 func (b *bed) client() openai.Client {
 	return openai.NewClient(
 		option.WithBaseURL(b.url+"/v1"),
@@ -27,6 +27,7 @@
 
 const prompt = "please read the manifest of shipment nine and confirm its allowances"
 
+// TestCompletion checks a completion that is not streamed, including its token usage.
 func TestCompletion(t *testing.T) {
 	b := newBed(t, nil)
 	c := b.client()
@@ -42,6 +43,7 @@
 	assert.Equal(t, got.Usage.PromptTokens, int64(tokens.Count(prompt)))
 }
 
+// TestCompletionStreamed checks a streamed completion, including its token usage.
 func TestCompletionStreamed(t *testing.T) {
 	b := newBed(t, nil)
 	c := b.client()
@@ -67,6 +69,7 @@
 	assert.Equal(t, usage, int64(20))
 }
 
+// TestChat checks chat completions, both not streamed and streamed.
 func TestChat(t *testing.T) {
 	b := newBed(t, nil)
 	c := b.client()
@@ -90,6 +93,7 @@
 	assert.NilError(t, answer.Check(flat, sum.Choices[0].Message.Content, 12))
 }
 
+// TestModelsList checks that the list of models has those of the bundle.
 func TestModelsList(t *testing.T) {
 	b := newBed(t, nil)
 	c := b.client()
@@ -99,6 +103,8 @@
 	assert.Equal(t, page.Data[0].ID, "reader")
 }
 
+// TestClientLibrarySeesProblems checks that the OpenAI library reports the status, type
+// and outcome of a problem.
 func TestClientLibrarySeesProblems(t *testing.T) {
 	b := newBed(t, nil)
 	c := b.client()
@@ -113,6 +119,8 @@
 	assert.Equal(t, problem.Code, string(api.NotRun))
 }
 
+// TestServiceCall checks that a service call passes the path, query, body and request ID
+// to the service, and that the answer has the entry's headers.
 func TestServiceCall(t *testing.T) {
 	b := newBed(t, nil)
 	resp, body := b.do(http.MethodPut, "/services/desk/orders/7%2F8?x=1", `{"qty":2}`,
@@ -130,6 +138,7 @@
 	assert.Equal(t, resp.Header.Get(api.HeaderInstance), "entry-1")
 }
 
+// TestServiceMethods checks that the HTTP method of a service call is passed on.
 func TestServiceMethods(t *testing.T) {
 	b := newBed(t, nil)
 	for _, method := range []string{"GET", "POST", "DELETE", "PATCH"} {
--- a/entry/peering/book.go
+++ b/entry/peering/book.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// UnknownPeerError reports an instance without a known address.
+// UnknownPeerError reports that no address is known for an instance.
 type UnknownPeerError struct{ Instance ident.InstanceID }
 
 // Error implements error.
@@ -16,8 +16,8 @@
 	return fmt.Sprintf("no address is known for instance %q", e.Instance)
 }
 
-// Book knows the other instances and their addresses: those of the settings and
-// those of the agent's newest view. It is safe for concurrent use.
+// Book holds the addresses of the other instances: those of the settings and those
+// of the agent's newest view. It is safe for concurrent use.
 type Book struct {
 	settings map[ident.InstanceID]string
 
@@ -25,20 +25,20 @@
 	view map[ident.InstanceID]string
 }
 
-// NewBook returns a book with the addresses of the settings.
+// NewBook returns a Book with the addresses of the settings.
 func NewBook(settings map[ident.InstanceID]string) *Book {
 	return &Book{settings: settings}
 }
 
-// Replace takes over the addresses of a view.
+// Replace replaces the addresses of the previous view.
 func (b *Book) Replace(view map[ident.InstanceID]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.view = view
 }
 
-// Address returns where an instance takes calls. The error is an
-// *UnknownPeerError.
+// Address returns the address at which an instance accepts calls. The view takes
+// precedence over the settings. The error is an *UnknownPeerError.
 func (b *Book) Address(id ident.InstanceID) (string, error) {
 	b.mu.RLock()
 	addr, ok := b.view[id]
@@ -52,7 +52,8 @@
 	return "", &UnknownPeerError{Instance: id}
 }
 
-// Known reports whether an instance is believed.
+// Known reports whether the instance is listed in the view or the settings and is
+// therefore accepted as a peer.
 func (b *Book) Known(id peer.Identity) bool {
 	b.mu.RLock()
 	_, inView := b.view[id.Instance]
--- a/entry/peering/contents.go
+++ b/entry/peering/contents.go
@@ -7,24 +7,25 @@
 	"github.com/wardspool/wardspool/feed"
 )
 
-// Contents holds the content of the bundle that came last, so that an agent need
-// send only what changed. The zero value holds none. It is safe for concurrent use.
+// Contents holds the content of the last bundle received, so that the agent needs to
+// send only changes to it. The zero value is empty. It is safe for concurrent use.
 type Contents struct {
 	mu      sync.Mutex
 	digest  string
 	content *config.Content
 }
 
-// Digest names the bundle whose content is held, "" if there is none.
+// Digest returns the digest of the bundle whose content is held, "" if there is none.
 func (c *Contents) Digest() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.digest
 }
 
-// Take takes a bundle and returns its whole content, which must not be changed. It
-// returns nil for changes of another content than the one held: the agent sends it
-// whole when it learns from the reply which one that is.
+// Take stores a bundle's content and returns it in full; the result must not be
+// modified. It returns nil if the bundle has only changes and they do not apply to the
+// content held. The reply to the agent names the content held, and the agent then
+// sends the content in full.
 func (c *Contents) Take(b *feed.Bundle) *config.Content {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,8 +39,8 @@
 	return next
 }
 
-// changed returns the content that changes make of the one held, nil if they are
-// not of it.
+// changed applies changes to the content held. It returns nil if their base is another
+// content or they do not fit.
 func (c *Contents) changed(by *feed.Changes) *config.Content {
 	if by == nil || c.content == nil || by.Base != c.digest {
 		return nil
--- a/entry/peering/feed.go
+++ b/entry/peering/feed.go
@@ -11,21 +11,21 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// FeedTaker takes what the agent sends.
+// FeedTaker handles the agent's updates.
 type FeedTaker interface {
-	// Update takes an agent's update and returns the entry's reply.
+	// Update applies an agent's update and returns the entry's reply.
 	Update(ctx context.Context, u feed.Update) (feed.Reply, error)
 }
 
-// HandleFeed makes a server take the agent's updates.
+// HandleFeed registers the method for the agent's updates on a server.
 func HandleFeed(s *peer.Server, t FeedTaker) {
 	peer.Handle(s, feed.MethodUpdate, func(ctx context.Context, _ peer.Identity, u feed.Update) (feed.Reply, error) {
 		return t.Update(ctx, u)
 	})
 }
 
-// LocalAgent returns whether an identity is the agent beside the entry: it
-// connects over loopback and bears the same instance's name.
+// LocalAgent returns a function that reports whether an identity is that of the
+// entry's own agent: it connects over loopback and has the same instance ID.
 func LocalAgent(self ident.InstanceID) func(peer.Identity) bool {
 	return func(id peer.Identity) bool {
 		host, _, err := net.SplitHostPort(id.Addr)
@@ -34,7 +34,8 @@
 	}
 }
 
-// View turns an agent's view into the kernel's, with ages turned into times.
+// View converts an agent's view to the kernel's form. Load ages become points in time,
+// relative to now.
 func View(v *feed.View, now time.Time) *kernel.View {
 	out := &kernel.View{
 		Version:   v.Version,
@@ -61,7 +62,8 @@
 	return out
 }
 
-// Addresses returns where the instances of a view take peers' calls.
+// Addresses returns the addresses at which the instances of a view accept peers'
+// calls.
 func Addresses(v *feed.View) map[ident.InstanceID]string {
 	out := make(map[ident.InstanceID]string, len(v.Instances))
 	for _, i := range v.Instances {
--- a/entry/peering/kernel.go
+++ b/entry/peering/kernel.go
@@ -9,7 +9,7 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// MethodKernel is the notification that carries a kernel's message.
+// MethodKernel is the notification that carries a message between kernels.
 const MethodKernel = "kernel.message"
 
 // KernelMessage is the parameter of MethodKernel.
@@ -18,17 +18,18 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// Sender sends kernels' messages. It implements driver.PeerSender.
+// Sender sends messages to the kernels of other instances. It implements
+// driver.PeerSender.
 type Sender struct {
 	book *Book
 	pool *peer.Pool
 }
 
-// NewSender returns a sender that finds addresses in book and connections in
+// NewSender returns a Sender that takes addresses from book and connections from
 // pool.
 func NewSender(book *Book, pool *peer.Pool) *Sender { return &Sender{book: book, pool: pool} }
 
-// Send sends a message, at most once. Errors are *UnknownPeerError,
+// Send sends a message at most once. Its errors are *UnknownPeerError,
 // *kernel.MessageBodyError and *peer.CallError.
 func (s *Sender) Send(ctx context.Context, to ident.InstanceID, m kernel.PeerMessage) error {
 	addr, err := s.book.Address(to)
@@ -43,10 +44,10 @@
 	return peer.Notify(ctx, s.pool, addr, MethodKernel, msg, peer.Expect(to, 0))
 }
 
-// Nothing is the result of methods that have none.
+// Nothing is the parameter or result of methods that have none.
 type Nothing struct{}
 
-// HandleKernel makes a server pass kernels' messages to post.
+// HandleKernel registers the method that passes other kernels' messages to post.
 func HandleKernel(s *peer.Server, post func(kernel.Event) bool) {
 	peer.Handle(s, MethodKernel, func(_ context.Context, from peer.Identity, m KernelMessage) (Nothing, error) {
 		decoded, err := kernel.DecodeMessage(m.Kind, m.Body)
--- a/entry/peering/operator.go
+++ b/entry/peering/operator.go
@@ -14,7 +14,7 @@
 const (
 	// MethodExplain returns the decision records of a request.
 	MethodExplain = "entry.explain"
-	// MethodStats returns how requests ended, by bundle version.
+	// MethodStats returns the numbers of requests by outcome, for each bundle version.
 	MethodStats = "entry.stats"
 )
 
@@ -23,14 +23,14 @@
 	Request ident.RequestID `json:"request"`
 }
 
-// ExplainReply is the result of MethodExplain. Records and Presentations are
-// empty if the instance does not know the request, or no longer.
+// ExplainReply is the result of MethodExplain. Records and Presentations are empty if
+// the instance never saw the request or no longer has its records.
 type ExplainReply struct {
 	Instance ident.InstanceID `json:"instance"`
 	Zone     ident.Zone       `json:"zone"`
 	Records  []kernel.Record  `json:"records"`
-	// Presentations lists how the request came here with a ticket. The records
-	// of its run have the run's ID in place of the request's.
+	// Presentations lists the calls by which the request reached this instance with a
+	// ticket. The records of the run carry the run's ID instead of the request's.
 	Presentations []journal.Presentation `json:"presentations,omitempty"`
 }
 
@@ -38,7 +38,7 @@
 type StatsReply struct {
 	Instance ident.InstanceID `json:"instance"`
 	Zone     ident.Zone       `json:"zone"`
-	// Incarnation tells lives of the instance apart: counts begin at 0 in each.
+	// Incarnation identifies the process; counts start at 0 in each incarnation.
 	Incarnation ident.Incarnation `json:"incarnation"`
 	// BundleVersion is the version in force.
 	BundleVersion uint64          `json:"bundle_version"`
@@ -46,13 +46,13 @@
 	Versions      []stats.Version `json:"versions"`
 }
 
-// Source is what operators' tools read of an entry.
+// Source provides the data of an entry for operators' tools.
 type Source interface {
 	Explain(id ident.RequestID) ExplainReply
 	Stats() StatsReply
 }
 
-// HandleOperators makes a server answer operators' tools.
+// HandleOperators registers the methods for operators' tools on a server.
 func HandleOperators(s *peer.Server, src Source) {
 	peer.Handle(s, MethodExplain, func(_ context.Context, _ peer.Identity, r ExplainRequest) (ExplainReply, error) {
 		return src.Explain(r.Request), nil
--- a/entry/peering/peering_test.go
+++ b/entry/peering/peering_test.go
@@ -12,6 +12,7 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
+// TestView checks the conversion of an agent's view to the kernel's form.
 func TestView(t *testing.T) {
 	now := time.Now()
 	v := View(&feed.View{
@@ -24,12 +25,14 @@
 	}, now)
 	assert.Equal(t, v.Instances[0], kernel.Instance{ID: "e-1", Zone: "hall-a", Incarnation: 5, Liveness: kernel.Leaving})
 	assert.Equal(t, v.Upstreams[0].Address, "10.0.0.2:9")
-	assert.Assert(t, v.Upstreams[0].Load.At.IsZero(), "no report is known")
+	assert.Assert(t, v.Upstreams[0].Load.At.IsZero(), "an upstream without a load report must have no load time")
 	assert.Equal(t, v.Upstreams[1].Index, 1)
 	assert.Equal(t, v.Upstreams[1].Load.At, now.Add(-1500*time.Millisecond))
 	assert.Equal(t, v.Upstreams[1].Load.Running, 4)
 }
 
+// TestBook checks that addresses of the view take precedence over those of the settings,
+// and that an instance without an address is still accepted as a peer.
 func TestBook(t *testing.T) {
 	b := NewBook(map[ident.InstanceID]string{"seed": "10.0.0.1:1", "both": "10.0.0.1:2"})
 	b.Replace(Addresses(&feed.View{Instances: []feed.Instance{{ID: "both", PeerAddress: "10.0.0.9:2"}, {ID: "silent"}}}))
@@ -46,6 +49,7 @@
 	assert.Assert(t, !b.Known(peer.Identity{Instance: "stranger"}))
 }
 
+// TestLocalAgent checks that only the instance's own agent on loopback is accepted.
 func TestLocalAgent(t *testing.T) {
 	allow := LocalAgent("e-1")
 	for _, c := range []struct {
--- a/entry/peering/views.go
+++ b/entry/peering/views.go
@@ -11,30 +11,31 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Views holds the newest view, so that an agent need send only what changed. The
-// zero value holds none. It is safe for concurrent use.
+// Views holds the newest view, so that the agent needs to send only changes to it. The
+// zero value is empty. It is safe for concurrent use.
 type Views struct {
 	mu     sync.Mutex
 	number uint64
-	// view is never given away: its takers may change what they get.
+	// view is never returned, only copies of it, because receivers may modify them.
 	view      kernel.View
 	addresses map[ident.InstanceID]string
-	// instances and upstreams are places in the view.
+	// instances and upstreams are indexes into the lists of the view.
 	instances map[ident.InstanceID]int
 	upstreams map[ident.UpstreamID]int
 }
 
-// Number returns that of the view held, 0 if there is none.
+// Number returns the number of the view held, 0 if there is none.
 func (w *Views) Number() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.number
 }
 
-// Take takes a view or what changed in the one held. It returns the whole view,
-// which is the caller's, and where its instances take calls. It returns false for
-// changes of another view than the one held: the agent sends it whole when it
-// learns from the reply which one that is.
+// Take stores a view or applies changes to the one held. It returns a copy of the whole
+// view, which the caller may modify, and the addresses at which its instances accept
+// calls. It returns false if the changes have another view as their base or concern
+// unknown members. The reply to the agent names the view held, and the agent then
+// sends the view in full.
 func (w *Views) Take(v *feed.View, now time.Time) (*kernel.View, map[ident.InstanceID]string, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,7 +54,7 @@
 	return &out, maps.Clone(w.addresses), true
 }
 
-// knows reports whether all that changed is in the view held.
+// knows reports whether the view held has all instances and upstreams that changed.
 func (w *Views) knows(v *feed.View) bool {
 	for i := range v.Instances {
 		if _, ok := w.instances[v.Instances[i].ID]; !ok {
@@ -68,7 +69,7 @@
 	return true
 }
 
-// replace takes a whole view.
+// replace stores a whole view.
 func (w *Views) replace(v *feed.View, now time.Time) {
 	w.view = *View(v, now)
 	w.addresses = Addresses(v)
@@ -82,7 +83,7 @@
 	}
 }
 
-// change takes what changed.
+// change applies changes to the view held.
 func (w *Views) change(v *feed.View, now time.Time) {
 	part := View(v, now)
 	w.view.Version, w.view.Trusted = part.Version, part.Trusted
--- a/entry/recorder.go
+++ b/entry/recorder.go
@@ -18,12 +18,12 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// recordQueue bounds the decision records that wait to be logged.
+// recordQueue is the maximum number of log lines that wait to be written.
 const recordQueue = 8192
 
-// recorder implements driver.Observer: it logs and counts what happens.
-// Records are formatted and written in a goroutine of their own, so that a slow
-// reader of the log holds up no decision; when too many wait, log lines are
+// recorder implements driver.Observer: it logs and counts decisions and requests.
+// Log lines are formatted and written by a separate goroutine, so that a slow log
+// destination does not delay decisions. When the queue is full, log lines are
 // dropped and counted.
 type recorder struct {
 	log      *slog.Logger
@@ -50,20 +50,20 @@
 	return r
 }
 
-// close writes the records that wait and ends the goroutine. Nothing may be
-// recorded afterwards.
+// close writes the queued lines and ends the goroutine. Nothing may be recorded
+// afterwards.
 func (r *recorder) close() {
 	close(r.lines)
 	r.done.Wait()
 }
 
-// line is one line for the log: a decision record, or what say writes.
+// line is one line for the log: a decision record, or what say writes if it is set.
 type line struct {
 	record kernel.Record
 	say    func()
 }
 
-// write writes lines.
+// write writes queued lines until the queue is closed.
 func (r *recorder) write() {
 	for l := range r.lines {
 		if l.say != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// add queues a line, or drops and counts it.
+// add queues a line. If the queue is full, it drops and counts the line.
 func (r *recorder) add(l line) {
 	select {
 	case r.lines <- l:
@@ -83,7 +83,7 @@
 	}
 }
 
-// info logs something other than a decision, without waiting for the log.
+// info logs a message that is not a decision, without waiting for the log.
 func (r *recorder) info(text string, args ...any) {
 	r.add(line{say: func() { r.log.Info(text, args...) }})
 }
@@ -96,7 +96,7 @@
 	r.add(line{record: rec})
 }
 
-// Presented notes a call that came with a ticket.
+// Presented records and logs a call that carried a ticket.
 func (r *recorder) Presented(p journal.Presentation) {
 	r.journal.Present(p)
 	r.info("ticket presented", "request", p.Request, "run", p.Run, "executor", p.Executor, "action", p.Action)
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -19,7 +19,7 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// servers are the listeners of an entry and what serves them.
+// servers holds the listeners of an entry and their servers.
 type servers struct {
 	callers   net.Listener
 	http      *http.Server
@@ -45,31 +45,31 @@
 		},
 		Allow: allow,
 		TLS:   e.security.peerTLS(),
-		// A forwarded ticket's call lasts as long as its caller waits.
+		// A forwarded call with a ticket may last until its caller's deadline.
 		Limits: peer.Limits{Call: intake.MaxDeadline},
 		Log:    e.log,
 	}
 }
 
 const (
-	// feedFrame is the largest frame from the agent: the content of the largest
-	// bundle, as JSON.
+	// feedFrame is the maximum size of a frame from the agent. It holds the content of
+	// the largest bundle as JSON.
 	feedFrame = 32 << 20
-	// feedConnections is enough for an agent and its successor.
+	// feedConnections is enough for an agent and its replacement.
 	feedConnections = 4
 )
 
 // feedConfig returns the configuration of the agent's listener.
 func (e *Entry) feedConfig() peer.Config {
 	c := e.peerConfig(peering.LocalAgent(e.self.Instance))
-	// Loopback only.
+	// The agent connects over loopback, so TLS is not needed.
 	c.TLS = nil
 	c.Limits.Frame = feedFrame
 	c.Limits.Connections = feedConnections
 	return c
 }
 
-// Listen opens all addresses of the settings. Errors are those of net.Listen.
+// Listen opens all listeners of the settings. Its errors are those of net.Listen.
 func (e *Entry) Listen() error {
 	l, err := net.Listen("tcp", e.settings.Callers.Listen)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// handleAll registers the methods of each server.
+// handleAll registers the methods of each jsonrpc2 server.
 func (e *Entry) handleAll() {
 	if s := e.servers.peers; s != nil {
 		peering.HandleKernel(s.server, e.driver.Post)
@@ -109,7 +109,8 @@
 	}
 }
 
-// listen opens a jsonrpc2 server, none for an empty address.
+// listen opens the listener of a jsonrpc2 server; it returns nil for an empty
+// address.
 func (e *Entry) listen(address string, c peer.Config) (*jsonrpcServer, error) {
 	if address == "" {
 		return nil, nil
@@ -123,7 +124,7 @@
 	return s, nil
 }
 
-// isOperator reports whether the settings name an operator's identity.
+// isOperator reports whether the settings list the identity as an operator's.
 func (e *Entry) isOperator(id peer.Identity) bool {
 	for _, name := range e.settings.Operators.Names {
 		if name == id.Instance {
@@ -133,10 +134,10 @@
 	return false
 }
 
-// CallerAddress returns the address callers reach, after Listen.
+// CallerAddress returns the address of the listener for callers, after Listen.
 func (e *Entry) CallerAddress() string { return e.servers.callers.Addr().String() }
 
-// address returns a server's address, "" if it has none.
+// address returns the address of the server's listener, "" if there is no server.
 func (s *jsonrpcServer) address() string {
 	if s == nil {
 		return ""
@@ -144,15 +145,21 @@
 	return s.listener.Addr().String()
 }
 
-// PeerAddress, FeedAddress and OperatorAddress return the addresses of the
-// jsonrpc2 listeners after Listen, "" for those not configured.
-func (e *Entry) PeerAddress() string     { return e.servers.peers.address() }
-func (e *Entry) FeedAddress() string     { return e.servers.feed.address() }
+// PeerAddress returns the address of the listener for peers after Listen, "" if
+// none is configured.
+func (e *Entry) PeerAddress() string { return e.servers.peers.address() }
+
+// FeedAddress returns the address of the listener for the agent after Listen, "" if
+// none is configured.
+func (e *Entry) FeedAddress() string { return e.servers.feed.address() }
+
+// OperatorAddress returns the address of the listener for operators after Listen,
+// "" if none is configured.
 func (e *Entry) OperatorAddress() string { return e.servers.operators.address() }
 
-// Serve runs the entry until ctx ends and then shuts it down gracefully. It
-// returns nil when every request in flight was finished, and a *StopError
-// otherwise.
+// Serve runs the entry until ctx ends or a server fails, and then shuts it down. The
+// shutdown is graceful if ctx ended. Serve returns nil if all requests in flight
+// finished; if the shutdown timed out, the error includes a *StopError.
 func (e *Entry) Serve(ctx context.Context) error {
 	run, stopRun := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -182,7 +189,7 @@
 	return errors.Join(err, stopErr, e.cleanUp())
 }
 
-// begin brings a static fleet into force, if there is one.
+// begin puts the static fleet into force if the settings have one.
 func (e *Entry) begin() error {
 	if e.settings.Static == nil {
 		return nil
@@ -190,9 +197,9 @@
 	return e.startStatic()
 }
 
-// StopError reports a shutdown that cut off requests.
+// StopError reports that the shutdown timed out with requests in flight.
 type StopError struct {
-	// InFlight is how many requests were not finished.
+	// InFlight is the number of requests that had not finished.
 	InFlight int
 	Err      error
 }
@@ -203,8 +210,8 @@
 // Unwrap returns the cause.
 func (e *StopError) Unwrap() error { return e.Err }
 
-// stop ends the service: not ready first, then no new requests, then the end of
-// those in flight and of all cancels.
+// stop shuts the entry down in steps: it reports not ready, then refuses new
+// requests, then waits for the requests in flight and for all cancellations.
 func (e *Entry) stop(graceful bool) error {
 	e.log.Info("stopping", "in_flight", e.inFlight.Load())
 	e.notReady.Store(true)
@@ -219,7 +226,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.Stop.Timeout)
 	defer cancel()
-	// Until all in flight is finished, newcomers are told to go elsewhere.
+	// The HTTP server keeps running until then, so that new requests are answered with
+	// a refusal that tells callers to try another instance.
 	err := e.driver.Quiesce(ctx)
 	if shutErr := e.servers.http.Shutdown(ctx); err == nil {
 		err = shutErr
@@ -235,7 +243,7 @@
 	return nil
 }
 
-// cleanUp ends what Serve did not start.
+// cleanUp releases the resources that New created.
 func (e *Entry) cleanUp() error {
 	e.pool.Close()
 	e.recorder.close()
@@ -248,5 +256,5 @@
 
 var _ peering.Source = (*Entry)(nil)
 
-// Instance returns the entry's ID.
+// Instance returns the entry's instance ID.
 func (e *Entry) Instance() ident.InstanceID { return e.self.Instance }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -17,10 +17,10 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// Settings are what an entry instance reads from its settings file.
+// Settings are the settings of an entry instance, as read from its settings file.
 // docs/settings.md describes each field.
 type Settings struct {
-	// Instance, Zone and Region say who and where this instance is.
+	// Instance, Zone and Region identify this instance and its location.
 	Instance ident.InstanceID `yaml:"instance"`
 	Zone     ident.Zone       `yaml:"zone"`
 	Region   ident.Region     `yaml:"region"`
@@ -29,8 +29,8 @@
 	Peers     PeerSettings     `yaml:"peers"`
 	Feed      FeedSettings     `yaml:"feed"`
 	Operators common.Operators `yaml:"operators"`
-	// TLS protects the connections to other instances and from operators' tools;
-	// empty means plain TCP.
+	// TLS configures the connections to other instances and from operators' tools; if
+	// it is empty, they use plain TCP.
 	TLS     tlsconf.Settings `yaml:"tls"`
 	Log     logs.Options     `yaml:"log"`
 	Stop    StopSettings     `yaml:"stop"`
@@ -42,29 +42,30 @@
 	// Plugins holds the adapters' settings by plug-in ID.
 	Plugins map[plugin.ID]settings.Section `yaml:"plugins"`
 
-	// ExplainRecords is how many decision records are kept for explain.
+	// ExplainRecords is the number of decision records that are kept for explain.
 	ExplainRecords int `yaml:"explain_records"`
-	// PauseAfter is how long the process must not have run to count as paused.
+	// PauseAfter is the gap in execution from which the process counts as paused.
 	PauseAfter time.Duration `yaml:"pause_after"`
 
-	// Static takes the place of the agent; nil in operation.
+	// Static replaces the agent in tests and for first steps; it is nil in production.
 	Static *StaticSettings `yaml:"static"`
 }
 
-// CallerSettings concern the HTTP interface to callers.
+// CallerSettings configure the HTTP interface for callers.
 type CallerSettings struct {
 	Listen string         `yaml:"listen"`
 	TLS    TLSSettings    `yaml:"tls"`
 	Limits LimitsSettings `yaml:"limits"`
 }
 
-// TLSSettings name a certificate and its key; both empty means plain text.
+// TLSSettings name a certificate file and its key file; if both are empty, plain HTTP
+// is used.
 type TLSSettings struct {
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
 }
 
-// LimitsSettings bound what callers can cost.
+// LimitsSettings limit the resources that callers can use.
 type LimitsSettings struct {
 	BodyBytes     int64         `yaml:"body_bytes"`
 	MemoryBytes   int64         `yaml:"memory_bytes"`
@@ -78,67 +79,67 @@
 	ResponseBytes int64         `yaml:"response_bytes"`
 }
 
-// PeerSettings concern the other instances.
+// PeerSettings configure the connections with other instances.
 type PeerSettings struct {
-	// Listen is where peers' calls are taken; empty means none.
+	// Listen is the address for calls from peers; if it is empty, none are accepted.
 	Listen string `yaml:"listen"`
-	// Known lists instances that are believed before the agent names them.
+	// Known lists instances that are accepted as peers before the agent's first view.
 	Known []PeerAddress `yaml:"known"`
 }
 
-// PeerAddress is where another instance's entry takes calls.
+// PeerAddress is the address at which another instance's entry accepts calls.
 type PeerAddress struct {
 	Instance ident.InstanceID `yaml:"instance"`
 	Address  string           `yaml:"address"`
 }
 
-// FeedSettings concern the agent beside the entry.
+// FeedSettings configure the connection from the agent on the same host.
 type FeedSettings struct {
 	// Listen is a loopback address.
 	Listen string `yaml:"listen"`
 }
 
-// StopSettings concern a graceful shutdown.
+// StopSettings configure the graceful shutdown.
 type StopSettings struct {
-	// Grace is how long the instance is not ready before it refuses requests.
+	// Grace is the time for which the instance reports not ready but still accepts
+	// requests.
 	Grace time.Duration `yaml:"grace"`
-	// Timeout bounds the wait for requests in flight.
+	// Timeout limits the wait for requests in flight.
 	Timeout time.Duration `yaml:"timeout"`
 }
 
-// TicketSettings concern tickets for calls that are not repeatable.
+// TicketSettings configure tickets for calls that are not repeatable.
 type TicketSettings struct {
-	// Keys are the secrets that all instances share; the first one seals. Without
-	// keys the instance issues and accepts no tickets.
+	// Keys are the secrets that all instances share; new tickets are sealed with the
+	// first one. Without keys the instance issues and accepts no tickets.
 	Keys []TicketKey `yaml:"keys"`
-	// Lifetime is the time from a ticket's issue to its expiry.
+	// Lifetime is the time from the issue of a ticket to its expiry.
 	Lifetime time.Duration `yaml:"lifetime"`
 }
 
-// TicketKey is a secret and its name.
+// TicketKey is a named secret.
 type TicketKey struct {
 	ID string `yaml:"id"`
 	// Secret is at least 32 bytes, in base64.
 	Secret string `yaml:"secret"`
 }
 
-// StaticSettings describe a fixed fleet, for tests and first steps.
+// StaticSettings describe a fixed fleet without an agent, for tests and first steps.
 type StaticSettings struct {
-	// Bundle is a bundle source in YAML; the path is relative to the working
-	// directory.
+	// Bundle is the path of a bundle source in YAML, relative to the working directory.
 	Bundle string `yaml:"bundle"`
-	// Upstreams says where the bundle's upstreams are.
+	// Upstreams gives the addresses of the bundle's upstreams.
 	Upstreams []StaticUpstream `yaml:"upstreams"`
 }
 
-// StaticUpstream is where an upstream is.
+// StaticUpstream is the zone and address of an upstream.
 type StaticUpstream struct {
 	ID      ident.UpstreamID `yaml:"id"`
 	Zone    ident.Zone       `yaml:"zone"`
 	Address string           `yaml:"address"`
 }
 
-// Defaults of Settings.
+// Default values of Settings that no other package defines.
 const (
 	defaultConnections = 8192
 	defaultGrace       = 2 * time.Second
@@ -168,7 +169,7 @@
 	s.PauseAfter = driver.DefaultPauseAfter
 }
 
-// limits returns the limits in the front's form.
+// limits converts the settings to front.Limits.
 func (l LimitsSettings) limits() front.Limits {
 	return front.Limits{
 		BodyBytes:     l.BodyBytes,
--- a/entry/static.go
+++ b/entry/static.go
@@ -10,10 +10,10 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// staticVersion is the version that a static bundle is given.
+// staticVersion is the bundle version of a static fleet.
 const staticVersion = 1
 
-// loadStatic reads the bundle of a static fleet. Errors are *os.PathError and
+// loadStatic reads the bundle of a static fleet. Its errors are *os.PathError and
 // *bundle.FindingsError.
 func loadStatic(s *StaticSettings) (*config.Content, error) {
 	data, err := os.ReadFile(s.Bundle)
@@ -27,7 +27,7 @@
 	return content, nil
 }
 
-// staticView is the view of a static fleet: all of it is taken for live.
+// staticView returns the view of a static fleet, in which every member is live.
 func staticView(s *Settings, self kernel.Self, version uint64, now time.Time) *kernel.View {
 	v := &kernel.View{
 		Version: version,
--- a/entry/stats/stats.go
+++ b/entry/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats counts how requests ended under each bundle version, for
+// Package stats counts requests by outcome for each bundle version, for
 // `wardspoolctl watch`.
 package stats
 
@@ -11,17 +11,17 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// maxVersions bounds the bundle versions kept; the oldest is dropped.
+// maxVersions is the maximum number of bundle versions kept; the oldest is dropped.
 const maxVersions = 8
 
-// Kind counts the requests of one kind.
+// Kind holds the counts of one kind of request.
 type Kind struct {
 	Kind string `json:"kind"`
 	// Offered counts all requests that ended.
 	Offered int64 `json:"offered"`
-	// OnTime counts whole answers within the kind's targets: the goodput.
+	// OnTime counts complete answers within the kind's targets: the goodput.
 	OnTime int64 `json:"on_time"`
-	// Complete, NotRun and Unknown count by outcome.
+	// Complete, NotRun and Unknown count requests by outcome.
 	Complete int64 `json:"complete"`
 	NotRun   int64 `json:"not_run"`
 	Unknown  int64 `json:"unknown"`
@@ -29,31 +29,31 @@
 	Tokens int64 `json:"tokens"`
 }
 
-// Refusal counts the requests given up for one reason.
+// Refusal counts the requests that were refused, failed or cancelled for one reason.
 type Refusal struct {
 	Step   kernel.Step   `json:"step"`
 	Reason kernel.Reason `json:"reason"`
 	Count  int64         `json:"count"`
 }
 
-// Version is what happened under one bundle version.
+// Version holds the counts of one bundle version.
 type Version struct {
 	Version  uint64    `json:"version"`
 	Kinds    []Kind    `json:"kinds"`
 	Refusals []Refusal `json:"refusals"`
-	// PrefillTokens is the prompt work done, WastedTokens the part of it that
-	// was thrown away, in tokens.
+	// PrefillTokens counts the prompt tokens computed, WastedTokens those among them
+	// whose result was discarded.
 	PrefillTokens int64 `json:"prefill_tokens"`
 	WastedTokens  int64 `json:"wasted_tokens"`
 }
 
-// refusalKey tells refusals apart.
+// refusalKey identifies a Refusal.
 type refusalKey struct {
 	step   kernel.Step
 	reason kernel.Reason
 }
 
-// version is a Version while it is counted.
+// version is a Version while it is being counted.
 type version struct {
 	kinds    map[string]*Kind
 	refusals map[refusalKey]int64
@@ -61,16 +61,17 @@
 	wasted   int64
 }
 
-// Tally counts. It is safe for concurrent use.
+// Tally counts requests by bundle version. It is safe for concurrent use.
 type Tally struct {
 	mu       sync.Mutex
 	versions map[uint64]*version
 }
 
-// New returns an empty tally.
+// New returns an empty Tally.
 func New() *Tally { return &Tally{versions: map[uint64]*version{}} }
 
-// version returns the counts of a bundle version. The caller holds mu.
+// version returns the counts of a bundle version and creates them if necessary. The
+// caller holds mu.
 func (t *Tally) version(number uint64) *version {
 	v := t.versions[number]
 	if v == nil {
@@ -81,7 +82,7 @@
 	return v
 }
 
-// prune drops the oldest version if there are too many.
+// prune drops the oldest version if there are more than maxVersions.
 func (t *Tally) prune() {
 	if len(t.versions) <= maxVersions {
 		return
@@ -122,7 +123,7 @@
 	v.wasted += int64(s.WastedTokens)
 }
 
-// Decided counts a decision by which a request was given up.
+// Decided counts a decision if it refused, failed or cancelled a request.
 func (t *Tally) Decided(r *kernel.Record) {
 	switch r.Step {
 	case kernel.StepRefused, kernel.StepFailed, kernel.StepCancelled:
@@ -134,7 +135,7 @@
 	t.version(r.BundleVersion).refusals[refusalKey{r.Step, r.Reason}]++
 }
 
-// Versions returns the counts, by version.
+// Versions returns the counts, in ascending order of version.
 func (t *Tally) Versions() []Version {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,7 +147,7 @@
 	return out
 }
 
-// export copies the counts of a version, in a fixed order.
+// export returns a copy of the counts in a deterministic order.
 func (v *version) export(number uint64) Version {
 	out := Version{Version: number, PrefillTokens: v.prefill, WastedTokens: v.wasted}
 	for _, k := range v.kinds {
--- a/entry/stats/stats_test.go
+++ b/entry/stats/stats_test.go
@@ -10,6 +10,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
+// TestSum checks the counts of single instances and their sum.
 func TestSum(t *testing.T) {
 	a, b := New(), New()
 	a.Ended(driver.Summary{Kind: "review", BundleVersion: 1, Outcome: api.Complete, OnTime: true, Tokens: 5, PrefillTokens: 10, WastedTokens: 4})
@@ -25,6 +26,7 @@
 	})
 }
 
+// TestOldVersionsAreDropped checks that only the newest maxVersions versions are kept.
 func TestOldVersionsAreDropped(t *testing.T) {
 	a := New()
 	for v := range uint64(maxVersions + 3) {
--- a/entry/stats/sum.go
+++ b/entry/stats/sum.go
@@ -1,6 +1,6 @@
 package stats
 
-// Sum adds up the counts of several instances, by version.
+// Sum adds up the counts of several instances for each version.
 func Sum(parts ...[]Version) []Version {
 	t := New()
 	for _, part := range parts {
@@ -11,7 +11,7 @@
 	return t.Versions()
 }
 
-// add adds the counts of one version.
+// add adds counts to those of the same version.
 func (t *Tally) add(from Version) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/testbed_test.go
+++ b/entry/testbed_test.go
@@ -26,7 +26,7 @@
 	"github.com/wardspool/wardspool/standin/service"
 )
 
-// testBundle is the bundle of all tests here.
+// testBundle is the source of the bundle for all tests of this package.
 const testBundle = `
 deployment: test
 kinds:
@@ -60,15 +60,15 @@
   transfer_stall: 1s
 `
 
-// bed is an entry in this process with stand-ins for its upstreams.
+// bed is an entry in the test's process with simulated upstreams.
 type bed struct {
 	t       *testing.T
 	entry   *entry.Entry
 	engines map[ident.UpstreamID]*engine.Engine
 	service *service.Service
-	// addresses says where each upstream is.
+	// addresses holds the address of each upstream.
 	addresses map[ident.UpstreamID]string
-	// url is where callers reach the entry.
+	// url is the base URL of the entry for callers.
 	url string
 	// http sends callers' requests.
 	http *http.Client
@@ -76,8 +76,8 @@
 	done chan error
 }
 
-// newBed starts an entry and its upstreams; the test's end stops them and
-// checks that no goroutine is left.
+// newBed starts an entry and its upstreams. change, if not nil, modifies the entry's
+// settings. When the test ends, they are stopped and no goroutine may be left.
 func newBed(t *testing.T, change func(*entry.Settings)) *bed {
 	t.Helper()
 	ignore := goleak.IgnoreCurrent()
@@ -103,7 +103,7 @@
 	return b
 }
 
-// settings returns settings as a file would give them.
+// settings parses the settings file of the entry.
 func (b *bed) settings() *entry.Settings {
 	b.t.Helper()
 	file := filepath.Join(b.t.TempDir(), "bundle.yaml")
@@ -120,7 +120,7 @@
 	return s
 }
 
-// serve serves a handler on loopback until the test ends.
+// serve serves a handler on a loopback address until the test ends.
 func (b *bed) serve(h http.Handler) string {
 	b.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,6 +128,7 @@
 	return b.serveOn(l, h)
 }
 
+// serveOn serves a handler on a listener until the test ends and returns its address.
 func (b *bed) serveOn(l net.Listener, h http.Handler) string {
 	srv := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	done := make(chan struct{})
@@ -142,7 +143,7 @@
 	return l.Addr().String()
 }
 
-// engine starts a stand-in engine.
+// engine starts a simulated engine.
 func (b *bed) engine(id ident.UpstreamID, role config.Role) entry.StaticUpstream {
 	b.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -168,7 +169,7 @@
 	return entry.StaticUpstream{ID: id, Zone: "hall-a", Address: address}
 }
 
-// desk starts a stand-in service.
+// desk starts a simulated service.
 func (b *bed) desk(id ident.UpstreamID) entry.StaticUpstream {
 	b.t.Helper()
 	b.service = service.New(service.Config{ID: id, Service: "desk", Delay: time.Millisecond})
@@ -176,7 +177,7 @@
 	return entry.StaticUpstream{ID: id, Zone: "hall-a", Address: b.serve(b.service.Handler())}
 }
 
-// start starts the entry.
+// start starts the entry and, unless it serves HTTPS, waits until it is ready.
 func (b *bed) start(s *entry.Settings) {
 	b.t.Helper()
 	e, err := entry.New(s, slog.New(slog.NewTextHandler(testWriter{b.t}, nil)))
@@ -189,14 +190,14 @@
 	go func() { b.done <- e.Serve(ctx) }()
 	b.t.Cleanup(b.shutDown)
 	if s.Callers.TLS.Certificate != "" {
-		// The test waits with a client of its own.
+		// Waiting needs a client that trusts the certificate, which the test has not set yet.
 		b.url = "https://" + e.CallerAddress()
 		return
 	}
 	b.awaitReady()
 }
 
-// shutDown stops the entry gracefully, once.
+// shutDown stops the entry gracefully; further calls do nothing.
 func (b *bed) shutDown() {
 	if b.stop == nil {
 		return
@@ -219,10 +220,11 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	b.t.Fatal("the entry did not get ready")
+	b.t.Fatal("the entry did not become ready")
 }
 
-// do sends a request and returns the response with its whole body.
+// do sends a request and returns the response and its whole body. headers alternates
+// names and values.
 func (b *bed) do(method, path, body string, headers ...string) (*http.Response, string) {
 	b.t.Helper()
 	req, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
@@ -238,7 +240,7 @@
 	return resp, string(text)
 }
 
-// testWriter logs to the test.
+// testWriter writes log lines to the test's log.
 type testWriter struct{ t *testing.T }
 
 func (w testWriter) Write(p []byte) (int, error) {
--- a/entry/ticket_test.go
+++ b/entry/ticket_test.go
@@ -14,8 +14,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// TestTicketIsExplained: the caller's request ID leads to what happened to its
-// call, also when another instance ran it.
+// TestTicketIsExplained checks that explain finds a call by the caller's request ID, also
+// if another instance ran the call.
 func TestTicketIsExplained(t *testing.T) {
 	f := newFleet(t)
 	f.feedAll()
@@ -38,7 +38,7 @@
 		assert.NilError(t, e.Write(&out))
 		want = append(want, string(tickets.RunID(text))+" on entry-0 (hall-a): kind order, workspace default", "called", "whole_answer")
 		for _, part := range want {
-			assert.Check(t, strings.Contains(out.String(), part), "%q for %s in\n%s", part, id, out.String())
+			assert.Check(t, strings.Contains(out.String(), part), "%q for %s is missing in\n%s", part, id, out.String())
 		}
 	}
 
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -12,14 +12,14 @@
 	"github.com/wardspool/wardspool/ticket"
 )
 
-// SecretError reports a ticket secret that is not base64.
+// SecretError reports a ticket secret that is not valid base64.
 type SecretError struct{ ID string }
 
 // Error implements error.
 func (e *SecretError) Error() string { return "the secret of ticket key " + e.ID + " is not base64" }
 
-// codec returns the codec of the keys, nil if there are none. Errors are
-// *SecretError and *ticket.KeyError.
+// codec returns the codec for the configured keys, nil if there are none. Its errors
+// are *SecretError and *ticket.KeyError.
 func (t *TicketSettings) codec() (*ticket.Codec, error) {
 	if len(t.Keys) == 0 {
 		return nil, nil
@@ -35,14 +35,15 @@
 	return ticket.NewCodec(keys...)
 }
 
-// newDesk returns the desk of an instance, nil if it has no ticket keys.
+// newDesk returns the ticket desk of an instance, nil if no ticket keys are
+// configured.
 func newDesk(t *TicketSettings, self kernel.Self, book *peering.Book, pool *peer.Pool, r *recorder) (*tickets.Desk, error) {
 	codec, err := t.codec()
 	if err != nil || codec == nil {
 		return nil, err
 	}
 	var nonce [8]byte
-	// Read never fails; see its documentation.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(nonce[:])
 	limits := ticket.DefaultLimits()
 	limits.Lifetime = t.Lifetime
--- a/entry/tls.go
+++ b/entry/tls.go
@@ -13,16 +13,16 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// security holds the keys and certificates in force; a part that the settings
-// do not name is nil and means plain text.
+// security holds the current keys and certificates. A field is nil if the settings
+// name no files for it; its connections are then not encrypted.
 type security struct {
-	// callers is for callers' HTTPS, processes for the connections to other
+	// callers is for HTTPS with callers, processes for the connections to other
 	// instances and from operators' tools.
 	callers   *tlsconf.Reloader
 	processes *tlsconf.Reloader
 }
 
-// newSecurity reads the files that the settings name. Errors are
+// newSecurity loads the files that the settings name. Its errors are
 // *tlsconf.FileError.
 func newSecurity(s *Settings, log *slog.Logger) (security, error) {
 	var out security
@@ -36,7 +36,7 @@
 	return out, nil
 }
 
-// newReloader reads files, none if none are named.
+// newReloader loads the files of the settings; it returns nil if they name none.
 func newReloader(s tlsconf.Settings, log *slog.Logger) (*tlsconf.Reloader, error) {
 	if !s.Enabled() {
 		return nil, nil
@@ -44,13 +44,13 @@
 	return tlsconf.New(s, tlsconf.Options{Log: log})
 }
 
-// files returns the settings in the form of package tlsconf.
+// files converts the settings to tlsconf.Settings.
 func (t TLSSettings) files() tlsconf.Settings {
 	return tlsconf.Settings{Cert: t.Certificate, Key: t.Key}
 }
 
-// peerTLS returns the settings of connections between processes, nil for plain
-// TCP.
+// peerTLS returns the TLS configuration of connections between processes, nil for
+// plain TCP.
 func (s *security) peerTLS() peer.TLS {
 	if s.processes == nil {
 		return nil
@@ -58,7 +58,7 @@
 	return s.processes
 }
 
-// watch looks for changed files until ctx ends.
+// watch reloads changed files until ctx ends.
 func (s *security) watch(ctx context.Context, running *sync.WaitGroup) {
 	for _, r := range []*tlsconf.Reloader{s.callers, s.processes} {
 		if r != nil {
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -20,7 +20,8 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// httpsClient trusts an authority and expects the callers' name.
+// httpsClient returns a client that trusts the authority and expects the entry's name
+// for callers.
 func httpsClient(t *testing.T, a *testcert.Authority, http2 bool) *http.Client {
 	t.Helper()
 	transport := &http.Transport{
@@ -31,7 +32,7 @@
 	return &http.Client{Transport: transport}
 }
 
-// newTLSBed starts an entry with TLS towards all but the agent, with
+// newTLSBed starts an entry that uses TLS for all connections but the agent's, with
 // certificates of one authority.
 func newTLSBed(t *testing.T, a *testcert.Authority) (b *bed, callers tlsconf.Settings) {
 	callers = a.Files("router.test")
@@ -46,8 +47,8 @@
 	return b, callers
 }
 
-// TestHTTPSCaller streams an answer over HTTPS, renews the certificate under an
-// open connection, and has new connections get the new one.
+// TestHTTPSCaller streams answers over HTTPS and then replaces the certificate: the open
+// connection remains usable, and new connections get the new certificate.
 func TestHTTPSCaller(t *testing.T) {
 	a, next := testcert.NewAuthority(t), testcert.NewAuthority(t)
 	b, files := newTLSBed(t, a)
@@ -68,7 +69,7 @@
 	next.Write(tlsconf.Settings{Cert: files.Cert, Key: files.Key, CA: files.CA}, "router.test")
 	b.entry.CheckFiles()
 	resp, _ := b.do(http.MethodGet, "/healthz", "")
-	assert.Equal(t, resp.StatusCode, http.StatusOK, "the open connection goes on")
+	assert.Equal(t, resp.StatusCode, http.StatusOK, "the open connection must remain usable")
 	b.http = httpsClient(t, next, false)
 	resp, _ = b.do(http.MethodGet, "/healthz", "")
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
@@ -78,8 +79,8 @@
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 }
 
-// pool returns connections of an instance or an operator's tool; nil files mean
-// plain TCP.
+// tlsPool returns a connection pool of an instance or an operator's tool; if files is
+// nil, it uses plain TCP.
 func tlsPool(t *testing.T, id ident.InstanceID, files *tlsconf.Settings) *peer.Pool {
 	t.Helper()
 	c := peer.Config{
@@ -96,13 +97,13 @@
 	return p
 }
 
-// filesOf returns a peer's and an operator's files.
+// filesOf returns the TLS files of a peer and of an operator.
 func filesOf(a *testcert.Authority, instance, operator string) *[2]tlsconf.Settings {
 	return &[2]tlsconf.Settings{a.Files(instance), a.Files(operator)}
 }
 
-// TestPeersAreChecked: with TLS, peers and operators are believed only under the
-// name that their certificate carries.
+// TestPeersAreChecked checks that with TLS, peers and operators are accepted only if
+// their certificate is from the right authority and carries the name that they claim.
 func TestPeersAreChecked(t *testing.T) {
 	a, stranger := testcert.NewAuthority(t), testcert.NewAuthority(t)
 	b, _ := newTLSBed(t, a)
@@ -130,7 +131,8 @@
 	}
 }
 
-// TestTLSSettings checks that faults name their field and file.
+// TestTLSSettings checks that faults in the TLS settings are reported with the field and
+// the file.
 func TestTLSSettings(t *testing.T) {
 	files := testcert.NewAuthority(t).Files("entry-1")
 	const head = "instance: entry-1\nzone: hall-a\ncallers: {listen: \"127.0.0.1:0\"}\nfeed: {listen: \"127.0.0.1:0\"}\n"
