--- a/entry/counters.go
+++ b/entry/counters.go
@@ -14,20 +14,20 @@
 // counters holds the metrics of an entry instance.
 type counters struct {
 	scope tally.Scope
-	late,
+	lateTokens,
 	logDropped,
 	attemptsDone,
 	attemptsFailed,
-	undelivered,
+	undeliveredMessages,
 	tokens,
 	prefillTokens,
 	wastedTokens,
 	pauses tally.Counter
 
-	mu        sync.Mutex
-	decisions map[decisionKey]tally.Counter
-	requests  map[requestKey]tally.Counter
-	firsts    map[string]tally.Histogram
+	mu           sync.Mutex
+	decisions    map[decisionKey]tally.Counter
+	requests     map[requestKey]tally.Counter
+	firstOutputs map[string]tally.Histogram
 }
 
 // decisionKey holds the label values of the metric "decisions".
@@ -44,27 +44,27 @@
 
 func newCounters(scope tally.Scope) *counters {
 	return &counters{
-		scope:          scope,
-		late:           scope.Counter("late_tokens_dropped"),
-		logDropped:     scope.Counter("log_lines_dropped"),
-		attemptsDone:   scope.Counter("attempts_done"),
-		attemptsFailed: scope.Counter("attempts_failed"),
-		undelivered:    scope.Counter("peer_messages_undelivered"),
-		tokens:         scope.Counter("output_tokens"),
-		prefillTokens:  scope.Counter("prefill_tokens"),
-		wastedTokens:   scope.Counter("prefill_tokens_wasted"),
-		pauses:         scope.Counter("process_pauses"),
-		decisions:      map[decisionKey]tally.Counter{},
-		requests:       map[requestKey]tally.Counter{},
-		firsts:         map[string]tally.Histogram{},
+		scope:               scope,
+		lateTokens:          scope.Counter("late_tokens_dropped"),
+		logDropped:          scope.Counter("log_lines_dropped"),
+		attemptsDone:        scope.Counter("attempts_done"),
+		attemptsFailed:      scope.Counter("attempts_failed"),
+		undeliveredMessages: scope.Counter("peer_messages_undelivered"),
+		tokens:              scope.Counter("output_tokens"),
+		prefillTokens:       scope.Counter("prefill_tokens"),
+		wastedTokens:        scope.Counter("prefill_tokens_wasted"),
+		pauses:              scope.Counter("process_pauses"),
+		decisions:           map[decisionKey]tally.Counter{},
+		requests:            map[requestKey]tally.Counter{},
+		firstOutputs:        map[string]tally.Histogram{},
 	}
 }
 
 // firstOutputBuckets are the upper bounds of the first_output_seconds histogram.
 var firstOutputBuckets = tally.MustMakeExponentialDurationBuckets(10*time.Millisecond, 2, 13)
 
-// decided counts a decision by step and reason.
-func (c *counters) decided(r *kernel.Record) {
+// countDecision counts a decision by step and reason.
+func (c *counters) countDecision(r *kernel.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := decisionKey{r.Step, r.Reason}
@@ -77,8 +77,8 @@
 	counter.Inc(1)
 }
 
-// ended counts a request that ended, its tokens and its time to first output.
-func (c *counters) ended(s *driver.Summary) {
+// countRequest counts a request that ended, its tokens and its time to first output.
+func (c *counters) countRequest(s *driver.Summary) {
 	c.tokens.Inc(int64(s.Tokens))
 	c.prefillTokens.Inc(int64(s.PrefillTokens))
 	c.wastedTokens.Inc(int64(s.WastedTokens))
@@ -97,10 +97,10 @@
 	if s.FirstToken.IsZero() {
 		return
 	}
-	h := c.firsts[s.Kind]
+	h := c.firstOutputs[s.Kind]
 	if h == nil {
 		h = c.scope.Tagged(map[string]string{"kind": s.Kind}).Histogram("first_output_seconds", firstOutputBuckets)
-		c.firsts[s.Kind] = h
+		c.firstOutputs[s.Kind] = h
 	}
 	h.RecordDuration(s.FirstToken.Sub(s.Arrived))
 }
--- a/entry/docs_test.go
+++ b/entry/docs_test.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/entry"
 )
 
-// fields returns the YAML paths of all fields of a settings type.
-func fields(t reflect.Type, prefix string) []string {
+// settingsPaths returns the YAML paths of all fields of a settings type.
+func settingsPaths(t reflect.Type, prefix string) []string {
 	var out []string
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -22,7 +22,7 @@
 			inner = inner.Elem()
 		}
 		if inner.Kind() == reflect.Struct {
-			out = append(out, fields(inner, path+".")...)
+			out = append(out, settingsPaths(inner, path+".")...)
 			continue
 		}
 		out = append(out, path)
@@ -34,7 +34,7 @@
 func TestSettingsPage(t *testing.T) {
 	data, err := os.ReadFile("../docs/settings.md")
 	assert.NilError(t, err)
-	for _, f := range fields(reflect.TypeFor[entry.Settings](), "") {
+	for _, f := range settingsPaths(reflect.TypeFor[entry.Settings](), "") {
 		assert.Check(t, strings.Contains(string(data), "`"+f+"`"), "%s is not in docs/settings.md", f)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -34,13 +34,13 @@
 	log      *slog.Logger
 	self     kernel.Self
 
-	engine   adapter.Engine
-	service  adapter.Service
-	close    func() error
-	security security
-	recorder *recorder
-	driver   *driver.Driver
-	front    *front.Front
+	engine       adapter.Engine
+	service      adapter.Service
+	closeMetrics func() error
+	security     security
+	recorder     *recorder
+	driver       *driver.Driver
+	front        *front.Front
 	// desk is nil if no ticket keys are configured.
 	desk     *tickets.Desk
 	book     *peering.Book
@@ -91,7 +91,7 @@
 	}
 	reporter := metrics.NewReporter()
 	scope, closer := metrics.NewScope(reporter, "wardspool_entry")
-	e.close = closer.Close
+	e.closeMetrics = closer.Close
 	e.recorder = newRecorder(log, scope, s.ExplainRecords)
 	e.book = peering.NewBook(knownPeers(s.Peers.Known))
 	e.pool = peer.NewPool(e.peerConfig(e.book.Known))
@@ -113,8 +113,8 @@
 		Observer:     e.recorder,
 		Log:          e.log,
 		PauseAfter:   e.settings.PauseAfter,
-		OnPause:      e.paused,
-		OnConfigured: e.configured,
+		OnPause:      e.onPause,
+		OnConfigured: e.onConfigured,
 	})
 }
 
@@ -123,7 +123,7 @@
 	options := front.Options{
 		Instance: e.self.Instance,
 		Limits:   e.settings.Callers.Limits.limits(),
-		Submit:   counting{e},
+		Submit:   inFlightCounter{e},
 		Catalog:  e.catalog.Load,
 		Ready:    e.unready,
 		Metrics:  reporter,
@@ -184,11 +184,11 @@
 	return a, nil
 }
 
-// counting is a front.Submitter that counts the requests in flight.
-type counting struct{ e *Entry }
+// inFlightCounter is a front.Submitter that counts the requests in flight.
+type inFlightCounter struct{ e *Entry }
 
 // Submit implements front.Submitter.
-func (c counting) Submit(ctx context.Context, ex *driver.Exchange) driver.Result {
+func (c inFlightCounter) Submit(ctx context.Context, ex *driver.Exchange) driver.Result {
 	c.e.inFlight.Add(1)
 	defer c.e.inFlight.Add(-1)
 	return c.e.driver.Submit(ctx, ex)
@@ -210,14 +210,14 @@
 	}
 }
 
-// configured publishes a bundle version that came into force to the HTTP interface.
-func (e *Entry) configured(version uint64, c *config.Content) {
+// onConfigured publishes a bundle version that came into force to the HTTP interface.
+func (e *Entry) onConfigured(version uint64, c *config.Content) {
 	e.catalog.Store(intake.NewCatalog(version, c))
 	e.recorder.info("bundle in force", "bundle_version", version)
 }
 
-// paused handles a pause of the process that the driver detected.
-func (e *Entry) paused(gap time.Duration) {
+// onPause handles a pause of the process that the driver detected.
+func (e *Entry) onPause(gap time.Duration) {
 	e.recorder.counters.pauses.Inc(1)
 	if e.desk != nil {
 		e.desk.Paused(gap)
--- a/entry/errors_test.go
+++ b/entry/errors_test.go
@@ -6,8 +6,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// asError is errors.As with the type of error as a type parameter.
-func asError[E error](err error, into *E) bool { return errors.As(err, into) }
+// errorAs is errors.As with the type of error as a type parameter.
+func errorAs[E error](err error, into *E) bool { return errors.As(err, into) }
 
 // unknownModel is the reason for refusing a model that the bundle does not declare.
 const unknownModel = kernel.ReasonUnknownModel
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -21,7 +21,7 @@
 )
 
 // setFaults sets the faults that a simulated upstream injects.
-func (b *bed) setFaults(id ident.UpstreamID, faults any) {
+func (b *testbed) setFaults(id ident.UpstreamID, faults any) {
 	b.t.Helper()
 	body, err := json.Marshal(faults)
 	assert.NilError(b.t, err)
@@ -34,8 +34,8 @@
 	assert.Equal(b.t, resp.StatusCode, http.StatusOK, "%s", text)
 }
 
-// readJudge returns the report of a simulated upstream on the calls that it received.
-func readJudge[T any](b *bed, id ident.UpstreamID) T {
+// readReport returns the report of a simulated upstream on the calls that it received.
+func readReport[T any](b *testbed, id ident.UpstreamID) T {
 	b.t.Helper()
 	resp, err := http.Get("http://" + b.addresses[id] + control.PathJudge)
 	assert.NilError(b.t, err)
@@ -46,7 +46,7 @@
 }
 
 // await waits about 4 s at most until a condition holds.
-func (b *bed) await(what string, holds func() bool) {
+func (b *testbed) await(what string, holds func() bool) {
 	b.t.Helper()
 	for range 2000 {
 		if holds() {
@@ -57,12 +57,12 @@
 	b.t.Fatalf("timed out waiting for: %s", what)
 }
 
-// nothingHeld waits until no engine holds memory for any attempt.
-func (b *bed) nothingHeld() {
+// awaitMemoryReleased waits until no engine holds memory for any attempt.
+func (b *testbed) awaitMemoryReleased() {
 	b.t.Helper()
 	for _, id := range []ident.UpstreamID{"pf-1", "dc-1", "dc-2"} {
 		b.await("release of memory on "+string(id), func() bool {
-			return readJudge[judge.Engine](b, id).Held == judge.Held{}
+			return readReport[judge.Engine](b, id).Held == judge.Held{}
 		})
 	}
 }
@@ -103,17 +103,17 @@
 // TestCallerGoneReleasesMemory checks that the engines release a request's memory after
 // its caller has closed the connection in the middle of a stream.
 func TestCallerGoneReleasesMemory(t *testing.T) {
-	b := newBed(t, nil)
-	ctx, hangUp := context.WithCancel(t.Context())
+	b := newTestbed(t, nil)
+	ctx, closeConnection := context.WithCancel(t.Context())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.url+"/v1/completions", strings.NewReader(completion(5000, true)))
 	assert.NilError(t, err)
 	resp, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
 	_, err = io.ReadFull(resp.Body, make([]byte, 500))
 	assert.NilError(t, err)
-	hangUp()
+	closeConnection()
 	_ = resp.Body.Close()
-	b.nothingHeld()
+	b.awaitMemoryReleased()
 }
 
 // TestDecodeFailureIsResumedElsewhere checks that a request whose decode engine fails is
@@ -121,7 +121,7 @@
 func TestDecodeFailureIsResumedElsewhere(t *testing.T) {
 	for _, stream := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stream=%t", stream), func(t *testing.T) {
-			b := newBed(t, nil)
+			b := newTestbed(t, nil)
 			b.setFaults("dc-1", control.EngineFaults{FailAfterTokens: 5})
 			b.setFaults("dc-2", control.EngineFaults{FailAfterTokens: 12})
 			resp, body := b.do(http.MethodPost, "/v1/completions", completion(15, stream))
@@ -134,7 +134,7 @@
 			} else {
 				assert.Equal(t, resp.Header.Get(api.HeaderOutcome), string(api.Complete))
 			}
-			b.nothingHeld()
+			b.awaitMemoryReleased()
 		})
 	}
 }
@@ -143,7 +143,7 @@
 // broken, the rest of the stream is read over a new connection and nothing is decoded
 // a second time.
 func TestDroppedConnectionIsReadOn(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	req, err := http.NewRequest(http.MethodPost, b.url+"/v1/completions", strings.NewReader(completion(400, true)))
 	assert.NilError(t, err)
 	resp, err := http.DefaultClient.Do(req)
@@ -160,15 +160,15 @@
 	text, done, problem := streamedText(t, string(start)+string(rest))
 	assert.Assert(t, done, "%v", problem)
 	assert.NilError(t, answer.Check(prompt, text, 400))
-	runs := readJudge[judge.Engine](b, "dc-1").Totals.DecodeRuns + readJudge[judge.Engine](b, "dc-2").Totals.DecodeRuns
+	runs := readReport[judge.Engine](b, "dc-1").Totals.DecodeRuns + readReport[judge.Engine](b, "dc-2").Totals.DecodeRuns
 	assert.Equal(t, runs, 1, "the stream must be resumed, not started again")
-	b.nothingHeld()
+	b.awaitMemoryReleased()
 }
 
 // TestStreamThatFailsEndsWithProblem checks that a stream of a request that is not
 // repeatable ends with a problem and the outcome unknown when its decode engine fails.
 func TestStreamThatFailsEndsWithProblem(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	b.setFaults("dc-1", control.EngineFaults{FailAfterTokens: 5})
 	b.setFaults("dc-2", control.EngineFaults{FailAfterTokens: 5})
 	resp, body := b.do(http.MethodPost, "/v1/completions", completion(200, true), api.HeaderRepeatable, "no")
@@ -179,7 +179,7 @@
 	assert.Equal(t, problem.Type, api.ProblemUpstreamFailed)
 	assert.Equal(t, resp.Trailer.Get(api.HeaderOutcome), string(api.Unknown))
 	assert.NilError(t, answer.Check(prompt, text, 5))
-	b.nothingHeld()
+	b.awaitMemoryReleased()
 }
 
 // TestServiceFailures checks the outcome of calls to a service that fails or refuses,
@@ -200,12 +200,12 @@
 		{"lookup: service is draining", "lookup", control.ServiceFaults{Draining: true}, 503, api.NotRun, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(t, nil)
+			b := newTestbed(t, nil)
 			b.setFaults("desk-1", c.faults)
 			resp, body := b.do(http.MethodPost, "/services/desk/x", "{}",
 				api.HeaderKind, c.kind, api.HeaderDeadlineMS, "700")
 			assert.Equal(t, resp.Header.Get(api.HeaderOutcome), string(c.outcome), body)
-			got := readJudge[judge.Service](b, "desk-1")
+			got := readReport[judge.Service](b, "desk-1")
 			assert.Equal(t, got.Runs, c.runs)
 			if c.outcome == api.NotRun {
 				assert.Assert(t, resp.Header.Get("Retry-After") != "", body)
@@ -217,7 +217,7 @@
 // TestStopFinishesWhatIsInFlight checks that during a shutdown a stream that is open runs
 // to its end while new requests are refused with Retry-After.
 func TestStopFinishesWhatIsInFlight(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	resp, err := http.Post(b.url+"/v1/completions", "application/json", strings.NewReader(completion(200, true)))
 	assert.NilError(t, err)
 	defer resp.Body.Close()
--- a/entry/logline_test.go
+++ b/entry/logline_test.go
@@ -47,10 +47,10 @@
 	}
 }
 
-// stuckWriter blocks writes until release is closed, like a log that nobody reads.
-type stuckWriter struct{ release chan struct{} }
+// blockedWriter blocks writes until release is closed, like a log that nobody reads.
+type blockedWriter struct{ release chan struct{} }
 
-func (w stuckWriter) Write(p []byte) (int, error) {
+func (w blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	return len(p), nil
 }
@@ -59,15 +59,15 @@
 // blocked: lines that do not fit in the queue are dropped and counted.
 func TestUnreadLogHoldsUpNoDecision(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
-	w := stuckWriter{release: make(chan struct{})}
+	w := blockedWriter{release: make(chan struct{})}
 	r := newRecorder(slog.New(slog.NewJSONHandler(w, nil)), scope, 10)
-	const over = 50
+	const overflow = 50
 	// The writer's goroutine may already have taken one record from the queue.
-	for range recordQueue + 1 + over {
+	for range logQueueSize + 1 + overflow {
 		r.Decided(fullRecord())
 	}
 	dropped := scope.Snapshot().Counters()["log_lines_dropped+"].Value()
-	assert.Assert(t, dropped >= over && dropped <= over+1, "%d", dropped)
+	assert.Assert(t, dropped >= overflow && dropped <= overflow+1, "%d", dropped)
 	assert.Equal(t, len(r.journal.Find(fullRecord().Request)), 10)
 	close(w.release)
 	r.close()
--- a/entry/operate_test.go
+++ b/entry/operate_test.go
@@ -15,8 +15,8 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// operator returns a connection pool with the identity of an operator's tool.
-func operator(t *testing.T, name ident.InstanceID) *peer.Pool {
+// operatorPool returns a connection pool with the identity of an operator's tool.
+func operatorPool(t *testing.T, name ident.InstanceID) *peer.Pool {
 	pool := peer.NewPool(peer.Config{
 		Self:  peer.Identity{Instance: name, Incarnation: 1, Zone: "operators"},
 		Allow: func(peer.Identity) bool { return true },
@@ -28,9 +28,9 @@
 // TestExplain checks that an operator's tool gets the decision records of a request, and
 // nothing for a request that the entry does not know.
 func TestExplain(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	_, body := b.do(http.MethodPost, "/v1/completions", completion(5, false), api.HeaderRequestID, "why-me")
-	pool := operator(t, "ops-1")
+	pool := operatorPool(t, "ops-1")
 	e := console.Explain(t.Context(), pool, []string{b.entry.OperatorAddress()}, "why-me")
 	assert.Equal(t, len(e.Found), 1, body)
 	var out bytes.Buffer
@@ -50,21 +50,21 @@
 // TestOperatorsMustBeNamed checks that only operators listed in the settings are
 // accepted.
 func TestOperatorsMustBeNamed(t *testing.T) {
-	b := newBed(t, nil)
-	e := console.Explain(t.Context(), operator(t, "stranger"), []string{b.entry.OperatorAddress()}, "x")
+	b := newTestbed(t, nil)
+	e := console.Explain(t.Context(), operatorPool(t, "stranger"), []string{b.entry.OperatorAddress()}, "x")
 	assert.Equal(t, len(e.Unreached), 1)
 	assert.Assert(t, strings.Contains(e.Unreached[0].Error, "not allowed"), e.Unreached[0].Error)
 }
 
 // TestWatch checks the counts by bundle version that operators' tools read.
 func TestWatch(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	for range 3 {
 		b.do(http.MethodPost, "/v1/completions", completion(5, true))
 	}
 	b.do(http.MethodGet, "/services/desk/x", "")
 	b.do(http.MethodPost, "/v1/completions", `{"model":"none","prompt":"x"}`)
-	w := console.NewWatcher(operator(t, "ops-1"), []string{b.entry.OperatorAddress()})
+	w := console.NewWatcher(operatorPool(t, "ops-1"), []string{b.entry.OperatorAddress()})
 	s := w.Look(t.Context(), time.Now())
 	assert.Equal(t, len(s.Versions), 1)
 	v := s.Versions[0]
@@ -88,9 +88,9 @@
 // TestWatchKeepsWhatIsGone checks that totals do not fall when an instance is gone, for
 // example while it is replaced.
 func TestWatchKeepsWhatIsGone(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	b.do(http.MethodGet, "/services/desk/x", "")
-	w := console.NewWatcher(operator(t, "ops-1"), []string{b.entry.OperatorAddress()})
+	w := console.NewWatcher(operatorPool(t, "ops-1"), []string{b.entry.OperatorAddress()})
 	before := w.Look(t.Context(), time.Now())
 	b.shutDown()
 	after := w.Look(t.Context(), time.Now())
@@ -100,7 +100,7 @@
 
 // TestMetrics checks the metrics of a completed request.
 func TestMetrics(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	b.do(http.MethodPost, "/v1/completions", completion(5, true))
 	b.await("metrics", func() bool {
 		_, body := b.do(http.MethodGet, "/metrics", "")
--- a/entry/overhead_test.go
+++ b/entry/overhead_test.go
@@ -63,17 +63,17 @@
 	})
 }
 
-// overheadRig is a prefill engine, a decode engine and a router in front of them.
-type overheadRig struct {
+// overheadSetup is a prefill engine, a decode engine and a router in front of them.
+type overheadSetup struct {
 	prefill, decode, router string
 	client                  *http.Client
 }
 
-// limitless is testBundle with limits that 1,000 concurrent streams do not reach.
-var limitless = strings.NewReplacer("slots: 20,", "slots: 5000,", "queue_limit: 100", "queue_limit: 5000",
+// unboundedBundle is testBundle with limits that 1,000 concurrent streams do not reach.
+var unboundedBundle = strings.NewReplacer("slots: 20,", "slots: 5000,", "queue_limit: 100", "queue_limit: 5000",
 	"deadline: 20s", "deadline: 120s", "first_output: 5s", "first_output: 60s").Replace(testBundle)
 
-func newOverheadRig(b *testing.B, tokens int, pace time.Duration) *overheadRig {
+func newOverheadSetup(b *testing.B, tokens int, pace time.Duration) *overheadSetup {
 	b.Helper()
 	serve := func(h http.Handler) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,13 +83,13 @@
 		b.Cleanup(func() { _ = srv.Close() })
 		return l.Addr().String()
 	}
-	r := &overheadRig{
+	r := &overheadSetup{
 		prefill: serve(instantEngine(tokens, pace)),
 		decode:  serve(instantEngine(tokens, pace)),
 		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000, ReadBufferSize: 2048, WriteBufferSize: 2048}},
 	}
 	file := filepath.Join(b.TempDir(), "bundle.yaml")
-	assert.NilError(b, os.WriteFile(file, []byte(limitless), 0o600))
+	assert.NilError(b, os.WriteFile(file, []byte(unboundedBundle), 0o600))
 	s, err := settings.Parse[entry.Settings]("bench.yaml", []byte(fmt.Sprintf(`
 instance: entry-1
 zone: hall-a
@@ -120,7 +120,7 @@
 	return r
 }
 
-func (r *overheadRig) ready() bool {
+func (r *overheadSetup) ready() bool {
 	resp, err := r.client.Get("http://" + r.router + "/readyz")
 	if err != nil {
 		return false
@@ -136,7 +136,7 @@
 )
 
 // post sends a request and returns the body of the response.
-func (r *overheadRig) post(address, body string) (io.ReadCloser, error) {
+func (r *overheadSetup) post(address, body string) (io.ReadCloser, error) {
 	resp, err := r.client.Post("http://"+address+"/v1/completions", "application/json", strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -144,23 +144,23 @@
 	return resp.Body, nil
 }
 
-// open opens a stream, either through the router or by calling the engines directly.
-func (r *overheadRig) open(router bool, tokens int) (io.ReadCloser, error) {
+// openStream opens a stream, either through the router or by calling the engines directly.
+func (r *overheadSetup) openStream(router bool, tokens int) (io.ReadCloser, error) {
 	if router {
 		return r.post(r.router, fmt.Sprintf(streamBody, tokens))
 	}
-	held, err := r.post(r.prefill, prefillBody)
+	prefill, err := r.post(r.prefill, prefillBody)
 	if err != nil {
 		return nil, err
 	}
-	_, _ = io.Copy(io.Discard, held)
-	_ = held.Close()
+	_, _ = io.Copy(io.Discard, prefill)
+	_ = prefill.Close()
 	return r.post(r.decode, fmt.Sprintf(streamBody, tokens))
 }
 
-// read reads a stream to its end. It returns the delay of each token from the time at
+// readStream reads a stream to its end. It returns the delay of each token from the time at
 // which the engine wrote it to its arrival, and the arrival time of the first token.
-func read(body io.ReadCloser) (delays []time.Duration, first time.Time, err error) {
+func readStream(body io.ReadCloser) (delays []time.Duration, first time.Time, err error) {
 	defer body.Close()
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 1024), 64<<10)
@@ -183,7 +183,7 @@
 	return delays, first, lines.Err()
 }
 
-var ways = []struct {
+var accessPaths = []struct {
 	name   string
 	router bool
 }{{"direct", false}, {"router", true}}
@@ -192,15 +192,15 @@
 // between tokens. It measures the processor time and the allocations of a request.
 func BenchmarkStream(b *testing.B) {
 	const tokens = 100
-	for _, way := range ways {
-		b.Run(way.name, func(b *testing.B) {
-			r := newOverheadRig(b, tokens, 0)
+	for _, path := range accessPaths {
+		b.Run(path.name, func(b *testing.B) {
+			r := newOverheadSetup(b, tokens, 0)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				body, err := r.open(way.router, tokens)
+				body, err := r.openStream(path.router, tokens)
 				assert.NilError(b, err)
-				delays, _, err := read(body)
+				delays, _, err := readStream(body)
 				assert.NilError(b, err)
 				assert.Equal(b, len(delays), tokens)
 			}
@@ -217,23 +217,23 @@
 		tokens  = 60
 		pace    = 54 * time.Millisecond
 	)
-	for _, way := range ways {
-		b.Run(way.name, func(b *testing.B) {
-			r := newOverheadRig(b, tokens, pace)
+	for _, path := range accessPaths {
+		b.Run(path.name, func(b *testing.B) {
+			r := newOverheadSetup(b, tokens, pace)
 			for range b.N {
-				held := memory()
-				var all, firsts collected
+				before := memoryInUse()
+				var tokenDelays, firstOutputs durations
 				var open sync.WaitGroup
 				for range streams {
-					open.Go(func() { r.measure(b, way.router, tokens, &all, &firsts) })
+					open.Go(func() { r.measure(b, path.router, tokens, &tokenDelays, &firstOutputs) })
 					time.Sleep(time.Millisecond)
 				}
 				time.Sleep(tokens * pace / 3)
-				per := float64(memory()-held) / streams
+				perStream := float64(memoryInUse()-before) / streams
 				open.Wait()
-				b.ReportMetric(per, "B/stream")
-				all.report(b, "token")
-				firsts.report(b, "first")
+				b.ReportMetric(perStream, "B/stream")
+				tokenDelays.report(b, "token")
+				firstOutputs.report(b, "first")
 				b.ReportMetric(0, "ns/op")
 			}
 		})
@@ -241,46 +241,46 @@
 }
 
 // measure reads one stream and records its delays and its time to first output.
-func (r *overheadRig) measure(b *testing.B, router bool, tokens int, all, firsts *collected) {
+func (r *overheadSetup) measure(b *testing.B, router bool, tokens int, tokenDelays, firstOutputs *durations) {
 	begin := time.Now()
-	body, err := r.open(router, tokens)
+	body, err := r.openStream(router, tokens)
 	if !assert.Check(b, err) {
 		return
 	}
-	delays, first, err := read(body)
+	delays, first, err := readStream(body)
 	assert.Check(b, err)
 	assert.Check(b, len(delays) == tokens, "%d tokens", len(delays))
 	// The last token is left out: the router holds it back until the request has ended,
 	// which is one interval after the token was written.
-	all.add(delays[:len(delays)-1]...)
-	firsts.add(first.Sub(begin))
+	tokenDelays.add(delays[:len(delays)-1]...)
+	firstOutputs.add(first.Sub(begin))
 }
 
-// memory returns the bytes of heap objects and stacks in use.
-func memory() int64 {
+// memoryInUse returns the bytes of heap objects and stacks in use.
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// collected holds durations of many streams. It is safe for concurrent use.
-type collected struct {
-	mu  sync.Mutex
-	all []time.Duration
+// durations holds durations of many streams. It is safe for concurrent use.
+type durations struct {
+	mu     sync.Mutex
+	values []time.Duration
 }
 
-func (c *collected) add(d ...time.Duration) {
+func (c *durations) add(d ...time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.all = append(c.all, d...)
+	c.values = append(c.values, d...)
 }
 
 // report reports the median and the 99th percentile, in microseconds.
-func (c *collected) report(b *testing.B, name string) {
-	slices.Sort(c.all)
+func (c *durations) report(b *testing.B, name string) {
+	slices.Sort(c.values)
 	at := func(q float64) float64 {
-		return float64(c.all[int(q*float64(len(c.all)-1))].Nanoseconds()) / 1e3
+		return float64(c.values[int(q*float64(len(c.values)-1))].Nanoseconds()) / 1e3
 	}
 	b.ReportMetric(at(0.50), name+"-p50-µs")
 	b.ReportMetric(at(0.99), name+"-p99-µs")
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -16,8 +16,8 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// client returns a client of the OpenAI library that calls the entry.
-func (b *bed) client() openai.Client {
+// openAIClient returns a client of the OpenAI library that calls the entry.
+func (b *testbed) openAIClient() openai.Client {
 	return openai.NewClient(
 		option.WithBaseURL(b.url+"/v1"),
 		option.WithAPIKey("none"),
@@ -29,8 +29,8 @@
 
 // TestCompletion checks a completion that is not streamed, including its token usage.
 func TestCompletion(t *testing.T) {
-	b := newBed(t, nil)
-	c := b.client()
+	b := newTestbed(t, nil)
+	c := b.openAIClient()
 	got, err := c.Completions.New(t.Context(), openai.CompletionNewParams{
 		Model:     "reader",
 		Prompt:    openai.CompletionNewParamsPromptUnion{OfString: openai.String(prompt)},
@@ -45,8 +45,8 @@
 
 // TestCompletionStreamed checks a streamed completion, including its token usage.
 func TestCompletionStreamed(t *testing.T) {
-	b := newBed(t, nil)
-	c := b.client()
+	b := newTestbed(t, nil)
+	c := b.openAIClient()
 	stream := c.Completions.NewStreaming(t.Context(), openai.CompletionNewParams{
 		Model:     "reader",
 		Prompt:    openai.CompletionNewParamsPromptUnion{OfString: openai.String(prompt)},
@@ -71,8 +71,8 @@
 
 // TestChat checks chat completions, both not streamed and streamed.
 func TestChat(t *testing.T) {
-	b := newBed(t, nil)
-	c := b.client()
+	b := newTestbed(t, nil)
+	c := b.openAIClient()
 	params := openai.ChatCompletionNewParams{
 		Model:               "reader",
 		Messages:            []openai.ChatCompletionMessageParamUnion{openai.UserMessage(prompt)},
@@ -95,8 +95,8 @@
 
 // TestModelsList checks that the list of models has those of the bundle.
 func TestModelsList(t *testing.T) {
-	b := newBed(t, nil)
-	c := b.client()
+	b := newTestbed(t, nil)
+	c := b.openAIClient()
 	page, err := c.Models.List(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(page.Data), 1)
@@ -106,14 +106,14 @@
 // TestClientLibrarySeesProblems checks that the OpenAI library reports the status, type
 // and outcome of a problem.
 func TestClientLibrarySeesProblems(t *testing.T) {
-	b := newBed(t, nil)
-	c := b.client()
+	b := newTestbed(t, nil)
+	c := b.openAIClient()
 	_, err := c.Completions.New(t.Context(), openai.CompletionNewParams{
 		Model:  "nonesuch",
 		Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String(prompt)},
 	})
 	var problem *openai.Error
-	assert.Assert(t, asError(err, &problem), "%v", err)
+	assert.Assert(t, errorAs(err, &problem), "%v", err)
 	assert.Equal(t, problem.StatusCode, http.StatusNotFound)
 	assert.Equal(t, problem.Type, string(api.ProblemUnknownModel))
 	assert.Equal(t, problem.Code, string(api.NotRun))
@@ -122,7 +122,7 @@
 // TestServiceCall checks that a service call passes the path, query, body and request ID
 // to the service, and that the answer has the entry's headers.
 func TestServiceCall(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	resp, body := b.do(http.MethodPut, "/services/desk/orders/7%2F8?x=1", `{"qty":2}`,
 		api.HeaderRequestID, "caller-1", "X-Custom", "kept")
 	assert.Equal(t, resp.StatusCode, http.StatusOK, body)
@@ -140,7 +140,7 @@
 
 // TestServiceMethods checks that the HTTP method of a service call is passed on.
 func TestServiceMethods(t *testing.T) {
-	b := newBed(t, nil)
+	b := newTestbed(t, nil)
 	for _, method := range []string{"GET", "POST", "DELETE", "PATCH"} {
 		resp, body := b.do(method, "/services/desk/x", "")
 		assert.Equal(t, resp.StatusCode, http.StatusOK, "%s: %s", method, body)
--- a/entry/peering/contents.go
+++ b/entry/peering/contents.go
@@ -31,7 +31,7 @@
 	defer c.mu.Unlock()
 	next := b.Content
 	if next == nil {
-		next = c.changed(b.Changes)
+		next = c.applyChanges(b.Changes)
 	}
 	if next != nil {
 		c.digest, c.content = b.Digest, next
@@ -39,13 +39,13 @@
 	return next
 }
 
-// changed applies changes to the content held. It returns nil if their base is another
+// applyChanges applies changes to the content held. It returns nil if their base is another
 // content or they do not fit.
-func (c *Contents) changed(by *feed.Changes) *config.Content {
-	if by == nil || c.content == nil || by.Base != c.digest {
+func (c *Contents) applyChanges(changes *feed.Changes) *config.Content {
+	if changes == nil || c.content == nil || changes.Base != c.digest {
 		return nil
 	}
-	next, err := by.On(c.content)
+	next, err := changes.On(c.content)
 	if err != nil {
 		return nil
 	}
--- a/entry/peering/feed.go
+++ b/entry/peering/feed.go
@@ -11,14 +11,14 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// FeedTaker handles the agent's updates.
-type FeedTaker interface {
+// FeedHandler handles the agent's updates.
+type FeedHandler interface {
 	// Update applies an agent's update and returns the entry's reply.
 	Update(ctx context.Context, u feed.Update) (feed.Reply, error)
 }
 
 // HandleFeed registers the method for the agent's updates on a server.
-func HandleFeed(s *peer.Server, t FeedTaker) {
+func HandleFeed(s *peer.Server, t FeedHandler) {
 	peer.Handle(s, feed.MethodUpdate, func(ctx context.Context, _ peer.Identity, u feed.Update) (feed.Reply, error) {
 		return t.Update(ctx, u)
 	})
--- a/entry/peering/views.go
+++ b/entry/peering/views.go
@@ -19,9 +19,9 @@
 	// view is never returned, only copies of it, because receivers may modify them.
 	view      kernel.View
 	addresses map[ident.InstanceID]string
-	// instances and upstreams are indexes into the lists of the view.
-	instances map[ident.InstanceID]int
-	upstreams map[ident.UpstreamID]int
+	// instanceIndex and upstreamIndex map IDs to indexes in the lists of the view.
+	instanceIndex map[ident.InstanceID]int
+	upstreamIndex map[ident.UpstreamID]int
 }
 
 // Number returns the number of the view held, 0 if there is none.
@@ -39,13 +39,13 @@
 func (w *Views) Take(v *feed.View, now time.Time) (*kernel.View, map[ident.InstanceID]string, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if v.Base != 0 && (v.Base != w.number || !w.knows(v)) {
+	if v.Base != 0 && (v.Base != w.number || !w.containsAll(v)) {
 		return nil, nil, false
 	}
 	if v.Base == 0 {
 		w.replace(v, now)
 	} else {
-		w.change(v, now)
+		w.applyChanges(v, now)
 	}
 	w.number = v.Number
 	out := w.view
@@ -54,15 +54,15 @@
 	return &out, maps.Clone(w.addresses), true
 }
 
-// knows reports whether the view held has all instances and upstreams that changed.
-func (w *Views) knows(v *feed.View) bool {
+// containsAll reports whether the view held has all instances and upstreams that changed.
+func (w *Views) containsAll(v *feed.View) bool {
 	for i := range v.Instances {
-		if _, ok := w.instances[v.Instances[i].ID]; !ok {
+		if _, ok := w.instanceIndex[v.Instances[i].ID]; !ok {
 			return false
 		}
 	}
 	for i := range v.Upstreams {
-		if _, ok := w.upstreams[v.Upstreams[i].ID]; !ok {
+		if _, ok := w.upstreamIndex[v.Upstreams[i].ID]; !ok {
 			return false
 		}
 	}
@@ -73,26 +73,26 @@
 func (w *Views) replace(v *feed.View, now time.Time) {
 	w.view = *View(v, now)
 	w.addresses = Addresses(v)
-	w.instances = make(map[ident.InstanceID]int, len(v.Instances))
+	w.instanceIndex = make(map[ident.InstanceID]int, len(v.Instances))
 	for i := range v.Instances {
-		w.instances[v.Instances[i].ID] = i
+		w.instanceIndex[v.Instances[i].ID] = i
 	}
-	w.upstreams = make(map[ident.UpstreamID]int, len(v.Upstreams))
+	w.upstreamIndex = make(map[ident.UpstreamID]int, len(v.Upstreams))
 	for i := range v.Upstreams {
-		w.upstreams[v.Upstreams[i].ID] = i
+		w.upstreamIndex[v.Upstreams[i].ID] = i
 	}
 }
 
-// change applies changes to the view held.
-func (w *Views) change(v *feed.View, now time.Time) {
+// applyChanges applies changes to the view held.
+func (w *Views) applyChanges(v *feed.View, now time.Time) {
 	part := View(v, now)
 	w.view.Version, w.view.Trusted = part.Version, part.Trusted
 	for i, in := range part.Instances {
-		w.view.Instances[w.instances[in.ID]] = in
+		w.view.Instances[w.instanceIndex[in.ID]] = in
 		w.addresses[in.ID] = v.Instances[i].PeerAddress
 	}
 	for _, u := range part.Upstreams {
-		u.Index = w.upstreams[u.ID]
+		u.Index = w.upstreamIndex[u.ID]
 		w.view.Upstreams[u.Index] = u
 	}
 }
--- a/entry/recorder.go
+++ b/entry/recorder.go
@@ -18,8 +18,8 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// recordQueue is the maximum number of log lines that wait to be written.
-const recordQueue = 8192
+// logQueueSize is the maximum number of log lines that wait to be written.
+const logQueueSize = 8192
 
 // recorder implements driver.Observer: it logs and counts decisions and requests.
 // Log lines are formatted and written by a separate goroutine, so that a slow log
@@ -28,10 +28,10 @@
 type recorder struct {
 	log      *slog.Logger
 	journal  *journal.Journal
-	stats    *stats.Tally
+	stats    *stats.Collector
 	evidence *evidence.Log
 	counters *counters
-	lines    chan line
+	queue    chan logLine
 	done     sync.WaitGroup
 }
 
@@ -44,40 +44,40 @@
 		stats:    stats.New(),
 		evidence: evidence.New(),
 		counters: newCounters(scope),
-		lines:    make(chan line, recordQueue),
+		queue:    make(chan logLine, logQueueSize),
 	}
-	r.done.Go(r.write)
+	r.done.Go(r.writeLines)
 	return r
 }
 
 // close writes the queued lines and ends the goroutine. Nothing may be recorded
 // afterwards.
 func (r *recorder) close() {
-	close(r.lines)
+	close(r.queue)
 	r.done.Wait()
 }
 
-// line is one line for the log: a decision record, or what say writes if it is set.
-type line struct {
-	record kernel.Record
-	say    func()
+// logLine is one line for the log: a decision record, or what logFunc logs if it is set.
+type logLine struct {
+	record  kernel.Record
+	logFunc func()
 }
 
-// write writes queued lines until the queue is closed.
-func (r *recorder) write() {
-	for l := range r.lines {
-		if l.say != nil {
-			l.say()
+// writeLines writes queued lines until the queue is closed.
+func (r *recorder) writeLines() {
+	for l := range r.queue {
+		if l.logFunc != nil {
+			l.logFunc()
 			continue
 		}
 		logRecord(r.log, &l.record)
 	}
 }
 
-// add queues a line. If the queue is full, it drops and counts the line.
-func (r *recorder) add(l line) {
+// enqueue queues a line. If the queue is full, it drops and counts the line.
+func (r *recorder) enqueue(l logLine) {
 	select {
-	case r.lines <- l:
+	case r.queue <- l:
 	default:
 		r.counters.logDropped.Inc(1)
 	}
@@ -85,15 +85,15 @@
 
 // info logs a message that is not a decision, without waiting for the log.
 func (r *recorder) info(text string, args ...any) {
-	r.add(line{say: func() { r.log.Info(text, args...) }})
+	r.enqueue(logLine{logFunc: func() { r.log.Info(text, args...) }})
 }
 
 // Decided implements driver.Observer.
 func (r *recorder) Decided(rec kernel.Record) {
 	r.journal.Add(rec)
 	r.stats.Decided(&rec)
-	r.counters.decided(&rec)
-	r.add(line{record: rec})
+	r.counters.countDecision(&rec)
+	r.enqueue(logLine{record: rec})
 }
 
 // Presented records and logs a call that carried a ticket.
@@ -105,11 +105,11 @@
 // Ended implements driver.Observer.
 func (r *recorder) Ended(s driver.Summary) {
 	r.stats.Ended(s)
-	r.counters.ended(&s)
+	r.counters.countRequest(&s)
 }
 
 // Late implements driver.Observer.
-func (r *recorder) Late() { r.counters.late.Inc(1) }
+func (r *recorder) Late() { r.counters.lateTokens.Inc(1) }
 
 // Contact implements driver.Observer.
 func (r *recorder) Contact(upstream ident.UpstreamID, err *adapter.CallError) {
@@ -128,7 +128,7 @@
 
 // Undelivered implements driver.Observer.
 func (r *recorder) Undelivered(to ident.InstanceID, err error) {
-	r.counters.undelivered.Inc(1)
+	r.counters.undeliveredMessages.Inc(1)
 	var dial *peer.DialError
 	if errors.As(err, &dial) {
 		r.evidence.Peer(to, dial.Kind == peer.DialRefused, time.Now())
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -52,11 +52,11 @@
 }
 
 const (
-	// feedFrame is the maximum size of a frame from the agent. It holds the content of
+	// maxFeedFrame is the maximum size of a frame from the agent. It holds the content of
 	// the largest bundle as JSON.
-	feedFrame = 32 << 20
-	// feedConnections is enough for an agent and its replacement.
-	feedConnections = 4
+	maxFeedFrame = 32 << 20
+	// maxFeedConnections is enough for an agent and its replacement.
+	maxFeedConnections = 4
 )
 
 // feedConfig returns the configuration of the agent's listener.
@@ -64,8 +64,8 @@
 	c := e.peerConfig(peering.LocalAgent(e.self.Instance))
 	// The agent connects over loopback, so TLS is not needed.
 	c.TLS = nil
-	c.Limits.Frame = feedFrame
-	c.Limits.Connections = feedConnections
+	c.Limits.Frame = maxFeedFrame
+	c.Limits.Connections = maxFeedConnections
 	return c
 }
 
@@ -89,12 +89,12 @@
 	if err != nil {
 		return oops.In("entry").Wrapf(err, "listen for operators")
 	}
-	e.handleAll()
+	e.registerMethods()
 	return nil
 }
 
-// handleAll registers the methods of each jsonrpc2 server.
-func (e *Entry) handleAll() {
+// registerMethods registers the methods of each jsonrpc2 server.
+func (e *Entry) registerMethods() {
 	if s := e.servers.peers; s != nil {
 		peering.HandleKernel(s.server, e.driver.Post)
 		if e.desk != nil {
@@ -170,7 +170,7 @@
 	for _, s := range e.servers.jsonrpc {
 		running.Go(func() { failed <- s.server.Serve(s.listener) })
 	}
-	err := e.begin()
+	err := e.startStaticIfSet()
 	if err == nil {
 		e.log.Info("serving", "instance", e.self.Instance, "zone", e.self.Zone,
 			"callers", e.CallerAddress(), "peers", e.PeerAddress(),
@@ -186,11 +186,11 @@
 		e.desk.Wait()
 	}
 	running.Wait()
-	return errors.Join(err, stopErr, e.cleanUp())
+	return errors.Join(err, stopErr, e.releaseResources())
 }
 
-// begin puts the static fleet into force if the settings have one.
-func (e *Entry) begin() error {
+// startStaticIfSet puts the static fleet into force if the settings have one.
+func (e *Entry) startStaticIfSet() error {
 	if e.settings.Static == nil {
 		return nil
 	}
@@ -226,8 +226,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.Stop.Timeout)
 	defer cancel()
-	// The HTTP server keeps running until then, so that new requests are answered with
-	// a refusal that tells callers to try another instance.
+	// The HTTP server keeps running while requests are in flight, so that new requests
+	// are answered with a refusal that tells callers to try another instance.
 	err := e.driver.Quiesce(ctx)
 	if shutErr := e.servers.http.Shutdown(ctx); err == nil {
 		err = shutErr
@@ -243,12 +243,12 @@
 	return nil
 }
 
-// cleanUp releases the resources that New created.
-func (e *Entry) cleanUp() error {
+// releaseResources releases the resources that New created.
+func (e *Entry) releaseResources() error {
 	e.pool.Close()
 	e.recorder.close()
 	return errors.Join(
-		e.close(),
+		e.closeMetrics(),
 		plugin.Unload(e.settings.Engine, e.engine),
 		plugin.Unload(e.settings.Service, e.service),
 	)
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -142,8 +142,8 @@
 // Default values of Settings that no other package defines.
 const (
 	defaultConnections = 8192
-	defaultGrace       = 2 * time.Second
-	defaultTimeout     = 5 * time.Minute
+	defaultStopGrace   = 2 * time.Second
+	defaultStopTimeout = 5 * time.Minute
 )
 
 // SetDefaults implements settings.Defaulter.
@@ -162,7 +162,7 @@
 		ResponseBytes: l.ResponseBytes,
 	}
 	s.Tickets.Lifetime = ticket.DefaultLimits().Lifetime
-	s.Stop = StopSettings{Grace: defaultGrace, Timeout: defaultTimeout}
+	s.Stop = StopSettings{Grace: defaultStopGrace, Timeout: defaultStopTimeout}
 	s.Engine = openai.ID
 	s.Service = http.ID
 	s.ExplainRecords = journal.DefaultSize
--- a/entry/stats/stats.go
+++ b/entry/stats/stats.go
@@ -61,46 +61,46 @@
 	wasted   int64
 }
 
-// Tally counts requests by bundle version. It is safe for concurrent use.
-type Tally struct {
+// Collector counts requests by bundle version. It is safe for concurrent use.
+type Collector struct {
 	mu       sync.Mutex
 	versions map[uint64]*version
 }
 
 // New returns an empty Tally.
-func New() *Tally { return &Tally{versions: map[uint64]*version{}} }
+func New() *Collector { return &Collector{versions: map[uint64]*version{}} }
 
 // version returns the counts of a bundle version and creates them if necessary. The
 // caller holds mu.
-func (t *Tally) version(number uint64) *version {
-	v := t.versions[number]
+func (c *Collector) version(number uint64) *version {
+	v := c.versions[number]
 	if v == nil {
 		v = &version{kinds: map[string]*Kind{}, refusals: map[refusalKey]int64{}}
-		t.versions[number] = v
-		t.prune()
+		c.versions[number] = v
+		c.prune()
 	}
 	return v
 }
 
 // prune drops the oldest version if there are more than maxVersions.
-func (t *Tally) prune() {
-	if len(t.versions) <= maxVersions {
+func (c *Collector) prune() {
+	if len(c.versions) <= maxVersions {
 		return
 	}
 	oldest, first := uint64(0), true
-	for number := range t.versions {
+	for number := range c.versions {
 		if first || number < oldest {
 			oldest, first = number, false
 		}
 	}
-	delete(t.versions, oldest)
+	delete(c.versions, oldest)
 }
 
 // Ended counts a request that ended.
-func (t *Tally) Ended(s driver.Summary) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	v := t.version(s.BundleVersion)
+func (c *Collector) Ended(s driver.Summary) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	v := c.version(s.BundleVersion)
 	k := v.kinds[s.Kind]
 	if k == nil {
 		k = &Kind{Kind: s.Kind}
@@ -124,23 +124,23 @@
 }
 
 // Decided counts a decision if it refused, failed or cancelled a request.
-func (t *Tally) Decided(r *kernel.Record) {
+func (c *Collector) Decided(r *kernel.Record) {
 	switch r.Step {
 	case kernel.StepRefused, kernel.StepFailed, kernel.StepCancelled:
 	default:
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.version(r.BundleVersion).refusals[refusalKey{r.Step, r.Reason}]++
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.version(r.BundleVersion).refusals[refusalKey{r.Step, r.Reason}]++
 }
 
 // Versions returns the counts, in ascending order of version.
-func (t *Tally) Versions() []Version {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := make([]Version, 0, len(t.versions))
-	for number, v := range t.versions {
+func (c *Collector) Versions() []Version {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make([]Version, 0, len(c.versions))
+	for number, v := range c.versions {
 		out = append(out, v.export(number))
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Version < out[j].Version })
--- a/entry/stats/sum.go
+++ b/entry/stats/sum.go
@@ -2,20 +2,20 @@
 
 // Sum adds up the counts of several instances for each version.
 func Sum(parts ...[]Version) []Version {
-	t := New()
+	c := New()
 	for _, part := range parts {
 		for _, v := range part {
-			t.add(v)
+			c.add(v)
 		}
 	}
-	return t.Versions()
+	return c.Versions()
 }
 
 // add adds counts to those of the same version.
-func (t *Tally) add(from Version) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	v := t.version(from.Version)
+func (c *Collector) add(from Version) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	v := c.version(from.Version)
 	v.prefill += from.PrefillTokens
 	v.wasted += from.WastedTokens
 	for _, k := range from.Kinds {
--- a/entry/testbed_test.go
+++ b/entry/testbed_test.go
@@ -60,8 +60,8 @@
   transfer_stall: 1s
 `
 
-// bed is an entry in the test's process with simulated upstreams.
-type bed struct {
+// testbed is an entry in the test's process with simulated upstreams.
+type testbed struct {
 	t       *testing.T
 	entry   *entry.Entry
 	engines map[ident.UpstreamID]*engine.Engine
@@ -76,22 +76,22 @@
 	done chan error
 }
 
-// newBed starts an entry and its upstreams. change, if not nil, modifies the entry's
+// newTestbed starts an entry and its upstreams. change, if not nil, modifies the entry's
 // settings. When the test ends, they are stopped and no goroutine may be left.
-func newBed(t *testing.T, change func(*entry.Settings)) *bed {
+func newTestbed(t *testing.T, change func(*entry.Settings)) *testbed {
 	t.Helper()
 	ignore := goleak.IgnoreCurrent()
-	b := &bed{t: t, http: http.DefaultClient, engines: map[ident.UpstreamID]*engine.Engine{}, addresses: map[ident.UpstreamID]string{}, done: make(chan error, 1)}
+	b := &testbed{t: t, http: http.DefaultClient, engines: map[ident.UpstreamID]*engine.Engine{}, addresses: map[ident.UpstreamID]string{}, done: make(chan error, 1)}
 	t.Cleanup(func() {
 		http.DefaultClient.CloseIdleConnections()
 		goleak.VerifyNone(t, ignore)
 	})
 	s := b.settings()
 	s.Static.Upstreams = []entry.StaticUpstream{
-		b.engine("pf-1", config.RolePrefill),
-		b.engine("dc-1", config.RoleDecode),
-		b.engine("dc-2", config.RoleDecode),
-		b.desk("desk-1"),
+		b.startEngine("pf-1", config.RolePrefill),
+		b.startEngine("dc-1", config.RoleDecode),
+		b.startEngine("dc-2", config.RoleDecode),
+		b.startService("desk-1"),
 	}
 	for _, u := range s.Static.Upstreams {
 		b.addresses[u.ID] = u.Address
@@ -99,12 +99,12 @@
 	if change != nil {
 		change(s)
 	}
-	b.start(s)
+	b.startEntry(s)
 	return b
 }
 
 // settings parses the settings file of the entry.
-func (b *bed) settings() *entry.Settings {
+func (b *testbed) settings() *entry.Settings {
 	b.t.Helper()
 	file := filepath.Join(b.t.TempDir(), "bundle.yaml")
 	assert.NilError(b.t, os.WriteFile(file, []byte(testBundle), 0o600))
@@ -121,7 +121,7 @@
 }
 
 // serve serves a handler on a loopback address until the test ends.
-func (b *bed) serve(h http.Handler) string {
+func (b *testbed) serve(h http.Handler) string {
 	b.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b.t, err)
@@ -129,7 +129,7 @@
 }
 
 // serveOn serves a handler on a listener until the test ends and returns its address.
-func (b *bed) serveOn(l net.Listener, h http.Handler) string {
+func (b *testbed) serveOn(l net.Listener, h http.Handler) string {
 	srv := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	done := make(chan struct{})
 	go func() {
@@ -143,8 +143,8 @@
 	return l.Addr().String()
 }
 
-// engine starts a simulated engine.
-func (b *bed) engine(id ident.UpstreamID, role config.Role) entry.StaticUpstream {
+// startEngine starts a simulated engine.
+func (b *testbed) startEngine(id ident.UpstreamID, role config.Role) entry.StaticUpstream {
 	b.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b.t, err)
@@ -169,16 +169,16 @@
 	return entry.StaticUpstream{ID: id, Zone: "hall-a", Address: address}
 }
 
-// desk starts a simulated service.
-func (b *bed) desk(id ident.UpstreamID) entry.StaticUpstream {
+// startService starts a simulated service.
+func (b *testbed) startService(id ident.UpstreamID) entry.StaticUpstream {
 	b.t.Helper()
 	b.service = service.New(service.Config{ID: id, Service: "desk", Delay: time.Millisecond})
 	b.t.Cleanup(b.service.Close)
 	return entry.StaticUpstream{ID: id, Zone: "hall-a", Address: b.serve(b.service.Handler())}
 }
 
-// start starts the entry and, unless it serves HTTPS, waits until it is ready.
-func (b *bed) start(s *entry.Settings) {
+// startEntry starts the entry and, unless it serves HTTPS, waits until it is ready.
+func (b *testbed) startEntry(s *entry.Settings) {
 	b.t.Helper()
 	e, err := entry.New(s, slog.New(slog.NewTextHandler(testWriter{b.t}, nil)))
 	assert.NilError(b.t, err)
@@ -198,7 +198,7 @@
 }
 
 // shutDown stops the entry gracefully; further calls do nothing.
-func (b *bed) shutDown() {
+func (b *testbed) shutDown() {
 	if b.stop == nil {
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 // awaitReady waits until the entry is ready.
-func (b *bed) awaitReady() {
+func (b *testbed) awaitReady() {
 	b.t.Helper()
 	for range 1000 {
 		resp, err := b.http.Get(b.url + "/readyz")
@@ -225,7 +225,7 @@
 
 // do sends a request and returns the response and its whole body. headers alternates
 // names and values.
-func (b *bed) do(method, path, body string, headers ...string) (*http.Response, string) {
+func (b *testbed) do(method, path, body string, headers ...string) (*http.Response, string) {
 	b.t.Helper()
 	req, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
 	assert.NilError(b.t, err)
--- a/entry/ticket_test.go
+++ b/entry/ticket_test.go
@@ -17,16 +17,16 @@
 // TestTicketIsExplained checks that explain finds a call by the caller's request ID, also
 // if another instance ran the call.
 func TestTicketIsExplained(t *testing.T) {
-	f := newFleet(t)
-	f.feedAll()
-	text := f.ticket(0)
+	f := newTestFleet(t)
+	f.makeAllReady()
+	text := f.issueTicket(0)
 	for _, id := range []string{"first-try", "second-try"} {
-		f.use(1)
+		f.directTo(1)
 		resp, body := f.do(http.MethodPost, "/services/desk/orders", "{}",
 			api.HeaderTicket, text, api.HeaderKind, "order", api.HeaderRequestID, id)
 		assert.Equal(t, resp.Header.Get(api.HeaderRequestID), id, body)
 	}
-	pool := operator(t, "ops-1")
+	pool := operatorPool(t, "ops-1")
 	addresses := []string{f.entries[0].OperatorAddress(), f.entries[1].OperatorAddress()}
 	for id, want := range map[ident.RequestID][]string{
 		"first-try":         {"first-try on entry-0 (hall-a) at ", "its ticket was used here", "first-try on entry-1 (hall-a) at ", "forwarded to entry-0"},
@@ -42,8 +42,8 @@
 		}
 	}
 
-	f.stops[0]()
-	f.use(1)
+	f.stopFuncs[0]()
+	f.directTo(1)
 	f.do(http.MethodPost, "/services/desk/orders", "{}", api.HeaderTicket, text, api.HeaderKind, "order", api.HeaderRequestID, "late")
 	e := console.Explain(t.Context(), pool, addresses[1:], "late")
 	assert.Equal(t, len(e.Found), 1)
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -32,11 +32,11 @@
 	return &http.Client{Transport: transport}
 }
 
-// newTLSBed starts an entry that uses TLS for all connections but the agent's, with
+// newTLSTestbed starts an entry that uses TLS for all connections but the agent's, with
 // certificates of one authority.
-func newTLSBed(t *testing.T, a *testcert.Authority) (b *bed, callers tlsconf.Settings) {
+func newTLSTestbed(t *testing.T, a *testcert.Authority) (b *testbed, callers tlsconf.Settings) {
 	callers = a.Files("router.test")
-	b = newBed(t, func(s *entry.Settings) {
+	b = newTestbed(t, func(s *entry.Settings) {
 		s.Callers.TLS = entry.TLSSettings{Certificate: callers.Cert, Key: callers.Key}
 		s.Peers.Listen = "127.0.0.1:0"
 		s.Peers.Known = []entry.PeerAddress{{Instance: "entry-2", Address: "127.0.0.1:1"}}
@@ -51,7 +51,7 @@
 // connection remains usable, and new connections get the new certificate.
 func TestHTTPSCaller(t *testing.T) {
 	a, next := testcert.NewAuthority(t), testcert.NewAuthority(t)
-	b, files := newTLSBed(t, a)
+	b, files := newTLSTestbed(t, a)
 	for _, http2 := range []bool{false, true} {
 		b.http = httpsClient(t, a, http2)
 		resp, body := b.do(http.MethodPost, "/v1/completions", completion(5, true))
@@ -97,8 +97,8 @@
 	return p
 }
 
-// filesOf returns the TLS files of a peer and of an operator.
-func filesOf(a *testcert.Authority, instance, operator string) *[2]tlsconf.Settings {
+// peerAndOperatorFiles returns the TLS files of a peer and of an operator.
+func peerAndOperatorFiles(a *testcert.Authority, instance, operator string) *[2]tlsconf.Settings {
 	return &[2]tlsconf.Settings{a.Files(instance), a.Files(operator)}
 }
 
@@ -106,15 +106,15 @@
 // their certificate is from the right authority and carries the name that they claim.
 func TestPeersAreChecked(t *testing.T) {
 	a, stranger := testcert.NewAuthority(t), testcert.NewAuthority(t)
-	b, _ := newTLSBed(t, a)
+	b, _ := newTLSTestbed(t, a)
 	for _, c := range []struct {
 		name  string
 		files *[2]tlsconf.Settings
 		good  bool
 	}{
-		{"right name", filesOf(a, "entry-2", "ops-1"), true},
-		{"wrong name", filesOf(a, "entry-3", "ops-2"), false},
-		{"other authority", filesOf(stranger, "entry-2", "ops-1"), false},
+		{"right name", peerAndOperatorFiles(a, "entry-2", "ops-1"), true},
+		{"wrong name", peerAndOperatorFiles(a, "entry-3", "ops-2"), false},
+		{"other authority", peerAndOperatorFiles(stranger, "entry-2", "ops-1"), false},
 		{"plain", nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
