--- a/entry/docs_test.go
+++ b/entry/docs_test.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/entry"
 )
 
-// fields returns the paths of a settings type's fields.
-func fields(t reflect.Type, prefix string) []string {
+// settingsPaths returns the YAML paths of all fields of a settings type.
+func settingsPaths(t reflect.Type, prefix string) []string {
 	var out []string
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -22,7 +22,7 @@
 			inner = inner.Elem()
 		}
 		if inner.Kind() == reflect.Struct {
-			out = append(out, fields(inner, path+".")...)
+			out = append(out, settingsPaths(inner, path+".")...)
 			continue
 		}
 		out = append(out, path)
@@ -30,16 +30,17 @@
 	return out
 }
 
-// TestSettingsPage compares the settings with their page.
+// TestSettingsPage checks that docs/settings.md mentions every field of the settings.
 func TestSettingsPage(t *testing.T) {
 	data, err := os.ReadFile("../docs/settings.md")
 	assert.NilError(t, err)
-	for _, f := range fields(reflect.TypeFor[entry.Settings](), "") {
+	for _, f := range settingsPaths(reflect.TypeFor[entry.Settings](), "") {
 		assert.Check(t, strings.Contains(string(data), "`"+f+"`"), "%s is not in docs/settings.md", f)
 	}
 }
 
-// TestCallersPage compares the constants of package api with the callers' page.
+// TestCallersPage checks that docs/callers.md mentions every header and problem type
+// of package api.
 func TestCallersPage(t *testing.T) {
 	page, err := os.ReadFile("../docs/callers.md")
 	assert.NilError(t, err)
--- a/entry/stats/stats.go
+++ b/entry/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats counts how requests ended under each bundle version, for
+// Package stats counts requests by outcome for each bundle version, for
 // `wardspoolctl watch`.
 package stats
 
@@ -11,17 +11,17 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// maxVersions bounds the bundle versions kept; the oldest is dropped.
+// maxVersions is the maximum number of bundle versions kept; the oldest is dropped.
 const maxVersions = 8
 
-// Kind counts the requests of one kind.
+// Kind holds the counts of one kind of request.
 type Kind struct {
 	Kind string `json:"kind"`
 	// Offered counts all requests that ended.
 	Offered int64 `json:"offered"`
-	// OnTime counts whole answers within the kind's targets: the goodput.
+	// OnTime counts complete answers within the kind's targets: the goodput.
 	OnTime int64 `json:"on_time"`
-	// Complete, NotRun and Unknown count by outcome.
+	// Complete, NotRun and Unknown count requests by outcome.
 	Complete int64 `json:"complete"`
 	NotRun   int64 `json:"not_run"`
 	Unknown  int64 `json:"unknown"`
@@ -29,31 +29,31 @@
 	Tokens int64 `json:"tokens"`
 }
 
-// Refusal counts the requests given up for one reason.
+// Refusal counts the requests that were refused, failed or cancelled for one reason.
 type Refusal struct {
 	Step   kernel.Step   `json:"step"`
 	Reason kernel.Reason `json:"reason"`
 	Count  int64         `json:"count"`
 }
 
-// Version is what happened under one bundle version.
+// Version holds the counts of one bundle version.
 type Version struct {
 	Version  uint64    `json:"version"`
 	Kinds    []Kind    `json:"kinds"`
 	Refusals []Refusal `json:"refusals"`
-	// PrefillTokens is the prompt work done, WastedTokens the part of it that
-	// was thrown away, in tokens.
+	// PrefillTokens counts the prompt tokens computed, WastedTokens those among them
+	// whose result was discarded.
 	PrefillTokens int64 `json:"prefill_tokens"`
 	WastedTokens  int64 `json:"wasted_tokens"`
 }
 
-// refusalKey tells refusals apart.
+// refusalKey identifies a Refusal.
 type refusalKey struct {
 	step   kernel.Step
 	reason kernel.Reason
 }
 
-// version is a Version while it is counted.
+// version is a Version while it is being counted.
 type version struct {
 	kinds    map[string]*Kind
 	refusals map[refusalKey]int64
@@ -61,45 +61,46 @@
 	wasted   int64
 }
 
-// Tally counts. It is safe for concurrent use.
-type Tally struct {
+// Collector counts requests by bundle version. It is safe for concurrent use.
+type Collector struct {
 	mu       sync.Mutex
 	versions map[uint64]*version
 }
 
-// New returns an empty tally.
-func New() *Tally { return &Tally{versions: map[uint64]*version{}} }
+// New returns an empty Tally.
+func New() *Collector { return &Collector{versions: map[uint64]*version{}} }
 
-// version returns the counts of a bundle version. The caller holds mu.
-func (t *Tally) version(number uint64) *version {
-	v := t.versions[number]
+// version returns the counts of a bundle version and creates them if necessary. The
+// caller holds mu.
+func (c *Collector) version(number uint64) *version {
+	v := c.versions[number]
 	if v == nil {
 		v = &version{kinds: map[string]*Kind{}, refusals: map[refusalKey]int64{}}
-		t.versions[number] = v
-		t.prune()
+		c.versions[number] = v
+		c.prune()
 	}
 	return v
 }
 
-// prune drops the oldest version if there are too many.
-func (t *Tally) prune() {
-	if len(t.versions) <= maxVersions {
+// prune drops the oldest version if there are more than maxVersions.
+func (c *Collector) prune() {
+	if len(c.versions) <= maxVersions {
 		return
 	}
 	oldest, first := uint64(0), true
-	for number := range t.versions {
+	for number := range c.versions {
 		if first || number < oldest {
 			oldest, first = number, false
 		}
 	}
-	delete(t.versions, oldest)
+	delete(c.versions, oldest)
 }
 
 // Ended counts a request that ended.
-func (t *Tally) Ended(s driver.Summary) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	v := t.version(s.BundleVersion)
+func (c *Collector) Ended(s driver.Summary) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	v := c.version(s.BundleVersion)
 	k := v.kinds[s.Kind]
 	if k == nil {
 		k = &Kind{Kind: s.Kind}
@@ -122,31 +123,31 @@
 	v.wasted += int64(s.WastedTokens)
 }
 
-// Decided counts a decision by which a request was given up.
-func (t *Tally) Decided(r *kernel.Record) {
+// Decided counts a decision if it refused, failed or cancelled a request.
+func (c *Collector) Decided(r *kernel.Record) {
 	switch r.Step {
 	case kernel.StepRefused, kernel.StepFailed, kernel.StepCancelled:
 	default:
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.version(r.BundleVersion).refusals[refusalKey{r.Step, r.Reason}]++
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.version(r.BundleVersion).refusals[refusalKey{r.Step, r.Reason}]++
 }
 
-// Versions returns the counts, by version.
-func (t *Tally) Versions() []Version {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := make([]Version, 0, len(t.versions))
-	for number, v := range t.versions {
+// Versions returns the counts, in ascending order of version.
+func (c *Collector) Versions() []Version {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make([]Version, 0, len(c.versions))
+	for number, v := range c.versions {
 		out = append(out, v.export(number))
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Version < out[j].Version })
 	return out
 }
 
-// export copies the counts of a version, in a fixed order.
+// export returns a copy of the counts in a deterministic order.
 func (v *version) export(number uint64) Version {
 	out := Version{Version: number, PrefillTokens: v.prefill, WastedTokens: v.wasted}
 	for _, k := range v.kinds {
