--- a/entry/driver/account.go
+++ b/entry/driver/account.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Summary describes a request that ended, for the statistics.
+// Summary describes a finished request for statistics.
 type Summary struct {
 	Request       ident.RequestID
 	Workspace     ident.Workspace
@@ -18,31 +18,35 @@
 	BundleVersion uint64
 	Arrived       time.Time
 	Ended         time.Time
-	// Tokens is how many output tokens the caller got.
+	// Tokens is the number of output tokens sent to the caller.
 	Tokens int
-	// FirstToken and LastToken are when the first and the last came, zero if
-	// none did.
+	// FirstToken and LastToken are the times at which the first and the last
+	// output token were sent. Both are zero if there was no token.
 	FirstToken time.Time
 	LastToken  time.Time
-	// OnTime says that the whole answer came within the kind's targets.
+	// OnTime reports whether the complete answer met the kind's latency
+	// targets.
 	OnTime bool
-	// PrefillTokens is the prompt work done for the request, in tokens;
-	// WastedTokens is the part of it that no output came of, or that repeated
-	// work done before.
+	// PrefillTokens is the number of prompt tokens computed for the request.
+	// WastedTokens is the part of them that produced no output or repeated an
+	// earlier prefill.
 	PrefillTokens int
 	WastedTokens  int
 }
 
-// prefillAccount follows the prompt work done for one request.
+// prefillAccount counts the prompt tokens computed and wasted for one request.
 type prefillAccount struct {
 	done, wasted int
-	// pending is work whose output has not begun.
+	// pending is the size of the latest prefill, as long as it has produced no
+	// output.
 	pending int
-	// repeat is true once output began: later prefills redo lost work.
+	// repeat is set at the first output token: any later prefill recomputes
+	// work that was lost.
 	repeat bool
 }
 
-// computed notes a finished prefill of the given uncached tokens.
+// computed records a finished prefill that computed the given number of
+// uncached tokens.
 func (p *prefillAccount) computed(tokens int) {
 	p.done += tokens
 	if p.repeat {
@@ -53,19 +57,19 @@
 	p.pending = tokens
 }
 
-// used notes the first output that came of the latest prefill.
+// used records the first output token produced from the latest prefill.
 func (p *prefillAccount) used() {
 	p.pending = 0
 	p.repeat = true
 }
 
-// end notes the end of the request.
+// end records the end of the request: a prefill without output is wasted.
 func (p *prefillAccount) end() {
 	p.wasted += p.pending
 	p.pending = 0
 }
 
-// summary describes an exchange at its end.
+// summary returns the statistics of a finished exchange.
 func (ex *Exchange) summary(r Result, now time.Time) Summary {
 	ex.account.end()
 	first, last, tokens := ex.delivery.times()
@@ -88,7 +92,8 @@
 	return s
 }
 
-// onTime reports whether a whole answer met the request's targets.
+// onTime reports whether a complete answer met the deadline, the
+// time-to-first-token target and the time-per-token target of the request.
 func (ex *Exchange) onTime(s *Summary) bool {
 	if s.Ended.After(ex.Request.Deadline) {
 		return false
--- a/entry/driver/actions.go
+++ b/entry/driver/actions.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// do carries out one action. It never blocks and never calls the kernel.
+// do executes one kernel action. It never blocks and never calls the kernel.
 func (d *Driver) do(a kernel.Action) {
 	switch a := a.(type) {
 	case kernel.StartPrefill:
@@ -40,7 +40,8 @@
 	}
 }
 
-// admit hands a new request to the kernel.
+// admit registers a new request and passes it to the kernel. A request whose ID
+// is already in flight is refused here.
 func (d *Driver) admit(ex *Exchange) {
 	id := ex.Request.ID
 	if _, taken := d.exchanges[id]; taken {
@@ -53,12 +54,12 @@
 	d.step(kernel.Arrive{Request: ex.Request})
 }
 
-// ReasonDuplicateID is the one reason for a refusal that is not the kernel's: a
-// request came with the ID of another one in flight.
+// ReasonDuplicateID is the reason of a refusal for a request ID that is already
+// in flight. It is the only refusal reason that does not come from the kernel.
 const ReasonDuplicateID kernel.Reason = "duplicate_request_id"
 
-// duplicateRecord is the decision record of a request whose ID is in use, which
-// the kernel never sees.
+// duplicateRecord returns the decision record for a request with a duplicate
+// ID. The kernel never sees such a request.
 func duplicateRecord(r *kernel.Request, version uint64) kernel.Record {
 	return kernel.Record{
 		Time:          time.Now(),
@@ -72,7 +73,7 @@
 	}
 }
 
-// answer ends an exchange.
+// answer ends an exchange with the kernel's final answer.
 func (d *Driver) answer(a kernel.Answer) {
 	ex, ok := d.exchanges[a.Request]
 	if !ok {
@@ -80,7 +81,8 @@
 	}
 	delete(d.exchanges, a.Request)
 	for live := range ex.live {
-		// The kernel cancels upstream what it must; nobody reads on here.
+		// The kernel issues its own cancels to the upstreams. Here it is enough
+		// to end the local calls, since their output is no longer read.
 		d.forget(live)
 		live.cancel(&CancelledError{})
 	}
@@ -168,7 +170,7 @@
 	})
 }
 
-// decodedWhole checks that the caller has all tokens of an output.
+// decodedWhole checks that the caller received every token of the output.
 func (a *attempt) decodedWhole(got adapter.Decoded, err error) (kernel.Event, error) {
 	if err != nil {
 		return nil, err
--- a/entry/driver/attempt.go
+++ b/entry/driver/attempt.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// attempt is one try at one upstream, with its own goroutine.
+// attempt is one call to one upstream, executed in its own goroutine.
 type attempt struct {
 	id       ident.AttemptID
 	exchange *Exchange
@@ -19,44 +19,51 @@
 	target   adapter.Target
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
-	// ended is closed when the goroutine is over; unsent is final by then.
+	// ended is closed when the goroutine's call has returned; unsent does not
+	// change after that.
 	ended chan struct{}
-	// reattached says that the call reads on in an attempt that was sent before.
+	// reattached is set if the call resumes reading the stream of an attempt
+	// that was sent earlier.
 	reattached bool
-	// unsent says that no byte of the attempt went to the upstream.
+	// unsent is set if no byte of the attempt was sent to the upstream.
 	unsent bool
 
-	// over is set when the driver no longer wants the attempt's reports. It is
+	// over is set when the driver ignores further reports of the attempt. It is
 	// owned by the driver's goroutine.
 	over bool
-	// charged is the prompt work counted for it, in tokens; owned likewise.
+	// charged is the number of prompt tokens counted as in flight for the
+	// attempt. It is owned by the driver's goroutine.
 	charged int
 
-	// Results of the goroutine, set before it reports them.
+	// Results of the goroutine, set before it reports completion.
 	decoded adapter.Decoded
 	served  *adapter.ServiceAnswer
 }
 
-// CancelledError ends an attempt that the kernel cancelled.
+// CancelledError is the cancellation cause of an attempt that the kernel
+// cancelled.
 type CancelledError struct{}
 
 // Error implements error.
-func (*CancelledError) Error() string { return "attempt was cancelled" }
+func (*CancelledError) Error() string { return "attempt was cancelled by the kernel" }
 
-// AbandonedError ends an attempt whose upstream is dead.
+// AbandonedError is the cancellation cause of an attempt whose upstream is
+// dead.
 type AbandonedError struct{}
 
 // Error implements error.
-func (*AbandonedError) Error() string { return "the upstream is dead" }
+func (*AbandonedError) Error() string { return "attempt abandoned: upstream is dead" }
 
-// StalledError ends an attempt that made no progress.
+// StalledError is the cancellation cause of an attempt that made no progress
+// within its time limit.
 type StalledError struct{ After time.Duration }
 
 // Error implements error.
 func (e *StalledError) Error() string { return "no progress for " + e.After.String() }
 
-// begin makes an attempt of an exchange. It returns nil, and has the kernel
-// told, when the upstream or the exchange is not known any more.
+// begin creates an attempt for an exchange. If the exchange or the upstream is
+// no longer known, it queues an AttemptFailed event for the kernel and returns
+// nil.
 func (d *Driver) begin(id ident.AttemptID, request ident.RequestID, to ident.UpstreamID, role config.Role) *attempt {
 	ex := d.exchanges[request]
 	u := d.upstreams[to]
@@ -87,14 +94,15 @@
 	return a
 }
 
-// observed passes on what an upstream said of itself.
+// observed passes an upstream's report about its own state to the observer and
+// the kernel.
 func (d *Driver) observed(upstream ident.UpstreamID, o adapter.Observation) {
 	d.opts.Observer.Observed(upstream, o)
 	d.offer(kernel.LoadReported{Upstream: upstream, Load: o.Load})
 }
 
-// run carries out an attempt in a goroutine of its own: carry makes the call
-// and returns the event that reports it.
+// run executes an attempt in a new goroutine. carry makes the call and returns
+// the event that reports its success.
 func (d *Driver) run(a *attempt, carry func() (kernel.Event, error)) {
 	d.workers.Go(func() {
 		ev, err := d.carry(a, carry)
@@ -109,7 +117,7 @@
 	})
 }
 
-// carry waits until the attempt may be sent and makes the call.
+// carry waits until the pause gate is open and makes the call.
 func (d *Driver) carry(a *attempt, call func() (kernel.Event, error)) (kernel.Event, error) {
 	if err := d.gate.pass(a.ctx); err != nil {
 		a.unsent = !a.reattached
@@ -122,7 +130,7 @@
 	return ev, err
 }
 
-// failed reports an attempt that ended without its answer.
+// failed reports an attempt that ended with an error.
 func (d *Driver) failed(a *attempt, err error) {
 	var caller *CallerError
 	if errors.As(err, &caller) {
@@ -131,8 +139,8 @@
 	}
 	e := adapter.AsCallError(err)
 	if whole, ok := a.exchange.delivery.finished(); ok && a.role == config.RoleDecode {
-		// Only the end mark is missing: the engine said itself that the last
-		// token is the last.
+		// Only the end-of-stream marker is missing: the engine has already
+		// marked the last token with a finish reason.
 		a.decoded = whole
 		d.send(message{event: kernel.AttemptDone{Attempt: a.id, Tokens: whole.Tokens}, attempt: a})
 		return
@@ -152,7 +160,8 @@
 	}})
 }
 
-// code classifies a failure, with what this instance knows of its cause.
+// code returns the failure code of an attempt. A local cancellation cause
+// (stall, dead upstream) takes precedence over the code of the call error.
 func (a *attempt) code(e *adapter.CallError) kernel.FailureCode {
 	cause := context.Cause(a.ctx)
 	var stalled *StalledError
@@ -167,7 +176,7 @@
 	}
 }
 
-// report handles an event of an attempt's goroutine.
+// report handles an event from an attempt's goroutine.
 func (d *Driver) report(m message) {
 	a := m.attempt
 	if _, ok := m.event.(kernel.FirstOutput); ok {
@@ -179,7 +188,8 @@
 	}
 	if a.over {
 		if e, ok := m.event.(kernel.AttemptFailed); ok && e.Code == kernel.FailureDraining {
-			// What it says of the upstream counts all the same.
+			// Draining is a state of the upstream, so the kernel needs the
+			// event even though the attempt itself no longer matters.
 			d.step(m.event)
 		}
 		return
@@ -189,7 +199,7 @@
 	d.step(m.event)
 }
 
-// settle keeps the results that the final answer will need.
+// settle stores the results that the final answer needs.
 func (d *Driver) settle(a *attempt, ev kernel.Event) {
 	switch e := ev.(type) {
 	case kernel.AttemptDone:
@@ -201,7 +211,7 @@
 	}
 }
 
-// forget drops an attempt whose reports are no longer wanted.
+// forget removes an attempt whose further reports are ignored.
 func (d *Driver) forget(a *attempt) {
 	a.over = true
 	d.discharge(a)
--- a/entry/driver/cancel.go
+++ b/entry/driver/cancel.go
@@ -9,11 +9,12 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// cancelTimeout bounds one delivery of a cancel; the kernel repeats it.
+// cancelTimeout limits one cancel request to an upstream. The kernel repeats a
+// cancel that failed.
 const cancelTimeout = 2 * time.Second
 
-// cancelAttempt ends an attempt here and has its upstream release what it holds
-// for it.
+// cancelAttempt ends the local call of an attempt and asks its upstream to
+// release the resources held for it.
 func (d *Driver) cancelAttempt(c kernel.CancelAttempt) {
 	a := d.attempts[c.Attempt]
 	if a != nil {
@@ -27,14 +28,15 @@
 	}
 	d.workers.Go(func() {
 		if a != nil {
-			// The engine must not meet the cancel before the attempt.
+			// The cancel must not reach the engine before the attempt does.
 			<-a.ended
 		}
 		d.Post(d.deliverCancel(target, role, a))
 	})
 }
 
-// cancelTarget returns where a cancel goes, nil if that is not known any more.
+// cancelTarget returns the upstream to send a cancel to and its role, or nil if
+// the upstream is no longer known.
 func (d *Driver) cancelTarget(c kernel.CancelAttempt, a *attempt) (*adapter.Target, config.Role) {
 	if a != nil {
 		return &a.target, a.role
@@ -54,11 +56,13 @@
 	}, role
 }
 
-// deliverCancel delivers a cancel and returns the event that reports it.
+// deliverCancel sends a cancel to its upstream and returns the event that
+// reports the result.
 func (d *Driver) deliverCancel(t *adapter.Target, role config.Role, a *attempt) kernel.Event {
 	acked := kernel.CancelAcked{Attempt: t.Attempt}
 	if role == config.RoleService || a != nil && a.unsent {
-		// Plain services know no cancel but the closed connection.
+		// Plain services have no cancel operation; the closed connection is the
+		// cancel. An attempt that was not sent needs none.
 		return acked
 	}
 	ctx, stop := context.WithTimeout(d.ctx, cancelTimeout)
--- a/entry/driver/delivery.go
+++ b/entry/driver/delivery.go
@@ -9,48 +9,51 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// delivery puts an answer's tokens in order: only the current attempt may
-// write, and only the next token is passed on. A write to a slow caller holds
-// the mutex, so that the driver's goroutine must use only choose and close.
+// delivery writes the tokens of an answer to the caller in order: only the
+// current attempt may write, and only the next expected token is accepted. A
+// write to a slow caller holds the mutex, so the driver's goroutine may call
+// only choose and close.
 type delivery struct {
 	current atomic.Pointer[ident.AttemptID]
 	closed  atomic.Bool
 
-	// first and last are when the first and the last token went out, in Unix
-	// nanoseconds, and count is how many did; the statistics read them while a
-	// write may hold the mutex.
+	// first and last are the times at which the first and the last token were
+	// sent, in Unix nanoseconds; count is the number of tokens sent. They are
+	// atomic because the statistics read them while a write may hold the mutex.
 	first, last atomic.Int64
 	count       atomic.Int64
 
 	mu   sync.Mutex
 	out  Output
 	next int
-	// finish is the last token's reason to finish, empty before it.
+	// finish is the finish reason of the last token, empty until that token was
+	// sent.
 	finish string
 }
 
-// SupersededError ends an attempt whose tokens are no longer wanted.
+// SupersededError reports a token from an attempt that is no longer the current
+// one.
 type SupersededError struct{}
 
 // Error implements error.
-func (*SupersededError) Error() string { return "attempt is no longer current" }
+func (*SupersededError) Error() string { return "token from an attempt that is no longer current" }
 
-// GapError reports an output that lacks a token.
+// GapError reports that at least one token is missing from the output.
 type GapError struct{ Want, Got int }
 
 // Error implements error.
 func (*GapError) Error() string { return "a token is missing from the output" }
 
-// CallerError reports that the caller could not be written to.
+// CallerError reports that a write to the caller failed.
 type CallerError struct{ Err error }
 
 // Error implements error.
 func (e *CallerError) Error() string { return "write to caller: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the write.
 func (e *CallerError) Unwrap() error { return e.Err }
 
-// verdict is what became of a token.
+// verdict tells whether a token was passed on or dropped.
 type verdict int
 
 const (
@@ -58,8 +61,8 @@
 	tokenDropped
 )
 
-// token passes on a token of an attempt. Errors are *SupersededError, *GapError
-// and *CallerError.
+// token writes a token of an attempt to the caller. Tokens that were already
+// sent are dropped. Errors are *SupersededError, *GapError and *CallerError.
 func (d *delivery) token(from ident.AttemptID, c adapter.Chunk) (verdict, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,14 +85,15 @@
 	return tokenPassed, nil
 }
 
-// stamp notes that a token went out at now.
+// stamp records that a token was sent at now.
 func (d *delivery) stamp(now time.Time) {
 	d.first.CompareAndSwap(0, now.UnixNano())
 	d.last.Store(now.UnixNano())
 	d.count.Add(1)
 }
 
-// times returns when the first and the last token went out and how many did.
+// times returns when the first and the last token were sent and how many tokens
+// were sent.
 func (d *delivery) times() (first, last time.Time, count int) {
 	count = int(d.count.Load())
 	if count == 0 {
@@ -98,30 +102,32 @@
 	return time.Unix(0, d.first.Load()), time.Unix(0, d.last.Load()), count
 }
 
-// choose makes an attempt the current one. It does not wait for a write.
+// choose makes an attempt the current one. It does not wait for a write in
+// progress.
 func (d *delivery) choose(a ident.AttemptID) { d.current.Store(&a) }
 
-// close lets no further write begin. It does not wait for one.
+// close prevents further writes. It does not wait for a write in progress.
 func (d *delivery) close() { d.closed.Store(true) }
 
-// seal ends the output: when it returns, nothing is written any more.
+// seal closes the output and waits for a write in progress: no write happens
+// after it returns.
 func (d *delivery) seal() {
 	d.close()
-	// Whoever holds the mutex may still be writing.
+	// A write in progress holds the mutex.
 	d.mu.Lock()
 	d.out = nil
 	d.mu.Unlock()
 }
 
-// finished returns the whole answer's description once its last token was
-// passed on.
+// finished returns the description of the complete answer. It reports false
+// until the last token was sent.
 func (d *delivery) finished() (adapter.Decoded, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return adapter.Decoded{Tokens: d.next, FinishReason: d.finish}, d.finish != ""
 }
 
-// offset returns how many tokens the caller has.
+// offset returns the number of tokens sent to the caller.
 func (d *delivery) offset() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/entry/driver/driver.go
+++ b/entry/driver/driver.go
@@ -1,7 +1,8 @@
 // Package driver runs the decision kernel of an entry instance. One goroutine
-// owns the kernel: it hands in events and carries out actions. Each attempt at
-// an upstream has a goroutine of its own, which sends the output tokens
-// straight to the caller and reports to the kernel only what it must decide on.
+// owns the kernel: it passes events to the kernel and executes the actions that
+// the kernel returns. Each attempt at an upstream has its own goroutine, which
+// writes the output tokens directly to the caller and reports to the kernel
+// only the events that need a decision.
 package driver
 
 import (
@@ -18,7 +19,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Decider is the kernel as the driver uses it.
+// Decider is the interface of the kernel that the driver uses.
 type Decider interface {
 	Step(now time.Time, ev kernel.Event) []kernel.Action
 	NextWake() (time.Time, bool)
@@ -27,27 +28,28 @@
 	Version() uint64
 }
 
-// PeerSender sends a message to another instance's kernel. It may block.
+// PeerSender sends a message to the kernel of another instance. Send may block.
 type PeerSender interface {
 	Send(ctx context.Context, to ident.InstanceID, m kernel.PeerMessage) error
 }
 
-// Observer follows what happens at the driver. Its methods are called from
+// Observer receives notifications from the driver. Its methods are called from
 // several goroutines and must not block.
 type Observer interface {
 	// Decided receives each decision record.
 	Decided(r kernel.Record)
-	// Ended receives the summary of each request that ended.
+	// Ended receives the summary of each finished request.
 	Ended(s Summary)
-	// Late counts a token that came for an attempt that is no longer current,
-	// or twice.
+	// Late is called for each dropped token: one from an attempt that is no
+	// longer current, or a duplicate.
 	Late()
-	// Contact receives how each attempt at an upstream went; err is nil for
-	// one that succeeded.
+	// Contact receives the result of each attempt at an upstream. err is nil if
+	// the attempt succeeded.
 	Contact(upstream ident.UpstreamID, err *adapter.CallError)
-	// Observed receives what an upstream said of itself.
+	// Observed receives what an upstream reported about its own state.
 	Observed(upstream ident.UpstreamID, o adapter.Observation)
-	// Undelivered receives a message to a peer that failed.
+	// Undelivered receives the error of a message that could not be sent to a
+	// peer.
 	Undelivered(to ident.InstanceID, err error)
 }
 
@@ -56,18 +58,19 @@
 	Kernel  Decider
 	Engine  adapter.Engine
 	Service adapter.Service
-	// Peers may be nil, if there are none.
+	// Peers may be nil if there are no other instances.
 	Peers    PeerSender
 	Observer Observer
 	Log      *slog.Logger
-	// Inbox bounds the events that wait for the kernel.
+	// Inbox is the capacity of the queue of events for the kernel.
 	Inbox int
-	// PauseAfter is how long the process must not have run to count as paused.
+	// PauseAfter is the shortest time without execution that counts as a pause
+	// of the process.
 	PauseAfter time.Duration
-	// PeerQueue bounds the messages that wait for one peer.
+	// PeerQueue is the capacity of the send queue of each peer.
 	PeerQueue int
-	// OnPause is called after a pause was handled, and OnConfigured when a
-	// bundle version came into force, both from the driver's goroutine. Either
+	// OnPause is called after a pause was handled, OnConfigured after a bundle
+	// version came into force. Both are called from the driver's goroutine and
 	// may be nil.
 	OnPause      func(gap time.Duration)
 	OnConfigured func(version uint64, c *config.Content)
@@ -80,41 +83,42 @@
 	DefaultPeerQueue  = 256
 )
 
-// beatsPerPause is how often the driver looks at the clock while a pause of the
-// shortest length passes.
+// beatsPerPause is the number of clock checks within PauseAfter, the shortest
+// pause that must be detected.
 const beatsPerPause = 5
 
-// message is one item of the inbox.
+// message is an entry of the inbox.
 type message struct {
 	event kernel.Event
-	// attempt is set for events of an attempt's goroutine.
+	// attempt is set for events from an attempt's goroutine.
 	attempt *attempt
 	// exchange is set for kernel.Arrive.
 	exchange *Exchange
-	// quiet is closed when nothing is in flight any more.
+	// quiet is closed when no request is in flight and no cancel is pending.
 	quiet chan struct{}
 }
 
-// Driver runs one kernel. See the package comment.
+// Driver runs one kernel.
 type Driver struct {
 	opts    Options
 	inbox   chan message
 	stopped chan struct{}
 	gate    *pauseGate
-	// ctx ends all attempts when Run returns; workers counts their goroutines.
+	// ctx is cancelled when Run returns and ends all attempts. workers counts
+	// the driver's goroutines.
 	ctx     context.Context
 	cancel  context.CancelFunc
 	workers sync.WaitGroup
-	// rejected is the version that this binary could not run last.
+	// rejected is the bundle version that this binary was last unable to run.
 	rejected atomic.Pointer[kernel.ConfigRejected]
 
-	// The rest is owned by the goroutine of Run.
+	// The remaining fields are owned by the goroutine of Run.
 	backlog   []kernel.Event
 	endings   []ending
 	exchanges map[ident.RequestID]*Exchange
 	attempts  map[ident.AttemptID]*attempt
 	upstreams map[ident.UpstreamID]*kernel.Upstream
-	// prefilling is the prompt work in flight at each engine, in tokens.
+	// prefilling is the number of prompt tokens in flight at each engine.
 	prefilling map[ident.UpstreamID]int
 	content    *config.Content
 	specs      map[ident.UpstreamID]*config.Upstream
@@ -124,7 +128,7 @@
 	quiet      []chan struct{}
 }
 
-// New returns a driver; Run starts it.
+// New returns a driver. Run starts it.
 func New(o Options) *Driver {
 	if o.Inbox <= 0 {
 		o.Inbox = DefaultInbox
@@ -151,8 +155,8 @@
 	}
 }
 
-// Run owns the kernel until ctx ends. It then ends all attempts, answers the
-// requests that remain, and returns when no goroutine of the driver is left.
+// Run runs the kernel until ctx ends. It then ends all attempts, answers the
+// remaining requests, and returns when all goroutines of the driver have ended.
 func (d *Driver) Run(ctx context.Context) {
 	defer d.shutDown()
 	beat := time.NewTicker(d.opts.PauseAfter / beatsPerPause)
@@ -175,7 +179,7 @@
 	}
 }
 
-// arm sets the timer to the kernel's next wake-up.
+// arm sets the timer to the kernel's next wake-up time.
 func (d *Driver) arm(wake *time.Timer) {
 	at, ok := d.opts.Kernel.NextWake()
 	if !ok {
@@ -185,22 +189,23 @@
 	wake.Reset(max(time.Until(at), 0))
 }
 
-// shutDown ends what is left when Run returns.
+// shutDown ends all attempts and answers the remaining requests.
 func (d *Driver) shutDown() {
 	d.cancel()
 	for _, ex := range d.exchanges {
-		// Whether it ran was the kernel's to say.
+		// The outcome is unknown: only the kernel could tell whether the
+		// request ran.
 		ex.finish(stoppedResult(api.Unknown))
 	}
 	close(d.stopped)
 	d.workers.Wait()
 }
 
-// Post hands an event to the kernel. It blocks while the inbox is full and
+// Post passes an event to the kernel. It blocks while the inbox is full and
 // returns false once the driver has stopped.
 func (d *Driver) Post(ev kernel.Event) bool { return d.send(message{event: ev}) }
 
-// offer hands an event to the kernel unless the inbox is full.
+// offer passes an event to the kernel, or drops it if the inbox is full.
 func (d *Driver) offer(ev kernel.Event) {
 	select {
 	case d.inbox <- message{event: ev}:
@@ -220,8 +225,8 @@
 	}
 }
 
-// Quiesce waits until no request is in flight and all cancels are
-// acknowledged. It returns the context's error if that ends first.
+// Quiesce waits until no request is in flight and all cancels are acknowledged.
+// It returns ctx's error if ctx ends first.
 func (d *Driver) Quiesce(ctx context.Context) error {
 	quiet := make(chan struct{})
 	d.send(message{quiet: quiet})
@@ -235,8 +240,8 @@
 	}
 }
 
-// Rejected returns the bundle version that this binary could not run last, nil if
-// there was none.
+// Rejected returns the bundle version that this binary was last unable to run,
+// or nil if there was none.
 func (d *Driver) Rejected() *kernel.ConfigRejected { return d.rejected.Load() }
 
 // Stopped reports whether Run has returned.
--- a/entry/driver/driver_test.go
+++ b/entry/driver/driver_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestLateAttemptWritesNothing has a first attempt go on after the kernel has
-// replaced it.
+// TestLateAttemptWritesNothing lets a first attempt send tokens after the
+// kernel has replaced it: they must be dropped.
 func TestLateAttemptWritesNothing(t *testing.T) {
 	decide := func(ev kernel.Event) []kernel.Action {
 		switch e := ev.(type) {
@@ -84,7 +84,7 @@
 			}
 			err := play(s, 0)
 			assert.NilError(t, err)
-			// This engine does not notice the cancel for a while.
+			// The engine notices the cancel only after a delay.
 			time.Sleep(time.Second)
 			return adapter.Decoded{Tokens: 4}, play(s, 1, 2, 3)
 		}
@@ -165,7 +165,7 @@
 		}
 		r.submit(t.Context())
 		assert.Equal(t, len(seen[kernel.CallerGone](r.kernel)), 1)
-		assert.Equal(t, len(seen[kernel.AttemptFailed](r.kernel)), 0, "the upstream is not at fault")
+		assert.Equal(t, len(seen[kernel.AttemptFailed](r.kernel)), 0, "a failed write to the caller is no failure of the upstream")
 	})
 }
 
@@ -179,7 +179,7 @@
 		}
 		r.submit(ctx)
 		synctest.Wait()
-		assert.Equal(t, len(r.engine.cancels), 0, "the upstream knows nothing of it")
+		assert.Equal(t, len(r.engine.cancels), 0, "an attempt that was not sent needs no cancel at the upstream")
 		assert.Equal(t, len(seen[kernel.CancelAcked](r.kernel)), 1)
 	})
 }
@@ -217,8 +217,8 @@
 	})
 }
 
-// TestSlowCallerHoldsUpNoOther has a caller that takes no byte: the driver's
-// goroutine must go on all the same.
+// TestSlowCallerHoldsUpNoOther blocks the write to one caller: the driver's
+// goroutine must not wait for it.
 func TestSlowCallerHoldsUpNoOther(t *testing.T) {
 	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
 		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
@@ -239,19 +239,19 @@
 		synctest.Wait()
 		assert.Assert(t, r.driver.Post(kernel.CallerGone{Request: "r-1"}))
 		assert.NilError(t, r.driver.Quiesce(t.Context()))
-		assert.Equal(t, len(r.observer.ended), 1, "the kernel's answer was carried out")
+		assert.Equal(t, len(r.observer.ended), 1, "the kernel's answer must be executed while the write is blocked")
 		close(taken)
 		<-ended
 	})
 }
 
-// outputFunc is an Output.
+// outputFunc adapts a function to Output.
 type outputFunc func(c adapter.Chunk) error
 
 func (f outputFunc) Token(c adapter.Chunk) error { return f(c) }
 
-// breakTwice is a kernel whose decode's connection breaks, and which then has its
-// stream read on after a wait.
+// breakTwice is the decision function of a kernel that reattaches to the stream
+// after a wait when the connection of the decode breaks.
 func breakTwice(ev kernel.Event) []kernel.Action {
 	if _, ok := ev.(kernel.AttemptFailed); ok {
 		return []kernel.Action{kernel.ReattachDecode{
@@ -277,8 +277,8 @@
 	})
 }
 
-// TestCancelWhileReattachWaits: the decode runs at its engine, though the call
-// that would read on was not sent.
+// TestCancelWhileReattachWaits: the decode still runs at its engine while the
+// reattach call waits here, so a cancel must be sent to the engine.
 func TestCancelWhileReattachWaits(t *testing.T) {
 	inRig(t, breakTwice, func(t *testing.T, r *rig) {
 		ctx, leave := context.WithCancel(t.Context())
@@ -293,8 +293,8 @@
 	})
 }
 
-// TestReattachIsNeverUnsent: the attempt ran, so that its cancel must go out,
-// also when the call that would read on was held back here.
+// TestReattachIsNeverUnsent: a reattached attempt was sent earlier, so its
+// cancel must reach the engine even if the reattach call was never sent.
 func TestReattachIsNeverUnsent(t *testing.T) {
 	d := New(Options{})
 	ctx, cancel := context.WithCancelCause(t.Context())
--- a/entry/driver/exchange.go
+++ b/entry/driver/exchange.go
@@ -8,47 +8,49 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Output takes the tokens of a model's answer in order, each once. An error
-// says that the caller cannot be reached any more.
+// Output receives the tokens of a model's answer in order, each exactly once.
+// An error means that the caller is unreachable.
 type Output interface {
 	Token(c adapter.Chunk) error
 }
 
-// Exchange is one caller's request on its way through the driver.
+// Exchange is the state of one caller's request in the driver.
 type Exchange struct {
 	Request *kernel.Request
 	// Model and Output are set for requests to models.
 	Model  *adapter.ModelRequest
 	Output Output
-	// Service is set for calls of plain services; the driver fills in the
-	// target of each attempt.
+	// Service is set for calls to plain services. The driver sets the target of
+	// each attempt.
 	Service *adapter.ServiceCall
 
 	result chan Result
-	// delivery is the order of the tokens.
+	// delivery writes the tokens to Output in order.
 	delivery delivery
-	// The rest is owned by the driver's goroutine.
+	// The remaining fields are owned by the driver's goroutine.
 	live    map[*attempt]struct{}
 	decoded adapter.Decoded
 	served  *adapter.ServiceAnswer
 	account prefillAccount
 }
 
-// Result is the end of an exchange.
+// Result is the final result of an exchange.
 type Result struct {
 	Outcome api.Outcome
 	// Problem is nil when the outcome is api.Complete.
 	Problem *api.Problem
-	// BundleVersion is the version in force at the end.
+	// BundleVersion is the version in force when the exchange ended.
 	BundleVersion uint64
-	// Decoded describes a whole output, Service a service's whole answer.
+	// Decoded describes a complete model output, Service is the complete answer
+	// of a plain service.
 	Decoded adapter.Decoded
 	Service *adapter.ServiceAnswer
 }
 
-// Submit hands a request to the kernel and waits for its final answer. When ctx
-// ends, the caller counts as gone; the answer comes all the same. Afterwards
-// nothing is written to the exchange's output any more.
+// Submit passes a request to the kernel and waits for its final answer. When
+// ctx ends, the kernel is told that the caller is gone, and Submit still waits
+// for the answer. Nothing is written to the exchange's output after Submit
+// returns.
 func (d *Driver) Submit(ctx context.Context, ex *Exchange) Result {
 	ex.result = make(chan Result, 1)
 	ex.live = map[*attempt]struct{}{}
@@ -72,8 +74,8 @@
 	}
 }
 
-// lastResult returns the result of an exchange after the driver stopped. One
-// that the driver did not take in has none.
+// lastResult returns the result of an exchange after the driver stopped. An
+// exchange that the driver never accepted has no result and was not run.
 func lastResult(ex *Exchange) Result {
 	select {
 	case r := <-ex.result:
@@ -83,7 +85,8 @@
 	}
 }
 
-// finish gives the exchange its only result and lets no output follow.
+// finish sets the exchange's result, if it has none yet, and prevents further
+// output.
 func (ex *Exchange) finish(r Result) {
 	ex.delivery.close()
 	select {
@@ -92,13 +95,15 @@
 	}
 }
 
-// stoppedResult answers an exchange that the driver did not finish.
+// stoppedResult returns the result of an exchange that was unfinished when the
+// driver stopped.
 func stoppedResult(outcome api.Outcome) Result {
 	p := api.NewProblem(api.ProblemStopping, outcome, "this instance has stopped")
 	return Result{Outcome: outcome, Problem: p}
 }
 
-// duplicateResult answers a request whose ID is in use.
+// duplicateResult returns the result of a request whose ID is already in
+// flight.
 func duplicateResult(version uint64) Result {
 	p := api.NewProblem(api.ProblemMalformed, api.NotRun,
 		"another request with this X-Request-Id is in flight")
--- a/entry/driver/fixture_test.go
+++ b/entry/driver/fixture_test.go
@@ -9,7 +9,8 @@
 
 func discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// testContent declares a pair of engines whose link moves 1,000 tokens a second.
+// testContent declares two engines whose link transfers 1,000 tokens per
+// second.
 func testContent() *config.Content {
 	return &config.Content{
 		Models: []config.Model{{Name: "m", KVBytesPerToken: 1000}},
--- a/entry/driver/gate.go
+++ b/entry/driver/gate.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// pauseGate notices pauses of the process and holds back new attempts until the
-// kernel was told. A gap is measured on the monotonic clock and on the wall
-// clock, since the former stands still while a machine is suspended; a step of
-// the wall clock is taken for a pause, which costs no more than a refresh.
+// pauseGate detects pauses of the process and delays new attempts until the
+// kernel was told about the pause. A gap is measured on both the monotonic and
+// the wall clock, because the monotonic clock does not advance while the
+// machine is suspended. A forward step of the wall clock is therefore treated
+// as a pause, which costs no more than a refresh.
 type pauseGate struct {
 	after time.Duration
 
@@ -23,7 +24,7 @@
 	return &pauseGate{after: after, beats: make(chan struct{})}
 }
 
-// beat notes that the driver ran at now and has handled any pause before.
+// beat records that the driver ran at now and has handled any pause before.
 func (g *pauseGate) beat(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -32,7 +33,8 @@
 	g.beats = make(chan struct{})
 }
 
-// gap returns how long the process did not run until now, 0 if that is short.
+// gap returns how long the process did not run before now, or 0 if that is
+// shorter than the threshold.
 func (g *pauseGate) gap(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,7 +51,8 @@
 	return gap
 }
 
-// pass waits until no pause is left unhandled.
+// pass blocks until no detected pause is unhandled. It returns ctx's error if
+// ctx has ended.
 func (g *pauseGate) pass(ctx context.Context) error {
 	for {
 		g.mu.Lock()
--- a/entry/driver/patience.go
+++ b/entry/driver/patience.go
@@ -9,41 +9,45 @@
 )
 
 const (
-	// defaultStall is used where the bundle sets no transfer_stall.
+	// defaultStall applies if the bundle sets no transfer_stall.
 	defaultStall = 5 * time.Second
-	// stallPaces is how many times the target pace a stream may be silent.
+	// stallPaces is the longest allowed gap between tokens, as a multiple of
+	// the target time per token.
 	stallPaces = 20
-	// transferSlack is how many times its expected duration a transfer may
-	// take, before the stall time is counted: it may share the link with
-	// transfers of other instances, of which this one knows nothing.
+	// transferSlack is the time allowed for a transfer, in addition to the
+	// stall time, as a multiple of its expected duration: transfers of other
+	// instances, which this instance cannot see, may share the link.
 	transferSlack = 6
-	// prefillSlack is how many times its expected duration a prefill may take,
-	// before the stall time is counted: other instances' prefills that came since
-	// the engine's last load report are ahead of it too.
+	// prefillSlack is the time allowed for a prefill, in addition to the stall
+	// time, as a multiple of its expected duration: prefills that other
+	// instances have sent since the engine's last load report may be queued
+	// ahead of it.
 	prefillSlack = 4
-	// noLimit leaves the end of a stream to its request's deadline.
+	// noLimit disables the time limit between tokens: the request's deadline
+	// ends the stream.
 	noLimit = time.Hour
-	// minPrefillPatience is the shortest bound on a prefill.
+	// minPrefillPatience is the lower bound of the time limit of a prefill.
 	minPrefillPatience = 2 * time.Second
 )
 
-// patience is how long an attempt may make no progress.
+// patience holds the time limits for progress of an attempt.
 type patience struct {
-	// first bounds the wait for the first token: transfer and import.
+	// first is the time limit for the first token. It includes the transfer and
+	// the import of the KV cache.
 	first time.Duration
-	// next bounds the wait for each further one.
+	// next is the time limit for each further token.
 	next time.Duration
 }
 
-// patience returns the bounds for an attempt whose KV cache comes from the
-// given engine, which is empty if it does not have to come.
+// patience returns the time limits for an attempt whose KV cache is transferred
+// from the given engine. from is empty if there is no transfer.
 func (d *Driver) patience(a *attempt, from ident.UpstreamID) patience {
 	stall := d.stall()
 	r := a.exchange.Request
 	p := patience{first: stall, next: max(stall, stallPaces*r.Pace)}
 	if !r.MayRepeat() {
-		// No other engine may go on with what has begun: ending it would lose an answer that
-		// may only be late.
+		// No other engine may continue such a request: ending the attempt would
+		// lose an answer that may only be late.
 		p.next = noLimit
 	}
 	source, target := d.specs[from], d.specs[a.target.Upstream]
@@ -53,7 +57,7 @@
 	return p
 }
 
-// stall is the bundle's transfer_stall.
+// stall returns the bundle's transfer_stall, or its default.
 func (d *Driver) stall() time.Duration {
 	if d.content != nil && d.content.Policy.TransferStall > 0 {
 		return d.content.Policy.TransferStall
@@ -61,10 +65,11 @@
 	return defaultStall
 }
 
-// prefillPatience bounds a prefill of a prompt and of the output before it: an
-// engine that takes connections but never answers must not hold a request until
-// its deadline. The engine's queue is what it reported and what this instance
-// itself has there.
+// prefillPatience returns the time limits for a prefill of the prompt and the
+// previous output: an engine that accepts connections but never answers must
+// not hold a request until its deadline. The engine's queue is estimated from
+// its last load report and from the prefills that this instance has in flight
+// there.
 func (d *Driver) prefillPatience(a *attempt, continueFrom int) patience {
 	tokens := a.exchange.Request.PromptTokens + continueFrom
 	u := d.prefillEngine(a.target.Upstream)
@@ -73,7 +78,7 @@
 	return patience{first: bound, next: bound}
 }
 
-// prefillEngine describes a prefill engine as far as the estimates need it.
+// prefillEngine returns the fields of a prefill engine that the estimates need.
 func (d *Driver) prefillEngine(id ident.UpstreamID) *kernel.Upstream {
 	u := &kernel.Upstream{ID: id, LocalLoad: kernel.LocalLoad{Tokens: d.prefilling[id]}}
 	if spec := d.specs[id]; spec != nil {
@@ -85,14 +90,15 @@
 	return u
 }
 
-// charge counts a prefill's tokens as work of its engine until the attempt is
-// forgotten.
+// charge adds a prefill's tokens to the in-flight count of its engine until the
+// attempt is removed.
 func (d *Driver) charge(a *attempt, tokens int) {
 	a.charged = tokens
 	d.prefilling[a.target.Upstream] += tokens
 }
 
-// discharge ends the count.
+// discharge subtracts the attempt's tokens from the in-flight count of its
+// engine.
 func (d *Driver) discharge(a *attempt) {
 	id := a.target.Upstream
 	d.prefilling[id] -= a.charged
@@ -102,7 +108,7 @@
 	}
 }
 
-// seen keeps the newest load report of an upstream.
+// seen stores a load report unless a newer one of the same upstream is known.
 func (d *Driver) seen(e kernel.LoadReported) {
 	u := d.upstreams[e.Upstream]
 	if u != nil && !e.Load.At.Before(u.Load.At) {
@@ -110,7 +116,7 @@
 	}
 }
 
-// transferTime is the expected time to move a prompt's KV cache.
+// transferTime returns the expected time to transfer a prompt's KV cache.
 func transferTime(m *config.Model, tokens int, from, to *config.Upstream) time.Duration {
 	return kernel.TransferTime(m, tokens, &kernel.Upstream{Spec: *from}, &kernel.Upstream{Spec: *to})
 }
--- a/entry/driver/patience_test.go
+++ b/entry/driver/patience_test.go
@@ -16,8 +16,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// TestPrefillThatNeverAnswers has an engine that takes the prefill and says
-// nothing: the attempt is given up long before the caller's deadline.
+// TestPrefillThatNeverAnswers uses an engine that accepts the prefill and never
+// answers: the attempt must end with a stall long before the caller's deadline.
 func TestPrefillThatNeverAnswers(t *testing.T) {
 	decide := func(ev kernel.Event) []kernel.Action {
 		if _, ok := ev.(kernel.Arrive); ok {
@@ -51,13 +51,13 @@
 	}
 	const stall = 300 * time.Millisecond
 	bound := func() time.Duration { return d.prefillPatience(a, 100).first }
-	assert.Equal(t, bound(), minPrefillPatience, "no rate declared")
+	assert.Equal(t, bound(), minPrefillPatience, "without a declared prefill rate, the minimum applies")
 	d.specs["pf-1"].PrefillTokensPerSecond = 1000
 	assert.Equal(t, bound(), prefillSlack*time.Second+stall, "idle")
 
 	other := &attempt{target: a.target, exchange: &Exchange{}}
 	d.charge(other, 2000)
-	assert.Equal(t, bound(), 3*prefillSlack*time.Second+stall, "own queue")
+	assert.Equal(t, bound(), 3*prefillSlack*time.Second+stall, "prefills of this instance count")
 	d.forget(other)
 	d.forget(other)
 	assert.Equal(t, len(d.prefilling), 0)
@@ -66,16 +66,17 @@
 		d.upstreams["pf-1"] = &kernel.Upstream{}
 		d.external(kernel.LoadReported{Upstream: "pf-1", Load: kernel.Load{At: time.Now(), QueuedTokens: 1000}})
 		d.external(kernel.LoadReported{Upstream: "pf-1", Load: kernel.Load{At: time.Now().Add(-time.Second)}})
-		assert.Equal(t, bound(), 2*prefillSlack*time.Second+stall, "newest report")
+		assert.Equal(t, bound(), 2*prefillSlack*time.Second+stall, "an older load report is ignored")
 	})
 }
 
-// TestStreamThatRunsOnceIsLeftAtASilentEngine:
-//
-// Callers saw a stream that may run once end with a problem while its engine was only slow. In
-// order: no token for the stall time, the attempt ended by the instance, and no second one allowed.
-// Cause: the end of a run that nothing may follow was decided like that of one that another engine goes
-// on with. Found by looking for the cause of answers cut at the gateway; by this test, not in operation.
+// TestStreamThatRunsOnceIsLeftAtASilentEngine guards against ending a stream
+// that may run only once while its engine is merely slow: no token came for the
+// stall time, the instance ended the attempt, no second attempt was allowed,
+// and the caller got a problem instead of a late answer. The stall limit was
+// applied as if another engine could continue the stream. The fault was found
+// by this test while looking for the cause of answers cut off at the gateway,
+// not in operation.
 func TestStreamThatRunsOnceIsLeftAtASilentEngine(t *testing.T) {
 	d := New(Options{Kernel: &script{decide: func(kernel.Event) []kernel.Action { return nil }}, Observer: &fakeObserver{}, Log: discard()})
 	d.configure(testContent())
--- a/entry/driver/pause_test.go
+++ b/entry/driver/pause_test.go
@@ -23,8 +23,8 @@
 	}{
 		{"running", start.Add(499 * time.Millisecond), 0},
 		{"paused", start.Add(3 * time.Second), 3 * time.Second},
-		// A suspended machine's monotonic clock stands still: only the wall
-		// clock, which Round leaves alone, shows the gap.
+		// The monotonic clock of a suspended machine does not advance. Round(0)
+		// strips the monotonic reading, so only the wall clock shows the gap.
 		{"suspended", start.Round(0).Add(time.Hour), time.Hour},
 		{"clock set back", start.Round(0).Add(-time.Hour), 0},
 	} {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestNothingIsSentBeforeThePauseIsHandled holds the driver's goroutine still
-// while an attempt is about to be sent.
+// TestNothingIsSentBeforeThePauseIsHandled delays the driver's beat after a
+// pause while an attempt is about to be sent: it must wait for the beat.
 func TestNothingIsSentBeforeThePauseIsHandled(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		g := newPauseGate(time.Second)
@@ -51,7 +51,7 @@
 			}
 		}()
 		synctest.Wait()
-		assert.Equal(t, len(passed), 0, "it must wait")
+		assert.Equal(t, len(passed), 0, "the attempt must wait until the pause is handled")
 		time.Sleep(time.Second)
 		handled := time.Now()
 		g.beat(handled)
@@ -68,7 +68,8 @@
 	})
 }
 
-// TestKernelHearsOfThePauseFirst sets the last beat back, as a pause would.
+// TestKernelHearsOfThePauseFirst sets the last beat back to simulate a pause:
+// the kernel must receive Paused before the event, and only once.
 func TestKernelHearsOfThePauseFirst(t *testing.T) {
 	s := &script{decide: func(kernel.Event) []kernel.Action { return nil }}
 	d := New(Options{Kernel: s, Observer: &fakeObserver{}, Log: discard()})
@@ -76,14 +77,14 @@
 	d.receive(message{event: kernel.LoadReported{}})
 	assert.Equal(t, len(s.events), 2)
 	paused, ok := s.events[0].(kernel.Paused)
-	assert.Assert(t, ok, "%T comes first", s.events[0])
+	assert.Assert(t, ok, "first event is %T, not kernel.Paused", s.events[0])
 	assert.Assert(t, paused.Gap >= time.Minute)
 	d.receive(message{event: kernel.LoadReported{}})
-	assert.Equal(t, len(s.events), 3, "the pause is told once")
+	assert.Equal(t, len(s.events), 3, "the pause must be reported only once")
 }
 
-// TestWatchdogAfterPause fires a watchdog much too late, as after a pause: the
-// stream gets another chance.
+// TestWatchdogAfterPause fires a watchdog far too late, as after a pause of the
+// process: the stream must get its time limit again.
 func TestWatchdogAfterPause(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		var stalled atomic.Int64
--- a/entry/driver/peers.go
+++ b/entry/driver/peers.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// peerSendTimeout bounds the sending of one message.
+	// peerSendTimeout limits sending one message.
 	peerSendTimeout = time.Second
 )
 
-// sendPeer queues a message to a peer. Each peer has a queue and a goroutine of
-// its own, so that messages keep their order and a slow peer holds up no other.
+// sendPeer queues a message for a peer. Each peer has its own queue and
+// goroutine, so that messages stay in order and a slow peer does not delay the
+// others.
 func (d *Driver) sendPeer(s kernel.SendPeer) {
 	if d.opts.Peers == nil {
 		d.backlog = append(d.backlog, kernel.PeerUndelivered(s))
@@ -33,7 +34,7 @@
 	}
 }
 
-// serveQueue sends the messages of one peer's queue, one by one.
+// serveQueue sends the queued messages of one peer in order.
 func (d *Driver) serveQueue(to ident.InstanceID, queue chan kernel.PeerMessage) {
 	for {
 		select {
--- a/entry/driver/rig_test.go
+++ b/entry/driver/rig_test.go
@@ -16,10 +16,10 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// script is a Decider whose decisions a test writes.
+// script is a Decider whose decisions are scripted by a test.
 type script struct {
 	mu sync.Mutex
-	// events lists all events but ticks.
+	// events lists all events received.
 	events []kernel.Event
 	decide func(ev kernel.Event) []kernel.Action
 	open   int
@@ -46,7 +46,7 @@
 func (s *script) PendingCancels() int         { return 0 }
 func (s *script) Version() uint64             { return 7 }
 
-// seen returns the events of a type.
+// seen returns the received events of type E.
 func seen[E kernel.Event](s *script) []E {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +59,7 @@
 	return out
 }
 
-// fakeEngine is an engine whose decodes a test writes.
+// fakeEngine is an engine whose calls are scripted by a test.
 type fakeEngine struct {
 	// prefill is optional.
 	prefill func(ctx context.Context) (adapter.Prefilled, error)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// fakeObserver counts.
+// fakeObserver records dropped tokens, summaries and decision records.
 type fakeObserver struct {
 	mu      sync.Mutex
 	late    int
@@ -123,7 +123,8 @@
 func (*fakeObserver) Observed(ident.UpstreamID, adapter.Observation) {}
 func (*fakeObserver) Undelivered(ident.InstanceID, error)            {}
 
-// collect is an Output that keeps tokens.
+// collect is an Output that appends the text of the tokens, and fails with err
+// if it is set.
 type collect struct {
 	mu   sync.Mutex
 	text string
@@ -137,7 +138,8 @@
 	return c.err
 }
 
-// rig is a driver with all that is around it.
+// rig is a running driver with a scripted kernel, a fake engine, an observer
+// and an output.
 type rig struct {
 	driver   *Driver
 	kernel   *script
@@ -147,12 +149,13 @@
 	stop     context.CancelFunc
 }
 
-// attemptID numbers attempts.
+// attemptID returns the attempt ID with sequence number n.
 func attemptID(n uint64) ident.AttemptID {
 	return ident.AttemptID{Instance: "e-1", Incarnation: 1, Sequence: n}
 }
 
-// inRig runs a test in a bubble with fake time. decide is the kernel.
+// inRig runs a test with a running driver in a synctest bubble (fake clock).
+// decide makes the kernel's decisions.
 func inRig(t *testing.T, decide func(ev kernel.Event) []kernel.Action, test func(t *testing.T, r *rig)) {
 	bubble.Test(t, func(t *testing.T) {
 		r := &rig{
@@ -179,7 +182,7 @@
 	})
 }
 
-// submit submits a request and returns its result.
+// submit submits a repeatable model request and returns its result.
 func (r *rig) submit(ctx context.Context) Result {
 	return r.driver.Submit(ctx, &Exchange{
 		Request: &kernel.Request{ID: "r-1", Repeatable: true, Route: config.RouteModel, PromptTokens: 10, Deadline: time.Now().Add(time.Minute)},
@@ -188,7 +191,8 @@
 	})
 }
 
-// decodeOnce is a kernel that starts one decode and answers as it ends.
+// decodeOnce is the decision function of a kernel that starts one decode and
+// answers when it ends.
 func decodeOnce(ev kernel.Event) []kernel.Action {
 	switch ev.(type) {
 	case kernel.Arrive:
@@ -205,12 +209,12 @@
 	}
 }
 
-// token is the token at an offset of the answer "abc...".
+// token returns the token at an offset of the answer "abc...".
 func token(offset int) adapter.Chunk {
 	return adapter.Chunk{Offset: offset, Text: string(rune('a' + offset))}
 }
 
-// play sends the tokens at the given offsets.
+// play sends the tokens at the given offsets to s.
 func play(s adapter.Sink, offsets ...int) error {
 	for _, o := range offsets {
 		if err := s.Token(token(o)); err != nil {
--- a/entry/driver/sink.go
+++ b/entry/driver/sink.go
@@ -7,7 +7,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// sink takes the tokens of one decode attempt.
+// sink receives the tokens of one decode attempt.
 type sink struct {
 	d       *Driver
 	a       *attempt
@@ -19,7 +19,7 @@
 	return &sink{d: d, a: a, watch: d.newWatch(a, p)}
 }
 
-// newWatch starts a watchdog that ends an attempt.
+// newWatch starts a watchdog that cancels the attempt when it stalls.
 func (d *Driver) newWatch(a *attempt, p patience) *watchdog {
 	stalled := func(after time.Duration) { a.cancel(&StalledError{After: after}) }
 	return newWatchdog(p, d.opts.PauseAfter, stalled)
--- a/entry/driver/step.go
+++ b/entry/driver/step.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// receive handles one message of the inbox.
+// receive handles one inbox message.
 func (d *Driver) receive(m message) {
 	switch {
 	case m.quiet != nil:
@@ -26,8 +26,8 @@
 	}
 }
 
-// external handles an event from outside and keeps what the driver itself needs
-// of it.
+// external passes an event from outside the driver to the kernel and updates
+// the driver's own view of upstreams and configuration.
 func (d *Driver) external(ev kernel.Event) {
 	switch e := ev.(type) {
 	case kernel.ViewChanged:
@@ -42,7 +42,8 @@
 	case kernel.Configured:
 		before := d.opts.Kernel.Version()
 		d.step(ev)
-		// The kernel ignores old versions and rejects those it cannot run.
+		// The kernel ignores older versions and rejects those that it cannot
+		// run.
 		if e.Version > before && d.opts.Kernel.Version() == e.Version {
 			d.configure(e.Content)
 			if d.opts.OnConfigured != nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// configure indexes the bundle content in force.
+// configure indexes the content of the bundle in force.
 func (d *Driver) configure(c *config.Content) {
 	d.content = c
 	d.specs = make(map[ident.UpstreamID]*config.Upstream, len(c.Upstreams))
@@ -71,7 +72,8 @@
 	}
 }
 
-// step hands an event to the kernel and carries out what follows from it.
+// step passes an event, and the events that its actions queue, to the kernel
+// and executes the resulting actions.
 func (d *Driver) step(ev kernel.Event) {
 	d.checkPause()
 	d.stepOnce(ev)
@@ -87,7 +89,8 @@
 	for _, a := range d.opts.Kernel.Step(time.Now(), ev) {
 		d.do(a)
 	}
-	// Callers hear last, so that what they ask next finds all of it recorded.
+	// Results are delivered after all actions have run, so that a caller's next
+	// request finds all effects recorded.
 	for i, e := range d.endings {
 		e.exchange.finish(e.result)
 		d.endings[i] = ending{}
@@ -95,14 +98,14 @@
 	d.endings = d.endings[:0]
 }
 
-// ending is an exchange and its result.
+// ending is a finished exchange with its result.
 type ending struct {
 	exchange *Exchange
 	result   Result
 }
 
-// checkPause tells the kernel about a pause of the process before it decides
-// anything else, and lets attempts that waited for this go on.
+// checkPause reports a detected pause of the process to the kernel before any
+// other event, and then releases the attempts that wait at the gate.
 func (d *Driver) checkPause() {
 	gap := d.gate.gap(time.Now())
 	if gap > 0 {
@@ -115,7 +118,7 @@
 	d.gate.beat(time.Now())
 }
 
-// checkQuiet wakes those that wait for quiet.
+// checkQuiet wakes the waiting Quiesce calls if nothing is in flight.
 func (d *Driver) checkQuiet() {
 	if len(d.quiet) == 0 || len(d.exchanges) > 0 || d.opts.Kernel.PendingCancels() > 0 {
 		return
@@ -126,8 +129,8 @@
 	d.quiet = nil
 }
 
-// logLater logs in a goroutine of its own: a log that nobody reads must not
-// hold up decisions.
+// logLater logs in a separate goroutine: a blocked log output must not delay
+// decisions.
 func (d *Driver) logLater(level slog.Level, text string, args ...any) {
 	d.workers.Go(func() { d.opts.Log.Log(context.Background(), level, text, args...) })
 }
--- a/entry/driver/watchdog.go
+++ b/entry/driver/watchdog.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// watchdog calls stalled when an attempt makes no progress.
+// watchdog calls stalled when an attempt makes no progress within its time
+// limit.
 type watchdog struct {
 	patience   patience
 	pauseAfter time.Duration
@@ -18,7 +19,7 @@
 	stopped bool
 }
 
-// newWatchdog starts a watchdog that waits for the first token.
+// newWatchdog starts a watchdog with the time limit for the first token.
 func newWatchdog(p patience, pauseAfter time.Duration, stalled func(time.Duration)) *watchdog {
 	w := &watchdog{patience: p, pauseAfter: pauseAfter, stalled: stalled}
 	w.mu.Lock()
@@ -29,8 +30,9 @@
 	return w
 }
 
-// fire ends a stream that is overdue. A timer that fires much too late says
-// that this process was paused, and its stream gets another chance.
+// fire reports a stream that is overdue. If the timer fires late by pauseAfter
+// or more, this process was paused itself, and the stream gets its time limit
+// again.
 func (w *watchdog) fire() {
 	w.mu.Lock()
 	if w.stopped {
@@ -54,19 +56,19 @@
 	w.stalled(limit)
 }
 
-// pause stops the clock while the caller is written to.
+// pause suspends the time limit while a token is written to the caller.
 func (w *watchdog) pause() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.due = time.Now().Add(callerPatience)
 }
 
-// callerPatience keeps the watchdog still during a write to the caller, which
-// has a time limit of its own.
+// callerPatience suspends the watchdog during a write to the caller. It only
+// has to exceed the write's own time limit.
 const callerPatience = time.Hour
 
-// progress notes a token. The timer is left alone: when it fires early, fire
-// sets it anew.
+// progress records a token and restarts the time limit. The timer itself is not
+// reset: if it fires early, fire resets it.
 func (w *watchdog) progress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,7 +76,7 @@
 	w.due = time.Now().Add(w.limit)
 }
 
-// stop ends the watch.
+// stop stops the watchdog.
 func (w *watchdog) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/entry/evidence/evidence.go
+++ b/entry/evidence/evidence.go
@@ -1,5 +1,5 @@
-// Package evidence gathers what live traffic shows of upstreams and peers, for
-// the agent beside the entry.
+// Package evidence collects what requests and peer calls show about the state
+// of upstreams and peers, for the agent beside the entry instance.
 package evidence
 
 import (
@@ -17,21 +17,21 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// key tells pieces of evidence apart; only the newest of each is kept.
+// key identifies an item of evidence. Only the newest item of each key is kept.
 type key struct {
 	kind     feed.EvidenceKind
 	upstream ident.UpstreamID
 	peer     ident.InstanceID
 }
 
-// item is a piece of evidence and its time.
+// item is the time and, for load evidence, the load of an item of evidence.
 type item struct {
 	at   time.Time
 	load *kernel.Load
 }
 
-// Log keeps the newest evidence of each kind until it is taken. It is safe for
-// concurrent use.
+// Log keeps the newest evidence of each kind until Take returns it. It is safe
+// for concurrent use.
 type Log struct {
 	mu    sync.Mutex
 	items map[key]item
@@ -46,7 +46,8 @@
 	l.items[k] = i
 }
 
-// Contact notes how an attempt at an upstream went; err is nil for success.
+// Contact records the result of an attempt at an upstream. err is nil if it
+// succeeded.
 func (l *Log) Contact(upstream ident.UpstreamID, err *adapter.CallError, now time.Time) {
 	kind, ok := classify(err)
 	if ok {
@@ -54,7 +55,9 @@
 	}
 }
 
-// classify says what a failure proves. An answer of any kind is a sign of life.
+// classify returns the kind of evidence that the result of an attempt gives,
+// and false if it gives none. A response of any status shows that the upstream
+// is alive.
 func classify(err *adapter.CallError) (feed.EvidenceKind, bool) {
 	switch {
 	case err == nil:
@@ -74,19 +77,19 @@
 	}
 }
 
-// isTimeout reports whether a network operation ran out of time.
+// isTimeout reports whether a network operation timed out.
 func isTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// isBroken reports whether the other side ended the connection.
+// isBroken reports whether the remote side closed or reset the connection.
 func isBroken(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Observed notes what an upstream said of itself.
+// Observed records what an upstream reported about its own state.
 func (l *Log) Observed(upstream ident.UpstreamID, o adapter.Observation, now time.Time) {
 	load := o.Load
 	l.add(key{kind: feed.EvidenceLoad, upstream: upstream}, item{at: now, load: &load})
@@ -95,8 +98,8 @@
 	}
 }
 
-// Peer notes that a peer could not be reached; refused says that it
-// refused connections rather than being silent.
+// Peer records that a peer could not be reached. refused means that it refused
+// the connection, otherwise it did not respond.
 func (l *Log) Peer(peer ident.InstanceID, refused bool, now time.Time) {
 	kind := feed.EvidenceTimeout
 	if refused {
@@ -105,7 +108,8 @@
 	l.add(key{kind: kind, peer: peer}, item{at: now})
 }
 
-// Take returns the evidence gathered since the last call, in a fixed order.
+// Take returns the evidence recorded since the last call, sorted by upstream,
+// peer and kind.
 func (l *Log) Take(now time.Time) []feed.Evidence {
 	l.mu.Lock()
 	items := l.items
--- a/entry/evidence/evidence_test.go
+++ b/entry/evidence/evidence_test.go
@@ -23,14 +23,14 @@
 		want feed.EvidenceKind
 	}{
 		{"success", nil, feed.EvidenceSucceeded},
-		{"an answer is a sign of life", &adapter.CallError{Code: kernel.FailureUpstream, Status: 500}, feed.EvidenceSucceeded},
+		{"a response with an error status shows liveness", &adapter.CallError{Code: kernel.FailureUpstream, Status: 500}, feed.EvidenceSucceeded},
 		{"draining", &adapter.CallError{Code: kernel.FailureDraining, Status: 503}, feed.EvidenceDraining},
 		{"refused", &adapter.CallError{Code: kernel.FailureConnect, Err: refused}, feed.EvidenceRefused},
 		{"timeout", &adapter.CallError{Code: kernel.FailureTimeout, Err: context.DeadlineExceeded}, feed.EvidenceTimeout},
 		{"reset", &adapter.CallError{Code: kernel.FailureBroken, Err: &net.OpError{Op: "read", Err: syscall.ECONNRESET}}, feed.EvidenceBroken},
 		{"stalled", &adapter.CallError{Code: kernel.FailureStalled, Err: context.Canceled}, feed.EvidenceBroken},
 		{"ended", &adapter.CallError{Code: kernel.FailureBroken, Err: io.ErrUnexpectedEOF}, feed.EvidenceBroken},
-		{"our own cancel proves nothing", &adapter.CallError{Code: kernel.FailureBroken, Err: context.Canceled}, ""},
+		{"local cancel gives no evidence", &adapter.CallError{Code: kernel.FailureBroken, Err: context.Canceled}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, now := New(), time.Now()
--- a/entry/front/answer.go
+++ b/entry/front/answer.go
@@ -9,7 +9,7 @@
 	"github.com/wardspool/wardspool/entry/driver"
 )
 
-// Values of OpenAI's "object" member.
+// Values of the "object" member in OpenAI's API.
 const (
 	objectCompletion = "text_completion"
 	objectChat       = "chat.completion"
@@ -19,7 +19,7 @@
 // roleAssistant is the role of a model's chat messages.
 const roleAssistant = "assistant"
 
-// identity is what all chunks of an answer have in common.
+// identity holds the members that all chunks of an answer share.
 type identity struct {
 	id       string
 	endpoint adapter.Endpoint
@@ -40,7 +40,7 @@
 	}
 }
 
-// completion is a whole answer in OpenAI's form.
+// completion is a complete answer in OpenAI's format.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -50,7 +50,7 @@
 	Usage   usage    `json:"usage"`
 }
 
-// choice is the only choice of a whole answer.
+// choice is the only choice of a complete answer.
 type choice struct {
 	Index        int      `json:"index"`
 	Text         *string  `json:"text,omitempty"`
@@ -58,13 +58,13 @@
 	FinishReason string   `json:"finish_reason"`
 }
 
-// message is the message of a whole chat answer.
+// message is the message of a complete chat answer.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// usage counts tokens.
+// usage is the token usage of an answer.
 type usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -72,13 +72,14 @@
 	Details          *usageDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// usageDetails counts prompt tokens that were reused.
+// usageDetails gives the number of prompt tokens taken from a cache.
 type usageDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// answerUsage returns the usage of the whole answer. An engine that resumed an
-// answer counts the part before its own as prompt, which is corrected here.
+// answerUsage returns the usage of the complete answer. An engine that resumed
+// an answer counts the earlier output as part of the prompt, which is corrected
+// here.
 func answerUsage(ex *driver.Exchange, d adapter.Decoded) usage {
 	u := usage{PromptTokens: ex.Request.PromptTokens}
 	var reported usage
@@ -91,7 +92,7 @@
 	return u
 }
 
-// wholeOutput collects an answer that is not streamed.
+// wholeOutput buffers an answer that is not streamed.
 type wholeOutput struct{ text strings.Builder }
 
 // Token implements driver.Output.
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// writeWhole answers a request that is not streamed.
+// writeWhole writes the answer to a request that is not streamed.
 func (f *Front) writeWhole(w http.ResponseWriter, ex *driver.Exchange, out *wholeOutput, res driver.Result) {
 	if res.Problem != nil {
 		f.writeProblem(w, ex.Request.ID, res)
--- a/entry/front/answer_test.go
+++ b/entry/front/answer_test.go
@@ -49,8 +49,9 @@
 	assert.Equal(t, resp.Header.Get(api.HeaderRequestID), "mine")
 }
 
-// TestLastTokenWaitsForTheEnd: a caller that has seen the finish_reason has
-// been given a whole answer, so that a failure after the last token shows none.
+// TestLastTokenWaitsForTheEnd: a caller that sees a finish_reason must have a
+// complete answer, so no finish_reason is sent if the request fails after the
+// last token.
 func TestLastTokenWaitsForTheEnd(t *testing.T) {
 	r := newRig(t, nil)
 	r.submit.run = func(ctx context.Context, ex *driver.Exchange) driver.Result {
@@ -97,15 +98,15 @@
 }
 
 // TestUsageOfResumedAnswer: the engine that resumed the answer at token 30
-// counted those 30 tokens as prompt.
+// counted those 30 tokens as part of the prompt.
 func TestUsageOfResumedAnswer(t *testing.T) {
 	ex := &driver.Exchange{Request: &kernel.Request{PromptTokens: 100}}
 	got := answerUsage(ex, adapter.Decoded{Tokens: 40, Usage: json.RawMessage(`{"prompt_tokens":130,"completion_tokens":10,"total_tokens":140}`)})
 	assert.DeepEqual(t, got, usage{PromptTokens: 100, CompletionTokens: 40, TotalTokens: 140})
 }
 
-// TestKeptAliveConnectionOutlivesWriteTimeout: the time limit of one answer must
-// not hit the next one on the same connection.
+// TestKeptAliveConnectionOutlivesWriteTimeout: the write deadline of one answer
+// must not apply to the next answer on the same connection.
 func TestKeptAliveConnectionOutlivesWriteTimeout(t *testing.T) {
 	r := newRig(t, func(o *Options) {
 		o.Limits.WriteTimeout = 30 * time.Millisecond
--- a/entry/front/body.go
+++ b/entry/front/body.go
@@ -10,11 +10,13 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// readStep is how much of a body of unknown length is reserved at a time.
+// readStep is the amount of memory reserved at a time for a body of unknown
+// length.
 const readStep = 64 << 10
 
-// readBody reads a whole body within the limits on its size, its time (set by
-// common) and the memory of all bodies. release gives the memory back.
+// readBody reads a complete body. It enforces the limits on the size of the
+// body and on the memory of all bodies; the read deadline was set by common.
+// release returns the reserved memory.
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request) (body []byte, release func(), problem *api.Problem) {
 	limit := f.opts.Limits.BodyBytes
 	if r.ContentLength > limit {
@@ -25,13 +27,15 @@
 		f.memory.give(taken)
 		return nil, nil, problem
 	}
-	// From here on the server watches the connection for the caller's leaving,
-	// which takes as long as the request. Writers of tests have no deadlines.
+	// From here on the server reads the connection only to detect that the
+	// caller closed it, for as long as the request takes. The error is ignored
+	// because response writers in tests support no deadlines.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return body, func() { f.memory.give(taken) }, nil
 }
 
-// readWithin reads to the end and returns how much memory it took.
+// readWithin reads r to its end and returns the amount of memory that it
+// reserved.
 func (f *Front) readWithin(r io.Reader, length int64) (body []byte, taken int64, problem *api.Problem) {
 	step := length
 	if length < 0 {
@@ -42,7 +46,7 @@
 			return nil, taken, overloaded("the requests in flight take all memory for bodies")
 		}
 		taken += step
-		// One byte more than expected lets the end show without growing.
+		// One extra byte allows EOF to be seen without growing the buffer.
 		grown := make([]byte, len(body), taken+1)
 		copy(grown, body)
 		var err error
@@ -58,7 +62,8 @@
 	}
 }
 
-// fill reads until b is full, which is no error, or until r ends.
+// fill reads until b is filled to its capacity, which is not an error, or until
+// r fails or ends.
 func fill(b []byte, r io.Reader) ([]byte, error) {
 	for len(b) < cap(b) {
 		n, err := r.Read(b[len(b):cap(b)])
@@ -74,7 +79,7 @@
 	return api.NewProblem(api.ProblemTooLarge, api.NotRun, "the body is larger than this instance takes")
 }
 
-// bodyProblem names what went wrong while a body was read.
+// bodyProblem returns the problem for an error from reading a body.
 func bodyProblem(err error) *api.Problem {
 	var large *http.MaxBytesError
 	switch {
--- a/entry/front/call.go
+++ b/entry/front/call.go
@@ -14,26 +14,26 @@
 	"github.com/wardspool/wardspool/ticket"
 )
 
-// target is what a path asks for.
+// target is the model endpoint or the service that a path addresses.
 type target struct {
-	// endpoint is set for models.
+	// endpoint is set for model requests.
 	endpoint adapter.Endpoint
-	// service and rest, the path at the service with its query, are set for
-	// plain services.
+	// service and rest are set for plain services. rest is the path at the
+	// service, including the query.
 	service string
 	rest    string
 }
 
-// Paths of the requests that reach upstreams.
+// Paths of requests that are sent to upstreams.
 const (
 	pathCompletions = "/v1/completions"
 	pathChat        = "/v1/chat/completions"
-	// servicePrefix comes before a service's name and path.
+	// servicePrefix precedes the service's name and path.
 	servicePrefix = "/services/"
 )
 
-// parseTarget reads an escaped path with its query. It reports false for paths
-// that reach no upstream.
+// parseTarget parses an escaped path with its query. It returns false for paths
+// that no upstream serves.
 func parseTarget(path string) (target, bool) {
 	plain, _, _ := strings.Cut(path, "?")
 	switch plain {
@@ -53,7 +53,7 @@
 	return target{service: after[:slash], rest: after[slash:]}, true
 }
 
-// route returns the bundle's route for the target.
+// route returns the configured route of the target.
 func (t target) route() config.Route {
 	if t.service != "" {
 		return config.RouteService
@@ -61,7 +61,7 @@
 	return config.RouteModel
 }
 
-// call is a caller's request, read and with checked headers.
+// call is a caller's request with parsed headers.
 type call struct {
 	at      time.Time
 	method  string
@@ -70,14 +70,16 @@
 	headers intake.Headers
 	header  http.Header
 	body    []byte
-	// unread is true while the body, if there is one, was not read to its end.
+	// unread is set until the body, if any, was read to its end.
 	unread bool
-	// ticketed is true for a call that runs by its ticket.
+	// ticketed is set for a call that its ticket's executor runs or has decided
+	// on.
 	ticketed bool
 	catalog  *intake.Catalog
 }
 
-// arrive checks whether a request can be taken at all, and its headers.
+// arrive reads a request's headers and checks whether this instance can accept
+// the request.
 func (f *Front) arrive(r *http.Request) (*call, *api.Problem) {
 	c := &call{
 		at:      time.Now(),
@@ -105,14 +107,14 @@
 }
 
 // fail answers a call with a problem found at this instance. A call that
-// carries a ticket may have run elsewhere, which only its executor knows.
+// carries a ticket may have run at another instance; only its executor knows.
 func (f *Front) fail(w http.ResponseWriter, c *call, p *api.Problem) {
 	if c.header.Get(api.HeaderTicket) != "" && !c.ticketed {
 		p = ticket.RefusedElsewhere(p)
 	}
 	if c.unread {
-		// Else the server would read on, as slowly as the caller sends, before it
-		// answers.
+		// Otherwise the server would read the rest of the body, as slowly as
+		// the caller sends it, before it answers.
 		w.Header().Set("Connection", "close")
 	}
 	p.RequestID = string(c.headers.RequestID)
@@ -122,7 +124,7 @@
 	f.write(w, p)
 }
 
-// serve answers all requests that reach upstreams.
+// serve handles all requests that are sent to upstreams.
 func (f *Front) serve(w http.ResponseWriter, r *http.Request) {
 	c, problem := f.arrive(r)
 	if problem != nil {
@@ -149,7 +151,7 @@
 	f.choose(r.Context(), w, c)
 }
 
-// choose decides how a call is kept from running twice.
+// choose selects how a call is protected against running twice, and runs it.
 func (f *Front) choose(ctx context.Context, w http.ResponseWriter, c *call) {
 	repeatable, problem := c.catalog.Repeatable(c.headers, c.target.route())
 	if problem != nil {
@@ -182,5 +184,5 @@
 	f.dispatchModel(ctx, w, c)
 }
 
-// validService reports whether a path names a service at all.
+// validService reports whether the path contains a valid service name.
 func (t target) validService() bool { return ident.ValidName(t.service) }
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -26,7 +26,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// submitter stands for the driver.
+// submitter is a fake Submitter in place of the driver.
 type submitter struct {
 	mu    sync.Mutex
 	calls int
@@ -40,7 +40,7 @@
 	return s.run(ctx, ex)
 }
 
-// rig is a front on a listener.
+// rig is a Front that listens on a local port, with a fake submitter.
 type rig struct {
 	front   *Front
 	submit  *submitter
@@ -48,7 +48,7 @@
 	unready Unready
 }
 
-// newRig starts a front; change adapts its options.
+// newRig starts a rig. change modifies its options.
 func newRig(t *testing.T, change func(*Options)) *rig {
 	t.Helper()
 	r := &rig{submit: &submitter{}}
@@ -83,13 +83,13 @@
 		http.DefaultClient.CloseIdleConnections()
 		_ = srv.Close()
 		<-done
-		assert.Equal(t, r.front.memory.used.Load(), int64(0), "memory is given back")
+		assert.Equal(t, r.front.memory.used.Load(), int64(0), "reserved memory must be released")
 		assert.Equal(t, r.front.requests.used.Load(), int64(0))
 	})
 	return r
 }
 
-// whole answers with two tokens, or with a service's answer.
+// whole answers with two tokens, or with a service's response.
 func whole(_ context.Context, ex *driver.Exchange) driver.Result {
 	r := driver.Result{Outcome: api.Complete, BundleVersion: 4}
 	if ex.Service != nil {
@@ -109,13 +109,14 @@
 	return r
 }
 
-// failed is the result of a request that may have run.
+// failed is the result of a request that failed with an unknown outcome.
 func failed() driver.Result {
 	p := api.NewProblem(api.ProblemUpstreamFailed, api.Unknown, "it broke").RetryAfter(1500 * time.Millisecond)
 	return driver.Result{Outcome: api.Unknown, Problem: p, BundleVersion: 4}
 }
 
-// raw sends text and returns the response.
+// raw sends the text of a request over a new connection and returns the
+// response.
 func (r *rig) raw(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.address)
@@ -138,7 +139,8 @@
 
 const good = `{"model":"m","prompt":"a b","stream":%t}`
 
-// wantProblem checks that a response is a problem of a type, with all headers.
+// wantProblem checks that a response is a problem document of a type, with all
+// headers.
 func wantProblem(t *testing.T, resp *http.Response, body string, want api.ProblemType, outcome api.Outcome) {
 	t.Helper()
 	assert.Equal(t, resp.Header.Get("Content-Type"), api.ProblemContentType, body)
@@ -187,12 +189,13 @@
 			resp, body := r.raw(t, c.text)
 			assert.Equal(t, resp.StatusCode, c.status, body)
 			wantProblem(t, resp, body, c.want, api.NotRun)
-			assert.Equal(t, r.submit.calls, 0, "nothing may go further")
+			assert.Equal(t, r.submit.calls, 0, "an invalid request must not be submitted")
 		})
 	}
 }
 
-// TestBadHeads covers what net/http itself refuses, in plain text.
+// TestBadHeads covers malformed request headers that net/http itself rejects
+// with a plain-text response.
 func TestBadHeads(t *testing.T) {
 	r := newRig(t, func(o *Options) { o.Limits.HeaderBytes = 1000 })
 	for name, c := range map[string]struct {
@@ -218,7 +221,7 @@
 	_, err = io.WriteString(c, "POST /v1/completions HTTP/1.1\r\nHost:")
 	assert.NilError(t, err)
 	_, err = io.ReadAll(c)
-	assert.NilError(t, err, "the connection is closed")
+	assert.NilError(t, err, "the server must close the connection")
 }
 
 func TestMemoryOfBodiesIsBounded(t *testing.T) {
--- a/entry/front/model.go
+++ b/entry/front/model.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// dispatchModel runs a request to a model and writes its answer.
+// dispatchModel runs a model request and writes its answer.
 func (f *Front) dispatchModel(ctx context.Context, w http.ResponseWriter, c *call) {
 	body, problem := intake.ReadModelBody(c.target.endpoint, c.body)
 	if problem == nil && c.ticketed && body.Stream {
@@ -26,7 +26,8 @@
 		f.fail(w, c, problem)
 		return
 	}
-	// What goes on is held by the exchange; the text was counted.
+	// The exchange holds what is needed from here on, and the prompt's tokens
+	// were counted: the memory of the body can be freed.
 	c.body, body.Prompt = nil, ""
 	ex := &driver.Exchange{Request: req, Model: model}
 	if body.Stream {
@@ -40,14 +41,15 @@
 	f.writeWhole(w, ex, out, f.opts.Submit.Submit(ctx, ex))
 }
 
-// writeResult sets the headers that describe how a request ended.
+// writeResult sets the headers that describe the result of a request.
 func writeResult(h http.Header, id ident.RequestID, res driver.Result) {
 	h.Set(api.HeaderRequestID, string(id))
 	h.Set(api.HeaderOutcome, string(res.Outcome))
 	h.Set(api.HeaderBundleVersion, strconv.FormatUint(res.BundleVersion, 10))
 }
 
-// writeProblem answers with the problem of a request that the kernel gave up.
+// writeProblem writes the problem of a request that failed after it was
+// submitted.
 func (f *Front) writeProblem(w http.ResponseWriter, id ident.RequestID, res driver.Result) {
 	p := *res.Problem
 	p.RequestID = string(id)
--- a/entry/front/operate.go
+++ b/entry/front/operate.go
@@ -8,13 +8,13 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// modelList is OpenAI's list of models.
+// modelList is the list of models in OpenAI's format.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
 }
 
-// modelEntry is one model of the list.
+// modelEntry is a model in a modelList.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -22,7 +22,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the models that the bundle in force declares.
+// models lists the models of the bundle in force.
 func (f *Front) models(w http.ResponseWriter, r *http.Request) {
 	c, problem := f.arrive(r)
 	if problem != nil {
@@ -43,10 +43,11 @@
 	}
 }
 
-// healthz says that the process runs.
+// healthz reports that the process runs.
 func (f *Front) healthz(w http.ResponseWriter, _ *http.Request) { f.plain(w, http.StatusOK, "ok\n") }
 
-// readyz says whether the platform's balancer should send requests here.
+// readyz reports whether the platform's load balancer should send requests to
+// this instance.
 func (f *Front) readyz(w http.ResponseWriter, _ *http.Request) {
 	if why := f.opts.Ready(); why != IsReady {
 		f.plain(w, http.StatusServiceUnavailable, string(why)+"\n")
@@ -55,7 +56,7 @@
 	f.plain(w, http.StatusOK, "ready\n")
 }
 
-// plain answers with a line of text.
+// plain writes a plain-text response.
 func (f *Front) plain(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	f.extendWrite(w)
--- a/entry/front/options.go
+++ b/entry/front/options.go
@@ -1,6 +1,6 @@
-// Package front is an entry instance's HTTP interface to callers: the
-// OpenAI-compatible routes, plain services, tickets, health and metrics.
-// docs/callers.md describes it.
+// Package front implements the HTTP API of an entry instance for callers:
+// OpenAI-compatible endpoints, plain services, tickets, health checks and
+// metrics. docs/callers.md describes it.
 package front
 
 import (
@@ -14,35 +14,36 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Submitter decides on requests and carries them out. *driver.Driver
-// implements it.
+// Submitter runs requests and returns their results. *driver.Driver implements
+// it.
 type Submitter interface {
 	Submit(ctx context.Context, ex *driver.Exchange) driver.Result
 }
 
-// Limits bound what callers can cost.
+// Limits bounds the resources that callers can use.
 type Limits struct {
-	// BodyBytes is the largest request body.
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64
-	// MemoryBytes bounds the bodies of all requests in flight.
+	// MemoryBytes is the maximum total size of the bodies of all requests in
+	// flight.
 	MemoryBytes int64
-	// Requests bounds the requests in flight.
+	// Requests is the maximum number of requests in flight.
 	Requests int64
-	// HeaderBytes is the largest request header.
+	// HeaderBytes is the maximum size of a request header.
 	HeaderBytes int
-	// HeaderTimeout bounds the arrival of a request's header, BodyTimeout that
-	// of its body.
+	// HeaderTimeout is the time limit for receiving a request's header,
+	// BodyTimeout that for its body.
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
-	// WriteTimeout bounds each write to a caller.
+	// WriteTimeout is the time limit for each write to a caller.
 	WriteTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept.
+	// IdleTimeout is how long an idle connection is kept open.
 	IdleTimeout time.Duration
-	// ResponseBytes is the largest answer of a plain service.
+	// ResponseBytes is the maximum size of a plain service's response.
 	ResponseBytes int64
 }
 
-// DefaultLimits returns the limits used where the settings say nothing.
+// DefaultLimits returns the limits that apply unless the settings change them.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:     8 << 20,
@@ -62,33 +63,36 @@
 	Instance ident.InstanceID
 	Limits   Limits
 	Submit   Submitter
-	// Catalog returns the bundle in force, nil if there is none.
+	// Catalog returns the catalog of the bundle in force, or nil if there is
+	// none.
 	Catalog func() *intake.Catalog
-	// Ready returns why the instance should get no new requests, IsReady if it
-	// should.
+	// Ready returns the reason why the instance should get no new requests, or
+	// IsReady if there is none.
 	Ready func() Unready
-	// Metrics answers GET /metrics.
+	// Metrics handles GET /metrics.
 	Metrics http.Handler
-	// Tickets runs calls that carry a ticket; nil if none are configured.
+	// Tickets runs calls that carry a ticket. It is nil if no ticket keys are
+	// configured.
 	Tickets Tickets
 	Log     *slog.Logger
 }
 
-// Unready says why an instance takes no new requests.
+// Unready is the reason why an instance should get no new requests.
 type Unready string
 
-// The reasons for not being ready.
+// Values of Unready.
 const (
-	// IsReady: the instance takes requests.
+	// IsReady means that the instance accepts requests.
 	IsReady Unready = ""
-	// NoBundle: no bundle is in force yet.
+	// NoBundle means that no bundle is in force yet.
 	NoBundle Unready = "no bundle is in force on this instance yet"
-	// NoAgent: the agent does not know the lowest bundle version that may be in
-	// force yet.
+	// NoAgent means that the agent does not yet know the lowest bundle version
+	// that may be in force.
 	NoAgent Unready = "the agent beside this instance is not ready"
-	// Leaving: the instance is about to shut down. It still takes requests, so
-	// that none is lost before the platform's balancer has noticed.
+	// Leaving means that the instance is about to shut down. It still accepts
+	// requests, so that none is lost before the platform's load balancer has
+	// noticed.
 	Leaving Unready = "this instance is about to shut down"
-	// Stopping: the instance is shutting down.
+	// Stopping means that the instance is shutting down.
 	Stopping Unready = "this instance is shutting down"
 )
--- a/entry/front/problem.go
+++ b/entry/front/problem.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// retryOverloaded is when to come back after a limit of this instance was
-	// reached: others may have room.
+	// retryOverloaded is the retry delay after a limit of this instance was
+	// reached. It is short because other instances may have capacity.
 	retryOverloaded = time.Second
-	// retryNotReady is when to come back to an instance that is starting.
+	// retryNotReady is the retry delay for an instance that is starting.
 	retryNotReady = 2 * time.Second
 )
 
-// newRequestID names a request whose caller did not.
+// newRequestID returns an ID for a request whose caller set none.
 func newRequestID() ident.RequestID {
 	return ident.RequestID(ulid.MustNew(ulid.Now(), rand.Reader).String())
 }
 
-// write sends a problem as the whole answer.
+// write sends a problem document as the response.
 func (f *Front) write(w http.ResponseWriter, p *api.Problem) {
 	f.extendWrite(w)
 	if err := p.WithOpenAI().Write(w); err != nil {
@@ -32,14 +32,15 @@
 	}
 }
 
-// extendWrite gives the next write to the caller its time.
+// extendWrite sets the deadline of the next write to the caller.
 func (f *Front) extendWrite(w http.ResponseWriter) {
-	// Writers of tests have no deadlines.
+	// The error is ignored because response writers in tests support no
+	// deadlines.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.opts.Limits.WriteTimeout))
 }
 
-// unready returns the problem of an instance that takes no new requests, nil
-// if it does.
+// unready returns the problem of an instance that accepts no new requests, or
+// nil if it accepts them.
 func (f *Front) unready() *api.Problem {
 	switch why := f.opts.Ready(); why {
 	case IsReady, Leaving:
@@ -51,7 +52,7 @@
 	}
 }
 
-// overloaded returns the problem of a limit that is reached.
+// overloaded returns the problem for a limit that was reached.
 func overloaded(detail string) *api.Problem {
 	return api.NewProblem(api.ProblemOverloaded, api.NotRun, detail).RetryAfter(retryOverloaded)
 }
--- a/entry/front/server.go
+++ b/entry/front/server.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// Front is the HTTP interface.
+// Front is the HTTP API of an entry instance.
 type Front struct {
 	opts     Options
 	memory   *budget
@@ -19,7 +19,7 @@
 	closing  atomic.Bool
 }
 
-// New returns a front.
+// New returns a Front with the given options.
 func New(o Options) *Front {
 	return &Front{
 		opts:     o,
@@ -28,11 +28,11 @@
 	}
 }
 
-// Close makes connections close after their present request, so that callers
-// reconnect elsewhere.
+// Close makes each connection close after its current request, so that callers
+// reconnect to other instances.
 func (f *Front) Close() { f.closing.Store(true) }
 
-// Server returns an HTTP server for the front; the caller gives it a listener.
+// Server returns an HTTP server for f. The caller provides the listener.
 func (f *Front) Server() *http.Server {
 	l := f.opts.Limits
 	return &http.Server{
@@ -44,7 +44,7 @@
 	}
 }
 
-// Handler returns the routes.
+// Handler returns the handler of all routes.
 func (f *Front) Handler() http.Handler {
 	r := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	r.HandleFunc(pathCompletions, f.serve).Methods(http.MethodPost)
@@ -60,24 +60,26 @@
 	return f.common(r)
 }
 
-// common sets the headers of all answers.
+// common sets the headers and time limits that all responses share.
 func (f *Front) common(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(api.HeaderInstance, string(f.opts.Instance))
 		if f.closing.Load() {
 			w.Header().Set("Connection", "close")
 		}
-		// For answers, as those of the metrics, that set no limit of their own.
+		// The write deadline for handlers that set none of their own, such as
+		// metrics.
 		f.extendWrite(w)
 		if r.ContentLength != 0 {
-			// Writers of tests have no deadlines.
+			// The error is ignored because response writers in tests support no
+			// deadlines.
 			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(f.opts.Limits.BodyTimeout))
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// refuseAll answers requests that no route takes.
+// refuseAll returns a handler for requests that match no route.
 func (f *Front) refuseAll(status int, detail string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c, _ := f.arrive(r)
@@ -85,7 +87,7 @@
 	})
 }
 
-// noRoute returns the problem of a path that leads nowhere.
+// noRoute returns the problem for a request that matches no route.
 func noRoute(status int, detail string) *api.Problem {
 	p := api.NewProblem(api.ProblemMalformed, api.NotRun, detail)
 	p.Status = status
@@ -93,7 +95,7 @@
 	return p
 }
 
-// budget is an amount that requests in flight share.
+// budget is a limited amount of a resource that the requests in flight share.
 type budget struct {
 	limit int64
 	used  atomic.Int64
@@ -101,7 +103,7 @@
 
 func newBudget(limit int64) *budget { return &budget{limit: limit} }
 
-// take reserves n and reports whether that much was left.
+// take reserves n and reports whether that much was available.
 func (b *budget) take(n int64) bool {
 	if b.used.Add(n) <= b.limit {
 		return true
@@ -110,5 +112,5 @@
 	return false
 }
 
-// give returns n.
+// give releases n.
 func (b *budget) give(n int64) { b.used.Add(-n) }
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -9,7 +9,7 @@
 	"github.com/wardspool/wardspool/entry/driver"
 )
 
-// dispatchService runs a call of a plain service and writes its answer.
+// dispatchService runs a call to a plain service and writes its answer.
 func (f *Front) dispatchService(ctx context.Context, w http.ResponseWriter, c *call) {
 	if !c.target.validService() {
 		f.fail(w, c, api.NewProblem(api.ProblemUnknownService, api.NotRun, "the path does not name a service"))
@@ -24,7 +24,7 @@
 	f.writeService(w, ex, f.opts.Submit.Submit(ctx, ex))
 }
 
-// serviceCall returns what is the same for all attempts of a call.
+// serviceCall returns the parameters that all attempts of a call share.
 func (f *Front) serviceCall(c *call) *adapter.ServiceCall {
 	header := c.header.Clone()
 	header.Del(api.HeaderTicket)
@@ -42,7 +42,7 @@
 	}
 }
 
-// writeService answers a call with the service's own answer.
+// writeService writes the service's response as the answer.
 func (f *Front) writeService(w http.ResponseWriter, ex *driver.Exchange, res driver.Result) {
 	if res.Problem != nil {
 		f.writeProblem(w, ex.Request.ID, res)
--- a/entry/front/stream.go
+++ b/entry/front/stream.go
@@ -12,20 +12,20 @@
 )
 
 // streamOutput writes an answer as server-sent events. The last token is held
-// back until the kernel has ended the request, so that a caller that has seen a
-// finish_reason has a whole answer.
+// back until the kernel has ended the request, so that a caller that sees a
+// finish_reason has a complete answer.
 type streamOutput struct {
 	front *Front
 	w     http.ResponseWriter
 	rc    *http.ResponseController
 	ex    *driver.Exchange
 
-	// head is the event up to the chunk's choices.
+	// head is the part of each event before the value of "choices".
 	head  []byte
 	buf   []byte
 	begun bool
 	last  string
-	// extended is when the time limit for writes was last set.
+	// extended is when the write deadline was last set.
 	extended time.Time
 }
 
@@ -39,7 +39,7 @@
 	}
 }
 
-// chunkHead returns the part that all events share.
+// chunkHead returns the part of each event before the value of "choices".
 func (id identity) chunkHead() []byte {
 	object := objectCompletion
 	if id.endpoint == adapter.Chat {
@@ -66,7 +66,7 @@
 	return o.flush()
 }
 
-// begin sends the head of the response.
+// begin writes the response header, unless that was done before.
 func (o *streamOutput) begin() {
 	if o.begun {
 		return
@@ -83,7 +83,7 @@
 	o.w.WriteHeader(http.StatusOK)
 }
 
-// addChunk adds an event to the buffer.
+// addChunk appends a chunk event to the buffer.
 func (o *streamOutput) addChunk(choices string, usage []byte) {
 	o.buf = append(o.buf, o.head...)
 	o.buf = append(o.buf, choices...)
@@ -94,7 +94,7 @@
 	o.buf = append(o.buf, "}\n\n"...)
 }
 
-// flush sends the buffer to the caller.
+// flush writes the buffer to the caller.
 func (o *streamOutput) flush() error {
 	o.extend(time.Now())
 	_, err := o.w.Write(o.buf)
@@ -105,22 +105,23 @@
 	return o.rc.Flush()
 }
 
-// extendEvery is how many times the limit for writes is set anew while it runs.
-// Setting it for each token would cost more than the token's formatting.
+// extendEvery is how many times the write deadline is renewed within its time
+// limit. Setting it for each token would cost more than formatting the token.
 const extendEvery = 4
 
-// extend gives the next write its time.
+// extend renews the write deadline if it is due.
 func (o *streamOutput) extend(now time.Time) {
 	limit := o.front.opts.Limits.WriteTimeout
 	if now.Sub(o.extended) < limit/extendEvery {
 		return
 	}
 	o.extended = now
-	// Writers of tests have no deadlines.
+	// The error is ignored because response writers in tests support no
+	// deadlines.
 	_ = o.rc.SetWriteDeadline(now.Add(limit))
 }
 
-// finish ends the stream as the request ended.
+// finish ends the stream with the result of the request.
 func (o *streamOutput) finish(res driver.Result, usage bool) {
 	if res.Problem != nil && !o.begun {
 		o.front.writeProblem(o.w, o.ex.Request.ID, res)
@@ -138,9 +139,9 @@
 	}
 }
 
-// addEnd adds the last token, the usage if asked for, and the end mark. The
-// outcome is a comment on the end mark's event: a comment that stands alone is
-// an empty event to some client libraries.
+// addEnd appends the last token, the usage if requested, and the end-of-stream
+// marker. The outcome is an SSE comment within the marker's event, because some
+// client libraries treat a comment on its own as an empty event.
 func (o *streamOutput) addEnd(res driver.Result, usage bool) {
 	o.addChunk(o.last, nil)
 	if usage {
@@ -150,7 +151,8 @@
 	o.buf = append(o.buf, ": "+api.HeaderOutcome+": "+string(res.Outcome)+"\ndata: [DONE]\n\n"...)
 }
 
-// addProblem adds the event of a stream that failed. No end mark follows.
+// addProblem appends the error event of a stream that failed. No end-of-stream
+// marker follows.
 func (o *streamOutput) addProblem(res driver.Result) {
 	p := *res.Problem
 	p.RequestID = string(o.ex.Request.ID)
--- a/entry/front/ticket.go
+++ b/entry/front/ticket.go
@@ -14,30 +14,30 @@
 	"github.com/wardspool/wardspool/ticket"
 )
 
-// Tickets issues tickets and has calls run that carry one. *tickets.Desk
+// Tickets issues tickets and runs calls that carry one. *tickets.Desk
 // implements it.
 type Tickets interface {
 	Issue(w ident.Workspace) (text string, expires time.Time, problem *api.Problem)
 	Execute(ctx context.Context, c *tickets.Call) tickets.Reply
 }
 
-// ticketAnswer is the answer to POST /v1/tickets.
+// ticketAnswer is the response to POST /v1/tickets.
 type ticketAnswer struct {
 	Ticket string `json:"ticket"`
-	// ExpiresAt is the end of the ticket's life on the instance's clock.
+	// ExpiresAt is the ticket's expiry time by the instance's clock.
 	ExpiresAt time.Time `json:"expires_at"`
 }
 
-// maxTicketBytes bounds the body of a call with a ticket, and that of its
-// answer, so that either fits a frame between instances.
+// maxTicketBytes is the maximum size of the body of a call with a ticket, and
+// of its answer, so that each fits into one frame between instances.
 const maxTicketBytes = 512 << 10
 
-// noTickets is the answer of an instance without ticket keys.
+// noTickets returns the problem of an instance without ticket keys.
 func noTickets() *api.Problem {
 	return api.NewProblem(api.ProblemNotReady, api.NotRun, "tickets are not configured on this instance")
 }
 
-// issueTicket answers POST /v1/tickets.
+// issueTicket handles POST /v1/tickets.
 func (f *Front) issueTicket(w http.ResponseWriter, r *http.Request) {
 	c, problem := f.arrive(r)
 	if problem != nil {
@@ -73,7 +73,8 @@
 	return f.opts.Tickets.Issue(c.headers.Workspace)
 }
 
-// requireTicket refuses a call that needs a ticket, and offers one.
+// requireTicket refuses a call that needs a ticket, and returns a new ticket
+// with the problem.
 func (f *Front) requireTicket(w http.ResponseWriter, c *call) {
 	text, _, problem := f.issue(c)
 	if problem != nil {
@@ -116,7 +117,7 @@
 		reply.Problem = ticket.UnreachableProblem()
 	}
 	if reply.Problem != nil {
-		// The executor has spoken: its outcome stands.
+		// The problem comes from the executor, so its outcome is kept.
 		c.ticketed = true
 		f.fail(w, c, reply.Problem)
 		return
@@ -124,7 +125,7 @@
 	f.writeTicketResult(w, c, reply.Result)
 }
 
-// writeTicketResult writes the final answer that an executor keeps.
+// writeTicketResult writes the final answer that the executor returned.
 func (f *Front) writeTicketResult(w http.ResponseWriter, c *call, r *ticket.Result) {
 	h := w.Header()
 	h.Set(api.HeaderOutcome, string(r.Outcome))
@@ -142,7 +143,7 @@
 	}
 }
 
-// RunTicket runs a call whose ticket this instance has just used. It is the
+// RunTicket runs a call whose ticket this instance has just consumed. It is the
 // tickets.Runner of the instance.
 func (f *Front) RunTicket(ctx context.Context, t *tickets.Call) ticket.Result {
 	w := &captureWriter{header: http.Header{}}
@@ -161,8 +162,8 @@
 	c.headers.Repeatable = &no
 	c.headers.Deadline = time.Duration(t.DeadlineMS) * time.Millisecond
 	c.headers.IdempotencyKey = t.IdempotencyKey
-	// The caller's own ID may be in use here by another presentation. The
-	// journal leads from it to this one.
+	// The caller's request ID may be in use here by another presentation. The
+	// journal maps it to this one.
 	c.headers.RequestID = t.Run
 	var ok bool
 	if c.target, ok = parseTarget(t.Path); !ok || c.catalog == nil {
@@ -173,7 +174,7 @@
 	return w.result()
 }
 
-// captureWriter keeps an answer in memory.
+// captureWriter is a ResponseWriter that keeps the response in memory.
 type captureWriter struct {
 	header http.Header
 	status int
@@ -196,9 +197,9 @@
 	return w.body.Write(p)
 }
 
-// result returns what was written.
+// result returns the captured response.
 func (w *captureWriter) result() ticket.Result {
-	// Absent where no bundle was in force; 0 then.
+	// The header is missing if no bundle was in force; the version is then 0.
 	version, _ := strconv.ParseUint(w.header.Get(api.HeaderBundleVersion), 10, 64)
 	return ticket.Result{
 		Outcome:       api.Outcome(w.header.Get(api.HeaderOutcome)),
--- a/entry/front/ticket_test.go
+++ b/entry/front/ticket_test.go
@@ -13,7 +13,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// desk issues one ticket again and again and runs nothing.
+// desk is a fake Tickets that always issues the same ticket and runs no calls.
 type desk struct{ Tickets }
 
 const freshTicket = "1.k1.e-1.fresh"
@@ -22,9 +22,9 @@
 	return freshTicket, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), nil
 }
 
-// TestKindThatRequiresATicket: a call that must not run twice and whose kind
-// requires a ticket is not run without one, whoever sent or repeated it, and is
-// offered one.
+// TestKindThatRequiresATicket: a call that is not repeatable and whose kind
+// requires a ticket is not run without one, no matter who sent or repeated it,
+// and is offered one.
 func TestKindThatRequiresATicket(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -33,7 +33,7 @@
 	}{
 		{"no ticket", []string{"Wardspool-Kind: place"}, 0},
 		{"default kind", nil, 0},
-		{"the caller says repeatable", []string{"Wardspool-Kind: place", "Wardspool-Repeatable: yes"}, 1},
+		{"marked repeatable by the caller", []string{"Wardspool-Kind: place", "Wardspool-Repeatable: yes"}, 1},
 		{"another kind", []string{"Wardspool-Kind: free"}, 1},
 	}
 	for _, tt := range tests {
--- a/entry/journal/journal.go
+++ b/entry/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal keeps the latest decision records of an entry instance in
-// memory, and which calls came with tickets, for `wardspoolctl explain`.
+// Package journal keeps the latest decision records of an entry instance and
+// the latest presentations of tickets in memory, for `wardspoolctl explain`.
 package journal
 
 import (
@@ -10,22 +10,23 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// DefaultSize is how many records a journal keeps unless told otherwise.
+// DefaultSize is the number of records that a journal keeps by default.
 const DefaultSize = 10_000
 
-// recordsPerPresentation is how many records are kept for one presentation: a
-// call that runs by its ticket leaves about that many at least.
+// recordsPerPresentation is the number of records kept per kept presentation: a
+// call that runs by its ticket adds at least about that many records.
 const recordsPerPresentation = 2
 
-// Journal is a ring of decision records and one of presentations. It is safe
-// for concurrent use.
+// Journal holds a ring buffer of decision records and one of presentations. It
+// is safe for concurrent use.
 type Journal struct {
 	mu            sync.Mutex
 	records       ring[kernel.Record]
 	presentations ring[Presentation]
 }
 
-// New returns a journal that keeps size records, DefaultSize if size is 0.
+// New returns a journal that keeps size records, or DefaultSize records if size
+// is not positive.
 func New(size int) *Journal {
 	if size <= 0 {
 		size = DefaultSize
@@ -36,15 +37,16 @@
 	}
 }
 
-// Add keeps a record and drops the oldest one if there are too many.
+// Add adds a record and discards the oldest one if the journal is full.
 func (j *Journal) Add(r kernel.Record) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.records.add(r)
 }
 
-// Find returns the records of a request, oldest first. Those of a call that ran
-// by a ticket are found by each caller's ID that presented the ticket here.
+// Find returns the records of a request, oldest first. The records of a call
+// that ran by a ticket are found by the ID of each request that presented the
+// ticket at this instance.
 func (j *Journal) Find(id ident.RequestID) []kernel.Record {
 	ids := []ident.RequestID{id}
 	for _, p := range j.Presentations(id) {
--- a/entry/journal/journal_test.go
+++ b/entry/journal/journal_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestPresentations: the records of a run are found by the ID of each request
-// that presented the ticket, and the requests by the run's ID.
+// that presented the ticket, and the presentations by the run's ID.
 func TestPresentations(t *testing.T) {
 	j := New(8)
 	j.Add(kernel.Record{Request: "run-1"})
@@ -41,6 +41,6 @@
 	for range 4 {
 		j.Present(Presentation{Request: "later", Run: "run-2"})
 	}
-	assert.Equal(t, len(j.Presentations("mine")), 0, "the oldest go first")
+	assert.Equal(t, len(j.Presentations("mine")), 0, "the oldest presentations are discarded first")
 	assert.Equal(t, len(j.Find("mine")), 0)
 }
--- a/entry/journal/presentation.go
+++ b/entry/journal/presentation.go
@@ -6,46 +6,47 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Presentation is a call that came with a ticket. The call runs once, under an
-// ID of its own that follows from the ticket, whoever presents the ticket how
-// often and at which instance. A presentation leads from the ID of the caller's
-// request to that of the run.
+// Presentation is a request that presented a ticket. The call of a ticket runs
+// once, under an ID of its own that is derived from the ticket, no matter who
+// presents the ticket, how often and at which instance. A presentation maps the
+// ID of the caller's request to the ID of that run.
 type Presentation struct {
 	Time time.Time `json:"time"`
-	// Request is the ID that the caller knows.
+	// Request is the request ID that the caller knows.
 	Request ident.RequestID `json:"request"`
-	// Run is the ID under which the call runs, or ran.
+	// Run is the ID under which the call runs or ran.
 	Run ident.RequestID `json:"run"`
-	// Executor is the one instance that may run the call.
+	// Executor is the only instance that may run the call.
 	Executor ident.InstanceID `json:"executor"`
-	// Action is what became of the presentation at the reporting instance.
+	// Action is how the reporting instance handled the presentation.
 	Action PresentationAction `json:"action"`
 }
 
-// PresentationAction is what an instance did with a presented ticket.
+// PresentationAction is how an instance handled a presented ticket.
 type PresentationAction string
 
-// The actions. The first four are the executor's.
+// The presentation actions. Only the executor reports the first four.
 const (
-	PresentationRun       PresentationAction = "run"       // the call was begun
-	PresentationJoined    PresentationAction = "joined"    // the call was running already
-	PresentationReplayed  PresentationAction = "replayed"  // the kept answer was given again
-	PresentationRefused   PresentationAction = "refused"   // the ticket permits no call
-	PresentationForwarded PresentationAction = "forwarded" // the executor was asked
-	// PresentationUnreachable: the executor was not known here, or gave no
-	// answer.
+	PresentationRun       PresentationAction = "run"       // the call was started
+	PresentationJoined    PresentationAction = "joined"    // the call was already running
+	PresentationReplayed  PresentationAction = "replayed"  // the stored answer was returned again
+	PresentationRefused   PresentationAction = "refused"   // the ticket does not permit the call
+	PresentationForwarded PresentationAction = "forwarded" // the call was forwarded to the executor
+	// PresentationUnreachable: this instance had no address of the executor, or
+	// the executor did not answer.
 	PresentationUnreachable PresentationAction = "unreachable"
 )
 
-// Present keeps a presentation and drops the oldest one if there are too many.
+// Present adds a presentation and discards the oldest one if the journal is
+// full.
 func (j *Journal) Present(p Presentation) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.presentations.add(p)
 }
 
-// Presentations returns those of a request, by the caller's ID or that of the
-// run, oldest first.
+// Presentations returns the presentations with the given ID, either the
+// caller's request ID or the ID of the run, oldest first.
 func (j *Journal) Presentations(id ident.RequestID) []Presentation {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/entry/journal/ring.go
+++ b/entry/journal/ring.go
@@ -1,15 +1,16 @@
 package journal
 
-// ring keeps the latest items, a fixed number of them.
+// ring is a ring buffer that keeps the latest items.
 type ring[T any] struct {
 	items []T
 	next  int
 }
 
-// newRing returns a ring of size items, all of whose memory is taken now.
+// newRing returns a ring for size items. It allocates all of its memory at
+// once.
 func newRing[T any](size int) ring[T] { return ring[T]{items: make([]T, 0, size)} }
 
-// add keeps an item and drops the oldest one if there are too many.
+// add adds an item and discards the oldest one if the ring is full.
 func (r *ring[T]) add(item T) {
 	if len(r.items) < cap(r.items) {
 		r.items = append(r.items, item)
--- a/entry/tickets/desk.go
+++ b/entry/tickets/desk.go
@@ -1,6 +1,6 @@
-// Package tickets runs calls that carry a ticket: it decides by the state
-// machine of package ticket, waits for calls that run already, and forwards a
-// call to the instance that issued its ticket.
+// Package tickets runs calls that carry a ticket. It uses the state machine of
+// package ticket, lets repeated presentations wait for a call that is already
+// running, and forwards calls to the instance that issued their ticket.
 package tickets
 
 import (
@@ -17,31 +17,34 @@
 	"github.com/wardspool/wardspool/ticket"
 )
 
-// Call is a call that carries a ticket, as it travels to the ticket's executor.
+// Call is a call that carries a ticket, in the form sent to the ticket's
+// executor.
 type Call struct {
 	Ticket string `json:"ticket"`
-	// Method and Path are the caller's; the path has its query.
+	// Method and Path are those of the caller's request. Path includes the
+	// query.
 	Method    string          `json:"method"`
 	Path      string          `json:"path"`
 	Workspace ident.Workspace `json:"workspace"`
 	Kind      string          `json:"kind"`
 	// Request is the caller's request ID.
 	Request ident.RequestID `json:"request"`
-	// DeadlineMS is the time the caller will wait from now on, 0 if it did not
-	// say.
+	// DeadlineMS is the caller's remaining time in milliseconds, or 0 if the
+	// caller set no deadline.
 	DeadlineMS     int64               `json:"deadline_ms"`
 	IdempotencyKey string              `json:"idempotency_key"`
 	Header         map[string][]string `json:"header"`
 	Body           []byte              `json:"body"`
-	// Wait is the time that the caller will wait from now on, the kind's deadline
-	// if it did not say. For a call that another instance forwarded, the context
-	// ends in time.
+	// Wait is the caller's remaining time, or the kind's deadline if the caller
+	// set none. It is not used for calls forwarded by another instance, whose
+	// context has a deadline.
 	Wait time.Duration `json:"-"`
-	// Run is the ID under which the call runs. Each instance sets it anew.
+	// Run is the ID under which the call runs. Each instance derives it from
+	// the ticket.
 	Run ident.RequestID `json:"-"`
 }
 
-// digest identifies what the call asks for.
+// digest returns the digest of the request that the call makes.
 func (c *Call) digest() ticket.Digest {
 	t := ticket.Call{
 		Method:    c.Method,
@@ -54,14 +57,14 @@
 }
 
 // Runner runs a call at this instance, once, and returns its final answer. The
-// context ends when nobody waits for the answer any more.
+// context is cancelled when no presentation waits for the answer any more.
 type Runner func(ctx context.Context, c *Call) ticket.Result
 
-// Forwarder takes a call to another instance's desk.
+// Forwarder forwards calls to other instances.
 type Forwarder interface {
-	// Known reports whether the instance has an address.
+	// Known reports whether the instance's address is known.
 	Known(id ident.InstanceID) bool
-	// Forward presents the call there and returns the answer.
+	// Forward presents the call to the given instance and returns its reply.
 	Forward(ctx context.Context, to ident.InstanceID, c *Call) (*Reply, error)
 }
 
@@ -71,8 +74,8 @@
 	Problem *api.Problem   `json:"problem,omitempty"`
 }
 
-// Desk is an instance's executor and its way to the others'. It is safe for
-// concurrent use.
+// Desk executes the calls of tickets issued by this instance and forwards the
+// calls of other instances' tickets. It is safe for concurrent use.
 type Desk struct {
 	codec   *ticket.Codec
 	forward Forwarder
@@ -86,7 +89,7 @@
 	workers  sync.WaitGroup
 }
 
-// job is a call that runs here.
+// job is a call that is running at this instance.
 type job struct {
 	done   chan struct{}
 	cancel context.CancelFunc
@@ -100,13 +103,14 @@
 	Limits  ticket.Limits
 	Codec   *ticket.Codec
 	Forward Forwarder
-	// Observe is told of each presentation. It must not block.
+	// Observe is called for each presentation. It must not block. It may be
+	// nil.
 	Observe func(journal.Presentation)
 	Log     *slog.Logger
 }
 
-// New returns a desk of a new life of an instance. SetRunner must be called
-// before the first call comes.
+// New returns a desk for a new life (incarnation) of an instance. SetRunner
+// must be called before the first call arrives.
 func New(o Options) *Desk {
 	return &Desk{
 		codec:    o.Codec,
@@ -118,10 +122,11 @@
 	}
 }
 
-// SetRunner sets what runs calls.
+// SetRunner sets the function that runs calls.
 func (d *Desk) SetRunner(r Runner) { d.run = r }
 
-// Issue returns a new ticket's text and its expiry, or why there is none.
+// Issue returns the text and the expiry of a new ticket, or the problem that
+// prevents issuing one.
 func (d *Desk) Issue(w ident.Workspace) (text string, expires time.Time, problem *api.Problem) {
 	now := time.Now()
 	d.mu.Lock()
@@ -134,13 +139,14 @@
 	return d.codec.Seal(t), t.Expires, nil
 }
 
-// answerMargin is the time that an answer has after the deadline: a call that
-// runs ends by its deadline itself.
+// answerMargin is the extra time after the caller's deadline in which an answer
+// is still accepted: a running call ends by its own deadline.
 const answerMargin = time.Second
 
-// Execute has a call run by its ticket's executor, here or elsewhere. It waits
-// until soon after the caller's deadline: an executor that is cut off does not
-// answer, and a call that another presentation began may have longer.
+// Execute has a call run by its ticket's executor, which may be another
+// instance. It waits no longer than answerMargin beyond the caller's deadline:
+// an executor behind a network partition does not answer, and a call started by
+// another presentation may have a later deadline.
 func (d *Desk) Execute(ctx context.Context, c *Call) Reply {
 	ctx, stop := context.WithTimeout(ctx, c.Wait+answerMargin)
 	defer stop()
@@ -161,8 +167,8 @@
 	}
 }
 
-// ExecuteHere presents a call that another instance forwarded. It is never
-// forwarded again.
+// ExecuteHere presents a call that another instance forwarded. It never
+// forwards the call again.
 func (d *Desk) ExecuteHere(ctx context.Context, c *Call) Reply {
 	t, err := d.codec.Open(c.Ticket)
 	if err != nil {
@@ -178,9 +184,9 @@
 	return d.executor.Life()
 }
 
-// view tells ticket.Route whether the executor has an address. What the agents
-// believe of its life is left out: only the executor itself gives an answer
-// that is better than "unknown".
+// view returns a view that tells ticket.Route whether the executor's address is
+// known. The agents' opinion on the executor's liveness is left out: only the
+// executor itself can give a better answer than "unknown".
 func (d *Desk) view(t ticket.Ticket) *kernel.View {
 	v := &kernel.View{}
 	if d.forward != nil && d.forward.Known(t.Executor.Instance) {
@@ -189,18 +195,18 @@
 	return v
 }
 
-// send forwards a call.
+// send forwards a call to its executor.
 func (d *Desk) send(ctx context.Context, t ticket.Ticket, to ident.InstanceID, c *Call) Reply {
 	r, err := d.forward.Forward(ctx, to, c)
 	if err != nil {
 		d.note(t, c, journal.PresentationUnreachable)
-		d.log.Info("ticket not forwarded", "request", c.Request, "executor", to, "error", err)
+		d.log.Info("forwarding call to executor failed", "request", c.Request, "executor", to, "error", err)
 		return Reply{Problem: ticket.UnreachableProblem()}
 	}
 	return *r
 }
 
-// present has the executor decide on a call and carries the decision out.
+// present asks the executor for a decision on a call and applies it.
 func (d *Desk) present(ctx context.Context, t ticket.Ticket, c *Call) Reply {
 	d.mu.Lock()
 	now := time.Now()
@@ -223,34 +229,36 @@
 	return d.await(ctx, t, j)
 }
 
-// begin starts a call. The caller holds mu.
+// begin starts a call. d.mu must be held.
 func (d *Desk) begin(t ticket.Ticket, c *Call) {
 	ctx, cancel := context.WithCancel(context.Background())
 	j := &job{done: make(chan struct{}), cancel: cancel}
 	d.jobs[t.Sequence] = j
 	d.workers.Go(func() {
 		defer cancel()
-		// Until the call says otherwise, it may have run.
+		// Until the runner returns a result, the call counts as possibly run.
 		result := ticket.Result{Outcome: api.Unknown}
 		defer func() { d.finish(t, j, result) }()
 		result = d.run(ctx, c)
 	})
 }
 
-// finish records the end of a call and wakes those that wait for it.
+// finish records the result of a call and wakes the presentations that wait for
+// it.
 func (d *Desk) finish(t ticket.Ticket, j *job, r ticket.Result) {
 	d.mu.Lock()
 	err := d.executor.Finish(time.Now(), t, r)
 	delete(d.jobs, t.Sequence)
 	d.mu.Unlock()
 	if err != nil {
-		d.log.Error("ticket finished twice", "error", err)
+		d.log.Error("cannot record the result of a ticket's call", "error", err)
 	}
 	j.result = r
 	close(j.done)
 }
 
-// await waits for a call that runs here.
+// await waits for the end of a call that is running at this instance. If the
+// last waiting presentation leaves, the call is cancelled.
 func (d *Desk) await(ctx context.Context, t ticket.Ticket, j *job) Reply {
 	select {
 	case <-j.done:
@@ -269,19 +277,19 @@
 	return Reply{Problem: api.NewProblem(api.ProblemCallerGone, api.Unknown, "the caller closed the connection")}
 }
 
-// Paused tells the executor of a pause of the process.
+// Paused reports a pause of the process to the executor.
 func (d *Desk) Paused(gap time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.executor.Paused(time.Now(), gap)
 }
 
-// Stop begins a graceful shutdown; Wait waits for the calls that run.
+// Stop starts a graceful shutdown. Wait waits for the running calls.
 func (d *Desk) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.executor.Stop()
 }
 
-// Wait waits until no call runs.
+// Wait waits until no call is running.
 func (d *Desk) Wait() { d.workers.Wait() }
--- a/entry/tickets/desk_test.go
+++ b/entry/tickets/desk_test.go
@@ -17,7 +17,7 @@
 	"github.com/wardspool/wardspool/ticket"
 )
 
-// forwarder is a Forwarder that a test writes.
+// forwarder is a Forwarder that forwards to a desk in the same process.
 type forwarder struct {
 	known bool
 	desk  *Desk
@@ -52,8 +52,8 @@
 	return &Call{Ticket: text, Method: "POST", Path: "/services/desk/x", Workspace: "default", Wait: time.Minute}
 }
 
-// TestCallGoesOnWhileAnyoneWaits: the presentation that started a call leaves,
-// another one still waits.
+// TestCallGoesOnWhileAnyoneWaits: a call is not cancelled when the presentation
+// that started it leaves while another one still waits.
 func TestCallGoesOnWhileAnyoneWaits(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := newTestDesk(t, "a", nil)
@@ -82,7 +82,7 @@
 		d.Wait()
 		assert.Equal(t, cancelled, 0)
 
-		// The last to leave ends the call.
+		// The call is cancelled when the last presentation leaves.
 		c = issue(t, d)
 		third, leaveThird := context.WithCancel(t.Context())
 		go func() { replies <- d.Execute(third, c) }()
@@ -91,11 +91,12 @@
 		<-replies
 		d.Wait()
 		assert.Equal(t, cancelled, 1)
-		assert.Equal(t, d.Execute(t.Context(), c).Result.Outcome, api.Unknown, "it does not run again")
+		assert.Equal(t, d.Execute(t.Context(), c).Result.Outcome, api.Unknown, "a cancelled call must not run again")
 	})
 }
 
-// TestResultIsKept: a call that was told "not-run" must not run later either.
+// TestResultIsKept: a call that was answered with "not-run" must not run on a
+// later presentation.
 func TestResultIsKept(t *testing.T) {
 	d := newTestDesk(t, "a", nil)
 	runs := 0
@@ -131,7 +132,8 @@
 	assert.Equal(t, b.ExecuteHere(t.Context(), c).Problem.Outcome, api.Unknown)
 }
 
-// silent is a Forwarder to an executor that is cut off.
+// silent is a Forwarder to an executor that never answers, as behind a network
+// partition.
 type silent struct{}
 
 func (silent) Known(ident.InstanceID) bool { return true }
@@ -141,8 +143,9 @@
 	return nil, ctx.Err()
 }
 
-// TestForwardEndsWithTheDeadline: an executor that is cut off gives no answer; the
-// caller is told soon after its deadline that the outcome is unknown.
+// TestForwardEndsWithTheDeadline: an executor behind a network partition does
+// not answer. The caller must be told soon after its deadline that the outcome
+// is unknown.
 func TestForwardEndsWithTheDeadline(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		c := issue(t, newTestDesk(t, "a", nil))
@@ -154,8 +157,8 @@
 	})
 }
 
-// TestSecondPresentationEndsWithItsDeadline: the call that it waits for has
-// longer, and goes on.
+// TestSecondPresentationEndsWithItsDeadline: a second presentation ends by its
+// own deadline, while the call that it waits for has a later one and continues.
 func TestSecondPresentationEndsWithItsDeadline(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := newTestDesk(t, "a", nil)
--- a/entry/tickets/forward.go
+++ b/entry/tickets/forward.go
@@ -8,16 +8,19 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// MethodExecute presents a call to the executor of its ticket.
+// MethodExecute is the JSON-RPC method that presents a call to the executor of
+// its ticket.
 const MethodExecute = "ticket.execute"
 
-// Peers forwards calls over jsonrpc2. It implements Forwarder.
+// Peers forwards calls to other instances over JSON-RPC 2.0. It implements
+// Forwarder.
 type Peers struct {
 	book *peering.Book
 	pool *peer.Pool
 }
 
-// NewPeers returns a forwarder.
+// NewPeers returns a forwarder that looks up addresses in book and takes
+// connections from pool.
 func NewPeers(book *peering.Book, pool *peer.Pool) *Peers { return &Peers{book: book, pool: pool} }
 
 // Known implements Forwarder.
@@ -40,7 +43,7 @@
 	return &r, nil
 }
 
-// Handle makes a server take forwarded calls.
+// Handle registers the handler of forwarded calls at a server.
 func Handle(s *peer.Server, d *Desk) {
 	peer.Handle(s, MethodExecute, func(ctx context.Context, _ peer.Identity, c Call) (Reply, error) {
 		return d.ExecuteHere(ctx, &c), nil
--- a/entry/tickets/run.go
+++ b/entry/tickets/run.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	// runPrefix tells IDs of runs from callers' in logs and explanations.
+	// runPrefix distinguishes IDs of runs from callers' request IDs in logs and
+	// explanations.
 	runPrefix = "ticket-"
-	// runBytes of the hash are enough that no two tickets share an ID.
+	// runBytes is the length of the truncated hash. 16 bytes make it
+	// practically impossible that two tickets share an ID.
 	runBytes = 16
 )
 
-// RunID returns the ID under which the call of a ticket runs. It follows from
-// the ticket's text, so that all instances know it; as it is a hash, only the
-// ticket's holder can guess it.
+// RunID returns the ID under which the call of a ticket runs. It is derived
+// from the ticket's text, so that all instances know it. As it is a hash, only
+// the ticket's holder can guess it.
 func RunID(text string) ident.RequestID {
 	sum := sha256.Sum256([]byte(text))
 	return ident.RequestID(runPrefix + hex.EncodeToString(sum[:runBytes]))
 }
 
-// actionOf names an executor's decisions for the journal.
+// actionOf maps the executor's decisions to journal actions.
 var actionOf = map[ticket.Action]journal.PresentationAction{
 	ticket.Run:    journal.PresentationRun,
 	ticket.Join:   journal.PresentationJoined,
@@ -33,7 +35,7 @@
 	ticket.Refuse: journal.PresentationRefused,
 }
 
-// note tells the observer what became of a presentation.
+// note reports the handling of a presentation to the observer.
 func (d *Desk) note(t ticket.Ticket, c *Call, action journal.PresentationAction) {
 	if d.observe == nil {
 		return
