--- a/entry/driver/account.go
+++ b/entry/driver/account.go
@@ -34,22 +34,22 @@
 	WastedTokens  int
 }
 
-// prefillAccount counts the prompt tokens computed and wasted for one request.
-type prefillAccount struct {
+// prefillUsage counts the prompt tokens computed and wasted for one request.
+type prefillUsage struct {
 	done, wasted int
 	// pending is the size of the latest prefill, as long as it has produced no
 	// output.
 	pending int
-	// repeat is set at the first output token: any later prefill recomputes
-	// work that was lost.
-	repeat bool
+	// outputStarted is set at the first output token: any later prefill
+	// recomputes work that was lost.
+	outputStarted bool
 }
 
-// computed records a finished prefill that computed the given number of
+// addPrefill records a finished prefill that computed the given number of
 // uncached tokens.
-func (p *prefillAccount) computed(tokens int) {
+func (p *prefillUsage) addPrefill(tokens int) {
 	p.done += tokens
-	if p.repeat {
+	if p.outputStarted {
 		p.wasted += tokens
 		return
 	}
@@ -57,21 +57,21 @@
 	p.pending = tokens
 }
 
-// used records the first output token produced from the latest prefill.
-func (p *prefillAccount) used() {
+// markOutput records the first output token produced from the latest prefill.
+func (p *prefillUsage) markOutput() {
 	p.pending = 0
-	p.repeat = true
+	p.outputStarted = true
 }
 
-// end records the end of the request: a prefill without output is wasted.
-func (p *prefillAccount) end() {
+// finish records the end of the request: a prefill without output is wasted.
+func (p *prefillUsage) finish() {
 	p.wasted += p.pending
 	p.pending = 0
 }
 
 // summary returns the statistics of a finished exchange.
 func (ex *Exchange) summary(r Result, now time.Time) Summary {
-	ex.account.end()
+	ex.prefillUsage.finish()
 	first, last, tokens := ex.delivery.times()
 	s := Summary{
 		Request:       ex.Request.ID,
@@ -85,8 +85,8 @@
 		Tokens:        tokens,
 		FirstToken:    first,
 		LastToken:     last,
-		PrefillTokens: ex.account.done,
-		WastedTokens:  ex.account.wasted,
+		PrefillTokens: ex.prefillUsage.done,
+		WastedTokens:  ex.prefillUsage.wasted,
 	}
 	s.OnTime = r.Outcome == api.Complete && ex.onTime(&s)
 	return s
--- a/entry/driver/actions.go
+++ b/entry/driver/actions.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// do executes one kernel action. It never blocks and never calls the kernel.
-func (d *Driver) do(a kernel.Action) {
+// execute executes one kernel action. It never blocks and never calls the kernel.
+func (d *Driver) execute(a kernel.Action) {
 	switch a := a.(type) {
 	case kernel.StartPrefill:
 		d.startPrefill(a)
@@ -34,7 +34,7 @@
 		d.sendPeer(a)
 	case kernel.ConfigRejected:
 		d.rejected.Store(&a)
-		d.logLater(slog.LevelError, "bundle rejected", "bundle_version", a.Version, "error", a.Err)
+		d.logAsync(slog.LevelError, "bundle rejected", "bundle_version", a.Version, "error", a.Err)
 	case kernel.Log:
 		d.opts.Observer.Decided(a.Record)
 	}
@@ -83,7 +83,7 @@
 	for live := range ex.live {
 		// The kernel issues its own cancels to the upstreams. Here it is enough
 		// to end the local calls, since their output is no longer read.
-		d.forget(live)
+		d.removeAttempt(live)
 		live.cancel(&CancelledError{})
 	}
 	r := Result{
@@ -94,7 +94,7 @@
 		Service:       ex.served,
 	}
 	ex.delivery.close()
-	d.endings = append(d.endings, ending{ex, r})
+	d.finishedExchanges = append(d.finishedExchanges, finishedExchange{ex, r})
 	d.opts.Observer.Ended(ex.summary(r, time.Now()))
 }
 
@@ -108,10 +108,10 @@
 		Model:        a.exchange.Model,
 		ContinueFrom: s.ContinueFrom,
 	}
-	patience := d.prefillPatience(a, s.ContinueFrom)
-	d.charge(a, a.exchange.Request.PromptTokens+s.ContinueFrom)
+	limits := d.prefillLimits(a, s.ContinueFrom)
+	d.addPrefillWork(a, a.exchange.Request.PromptTokens+s.ContinueFrom)
 	d.run(a, func() (kernel.Event, error) {
-		watch := d.newWatch(a, patience)
+		watch := d.newWatch(a, limits)
 		defer watch.stop()
 		got, err := d.opts.Engine.Prefill(a.ctx, call)
 		if err != nil {
@@ -130,19 +130,19 @@
 	if a == nil {
 		return
 	}
-	a.exchange.delivery.choose(a.id)
+	a.exchange.delivery.setCurrent(a.id)
 	call := &adapter.DecodeCall{
 		Target:       a.target,
 		Model:        a.exchange.Model,
 		Params:       s.KV.Params,
 		ContinueFrom: s.ContinueFrom,
 	}
-	patience := d.patience(a, s.KV.Engine)
+	limits := d.decodeLimits(a, s.KV.Engine)
 	d.run(a, func() (kernel.Event, error) {
-		sink := d.newSink(a, patience)
+		sink := d.newSink(a, limits)
 		defer sink.watch.stop()
 		got, err := d.opts.Engine.Decode(a.ctx, call, sink)
-		return a.decodedWhole(got, err)
+		return a.checkComplete(got, err)
 	})
 }
 
@@ -152,26 +152,26 @@
 		return
 	}
 	a.reattached = true
-	a.exchange.delivery.choose(a.id)
+	a.exchange.delivery.setCurrent(a.id)
 	call := &adapter.ReattachCall{
 		Target:   a.target,
 		Endpoint: a.exchange.Model.Endpoint,
 		Offset:   s.Offset,
 	}
-	patience := d.patience(a, "")
+	limits := d.decodeLimits(a, "")
 	d.run(a, func() (kernel.Event, error) {
 		if s.Wait > 0 && !pause.For(a.ctx, s.Wait) {
 			return nil, a.ctx.Err()
 		}
-		sink := d.newSink(a, patience)
+		sink := d.newSink(a, limits)
 		defer sink.watch.stop()
 		got, err := d.opts.Engine.Reattach(a.ctx, call, sink)
-		return a.decodedWhole(got, err)
+		return a.checkComplete(got, err)
 	})
 }
 
-// decodedWhole checks that the caller received every token of the output.
-func (a *attempt) decodedWhole(got adapter.Decoded, err error) (kernel.Event, error) {
+// checkComplete checks that the caller received every token of the output.
+func (a *attempt) checkComplete(got adapter.Decoded, err error) (kernel.Event, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/entry/driver/attempt.go
+++ b/entry/driver/attempt.go
@@ -28,12 +28,12 @@
 	// unsent is set if no byte of the attempt was sent to the upstream.
 	unsent bool
 
-	// over is set when the driver ignores further reports of the attempt. It is
-	// owned by the driver's goroutine.
-	over bool
-	// charged is the number of prompt tokens counted as in flight for the
+	// detached is set when the driver ignores further reports of the attempt.
+	// It is owned by the driver's goroutine.
+	detached bool
+	// prefillTokens is the number of prompt tokens counted as in flight for the
 	// attempt. It is owned by the driver's goroutine.
-	charged int
+	prefillTokens int
 
 	// Results of the goroutine, set before it reports completion.
 	decoded adapter.Decoded
@@ -86,7 +86,7 @@
 			Request:  request,
 			Upstream: to,
 			Address:  u.Address,
-			Observe:  func(o adapter.Observation) { d.observed(to, o) },
+			Observe:  func(o adapter.Observation) { d.handleObservation(to, o) },
 		},
 	}
 	d.attempts[id] = a
@@ -94,18 +94,18 @@
 	return a
 }
 
-// observed passes an upstream's report about its own state to the observer and
-// the kernel.
-func (d *Driver) observed(upstream ident.UpstreamID, o adapter.Observation) {
+// handleObservation passes an upstream's report about its own state to the
+// observer and the kernel.
+func (d *Driver) handleObservation(upstream ident.UpstreamID, o adapter.Observation) {
 	d.opts.Observer.Observed(upstream, o)
-	d.offer(kernel.LoadReported{Upstream: upstream, Load: o.Load})
+	d.tryPost(kernel.LoadReported{Upstream: upstream, Load: o.Load})
 }
 
-// run executes an attempt in a new goroutine. carry makes the call and returns
+// run executes an attempt in a new goroutine. call makes the call and returns
 // the event that reports its success.
-func (d *Driver) run(a *attempt, carry func() (kernel.Event, error)) {
+func (d *Driver) run(a *attempt, call func() (kernel.Event, error)) {
 	d.workers.Go(func() {
-		ev, err := d.carry(a, carry)
+		ev, err := d.makeCall(a, call)
 		close(a.ended)
 		a.cancel(nil)
 		if err == nil {
@@ -113,13 +113,13 @@
 			d.send(message{event: ev, attempt: a})
 			return
 		}
-		d.failed(a, err)
+		d.reportFailure(a, err)
 	})
 }
 
-// carry waits until the pause gate is open and makes the call.
-func (d *Driver) carry(a *attempt, call func() (kernel.Event, error)) (kernel.Event, error) {
-	if err := d.gate.pass(a.ctx); err != nil {
+// makeCall waits until the pause gate is open and makes the call.
+func (d *Driver) makeCall(a *attempt, call func() (kernel.Event, error)) (kernel.Event, error) {
+	if err := d.gate.wait(a.ctx); err != nil {
 		a.unsent = !a.reattached
 		return nil, &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: err}
 	}
@@ -130,8 +130,8 @@
 	return ev, err
 }
 
-// failed reports an attempt that ended with an error.
-func (d *Driver) failed(a *attempt, err error) {
+// reportFailure reports an attempt that ended with an error.
+func (d *Driver) reportFailure(a *attempt, err error) {
 	var caller *CallerError
 	if errors.As(err, &caller) {
 		d.send(message{event: kernel.CallerGone{Request: a.target.Request}, attempt: a})
@@ -180,13 +180,13 @@
 func (d *Driver) report(m message) {
 	a := m.attempt
 	if _, ok := m.event.(kernel.FirstOutput); ok {
-		if !a.over {
-			a.exchange.account.used()
+		if !a.detached {
+			a.exchange.prefillUsage.markOutput()
 			d.step(m.event)
 		}
 		return
 	}
-	if a.over {
+	if a.detached {
 		if e, ok := m.event.(kernel.AttemptFailed); ok && e.Code == kernel.FailureDraining {
 			// Draining is a state of the upstream, so the kernel needs the
 			// event even though the attempt itself no longer matters.
@@ -194,27 +194,27 @@
 		}
 		return
 	}
-	d.forget(a)
-	d.settle(a, m.event)
+	d.removeAttempt(a)
+	d.storeResults(a, m.event)
 	d.step(m.event)
 }
 
-// settle stores the results that the final answer needs.
-func (d *Driver) settle(a *attempt, ev kernel.Event) {
+// storeResults stores the results that the final answer needs.
+func (d *Driver) storeResults(a *attempt, ev kernel.Event) {
 	switch e := ev.(type) {
 	case kernel.AttemptDone:
 		a.exchange.decoded = a.decoded
 		a.exchange.served = a.served
 	case kernel.PrefillDone:
 		prompt := a.exchange.Request.PromptTokens
-		a.exchange.account.computed(max(prompt-e.CachedTokens, 0))
+		a.exchange.prefillUsage.addPrefill(max(prompt-e.CachedTokens, 0))
 	}
 }
 
-// forget removes an attempt whose further reports are ignored.
-func (d *Driver) forget(a *attempt) {
-	a.over = true
-	d.discharge(a)
+// removeAttempt removes an attempt whose further reports are ignored.
+func (d *Driver) removeAttempt(a *attempt) {
+	a.detached = true
+	d.removePrefillWork(a)
 	delete(a.exchange.live, a)
 	if d.attempts[a.id] == a {
 		delete(d.attempts, a.id)
--- a/entry/driver/cancel.go
+++ b/entry/driver/cancel.go
@@ -18,7 +18,7 @@
 func (d *Driver) cancelAttempt(c kernel.CancelAttempt) {
 	a := d.attempts[c.Attempt]
 	if a != nil {
-		d.forget(a)
+		d.removeAttempt(a)
 		a.cancel(&CancelledError{})
 	}
 	target, role := d.cancelTarget(c, a)
--- a/entry/driver/delivery.go
+++ b/entry/driver/delivery.go
@@ -12,7 +12,7 @@
 // delivery writes the tokens of an answer to the caller in order: only the
 // current attempt may write, and only the next expected token is accepted. A
 // write to a slow caller holds the mutex, so the driver's goroutine may call
-// only choose and close.
+// only setCurrent and close.
 type delivery struct {
 	current atomic.Pointer[ident.AttemptID]
 	closed  atomic.Bool
@@ -53,17 +53,18 @@
 // Unwrap returns the error of the write.
 func (e *CallerError) Unwrap() error { return e.Err }
 
-// verdict tells whether a token was passed on or dropped.
-type verdict int
+// tokenStatus tells whether a token was sent or dropped.
+type tokenStatus int
 
 const (
-	tokenPassed verdict = iota + 1
+	tokenSent tokenStatus = iota + 1
 	tokenDropped
 )
 
-// token writes a token of an attempt to the caller. Tokens that were already
-// sent are dropped. Errors are *SupersededError, *GapError and *CallerError.
-func (d *delivery) token(from ident.AttemptID, c adapter.Chunk) (verdict, error) {
+// writeToken writes a token of an attempt to the caller. Tokens that were
+// already sent are dropped. Errors are *SupersededError, *GapError and
+// *CallerError.
+func (d *delivery) writeToken(from ident.AttemptID, c adapter.Chunk) (tokenStatus, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	current := d.current.Load()
@@ -81,12 +82,12 @@
 	}
 	d.next++
 	d.finish = c.FinishReason
-	d.stamp(time.Now())
-	return tokenPassed, nil
+	d.recordSent(time.Now())
+	return tokenSent, nil
 }
 
-// stamp records that a token was sent at now.
-func (d *delivery) stamp(now time.Time) {
+// recordSent records that a token was sent at now.
+func (d *delivery) recordSent(now time.Time) {
 	d.first.CompareAndSwap(0, now.UnixNano())
 	d.last.Store(now.UnixNano())
 	d.count.Add(1)
@@ -102,16 +103,16 @@
 	return time.Unix(0, d.first.Load()), time.Unix(0, d.last.Load()), count
 }
 
-// choose makes an attempt the current one. It does not wait for a write in
+// setCurrent makes an attempt the current one. It does not wait for a write in
 // progress.
-func (d *delivery) choose(a ident.AttemptID) { d.current.Store(&a) }
+func (d *delivery) setCurrent(a ident.AttemptID) { d.current.Store(&a) }
 
 // close prevents further writes. It does not wait for a write in progress.
 func (d *delivery) close() { d.closed.Store(true) }
 
-// seal closes the output and waits for a write in progress: no write happens
-// after it returns.
-func (d *delivery) seal() {
+// closeAndWait closes the output and waits for a write in progress: no write
+// happens after it returns.
+func (d *delivery) closeAndWait() {
 	d.close()
 	// A write in progress holds the mutex.
 	d.mu.Lock()
--- a/entry/driver/driver.go
+++ b/entry/driver/driver.go
@@ -83,9 +83,9 @@
 	DefaultPeerQueue  = 256
 )
 
-// beatsPerPause is the number of clock checks within PauseAfter, the shortest
-// pause that must be detected.
-const beatsPerPause = 5
+// clockChecksPerPause is the number of clock checks within PauseAfter, the
+// shortest pause that must be detected.
+const clockChecksPerPause = 5
 
 // message is an entry of the inbox.
 type message struct {
@@ -94,8 +94,8 @@
 	attempt *attempt
 	// exchange is set for kernel.Arrive.
 	exchange *Exchange
-	// quiet is closed when no request is in flight and no cancel is pending.
-	quiet chan struct{}
+	// idle is closed when no request is in flight and no cancel is pending.
+	idle chan struct{}
 }
 
 // Driver runs one kernel.
@@ -113,19 +113,19 @@
 	rejected atomic.Pointer[kernel.ConfigRejected]
 
 	// The remaining fields are owned by the goroutine of Run.
-	backlog   []kernel.Event
-	endings   []ending
-	exchanges map[ident.RequestID]*Exchange
-	attempts  map[ident.AttemptID]*attempt
-	upstreams map[ident.UpstreamID]*kernel.Upstream
+	backlog           []kernel.Event
+	finishedExchanges []finishedExchange
+	exchanges         map[ident.RequestID]*Exchange
+	attempts          map[ident.AttemptID]*attempt
+	upstreams         map[ident.UpstreamID]*kernel.Upstream
 	// prefilling is the number of prompt tokens in flight at each engine.
-	prefilling map[ident.UpstreamID]int
-	content    *config.Content
-	specs      map[ident.UpstreamID]*config.Upstream
-	models     map[string]*config.Model
-	services   map[string]*config.Service
-	peers      map[ident.InstanceID]chan kernel.PeerMessage
-	quiet      []chan struct{}
+	prefilling  map[ident.UpstreamID]int
+	content     *config.Content
+	specs       map[ident.UpstreamID]*config.Upstream
+	models      map[string]*config.Model
+	services    map[string]*config.Service
+	peers       map[ident.InstanceID]chan kernel.PeerMessage
+	idleWaiters []chan struct{}
 }
 
 // New returns a driver. Run starts it.
@@ -159,19 +159,19 @@
 // remaining requests, and returns when all goroutines of the driver have ended.
 func (d *Driver) Run(ctx context.Context) {
 	defer d.shutDown()
-	beat := time.NewTicker(d.opts.PauseAfter / beatsPerPause)
-	defer beat.Stop()
+	ticker := time.NewTicker(d.opts.PauseAfter / clockChecksPerPause)
+	defer ticker.Stop()
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
-	d.gate.beat(time.Now())
+	d.gate.markRunning(time.Now())
 	for {
-		d.arm(wake)
+		d.resetWake(wake)
 		select {
 		case m := <-d.inbox:
 			d.receive(m)
 		case <-wake.C:
 			d.step(kernel.Tick{})
-		case <-beat.C:
+		case <-ticker.C:
 			d.checkPause()
 		case <-ctx.Done():
 			return
@@ -179,8 +179,8 @@
 	}
 }
 
-// arm sets the timer to the kernel's next wake-up time.
-func (d *Driver) arm(wake *time.Timer) {
+// resetWake sets the timer to the kernel's next wake-up time.
+func (d *Driver) resetWake(wake *time.Timer) {
 	at, ok := d.opts.Kernel.NextWake()
 	if !ok {
 		wake.Stop()
@@ -205,8 +205,8 @@
 // returns false once the driver has stopped.
 func (d *Driver) Post(ev kernel.Event) bool { return d.send(message{event: ev}) }
 
-// offer passes an event to the kernel, or drops it if the inbox is full.
-func (d *Driver) offer(ev kernel.Event) {
+// tryPost passes an event to the kernel, or drops it if the inbox is full.
+func (d *Driver) tryPost(ev kernel.Event) {
 	select {
 	case d.inbox <- message{event: ev}:
 	default:
@@ -228,10 +228,10 @@
 // Quiesce waits until no request is in flight and all cancels are acknowledged.
 // It returns ctx's error if ctx ends first.
 func (d *Driver) Quiesce(ctx context.Context) error {
-	quiet := make(chan struct{})
-	d.send(message{quiet: quiet})
+	idle := make(chan struct{})
+	d.send(message{idle: idle})
 	select {
-	case <-quiet:
+	case <-idle:
 		return nil
 	case <-d.stopped:
 		return nil
--- a/entry/driver/driver_test.go
+++ b/entry/driver/driver_test.go
@@ -16,22 +16,22 @@
 )
 
 func TestWholeAnswer(t *testing.T) {
-	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-			return adapter.Decoded{Tokens: 3, FinishReason: "stop"}, play(s, 0, 1, 2)
+			return adapter.Decoded{Tokens: 3, FinishReason: "stop"}, sendTokens(s, 0, 1, 2)
 		}
 		res := r.submit(t.Context())
 		assert.Equal(t, res.Outcome, api.Complete)
 		assert.Equal(t, res.BundleVersion, uint64(7))
 		assert.Equal(t, r.out.text, "abc")
-		assert.Equal(t, len(seen[kernel.FirstOutput](r.kernel)), 1)
+		assert.Equal(t, len(eventsOf[kernel.FirstOutput](r.kernel)), 1)
 	})
 }
 
 func TestRepeatedTokensAreDropped(t *testing.T) {
-	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-			return adapter.Decoded{Tokens: 3}, play(s, 0, 0, 1, 0, 1, 2)
+			return adapter.Decoded{Tokens: 3}, sendTokens(s, 0, 0, 1, 0, 1, 2)
 		}
 		assert.Equal(t, r.submit(t.Context()).Outcome, api.Complete)
 		assert.Equal(t, r.out.text, "abc")
@@ -42,12 +42,12 @@
 func TestMissingTokenBreaksAttempt(t *testing.T) {
 	for name, offsets := range map[string][]int{"gap": {0, 1, 3}, "short": {0, 1}} {
 		t.Run(name, func(t *testing.T) {
-			inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+			withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 				r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-					return adapter.Decoded{Tokens: 4}, play(s, offsets...)
+					return adapter.Decoded{Tokens: 4}, sendTokens(s, offsets...)
 				}
 				assert.Equal(t, r.submit(t.Context()).Outcome, api.Unknown)
-				failed := seen[kernel.AttemptFailed](r.kernel)
+				failed := eventsOf[kernel.AttemptFailed](r.kernel)
 				assert.Equal(t, len(failed), 1)
 				assert.Equal(t, failed[0].Offset, 2)
 				assert.Equal(t, failed[0].Code, kernel.FailureBroken)
@@ -77,16 +77,16 @@
 		}
 		return nil
 	}
-	inRig(t, decide, func(t *testing.T, r *rig) {
+	withDriver(t, decide, func(t *testing.T, r *testDriver) {
 		r.engine.decode = func(_ context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
 			if c.Attempt == attemptID(2) {
-				return adapter.Decoded{Tokens: 3}, play(s, 1, 2)
+				return adapter.Decoded{Tokens: 3}, sendTokens(s, 1, 2)
 			}
-			err := play(s, 0)
+			err := sendTokens(s, 0)
 			assert.NilError(t, err)
 			// The engine notices the cancel only after a delay.
 			time.Sleep(time.Second)
-			return adapter.Decoded{Tokens: 4}, play(s, 1, 2, 3)
+			return adapter.Decoded{Tokens: 4}, sendTokens(s, 1, 2, 3)
 		}
 		go func() {
 			time.Sleep(500 * time.Millisecond)
@@ -97,14 +97,14 @@
 		synctest.Wait()
 		assert.Equal(t, r.out.text, "abc")
 		assert.Equal(t, r.observer.late, 1)
-		assert.Equal(t, len(seen[kernel.AttemptFailed](r.kernel)), 0)
+		assert.Equal(t, len(eventsOf[kernel.AttemptFailed](r.kernel)), 0)
 	})
 }
 
 func TestStall(t *testing.T) {
 	for name, tokens := range map[string]int{"first": 0, "next": 2} {
 		t.Run(name, func(t *testing.T) {
-			inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+			withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 				r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
 					for i := range tokens {
 						assert.NilError(t, s.Token(token(i)))
@@ -115,7 +115,7 @@
 				}
 				begin := time.Now()
 				assert.Equal(t, r.submit(t.Context()).Outcome, api.Unknown)
-				failed := seen[kernel.AttemptFailed](r.kernel)
+				failed := eventsOf[kernel.AttemptFailed](r.kernel)
 				assert.Equal(t, failed[0].Code, kernel.FailureStalled)
 				assert.Equal(t, failed[0].Offset, tokens)
 				last := time.Duration(max(tokens-1, 0)) * time.Second
@@ -126,7 +126,7 @@
 }
 
 func TestMissingEndMarkIsNoLoss(t *testing.T) {
-	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
 			assert.NilError(t, s.Token(token(0)))
 			last := token(1)
@@ -141,7 +141,7 @@
 }
 
 func TestCallerGone(t *testing.T) {
-	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		ctx, leave := context.WithCancel(t.Context())
 		r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
 			assert.NilError(t, s.Token(token(0)))
@@ -151,26 +151,26 @@
 		}
 		r.submit(ctx)
 		synctest.Wait()
-		assert.Equal(t, len(seen[kernel.CallerGone](r.kernel)), 1)
+		assert.Equal(t, len(eventsOf[kernel.CallerGone](r.kernel)), 1)
 		assert.DeepEqual(t, r.engine.cancels, []ident.AttemptID{attemptID(1)})
-		assert.Equal(t, len(seen[kernel.CancelAcked](r.kernel)), 1)
+		assert.Equal(t, len(eventsOf[kernel.CancelAcked](r.kernel)), 1)
 	})
 }
 
 func TestUnreachableCallerIsGone(t *testing.T) {
-	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		r.out.err = errors.ErrUnsupported
 		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-			return adapter.Decoded{}, play(s, 0)
+			return adapter.Decoded{}, sendTokens(s, 0)
 		}
 		r.submit(t.Context())
-		assert.Equal(t, len(seen[kernel.CallerGone](r.kernel)), 1)
-		assert.Equal(t, len(seen[kernel.AttemptFailed](r.kernel)), 0, "a failed write to the caller is no failure of the upstream")
+		assert.Equal(t, len(eventsOf[kernel.CallerGone](r.kernel)), 1)
+		assert.Equal(t, len(eventsOf[kernel.AttemptFailed](r.kernel)), 0, "a failed write to the caller is no failure of the upstream")
 	})
 }
 
 func TestCancelOfUnsentAttempt(t *testing.T) {
-	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		ctx, leave := context.WithCancel(t.Context())
 		r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, _ adapter.Sink) (adapter.Decoded, error) {
 			leave()
@@ -180,15 +180,15 @@
 		r.submit(ctx)
 		synctest.Wait()
 		assert.Equal(t, len(r.engine.cancels), 0, "an attempt that was not sent needs no cancel at the upstream")
-		assert.Equal(t, len(seen[kernel.CancelAcked](r.kernel)), 1)
+		assert.Equal(t, len(eventsOf[kernel.CancelAcked](r.kernel)), 1)
 	})
 }
 
 func TestDuplicateRequestID(t *testing.T) {
-	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
 			time.Sleep(time.Second)
-			return adapter.Decoded{Tokens: 1}, play(s, 0)
+			return adapter.Decoded{Tokens: 1}, sendTokens(s, 0)
 		}
 		first := make(chan Result)
 		go func() { first <- r.submit(t.Context()) }()
@@ -197,12 +197,12 @@
 		assert.Equal(t, second.Outcome, api.NotRun)
 		assert.Equal(t, r.observer.records[0].Reason, ReasonDuplicateID)
 		assert.Equal(t, (<-first).Outcome, api.Complete)
-		assert.Equal(t, len(seen[kernel.Arrive](r.kernel)), 1)
+		assert.Equal(t, len(eventsOf[kernel.Arrive](r.kernel)), 1)
 	})
 }
 
 func TestStopAnswersWhatIsLeft(t *testing.T) {
-	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, _ adapter.Sink) (adapter.Decoded, error) {
 			<-ctx.Done()
 			return adapter.Decoded{}, ctx.Err()
@@ -220,9 +220,9 @@
 // TestSlowCallerHoldsUpNoOther blocks the write to one caller: the driver's
 // goroutine must not wait for it.
 func TestSlowCallerHoldsUpNoOther(t *testing.T) {
-	inRig(t, decodeOnce, func(t *testing.T, r *rig) {
+	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-			return adapter.Decoded{Tokens: 2}, play(s, 0, 1)
+			return adapter.Decoded{Tokens: 2}, sendTokens(s, 0, 1)
 		}
 		taken := make(chan struct{})
 		slow := outputFunc(func(adapter.Chunk) error {
@@ -250,19 +250,19 @@
 
 func (f outputFunc) Token(c adapter.Chunk) error { return f(c) }
 
-// breakTwice is the decision function of a kernel that reattaches to the stream
-// after a wait when the connection of the decode breaks.
-func breakTwice(ev kernel.Event) []kernel.Action {
+// decideReattach is the decision function of a kernel that reattaches to the
+// stream after a wait when the connection of the decode breaks.
+func decideReattach(ev kernel.Event) []kernel.Action {
 	if _, ok := ev.(kernel.AttemptFailed); ok {
 		return []kernel.Action{kernel.ReattachDecode{
 			Attempt: attemptID(1), Request: "r-1", Upstream: "dc-1", Offset: 1, Wait: time.Second,
 		}}
 	}
-	return decodeOnce(ev)
+	return decideDecode(ev)
 }
 
 func TestReattachWaits(t *testing.T) {
-	inRig(t, breakTwice, func(t *testing.T, r *rig) {
+	withDriver(t, decideReattach, func(t *testing.T, r *testDriver) {
 		begin := time.Now()
 		r.engine.decode = func(_ context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
 			if c.ContinueFrom == 0 {
@@ -270,7 +270,7 @@
 				return adapter.Decoded{}, errors.ErrUnsupported
 			}
 			assert.Equal(t, time.Since(begin), time.Second)
-			return adapter.Decoded{Tokens: 2}, play(s, 1)
+			return adapter.Decoded{Tokens: 2}, sendTokens(s, 1)
 		}
 		assert.Equal(t, r.submit(t.Context()).Outcome, api.Complete)
 		assert.Equal(t, r.out.text, "ab")
@@ -280,7 +280,7 @@
 // TestCancelWhileReattachWaits: the decode still runs at its engine while the
 // reattach call waits here, so a cancel must be sent to the engine.
 func TestCancelWhileReattachWaits(t *testing.T) {
-	inRig(t, breakTwice, func(t *testing.T, r *rig) {
+	withDriver(t, decideReattach, func(t *testing.T, r *testDriver) {
 		ctx, leave := context.WithCancel(t.Context())
 		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
 			assert.NilError(t, s.Token(token(0)))
@@ -301,7 +301,7 @@
 	cancel(&CancelledError{})
 	for _, reattached := range []bool{false, true} {
 		a := &attempt{ctx: ctx, reattached: reattached}
-		_, err := d.carry(a, nil)
+		_, err := d.makeCall(a, nil)
 		assert.ErrorContains(t, err, "canceled")
 		assert.Equal(t, a.unsent, !reattached)
 	}
--- a/entry/driver/exchange.go
+++ b/entry/driver/exchange.go
@@ -28,10 +28,10 @@
 	// delivery writes the tokens to Output in order.
 	delivery delivery
 	// The remaining fields are owned by the driver's goroutine.
-	live    map[*attempt]struct{}
-	decoded adapter.Decoded
-	served  *adapter.ServiceAnswer
-	account prefillAccount
+	live         map[*attempt]struct{}
+	decoded      adapter.Decoded
+	served       *adapter.ServiceAnswer
+	prefillUsage prefillUsage
 }
 
 // Result is the final result of an exchange.
@@ -55,7 +55,7 @@
 	ex.result = make(chan Result, 1)
 	ex.live = map[*attempt]struct{}{}
 	ex.delivery.out = ex.Output
-	defer ex.delivery.seal()
+	defer ex.delivery.closeAndWait()
 	if !d.send(message{exchange: ex}) {
 		return stoppedResult(api.NotRun)
 	}
--- a/entry/driver/fixture_test.go
+++ b/entry/driver/fixture_test.go
@@ -7,7 +7,7 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-func discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // testContent declares two engines whose link transfers 1,000 tokens per
 // second.
--- a/entry/driver/gate.go
+++ b/entry/driver/gate.go
@@ -16,21 +16,22 @@
 
 	mu   sync.Mutex
 	last time.Time
-	// beats is closed and replaced at each beat.
-	beats chan struct{}
+	// marked is closed and replaced at each call of markRunning.
+	marked chan struct{}
 }
 
 func newPauseGate(after time.Duration) *pauseGate {
-	return &pauseGate{after: after, beats: make(chan struct{})}
+	return &pauseGate{after: after, marked: make(chan struct{})}
 }
 
-// beat records that the driver ran at now and has handled any pause before.
-func (g *pauseGate) beat(now time.Time) {
+// markRunning records that the driver ran at now and has handled any pause
+// before.
+func (g *pauseGate) markRunning(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.last = now
-	close(g.beats)
-	g.beats = make(chan struct{})
+	close(g.marked)
+	g.marked = make(chan struct{})
 }
 
 // gap returns how long the process did not run before now, or 0 if that is
@@ -51,13 +52,13 @@
 	return gap
 }
 
-// pass blocks until no detected pause is unhandled. It returns ctx's error if
+// wait blocks until no detected pause is unhandled. It returns ctx's error if
 // ctx has ended.
-func (g *pauseGate) pass(ctx context.Context) error {
+func (g *pauseGate) wait(ctx context.Context) error {
 	for {
 		g.mu.Lock()
 		open := g.gapLocked(time.Now()) == 0
-		beats := g.beats
+		beats := g.marked
 		g.mu.Unlock()
 		if open {
 			return ctx.Err()
--- a/entry/driver/patience_test.go
+++ b/entry/driver/patience_test.go
@@ -23,9 +23,9 @@
 		if _, ok := ev.(kernel.Arrive); ok {
 			return []kernel.Action{kernel.StartPrefill{Attempt: attemptID(1), Request: "r-1", Upstream: "dc-1"}}
 		}
-		return decodeOnce(ev)
+		return decideDecode(ev)
 	}
-	inRig(t, decide, func(t *testing.T, r *rig) {
+	withDriver(t, decide, func(t *testing.T, r *testDriver) {
 		r.engine.prefill = func(ctx context.Context) (adapter.Prefilled, error) {
 			<-ctx.Done()
 			return adapter.Prefilled{}, ctx.Err()
@@ -33,7 +33,7 @@
 		begin := time.Now()
 		assert.Equal(t, r.submit(t.Context()).Outcome, api.Unknown)
 		assert.Equal(t, time.Since(begin), defaultStall)
-		failed := seen[kernel.AttemptFailed](r.kernel)
+		failed := eventsOf[kernel.AttemptFailed](r.kernel)
 		assert.Equal(t, len(failed), 1)
 		assert.Equal(t, failed[0].Code, kernel.FailureStalled)
 		assert.Equal(t, failed[0].Evidence, kernel.Ambiguous)
@@ -43,30 +43,30 @@
 }
 
 func TestPrefillPatience(t *testing.T) {
-	d := New(Options{Kernel: &script{decide: func(kernel.Event) []kernel.Action { return nil }}, Observer: &fakeObserver{}, Log: discard()})
+	d := New(Options{Kernel: &scriptedKernel{decide: func(kernel.Event) []kernel.Action { return nil }}, Observer: &fakeObserver{}, Log: discardLogger()})
 	d.configure(testContent())
 	a := &attempt{
 		target:   adapter.Target{Upstream: "pf-1"},
 		exchange: &Exchange{Request: &kernel.Request{Model: "m", PromptTokens: 900}},
 	}
 	const stall = 300 * time.Millisecond
-	bound := func() time.Duration { return d.prefillPatience(a, 100).first }
-	assert.Equal(t, bound(), minPrefillPatience, "without a declared prefill rate, the minimum applies")
+	bound := func() time.Duration { return d.prefillLimits(a, 100).first }
+	assert.Equal(t, bound(), minPrefillTimeout, "without a declared prefill rate, the minimum applies")
 	d.specs["pf-1"].PrefillTokensPerSecond = 1000
-	assert.Equal(t, bound(), prefillSlack*time.Second+stall, "idle")
+	assert.Equal(t, bound(), prefillTimeFactor*time.Second+stall, "idle")
 
 	other := &attempt{target: a.target, exchange: &Exchange{}}
-	d.charge(other, 2000)
-	assert.Equal(t, bound(), 3*prefillSlack*time.Second+stall, "prefills of this instance count")
-	d.forget(other)
-	d.forget(other)
+	d.addPrefillWork(other, 2000)
+	assert.Equal(t, bound(), 3*prefillTimeFactor*time.Second+stall, "prefills of this instance count")
+	d.removeAttempt(other)
+	d.removeAttempt(other)
 	assert.Equal(t, len(d.prefilling), 0)
 
 	bubble.Test(t, func(t *testing.T) {
 		d.upstreams["pf-1"] = &kernel.Upstream{}
-		d.external(kernel.LoadReported{Upstream: "pf-1", Load: kernel.Load{At: time.Now(), QueuedTokens: 1000}})
-		d.external(kernel.LoadReported{Upstream: "pf-1", Load: kernel.Load{At: time.Now().Add(-time.Second)}})
-		assert.Equal(t, bound(), 2*prefillSlack*time.Second+stall, "an older load report is ignored")
+		d.handleExternal(kernel.LoadReported{Upstream: "pf-1", Load: kernel.Load{At: time.Now(), QueuedTokens: 1000}})
+		d.handleExternal(kernel.LoadReported{Upstream: "pf-1", Load: kernel.Load{At: time.Now().Add(-time.Second)}})
+		assert.Equal(t, bound(), 2*prefillTimeFactor*time.Second+stall, "an older load report is ignored")
 	})
 }
 
@@ -78,14 +78,14 @@
 // by this test while looking for the cause of answers cut off at the gateway,
 // not in operation.
 func TestStreamThatRunsOnceIsLeftAtASilentEngine(t *testing.T) {
-	d := New(Options{Kernel: &script{decide: func(kernel.Event) []kernel.Action { return nil }}, Observer: &fakeObserver{}, Log: discard()})
+	d := New(Options{Kernel: &scriptedKernel{decide: func(kernel.Event) []kernel.Action { return nil }}, Observer: &fakeObserver{}, Log: discardLogger()})
 	d.configure(testContent())
 	for _, repeatable := range []bool{true, false} {
 		bubble.Test(t, func(t *testing.T) {
 			r := &kernel.Request{Model: "m", PromptTokens: 900, Repeatable: repeatable, Deadline: time.Now().Add(time.Minute)}
 			a := &attempt{target: adapter.Target{Upstream: "dc-1"}, exchange: &Exchange{Request: r}}
 			var ended atomic.Bool
-			w := newWatchdog(d.patience(a, ""), time.Second, func(time.Duration) { ended.Store(true) })
+			w := newWatchdog(d.decodeLimits(a, ""), time.Second, func(time.Duration) { ended.Store(true) })
 			w.progress()
 			time.Sleep(time.Until(r.Deadline))
 			w.stop()
--- a/entry/driver/pause_test.go
+++ b/entry/driver/pause_test.go
@@ -30,23 +30,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newPauseGate(DefaultPauseAfter)
-			g.beat(start)
+			g.markRunning(start)
 			assert.Equal(t, g.gap(c.now), c.want)
 		})
 	}
 }
 
-// TestNothingIsSentBeforeThePauseIsHandled delays the driver's beat after a
-// pause while an attempt is about to be sent: it must wait for the beat.
+// TestNothingIsSentBeforeThePauseIsHandled delays the driver's markRunning
+// after a pause while an attempt is about to be sent: the attempt must wait for
+// it.
 func TestNothingIsSentBeforeThePauseIsHandled(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		g := newPauseGate(time.Second)
-		g.beat(time.Now())
-		assert.NilError(t, g.pass(t.Context()))
+		g.markRunning(time.Now())
+		assert.NilError(t, g.wait(t.Context()))
 		time.Sleep(2 * time.Second)
 		passed := make(chan time.Time, 1)
 		go func() {
-			if g.pass(context.Background()) == nil {
+			if g.wait(context.Background()) == nil {
 				passed <- time.Now()
 			}
 		}()
@@ -54,7 +55,7 @@
 		assert.Equal(t, len(passed), 0, "the attempt must wait until the pause is handled")
 		time.Sleep(time.Second)
 		handled := time.Now()
-		g.beat(handled)
+		g.markRunning(handled)
 		assert.Equal(t, <-passed, handled)
 	})
 }
@@ -64,16 +65,16 @@
 		g := newPauseGate(time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		assert.ErrorIs(t, g.pass(ctx), context.DeadlineExceeded)
+		assert.ErrorIs(t, g.wait(ctx), context.DeadlineExceeded)
 	})
 }
 
-// TestKernelHearsOfThePauseFirst sets the last beat back to simulate a pause:
-// the kernel must receive Paused before the event, and only once.
+// TestKernelHearsOfThePauseFirst sets the driver's last run back to simulate a
+// pause: the kernel must receive Paused before the event, and only once.
 func TestKernelHearsOfThePauseFirst(t *testing.T) {
-	s := &script{decide: func(kernel.Event) []kernel.Action { return nil }}
-	d := New(Options{Kernel: s, Observer: &fakeObserver{}, Log: discard()})
-	d.gate.beat(time.Now().Add(-time.Minute))
+	s := &scriptedKernel{decide: func(kernel.Event) []kernel.Action { return nil }}
+	d := New(Options{Kernel: s, Observer: &fakeObserver{}, Log: discardLogger()})
+	d.gate.markRunning(time.Now().Add(-time.Minute))
 	d.receive(message{event: kernel.LoadReported{}})
 	assert.Equal(t, len(s.events), 2)
 	paused, ok := s.events[0].(kernel.Paused)
@@ -88,7 +89,7 @@
 func TestWatchdogAfterPause(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		var stalled atomic.Int64
-		w := newWatchdog(patience{first: time.Second, next: time.Second}, time.Second, func(time.Duration) { stalled.Add(1) })
+		w := newWatchdog(progressLimits{first: time.Second, next: time.Second}, time.Second, func(time.Duration) { stalled.Add(1) })
 		defer w.stop()
 		w.mu.Lock()
 		w.due = time.Now().Add(-time.Minute)
@@ -102,14 +103,14 @@
 }
 
 func TestPatienceCoversTheTransfer(t *testing.T) {
-	d := New(Options{Kernel: &script{}, Observer: &fakeObserver{}, Log: discard()})
+	d := New(Options{Kernel: &scriptedKernel{}, Observer: &fakeObserver{}, Log: discardLogger()})
 	d.configure(testContent())
 	a := &attempt{
 		target:   adapter.Target{Upstream: "dc-1"},
 		exchange: &Exchange{Request: &kernel.Request{Model: "m", PromptTokens: 1000, Repeatable: true, Pace: 100 * time.Millisecond}},
 	}
-	p := d.patience(a, "pf-1")
-	assert.Equal(t, p.first, 300*time.Millisecond+transferSlack*time.Second)
-	assert.Equal(t, p.next, stallPaces*100*time.Millisecond)
-	assert.Equal(t, d.patience(a, "").first, 300*time.Millisecond)
+	p := d.decodeLimits(a, "pf-1")
+	assert.Equal(t, p.first, 300*time.Millisecond+transferTimeFactor*time.Second)
+	assert.Equal(t, p.next, tokenGapFactor*100*time.Millisecond)
+	assert.Equal(t, d.decodeLimits(a, "").first, 300*time.Millisecond)
 }
--- a/entry/driver/rig_test.go
+++ b/entry/driver/rig_test.go
@@ -16,8 +16,8 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// script is a Decider whose decisions are scripted by a test.
-type script struct {
+// scriptedKernel is a Decider whose decisions are scripted by a test.
+type scriptedKernel struct {
 	mu sync.Mutex
 	// events lists all events received.
 	events []kernel.Event
@@ -25,7 +25,7 @@
 	open   int
 }
 
-func (s *script) Step(_ time.Time, ev kernel.Event) []kernel.Action {
+func (s *scriptedKernel) Step(_ time.Time, ev kernel.Event) []kernel.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, ev)
@@ -41,13 +41,13 @@
 	return actions
 }
 
-func (s *script) NextWake() (time.Time, bool) { return time.Time{}, false }
-func (s *script) InFlight() int               { return s.open }
-func (s *script) PendingCancels() int         { return 0 }
-func (s *script) Version() uint64             { return 7 }
+func (s *scriptedKernel) NextWake() (time.Time, bool) { return time.Time{}, false }
+func (s *scriptedKernel) InFlight() int               { return s.open }
+func (s *scriptedKernel) PendingCancels() int         { return 0 }
+func (s *scriptedKernel) Version() uint64             { return 7 }
 
-// seen returns the received events of type E.
-func seen[E kernel.Event](s *script) []E {
+// eventsOf returns the received events of type E.
+func eventsOf[E kernel.Event](s *scriptedKernel) []E {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []E
@@ -123,29 +123,29 @@
 func (*fakeObserver) Observed(ident.UpstreamID, adapter.Observation) {}
 func (*fakeObserver) Undelivered(ident.InstanceID, error)            {}
 
-// collect is an Output that appends the text of the tokens, and fails with err
-// if it is set.
-type collect struct {
+// recordedOutput is an Output that appends the text of the tokens, and fails
+// with err if it is set.
+type recordedOutput struct {
 	mu   sync.Mutex
 	text string
 	err  error
 }
 
-func (c *collect) Token(t adapter.Chunk) error {
+func (c *recordedOutput) Token(t adapter.Chunk) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.text += t.Text
 	return c.err
 }
 
-// rig is a running driver with a scripted kernel, a fake engine, an observer
-// and an output.
-type rig struct {
+// testDriver is a running driver with a scripted kernel, a fake engine, an
+// observer and an output.
+type testDriver struct {
 	driver   *Driver
-	kernel   *script
+	kernel   *scriptedKernel
 	engine   *fakeEngine
 	observer *fakeObserver
-	out      *collect
+	out      *recordedOutput
 	stop     context.CancelFunc
 }
 
@@ -154,15 +154,15 @@
 	return ident.AttemptID{Instance: "e-1", Incarnation: 1, Sequence: n}
 }
 
-// inRig runs a test with a running driver in a synctest bubble (fake clock).
+// withDriver runs a test with a running driver in a synctest bubble (fake clock).
 // decide makes the kernel's decisions.
-func inRig(t *testing.T, decide func(ev kernel.Event) []kernel.Action, test func(t *testing.T, r *rig)) {
+func withDriver(t *testing.T, decide func(ev kernel.Event) []kernel.Action, test func(t *testing.T, r *testDriver)) {
 	bubble.Test(t, func(t *testing.T) {
-		r := &rig{
-			kernel:   &script{decide: decide},
+		r := &testDriver{
+			kernel:   &scriptedKernel{decide: decide},
 			engine:   &fakeEngine{},
 			observer: &fakeObserver{},
-			out:      &collect{},
+			out:      &recordedOutput{},
 		}
 		r.driver = New(Options{
 			Kernel: r.kernel, Engine: r.engine, Observer: r.observer,
@@ -183,7 +183,7 @@
 }
 
 // submit submits a repeatable model request and returns its result.
-func (r *rig) submit(ctx context.Context) Result {
+func (r *testDriver) submit(ctx context.Context) Result {
 	return r.driver.Submit(ctx, &Exchange{
 		Request: &kernel.Request{ID: "r-1", Repeatable: true, Route: config.RouteModel, PromptTokens: 10, Deadline: time.Now().Add(time.Minute)},
 		Model:   &adapter.ModelRequest{Endpoint: adapter.Completions},
@@ -191,9 +191,9 @@
 	})
 }
 
-// decodeOnce is the decision function of a kernel that starts one decode and
+// decideDecode is the decision function of a kernel that starts one decode and
 // answers when it ends.
-func decodeOnce(ev kernel.Event) []kernel.Action {
+func decideDecode(ev kernel.Event) []kernel.Action {
 	switch ev.(type) {
 	case kernel.Arrive:
 		return []kernel.Action{kernel.StartDecode{Attempt: attemptID(1), Request: "r-1", Upstream: "dc-1"}}
@@ -214,8 +214,8 @@
 	return adapter.Chunk{Offset: offset, Text: string(rune('a' + offset))}
 }
 
-// play sends the tokens at the given offsets to s.
-func play(s adapter.Sink, offsets ...int) error {
+// sendTokens sends the tokens at the given offsets to s.
+func sendTokens(s adapter.Sink, offsets ...int) error {
 	for _, o := range offsets {
 		if err := s.Token(token(o)); err != nil {
 			return err
--- a/entry/driver/sink.go
+++ b/entry/driver/sink.go
@@ -15,12 +15,12 @@
 	started bool
 }
 
-func (d *Driver) newSink(a *attempt, p patience) *sink {
+func (d *Driver) newSink(a *attempt, p progressLimits) *sink {
 	return &sink{d: d, a: a, watch: d.newWatch(a, p)}
 }
 
 // newWatch starts a watchdog that cancels the attempt when it stalls.
-func (d *Driver) newWatch(a *attempt, p patience) *watchdog {
+func (d *Driver) newWatch(a *attempt, p progressLimits) *watchdog {
 	stalled := func(after time.Duration) { a.cancel(&StalledError{After: after}) }
 	return newWatchdog(p, d.opts.PauseAfter, stalled)
 }
@@ -28,7 +28,7 @@
 // Token implements adapter.Sink.
 func (s *sink) Token(c adapter.Chunk) error {
 	s.watch.pause()
-	v, err := s.a.exchange.delivery.token(s.a.id, c)
+	v, err := s.a.exchange.delivery.writeToken(s.a.id, c)
 	s.watch.progress()
 	if v == tokenDropped {
 		s.d.opts.Observer.Late()
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	if !s.started && v == tokenPassed {
+	if !s.started && v == tokenSent {
 		s.started = true
 		s.d.send(message{event: kernel.FirstOutput{Attempt: s.a.id}, attempt: s.a})
 	}
--- a/entry/driver/step.go
+++ b/entry/driver/step.go
@@ -14,21 +14,21 @@
 // receive handles one inbox message.
 func (d *Driver) receive(m message) {
 	switch {
-	case m.quiet != nil:
-		d.quiet = append(d.quiet, m.quiet)
-		d.checkQuiet()
+	case m.idle != nil:
+		d.idleWaiters = append(d.idleWaiters, m.idle)
+		d.notifyIdle()
 	case m.exchange != nil:
 		d.admit(m.exchange)
 	case m.attempt != nil:
 		d.report(m)
 	default:
-		d.external(m.event)
+		d.handleExternal(m.event)
 	}
 }
 
-// external passes an event from outside the driver to the kernel and updates
-// the driver's own view of upstreams and configuration.
-func (d *Driver) external(ev kernel.Event) {
+// handleExternal passes an event from outside the driver to the kernel and
+// updates the driver's own view of upstreams and configuration.
+func (d *Driver) handleExternal(ev kernel.Event) {
 	switch e := ev.(type) {
 	case kernel.ViewChanged:
 		clear(d.upstreams)
@@ -37,7 +37,7 @@
 		}
 		d.step(ev)
 	case kernel.LoadReported:
-		d.seen(e)
+		d.updateLoad(e)
 		d.step(ev)
 	case kernel.Configured:
 		before := d.opts.Kernel.Version()
@@ -82,24 +82,24 @@
 		d.backlog = slices.Delete(d.backlog, 0, 1)
 		d.stepOnce(next)
 	}
-	d.checkQuiet()
+	d.notifyIdle()
 }
 
 func (d *Driver) stepOnce(ev kernel.Event) {
 	for _, a := range d.opts.Kernel.Step(time.Now(), ev) {
-		d.do(a)
+		d.execute(a)
 	}
 	// Results are delivered after all actions have run, so that a caller's next
 	// request finds all effects recorded.
-	for i, e := range d.endings {
+	for i, e := range d.finishedExchanges {
 		e.exchange.finish(e.result)
-		d.endings[i] = ending{}
+		d.finishedExchanges[i] = finishedExchange{}
 	}
-	d.endings = d.endings[:0]
+	d.finishedExchanges = d.finishedExchanges[:0]
 }
 
-// ending is a finished exchange with its result.
-type ending struct {
+// finishedExchange is an exchange with its final result.
+type finishedExchange struct {
 	exchange *Exchange
 	result   Result
 }
@@ -109,28 +109,28 @@
 func (d *Driver) checkPause() {
 	gap := d.gate.gap(time.Now())
 	if gap > 0 {
-		d.logLater(slog.LevelWarn, "process was paused", "gap", gap)
+		d.logAsync(slog.LevelWarn, "process was paused", "gap", gap)
 		d.stepOnce(kernel.Paused{Gap: gap})
 		if d.opts.OnPause != nil {
 			d.opts.OnPause(gap)
 		}
 	}
-	d.gate.beat(time.Now())
+	d.gate.markRunning(time.Now())
 }
 
-// checkQuiet wakes the waiting Quiesce calls if nothing is in flight.
-func (d *Driver) checkQuiet() {
-	if len(d.quiet) == 0 || len(d.exchanges) > 0 || d.opts.Kernel.PendingCancels() > 0 {
+// notifyIdle wakes the waiting Quiesce calls if nothing is in flight.
+func (d *Driver) notifyIdle() {
+	if len(d.idleWaiters) == 0 || len(d.exchanges) > 0 || d.opts.Kernel.PendingCancels() > 0 {
 		return
 	}
-	for _, q := range d.quiet {
+	for _, q := range d.idleWaiters {
 		close(q)
 	}
-	d.quiet = nil
+	d.idleWaiters = nil
 }
 
-// logLater logs in a separate goroutine: a blocked log output must not delay
+// logAsync logs in a separate goroutine: a blocked log output must not delay
 // decisions.
-func (d *Driver) logLater(level slog.Level, text string, args ...any) {
+func (d *Driver) logAsync(level slog.Level, text string, args ...any) {
 	d.workers.Go(func() { d.opts.Log.Log(context.Background(), level, text, args...) })
 }
--- a/entry/driver/watchdog.go
+++ b/entry/driver/watchdog.go
@@ -8,7 +8,7 @@
 // watchdog calls stalled when an attempt makes no progress within its time
 // limit.
 type watchdog struct {
-	patience   patience
+	limits     progressLimits
 	pauseAfter time.Duration
 	stalled    func(after time.Duration)
 
@@ -20,8 +20,8 @@
 }
 
 // newWatchdog starts a watchdog with the time limit for the first token.
-func newWatchdog(p patience, pauseAfter time.Duration, stalled func(time.Duration)) *watchdog {
-	w := &watchdog{patience: p, pauseAfter: pauseAfter, stalled: stalled}
+func newWatchdog(p progressLimits, pauseAfter time.Duration, stalled func(time.Duration)) *watchdog {
+	w := &watchdog{limits: p, pauseAfter: pauseAfter, stalled: stalled}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limit = p.first
@@ -60,19 +60,19 @@
 func (w *watchdog) pause() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.due = time.Now().Add(callerPatience)
+	w.due = time.Now().Add(callerWriteAllowance)
 }
 
-// callerPatience suspends the watchdog during a write to the caller. It only
-// has to exceed the write's own time limit.
-const callerPatience = time.Hour
+// callerWriteAllowance suspends the watchdog during a write to the caller. It
+// only has to exceed the write's own time limit.
+const callerWriteAllowance = time.Hour
 
 // progress records a token and restarts the time limit. The timer itself is not
 // reset: if it fires early, fire resets it.
 func (w *watchdog) progress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.limit = w.patience.next
+	w.limit = w.limits.next
 	w.due = time.Now().Add(w.limit)
 }
 
--- a/entry/front/answer.go
+++ b/entry/front/answer.go
@@ -92,17 +92,17 @@
 	return u
 }
 
-// wholeOutput buffers an answer that is not streamed.
-type wholeOutput struct{ text strings.Builder }
+// bufferedOutput buffers an answer that is not streamed.
+type bufferedOutput struct{ text strings.Builder }
 
 // Token implements driver.Output.
-func (o *wholeOutput) Token(c adapter.Chunk) error {
+func (o *bufferedOutput) Token(c adapter.Chunk) error {
 	o.text.WriteString(c.Text)
 	return nil
 }
 
-// writeWhole writes the answer to a request that is not streamed.
-func (f *Front) writeWhole(w http.ResponseWriter, ex *driver.Exchange, out *wholeOutput, res driver.Result) {
+// writeBuffered writes the answer to a request that is not streamed.
+func (f *Front) writeBuffered(w http.ResponseWriter, ex *driver.Exchange, out *bufferedOutput, res driver.Result) {
 	if res.Problem != nil {
 		f.writeProblem(w, ex.Request.ID, res)
 		return
@@ -119,7 +119,7 @@
 	}
 	writeResult(w.Header(), ex.Request.ID, res)
 	w.Header().Set("Content-Type", "application/json")
-	f.extendWrite(w)
+	f.renewWriteDeadline(w)
 	err := json.NewEncoder(w).Encode(completion{
 		ID:      id.id,
 		Object:  object,
--- a/entry/front/answer_test.go
+++ b/entry/front/answer_test.go
@@ -21,8 +21,8 @@
 )
 
 func TestWholeAnswerHeaders(t *testing.T) {
-	r := newRig(t, nil)
-	resp, body := r.raw(t, post("/v1/completions", fmt.Sprintf(good, false), "X-Request-Id: mine"))
+	r := newTestFront(t, nil)
+	resp, body := r.sendRaw(t, post("/v1/completions", fmt.Sprintf(completionTemplate, false), "X-Request-Id: mine"))
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	var got completion
 	assert.NilError(t, json.Unmarshal([]byte(body), &got))
@@ -38,8 +38,8 @@
 }
 
 func TestStreamedAnswer(t *testing.T) {
-	r := newRig(t, nil)
-	resp, body := r.raw(t, post("/v1/completions", fmt.Sprintf(good, true), "X-Request-Id: mine"))
+	r := newTestFront(t, nil)
+	resp, body := r.sendRaw(t, post("/v1/completions", fmt.Sprintf(completionTemplate, true), "X-Request-Id: mine"))
 	events := strings.Split(strings.TrimSpace(body), "\n\n")
 	assert.Equal(t, len(events), 3, body)
 	assert.Assert(t, strings.Contains(events[0], `"choices":[{"text":"one "}]}`), events[0])
@@ -53,12 +53,12 @@
 // complete answer, so no finish_reason is sent if the request fails after the
 // last token.
 func TestLastTokenWaitsForTheEnd(t *testing.T) {
-	r := newRig(t, nil)
+	r := newTestFront(t, nil)
 	r.submit.run = func(ctx context.Context, ex *driver.Exchange) driver.Result {
-		whole(ctx, ex)
-		return failed()
+		completeResult(ctx, ex)
+		return failedResult()
 	}
-	resp, body := r.raw(t, post("/v1/completions", fmt.Sprintf(good, true)))
+	resp, body := r.sendRaw(t, post("/v1/completions", fmt.Sprintf(completionTemplate, true)))
 	assert.Assert(t, strings.Contains(body, "one "))
 	assert.Assert(t, !strings.Contains(body, "two"), body)
 	assert.Assert(t, !strings.Contains(body, "[DONE]"), body)
@@ -69,23 +69,23 @@
 
 func TestFailureBeforeTheFirstToken(t *testing.T) {
 	for _, stream := range []bool{true, false} {
-		r := newRig(t, nil)
-		r.submit.run = func(context.Context, *driver.Exchange) driver.Result { return failed() }
-		resp, body := r.raw(t, post("/v1/completions", fmt.Sprintf(good, stream)))
-		wantProblem(t, resp, body, api.ProblemUpstreamFailed, api.Unknown)
+		r := newTestFront(t, nil)
+		r.submit.run = func(context.Context, *driver.Exchange) driver.Result { return failedResult() }
+		resp, body := r.sendRaw(t, post("/v1/completions", fmt.Sprintf(completionTemplate, stream)))
+		assertProblem(t, resp, body, api.ProblemUpstreamFailed, api.Unknown)
 		assert.Equal(t, resp.Header.Get("Retry-After"), "2")
 	}
 }
 
 func TestServiceAnswer(t *testing.T) {
-	r := newRig(t, nil)
+	r := newTestFront(t, nil)
 	var seen *adapter.ServiceCall
 	var req *kernel.Request
 	r.submit.run = func(ctx context.Context, ex *driver.Exchange) driver.Result {
 		seen, req = ex.Service, ex.Request
-		return whole(ctx, ex)
+		return completeResult(ctx, ex)
 	}
-	resp, body := r.raw(t, post("/services/desk/a//b/../%2e%2e/c?q=1&q=%20", "text", "X-Own: 2", "Idempotency-Key: k"))
+	resp, body := r.sendRaw(t, post("/services/desk/a//b/../%2e%2e/c?q=1&q=%20", "text", "X-Own: 2", "Idempotency-Key: k"))
 	assert.Equal(t, resp.StatusCode, http.StatusTeapot)
 	assert.Equal(t, body, "tea")
 	assert.Equal(t, resp.Header.Get("X-Own"), "1")
@@ -108,7 +108,7 @@
 // TestKeptAliveConnectionOutlivesWriteTimeout: the write deadline of one answer
 // must not apply to the next answer on the same connection.
 func TestKeptAliveConnectionOutlivesWriteTimeout(t *testing.T) {
-	r := newRig(t, func(o *Options) {
+	r := newTestFront(t, func(o *Options) {
 		o.Limits.WriteTimeout = 30 * time.Millisecond
 		o.Metrics = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "m 1\n") })
 	})
--- a/entry/front/body.go
+++ b/entry/front/body.go
@@ -10,61 +10,61 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// readStep is the amount of memory reserved at a time for a body of unknown
+// reserveStep is the amount of memory reserved at a time for a body of unknown
 // length.
-const readStep = 64 << 10
+const reserveStep = 64 << 10
 
 // readBody reads a complete body. It enforces the limits on the size of the
-// body and on the memory of all bodies; the read deadline was set by common.
-// release returns the reserved memory.
+// body and on the memory of all bodies; the read deadline was set by
+// withCommonHeaders. release returns the reserved memory.
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request) (body []byte, release func(), problem *api.Problem) {
 	limit := f.opts.Limits.BodyBytes
 	if r.ContentLength > limit {
 		return nil, nil, tooLarge()
 	}
-	body, taken, problem := f.readWithin(http.MaxBytesReader(w, r.Body, limit), r.ContentLength)
+	body, reserved, problem := f.readReserved(http.MaxBytesReader(w, r.Body, limit), r.ContentLength)
 	if problem != nil {
-		f.memory.give(taken)
+		f.memory.release(reserved)
 		return nil, nil, problem
 	}
 	// From here on the server reads the connection only to detect that the
 	// caller closed it, for as long as the request takes. The error is ignored
 	// because response writers in tests support no deadlines.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	return body, func() { f.memory.give(taken) }, nil
+	return body, func() { f.memory.release(reserved) }, nil
 }
 
-// readWithin reads r to its end and returns the amount of memory that it
+// readReserved reads r to its end and returns the amount of memory that it
 // reserved.
-func (f *Front) readWithin(r io.Reader, length int64) (body []byte, taken int64, problem *api.Problem) {
+func (f *Front) readReserved(r io.Reader, length int64) (body []byte, reserved int64, problem *api.Problem) {
 	step := length
 	if length < 0 {
-		step = readStep
+		step = reserveStep
 	}
 	for {
-		if !f.memory.take(step) {
-			return nil, taken, overloaded("the requests in flight take all memory for bodies")
+		if !f.memory.reserve(step) {
+			return nil, reserved, overloaded("the requests in flight take all memory for bodies")
 		}
-		taken += step
+		reserved += step
 		// One extra byte allows EOF to be seen without growing the buffer.
-		grown := make([]byte, len(body), taken+1)
+		grown := make([]byte, len(body), reserved+1)
 		copy(grown, body)
 		var err error
-		body, err = fill(grown, r)
+		body, err = readFull(grown, r)
 		switch {
 		case err == nil:
-			step = max(taken, readStep)
+			step = max(reserved, reserveStep)
 		case errors.Is(err, io.EOF):
-			return body, taken, nil
+			return body, reserved, nil
 		default:
-			return nil, taken, bodyProblem(err)
+			return nil, reserved, bodyProblem(err)
 		}
 	}
 }
 
-// fill reads until b is filled to its capacity, which is not an error, or until
-// r fails or ends.
-func fill(b []byte, r io.Reader) ([]byte, error) {
+// readFull reads until b is filled to its capacity, which is not an error, or
+// until r fails or ends.
+func readFull(b []byte, r io.Reader) ([]byte, error) {
 	for len(b) < cap(b) {
 		n, err := r.Read(b[len(b):cap(b)])
 		b = b[:len(b)+n]
--- a/entry/front/call.go
+++ b/entry/front/call.go
@@ -20,8 +20,8 @@
 	endpoint adapter.Endpoint
 	// service and rest are set for plain services. rest is the path at the
 	// service, including the query.
-	service string
-	rest    string
+	service     string
+	servicePath string
 }
 
 // Paths of requests that are sent to upstreams.
@@ -50,7 +50,7 @@
 	if slash < 0 {
 		return target{}, false
 	}
-	return target{service: after[:slash], rest: after[slash:]}, true
+	return target{service: after[:slash], servicePath: after[slash:]}, true
 }
 
 // route returns the configured route of the target.
@@ -63,7 +63,7 @@
 
 // call is a caller's request with parsed headers.
 type call struct {
-	at      time.Time
+	arrived time.Time
 	method  string
 	path    string
 	target  target
@@ -78,11 +78,11 @@
 	catalog  *intake.Catalog
 }
 
-// arrive reads a request's headers and checks whether this instance can accept
+// readCall reads a request's headers and checks whether this instance can accept
 // the request.
-func (f *Front) arrive(r *http.Request) (*call, *api.Problem) {
+func (f *Front) readCall(r *http.Request) (*call, *api.Problem) {
 	c := &call{
-		at:      time.Now(),
+		arrived: time.Now(),
 		method:  r.Method,
 		path:    r.URL.EscapedPath(),
 		header:  r.Header,
@@ -98,10 +98,10 @@
 		c.headers.RequestID = newRequestID()
 	}
 	if problem == nil {
-		problem = f.unready()
+		problem = f.notReadyProblem()
 	}
 	if problem == nil && c.catalog == nil {
-		problem = api.NewProblem(api.ProblemNotReady, api.NotRun, string(NoBundle)).RetryAfter(retryNotReady)
+		problem = api.NewProblem(api.ProblemNotReady, api.NotRun, string(NoBundle)).RetryAfter(retryAfterNotReady)
 	}
 	return c, problem
 }
@@ -121,12 +121,12 @@
 	if c.catalog != nil {
 		p.BundleVersion = c.catalog.Version
 	}
-	f.write(w, p)
+	f.writeProblemDocument(w, p)
 }
 
 // serve handles all requests that are sent to upstreams.
 func (f *Front) serve(w http.ResponseWriter, r *http.Request) {
-	c, problem := f.arrive(r)
+	c, problem := f.readCall(r)
 	if problem != nil {
 		f.fail(w, c, problem)
 		return
@@ -136,11 +136,11 @@
 		f.fail(w, c, noRoute(http.StatusNotFound, "no such path"))
 		return
 	}
-	if !f.requests.take(1) {
+	if !f.requests.reserve(1) {
 		f.fail(w, c, overloaded("too many requests are in flight"))
 		return
 	}
-	defer f.requests.give(1)
+	defer f.requests.release(1)
 	body, release, problem := f.readBody(w, r)
 	if problem != nil {
 		f.fail(w, c, problem)
@@ -148,11 +148,12 @@
 	}
 	defer release()
 	c.body, c.unread = body, false
-	f.choose(r.Context(), w, c)
+	f.chooseExecution(r.Context(), w, c)
 }
 
-// choose selects how a call is protected against running twice, and runs it.
-func (f *Front) choose(ctx context.Context, w http.ResponseWriter, c *call) {
+// chooseExecution selects how a call is protected against running twice, and
+// runs it.
+func (f *Front) chooseExecution(ctx context.Context, w http.ResponseWriter, c *call) {
 	repeatable, problem := c.catalog.Repeatable(c.headers, c.target.route())
 	if problem != nil {
 		f.fail(w, c, problem)
@@ -167,7 +168,7 @@
 	})
 	switch path {
 	case ticket.PathTicket:
-		f.runTicket(ctx, w, c)
+		f.executeTicket(ctx, w, c)
 	case ticket.PathTicketRequired:
 		f.requireTicket(w, c)
 	default:
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -26,32 +26,32 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// submitter is a fake Submitter in place of the driver.
-type submitter struct {
+// fakeSubmitter is a fake Submitter in place of the driver.
+type fakeSubmitter struct {
 	mu    sync.Mutex
 	calls int
 	run   func(ctx context.Context, ex *driver.Exchange) driver.Result
 }
 
-func (s *submitter) Submit(ctx context.Context, ex *driver.Exchange) driver.Result {
+func (s *fakeSubmitter) Submit(ctx context.Context, ex *driver.Exchange) driver.Result {
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
 	return s.run(ctx, ex)
 }
 
-// rig is a Front that listens on a local port, with a fake submitter.
-type rig struct {
+// testFront is a Front that listens on a local port, with a fake submitter.
+type testFront struct {
 	front   *Front
-	submit  *submitter
+	submit  *fakeSubmitter
 	address string
 	unready Unready
 }
 
-// newRig starts a rig. change modifies its options.
-func newRig(t *testing.T, change func(*Options)) *rig {
+// newTestFront starts a testFront. change modifies its options.
+func newTestFront(t *testing.T, change func(*Options)) *testFront {
 	t.Helper()
-	r := &rig{submit: &submitter{}}
+	r := &testFront{submit: &fakeSubmitter{}}
 	catalog := intake.NewCatalog(4, &config.Content{
 		Kinds:      []config.Kind{{Name: "review", Route: config.RouteModel, Repeatable: true}, {Name: "lookup", Route: config.RouteService, Repeatable: true}},
 		Models:     []config.Model{{Name: "m", PieceTokens: 100}},
@@ -69,7 +69,7 @@
 		change(&o)
 	}
 	r.front = New(o)
-	r.submit.run = whole
+	r.submit.run = completeResult
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	r.address = l.Addr().String()
@@ -89,8 +89,8 @@
 	return r
 }
 
-// whole answers with two tokens, or with a service's response.
-func whole(_ context.Context, ex *driver.Exchange) driver.Result {
+// completeResult answers with two tokens, or with a service's response.
+func completeResult(_ context.Context, ex *driver.Exchange) driver.Result {
 	r := driver.Result{Outcome: api.Complete, BundleVersion: 4}
 	if ex.Service != nil {
 		r.Service = &adapter.ServiceAnswer{Status: http.StatusTeapot, Header: http.Header{"X-Own": {"1"}}, Body: []byte("tea")}
@@ -102,22 +102,22 @@
 			c.FinishReason = "stop"
 		}
 		if err := ex.Output.Token(c); err != nil {
-			return failed()
+			return failedResult()
 		}
 	}
 	r.Decoded = adapter.Decoded{Tokens: 2, FinishReason: "stop"}
 	return r
 }
 
-// failed is the result of a request that failed with an unknown outcome.
-func failed() driver.Result {
+// failedResult is the result of a request that failed with an unknown outcome.
+func failedResult() driver.Result {
 	p := api.NewProblem(api.ProblemUpstreamFailed, api.Unknown, "it broke").RetryAfter(1500 * time.Millisecond)
 	return driver.Result{Outcome: api.Unknown, Problem: p, BundleVersion: 4}
 }
 
-// raw sends the text of a request over a new connection and returns the
+// sendRaw sends the text of a request over a new connection and returns the
 // response.
-func (r *rig) raw(t *testing.T, text string) (*http.Response, string) {
+func (r *testFront) sendRaw(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", r.address)
 	assert.NilError(t, err)
@@ -137,11 +137,11 @@
 	return strings.Join(lines, "\r\n") + "\r\n\r\n" + body
 }
 
-const good = `{"model":"m","prompt":"a b","stream":%t}`
+const completionTemplate = `{"model":"m","prompt":"a b","stream":%t}`
 
-// wantProblem checks that a response is a problem document of a type, with all
+// assertProblem checks that a response is a problem document of a type, with all
 // headers.
-func wantProblem(t *testing.T, resp *http.Response, body string, want api.ProblemType, outcome api.Outcome) {
+func assertProblem(t *testing.T, resp *http.Response, body string, want api.ProblemType, outcome api.Outcome) {
 	t.Helper()
 	assert.Equal(t, resp.Header.Get("Content-Type"), api.ProblemContentType, body)
 	var p api.Problem
@@ -169,9 +169,9 @@
 	}{
 		{"broken JSON", post("/v1/completions", `{"model`), 400, api.ProblemMalformed},
 		{"negative max_tokens", post("/v1/completions", `{"model":"m","prompt":"x","max_tokens":-2}`), 400, api.ProblemMalformed},
-		{"unknown kind", post("/v1/completions", fmt.Sprintf(good, false), "Wardspool-Kind: nonesuch"), 400, api.ProblemUnknownKind},
-		{"kind of another route", post("/v1/completions", fmt.Sprintf(good, false), "Wardspool-Kind: lookup"), 400, api.ProblemUnknownKind},
-		{"bad workspace", post("/v1/completions", fmt.Sprintf(good, false), "Wardspool-Workspace: A B"), 400, api.ProblemMalformed},
+		{"unknown kind", post("/v1/completions", fmt.Sprintf(completionTemplate, false), "Wardspool-Kind: nonesuch"), 400, api.ProblemUnknownKind},
+		{"kind of another route", post("/v1/completions", fmt.Sprintf(completionTemplate, false), "Wardspool-Kind: lookup"), 400, api.ProblemUnknownKind},
+		{"bad workspace", post("/v1/completions", fmt.Sprintf(completionTemplate, false), "Wardspool-Workspace: A B"), 400, api.ProblemMalformed},
 		{"two request IDs", post("/v1/completions", "{}", "X-Request-Id: a", "X-Request-Id: b"), 400, api.ProblemMalformed},
 		{"huge request ID", post("/v1/completions", "{}", "X-Request-Id: "+strings.Repeat("x", 1000)), 400, api.ProblemMalformed},
 		{"declared too large", "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 101\r\n\r\n", 413, api.ProblemTooLarge},
@@ -185,10 +185,10 @@
 		{"wrong method", "GET /v1/completions HTTP/1.1\r\nHost: x\r\n\r\n", 405, api.ProblemMalformed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, small)
-			resp, body := r.raw(t, c.text)
+			r := newTestFront(t, small)
+			resp, body := r.sendRaw(t, c.text)
 			assert.Equal(t, resp.StatusCode, c.status, body)
-			wantProblem(t, resp, body, c.want, api.NotRun)
+			assertProblem(t, resp, body, c.want, api.NotRun)
 			assert.Equal(t, r.submit.calls, 0, "an invalid request must not be submitted")
 		})
 	}
@@ -197,7 +197,7 @@
 // TestBadHeads covers malformed request headers that net/http itself rejects
 // with a plain-text response.
 func TestBadHeads(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.HeaderBytes = 1000 })
+	r := newTestFront(t, func(o *Options) { o.Limits.HeaderBytes = 1000 })
 	for name, c := range map[string]struct {
 		text   string
 		status int
@@ -207,14 +207,14 @@
 		"no host":           {"POST /v1/completions HTTP/1.1\r\n\r\n", 400},
 		"two lengths":       {"POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n{}", 400},
 	} {
-		resp, body := r.raw(t, c.text)
+		resp, body := r.sendRaw(t, c.text)
 		assert.Equal(t, resp.StatusCode, c.status, "%s: %s", name, body)
 	}
 	assert.Equal(t, r.submit.calls, 0)
 }
 
 func TestSlowHead(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.HeaderTimeout = 50 * time.Millisecond })
+	r := newTestFront(t, func(o *Options) { o.Limits.HeaderTimeout = 50 * time.Millisecond })
 	c, err := net.Dial("tcp", r.address)
 	assert.NilError(t, err)
 	defer c.Close()
@@ -225,31 +225,31 @@
 }
 
 func TestMemoryOfBodiesIsBounded(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.MemoryBytes = 150 })
+	r := newTestFront(t, func(o *Options) { o.Limits.MemoryBytes = 150 })
 	body := fmt.Sprintf(`{"model":"m","prompt":%q}`, strings.Repeat("x", 60))
 	running := make(chan struct{})
 	release := make(chan struct{})
 	r.submit.run = func(ctx context.Context, ex *driver.Exchange) driver.Result {
 		close(running)
 		<-release
-		return whole(ctx, ex)
+		return completeResult(ctx, ex)
 	}
 	first := make(chan int)
 	go func() {
-		resp, _ := r.raw(t, post("/v1/completions", body))
+		resp, _ := r.sendRaw(t, post("/v1/completions", body))
 		first <- resp.StatusCode
 	}()
 	<-running
-	resp, text := r.raw(t, post("/v1/completions", body))
-	wantProblem(t, resp, text, api.ProblemOverloaded, api.NotRun)
+	resp, text := r.sendRaw(t, post("/v1/completions", body))
+	assertProblem(t, resp, text, api.ProblemOverloaded, api.NotRun)
 	close(release)
 	assert.Equal(t, <-first, http.StatusOK)
 }
 
 func TestRequestsInFlightAreBounded(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.Requests = 0 })
-	resp, text := r.raw(t, post("/v1/completions", fmt.Sprintf(good, false)))
-	wantProblem(t, resp, text, api.ProblemOverloaded, api.NotRun)
+	r := newTestFront(t, func(o *Options) { o.Limits.Requests = 0 })
+	resp, text := r.sendRaw(t, post("/v1/completions", fmt.Sprintf(completionTemplate, false)))
+	assertProblem(t, resp, text, api.ProblemOverloaded, api.NotRun)
 }
 
 func TestReadiness(t *testing.T) {
@@ -265,18 +265,18 @@
 		{NoAgent, 503, api.ProblemNotReady},
 	} {
 		t.Run(string(c.unready), func(t *testing.T) {
-			r := newRig(t, nil)
+			r := newTestFront(t, nil)
 			r.unready = c.unready
-			probe, _ := r.raw(t, "GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n")
+			probe, _ := r.sendRaw(t, "GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n")
 			assert.Equal(t, probe.StatusCode, c.probe)
-			alive, _ := r.raw(t, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+			alive, _ := r.sendRaw(t, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 			assert.Equal(t, alive.StatusCode, http.StatusOK)
-			resp, body := r.raw(t, post("/v1/completions", fmt.Sprintf(good, false)))
+			resp, body := r.sendRaw(t, post("/v1/completions", fmt.Sprintf(completionTemplate, false)))
 			if c.want == "" {
 				assert.Equal(t, resp.StatusCode, http.StatusOK, body)
 				return
 			}
-			wantProblem(t, resp, body, c.want, api.NotRun)
+			assertProblem(t, resp, body, c.want, api.NotRun)
 		})
 	}
 }
--- a/entry/front/model.go
+++ b/entry/front/model.go
@@ -21,7 +21,7 @@
 		f.fail(w, c, problem)
 		return
 	}
-	req, model, problem := c.catalog.Model(c.headers, c.target.endpoint, body, c.at)
+	req, model, problem := c.catalog.Model(c.headers, c.target.endpoint, body, c.arrived)
 	if problem != nil {
 		f.fail(w, c, problem)
 		return
@@ -36,9 +36,9 @@
 		out.finish(f.opts.Submit.Submit(ctx, ex), body.IncludeUsage)
 		return
 	}
-	out := &wholeOutput{}
+	out := &bufferedOutput{}
 	ex.Output = out
-	f.writeWhole(w, ex, out, f.opts.Submit.Submit(ctx, ex))
+	f.writeBuffered(w, ex, out, f.opts.Submit.Submit(ctx, ex))
 }
 
 // writeResult sets the headers that describe the result of a request.
@@ -54,5 +54,5 @@
 	p := *res.Problem
 	p.RequestID = string(id)
 	p.BundleVersion = res.BundleVersion
-	f.write(w, &p)
+	f.writeProblemDocument(w, &p)
 }
--- a/entry/front/operate.go
+++ b/entry/front/operate.go
@@ -24,7 +24,7 @@
 
 // models lists the models of the bundle in force.
 func (f *Front) models(w http.ResponseWriter, r *http.Request) {
-	c, problem := f.arrive(r)
+	c, problem := f.readCall(r)
 	if problem != nil {
 		f.fail(w, c, problem)
 		return
@@ -37,29 +37,31 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(api.HeaderRequestID, string(c.headers.RequestID))
 	w.Header().Set(api.HeaderOutcome, string(api.Complete))
-	f.extendWrite(w)
+	f.renewWriteDeadline(w)
 	if err := json.NewEncoder(w).Encode(list); err != nil {
 		f.opts.Log.Debug("answer not delivered", "error", err)
 	}
 }
 
 // healthz reports that the process runs.
-func (f *Front) healthz(w http.ResponseWriter, _ *http.Request) { f.plain(w, http.StatusOK, "ok\n") }
+func (f *Front) healthz(w http.ResponseWriter, _ *http.Request) {
+	f.writeText(w, http.StatusOK, "ok\n")
+}
 
 // readyz reports whether the platform's load balancer should send requests to
 // this instance.
 func (f *Front) readyz(w http.ResponseWriter, _ *http.Request) {
 	if why := f.opts.Ready(); why != IsReady {
-		f.plain(w, http.StatusServiceUnavailable, string(why)+"\n")
+		f.writeText(w, http.StatusServiceUnavailable, string(why)+"\n")
 		return
 	}
-	f.plain(w, http.StatusOK, "ready\n")
+	f.writeText(w, http.StatusOK, "ready\n")
 }
 
-// plain writes a plain-text response.
-func (f *Front) plain(w http.ResponseWriter, status int, text string) {
+// writeText writes a plain-text response.
+func (f *Front) writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	f.extendWrite(w)
+	f.renewWriteDeadline(w)
 	w.WriteHeader(status)
 	if _, err := io.WriteString(w, text); err != nil {
 		f.opts.Log.Debug("answer not delivered", "error", err)
--- a/entry/front/problem.go
+++ b/entry/front/problem.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// retryOverloaded is the retry delay after a limit of this instance was
+	// retryAfterOverload is the retry delay after a limit of this instance was
 	// reached. It is short because other instances may have capacity.
-	retryOverloaded = time.Second
-	// retryNotReady is the retry delay for an instance that is starting.
-	retryNotReady = 2 * time.Second
+	retryAfterOverload = time.Second
+	// retryAfterNotReady is the retry delay for an instance that is starting.
+	retryAfterNotReady = 2 * time.Second
 )
 
 // newRequestID returns an ID for a request whose caller set none.
@@ -24,35 +24,35 @@
 	return ident.RequestID(ulid.MustNew(ulid.Now(), rand.Reader).String())
 }
 
-// write sends a problem document as the response.
-func (f *Front) write(w http.ResponseWriter, p *api.Problem) {
-	f.extendWrite(w)
+// writeProblemDocument sends a problem document as the response.
+func (f *Front) writeProblemDocument(w http.ResponseWriter, p *api.Problem) {
+	f.renewWriteDeadline(w)
 	if err := p.WithOpenAI().Write(w); err != nil {
 		f.opts.Log.Debug("problem not delivered", "request", p.RequestID, "error", err)
 	}
 }
 
-// extendWrite sets the deadline of the next write to the caller.
-func (f *Front) extendWrite(w http.ResponseWriter) {
+// renewWriteDeadline sets the deadline of the next write to the caller.
+func (f *Front) renewWriteDeadline(w http.ResponseWriter) {
 	// The error is ignored because response writers in tests support no
 	// deadlines.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.opts.Limits.WriteTimeout))
 }
 
-// unready returns the problem of an instance that accepts no new requests, or
-// nil if it accepts them.
-func (f *Front) unready() *api.Problem {
+// notReadyProblem returns the problem of an instance that accepts no new
+// requests, or nil if it accepts them.
+func (f *Front) notReadyProblem() *api.Problem {
 	switch why := f.opts.Ready(); why {
 	case IsReady, Leaving:
 		return nil
 	case Stopping:
-		return api.NewProblem(api.ProblemStopping, api.NotRun, string(why)).RetryAfter(retryOverloaded)
+		return api.NewProblem(api.ProblemStopping, api.NotRun, string(why)).RetryAfter(retryAfterOverload)
 	default:
-		return api.NewProblem(api.ProblemNotReady, api.NotRun, string(why)).RetryAfter(retryNotReady)
+		return api.NewProblem(api.ProblemNotReady, api.NotRun, string(why)).RetryAfter(retryAfterNotReady)
 	}
 }
 
 // overloaded returns the problem for a limit that was reached.
 func overloaded(detail string) *api.Problem {
-	return api.NewProblem(api.ProblemOverloaded, api.NotRun, detail).RetryAfter(retryOverloaded)
+	return api.NewProblem(api.ProblemOverloaded, api.NotRun, detail).RetryAfter(retryAfterOverload)
 }
--- a/entry/front/server.go
+++ b/entry/front/server.go
@@ -55,13 +55,13 @@
 	r.HandleFunc("/healthz", f.healthz).Methods(http.MethodGet)
 	r.HandleFunc("/readyz", f.readyz).Methods(http.MethodGet)
 	r.Handle("/metrics", f.opts.Metrics).Methods(http.MethodGet)
-	r.NotFoundHandler = f.refuseAll(http.StatusNotFound, "no such path")
-	r.MethodNotAllowedHandler = f.refuseAll(http.StatusMethodNotAllowed, "the path does not take this method")
-	return f.common(r)
+	r.NotFoundHandler = f.problemHandler(http.StatusNotFound, "no such path")
+	r.MethodNotAllowedHandler = f.problemHandler(http.StatusMethodNotAllowed, "the path does not take this method")
+	return f.withCommonHeaders(r)
 }
 
-// common sets the headers and time limits that all responses share.
-func (f *Front) common(next http.Handler) http.Handler {
+// withCommonHeaders sets the headers and time limits that all responses share.
+func (f *Front) withCommonHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(api.HeaderInstance, string(f.opts.Instance))
 		if f.closing.Load() {
@@ -69,7 +69,7 @@
 		}
 		// The write deadline for handlers that set none of their own, such as
 		// metrics.
-		f.extendWrite(w)
+		f.renewWriteDeadline(w)
 		if r.ContentLength != 0 {
 			// The error is ignored because response writers in tests support no
 			// deadlines.
@@ -79,10 +79,10 @@
 	})
 }
 
-// refuseAll returns a handler for requests that match no route.
-func (f *Front) refuseAll(status int, detail string) http.Handler {
+// problemHandler returns a handler for requests that match no route.
+func (f *Front) problemHandler(status int, detail string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c, _ := f.arrive(r)
+		c, _ := f.readCall(r)
 		f.fail(w, c, noRoute(status, detail))
 	})
 }
@@ -103,8 +103,8 @@
 
 func newBudget(limit int64) *budget { return &budget{limit: limit} }
 
-// take reserves n and reports whether that much was available.
-func (b *budget) take(n int64) bool {
+// reserve reserves n and reports whether that much was available.
+func (b *budget) reserve(n int64) bool {
 	if b.used.Add(n) <= b.limit {
 		return true
 	}
@@ -112,5 +112,5 @@
 	return false
 }
 
-// give releases n.
-func (b *budget) give(n int64) { b.used.Add(-n) }
+// release releases n.
+func (b *budget) release(n int64) { b.used.Add(-n) }
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -15,7 +15,7 @@
 		f.fail(w, c, api.NewProblem(api.ProblemUnknownService, api.NotRun, "the path does not name a service"))
 		return
 	}
-	req, problem := c.catalog.Service(c.headers, c.target.service, c.at)
+	req, problem := c.catalog.Service(c.headers, c.target.service, c.arrived)
 	if problem != nil {
 		f.fail(w, c, problem)
 		return
@@ -34,7 +34,7 @@
 	}
 	return &adapter.ServiceCall{
 		Method:         c.method,
-		Path:           c.target.rest,
+		Path:           c.target.servicePath,
 		Header:         header,
 		Body:           c.body,
 		IdempotencyKey: c.headers.IdempotencyKey,
@@ -55,7 +55,7 @@
 		}
 	}
 	writeResult(h, ex.Request.ID, res)
-	f.extendWrite(w)
+	f.renewWriteDeadline(w)
 	w.WriteHeader(res.Service.Status)
 	if _, err := w.Write(res.Service.Body); err != nil {
 		f.opts.Log.Debug("answer not delivered", "request", ex.Request.ID, "error", err)
--- a/entry/front/stream.go
+++ b/entry/front/stream.go
@@ -20,27 +20,27 @@
 	rc    *http.ResponseController
 	ex    *driver.Exchange
 
-	// head is the part of each event before the value of "choices".
-	head  []byte
-	buf   []byte
-	begun bool
-	last  string
-	// extended is when the write deadline was last set.
-	extended time.Time
+	// eventPrefix is the part of each event before the value of "choices".
+	eventPrefix   []byte
+	buf           []byte
+	headerWritten bool
+	lastChoices   string
+	// deadlineSet is when the write deadline was last set.
+	deadlineSet time.Time
 }
 
 func newStreamOutput(f *Front, w http.ResponseWriter, ex *driver.Exchange) *streamOutput {
 	return &streamOutput{
-		front: f,
-		w:     w,
-		rc:    http.NewResponseController(w),
-		ex:    ex,
-		head:  newIdentity(ex).chunkHead(),
+		front:       f,
+		w:           w,
+		rc:          http.NewResponseController(w),
+		ex:          ex,
+		eventPrefix: newIdentity(ex).eventPrefix(),
 	}
 }
 
-// chunkHead returns the part of each event before the value of "choices".
-func (id identity) chunkHead() []byte {
+// eventPrefix returns the part of each event before the value of "choices".
+func (id identity) eventPrefix() []byte {
 	object := objectCompletion
 	if id.endpoint == adapter.Chat {
 		object = objectChunk
@@ -57,21 +57,21 @@
 
 // Token implements driver.Output.
 func (o *streamOutput) Token(c adapter.Chunk) error {
-	o.begin()
+	o.writeHeader()
 	if c.FinishReason != "" {
-		o.last = c.Choices
+		o.lastChoices = c.Choices
 		return nil
 	}
 	o.addChunk(c.Choices, nil)
 	return o.flush()
 }
 
-// begin writes the response header, unless that was done before.
-func (o *streamOutput) begin() {
-	if o.begun {
+// writeHeader writes the response header, unless that was done before.
+func (o *streamOutput) writeHeader() {
+	if o.headerWritten {
 		return
 	}
-	o.begun = true
+	o.headerWritten = true
 	h := o.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -85,7 +85,7 @@
 
 // addChunk appends a chunk event to the buffer.
 func (o *streamOutput) addChunk(choices string, usage []byte) {
-	o.buf = append(o.buf, o.head...)
+	o.buf = append(o.buf, o.eventPrefix...)
 	o.buf = append(o.buf, choices...)
 	if usage != nil {
 		o.buf = append(o.buf, `,"usage":`...)
@@ -96,7 +96,7 @@
 
 // flush writes the buffer to the caller.
 func (o *streamOutput) flush() error {
-	o.extend(time.Now())
+	o.renewWriteDeadline(time.Now())
 	_, err := o.w.Write(o.buf)
 	o.buf = o.buf[:0]
 	if err != nil {
@@ -105,17 +105,18 @@
 	return o.rc.Flush()
 }
 
-// extendEvery is how many times the write deadline is renewed within its time
-// limit. Setting it for each token would cost more than formatting the token.
-const extendEvery = 4
+// deadlineRenewals is how many times the write deadline is renewed within its
+// time limit. Setting it for each token would cost more than formatting the
+// token.
+const deadlineRenewals = 4
 
-// extend renews the write deadline if it is due.
-func (o *streamOutput) extend(now time.Time) {
+// renewWriteDeadline renews the deadline for writes to the caller if it is due.
+func (o *streamOutput) renewWriteDeadline(now time.Time) {
 	limit := o.front.opts.Limits.WriteTimeout
-	if now.Sub(o.extended) < limit/extendEvery {
+	if now.Sub(o.deadlineSet) < limit/deadlineRenewals {
 		return
 	}
-	o.extended = now
+	o.deadlineSet = now
 	// The error is ignored because response writers in tests support no
 	// deadlines.
 	_ = o.rc.SetWriteDeadline(now.Add(limit))
@@ -123,11 +124,11 @@
 
 // finish ends the stream with the result of the request.
 func (o *streamOutput) finish(res driver.Result, usage bool) {
-	if res.Problem != nil && !o.begun {
+	if res.Problem != nil && !o.headerWritten {
 		o.front.writeProblem(o.w, o.ex.Request.ID, res)
 		return
 	}
-	o.begin()
+	o.writeHeader()
 	if res.Problem != nil {
 		o.addProblem(res)
 	} else {
@@ -143,7 +144,7 @@
 // marker. The outcome is an SSE comment within the marker's event, because some
 // client libraries treat a comment on its own as an empty event.
 func (o *streamOutput) addEnd(res driver.Result, usage bool) {
-	o.addChunk(o.last, nil)
+	o.addChunk(o.lastChoices, nil)
 	if usage {
 		text, _ := json.Marshal(answerUsage(o.ex, res.Decoded))
 		o.addChunk("[]", text)
--- a/entry/front/ticket.go
+++ b/entry/front/ticket.go
@@ -21,8 +21,8 @@
 	Execute(ctx context.Context, c *tickets.Call) tickets.Reply
 }
 
-// ticketAnswer is the response to POST /v1/tickets.
-type ticketAnswer struct {
+// ticketResponse is the response to POST /v1/tickets.
+type ticketResponse struct {
 	Ticket string `json:"ticket"`
 	// ExpiresAt is the ticket's expiry time by the instance's clock.
 	ExpiresAt time.Time `json:"expires_at"`
@@ -32,14 +32,14 @@
 // of its answer, so that each fits into one frame between instances.
 const maxTicketBytes = 512 << 10
 
-// noTickets returns the problem of an instance without ticket keys.
-func noTickets() *api.Problem {
+// ticketsNotConfigured returns the problem of an instance without ticket keys.
+func ticketsNotConfigured() *api.Problem {
 	return api.NewProblem(api.ProblemNotReady, api.NotRun, "tickets are not configured on this instance")
 }
 
 // issueTicket handles POST /v1/tickets.
 func (f *Front) issueTicket(w http.ResponseWriter, r *http.Request) {
-	c, problem := f.arrive(r)
+	c, problem := f.readCall(r)
 	if problem != nil {
 		f.fail(w, c, problem)
 		return
@@ -55,9 +55,9 @@
 	h.Set(api.HeaderOutcome, string(api.Complete))
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-store")
-	f.extendWrite(w)
+	f.renewWriteDeadline(w)
 	w.WriteHeader(http.StatusCreated)
-	if err := json.NewEncoder(w).Encode(ticketAnswer{Ticket: text, ExpiresAt: expires}); err != nil {
+	if err := json.NewEncoder(w).Encode(ticketResponse{Ticket: text, ExpiresAt: expires}); err != nil {
 		f.opts.Log.Debug("ticket not delivered", "error", err)
 	}
 }
@@ -65,7 +65,7 @@
 // issue returns a ticket for a call's workspace.
 func (f *Front) issue(c *call) (string, time.Time, *api.Problem) {
 	if f.opts.Tickets == nil {
-		return "", time.Time{}, noTickets()
+		return "", time.Time{}, ticketsNotConfigured()
 	}
 	if problem := c.catalog.Workspace(c.headers.Workspace); problem != nil {
 		return "", time.Time{}, problem
@@ -85,10 +85,10 @@
 	f.fail(w, c, ticket.RequiredProblem())
 }
 
-// runTicket has a call run by its ticket's executor and writes the answer.
-func (f *Front) runTicket(ctx context.Context, w http.ResponseWriter, c *call) {
+// executeTicket has a call run by its ticket's executor and writes the answer.
+func (f *Front) executeTicket(ctx context.Context, w http.ResponseWriter, c *call) {
 	if f.opts.Tickets == nil {
-		f.fail(w, c, noTickets())
+		f.fail(w, c, ticketsNotConfigured())
 		return
 	}
 	if len(c.body) > maxTicketBytes {
@@ -136,7 +136,7 @@
 	if r.ContentType != "" {
 		h.Set("Content-Type", r.ContentType)
 	}
-	f.extendWrite(w)
+	f.renewWriteDeadline(w)
 	w.WriteHeader(r.Status)
 	if _, err := w.Write(r.Body); err != nil {
 		f.opts.Log.Debug("answer not delivered", "request", c.headers.RequestID, "error", err)
@@ -149,7 +149,7 @@
 	w := &captureWriter{header: http.Header{}}
 	no := false
 	c := &call{
-		at:       time.Now(),
+		arrived:  time.Now(),
 		method:   t.Method,
 		path:     t.Path,
 		header:   http.Header(t.Header),
--- a/entry/front/ticket_test.go
+++ b/entry/front/ticket_test.go
@@ -13,12 +13,13 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// desk is a fake Tickets that always issues the same ticket and runs no calls.
-type desk struct{ Tickets }
+// fakeTickets is a Tickets that always issues the same ticket and runs no
+// calls.
+type fakeTickets struct{ Tickets }
 
 const freshTicket = "1.k1.e-1.fresh"
 
-func (desk) Issue(_ ident.Workspace) (string, time.Time, *api.Problem) {
+func (fakeTickets) Issue(_ ident.Workspace) (string, time.Time, *api.Problem) {
 	return freshTicket, time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), nil
 }
 
@@ -38,8 +39,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newRig(t, func(o *Options) {
-				o.Tickets = desk{}
+			r := newTestFront(t, func(o *Options) {
+				o.Tickets = fakeTickets{}
 				o.Catalog = func() *intake.Catalog {
 					return intake.NewCatalog(4, &config.Content{
 						Kinds: []config.Kind{
@@ -51,14 +52,14 @@
 					})
 				}
 			})
-			resp, body := r.raw(t, post("/services/desk/orders", "{}", tt.headers...))
+			resp, body := r.sendRaw(t, post("/services/desk/orders", "{}", tt.headers...))
 			assert.Equal(t, r.submit.calls, tt.runs)
 			if tt.runs > 0 {
 				assert.Equal(t, resp.StatusCode, http.StatusTeapot)
 				return
 			}
 			assert.Equal(t, resp.StatusCode, http.StatusPreconditionRequired)
-			wantProblem(t, resp, body, api.ProblemTicketRequired, api.NotRun)
+			assertProblem(t, resp, body, api.ProblemTicketRequired, api.NotRun)
 			assert.Equal(t, resp.Header.Get(api.HeaderTicket), freshTicket)
 		})
 	}
--- a/entry/tickets/desk.go
+++ b/entry/tickets/desk.go
@@ -155,15 +155,15 @@
 		return Reply{Problem: ticket.InvalidProblem(err)}
 	}
 	c.Run = RunID(c.Ticket)
-	switch way := ticket.Route(t, d.life(), d.view(t)); way.Destination {
+	switch route := ticket.Route(t, d.life(), d.view(t)); route.Destination {
 	case ticket.Here:
 		return d.present(ctx, t, c)
 	case ticket.Forward:
-		d.note(t, c, journal.PresentationForwarded)
-		return d.send(ctx, t, way.To, c)
+		d.reportPresentation(t, c, journal.PresentationForwarded)
+		return d.forwardCall(ctx, t, route.To, c)
 	default:
-		d.note(t, c, journal.PresentationUnreachable)
-		return Reply{Problem: way.Problem}
+		d.reportPresentation(t, c, journal.PresentationUnreachable)
+		return Reply{Problem: route.Problem}
 	}
 }
 
@@ -195,11 +195,11 @@
 	return v
 }
 
-// send forwards a call to its executor.
-func (d *Desk) send(ctx context.Context, t ticket.Ticket, to ident.InstanceID, c *Call) Reply {
+// forwardCall forwards a call to its executor.
+func (d *Desk) forwardCall(ctx context.Context, t ticket.Ticket, to ident.InstanceID, c *Call) Reply {
 	r, err := d.forward.Forward(ctx, to, c)
 	if err != nil {
-		d.note(t, c, journal.PresentationUnreachable)
+		d.reportPresentation(t, c, journal.PresentationUnreachable)
 		d.log.Info("forwarding call to executor failed", "request", c.Request, "executor", to, "error", err)
 		return Reply{Problem: ticket.UnreachableProblem()}
 	}
@@ -212,7 +212,7 @@
 	now := time.Now()
 	d.executor.Sweep(now)
 	v := d.executor.Present(now, t, c.digest())
-	d.note(t, c, actionOf[v.Action])
+	d.reportPresentation(t, c, presentationActions[v.Action])
 	switch v.Action {
 	case ticket.Refuse:
 		d.mu.Unlock()
@@ -222,15 +222,15 @@
 		d.mu.Unlock()
 		return Reply{Result: &result}
 	case ticket.Run:
-		d.begin(t, c)
+		d.startJob(t, c)
 	}
 	j := d.jobs[t.Sequence]
 	d.mu.Unlock()
-	return d.await(ctx, t, j)
+	return d.awaitJob(ctx, t, j)
 }
 
-// begin starts a call. d.mu must be held.
-func (d *Desk) begin(t ticket.Ticket, c *Call) {
+// startJob starts a call. d.mu must be held.
+func (d *Desk) startJob(t ticket.Ticket, c *Call) {
 	ctx, cancel := context.WithCancel(context.Background())
 	j := &job{done: make(chan struct{}), cancel: cancel}
 	d.jobs[t.Sequence] = j
@@ -257,9 +257,9 @@
 	close(j.done)
 }
 
-// await waits for the end of a call that is running at this instance. If the
+// awaitJob waits for the end of a call that is running at this instance. If the
 // last waiting presentation leaves, the call is cancelled.
-func (d *Desk) await(ctx context.Context, t ticket.Ticket, j *job) Reply {
+func (d *Desk) awaitJob(ctx context.Context, t ticket.Ticket, j *job) Reply {
 	select {
 	case <-j.done:
 		return Reply{Result: &j.result}
--- a/entry/tickets/desk_test.go
+++ b/entry/tickets/desk_test.go
@@ -17,16 +17,16 @@
 	"github.com/wardspool/wardspool/ticket"
 )
 
-// forwarder is a Forwarder that forwards to a desk in the same process.
-type forwarder struct {
+// fakeForwarder is a Forwarder that forwards to a desk in the same process.
+type fakeForwarder struct {
 	known bool
 	desk  *Desk
 	err   error
 }
 
-func (f *forwarder) Known(ident.InstanceID) bool { return f.known }
+func (f *fakeForwarder) Known(ident.InstanceID) bool { return f.known }
 
-func (f *forwarder) Forward(ctx context.Context, _ ident.InstanceID, c *Call) (*Reply, error) {
+func (f *fakeForwarder) Forward(ctx context.Context, _ ident.InstanceID, c *Call) (*Reply, error) {
 	if f.err != nil {
 		return nil, f.err
 	}
@@ -45,7 +45,7 @@
 	})
 }
 
-func issue(t *testing.T, d *Desk) *Call {
+func issueCall(t *testing.T, d *Desk) *Call {
 	t.Helper()
 	text, _, problem := d.Issue("default")
 	assert.Assert(t, problem == nil)
@@ -67,7 +67,7 @@
 				return ticket.Result{Outcome: api.Unknown, Status: 499}
 			}
 		})
-		c := issue(t, d)
+		c := issueCall(t, d)
 		first, leaveFirst := context.WithCancel(t.Context())
 		second, leaveSecond := context.WithCancel(t.Context())
 		defer leaveSecond()
@@ -83,7 +83,7 @@
 		assert.Equal(t, cancelled, 0)
 
 		// The call is cancelled when the last presentation leaves.
-		c = issue(t, d)
+		c = issueCall(t, d)
 		third, leaveThird := context.WithCancel(t.Context())
 		go func() { replies <- d.Execute(third, c) }()
 		synctest.Wait()
@@ -104,7 +104,7 @@
 		runs++
 		return ticket.Result{Outcome: api.NotRun, Status: 503, Body: []byte("later")}
 	})
-	c := issue(t, d)
+	c := issueCall(t, d)
 	for range 3 {
 		r := d.Execute(t.Context(), c)
 		assert.Equal(t, string(r.Result.Body), "later")
@@ -115,9 +115,9 @@
 func TestForward(t *testing.T) {
 	a := newTestDesk(t, "a", nil)
 	a.SetRunner(func(context.Context, *Call) ticket.Result { return ticket.Result{Outcome: api.Complete, Status: 200} })
-	f := &forwarder{known: true, desk: a}
+	f := &fakeForwarder{known: true, desk: a}
 	b := newTestDesk(t, "b", f)
-	c := issue(t, a)
+	c := issueCall(t, a)
 	assert.Equal(t, b.Execute(t.Context(), c).Result.Outcome, api.Complete)
 
 	f.err = errors.ErrUnsupported
@@ -132,13 +132,13 @@
 	assert.Equal(t, b.ExecuteHere(t.Context(), c).Problem.Outcome, api.Unknown)
 }
 
-// silent is a Forwarder to an executor that never answers, as behind a network
-// partition.
-type silent struct{}
+// unreachableForwarder is a Forwarder to an executor that never answers, as
+// behind a network partition.
+type unreachableForwarder struct{}
 
-func (silent) Known(ident.InstanceID) bool { return true }
+func (unreachableForwarder) Known(ident.InstanceID) bool { return true }
 
-func (silent) Forward(ctx context.Context, _ ident.InstanceID, _ *Call) (*Reply, error) {
+func (unreachableForwarder) Forward(ctx context.Context, _ ident.InstanceID, _ *Call) (*Reply, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -148,10 +148,10 @@
 // is unknown.
 func TestForwardEndsWithTheDeadline(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		c := issue(t, newTestDesk(t, "a", nil))
+		c := issueCall(t, newTestDesk(t, "a", nil))
 		c.Wait = 5 * time.Second
 		began := time.Now()
-		r := newTestDesk(t, "b", silent{}).Execute(t.Context(), c)
+		r := newTestDesk(t, "b", unreachableForwarder{}).Execute(t.Context(), c)
 		assert.Equal(t, r.Problem.Outcome, api.Unknown)
 		assert.Equal(t, time.Since(began), c.Wait+answerMargin)
 	})
@@ -166,7 +166,7 @@
 			time.Sleep(30 * time.Second)
 			return ticket.Result{Outcome: api.Complete, Status: 200}
 		})
-		c := issue(t, d)
+		c := issueCall(t, d)
 		first := make(chan Reply, 1)
 		go func() { first <- d.Execute(t.Context(), c) }()
 		synctest.Wait()
@@ -183,7 +183,7 @@
 
 func TestPauseAndStop(t *testing.T) {
 	d := newTestDesk(t, "a", nil)
-	c := issue(t, d)
+	c := issueCall(t, d)
 	d.Paused(time.Hour)
 	assert.Equal(t, d.Execute(t.Context(), c).Problem.Type, api.ProblemTicketExpired)
 	d.Stop()
--- a/entry/tickets/run.go
+++ b/entry/tickets/run.go
@@ -27,16 +27,16 @@
 	return ident.RequestID(runPrefix + hex.EncodeToString(sum[:runBytes]))
 }
 
-// actionOf maps the executor's decisions to journal actions.
-var actionOf = map[ticket.Action]journal.PresentationAction{
+// presentationActions maps the executor's decisions to journal actions.
+var presentationActions = map[ticket.Action]journal.PresentationAction{
 	ticket.Run:    journal.PresentationRun,
 	ticket.Join:   journal.PresentationJoined,
 	ticket.Replay: journal.PresentationReplayed,
 	ticket.Refuse: journal.PresentationRefused,
 }
 
-// note reports the handling of a presentation to the observer.
-func (d *Desk) note(t ticket.Ticket, c *Call, action journal.PresentationAction) {
+// reportPresentation reports the handling of a presentation to the observer.
+func (d *Desk) reportPresentation(t ticket.Ticket, c *Call, action journal.PresentationAction) {
 	if d.observe == nil {
 		return
 	}
