--- a/entry/driver/step.go
+++ b/entry/driver/step.go
@@ -11,24 +11,24 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// receive handles one message of the inbox.
+// receive handles one inbox message.
 func (d *Driver) receive(m message) {
 	switch {
-	case m.quiet != nil:
-		d.quiet = append(d.quiet, m.quiet)
-		d.checkQuiet()
+	case m.idle != nil:
+		d.idleWaiters = append(d.idleWaiters, m.idle)
+		d.notifyIdle()
 	case m.exchange != nil:
 		d.admit(m.exchange)
 	case m.attempt != nil:
 		d.report(m)
 	default:
-		d.external(m.event)
+		d.handleExternal(m.event)
 	}
 }
 
-// external handles an event from outside and keeps what the driver itself needs
-// of it.
-func (d *Driver) external(ev kernel.Event) {
+// handleExternal passes an event from outside the driver to the kernel and
+// updates the driver's own view of upstreams and configuration.
+func (d *Driver) handleExternal(ev kernel.Event) {
 	switch e := ev.(type) {
 	case kernel.ViewChanged:
 		clear(d.upstreams)
@@ -37,12 +37,13 @@
 		}
 		d.step(ev)
 	case kernel.LoadReported:
-		d.seen(e)
+		d.updateLoad(e)
 		d.step(ev)
 	case kernel.Configured:
 		before := d.opts.Kernel.Version()
 		d.step(ev)
-		// The kernel ignores old versions and rejects those it cannot run.
+		// The kernel ignores older versions and rejects those that it cannot
+		// run.
 		if e.Version > before && d.opts.Kernel.Version() == e.Version {
 			d.configure(e.Content)
 			if d.opts.OnConfigured != nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// configure indexes the bundle content in force.
+// configure indexes the content of the bundle in force.
 func (d *Driver) configure(c *config.Content) {
 	d.content = c
 	d.specs = make(map[ident.UpstreamID]*config.Upstream, len(c.Upstreams))
@@ -71,7 +72,8 @@
 	}
 }
 
-// step hands an event to the kernel and carries out what follows from it.
+// step passes an event, and the events that its actions queue, to the kernel
+// and executes the resulting actions.
 func (d *Driver) step(ev kernel.Event) {
 	d.checkPause()
 	d.stepOnce(ev)
@@ -80,54 +82,55 @@
 		d.backlog = slices.Delete(d.backlog, 0, 1)
 		d.stepOnce(next)
 	}
-	d.checkQuiet()
+	d.notifyIdle()
 }
 
 func (d *Driver) stepOnce(ev kernel.Event) {
 	for _, a := range d.opts.Kernel.Step(time.Now(), ev) {
-		d.do(a)
+		d.execute(a)
 	}
-	// Callers hear last, so that what they ask next finds all of it recorded.
-	for i, e := range d.endings {
+	// Results are delivered after all actions have run, so that a caller's next
+	// request finds all effects recorded.
+	for i, e := range d.finishedExchanges {
 		e.exchange.finish(e.result)
-		d.endings[i] = ending{}
+		d.finishedExchanges[i] = finishedExchange{}
 	}
-	d.endings = d.endings[:0]
+	d.finishedExchanges = d.finishedExchanges[:0]
 }
 
-// ending is an exchange and its result.
-type ending struct {
+// finishedExchange is an exchange with its final result.
+type finishedExchange struct {
 	exchange *Exchange
 	result   Result
 }
 
-// checkPause tells the kernel about a pause of the process before it decides
-// anything else, and lets attempts that waited for this go on.
+// checkPause reports a detected pause of the process to the kernel before any
+// other event, and then releases the attempts that wait at the gate.
 func (d *Driver) checkPause() {
 	gap := d.gate.gap(time.Now())
 	if gap > 0 {
-		d.logLater(slog.LevelWarn, "process was paused", "gap", gap)
+		d.logAsync(slog.LevelWarn, "process was paused", "gap", gap)
 		d.stepOnce(kernel.Paused{Gap: gap})
 		if d.opts.OnPause != nil {
 			d.opts.OnPause(gap)
 		}
 	}
-	d.gate.beat(time.Now())
+	d.gate.markRunning(time.Now())
 }
 
-// checkQuiet wakes those that wait for quiet.
-func (d *Driver) checkQuiet() {
-	if len(d.quiet) == 0 || len(d.exchanges) > 0 || d.opts.Kernel.PendingCancels() > 0 {
+// notifyIdle wakes the waiting Quiesce calls if nothing is in flight.
+func (d *Driver) notifyIdle() {
+	if len(d.idleWaiters) == 0 || len(d.exchanges) > 0 || d.opts.Kernel.PendingCancels() > 0 {
 		return
 	}
-	for _, q := range d.quiet {
+	for _, q := range d.idleWaiters {
 		close(q)
 	}
-	d.quiet = nil
+	d.idleWaiters = nil
 }
 
-// logLater logs in a goroutine of its own: a log that nobody reads must not
-// hold up decisions.
-func (d *Driver) logLater(level slog.Level, text string, args ...any) {
+// logAsync logs in a separate goroutine: a blocked log output must not delay
+// decisions.
+func (d *Driver) logAsync(level slog.Level, text string, args ...any) {
 	d.workers.Go(func() { d.opts.Log.Log(context.Background(), level, text, args...) })
 }
--- a/entry/front/operate.go
+++ b/entry/front/operate.go
@@ -8,13 +8,13 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// modelList is OpenAI's list of models.
+// modelList is the list of models in OpenAI's format.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
 }
 
-// modelEntry is one model of the list.
+// modelEntry is a model in a modelList.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -22,9 +22,9 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the models that the bundle in force declares.
+// models lists the models of the bundle in force.
 func (f *Front) models(w http.ResponseWriter, r *http.Request) {
-	c, problem := f.arrive(r)
+	c, problem := f.readCall(r)
 	if problem != nil {
 		f.fail(w, c, problem)
 		return
@@ -37,28 +37,31 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(api.HeaderRequestID, string(c.headers.RequestID))
 	w.Header().Set(api.HeaderOutcome, string(api.Complete))
-	f.extendWrite(w)
+	f.renewWriteDeadline(w)
 	if err := json.NewEncoder(w).Encode(list); err != nil {
 		f.opts.Log.Debug("answer not delivered", "error", err)
 	}
 }
 
-// healthz says that the process runs.
-func (f *Front) healthz(w http.ResponseWriter, _ *http.Request) { f.plain(w, http.StatusOK, "ok\n") }
+// healthz reports that the process runs.
+func (f *Front) healthz(w http.ResponseWriter, _ *http.Request) {
+	f.writeText(w, http.StatusOK, "ok\n")
+}
 
-// readyz says whether the platform's balancer should send requests here.
+// readyz reports whether the platform's load balancer should send requests to
+// this instance.
 func (f *Front) readyz(w http.ResponseWriter, _ *http.Request) {
 	if why := f.opts.Ready(); why != IsReady {
-		f.plain(w, http.StatusServiceUnavailable, string(why)+"\n")
+		f.writeText(w, http.StatusServiceUnavailable, string(why)+"\n")
 		return
 	}
-	f.plain(w, http.StatusOK, "ready\n")
+	f.writeText(w, http.StatusOK, "ready\n")
 }
 
-// plain answers with a line of text.
-func (f *Front) plain(w http.ResponseWriter, status int, text string) {
+// writeText writes a plain-text response.
+func (f *Front) writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	f.extendWrite(w)
+	f.renewWriteDeadline(w)
 	w.WriteHeader(status)
 	if _, err := io.WriteString(w, text); err != nil {
 		f.opts.Log.Debug("answer not delivered", "error", err)
--- a/entry/front/service.go
+++ b/entry/front/service.go
@@ -9,13 +9,13 @@
 	"github.com/wardspool/wardspool/entry/driver"
 )
 
-// dispatchService runs a call of a plain service and writes its answer.
+// dispatchService runs a call to a plain service and writes its answer.
 func (f *Front) dispatchService(ctx context.Context, w http.ResponseWriter, c *call) {
 	if !c.target.validService() {
 		f.fail(w, c, api.NewProblem(api.ProblemUnknownService, api.NotRun, "the path does not name a service"))
 		return
 	}
-	req, problem := c.catalog.Service(c.headers, c.target.service, c.at)
+	req, problem := c.catalog.Service(c.headers, c.target.service, c.arrived)
 	if problem != nil {
 		f.fail(w, c, problem)
 		return
@@ -24,7 +24,7 @@
 	f.writeService(w, ex, f.opts.Submit.Submit(ctx, ex))
 }
 
-// serviceCall returns what is the same for all attempts of a call.
+// serviceCall returns the parameters that all attempts of a call share.
 func (f *Front) serviceCall(c *call) *adapter.ServiceCall {
 	header := c.header.Clone()
 	header.Del(api.HeaderTicket)
@@ -34,7 +34,7 @@
 	}
 	return &adapter.ServiceCall{
 		Method:         c.method,
-		Path:           c.target.rest,
+		Path:           c.target.servicePath,
 		Header:         header,
 		Body:           c.body,
 		IdempotencyKey: c.headers.IdempotencyKey,
@@ -42,7 +42,7 @@
 	}
 }
 
-// writeService answers a call with the service's own answer.
+// writeService writes the service's response as the answer.
 func (f *Front) writeService(w http.ResponseWriter, ex *driver.Exchange, res driver.Result) {
 	if res.Problem != nil {
 		f.writeProblem(w, ex.Request.ID, res)
@@ -55,7 +55,7 @@
 		}
 	}
 	writeResult(h, ex.Request.ID, res)
-	f.extendWrite(w)
+	f.renewWriteDeadline(w)
 	w.WriteHeader(res.Service.Status)
 	if _, err := w.Write(res.Service.Body); err != nil {
 		f.opts.Log.Debug("answer not delivered", "request", ex.Request.ID, "error", err)
--- a/entry/front/stream.go
+++ b/entry/front/stream.go
@@ -12,35 +12,35 @@
 )
 
 // streamOutput writes an answer as server-sent events. The last token is held
-// back until the kernel has ended the request, so that a caller that has seen a
-// finish_reason has a whole answer.
+// back until the kernel has ended the request, so that a caller that sees a
+// finish_reason has a complete answer.
 type streamOutput struct {
 	front *Front
 	w     http.ResponseWriter
 	rc    *http.ResponseController
 	ex    *driver.Exchange
 
-	// head is the event up to the chunk's choices.
-	head  []byte
-	buf   []byte
-	begun bool
-	last  string
-	// extended is when the time limit for writes was last set.
-	extended time.Time
+	// eventPrefix is the part of each event before the value of "choices".
+	eventPrefix   []byte
+	buf           []byte
+	headerWritten bool
+	lastChoices   string
+	// deadlineSet is when the write deadline was last set.
+	deadlineSet time.Time
 }
 
 func newStreamOutput(f *Front, w http.ResponseWriter, ex *driver.Exchange) *streamOutput {
 	return &streamOutput{
-		front: f,
-		w:     w,
-		rc:    http.NewResponseController(w),
-		ex:    ex,
-		head:  newIdentity(ex).chunkHead(),
+		front:       f,
+		w:           w,
+		rc:          http.NewResponseController(w),
+		ex:          ex,
+		eventPrefix: newIdentity(ex).eventPrefix(),
 	}
 }
 
-// chunkHead returns the part that all events share.
-func (id identity) chunkHead() []byte {
+// eventPrefix returns the part of each event before the value of "choices".
+func (id identity) eventPrefix() []byte {
 	object := objectCompletion
 	if id.endpoint == adapter.Chat {
 		object = objectChunk
@@ -57,21 +57,21 @@
 
 // Token implements driver.Output.
 func (o *streamOutput) Token(c adapter.Chunk) error {
-	o.begin()
+	o.writeHeader()
 	if c.FinishReason != "" {
-		o.last = c.Choices
+		o.lastChoices = c.Choices
 		return nil
 	}
 	o.addChunk(c.Choices, nil)
 	return o.flush()
 }
 
-// begin sends the head of the response.
-func (o *streamOutput) begin() {
-	if o.begun {
+// writeHeader writes the response header, unless that was done before.
+func (o *streamOutput) writeHeader() {
+	if o.headerWritten {
 		return
 	}
-	o.begun = true
+	o.headerWritten = true
 	h := o.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -83,9 +83,9 @@
 	o.w.WriteHeader(http.StatusOK)
 }
 
-// addChunk adds an event to the buffer.
+// addChunk appends a chunk event to the buffer.
 func (o *streamOutput) addChunk(choices string, usage []byte) {
-	o.buf = append(o.buf, o.head...)
+	o.buf = append(o.buf, o.eventPrefix...)
 	o.buf = append(o.buf, choices...)
 	if usage != nil {
 		o.buf = append(o.buf, `,"usage":`...)
@@ -94,9 +94,9 @@
 	o.buf = append(o.buf, "}\n\n"...)
 }
 
-// flush sends the buffer to the caller.
+// flush writes the buffer to the caller.
 func (o *streamOutput) flush() error {
-	o.extend(time.Now())
+	o.renewWriteDeadline(time.Now())
 	_, err := o.w.Write(o.buf)
 	o.buf = o.buf[:0]
 	if err != nil {
@@ -105,28 +105,30 @@
 	return o.rc.Flush()
 }
 
-// extendEvery is how many times the limit for writes is set anew while it runs.
-// Setting it for each token would cost more than the token's formatting.
-const extendEvery = 4
+// deadlineRenewals is how many times the write deadline is renewed within its
+// time limit. Setting it for each token would cost more than formatting the
+// token.
+const deadlineRenewals = 4
 
-// extend gives the next write its time.
-func (o *streamOutput) extend(now time.Time) {
+// renewWriteDeadline renews the deadline for writes to the caller if it is due.
+func (o *streamOutput) renewWriteDeadline(now time.Time) {
 	limit := o.front.opts.Limits.WriteTimeout
-	if now.Sub(o.extended) < limit/extendEvery {
+	if now.Sub(o.deadlineSet) < limit/deadlineRenewals {
 		return
 	}
-	o.extended = now
-	// Writers of tests have no deadlines.
+	o.deadlineSet = now
+	// The error is ignored because response writers in tests support no
+	// deadlines.
 	_ = o.rc.SetWriteDeadline(now.Add(limit))
 }
 
-// finish ends the stream as the request ended.
+// finish ends the stream with the result of the request.
 func (o *streamOutput) finish(res driver.Result, usage bool) {
-	if res.Problem != nil && !o.begun {
+	if res.Problem != nil && !o.headerWritten {
 		o.front.writeProblem(o.w, o.ex.Request.ID, res)
 		return
 	}
-	o.begin()
+	o.writeHeader()
 	if res.Problem != nil {
 		o.addProblem(res)
 	} else {
@@ -138,11 +140,11 @@
 	}
 }
 
-// addEnd adds the last token, the usage if asked for, and the end mark. The
-// outcome is a comment on the end mark's event: a comment that stands alone is
-// an empty event to some client libraries.
+// addEnd appends the last token, the usage if requested, and the end-of-stream
+// marker. The outcome is an SSE comment within the marker's event, because some
+// client libraries treat a comment on its own as an empty event.
 func (o *streamOutput) addEnd(res driver.Result, usage bool) {
-	o.addChunk(o.last, nil)
+	o.addChunk(o.lastChoices, nil)
 	if usage {
 		text, _ := json.Marshal(answerUsage(o.ex, res.Decoded))
 		o.addChunk("[]", text)
@@ -150,7 +152,8 @@
 	o.buf = append(o.buf, ": "+api.HeaderOutcome+": "+string(res.Outcome)+"\ndata: [DONE]\n\n"...)
 }
 
-// addProblem adds the event of a stream that failed. No end mark follows.
+// addProblem appends the error event of a stream that failed. No end-of-stream
+// marker follows.
 func (o *streamOutput) addProblem(res driver.Result) {
 	p := *res.Problem
 	p.RequestID = string(o.ex.Request.ID)
