--- a/membership/absence_test.go
+++ b/membership/absence_test.go
@@ -9,8 +9,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// engineFleet is three zones with one engine in the first, of which that zone
-// has a report and nobody else knows more than its incarnation.
+// engineFleet returns a fleet of three zones with one engine in the first. Only
+// that zone has a report from the engine; the others know just its incarnation.
 func engineFleet(t *testing.T, perZone int) *fleet {
 	f := newFleet(t, Config{}, perZone, perZone, perZone)
 	for _, n := range f.nodes {
@@ -22,13 +22,13 @@
 	return f
 }
 
-// report has a node read the engine's load.
+// report delivers a load report of the engine to a node.
 func (f *fleet) report(n *node, inc ident.Incarnation, seq uint32) {
 	n.machine.UpstreamAnswered(f.now, f.now, "dc-1")
 	n.machine.UpstreamReport(f.now, f.now, "dc-1", Report{Incarnation: inc, Sequence: seq})
 }
 
-// everyone reports whether all nodes' belief of the engine is as wanted.
+// everyone reports whether the engine's state satisfies want on all nodes.
 func (f *fleet) everyone(want func(State) bool) bool {
 	for _, n := range f.nodes {
 		if !want(n.machine.View(f.now).Upstreams[0].State) {
@@ -41,9 +41,9 @@
 func usable(s State) bool   { return s <= Suspect }
 func unusable(s State) bool { return s >= Unreachable }
 
-// TestEngineDeathIsKnownInAllZones kills an engine: connections are refused if
-// its machine runs on, and end without an answer if that is gone as well. Both
-// must be known in every zone, and so must its return.
+// TestEngineDeathIsKnownInAllZones stops an engine: connections are refused if
+// its machine still runs, and time out if the machine is gone as well. Every
+// zone must learn of both, and of the engine's return.
 func TestEngineDeathIsKnownInAllZones(t *testing.T) {
 	for _, perZone := range []int{1, 8} {
 		for _, kind := range []FailKind{FailRefused, FailTimeout} {
@@ -64,8 +64,9 @@
 	t.Logf("kind %d: return known by all after %s", kind, took)
 }
 
-// TestAnsweringEngineIsNotMissing lets an engine answer one instance of its zone
-// and not another: whose trouble it is, the reports tell.
+// TestAnsweringEngineIsNotMissing has an engine answer one instance of its zone
+// and not another. The engine's newer reports show that the other instance is
+// at fault, so the rest of the fleet keeps using the engine.
 func TestAnsweringEngineIsNotMissing(t *testing.T) {
 	f := engineFleet(t, 8)
 	f.report(f.nodes[1], 5, 2)
@@ -75,19 +76,20 @@
 	for _, n := range f.nodes[1:] {
 		assert.Assert(t, usable(n.machine.View(f.now).Upstreams[0].State), n.id)
 	}
-	// When it has heard of no report for long it says so, and is corrected.
+	// With no report for longer than the grace period it reports the engine
+	// missing; the next report corrects that.
 	f.nodes[0].machine.UpstreamFailed(f.now, f.now, "dc-1", FailTimeout)
 	f.run(time.Second)
 	f.report(f.nodes[1], 5, 3)
 	f.runUntil(time.Second, func() bool { return f.everyone(usable) })
 }
 
-// TestMissingIsForItsOwnZoneToSay cuts one zone off: what it cannot reach
-// elsewhere is no news to the others.
+// TestMissingIsForItsOwnZoneToSay has an instance fail to reach an engine of
+// another zone: it must not report the engine missing to the other instances.
 func TestMissingIsForItsOwnZoneToSay(t *testing.T) {
 	f := engineFleet(t, 8)
 	f.nodes[8].machine.UpstreamFailed(f.now, f.now, "dc-1", FailTimeout)
-	assert.Assert(t, !f.nodes[8].machine.upstreams["dc-1"].absent(), "it marked it for all")
+	assert.Assert(t, !f.nodes[8].machine.upstreams["dc-1"].absent(), "the engine is marked missing by an instance of another zone")
 	for range 100 {
 		f.run(step)
 		for _, n := range f.nodes {
@@ -96,8 +98,8 @@
 	}
 }
 
-// TestWhoKnowsOfALaterReportSaysSo has a peer miss what this instance has just
-// read.
+// TestWhoKnowsOfALaterReportSaysSo has a peer report an engine missing after an
+// older report than this instance has: this instance must send the newer one.
 func TestWhoKnowsOfALaterReportSaysSo(t *testing.T) {
 	m := lone()
 	m.UpstreamReport(at(0), at(0), "dc-1", Report{Incarnation: 5, Sequence: 7})
@@ -107,8 +109,9 @@
 	assert.Assert(t, m.upstreams["dc-1"].urgent > 0)
 }
 
-// TestContradictedMissingIsNotSaidAtOnceAgain keeps an instance that alone does
-// not reach an engine from having the whole fleet told every second.
+// TestContradictedMissingIsNotSaidAtOnceAgain guards against an instance that
+// alone can't reach an engine having the mark sent through the whole fleet
+// again and again: repeated marks back off.
 func TestContradictedMissingIsNotSaidAtOnceAgain(t *testing.T) {
 	m := lone()
 	said := 0
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// zoneSizes are fleets by their number of instances: 8 is today's size, 410 the
-// one of two years on.
+// zoneSizes holds the zone sizes of fleets by number of instances: 8 is the
+// current deployment, 410 the size expected in two years.
 var zoneSizes = map[int][]int{
 	8:   {3, 3, 2},
 	24:  {8, 8, 8},
@@ -20,13 +20,14 @@
 	410: {69, 69, 68, 68, 68, 68},
 }
 
-// Upstreams of each zone: today, and at 410 instances, 600 in all.
+// Upstreams of each zone: in the current deployment, and with 410 instances,
+// 600 in all.
 const (
 	upstreamsToday   = 4
 	upstreamsPerZone = 100
 )
 
-// addBackends lists the upstreams of each zone everywhere.
+// addBackends adds upstreams to each zone and lists them to every node.
 func (f *fleet) addBackends(zones, perZone int) {
 	var list []ListedUpstream
 	for z := range zones {
@@ -41,7 +42,7 @@
 	}
 }
 
-// gather lets every node report the load of the upstreams that it gathers.
+// gather has every node report the load of the upstreams that it polls.
 func (f *fleet) gather(seq uint32) {
 	for _, n := range f.nodes {
 		for _, id := range n.machine.Gathers(f.now) {
@@ -50,16 +51,16 @@
 	}
 }
 
-// quantile returns the q quantile of durations.
+// quantile returns the q quantile of d, which it sorts.
 func quantile(d []time.Duration, q float64) time.Duration {
 	slices.Sort(d)
 	return d[min(int(q*float64(len(d))), len(d)-1)]
 }
 
-// BenchmarkFleet runs whole fleets for a minute of virtual time, gathering each
-// upstream's load every 2 s, and reports for one node: bytes a second over all
-// heartbeats sent and received, their size, processor time, and how old what it
-// knows is.
+// BenchmarkFleet simulates whole fleets for 40 s of virtual time after 2
+// minutes of warm-up, with each upstream's load read every 2 s. Per node it
+// reports the bytes per second of all heartbeats sent and received, the size of
+// a heartbeat, CPU time, and the age of the information held.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []int{8, 24, 48, 410} {
 		b.Run(fmt.Sprintf("instances=%d", size), func(b *testing.B) {
@@ -70,7 +71,7 @@
 	}
 }
 
-// BenchmarkFanout compares numbers of partners in zones of 68.
+// BenchmarkFanout compares fanouts in two zones of 69 instances.
 func BenchmarkFanout(b *testing.B) {
 	for _, fanout := range []int{3, 4, 5} {
 		b.Run(fmt.Sprintf("fanout=%d", fanout), func(b *testing.B) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// BenchmarkAllToAll compares both ways in zones of 12.
+// BenchmarkAllToAll compares partial and all-to-all exchange in zones of 12.
 func BenchmarkAllToAll(b *testing.B) {
 	for _, limit := range []int{6, 12} {
 		b.Run(fmt.Sprintf("alltoall=%d", limit), func(b *testing.B) {
@@ -92,7 +93,7 @@
 	}
 }
 
-// benchmarkFleet runs one fleet and reports its figures.
+// benchmarkFleet simulates one fleet and reports its metrics.
 func benchmarkFleet(b *testing.B, cfg Config, sizes []int) {
 	f := newFleet(b, cfg, sizes...)
 	perZone := upstreamsPerZone
@@ -132,14 +133,14 @@
 	b.ReportMetric(float64(f.bytes())/nodes, "B-leaving")
 }
 
-// reset starts the counts anew.
+// reset clears the counters of all nodes.
 func (f *fleet) reset() {
 	for _, n := range f.nodes {
 		n.frames, n.bytes = 0, 0
 	}
 }
 
-// bytes, maxBytes and frames sum the counts.
+// bytes, maxBytes and frames aggregate the counters of all nodes.
 func (f *fleet) bytes() (sum int) {
 	for _, n := range f.nodes {
 		sum += n.bytes
@@ -161,7 +162,9 @@
 	return sum
 }
 
-// ages returns the ages of what some nodes know.
+// ages returns the ages of the information about instances of the own zone, of
+// other zones and about the own zone's upstream loads, on a sample of at most
+// 40 nodes.
 func (f *fleet) ages() (own, remote, loads []time.Duration) {
 	for i := 0; i < len(f.nodes); i += 1 + len(f.nodes)/40 {
 		n := f.nodes[i]
@@ -182,8 +185,8 @@
 	return own, remote, loads
 }
 
-// notAlive returns how many instances each node wrongly believes not alive, on
-// average.
+// notAlive returns the average number of instances per node that the node
+// wrongly considers not alive.
 func (f *fleet) notAlive() float64 {
 	wrong := 0
 	for _, n := range f.nodes {
@@ -196,7 +199,7 @@
 	return float64(wrong) / float64(len(f.nodes))
 }
 
-// BenchmarkView measures a view of 409 instances and 600 upstreams.
+// BenchmarkView measures building a view of 409 instances and 600 upstreams.
 func BenchmarkView(b *testing.B) {
 	m := bigMachine()
 	b.ReportAllocs()
@@ -205,7 +208,8 @@
 	}
 }
 
-// BenchmarkHeartbeat measures composing a heartbeat and taking in its answer.
+// BenchmarkHeartbeat measures composing a heartbeat and processing the answer
+// to it.
 func BenchmarkHeartbeat(b *testing.B) {
 	m, peer := bigMachine(), bigMachine()
 	now := start
@@ -218,7 +222,7 @@
 	}
 }
 
-// bigMachine knows 409 instances and 600 upstreams.
+// bigMachine returns a machine that knows 409 instances and 600 upstreams.
 func bigMachine() *Machine {
 	m := New(Self{Instance: "entry-a0", Zone: "hall-a"}, Config{}, start)
 	m.SetSelf(start, SelfState{Incarnation: 1000})
--- a/membership/bytes_test.go
+++ b/membership/bytes_test.go
@@ -10,8 +10,8 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// TestHeartbeatBytes sends full heartbeats over loopback and compares the bytes
-// on the wire with what the interval is worked out from.
+// TestHeartbeatBytes sends full heartbeats over loopback and checks the bytes
+// on the wire against the estimate from which the interval is calculated.
 func TestHeartbeatBytes(t *testing.T) {
 	a, b := bigMachine(), bigMachine()
 	from := peer.Identity{Instance: "entry-a1", Incarnation: 1764576000000, Zone: "hall-a"}
@@ -33,8 +33,8 @@
 		assert.NilError(t, err)
 		return hb, answer
 	}
-	exchange() // also the hello
-	// Only what was read counts: a writer may note its bytes later.
+	exchange() // includes the hello of the connection
+	// Only received bytes are compared: a writer may update its counter later.
 	requests, answers := srv.Stats().Total.Received, pool.Stats().Total.Received
 	hb, answer := exchange()
 	sent := int(srv.Stats().Total.Received - requests)
@@ -45,7 +45,7 @@
 	packed := (len(hb.Members) + len(hb.Upstreams)) * base64Quotient / base64Divisor
 	assert.Assert(t, sent <= heartbeatOverhead+packed && received <= heartbeatOverhead+packed)
 	assert.Assert(t, sent <= frameBytes(hb) && received <= frameBytes(answer))
-	assert.Assert(t, sent+received >= frameBytes(hb)+frameBytes(answer)-100, "the tests count too much")
+	assert.Assert(t, sent+received >= frameBytes(hb)+frameBytes(answer)-100, "frameBytes overestimates the bytes on the wire")
 	pool.Close()
 	assert.NilError(t, srv.Shutdown(context.Background()))
 	assert.NilError(t, <-served)
--- a/membership/clock.go
+++ b/membership/clock.go
@@ -6,33 +6,34 @@
 const stampUnit = 100 * time.Millisecond
 
 // driftDivisor bounds how much faster one machine's clock may run than
-// another's: 1 in 2,000.
+// another's: by 1 part in 2,000.
 const driftDivisor = 2000
 
-// Stamp is a time on an instance's own clock: how long its incarnation has run,
-// in units of 100 ms. Only that instance makes stamps; others relay them with
-// their age. A higher stamp proves a later sign of life, however late and by
-// whatever way it comes.
+// Stamp is a time on an instance's own clock: the uptime of its incarnation in
+// units of 100 ms. Only that instance creates stamps; others relay them
+// together with their age. A higher stamp is later evidence of liveness,
+// whatever its delay and path.
 type Stamp uint32
 
-// newStamp converts an uptime.
+// newStamp converts an uptime to a Stamp.
 func newStamp(uptime time.Duration) Stamp { return Stamp(max(uptime, 0) / stampUnit) }
 
-// lifeClock keeps an instance's highest stamp and the estimate of when, on the
-// local clock, its incarnation started. Delays only ever make a sign of life
-// look later than it was, so that the least estimate is the best one. Both
-// observations combine by maximum and minimum: order and repetition are without
+// lifeClock holds an instance's highest stamp and an estimate of when its
+// incarnation started, on the local clock. A delay can only make the start
+// appear later than it was, so the lowest estimate is the best. Stamps merge by
+// maximum and estimates by minimum, so that order and repetition have no
 // effect.
 type lifeClock struct {
 	known bool
 	stamp Stamp
-	// origin is the estimated start of the incarnation, as a local time since
-	// the machine's epoch, less the drift allowance at the time of the estimate:
-	// estimates get worse with age, and subtracting makes any two comparable.
+	// origin is the estimated start of the incarnation, as local time since the
+	// machine's epoch, minus the drift allowance at the time of the estimate.
+	// Estimates become less accurate with age; the subtraction makes any two
+	// comparable.
 	origin time.Duration
 }
 
-// observe takes in a stamp that was made age ago. now counts from the epoch.
+// observe records a stamp that was created age ago. now counts from the epoch.
 func (c *lifeClock) observe(now time.Duration, s Stamp, age time.Duration) {
 	origin := now - age - time.Duration(s)*stampUnit - now/driftDivisor
 	if !c.known {
@@ -43,7 +44,7 @@
 	c.origin = min(c.origin, origin)
 }
 
-// heard returns when the last sign of life was given, since the epoch.
+// heard returns the estimated time of the latest stamp, since the epoch.
 func (c *lifeClock) heard(now time.Duration) (time.Duration, bool) {
 	if !c.known {
 		return 0, false
--- a/membership/config.go
+++ b/membership/config.go
@@ -6,49 +6,53 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Config sets the bounds of a Machine. Zero fields take their defaults.
+// Config sets the limits of a Machine. Zero fields take their defaults.
 type Config struct {
-	// MinInterval is the least time between two exchanges with one partner.
+	// MinInterval is the minimum time between two heartbeat exchanges with one
+	// partner.
 	MinInterval time.Duration
-	// Budget bounds the bytes of all heartbeats sent and received, per second;
-	// the interval grows with the number of partners to keep within it.
+	// Budget limits the bytes per second of all heartbeats sent and received;
+	// the interval grows with the number of partners to stay within it.
 	Budget int
-	// AllToAll is the largest zone in which every pair exchanges heartbeats.
+	// AllToAll is the largest zone size at which every pair of instances
+	// exchanges heartbeats.
 	AllToAll int
-	// Fanout is how many partners an instance chooses in a larger zone; about
-	// as many others choose it.
+	// Fanout is the number of partners that an instance chooses in a larger
+	// zone; about as many other instances choose it.
 	Fanout int
 	// Bridges is how many instances of each of two zones exchange heartbeats
-	// with the other's.
+	// with instances of the other zone.
 	Bridges int
-	// SuspectAfter and UnreachableAfter are ages of the last sign of life, in
-	// intervals: of an instance in the own zone.
+	// SuspectAfter and UnreachableAfter are the ages of the last evidence of
+	// liveness, in intervals, at which an instance of the own zone is suspect
+	// and unreachable.
 	SuspectAfter     int
 	UnreachableAfter int
-	// RemoteFactor multiplies both for other zones, and SparseFactor where not
-	// every pair of a zone exchanges heartbeats: signs of life come over more
-	// hops.
+	// RemoteFactor multiplies both for other zones, and SparseFactor for zones
+	// in which not every pair exchanges heartbeats: there evidence of liveness
+	// takes more hops.
 	RemoteFactor int
 	SparseFactor int
-	// DeadGrace is how long no sign of life may have come before a refused
-	// connection is taken for the process's death.
+	// DeadGrace is how long evidence of liveness must have been absent before a
+	// refused connection counts as the death of the process.
 	DeadGrace time.Duration
-	// UpstreamGrace is how long no instance may have had a sign of life of an
-	// upstream before its zone says that it is missing.
+	// UpstreamGrace is how long no instance may have had evidence of an
+	// upstream's liveness before an instance of its zone reports it missing.
 	UpstreamGrace time.Duration
-	// UpstreamFresh is the age of the last sign of life beyond which an
+	// UpstreamFresh is the age of the last evidence of liveness beyond which an
 	// upstream is suspect.
 	UpstreamFresh time.Duration
-	// ListLag is how far the platform's lists may lag. A list that marks an ID
-	// as leaving without naming the incarnation binds an incarnation only if it
-	// was known for that long.
+	// ListLag is the maximum lag of the platform's lists. A list that marks an
+	// ID as leaving without naming the incarnation applies to an incarnation
+	// for good only if that has been known for at least this long.
 	ListLag time.Duration
-	// TrustTimeout bounds how long a view is distrusted after a pause.
+	// TrustTimeout limits how long a view is distrusted after a pause.
 	TrustTimeout time.Duration
-	// ForgetAfter is how long an unlisted instance without a sign of life, or an
-	// unlisted upstream, is kept.
+	// ForgetAfter is how long an unlisted instance without evidence of
+	// liveness, or an unlisted upstream, is kept.
 	ForgetAfter time.Duration
-	// Gatherers is how many instances of a zone gather one upstream's load.
+	// Gatherers is the number of instances of a zone that poll one upstream's
+	// load.
 	Gatherers int
 }
 
@@ -72,14 +76,14 @@
 	DefaultGatherers        = 2
 )
 
-// Bounds that are not settings: they protect memory.
+// Limits that are not configurable: they bound memory use.
 const (
 	maxInstances  = 4096
 	maxUpstreams  = 8192
 	maxTombstones = 4096
 )
 
-// withDefaults replaces zero fields by their defaults.
+// withDefaults returns c with zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	orInt := func(v *int, d int) {
 		if *v <= 0 {
@@ -110,21 +114,22 @@
 	return c
 }
 
-// Self names the instance a Machine runs on.
+// Self identifies the instance that a Machine runs on.
 type Self struct {
 	Instance ident.InstanceID
 	Zone     ident.Zone
 }
 
-// SelfState is what an instance says of its own entry process.
+// SelfState is what an instance announces about its own entry process.
 type SelfState struct {
-	// Incarnation is the entry's, 0 while there is none.
+	// Incarnation is the entry's incarnation, 0 while there is none.
 	Incarnation ident.Incarnation
-	// Leaving says that the entry takes no new work. It is sticky.
+	// Leaving is true if the entry takes no new work. It is sticky.
 	Leaving bool
-	// Gone says that the entry of this incarnation has ended.
+	// Gone is true if the entry of this incarnation has ended.
 	Gone bool
-	// Silent says that the entry does not answer its agent. It is not sticky;
-	// while it holds, heartbeats carry no sign of the entry's life.
+	// Silent is true while the entry does not answer its agent. It is not
+	// sticky; while it is set, heartbeats carry no evidence of the entry's
+	// liveness.
 	Silent bool
 }
--- a/membership/due.go
+++ b/membership/due.go
@@ -8,39 +8,39 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// DueKind says what to do.
+// DueKind is the kind of an action that is due.
 type DueKind int
 
 const (
 	// DueHeartbeat asks for an exchange of heartbeats with an instance's agent.
 	DueHeartbeat DueKind = iota
-	// DueProbe asks for a connection to an instance's entry, to learn whether
-	// the process exists. Its outcome goes to PeerAnswered or PeerFailed with
-	// ProcessEntry.
+	// DueProbe asks for a connection to an instance's entry, to find out
+	// whether the process exists. The outcome is passed to PeerAnswered, or to
+	// PeerFailed with ProcessEntry.
 	DueProbe
 )
 
-// Due is something to send now.
+// Due is an action to take now.
 type Due struct {
 	Kind    DueKind
 	To      ident.InstanceID
 	Address string
 }
 
-// Bounds on what is due.
+// Limits of the actions that are due.
 const (
-	// maxProbes bounds the probes of one Due.
+	// maxProbes limits the probes returned by one call of Due.
 	maxProbes = 4
 	// probeGapMin and probeGapMax bound the time between two probes of one
-	// instance, which doubles.
+	// instance, which doubles with each probe.
 	probeGapMin = time.Second
 	probeGapMax = 30 * time.Second
-	// rushGapDivisor makes the least time between two unscheduled exchanges
-	// with one partner a part of MinInterval.
+	// rushGapDivisor sets the minimum time between two unscheduled exchanges
+	// with one partner, as a fraction of MinInterval.
 	rushGapDivisor = 4
 )
 
-// Due returns what to send now and counts it as sent.
+// Due returns the actions to take now and counts them as taken.
 func (m *Machine) Due(now time.Time) []Due {
 	at := m.at(now)
 	var out []Due
@@ -59,16 +59,16 @@
 	return append(out, m.probes(at)...)
 }
 
-// exchange makes an exchange due now and schedules the next.
+// exchange returns an exchange that is due now and schedules the next one.
 func (m *Machine) exchange(now time.Duration, x *member) Due {
 	x.triedAt = now
 	m.scheduleNext(now, x)
 	return Due{Kind: DueHeartbeat, To: x.id, Address: x.address}
 }
 
-// scheduleNext schedules the next exchange: after an interval, or two where the
-// other side should come first. A tenth of jitter either way keeps exchanges
-// apart.
+// scheduleNext schedules the next exchange: after one interval, or after two if
+// the other side should initiate it. Jitter of a tenth either way spreads the
+// exchanges.
 func (m *Machine) scheduleNext(now time.Duration, x *member) {
 	wait := max(m.interval(), x.wait)
 	if !m.initiates(x.id) {
@@ -78,7 +78,7 @@
 	x.dueAt = now + wait*9/10 + jitter(x.key, x.exchanges, wait/5)
 }
 
-// jitter returns a time below limit that depends on its arguments only.
+// jitter returns a duration below limit that depends only on its arguments.
 func jitter(key recordKey, count uint32, limit time.Duration) time.Duration {
 	var b [12]byte
 	for i := range 8 {
@@ -90,8 +90,9 @@
 	return time.Duration(xxhash.Sum64(b[:]) % uint64(max(limit, 1)))
 }
 
-// heal picks an instance that is not believed to live, now and then, so that
-// cuts that have ended are noticed: the one that was tried longest ago.
+// heal returns, at most once every two intervals, the instance not considered
+// live whose last attempt is oldest, so that the end of a network partition is
+// noticed. It returns nil if no attempt is due.
 func (m *Machine) heal(now time.Duration) *member {
 	if now < m.healAt {
 		return nil
@@ -109,9 +110,10 @@
 	return oldest
 }
 
-// probes returns the instances whose entry may have ended, other zones' too:
-// what a dead one held on engines here is released here, and a zone whose peers
-// all died has nobody else to say so. maxProbes bounds what a cut costs.
+// probes returns probes of the instances whose entry may have ended, including
+// those in other zones: the reservations that a dead instance held on engines
+// here are released here, and no one else can report a zone whose peers all
+// died. maxProbes limits the cost of a network partition.
 func (m *Machine) probes(now time.Duration) []Due {
 	var out []Due
 	for _, x := range m.roster {
@@ -132,7 +134,7 @@
 	return out
 }
 
-// doubtful reports whether a probe could tell whether the instance's entry is
+// doubtful reports whether a probe could show whether the instance's entry is
 // dead.
 func (m *Machine) doubtful(now time.Duration, x *member) bool {
 	s := x.state(now, m.thresholds(x))
@@ -143,8 +145,9 @@
 	return s >= Suspect || agentRefused
 }
 
-// rush gives a new sticky fact precedence: it travels in the next messages, and
-// exchanges with all partners are due at once, unless they just were.
+// rush disseminates a new sticky fact first: the next messages carry it, and
+// exchanges with all partners become due at once unless they have only just
+// taken place.
 func (m *Machine) rush(now time.Duration, urgent *int) {
 	*urgent = m.spread()
 	m.news++
@@ -160,15 +163,16 @@
 	}
 }
 
-// hurryTo makes an exchange with one partner due, unless one just was.
+// hurryTo makes an exchange with one partner due, unless one has only just
+// taken place.
 func (m *Machine) hurryTo(now time.Duration, x *member) {
 	gap := m.cfg.MinInterval / rushGapDivisor
 	x.dueAt = min(x.dueAt, max(now, x.triedAt+gap))
 }
 
-// Told reports whether each partner was sent a heartbeat since the last new
-// sticky fact. A process that ends has to wait for it: the exchange with a partner
-// that was called just before is due a moment later.
+// Told reports whether each partner was sent a heartbeat after the last new
+// sticky fact. A process that is about to end has to wait for it: the exchange
+// with a partner that was called just before becomes due a moment later.
 func (m *Machine) Told(now time.Time) bool {
 	for _, id := range m.partners(m.at(now)) {
 		if m.members[id].toldNews < m.news {
@@ -178,7 +182,7 @@
 	return true
 }
 
-// NextDue returns when Due is worth calling again.
+// NextDue returns when Due should next be called.
 func (m *Machine) NextDue(now time.Time) time.Time {
 	at := m.at(now)
 	next := m.lookAt
--- a/membership/due_test.go
+++ b/membership/due_test.go
@@ -9,7 +9,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// begin has an exchange with the other instance begin and returns its heartbeat.
+// begin starts the exchange with the other instance that is due at d, and
+// returns its heartbeat.
 func begin(t *testing.T, m *Machine, d time.Duration) Heartbeat {
 	t.Helper()
 	for _, due := range m.Due(at(d)) {
@@ -21,14 +22,15 @@
 	return Heartbeat{}
 }
 
-// answer ends an exchange that began at a time.
+// answer completes at d an exchange that was started at began.
 func answer(t *testing.T, m *Machine, began, d time.Duration) {
 	t.Helper()
 	assert.NilError(t, m.Answered(at(d), at(began), other, beat(5, d)))
 }
 
-// TestNewsDuringAnExchange: what an exchange in progress can't have carried goes
-// out right after it, not an interval later.
+// TestNewsDuringAnExchange checks that a fact that came up during an exchange,
+// too late to be carried by it, is sent right after it and not an interval
+// later.
 func TestNewsDuringAnExchange(t *testing.T) {
 	const began = time.Second
 	gap := DefaultMinInterval / rushGapDivisor
@@ -39,7 +41,8 @@
 	assert.Assert(t, begin(t, m, began+gap).Gone)
 }
 
-// TestNewsOfAnAnswer: what the partner itself told is no reason to call it again.
+// TestNewsOfAnAnswer checks that a fact learned from a partner causes no extra
+// exchange with that partner.
 func TestNewsOfAnAnswer(t *testing.T) {
 	const began = time.Second
 	m := lone()
@@ -51,8 +54,8 @@
 	assert.Equal(t, len(m.Due(at(began+DefaultMinInterval/rushGapDivisor))), 0)
 }
 
-// TestToldNeedsEveryPartner: both partners are to hear that the entry ended, one
-// by a call of its own.
+// TestToldNeedsEveryPartner checks that both partners must be told that the
+// entry has ended; one is told in the answer to its own call.
 func TestToldNeedsEveryPartner(t *testing.T) {
 	const second ident.InstanceID = "entry-a2"
 	m := lone()
--- a/membership/evidence.go
+++ b/membership/evidence.go
@@ -6,8 +6,9 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// PeerAnswered takes in that a call to the entry of an instance succeeded at the
-// given time. A connection alone is none: the kernel of a paused process accepts.
+// PeerAnswered records that a call to an instance's entry succeeded at the
+// given time. A connection alone does not count: the kernel accepts on behalf
+// of a paused process.
 func (m *Machine) PeerAnswered(now, at time.Time, id ident.InstanceID) {
 	m.at(now)
 	if x, ok := m.members[id]; ok {
@@ -15,11 +16,11 @@
 	}
 }
 
-// PeerFailed takes in that a call to a process of an instance failed at the
-// given time. A refused connection of the entry's proves that it has ended: the
-// listener of a process that still has requests in flight stays open. A refusal
-// by the agent's address, or any other failure, proves nothing and leads to a
-// probe of the entry.
+// PeerFailed records that a call to a process of an instance failed at the
+// given time. A connection refused at the entry's address proves that the entry
+// has ended: a process with requests in flight keeps its listener open. A
+// refusal at the agent's address, or any other failure, proves nothing and
+// leads to a probe of the entry.
 func (m *Machine) PeerFailed(now, at time.Time, id ident.InstanceID, p Process, kind FailKind) {
 	m.at(now)
 	x, ok := m.members[id]
@@ -35,7 +36,7 @@
 	}
 }
 
-// UpstreamAnswered takes in that a call to an upstream succeeded at the given
+// UpstreamAnswered records that a call to an upstream succeeded at the given
 // time.
 func (m *Machine) UpstreamAnswered(now, at time.Time, id ident.UpstreamID) {
 	m.at(now)
@@ -45,7 +46,7 @@
 	}
 }
 
-// UpstreamFailed takes in that a call to an upstream failed at the given time.
+// UpstreamFailed records that a call to an upstream failed at the given time.
 func (m *Machine) UpstreamFailed(now, at time.Time, id ident.UpstreamID, kind FailKind) {
 	t := m.at(now)
 	u, ok := m.upstreams[id]
@@ -65,29 +66,31 @@
 	}
 }
 
-// mayMiss reports whether this instance may tell others that an upstream does
-// not answer. That can be its own trouble: so only an instance of the upstream's
-// zone says it, which nothing but the zone's own network separates from it, only
-// when no other instance has told of a fresh report, and seldom if others keep
-// saying otherwise.
+// mayMiss reports whether this instance may report an upstream missing to
+// others. The fault can be this instance's own, so it may do so only if it is
+// in the upstream's zone, where only the zone's own network separates the two,
+// only if no other instance has relayed a fresh report, and at growing
+// intervals while others keep contradicting it.
 func (m *Machine) mayMiss(now time.Duration, u *upstream) bool {
 	return u.zone == m.self.Zone && now-u.alive() >= m.cfg.UpstreamGrace && now >= u.missAt
 }
 
-// Bounds of the time until an instance may say again that an upstream is missing
-// that it has not reached itself meanwhile.
+// Limits of the time until an instance that has not reached an upstream itself
+// since may report it missing again.
 const (
 	missGapMin = 2 * time.Second
 	missGapMax = time.Minute
 )
 
-// doubted notes that this instance said that the upstream is missing.
+// doubted records that this instance reported the upstream missing, and doubles
+// the time until it may do so again.
 func (u *upstream) doubted(now time.Duration) {
 	u.missGap = min(max(2*u.missGap, missGapMin), missGapMax)
 	u.missAt = now + u.missGap
 }
 
-// UpstreamLeaving takes in an upstream's own refusal because it is leaving.
+// UpstreamLeaving records that an upstream refused a call because it is
+// leaving.
 func (m *Machine) UpstreamLeaving(now time.Time, id ident.UpstreamID, inc ident.Incarnation) {
 	t := m.at(now)
 	u, ok := m.upstreams[id]
@@ -99,7 +102,7 @@
 	}
 }
 
-// UpstreamReport takes in a load report that this instance got from an upstream
+// UpstreamReport records a load report that this instance read from an upstream
 // and that was made at the given time.
 func (m *Machine) UpstreamReport(now, measured time.Time, id ident.UpstreamID, r Report) {
 	t := m.at(now)
@@ -110,7 +113,8 @@
 	absent := u.absent()
 	leaving := u.mergeReport(t, r, m.when(measured))
 	if leaving || absent && !u.absent() {
-		// Its return is news as well: other zones get no reports of it.
+		// The upstream's return is disseminated as well: other zones get no
+		// reports of it.
 		m.rush(t, &u.urgent)
 	}
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -13,13 +13,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start is when the tests begin, by every clock.
+// start is the time at which the tests begin, on every clock.
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// step is the time between two looks at what is due.
+// step is the simulated time between two calls of Due.
 const step = 50 * time.Millisecond
 
-// condition is what happened to a node.
+// condition is the run state of a node.
 type condition int
 
 const (
@@ -34,7 +34,7 @@
 	zone    ident.Zone
 	machine *Machine
 	cond    condition
-	// frames and bytes count what the node sent and received.
+	// frames and bytes count the traffic that the node sent and received.
 	frames, bytes int
 	pausedAt      time.Time
 }
@@ -75,7 +75,7 @@
 	n.machine.Instances(f.now, f.now, 1, f.list())
 }
 
-// list is the platform's list of all nodes.
+// list returns the platform's list of all nodes.
 func (f *fleet) list() []ListedInstance {
 	var out []ListedInstance
 	for _, n := range f.nodes {
@@ -84,7 +84,7 @@
 	return out
 }
 
-// run lets time pass.
+// run advances the virtual time by d.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(f.step)
@@ -96,20 +96,21 @@
 	}
 }
 
-// runUntil lets time pass until done, and returns how much; it fails after limit.
+// runUntil advances the virtual time until done returns true, and returns how
+// much time passed; the test fails after limit.
 func (f *fleet) runUntil(limit time.Duration, done func() bool) time.Duration {
 	f.t.Helper()
 	begin := f.now
 	for !done() {
 		if f.now.Sub(begin) > limit {
-			f.t.Fatalf("not done after %s", limit)
+			f.t.Fatalf("condition not met after %s", limit)
 		}
 		f.run(f.step)
 	}
 	return f.now.Sub(begin)
 }
 
-// act does what is due at a node.
+// act performs the actions that are due at a node.
 func (f *fleet) act(n *node) {
 	for _, d := range n.machine.Due(f.now) {
 		to := f.byID[d.To]
@@ -135,7 +136,7 @@
 	}
 }
 
-// exchange carries a heartbeat and its answer.
+// exchange delivers a heartbeat and the answer to it.
 func (f *fleet) exchange(n, to *node) {
 	hb := n.machine.Heartbeat(f.now, to.id)
 	f.count(n, hb)
@@ -163,13 +164,13 @@
 	assert.NilError(f.t, n.machine.Answered(f.now, f.now, to.id, answer))
 }
 
-// count notes a frame that a node sent or received.
+// count records a frame that a node sent or received.
 func (f *fleet) count(n *node, hb Heartbeat) {
 	n.frames++
 	n.bytes += frameBytes(hb)
 }
 
-// pause stops a node; resume wakes it.
+// pause stops a node; resume continues it.
 func (f *fleet) pause(n *node) { n.cond, n.pausedAt = paused, f.now }
 
 func (f *fleet) resume(n *node) {
@@ -177,19 +178,19 @@
 	n.machine.Paused(f.now, f.now.Sub(n.pausedAt))
 }
 
-// sees returns what one node believes of another.
+// sees returns one node's view of another.
 func (f *fleet) sees(n, other *node) Instance {
 	for _, x := range n.machine.View(f.now).Instances {
 		if x.ID == other.id {
 			return x
 		}
 	}
-	f.t.Fatalf("%s does not know %s", n.id, other.id)
+	f.t.Fatalf("%s has no view of %s", n.id, other.id)
 	return Instance{}
 }
 
-// all reports whether every running node but the one itself believes something
-// of it.
+// all reports whether want holds for the view of a node in every other running
+// node.
 func (f *fleet) all(of *node, want func(Instance) bool) bool {
 	for _, n := range f.nodes {
 		if n != of && n.cond == running && !want(f.sees(n, of)) {
--- a/membership/heartbeat.go
+++ b/membership/heartbeat.go
@@ -7,22 +7,23 @@
 )
 
 // MethodHeartbeat is the jsonrpc2 method by which agents exchange heartbeats:
-// the parameters and the result are a Heartbeat each.
+// its parameters and its result are a Heartbeat each.
 const MethodHeartbeat = "fleet.heartbeat"
 
-// Heartbeat is what one instance tells another. The connection's hello says who
-// sent it.
+// Heartbeat is the message that one instance sends another. The connection's
+// hello identifies the sender.
 type Heartbeat struct {
-	// Incarnation is that of the sender's entry, 0 while it has none.
+	// Incarnation is the incarnation of the sender's entry, 0 while it has
+	// none.
 	Incarnation ident.Incarnation `json:"i"`
-	// Stamp is the sign of the entry's life, 0 if there is none.
+	// Stamp is the evidence of the entry's liveness, 0 if there is none.
 	Stamp   Stamp `json:"t,omitempty"`
 	Leaving bool  `json:"l,omitempty"`
 	Gone    bool  `json:"g,omitempty"`
-	// WaitMS is the sender's interval: partners exchange heartbeats at the
-	// longer one of both.
+	// WaitMS is the sender's interval: two partners exchange heartbeats at the
+	// longer of their intervals.
 	WaitMS int64 `json:"w,omitempty"`
-	// Digest is that of the sender's zone; see Machine.Digest.
+	// Digest is the digest of the sender's zone; see Machine.Digest.
 	Digest uint64 `json:"d"`
 	// Members holds packed records of instances; see MemberBytes.
 	Members []byte `json:"m,omitempty"`
@@ -30,10 +31,10 @@
 	Upstreams []byte `json:"u,omitempty"`
 }
 
-// maxWait bounds the interval that a partner can ask for.
+// maxWait limits the interval that a partner can ask for.
 const maxWait = 30 * time.Second
 
-// Records of one heartbeat.
+// Numbers of records in one heartbeat.
 const (
 	memberWindow   = 6
 	upstreamWindow = 8
@@ -42,7 +43,7 @@
 	resyncWindow = 48
 )
 
-// Heartbeat composes what to tell an instance now.
+// Heartbeat returns the heartbeat to send to an instance now.
 func (m *Machine) Heartbeat(now time.Time, to ident.InstanceID) Heartbeat {
 	at := m.at(now)
 	hb := Heartbeat{
@@ -68,25 +69,25 @@
 	return hb
 }
 
-// noteSize keeps a running average of the size of heartbeats.
+// noteSize updates the moving average of the size of heartbeats.
 func (m *Machine) noteSize(hb Heartbeat) {
 	packed := len(hb.Members) + len(hb.Upstreams)
 	size := float64(heartbeatOverhead + packed*base64Quotient/base64Divisor)
 	m.frameBytes += (size - m.frameBytes) / sizeMemory
 }
 
-// What a heartbeat costs on the wire besides its packed records, in bytes, and
-// what base64 makes of those; as measured by TestHeartbeatBytes.
+// Size of a heartbeat on the wire besides its packed records, in bytes, and the
+// expansion of those by base64; TestHeartbeatBytes measures them.
 const (
 	heartbeatOverhead = 220
 	base64Quotient    = 4
 	base64Divisor     = 3
-	// sizeMemory is over how many heartbeats the size is averaged.
+	// sizeMemory is the number of heartbeats over which the size is averaged.
 	sizeMemory = 16
 )
 
-// Receive takes in a heartbeat and returns the answer to it. The error is a
-// *BlockError or an *UnknownError; nothing is taken in then.
+// Receive processes a heartbeat and returns the answer to it. The error is a
+// *BlockError or an *UnknownError, in which case nothing is merged.
 func (m *Machine) Receive(now time.Time, from ident.InstanceID, hb Heartbeat) (Heartbeat, error) {
 	if err := m.take(now, from, hb); err != nil {
 		return Heartbeat{}, err
@@ -95,8 +96,8 @@
 	return m.Heartbeat(now, from), nil
 }
 
-// Answered takes in the answer to a heartbeat that was sent at the given time.
-// Errors are as those of Receive.
+// Answered processes the answer to a heartbeat that was sent at the given time.
+// Errors are those of Receive.
 func (m *Machine) Answered(now, started time.Time, from ident.InstanceID, hb Heartbeat) error {
 	news := m.news
 	if err := m.take(now, from, hb); err != nil {
@@ -107,23 +108,23 @@
 	m.trust.refreshed(from, m.when(started))
 	m.scheduleNext(m.last, x)
 	if x.toldNews < news {
-		// It came up while the heartbeat was on its way.
+		// A fact came up while the heartbeat was in transit.
 		m.hurryTo(m.last, x)
 		return nil
 	}
-	// What the answer itself brought, the partner knows.
+	// The partner knows the facts that its own answer brought.
 	x.toldNews = m.news
 	return nil
 }
 
-// UnknownError reports a heartbeat of an instance that neither the settings nor
-// a recent list names.
+// UnknownError reports a heartbeat from an instance that neither the settings
+// nor a recent list names.
 type UnknownError struct{ Instance ident.InstanceID }
 
 // Error implements error.
 func (e *UnknownError) Error() string { return "heartbeat of unknown instance " + string(e.Instance) }
 
-// take merges a heartbeat.
+// take merges the contents of a heartbeat.
 func (m *Machine) take(now time.Time, from ident.InstanceID, hb Heartbeat) error {
 	at := m.at(now)
 	x, ok := m.members[from]
@@ -156,8 +157,9 @@
 	return nil
 }
 
-// mergeRecord takes in what a peer relays of an instance. Of this instance it
-// takes in nothing: who it is and whether it leaves is its own to say.
+// mergeRecord merges a record of an instance that a peer relays. Records of
+// this instance itself are not merged, since it alone decides on its
+// incarnation and on leaving; they only show whether it is superseded.
 func (m *Machine) mergeRecord(now time.Duration, r keyedRecord) {
 	if r.key == keyOf(string(m.self.Instance)) {
 		m.superseded = m.superseded || r.incarnation > m.state.Incarnation && m.state.Incarnation != 0
@@ -170,20 +172,20 @@
 	m.merge(now, x, r.record)
 	l := &x.life
 	if r.missing && r.incarnation == l.incarnation && !l.reportedMissing() && x.urgent == 0 {
-		// This instance knows of a later sign of life: that is news to whoever
-		// misses it.
+		// This instance has later evidence of liveness, which whoever reports
+		// the instance missing lacks.
 		x.urgent = m.spread()
 	}
 }
 
-// merge takes in a record of an instance and spreads what is new.
+// merge merges a record of an instance and disseminates what is new.
 func (m *Machine) merge(now time.Duration, x *member, r record) {
 	if x.merge(now, r) {
 		m.rush(now, &x.urgent)
 	}
 }
 
-// mergeDigest takes in what a peer relays of an upstream.
+// mergeDigest merges a digest of an upstream that a peer relays.
 func (m *Machine) mergeDigest(now time.Duration, d UpstreamDigest) {
 	u, ok := m.upKeys[recordKey(d.Key)]
 	if !ok || d.Incarnation == 0 {
@@ -203,12 +205,13 @@
 		m.rush(now, &u.urgent)
 	}
 	if d.Missing && !u.absent() && u.urgent == 0 {
-		// This instance knows of a later report: that is news to whoever misses it.
+		// This instance has a later report, which whoever reports the upstream
+		// missing lacks.
 		u.urgent = m.spread()
 	}
 }
 
-// report returns the load report of a digest.
+// report returns the load report that a digest carries.
 func (d UpstreamDigest) report() Report {
 	return Report{
 		Incarnation: d.Incarnation, Sequence: d.Sequence,
--- a/membership/leaving_test.go
+++ b/membership/leaving_test.go
@@ -9,20 +9,22 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// listOther is a list that shows the other instance, without its incarnation.
+// listOther returns a list with the other instance, without its incarnation.
 func listOther(leaving bool) []ListedInstance {
 	return []ListedInstance{{ID: other, Zone: "hall-a", Leaving: leaving}}
 }
 
-// listUpstreamAs is a list that shows the upstream.
+// listUpstreamAs returns a list that shows the upstream as l.
 func listUpstreamAs(l ListedUpstream) []ListedUpstream {
 	l.ID, l.Zone = "dc-1", "hall-a"
 	return []ListedUpstream{l}
 }
 
-// TestEachSourceMarksAnUpstreamLeaving tries the platform's list, the upstream's
-// own refusal, its load report and a peer's word, each alone, and then every way
-// in which an old list could undo it.
+// TestEachSourceMarksAnUpstreamLeaving marks an upstream as leaving through
+// each source alone: the platform's list, the upstream's own refusal, its load
+// report and a peer's digest. It then checks that no list, older or newer, and
+// no report of the same incarnation clears the mark, and that a new incarnation
+// starts without it.
 func TestEachSourceMarksAnUpstreamLeaving(t *testing.T) {
 	const sec = time.Second
 	sources := map[string]func(t *testing.T, m *Machine){
@@ -50,10 +52,10 @@
 				m.Upstreams(at(d), at(d), index, listUpstreamAs(ListedUpstream{Incarnation: 7}))
 				m.UpstreamReport(at(d), at(d), "dc-1", Report{Incarnation: 7, Sequence: uint32(i + 2)})
 				m.Upstreams(at(d), at(d), index, listUpstreamAs(ListedUpstream{}))
-				assert.Assert(t, upstreamSeen(m, d).Leaving, "undone by a list of index %d", index)
+				assert.Assert(t, upstreamSeen(m, d).Leaving, "mark cleared by a list with index %d", index)
 			}
 			m.UpstreamReport(at(9*sec), at(9*sec), "dc-1", Report{Incarnation: 8, Sequence: 1})
-			assert.Assert(t, !upstreamSeen(m, 9*sec).Leaving, "a new life does not leave")
+			assert.Assert(t, !upstreamSeen(m, 9*sec).Leaving, "a new incarnation is marked as leaving")
 		})
 	}
 }
@@ -76,21 +78,21 @@
 			m.Instances(at(2*sec), at(2*sec), 5, listOther(true))
 			m.Instances(at(3*sec), at(3*sec), 6, nil)
 		}, true},
-		{"leaving, then a newer list for a new life", func(_ *testing.T, m *Machine) {
+		{"leaving, then a newer list for a new incarnation", func(_ *testing.T, m *Machine) {
 			m.Instances(at(2*sec), at(2*sec), 5, listOther(true))
 			m.Instances(at(3*sec), at(3*sec), 6, listOther(false))
 		}, false},
-		{"a life known for long is bound", func(t *testing.T, m *Machine) {
+		{"a list applies to an incarnation known for long", func(t *testing.T, m *Machine) {
 			hear(t, m, sec, beat(5, sec))
 			m.Instances(at(2*time.Minute), at(2*time.Minute), 5, listOther(true))
 			m.Instances(at(3*time.Minute), at(3*time.Minute), 6, listOther(false))
 		}, true},
-		{"a young life is not bound by a list that lags", func(t *testing.T, m *Machine) {
+		{"a lagging list does not apply to a young incarnation", func(t *testing.T, m *Machine) {
 			hear(t, m, sec, beat(5, sec))
 			m.Instances(at(2*sec), at(2*sec), 5, listOther(true))
 			m.Instances(at(3*time.Minute), at(3*time.Minute), 6, listOther(false))
 		}, false},
-		{"a platform set up anew", func(_ *testing.T, m *Machine) {
+		{"a platform set up from scratch", func(_ *testing.T, m *Machine) {
 			m.Instances(at(2*sec), at(2*sec), 500, listOther(true))
 			m.ResetLists()
 			m.Instances(at(3*sec), at(3*sec), 2, listOther(false))
@@ -110,7 +112,7 @@
 	m.SetSelf(start, SelfState{Incarnation: ident.NewIncarnation(start)})
 	self := []ListedInstance{{ID: "entry-a0", Zone: "hall-a", Leaving: true}}
 	m.Instances(at(time.Second), at(time.Second), 2, self)
-	assert.Assert(t, !m.View(at(time.Second)).Leaving, "the list may mean the life before")
+	assert.Assert(t, !m.View(at(time.Second)).Leaving, "the lagging list may refer to the previous incarnation")
 	m.SetSelf(start, SelfState{Incarnation: ident.NewIncarnation(start.Add(-time.Hour))})
 	m.Instances(at(2*time.Second), at(2*time.Second), 3, self)
 	assert.Assert(t, m.View(at(2*time.Second)).Leaving)
@@ -157,7 +159,8 @@
 	assert.Assert(t, m.Heartbeat(at(2*time.Second), other).Stamp > 0)
 }
 
-// TestPartnerIsNotToldWhatItTold saves the bytes of what the partner knows.
+// TestPartnerIsNotToldWhatItTold checks that records which came from a partner
+// are not sent back to it: that would waste bytes.
 func TestPartnerIsNotToldWhatItTold(t *testing.T) {
 	m := watcher()
 	r := keyedRecord{key: keyOf(string(subjects[0])), record: record{incarnation: 5, hasStamp: true, stamp: 10}}
@@ -169,7 +172,7 @@
 	assert.Equal(t, len(answer.Members), MemberBytes)
 }
 
-// TestPartnersKeepTheLongerInterval lets a partner with many partners of its own
+// TestPartnersKeepTheLongerInterval has a partner with many partners of its own
 // ask for fewer exchanges.
 func TestPartnersKeepTheLongerInterval(t *testing.T) {
 	m := lone()
@@ -181,8 +184,9 @@
 	}
 }
 
-// TestAnotherZoneIsBelievedAsAWhole hears of one instance of another zone and
-// keeps believing in the rest, until one is missed.
+// TestAnotherZoneIsBelievedAsAWhole receives heartbeats from one instance of
+// another zone and checks that the zone's other instances stay alive until one
+// is reported missing.
 func TestAnotherZoneIsBelievedAsAWhole(t *testing.T) {
 	m := lone()
 	m.Seeds(start, []Seed{{ID: "entry-b0", Zone: "hall-b"}, {ID: "entry-b1", Zone: "hall-b"}})
--- a/membership/list.go
+++ b/membership/list.go
@@ -13,27 +13,28 @@
 	Address string
 }
 
-// ListedInstance is an instance as the platform's list shows it.
+// ListedInstance is an instance as shown in the platform's list.
 type ListedInstance struct {
 	ID      ident.InstanceID
 	Zone    ident.Zone
 	Address string
-	// Incarnation is 0 if the list doesn't name it.
+	// Incarnation is 0 if the list does not name it.
 	Incarnation ident.Incarnation
 	Leaving     bool
 }
 
-// ListedUpstream is an upstream as the platform's list shows it.
+// ListedUpstream is an upstream as shown in the platform's list.
 type ListedUpstream struct {
 	ID      ident.UpstreamID
 	Zone    ident.Zone
 	Address string
-	// Incarnation is 0 if the list doesn't name it.
+	// Incarnation is 0 if the list does not name it.
 	Incarnation ident.Incarnation
 	Leaving     bool
 }
 
-// lists keeps how new the platform's lists are.
+// lists holds the indexes of the newest platform lists and when one was last
+// read.
 type lists struct {
 	instances uint64
 	upstreams uint64
@@ -41,7 +42,7 @@
 	read      bool
 }
 
-// Seeds takes in the instances that the settings name.
+// Seeds adds the instances that the settings name.
 func (m *Machine) Seeds(now time.Time, seeds []Seed) {
 	at := m.at(now)
 	for _, s := range seeds {
@@ -55,7 +56,7 @@
 	}
 }
 
-// place notes where an instance is.
+// place sets the zone and address of an instance.
 func (m *Machine) place(x *member, zone ident.Zone, address string) {
 	if x.zone != zone {
 		x.zone = zone
@@ -64,10 +65,10 @@
 	x.address = address
 }
 
-// Instances takes in the platform's list of instances. index is the platform's
-// index of the list and started when the reading of it began, here or at the
-// peer that relays it. A list older than one seen is ignored; Instances reports
-// false then.
+// Instances applies the platform's list of instances. index is the platform's
+// index of the list, and started is when reading it began, here or at the peer
+// that relays it. Instances ignores a list older than one already seen and
+// returns false.
 func (m *Machine) Instances(now, started time.Time, index uint64, list []ListedInstance) bool {
 	at := m.at(now)
 	if index < m.lists.instances {
@@ -89,25 +90,26 @@
 	return true
 }
 
-// Confirmed takes in that the platform was read, with the reading begun at the
-// given time, and has nothing newer than the lists seen.
+// Confirmed records that a read of the platform, begun at the given time, found
+// nothing newer than the lists seen.
 func (m *Machine) Confirmed(now, started time.Time) {
 	m.at(now)
 	m.noteRead(m.when(started))
 }
 
-// ResetLists makes lists with lower indexes acceptable again: the platform was
-// set up anew. What they said so far stays until a new list says otherwise.
+// ResetLists makes lists with lower indexes acceptable again, for a platform
+// that was set up from scratch. What the old lists stated remains until a new
+// list differs.
 func (m *Machine) ResetLists() { m.lists.instances, m.lists.upstreams = 0, 0 }
 
-// noteRead notes that a list was read from the platform.
+// noteRead records that a list was read from the platform.
 func (m *Machine) noteRead(started time.Duration) {
 	if !m.lists.read || started > m.lists.readAt {
 		m.lists.read, m.lists.readAt = true, started
 	}
 }
 
-// listInstance takes in one entry.
+// listInstance applies one entry of the list of instances.
 func (m *Machine) listInstance(now time.Duration, l ListedInstance) {
 	x := m.addMember(l.ID, now)
 	if x == nil {
@@ -128,8 +130,8 @@
 	}
 }
 
-// listSelf takes in what the list shows of this instance: when it is leaving, it
-// says so itself from now on.
+// listSelf applies the list's entry of this instance: if the entry marks it as
+// leaving, the instance announces that itself from now on.
 func (m *Machine) listSelf(now time.Time, at time.Duration, l ListedInstance) {
 	bound := l.Incarnation == m.state.Incarnation
 	if l.Incarnation == 0 {
@@ -141,14 +143,15 @@
 }
 
 // binds reports whether a list that marks an ID as leaving without naming the
-// incarnation means the one that was learned at the given time. A younger one
-// may have replaced the one that the lagging list means; it is held back only
-// while the newest list says so.
+// incarnation applies to the incarnation that was learned at the given time. A
+// younger one may have replaced the one that the lagging list refers to; it
+// gets no new work only while the newest list marks the ID.
 func (m *Machine) binds(now time.Duration, inc ident.Incarnation, learned time.Duration) bool {
 	return inc != 0 && now-learned >= m.cfg.ListLag
 }
 
-// Upstreams takes in the platform's list of upstreams, as Instances does.
+// Upstreams applies the platform's list of upstreams in the same way as
+// Instances.
 func (m *Machine) Upstreams(now, started time.Time, index uint64, list []ListedUpstream) bool {
 	at := m.at(now)
 	if index < m.lists.upstreams {
@@ -166,7 +169,7 @@
 	return true
 }
 
-// listUpstream takes in one entry.
+// listUpstream applies one entry of the list of upstreams.
 func (m *Machine) listUpstream(now time.Duration, l ListedUpstream) {
 	u := m.addUpstream(l.ID, now)
 	if u == nil {
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Machine holds what one instance knows of the others and of the upstreams. It
-// is not safe for concurrent use.
+// Machine holds what one instance knows about the others and about the
+// upstreams. It is not safe for concurrent use.
 type Machine struct {
 	cfg   Config
 	self  Self
@@ -17,16 +17,16 @@
 
 	state     SelfState
 	stampBase time.Duration
-	// urgent counts the messages in which news of this instance itself travel
-	// ahead of the schedule.
+	// urgent is the number of further messages that carry new facts about this
+	// instance itself ahead of the schedule.
 	urgent int
-	// news counts the new sticky facts, of any instance or upstream.
+	// news counts the new sticky facts about any instance or upstream.
 	news uint64
 
 	members    map[ident.InstanceID]*member
 	memberKeys map[recordKey]*member
-	// roster and backends hold the same in the order of their IDs, so that
-	// what is done does not depend on the order of a map.
+	// roster and backends hold the same entries sorted by ID, so that the
+	// results do not depend on map iteration order.
 	roster      []*member
 	backends    []*upstream
 	upstreams   map[ident.UpstreamID]*upstream
@@ -34,9 +34,10 @@
 	tombstones  map[ident.InstanceID]tombstone
 	lists       lists
 	partnership partnership
-	// zones holds when each zone was last heard of.
+	// zones holds the time of the last evidence of liveness from each zone.
 	zones map[ident.Zone]time.Duration
-	// superseded is set when a peer knows a higher incarnation of this instance.
+	// superseded is set when a peer knows a higher incarnation of this
+	// instance.
 	superseded bool
 	// frameBytes is the average size of a heartbeat.
 	frameBytes float64
@@ -46,8 +47,8 @@
 	healAt     time.Duration
 }
 
-// New returns a machine that knows of nothing. Its view is distrusted until it
-// was refreshed; see Trusted.
+// New returns a machine without any members or upstreams. Its view is
+// distrusted until it has been refreshed; see Trusted.
 func New(self Self, cfg Config, now time.Time) *Machine {
 	m := &Machine{
 		cfg:        cfg.withDefaults(),
@@ -65,17 +66,19 @@
 	return m
 }
 
-// at converts a time to one since the epoch that never falls.
+// at converts a time to one since the epoch and advances the machine's time,
+// which never decreases.
 func (m *Machine) at(now time.Time) time.Duration {
 	m.last = max(m.last, now.Sub(m.epoch))
 	return m.last
 }
 
-// when converts a past time without moving the machine's own.
+// when converts a past time to one since the epoch without advancing the
+// machine's time.
 func (m *Machine) when(t time.Time) time.Duration { return t.Sub(m.epoch) }
 
-// SetSelf says what is known of this instance's own entry process. Leaving and
-// gone are sticky for an incarnation.
+// SetSelf sets the state of this instance's own entry process. Leaving and Gone
+// are sticky for an incarnation.
 func (m *Machine) SetSelf(now time.Time, s SelfState) {
 	at := m.at(now)
 	old := m.state
@@ -87,22 +90,23 @@
 		return
 	}
 	if s.Incarnation != old.Incarnation {
-		// The stamp counts from the incarnation, which is a wall-clock time:
-		// so a restarted agent goes on where the one before it ended.
+		// The stamp counts from the incarnation, which is a wall-clock time, so
+		// that a restarted agent continues where the previous one stopped.
 		m.stampBase = time.Duration(now.UnixMilli()-int64(s.Incarnation))*time.Millisecond - at
 	}
 	m.state = s
 	m.rush(at, &m.urgent)
 }
 
-// Leave says that this instance takes no new work from now on.
+// Leave marks this instance as taking no new work from now on.
 func (m *Machine) Leave(now time.Time) {
 	s := m.state
 	s.Leaving = true
 	m.SetSelf(now, s)
 }
 
-// stamp returns the sign of the own entry's life, 0 while it gives none.
+// stamp returns the evidence of the own entry's liveness, 0 while there is
+// none.
 func (m *Machine) stamp(now time.Duration) Stamp {
 	if m.state.Incarnation == 0 || m.state.Gone || m.state.Silent {
 		return 0
@@ -110,10 +114,12 @@
 	return max(newStamp(m.stampBase+now), 1)
 }
 
-// spread is in how many messages a new sticky fact travels first.
+// spread returns the number of messages in which a new sticky fact is sent
+// first.
 func (m *Machine) spread() int { return 2 * max(len(m.partnership.ids), 1) }
 
-// addMember returns the member of an ID, making it known if there is room.
+// addMember returns the member with the given ID and adds it if there is room;
+// otherwise it returns nil.
 func (m *Machine) addMember(id ident.InstanceID, now time.Duration) *member {
 	if x, ok := m.members[id]; ok {
 		return x
@@ -124,7 +130,7 @@
 	x := &member{id: id, key: keyOf(string(id)), life: newLife(0, now), since: now,
 		triedAt: never, answered: never, failed: never}
 	if t, ok := m.tombstones[id]; ok {
-		// What an old life said must not count for a new one.
+		// Facts about an old incarnation must not count for a new one.
 		x.life = t.life
 		delete(m.tombstones, id)
 	}
@@ -138,7 +144,8 @@
 	return x
 }
 
-// addUpstream returns the upstream of an ID, making it known if there is room.
+// addUpstream returns the upstream with the given ID and adds it if there is
+// room; otherwise it returns nil.
 func (m *Machine) addUpstream(id ident.UpstreamID, now time.Duration) *upstream {
 	if u, ok := m.upstreams[id]; ok {
 		return u
@@ -157,8 +164,8 @@
 	return u
 }
 
-// tombstone keeps what was known of a forgotten instance, so that a late message
-// of an old incarnation is still known to be old.
+// tombstone holds what was known about a forgotten instance, so that a late
+// message from an old incarnation is still recognized as old.
 type tombstone struct {
 	life life
 	at   time.Duration
@@ -167,7 +174,9 @@
 // tombstoneTTL is how long a tombstone is kept.
 const tombstoneTTL = time.Hour
 
-// forget drops what is listed no more and gave no sign of life for long.
+// forget drops unlisted instances, other than seeds, that have given no
+// evidence of liveness for ForgetAfter, and upstreams that have been unlisted
+// for that long.
 func (m *Machine) forget(now time.Duration) {
 	limit := now - m.cfg.ForgetAfter
 	for _, x := range slices.Clone(m.roster) {
@@ -191,7 +200,7 @@
 	}
 }
 
-// dropMember forgets an instance.
+// dropMember removes an instance.
 func (m *Machine) dropMember(x *member) {
 	delete(m.members, x.id)
 	if m.memberKeys[x.key] == x {
@@ -203,7 +212,7 @@
 	m.partnership.outdated = true
 }
 
-// dropUpstream forgets an upstream.
+// dropUpstream removes an upstream.
 func (m *Machine) dropUpstream(u *upstream) {
 	delete(m.upstreams, u.id)
 	if m.upKeys[u.key] == u {
@@ -214,8 +223,8 @@
 	}
 }
 
-// Known reports whether the settings or a recent list names the instance. It is
-// what peer.Config.Allow asks.
+// Known reports whether the settings or a recent list names the instance. It
+// serves as peer.Config.Allow.
 func (m *Machine) Known(id ident.InstanceID) bool {
 	_, ok := m.members[id]
 	return ok || id == m.self.Instance
--- a/membership/member.go
+++ b/membership/member.go
@@ -7,53 +7,54 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// never marks a local event that did not happen. Times inside the package count
-// from the machine's epoch and may be negative for evidence older than it.
+// never is the time of a local event that has not happened. Times inside the
+// package count from the machine's epoch and may be negative for evidence older
+// than it.
 const never = time.Duration(-1 << 62)
 
-// FailKind says how an attempt to reach a process failed.
+// FailKind is the way in which an attempt to reach a process failed.
 type FailKind int
 
 const (
-	// FailTimeout means that nothing answered in time, or the network knew no
-	// way.
+	// FailTimeout means that nothing answered in time, or that there was no
+	// network route.
 	FailTimeout FailKind = iota
 	// FailRefused means that the remote kernel refused the connection.
 	FailRefused
-	// FailSilent means that the remote kernel accepted and the process did not
-	// answer.
+	// FailSilent means that the remote kernel accepted the connection and the
+	// process did not answer.
 	FailSilent
 )
 
-// Process says which process of an instance was tried.
+// Process identifies the process of an instance that was called.
 type Process int
 
 const (
 	// ProcessAgent is the agent, which exchanges heartbeats.
 	ProcessAgent Process = iota
-	// ProcessEntry is the entry, whose incarnation the instance has.
+	// ProcessEntry is the entry, whose incarnation is that of the instance.
 	ProcessEntry
 )
 
-// life is what is known of one incarnation. All but the local events combine
-// irrespective of order.
+// life holds the facts known about one incarnation. All but the local events
+// merge independently of order.
 type life struct {
 	incarnation ident.Incarnation
 	leaving     bool
 	gone        bool
 	clock       lifeClock
-	// missing is 1 more than the highest stamp after which a peer of its zone
-	// says that it gave no sign of life, or refused a connection.
+	// missing is 1 more than the highest stamp after which a peer of the
+	// instance's zone reports no evidence of liveness, or a refused connection.
 	missing Stamp
 
-	// Local events, since the epoch: when the incarnation became known, when its
-	// entry last answered and when it last refused a connection.
+	// Local events, since the epoch: when the incarnation became known, when
+	// its entry last answered and when it last refused a connection.
 	learned time.Duration
 	reached time.Duration
 	refused time.Duration
 }
 
-// newLife returns what is known of an incarnation at first.
+// newLife returns the initial facts about an incarnation.
 func newLife(inc ident.Incarnation, now time.Duration) life {
 	return life{incarnation: inc, learned: now, reached: never, refused: never}
 }
@@ -63,24 +64,24 @@
 	id   ident.InstanceID
 	key  recordKey
 	zone ident.Zone
-	// address is where its processes are reached; the caller knows which port.
+	// address is the host of its processes; the caller knows the ports.
 	address string
 	seed    bool
 	listed  bool
-	// marked says that the newest list shows the ID as leaving without naming
+	// marked is true if the newest list shows the ID as leaving without naming
 	// its incarnation.
 	marked bool
 	life   life
-	// since is when the instance became known, or was last listed.
+	// since is when the instance became known.
 	since time.Duration
 
 	// answered is when its agent last answered; failed is when a call to either
-	// process last failed, and how.
+	// process last failed, and failKind how.
 	answered time.Duration
 	failed   time.Duration
 	failKind FailKind
 
-	// Exchange of heartbeats. digest is the partner's last one.
+	// Heartbeat exchange. digest is the last one received from the partner.
 	digest    uint64
 	exchanges uint32
 	triedAt   time.Duration
@@ -88,37 +89,37 @@
 	probeAt   time.Duration
 	probeGap  time.Duration
 
-	// Dissemination. toldNews is how many of the new sticky facts had come up when
-	// a heartbeat for the partner was last composed.
+	// Dissemination. toldNews is the machine's count of new sticky facts at the
+	// time that a heartbeat for the partner was last composed.
 	urgent   int
 	toldNews uint64
 	// told holds, for a partner, the stamps that it knows: the highest that
-	// either side told the other.
+	// either side has sent the other.
 	told map[recordKey]toldRecord
 	// reports holds, for a partner, the load reports that it knows.
 	reports map[recordKey]toldReport
-	// wait is the partner's own interval, as it says.
+	// wait is the interval that the partner announces.
 	wait time.Duration
 }
 
-// toldRecord is what a partner knows of an instance.
+// toldRecord is what a partner knows about an instance.
 type toldRecord struct {
 	incarnation ident.Incarnation
 	stamp       Stamp
-	// at is when this instance last told it.
+	// at is when this instance last sent it.
 	at time.Duration
 }
 
-// toldReport is what a partner knows of an upstream.
+// toldReport is what a partner knows about an upstream.
 type toldReport struct {
 	incarnation ident.Incarnation
-	// measured is when the report that it knows was made.
+	// measured is when the report that the partner knows was made.
 	measured time.Duration
-	// at is when this instance last told it.
+	// at is when this instance last sent it.
 	at time.Duration
 }
 
-// toldUpstream notes that the partner was told of an upstream.
+// toldUpstream records what the partner knows about an upstream.
 func (m *member) toldUpstream(key recordKey, t toldReport) {
 	if m.reports == nil {
 		m.reports = map[recordKey]toldReport{}
@@ -126,7 +127,7 @@
 	m.reports[key] = t
 }
 
-// knowsReport notes that the partner knows of an upstream's report.
+// knowsReport records that the partner has an upstream's report.
 func (m *member) knowsReport(key recordKey, inc ident.Incarnation, measured time.Duration) {
 	t := m.reports[key]
 	if inc < t.incarnation || inc == t.incarnation && measured <= t.measured {
@@ -135,7 +136,7 @@
 	m.toldUpstream(key, toldReport{incarnation: inc, measured: measured, at: t.at})
 }
 
-// knows notes what the partner knows of an instance.
+// knows records that the partner has a stamp of an instance.
 func (m *member) knows(key recordKey, inc ident.Incarnation, s Stamp) {
 	t := m.told[key]
 	if inc > t.incarnation {
@@ -147,7 +148,7 @@
 	m.tell(key, t)
 }
 
-// tell notes that the partner was told of an instance.
+// tell records what the partner knows about an instance.
 func (m *member) tell(key recordKey, t toldRecord) {
 	if m.told == nil {
 		m.told = map[recordKey]toldRecord{}
@@ -155,10 +156,10 @@
 	m.told[key] = t
 }
 
-// compare orders members by their ID.
+// compare orders members by ID.
 func (m *member) compare(id ident.InstanceID) int { return cmp.Compare(m.id, id) }
 
-// record is what one message says of an instance.
+// record is what one message states about an instance.
 type record struct {
 	incarnation ident.Incarnation
 	leaving     bool
@@ -169,8 +170,9 @@
 	age         time.Duration
 }
 
-// merge takes in a record. It reports whether there is news to spread: a restart,
-// a mark, or that the instance is missing. The first incarnation heard of is no news to anyone else.
+// merge merges a record. It reports whether there is anything new to
+// disseminate: a restart, a mark, or that the instance is missing. The first
+// incarnation learned is not new to anyone else.
 func (m *member) merge(now time.Duration, r record) bool {
 	if r.incarnation == 0 || r.incarnation < m.life.incarnation {
 		return false
@@ -194,7 +196,7 @@
 	return news
 }
 
-// heard returns when the last sign of life was given.
+// heard returns the time of the last evidence of liveness.
 func (l *life) heard(now time.Duration) time.Duration {
 	t, ok := l.clock.heard(now)
 	if !ok {
@@ -203,47 +205,48 @@
 	return max(t, l.reached)
 }
 
-// age returns the time since the last sign of life, or since the instance
-// became known.
+// age returns the time since the last evidence of liveness, or since the
+// instance became known.
 func (m *member) age(now time.Duration) time.Duration {
 	return now - max(m.life.heard(now), m.since)
 }
 
 // refusedSince reports whether the entry refused a connection after its last
-// sign of life.
+// evidence of liveness.
 func (l *life) refusedSince(now time.Duration) bool {
 	return l.refused > never && l.refused >= l.heard(now)
 }
 
-// reportedMissing reports whether a peer misses it since its last sign of life.
+// reportedMissing reports whether a peer has reported the instance missing
+// since its last evidence of liveness.
 func (l *life) reportedMissing() bool {
 	return l.missing > 0 && (!l.clock.known || l.missing > l.clock.stamp)
 }
 
-// reachable reports whether the last attempt to reach it succeeded.
+// reachable reports whether this instance's last attempt to reach it succeeded.
 func (m *member) reachable() bool { return m.failed <= max(m.answered, m.life.reached) }
 
 // isLeaving reports whether the instance gets no new work.
 func (m *member) isLeaving() bool { return m.life.leaving || m.marked }
 
-// thresholds are the ages at which an instance is suspect and unreachable.
+// thresholds holds the ages at which an instance is suspect and unreachable.
 type thresholds struct {
 	suspect     time.Duration
 	unreachable time.Duration
 	deadGrace   time.Duration
-	// remote is true for another zone, which was last heard of, through any of
-	// its instances, at zoneHeard.
+	// remote is true for an instance of another zone. zoneHeard is the time of
+	// the last evidence of liveness from any instance of that zone.
 	remote    bool
 	zoneHeard time.Duration
 }
 
-// state decides what is believed of the instance.
+// state returns the state of the instance.
 func (m *member) state(now time.Duration, t thresholds) State {
 	l := &m.life
 	age := m.age(now)
 	if t.remote {
-		// Signs of life of a single instance of another zone come seldom; its
-		// own zone watches it, and says so when it misses it.
+		// Evidence of liveness of a single instance in another zone is rare;
+		// its own zone monitors it and reports when it is missing.
 		age = min(age, now-t.zoneHeard)
 	}
 	switch {
--- a/membership/pack.go
+++ b/membership/pack.go
@@ -10,9 +10,10 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// recordKey names an instance or an upstream in packed records: the low 48 bits
-// of the xxhash64 of its ID. With 1,000 IDs two share a key with a probability
-// of 2 in 10^9; the later listed one is then left out of packed records.
+// recordKey identifies an instance or an upstream in packed records: the low 48
+// bits of the xxhash64 of its ID. With 1,000 IDs, two share a key with a
+// probability of 2 in 10^9; the one listed later is then left out of packed
+// records.
 type recordKey uint64
 
 // keyBits is the width of a recordKey and of a packed incarnation.
@@ -24,11 +25,11 @@
 // Sizes of packed records, in bytes.
 const (
 	// MemberBytes is the size of one instance's record: key 6, incarnation 6,
-	// flags 1, age 1 (250 ms), stamp 4.
+	// flags 1, age 1 (units of 250 ms), stamp 4.
 	MemberBytes = 18
 	// UpstreamBytes is the size of an UpstreamDigest: key 6, incarnation 6,
 	// sequence 4, running 1, slots 1, waiting 1, pieces used 2, queued tokens 2
-	// (64), age 2 (10 ms), flags 1.
+	// (units of 64), age 2 (units of 10 ms), flags 1.
 	UpstreamBytes = 26
 )
 
@@ -39,7 +40,7 @@
 	queuedUnit      = 64
 )
 
-// maxRecords bounds the records of one block.
+// maxRecords limits the records of one block.
 const maxRecords = 64
 
 // Flags of packed records.
@@ -52,7 +53,7 @@
 	flagDown
 )
 
-// BlockError reports a block of packed records that is malformed.
+// BlockError reports a malformed block of packed records.
 type BlockError struct {
 	// Block is "members" or "upstreams".
 	Block string
@@ -64,13 +65,13 @@
 	return fmt.Sprintf("heartbeat: %d bytes are no block of %s", e.Bytes, e.Block)
 }
 
-// keyedRecord is a record and whom it is about.
+// keyedRecord is a record with the key of the instance that it describes.
 type keyedRecord struct {
 	key recordKey
 	record
 }
 
-// appendMember packs a record.
+// appendMember appends a packed record to dst.
 func appendMember(dst []byte, r keyedRecord) []byte {
 	var flags byte
 	setFlag(&flags, flagLeaving, r.leaving)
@@ -83,7 +84,7 @@
 	return binary.BigEndian.AppendUint32(dst, uint32(r.stamp))
 }
 
-// decodeMembers unpacks a block. The error is a *BlockError.
+// decodeMembers unpacks a block of member records. The error is a *BlockError.
 func decodeMembers(block []byte) ([]keyedRecord, error) {
 	if len(block)%MemberBytes != 0 || len(block) > maxRecords*MemberBytes {
 		return nil, &BlockError{Block: "members", Bytes: len(block)}
@@ -104,7 +105,7 @@
 	return records, nil
 }
 
-// UpstreamDigest is the compact form in which an upstream's state travels.
+// UpstreamDigest is the compact form in which an upstream's state is sent.
 type UpstreamDigest struct {
 	Key         uint64
 	Incarnation ident.Incarnation
@@ -119,15 +120,15 @@
 	// Age is the time since the report was made.
 	Age     time.Duration
 	Leaving bool
-	// Down says that a connection was refused after the report.
+	// Down is true if a connection was refused after the report.
 	Down bool
-	// Missing says that an instance of the upstream's zone got no answer after
+	// Missing is true if an instance of the upstream's zone got no answer after
 	// the report.
 	Missing bool
 }
 
-// Append packs the digest. Counts that do not fit are given as the largest that
-// do; queued tokens are rounded down to 64.
+// Append appends the packed digest to dst. Counts that do not fit saturate;
+// queued tokens are rounded down to a multiple of 64.
 func (d UpstreamDigest) Append(dst []byte) []byte {
 	dst = append48(dst, d.Key)
 	dst = append48(dst, uint64(d.Incarnation))
@@ -139,7 +140,7 @@
 	return append(dst, d.flags())
 }
 
-// flags packs what is true or false.
+// flags packs the boolean fields.
 func (d UpstreamDigest) flags() byte {
 	var flags byte
 	setFlag(&flags, flagLeaving, d.Leaving)
@@ -149,7 +150,8 @@
 	return flags
 }
 
-// decodeUpstreams unpacks a block. The error is a *BlockError.
+// decodeUpstreams unpacks a block of upstream digests. The error is a
+// *BlockError.
 func decodeUpstreams(block []byte) ([]UpstreamDigest, error) {
 	if len(block)%UpstreamBytes != 0 || len(block) > maxRecords*UpstreamBytes {
 		return nil, &BlockError{Block: "upstreams", Bytes: len(block)}
@@ -198,7 +200,7 @@
 	return uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(binary.BigEndian.Uint32(b[2:]))
 }
 
-// saturate converts v, giving the nearest value that fits.
+// saturate converts v to U, or to the nearest value that fits.
 func saturate[U uint8 | uint16, V ~int | ~int64](v V) U {
 	top := ^U(0)
 	switch {
--- a/membership/pack_test.go
+++ b/membership/pack_test.go
@@ -48,8 +48,9 @@
 	})
 }
 
-// FuzzBlocks gives arbitrary blocks to a machine: it takes them in or refuses
-// them with a type, and packs what it understood the same again.
+// FuzzBlocks passes arbitrary blocks to a machine: it must accept them or
+// return a typed error, add no unknown process, and encode the decoded digests
+// to the same bytes again.
 func FuzzBlocks(f *testing.F) {
 	f.Add([]byte{}, []byte{})
 	f.Add(make([]byte, MemberBytes), make([]byte, UpstreamBytes))
@@ -67,7 +68,7 @@
 			return
 		}
 		if len(m.members) != 4 || len(m.upstreams) != 2 {
-			t.Fatalf("unknown processes were taken in: %d, %d", len(m.members), len(m.upstreams))
+			t.Fatalf("unknown processes were added: %d members, %d upstreams", len(m.members), len(m.upstreams))
 		}
 		m.View(start.Add(time.Minute))
 		digests, err := decodeUpstreams(upstreams)
@@ -80,7 +81,7 @@
 		}
 		second, err := decodeUpstreams(again)
 		if err != nil || len(second) != len(digests) || !bytes.Equal(again, repack(second)) {
-			t.Fatalf("digests change when packed again: %v", err)
+			t.Fatalf("digests differ after a second encoding: %v", err)
 		}
 	})
 }
@@ -94,7 +95,8 @@
 	return out
 }
 
-// TestUnknownSenderIsRefused keeps strangers out.
+// TestUnknownSenderIsRefused checks that heartbeats of unlisted instances are
+// rejected.
 func TestUnknownSenderIsRefused(t *testing.T) {
 	m := watcher()
 	_, err := m.Receive(start, "entry-x1", Heartbeat{Incarnation: 1, Stamp: 1})
--- a/membership/partners.go
+++ b/membership/partners.go
@@ -10,22 +10,23 @@
 	"github.com/wardspool/wardspool/rendezvous"
 )
 
-// partnership is whom this instance exchanges heartbeats with.
+// partnership is the set of instances with which this instance exchanges
+// heartbeats.
 type partnership struct {
 	ids []ident.InstanceID
 	// sparse is true if not every pair of the own zone exchanges heartbeats.
 	sparse   bool
 	outdated bool
-	// unit is the average interval of the exchanges with partners, in which the
-	// thresholds count.
+	// unit is the average interval of the exchanges with partners; the
+	// thresholds are multiples of it.
 	unit time.Duration
-	// believed is a fingerprint of who was believed to live when ids were
+	// believed is a fingerprint of the instances considered live when ids were
 	// chosen.
 	believed uint64
 	checked  time.Duration
 }
 
-// partners returns whom to exchange heartbeats with, sorted.
+// partners returns the instances to exchange heartbeats with, sorted.
 func (m *Machine) partners(now time.Duration) []ident.InstanceID {
 	p := &m.partnership
 	if !p.outdated && now-p.checked < m.cfg.MinInterval/2 {
@@ -43,7 +44,7 @@
 	return p.ids
 }
 
-// forgetTold drops what former partners were told.
+// forgetTold drops what is recorded of the knowledge of former partners.
 func (m *Machine) forgetTold() {
 	for _, x := range m.roster {
 		if _, ok := slices.BinarySearch(m.partnership.ids, x.id); !ok {
@@ -52,8 +53,8 @@
 	}
 }
 
-// living groups the IDs of those believed to live by zone, this instance
-// included, and fingerprints them.
+// living groups the IDs of the instances considered live by zone, including
+// this instance, and returns a fingerprint of them.
 func (m *Machine) living(now time.Duration) (map[ident.Zone][]ident.InstanceID, uint64) {
 	m.hearZones(now)
 	zones := map[ident.Zone][]ident.InstanceID{m.self.Zone: {m.self.Instance}}
@@ -68,7 +69,7 @@
 	return zones, print
 }
 
-// hearZones notes when each zone was last heard of.
+// hearZones updates the time of the last evidence of liveness from each zone.
 func (m *Machine) hearZones(now time.Duration) {
 	for _, x := range m.roster {
 		if at, ok := m.zones[x.zone]; !ok || x.life.heard(now) > at {
@@ -77,7 +78,7 @@
 	}
 }
 
-// zoneHeard returns when a zone was last heard of.
+// zoneHeard returns the time of the last evidence of liveness from a zone.
 func (m *Machine) zoneHeard(z ident.Zone) time.Duration {
 	if at, ok := m.zones[z]; ok {
 		return at
@@ -85,7 +86,7 @@
 	return never
 }
 
-// choose picks the partners.
+// choose returns the partners.
 func (m *Machine) choose(zones map[ident.Zone][]ident.InstanceID) []ident.InstanceID {
 	chosen := m.zonePartners(zones[m.self.Zone])
 	for zone, ids := range zones {
@@ -97,8 +98,9 @@
 	return slices.Compact(chosen)
 }
 
-// zonePartners picks those of the own zone: everyone in a small one; in a larger
-// one those that this instance chooses and those that choose it.
+// zonePartners returns the partners in the own zone: every instance of a small
+// zone; in a larger one those that this instance chooses and those that choose
+// it.
 func (m *Machine) zonePartners(ids []ident.InstanceID) []ident.InstanceID {
 	self := m.self.Instance
 	others := without(ids, self)
@@ -114,8 +116,8 @@
 	return chosen
 }
 
-// bridgePartners picks those of another zone, if this instance is one of the few
-// that keep in touch with it.
+// bridgePartners returns the partners in another zone, if this instance is one
+// of the few that exchange heartbeats with it.
 func (m *Machine) bridgePartners(zone ident.Zone, own, theirs []ident.InstanceID) []ident.InstanceID {
 	key := string(min(zone, m.self.Zone)) + "\x00" + string(max(zone, m.self.Zone))
 	if !rendezvous.Contains(key, own, m.cfg.Bridges, m.self.Instance) {
@@ -124,7 +126,7 @@
 	return rendezvous.Top(key, theirs, m.cfg.Bridges)
 }
 
-// without returns ids less one.
+// without returns ids with id removed.
 func without(ids []ident.InstanceID, id ident.InstanceID) []ident.InstanceID {
 	out := make([]ident.InstanceID, 0, len(ids))
 	for _, x := range ids {
@@ -135,23 +137,24 @@
 	return out
 }
 
-// initiates reports whether this instance starts the exchanges with another;
-// the other answers, so that one call serves both.
+// initiates reports whether this instance starts the exchanges with another
+// one; the other answers, so that one call serves both.
 func (m *Machine) initiates(id ident.InstanceID) bool {
 	a, b := min(m.self.Instance, id), max(m.self.Instance, id)
 	first := xxhash.Sum64String(string(a)+"\x00"+string(b))&1 == 0
 	return first == (a == m.self.Instance)
 }
 
-// interval returns the time between two exchanges with one partner. Each costs
-// two frames; the budget is kept over all of them.
+// interval returns the time between two exchanges with one partner. Each
+// exchange costs two frames; the budget covers the exchanges with all partners.
 func (m *Machine) interval() time.Duration {
 	bytes := 2 * m.frameBytes * float64(len(m.partnership.ids))
 	seconds := bytes / float64(m.cfg.Budget)
 	return max(m.cfg.MinInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// meanInterval returns the average time between exchanges, over all partners.
+// meanInterval returns the interval of the exchanges, averaged over all
+// partners.
 func (m *Machine) meanInterval() time.Duration {
 	own := m.interval()
 	if len(m.partnership.ids) == 0 {
@@ -167,7 +170,7 @@
 // Interval returns the time between two exchanges with one partner.
 func (m *Machine) Interval() time.Duration { return m.interval() }
 
-// thresholds returns the ages that count for an instance.
+// thresholds returns the thresholds that apply to an instance.
 func (m *Machine) thresholds(x *member) thresholds {
 	unit := max(m.partnership.unit, m.interval())
 	remote := x.zone != m.self.Zone
@@ -186,9 +189,8 @@
 	}
 }
 
-// Gathers returns the upstreams of the own zone whose load this instance
-// gathers, sorted: each is gathered by a few instances, chosen by rendezvous
-// hashing.
+// Gathers returns the upstreams of the own zone whose load this instance polls,
+// sorted: each is polled by a few instances, chosen by rendezvous hashing.
 func (m *Machine) Gathers(now time.Time) []ident.UpstreamID {
 	zones, _ := m.living(m.at(now))
 	own := zones[m.self.Zone]
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -10,7 +10,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// sender relays everything in the property tests.
+// sender is the instance that relays all messages in the property tests.
 const sender ident.InstanceID = "entry-a9"
 
 // Processes that the messages are about.
@@ -19,8 +19,8 @@
 	backends = []ident.UpstreamID{"dc-1", "dc-2"}
 )
 
-// watcher returns a machine that knows the sender, the subjects and the backends
-// from its settings and a list without incarnations.
+// watcher returns a machine that knows the sender, the subjects and the
+// backends from its settings and a list without incarnations.
 func watcher() *Machine {
 	m := New(Self{Instance: "entry-a0", Zone: "hall-a"}, Config{}, start)
 	m.SetSelf(start, SelfState{Incarnation: 1})
@@ -29,8 +29,10 @@
 	return m
 }
 
-// drawRecord draws what a message may say of a subject. A mark is part of an
-// incarnation's history: from some stamp on every message carries it.
+// drawRecord draws what a message may state about a subject. A mark is part of
+// an incarnation's history: in operation every message from some stamp on
+// carries it. Here marks are drawn independently of the stamp, which allows
+// more orders.
 func drawRecord(t *rapid.T) keyedRecord {
 	r := keyedRecord{key: keyOf(string(rapid.SampledFrom(subjects).Draw(t, "subject")))}
 	r.incarnation = ident.Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation"))
@@ -45,8 +47,8 @@
 	return r
 }
 
-// drawDigest draws what a message may say of a backend. Reports of one sequence
-// are the same.
+// drawDigest draws what a message may state about a backend. Reports with the
+// same incarnation and sequence have the same load.
 func drawDigest(t *rapid.T) UpstreamDigest {
 	seq := rapid.IntRange(0, 5).Draw(t, "sequence")
 	inc := rapid.IntRange(1, 3).Draw(t, "incarnation")
@@ -75,7 +77,8 @@
 	return hb
 }
 
-// sticky is what must not depend on the order of messages.
+// sticky holds the facts about a process that must not depend on the order of
+// messages.
 type sticky struct {
 	Incarnation     ident.Incarnation
 	Leaving, Gone   bool
@@ -87,7 +90,7 @@
 	UpstreamLeaving bool
 }
 
-// stickies returns what must not depend on the order of messages.
+// stickies returns those facts for all subjects and backends.
 func stickies(m *Machine) []sticky {
 	var out []sticky
 	for _, id := range subjects {
@@ -101,7 +104,7 @@
 	return out
 }
 
-// deliver gives messages to a machine, one each second.
+// deliver passes messages to a machine, one per second.
 func deliver(t *rapid.T, m *Machine, messages []Heartbeat) {
 	now := start
 	for _, hb := range messages {
@@ -111,8 +114,8 @@
 	}
 }
 
-// TestOrderAndRepetitionDoNotMatter gives the same messages to two machines, to
-// one of them shuffled and some twice.
+// TestOrderAndRepetitionDoNotMatter passes the same messages to two machines,
+// to one of them shuffled and some of them twice.
 func TestOrderAndRepetitionDoNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		messages := rapid.SliceOfN(rapid.Custom(drawMessage), 1, 12).Draw(t, "messages")
@@ -127,7 +130,7 @@
 }
 
 // TestWhatIsKnownOnlyGrows checks after each message that incarnations never
-// fall and that marks last as long as the incarnation.
+// decrease and that marks last as long as the incarnation.
 func TestWhatIsKnownOnlyGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := watcher()
@@ -148,21 +151,22 @@
 	})
 }
 
-// checkGrown checks one process.
+// checkGrown checks that the facts about one process have only grown.
 func checkGrown(t *rapid.T, before, after sticky) {
-	assert.Assert(t, after.Incarnation >= before.Incarnation, "incarnation fell from %d to %d", before.Incarnation, after.Incarnation)
+	assert.Assert(t, after.Incarnation >= before.Incarnation, "incarnation decreased from %d to %d", before.Incarnation, after.Incarnation)
 	if after.Incarnation > before.Incarnation {
 		return
 	}
-	assert.Assert(t, after.Leaving || !before.Leaving, "leaving was undone")
-	assert.Assert(t, after.UpstreamLeaving || !before.UpstreamLeaving, "an upstream's leaving was undone")
-	assert.Assert(t, after.Gone || !before.Gone, "an end was undone")
-	assert.Assert(t, after.Stamp >= before.Stamp, "a sign of life was undone")
-	assert.Assert(t, after.Report.Sequence >= before.Report.Sequence, "a report was undone")
+	assert.Assert(t, after.Leaving || !before.Leaving, "the leaving mark was cleared")
+	assert.Assert(t, after.UpstreamLeaving || !before.UpstreamLeaving, "an upstream's leaving mark was cleared")
+	assert.Assert(t, after.Gone || !before.Gone, "the gone mark was cleared")
+	assert.Assert(t, after.Stamp >= before.Stamp, "the stamp decreased")
+	assert.Assert(t, after.Report.Sequence >= before.Report.Sequence, "a newer report was replaced by an older one")
 }
 
-// TestOldMessagesRaiseNobody lets an instance fall silent and then delivers
-// messages of its life, however late, often and with whatever age.
+// TestOldMessagesRaiseNobody lets an instance become silent and then delivers
+// earlier messages about it: whatever their delay, number and age, they must
+// not make it alive again.
 func TestOldMessagesRaiseNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := watcher()
@@ -185,9 +189,10 @@
 	})
 }
 
-// TestClockEstimateBounds checks that a sign of life is never thought earlier
-// than it was by more than the drift allowance, nor later than the least delayed
-// message makes it.
+// TestClockEstimateBounds checks that the estimated time of the last evidence
+// of liveness is never before the real time, and after it by no more than the
+// smallest delay of a message, the drift allowance and the resolution of a
+// stamp.
 func TestClockEstimateBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c lifeClock
@@ -206,8 +211,8 @@
 			assert.Assert(t, ok)
 			truth := boot + time.Duration(newest)*stampUnit
 			drift := (now - boot) / driftDivisor
-			assert.Assert(t, heard >= truth, "thought earlier by %s", truth-heard)
-			assert.Assert(t, heard <= truth+least+drift+stampUnit, "thought later by %s", heard-truth)
+			assert.Assert(t, heard >= truth, "estimate is too early by %s", truth-heard)
+			assert.Assert(t, heard <= truth+least+drift+stampUnit, "estimate is too late by %s", heard-truth)
 		}
 	})
 }
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// rpcOverhead is what a heartbeat's frame has besides the Heartbeat itself, as
-// measured by package peer: header, envelope, method and timeout.
+// rpcOverhead is the size of a heartbeat's frame without the Heartbeat itself,
+// as measured by package peer: header, envelope, method and timeout.
 const rpcOverhead = 125
 
 // frameBytes returns the size of a heartbeat's frame.
@@ -21,7 +21,8 @@
 	return len(b) + rpcOverhead
 }
 
-// alive waits until every node has heard of every other.
+// settle runs the fleet until every running node is alive in the view of all
+// the others and its incarnation is known there.
 func (f *fleet) settle() {
 	f.t.Helper()
 	f.runUntil(2*time.Minute, func() bool {
@@ -34,7 +35,8 @@
 	})
 }
 
-// todaysFleet is three zones of the size the users run.
+// todaysFleet returns a fleet of three zones with 8 instances each, the size
+// that users run.
 func todaysFleet(t testing.TB) *fleet { return newFleet(t, Config{}, 8, 8, 8) }
 
 func TestEveryoneIsAliveAndStaysSo(t *testing.T) {
@@ -59,7 +61,7 @@
 	leaver.machine.Leave(f.now)
 	took := f.runUntil(time.Second, func() bool { return f.all(leaver, func(x Instance) bool { return x.Leaving }) })
 	t.Logf("known by all 24 after %s", took)
-	// A list that lags, read later by everyone, must not undo it.
+	// A lagging list that every node reads later must not clear the mark.
 	for _, n := range f.nodes {
 		n.machine.Instances(f.now, f.now, 9, f.list())
 	}
@@ -73,7 +75,7 @@
 		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 	}
 	f.settle()
-	// One instance meets the upstream's own refusal.
+	// One instance receives the upstream's own refusal.
 	f.nodes[0].machine.UpstreamLeaving(f.now, "dc-1", 5)
 	took := f.runUntil(time.Second, func() bool {
 		for _, n := range f.nodes {
@@ -107,15 +109,15 @@
 	t.Logf("dead to its zone after %s", took)
 	f.run(time.Minute)
 	assert.Assert(t, f.all(victim, func(x Instance) bool { return x.State >= Unreachable }))
-	// A new life of the same ID.
+	// The ID restarts with a new incarnation.
 	f.boot(victim, Config{})
 	f.runUntil(time.Minute, func() bool {
 		return f.all(victim, func(x Instance) bool { return x.State == Alive && x.Incarnation > before && x.Ended(before) })
 	})
 }
 
-// TestPausedInstanceIsNeverDead keeps a process stopped for long: its requests
-// are still its own when it wakes up.
+// TestPausedInstanceIsNeverDead keeps a process stopped for 90 s: it still owns
+// its requests when it continues, so it must not be considered dead.
 func TestPausedInstanceIsNeverDead(t *testing.T) {
 	f := todaysFleet(t)
 	f.settle()
@@ -134,8 +136,9 @@
 	f.runUntil(time.Minute, func() bool { return f.all(victim, func(x Instance) bool { return x.State == Alive }) })
 }
 
-// TestCutInstanceIsUnreachableAndNotDead also checks that the rest stays alive
-// and that the cut heals without the platform.
+// TestCutZoneHeals cuts one zone off. Both sides must stay alive to themselves
+// and consider the other unreachable but not dead, and the network partition
+// must heal without the platform.
 func TestCutZoneHeals(t *testing.T) {
 	f := todaysFleet(t)
 	f.settle()
@@ -157,8 +160,9 @@
 	t.Logf("healed after %s", f.now.Sub(begin))
 }
 
-// TestAsymmetricCut loses only what one instance sends to another: both still
-// live, by the word of the others, and only the way is marked.
+// TestAsymmetricCut loses only packets from one instance to another. Both stay
+// alive, since others still hear them; only the direct path is marked as
+// unreachable.
 func TestAsymmetricCut(t *testing.T) {
 	f := todaysFleet(t)
 	f.settle()
@@ -175,9 +179,9 @@
 }
 
 func TestTrustAfterAPause(t *testing.T) {
-	// With its zone gone and the platform down a woken instance trusts its view
-	// only after the timeout; a list read since makes it sooner, one read before
-	// does not.
+	// With its zone gone and the platform down, a resumed instance trusts its
+	// view only after the timeout. A list read after the pause makes that
+	// earlier, one read before the pause does not.
 	f := newFleet(t, Config{}, 3)
 	f.settle()
 	n := f.nodes[0]
@@ -197,7 +201,7 @@
 	assert.Assert(t, n.machine.Trusted(f.now))
 }
 
-// TestTrustNeedsAMajority lets one of four peers answer.
+// TestTrustNeedsAMajority lets only one of four peers answer.
 func TestTrustNeedsAMajority(t *testing.T) {
 	f := newFleet(t, Config{}, 5)
 	f.settle()
@@ -212,8 +216,9 @@
 	assert.Assert(t, !n.machine.Trusted(f.now))
 }
 
-// TestLeavingUpstreamIsLearnedAfterACut marks an upstream while its zone is cut
-// off: the others must learn of it when the cut ends, without a list.
+// TestLeavingUpstreamIsLearnedAfterACut marks an upstream as leaving while its
+// zone is cut off: the other zones must learn of it when the network partition
+// ends, without a list.
 func TestLeavingUpstreamIsLearnedAfterACut(t *testing.T) {
 	f := todaysFleet(t)
 	for _, n := range f.nodes {
@@ -236,8 +241,8 @@
 	})
 }
 
-// TestAnswersFromBeforeAPauseDoNotCount lets the answers to heartbeats that were
-// sent before a pause arrive after it.
+// TestAnswersFromBeforeAPauseDoNotCount delivers the answers to heartbeats sent
+// before a pause after it: they must not restore trust.
 func TestAnswersFromBeforeAPauseDoNotCount(t *testing.T) {
 	f := newFleet(t, Config{}, 3)
 	f.settle()
@@ -257,16 +262,16 @@
 	assert.Assert(t, n.machine.Trusted(f.now))
 }
 
-// TestRefusalIsNews lets one instance meet the refused connection of another:
-// the rest of the zone must look for itself at once, and then believe it dead,
-// before its own exchanges with it would be due.
+// TestRefusalIsNews has one instance see a refused connection of another: the
+// rest of the zone must probe it at once and consider it dead before their own
+// exchanges with it would be due.
 func TestRefusalIsNews(t *testing.T) {
 	f := todaysFleet(t)
 	f.settle()
 	victim := f.nodes[0]
 	inc := f.sees(f.nodes[1], victim).Incarnation
 	victim.cond = killed
-	// Exchanges with the victim are far off for everyone.
+	// No node has an exchange with the victim due soon.
 	for _, n := range f.nodes[1:] {
 		n.machine.members[victim.id].dueAt = n.machine.last + time.Minute
 	}
@@ -281,8 +286,8 @@
 	})
 }
 
-// TestRefutedMissingIsTold lets one instance miss another that the rest hears:
-// those who know better must tell it.
+// TestRefutedMissingIsTold has one instance lose contact with another that the
+// rest can reach: those with later evidence of liveness must tell it.
 func TestRefutedMissingIsTold(t *testing.T) {
 	f := todaysFleet(t)
 	f.settle()
--- a/membership/state.go
+++ b/membership/state.go
@@ -2,22 +2,25 @@
 
 import "github.com/wardspool/wardspool/kernel"
 
-// State is what is believed of a process, from best to worst.
+// State is the state of a process as determined by this instance, from best to
+// worst.
 type State int
 
 const (
-	// Alive means a recent sign of life.
+	// Alive means that there is recent evidence of liveness.
 	Alive State = iota + 1
-	// Suspect means no recent sign of life and nothing to the contrary.
+	// Suspect means that there is no recent evidence of liveness, and none to
+	// the contrary.
 	Suspect
-	// Unreachable means that no sign of life came for long. The process may
-	// still run behind a cut.
+	// Unreachable means that there has been no evidence of liveness for long.
+	// The process may still run behind a network partition.
 	Unreachable
-	// Frozen means that its kernel answers and the process does not: it may be
-	// paused, and then wakes up with its requests.
+	// Frozen means that the kernel answers and the process does not. The
+	// process may be paused, in which case it still has its requests when it
+	// continues.
 	Frozen
 	// Dead means that the process is known not to run: its kernel refuses
-	// connections, or its own agent said so.
+	// connections, or its own agent reported its end.
 	Dead
 )
 
@@ -39,7 +42,7 @@
 	}
 }
 
-// Life maps a state and the leaving mark to the kernel's scale.
+// Life maps a state and the leaving mark to the kernel's liveness scale.
 func Life(s State, leaving bool) kernel.Liveness {
 	switch {
 	case s == Dead:
--- a/membership/state_test.go
+++ b/membership/state_test.go
@@ -14,8 +14,8 @@
 // other is the instance that the tests of this file are about.
 const other ident.InstanceID = "entry-a1"
 
-// lone returns a machine that knows one other instance of its zone, listed, and
-// one upstream.
+// lone returns a machine that knows one other instance of its zone and one
+// upstream, both from a list.
 func lone() *Machine {
 	m := New(Self{Instance: "entry-a0", Zone: "hall-a"}, Config{}, start)
 	m.SetSelf(start, SelfState{Incarnation: 1000})
@@ -24,22 +24,22 @@
 	return m
 }
 
-// at returns the time d after the start.
+// at returns the time d after start.
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// hear takes in a heartbeat of the other instance.
+// hear passes a heartbeat from the other instance to the machine.
 func hear(t *testing.T, m *Machine, d time.Duration, hb Heartbeat) {
 	t.Helper()
 	_, err := m.Receive(at(d), other, hb)
 	assert.NilError(t, err)
 }
 
-// beat is a heartbeat of an incarnation that has run for d.
+// beat returns a heartbeat of an incarnation that has run for d.
 func beat(inc ident.Incarnation, d time.Duration) Heartbeat {
 	return Heartbeat{Incarnation: inc, Stamp: newStamp(d)}
 }
 
-// missed takes in a peer's word that it misses the other instance since a stamp.
+// missed has a peer report the other instance missing since a stamp.
 func missed(t *testing.T, m *Machine, d time.Duration, inc ident.Incarnation, s Stamp) {
 	t.Helper()
 	m.Seeds(start, []Seed{{ID: sender, Zone: "hall-a"}})
@@ -48,10 +48,10 @@
 	assert.NilError(t, err)
 }
 
-// believed returns what the machine believes of the other instance.
+// believed returns the machine's view of the other instance.
 func believed(m *Machine, d time.Duration) Instance { return m.View(at(d)).Instances[0] }
 
-// upstreamSeen returns what the machine believes of the upstream.
+// upstreamSeen returns the machine's view of the upstream.
 func upstreamSeen(m *Machine, d time.Duration) Upstream { return m.View(at(d)).Upstreams[0] }
 
 func TestInstanceStates(t *testing.T) {
@@ -91,7 +91,7 @@
 			refused(m, ProcessEntry, 2*sec)
 			hear(t, m, 3*sec, beat(5, 3*sec))
 		}, 8 * sec, Suspect},
-		{"entry refuses us and others hear it all the time", func(t *testing.T, m *Machine) {
+		{"entry refuses connections from here while others hear it", func(t *testing.T, m *Machine) {
 			for d := sec; d <= 9*sec; d += sec {
 				hear(t, m, d, beat(5, d))
 				refused(m, ProcessEntry, d+sec/2)
@@ -112,7 +112,7 @@
 				hear(t, m, d, Heartbeat{Incarnation: 5})
 			}
 		}, 20 * sec, Unreachable},
-		{"ended and back in a new life", func(t *testing.T, m *Machine) {
+		{"ended and restarted with a new incarnation", func(t *testing.T, m *Machine) {
 			hb := beat(5, 0)
 			hb.Gone = true
 			hear(t, m, sec, hb)
@@ -127,11 +127,11 @@
 			missed(t, m, 9*sec, 5, newStamp(8*sec))
 			hear(t, m, 10*sec, beat(5, 10*sec))
 		}, 11 * sec, Alive},
-		{"missed by a peer that heard it earlier than we", func(t *testing.T, m *Machine) {
+		{"missed by a peer with an older stamp", func(t *testing.T, m *Machine) {
 			hear(t, m, 9*sec, beat(5, 9*sec))
 			missed(t, m, 10*sec, 5, newStamp(8*sec))
 		}, 11 * sec, Alive},
-		{"an old life missed", func(t *testing.T, m *Machine) {
+		{"an old incarnation missed", func(t *testing.T, m *Machine) {
 			hear(t, m, 9*sec, beat(5, 9*sec))
 			missed(t, m, 10*sec, 4, newStamp(time.Hour))
 		}, 11 * sec, Alive},
@@ -154,13 +154,14 @@
 	hear(t, m, 2*time.Second, beat(6, time.Second))
 	x = believed(m, 2*time.Second)
 	assert.Assert(t, x.Ended(5) && !x.Ended(6))
-	// A late message of the old life changes nothing.
+	// A late message from the old incarnation changes nothing.
 	hear(t, m, 3*time.Second, beat(5, 9*time.Second))
 	assert.Equal(t, believed(m, 3*time.Second).Incarnation, ident.Incarnation(6))
 }
 
-// TestForgottenLifeStaysOld forgets an instance that left the list; when its ID
-// comes back, messages of the old life must still be known as old.
+// TestForgottenLifeStaysOld has an instance forgotten after it left the list;
+// when its ID is listed again, messages from the old incarnation must still be
+// recognized as old.
 func TestForgottenLifeStaysOld(t *testing.T) {
 	m := lone()
 	hear(t, m, time.Second, beat(6, time.Second))
@@ -225,7 +226,7 @@
 			relay(t, m, 15*sec, UpstreamDigest{Sequence: 1, Down: true})
 			m.UpstreamAnswered(at(16*sec), at(16*sec), "dc-1")
 		}, Alive},
-		{"new life after a refusal", func(_ *testing.T, m *Machine) {
+		{"new incarnation after a refusal", func(_ *testing.T, m *Machine) {
 			report(m, 14*sec, 9)
 			m.UpstreamFailed(at(15*sec), at(15*sec), "dc-1", FailRefused)
 			m.UpstreamReport(at(16*sec), at(16*sec), "dc-1", Report{Incarnation: 6, Sequence: 1})
@@ -240,7 +241,8 @@
 	}
 }
 
-// TestTimeoutsAreNotRelayed keeps one instance's own trouble to itself.
+// TestTimeoutsAreNotRelayed checks that a timeout, which may be this instance's
+// own fault, is not relayed to others as a refused connection.
 func TestTimeoutsAreNotRelayed(t *testing.T) {
 	m := lone()
 	m.UpstreamReport(at(0), at(0), "dc-1", Report{Incarnation: 5, Sequence: 1})
--- a/membership/trust.go
+++ b/membership/trust.go
@@ -6,18 +6,18 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// trust tells whether the view may be acted on.
+// trust tracks whether the view may be acted on.
 type trust struct {
 	distrusted bool
-	// since is when the pause was noticed. Only what was begun later counts as
-	// fresh: older messages may have waited in buffers.
+	// since is when the pause was noticed. Only exchanges and reads begun later
+	// count as fresh: older messages may have waited in buffers.
 	since time.Duration
-	// peers are the instances of the zone that were believed to live before,
-	// and whether each was reached since.
+	// peers holds the instances of the zone that were considered live before
+	// the pause, and whether each has been reached since.
 	peers map[ident.InstanceID]bool
 }
 
-// distrust begins a time of distrust.
+// distrust starts a period in which the view is not trusted.
 func (t *trust) distrust(now time.Duration, peers []ident.InstanceID) {
 	t.distrusted, t.since = true, now
 	t.peers = make(map[ident.InstanceID]bool, len(peers))
@@ -26,14 +26,14 @@
 	}
 }
 
-// refreshed notes an exchange that was begun at the given time.
+// refreshed records an exchange that was begun at the given time.
 func (t *trust) refreshed(id ident.InstanceID, started time.Duration) {
 	if _, ok := t.peers[id]; ok && started >= t.since {
 		t.peers[id] = true
 	}
 }
 
-// majority reports whether most of the zone's peers were reached.
+// majority reports whether most of the zone's peers have been reached.
 func (t *trust) majority() bool {
 	reached := 0
 	for _, ok := range t.peers {
@@ -44,8 +44,9 @@
 	return 2*reached > len(t.peers)
 }
 
-// Paused says that the process did not run for the given time until now. The
-// view is distrusted from now on, and exchanges with all partners are due.
+// Paused records that the process did not run for the duration gap until now.
+// The view is distrusted from then on, and exchanges with all partners become
+// due.
 func (m *Machine) Paused(now time.Time, gap time.Duration) {
 	at := m.at(now)
 	before := at - gap
@@ -59,14 +60,14 @@
 	m.hurry(at)
 }
 
-// Trusted reports whether the view may be acted on. After the start and after a
-// pause it is false until one of these happened since:
+// Trusted reports whether the view may be acted on. After a start or a pause it
+// is false until one of these has happened since:
 //
-//   - heartbeats were exchanged with a majority of the instances of the zone that
-//     were believed to live before,
+//   - heartbeats were exchanged with a majority of the zone's instances that were
+//     considered live before,
 //   - a list was read from the platform,
-//   - TrustTimeout passed: an instance that is cut off from everyone has to go on
-//     with what it can see itself.
+//   - TrustTimeout passed: an instance that is cut off from all others has to
+//     continue with what it can observe itself.
 func (m *Machine) Trusted(now time.Time) bool {
 	at := m.at(now)
 	t := &m.trust
--- a/membership/upstream.go
+++ b/membership/upstream.go
@@ -9,20 +9,22 @@
 
 // Report is an upstream's report of its own load.
 type Report struct {
-	// Incarnation is the upstream's, 0 if it doesn't say.
+	// Incarnation is the upstream's incarnation, 0 if the report does not state
+	// it.
 	Incarnation ident.Incarnation
-	// Sequence rises with each report of an incarnation.
+	// Sequence increases with each report of an incarnation.
 	Sequence uint32
-	// Running and Waiting count requests; Slots is the most that run at once.
+	// Running and Waiting count requests; Slots is the maximum that can run at
+	// once.
 	Running int
 	Waiting int
 	Slots   int
-	// PiecesUsed counts KV memory pieces in use.
+	// PiecesUsed is the number of KV memory pieces in use.
 	PiecesUsed int
-	// QueuedTokens is the uncomputed prompt work, in tokens.
+	// QueuedTokens is the prompt work not yet computed, in tokens.
 	QueuedTokens int
-	// Leaving says that the upstream takes no new work. It is only an input:
-	// Upstream.Leaving is what is believed.
+	// Leaving is true if the upstream takes no new work. It is only an input:
+	// Upstream.Leaving is the merged result.
 	Leaving bool
 }
 
@@ -34,7 +36,7 @@
 	return r.Sequence > o.Sequence
 }
 
-// upstream is what is known of one back end.
+// upstream holds what is known about one upstream.
 type upstream struct {
 	id      ident.UpstreamID
 	key     recordKey
@@ -42,7 +44,7 @@
 	address string
 	listed  bool
 	since   time.Duration
-	// marked says that the newest list shows the ID as leaving without naming
+	// marked is true if the newest list shows the ID as leaving without naming
 	// its incarnation.
 	marked bool
 
@@ -54,32 +56,34 @@
 
 	hasReport bool
 	report    Report
-	// measured is when the report was made; of equal reports the least estimate
-	// counts, since delays only make it look later.
+	// measured is when the report was made. For copies of one report the lowest
+	// estimate counts, since delays can only make it appear later.
 	measured time.Duration
 
-	// down says that a connection was refused, here or at a peer; missing that
-	// an instance of the upstream's zone got no answer, nor heard of anyone who
-	// did.
+	// down marks that a connection was refused, here or at a peer. missing
+	// marks that an instance of the upstream's zone got no answer and had no
+	// fresh report through others either.
 	down, missing absence
-	// missGap and missAt bound how often this instance says so.
+	// missGap and missAt limit how often this instance reports the upstream
+	// missing.
 	missGap, missAt time.Duration
 
-	// Evidence of this instance's own traffic.
+	// Evidence from this instance's own traffic.
 	reached  time.Duration
 	failed   time.Duration
 	failKind FailKind
-	// silentSince is the first failure after the last sign of life.
+	// silentSince is the first failure after the last evidence of liveness.
 	silentSince time.Duration
 
-	// Dissemination.
+	// Dissemination. urgent is the number of further messages that carry the
+	// upstream's facts ahead of the schedule.
 	urgent int
 }
 
-// compare orders upstreams by their ID.
+// compare orders upstreams by ID.
 func (u *upstream) compare(id ident.UpstreamID) int { return cmp.Compare(u.id, id) }
 
-// renew starts what is known of a new incarnation.
+// renew resets the facts for a new incarnation.
 func (u *upstream) renew(now time.Duration, inc ident.Incarnation) {
 	u.incarnation, u.learned = inc, now
 	u.leaving = false
@@ -88,8 +92,8 @@
 	u.reached, u.failed = never, never
 }
 
-// advance takes in an incarnation. It reports false for an old one. What comes
-// without an incarnation is about the one that is known.
+// advance applies an incarnation. It returns false for an old one. Information
+// without an incarnation refers to the one that is known.
 func (u *upstream) advance(now time.Duration, inc ident.Incarnation) bool {
 	if inc < u.incarnation {
 		return inc == 0
@@ -100,13 +104,14 @@
 	return true
 }
 
-// mergeReport takes in a load report made at the given time. It reports whether
+// mergeReport merges a load report made at the given time. It reports whether
 // the upstream is newly leaving.
 func (u *upstream) mergeReport(now time.Duration, r Report, measured time.Duration) bool {
 	if !u.advance(now, r.Incarnation) {
 		return false
 	}
-	// The mark is kept apart: relayed copies of one report may carry it or not.
+	// The leaving mark is stored separately: relayed copies of one report may
+	// or may not carry it.
 	leaving := r.Leaving
 	r.Leaving = false
 	switch {
@@ -127,20 +132,20 @@
 }
 
 // refused reports whether a connection was refused after the newest report, and
-// nothing of this instance's traffic says otherwise.
+// no later call from this instance has succeeded.
 func (u *upstream) refused() bool { return u.down.holds(u.newest(), u.reached) }
 
-// missed reports whether its zone misses it since the newest report, and nothing
-// of this instance's traffic says otherwise.
+// missed reports whether the upstream's zone has reported it missing since the
+// newest report, and no later call from this instance has succeeded.
 func (u *upstream) missed() bool { return u.missing.holds(u.newest(), u.reached) }
 
-// absent reports whether it is marked as refusing or missing since the newest
-// report, whatever this instance's own traffic says.
+// absent reports whether the upstream is marked as down or missing since the
+// newest report, regardless of this instance's own traffic.
 func (u *upstream) absent() bool {
 	return u.down.after > u.newest() || u.missing.after > u.newest()
 }
 
-// alive returns when the last sign of life was given.
+// alive returns the time of the last evidence of liveness.
 func (u *upstream) alive() time.Duration {
 	if u.hasReport {
 		return max(u.reached, u.measured)
@@ -148,14 +153,15 @@
 	return u.reached
 }
 
-// leave marks the incarnation as leaving. It reports whether that is new.
+// leave marks the incarnation as leaving if leaving is true. It reports whether
+// that is new.
 func (u *upstream) leave(leaving bool) bool {
 	news := leaving && !u.leaving
 	u.leaving = u.leaving || leaving
 	return news
 }
 
-// fail takes in a failure to reach the upstream.
+// fail records a failure to reach the upstream.
 func (u *upstream) fail(at time.Duration, kind FailKind) {
 	if at > u.alive() && u.failed <= u.alive() {
 		u.silentSince = at
@@ -168,7 +174,7 @@
 // isLeaving reports whether the upstream gets no new work.
 func (u *upstream) isLeaving() bool { return u.leaving || u.marked }
 
-// state decides what is believed of the upstream.
+// state returns the state of the upstream.
 func (u *upstream) state(now time.Duration, fresh time.Duration) State {
 	alive := u.alive()
 	switch {
--- a/membership/view.go
+++ b/membership/view.go
@@ -9,22 +9,23 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// NoAge is the age of something that never happened.
+// NoAge is the age of an event that never happened.
 const NoAge = time.Duration(-1)
 
-// View is what is believed at one time. It is never changed.
+// View is the state of all instances and upstreams at one time. It is
+// immutable.
 type View struct {
-	// Version rises when a state, a mark, an incarnation, a load report or the
-	// trust changes, not when only ages do.
+	// Version increases when a state, a mark, an incarnation, a load report or
+	// the trust changes, but not when only ages do.
 	Version uint64
 	At      time.Time
 	Trusted bool
-	// Leaving says that this instance takes no new work.
+	// Leaving is true if this instance takes no new work.
 	Leaving bool
-	// Superseded says that a peer knows a higher incarnation of this instance:
-	// its clock went back, or two processes have the same ID.
+	// Superseded is true if a peer knows a higher incarnation of this instance:
+	// its clock was set back, or two processes have the same ID.
 	Superseded bool
-	// Digest is Machine.Digest.
+	// Digest is the value of Machine.Digest.
 	Digest uint64
 	// ListAge is the time since the newest platform list was read, or NoAge.
 	ListAge   time.Duration
@@ -32,31 +33,33 @@
 	Upstreams []Upstream
 }
 
-// Instance is what is believed of another instance.
+// Instance is the state of another instance.
 type Instance struct {
 	ID      ident.InstanceID
 	Zone    ident.Zone
 	Address string
-	// Incarnation is the highest known, 0 if none is. All lower ones are dead.
+	// Incarnation is the highest one known, 0 if none is. All lower ones are
+	// dead.
 	Incarnation ident.Incarnation
 	State       State
 	Leaving     bool
-	// Reachable is false if this instance's own last attempt to reach it failed.
-	// An instance can be alive, as others hear it, and not be reachable.
+	// Reachable is false if this instance's own last attempt to reach it
+	// failed. An instance that others hear can be alive and still not be
+	// reachable from here.
 	Reachable bool
 	// Listed is false if neither the settings nor the newest list names it.
 	Listed bool
-	// Age is the time since its last sign of life, or NoAge.
+	// Age is the time since its last evidence of liveness, or NoAge.
 	Age time.Duration
 }
 
-// Ended reports whether the given incarnation of the instance is known not to
-// run any more, so that what it left behind may be released.
+// Ended reports whether the given incarnation of the instance is known to have
+// stopped running, so that the resources it left behind may be released.
 func (i Instance) Ended(inc ident.Incarnation) bool {
 	return inc < i.Incarnation || inc == i.Incarnation && i.State == Dead
 }
 
-// Upstream is what is believed of a back end.
+// Upstream is the state of an upstream.
 type Upstream struct {
 	ID          ident.UpstreamID
 	Zone        ident.Zone
@@ -69,17 +72,17 @@
 	HasReport bool
 	Report    Report
 	ReportAge time.Duration
-	// Age is the time since its last sign of life, or NoAge.
+	// Age is the time since its last evidence of liveness, or NoAge.
 	Age time.Duration
 }
 
-// viewState tells whether the view changed.
+// viewState detects whether the view has changed.
 type viewState struct {
 	version     uint64
 	fingerprint uint64
 }
 
-// View returns what is believed now.
+// View returns the current view.
 func (m *Machine) View(now time.Time) *View {
 	trusted := m.Trusted(now)
 	at := m.last
@@ -111,7 +114,7 @@
 	return v
 }
 
-// instance describes a member.
+// instance returns the view of a member.
 func (m *Machine) instance(now time.Duration, x *member) Instance {
 	return Instance{
 		ID:          x.id,
@@ -126,7 +129,7 @@
 	}
 }
 
-// upstream describes a back end.
+// upstream returns the view of an upstream.
 func (m *Machine) upstream(now time.Duration, u *upstream) Upstream {
 	out := Upstream{
 		ID:          u.id,
@@ -145,7 +148,7 @@
 	return out
 }
 
-// ageOf returns the time since an event.
+// ageOf returns the time since an event, or NoAge.
 func ageOf(now, at time.Duration) time.Duration {
 	if at == never {
 		return NoAge
@@ -153,7 +156,7 @@
 	return now - at
 }
 
-// number gives the view its version.
+// number sets the view's version.
 func (m *Machine) number(v *View) {
 	h := xxhash.New()
 	writeBools(h, v.Trusted, v.Leaving, v.Superseded)
@@ -176,9 +179,9 @@
 	v.Version = m.views.version
 }
 
-// Digest fingerprints the sticky facts of the own zone: each instance's and
-// upstream's incarnation and marks. Two instances of a zone with equal digests
-// agree on them.
+// Digest returns a fingerprint of the sticky facts of the own zone: the
+// incarnation and marks of each instance and upstream. Two instances of a zone
+// with equal digests agree on them.
 func (m *Machine) Digest() uint64 {
 	sum := stickyHash(keyOf(string(m.self.Instance)), uint64(m.state.Incarnation), m.state.Leaving, m.state.Gone)
 	for _, x := range m.roster {
@@ -194,8 +197,8 @@
 	return sum
 }
 
-// stickyHash hashes the sticky facts of one process. The digest is the exclusive
-// or of all, so that their order is without effect.
+// stickyHash hashes the sticky facts of one process. The digest is the
+// exclusive or of all hashes, so that their order has no effect.
 func stickyHash(key recordKey, inc uint64, leaving, gone bool) uint64 {
 	if inc == 0 {
 		return 0
@@ -208,16 +211,16 @@
 	return xxhash.Sum64(b[:])
 }
 
-// writeID adds texts to a hash, each ended by a zero byte.
+// writeID adds strings to a hash, each terminated by a zero byte.
 func writeID(h *xxhash.Digest, texts ...string) {
 	for _, s := range texts {
-		// A Digest's writes never fail.
+		// Writes to a Digest never fail.
 		_, _ = h.WriteString(s)
 		_, _ = h.Write([]byte{0})
 	}
 }
 
-// writeInts adds numbers to a hash.
+// writeInts adds integers to a hash.
 func writeInts(h *xxhash.Digest, values ...uint64) {
 	var b [8]byte
 	for _, v := range values {
@@ -226,7 +229,7 @@
 	}
 }
 
-// writeBools adds truth values to a hash.
+// writeBools adds booleans to a hash.
 func writeBools(h *xxhash.Digest, values ...bool) {
 	for _, v := range values {
 		var b byte
--- a/membership/window.go
+++ b/membership/window.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// maxRelayAge is the age beyond which a sign of life is no news.
+// maxRelayAge is the age beyond which evidence of liveness is not relayed.
 const maxRelayAge = 60 * time.Second
 
-// window keeps the few entries with the highest rank, in order.
+// window holds the entries with the highest ranks, in descending order, up to
+// size.
 type window[T any] struct {
 	entries []ranked[T]
 	size    int
 }
 
-// ranked is an entry and its rank.
+// ranked is an entry with its rank.
 type ranked[T any] struct {
 	rank  time.Duration
 	entry T
 }
 
-// offer puts an entry in if it ranks among the first.
+// offer inserts an entry if its rank is among the highest.
 func (w *window[T]) offer(rank time.Duration, entry T) {
 	full := len(w.entries) == w.size
 	if full && rank <= w.entries[w.size-1].rank {
@@ -35,22 +36,22 @@
 	w.entries[at] = ranked[T]{rank: rank, entry: entry}
 }
 
-// Ranks are times: how far the partner's knowledge lags behind, or how long ago
-// something was told. Weights make some count for more.
+// Ranks are durations: how far the partner's knowledge lags behind, or how long
+// ago something was sent. Weights give some entries precedence.
 const (
-	// ownZoneWeight is the weight of the own zone's instances where they don't
-	// all hear each other directly.
+	// ownZoneWeight is the weight of the own zone's instances where not every
+	// pair exchanges heartbeats.
 	ownZoneWeight = 4
 	// urgentRank is added for new sticky facts.
 	urgentRank = 1 << 60
-	// neverSent is the lag of what was never told, remoteNeverSent that of
-	// another zone's instance: there are many, and whether its zone lives
-	// matters more than each of them.
+	// neverSent is the lag of a record that was never sent. remoteNeverSent is
+	// the lag for an instance of another zone: there are many of those, and
+	// whether the zone is live matters more than each of them.
 	neverSent       = time.Hour
 	remoteNeverSent = 10 * time.Second
 )
 
-// packMembers packs the records that the partner lacks most.
+// packMembers packs the records that the partner is furthest behind on.
 func (m *Machine) packMembers(now time.Duration, to *member, size int) []byte {
 	w := window[*member]{size: size, entries: make([]ranked[*member], 0, size)}
 	for _, x := range m.roster {
@@ -71,8 +72,8 @@
 	return out
 }
 
-// memberRank ranks the record of an instance for a partner, 0 if there is
-// nothing to tell.
+// memberRank returns the rank of an instance's record for a partner, 0 if there
+// is nothing to send.
 func (m *Machine) memberRank(now time.Duration, to, x *member) time.Duration {
 	l := &x.life
 	t, ok := to.told[x.key]
@@ -83,7 +84,8 @@
 	case !ok || t.incarnation < l.incarnation:
 		rank = neverSent
 	case l.leaving || l.gone || l.reportedMissing() || m.misses(now, x):
-		// What stops work is repeated: an answer may have been lost.
+		// Facts that stop work are repeated, since an answer may have been
+		// lost.
 		rank = now - t.at
 	case now-l.heard(now) <= maxRelayAge && l.clock.stamp > t.stamp:
 		rank = time.Duration(l.clock.stamp-t.stamp) * stampUnit
@@ -97,9 +99,10 @@
 	return rank
 }
 
-// misses reports whether this instance, being of the same zone, has had no sign
-// of life for too long and then could not reach it either, or knows that the
-// entry refuses connections.
+// misses reports whether this instance considers an instance of its own zone
+// missing: there has been no evidence of liveness for too long and a later
+// attempt to reach it failed as well, or its entry has refused a connection
+// since.
 func (m *Machine) misses(now time.Duration, x *member) bool {
 	if x.zone != m.self.Zone {
 		return false
@@ -108,7 +111,7 @@
 	return x.life.refusedSince(now) || tried && x.state(now, m.thresholds(x)) >= Unreachable
 }
 
-// record returns what to tell of the instance.
+// record returns the record of an instance to send.
 func (m *Machine) record(now time.Duration, x *member) record {
 	l := &x.life
 	r := record{
@@ -118,16 +121,17 @@
 		missing:     l.reportedMissing() || m.misses(now, x),
 	}
 	if at, ok := l.clock.heard(now); ok {
-		// A packed age ends at maxRelayAge and a little; an older stamp would
-		// look fresher than it is.
+		// A packed age saturates slightly above maxRelayAge, so that an older
+		// stamp would appear more recent than it is.
 		r.hasStamp = now-at <= maxRelayAge
 		r.stamp, r.age = l.clock.stamp, now-at
 	}
 	return r
 }
 
-// packUpstreams packs the digests that the partner lacks most: new facts first.
-// Load reports stay inside a zone; that an upstream gets no work is for everyone.
+// packUpstreams packs the digests that the partner is furthest behind on, new
+// facts first. Load reports stay within a zone; that an upstream gets no work
+// is sent to all zones.
 func (m *Machine) packUpstreams(now time.Duration, to *member) []byte {
 	w := window[*upstream]{size: upstreamWindow, entries: make([]ranked[*upstream], 0, upstreamWindow)}
 	for _, u := range m.backends {
@@ -149,8 +153,8 @@
 	return out
 }
 
-// upstreamRank ranks the digest of an upstream for a partner, 0 if there is
-// nothing to tell.
+// upstreamRank returns the rank of an upstream's digest for a partner, 0 if
+// there is nothing to send.
 func (m *Machine) upstreamRank(now time.Duration, to *member, u *upstream) time.Duration {
 	stops := u.leaving || u.refused() || u.missed()
 	inZone := to.zone == m.self.Zone && u.zone == m.self.Zone
@@ -170,7 +174,7 @@
 	}
 }
 
-// digest returns the compact form of what is known of the upstream.
+// digest returns the compact form of what is known about the upstream.
 func (u *upstream) digest(now time.Duration) UpstreamDigest {
 	d := UpstreamDigest{
 		Key:         uint64(u.key),
--- a/membership/zonedoubt.go
+++ b/membership/zonedoubt.go
@@ -6,26 +6,27 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// doubtfulUpstreams is how many upstreams of another zone must have given no
-// answer before the zone is doubted as a whole.
+// doubtfulUpstreams is how many upstreams of another zone must be silent before
+// the whole zone is considered unreachable.
 const doubtfulUpstreams = 2
 
-// zoneDoubt is what this instance's own calls show of another zone.
+// zoneDoubt is what this instance's own calls show about another zone.
 type zoneDoubt struct {
-	// silent counts the upstreams that give no answer; since is when the first of
-	// them began to.
+	// silent is the number of upstreams that do not answer; since is the
+	// earliest time at which one of them stopped answering.
 	silent int
 	since  time.Duration
-	// alive is the last sign of life of any of the zone's upstreams.
+	// alive is the last evidence of liveness of any of the zone's upstreams.
 	alive time.Duration
 }
 
-// zoneDoubts are the zones that this instance may be cut off from, by zone.
+// zoneDoubts holds the evidence by zone.
 type zoneDoubts map[ident.Zone]*zoneDoubt
 
-// zoneDoubts finds out which other zones seem to be cut off: each of their
-// upstreams would otherwise have to fail a request before it is left alone. All
-// that is doubted is read at once by the agent, and the first answer ends it.
+// zoneDoubts collects the evidence on which other zones may be cut off by a
+// network partition. Without it each of their upstreams would have to fail a
+// request before it is avoided. The agent polls all upstreams of such a zone at
+// once, and the first answer from one of them makes the zone reachable again.
 func (m *Machine) zoneDoubts() zoneDoubts {
 	doubts := zoneDoubts{}
 	for _, u := range m.backends {
@@ -46,7 +47,7 @@
 	return doubts
 }
 
-// covers reports whether an upstream is doubted with its zone.
+// covers reports whether an upstream's whole zone is considered unreachable.
 func (z zoneDoubts) covers(u *upstream) bool {
 	d := z[u.zone]
 	return d != nil && d.silent >= doubtfulUpstreams && d.alive < d.since
--- a/membership/zonedoubt_test.go
+++ b/membership/zonedoubt_test.go
@@ -9,8 +9,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// TestZoneOfSilentUpstreamsIsDoubted has calls to another zone's engines end
-// without an answer, as those across a cut do.
+// TestZoneOfSilentUpstreamsIsDoubted has calls to another zone's engines time
+// out, as calls across a network partition do.
 func TestZoneOfSilentUpstreamsIsDoubted(t *testing.T) {
 	far := []ident.UpstreamID{"b-1", "b-2", "b-3"}
 	m := lone()
@@ -30,15 +30,15 @@
 		return out
 	}
 	m.UpstreamFailed(at(2*time.Second), at(2*time.Second), "b-1", FailTimeout)
-	assert.Assert(t, usableAt(2 * time.Second)["b-3"], "one engine may be dead")
+	assert.Assert(t, usableAt(2 * time.Second)["b-3"], "one silent engine alone does not make the zone unreachable")
 	m.UpstreamFailed(at(3*time.Second), at(3*time.Second), "b-2", FailTimeout)
 	seen := usableAt(3 * time.Second)
-	assert.Assert(t, !seen["b-3"], "nothing of the zone answers")
-	assert.Assert(t, seen["a-1"] && seen["c-1"], "other zones are not meant")
+	assert.Assert(t, !seen["b-3"], "no engine of the zone answers")
+	assert.Assert(t, seen["a-1"] && seen["c-1"], "other zones are not affected")
 	m.UpstreamAnswered(at(4*time.Second), at(4*time.Second), "b-3")
 	seen = usableAt(4 * time.Second)
-	assert.Assert(t, seen["b-3"] && !seen["b-1"] && !seen["b-2"], "two engines are dead, the zone is not")
+	assert.Assert(t, seen["b-3"] && !seen["b-1"] && !seen["b-2"], "two engines are unreachable, the zone is not")
 	m.UpstreamFailed(at(5*time.Second), at(5*time.Second), "b-1", FailTimeout)
 	m.UpstreamFailed(at(5*time.Second), at(5*time.Second), "b-2", FailTimeout)
-	assert.Assert(t, usableAt(5 * time.Second)["b-3"], "they are as dead as before")
+	assert.Assert(t, usableAt(5 * time.Second)["b-3"], "failures of the same two engines must not affect the zone again")
 }
