--- a/membership/absence_test.go
+++ b/membership/absence_test.go
@@ -9,9 +9,10 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// engineFleet returns a fleet of three zones with one engine in the first. Only
-// that zone has a report from the engine; the others know just its incarnation.
-func engineFleet(t *testing.T, perZone int) *fleet {
+// newEngineFleet returns a fleet of three zones with one engine in the first.
+// Only that zone has a report from the engine; the others know just its
+// incarnation.
+func newEngineFleet(t *testing.T, perZone int) *fleet {
 	f := newFleet(t, Config{}, perZone, perZone, perZone)
 	for _, n := range f.nodes {
 		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
@@ -28,8 +29,8 @@
 	n.machine.UpstreamReport(f.now, f.now, "dc-1", Report{Incarnation: inc, Sequence: seq})
 }
 
-// everyone reports whether the engine's state satisfies want on all nodes.
-func (f *fleet) everyone(want func(State) bool) bool {
+// allNodes reports whether the engine's state satisfies want on all nodes.
+func (f *fleet) allNodes(want func(State) bool) bool {
 	for _, n := range f.nodes {
 		if !want(n.machine.View(f.now).Upstreams[0].State) {
 			return false
@@ -47,20 +48,20 @@
 func TestEngineDeathIsKnownInAllZones(t *testing.T) {
 	for _, perZone := range []int{1, 8} {
 		for _, kind := range []FailKind{FailRefused, FailTimeout} {
-			killAndRevive(t, engineFleet(t, perZone), kind)
+			stopAndRestart(t, newEngineFleet(t, perZone), kind)
 		}
 	}
 }
 
-func killAndRevive(t *testing.T, f *fleet, kind FailKind) {
+func stopAndRestart(t *testing.T, f *fleet, kind FailKind) {
 	t.Helper()
 	f.nodes[0].machine.UpstreamFailed(f.now, f.now, "dc-1", kind)
-	took := f.runUntil(time.Second, func() bool { return f.everyone(unusable) })
+	took := f.runUntil(time.Second, func() bool { return f.allNodes(unusable) })
 	t.Logf("kind %d: known by all after %s", kind, took)
 	f.run(20 * time.Second)
-	assert.Assert(t, f.everyone(unusable))
+	assert.Assert(t, f.allNodes(unusable))
 	f.report(f.nodes[0], 6, 1)
-	took = f.runUntil(time.Second, func() bool { return f.everyone(usable) })
+	took = f.runUntil(time.Second, func() bool { return f.allNodes(usable) })
 	t.Logf("kind %d: return known by all after %s", kind, took)
 }
 
@@ -68,7 +69,7 @@
 // and not another. The engine's newer reports show that the other instance is
 // at fault, so the rest of the fleet keeps using the engine.
 func TestAnsweringEngineIsNotMissing(t *testing.T) {
-	f := engineFleet(t, 8)
+	f := newEngineFleet(t, 8)
 	f.report(f.nodes[1], 5, 2)
 	f.run(DefaultUpstreamGrace - step)
 	f.nodes[0].machine.UpstreamFailed(f.now, f.now, "dc-1", FailTimeout)
@@ -81,15 +82,15 @@
 	f.nodes[0].machine.UpstreamFailed(f.now, f.now, "dc-1", FailTimeout)
 	f.run(time.Second)
 	f.report(f.nodes[1], 5, 3)
-	f.runUntil(time.Second, func() bool { return f.everyone(usable) })
+	f.runUntil(time.Second, func() bool { return f.allNodes(usable) })
 }
 
 // TestMissingIsForItsOwnZoneToSay has an instance fail to reach an engine of
 // another zone: it must not report the engine missing to the other instances.
 func TestMissingIsForItsOwnZoneToSay(t *testing.T) {
-	f := engineFleet(t, 8)
+	f := newEngineFleet(t, 8)
 	f.nodes[8].machine.UpstreamFailed(f.now, f.now, "dc-1", FailTimeout)
-	assert.Assert(t, !f.nodes[8].machine.upstreams["dc-1"].absent(), "the engine is marked missing by an instance of another zone")
+	assert.Assert(t, !f.nodes[8].machine.upstreams["dc-1"].markedAbsent(), "the engine is marked missing by an instance of another zone")
 	for range 100 {
 		f.run(step)
 		for _, n := range f.nodes {
@@ -101,24 +102,24 @@
 // TestWhoKnowsOfALaterReportSaysSo has a peer report an engine missing after an
 // older report than this instance has: this instance must send the newer one.
 func TestWhoKnowsOfALaterReportSaysSo(t *testing.T) {
-	m := lone()
-	m.UpstreamReport(at(0), at(0), "dc-1", Report{Incarnation: 5, Sequence: 7})
+	m := newMachineWithPeer()
+	m.UpstreamReport(timeAt(0), timeAt(0), "dc-1", Report{Incarnation: 5, Sequence: 7})
 	missed := UpstreamDigest{Key: uint64(keyOf("dc-1")), Incarnation: 5, Sequence: 6, Missing: true}
-	hear(t, m, time.Second, Heartbeat{Upstreams: missed.Append(nil)})
-	assert.Equal(t, upstreamSeen(m, time.Second).State, Alive)
-	assert.Assert(t, m.upstreams["dc-1"].urgent > 0)
+	receiveFromOther(t, m, time.Second, Heartbeat{Upstreams: missed.Append(nil)})
+	assert.Equal(t, upstreamView(m, time.Second).State, Alive)
+	assert.Assert(t, m.upstreams["dc-1"].urgentSends > 0)
 }
 
 // TestContradictedMissingIsNotSaidAtOnceAgain guards against an instance that
 // alone can't reach an engine having the mark sent through the whole fleet
 // again and again: repeated marks back off.
 func TestContradictedMissingIsNotSaidAtOnceAgain(t *testing.T) {
-	m := lone()
+	m := newMachineWithPeer()
 	said := 0
 	for d := time.Duration(0); d < 3*time.Minute; d += 4 * time.Second {
-		m.UpstreamReport(at(d), at(d), "dc-1", Report{Incarnation: 5, Sequence: uint32(d / time.Second)})
-		m.UpstreamFailed(at(d+2*time.Second), at(d+2*time.Second), "dc-1", FailTimeout)
-		if m.upstreams["dc-1"].absent() {
+		m.UpstreamReport(timeAt(d), timeAt(d), "dc-1", Report{Incarnation: 5, Sequence: uint32(d / time.Second)})
+		m.UpstreamFailed(timeAt(d+2*time.Second), timeAt(d+2*time.Second), "dc-1", FailTimeout)
+		if m.upstreams["dc-1"].markedAbsent() {
 			said++
 		}
 	}
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -27,8 +27,8 @@
 	upstreamsPerZone = 100
 )
 
-// addBackends adds upstreams to each zone and lists them to every node.
-func (f *fleet) addBackends(zones, perZone int) {
+// addUpstreams adds upstreams to each zone and lists them to every node.
+func (f *fleet) addUpstreams(zones, perZone int) {
 	var list []ListedUpstream
 	for z := range zones {
 		for i := range perZone {
@@ -42,8 +42,8 @@
 	}
 }
 
-// gather has every node report the load of the upstreams that it polls.
-func (f *fleet) gather(seq uint32) {
+// reportLoads has every node report the load of the upstreams that it polls.
+func (f *fleet) reportLoads(seq uint32) {
 	for _, n := range f.nodes {
 		for _, id := range n.machine.Gathers(f.now) {
 			n.machine.UpstreamReport(f.now, f.now, id, Report{Incarnation: 1, Sequence: seq, Running: int(seq % 20), Slots: 20, PiecesUsed: 100})
@@ -100,7 +100,7 @@
 	if len(f.nodes) == 8 {
 		perZone = upstreamsToday
 	}
-	f.addBackends(len(sizes), perZone)
+	f.addUpstreams(len(sizes), perZone)
 	f.step = 100 * time.Millisecond
 	f.run(2 * time.Minute)
 	f.reset()
@@ -108,7 +108,7 @@
 	begin := time.Now()
 	for s := range seconds {
 		if s%2 == 0 {
-			f.gather(uint32(s + 1))
+			f.reportLoads(uint32(s + 1))
 		}
 		f.run(time.Second)
 	}
@@ -128,7 +128,7 @@
 	leaver := f.nodes[0]
 	leaver.machine.Leave(f.now)
 	f.reset()
-	took := f.runUntil(time.Minute, func() bool { return f.all(leaver, func(x Instance) bool { return x.Leaving }) })
+	took := f.runUntil(time.Minute, func() bool { return f.allOthers(leaver, func(x Instance) bool { return x.Leaving }) })
 	b.ReportMetric(took.Seconds(), "s-leaving")
 	b.ReportMetric(float64(f.bytes())/nodes, "B-leaving")
 }
@@ -201,7 +201,7 @@
 
 // BenchmarkView measures building a view of 409 instances and 600 upstreams.
 func BenchmarkView(b *testing.B) {
-	m := bigMachine()
+	m := newLargeMachine()
 	b.ReportAllocs()
 	for b.Loop() {
 		m.View(start.Add(time.Second))
@@ -211,7 +211,7 @@
 // BenchmarkHeartbeat measures composing a heartbeat and processing the answer
 // to it.
 func BenchmarkHeartbeat(b *testing.B) {
-	m, peer := bigMachine(), bigMachine()
+	m, peer := newLargeMachine(), newLargeMachine()
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
@@ -222,8 +222,8 @@
 	}
 }
 
-// bigMachine returns a machine that knows 409 instances and 600 upstreams.
-func bigMachine() *Machine {
+// newLargeMachine returns a machine that knows 409 instances and 600 upstreams.
+func newLargeMachine() *Machine {
 	m := New(Self{Instance: "entry-a0", Zone: "hall-a"}, Config{}, start)
 	m.SetSelf(start, SelfState{Incarnation: 1000})
 	var list []ListedInstance
@@ -234,8 +234,8 @@
 	}
 	m.Instances(start, start, 1, list)
 	f := fleet{now: start, nodes: []*node{{machine: m}}}
-	f.addBackends(len(zoneSizes[410]), upstreamsPerZone)
-	for _, u := range m.backends {
+	f.addUpstreams(len(zoneSizes[410]), upstreamsPerZone)
+	for _, u := range m.sortedUpstreams {
 		m.UpstreamReport(start, start, u.id, Report{Incarnation: 1, Sequence: 1})
 	}
 	return m
--- a/membership/bytes_test.go
+++ b/membership/bytes_test.go
@@ -13,7 +13,7 @@
 // TestHeartbeatBytes sends full heartbeats over loopback and checks the bytes
 // on the wire against the estimate from which the interval is calculated.
 func TestHeartbeatBytes(t *testing.T) {
-	a, b := bigMachine(), bigMachine()
+	a, b := newLargeMachine(), newLargeMachine()
 	from := peer.Identity{Instance: "entry-a1", Incarnation: 1764576000000, Zone: "hall-a"}
 	to := peer.Identity{Instance: "entry-a2", Incarnation: 1764576000000, Zone: "hall-a"}
 	allow := func(peer.Identity) bool { return true }
@@ -42,7 +42,7 @@
 	t.Logf("request %d B, answer %d B; %d B of members, %d B of upstreams", sent, received, len(hb.Members), len(hb.Upstreams))
 	assert.Equal(t, len(hb.Members), memberWindow*MemberBytes)
 	assert.Equal(t, len(hb.Upstreams), upstreamWindow*UpstreamBytes)
-	packed := (len(hb.Members) + len(hb.Upstreams)) * base64Quotient / base64Divisor
+	packed := (len(hb.Members) + len(hb.Upstreams)) * base64Numerator / base64Denominator
 	assert.Assert(t, sent <= heartbeatOverhead+packed && received <= heartbeatOverhead+packed)
 	assert.Assert(t, sent <= frameBytes(hb) && received <= frameBytes(answer))
 	assert.Assert(t, sent+received >= frameBytes(hb)+frameBytes(answer)-100, "frameBytes overestimates the bytes on the wire")
--- a/membership/clock.go
+++ b/membership/clock.go
@@ -18,12 +18,12 @@
 // newStamp converts an uptime to a Stamp.
 func newStamp(uptime time.Duration) Stamp { return Stamp(max(uptime, 0) / stampUnit) }
 
-// lifeClock holds an instance's highest stamp and an estimate of when its
+// livenessClock holds an instance's highest stamp and an estimate of when its
 // incarnation started, on the local clock. A delay can only make the start
 // appear later than it was, so the lowest estimate is the best. Stamps merge by
 // maximum and estimates by minimum, so that order and repetition have no
 // effect.
-type lifeClock struct {
+type livenessClock struct {
 	known bool
 	stamp Stamp
 	// origin is the estimated start of the incarnation, as local time since the
@@ -34,18 +34,18 @@
 }
 
 // observe records a stamp that was created age ago. now counts from the epoch.
-func (c *lifeClock) observe(now time.Duration, s Stamp, age time.Duration) {
+func (c *livenessClock) observe(now time.Duration, s Stamp, age time.Duration) {
 	origin := now - age - time.Duration(s)*stampUnit - now/driftDivisor
 	if !c.known {
-		*c = lifeClock{known: true, stamp: s, origin: origin}
+		*c = livenessClock{known: true, stamp: s, origin: origin}
 		return
 	}
 	c.stamp = max(c.stamp, s)
 	c.origin = min(c.origin, origin)
 }
 
-// heard returns the estimated time of the latest stamp, since the epoch.
-func (c *lifeClock) heard(now time.Duration) (time.Duration, bool) {
+// latestAt returns the estimated time of the latest stamp, since the epoch.
+func (c *livenessClock) latestAt(now time.Duration) (time.Duration, bool) {
 	if !c.known {
 		return 0, false
 	}
--- a/membership/due.go
+++ b/membership/due.go
@@ -31,29 +31,29 @@
 const (
 	// maxProbes limits the probes returned by one call of Due.
 	maxProbes = 4
-	// probeGapMin and probeGapMax bound the time between two probes of one
-	// instance, which doubles with each probe.
-	probeGapMin = time.Second
-	probeGapMax = 30 * time.Second
-	// rushGapDivisor sets the minimum time between two unscheduled exchanges
-	// with one partner, as a fraction of MinInterval.
-	rushGapDivisor = 4
+	// probeBackoffMin and probeBackoffMax bound the time between two probes of
+	// one instance, which doubles with each probe.
+	probeBackoffMin = time.Second
+	probeBackoffMax = 30 * time.Second
+	// expediteGapDivisor sets the minimum time between two unscheduled
+	// exchanges with one partner, as a fraction of MinInterval.
+	expediteGapDivisor = 4
 )
 
 // Due returns the actions to take now and counts them as taken.
 func (m *Machine) Due(now time.Time) []Due {
-	at := m.at(now)
+	at := m.advanceTo(now)
 	var out []Due
 	for _, id := range m.partners(at) {
 		if x := m.members[id]; at >= x.dueAt {
 			out = append(out, m.exchange(at, x))
 		}
 	}
-	if at < m.lookAt {
+	if at < m.nextScanAt {
 		return out
 	}
-	m.lookAt = at + m.cfg.MinInterval/rushGapDivisor
-	if x := m.heal(at); x != nil {
+	m.nextScanAt = at + m.cfg.MinInterval/expediteGapDivisor
+	if x := m.reconnectCandidate(at); x != nil {
 		out = append(out, m.exchange(at, x))
 	}
 	return append(out, m.probes(at)...)
@@ -70,7 +70,7 @@
 // the other side should initiate it. Jitter of a tenth either way spreads the
 // exchanges.
 func (m *Machine) scheduleNext(now time.Duration, x *member) {
-	wait := max(m.interval(), x.wait)
+	wait := max(m.interval(), x.partnerInterval)
 	if !m.initiates(x.id) {
 		wait *= 2
 	}
@@ -90,16 +90,16 @@
 	return time.Duration(xxhash.Sum64(b[:]) % uint64(max(limit, 1)))
 }
 
-// heal returns, at most once every two intervals, the instance not considered
-// live whose last attempt is oldest, so that the end of a network partition is
-// noticed. It returns nil if no attempt is due.
-func (m *Machine) heal(now time.Duration) *member {
-	if now < m.healAt {
+// reconnectCandidate returns, at most once every two intervals, the instance
+// not considered live whose last attempt is oldest, so that the end of a
+// network partition is noticed. It returns nil if no attempt is due.
+func (m *Machine) reconnectCandidate(now time.Duration) *member {
+	if now < m.nextReconnectAt {
 		return nil
 	}
-	m.healAt = now + 2*m.interval()
+	m.nextReconnectAt = now + 2*m.interval()
 	var oldest *member
-	for _, x := range m.roster {
+	for _, x := range m.sortedMembers {
 		if x.state(now, m.thresholds(x)) <= Suspect {
 			continue
 		}
@@ -116,27 +116,27 @@
 // died. maxProbes limits the cost of a network partition.
 func (m *Machine) probes(now time.Duration) []Due {
 	var out []Due
-	for _, x := range m.roster {
+	for _, x := range m.sortedMembers {
 		if len(out) == maxProbes {
 			continue
 		}
-		if !m.doubtful(now, x) {
-			x.probeGap = 0
+		if !m.needsProbe(now, x) {
+			x.probeBackoff = 0
 			continue
 		}
 		if now < x.probeAt {
 			continue
 		}
-		x.probeGap = min(max(2*x.probeGap, probeGapMin), probeGapMax)
-		x.probeAt = now + x.probeGap
+		x.probeBackoff = min(max(2*x.probeBackoff, probeBackoffMin), probeBackoffMax)
+		x.probeAt = now + x.probeBackoff
 		out = append(out, Due{Kind: DueProbe, To: x.id, Address: x.address})
 	}
 	return out
 }
 
-// doubtful reports whether a probe could show whether the instance's entry is
+// needsProbe reports whether a probe could show whether the instance's entry is
 // dead.
-func (m *Machine) doubtful(now time.Duration, x *member) bool {
+func (m *Machine) needsProbe(now time.Duration, x *member) bool {
 	s := x.state(now, m.thresholds(x))
 	if s == Dead {
 		return false
@@ -145,28 +145,28 @@
 	return s >= Suspect || agentRefused
 }
 
-// rush disseminates a new sticky fact first: the next messages carry it, and
+// disseminate sends a new sticky fact first: the next messages carry it, and
 // exchanges with all partners become due at once unless they have only just
 // taken place.
-func (m *Machine) rush(now time.Duration, urgent *int) {
-	*urgent = m.spread()
-	m.news++
-	m.hurry(now)
+func (m *Machine) disseminate(now time.Duration, urgent *int) {
+	*urgent = m.urgentSendCount()
+	m.factCount++
+	m.expediteAll(now)
 }
 
-// hurry makes exchanges with all partners due.
-func (m *Machine) hurry(now time.Duration) {
+// expediteAll makes exchanges with all partners due.
+func (m *Machine) expediteAll(now time.Duration) {
 	for _, id := range m.partnership.ids {
 		if x, ok := m.members[id]; ok {
-			m.hurryTo(now, x)
+			m.expedite(now, x)
 		}
 	}
 }
 
-// hurryTo makes an exchange with one partner due, unless one has only just
+// expedite makes an exchange with one partner due, unless one has only just
 // taken place.
-func (m *Machine) hurryTo(now time.Duration, x *member) {
-	gap := m.cfg.MinInterval / rushGapDivisor
+func (m *Machine) expedite(now time.Duration, x *member) {
+	gap := m.cfg.MinInterval / expediteGapDivisor
 	x.dueAt = min(x.dueAt, max(now, x.triedAt+gap))
 }
 
@@ -174,8 +174,8 @@
 // sticky fact. A process that is about to end has to wait for it: the exchange
 // with a partner that was called just before becomes due a moment later.
 func (m *Machine) Told(now time.Time) bool {
-	for _, id := range m.partners(m.at(now)) {
-		if m.members[id].toldNews < m.news {
+	for _, id := range m.partners(m.advanceTo(now)) {
+		if m.members[id].factsSent < m.factCount {
 			return false
 		}
 	}
@@ -184,8 +184,8 @@
 
 // NextDue returns when Due should next be called.
 func (m *Machine) NextDue(now time.Time) time.Time {
-	at := m.at(now)
-	next := m.lookAt
+	at := m.advanceTo(now)
+	next := m.nextScanAt
 	for _, id := range m.partners(at) {
 		next = min(next, m.members[id].dueAt)
 	}
--- a/membership/due_test.go
+++ b/membership/due_test.go
@@ -9,23 +9,23 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// begin starts the exchange with the other instance that is due at d, and
-// returns its heartbeat.
-func begin(t *testing.T, m *Machine, d time.Duration) Heartbeat {
+// beginExchange starts the exchange with the other instance that is due at d,
+// and returns its heartbeat.
+func beginExchange(t *testing.T, m *Machine, d time.Duration) Heartbeat {
 	t.Helper()
-	for _, due := range m.Due(at(d)) {
+	for _, due := range m.Due(timeAt(d)) {
 		if due.Kind == DueHeartbeat && due.To == other {
-			return m.Heartbeat(at(d), other)
+			return m.Heartbeat(timeAt(d), other)
 		}
 	}
 	t.Fatal("no exchange is due")
 	return Heartbeat{}
 }
 
-// answer completes at d an exchange that was started at began.
-func answer(t *testing.T, m *Machine, began, d time.Duration) {
+// finishExchange completes at d an exchange that was started at began.
+func finishExchange(t *testing.T, m *Machine, began, d time.Duration) {
 	t.Helper()
-	assert.NilError(t, m.Answered(at(d), at(began), other, beat(5, d)))
+	assert.NilError(t, m.Answered(timeAt(d), timeAt(began), other, heartbeatAfter(5, d)))
 }
 
 // TestNewsDuringAnExchange checks that a fact that came up during an exchange,
@@ -33,44 +33,44 @@
 // later.
 func TestNewsDuringAnExchange(t *testing.T) {
 	const began = time.Second
-	gap := DefaultMinInterval / rushGapDivisor
-	m := lone()
-	assert.Assert(t, !begin(t, m, began).Gone)
-	m.SetSelf(at(began), SelfState{Incarnation: 1000, Gone: true})
-	answer(t, m, began, began+10*time.Millisecond)
-	assert.Assert(t, begin(t, m, began+gap).Gone)
+	gap := DefaultMinInterval / expediteGapDivisor
+	m := newMachineWithPeer()
+	assert.Assert(t, !beginExchange(t, m, began).Gone)
+	m.SetSelf(timeAt(began), SelfState{Incarnation: 1000, Gone: true})
+	finishExchange(t, m, began, began+10*time.Millisecond)
+	assert.Assert(t, beginExchange(t, m, began+gap).Gone)
 }
 
 // TestNewsOfAnAnswer checks that a fact learned from a partner causes no extra
 // exchange with that partner.
 func TestNewsOfAnAnswer(t *testing.T) {
 	const began = time.Second
-	m := lone()
-	begin(t, m, began)
-	hb := beat(5, began)
+	m := newMachineWithPeer()
+	beginExchange(t, m, began)
+	hb := heartbeatAfter(5, began)
 	hb.Leaving = true
-	assert.NilError(t, m.Answered(at(began), at(began), other, hb))
-	assert.Assert(t, m.Told(at(began)))
-	assert.Equal(t, len(m.Due(at(began+DefaultMinInterval/rushGapDivisor))), 0)
+	assert.NilError(t, m.Answered(timeAt(began), timeAt(began), other, hb))
+	assert.Assert(t, m.Told(timeAt(began)))
+	assert.Equal(t, len(m.Due(timeAt(began+DefaultMinInterval/expediteGapDivisor))), 0)
 }
 
 // TestToldNeedsEveryPartner checks that both partners must be told that the
 // entry has ended; one is told in the answer to its own call.
 func TestToldNeedsEveryPartner(t *testing.T) {
 	const second ident.InstanceID = "entry-a2"
-	m := lone()
-	m.Instances(at(0), at(0), 2, []ListedInstance{{ID: other, Zone: "hall-a"}, {ID: second, Zone: "hall-a"}})
-	m.Due(at(time.Second))
-	m.Heartbeat(at(time.Second), other)
-	m.Heartbeat(at(time.Second), second)
-	assert.Assert(t, m.Told(at(time.Second)))
+	m := newMachineWithPeer()
+	m.Instances(timeAt(0), timeAt(0), 2, []ListedInstance{{ID: other, Zone: "hall-a"}, {ID: second, Zone: "hall-a"}})
+	m.Due(timeAt(time.Second))
+	m.Heartbeat(timeAt(time.Second), other)
+	m.Heartbeat(timeAt(time.Second), second)
+	assert.Assert(t, m.Told(timeAt(time.Second)))
 
-	m.SetSelf(at(2*time.Second), SelfState{Incarnation: 1000, Gone: true})
-	assert.Assert(t, !m.Told(at(2*time.Second)))
-	begin(t, m, 2*time.Second)
-	assert.Assert(t, !m.Told(at(2*time.Second)))
-	answer, err := m.Receive(at(2*time.Second), second, beat(7, time.Second))
+	m.SetSelf(timeAt(2*time.Second), SelfState{Incarnation: 1000, Gone: true})
+	assert.Assert(t, !m.Told(timeAt(2*time.Second)))
+	beginExchange(t, m, 2*time.Second)
+	assert.Assert(t, !m.Told(timeAt(2*time.Second)))
+	answer, err := m.Receive(timeAt(2*time.Second), second, heartbeatAfter(7, time.Second))
 	assert.NilError(t, err)
 	assert.Assert(t, answer.Gone)
-	assert.Assert(t, m.Told(at(2*time.Second)))
+	assert.Assert(t, m.Told(timeAt(2*time.Second)))
 }
--- a/membership/evidence.go
+++ b/membership/evidence.go
@@ -10,9 +10,9 @@
 // given time. A connection alone does not count: the kernel accepts on behalf
 // of a paused process.
 func (m *Machine) PeerAnswered(now, at time.Time, id ident.InstanceID) {
-	m.at(now)
+	m.advanceTo(now)
 	if x, ok := m.members[id]; ok {
-		x.life.reached = max(x.life.reached, m.when(at))
+		x.facts.reachedAt = max(x.facts.reachedAt, m.sinceEpoch(at))
 	}
 }
 
@@ -22,99 +22,99 @@
 // refusal at the agent's address, or any other failure, proves nothing and
 // leads to a probe of the entry.
 func (m *Machine) PeerFailed(now, at time.Time, id ident.InstanceID, p Process, kind FailKind) {
-	m.at(now)
+	m.advanceTo(now)
 	x, ok := m.members[id]
 	if !ok {
 		return
 	}
-	t := m.when(at)
-	if t > x.failed {
-		x.failed, x.failKind = t, kind
+	t := m.sinceEpoch(at)
+	if t > x.failedAt {
+		x.failedAt, x.failKind = t, kind
 	}
 	if p == ProcessEntry && kind == FailRefused {
-		x.life.refused = max(x.life.refused, t)
+		x.facts.refusedAt = max(x.facts.refusedAt, t)
 	}
 }
 
 // UpstreamAnswered records that a call to an upstream succeeded at the given
 // time.
 func (m *Machine) UpstreamAnswered(now, at time.Time, id ident.UpstreamID) {
-	m.at(now)
+	m.advanceTo(now)
 	if u, ok := m.upstreams[id]; ok {
-		u.reached = max(u.reached, m.when(at))
-		u.missGap, u.missAt = 0, never
+		u.reachedAt = max(u.reachedAt, m.sinceEpoch(at))
+		u.missingBackoff, u.missingAllowedAt = 0, never
 	}
 }
 
 // UpstreamFailed records that a call to an upstream failed at the given time.
 func (m *Machine) UpstreamFailed(now, at time.Time, id ident.UpstreamID, kind FailKind) {
-	t := m.at(now)
+	t := m.advanceTo(now)
 	u, ok := m.upstreams[id]
 	if !ok {
 		return
 	}
-	u.fail(m.when(at), kind)
-	if u.failed <= u.alive() {
+	u.recordFailure(m.sinceEpoch(at), kind)
+	if u.failedAt <= u.lastLiveAt() {
 		return
 	}
-	if kind == FailRefused && u.down.merge(t, u.newest()) {
-		m.rush(t, &u.urgent)
+	if kind == FailRefused && u.down.merge(t, u.newestSequence()) {
+		m.disseminate(t, &u.urgentSends)
 	}
-	if kind != FailRefused && m.mayMiss(t, u) && u.missing.merge(t, u.newest()) {
-		u.doubted(t)
-		m.rush(t, &u.urgent)
+	if kind != FailRefused && m.mayReportMissing(t, u) && u.missing.merge(t, u.newestSequence()) {
+		u.backOffMissing(t)
+		m.disseminate(t, &u.urgentSends)
 	}
 }
 
-// mayMiss reports whether this instance may report an upstream missing to
-// others. The fault can be this instance's own, so it may do so only if it is
-// in the upstream's zone, where only the zone's own network separates the two,
-// only if no other instance has relayed a fresh report, and at growing
+// mayReportMissing reports whether this instance may report an upstream missing
+// to others. The fault can be this instance's own, so it may do so only if it
+// is in the upstream's zone, where only the zone's own network separates the
+// two, only if no other instance has relayed a fresh report, and at growing
 // intervals while others keep contradicting it.
-func (m *Machine) mayMiss(now time.Duration, u *upstream) bool {
-	return u.zone == m.self.Zone && now-u.alive() >= m.cfg.UpstreamGrace && now >= u.missAt
+func (m *Machine) mayReportMissing(now time.Duration, u *upstream) bool {
+	return u.zone == m.self.Zone && now-u.lastLiveAt() >= m.cfg.UpstreamGrace && now >= u.missingAllowedAt
 }
 
 // Limits of the time until an instance that has not reached an upstream itself
 // since may report it missing again.
 const (
-	missGapMin = 2 * time.Second
-	missGapMax = time.Minute
+	missingBackoffMin = 2 * time.Second
+	missingBackoffMax = time.Minute
 )
 
-// doubted records that this instance reported the upstream missing, and doubles
-// the time until it may do so again.
-func (u *upstream) doubted(now time.Duration) {
-	u.missGap = min(max(2*u.missGap, missGapMin), missGapMax)
-	u.missAt = now + u.missGap
+// backOffMissing records that this instance reported the upstream missing, and
+// doubles the time until it may do so again.
+func (u *upstream) backOffMissing(now time.Duration) {
+	u.missingBackoff = min(max(2*u.missingBackoff, missingBackoffMin), missingBackoffMax)
+	u.missingAllowedAt = now + u.missingBackoff
 }
 
 // UpstreamLeaving records that an upstream refused a call because it is
 // leaving.
 func (m *Machine) UpstreamLeaving(now time.Time, id ident.UpstreamID, inc ident.Incarnation) {
-	t := m.at(now)
+	t := m.advanceTo(now)
 	u, ok := m.upstreams[id]
 	if !ok || !u.advance(t, inc) {
 		return
 	}
-	if u.leave(true) {
-		m.rush(t, &u.urgent)
+	if u.markLeaving(true) {
+		m.disseminate(t, &u.urgentSends)
 	}
 }
 
 // UpstreamReport records a load report that this instance read from an upstream
 // and that was made at the given time.
 func (m *Machine) UpstreamReport(now, measured time.Time, id ident.UpstreamID, r Report) {
-	t := m.at(now)
+	t := m.advanceTo(now)
 	u, ok := m.upstreams[id]
 	if !ok {
 		return
 	}
-	absent := u.absent()
-	leaving := u.mergeReport(t, r, m.when(measured))
-	if leaving || absent && !u.absent() {
+	absent := u.markedAbsent()
+	leaving := u.mergeReport(t, r, m.sinceEpoch(measured))
+	if leaving || absent && !u.markedAbsent() {
 		// The upstream's return is disseminated as well: other zones get no
 		// reports of it.
-		m.rush(t, &u.urgent)
+		m.disseminate(t, &u.urgentSends)
 	}
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -90,7 +90,7 @@
 		f.now = f.now.Add(f.step)
 		for _, n := range f.nodes {
 			if n.cond == running {
-				f.act(n)
+				f.runDue(n)
 			}
 		}
 	}
@@ -110,8 +110,8 @@
 	return f.now.Sub(begin)
 }
 
-// act performs the actions that are due at a node.
-func (f *fleet) act(n *node) {
+// runDue performs the actions that are due at a node.
+func (f *fleet) runDue(n *node) {
 	for _, d := range n.machine.Due(f.now) {
 		to := f.byID[d.To]
 		if d.Kind == DueProbe {
@@ -178,8 +178,8 @@
 	n.machine.Paused(f.now, f.now.Sub(n.pausedAt))
 }
 
-// sees returns one node's view of another.
-func (f *fleet) sees(n, other *node) Instance {
+// viewOf returns one node's view of another.
+func (f *fleet) viewOf(n, other *node) Instance {
 	for _, x := range n.machine.View(f.now).Instances {
 		if x.ID == other.id {
 			return x
@@ -189,11 +189,11 @@
 	return Instance{}
 }
 
-// all reports whether want holds for the view of a node in every other running
-// node.
-func (f *fleet) all(of *node, want func(Instance) bool) bool {
+// allOthers reports whether want holds for the view of a node in every other
+// running node.
+func (f *fleet) allOthers(of *node, want func(Instance) bool) bool {
 	for _, n := range f.nodes {
-		if n != of && n.cond == running && !want(f.sees(n, of)) {
+		if n != of && n.cond == running && !want(f.viewOf(n, of)) {
 			return false
 		}
 	}
--- a/membership/heartbeat.go
+++ b/membership/heartbeat.go
@@ -45,12 +45,12 @@
 
 // Heartbeat returns the heartbeat to send to an instance now.
 func (m *Machine) Heartbeat(now time.Time, to ident.InstanceID) Heartbeat {
-	at := m.at(now)
+	at := m.advanceTo(now)
 	hb := Heartbeat{
-		Incarnation: m.state.Incarnation,
+		Incarnation: m.selfState.Incarnation,
 		Stamp:       m.stamp(at),
-		Leaving:     m.state.Leaving,
-		Gone:        m.state.Gone,
+		Leaving:     m.selfState.Leaving,
+		Gone:        m.selfState.Gone,
 		WaitMS:      m.interval().Milliseconds(),
 		Digest:      m.Digest(),
 	}
@@ -58,38 +58,39 @@
 	if !ok {
 		return hb
 	}
-	x.toldNews = m.news
+	x.factsSent = m.factCount
 	window := memberWindow
 	if x.zone == m.self.Zone && x.digest != 0 && x.digest != hb.Digest {
 		window = resyncWindow
 	}
 	hb.Members = m.packMembers(at, x, window)
 	hb.Upstreams = m.packUpstreams(at, x)
-	m.noteSize(hb)
+	m.updateAverageFrameSize(hb)
 	return hb
 }
 
-// noteSize updates the moving average of the size of heartbeats.
-func (m *Machine) noteSize(hb Heartbeat) {
+// updateAverageFrameSize updates the moving average of the size of heartbeats.
+func (m *Machine) updateAverageFrameSize(hb Heartbeat) {
 	packed := len(hb.Members) + len(hb.Upstreams)
-	size := float64(heartbeatOverhead + packed*base64Quotient/base64Divisor)
-	m.frameBytes += (size - m.frameBytes) / sizeMemory
+	size := float64(heartbeatOverhead + packed*base64Numerator/base64Denominator)
+	m.averageFrameSize += (size - m.averageFrameSize) / frameSizeWindow
 }
 
 // Size of a heartbeat on the wire besides its packed records, in bytes, and the
 // expansion of those by base64; TestHeartbeatBytes measures them.
 const (
 	heartbeatOverhead = 220
-	base64Quotient    = 4
-	base64Divisor     = 3
-	// sizeMemory is the number of heartbeats over which the size is averaged.
-	sizeMemory = 16
+	base64Numerator   = 4
+	base64Denominator = 3
+	// frameSizeWindow is the number of heartbeats over which the size is
+	// averaged.
+	frameSizeWindow = 16
 )
 
 // Receive processes a heartbeat and returns the answer to it. The error is a
 // *BlockError or an *UnknownError, in which case nothing is merged.
 func (m *Machine) Receive(now time.Time, from ident.InstanceID, hb Heartbeat) (Heartbeat, error) {
-	if err := m.take(now, from, hb); err != nil {
+	if err := m.mergeHeartbeat(now, from, hb); err != nil {
 		return Heartbeat{}, err
 	}
 	m.scheduleNext(m.last, m.members[from])
@@ -99,21 +100,21 @@
 // Answered processes the answer to a heartbeat that was sent at the given time.
 // Errors are those of Receive.
 func (m *Machine) Answered(now, started time.Time, from ident.InstanceID, hb Heartbeat) error {
-	news := m.news
-	if err := m.take(now, from, hb); err != nil {
+	factsBefore := m.factCount
+	if err := m.mergeHeartbeat(now, from, hb); err != nil {
 		return err
 	}
 	x := m.members[from]
-	x.answered = max(x.answered, m.when(started))
-	m.trust.refreshed(from, m.when(started))
+	x.agentAnsweredAt = max(x.agentAnsweredAt, m.sinceEpoch(started))
+	m.trust.recordExchange(from, m.sinceEpoch(started))
 	m.scheduleNext(m.last, x)
-	if x.toldNews < news {
+	if x.factsSent < factsBefore {
 		// A fact came up while the heartbeat was in transit.
-		m.hurryTo(m.last, x)
+		m.expedite(m.last, x)
 		return nil
 	}
 	// The partner knows the facts that its own answer brought.
-	x.toldNews = m.news
+	x.factsSent = m.factCount
 	return nil
 }
 
@@ -124,9 +125,9 @@
 // Error implements error.
 func (e *UnknownError) Error() string { return "heartbeat of unknown instance " + string(e.Instance) }
 
-// take merges the contents of a heartbeat.
-func (m *Machine) take(now time.Time, from ident.InstanceID, hb Heartbeat) error {
-	at := m.at(now)
+// mergeHeartbeat merges the contents of a heartbeat.
+func (m *Machine) mergeHeartbeat(now time.Time, from ident.InstanceID, hb Heartbeat) error {
+	at := m.advanceTo(now)
 	x, ok := m.members[from]
 	if !ok {
 		return &UnknownError{Instance: from}
@@ -140,17 +141,17 @@
 		return err
 	}
 	x.digest = hb.Digest
-	x.wait = min(time.Duration(hb.WaitMS)*time.Millisecond, maxWait)
-	m.merge(at, x, record{
+	x.partnerInterval = min(time.Duration(hb.WaitMS)*time.Millisecond, maxWait)
+	m.merge(at, x, memberRecord{
 		incarnation: hb.Incarnation, leaving: hb.Leaving, gone: hb.Gone, hasStamp: hb.Stamp > 0, stamp: hb.Stamp,
 	})
 	for _, r := range members {
-		x.knows(r.key, r.incarnation, r.stamp)
+		x.noteKnownRecord(r.key, r.incarnation, r.stamp)
 		m.mergeRecord(at, r)
 	}
 	for _, d := range upstreams {
 		if d.HasReport {
-			x.knowsReport(recordKey(d.Key), d.Incarnation, at-d.Age)
+			x.noteKnownReport(recordKey(d.Key), d.Incarnation, at-d.Age)
 		}
 		m.mergeDigest(at, d)
 	}
@@ -162,52 +163,52 @@
 // incarnation and on leaving; they only show whether it is superseded.
 func (m *Machine) mergeRecord(now time.Duration, r keyedRecord) {
 	if r.key == keyOf(string(m.self.Instance)) {
-		m.superseded = m.superseded || r.incarnation > m.state.Incarnation && m.state.Incarnation != 0
+		m.superseded = m.superseded || r.incarnation > m.selfState.Incarnation && m.selfState.Incarnation != 0
 		return
 	}
-	x, ok := m.memberKeys[r.key]
+	x, ok := m.membersByKey[r.key]
 	if !ok {
 		return
 	}
-	m.merge(now, x, r.record)
-	l := &x.life
-	if r.missing && r.incarnation == l.incarnation && !l.reportedMissing() && x.urgent == 0 {
+	m.merge(now, x, r.memberRecord)
+	l := &x.facts
+	if r.missing && r.incarnation == l.incarnation && !l.reportedMissing() && x.urgentSends == 0 {
 		// This instance has later evidence of liveness, which whoever reports
 		// the instance missing lacks.
-		x.urgent = m.spread()
+		x.urgentSends = m.urgentSendCount()
 	}
 }
 
 // merge merges a record of an instance and disseminates what is new.
-func (m *Machine) merge(now time.Duration, x *member, r record) {
+func (m *Machine) merge(now time.Duration, x *member, r memberRecord) {
 	if x.merge(now, r) {
-		m.rush(now, &x.urgent)
+		m.disseminate(now, &x.urgentSends)
 	}
 }
 
 // mergeDigest merges a digest of an upstream that a peer relays.
 func (m *Machine) mergeDigest(now time.Duration, d UpstreamDigest) {
-	u, ok := m.upKeys[recordKey(d.Key)]
+	u, ok := m.upstreamsByKey[recordKey(d.Key)]
 	if !ok || d.Incarnation == 0 {
 		return
 	}
-	absent := u.absent()
+	absent := u.markedAbsent()
 	if !u.advance(now, d.Incarnation) {
 		return
 	}
-	news := u.leave(d.Leaving)
+	isNew := u.markLeaving(d.Leaving)
 	if d.HasReport {
 		u.mergeReport(now, d.report(), now-d.Age)
 	}
-	news = d.Down && u.down.merge(now, d.Sequence) || news
-	news = d.Missing && u.missing.merge(now, d.Sequence) || news
-	if news || absent && !u.absent() {
-		m.rush(now, &u.urgent)
+	isNew = d.Down && u.down.merge(now, d.Sequence) || isNew
+	isNew = d.Missing && u.missing.merge(now, d.Sequence) || isNew
+	if isNew || absent && !u.markedAbsent() {
+		m.disseminate(now, &u.urgentSends)
 	}
-	if d.Missing && !u.absent() && u.urgent == 0 {
+	if d.Missing && !u.markedAbsent() && u.urgentSends == 0 {
 		// This instance has a later report, which whoever reports the upstream
 		// missing lacks.
-		u.urgent = m.spread()
+		u.urgentSends = m.urgentSendCount()
 	}
 }
 
--- a/membership/leaving_test.go
+++ b/membership/leaving_test.go
@@ -29,33 +29,33 @@
 	const sec = time.Second
 	sources := map[string]func(t *testing.T, m *Machine){
 		"list": func(_ *testing.T, m *Machine) {
-			m.Upstreams(at(sec), at(sec), 5, listUpstreamAs(ListedUpstream{Incarnation: 7, Leaving: true}))
+			m.Upstreams(timeAt(sec), timeAt(sec), 5, listUpstreamAs(ListedUpstream{Incarnation: 7, Leaving: true}))
 		},
-		"own refusal": func(_ *testing.T, m *Machine) { m.UpstreamLeaving(at(sec), "dc-1", 7) },
+		"own refusal": func(_ *testing.T, m *Machine) { m.UpstreamLeaving(timeAt(sec), "dc-1", 7) },
 		"own report": func(_ *testing.T, m *Machine) {
-			m.UpstreamReport(at(sec), at(sec), "dc-1", Report{Incarnation: 7, Sequence: 1, Leaving: true})
+			m.UpstreamReport(timeAt(sec), timeAt(sec), "dc-1", Report{Incarnation: 7, Sequence: 1, Leaving: true})
 		},
 		"peer": func(t *testing.T, m *Machine) {
 			d := UpstreamDigest{Key: uint64(keyOf("dc-1")), Incarnation: 7, Leaving: true}
-			hear(t, m, sec, Heartbeat{Upstreams: d.Append(nil)})
+			receiveFromOther(t, m, sec, Heartbeat{Upstreams: d.Append(nil)})
 		},
 	}
 	for name, mark := range sources {
 		t.Run(name, func(t *testing.T) {
-			m := lone()
-			m.Upstreams(at(0), at(0), 2, listUpstreamAs(ListedUpstream{Incarnation: 7}))
-			assert.Assert(t, !upstreamSeen(m, 0).Leaving)
+			m := newMachineWithPeer()
+			m.Upstreams(timeAt(0), timeAt(0), 2, listUpstreamAs(ListedUpstream{Incarnation: 7}))
+			assert.Assert(t, !upstreamView(m, 0).Leaving)
 			mark(t, m)
-			assert.Assert(t, upstreamSeen(m, sec).Leaving)
+			assert.Assert(t, upstreamView(m, sec).Leaving)
 			for i, index := range []uint64{1, 5, 6, 90} {
 				d := time.Duration(i+2) * sec
-				m.Upstreams(at(d), at(d), index, listUpstreamAs(ListedUpstream{Incarnation: 7}))
-				m.UpstreamReport(at(d), at(d), "dc-1", Report{Incarnation: 7, Sequence: uint32(i + 2)})
-				m.Upstreams(at(d), at(d), index, listUpstreamAs(ListedUpstream{}))
-				assert.Assert(t, upstreamSeen(m, d).Leaving, "mark cleared by a list with index %d", index)
+				m.Upstreams(timeAt(d), timeAt(d), index, listUpstreamAs(ListedUpstream{Incarnation: 7}))
+				m.UpstreamReport(timeAt(d), timeAt(d), "dc-1", Report{Incarnation: 7, Sequence: uint32(i + 2)})
+				m.Upstreams(timeAt(d), timeAt(d), index, listUpstreamAs(ListedUpstream{}))
+				assert.Assert(t, upstreamView(m, d).Leaving, "mark cleared by a list with index %d", index)
 			}
-			m.UpstreamReport(at(9*sec), at(9*sec), "dc-1", Report{Incarnation: 8, Sequence: 1})
-			assert.Assert(t, !upstreamSeen(m, 9*sec).Leaving, "a new incarnation is marked as leaving")
+			m.UpstreamReport(timeAt(9*sec), timeAt(9*sec), "dc-1", Report{Incarnation: 8, Sequence: 1})
+			assert.Assert(t, !upstreamView(m, 9*sec).Leaving, "a new incarnation is marked as leaving")
 		})
 	}
 }
@@ -68,106 +68,106 @@
 		want bool
 	}{
 		{"leaving", func(_ *testing.T, m *Machine) {
-			m.Instances(at(2*sec), at(2*sec), 5, listOther(true))
+			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
 		}, true},
 		{"leaving, then an older list", func(_ *testing.T, m *Machine) {
-			m.Instances(at(2*sec), at(2*sec), 5, listOther(true))
-			m.Instances(at(3*sec), at(3*sec), 4, listOther(false))
+			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
+			m.Instances(timeAt(3*sec), timeAt(3*sec), 4, listOther(false))
 		}, true},
 		{"leaving, then dropped from the list", func(_ *testing.T, m *Machine) {
-			m.Instances(at(2*sec), at(2*sec), 5, listOther(true))
-			m.Instances(at(3*sec), at(3*sec), 6, nil)
+			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
+			m.Instances(timeAt(3*sec), timeAt(3*sec), 6, nil)
 		}, true},
 		{"leaving, then a newer list for a new incarnation", func(_ *testing.T, m *Machine) {
-			m.Instances(at(2*sec), at(2*sec), 5, listOther(true))
-			m.Instances(at(3*sec), at(3*sec), 6, listOther(false))
+			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
+			m.Instances(timeAt(3*sec), timeAt(3*sec), 6, listOther(false))
 		}, false},
 		{"a list applies to an incarnation known for long", func(t *testing.T, m *Machine) {
-			hear(t, m, sec, beat(5, sec))
-			m.Instances(at(2*time.Minute), at(2*time.Minute), 5, listOther(true))
-			m.Instances(at(3*time.Minute), at(3*time.Minute), 6, listOther(false))
+			receiveFromOther(t, m, sec, heartbeatAfter(5, sec))
+			m.Instances(timeAt(2*time.Minute), timeAt(2*time.Minute), 5, listOther(true))
+			m.Instances(timeAt(3*time.Minute), timeAt(3*time.Minute), 6, listOther(false))
 		}, true},
 		{"a lagging list does not apply to a young incarnation", func(t *testing.T, m *Machine) {
-			hear(t, m, sec, beat(5, sec))
-			m.Instances(at(2*sec), at(2*sec), 5, listOther(true))
-			m.Instances(at(3*time.Minute), at(3*time.Minute), 6, listOther(false))
+			receiveFromOther(t, m, sec, heartbeatAfter(5, sec))
+			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
+			m.Instances(timeAt(3*time.Minute), timeAt(3*time.Minute), 6, listOther(false))
 		}, false},
 		{"a platform set up from scratch", func(_ *testing.T, m *Machine) {
-			m.Instances(at(2*sec), at(2*sec), 500, listOther(true))
+			m.Instances(timeAt(2*sec), timeAt(2*sec), 500, listOther(true))
 			m.ResetLists()
-			m.Instances(at(3*sec), at(3*sec), 2, listOther(false))
+			m.Instances(timeAt(3*sec), timeAt(3*sec), 2, listOther(false))
 		}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m := lone()
+			m := newMachineWithPeer()
 			tt.do(t, m)
-			assert.Equal(t, believed(m, 4*time.Minute).Leaving, tt.want)
+			assert.Equal(t, otherView(m, 4*time.Minute).Leaving, tt.want)
 		})
 	}
 }
 
 func TestListTellsThisInstanceToLeave(t *testing.T) {
-	m := lone()
+	m := newMachineWithPeer()
 	m.SetSelf(start, SelfState{Incarnation: ident.NewIncarnation(start)})
 	self := []ListedInstance{{ID: "entry-a0", Zone: "hall-a", Leaving: true}}
-	m.Instances(at(time.Second), at(time.Second), 2, self)
-	assert.Assert(t, !m.View(at(time.Second)).Leaving, "the lagging list may refer to the previous incarnation")
+	m.Instances(timeAt(time.Second), timeAt(time.Second), 2, self)
+	assert.Assert(t, !m.View(timeAt(time.Second)).Leaving, "the lagging list may refer to the previous incarnation")
 	m.SetSelf(start, SelfState{Incarnation: ident.NewIncarnation(start.Add(-time.Hour))})
-	m.Instances(at(2*time.Second), at(2*time.Second), 3, self)
-	assert.Assert(t, m.View(at(2*time.Second)).Leaving)
-	assert.Assert(t, m.Heartbeat(at(2*time.Second), other).Leaving)
+	m.Instances(timeAt(2*time.Second), timeAt(2*time.Second), 3, self)
+	assert.Assert(t, m.View(timeAt(2*time.Second)).Leaving)
+	assert.Assert(t, m.Heartbeat(timeAt(2*time.Second), other).Leaving)
 }
 
 func TestOwnLeavingIsSticky(t *testing.T) {
-	m := lone()
-	m.Leave(at(time.Second))
-	m.SetSelf(at(2*time.Second), SelfState{Incarnation: 1000})
-	assert.Assert(t, m.View(at(2*time.Second)).Leaving)
-	m.SetSelf(at(3*time.Second), SelfState{Incarnation: 1001})
-	assert.Assert(t, !m.View(at(3*time.Second)).Leaving)
+	m := newMachineWithPeer()
+	m.Leave(timeAt(time.Second))
+	m.SetSelf(timeAt(2*time.Second), SelfState{Incarnation: 1000})
+	assert.Assert(t, m.View(timeAt(2*time.Second)).Leaving)
+	m.SetSelf(timeAt(3*time.Second), SelfState{Incarnation: 1001})
+	assert.Assert(t, !m.View(timeAt(3*time.Second)).Leaving)
 }
 
 func TestSupersededInstanceLearnsIt(t *testing.T) {
-	m := lone()
-	r := keyedRecord{key: keyOf("entry-a0"), record: record{incarnation: 999}}
-	hear(t, m, time.Second, Heartbeat{Members: appendMember(nil, r)})
-	assert.Assert(t, !m.View(at(time.Second)).Superseded)
+	m := newMachineWithPeer()
+	r := keyedRecord{key: keyOf("entry-a0"), memberRecord: memberRecord{incarnation: 999}}
+	receiveFromOther(t, m, time.Second, Heartbeat{Members: appendMember(nil, r)})
+	assert.Assert(t, !m.View(timeAt(time.Second)).Superseded)
 	r.incarnation = 1001
-	hear(t, m, time.Second, Heartbeat{Members: appendMember(nil, r)})
-	assert.Assert(t, m.View(at(time.Second)).Superseded)
+	receiveFromOther(t, m, time.Second, Heartbeat{Members: appendMember(nil, r)})
+	assert.Assert(t, m.View(timeAt(time.Second)).Superseded)
 }
 
 func TestOlderListsChangeNothing(t *testing.T) {
-	m := lone()
-	m.Instances(at(0), at(0), 5, []ListedInstance{{ID: other, Zone: "hall-a", Address: "new"}})
-	m.Upstreams(at(0), at(0), 5, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Address: "new"}})
-	assert.Assert(t, !m.Instances(at(time.Second), at(time.Second), 4, []ListedInstance{{ID: other, Zone: "hall-a", Address: "old"}}))
-	assert.Assert(t, !m.Upstreams(at(time.Second), at(time.Second), 4, nil))
-	v := m.View(at(time.Second))
+	m := newMachineWithPeer()
+	m.Instances(timeAt(0), timeAt(0), 5, []ListedInstance{{ID: other, Zone: "hall-a", Address: "new"}})
+	m.Upstreams(timeAt(0), timeAt(0), 5, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Address: "new"}})
+	assert.Assert(t, !m.Instances(timeAt(time.Second), timeAt(time.Second), 4, []ListedInstance{{ID: other, Zone: "hall-a", Address: "old"}}))
+	assert.Assert(t, !m.Upstreams(timeAt(time.Second), timeAt(time.Second), 4, nil))
+	v := m.View(timeAt(time.Second))
 	assert.Equal(t, v.Instances[0].Address, "new")
 	assert.Assert(t, v.Upstreams[0].Listed)
 	assert.Equal(t, v.Upstreams[0].Address, "new")
 }
 
 func TestSilentEntryGivesNoSignOfLife(t *testing.T) {
-	m := lone()
-	assert.Assert(t, m.Heartbeat(at(time.Second), other).Stamp > 0)
-	m.SetSelf(at(time.Second), SelfState{Incarnation: 1000, Silent: true})
-	assert.Equal(t, m.Heartbeat(at(time.Second), other).Stamp, Stamp(0))
-	m.SetSelf(at(2*time.Second), SelfState{Incarnation: 1000})
-	assert.Assert(t, m.Heartbeat(at(2*time.Second), other).Stamp > 0)
+	m := newMachineWithPeer()
+	assert.Assert(t, m.Heartbeat(timeAt(time.Second), other).Stamp > 0)
+	m.SetSelf(timeAt(time.Second), SelfState{Incarnation: 1000, Silent: true})
+	assert.Equal(t, m.Heartbeat(timeAt(time.Second), other).Stamp, Stamp(0))
+	m.SetSelf(timeAt(2*time.Second), SelfState{Incarnation: 1000})
+	assert.Assert(t, m.Heartbeat(timeAt(2*time.Second), other).Stamp > 0)
 }
 
 // TestPartnerIsNotToldWhatItTold checks that records which came from a partner
 // are not sent back to it: that would waste bytes.
 func TestPartnerIsNotToldWhatItTold(t *testing.T) {
-	m := watcher()
-	r := keyedRecord{key: keyOf(string(subjects[0])), record: record{incarnation: 5, hasStamp: true, stamp: 10}}
-	answer, err := m.Receive(at(time.Second), sender, Heartbeat{Members: appendMember(nil, r)})
+	m := newMachineWithSender()
+	r := keyedRecord{key: keyOf(string(subjects[0])), memberRecord: memberRecord{incarnation: 5, hasStamp: true, stamp: 10}}
+	answer, err := m.Receive(timeAt(time.Second), sender, Heartbeat{Members: appendMember(nil, r)})
 	assert.NilError(t, err)
 	assert.Equal(t, len(answer.Members), 0)
-	answer, err = m.Receive(at(time.Second), subjects[1], Heartbeat{})
+	answer, err = m.Receive(timeAt(time.Second), subjects[1], Heartbeat{})
 	assert.NilError(t, err)
 	assert.Equal(t, len(answer.Members), MemberBytes)
 }
@@ -175,10 +175,10 @@
 // TestPartnersKeepTheLongerInterval has a partner with many partners of its own
 // ask for fewer exchanges.
 func TestPartnersKeepTheLongerInterval(t *testing.T) {
-	m := lone()
-	hear(t, m, time.Second, Heartbeat{Incarnation: 5, Stamp: 1, WaitMS: 20000})
+	m := newMachineWithPeer()
+	receiveFromOther(t, m, time.Second, Heartbeat{Incarnation: 5, Stamp: 1, WaitMS: 20000})
 	for d := time.Second; d < 15*time.Second; d += step {
-		for _, due := range m.Due(at(d)) {
+		for _, due := range m.Due(timeAt(d)) {
 			assert.Assert(t, due.Kind == DueProbe, "heartbeat due after %s", d)
 		}
 	}
@@ -188,19 +188,19 @@
 // another zone and checks that the zone's other instances stay alive until one
 // is reported missing.
 func TestAnotherZoneIsBelievedAsAWhole(t *testing.T) {
-	m := lone()
+	m := newMachineWithPeer()
 	m.Seeds(start, []Seed{{ID: "entry-b0", Zone: "hall-b"}, {ID: "entry-b1", Zone: "hall-b"}})
 	for d := time.Second; d < 10*time.Minute; d += time.Second {
-		_, err := m.Receive(at(d), "entry-b0", beat(5, d))
+		_, err := m.Receive(timeAt(d), "entry-b0", heartbeatAfter(5, d))
 		assert.NilError(t, err)
-		m.Due(at(d))
+		m.Due(timeAt(d))
 	}
-	state := func() State { return m.View(at(10 * time.Minute)).Instances[2].State }
+	state := func() State { return m.View(timeAt(10 * time.Minute)).Instances[2].State }
 	assert.Equal(t, state(), Alive)
-	r := keyedRecord{key: keyOf("entry-b1"), record: record{incarnation: 5, missing: true}}
-	hb := beat(5, 10*time.Minute)
+	r := keyedRecord{key: keyOf("entry-b1"), memberRecord: memberRecord{incarnation: 5, missing: true}}
+	hb := heartbeatAfter(5, 10*time.Minute)
 	hb.Members = appendMember(nil, r)
-	_, err := m.Receive(at(10*time.Minute), "entry-b0", hb)
+	_, err := m.Receive(timeAt(10*time.Minute), "entry-b0", hb)
 	assert.NilError(t, err)
 	assert.Equal(t, state(), Unreachable)
 }
--- a/membership/list.go
+++ b/membership/list.go
@@ -44,23 +44,23 @@
 
 // Seeds adds the instances that the settings name.
 func (m *Machine) Seeds(now time.Time, seeds []Seed) {
-	at := m.at(now)
+	at := m.advanceTo(now)
 	for _, s := range seeds {
 		if s.ID == m.self.Instance {
 			continue
 		}
 		if x := m.addMember(s.ID, at); x != nil {
 			x.seed = true
-			m.place(x, s.Zone, s.Address)
+			m.setLocation(x, s.Zone, s.Address)
 		}
 	}
 }
 
-// place sets the zone and address of an instance.
-func (m *Machine) place(x *member, zone ident.Zone, address string) {
+// setLocation sets the zone and address of an instance.
+func (m *Machine) setLocation(x *member, zone ident.Zone, address string) {
 	if x.zone != zone {
 		x.zone = zone
-		m.partnership.outdated = true
+		m.partnership.stale = true
 	}
 	x.address = address
 }
@@ -70,21 +70,21 @@
 // that relays it. Instances ignores a list older than one already seen and
 // returns false.
 func (m *Machine) Instances(now, started time.Time, index uint64, list []ListedInstance) bool {
-	at := m.at(now)
+	at := m.advanceTo(now)
 	if index < m.lists.instances {
 		return false
 	}
 	m.lists.instances = index
-	m.noteRead(m.when(started))
-	for _, x := range m.roster {
+	m.recordListRead(m.sinceEpoch(started))
+	for _, x := range m.sortedMembers {
 		x.listed = false
 	}
 	for _, l := range list {
 		if l.ID == m.self.Instance {
-			m.listSelf(now, at, l)
+			m.applyListedSelf(now, at, l)
 			continue
 		}
-		m.listInstance(at, l)
+		m.applyListedInstance(at, l)
 	}
 	m.forget(at)
 	return true
@@ -93,8 +93,8 @@
 // Confirmed records that a read of the platform, begun at the given time, found
 // nothing newer than the lists seen.
 func (m *Machine) Confirmed(now, started time.Time) {
-	m.at(now)
-	m.noteRead(m.when(started))
+	m.advanceTo(now)
+	m.recordListRead(m.sinceEpoch(started))
 }
 
 // ResetLists makes lists with lower indexes acceptable again, for a platform
@@ -102,89 +102,89 @@
 // list differs.
 func (m *Machine) ResetLists() { m.lists.instances, m.lists.upstreams = 0, 0 }
 
-// noteRead records that a list was read from the platform.
-func (m *Machine) noteRead(started time.Duration) {
+// recordListRead records that a list was read from the platform.
+func (m *Machine) recordListRead(started time.Duration) {
 	if !m.lists.read || started > m.lists.readAt {
 		m.lists.read, m.lists.readAt = true, started
 	}
 }
 
-// listInstance applies one entry of the list of instances.
-func (m *Machine) listInstance(now time.Duration, l ListedInstance) {
+// applyListedInstance applies one entry of the list of instances.
+func (m *Machine) applyListedInstance(now time.Duration, l ListedInstance) {
 	x := m.addMember(l.ID, now)
 	if x == nil {
 		return
 	}
 	x.listed = true
-	m.place(x, l.Zone, l.Address)
+	m.setLocation(x, l.Zone, l.Address)
 	if l.Incarnation != 0 {
-		if x.merge(now, record{incarnation: l.Incarnation, leaving: l.Leaving}) {
-			m.rush(now, &x.urgent)
+		if x.merge(now, memberRecord{incarnation: l.Incarnation, leaving: l.Leaving}) {
+			m.disseminate(now, &x.urgentSends)
 		}
 		return
 	}
-	x.marked = l.Leaving
-	if x.marked && m.binds(now, x.life.incarnation, x.life.learned) && !x.life.leaving {
-		x.life.leaving = true
-		m.rush(now, &x.urgent)
+	x.listedLeaving = l.Leaving
+	if x.listedLeaving && m.listApplies(now, x.facts.incarnation, x.facts.learnedAt) && !x.facts.leaving {
+		x.facts.leaving = true
+		m.disseminate(now, &x.urgentSends)
 	}
 }
 
-// listSelf applies the list's entry of this instance: if the entry marks it as
-// leaving, the instance announces that itself from now on.
-func (m *Machine) listSelf(now time.Time, at time.Duration, l ListedInstance) {
-	bound := l.Incarnation == m.state.Incarnation
+// applyListedSelf applies the list's entry of this instance: if the entry marks
+// it as leaving, the instance announces that itself from now on.
+func (m *Machine) applyListedSelf(now time.Time, at time.Duration, l ListedInstance) {
+	bound := l.Incarnation == m.selfState.Incarnation
 	if l.Incarnation == 0 {
-		bound = m.binds(at, m.state.Incarnation, -m.stampBase)
+		bound = m.listApplies(at, m.selfState.Incarnation, -m.stampBase)
 	}
 	if l.Leaving && bound {
 		m.Leave(now)
 	}
 }
 
-// binds reports whether a list that marks an ID as leaving without naming the
-// incarnation applies to the incarnation that was learned at the given time. A
-// younger one may have replaced the one that the lagging list refers to; it
-// gets no new work only while the newest list marks the ID.
-func (m *Machine) binds(now time.Duration, inc ident.Incarnation, learned time.Duration) bool {
+// listApplies reports whether a list that marks an ID as leaving without naming
+// the incarnation applies to the incarnation that was learned at the given
+// time. A younger one may have replaced the one that the lagging list refers
+// to; it gets no new work only while the newest list marks the ID.
+func (m *Machine) listApplies(now time.Duration, inc ident.Incarnation, learned time.Duration) bool {
 	return inc != 0 && now-learned >= m.cfg.ListLag
 }
 
 // Upstreams applies the platform's list of upstreams in the same way as
 // Instances.
 func (m *Machine) Upstreams(now, started time.Time, index uint64, list []ListedUpstream) bool {
-	at := m.at(now)
+	at := m.advanceTo(now)
 	if index < m.lists.upstreams {
 		return false
 	}
 	m.lists.upstreams = index
-	m.noteRead(m.when(started))
-	for _, u := range m.backends {
+	m.recordListRead(m.sinceEpoch(started))
+	for _, u := range m.sortedUpstreams {
 		u.listed = false
 	}
 	for _, l := range list {
-		m.listUpstream(at, l)
+		m.applyListedUpstream(at, l)
 	}
 	m.forget(at)
 	return true
 }
 
-// listUpstream applies one entry of the list of upstreams.
-func (m *Machine) listUpstream(now time.Duration, l ListedUpstream) {
+// applyListedUpstream applies one entry of the list of upstreams.
+func (m *Machine) applyListedUpstream(now time.Duration, l ListedUpstream) {
 	u := m.addUpstream(l.ID, now)
 	if u == nil {
 		return
 	}
-	u.listed, u.since = true, now
+	u.listed, u.listedAt = true, now
 	u.zone, u.address = l.Zone, l.Address
 	if l.Incarnation != 0 {
-		if u.advance(now, l.Incarnation) && u.leave(l.Leaving) {
-			m.rush(now, &u.urgent)
+		if u.advance(now, l.Incarnation) && u.markLeaving(l.Leaving) {
+			m.disseminate(now, &u.urgentSends)
 		}
 		return
 	}
-	u.marked = l.Leaving
-	if u.marked && m.binds(now, u.incarnation, u.learned) && u.leave(true) {
-		m.rush(now, &u.urgent)
+	u.listedLeaving = l.Leaving
+	if u.listedLeaving && m.listApplies(now, u.incarnation, u.learnedAt) && u.markLeaving(true) {
+		m.disseminate(now, &u.urgentSends)
 	}
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -36,27 +36,27 @@
 	ProcessEntry
 )
 
-// life holds the facts known about one incarnation. All but the local events
-// merge independently of order.
-type life struct {
+// incarnationFacts holds the facts known about one incarnation. All but the
+// local events merge independently of order.
+type incarnationFacts struct {
 	incarnation ident.Incarnation
 	leaving     bool
 	gone        bool
-	clock       lifeClock
-	// missing is 1 more than the highest stamp after which a peer of the
+	clock       livenessClock
+	// missingAfter is 1 more than the highest stamp after which a peer of the
 	// instance's zone reports no evidence of liveness, or a refused connection.
-	missing Stamp
+	missingAfter Stamp
 
 	// Local events, since the epoch: when the incarnation became known, when
 	// its entry last answered and when it last refused a connection.
-	learned time.Duration
-	reached time.Duration
-	refused time.Duration
+	learnedAt time.Duration
+	reachedAt time.Duration
+	refusedAt time.Duration
 }
 
-// newLife returns the initial facts about an incarnation.
-func newLife(inc ident.Incarnation, now time.Duration) life {
-	return life{incarnation: inc, learned: now, reached: never, refused: never}
+// newIncarnationFacts returns the initial facts about an incarnation.
+func newIncarnationFacts(inc ident.Incarnation, now time.Duration) incarnationFacts {
+	return incarnationFacts{incarnation: inc, learnedAt: now, reachedAt: never, refusedAt: never}
 }
 
 // member is one instance.
@@ -68,99 +68,99 @@
 	address string
 	seed    bool
 	listed  bool
-	// marked is true if the newest list shows the ID as leaving without naming
-	// its incarnation.
-	marked bool
-	life   life
-	// since is when the instance became known.
-	since time.Duration
+	// listedLeaving is true if the newest list shows the ID as leaving without
+	// naming its incarnation.
+	listedLeaving bool
+	facts         incarnationFacts
+	// knownSince is when the instance became known.
+	knownSince time.Duration
 
-	// answered is when its agent last answered; failed is when a call to either
-	// process last failed, and failKind how.
-	answered time.Duration
-	failed   time.Duration
-	failKind FailKind
+	// agentAnsweredAt is when its agent last answered; failedAt is when a call
+	// to either process last failed, and failKind how.
+	agentAnsweredAt time.Duration
+	failedAt        time.Duration
+	failKind        FailKind
 
 	// Heartbeat exchange. digest is the last one received from the partner.
-	digest    uint64
-	exchanges uint32
-	triedAt   time.Duration
-	dueAt     time.Duration
-	probeAt   time.Duration
-	probeGap  time.Duration
+	digest       uint64
+	exchanges    uint32
+	triedAt      time.Duration
+	dueAt        time.Duration
+	probeAt      time.Duration
+	probeBackoff time.Duration
 
-	// Dissemination. toldNews is the machine's count of new sticky facts at the
+	// Dissemination. factsSent is the machine's count of new sticky facts at the
 	// time that a heartbeat for the partner was last composed.
-	urgent   int
-	toldNews uint64
-	// told holds, for a partner, the stamps that it knows: the highest that
-	// either side has sent the other.
-	told map[recordKey]toldRecord
-	// reports holds, for a partner, the load reports that it knows.
-	reports map[recordKey]toldReport
-	// wait is the interval that the partner announces.
-	wait time.Duration
+	urgentSends int
+	factsSent   uint64
+	// knownRecords holds, for a partner, the stamps that it knows: the highest
+	// that either side has sent the other.
+	knownRecords map[recordKey]knownRecord
+	// knownReports holds, for a partner, the load reports that it knows.
+	knownReports map[recordKey]knownReport
+	// partnerInterval is the interval that the partner announces.
+	partnerInterval time.Duration
 }
 
-// toldRecord is what a partner knows about an instance.
-type toldRecord struct {
+// knownRecord is what a partner knows about an instance.
+type knownRecord struct {
 	incarnation ident.Incarnation
 	stamp       Stamp
-	// at is when this instance last sent it.
-	at time.Duration
+	// sentAt is when this instance last sent it.
+	sentAt time.Duration
 }
 
-// toldReport is what a partner knows about an upstream.
-type toldReport struct {
+// knownReport is what a partner knows about an upstream.
+type knownReport struct {
 	incarnation ident.Incarnation
-	// measured is when the report that the partner knows was made.
-	measured time.Duration
-	// at is when this instance last sent it.
-	at time.Duration
+	// measuredAt is when the report that the partner knows was made.
+	measuredAt time.Duration
+	// sentAt is when this instance last sent it.
+	sentAt time.Duration
 }
 
-// toldUpstream records what the partner knows about an upstream.
-func (m *member) toldUpstream(key recordKey, t toldReport) {
-	if m.reports == nil {
-		m.reports = map[recordKey]toldReport{}
+// setKnownReport records what the partner knows about an upstream.
+func (m *member) setKnownReport(key recordKey, t knownReport) {
+	if m.knownReports == nil {
+		m.knownReports = map[recordKey]knownReport{}
 	}
-	m.reports[key] = t
+	m.knownReports[key] = t
 }
 
-// knowsReport records that the partner has an upstream's report.
-func (m *member) knowsReport(key recordKey, inc ident.Incarnation, measured time.Duration) {
-	t := m.reports[key]
-	if inc < t.incarnation || inc == t.incarnation && measured <= t.measured {
+// noteKnownReport records that the partner has an upstream's report.
+func (m *member) noteKnownReport(key recordKey, inc ident.Incarnation, measured time.Duration) {
+	t := m.knownReports[key]
+	if inc < t.incarnation || inc == t.incarnation && measured <= t.measuredAt {
 		return
 	}
-	m.toldUpstream(key, toldReport{incarnation: inc, measured: measured, at: t.at})
+	m.setKnownReport(key, knownReport{incarnation: inc, measuredAt: measured, sentAt: t.sentAt})
 }
 
-// knows records that the partner has a stamp of an instance.
-func (m *member) knows(key recordKey, inc ident.Incarnation, s Stamp) {
-	t := m.told[key]
+// noteKnownRecord records that the partner has a stamp of an instance.
+func (m *member) noteKnownRecord(key recordKey, inc ident.Incarnation, s Stamp) {
+	t := m.knownRecords[key]
 	if inc > t.incarnation {
-		t = toldRecord{incarnation: inc, at: t.at}
+		t = knownRecord{incarnation: inc, sentAt: t.sentAt}
 	}
 	if inc == t.incarnation {
 		t.stamp = max(t.stamp, s)
 	}
-	m.tell(key, t)
+	m.setKnownRecord(key, t)
 }
 
-// tell records what the partner knows about an instance.
-func (m *member) tell(key recordKey, t toldRecord) {
-	if m.told == nil {
-		m.told = map[recordKey]toldRecord{}
+// setKnownRecord records what the partner knows about an instance.
+func (m *member) setKnownRecord(key recordKey, t knownRecord) {
+	if m.knownRecords == nil {
+		m.knownRecords = map[recordKey]knownRecord{}
 	}
-	m.told[key] = t
+	m.knownRecords[key] = t
 }
 
 // compare orders members by ID.
 func (m *member) compare(id ident.InstanceID) int { return cmp.Compare(m.id, id) }
 
-// record is what one message states about an instance.
-type record struct {
+// memberRecord is what one message states about an instance.
+type memberRecord struct {
 	incarnation ident.Incarnation
 	leaving     bool
 	gone        bool
@@ -173,86 +173,86 @@
 // merge merges a record. It reports whether there is anything new to
 // disseminate: a restart, a mark, or that the instance is missing. The first
 // incarnation learned is not new to anyone else.
-func (m *member) merge(now time.Duration, r record) bool {
-	if r.incarnation == 0 || r.incarnation < m.life.incarnation {
+func (m *member) merge(now time.Duration, r memberRecord) bool {
+	if r.incarnation == 0 || r.incarnation < m.facts.incarnation {
 		return false
 	}
-	old := m.life.incarnation
+	old := m.facts.incarnation
 	if r.incarnation > old {
-		m.life = newLife(r.incarnation, now)
+		m.facts = newIncarnationFacts(r.incarnation, now)
 	}
-	news := old != 0 && r.incarnation > old
-	l := &m.life
-	news = news || r.leaving && !l.leaving || r.gone && !l.gone
+	isNew := old != 0 && r.incarnation > old
+	l := &m.facts
+	isNew = isNew || r.leaving && !l.leaving || r.gone && !l.gone
 	l.leaving = l.leaving || r.leaving
 	l.gone = l.gone || r.gone
 	if r.hasStamp {
 		l.clock.observe(now, r.stamp, r.age)
 	}
-	if r.missing && r.stamp+1 > l.missing {
-		l.missing = r.stamp + 1
-		news = news || l.reportedMissing()
+	if r.missing && r.stamp+1 > l.missingAfter {
+		l.missingAfter = r.stamp + 1
+		isNew = isNew || l.reportedMissing()
 	}
-	return news
+	return isNew
 }
 
-// heard returns the time of the last evidence of liveness.
-func (l *life) heard(now time.Duration) time.Duration {
-	t, ok := l.clock.heard(now)
+// lastLiveAt returns the time of the last evidence of liveness.
+func (l *incarnationFacts) lastLiveAt(now time.Duration) time.Duration {
+	t, ok := l.clock.latestAt(now)
 	if !ok {
-		return l.reached
+		return l.reachedAt
 	}
-	return max(t, l.reached)
+	return max(t, l.reachedAt)
 }
 
 // age returns the time since the last evidence of liveness, or since the
 // instance became known.
 func (m *member) age(now time.Duration) time.Duration {
-	return now - max(m.life.heard(now), m.since)
+	return now - max(m.facts.lastLiveAt(now), m.knownSince)
 }
 
 // refusedSince reports whether the entry refused a connection after its last
 // evidence of liveness.
-func (l *life) refusedSince(now time.Duration) bool {
-	return l.refused > never && l.refused >= l.heard(now)
+func (l *incarnationFacts) refusedSince(now time.Duration) bool {
+	return l.refusedAt > never && l.refusedAt >= l.lastLiveAt(now)
 }
 
 // reportedMissing reports whether a peer has reported the instance missing
 // since its last evidence of liveness.
-func (l *life) reportedMissing() bool {
-	return l.missing > 0 && (!l.clock.known || l.missing > l.clock.stamp)
+func (l *incarnationFacts) reportedMissing() bool {
+	return l.missingAfter > 0 && (!l.clock.known || l.missingAfter > l.clock.stamp)
 }
 
 // reachable reports whether this instance's last attempt to reach it succeeded.
-func (m *member) reachable() bool { return m.failed <= max(m.answered, m.life.reached) }
+func (m *member) reachable() bool { return m.failedAt <= max(m.agentAnsweredAt, m.facts.reachedAt) }
 
 // isLeaving reports whether the instance gets no new work.
-func (m *member) isLeaving() bool { return m.life.leaving || m.marked }
+func (m *member) isLeaving() bool { return m.facts.leaving || m.listedLeaving }
 
 // thresholds holds the ages at which an instance is suspect and unreachable.
 type thresholds struct {
 	suspect     time.Duration
 	unreachable time.Duration
 	deadGrace   time.Duration
-	// remote is true for an instance of another zone. zoneHeard is the time of
-	// the last evidence of liveness from any instance of that zone.
-	remote    bool
-	zoneHeard time.Duration
+	// remote is true for an instance of another zone. zoneLastLiveAt is the
+	// time of the last evidence of liveness from any instance of that zone.
+	remote         bool
+	zoneLastLiveAt time.Duration
 }
 
 // state returns the state of the instance.
 func (m *member) state(now time.Duration, t thresholds) State {
-	l := &m.life
+	l := &m.facts
 	age := m.age(now)
 	if t.remote {
 		// Evidence of liveness of a single instance in another zone is rare;
 		// its own zone monitors it and reports when it is missing.
-		age = min(age, now-t.zoneHeard)
+		age = min(age, now-t.zoneLastLiveAt)
 	}
 	switch {
 	case l.gone:
 		return Dead
-	case l.refusedSince(now) && now-l.heard(now) >= t.deadGrace:
+	case l.refusedSince(now) && now-l.lastLiveAt(now) >= t.deadGrace:
 		return Dead
 	case t.remote && l.reportedMissing():
 		return Unreachable
--- a/membership/pack.go
+++ b/membership/pack.go
@@ -68,7 +68,7 @@
 // keyedRecord is a record with the key of the instance that it describes.
 type keyedRecord struct {
 	key recordKey
-	record
+	memberRecord
 }
 
 // appendMember appends a packed record to dst.
@@ -92,7 +92,7 @@
 	records := make([]keyedRecord, 0, len(block)/MemberBytes)
 	for ; len(block) > 0; block = block[MemberBytes:] {
 		flags := block[12]
-		records = append(records, keyedRecord{key: recordKey(read48(block)), record: record{
+		records = append(records, keyedRecord{key: recordKey(read48(block)), memberRecord: memberRecord{
 			incarnation: ident.Incarnation(read48(block[6:])),
 			leaving:     flags&flagLeaving != 0,
 			gone:        flags&flagGone != 0,
--- a/membership/pack_test.go
+++ b/membership/pack_test.go
@@ -56,10 +56,10 @@
 	f.Add(make([]byte, MemberBytes), make([]byte, UpstreamBytes))
 	f.Add(make([]byte, MemberBytes+1), make([]byte, 3))
 	f.Add(make([]byte, (maxRecords+1)*MemberBytes), []byte{})
-	known := appendMember(nil, keyedRecord{key: keyOf("entry-a1"), record: record{incarnation: 3, hasStamp: true, stamp: 9, leaving: true}})
+	known := appendMember(nil, keyedRecord{key: keyOf("entry-a1"), memberRecord: memberRecord{incarnation: 3, hasStamp: true, stamp: 9, leaving: true}})
 	f.Add(known, UpstreamDigest{Key: uint64(keyOf("dc-1")), Incarnation: 4, HasReport: true, Sequence: 2}.Append(nil))
 	f.Fuzz(func(t *testing.T, members, upstreams []byte) {
-		m := watcher()
+		m := newMachineWithSender()
 		_, err := m.Receive(start.Add(time.Second), sender, Heartbeat{Incarnation: 1, Stamp: 1, Members: members, Upstreams: upstreams})
 		if err != nil {
 			if !errors.As(err, new(*BlockError)) {
@@ -98,7 +98,7 @@
 // TestUnknownSenderIsRefused checks that heartbeats of unlisted instances are
 // rejected.
 func TestUnknownSenderIsRefused(t *testing.T) {
-	m := watcher()
+	m := newMachineWithSender()
 	_, err := m.Receive(start, "entry-x1", Heartbeat{Incarnation: 1, Stamp: 1})
 	var unknown *UnknownError
 	assert.Assert(t, errors.As(err, &unknown))
--- a/membership/partners.go
+++ b/membership/partners.go
@@ -15,79 +15,81 @@
 type partnership struct {
 	ids []ident.InstanceID
 	// sparse is true if not every pair of the own zone exchanges heartbeats.
-	sparse   bool
-	outdated bool
-	// unit is the average interval of the exchanges with partners; the
+	sparse bool
+	stale  bool
+	// thresholdUnit is the average interval of the exchanges with partners; the
 	// thresholds are multiples of it.
-	unit time.Duration
-	// believed is a fingerprint of the instances considered live when ids were
-	// chosen.
-	believed uint64
-	checked  time.Duration
+	thresholdUnit time.Duration
+	// liveFingerprint is a fingerprint of the instances considered live when
+	// ids were chosen.
+	liveFingerprint uint64
+	checkedAt       time.Duration
 }
 
 // partners returns the instances to exchange heartbeats with, sorted.
 func (m *Machine) partners(now time.Duration) []ident.InstanceID {
 	p := &m.partnership
-	if !p.outdated && now-p.checked < m.cfg.MinInterval/2 {
+	if !p.stale && now-p.checkedAt < m.cfg.MinInterval/2 {
 		return p.ids
 	}
-	p.checked = now
-	p.unit = m.meanInterval()
-	zones, print := m.living(now)
-	if p.outdated || print != p.believed {
-		p.outdated, p.believed = false, print
-		p.ids = m.choose(zones)
+	p.checkedAt = now
+	p.thresholdUnit = m.meanInterval()
+	zones, fingerprint := m.liveByZone(now)
+	if p.stale || fingerprint != p.liveFingerprint {
+		p.stale, p.liveFingerprint = false, fingerprint
+		p.ids = m.choosePartners(zones)
 		p.sparse = len(zones[m.self.Zone]) > m.cfg.AllToAll
-		m.forgetTold()
+		m.dropFormerPartners()
 	}
 	return p.ids
 }
 
-// forgetTold drops what is recorded of the knowledge of former partners.
-func (m *Machine) forgetTold() {
-	for _, x := range m.roster {
+// dropFormerPartners drops what is recorded of the knowledge of former
+// partners.
+func (m *Machine) dropFormerPartners() {
+	for _, x := range m.sortedMembers {
 		if _, ok := slices.BinarySearch(m.partnership.ids, x.id); !ok {
-			x.told, x.reports = nil, nil
+			x.knownRecords, x.knownReports = nil, nil
 		}
 	}
 }
 
-// living groups the IDs of the instances considered live by zone, including
+// liveByZone groups the IDs of the instances considered live by zone, including
 // this instance, and returns a fingerprint of them.
-func (m *Machine) living(now time.Duration) (map[ident.Zone][]ident.InstanceID, uint64) {
-	m.hearZones(now)
+func (m *Machine) liveByZone(now time.Duration) (map[ident.Zone][]ident.InstanceID, uint64) {
+	m.updateLastLiveByZone(now)
 	zones := map[ident.Zone][]ident.InstanceID{m.self.Zone: {m.self.Instance}}
-	print := uint64(0)
-	for _, x := range m.roster {
+	fingerprint := uint64(0)
+	for _, x := range m.sortedMembers {
 		if s := x.state(now, m.thresholds(x)); s > Suspect {
 			continue
 		}
 		zones[x.zone] = append(zones[x.zone], x.id)
-		print = print*31 + uint64(x.key)
+		fingerprint = fingerprint*31 + uint64(x.key)
 	}
-	return zones, print
+	return zones, fingerprint
 }
 
-// hearZones updates the time of the last evidence of liveness from each zone.
-func (m *Machine) hearZones(now time.Duration) {
-	for _, x := range m.roster {
-		if at, ok := m.zones[x.zone]; !ok || x.life.heard(now) > at {
-			m.zones[x.zone] = x.life.heard(now)
+// updateLastLiveByZone updates the time of the last evidence of liveness from
+// each zone.
+func (m *Machine) updateLastLiveByZone(now time.Duration) {
+	for _, x := range m.sortedMembers {
+		if at, ok := m.lastLiveByZone[x.zone]; !ok || x.facts.lastLiveAt(now) > at {
+			m.lastLiveByZone[x.zone] = x.facts.lastLiveAt(now)
 		}
 	}
 }
 
-// zoneHeard returns the time of the last evidence of liveness from a zone.
-func (m *Machine) zoneHeard(z ident.Zone) time.Duration {
-	if at, ok := m.zones[z]; ok {
+// zoneLastLiveAt returns the time of the last evidence of liveness from a zone.
+func (m *Machine) zoneLastLiveAt(z ident.Zone) time.Duration {
+	if at, ok := m.lastLiveByZone[z]; ok {
 		return at
 	}
 	return never
 }
 
-// choose returns the partners.
-func (m *Machine) choose(zones map[ident.Zone][]ident.InstanceID) []ident.InstanceID {
+// choosePartners returns the partners.
+func (m *Machine) choosePartners(zones map[ident.Zone][]ident.InstanceID) []ident.InstanceID {
 	chosen := m.zonePartners(zones[m.self.Zone])
 	for zone, ids := range zones {
 		if zone != m.self.Zone {
@@ -148,7 +150,7 @@
 // interval returns the time between two exchanges with one partner. Each
 // exchange costs two frames; the budget covers the exchanges with all partners.
 func (m *Machine) interval() time.Duration {
-	bytes := 2 * m.frameBytes * float64(len(m.partnership.ids))
+	bytes := 2 * m.averageFrameSize * float64(len(m.partnership.ids))
 	seconds := bytes / float64(m.cfg.Budget)
 	return max(m.cfg.MinInterval, time.Duration(seconds*float64(time.Second)))
 }
@@ -162,7 +164,7 @@
 	}
 	var sum time.Duration
 	for _, id := range m.partnership.ids {
-		sum += max(own, m.members[id].wait)
+		sum += max(own, m.members[id].partnerInterval)
 	}
 	return sum / time.Duration(len(m.partnership.ids))
 }
@@ -172,7 +174,7 @@
 
 // thresholds returns the thresholds that apply to an instance.
 func (m *Machine) thresholds(x *member) thresholds {
-	unit := max(m.partnership.unit, m.interval())
+	unit := max(m.partnership.thresholdUnit, m.interval())
 	remote := x.zone != m.self.Zone
 	if remote {
 		unit *= time.Duration(m.cfg.RemoteFactor)
@@ -181,21 +183,21 @@
 		unit *= time.Duration(m.cfg.SparseFactor)
 	}
 	return thresholds{
-		suspect:     unit * time.Duration(m.cfg.SuspectAfter),
-		unreachable: unit * time.Duration(m.cfg.UnreachableAfter),
-		deadGrace:   m.cfg.DeadGrace,
-		remote:      remote,
-		zoneHeard:   m.zoneHeard(x.zone),
+		suspect:        unit * time.Duration(m.cfg.SuspectAfter),
+		unreachable:    unit * time.Duration(m.cfg.UnreachableAfter),
+		deadGrace:      m.cfg.DeadGrace,
+		remote:         remote,
+		zoneLastLiveAt: m.zoneLastLiveAt(x.zone),
 	}
 }
 
 // Gathers returns the upstreams of the own zone whose load this instance polls,
 // sorted: each is polled by a few instances, chosen by rendezvous hashing.
 func (m *Machine) Gathers(now time.Time) []ident.UpstreamID {
-	zones, _ := m.living(m.at(now))
+	zones, _ := m.liveByZone(m.advanceTo(now))
 	own := zones[m.self.Zone]
 	var out []ident.UpstreamID
-	for _, u := range m.backends {
+	for _, u := range m.sortedUpstreams {
 		if u.zone != m.self.Zone {
 			continue
 		}
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -19,9 +19,9 @@
 	backends = []ident.UpstreamID{"dc-1", "dc-2"}
 )
 
-// watcher returns a machine that knows the sender, the subjects and the
-// backends from its settings and a list without incarnations.
-func watcher() *Machine {
+// newMachineWithSender returns a machine that knows the sender, the subjects
+// and the backends from its settings and a list without incarnations.
+func newMachineWithSender() *Machine {
 	m := New(Self{Instance: "entry-a0", Zone: "hall-a"}, Config{}, start)
 	m.SetSelf(start, SelfState{Incarnation: 1})
 	m.Seeds(start, []Seed{{ID: sender, Zone: "hall-a"}, {ID: subjects[0], Zone: "hall-a"}, {ID: subjects[1], Zone: "hall-a"}, {ID: subjects[2], Zone: "hall-b"}})
@@ -77,9 +77,9 @@
 	return hb
 }
 
-// sticky holds the facts about a process that must not depend on the order of
-// messages.
-type sticky struct {
+// stickyFacts holds the facts about a process that must not depend on the order
+// of messages.
+type stickyFacts struct {
 	Incarnation     ident.Incarnation
 	Leaving, Gone   bool
 	Stamp, Missing  Stamp
@@ -90,16 +90,16 @@
 	UpstreamLeaving bool
 }
 
-// stickies returns those facts for all subjects and backends.
-func stickies(m *Machine) []sticky {
-	var out []sticky
+// allStickyFacts returns those facts for all subjects and backends.
+func allStickyFacts(m *Machine) []stickyFacts {
+	var out []stickyFacts
 	for _, id := range subjects {
-		l := &m.members[id].life
-		out = append(out, sticky{Incarnation: l.incarnation, Leaving: l.leaving, Gone: l.gone, Stamp: l.clock.stamp, Missing: l.missing})
+		l := &m.members[id].facts
+		out = append(out, stickyFacts{Incarnation: l.incarnation, Leaving: l.leaving, Gone: l.gone, Stamp: l.clock.stamp, Missing: l.missingAfter})
 	}
 	for _, id := range backends {
 		u := m.upstreams[id]
-		out = append(out, sticky{Incarnation: u.incarnation, UpstreamLeaving: u.leaving, HasReport: u.hasReport, Report: u.report, Down: u.down.after, MissingAfter: u.missing.after})
+		out = append(out, stickyFacts{Incarnation: u.incarnation, UpstreamLeaving: u.leaving, HasReport: u.hasReport, Report: u.report, Down: u.down.after, MissingAfter: u.missing.after})
 	}
 	return out
 }
@@ -121,10 +121,10 @@
 		messages := rapid.SliceOfN(rapid.Custom(drawMessage), 1, 12).Draw(t, "messages")
 		again := rapid.SliceOfN(rapid.SampledFrom(messages), 0, 6).Draw(t, "again")
 		shuffled := rapid.Permutation(append(again, messages...)).Draw(t, "shuffled")
-		a, b := watcher(), watcher()
+		a, b := newMachineWithSender(), newMachineWithSender()
 		deliver(t, a, messages)
 		deliver(t, b, shuffled)
-		assert.DeepEqual(t, stickies(a), stickies(b))
+		assert.DeepEqual(t, allStickyFacts(a), allStickyFacts(b))
 		assert.Equal(t, a.Digest(), b.Digest())
 	})
 }
@@ -133,8 +133,8 @@
 // decrease and that marks last as long as the incarnation.
 func TestWhatIsKnownOnlyGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := watcher()
-		before := stickies(m)
+		m := newMachineWithSender()
+		before := allStickyFacts(m)
 		now := start
 		for range rapid.IntRange(1, 20).Draw(t, "messages") {
 			now = now.Add(time.Second)
@@ -142,7 +142,7 @@
 			assert.NilError(t, err)
 			index := uint64(rapid.IntRange(0, 9).Draw(t, "list index"))
 			m.Upstreams(now, now, index, []ListedUpstream{{ID: backends[0], Zone: "hall-a", Incarnation: ident.Incarnation(rapid.IntRange(0, 3).Draw(t, "listed"))}, {ID: backends[1], Zone: "hall-b"}})
-			after := stickies(m)
+			after := allStickyFacts(m)
 			for i := range before {
 				checkGrown(t, before[i], after[i])
 			}
@@ -152,7 +152,7 @@
 }
 
 // checkGrown checks that the facts about one process have only grown.
-func checkGrown(t *rapid.T, before, after sticky) {
+func checkGrown(t *rapid.T, before, after stickyFacts) {
 	assert.Assert(t, after.Incarnation >= before.Incarnation, "incarnation decreased from %d to %d", before.Incarnation, after.Incarnation)
 	if after.Incarnation > before.Incarnation {
 		return
@@ -169,11 +169,11 @@
 // not make it alive again.
 func TestOldMessagesRaiseNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := watcher()
+		m := newMachineWithSender()
 		last := rapid.IntRange(10, 500).Draw(t, "last stamp")
 		now := start.Add(time.Hour)
 		say := func(inc int, s Stamp, age time.Duration) {
-			r := keyedRecord{key: keyOf(string(subjects[0])), record: record{incarnation: ident.Incarnation(inc), hasStamp: true, stamp: s, age: age}}
+			r := keyedRecord{key: keyOf(string(subjects[0])), memberRecord: memberRecord{incarnation: ident.Incarnation(inc), hasStamp: true, stamp: s, age: age}}
 			_, err := m.Receive(now, sender, Heartbeat{Members: appendMember(nil, r)})
 			assert.NilError(t, err)
 		}
@@ -195,7 +195,7 @@
 // stamp.
 func TestClockEstimateBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c lifeClock
+		var c livenessClock
 		boot := time.Duration(rapid.IntRange(0, 1000).Draw(t, "boot")) * time.Second
 		now, least, newest := boot, time.Hour, Stamp(0)
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
@@ -207,7 +207,7 @@
 			s := Stamp((now - delay - boot) / stampUnit)
 			c.observe(now, s, 0)
 			least, newest = min(least, delay), max(newest, s)
-			heard, ok := c.heard(now)
+			heard, ok := c.latestAt(now)
 			assert.Assert(t, ok)
 			truth := boot + time.Duration(newest)*stampUnit
 			drift := (now - boot) / driftDivisor
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -27,7 +27,7 @@
 	f.t.Helper()
 	f.runUntil(2*time.Minute, func() bool {
 		for _, n := range f.nodes {
-			if n.cond == running && !f.all(n, func(x Instance) bool { return x.State == Alive && x.Incarnation != 0 }) {
+			if n.cond == running && !f.allOthers(n, func(x Instance) bool { return x.State == Alive && x.Incarnation != 0 }) {
 				return false
 			}
 		}
@@ -35,17 +35,17 @@
 	})
 }
 
-// todaysFleet returns a fleet of three zones with 8 instances each, the size
-// that users run.
-func todaysFleet(t testing.TB) *fleet { return newFleet(t, Config{}, 8, 8, 8) }
+// newDefaultFleet returns a fleet of three zones with 8 instances each, the
+// size that users run.
+func newDefaultFleet(t testing.TB) *fleet { return newFleet(t, Config{}, 8, 8, 8) }
 
 func TestEveryoneIsAliveAndStaysSo(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	for range 60 {
 		f.run(time.Second)
 		for _, n := range f.nodes {
-			assert.Assert(t, f.all(n, func(x Instance) bool { return x.State == Alive }), "%s at %s", n.id, f.now.Sub(start))
+			assert.Assert(t, f.allOthers(n, func(x Instance) bool { return x.State == Alive }), "%s at %s", n.id, f.now.Sub(start))
 		}
 	}
 	digest := f.nodes[0].machine.Digest()
@@ -55,22 +55,22 @@
 }
 
 func TestLeavingSpreadsWithoutThePlatform(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	leaver := f.nodes[0]
 	leaver.machine.Leave(f.now)
-	took := f.runUntil(time.Second, func() bool { return f.all(leaver, func(x Instance) bool { return x.Leaving }) })
+	took := f.runUntil(time.Second, func() bool { return f.allOthers(leaver, func(x Instance) bool { return x.Leaving }) })
 	t.Logf("known by all 24 after %s", took)
 	// A lagging list that every node reads later must not clear the mark.
 	for _, n := range f.nodes {
 		n.machine.Instances(f.now, f.now, 9, f.list())
 	}
 	f.run(time.Minute)
-	assert.Assert(t, f.all(leaver, func(x Instance) bool { return x.Leaving }))
+	assert.Assert(t, f.allOthers(leaver, func(x Instance) bool { return x.Leaving }))
 }
 
 func TestLeavingUpstreamSpreadsToOtherZones(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	for _, n := range f.nodes {
 		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 	}
@@ -93,14 +93,14 @@
 }
 
 func TestKilledInstanceIsDeadToItsZone(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	victim := f.nodes[0]
-	before := f.sees(f.nodes[1], victim).Incarnation
+	before := f.viewOf(f.nodes[1], victim).Incarnation
 	victim.cond = killed
 	took := f.runUntil(30*time.Second, func() bool {
 		for _, n := range f.nodes[1:8] {
-			if !f.sees(n, victim).Ended(before) {
+			if !f.viewOf(n, victim).Ended(before) {
 				return false
 			}
 		}
@@ -108,39 +108,39 @@
 	})
 	t.Logf("dead to its zone after %s", took)
 	f.run(time.Minute)
-	assert.Assert(t, f.all(victim, func(x Instance) bool { return x.State >= Unreachable }))
+	assert.Assert(t, f.allOthers(victim, func(x Instance) bool { return x.State >= Unreachable }))
 	// The ID restarts with a new incarnation.
 	f.boot(victim, Config{})
 	f.runUntil(time.Minute, func() bool {
-		return f.all(victim, func(x Instance) bool { return x.State == Alive && x.Incarnation > before && x.Ended(before) })
+		return f.allOthers(victim, func(x Instance) bool { return x.State == Alive && x.Incarnation > before && x.Ended(before) })
 	})
 }
 
 // TestPausedInstanceIsNeverDead keeps a process stopped for 90 s: it still owns
 // its requests when it continues, so it must not be considered dead.
 func TestPausedInstanceIsNeverDead(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	victim := f.nodes[0]
-	inc := f.sees(f.nodes[1], victim).Incarnation
+	inc := f.viewOf(f.nodes[1], victim).Incarnation
 	f.pause(victim)
 	for range 90 {
 		f.run(time.Second)
-		assert.Assert(t, f.all(victim, func(x Instance) bool { return x.State != Dead && !x.Ended(inc) }))
+		assert.Assert(t, f.allOthers(victim, func(x Instance) bool { return x.State != Dead && !x.Ended(inc) }))
 	}
-	assert.Equal(t, f.sees(f.nodes[1], victim).State, Frozen)
+	assert.Equal(t, f.viewOf(f.nodes[1], victim).State, Frozen)
 	f.resume(victim)
 	assert.Assert(t, !victim.machine.Trusted(f.now))
 	took := f.runUntil(2*time.Second, func() bool { return victim.machine.Trusted(f.now) })
 	t.Logf("trusted again after %s", took)
-	f.runUntil(time.Minute, func() bool { return f.all(victim, func(x Instance) bool { return x.State == Alive }) })
+	f.runUntil(time.Minute, func() bool { return f.allOthers(victim, func(x Instance) bool { return x.State == Alive }) })
 }
 
 // TestCutZoneHeals cuts one zone off. Both sides must stay alive to themselves
 // and consider the other unreachable but not dead, and the network partition
 // must heal without the platform.
 func TestCutZoneHeals(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	a := func(n *node) bool { return n.zone == "hall-a" }
 	f.lost = func(from, to *node) bool { return a(from) != a(to) }
@@ -164,17 +164,17 @@
 // alive, since others still hear them; only the direct path is marked as
 // unreachable.
 func TestAsymmetricCut(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	from, to := f.nodes[0], f.nodes[1]
 	f.lost = func(a, b *node) bool { return a == from && b == to }
 	f.run(time.Minute)
-	x := f.sees(from, to)
+	x := f.viewOf(from, to)
 	assert.Equal(t, x.State, Alive)
 	assert.Assert(t, !x.Reachable)
-	assert.Equal(t, f.sees(to, from).State, Alive)
+	assert.Equal(t, f.viewOf(to, from).State, Alive)
 	for _, n := range f.nodes[2:] {
-		assert.Assert(t, f.sees(n, from).Reachable && f.sees(n, to).Reachable)
+		assert.Assert(t, f.viewOf(n, from).Reachable && f.viewOf(n, to).Reachable)
 	}
 }
 
@@ -220,7 +220,7 @@
 // zone is cut off: the other zones must learn of it when the network partition
 // ends, without a list.
 func TestLeavingUpstreamIsLearnedAfterACut(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	for _, n := range f.nodes {
 		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 	}
@@ -266,10 +266,10 @@
 // rest of the zone must probe it at once and consider it dead before their own
 // exchanges with it would be due.
 func TestRefusalIsNews(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	victim := f.nodes[0]
-	inc := f.sees(f.nodes[1], victim).Incarnation
+	inc := f.viewOf(f.nodes[1], victim).Incarnation
 	victim.cond = killed
 	// No node has an exchange with the victim due soon.
 	for _, n := range f.nodes[1:] {
@@ -278,7 +278,7 @@
 	f.nodes[1].machine.PeerFailed(f.now, f.now, victim.id, ProcessEntry, FailRefused)
 	f.runUntil(DefaultDeadGrace+time.Second/2, func() bool {
 		for _, n := range f.nodes[1:8] {
-			if !f.sees(n, victim).Ended(inc) {
+			if !f.viewOf(n, victim).Ended(inc) {
 				return false
 			}
 		}
@@ -289,11 +289,11 @@
 // TestRefutedMissingIsTold has one instance lose contact with another that the
 // rest can reach: those with later evidence of liveness must tell it.
 func TestRefutedMissingIsTold(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	x := f.nodes[0]
 	f.lost = func(a, b *node) bool { return (a == x) != (b == x) && (a == f.nodes[1] || b == f.nodes[1]) }
 	f.run(2 * time.Minute)
-	assert.Equal(t, f.sees(f.nodes[1], x).State, Alive)
-	assert.Assert(t, !f.sees(f.nodes[1], x).Reachable)
+	assert.Equal(t, f.viewOf(f.nodes[1], x).State, Alive)
+	assert.Assert(t, !f.viewOf(f.nodes[1], x).Reachable)
 }
--- a/membership/trust.go
+++ b/membership/trust.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// refreshed records an exchange that was begun at the given time.
-func (t *trust) refreshed(id ident.InstanceID, started time.Duration) {
+// recordExchange records an exchange that was begun at the given time.
+func (t *trust) recordExchange(id ident.InstanceID, started time.Duration) {
 	if _, ok := t.peers[id]; ok && started >= t.since {
 		t.peers[id] = true
 	}
@@ -48,16 +48,16 @@
 // The view is distrusted from then on, and exchanges with all partners become
 // due.
 func (m *Machine) Paused(now time.Time, gap time.Duration) {
-	at := m.at(now)
+	at := m.advanceTo(now)
 	before := at - gap
 	var peers []ident.InstanceID
-	for _, x := range m.roster {
+	for _, x := range m.sortedMembers {
 		if x.zone == m.self.Zone && x.state(before, m.thresholds(x)) <= Suspect {
 			peers = append(peers, x.id)
 		}
 	}
 	m.trust.distrust(at, peers)
-	m.hurry(at)
+	m.expediteAll(at)
 }
 
 // Trusted reports whether the view may be acted on. After a start or a pause it
@@ -69,7 +69,7 @@
 //   - TrustTimeout passed: an instance that is cut off from all others has to
 //     continue with what it can observe itself.
 func (m *Machine) Trusted(now time.Time) bool {
-	at := m.at(now)
+	at := m.advanceTo(now)
 	t := &m.trust
 	if !t.distrusted {
 		return true
--- a/membership/upstream.go
+++ b/membership/upstream.go
@@ -38,58 +38,58 @@
 
 // upstream holds what is known about one upstream.
 type upstream struct {
-	id      ident.UpstreamID
-	key     recordKey
-	zone    ident.Zone
-	address string
-	listed  bool
-	since   time.Duration
-	// marked is true if the newest list shows the ID as leaving without naming
-	// its incarnation.
-	marked bool
+	id       ident.UpstreamID
+	key      recordKey
+	zone     ident.Zone
+	address  string
+	listed   bool
+	listedAt time.Duration
+	// listedLeaving is true if the newest list shows the ID as leaving without
+	// naming its incarnation.
+	listedLeaving bool
 
 	incarnation ident.Incarnation
-	// learned is when the incarnation became known.
-	learned time.Duration
+	// learnedAt is when the incarnation became known.
+	learnedAt time.Duration
 	// leaving is sticky for the incarnation.
 	leaving bool
 
 	hasReport bool
 	report    Report
-	// measured is when the report was made. For copies of one report the lowest
-	// estimate counts, since delays can only make it appear later.
-	measured time.Duration
+	// measuredAt is when the report was made. For copies of one report the
+	// lowest estimate counts, since delays can only make it appear later.
+	measuredAt time.Duration
 
 	// down marks that a connection was refused, here or at a peer. missing
 	// marks that an instance of the upstream's zone got no answer and had no
 	// fresh report through others either.
 	down, missing absence
-	// missGap and missAt limit how often this instance reports the upstream
-	// missing.
-	missGap, missAt time.Duration
+	// missingBackoff and missingAllowedAt limit how often this instance reports
+	// the upstream missing.
+	missingBackoff, missingAllowedAt time.Duration
 
 	// Evidence from this instance's own traffic.
-	reached  time.Duration
-	failed   time.Duration
-	failKind FailKind
+	reachedAt time.Duration
+	failedAt  time.Duration
+	failKind  FailKind
 	// silentSince is the first failure after the last evidence of liveness.
 	silentSince time.Duration
 
-	// Dissemination. urgent is the number of further messages that carry the
-	// upstream's facts ahead of the schedule.
-	urgent int
+	// Dissemination. urgentSends is the number of further messages that carry
+	// the upstream's facts ahead of the schedule.
+	urgentSends int
 }
 
 // compare orders upstreams by ID.
 func (u *upstream) compare(id ident.UpstreamID) int { return cmp.Compare(u.id, id) }
 
-// renew resets the facts for a new incarnation.
-func (u *upstream) renew(now time.Duration, inc ident.Incarnation) {
-	u.incarnation, u.learned = inc, now
+// reset resets the facts for a new incarnation.
+func (u *upstream) reset(now time.Duration, inc ident.Incarnation) {
+	u.incarnation, u.learnedAt = inc, now
 	u.leaving = false
 	u.hasReport, u.report = false, Report{}
 	u.down, u.missing = absence{}, absence{}
-	u.reached, u.failed = never, never
+	u.reachedAt, u.failedAt = never, never
 }
 
 // advance applies an incarnation. It returns false for an old one. Information
@@ -99,7 +99,7 @@
 		return inc == 0
 	}
 	if inc > u.incarnation {
-		u.renew(now, inc)
+		u.reset(now, inc)
 	}
 	return true
 }
@@ -116,15 +116,15 @@
 	r.Leaving = false
 	switch {
 	case !u.hasReport || r.newer(u.report):
-		u.hasReport, u.report, u.measured = true, r, measured
+		u.hasReport, u.report, u.measuredAt = true, r, measured
 	case r.Sequence == u.report.Sequence && r.Incarnation == u.report.Incarnation:
-		u.measured = min(u.measured, measured)
+		u.measuredAt = min(u.measuredAt, measured)
 	}
-	return u.leave(leaving)
+	return u.markLeaving(leaving)
 }
 
-// newest returns the sequence of the newest report, 0 if there is none.
-func (u *upstream) newest() uint32 {
+// newestSequence returns the sequence of the newest report, 0 if there is none.
+func (u *upstream) newestSequence() uint32 {
 	if !u.hasReport {
 		return 0
 	}
@@ -133,56 +133,56 @@
 
 // refused reports whether a connection was refused after the newest report, and
 // no later call from this instance has succeeded.
-func (u *upstream) refused() bool { return u.down.holds(u.newest(), u.reached) }
+func (u *upstream) refused() bool { return u.down.holds(u.newestSequence(), u.reachedAt) }
 
-// missed reports whether the upstream's zone has reported it missing since the
-// newest report, and no later call from this instance has succeeded.
-func (u *upstream) missed() bool { return u.missing.holds(u.newest(), u.reached) }
+// reportedMissing reports whether the upstream's zone has reported it missing
+// since the newest report, and no later call from this instance has succeeded.
+func (u *upstream) reportedMissing() bool { return u.missing.holds(u.newestSequence(), u.reachedAt) }
 
-// absent reports whether the upstream is marked as down or missing since the
-// newest report, regardless of this instance's own traffic.
-func (u *upstream) absent() bool {
-	return u.down.after > u.newest() || u.missing.after > u.newest()
+// markedAbsent reports whether the upstream is marked as down or missing since
+// the newest report, regardless of this instance's own traffic.
+func (u *upstream) markedAbsent() bool {
+	return u.down.after > u.newestSequence() || u.missing.after > u.newestSequence()
 }
 
-// alive returns the time of the last evidence of liveness.
-func (u *upstream) alive() time.Duration {
+// lastLiveAt returns the time of the last evidence of liveness.
+func (u *upstream) lastLiveAt() time.Duration {
 	if u.hasReport {
-		return max(u.reached, u.measured)
+		return max(u.reachedAt, u.measuredAt)
 	}
-	return u.reached
+	return u.reachedAt
 }
 
-// leave marks the incarnation as leaving if leaving is true. It reports whether
-// that is new.
-func (u *upstream) leave(leaving bool) bool {
-	news := leaving && !u.leaving
+// markLeaving marks the incarnation as leaving if leaving is true. It reports
+// whether that is new.
+func (u *upstream) markLeaving(leaving bool) bool {
+	isNew := leaving && !u.leaving
 	u.leaving = u.leaving || leaving
-	return news
+	return isNew
 }
 
-// fail records a failure to reach the upstream.
-func (u *upstream) fail(at time.Duration, kind FailKind) {
-	if at > u.alive() && u.failed <= u.alive() {
+// recordFailure records a failure to reach the upstream.
+func (u *upstream) recordFailure(at time.Duration, kind FailKind) {
+	if at > u.lastLiveAt() && u.failedAt <= u.lastLiveAt() {
 		u.silentSince = at
 	}
-	if at > u.failed || at == u.failed && kind == FailRefused {
-		u.failed, u.failKind = at, kind
+	if at > u.failedAt || at == u.failedAt && kind == FailRefused {
+		u.failedAt, u.failKind = at, kind
 	}
 }
 
 // isLeaving reports whether the upstream gets no new work.
-func (u *upstream) isLeaving() bool { return u.leaving || u.marked }
+func (u *upstream) isLeaving() bool { return u.leaving || u.listedLeaving }
 
 // state returns the state of the upstream.
 func (u *upstream) state(now time.Duration, fresh time.Duration) State {
-	alive := u.alive()
+	alive := u.lastLiveAt()
 	switch {
-	case u.failed > alive:
-		return downState(u.failKind)
+	case u.failedAt > alive:
+		return failureState(u.failKind)
 	case u.refused():
 		return Dead
-	case u.missed():
+	case u.reportedMissing():
 		return Unreachable
 	case now-alive <= fresh:
 		return Alive
@@ -191,8 +191,8 @@
 	}
 }
 
-// downState maps the kind of a failure to a state.
-func downState(k FailKind) State {
+// failureState maps the kind of a failure to a state.
+func failureState(k FailKind) State {
 	switch k {
 	case FailRefused:
 		return Dead
--- a/membership/view.go
+++ b/membership/view.go
@@ -89,28 +89,28 @@
 	v := &View{
 		At:         now,
 		Trusted:    trusted,
-		Leaving:    m.state.Leaving,
+		Leaving:    m.selfState.Leaving,
 		Superseded: m.superseded,
 		Digest:     m.Digest(),
 		ListAge:    NoAge,
-		Instances:  make([]Instance, 0, len(m.roster)),
-		Upstreams:  make([]Upstream, 0, len(m.backends)),
+		Instances:  make([]Instance, 0, len(m.sortedMembers)),
+		Upstreams:  make([]Upstream, 0, len(m.sortedUpstreams)),
 	}
 	if m.lists.read {
 		v.ListAge = at - m.lists.readAt
 	}
-	for _, x := range m.roster {
+	for _, x := range m.sortedMembers {
 		v.Instances = append(v.Instances, m.instance(at, x))
 	}
-	doubts := m.zoneDoubts()
-	for _, u := range m.backends {
+	evidence := m.collectZoneEvidence()
+	for _, u := range m.sortedUpstreams {
 		seen := m.upstream(at, u)
-		if seen.State <= Suspect && doubts.covers(u) {
+		if seen.State <= Suspect && evidence.zoneUnreachable(u) {
 			seen.State = Unreachable
 		}
 		v.Upstreams = append(v.Upstreams, seen)
 	}
-	m.number(v)
+	m.assignVersion(v)
 	return v
 }
 
@@ -120,12 +120,12 @@
 		ID:          x.id,
 		Zone:        x.zone,
 		Address:     x.address,
-		Incarnation: x.life.incarnation,
+		Incarnation: x.facts.incarnation,
 		State:       x.state(now, m.thresholds(x)),
 		Leaving:     x.isLeaving(),
 		Reachable:   x.reachable(),
 		Listed:      x.listed || x.seed,
-		Age:         ageOf(now, x.life.heard(now)),
+		Age:         ageOf(now, x.facts.lastLiveAt(now)),
 	}
 }
 
@@ -139,11 +139,11 @@
 		State:       u.state(now, m.cfg.UpstreamFresh),
 		Leaving:     u.isLeaving(),
 		Listed:      u.listed,
-		Age:         ageOf(now, u.alive()),
+		Age:         ageOf(now, u.lastLiveAt()),
 		ReportAge:   NoAge,
 	}
 	if u.hasReport {
-		out.HasReport, out.Report, out.ReportAge = true, u.report, now-u.measured
+		out.HasReport, out.Report, out.ReportAge = true, u.report, now-u.measuredAt
 	}
 	return out
 }
@@ -156,19 +156,19 @@
 	return now - at
 }
 
-// number sets the view's version.
-func (m *Machine) number(v *View) {
+// assignVersion sets the view's version.
+func (m *Machine) assignVersion(v *View) {
 	h := xxhash.New()
 	writeBools(h, v.Trusted, v.Leaving, v.Superseded)
 	for i := range v.Instances {
 		x := &v.Instances[i]
-		writeID(h, string(x.ID), x.Address)
+		writeStrings(h, string(x.ID), x.Address)
 		writeInts(h, uint64(x.Incarnation), uint64(x.State))
 		writeBools(h, x.Leaving, x.Reachable, x.Listed)
 	}
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
-		writeID(h, string(u.ID), u.Address)
+		writeStrings(h, string(u.ID), u.Address)
 		writeInts(h, uint64(u.Incarnation), uint64(u.State), uint64(u.Report.Sequence))
 		writeBools(h, u.Leaving, u.Listed, u.HasReport)
 	}
@@ -183,13 +183,13 @@
 // incarnation and marks of each instance and upstream. Two instances of a zone
 // with equal digests agree on them.
 func (m *Machine) Digest() uint64 {
-	sum := stickyHash(keyOf(string(m.self.Instance)), uint64(m.state.Incarnation), m.state.Leaving, m.state.Gone)
-	for _, x := range m.roster {
-		if x.zone == m.self.Zone && x.life.incarnation != 0 {
-			sum ^= stickyHash(x.key, uint64(x.life.incarnation), x.life.leaving, x.life.gone)
+	sum := stickyHash(keyOf(string(m.self.Instance)), uint64(m.selfState.Incarnation), m.selfState.Leaving, m.selfState.Gone)
+	for _, x := range m.sortedMembers {
+		if x.zone == m.self.Zone && x.facts.incarnation != 0 {
+			sum ^= stickyHash(x.key, uint64(x.facts.incarnation), x.facts.leaving, x.facts.gone)
 		}
 	}
-	for _, u := range m.backends {
+	for _, u := range m.sortedUpstreams {
 		if u.zone == m.self.Zone && u.incarnation != 0 {
 			sum ^= stickyHash(u.key, uint64(u.incarnation), u.leaving, false)
 		}
@@ -211,8 +211,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// writeID adds strings to a hash, each terminated by a zero byte.
-func writeID(h *xxhash.Digest, texts ...string) {
+// writeStrings adds strings to a hash, each terminated by a zero byte.
+func writeStrings(h *xxhash.Digest, texts ...string) {
 	for _, s := range texts {
 		// Writes to a Digest never fail.
 		_, _ = h.WriteString(s)
--- a/membership/window.go
+++ b/membership/window.go
@@ -5,9 +5,9 @@
 // maxRelayAge is the age beyond which evidence of liveness is not relayed.
 const maxRelayAge = 60 * time.Second
 
-// window holds the entries with the highest ranks, in descending order, up to
-// size.
-type window[T any] struct {
+// topEntries holds the entries with the highest ranks, in descending order, up
+// to size.
+type topEntries[T any] struct {
 	entries []ranked[T]
 	size    int
 }
@@ -19,7 +19,7 @@
 }
 
 // offer inserts an entry if its rank is among the highest.
-func (w *window[T]) offer(rank time.Duration, entry T) {
+func (w *topEntries[T]) offer(rank time.Duration, entry T) {
 	full := len(w.entries) == w.size
 	if full && rank <= w.entries[w.size-1].rank {
 		return
@@ -44,18 +44,19 @@
 	ownZoneWeight = 4
 	// urgentRank is added for new sticky facts.
 	urgentRank = 1 << 60
-	// neverSent is the lag of a record that was never sent. remoteNeverSent is
-	// the lag for an instance of another zone: there are many of those, and
-	// whether the zone is live matters more than each of them.
-	neverSent       = time.Hour
-	remoteNeverSent = 10 * time.Second
+	// neverSentLag is the lag of a record that was never sent.
+	// remoteNeverSentLag is the lag for an instance of another zone: there are
+	// many of those, and whether the zone is live matters more than each of
+	// them.
+	neverSentLag       = time.Hour
+	remoteNeverSentLag = 10 * time.Second
 )
 
 // packMembers packs the records that the partner is furthest behind on.
 func (m *Machine) packMembers(now time.Duration, to *member, size int) []byte {
-	w := window[*member]{size: size, entries: make([]ranked[*member], 0, size)}
-	for _, x := range m.roster {
-		if x == to || x.life.incarnation == 0 {
+	w := topEntries[*member]{size: size, entries: make([]ranked[*member], 0, size)}
+	for _, x := range m.sortedMembers {
+		if x == to || x.facts.incarnation == 0 {
 			continue
 		}
 		if rank := m.memberRank(now, to, x); rank > 0 {
@@ -65,9 +66,9 @@
 	var out []byte
 	for _, e := range w.entries {
 		x := e.entry
-		x.urgent = max(x.urgent-1, 0)
-		to.tell(x.key, toldRecord{incarnation: x.life.incarnation, stamp: x.life.clock.stamp, at: now})
-		out = appendMember(out, keyedRecord{key: x.key, record: m.record(now, x)})
+		x.urgentSends = max(x.urgentSends-1, 0)
+		to.setKnownRecord(x.key, knownRecord{incarnation: x.facts.incarnation, stamp: x.facts.clock.stamp, sentAt: now})
+		out = appendMember(out, keyedRecord{key: x.key, memberRecord: m.recordOf(now, x)})
 	}
 	return out
 }
@@ -75,52 +76,52 @@
 // memberRank returns the rank of an instance's record for a partner, 0 if there
 // is nothing to send.
 func (m *Machine) memberRank(now time.Duration, to, x *member) time.Duration {
-	l := &x.life
-	t, ok := to.told[x.key]
+	l := &x.facts
+	t, ok := to.knownRecords[x.key]
 	var rank time.Duration
 	switch {
 	case !ok && x.zone != m.self.Zone:
-		rank = remoteNeverSent
+		rank = remoteNeverSentLag
 	case !ok || t.incarnation < l.incarnation:
-		rank = neverSent
-	case l.leaving || l.gone || l.reportedMissing() || m.misses(now, x):
+		rank = neverSentLag
+	case l.leaving || l.gone || l.reportedMissing() || m.considersMissing(now, x):
 		// Facts that stop work are repeated, since an answer may have been
 		// lost.
-		rank = now - t.at
-	case now-l.heard(now) <= maxRelayAge && l.clock.stamp > t.stamp:
+		rank = now - t.sentAt
+	case now-l.lastLiveAt(now) <= maxRelayAge && l.clock.stamp > t.stamp:
 		rank = time.Duration(l.clock.stamp-t.stamp) * stampUnit
 	}
 	if x.zone == m.self.Zone && m.partnership.sparse {
 		rank *= ownZoneWeight
 	}
-	if x.urgent > 0 {
+	if x.urgentSends > 0 {
 		rank += urgentRank
 	}
 	return rank
 }
 
-// misses reports whether this instance considers an instance of its own zone
-// missing: there has been no evidence of liveness for too long and a later
-// attempt to reach it failed as well, or its entry has refused a connection
-// since.
-func (m *Machine) misses(now time.Duration, x *member) bool {
+// considersMissing reports whether this instance considers an instance of its
+// own zone missing: there has been no evidence of liveness for too long and a
+// later attempt to reach it failed as well, or its entry has refused a
+// connection since.
+func (m *Machine) considersMissing(now time.Duration, x *member) bool {
 	if x.zone != m.self.Zone {
 		return false
 	}
-	tried := x.failed > x.life.heard(now)
-	return x.life.refusedSince(now) || tried && x.state(now, m.thresholds(x)) >= Unreachable
+	tried := x.failedAt > x.facts.lastLiveAt(now)
+	return x.facts.refusedSince(now) || tried && x.state(now, m.thresholds(x)) >= Unreachable
 }
 
-// record returns the record of an instance to send.
-func (m *Machine) record(now time.Duration, x *member) record {
-	l := &x.life
-	r := record{
+// recordOf returns the record of an instance to send.
+func (m *Machine) recordOf(now time.Duration, x *member) memberRecord {
+	l := &x.facts
+	r := memberRecord{
 		incarnation: l.incarnation,
 		leaving:     l.leaving,
 		gone:        l.gone,
-		missing:     l.reportedMissing() || m.misses(now, x),
+		missing:     l.reportedMissing() || m.considersMissing(now, x),
 	}
-	if at, ok := l.clock.heard(now); ok {
+	if at, ok := l.clock.latestAt(now); ok {
 		// A packed age saturates slightly above maxRelayAge, so that an older
 		// stamp would appear more recent than it is.
 		r.hasStamp = now-at <= maxRelayAge
@@ -133,8 +134,8 @@
 // facts first. Load reports stay within a zone; that an upstream gets no work
 // is sent to all zones.
 func (m *Machine) packUpstreams(now time.Duration, to *member) []byte {
-	w := window[*upstream]{size: upstreamWindow, entries: make([]ranked[*upstream], 0, upstreamWindow)}
-	for _, u := range m.backends {
+	w := topEntries[*upstream]{size: upstreamWindow, entries: make([]ranked[*upstream], 0, upstreamWindow)}
+	for _, u := range m.sortedUpstreams {
 		if u.incarnation == 0 {
 			continue
 		}
@@ -146,8 +147,8 @@
 	for _, e := range w.entries {
 		u := e.entry
 		d := u.digest(now)
-		to.toldUpstream(u.key, toldReport{incarnation: u.incarnation, measured: u.measured, at: now})
-		u.urgent = max(u.urgent-1, 0)
+		to.setKnownReport(u.key, knownReport{incarnation: u.incarnation, measuredAt: u.measuredAt, sentAt: now})
+		u.urgentSends = max(u.urgentSends-1, 0)
 		out = d.Append(out)
 	}
 	return out
@@ -156,21 +157,21 @@
 // upstreamRank returns the rank of an upstream's digest for a partner, 0 if
 // there is nothing to send.
 func (m *Machine) upstreamRank(now time.Duration, to *member, u *upstream) time.Duration {
-	stops := u.leaving || u.refused() || u.missed()
+	stops := u.leaving || u.refused() || u.reportedMissing()
 	inZone := to.zone == m.self.Zone && u.zone == m.self.Zone
-	if u.urgent == 0 && !stops && !(inZone && u.hasReport) {
+	if u.urgentSends == 0 && !stops && !(inZone && u.hasReport) {
 		return 0
 	}
-	t, ok := to.reports[u.key]
+	t, ok := to.knownReports[u.key]
 	switch {
-	case u.urgent > 0:
-		return urgentRank + now - t.at
+	case u.urgentSends > 0:
+		return urgentRank + now - t.sentAt
 	case stops:
-		return min(now-t.at, neverSent)
+		return min(now-t.sentAt, neverSentLag)
 	case !ok || t.incarnation < u.incarnation:
-		return neverSent
+		return neverSentLag
 	default:
-		return u.measured - t.measured
+		return u.measuredAt - t.measuredAt
 	}
 }
 
@@ -186,7 +187,7 @@
 		d.HasReport, d.Sequence = true, r.Sequence
 		d.Running, d.Slots, d.Waiting = r.Running, r.Slots, r.Waiting
 		d.PiecesUsed, d.QueuedTokens = r.PiecesUsed, r.QueuedTokens
-		d.Age = now - u.measured
+		d.Age = now - u.measuredAt
 	}
 	d.Down = u.down.after > d.Sequence
 	d.Missing = u.missing.after > d.Sequence
