--- a/membership/absence_test.go
+++ b/membership/absence_test.go
@@ -9,9 +9,10 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// engineFleet is three zones with one engine in the first, of which that zone
-// has a report and nobody else knows more than its incarnation.
-func engineFleet(t *testing.T, perZone int) *fleet {
+// newEngineFleet returns a fleet of three zones with one engine in the first.
+// Only that zone has a report from the engine; the others know just its
+// incarnation.
+func newEngineFleet(t *testing.T, perZone int) *fleet {
 	f := newFleet(t, Config{}, perZone, perZone, perZone)
 	for _, n := range f.nodes {
 		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
@@ -22,14 +23,14 @@
 	return f
 }
 
-// report has a node read the engine's load.
+// report delivers a load report of the engine to a node.
 func (f *fleet) report(n *node, inc ident.Incarnation, seq uint32) {
 	n.machine.UpstreamAnswered(f.now, f.now, "dc-1")
 	n.machine.UpstreamReport(f.now, f.now, "dc-1", Report{Incarnation: inc, Sequence: seq})
 }
 
-// everyone reports whether all nodes' belief of the engine is as wanted.
-func (f *fleet) everyone(want func(State) bool) bool {
+// allNodes reports whether the engine's state satisfies want on all nodes.
+func (f *fleet) allNodes(want func(State) bool) bool {
 	for _, n := range f.nodes {
 		if !want(n.machine.View(f.now).Upstreams[0].State) {
 			return false
@@ -41,33 +42,34 @@
 func usable(s State) bool   { return s <= Suspect }
 func unusable(s State) bool { return s >= Unreachable }
 
-// TestEngineDeathIsKnownInAllZones kills an engine: connections are refused if
-// its machine runs on, and end without an answer if that is gone as well. Both
-// must be known in every zone, and so must its return.
+// TestEngineDeathIsKnownInAllZones stops an engine: connections are refused if
+// its machine still runs, and time out if the machine is gone as well. Every
+// zone must learn of both, and of the engine's return.
 func TestEngineDeathIsKnownInAllZones(t *testing.T) {
 	for _, perZone := range []int{1, 8} {
 		for _, kind := range []FailKind{FailRefused, FailTimeout} {
-			killAndRevive(t, engineFleet(t, perZone), kind)
+			stopAndRestart(t, newEngineFleet(t, perZone), kind)
 		}
 	}
 }
 
-func killAndRevive(t *testing.T, f *fleet, kind FailKind) {
+func stopAndRestart(t *testing.T, f *fleet, kind FailKind) {
 	t.Helper()
 	f.nodes[0].machine.UpstreamFailed(f.now, f.now, "dc-1", kind)
-	took := f.runUntil(time.Second, func() bool { return f.everyone(unusable) })
+	took := f.runUntil(time.Second, func() bool { return f.allNodes(unusable) })
 	t.Logf("kind %d: known by all after %s", kind, took)
 	f.run(20 * time.Second)
-	assert.Assert(t, f.everyone(unusable))
+	assert.Assert(t, f.allNodes(unusable))
 	f.report(f.nodes[0], 6, 1)
-	took = f.runUntil(time.Second, func() bool { return f.everyone(usable) })
+	took = f.runUntil(time.Second, func() bool { return f.allNodes(usable) })
 	t.Logf("kind %d: return known by all after %s", kind, took)
 }
 
-// TestAnsweringEngineIsNotMissing lets an engine answer one instance of its zone
-// and not another: whose trouble it is, the reports tell.
+// TestAnsweringEngineIsNotMissing has an engine answer one instance of its zone
+// and not another. The engine's newer reports show that the other instance is
+// at fault, so the rest of the fleet keeps using the engine.
 func TestAnsweringEngineIsNotMissing(t *testing.T) {
-	f := engineFleet(t, 8)
+	f := newEngineFleet(t, 8)
 	f.report(f.nodes[1], 5, 2)
 	f.run(DefaultUpstreamGrace - step)
 	f.nodes[0].machine.UpstreamFailed(f.now, f.now, "dc-1", FailTimeout)
@@ -75,19 +77,20 @@
 	for _, n := range f.nodes[1:] {
 		assert.Assert(t, usable(n.machine.View(f.now).Upstreams[0].State), n.id)
 	}
-	// When it has heard of no report for long it says so, and is corrected.
+	// With no report for longer than the grace period it reports the engine
+	// missing; the next report corrects that.
 	f.nodes[0].machine.UpstreamFailed(f.now, f.now, "dc-1", FailTimeout)
 	f.run(time.Second)
 	f.report(f.nodes[1], 5, 3)
-	f.runUntil(time.Second, func() bool { return f.everyone(usable) })
+	f.runUntil(time.Second, func() bool { return f.allNodes(usable) })
 }
 
-// TestMissingIsForItsOwnZoneToSay cuts one zone off: what it cannot reach
-// elsewhere is no news to the others.
+// TestMissingIsForItsOwnZoneToSay has an instance fail to reach an engine of
+// another zone: it must not report the engine missing to the other instances.
 func TestMissingIsForItsOwnZoneToSay(t *testing.T) {
-	f := engineFleet(t, 8)
+	f := newEngineFleet(t, 8)
 	f.nodes[8].machine.UpstreamFailed(f.now, f.now, "dc-1", FailTimeout)
-	assert.Assert(t, !f.nodes[8].machine.upstreams["dc-1"].absent(), "it marked it for all")
+	assert.Assert(t, !f.nodes[8].machine.upstreams["dc-1"].markedAbsent(), "the engine is marked missing by an instance of another zone")
 	for range 100 {
 		f.run(step)
 		for _, n := range f.nodes {
@@ -96,26 +99,27 @@
 	}
 }
 
-// TestWhoKnowsOfALaterReportSaysSo has a peer miss what this instance has just
-// read.
+// TestWhoKnowsOfALaterReportSaysSo has a peer report an engine missing after an
+// older report than this instance has: this instance must send the newer one.
 func TestWhoKnowsOfALaterReportSaysSo(t *testing.T) {
-	m := lone()
-	m.UpstreamReport(at(0), at(0), "dc-1", Report{Incarnation: 5, Sequence: 7})
+	m := newMachineWithPeer()
+	m.UpstreamReport(timeAt(0), timeAt(0), "dc-1", Report{Incarnation: 5, Sequence: 7})
 	missed := UpstreamDigest{Key: uint64(keyOf("dc-1")), Incarnation: 5, Sequence: 6, Missing: true}
-	hear(t, m, time.Second, Heartbeat{Upstreams: missed.Append(nil)})
-	assert.Equal(t, upstreamSeen(m, time.Second).State, Alive)
-	assert.Assert(t, m.upstreams["dc-1"].urgent > 0)
+	receiveFromOther(t, m, time.Second, Heartbeat{Upstreams: missed.Append(nil)})
+	assert.Equal(t, upstreamView(m, time.Second).State, Alive)
+	assert.Assert(t, m.upstreams["dc-1"].urgentSends > 0)
 }
 
-// TestContradictedMissingIsNotSaidAtOnceAgain keeps an instance that alone does
-// not reach an engine from having the whole fleet told every second.
+// TestContradictedMissingIsNotSaidAtOnceAgain guards against an instance that
+// alone can't reach an engine having the mark sent through the whole fleet
+// again and again: repeated marks back off.
 func TestContradictedMissingIsNotSaidAtOnceAgain(t *testing.T) {
-	m := lone()
+	m := newMachineWithPeer()
 	said := 0
 	for d := time.Duration(0); d < 3*time.Minute; d += 4 * time.Second {
-		m.UpstreamReport(at(d), at(d), "dc-1", Report{Incarnation: 5, Sequence: uint32(d / time.Second)})
-		m.UpstreamFailed(at(d+2*time.Second), at(d+2*time.Second), "dc-1", FailTimeout)
-		if m.upstreams["dc-1"].absent() {
+		m.UpstreamReport(timeAt(d), timeAt(d), "dc-1", Report{Incarnation: 5, Sequence: uint32(d / time.Second)})
+		m.UpstreamFailed(timeAt(d+2*time.Second), timeAt(d+2*time.Second), "dc-1", FailTimeout)
+		if m.upstreams["dc-1"].markedAbsent() {
 			said++
 		}
 	}
--- a/membership/view.go
+++ b/membership/view.go
@@ -9,22 +9,23 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// NoAge is the age of something that never happened.
+// NoAge is the age of an event that never happened.
 const NoAge = time.Duration(-1)
 
-// View is what is believed at one time. It is never changed.
+// View is the state of all instances and upstreams at one time. It is
+// immutable.
 type View struct {
-	// Version rises when a state, a mark, an incarnation, a load report or the
-	// trust changes, not when only ages do.
+	// Version increases when a state, a mark, an incarnation, a load report or
+	// the trust changes, but not when only ages do.
 	Version uint64
 	At      time.Time
 	Trusted bool
-	// Leaving says that this instance takes no new work.
+	// Leaving is true if this instance takes no new work.
 	Leaving bool
-	// Superseded says that a peer knows a higher incarnation of this instance:
-	// its clock went back, or two processes have the same ID.
+	// Superseded is true if a peer knows a higher incarnation of this instance:
+	// its clock was set back, or two processes have the same ID.
 	Superseded bool
-	// Digest is Machine.Digest.
+	// Digest is the value of Machine.Digest.
 	Digest uint64
 	// ListAge is the time since the newest platform list was read, or NoAge.
 	ListAge   time.Duration
@@ -32,31 +33,33 @@
 	Upstreams []Upstream
 }
 
-// Instance is what is believed of another instance.
+// Instance is the state of another instance.
 type Instance struct {
 	ID      ident.InstanceID
 	Zone    ident.Zone
 	Address string
-	// Incarnation is the highest known, 0 if none is. All lower ones are dead.
+	// Incarnation is the highest one known, 0 if none is. All lower ones are
+	// dead.
 	Incarnation ident.Incarnation
 	State       State
 	Leaving     bool
-	// Reachable is false if this instance's own last attempt to reach it failed.
-	// An instance can be alive, as others hear it, and not be reachable.
+	// Reachable is false if this instance's own last attempt to reach it
+	// failed. An instance that others hear can be alive and still not be
+	// reachable from here.
 	Reachable bool
 	// Listed is false if neither the settings nor the newest list names it.
 	Listed bool
-	// Age is the time since its last sign of life, or NoAge.
+	// Age is the time since its last evidence of liveness, or NoAge.
 	Age time.Duration
 }
 
-// Ended reports whether the given incarnation of the instance is known not to
-// run any more, so that what it left behind may be released.
+// Ended reports whether the given incarnation of the instance is known to have
+// stopped running, so that the resources it left behind may be released.
 func (i Instance) Ended(inc ident.Incarnation) bool {
 	return inc < i.Incarnation || inc == i.Incarnation && i.State == Dead
 }
 
-// Upstream is what is believed of a back end.
+// Upstream is the state of an upstream.
 type Upstream struct {
 	ID          ident.UpstreamID
 	Zone        ident.Zone
@@ -69,64 +72,64 @@
 	HasReport bool
 	Report    Report
 	ReportAge time.Duration
-	// Age is the time since its last sign of life, or NoAge.
+	// Age is the time since its last evidence of liveness, or NoAge.
 	Age time.Duration
 }
 
-// viewState tells whether the view changed.
+// viewState detects whether the view has changed.
 type viewState struct {
 	version     uint64
 	fingerprint uint64
 }
 
-// View returns what is believed now.
+// View returns the current view.
 func (m *Machine) View(now time.Time) *View {
 	trusted := m.Trusted(now)
 	at := m.last
 	v := &View{
 		At:         now,
 		Trusted:    trusted,
-		Leaving:    m.state.Leaving,
+		Leaving:    m.selfState.Leaving,
 		Superseded: m.superseded,
 		Digest:     m.Digest(),
 		ListAge:    NoAge,
-		Instances:  make([]Instance, 0, len(m.roster)),
-		Upstreams:  make([]Upstream, 0, len(m.backends)),
+		Instances:  make([]Instance, 0, len(m.sortedMembers)),
+		Upstreams:  make([]Upstream, 0, len(m.sortedUpstreams)),
 	}
 	if m.lists.read {
 		v.ListAge = at - m.lists.readAt
 	}
-	for _, x := range m.roster {
+	for _, x := range m.sortedMembers {
 		v.Instances = append(v.Instances, m.instance(at, x))
 	}
-	doubts := m.zoneDoubts()
-	for _, u := range m.backends {
+	evidence := m.collectZoneEvidence()
+	for _, u := range m.sortedUpstreams {
 		seen := m.upstream(at, u)
-		if seen.State <= Suspect && doubts.covers(u) {
+		if seen.State <= Suspect && evidence.zoneUnreachable(u) {
 			seen.State = Unreachable
 		}
 		v.Upstreams = append(v.Upstreams, seen)
 	}
-	m.number(v)
+	m.assignVersion(v)
 	return v
 }
 
-// instance describes a member.
+// instance returns the view of a member.
 func (m *Machine) instance(now time.Duration, x *member) Instance {
 	return Instance{
 		ID:          x.id,
 		Zone:        x.zone,
 		Address:     x.address,
-		Incarnation: x.life.incarnation,
+		Incarnation: x.facts.incarnation,
 		State:       x.state(now, m.thresholds(x)),
 		Leaving:     x.isLeaving(),
 		Reachable:   x.reachable(),
 		Listed:      x.listed || x.seed,
-		Age:         ageOf(now, x.life.heard(now)),
+		Age:         ageOf(now, x.facts.lastLiveAt(now)),
 	}
 }
 
-// upstream describes a back end.
+// upstream returns the view of an upstream.
 func (m *Machine) upstream(now time.Duration, u *upstream) Upstream {
 	out := Upstream{
 		ID:          u.id,
@@ -136,16 +139,16 @@
 		State:       u.state(now, m.cfg.UpstreamFresh),
 		Leaving:     u.isLeaving(),
 		Listed:      u.listed,
-		Age:         ageOf(now, u.alive()),
+		Age:         ageOf(now, u.lastLiveAt()),
 		ReportAge:   NoAge,
 	}
 	if u.hasReport {
-		out.HasReport, out.Report, out.ReportAge = true, u.report, now-u.measured
+		out.HasReport, out.Report, out.ReportAge = true, u.report, now-u.measuredAt
 	}
 	return out
 }
 
-// ageOf returns the time since an event.
+// ageOf returns the time since an event, or NoAge.
 func ageOf(now, at time.Duration) time.Duration {
 	if at == never {
 		return NoAge
@@ -153,19 +156,19 @@
 	return now - at
 }
 
-// number gives the view its version.
-func (m *Machine) number(v *View) {
+// assignVersion sets the view's version.
+func (m *Machine) assignVersion(v *View) {
 	h := xxhash.New()
 	writeBools(h, v.Trusted, v.Leaving, v.Superseded)
 	for i := range v.Instances {
 		x := &v.Instances[i]
-		writeID(h, string(x.ID), x.Address)
+		writeStrings(h, string(x.ID), x.Address)
 		writeInts(h, uint64(x.Incarnation), uint64(x.State))
 		writeBools(h, x.Leaving, x.Reachable, x.Listed)
 	}
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
-		writeID(h, string(u.ID), u.Address)
+		writeStrings(h, string(u.ID), u.Address)
 		writeInts(h, uint64(u.Incarnation), uint64(u.State), uint64(u.Report.Sequence))
 		writeBools(h, u.Leaving, u.Listed, u.HasReport)
 	}
@@ -176,17 +179,17 @@
 	v.Version = m.views.version
 }
 
-// Digest fingerprints the sticky facts of the own zone: each instance's and
-// upstream's incarnation and marks. Two instances of a zone with equal digests
-// agree on them.
+// Digest returns a fingerprint of the sticky facts of the own zone: the
+// incarnation and marks of each instance and upstream. Two instances of a zone
+// with equal digests agree on them.
 func (m *Machine) Digest() uint64 {
-	sum := stickyHash(keyOf(string(m.self.Instance)), uint64(m.state.Incarnation), m.state.Leaving, m.state.Gone)
-	for _, x := range m.roster {
-		if x.zone == m.self.Zone && x.life.incarnation != 0 {
-			sum ^= stickyHash(x.key, uint64(x.life.incarnation), x.life.leaving, x.life.gone)
+	sum := stickyHash(keyOf(string(m.self.Instance)), uint64(m.selfState.Incarnation), m.selfState.Leaving, m.selfState.Gone)
+	for _, x := range m.sortedMembers {
+		if x.zone == m.self.Zone && x.facts.incarnation != 0 {
+			sum ^= stickyHash(x.key, uint64(x.facts.incarnation), x.facts.leaving, x.facts.gone)
 		}
 	}
-	for _, u := range m.backends {
+	for _, u := range m.sortedUpstreams {
 		if u.zone == m.self.Zone && u.incarnation != 0 {
 			sum ^= stickyHash(u.key, uint64(u.incarnation), u.leaving, false)
 		}
@@ -194,8 +197,8 @@
 	return sum
 }
 
-// stickyHash hashes the sticky facts of one process. The digest is the exclusive
-// or of all, so that their order is without effect.
+// stickyHash hashes the sticky facts of one process. The digest is the
+// exclusive or of all hashes, so that their order has no effect.
 func stickyHash(key recordKey, inc uint64, leaving, gone bool) uint64 {
 	if inc == 0 {
 		return 0
@@ -208,16 +211,16 @@
 	return xxhash.Sum64(b[:])
 }
 
-// writeID adds texts to a hash, each ended by a zero byte.
-func writeID(h *xxhash.Digest, texts ...string) {
+// writeStrings adds strings to a hash, each terminated by a zero byte.
+func writeStrings(h *xxhash.Digest, texts ...string) {
 	for _, s := range texts {
-		// A Digest's writes never fail.
+		// Writes to a Digest never fail.
 		_, _ = h.WriteString(s)
 		_, _ = h.Write([]byte{0})
 	}
 }
 
-// writeInts adds numbers to a hash.
+// writeInts adds integers to a hash.
 func writeInts(h *xxhash.Digest, values ...uint64) {
 	var b [8]byte
 	for _, v := range values {
@@ -226,7 +229,7 @@
 	}
 }
 
-// writeBools adds truth values to a hash.
+// writeBools adds booleans to a hash.
 func writeBools(h *xxhash.Digest, values ...bool) {
 	for _, v := range values {
 		var b byte
