--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkCall measures one call over loopback TCP, both ends in one process.
+// BenchmarkCall measures one call over loopback TCP with both ends in one
+// process.
 func BenchmarkCall(b *testing.B) {
 	addr := startServer(b, Config{Self: entryB, Allow: allowAll}, func(s *Server) { Handle(s, "echo", echo) })
 	p := startPool(b, Config{Self: entryA, Allow: allowAll})
@@ -22,7 +23,7 @@
 	b.ReportMetric(float64(total.Received)/float64(b.N), "recvB/op")
 }
 
-// BenchmarkCallParallel measures calls in flight together on one connection.
+// BenchmarkCallParallel measures concurrent calls on one connection.
 func BenchmarkCallParallel(b *testing.B) {
 	addr := startServer(b, Config{Self: entryB, Allow: allowAll}, func(s *Server) { Handle(s, "echo", echo) })
 	p := startPool(b, Config{Self: entryA, Allow: allowAll})
--- a/peer/call.go
+++ b/peer/call.go
@@ -8,17 +8,17 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Option adjusts one call.
+// Option configures a single call or notification.
 type Option func(*callOptions)
 
-// callOptions is what options set.
+// callOptions holds the values set by Options.
 type callOptions struct {
 	want Identity
 }
 
-// Expect makes a call only if the given incarnation of the given instance
-// answers at the address; otherwise it fails, not sent, with a
-// *WrongInstanceError. Incarnation 0 accepts any.
+// Expect requires the peer at the address to be the given incarnation of the
+// given instance. Otherwise the call fails with a *WrongInstanceError and
+// Delivery NotSent. Incarnation 0 matches any incarnation.
 func Expect(instance ident.InstanceID, incarnation ident.Incarnation) Option {
 	return func(o *callOptions) {
 		o.want = Identity{Instance: instance, Incarnation: incarnation}
@@ -26,11 +26,11 @@
 }
 
 // Call calls a method of the peer at addr ("ip:port") and returns its result.
-// The call ends with ctx or after Limits.Call. Every error is a *CallError whose
-// Delivery says whether the call can have run; its cause is a registered error
-// type, a *RemoteError, *DialError, *BackoffError, *BusyError, *ClosedError,
-// *TooLargeError, *FrameError, *WrongInstanceError, one of the hello's errors or
-// the context's.
+// The call ends when ctx is done or after Limits.Call. Every error is a
+// *CallError whose Delivery says whether the call may have run. Its cause is a
+// registered error type, *RemoteError, *DialError, *BackoffError, *BusyError,
+// *ClosedError, *TooLargeError, *FrameError, *WrongInstanceError, an error of the
+// hello or the context's error.
 func Call[Resp any](ctx context.Context, p *Pool, addr, method string, req any, opts ...Option) (Resp, error) {
 	var resp Resp
 	c, err := p.ready(ctx, addr, method, opts)
@@ -48,7 +48,7 @@
 }
 
 // Notify queues a notification to the peer at addr. A nil error means only that
-// it was queued. Errors are as those of Call, always NotSent.
+// it was queued. Errors are those of Call, always with Delivery NotSent.
 func Notify(ctx context.Context, p *Pool, addr, method string, req any, opts ...Option) error {
 	c, err := p.ready(ctx, addr, method, opts)
 	if err != nil {
@@ -57,7 +57,8 @@
 	return c.notify(ctx, method, req)
 }
 
-// ready returns a connection to the peer that the options ask for.
+// ready returns a connection to the peer at addr, dialling it if needed, and
+// checks that the peer is the one that the options require.
 func (p *Pool) ready(ctx context.Context, addr, method string, opts []Option) (*clientConn, error) {
 	var o callOptions
 	for _, set := range opts {
@@ -73,20 +74,21 @@
 	return c, nil
 }
 
-// check compares the connected peer with the expected one.
+// check returns a *WrongInstanceError unless got is the expected peer.
 func (o callOptions) check(got Identity) error {
 	if o.want.Instance == "" {
 		return nil
 	}
-	sameLife := o.want.Incarnation == 0 || o.want.Incarnation == got.Incarnation
-	if o.want.Instance == got.Instance && sameLife {
+	sameIncarnation := o.want.Incarnation == 0 || o.want.Incarnation == got.Incarnation
+	if o.want.Instance == got.Instance && sameIncarnation {
 		return nil
 	}
 	return &WrongInstanceError{Want: o.want, Got: got}
 }
 
-// plainCause strips a *CallError, whose Delivery is about a hello and not about
-// the call that needed the connection.
+// plainCause returns the cause of a *CallError, and any other error as it is. It
+// is used for errors of the hello, whose Delivery does not apply to the call that
+// opened the connection.
 func plainCause(err error) error {
 	var ce *CallError
 	if errors.As(err, &ce) {
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -20,22 +20,24 @@
 	remote  Identity
 
 	mu sync.Mutex
-	// retired is set when no further call may start.
+	// retired is set when the connection accepts no further calls.
 	retired bool
 	lastID  uint64
-	// pending holds the calls without an answer, also those given up.
+	// pending holds the calls without a response, by request ID, including those
+	// whose callers have stopped waiting.
 	pending  map[uint64]*pendingCall
 	lastUsed time.Time
 	idle     *time.Timer
 }
 
-// pendingCall is a call without an answer.
+// pendingCall is a call that has not been answered.
 type pendingCall struct {
 	started  time.Time
 	progress progress
 }
 
-// onSend notes which call's frame is written next.
+// onSend is the OnSend hook of jsonrpc2. It sets the progress of the frame that
+// is passed to WriteObject next.
 func (c *clientConn) onSend(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 	c.stream.next = nil
 	if req == nil || req.Notif {
@@ -48,15 +50,16 @@
 	}
 }
 
-// onRecv counts an answered call out.
+// onRecv is the OnRecv hook of jsonrpc2. It removes an answered call from
+// pending.
 func (c *clientConn) onRecv(_ *jsonrpc2.Request, resp *jsonrpc2.Response) {
 	if resp != nil {
 		c.finish(resp.ID.Num)
 	}
 }
 
-// begin counts a call in and gives it its ID. Errors are *BusyError and
-// *ClosedError; nothing is sent then.
+// begin adds a call to pending and assigns its ID. Errors are *BusyError and
+// *ClosedError; the call has not been sent then.
 func (c *clientConn) begin() (uint64, *pendingCall, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +68,8 @@
 	}
 	if len(c.pending) >= c.cfg.Limits.Calls {
 		if c.stale() {
-			// The peer leaves calls unanswered: a new connection is due.
+			// The peer has stopped answering: close the connection, so that the
+			// next call opens a new one.
 			c.stream.fail(&TimeoutError{Method: "calls without answer"})
 		}
 		return 0, nil, &BusyError{What: "calls in progress", Limit: c.cfg.Limits.Calls}
@@ -78,14 +82,15 @@
 	return c.lastID, p, nil
 }
 
-// finish counts a call out.
+// finish removes a call from pending.
 func (c *clientConn) finish(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
 }
 
-// stale reports whether an answer is long overdue. The caller holds mu.
+// stale reports whether a pending call is older than Limits.Call. The caller
+// holds mu.
 func (c *clientConn) stale() bool {
 	limit := time.Now().Add(-c.cfg.Limits.Call)
 	for _, p := range c.pending {
@@ -96,14 +101,15 @@
 	return false
 }
 
-// wanted reports whether a connection on which nothing arrives is worth keeping.
+// wanted reports whether to keep a connection on which no frame arrives: whether
+// calls are pending and none is overdue.
 func (c *clientConn) wanted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending) > 0 && !c.stale()
 }
 
-// call sends a call and waits for its answer. Errors are *CallError.
+// call sends a call and waits for its response. Errors are *CallError.
 func (c *clientConn) call(ctx context.Context, method string, params any) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Limits.Call)
 	defer cancel()
@@ -124,7 +130,8 @@
 	return raw, nil
 }
 
-// timeoutMeta tells the server how long the caller waits.
+// timeoutMeta returns request metadata that tells the server how long the caller
+// waits.
 func timeoutMeta(ctx context.Context) jsonrpc2.CallOption {
 	d, ok := ctx.Deadline()
 	if !ok {
@@ -134,7 +141,7 @@
 	return jsonrpc2.Meta(callMeta{TimeoutMS: ms})
 }
 
-// failed finds out how far a failed call got.
+// failed determines the Delivery and the cause of a failed call.
 func (c *clientConn) failed(ctx context.Context, method string, id uint64, p *pendingCall, err error) error {
 	var remote *jsonrpc2.Error
 	switch {
@@ -142,7 +149,7 @@
 		delivery, cause := decodeRemote(remote)
 		return c.fault(method, delivery, cause)
 	case errors.Is(err, jsonrpc2.ErrClosed):
-		// The writer must have ended before the frame's progress is final.
+		// The progress of the frame is final only after the writer has ended.
 		_ = c.stream.Close()
 		return c.fault(method, undelivered(p), c.stream.closedBy())
 	case ctx.Err() != nil:
@@ -156,7 +163,8 @@
 	}
 }
 
-// undelivered gives a call's frame up and says how far it got.
+// undelivered withdraws the frame of a call if it is still queued. It returns
+// NotSent if the peer cannot have received the whole frame, otherwise Unknown.
 func undelivered(p *pendingCall) Delivery {
 	if p.progress.withdraw() {
 		return NotSent
@@ -164,8 +172,8 @@
 	return Unknown
 }
 
-// sendCancel tells the server that nobody waits for a call. It only queues a
-// frame; when that fails the call runs until its time is over.
+// sendCancel tells the server that the caller has stopped waiting for a call. It
+// only queues a frame; if that fails, the call runs until it times out.
 func (c *clientConn) sendCancel(ctx context.Context, id uint64) {
 	_ = c.rpc.Notify(ctx, methodCancel, jsonrpc2.ID{Num: id})
 }
@@ -185,7 +193,8 @@
 	return nil
 }
 
-// cause replaces the library's closed error by the reason for closing.
+// cause replaces the ErrClosed of jsonrpc2 by the reason for which the stream
+// closed.
 func (c *clientConn) cause(err error) error {
 	if errors.Is(err, jsonrpc2.ErrClosed) {
 		return c.stream.closedBy()
@@ -193,12 +202,12 @@
 	return err
 }
 
-// fault builds the error of a call.
+// fault returns a *CallError for a call on this connection.
 func (c *clientConn) fault(method string, d Delivery, err error) error {
 	return &CallError{Addr: c.addr, Method: method, Delivery: d, Err: err}
 }
 
-// alive reports whether calls may start on the connection.
+// alive reports whether the connection accepts calls.
 func (c *clientConn) alive() bool {
 	select {
 	case <-c.rpc.DisconnectNotify():
@@ -210,7 +219,7 @@
 	return !c.retired
 }
 
-// close closes the connection for a reason.
+// close closes the connection; cause is reported to the pending calls.
 func (c *clientConn) close(cause error) {
 	c.mu.Lock()
 	c.retired = true
@@ -224,12 +233,12 @@
 	}
 	c.stream.fail(cause)
 	if c.rpc != nil {
-		// Already closed is as good.
+		// The error only says that it is closed already.
 		_ = c.rpc.Close()
 	}
 }
 
-// stats describes the connection.
+// stats returns the connection's statistics.
 func (c *clientConn) stats() ConnStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/peer/config.go
+++ b/peer/config.go
@@ -8,42 +8,44 @@
 	"time"
 )
 
-// Dialer opens connections to peers. *net.Dialer implements it; tests put in
-// one that cuts peers off.
+// Dialer opens connections to peers. *net.Dialer implements it; tests substitute
+// one that simulates network partitions.
 type Dialer interface {
 	DialContext(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// TLS gives the TLS settings in force. It is asked once for each connection, so
-// that new certificates take effect without a restart.
+// TLS provides the current TLS configuration. It is called once per connection,
+// so that new certificates take effect without a restart.
 type TLS interface {
-	// ServerConfig returns the settings for accepted connections. It must
+	// ServerConfig returns the configuration for accepted connections. It must
 	// require and verify client certificates.
 	ServerConfig() *tls.Config
-	// ClientConfig returns the settings for dialled connections. It verifies
-	// the chain; the name is checked against the hello.
+	// ClientConfig returns the configuration for dialled connections. It must
+	// verify the certificate chain; this package compares the certificate's name
+	// with the hello.
 	ClientConfig() *tls.Config
 }
 
-// Config is what a Server or a Pool needs to know.
+// Config configures a Server or a Pool.
 type Config struct {
-	// Self is this process's own identity, sent in the hello. Its Addr is not
+	// Self is the identity of this process, sent in the hello. Its Addr is not
 	// sent.
 	Self Identity
-	// Allow reports whether a peer is believed: whether the settings or the
-	// platform's list names it. Nil refuses everyone. It must not block.
+	// Allow reports whether a peer may connect: whether it is listed in the
+	// settings or by the platform. Nil refuses every peer. It must not block.
 	Allow func(Identity) bool
 	// TLS is nil for plain TCP.
 	TLS TLS
-	// Dialer is used by a Pool. Nil means a *net.Dialer.
+	// Dialer opens the connections of a Pool. Nil means a *net.Dialer.
 	Dialer Dialer
-	// Limits bound what peers can cost. Zero fields take their defaults.
+	// Limits bounds the resources that peers can use. Zero fields take their
+	// defaults.
 	Limits Limits
-	// Log receives connection failures. Nil discards them.
+	// Log receives connection failures and handler panics. Nil discards them.
 	Log *slog.Logger
 }
 
-// withDefaults fills in what the configuration leaves open.
+// withDefaults sets unset fields to their defaults.
 func (c Config) withDefaults() Config {
 	c.Limits = c.Limits.withDefaults()
 	if c.Allow == nil {
@@ -58,43 +60,44 @@
 	return c
 }
 
-// Limits bound the memory, connections and time that peers can take. A field
-// that is zero takes its default.
+// Limits bounds the memory, connections and time that peers can use. Zero fields
+// take their defaults.
 type Limits struct {
-	// Frame is the largest frame sent or received, in bytes.
+	// Frame is the maximum size of a frame sent or received, in bytes.
 	Frame int
-	// HelloFrame is the largest frame received before the hello, in bytes.
+	// HelloFrame is the maximum size of a frame received before the hello has
+	// been accepted, in bytes.
 	HelloFrame int
-	// Calls is the most calls in progress on one connection.
+	// Calls is the maximum number of calls in progress per connection.
 	Calls int
-	// Connections is the most connections of a Server, or of a Pool.
+	// Connections is the maximum number of connections of a Server or a Pool.
 	Connections int
-	// QueueFrames and QueueBytes bound what waits to be written on one
-	// connection.
+	// QueueFrames and QueueBytes bound the write queue of one connection.
 	QueueFrames int
 	QueueBytes  int
 	// Dial bounds the TCP connect.
 	Dial time.Duration
-	// Hello bounds the TLS handshake and the hello exchange, each.
+	// Hello bounds the TLS handshake and the hello exchange. A Pool applies it to
+	// both together, a Server to each.
 	Hello time.Duration
-	// Call is the default and the longest time one call may take.
+	// Call is the default and the maximum timeout of one call.
 	Call time.Duration
-	// Write bounds the writing of one frame; a peer that reads more slowly is
-	// dropped.
+	// Write bounds the writing of one frame; the connection to a peer that reads
+	// more slowly is closed.
 	Write time.Duration
-	// Read bounds the arrival of one frame after its first byte.
+	// Read bounds the time from the first byte of a frame to its last.
 	Read time.Duration
-	// Idle is how long a Server keeps a connection without frames. A Pool
-	// closes its own after half of it, so that a call does not meet a
-	// connection that the server is closing.
+	// Idle is how long a Server keeps a connection on which no frame arrives. A
+	// Pool closes unused connections after half of it, so that no call is sent
+	// on a connection that the server is closing.
 	Idle time.Duration
-	// BackoffMin and BackoffMax bound the jittered pause between attempts to
-	// reach one address.
+	// BackoffMin and BackoffMax bound the exponential backoff, before jitter,
+	// between attempts to connect to one address.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
 }
 
-// Default limits.
+// Default values of the fields of Limits.
 const (
 	DefaultFrame       = 1 << 20
 	DefaultHelloFrame  = 4 << 10
@@ -112,7 +115,7 @@
 	DefaultBackoffMax  = 5 * time.Second
 )
 
-// withDefaults replaces zero fields by their defaults.
+// withDefaults sets fields that are not positive to their defaults.
 func (l Limits) withDefaults() Limits {
 	orInt := func(v *int, d int) {
 		if *v <= 0 {
--- a/peer/connect.go
+++ b/peer/connect.go
@@ -12,7 +12,7 @@
 )
 
 // connect opens a connection and exchanges hellos. Errors are *DialError and
-// those of the hello.
+// errors of the hello.
 func connect(ctx context.Context, addr string, cfg Config) (*clientConn, error) {
 	dctx, cancel := context.WithTimeout(ctx, cfg.Limits.Dial)
 	defer cancel()
@@ -37,15 +37,16 @@
 	return c, nil
 }
 
-// greet makes the connection ready for calls.
+// greet performs the TLS handshake, starts the JSON-RPC connection, exchanges
+// hellos and verifies the peer's identity.
 func (c *clientConn) greet(ctx context.Context) error {
 	conn, err := c.secure(ctx)
 	if err != nil {
 		return c.helloFailed(err)
 	}
 	c.stream = newStream(conn, c.cfg.Limits, c.wanted)
-	// The answer to the hello is the first frame; the server was chosen by its
-	// address, so that it may send frames of the full size.
+	// The response to the hello is the first frame. This side chose the server's
+	// address, so frames of the full size are accepted from the start.
 	c.stream.trust()
 	c.rpc = jsonrpc2.NewConn(context.Background(), c.stream, refuseAll{},
 		jsonrpc2.OnSend(c.onSend), jsonrpc2.OnRecv(c.onRecv), jsonrpc2.SetLogger(rpcLog{slog.New(slog.DiscardHandler)}))
@@ -61,8 +62,9 @@
 	return err
 }
 
-// helloFailed gives the failure of a handshake or a hello its type: the remote's
-// own refusal, or a *DialError.
+// helloFailed classifies the failure of a TLS handshake or a hello: timeouts,
+// closed connections and TLS errors become a *DialError. Other errors, such as a
+// refusal by the remote process, are returned without their *CallError.
 func (c *clientConn) helloFailed(err error) error {
 	cause := plainCause(err)
 	var closed *ClosedError
@@ -76,7 +78,7 @@
 	}
 }
 
-// secure performs the TLS handshake where TLS is configured.
+// secure performs the TLS handshake if TLS is configured.
 func (c *clientConn) secure(ctx context.Context) (net.Conn, error) {
 	if c.cfg.TLS == nil {
 		return c.counted, nil
@@ -85,7 +87,8 @@
 	return t, t.HandshakeContext(ctx)
 }
 
-// refuseAll answers calls on dialled connections, where none are expected.
+// refuseAll refuses calls received on dialled connections; only the dialling side
+// makes calls.
 type refuseAll struct{}
 
 // Handle implements jsonrpc2.Handler.
--- a/peer/delivery_test.go
+++ b/peer/delivery_test.go
@@ -15,7 +15,7 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// dialRaw returns a pool connected to a hand-written peer.
+// dialRaw returns a pool with a connection whose far end the test controls.
 func dialRaw(t *testing.T, limits Limits) (*Pool, *pipeDialer, *remote) {
 	t.Helper()
 	d := &pipeDialer{}
@@ -36,7 +36,7 @@
 	big := echoRequest{Text: string(make([]byte, 64<<10))}
 	tests := []struct {
 		name string
-		// peer acts while the call waits.
+		// peer is run at the far end while the call is in progress.
 		peer func(r *remote)
 		req  echoRequest
 		want Delivery
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestQueuedCallIsWithdrawn blocks the writer with one call, so that the next
-// ones wait in the queue: given up there, they are never sent.
+// TestQueuedCallIsWithdrawn checks that calls that time out in the write queue are
+// never sent. The writer is blocked by one call, so that later calls stay queued.
 func TestQueuedCallIsWithdrawn(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		p, _, r := dialRaw(t, Limits{QueueFrames: 2})
@@ -106,8 +106,8 @@
 		assert.Equal(t, DeliveryOf(err), NotSent)
 		assert.Equal(t, DeliveryOf(<-queued), NotSent)
 		assert.Equal(t, DeliveryOf(<-queued), NotSent)
-		// The peer reads again: it gets the first call and the cancel, nothing
-		// of the withdrawn ones.
+		// When the peer reads again, it receives the first call and its
+		// cancellation, but none of the withdrawn calls.
 		assert.Equal(t, r.receive().ID, uint64(2))
 		assert.Equal(t, DeliveryOf(<-first), Unknown)
 		assert.Equal(t, r.receive().Method, methodCancel)
@@ -154,7 +154,8 @@
 	})
 }
 
-// TestBackoffBoundsDials calls a dead address every 10 ms for a minute.
+// TestBackoffBoundsDials checks the number of dials when an address that refuses
+// connections is called every 10 ms for a minute.
 func TestBackoffBoundsDials(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := &pipeDialer{fail: &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}}
@@ -168,7 +169,8 @@
 			assert.Equal(t, de.Kind, DialRefused)
 			time.Sleep(10 * time.Millisecond)
 		}
-		// 100 ms doubling to 5 s takes 6 attempts; then one each 2.5 to 7.5 s.
-		assert.Assert(t, d.count() >= 12 && d.count() <= 35, "%d dials", d.count())
+		// The backoff doubles from 100 ms to 5 s in 6 attempts; after that there is
+		// one attempt every 2.5 to 7.5 s.
+		assert.Assert(t, d.count() >= 12 && d.count() <= 35, "%d dials, want 12 to 35", d.count())
 	})
 }
--- a/peer/dialerror.go
+++ b/peer/dialerror.go
@@ -8,25 +8,27 @@
 	"syscall"
 )
 
-// DialKind says how an attempt to connect failed. The difference matters to
-// membership: a refusal proves that the process is gone, a timeout does not.
+// DialKind classifies a failure to connect. Membership depends on it: a refused
+// connection proves that the process has ended, a timeout does not.
 type DialKind int
 
 const (
-	// DialOther is any failure without a more exact kind.
+	// DialOther is any failure that has no more specific kind.
 	DialOther DialKind = iota
-	// DialRefused means that the remote kernel answered: nothing listens there.
+	// DialRefused means that the remote kernel refused the connection: no process
+	// listens on the address.
 	DialRefused
-	// DialTimeout means that nothing answered in time.
+	// DialTimeout means that the connection attempt timed out.
 	DialTimeout
-	// DialUnreachable means that the network knows no way there.
+	// DialUnreachable means that there is no route to the host or network.
 	DialUnreachable
-	// DialSilent means that the remote kernel accepted the connection and the
-	// process did not answer the hello in time: it may be paused.
+	// DialSilent means that the remote kernel accepted the connection, but the
+	// process did not complete the TLS handshake and the hello in time. The
+	// process may be paused.
 	DialSilent
 )
 
-// String returns the name used in logs.
+// String returns the name of k as used in logs.
 func (k DialKind) String() string {
 	switch k {
 	case DialRefused:
@@ -42,7 +44,7 @@
 	}
 }
 
-// DialError reports a connection that could not be opened.
+// DialError reports a failure to open a connection.
 type DialError struct {
 	Addr string
 	Kind DialKind
@@ -52,15 +54,15 @@
 // Error implements error.
 func (e *DialError) Error() string { return fmt.Sprintf("dial %s (%s): %v", e.Addr, e.Kind, e.Err) }
 
-// Unwrap returns the network's error.
+// Unwrap returns the underlying error.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// newDialError classifies a dialer's error.
+// newDialError returns a *DialError that classifies err.
 func newDialError(addr string, err error) *DialError {
 	return &DialError{Addr: addr, Kind: dialKind(err), Err: err}
 }
 
-// dialKind maps a dialer's error to its kind.
+// dialKind returns the DialKind of a dialer's or handshake's error.
 func dialKind(err error) DialKind {
 	var ne net.Error
 	switch {
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,12 +1,12 @@
-// Package peer carries calls between wardspool's own processes: JSON-RPC 2.0
-// over TCP, optionally inside TLS, with a bounded frame codec.
+// Package peer implements remote procedure calls between wardspool processes:
+// JSON-RPC 2.0 over TCP, optionally with TLS, in frames of bounded size.
 //
-// A Server answers calls by typed handlers registered with Handle. A Pool keeps
-// one connection for each peer address; Call and Notify use it. The first
-// message of a connection is a hello that names the caller; peers that the
-// Allow function of the Config does not know are refused.
+// A Server dispatches calls to typed handlers registered with Handle. A Pool
+// holds one connection per peer address, which Call and Notify use. The first
+// message on a connection is a hello that identifies the caller; peers rejected
+// by Config.Allow are refused.
 //
-// Every error of Call is a *CallError. Its Delivery says whether the remote
-// handler can have run, which is what lets a caller answer "not-run" honestly.
-// docs/protocols/peer.md describes the wire format.
+// Every error returned by Call is a *CallError. Its Delivery says whether the
+// remote handler may have run, so that "not-run" is reported only when it is
+// certain. docs/protocols/peer.md describes the wire format.
 package peer
--- a/peer/endpoint.go
+++ b/peer/endpoint.go
@@ -8,8 +8,8 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// endpoint is one peer address: its connection, or the wait until the next
-// attempt to get one.
+// endpoint holds the connection to one peer address, the attempt in progress to
+// open one, or the backoff until the next attempt.
 type endpoint struct {
 	addr string
 
@@ -22,7 +22,7 @@
 	gone    bool
 }
 
-// newEndpoint returns an endpoint that was never tried.
+// newEndpoint returns an endpoint without a connection and without backoff.
 func newEndpoint(addr string, l Limits) *endpoint {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = l.BackoffMin
@@ -31,7 +31,7 @@
 	return &endpoint{addr: addr, pause: b}
 }
 
-// conn returns the open connection or takes part in an attempt to open one.
+// conn returns the open connection, or waits for an attempt to open one.
 func (e *endpoint) conn(ctx context.Context, p *Pool) (*clientConn, error) {
 	c, wait, err := e.take(p)
 	if c != nil || err != nil {
@@ -45,8 +45,8 @@
 	}
 }
 
-// take returns the open connection, or a channel that closes when the attempt
-// in progress ends, or an error.
+// take returns the open connection, a channel that is closed when the attempt in
+// progress ends, or an error. It starts an attempt if there is none.
 func (e *endpoint) take(p *Pool) (*clientConn, <-chan struct{}, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,13 +67,14 @@
 		return nil, nil, &BackoffError{Addr: e.addr, Until: e.retryAt, Last: e.last}
 	}
 	e.dialing = make(chan struct{})
-	// The attempt belongs to the pool, since several callers may wait for it.
+	// The attempt uses the pool's context instead of the caller's, since several
+	// callers may wait for it.
 	p.dials.Add(1)
 	go e.dial(p, e.dialing)
 	return nil, e.dialing, nil
 }
 
-// dial opens the connection and wakes those who wait for it.
+// dial opens the connection and closes done to wake the waiting callers.
 func (e *endpoint) dial(p *Pool, done chan struct{}) {
 	defer p.dials.Done()
 	c, err := connect(p.ctx, e.addr, p.cfg)
@@ -95,7 +96,7 @@
 	e.pause.Reset()
 }
 
-// outcome returns what the attempt that just ended gave.
+// outcome returns the result of the attempt that has just ended.
 func (e *endpoint) outcome() (*clientConn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,14 +110,15 @@
 	}
 }
 
-// current returns the connection, if there is one.
+// current returns the open connection, or nil.
 func (e *endpoint) current() *clientConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.open
 }
 
-// discard takes the connection out for good.
+// discard marks the endpoint as closed and returns its connection, or nil, for
+// the caller to close.
 func (e *endpoint) discard() *clientConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,8 +127,9 @@
 	return c
 }
 
-// droppable reports whether the endpoint holds neither a connection nor a pause
-// that still protects a dead peer.
+// droppable reports whether the endpoint can be removed: it has no connection, no
+// attempt in progress and no backoff that still limits attempts to an unavailable
+// peer.
 func (e *endpoint) droppable(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -9,22 +9,22 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Delivery says how far a failed call got.
+// Delivery says whether the remote process may have run a failed call.
 type Delivery int
 
 const (
 	// Unknown means that the call was sent and may have run. It is the zero
-	// value, so that nothing claims more by omission.
+	// value, so that an unset Delivery never claims that a call did not run.
 	Unknown Delivery = iota
 	// NotSent means that the remote process cannot have received the whole
 	// call.
 	NotSent
-	// Refused means that the remote process attested that it did not run the
-	// call.
+	// Refused means that the remote process stated in its response that it did
+	// not run the call.
 	Refused
 )
 
-// String returns the name used in logs.
+// String returns the name of d as used in logs.
 func (d Delivery) String() string {
 	switch d {
 	case NotSent:
@@ -36,8 +36,8 @@
 	}
 }
 
-// DeliveryOf returns the Delivery of an error from Call or Notify, and Unknown
-// for any other error.
+// DeliveryOf returns the Delivery of an error returned by Call or Notify, and
+// Unknown for any other error.
 func DeliveryOf(err error) Delivery {
 	var ce *CallError
 	if errors.As(err, &ce) {
@@ -46,15 +46,15 @@
 	return Unknown
 }
 
-// CallError is the error of every failed Call and Notify.
+// CallError is the error type that Call and Notify return.
 type CallError struct {
 	// Addr is the address that was called.
 	Addr   string
 	Method string
-	// Delivery says whether the call can have run.
+	// Delivery says whether the call may have run.
 	Delivery Delivery
 	// Err is the cause: a type registered with RegisterError, a *RemoteError,
-	// one of this package's errors, or the context's.
+	// another error of this package, or the context's error.
 	Err error
 }
 
@@ -66,11 +66,11 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Code identifies a kind of error on the wire. Negative codes are JSON-RPC's
-// and this package's; other packages register positive ones.
+// Code identifies an error type on the wire. Negative codes belong to JSON-RPC
+// and this package; other packages register positive ones.
 type Code int64
 
-// Codes of this package.
+// Error codes defined by JSON-RPC and by this package.
 const (
 	CodeMethod        Code = -32601
 	CodeParams        Code = -32602
@@ -86,12 +86,12 @@
 	CodeTooLarge      Code = -32008
 )
 
-// RemoteError is an error answered by the remote process whose code has no
-// registered type here.
+// RemoteError is an error response from the remote process whose code has no
+// error type registered in this process.
 type RemoteError struct {
 	Code    Code
 	Message string
-	// Data is the JSON form of the remote error.
+	// Data is the remote error encoded as JSON.
 	Data json.RawMessage
 }
 
@@ -100,30 +100,31 @@
 	return fmt.Sprintf("remote error %d: %s", e.Code, e.Message)
 }
 
-// RefusalError marks an error of a handler as an attested refusal: nothing of
-// the call ran.
+// RefusalError wraps an error returned by a handler to state that no part of the
+// call was run.
 type RefusalError struct{ Err error }
 
 // Error implements error.
 func (e *RefusalError) Error() string { return "refused: " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the reason for the refusal.
 func (e *RefusalError) Unwrap() error { return e.Err }
 
-// Refuse returns err marked as a refusal. Handlers use it only when nothing of
-// the call has run.
+// Refuse wraps err in a *RefusalError. Handlers may use it only if no part of the
+// call has run.
 func Refuse(err error) error { return &RefusalError{Err: err} }
 
 // HelloError reports a malformed hello.
 type HelloError struct {
-	// Field names the member at fault, "shape" for the whole.
+	// Field names the invalid member, or is "shape" if the hello as a whole is
+	// malformed.
 	Field string `json:"field"`
 }
 
 // Error implements error.
 func (e *HelloError) Error() string { return "hello: bad " + e.Field }
 
-// VersionError reports a hello of a protocol version that is not spoken here.
+// VersionError reports a hello with an unsupported protocol version.
 type VersionError struct {
 	Got       int `json:"got"`
 	Supported int `json:"supported"`
@@ -134,8 +135,8 @@
 	return fmt.Sprintf("protocol version %d, supported is %d", e.Got, e.Supported)
 }
 
-// IdentityError reports a peer whose certificate does not carry the instance ID
-// that its hello claims.
+// IdentityError reports a peer whose certificate is not valid for the instance ID
+// in its hello.
 type IdentityError struct {
 	Claimed     ident.InstanceID `json:"claimed"`
 	Certificate string           `json:"certificate"`
@@ -146,8 +147,8 @@
 	return fmt.Sprintf("hello claims instance %q, certificate is of %q", e.Claimed, e.Certificate)
 }
 
-// NotAllowedError reports a peer that neither the settings nor the platform's
-// list names.
+// NotAllowedError reports a peer that is listed neither in the settings nor by
+// the platform.
 type NotAllowedError struct {
 	Instance ident.InstanceID `json:"instance"`
 }
@@ -157,8 +158,8 @@
 	return fmt.Sprintf("instance %q is not allowed", e.Instance)
 }
 
-// WrongInstanceError reports that another instance or incarnation than the
-// expected one answers at an address.
+// WrongInstanceError reports that the peer connected at an address is not the
+// expected instance or incarnation.
 type WrongInstanceError struct {
 	Want Identity
 	Got  Identity
@@ -170,7 +171,7 @@
 		e.Want.Instance, e.Want.Incarnation, e.Got.Instance, e.Got.Incarnation)
 }
 
-// HelloRequiredError reports a call before the hello.
+// HelloRequiredError reports a call received before the hello.
 type HelloRequiredError struct {
 	Method string `json:"method"`
 }
@@ -178,7 +179,7 @@
 // Error implements error.
 func (e *HelloRequiredError) Error() string { return "call of " + e.Method + " before the hello" }
 
-// MethodError reports a method that has no handler.
+// MethodError reports a call of a method that has no registered handler.
 type MethodError struct {
 	Method string `json:"method"`
 }
@@ -195,10 +196,10 @@
 // Error implements error.
 func (e *ParamsError) Error() string { return e.Method + ": bad parameters: " + e.Detail }
 
-// BusyError reports that a limit on calls, frames or bytes in progress is
-// reached.
+// BusyError reports that a limit on connections, calls in progress, or queued
+// frames or bytes has been reached.
 type BusyError struct {
-	// What names the limit.
+	// What names what is limited.
 	What  string `json:"what"`
 	Limit int    `json:"limit"`
 }
@@ -206,13 +207,13 @@
 // Error implements error.
 func (e *BusyError) Error() string { return fmt.Sprintf("more than %d %s", e.Limit, e.What) }
 
-// StoppingError reports a process that is shutting down.
+// StoppingError reports a call to a process that is shutting down.
 type StoppingError struct{}
 
 // Error implements error.
 func (e *StoppingError) Error() string { return "process is stopping" }
 
-// TimeoutError reports a call that outlived its time.
+// TimeoutError reports a call that exceeded its timeout or was cancelled.
 type TimeoutError struct {
 	Method string `json:"method"`
 }
@@ -228,7 +229,7 @@
 // Error implements error.
 func (e *PanicError) Error() string { return e.Method + ": handler failed" }
 
-// TooLargeError reports a frame beyond the limit.
+// TooLargeError reports a frame that exceeds the size limit.
 type TooLargeError struct {
 	Bytes int `json:"bytes"`
 	Limit int `json:"limit"`
@@ -239,7 +240,8 @@
 	return fmt.Sprintf("frame of %d bytes, limit is %d", e.Bytes, e.Limit)
 }
 
-// FrameError reports bytes that are not a frame.
+// FrameError reports a malformed frame or a body that cannot be encoded or
+// decoded.
 type FrameError struct {
 	// Part is "header", "length" or "body".
 	Part string
@@ -248,9 +250,9 @@
 // Error implements error.
 func (e *FrameError) Error() string { return "frame: bad " + e.Part }
 
-// ClosedError reports a connection that closed.
+// ClosedError reports a closed connection.
 type ClosedError struct {
-	// Cause is why, nil when this side closed it.
+	// Cause is the reason, nil if this side closed the connection.
 	Cause error
 }
 
@@ -260,7 +262,8 @@
 // Unwrap returns the cause.
 func (e *ClosedError) Unwrap() error { return e.Cause }
 
-// AcceptError reports a listener that accepts no more connections.
+// AcceptError reports a listener that was closed and accepts no more
+// connections.
 type AcceptError struct {
 	Addr string
 	Err  error
@@ -269,21 +272,23 @@
 // Error implements error.
 func (e *AcceptError) Error() string { return fmt.Sprintf("accept at %s: %v", e.Addr, e.Err) }
 
-// Unwrap returns the network's error.
+// Unwrap returns the error of the listener.
 func (e *AcceptError) Unwrap() error { return e.Err }
 
-// IdleError reports a connection closed for lack of frames.
+// IdleError reports a connection closed because no frame was received for the
+// duration After.
 type IdleError struct{ After time.Duration }
 
 // Error implements error.
 func (e *IdleError) Error() string { return "no frame for " + e.After.String() }
 
-// BackoffError reports that an address is not tried again yet.
+// BackoffError reports that connecting to an address failed and that the backoff
+// before the next attempt has not elapsed.
 type BackoffError struct {
 	Addr string
-	// Until is when the next attempt is allowed.
+	// Until is the earliest time of the next attempt.
 	Until time.Time
-	// Last is why the last attempt failed.
+	// Last is the error of the last attempt.
 	Last error
 }
 
@@ -292,5 +297,5 @@
 	return fmt.Sprintf("%s: waiting to retry after: %v", e.Addr, e.Last)
 }
 
-// Unwrap returns why the last attempt failed.
+// Unwrap returns the error of the last attempt.
 func (e *BackoffError) Unwrap() error { return e.Last }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -7,17 +7,20 @@
 	"strconv"
 )
 
-// Frames have the form of the language server protocol's base protocol:
-// "Content-Length: N\r\n\r\n" and N bytes of JSON. The library's codec for it
-// has no bounds on header or body, so frames are read here.
+// Frames use the format of the Language Server Protocol's base protocol:
+// "Content-Length: N\r\n\r\n" followed by N bytes of JSON. The codec of the
+// jsonrpc2 library limits neither header nor body size, so this package has its
+// own.
 const (
 	headerName = "Content-Length: "
 	headerEnd  = "\r\n"
-	// maxHeaderLine is the longest header line, in bytes.
+	// maxHeaderLine is the maximum length of a header line, in bytes.
 	maxHeaderLine = 128
-	// maxHeaderLines is the most header lines of one frame.
+	// maxHeaderLines is the maximum number of header lines in a frame, including
+	// the empty line that ends the header.
 	maxHeaderLines = 4
-	// firstChunk is what is allocated for a body before any of it has come.
+	// firstChunk is the maximum number of bytes allocated for a body before any
+	// of it has been received.
 	firstChunk = 16 << 10
 )
 
@@ -30,7 +33,7 @@
 }
 
 // readFrame reads one frame and returns its body. Errors are *FrameError,
-// *TooLargeError and the reader's own.
+// *TooLargeError and those of the reader.
 func readFrame(r *bufio.Reader, limit int) ([]byte, error) {
 	n, err := readHeader(r)
 	if err != nil {
@@ -42,7 +45,8 @@
 	return readBody(r, n)
 }
 
-// readHeader reads the header lines and returns the body's length.
+// readHeader reads the header lines and returns the body length. Unknown header
+// fields are ignored.
 func readHeader(r *bufio.Reader) (int, error) {
 	length := 0
 	for range maxHeaderLines {
@@ -68,7 +72,7 @@
 	return 0, &FrameError{Part: "header"}
 }
 
-// readLine reads one header line without its end.
+// readLine reads one header line and strips the line terminator.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line := make([]byte, 0, len(headerName)+len(headerEnd)+10)
 	for len(line) < maxHeaderLine {
@@ -89,7 +93,7 @@
 	return nil, &FrameError{Part: "header"}
 }
 
-// parseLength parses a body length: decimal digits, greater than 0.
+// parseLength parses a body length, a positive decimal integer.
 func parseLength(digits []byte) (int, error) {
 	n, err := strconv.ParseUint(string(digits), 10, 31)
 	if err != nil || n == 0 {
@@ -98,8 +102,8 @@
 	return int(n), nil
 }
 
-// readBody reads n bytes. Memory grows with what arrives, not with what the
-// header promises.
+// readBody reads n bytes. Beyond firstChunk, memory is allocated as data arrives,
+// so that a peer cannot make it allocate n bytes by sending only a header.
 func readBody(r *bufio.Reader, n int) ([]byte, error) {
 	if n <= firstChunk {
 		body := make([]byte, n)
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -15,8 +15,8 @@
 
 const fuzzLimit = 1 << 10
 
-// FuzzFrame checks that a frame that is read is within the limit and comes out
-// the same when written and read again, and that every failure has a type.
+// FuzzFrame checks that a decoded frame is within the limit and survives encoding
+// and decoding unchanged, and that every error has a known type.
 func FuzzFrame(f *testing.F) {
 	for _, seed := range []string{
 		"Content-Length: 2\r\n\r\n{}",
@@ -39,16 +39,16 @@
 			return
 		}
 		if len(body) == 0 || len(body) > fuzzLimit {
-			t.Fatalf("body of %d bytes", len(body))
+			t.Fatalf("body has %d bytes, want 1 to the limit", len(body))
 		}
 		again, err := readFrame(bufio.NewReader(bytes.NewReader(appendFrame(nil, body))), fuzzLimit)
 		if err != nil || !bytes.Equal(again, body) {
-			t.Fatalf("read back %q, %v", again, err)
+			t.Fatalf("decoding the encoded frame returned %q, %v", again, err)
 		}
 	})
 }
 
-// checkFrameError fails for an error without a known type.
+// checkFrameError fails the test if err is not of a known type.
 func checkFrameError(t *testing.T, err error) {
 	t.Helper()
 	var fe *FrameError
@@ -59,7 +59,8 @@
 	}
 }
 
-// FuzzHello checks that an accepted hello is whole and survives encoding.
+// FuzzHello checks that an accepted hello has valid members and survives encoding
+// and decoding unchanged.
 func FuzzHello(f *testing.F) {
 	for _, seed := range []string{
 		`{"version":1,"instance":"entry-a1","incarnation":7,"zone":"hall-a"}`,
@@ -79,20 +80,20 @@
 			return
 		}
 		if !ident.ValidName(string(h.Instance)) || !ident.ValidName(string(h.Zone)) || h.Incarnation == 0 {
-			t.Fatalf("accepted %+v", h)
+			t.Fatalf("decodeHello accepted invalid hello %+v", h)
 		}
 		body, err := json.Marshal(h)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if again, err := decodeHello(body); err != nil || again != h {
-			t.Fatalf("read back %+v, %v", again, err)
+			t.Fatalf("decoding the encoded hello returned %+v, %v", again, err)
 		}
 	})
 }
 
-// FuzzRemoteError checks that no answered error attests a refusal unless its
-// data says so, and that each has a type.
+// FuzzRemoteError checks that an error response counts as a refusal only if its
+// data says so, never as not sent, and always decodes to an error.
 func FuzzRemoteError(f *testing.F) {
 	f.Add(int64(CodeBusy), []byte(`{"refused":true,"error":{"what":"calls","limit":3}}`))
 	f.Add(int64(CodeBusy), []byte(`{"error":null}`))
@@ -103,13 +104,13 @@
 		raw := json.RawMessage(data)
 		delivery, err := decodeRemote(&jsonrpc2.Error{Code: code, Data: &raw})
 		if err == nil {
-			t.Fatal("no error")
+			t.Fatal("error response decoded to a nil error")
 		}
 		if delivery == Refused && !bytes.Contains(bytes.ToLower(data), []byte("refused")) && !bytes.Contains(data, []byte(`\u`)) {
-			t.Fatalf("refusal out of %q", data)
+			t.Fatalf("Delivery is Refused for data %q", data)
 		}
 		if delivery == NotSent {
-			t.Fatal("an answered call was sent")
+			t.Fatal("Delivery is NotSent for an answered call")
 		}
 	})
 }
--- a/peer/handle.go
+++ b/peer/handle.go
@@ -6,15 +6,15 @@
 	"errors"
 )
 
-// handler is the untyped form of a handler.
+// handler is a handler with its parameters and result as JSON.
 type handler func(ctx context.Context, from Identity, params json.RawMessage) (json.RawMessage, error)
 
-// Handle registers f for a method; see docs/protocols/peer.md for the names in
-// use. f runs in a goroutine of its own; ctx ends when the caller gives up, when
-// its time is over or when the connection closes. An error whose type is
-// registered with RegisterError reaches the caller as that type; Refuse marks it
-// as "nothing ran". For notifications the result is dropped. Handle panics when
-// the method is taken.
+// Handle registers f as the handler of a method; docs/protocols/peer.md lists the
+// method names in use. Each call runs f in a new goroutine. ctx is cancelled when
+// the caller stops waiting, the call times out or the connection closes. An error
+// whose type is registered with RegisterError reaches the caller as that type;
+// Refuse marks an error to say that nothing was run. The result of a notification
+// is discarded. Handle panics if the method is already registered.
 func Handle[Req, Resp any](s *Server, method string, f func(ctx context.Context, from Identity, req Req) (Resp, error)) {
 	s.register(method, func(ctx context.Context, from Identity, params json.RawMessage) (json.RawMessage, error) {
 		var req Req
@@ -33,7 +33,8 @@
 	})
 }
 
-// handlerError gives a context's error a type that survives the wire.
+// handlerError replaces a context error by *TimeoutError, which is registered and
+// so reaches the caller with its type.
 func handlerError(method string, err error) error {
 	var refusal *RefusalError
 	if errors.As(err, &refusal) {
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -7,28 +7,29 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// ProtocolVersion is the version of the peer protocol that this build speaks.
+// ProtocolVersion is the only version of the peer protocol that this build
+// supports.
 const ProtocolVersion = 1
 
-// MethodHello is the method of a connection's first call.
+// MethodHello is the method of the first call on a connection.
 const MethodHello = "hello"
 
-// methodCancel is the notification that withdraws a call in progress.
+// methodCancel is the notification that cancels a call in progress.
 const methodCancel = "peer.cancel"
 
-// Identity says who a peer is: what its hello claims, checked against its
-// certificate where there is one and against Config.Allow.
+// Identity identifies a peer by what it sent in its hello, verified against its
+// certificate if TLS is used and accepted by Config.Allow.
 type Identity struct {
 	Instance    ident.InstanceID
 	Incarnation ident.Incarnation
 	Zone        ident.Zone
-	// Addr is the remote address of the connection, "ip:port". It is observed,
-	// never taken from the hello.
+	// Addr is the remote address of the connection, "ip:port". It is taken from
+	// the connection, never from the hello.
 	Addr string
 }
 
-// Hello is the parameter and the result of MethodHello: each side introduces
-// itself.
+// Hello is both the parameters and the result of MethodHello: each side sends its
+// own identity.
 type Hello struct {
 	Version     int               `json:"version"`
 	Instance    ident.InstanceID  `json:"instance"`
@@ -36,7 +37,7 @@
 	Zone        ident.Zone        `json:"zone"`
 }
 
-// newHello returns the hello of the given identity.
+// newHello returns the hello that a process with the given identity sends.
 func newHello(self Identity) Hello {
 	return Hello{
 		Version:     ProtocolVersion,
@@ -46,10 +47,11 @@
 	}
 }
 
-// decodeHello parses and checks a hello. Errors are *HelloError or
+// decodeHello parses and validates a hello. Errors are *HelloError and
 // *VersionError.
 func decodeHello(data []byte) (Hello, error) {
-	// The version is read alone first: a later version may change the rest.
+	// The version is decoded separately first, since a later version may change
+	// the other members.
 	var v struct {
 		Version int `json:"version"`
 	}
@@ -75,8 +77,8 @@
 	return h, nil
 }
 
-// checkPeer decides whether the peer behind a hello is believed. cert is the
-// peer's verified certificate, nil without TLS. Errors are *IdentityError and
+// checkPeer verifies the identity in a hello and returns it. cert is the peer's
+// verified certificate, nil without TLS. Errors are *IdentityError and
 // *NotAllowedError.
 func checkPeer(h Hello, addr string, cert *x509.Certificate, allow func(Identity) bool) (Identity, error) {
 	id := Identity{Instance: h.Instance, Incarnation: h.Incarnation, Zone: h.Zone, Addr: addr}
--- a/peer/hello_test.go
+++ b/peer/hello_test.go
@@ -37,7 +37,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := NewServer(Config{Self: entryB, Allow: onlyA})
 			Handle(s, "echo", func(context.Context, Identity, echoRequest) (echoResponse, error) {
-				t.Error("handler ran for a peer that is not believed")
+				t.Error("handler ran for a peer that was not accepted")
 				return echoResponse{}, nil
 			})
 			near, far := net.Pipe()
@@ -90,8 +90,8 @@
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
-// TestPoolChecksTheServer lets the dialling side meet servers that it must not
-// believe.
+// TestPoolChecksTheServer checks that the dialling side rejects servers of another
+// version or not allowed, and passes on a server's refusal.
 func TestPoolChecksTheServer(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -122,7 +122,7 @@
 	}
 }
 
-// fixedDialer always gives the same connection.
+// fixedDialer always returns the same connection.
 type fixedDialer struct{ conn net.Conn }
 
 // DialContext implements Dialer.
@@ -143,7 +143,9 @@
 	}
 }
 
-// TestRecheckClosesConnectionsOfDroppedPeers takes both sides off the list.
+// TestRecheckClosesConnectionsOfDroppedPeers checks that Recheck closes the
+// connections of peers that Allow no longer accepts, on the server and in the
+// pool, and that new connections of them are refused.
 func TestRecheckClosesConnectionsOfDroppedPeers(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		var dropped atomic.Bool
@@ -170,8 +172,8 @@
 	})
 }
 
-// TestSilentServerIsToldApart meets a process whose kernel accepts connections
-// and that does not run.
+// TestSilentServerIsToldApart checks that a process that is paused while its
+// kernel still accepts connections is reported as DialSilent.
 func TestSilentServerIsToldApart(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
--- a/peer/idle.go
+++ b/peer/idle.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// watchIdle arms the timer that closes the connection when it is not used.
+// watchIdle starts the timer that closes the connection when it is idle.
 func (c *clientConn) watchIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = time.AfterFunc(c.cfg.Limits.Idle/2, c.retireIfIdle)
 }
 
-// retireIfIdle closes an unused connection or arms the timer again.
+// retireIfIdle closes the connection if it is idle, and otherwise resets the
+// timer.
 func (c *clientConn) retireIfIdle() {
 	limit := c.cfg.Limits.Idle / 2
 	c.mu.Lock()
--- a/peer/limits_test.go
+++ b/peer/limits_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// pipePair returns a server and a pool that reaches it by pipes.
+// pipePair returns a server and a pool that connects to it through pipes.
 func pipePair(server, client Limits, add func(*Server)) (*Server, *Pool, *pipeDialer) {
 	s := NewServer(Config{Self: entryB, Allow: allowAll, Limits: server})
 	add(s)
@@ -22,14 +22,15 @@
 	return s, NewPool(Config{Self: entryA, Allow: allowAll, Dialer: d, Limits: client}), d
 }
 
-// stop ends both sides.
+// stop closes the pool and shuts the server down.
 func stop(t *testing.T, s *Server, p *Pool) {
 	t.Helper()
 	p.Close()
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
-// blocking registers a method that runs until release closes or its caller goes.
+// blocking registers a method that blocks until release is closed or its context
+// is done; it sends the context's error to ended.
 func blocking(s *Server, release <-chan struct{}, ended chan<- error) {
 	Handle(s, "block", func(ctx context.Context, _ Identity, _ echoRequest) (echoResponse, error) {
 		select {
@@ -124,7 +125,8 @@
 	})
 }
 
-// TestServerDropsSilentClient holds a connection open without frames.
+// TestServerDropsSilentClient checks that the server closes a connection on which
+// no frame arrives for the idle timeout.
 func TestServerDropsSilentClient(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		s := NewServer(Config{Self: entryB, Allow: allowAll})
@@ -140,7 +142,8 @@
 	})
 }
 
-// TestSlowSenderIsDropped sends one byte of a frame and stops.
+// TestSlowSenderIsDropped checks that the server closes a connection whose peer
+// sends one byte of a frame and then stops.
 func TestSlowSenderIsDropped(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		s := NewServer(Config{Self: entryB, Allow: allowAll})
@@ -169,7 +172,7 @@
 	_, err := Call[echoResponse](context.Background(), p, "b", "grow", echoRequest{Text: string(make([]byte, 2000))})
 	assert.Assert(t, errors.As(err, &large))
 	assert.Equal(t, DeliveryOf(err), NotSent)
-	// The result does not fit: the handler has run.
+	// The result exceeds the frame limit, but the handler has run.
 	_, err = Call[echoResponse](context.Background(), p, "b", "grow", echoRequest{})
 	assert.Assert(t, errors.As(err, &large))
 	assert.Equal(t, DeliveryOf(err), Unknown)
@@ -285,8 +288,8 @@
 		defer stop(t, s, p)
 		_, err := Call[echoResponse](context.Background(), p, "b", "echo", echoRequest{Text: "hi"})
 		assert.NilError(t, err)
-		// A write is counted when it returns, which can be after the answer
-		// was read.
+		// A write is counted when it returns, which can be after the other side
+		// has read the response.
 		synctest.Wait()
 		client, server := p.Stats(), s.Stats()
 		assert.Assert(t, client.Total.Sent > 0 && client.Total.Received > 0)
@@ -298,7 +301,8 @@
 	})
 }
 
-// failingListener fails to accept for a while, then for good.
+// failingListener fails the given number of times with EMFILE and then with
+// net.ErrClosed.
 type failingListener struct {
 	net.Listener
 	failures int
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -15,7 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echoRequest and echoResponse are the messages of the test methods.
+// echoRequest and echoResponse are the parameters and the result of the test
+// methods.
 type echoRequest struct {
 	Text string `json:"text"`
 }
@@ -27,7 +28,7 @@
 	Life ident.Incarnation `json:"life"`
 }
 
-// fullError is a registered error of the tests.
+// fullError is an error type registered by the tests.
 type fullError struct {
 	Slots int `json:"slots"`
 }
@@ -43,12 +44,13 @@
 
 func allowAll(Identity) bool { return true }
 
-// echo answers with what it got.
+// echo returns the text of the request and the caller's identity.
 func echo(_ context.Context, from Identity, r echoRequest) (echoResponse, error) {
 	return echoResponse{Text: r.Text, From: from.Instance, Zone: from.Zone, Life: from.Incarnation}, nil
 }
 
-// startServer serves on loopback until the test ends.
+// startServer starts a server on the loopback interface that is shut down when
+// the test ends, and returns its address.
 func startServer(t testing.TB, cfg Config, add func(*Server)) string {
 	t.Helper()
 	s := NewServer(cfg)
--- a/peer/pipe_test.go
+++ b/peer/pipe_test.go
@@ -11,14 +11,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// pipeDialer connects a pool to a server by in-memory pipes.
+// pipeDialer connects a pool to a server through in-memory pipes.
 type pipeDialer struct {
 	mu sync.Mutex
-	// srv accepts the far ends; nil leaves them to far.
+	// srv serves the far ends. If it is nil, the test uses them through far.
 	srv *Server
-	// fail is returned instead of a connection.
+	// fail, if not nil, is returned instead of a connection.
 	fail error
-	// near and far are the ends of the last connection.
+	// near and far are the two ends of the last connection.
 	near, far net.Conn
 	dials     int
 }
@@ -38,33 +38,32 @@
 	return d.near, nil
 }
 
-// count returns how many connections were asked for.
+// count returns the number of calls of DialContext.
 func (d *pipeDialer) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dials
 }
 
-// remote is a hand-written peer at the far end of a pipe.
+// remote is one end of a pipe on which a test reads and writes frames itself.
 type remote struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-// newRemote serves the raw end of a connection.
+// newRemote returns a remote on the given end of a connection.
 func newRemote(t *testing.T, conn net.Conn) *remote {
 	return &remote{t: t, conn: conn, r: bufio.NewReader(conn)}
 }
 
-// send writes a frame with the given body.
 func (r *remote) send(body string) {
 	r.t.Helper()
 	_, err := r.conn.Write(appendFrame(nil, []byte(body)))
 	assert.NilError(r.t, err)
 }
 
-// answer is a response as read from the wire.
+// answer is a decoded JSON-RPC message, with the members that tests check.
 type answer struct {
 	ID     uint64          `json:"id"`
 	Method string          `json:"method"`
@@ -75,7 +74,7 @@
 	} `json:"error"`
 }
 
-// receive reads a frame.
+// receive reads and decodes one message.
 func (r *remote) receive() answer {
 	r.t.Helper()
 	body, err := readFrame(r.r, DefaultFrame)
@@ -85,14 +84,14 @@
 	return a
 }
 
-// closed checks that the other side closed the connection.
+// closed checks that the other side closes the connection without sending more.
 func (r *remote) closed() {
 	r.t.Helper()
 	_, err := r.r.ReadByte()
 	assert.Assert(r.t, err != nil)
 }
 
-// greet answers the hello of a pool.
+// greet receives the hello of a pool and sends a valid response.
 func (r *remote) greet() {
 	r.t.Helper()
 	hello := r.receive()
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// Pool keeps one connection for each peer address. It is safe for concurrent
-// use.
+// Pool holds one connection per peer address. It is safe for concurrent use.
 type Pool struct {
 	cfg    Config
 	ctx    context.Context
@@ -18,8 +17,8 @@
 	peers map[string]*endpoint
 	shut  bool
 
-	// past is the traffic of dropped connections. It has its own lock, since
-	// endpoints add to it while they hold theirs.
+	// past is the traffic of closed connections. It has its own lock, since
+	// endpoints add to it while they hold their locks.
 	past struct {
 		sync.Mutex
 		traffic Traffic
@@ -32,16 +31,15 @@
 	return &Pool{cfg: cfg.withDefaults(), ctx: ctx, cancel: cancel, peers: map[string]*endpoint{}}
 }
 
-// Close closes all connections; calls in progress fail. It waits for attempts
-// to connect.
+// Close closes all connections; calls in progress fail. It waits until all
+// connection attempts have ended.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.shut = true
 	peers := p.peers
 	p.peers = map[string]*endpoint{}
 	p.mu.Unlock()
-	// No attempt starts at a retired endpoint, so that there is an end to wait
-	// for.
+	// A closed endpoint starts no new attempt, so dials.Wait below returns.
 	for _, e := range peers {
 		p.retire(e)
 	}
@@ -49,8 +47,8 @@
 	p.dials.Wait()
 }
 
-// Forget closes the connection to an address and forgets its backoff. It is for
-// addresses that no longer belong to a peer.
+// Forget closes the connection to an address and discards its backoff state. It
+// is meant for addresses that no longer belong to a peer.
 func (p *Pool) Forget(addr string) {
 	p.mu.Lock()
 	e := p.peers[addr]
@@ -61,8 +59,8 @@
 	}
 }
 
-// Recheck closes the connections to peers that Allow does not believe any more.
-// Call it when the settings or the platform's list changed.
+// Recheck closes the connections to peers that Config.Allow no longer accepts.
+// Call it when the settings or the platform's list have changed.
 func (p *Pool) Recheck() {
 	for _, e := range p.endpoints() {
 		if c := e.current(); c != nil && !p.cfg.Allow(c.remote) {
@@ -71,7 +69,7 @@
 	}
 }
 
-// endpoints returns all endpoints.
+// endpoints returns a snapshot of the endpoints.
 func (p *Pool) endpoints() []*endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +80,7 @@
 	return out
 }
 
-// retire closes what an endpoint has.
+// retire closes an endpoint and its connection, if any.
 func (p *Pool) retire(e *endpoint) {
 	if c := e.discard(); c != nil {
 		c.close(nil)
@@ -90,14 +88,14 @@
 	}
 }
 
-// account keeps the traffic of a connection that is dropped.
+// account adds the traffic of a closed connection to the total.
 func (p *Pool) account(c *clientConn) {
 	p.past.Lock()
 	defer p.past.Unlock()
 	p.past.traffic = p.past.traffic.add(c.counted.traffic())
 }
 
-// Stats returns the connections and their traffic.
+// Stats returns the statistics of all connections.
 func (p *Pool) Stats() Stats {
 	p.past.Lock()
 	out := Stats{Total: p.past.traffic}
@@ -114,7 +112,8 @@
 	return out
 }
 
-// Identity returns who answers at an address, if a connection is open.
+// Identity returns the identity of the peer at an address. It reports false if no
+// connection is open.
 func (p *Pool) Identity(addr string) (Identity, bool) {
 	p.mu.Lock()
 	e := p.peers[addr]
@@ -130,8 +129,8 @@
 }
 
 // conn returns a connection to an address, dialling it if needed. Errors are
-// *ClosedError, *BusyError, *BackoffError, *DialError, those of the hello and
-// the context's.
+// *ClosedError, *BusyError, *BackoffError, *DialError, errors of the hello and the
+// context's error.
 func (p *Pool) conn(ctx context.Context, addr string) (*clientConn, error) {
 	e, err := p.endpoint(addr)
 	if err != nil {
@@ -140,7 +139,8 @@
 	return e.conn(ctx, p)
 }
 
-// endpoint returns the endpoint of an address, making room where needed.
+// endpoint returns the endpoint of an address, adding it if needed. At the limit
+// on connections it first removes unused endpoints.
 func (p *Pool) endpoint(addr string) (*endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,7 +161,8 @@
 	return e, nil
 }
 
-// prune drops endpoints that hold nothing worth keeping. The caller holds mu.
+// prune removes endpoints without connection, attempt or backoff. The caller
+// holds mu.
 func (p *Pool) prune(now time.Time) {
 	for addr, e := range p.peers {
 		if e.droppable(now) {
--- a/peer/registry.go
+++ b/peer/registry.go
@@ -10,13 +10,13 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// errorEntry ties an error type to its code.
+// errorEntry is the code and the decoder of a registered error type.
 type errorEntry struct {
 	code   Code
 	decode func(json.RawMessage) (error, bool)
 }
 
-// errorTypes is the registry of error types, by type and by code.
+// errorTypes holds the registered error types, by type and by code.
 var errorTypes = struct {
 	sync.RWMutex
 	byType map[reflect.Type]errorEntry
@@ -26,10 +26,11 @@
 	byCode: map[Code]errorEntry{},
 }
 
-// RegisterError makes the error type T survive the wire under the given code:
-// a handler that returns a T (or wraps one) makes Call return a *CallError that
-// wraps an equal T. T travels as JSON. It is meant for init functions and
-// panics when the type or the code is taken: that is a fault of the build.
+// RegisterError registers the error type T under the given code, so that it is
+// transferred to the caller: if a handler returns a T or an error that wraps one,
+// Call returns a *CallError that wraps an equal T. T is encoded as JSON.
+// RegisterError is meant for init functions and panics if the type or the code is
+// already registered, since that is a programming error.
 func RegisterError[T error](code Code) {
 	t := reflect.TypeFor[T]()
 	e := errorEntry{code: code, decode: decodeError[T]}
@@ -45,7 +46,7 @@
 	errorTypes.byType[t] = e
 }
 
-// decodeError decodes a T. It reports false when data is no T.
+// decodeError decodes a T. It reports false if data is not a valid T.
 func decodeError[T error](data json.RawMessage) (error, bool) {
 	var v T
 	if err := json.Unmarshal(data, &v); err != nil || reflect.ValueOf(&v).Elem().IsZero() && string(data) == "null" {
@@ -70,13 +71,13 @@
 
 // errorData is the data member of a JSON-RPC error.
 type errorData struct {
-	// Refused attests that nothing of the call ran.
+	// Refused states that no part of the call was run.
 	Refused bool `json:"refused,omitempty"`
-	// Error is the JSON form of the error type registered for the code.
+	// Error is the JSON encoding of the error type registered for the code.
 	Error json.RawMessage `json:"error,omitempty"`
 }
 
-// encodeError turns a handler's error into its wire form.
+// encodeError converts a handler's error to a JSON-RPC error.
 func encodeError(err error) *jsonrpc2.Error {
 	out := &jsonrpc2.Error{Code: int64(CodeInternal), Message: err.Error()}
 	var data errorData
@@ -90,7 +91,8 @@
 	return out
 }
 
-// registered finds the first error in err's chain whose type is registered.
+// registered finds the first error in err's chain whose type is registered and
+// returns its code and its JSON encoding.
 func registered(err error) (Code, json.RawMessage, bool) {
 	errorTypes.RLock()
 	defer errorTypes.RUnlock()
@@ -108,12 +110,13 @@
 	return 0, nil, false
 }
 
-// decodeRemote turns a wire error back into its type, which it returns, and says
-// whether the remote attested a refusal.
+// decodeRemote converts a JSON-RPC error to the error type registered for its
+// code, or to a *RemoteError. The Delivery is Refused if the remote process stated
+// that it did not run the call, otherwise Unknown.
 func decodeRemote(e *jsonrpc2.Error) (Delivery, error) {
 	var data errorData
 	if e.Data != nil {
-		// Data of another shape leaves the zero value: no attestation.
+		// Data that does not decode leaves Refused false.
 		_ = json.Unmarshal(*e.Data, &data)
 	}
 	delivery := Unknown
--- a/peer/reply.go
+++ b/peer/reply.go
@@ -6,7 +6,8 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// hello answers the first call of the connection.
+// hello handles a hello. If the peer is refused, the connection is closed after
+// the response.
 func (c *serverConn) hello(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	id, err := c.accept(req)
 	if err != nil {
@@ -23,7 +24,8 @@
 	c.reply(ctx, rpc, req, newHello(c.srv.cfg.Self), nil)
 }
 
-// accept checks a hello.
+// accept validates a hello and verifies the identity in it. Only one hello is
+// accepted per connection.
 func (c *serverConn) accept(req *jsonrpc2.Request) (Identity, error) {
 	if c.isGreeted() || req.Params == nil {
 		return Identity{}, &HelloError{Field: "shape"}
@@ -35,8 +37,9 @@
 	return checkPeer(h, remoteAddr(c.counted), c.cert, c.srv.cfg.Allow)
 }
 
-// reply answers a call; notifications have no answer. When the answer cannot be
-// queued, the connection is closed, so that the caller learns that it is lost.
+// reply sends the response to a call; notifications have none. If the response
+// cannot be queued, the connection is closed, so that the caller learns that
+// the response is lost.
 func (c *serverConn) reply(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request, result any, err error) {
 	if req.Notif {
 		return
@@ -53,10 +56,11 @@
 	}
 }
 
-// frameOverhead is the most that a response adds to its result, in bytes.
+// frameOverhead is the maximum size of a response without its result, in bytes.
 const frameOverhead = 256
 
-// setResult puts a result that fits a frame into the response.
+// setResult sets the result of the response. The error is *FrameError, or
+// *TooLargeError if the response would exceed the frame limit.
 func (c *serverConn) setResult(resp *jsonrpc2.Response, result any) error {
 	if err := resp.SetResult(result); err != nil {
 		return &FrameError{Part: "body"}
--- a/peer/server.go
+++ b/peer/server.go
@@ -12,7 +12,7 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Server answers calls of peers.
+// Server accepts connections of peers and handles their calls.
 type Server struct {
 	cfg Config
 
@@ -61,26 +61,27 @@
 	return s.stopping
 }
 
-// Drain refuses new calls with a *StoppingError and goes on with those in
-// progress. Connections are still accepted: peers take a refused connection for
-// proof that the process is gone, so that a process which still has requests in
-// flight must drain first and call Shutdown last.
+// Drain makes the server refuse new calls with a *StoppingError; calls in progress
+// continue. Connections are still accepted: peers treat a refused connection as
+// proof that the process has ended, so a process with requests in flight must call
+// Drain first and Shutdown only after they have finished.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// refuses reports whether new calls are refused.
+// refuses reports whether new calls are refused, because of Drain or Shutdown.
 func (s *Server) refuses() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining || s.stopping
 }
 
-// Serve accepts connections until Shutdown, and returns nil then, or until the
-// listener is closed by someone else; the error is an *AcceptError. Other
-// failures, such as too many open files, are waited out. It closes the listener.
+// Serve accepts connections until Shutdown, after which it returns nil, or until
+// the listener is closed otherwise, after which it returns an *AcceptError. Other
+// failures to accept, such as too many open files, are retried after acceptPause.
+// Serve closes the listener.
 func (s *Server) Serve(l net.Listener) error {
 	if !s.addListener(l) {
 		return l.Close()
@@ -96,16 +97,17 @@
 		case errors.Is(err, net.ErrClosed):
 			return &AcceptError{Addr: l.Addr().String(), Err: err}
 		default:
-			s.cfg.Log.Error("accepting a peer failed", "error", err)
+			s.cfg.Log.Error("accepting peer connection failed", "error", err)
 			time.Sleep(acceptPause)
 		}
 	}
 }
 
-// acceptPause is the pause after a failure to accept a connection.
+// acceptPause is the delay after a failure to accept a connection.
 const acceptPause = 100 * time.Millisecond
 
-// addListener remembers a listener for Shutdown.
+// addListener records a listener for Shutdown to close. It reports false if
+// Shutdown has begun.
 func (s *Server) addListener(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,17 +118,17 @@
 	return true
 }
 
-// dropListener closes and forgets a listener.
+// dropListener closes a listener and removes it from the server.
 func (s *Server) dropListener(l net.Listener) {
 	s.mu.Lock()
 	delete(s.listeners, l)
 	s.mu.Unlock()
-	// Closing twice is harmless; Shutdown may have done it.
+	// Shutdown may have closed it already; closing it twice is harmless.
 	_ = l.Close()
 }
 
-// ServeConn answers calls on one connection until it closes. Serve uses it;
-// tests give it one end of a pipe.
+// ServeConn handles calls on one connection until it closes. Serve uses it; tests
+// pass it one end of a pipe.
 func (s *Server) ServeConn(raw net.Conn) {
 	counted := &countingConn{Conn: raw}
 	c := &serverConn{srv: s, counted: counted, calls: map[jsonrpc2.ID]context.CancelFunc{}}
@@ -137,14 +139,14 @@
 	defer s.dropConn(c)
 	conn, err := s.secure(counted)
 	if err != nil {
-		s.cfg.Log.Warn("peer handshake failed", "remote", raw.RemoteAddr().String(), "error", err)
+		s.cfg.Log.Warn("peer TLS handshake failed", "remote", raw.RemoteAddr().String(), "error", err)
 		_ = raw.Close()
 		return
 	}
 	c.run(conn)
 }
 
-// secure performs the TLS handshake where TLS is configured.
+// secure performs the TLS handshake if TLS is configured.
 func (s *Server) secure(conn net.Conn) (net.Conn, error) {
 	if s.cfg.TLS == nil {
 		return conn, nil
@@ -155,7 +157,8 @@
 	return t, t.HandshakeContext(ctx)
 }
 
-// addConn counts a connection in, unless there are too many.
+// addConn records a connection. It reports false if Shutdown has begun or
+// Limits.Connections is reached.
 func (s *Server) addConn(c *serverConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +170,7 @@
 	return true
 }
 
-// dropConn counts a connection out.
+// dropConn removes a closed connection and adds its traffic to the total.
 func (s *Server) dropConn(c *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,7 +179,7 @@
 	s.wg.Done()
 }
 
-// openConns returns the open connections.
+// openConns returns a snapshot of the open connections.
 func (s *Server) openConns() []*serverConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,8 +190,8 @@
 	return out
 }
 
-// Recheck closes the connections of peers that Allow does not believe any more.
-// Call it when the settings or the platform's list changed.
+// Recheck closes the connections of peers that Config.Allow no longer accepts.
+// Call it when the settings or the platform's list have changed.
 func (s *Server) Recheck() {
 	for _, c := range s.openConns() {
 		if id, ok := c.identity(); ok && !s.cfg.Allow(id) {
@@ -197,7 +200,7 @@
 	}
 }
 
-// Stats returns the connections and their traffic.
+// Stats returns the statistics of all connections.
 func (s *Server) Stats() Stats {
 	conns := s.openConns()
 	s.mu.Lock()
@@ -211,9 +214,9 @@
 	return out
 }
 
-// Shutdown stops accepting, refuses new calls with a *StoppingError, waits for
-// the calls in progress and their answers, and closes all connections. When ctx
-// ends first, it closes them at once and returns the context's error.
+// Shutdown closes the listeners, refuses new calls with a *StoppingError, waits
+// until the calls in progress have been answered, and closes all connections. If
+// ctx is done first, it closes them immediately and returns the context's error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.stopping = true
--- a/peer/serverconn.go
+++ b/peer/serverconn.go
@@ -26,12 +26,13 @@
 	greeted bool
 	closing bool
 	calls   map[jsonrpc2.ID]context.CancelFunc
-	// notifications counts notification handlers in progress.
+	// notifications is the number of notification handlers in progress.
 	notifications int
 	running       sync.WaitGroup
 }
 
-// run serves the connection until it closes and its handlers have returned.
+// run serves the connection until it is closed and all its handlers have
+// returned.
 func (c *serverConn) run(conn net.Conn) {
 	s := newStream(conn, c.srv.cfg.Limits, c.busy)
 	c.mu.Lock()
@@ -59,13 +60,14 @@
 	}
 	certs := t.ConnectionState().PeerCertificates
 	if len(certs) == 0 {
-		// No name matches an empty certificate.
+		// An empty certificate is valid for no name, so checkPeer refuses the
+		// peer.
 		return &x509.Certificate{}
 	}
 	return certs[0]
 }
 
-// rpcLog passes the library's messages on at debug level.
+// rpcLog logs the messages of jsonrpc2 at debug level.
 type rpcLog struct{ log *slog.Logger }
 
 // Printf implements jsonrpc2.Logger.
@@ -73,7 +75,7 @@
 	l.log.Debug("jsonrpc2", "format", format, "args", args)
 }
 
-// hangUpUnlessGreeted closes a connection whose hello did not come in time.
+// hangUpUnlessGreeted closes the connection if no hello has been accepted yet.
 func (c *serverConn) hangUpUnlessGreeted() {
 	c.mu.Lock()
 	greeted := c.greeted
@@ -83,14 +85,15 @@
 	}
 }
 
-// busy reports whether calls are in progress; an idle connection is closed.
+// busy reports whether calls or notifications are in progress. The stream closes
+// a connection that is idle and not busy.
 func (c *serverConn) busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.calls)+c.notifications > 0
 }
 
-// close closes the connection at once.
+// close closes the connection immediately.
 func (c *serverConn) close() {
 	c.mu.Lock()
 	c.closing = true
@@ -103,7 +106,8 @@
 	_ = c.counted.Close()
 }
 
-// closeWhenIdle closes the connection after the calls in progress.
+// closeWhenIdle closes the connection when the calls in progress have been
+// answered; new calls are refused.
 func (c *serverConn) closeWhenIdle() {
 	c.mu.Lock()
 	c.closing = true
@@ -118,14 +122,14 @@
 	}
 }
 
-// stats describes the connection.
+// stats returns the connection's statistics.
 func (c *serverConn) stats() ConnStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return ConnStats{Remote: c.remote, Traffic: c.counted.traffic(), Calls: len(c.calls)}
 }
 
-// Handle implements jsonrpc2.Handler. It runs on the connection's reader and
+// Handle implements jsonrpc2.Handler. It runs in the connection's read loop and
 // must not block.
 func (c *serverConn) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	switch {
@@ -141,24 +145,25 @@
 	}
 }
 
-// identity returns who the peer is, if the hello was accepted.
+// identity returns the peer's identity. It reports false if no hello has been
+// accepted.
 func (c *serverConn) identity() (Identity, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.remote, c.greeted
 }
 
-// isGreeted reports whether the hello was accepted.
+// isGreeted reports whether a hello has been accepted.
 func (c *serverConn) isGreeted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.greeted
 }
 
-// remoteAddr returns the observed address of a connection's peer.
+// remoteAddr returns the remote address of a connection.
 func remoteAddr(c net.Conn) string { return c.RemoteAddr().String() }
 
-// start runs the handler of a call in a goroutine of its own, or refuses it.
+// start runs the handler of a call in a new goroutine, or refuses the call.
 func (c *serverConn) start(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	h, ok := c.srv.handler(req.Method)
 	if !ok {
@@ -178,13 +183,13 @@
 	}()
 }
 
-// callMeta is the meta member of a request.
+// callMeta is the metadata of a request.
 type callMeta struct {
-	// TimeoutMS is the time the caller waits, in milliseconds.
+	// TimeoutMS is how long the caller waits, in milliseconds.
 	TimeoutMS int64 `json:"timeout_ms"`
 }
 
-// callTime returns how long a call may run.
+// callTime returns the timeout of a call: the caller's, limited to Limits.Call.
 func (c *serverConn) callTime(req *jsonrpc2.Request) time.Duration {
 	limit := c.srv.cfg.Limits.Call
 	if req.Meta == nil {
@@ -200,8 +205,8 @@
 	return time.Duration(m.TimeoutMS) * time.Millisecond
 }
 
-// begin counts a call in. Errors are *BusyError, *StoppingError and, for an ID
-// in use, *ParamsError.
+// begin records a call or notification in progress. Errors are *BusyError,
+// *StoppingError and, for a request ID in use, *ParamsError.
 func (c *serverConn) begin(req *jsonrpc2.Request, cancel context.CancelFunc) error {
 	stopping := c.srv.refuses()
 	c.mu.Lock()
@@ -226,7 +231,8 @@
 	return nil
 }
 
-// end counts a call out.
+// end removes a finished call or notification, and closes the connection if it
+// was the last one of a closing connection.
 func (c *serverConn) end(req *jsonrpc2.Request, cancel context.CancelFunc) {
 	cancel()
 	c.mu.Lock()
@@ -243,7 +249,8 @@
 	c.running.Done()
 }
 
-// cancel ends the context of a call whose caller is gone.
+// cancel handles methodCancel: it cancels the context of a call whose caller has
+// stopped waiting.
 func (c *serverConn) cancel(req *jsonrpc2.Request) {
 	if req.Params == nil {
 		return
@@ -259,8 +266,8 @@
 	}
 }
 
-// invoke runs a handler. A panic is answered as an internal error, so that one
-// bad call does not end the process with everything in flight.
+// invoke runs a handler. A panic is answered with an internal error, so that one
+// faulty call does not end the process and every other call in flight.
 func (c *serverConn) invoke(ctx context.Context, h handler, req *jsonrpc2.Request) (result json.RawMessage, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/peer/stats.go
+++ b/peer/stats.go
@@ -5,20 +5,19 @@
 	"sync/atomic"
 )
 
-// Traffic counts bytes on the wire, TLS and framing included.
+// Traffic counts bytes sent and received on the wire, including TLS and framing.
 type Traffic struct {
 	Sent     uint64
 	Received uint64
 }
 
-// add returns the sum of two counts.
 func (t Traffic) add(o Traffic) Traffic {
 	return Traffic{Sent: t.Sent + o.Sent, Received: t.Received + o.Received}
 }
 
 // ConnStats describes one connection.
 type ConnStats struct {
-	// Remote is the peer, zero before the hello.
+	// Remote is the peer's identity, zero before the hello has been accepted.
 	Remote  Identity
 	Traffic Traffic
 	// Calls is the number of calls in progress.
@@ -27,13 +26,13 @@
 
 // Stats describes all connections of a Server or a Pool.
 type Stats struct {
-	// Conns are the open connections.
+	// Conns holds the open connections.
 	Conns []ConnStats
-	// Total counts open and closed connections.
+	// Total is the traffic of open and closed connections.
 	Total Traffic
 }
 
-// countingConn counts the bytes that pass through a connection.
+// countingConn counts the bytes sent and received on a connection.
 type countingConn struct {
 	net.Conn
 	sent     atomic.Uint64
@@ -54,7 +53,6 @@
 	return n, err
 }
 
-// traffic returns the counts so far.
 func (c *countingConn) traffic() Traffic {
 	return Traffic{Sent: c.sent.Load(), Received: c.received.Load()}
 }
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -11,23 +11,24 @@
 	"time"
 )
 
-// Progress of one frame on its way out.
+// States of an outgoing frame.
 const (
 	frameQueued int32 = iota
-	// frameWriting means that bytes of the frame may have left.
+	// frameWriting means that bytes of the frame may have been sent.
 	frameWriting
 	// frameWithdrawn means that the frame will never be written.
 	frameWithdrawn
 	// frameBroken means that writing failed before the last byte, so that the
-	// peer cannot have the whole frame.
+	// peer cannot receive the whole frame.
 	frameBroken
 )
 
-// progress tells a caller whether its frame can have reached the peer.
+// progress is the state of an outgoing frame. It tells the caller whether the
+// frame can have reached the peer.
 type progress struct{ state atomic.Int32 }
 
-// withdraw gives the frame up. It reports whether the peer certainly does not
-// have the whole frame and never will.
+// withdraw removes the frame from sending if it is still queued. It reports
+// whether it is certain that the peer never receives the whole frame.
 func (p *progress) withdraw() bool {
 	if p.state.CompareAndSwap(frameQueued, frameWithdrawn) {
 		return true
@@ -36,27 +37,28 @@
 	return s == frameWithdrawn || s == frameBroken
 }
 
-// outFrame is a frame waiting to be written.
+// outFrame is a frame in the write queue.
 type outFrame struct {
 	bytes    []byte
 	progress *progress
 }
 
 // stream implements jsonrpc2.ObjectStream with bounded frames, a bounded write
-// queue and a deadline on every step. Writes are done by one goroutine, so that
+// queue and a deadline for each read and write. A single goroutine writes, so that
 // a slow peer never blocks a handler or a caller.
 type stream struct {
 	conn   net.Conn
 	r      *bufio.Reader
 	limits Limits
-	// quiet is called when no frame came for limits.Idle; it reports whether
-	// the connection is still wanted.
+	// quiet is called when no frame has arrived for limits.Idle. It reports
+	// whether to keep the connection open.
 	quiet func() bool
-	// readLimit is the largest frame accepted; it rises after the hello.
+	// readLimit is the maximum size of a received frame. It is raised after the
+	// hello.
 	readLimit atomic.Int64
 
-	// next is the progress of the frame about to be given to WriteObject.
-	// jsonrpc2 sets it by its OnSend hook and calls WriteObject under one lock.
+	// next is the progress of the frame that is passed to WriteObject next. The
+	// OnSend hook sets it; jsonrpc2 calls the hook and WriteObject under one lock.
 	next *progress
 
 	mu       sync.Mutex
@@ -69,7 +71,7 @@
 	done     chan struct{}
 }
 
-// newStream starts the writer of a connection.
+// newStream returns a stream on a connection and starts its writer.
 func newStream(conn net.Conn, limits Limits, quiet func() bool) *stream {
 	s := &stream{
 		conn:   conn,
@@ -84,7 +86,7 @@
 	return s
 }
 
-// trust raises the frame limit after the hello.
+// trust raises the read limit from limits.HelloFrame to limits.Frame.
 func (s *stream) trust() { s.readLimit.Store(int64(s.limits.Frame)) }
 
 // ReadObject implements jsonrpc2.ObjectStream.
@@ -112,15 +114,15 @@
 	return nil
 }
 
-// readWithin bounds the next reads. A connection that is already closed refuses
-// the deadline; that is no reason to lose a frame that has arrived, and reading
-// beyond it reports the close.
+// readWithin sets the deadline of the next reads. Setting it on a closed
+// connection fails; the error is ignored, so that a frame that has already arrived
+// is not lost. Reading past that frame reports that the connection is closed.
 func (s *stream) readWithin(d time.Duration) {
 	_ = s.conn.SetReadDeadline(time.Now().Add(d))
 }
 
-// awaitFrame waits for the first byte of a frame for as long as the connection
-// is wanted.
+// awaitFrame waits for the first byte of a frame for as long as quiet keeps the
+// connection open.
 func (s *stream) awaitFrame() error {
 	for {
 		s.readWithin(s.limits.Idle)
@@ -137,9 +139,9 @@
 	}
 }
 
-// WriteObject implements jsonrpc2.ObjectStream. It queues the object; an error
-// means that nothing of it was or will be written. Errors are *TooLargeError,
-// *BusyError and *ClosedError.
+// WriteObject implements jsonrpc2.ObjectStream. It queues the object for writing;
+// an error means that no part of it was or will be written. Errors are *FrameError,
+// *TooLargeError, *BusyError and *ClosedError.
 func (s *stream) WriteObject(obj any) error {
 	p := s.next
 	s.next = nil
@@ -156,7 +158,8 @@
 	return s.enqueue(outFrame{bytes: appendFrame(nil, body), progress: p})
 }
 
-// enqueue adds a frame to the write queue.
+// enqueue adds a frame to the write queue. An empty queue takes a frame of any
+// size.
 func (s *stream) enqueue(f outFrame) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,7 +208,7 @@
 	}
 }
 
-// queueState is what the writer finds in its queue.
+// queueState is the result of dequeue.
 type queueState int
 
 const (
@@ -215,7 +218,7 @@
 	queueClosed
 )
 
-// dequeue takes the next frame, if there is one.
+// dequeue removes and returns the next frame, if there is one.
 func (s *stream) dequeue() (outFrame, queueState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +238,7 @@
 	}
 }
 
-// writeFrame writes a frame that was not withdrawn.
+// writeFrame writes a frame unless it has been withdrawn.
 func (s *stream) writeFrame(f outFrame) error {
 	if !f.progress.state.CompareAndSwap(frameQueued, frameWriting) {
 		return nil
@@ -246,13 +249,14 @@
 	}
 	n, err := s.conn.Write(f.bytes)
 	if err != nil && n < len(f.bytes) {
-		// The network took fewer bytes than the frame has.
+		// Fewer bytes were written than the frame has.
 		f.progress.state.Store(frameBroken)
 	}
 	return err
 }
 
-// closeAfterWrites closes the stream when all queued frames are written.
+// closeAfterWrites makes the writer close the stream after all queued frames have
+// been written.
 func (s *stream) closeAfterWrites() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,7 +264,7 @@
 	s.signal()
 }
 
-// fail closes the connection for the given cause; only the first one counts.
+// fail closes the connection and records the cause. Later calls have no effect.
 func (s *stream) fail(cause error) {
 	s.mu.Lock()
 	if s.closed {
@@ -271,20 +275,19 @@
 	s.cause = cause
 	s.signal()
 	s.mu.Unlock()
-	// The connection is unusable in any case; there is nothing to do about a
-	// failing close.
+	// The connection is not used any more, so an error of Close does not matter.
 	_ = s.conn.Close()
 }
 
-// closedBy returns why the stream closed, as a *ClosedError.
+// closedBy returns a *ClosedError with the cause of the close.
 func (s *stream) closedBy() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &ClosedError{Cause: s.cause}
 }
 
-// Close implements jsonrpc2.ObjectStream. It waits until the writer has ended,
-// so that the progress of every frame is final afterwards.
+// Close implements jsonrpc2.ObjectStream. It waits until the writer has ended, so
+// that the progress of every frame is final when it returns.
 func (s *stream) Close() error {
 	s.fail(nil)
 	<-s.done
