--- a/peer/call.go
+++ b/peer/call.go
@@ -33,7 +33,7 @@
 // hello or the context's error.
 func Call[Resp any](ctx context.Context, p *Pool, addr, method string, req any, opts ...Option) (Resp, error) {
 	var resp Resp
-	c, err := p.ready(ctx, addr, method, opts)
+	c, err := p.connTo(ctx, addr, method, opts)
 	if err != nil {
 		return resp, err
 	}
@@ -50,16 +50,16 @@
 // Notify queues a notification to the peer at addr. A nil error means only that
 // it was queued. Errors are those of Call, always with Delivery NotSent.
 func Notify(ctx context.Context, p *Pool, addr, method string, req any, opts ...Option) error {
-	c, err := p.ready(ctx, addr, method, opts)
+	c, err := p.connTo(ctx, addr, method, opts)
 	if err != nil {
 		return err
 	}
 	return c.notify(ctx, method, req)
 }
 
-// ready returns a connection to the peer at addr, dialling it if needed, and
+// connTo returns a connection to the peer at addr, dialling it if needed, and
 // checks that the peer is the one that the options require.
-func (p *Pool) ready(ctx context.Context, addr, method string, opts []Option) (*clientConn, error) {
+func (p *Pool) connTo(ctx context.Context, addr, method string, opts []Option) (*clientConn, error) {
 	var o callOptions
 	for _, set := range opts {
 		set(&o)
@@ -86,10 +86,10 @@
 	return &WrongInstanceError{Want: o.want, Got: got}
 }
 
-// plainCause returns the cause of a *CallError, and any other error as it is. It
-// is used for errors of the hello, whose Delivery does not apply to the call that
-// opened the connection.
-func plainCause(err error) error {
+// unwrapCallError returns the cause of a *CallError, and any other error as it
+// is. It is used for errors of the hello, whose Delivery does not apply to the
+// call that opened the connection.
+func unwrapCallError(err error) error {
 	var ce *CallError
 	if errors.As(err, &ce) {
 		return ce.Err
--- a/peer/clientconn.go
+++ b/peer/clientconn.go
@@ -14,20 +14,20 @@
 type clientConn struct {
 	addr    string
 	cfg     Config
-	counted *countingConn
+	netConn *countingConn
 	stream  *stream
 	rpc     *jsonrpc2.Conn
 	remote  Identity
 
 	mu sync.Mutex
-	// retired is set when the connection accepts no further calls.
-	retired bool
+	// closing is set when the connection accepts no further calls.
+	closing bool
 	lastID  uint64
 	// pending holds the calls without a response, by request ID, including those
 	// whose callers have stopped waiting.
-	pending  map[uint64]*pendingCall
-	lastUsed time.Time
-	idle     *time.Timer
+	pending   map[uint64]*pendingCall
+	lastUsed  time.Time
+	idleTimer *time.Timer
 }
 
 // pendingCall is a call that has not been answered.
@@ -39,14 +39,14 @@
 // onSend is the OnSend hook of jsonrpc2. It sets the progress of the frame that
 // is passed to WriteObject next.
 func (c *clientConn) onSend(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
-	c.stream.next = nil
+	c.stream.nextProgress = nil
 	if req == nil || req.Notif {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p, ok := c.pending[req.ID.Num]; ok {
-		c.stream.next = &p.progress
+		c.stream.nextProgress = &p.progress
 	}
 }
 
@@ -54,7 +54,7 @@
 // pending.
 func (c *clientConn) onRecv(_ *jsonrpc2.Request, resp *jsonrpc2.Response) {
 	if resp != nil {
-		c.finish(resp.ID.Num)
+		c.end(resp.ID.Num)
 	}
 }
 
@@ -63,16 +63,16 @@
 func (c *clientConn) begin() (uint64, *pendingCall, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.retired {
+	if c.closing {
 		return 0, nil, &ClosedError{}
 	}
 	if len(c.pending) >= c.cfg.Limits.Calls {
-		if c.stale() {
+		if c.hasOverdueCall() {
 			// The peer has stopped answering: close the connection, so that the
 			// next call opens a new one.
 			c.stream.fail(&TimeoutError{Method: "calls without answer"})
 		}
-		return 0, nil, &BusyError{What: "calls in progress", Limit: c.cfg.Limits.Calls}
+		return 0, nil, &BusyError{Resource: "calls in progress", Limit: c.cfg.Limits.Calls}
 	}
 	now := time.Now()
 	c.lastID++
@@ -82,16 +82,16 @@
 	return c.lastID, p, nil
 }
 
-// finish removes a call from pending.
-func (c *clientConn) finish(id uint64) {
+// end removes a call from pending.
+func (c *clientConn) end(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
 }
 
-// stale reports whether a pending call is older than Limits.Call. The caller
-// holds mu.
-func (c *clientConn) stale() bool {
+// hasOverdueCall reports whether a pending call is older than Limits.Call. The
+// caller holds mu.
+func (c *clientConn) hasOverdueCall() bool {
 	limit := time.Now().Add(-c.cfg.Limits.Call)
 	for _, p := range c.pending {
 		if p.started.Before(limit) {
@@ -101,12 +101,12 @@
 	return false
 }
 
-// wanted reports whether to keep a connection on which no frame arrives: whether
+// keepOpen reports whether to keep a connection on which no frame arrives: whether
 // calls are pending and none is overdue.
-func (c *clientConn) wanted() bool {
+func (c *clientConn) keepOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.pending) > 0 && !c.stale()
+	return len(c.pending) > 0 && !c.hasOverdueCall()
 }
 
 // call sends a call and waits for its response. Errors are *CallError.
@@ -115,17 +115,17 @@
 	defer cancel()
 	id, p, err := c.begin()
 	if err != nil {
-		return nil, c.fault(method, NotSent, err)
+		return nil, c.callError(method, NotSent, err)
 	}
 	w, err := c.rpc.DispatchCall(ctx, method, params, jsonrpc2.PickID(jsonrpc2.ID{Num: id}), timeoutMeta(ctx))
 	if err != nil {
 		// The frame was never queued.
-		c.finish(id)
-		return nil, c.fault(method, NotSent, c.cause(err))
+		c.end(id)
+		return nil, c.callError(method, NotSent, c.closeCause(err))
 	}
 	var raw json.RawMessage
 	if err := w.Wait(ctx, &raw); err != nil {
-		return nil, c.failed(ctx, method, id, p, err)
+		return nil, c.classifyFailure(ctx, method, id, p, err)
 	}
 	return raw, nil
 }
@@ -141,31 +141,31 @@
 	return jsonrpc2.Meta(callMeta{TimeoutMS: ms})
 }
 
-// failed determines the Delivery and the cause of a failed call.
-func (c *clientConn) failed(ctx context.Context, method string, id uint64, p *pendingCall, err error) error {
+// classifyFailure determines the Delivery and the cause of a failed call.
+func (c *clientConn) classifyFailure(ctx context.Context, method string, id uint64, p *pendingCall, err error) error {
 	var remote *jsonrpc2.Error
 	switch {
 	case errors.As(err, &remote):
 		delivery, cause := decodeRemote(remote)
-		return c.fault(method, delivery, cause)
+		return c.callError(method, delivery, cause)
 	case errors.Is(err, jsonrpc2.ErrClosed):
 		// The progress of the frame is final only after the writer has ended.
 		_ = c.stream.Close()
-		return c.fault(method, undelivered(p), c.stream.closedBy())
+		return c.callError(method, withdrawFrame(p), c.stream.closedError())
 	case ctx.Err() != nil:
-		delivery := undelivered(p)
+		delivery := withdrawFrame(p)
 		if delivery == Unknown {
 			c.sendCancel(ctx, id)
 		}
-		return c.fault(method, delivery, ctx.Err())
+		return c.callError(method, delivery, ctx.Err())
 	default:
-		return c.fault(method, Unknown, &FrameError{Part: "body"})
+		return c.callError(method, Unknown, &FrameError{Part: "body"})
 	}
 }
 
-// undelivered withdraws the frame of a call if it is still queued. It returns
+// withdrawFrame withdraws the frame of a call if it is still queued. It returns
 // NotSent if the peer cannot have received the whole frame, otherwise Unknown.
-func undelivered(p *pendingCall) Delivery {
+func withdrawFrame(p *pendingCall) Delivery {
 	if p.progress.withdraw() {
 		return NotSent
 	}
@@ -181,34 +181,34 @@
 // notify queues a notification. Errors are *CallError with NotSent.
 func (c *clientConn) notify(ctx context.Context, method string, params any) error {
 	c.mu.Lock()
-	retired := c.retired
+	closing := c.closing
 	c.lastUsed = time.Now()
 	c.mu.Unlock()
-	if retired {
-		return c.fault(method, NotSent, &ClosedError{})
+	if closing {
+		return c.callError(method, NotSent, &ClosedError{})
 	}
 	if err := c.rpc.Notify(ctx, method, params); err != nil {
-		return c.fault(method, NotSent, c.cause(err))
+		return c.callError(method, NotSent, c.closeCause(err))
 	}
 	return nil
 }
 
-// cause replaces the ErrClosed of jsonrpc2 by the reason for which the stream
-// closed.
-func (c *clientConn) cause(err error) error {
+// closeCause replaces the ErrClosed of jsonrpc2 by the reason for which the
+// stream closed.
+func (c *clientConn) closeCause(err error) error {
 	if errors.Is(err, jsonrpc2.ErrClosed) {
-		return c.stream.closedBy()
+		return c.stream.closedError()
 	}
 	return err
 }
 
-// fault returns a *CallError for a call on this connection.
-func (c *clientConn) fault(method string, d Delivery, err error) error {
+// callError returns a *CallError for a call on this connection.
+func (c *clientConn) callError(method string, d Delivery, err error) error {
 	return &CallError{Addr: c.addr, Method: method, Delivery: d, Err: err}
 }
 
-// alive reports whether the connection accepts calls.
-func (c *clientConn) alive() bool {
+// usable reports whether the connection accepts calls.
+func (c *clientConn) usable() bool {
 	select {
 	case <-c.rpc.DisconnectNotify():
 		return false
@@ -216,19 +216,19 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.retired
+	return !c.closing
 }
 
 // close closes the connection; cause is reported to the pending calls.
 func (c *clientConn) close(cause error) {
 	c.mu.Lock()
-	c.retired = true
-	if c.idle != nil {
-		c.idle.Stop()
+	c.closing = true
+	if c.idleTimer != nil {
+		c.idleTimer.Stop()
 	}
 	c.mu.Unlock()
 	if c.stream == nil {
-		_ = c.counted.Close()
+		_ = c.netConn.Close()
 		return
 	}
 	c.stream.fail(cause)
@@ -242,5 +242,5 @@
 func (c *clientConn) stats() ConnStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return ConnStats{Remote: c.remote, Traffic: c.counted.traffic(), Calls: len(c.pending)}
+	return ConnStats{Remote: c.remote, Traffic: c.netConn.traffic(), Calls: len(c.pending)}
 }
--- a/peer/connect.go
+++ b/peer/connect.go
@@ -23,36 +23,36 @@
 	c := &clientConn{
 		addr:     addr,
 		cfg:      cfg,
-		counted:  &countingConn{Conn: raw},
+		netConn:  &countingConn{Conn: raw},
 		pending:  map[uint64]*pendingCall{},
 		lastUsed: time.Now(),
 	}
 	hctx, cancel := context.WithTimeout(ctx, cfg.Limits.Hello)
 	defer cancel()
-	if err := c.greet(hctx); err != nil {
+	if err := c.handshake(hctx); err != nil {
 		c.close(err)
 		return nil, err
 	}
-	c.watchIdle()
+	c.startIdleTimer()
 	return c, nil
 }
 
-// greet performs the TLS handshake, starts the JSON-RPC connection, exchanges
+// handshake performs the TLS handshake, starts the JSON-RPC connection, exchanges
 // hellos and verifies the peer's identity.
-func (c *clientConn) greet(ctx context.Context) error {
-	conn, err := c.secure(ctx)
+func (c *clientConn) handshake(ctx context.Context) error {
+	conn, err := c.tlsHandshake(ctx)
 	if err != nil {
-		return c.helloFailed(err)
+		return c.classifyHelloError(err)
 	}
-	c.stream = newStream(conn, c.cfg.Limits, c.wanted)
+	c.stream = newStream(conn, c.cfg.Limits, c.keepOpen)
 	// The response to the hello is the first frame. This side chose the server's
 	// address, so frames of the full size are accepted from the start.
-	c.stream.trust()
+	c.stream.raiseReadLimit()
 	c.rpc = jsonrpc2.NewConn(context.Background(), c.stream, refuseAll{},
-		jsonrpc2.OnSend(c.onSend), jsonrpc2.OnRecv(c.onRecv), jsonrpc2.SetLogger(rpcLog{slog.New(slog.DiscardHandler)}))
+		jsonrpc2.OnSend(c.onSend), jsonrpc2.OnRecv(c.onRecv), jsonrpc2.SetLogger(rpcLogger{slog.New(slog.DiscardHandler)}))
 	raw, err := c.call(ctx, MethodHello, newHello(c.cfg.Self))
 	if err != nil {
-		return c.helloFailed(err)
+		return c.classifyHelloError(err)
 	}
 	h, err := decodeHello(raw)
 	if err != nil {
@@ -62,11 +62,11 @@
 	return err
 }
 
-// helloFailed classifies the failure of a TLS handshake or a hello: timeouts,
-// closed connections and TLS errors become a *DialError. Other errors, such as a
-// refusal by the remote process, are returned without their *CallError.
-func (c *clientConn) helloFailed(err error) error {
-	cause := plainCause(err)
+// classifyHelloError classifies the failure of a TLS handshake or a hello:
+// timeouts, closed connections and TLS errors become a *DialError. Other errors,
+// such as a refusal by the remote process, are returned without their *CallError.
+func (c *clientConn) classifyHelloError(err error) error {
+	cause := unwrapCallError(err)
 	var closed *ClosedError
 	switch {
 	case errors.Is(cause, context.DeadlineExceeded):
@@ -78,12 +78,12 @@
 	}
 }
 
-// secure performs the TLS handshake if TLS is configured.
-func (c *clientConn) secure(ctx context.Context) (net.Conn, error) {
+// tlsHandshake performs the TLS handshake if TLS is configured.
+func (c *clientConn) tlsHandshake(ctx context.Context) (net.Conn, error) {
 	if c.cfg.TLS == nil {
-		return c.counted, nil
+		return c.netConn, nil
 	}
-	t := tls.Client(c.counted, c.cfg.TLS.ClientConfig())
+	t := tls.Client(c.netConn, c.cfg.TLS.ClientConfig())
 	return t, t.HandshakeContext(ctx)
 }
 
--- a/peer/delivery_test.go
+++ b/peer/delivery_test.go
@@ -15,19 +15,20 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// dialRaw returns a pool with a connection whose far end the test controls.
-func dialRaw(t *testing.T, limits Limits) (*Pool, *pipeDialer, *remote) {
+// connectScripted returns a pool with a connection whose far end the test
+// controls.
+func connectScripted(t *testing.T, limits Limits) (*Pool, *pipeDialer, *scriptedPeer) {
 	t.Helper()
 	d := &pipeDialer{}
 	p := NewPool(Config{Self: entryA, Allow: allowAll, Dialer: d, Limits: limits})
 	ready := make(chan error, 1)
 	go func() {
-		_, err := p.ready(context.Background(), "b", "", nil)
+		_, err := p.connTo(context.Background(), "b", "", nil)
 		ready <- err
 	}()
 	synctest.Wait()
-	r := newRemote(t, d.far)
-	r.greet()
+	r := newScriptedPeer(t, d.far)
+	r.answerHello()
 	assert.NilError(t, <-ready)
 	return p, d, r
 }
@@ -37,37 +38,37 @@
 	tests := []struct {
 		name string
 		// peer is run at the far end while the call is in progress.
-		peer func(r *remote)
+		peer func(r *scriptedPeer)
 		req  echoRequest
 		want Delivery
 	}{
-		{"answer never comes", func(r *remote) { io.Copy(io.Discard, r.r) }, echoRequest{}, Unknown},
-		{"connection closes after the call", func(r *remote) { r.receive(); r.conn.Close() }, echoRequest{}, Unknown},
-		{"connection closes before the call is read", func(r *remote) { r.conn.Close() }, echoRequest{}, NotSent},
-		{"connection closes inside the frame", func(r *remote) { r.r.ReadByte(); r.conn.Close() }, big, NotSent},
-		{"peer reads nothing", func(*remote) {}, echoRequest{}, Unknown},
-		{"refusal", func(r *remote) {
+		{"answer never comes", func(r *scriptedPeer) { io.Copy(io.Discard, r.r) }, echoRequest{}, Unknown},
+		{"connection closes after the call", func(r *scriptedPeer) { r.receive(); r.conn.Close() }, echoRequest{}, Unknown},
+		{"connection closes before the call is read", func(r *scriptedPeer) { r.conn.Close() }, echoRequest{}, NotSent},
+		{"connection closes inside the frame", func(r *scriptedPeer) { r.r.ReadByte(); r.conn.Close() }, big, NotSent},
+		{"peer reads nothing", func(*scriptedPeer) {}, echoRequest{}, Unknown},
+		{"refusal", func(r *scriptedPeer) {
 			r.receive()
 			r.send(`{"jsonrpc":"2.0","id":2,"error":{"code":-32006,"message":"","data":{"refused":true,"error":{}}}}`)
 		}, echoRequest{}, Refused},
-		{"error without data", func(r *remote) {
+		{"error without data", func(r *scriptedPeer) {
 			r.receive()
 			r.send(`{"jsonrpc":"2.0","id":2,"error":{"code":-32006,"message":""}}`)
 		}, echoRequest{}, Unknown},
-		{"error with data of another shape", func(r *remote) {
+		{"error with data of another shape", func(r *scriptedPeer) {
 			r.receive()
 			r.send(`{"jsonrpc":"2.0","id":2,"error":{"code":7,"message":"","data":[1]}}`)
 		}, echoRequest{}, Unknown},
-		{"result of another type", func(r *remote) {
+		{"result of another type", func(r *scriptedPeer) {
 			r.receive()
 			r.send(`{"jsonrpc":"2.0","id":2,"result":[1]}`)
 		}, echoRequest{}, Unknown},
-		{"answer that is no frame", func(r *remote) { r.receive(); r.conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, echoRequest{}, Unknown},
+		{"answer that is no frame", func(r *scriptedPeer) { r.receive(); r.conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, echoRequest{}, Unknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
-				p, _, r := dialRaw(t, Limits{})
+				p, _, r := connectScripted(t, Limits{})
 				defer p.Close()
 				defer r.conn.Close()
 				go tt.peer(r)
@@ -86,7 +87,7 @@
 // never sent. The writer is blocked by one call, so that later calls stay queued.
 func TestQueuedCallIsWithdrawn(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		p, _, r := dialRaw(t, Limits{QueueFrames: 2})
+		p, _, r := connectScripted(t, Limits{QueueFrames: 2})
 		defer p.Close()
 		call := func(d time.Duration, out chan<- error) {
 			ctx, cancel := context.WithTimeout(context.Background(), d)
@@ -116,20 +117,20 @@
 
 func TestSlowReaderIsDropped(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		p, d, r := dialRaw(t, Limits{})
+		p, d, r := connectScripted(t, Limits{})
 		defer p.Close()
 		start := time.Now()
 		_, err := Call[echoResponse](context.Background(), p, "b", "echo", echoRequest{})
 		assert.Equal(t, time.Since(start), DefaultWrite)
 		assert.Equal(t, DeliveryOf(err), NotSent, "%v", err)
-		r.closed()
+		r.expectClosed()
 		assert.Equal(t, d.count(), 1)
 	})
 }
 
 func TestSilentPeerLosesItsConnection(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		p, d, r := dialRaw(t, Limits{Calls: 1, Call: time.Second})
+		p, d, r := connectScripted(t, Limits{Calls: 1, Call: time.Second})
 		defer p.Close()
 		go func() {
 			for {
--- a/peer/endpoint.go
+++ b/peer/endpoint.go
@@ -16,10 +16,10 @@
 	mu      sync.Mutex
 	open    *clientConn
 	dialing chan struct{}
-	pause   *backoff.ExponentialBackOff
+	backoff *backoff.ExponentialBackOff
 	retryAt time.Time
-	last    error
-	gone    bool
+	lastErr error
+	closed  bool
 }
 
 // newEndpoint returns an endpoint without a connection and without backoff.
@@ -28,43 +28,43 @@
 	b.InitialInterval = l.BackoffMin
 	b.MaxInterval = l.BackoffMax
 	b.Multiplier = 2
-	return &endpoint{addr: addr, pause: b}
+	return &endpoint{addr: addr, backoff: b}
 }
 
 // conn returns the open connection, or waits for an attempt to open one.
 func (e *endpoint) conn(ctx context.Context, p *Pool) (*clientConn, error) {
-	c, wait, err := e.take(p)
+	c, wait, err := e.connOrWait(p)
 	if c != nil || err != nil {
 		return c, err
 	}
 	select {
 	case <-wait:
-		return e.outcome()
+		return e.dialResult()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// take returns the open connection, a channel that is closed when the attempt in
-// progress ends, or an error. It starts an attempt if there is none.
-func (e *endpoint) take(p *Pool) (*clientConn, <-chan struct{}, error) {
+// connOrWait returns the open connection, a channel that is closed when the
+// attempt in progress ends, or an error. It starts an attempt if there is none.
+func (e *endpoint) connOrWait(p *Pool) (*clientConn, <-chan struct{}, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.closed {
 		return nil, nil, &ClosedError{}
 	}
 	if e.open != nil {
-		if e.open.alive() {
+		if e.open.usable() {
 			return e.open, nil, nil
 		}
-		p.account(e.open)
+		p.addClosedTraffic(e.open)
 		e.open = nil
 	}
 	if e.dialing != nil {
 		return nil, e.dialing, nil
 	}
 	if time.Now().Before(e.retryAt) {
-		return nil, nil, &BackoffError{Addr: e.addr, Until: e.retryAt, Last: e.last}
+		return nil, nil, &BackoffError{Addr: e.addr, Until: e.retryAt, Last: e.lastErr}
 	}
 	e.dialing = make(chan struct{})
 	// The attempt uses the pool's context instead of the caller's, since several
@@ -83,28 +83,28 @@
 	defer close(done)
 	e.dialing = nil
 	if err != nil {
-		e.last = err
-		e.retryAt = time.Now().Add(e.pause.NextBackOff())
+		e.lastErr = err
+		e.retryAt = time.Now().Add(e.backoff.NextBackOff())
 		return
 	}
-	if e.gone {
+	if e.closed {
 		c.close(nil)
-		p.account(c)
+		p.addClosedTraffic(c)
 		return
 	}
-	e.open, e.last, e.retryAt = c, nil, time.Time{}
-	e.pause.Reset()
+	e.open, e.lastErr, e.retryAt = c, nil, time.Time{}
+	e.backoff.Reset()
 }
 
-// outcome returns the result of the attempt that has just ended.
-func (e *endpoint) outcome() (*clientConn, error) {
+// dialResult returns the result of the attempt that has just ended.
+func (e *endpoint) dialResult() (*clientConn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case e.open != nil:
 		return e.open, nil
-	case e.last != nil:
-		return nil, e.last
+	case e.lastErr != nil:
+		return nil, e.lastErr
 	default:
 		return nil, &ClosedError{}
 	}
@@ -117,20 +117,20 @@
 	return e.open
 }
 
-// discard marks the endpoint as closed and returns its connection, or nil, for
+// detach marks the endpoint as closed and returns its connection, or nil, for
 // the caller to close.
-func (e *endpoint) discard() *clientConn {
+func (e *endpoint) detach() *clientConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	c := e.open
-	e.open, e.gone = nil, true
+	e.open, e.closed = nil, true
 	return c
 }
 
-// droppable reports whether the endpoint can be removed: it has no connection, no
+// prunable reports whether the endpoint can be removed: it has no connection, no
 // attempt in progress and no backoff that still limits attempts to an unavailable
 // peer.
-func (e *endpoint) droppable(now time.Time) bool {
+func (e *endpoint) prunable(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.open == nil && e.dialing == nil && now.After(e.retryAt)
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -199,13 +199,13 @@
 // BusyError reports that a limit on connections, calls in progress, or queued
 // frames or bytes has been reached.
 type BusyError struct {
-	// What names what is limited.
-	What  string `json:"what"`
-	Limit int    `json:"limit"`
+	// Resource names what is limited.
+	Resource string `json:"what"`
+	Limit    int    `json:"limit"`
 }
 
 // Error implements error.
-func (e *BusyError) Error() string { return fmt.Sprintf("more than %d %s", e.Limit, e.What) }
+func (e *BusyError) Error() string { return fmt.Sprintf("more than %d %s", e.Limit, e.Resource) }
 
 // StoppingError reports a call to a process that is shutting down.
 type StoppingError struct{}
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -12,23 +12,23 @@
 // jsonrpc2 library limits neither header nor body size, so this package has its
 // own.
 const (
-	headerName = "Content-Length: "
-	headerEnd  = "\r\n"
+	lengthHeader = "Content-Length: "
+	crlf         = "\r\n"
 	// maxHeaderLine is the maximum length of a header line, in bytes.
 	maxHeaderLine = 128
 	// maxHeaderLines is the maximum number of header lines in a frame, including
 	// the empty line that ends the header.
 	maxHeaderLines = 4
-	// firstChunk is the maximum number of bytes allocated for a body before any
-	// of it has been received.
-	firstChunk = 16 << 10
+	// initialBodyBytes is the maximum number of bytes allocated for a body before
+	// any of it has been received.
+	initialBodyBytes = 16 << 10
 )
 
 // appendFrame appends a frame with the given body to dst.
 func appendFrame(dst, body []byte) []byte {
-	dst = append(dst, headerName...)
+	dst = append(dst, lengthHeader...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
-	dst = append(dst, headerEnd+headerEnd...)
+	dst = append(dst, crlf+crlf...)
 	return append(dst, body...)
 }
 
@@ -60,7 +60,7 @@
 			}
 			return length, nil
 		}
-		digits, ok := bytes.CutPrefix(line, []byte(headerName))
+		digits, ok := bytes.CutPrefix(line, []byte(lengthHeader))
 		if !ok {
 			continue
 		}
@@ -74,7 +74,7 @@
 
 // readLine reads one header line and strips the line terminator.
 func readLine(r *bufio.Reader) ([]byte, error) {
-	line := make([]byte, 0, len(headerName)+len(headerEnd)+10)
+	line := make([]byte, 0, len(lengthHeader)+len(crlf)+10)
 	for len(line) < maxHeaderLine {
 		b, err := r.ReadByte()
 		if err != nil {
@@ -84,7 +84,7 @@
 		if b != '\n' {
 			continue
 		}
-		body, ok := bytes.CutSuffix(line, []byte(headerEnd))
+		body, ok := bytes.CutSuffix(line, []byte(crlf))
 		if !ok {
 			return nil, &FrameError{Part: "header"}
 		}
@@ -102,16 +102,16 @@
 	return int(n), nil
 }
 
-// readBody reads n bytes. Beyond firstChunk, memory is allocated as data arrives,
-// so that a peer cannot make it allocate n bytes by sending only a header.
+// readBody reads n bytes. Beyond initialBodyBytes, memory is allocated as data
+// arrives, so that a peer cannot make it allocate n bytes by sending only a header.
 func readBody(r *bufio.Reader, n int) ([]byte, error) {
-	if n <= firstChunk {
+	if n <= initialBodyBytes {
 		body := make([]byte, n)
 		_, err := io.ReadFull(r, body)
 		return body, err
 	}
 	var buf bytes.Buffer
-	buf.Grow(firstChunk)
+	buf.Grow(initialBodyBytes)
 	if _, err := io.CopyN(&buf, r, int64(n)); err != nil {
 		return nil, err
 	}
--- a/peer/hello_test.go
+++ b/peer/hello_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-const goodHello = `{"jsonrpc":"2.0","id":1,"method":"hello","params":{"version":1,"instance":"entry-a1","incarnation":7,"zone":"hall-a"}}`
+const validHello = `{"jsonrpc":"2.0","id":1,"method":"hello","params":{"version":1,"instance":"entry-a1","incarnation":7,"zone":"hall-a"}}`
 
 func TestHelloIsChecked(t *testing.T) {
 	tests := []struct {
@@ -42,13 +42,13 @@
 			})
 			near, far := net.Pipe()
 			go s.ServeConn(far)
-			r := newRemote(t, near)
+			r := newScriptedPeer(t, near)
 			r.send(tt.first)
 			got := r.receive()
 			assert.Assert(t, got.Error != nil)
 			assert.Equal(t, got.Error.Code, tt.want)
 			assert.Assert(t, got.Error.Data.Refused)
-			r.closed()
+			r.expectClosed()
 			assert.NilError(t, s.Shutdown(context.Background()))
 		})
 	}
@@ -58,12 +58,12 @@
 	s := NewServer(Config{Self: entryB, Allow: allowAll})
 	near, far := net.Pipe()
 	go s.ServeConn(far)
-	r := newRemote(t, near)
-	r.send(goodHello)
+	r := newScriptedPeer(t, near)
+	r.send(validHello)
 	assert.Assert(t, r.receive().Error == nil)
-	r.send(goodHello)
+	r.send(validHello)
 	assert.Equal(t, r.receive().Error.Code, CodeHello)
-	r.closed()
+	r.expectClosed()
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
@@ -73,7 +73,7 @@
 		near, far := net.Pipe()
 		start := time.Now()
 		go s.ServeConn(far)
-		newRemote(t, near).closed()
+		newScriptedPeer(t, near).expectClosed()
 		assert.Equal(t, time.Since(start), DefaultHello)
 		assert.NilError(t, s.Shutdown(context.Background()))
 	})
@@ -83,10 +83,10 @@
 	s := NewServer(Config{Self: entryB, Allow: allowAll})
 	near, far := net.Pipe()
 	go s.ServeConn(far)
-	r := newRemote(t, near)
+	r := newScriptedPeer(t, near)
 	_, err := near.Write([]byte("Content-Length: 4097\r\n\r\n"))
 	assert.NilError(t, err)
-	r.closed()
+	r.expectClosed()
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
@@ -110,7 +110,7 @@
 			near, far := net.Pipe()
 			p := NewPool(Config{Self: entryA, Dialer: fixedDialer{near}, Allow: func(id Identity) bool { return id.Instance == "entry-b1" }})
 			go func() {
-				r := newRemote(t, far)
+				r := newScriptedPeer(t, far)
 				r.receive()
 				r.send(tt.reply)
 			}()
--- a/peer/limits_test.go
+++ b/peer/limits_test.go
@@ -29,9 +29,9 @@
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
-// blocking registers a method that blocks until release is closed or its context
-// is done; it sends the context's error to ended.
-func blocking(s *Server, release <-chan struct{}, ended chan<- error) {
+// handleBlocking registers a method that blocks until release is closed or its
+// context is done; it sends the context's error to ended.
+func handleBlocking(s *Server, release <-chan struct{}, ended chan<- error) {
 	Handle(s, "block", func(ctx context.Context, _ Identity, _ echoRequest) (echoResponse, error) {
 		select {
 		case <-release:
@@ -46,7 +46,7 @@
 func TestCallsPerConnectionAreBounded(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		s, p, _ := pipePair(Limits{Calls: 2}, Limits{}, func(s *Server) { blocking(s, release, nil) })
+		s, p, _ := pipePair(Limits{Calls: 2}, Limits{}, func(s *Server) { handleBlocking(s, release, nil) })
 		defer stop(t, s, p)
 		results := make(chan error, 2)
 		for range 2 {
@@ -69,7 +69,7 @@
 func TestCancelReachesTheHandler(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
-		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, nil, ended) })
+		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, nil, ended) })
 		defer stop(t, s, p)
 		ctx, cancel := context.WithCancel(context.Background())
 		result := make(chan error, 1)
@@ -87,7 +87,7 @@
 func TestHandlerEndsWithTheCallersTime(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
-		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, nil, ended) })
+		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, nil, ended) })
 		defer stop(t, s, p)
 		_, err := Call[echoResponse](context.Background(), p, "b", "echo", echoRequest{})
 		var unknown *MethodError
@@ -132,11 +132,11 @@
 		s := NewServer(Config{Self: entryB, Allow: allowAll})
 		near, far := net.Pipe()
 		go s.ServeConn(far)
-		r := newRemote(t, near)
-		r.send(goodHello)
+		r := newScriptedPeer(t, near)
+		r.send(validHello)
 		r.receive()
 		start := time.Now()
-		r.closed()
+		r.expectClosed()
 		assert.Equal(t, time.Since(start), DefaultIdle)
 		assert.NilError(t, s.Shutdown(context.Background()))
 	})
@@ -149,13 +149,13 @@
 		s := NewServer(Config{Self: entryB, Allow: allowAll})
 		near, far := net.Pipe()
 		go s.ServeConn(far)
-		r := newRemote(t, near)
-		r.send(goodHello)
+		r := newScriptedPeer(t, near)
+		r.send(validHello)
 		r.receive()
 		_, err := near.Write([]byte("C"))
 		assert.NilError(t, err)
 		start := time.Now()
-		r.closed()
+		r.expectClosed()
 		assert.Equal(t, time.Since(start), DefaultRead)
 		assert.NilError(t, s.Shutdown(context.Background()))
 	})
@@ -182,12 +182,12 @@
 	s := NewServer(Config{Self: entryB, Allow: allowAll, Limits: Limits{Connections: 1}})
 	first, far := net.Pipe()
 	go s.ServeConn(far)
-	r := newRemote(t, first)
-	r.send(goodHello)
+	r := newScriptedPeer(t, first)
+	r.send(validHello)
 	r.receive()
 	second, far := net.Pipe()
 	s.ServeConn(far)
-	newRemote(t, second).closed()
+	newScriptedPeer(t, second).expectClosed()
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
@@ -209,7 +209,7 @@
 func TestShutdownFinishesCallsInProgress(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, release, nil) })
+		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, release, nil) })
 		defer p.Close()
 		inFlight := make(chan error, 1)
 		go func() {
@@ -233,7 +233,7 @@
 func TestDrainKeepsAccepting(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		s, p, d := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, release, nil) })
+		s, p, d := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, release, nil) })
 		defer stop(t, s, p)
 		inFlight := make(chan error, 1)
 		go func() {
@@ -254,7 +254,7 @@
 func TestShutdownIsBoundedByItsContext(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
-		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, nil, ended) })
+		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, nil, ended) })
 		defer p.Close()
 		inFlight := make(chan error, 1)
 		go func() {
@@ -324,6 +324,6 @@
 		start := time.Now()
 		err := NewServer(Config{Self: entryB, Allow: allowAll}).Serve(l)
 		assert.Assert(t, errors.As(err, new(*AcceptError)))
-		assert.Equal(t, time.Since(start), 5*acceptPause)
+		assert.Equal(t, time.Since(start), 5*acceptRetryDelay)
 	})
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -22,10 +22,10 @@
 }
 
 type echoResponse struct {
-	Text string            `json:"text"`
-	From ident.InstanceID  `json:"from"`
-	Zone ident.Zone        `json:"zone"`
-	Life ident.Incarnation `json:"life"`
+	Text        string            `json:"text"`
+	From        ident.InstanceID  `json:"from"`
+	Zone        ident.Zone        `json:"zone"`
+	Incarnation ident.Incarnation `json:"life"`
 }
 
 // fullError is an error type registered by the tests.
@@ -46,7 +46,7 @@
 
 // echo returns the text of the request and the caller's identity.
 func echo(_ context.Context, from Identity, r echoRequest) (echoResponse, error) {
-	return echoResponse{Text: r.Text, From: from.Instance, Zone: from.Zone, Life: from.Incarnation}, nil
+	return echoResponse{Text: r.Text, From: from.Instance, Zone: from.Zone, Incarnation: from.Incarnation}, nil
 }
 
 // startServer starts a server on the loopback interface that is shut down when
@@ -83,7 +83,7 @@
 	p := startPool(t, Config{Self: entryA, Allow: allowAll})
 	got, err := Call[echoResponse](context.Background(), p, addr, "echo", echoRequest{Text: "hi"})
 	assert.NilError(t, err)
-	assert.Equal(t, got, echoResponse{Text: "hi", From: "entry-a1", Zone: "hall-a", Life: 7})
+	assert.Equal(t, got, echoResponse{Text: "hi", From: "entry-a1", Zone: "hall-a", Incarnation: 7})
 	id, ok := p.Identity(addr)
 	assert.Assert(t, ok)
 	assert.Equal(t, id, Identity{Instance: "entry-b1", Incarnation: 8, Zone: "hall-b", Addr: addr})
--- a/peer/pipe_test.go
+++ b/peer/pipe_test.go
@@ -45,26 +45,27 @@
 	return d.dials
 }
 
-// remote is one end of a pipe on which a test reads and writes frames itself.
-type remote struct {
+// scriptedPeer is one end of a pipe on which a test reads and writes frames
+// itself.
+type scriptedPeer struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-// newRemote returns a remote on the given end of a connection.
-func newRemote(t *testing.T, conn net.Conn) *remote {
-	return &remote{t: t, conn: conn, r: bufio.NewReader(conn)}
+// newScriptedPeer returns a scriptedPeer on the given end of a connection.
+func newScriptedPeer(t *testing.T, conn net.Conn) *scriptedPeer {
+	return &scriptedPeer{t: t, conn: conn, r: bufio.NewReader(conn)}
 }
 
-func (r *remote) send(body string) {
+func (r *scriptedPeer) send(body string) {
 	r.t.Helper()
 	_, err := r.conn.Write(appendFrame(nil, []byte(body)))
 	assert.NilError(r.t, err)
 }
 
-// answer is a decoded JSON-RPC message, with the members that tests check.
-type answer struct {
+// message is a decoded JSON-RPC message, with the members that tests check.
+type message struct {
 	ID     uint64          `json:"id"`
 	Method string          `json:"method"`
 	Result json.RawMessage `json:"result"`
@@ -75,24 +76,25 @@
 }
 
 // receive reads and decodes one message.
-func (r *remote) receive() answer {
+func (r *scriptedPeer) receive() message {
 	r.t.Helper()
 	body, err := readFrame(r.r, DefaultFrame)
 	assert.NilError(r.t, err)
-	var a answer
+	var a message
 	assert.NilError(r.t, json.Unmarshal(body, &a))
 	return a
 }
 
-// closed checks that the other side closes the connection without sending more.
-func (r *remote) closed() {
+// expectClosed checks that the other side closes the connection without sending
+// more.
+func (r *scriptedPeer) expectClosed() {
 	r.t.Helper()
 	_, err := r.r.ReadByte()
 	assert.Assert(r.t, err != nil)
 }
 
-// greet receives the hello of a pool and sends a valid response.
-func (r *remote) greet() {
+// answerHello receives the hello of a pool and sends a valid response.
+func (r *scriptedPeer) answerHello() {
 	r.t.Helper()
 	hello := r.receive()
 	assert.Equal(r.t, hello.Method, MethodHello)
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -13,13 +13,13 @@
 	cancel context.CancelFunc
 	dials  sync.WaitGroup
 
-	mu    sync.Mutex
-	peers map[string]*endpoint
-	shut  bool
+	mu     sync.Mutex
+	peers  map[string]*endpoint
+	closed bool
 
-	// past is the traffic of closed connections. It has its own lock, since
+	// closedConns is the traffic of closed connections. It has its own lock, since
 	// endpoints add to it while they hold their locks.
-	past struct {
+	closedConns struct {
 		sync.Mutex
 		traffic Traffic
 	}
@@ -35,13 +35,13 @@
 // connection attempts have ended.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	p.shut = true
+	p.closed = true
 	peers := p.peers
 	p.peers = map[string]*endpoint{}
 	p.mu.Unlock()
 	// A closed endpoint starts no new attempt, so dials.Wait below returns.
 	for _, e := range peers {
-		p.retire(e)
+		p.closeEndpoint(e)
 	}
 	p.cancel()
 	p.dials.Wait()
@@ -55,7 +55,7 @@
 	delete(p.peers, addr)
 	p.mu.Unlock()
 	if e != nil {
-		p.retire(e)
+		p.closeEndpoint(e)
 	}
 }
 
@@ -80,26 +80,26 @@
 	return out
 }
 
-// retire closes an endpoint and its connection, if any.
-func (p *Pool) retire(e *endpoint) {
-	if c := e.discard(); c != nil {
+// closeEndpoint closes an endpoint and its connection, if any.
+func (p *Pool) closeEndpoint(e *endpoint) {
+	if c := e.detach(); c != nil {
 		c.close(nil)
-		p.account(c)
+		p.addClosedTraffic(c)
 	}
 }
 
-// account adds the traffic of a closed connection to the total.
-func (p *Pool) account(c *clientConn) {
-	p.past.Lock()
-	defer p.past.Unlock()
-	p.past.traffic = p.past.traffic.add(c.counted.traffic())
+// addClosedTraffic adds the traffic of a closed connection to the total.
+func (p *Pool) addClosedTraffic(c *clientConn) {
+	p.closedConns.Lock()
+	defer p.closedConns.Unlock()
+	p.closedConns.traffic = p.closedConns.traffic.add(c.netConn.traffic())
 }
 
 // Stats returns the statistics of all connections.
 func (p *Pool) Stats() Stats {
-	p.past.Lock()
-	out := Stats{Total: p.past.traffic}
-	p.past.Unlock()
+	p.closedConns.Lock()
+	out := Stats{Total: p.closedConns.traffic}
+	p.closedConns.Unlock()
 	for _, e := range p.endpoints() {
 		c := e.current()
 		if c == nil {
@@ -122,7 +122,7 @@
 		return Identity{}, false
 	}
 	c := e.current()
-	if c == nil || !c.alive() {
+	if c == nil || !c.usable() {
 		return Identity{}, false
 	}
 	return c.remote, true
@@ -144,7 +144,7 @@
 func (p *Pool) endpoint(addr string) (*endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.shut {
+	if p.closed {
 		return nil, &ClosedError{}
 	}
 	if e, ok := p.peers[addr]; ok {
@@ -154,7 +154,7 @@
 		p.prune(time.Now())
 	}
 	if len(p.peers) >= p.cfg.Limits.Connections {
-		return nil, &BusyError{What: "peer connections", Limit: p.cfg.Limits.Connections}
+		return nil, &BusyError{Resource: "peer connections", Limit: p.cfg.Limits.Connections}
 	}
 	e := newEndpoint(addr, p.cfg.Limits)
 	p.peers[addr] = e
@@ -165,7 +165,7 @@
 // holds mu.
 func (p *Pool) prune(now time.Time) {
 	for addr, e := range p.peers {
-		if e.droppable(now) {
+		if e.prunable(now) {
 			delete(p.peers, addr)
 		}
 	}
--- a/peer/registry.go
+++ b/peer/registry.go
@@ -83,7 +83,7 @@
 	var data errorData
 	var refusal *RefusalError
 	data.Refused = errors.As(err, &refusal)
-	if code, body, ok := registered(err); ok {
+	if code, body, ok := encodeRegistered(err); ok {
 		out.Code = int64(code)
 		data.Error = body
 	}
@@ -91,9 +91,9 @@
 	return out
 }
 
-// registered finds the first error in err's chain whose type is registered and
-// returns its code and its JSON encoding.
-func registered(err error) (Code, json.RawMessage, bool) {
+// encodeRegistered finds the first error in err's chain whose type is registered
+// and returns its code and its JSON encoding.
+func encodeRegistered(err error) (Code, json.RawMessage, bool) {
 	errorTypes.RLock()
 	defer errorTypes.RUnlock()
 	for e := err; e != nil; e = errors.Unwrap(e) {
--- a/peer/server.go
+++ b/peer/server.go
@@ -16,14 +16,14 @@
 type Server struct {
 	cfg Config
 
-	mu        sync.Mutex
-	handlers  map[string]handler
-	listeners map[net.Listener]struct{}
-	conns     map[*serverConn]struct{}
-	closed    Traffic
-	draining  bool
-	stopping  bool
-	wg        sync.WaitGroup
+	mu            sync.Mutex
+	handlers      map[string]handler
+	listeners     map[net.Listener]struct{}
+	conns         map[*serverConn]struct{}
+	closedTraffic Traffic
+	draining      bool
+	stopping      bool
+	wg            sync.WaitGroup
 }
 
 // NewServer returns a server without handlers.
@@ -71,8 +71,8 @@
 	s.draining = true
 }
 
-// refuses reports whether new calls are refused, because of Drain or Shutdown.
-func (s *Server) refuses() bool {
+// refusesCalls reports whether new calls are refused, because of Drain or Shutdown.
+func (s *Server) refusesCalls() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining || s.stopping
@@ -80,13 +80,13 @@
 
 // Serve accepts connections until Shutdown, after which it returns nil, or until
 // the listener is closed otherwise, after which it returns an *AcceptError. Other
-// failures to accept, such as too many open files, are retried after acceptPause.
-// Serve closes the listener.
+// failures to accept, such as too many open files, are retried after
+// acceptRetryDelay. Serve closes the listener.
 func (s *Server) Serve(l net.Listener) error {
 	if !s.addListener(l) {
 		return l.Close()
 	}
-	defer s.dropListener(l)
+	defer s.removeListener(l)
 	for {
 		conn, err := l.Accept()
 		switch {
@@ -98,13 +98,13 @@
 			return &AcceptError{Addr: l.Addr().String(), Err: err}
 		default:
 			s.cfg.Log.Error("accepting peer connection failed", "error", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// acceptPause is the delay after a failure to accept a connection.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the delay after a failure to accept a connection.
+const acceptRetryDelay = 100 * time.Millisecond
 
 // addListener records a listener for Shutdown to close. It reports false if
 // Shutdown has begun.
@@ -118,8 +118,8 @@
 	return true
 }
 
-// dropListener closes a listener and removes it from the server.
-func (s *Server) dropListener(l net.Listener) {
+// removeListener closes a listener and removes it from the server.
+func (s *Server) removeListener(l net.Listener) {
 	s.mu.Lock()
 	delete(s.listeners, l)
 	s.mu.Unlock()
@@ -130,14 +130,14 @@
 // ServeConn handles calls on one connection until it closes. Serve uses it; tests
 // pass it one end of a pipe.
 func (s *Server) ServeConn(raw net.Conn) {
-	counted := &countingConn{Conn: raw}
-	c := &serverConn{srv: s, counted: counted, calls: map[jsonrpc2.ID]context.CancelFunc{}}
+	netConn := &countingConn{Conn: raw}
+	c := &serverConn{srv: s, netConn: netConn, calls: map[jsonrpc2.ID]context.CancelFunc{}}
 	if !s.addConn(c) {
 		_ = raw.Close()
 		return
 	}
-	defer s.dropConn(c)
-	conn, err := s.secure(counted)
+	defer s.removeConn(c)
+	conn, err := s.tlsHandshake(netConn)
 	if err != nil {
 		s.cfg.Log.Warn("peer TLS handshake failed", "remote", raw.RemoteAddr().String(), "error", err)
 		_ = raw.Close()
@@ -146,8 +146,8 @@
 	c.run(conn)
 }
 
-// secure performs the TLS handshake if TLS is configured.
-func (s *Server) secure(conn net.Conn) (net.Conn, error) {
+// tlsHandshake performs the TLS handshake if TLS is configured.
+func (s *Server) tlsHandshake(conn net.Conn) (net.Conn, error) {
 	if s.cfg.TLS == nil {
 		return conn, nil
 	}
@@ -170,12 +170,12 @@
 	return true
 }
 
-// dropConn removes a closed connection and adds its traffic to the total.
-func (s *Server) dropConn(c *serverConn) {
+// removeConn removes a closed connection and adds its traffic to the total.
+func (s *Server) removeConn(c *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	s.closed = s.closed.add(c.counted.traffic())
+	s.closedTraffic = s.closedTraffic.add(c.netConn.traffic())
 	s.wg.Done()
 }
 
@@ -204,7 +204,7 @@
 func (s *Server) Stats() Stats {
 	conns := s.openConns()
 	s.mu.Lock()
-	out := Stats{Total: s.closed}
+	out := Stats{Total: s.closedTraffic}
 	s.mu.Unlock()
 	for _, c := range conns {
 		cs := c.stats()
--- a/peer/serverconn.go
+++ b/peer/serverconn.go
@@ -17,15 +17,15 @@
 // serverConn is an accepted connection. It implements jsonrpc2.Handler.
 type serverConn struct {
 	srv     *Server
-	counted *countingConn
+	netConn *countingConn
 
-	mu      sync.Mutex
-	stream  *stream
-	cert    *x509.Certificate
-	remote  Identity
-	greeted bool
-	closing bool
-	calls   map[jsonrpc2.ID]context.CancelFunc
+	mu            sync.Mutex
+	stream        *stream
+	cert          *x509.Certificate
+	remote        Identity
+	helloAccepted bool
+	closing       bool
+	calls         map[jsonrpc2.ID]context.CancelFunc
 	// notifications is the number of notification handlers in progress.
 	notifications int
 	running       sync.WaitGroup
@@ -44,9 +44,9 @@
 		_ = s.Close()
 		return
 	}
-	timer := time.AfterFunc(c.srv.cfg.Limits.Hello, c.hangUpUnlessGreeted)
+	timer := time.AfterFunc(c.srv.cfg.Limits.Hello, c.closeWithoutHello)
 	defer timer.Stop()
-	rpc := jsonrpc2.NewConn(context.Background(), s, c, jsonrpc2.SetLogger(rpcLog{c.srv.cfg.Log}))
+	rpc := jsonrpc2.NewConn(context.Background(), s, c, jsonrpc2.SetLogger(rpcLogger{c.srv.cfg.Log}))
 	<-rpc.DisconnectNotify()
 	c.running.Wait()
 	<-s.done
@@ -67,20 +67,20 @@
 	return certs[0]
 }
 
-// rpcLog logs the messages of jsonrpc2 at debug level.
-type rpcLog struct{ log *slog.Logger }
+// rpcLogger logs the messages of jsonrpc2 at debug level.
+type rpcLogger struct{ log *slog.Logger }
 
 // Printf implements jsonrpc2.Logger.
-func (l rpcLog) Printf(format string, args ...any) {
+func (l rpcLogger) Printf(format string, args ...any) {
 	l.log.Debug("jsonrpc2", "format", format, "args", args)
 }
 
-// hangUpUnlessGreeted closes the connection if no hello has been accepted yet.
-func (c *serverConn) hangUpUnlessGreeted() {
+// closeWithoutHello closes the connection if no hello has been accepted yet.
+func (c *serverConn) closeWithoutHello() {
 	c.mu.Lock()
-	greeted := c.greeted
+	accepted := c.helloAccepted
 	c.mu.Unlock()
-	if !greeted {
+	if !accepted {
 		c.stream.fail(&TimeoutError{Method: MethodHello})
 	}
 }
@@ -103,7 +103,7 @@
 		s.fail(nil)
 		return
 	}
-	_ = c.counted.Close()
+	_ = c.netConn.Close()
 }
 
 // closeWhenIdle closes the connection when the calls in progress have been
@@ -116,7 +116,7 @@
 	c.mu.Unlock()
 	switch {
 	case s == nil:
-		_ = c.counted.Close()
+		_ = c.netConn.Close()
 	case idle:
 		s.closeAfterWrites()
 	}
@@ -126,7 +126,7 @@
 func (c *serverConn) stats() ConnStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return ConnStats{Remote: c.remote, Traffic: c.counted.traffic(), Calls: len(c.calls)}
+	return ConnStats{Remote: c.remote, Traffic: c.netConn.traffic(), Calls: len(c.calls)}
 }
 
 // Handle implements jsonrpc2.Handler. It runs in the connection's read loop and
@@ -134,14 +134,14 @@
 func (c *serverConn) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	switch {
 	case req.Method == MethodHello:
-		c.hello(ctx, rpc, req)
-	case !c.isGreeted():
+		c.handleHello(ctx, rpc, req)
+	case !c.isHelloAccepted():
 		c.reply(ctx, rpc, req, nil, Refuse(&HelloRequiredError{Method: req.Method}))
 		c.stream.closeAfterWrites()
 	case req.Method == methodCancel:
-		c.cancel(req)
+		c.handleCancel(req)
 	default:
-		c.start(ctx, rpc, req)
+		c.startCall(ctx, rpc, req)
 	}
 }
 
@@ -150,27 +150,27 @@
 func (c *serverConn) identity() (Identity, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.remote, c.greeted
+	return c.remote, c.helloAccepted
 }
 
-// isGreeted reports whether a hello has been accepted.
-func (c *serverConn) isGreeted() bool {
+// isHelloAccepted reports whether a hello has been accepted.
+func (c *serverConn) isHelloAccepted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.greeted
+	return c.helloAccepted
 }
 
 // remoteAddr returns the remote address of a connection.
 func remoteAddr(c net.Conn) string { return c.RemoteAddr().String() }
 
-// start runs the handler of a call in a new goroutine, or refuses the call.
-func (c *serverConn) start(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
+// startCall runs the handler of a call in a new goroutine, or refuses the call.
+func (c *serverConn) startCall(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	h, ok := c.srv.handler(req.Method)
 	if !ok {
 		c.reply(ctx, rpc, req, nil, Refuse(&MethodError{Method: req.Method}))
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.callTime(req))
+	ctx, cancel := context.WithTimeout(ctx, c.callTimeout(req))
 	if err := c.begin(req, cancel); err != nil {
 		cancel()
 		c.reply(ctx, rpc, req, nil, Refuse(err))
@@ -189,8 +189,8 @@
 	TimeoutMS int64 `json:"timeout_ms"`
 }
 
-// callTime returns the timeout of a call: the caller's, limited to Limits.Call.
-func (c *serverConn) callTime(req *jsonrpc2.Request) time.Duration {
+// callTimeout returns the timeout of a call: the caller's, limited to Limits.Call.
+func (c *serverConn) callTimeout(req *jsonrpc2.Request) time.Duration {
 	limit := c.srv.cfg.Limits.Call
 	if req.Meta == nil {
 		return limit
@@ -208,7 +208,7 @@
 // begin records a call or notification in progress. Errors are *BusyError,
 // *StoppingError and, for a request ID in use, *ParamsError.
 func (c *serverConn) begin(req *jsonrpc2.Request, cancel context.CancelFunc) error {
-	stopping := c.srv.refuses()
+	stopping := c.srv.refusesCalls()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	limit := c.srv.cfg.Limits.Calls
@@ -216,7 +216,7 @@
 	case stopping || c.closing:
 		return &StoppingError{}
 	case len(c.calls)+c.notifications >= limit:
-		return &BusyError{What: "calls in progress", Limit: limit}
+		return &BusyError{Resource: "calls in progress", Limit: limit}
 	}
 	if req.Notif {
 		c.notifications++
@@ -249,9 +249,9 @@
 	c.running.Done()
 }
 
-// cancel handles methodCancel: it cancels the context of a call whose caller has
-// stopped waiting.
-func (c *serverConn) cancel(req *jsonrpc2.Request) {
+// handleCancel handles methodCancel: it cancels the context of a call whose
+// caller has stopped waiting.
+func (c *serverConn) handleCancel(req *jsonrpc2.Request) {
 	if req.Params == nil {
 		return
 	}
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -18,9 +18,9 @@
 	frameWriting
 	// frameWithdrawn means that the frame will never be written.
 	frameWithdrawn
-	// frameBroken means that writing failed before the last byte, so that the
+	// frameTruncated means that writing failed before the last byte, so that the
 	// peer cannot receive the whole frame.
-	frameBroken
+	frameTruncated
 )
 
 // progress is the state of an outgoing frame. It tells the caller whether the
@@ -34,11 +34,11 @@
 		return true
 	}
 	s := p.state.Load()
-	return s == frameWithdrawn || s == frameBroken
+	return s == frameWithdrawn || s == frameTruncated
 }
 
-// outFrame is a frame in the write queue.
-type outFrame struct {
+// outgoingFrame is a frame in the write queue.
+type outgoingFrame struct {
 	bytes    []byte
 	progress *progress
 }
@@ -50,44 +50,45 @@
 	conn   net.Conn
 	r      *bufio.Reader
 	limits Limits
-	// quiet is called when no frame has arrived for limits.Idle. It reports
+	// keepOpen is called when no frame has arrived for limits.Idle. It reports
 	// whether to keep the connection open.
-	quiet func() bool
+	keepOpen func() bool
 	// readLimit is the maximum size of a received frame. It is raised after the
 	// hello.
 	readLimit atomic.Int64
 
-	// next is the progress of the frame that is passed to WriteObject next. The
-	// OnSend hook sets it; jsonrpc2 calls the hook and WriteObject under one lock.
-	next *progress
+	// nextProgress is the progress of the frame that is passed to WriteObject
+	// next. The OnSend hook sets it; jsonrpc2 calls the hook and WriteObject under
+	// one lock.
+	nextProgress *progress
 
-	mu       sync.Mutex
-	queue    []outFrame
-	queued   int
-	draining bool
-	closed   bool
-	cause    error
-	wake     chan struct{}
-	done     chan struct{}
+	mu          sync.Mutex
+	queue       []outgoingFrame
+	queuedBytes int
+	draining    bool
+	closed      bool
+	cause       error
+	wake        chan struct{}
+	done        chan struct{}
 }
 
 // newStream returns a stream on a connection and starts its writer.
-func newStream(conn net.Conn, limits Limits, quiet func() bool) *stream {
+func newStream(conn net.Conn, limits Limits, keepOpen func() bool) *stream {
 	s := &stream{
-		conn:   conn,
-		r:      bufio.NewReader(conn),
-		limits: limits,
-		quiet:  quiet,
-		wake:   make(chan struct{}, 1),
-		done:   make(chan struct{}),
+		conn:     conn,
+		r:        bufio.NewReader(conn),
+		limits:   limits,
+		keepOpen: keepOpen,
+		wake:     make(chan struct{}, 1),
+		done:     make(chan struct{}),
 	}
 	s.readLimit.Store(int64(limits.HelloFrame))
 	go s.writeLoop()
 	return s
 }
 
-// trust raises the read limit from limits.HelloFrame to limits.Frame.
-func (s *stream) trust() { s.readLimit.Store(int64(s.limits.Frame)) }
+// raiseReadLimit raises the read limit from limits.HelloFrame to limits.Frame.
+func (s *stream) raiseReadLimit() { s.readLimit.Store(int64(s.limits.Frame)) }
 
 // ReadObject implements jsonrpc2.ObjectStream.
 func (s *stream) ReadObject(v any) error {
@@ -103,7 +104,7 @@
 	if err := s.awaitFrame(); err != nil {
 		return err
 	}
-	s.readWithin(s.limits.Read)
+	s.setReadTimeout(s.limits.Read)
 	body, err := readFrame(s.r, int(s.readLimit.Load()))
 	if err != nil {
 		return err
@@ -114,18 +115,18 @@
 	return nil
 }
 
-// readWithin sets the deadline of the next reads. Setting it on a closed
+// setReadTimeout sets the deadline of the next reads. Setting it on a closed
 // connection fails; the error is ignored, so that a frame that has already arrived
 // is not lost. Reading past that frame reports that the connection is closed.
-func (s *stream) readWithin(d time.Duration) {
+func (s *stream) setReadTimeout(d time.Duration) {
 	_ = s.conn.SetReadDeadline(time.Now().Add(d))
 }
 
-// awaitFrame waits for the first byte of a frame for as long as quiet keeps the
-// connection open.
+// awaitFrame waits for the first byte of a frame for as long as keepOpen returns
+// true.
 func (s *stream) awaitFrame() error {
 	for {
-		s.readWithin(s.limits.Idle)
+		s.setReadTimeout(s.limits.Idle)
 		_, err := s.r.Peek(1)
 		if err == nil {
 			return nil
@@ -133,7 +134,7 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		if !s.quiet() {
+		if !s.keepOpen() {
 			return &IdleError{After: s.limits.Idle}
 		}
 	}
@@ -143,8 +144,8 @@
 // an error means that no part of it was or will be written. Errors are *FrameError,
 // *TooLargeError, *BusyError and *ClosedError.
 func (s *stream) WriteObject(obj any) error {
-	p := s.next
-	s.next = nil
+	p := s.nextProgress
+	s.nextProgress = nil
 	if p == nil {
 		p = &progress{}
 	}
@@ -155,31 +156,31 @@
 	if len(body) > s.limits.Frame {
 		return &TooLargeError{Bytes: len(body), Limit: s.limits.Frame}
 	}
-	return s.enqueue(outFrame{bytes: appendFrame(nil, body), progress: p})
+	return s.enqueue(outgoingFrame{bytes: appendFrame(nil, body), progress: p})
 }
 
 // enqueue adds a frame to the write queue. An empty queue takes a frame of any
 // size.
-func (s *stream) enqueue(f outFrame) error {
+func (s *stream) enqueue(f outgoingFrame) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return &ClosedError{Cause: s.cause}
 	}
 	if len(s.queue) >= s.limits.QueueFrames {
-		return &BusyError{What: "frames waiting", Limit: s.limits.QueueFrames}
+		return &BusyError{Resource: "frames waiting", Limit: s.limits.QueueFrames}
 	}
-	if s.queued > 0 && s.queued+len(f.bytes) > s.limits.QueueBytes {
-		return &BusyError{What: "bytes waiting", Limit: s.limits.QueueBytes}
+	if s.queuedBytes > 0 && s.queuedBytes+len(f.bytes) > s.limits.QueueBytes {
+		return &BusyError{Resource: "bytes waiting", Limit: s.limits.QueueBytes}
 	}
 	s.queue = append(s.queue, f)
-	s.queued += len(f.bytes)
-	s.signal()
+	s.queuedBytes += len(f.bytes)
+	s.wakeWriter()
 	return nil
 }
 
-// signal wakes the writer. The caller holds mu.
-func (s *stream) signal() {
+// wakeWriter wakes the writer. The caller holds mu.
+func (s *stream) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -219,38 +220,38 @@
 )
 
 // dequeue removes and returns the next frame, if there is one.
-func (s *stream) dequeue() (outFrame, queueState) {
+func (s *stream) dequeue() (outgoingFrame, queueState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.closed:
-		return outFrame{}, queueClosed
+		return outgoingFrame{}, queueClosed
 	case len(s.queue) > 0:
 		f := s.queue[0]
-		s.queue[0] = outFrame{}
+		s.queue[0] = outgoingFrame{}
 		s.queue = s.queue[1:]
-		s.queued -= len(f.bytes)
+		s.queuedBytes -= len(f.bytes)
 		return f, queueFrame
 	case s.draining:
-		return outFrame{}, queueDrained
+		return outgoingFrame{}, queueDrained
 	default:
-		return outFrame{}, queueEmpty
+		return outgoingFrame{}, queueEmpty
 	}
 }
 
 // writeFrame writes a frame unless it has been withdrawn.
-func (s *stream) writeFrame(f outFrame) error {
+func (s *stream) writeFrame(f outgoingFrame) error {
 	if !f.progress.state.CompareAndSwap(frameQueued, frameWriting) {
 		return nil
 	}
 	if err := s.conn.SetWriteDeadline(time.Now().Add(s.limits.Write)); err != nil {
-		f.progress.state.Store(frameBroken)
+		f.progress.state.Store(frameTruncated)
 		return err
 	}
 	n, err := s.conn.Write(f.bytes)
 	if err != nil && n < len(f.bytes) {
 		// Fewer bytes were written than the frame has.
-		f.progress.state.Store(frameBroken)
+		f.progress.state.Store(frameTruncated)
 	}
 	return err
 }
@@ -261,7 +262,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
-	s.signal()
+	s.wakeWriter()
 }
 
 // fail closes the connection and records the cause. Later calls have no effect.
@@ -273,14 +274,14 @@
 	}
 	s.closed = true
 	s.cause = cause
-	s.signal()
+	s.wakeWriter()
 	s.mu.Unlock()
 	// The connection is not used any more, so an error of Close does not matter.
 	_ = s.conn.Close()
 }
 
-// closedBy returns a *ClosedError with the cause of the close.
-func (s *stream) closedBy() error {
+// closedError returns a *ClosedError with the cause of the close.
+func (s *stream) closedError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &ClosedError{Cause: s.cause}
