--- a/peer/limits_test.go
+++ b/peer/limits_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// pipePair returns a server and a pool that reaches it by pipes.
+// pipePair returns a server and a pool that connects to it through pipes.
 func pipePair(server, client Limits, add func(*Server)) (*Server, *Pool, *pipeDialer) {
 	s := NewServer(Config{Self: entryB, Allow: allowAll, Limits: server})
 	add(s)
@@ -22,15 +22,16 @@
 	return s, NewPool(Config{Self: entryA, Allow: allowAll, Dialer: d, Limits: client}), d
 }
 
-// stop ends both sides.
+// stop closes the pool and shuts the server down.
 func stop(t *testing.T, s *Server, p *Pool) {
 	t.Helper()
 	p.Close()
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
-// blocking registers a method that runs until release closes or its caller goes.
-func blocking(s *Server, release <-chan struct{}, ended chan<- error) {
+// handleBlocking registers a method that blocks until release is closed or its
+// context is done; it sends the context's error to ended.
+func handleBlocking(s *Server, release <-chan struct{}, ended chan<- error) {
 	Handle(s, "block", func(ctx context.Context, _ Identity, _ echoRequest) (echoResponse, error) {
 		select {
 		case <-release:
@@ -45,7 +46,7 @@
 func TestCallsPerConnectionAreBounded(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		s, p, _ := pipePair(Limits{Calls: 2}, Limits{}, func(s *Server) { blocking(s, release, nil) })
+		s, p, _ := pipePair(Limits{Calls: 2}, Limits{}, func(s *Server) { handleBlocking(s, release, nil) })
 		defer stop(t, s, p)
 		results := make(chan error, 2)
 		for range 2 {
@@ -68,7 +69,7 @@
 func TestCancelReachesTheHandler(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
-		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, nil, ended) })
+		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, nil, ended) })
 		defer stop(t, s, p)
 		ctx, cancel := context.WithCancel(context.Background())
 		result := make(chan error, 1)
@@ -86,7 +87,7 @@
 func TestHandlerEndsWithTheCallersTime(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
-		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, nil, ended) })
+		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, nil, ended) })
 		defer stop(t, s, p)
 		_, err := Call[echoResponse](context.Background(), p, "b", "echo", echoRequest{})
 		var unknown *MethodError
@@ -124,35 +125,37 @@
 	})
 }
 
-// TestServerDropsSilentClient holds a connection open without frames.
+// TestServerDropsSilentClient checks that the server closes a connection on which
+// no frame arrives for the idle timeout.
 func TestServerDropsSilentClient(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		s := NewServer(Config{Self: entryB, Allow: allowAll})
 		near, far := net.Pipe()
 		go s.ServeConn(far)
-		r := newRemote(t, near)
-		r.send(goodHello)
+		r := newScriptedPeer(t, near)
+		r.send(validHello)
 		r.receive()
 		start := time.Now()
-		r.closed()
+		r.expectClosed()
 		assert.Equal(t, time.Since(start), DefaultIdle)
 		assert.NilError(t, s.Shutdown(context.Background()))
 	})
 }
 
-// TestSlowSenderIsDropped sends one byte of a frame and stops.
+// TestSlowSenderIsDropped checks that the server closes a connection whose peer
+// sends one byte of a frame and then stops.
 func TestSlowSenderIsDropped(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		s := NewServer(Config{Self: entryB, Allow: allowAll})
 		near, far := net.Pipe()
 		go s.ServeConn(far)
-		r := newRemote(t, near)
-		r.send(goodHello)
+		r := newScriptedPeer(t, near)
+		r.send(validHello)
 		r.receive()
 		_, err := near.Write([]byte("C"))
 		assert.NilError(t, err)
 		start := time.Now()
-		r.closed()
+		r.expectClosed()
 		assert.Equal(t, time.Since(start), DefaultRead)
 		assert.NilError(t, s.Shutdown(context.Background()))
 	})
@@ -169,7 +172,7 @@
 	_, err := Call[echoResponse](context.Background(), p, "b", "grow", echoRequest{Text: string(make([]byte, 2000))})
 	assert.Assert(t, errors.As(err, &large))
 	assert.Equal(t, DeliveryOf(err), NotSent)
-	// The result does not fit: the handler has run.
+	// The result exceeds the frame limit, but the handler has run.
 	_, err = Call[echoResponse](context.Background(), p, "b", "grow", echoRequest{})
 	assert.Assert(t, errors.As(err, &large))
 	assert.Equal(t, DeliveryOf(err), Unknown)
@@ -179,12 +182,12 @@
 	s := NewServer(Config{Self: entryB, Allow: allowAll, Limits: Limits{Connections: 1}})
 	first, far := net.Pipe()
 	go s.ServeConn(far)
-	r := newRemote(t, first)
-	r.send(goodHello)
+	r := newScriptedPeer(t, first)
+	r.send(validHello)
 	r.receive()
 	second, far := net.Pipe()
 	s.ServeConn(far)
-	newRemote(t, second).closed()
+	newScriptedPeer(t, second).expectClosed()
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
@@ -206,7 +209,7 @@
 func TestShutdownFinishesCallsInProgress(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, release, nil) })
+		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, release, nil) })
 		defer p.Close()
 		inFlight := make(chan error, 1)
 		go func() {
@@ -230,7 +233,7 @@
 func TestDrainKeepsAccepting(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		s, p, d := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, release, nil) })
+		s, p, d := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, release, nil) })
 		defer stop(t, s, p)
 		inFlight := make(chan error, 1)
 		go func() {
@@ -251,7 +254,7 @@
 func TestShutdownIsBoundedByItsContext(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ended := make(chan error, 1)
-		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { blocking(s, nil, ended) })
+		s, p, _ := pipePair(Limits{}, Limits{}, func(s *Server) { handleBlocking(s, nil, ended) })
 		defer p.Close()
 		inFlight := make(chan error, 1)
 		go func() {
@@ -285,8 +288,8 @@
 		defer stop(t, s, p)
 		_, err := Call[echoResponse](context.Background(), p, "b", "echo", echoRequest{Text: "hi"})
 		assert.NilError(t, err)
-		// A write is counted when it returns, which can be after the answer
-		// was read.
+		// A write is counted when it returns, which can be after the other side
+		// has read the response.
 		synctest.Wait()
 		client, server := p.Stats(), s.Stats()
 		assert.Assert(t, client.Total.Sent > 0 && client.Total.Received > 0)
@@ -298,7 +301,8 @@
 	})
 }
 
-// failingListener fails to accept for a while, then for good.
+// failingListener fails the given number of times with EMFILE and then with
+// net.ErrClosed.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -320,6 +324,6 @@
 		start := time.Now()
 		err := NewServer(Config{Self: entryB, Allow: allowAll}).Serve(l)
 		assert.Assert(t, errors.As(err, new(*AcceptError)))
-		assert.Equal(t, time.Since(start), 5*acceptPause)
+		assert.Equal(t, time.Since(start), 5*acceptRetryDelay)
 	})
 }
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -6,21 +6,20 @@
 	"time"
 )
 
-// Pool keeps one connection for each peer address. It is safe for concurrent
-// use.
+// Pool holds one connection per peer address. It is safe for concurrent use.
 type Pool struct {
 	cfg    Config
 	ctx    context.Context
 	cancel context.CancelFunc
 	dials  sync.WaitGroup
 
-	mu    sync.Mutex
-	peers map[string]*endpoint
-	shut  bool
+	mu     sync.Mutex
+	peers  map[string]*endpoint
+	closed bool
 
-	// past is the traffic of dropped connections. It has its own lock, since
-	// endpoints add to it while they hold theirs.
-	past struct {
+	// closedConns is the traffic of closed connections. It has its own lock, since
+	// endpoints add to it while they hold their locks.
+	closedConns struct {
 		sync.Mutex
 		traffic Traffic
 	}
@@ -32,37 +31,36 @@
 	return &Pool{cfg: cfg.withDefaults(), ctx: ctx, cancel: cancel, peers: map[string]*endpoint{}}
 }
 
-// Close closes all connections; calls in progress fail. It waits for attempts
-// to connect.
+// Close closes all connections; calls in progress fail. It waits until all
+// connection attempts have ended.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	p.shut = true
+	p.closed = true
 	peers := p.peers
 	p.peers = map[string]*endpoint{}
 	p.mu.Unlock()
-	// No attempt starts at a retired endpoint, so that there is an end to wait
-	// for.
+	// A closed endpoint starts no new attempt, so dials.Wait below returns.
 	for _, e := range peers {
-		p.retire(e)
+		p.closeEndpoint(e)
 	}
 	p.cancel()
 	p.dials.Wait()
 }
 
-// Forget closes the connection to an address and forgets its backoff. It is for
-// addresses that no longer belong to a peer.
+// Forget closes the connection to an address and discards its backoff state. It
+// is meant for addresses that no longer belong to a peer.
 func (p *Pool) Forget(addr string) {
 	p.mu.Lock()
 	e := p.peers[addr]
 	delete(p.peers, addr)
 	p.mu.Unlock()
 	if e != nil {
-		p.retire(e)
+		p.closeEndpoint(e)
 	}
 }
 
-// Recheck closes the connections to peers that Allow does not believe any more.
-// Call it when the settings or the platform's list changed.
+// Recheck closes the connections to peers that Config.Allow no longer accepts.
+// Call it when the settings or the platform's list have changed.
 func (p *Pool) Recheck() {
 	for _, e := range p.endpoints() {
 		if c := e.current(); c != nil && !p.cfg.Allow(c.remote) {
@@ -71,7 +69,7 @@
 	}
 }
 
-// endpoints returns all endpoints.
+// endpoints returns a snapshot of the endpoints.
 func (p *Pool) endpoints() []*endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,26 +80,26 @@
 	return out
 }
 
-// retire closes what an endpoint has.
-func (p *Pool) retire(e *endpoint) {
-	if c := e.discard(); c != nil {
+// closeEndpoint closes an endpoint and its connection, if any.
+func (p *Pool) closeEndpoint(e *endpoint) {
+	if c := e.detach(); c != nil {
 		c.close(nil)
-		p.account(c)
+		p.addClosedTraffic(c)
 	}
 }
 
-// account keeps the traffic of a connection that is dropped.
-func (p *Pool) account(c *clientConn) {
-	p.past.Lock()
-	defer p.past.Unlock()
-	p.past.traffic = p.past.traffic.add(c.counted.traffic())
+// addClosedTraffic adds the traffic of a closed connection to the total.
+func (p *Pool) addClosedTraffic(c *clientConn) {
+	p.closedConns.Lock()
+	defer p.closedConns.Unlock()
+	p.closedConns.traffic = p.closedConns.traffic.add(c.netConn.traffic())
 }
 
-// Stats returns the connections and their traffic.
+// Stats returns the statistics of all connections.
 func (p *Pool) Stats() Stats {
-	p.past.Lock()
-	out := Stats{Total: p.past.traffic}
-	p.past.Unlock()
+	p.closedConns.Lock()
+	out := Stats{Total: p.closedConns.traffic}
+	p.closedConns.Unlock()
 	for _, e := range p.endpoints() {
 		c := e.current()
 		if c == nil {
@@ -114,7 +112,8 @@
 	return out
 }
 
-// Identity returns who answers at an address, if a connection is open.
+// Identity returns the identity of the peer at an address. It reports false if no
+// connection is open.
 func (p *Pool) Identity(addr string) (Identity, bool) {
 	p.mu.Lock()
 	e := p.peers[addr]
@@ -123,15 +122,15 @@
 		return Identity{}, false
 	}
 	c := e.current()
-	if c == nil || !c.alive() {
+	if c == nil || !c.usable() {
 		return Identity{}, false
 	}
 	return c.remote, true
 }
 
 // conn returns a connection to an address, dialling it if needed. Errors are
-// *ClosedError, *BusyError, *BackoffError, *DialError, those of the hello and
-// the context's.
+// *ClosedError, *BusyError, *BackoffError, *DialError, errors of the hello and the
+// context's error.
 func (p *Pool) conn(ctx context.Context, addr string) (*clientConn, error) {
 	e, err := p.endpoint(addr)
 	if err != nil {
@@ -140,11 +139,12 @@
 	return e.conn(ctx, p)
 }
 
-// endpoint returns the endpoint of an address, making room where needed.
+// endpoint returns the endpoint of an address, adding it if needed. At the limit
+// on connections it first removes unused endpoints.
 func (p *Pool) endpoint(addr string) (*endpoint, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.shut {
+	if p.closed {
 		return nil, &ClosedError{}
 	}
 	if e, ok := p.peers[addr]; ok {
@@ -154,17 +154,18 @@
 		p.prune(time.Now())
 	}
 	if len(p.peers) >= p.cfg.Limits.Connections {
-		return nil, &BusyError{What: "peer connections", Limit: p.cfg.Limits.Connections}
+		return nil, &BusyError{Resource: "peer connections", Limit: p.cfg.Limits.Connections}
 	}
 	e := newEndpoint(addr, p.cfg.Limits)
 	p.peers[addr] = e
 	return e, nil
 }
 
-// prune drops endpoints that hold nothing worth keeping. The caller holds mu.
+// prune removes endpoints without connection, attempt or backoff. The caller
+// holds mu.
 func (p *Pool) prune(now time.Time) {
 	for addr, e := range p.peers {
-		if e.droppable(now) {
+		if e.prunable(now) {
 			delete(p.peers, addr)
 		}
 	}
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -11,81 +11,84 @@
 	"time"
 )
 
-// Progress of one frame on its way out.
+// States of an outgoing frame.
 const (
 	frameQueued int32 = iota
-	// frameWriting means that bytes of the frame may have left.
+	// frameWriting means that bytes of the frame may have been sent.
 	frameWriting
 	// frameWithdrawn means that the frame will never be written.
 	frameWithdrawn
-	// frameBroken means that writing failed before the last byte, so that the
-	// peer cannot have the whole frame.
-	frameBroken
+	// frameTruncated means that writing failed before the last byte, so that the
+	// peer cannot receive the whole frame.
+	frameTruncated
 )
 
-// progress tells a caller whether its frame can have reached the peer.
+// progress is the state of an outgoing frame. It tells the caller whether the
+// frame can have reached the peer.
 type progress struct{ state atomic.Int32 }
 
-// withdraw gives the frame up. It reports whether the peer certainly does not
-// have the whole frame and never will.
+// withdraw removes the frame from sending if it is still queued. It reports
+// whether it is certain that the peer never receives the whole frame.
 func (p *progress) withdraw() bool {
 	if p.state.CompareAndSwap(frameQueued, frameWithdrawn) {
 		return true
 	}
 	s := p.state.Load()
-	return s == frameWithdrawn || s == frameBroken
+	return s == frameWithdrawn || s == frameTruncated
 }
 
-// outFrame is a frame waiting to be written.
-type outFrame struct {
+// outgoingFrame is a frame in the write queue.
+type outgoingFrame struct {
 	bytes    []byte
 	progress *progress
 }
 
 // stream implements jsonrpc2.ObjectStream with bounded frames, a bounded write
-// queue and a deadline on every step. Writes are done by one goroutine, so that
+// queue and a deadline for each read and write. A single goroutine writes, so that
 // a slow peer never blocks a handler or a caller.
 type stream struct {
 	conn   net.Conn
 	r      *bufio.Reader
 	limits Limits
-	// quiet is called when no frame came for limits.Idle; it reports whether
-	// the connection is still wanted.
-	quiet func() bool
-	// readLimit is the largest frame accepted; it rises after the hello.
+	// keepOpen is called when no frame has arrived for limits.Idle. It reports
+	// whether to keep the connection open.
+	keepOpen func() bool
+	// readLimit is the maximum size of a received frame. It is raised after the
+	// hello.
 	readLimit atomic.Int64
 
-	// next is the progress of the frame about to be given to WriteObject.
-	// jsonrpc2 sets it by its OnSend hook and calls WriteObject under one lock.
-	next *progress
+	// nextProgress is the progress of the frame that is passed to WriteObject
+	// next. The OnSend hook sets it; jsonrpc2 calls the hook and WriteObject under
+	// one lock.
+	nextProgress *progress
 
-	mu       sync.Mutex
-	queue    []outFrame
-	queued   int
-	draining bool
-	closed   bool
-	cause    error
-	wake     chan struct{}
-	done     chan struct{}
+	mu          sync.Mutex
+	queue       []outgoingFrame
+	queuedBytes int
+	draining    bool
+	closed      bool
+	cause       error
+	wake        chan struct{}
+	done        chan struct{}
 }
 
-// newStream starts the writer of a connection.
-func newStream(conn net.Conn, limits Limits, quiet func() bool) *stream {
+// newStream returns a stream on a connection and starts its writer.
+func newStream(conn net.Conn, limits Limits, keepOpen func() bool) *stream {
 	s := &stream{
-		conn:   conn,
-		r:      bufio.NewReader(conn),
-		limits: limits,
-		quiet:  quiet,
-		wake:   make(chan struct{}, 1),
-		done:   make(chan struct{}),
+		conn:     conn,
+		r:        bufio.NewReader(conn),
+		limits:   limits,
+		keepOpen: keepOpen,
+		wake:     make(chan struct{}, 1),
+		done:     make(chan struct{}),
 	}
 	s.readLimit.Store(int64(limits.HelloFrame))
 	go s.writeLoop()
 	return s
 }
 
-// trust raises the frame limit after the hello.
-func (s *stream) trust() { s.readLimit.Store(int64(s.limits.Frame)) }
+// raiseReadLimit raises the read limit from limits.HelloFrame to limits.Frame.
+func (s *stream) raiseReadLimit() { s.readLimit.Store(int64(s.limits.Frame)) }
 
 // ReadObject implements jsonrpc2.ObjectStream.
 func (s *stream) ReadObject(v any) error {
@@ -101,7 +104,7 @@
 	if err := s.awaitFrame(); err != nil {
 		return err
 	}
-	s.readWithin(s.limits.Read)
+	s.setReadTimeout(s.limits.Read)
 	body, err := readFrame(s.r, int(s.readLimit.Load()))
 	if err != nil {
 		return err
@@ -112,18 +115,18 @@
 	return nil
 }
 
-// readWithin bounds the next reads. A connection that is already closed refuses
-// the deadline; that is no reason to lose a frame that has arrived, and reading
-// beyond it reports the close.
-func (s *stream) readWithin(d time.Duration) {
+// setReadTimeout sets the deadline of the next reads. Setting it on a closed
+// connection fails; the error is ignored, so that a frame that has already arrived
+// is not lost. Reading past that frame reports that the connection is closed.
+func (s *stream) setReadTimeout(d time.Duration) {
 	_ = s.conn.SetReadDeadline(time.Now().Add(d))
 }
 
-// awaitFrame waits for the first byte of a frame for as long as the connection
-// is wanted.
+// awaitFrame waits for the first byte of a frame for as long as keepOpen returns
+// true.
 func (s *stream) awaitFrame() error {
 	for {
-		s.readWithin(s.limits.Idle)
+		s.setReadTimeout(s.limits.Idle)
 		_, err := s.r.Peek(1)
 		if err == nil {
 			return nil
@@ -131,18 +134,18 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		if !s.quiet() {
+		if !s.keepOpen() {
 			return &IdleError{After: s.limits.Idle}
 		}
 	}
 }
 
-// WriteObject implements jsonrpc2.ObjectStream. It queues the object; an error
-// means that nothing of it was or will be written. Errors are *TooLargeError,
-// *BusyError and *ClosedError.
+// WriteObject implements jsonrpc2.ObjectStream. It queues the object for writing;
+// an error means that no part of it was or will be written. Errors are *FrameError,
+// *TooLargeError, *BusyError and *ClosedError.
 func (s *stream) WriteObject(obj any) error {
-	p := s.next
-	s.next = nil
+	p := s.nextProgress
+	s.nextProgress = nil
 	if p == nil {
 		p = &progress{}
 	}
@@ -153,30 +156,31 @@
 	if len(body) > s.limits.Frame {
 		return &TooLargeError{Bytes: len(body), Limit: s.limits.Frame}
 	}
-	return s.enqueue(outFrame{bytes: appendFrame(nil, body), progress: p})
+	return s.enqueue(outgoingFrame{bytes: appendFrame(nil, body), progress: p})
 }
 
-// enqueue adds a frame to the write queue.
-func (s *stream) enqueue(f outFrame) error {
+// enqueue adds a frame to the write queue. An empty queue takes a frame of any
+// size.
+func (s *stream) enqueue(f outgoingFrame) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return &ClosedError{Cause: s.cause}
 	}
 	if len(s.queue) >= s.limits.QueueFrames {
-		return &BusyError{What: "frames waiting", Limit: s.limits.QueueFrames}
+		return &BusyError{Resource: "frames waiting", Limit: s.limits.QueueFrames}
 	}
-	if s.queued > 0 && s.queued+len(f.bytes) > s.limits.QueueBytes {
-		return &BusyError{What: "bytes waiting", Limit: s.limits.QueueBytes}
+	if s.queuedBytes > 0 && s.queuedBytes+len(f.bytes) > s.limits.QueueBytes {
+		return &BusyError{Resource: "bytes waiting", Limit: s.limits.QueueBytes}
 	}
 	s.queue = append(s.queue, f)
-	s.queued += len(f.bytes)
-	s.signal()
+	s.queuedBytes += len(f.bytes)
+	s.wakeWriter()
 	return nil
 }
 
-// signal wakes the writer. The caller holds mu.
-func (s *stream) signal() {
+// wakeWriter wakes the writer. The caller holds mu.
+func (s *stream) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -205,7 +209,7 @@
 	}
 }
 
-// queueState is what the writer finds in its queue.
+// queueState is the result of dequeue.
 type queueState int
 
 const (
@@ -215,52 +219,53 @@
 	queueClosed
 )
 
-// dequeue takes the next frame, if there is one.
-func (s *stream) dequeue() (outFrame, queueState) {
+// dequeue removes and returns the next frame, if there is one.
+func (s *stream) dequeue() (outgoingFrame, queueState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.closed:
-		return outFrame{}, queueClosed
+		return outgoingFrame{}, queueClosed
 	case len(s.queue) > 0:
 		f := s.queue[0]
-		s.queue[0] = outFrame{}
+		s.queue[0] = outgoingFrame{}
 		s.queue = s.queue[1:]
-		s.queued -= len(f.bytes)
+		s.queuedBytes -= len(f.bytes)
 		return f, queueFrame
 	case s.draining:
-		return outFrame{}, queueDrained
+		return outgoingFrame{}, queueDrained
 	default:
-		return outFrame{}, queueEmpty
+		return outgoingFrame{}, queueEmpty
 	}
 }
 
-// writeFrame writes a frame that was not withdrawn.
-func (s *stream) writeFrame(f outFrame) error {
+// writeFrame writes a frame unless it has been withdrawn.
+func (s *stream) writeFrame(f outgoingFrame) error {
 	if !f.progress.state.CompareAndSwap(frameQueued, frameWriting) {
 		return nil
 	}
 	if err := s.conn.SetWriteDeadline(time.Now().Add(s.limits.Write)); err != nil {
-		f.progress.state.Store(frameBroken)
+		f.progress.state.Store(frameTruncated)
 		return err
 	}
 	n, err := s.conn.Write(f.bytes)
 	if err != nil && n < len(f.bytes) {
-		// The network took fewer bytes than the frame has.
-		f.progress.state.Store(frameBroken)
+		// Fewer bytes were written than the frame has.
+		f.progress.state.Store(frameTruncated)
 	}
 	return err
 }
 
-// closeAfterWrites closes the stream when all queued frames are written.
+// closeAfterWrites makes the writer close the stream after all queued frames have
+// been written.
 func (s *stream) closeAfterWrites() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
-	s.signal()
+	s.wakeWriter()
 }
 
-// fail closes the connection for the given cause; only the first one counts.
+// fail closes the connection and records the cause. Later calls have no effect.
 func (s *stream) fail(cause error) {
 	s.mu.Lock()
 	if s.closed {
@@ -269,22 +274,21 @@
 	}
 	s.closed = true
 	s.cause = cause
-	s.signal()
+	s.wakeWriter()
 	s.mu.Unlock()
-	// The connection is unusable in any case; there is nothing to do about a
-	// failing close.
+	// The connection is not used any more, so an error of Close does not matter.
 	_ = s.conn.Close()
 }
 
-// closedBy returns why the stream closed, as a *ClosedError.
-func (s *stream) closedBy() error {
+// closedError returns a *ClosedError with the cause of the close.
+func (s *stream) closedError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &ClosedError{Cause: s.cause}
 }
 
-// Close implements jsonrpc2.ObjectStream. It waits until the writer has ended,
-// so that the progress of every frame is final afterwards.
+// Close implements jsonrpc2.ObjectStream. It waits until the writer has ended, so
+// that the progress of every frame is final when it returns.
 func (s *stream) Close() error {
 	s.fail(nil)
 	<-s.done
