--- a/agent/agent.go
+++ b/agent/agent.go
@@ -24,22 +24,22 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// Options are what an agent needs besides its settings.
+// Options configures an agent beyond its settings file.
 type Options struct {
 	Log *slog.Logger
-	// Version is the program's, for the status.
+	// Version is the program version, shown in the status.
 	Version string
-	// TLS protects the connections between agents; nil for what the settings say.
+	// TLS secures the connections between agents. If nil, the TLS settings apply.
 	TLS peer.TLS
-	// Seed makes jitter repeatable; 0 draws one.
+	// Seed makes jitter repeatable; 0 selects a random seed.
 	Seed uint64
-	// Dialer opens all connections, Listen all listeners. Nil means the
-	// system's network; tests put in their own.
+	// Dialer opens all connections and Listen all listeners. If nil, the system's
+	// network is used; tests substitute their own.
 	Dialer meter.Dialer
 	Listen func(address string) (net.Listener, error)
 }
 
-// withDefaults fills in what is not set.
+// withDefaults returns the options with defaults for unset fields.
 func (o Options) withDefaults() Options {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -53,8 +53,8 @@
 	return o
 }
 
-// Agent is the agent of one instance. New makes it, Listen opens its addresses,
-// Serve runs it.
+// Agent is the agent of one instance. New creates it, Listen opens its addresses
+// and Serve runs it.
 type Agent struct {
 	settings *Settings
 	options  Options
@@ -66,22 +66,23 @@
 	feedPool *peer.Pool
 	engines  *engines.Client
 	reader   configservice.Adapter
-	// platformMeter counts the bytes of the reader.
+	// platformMeter counts the bytes exchanged by the platform adapter.
 	platformMeter meter.Meter
 	servers       servers
-	// tls is nil without files in the settings.
+	// tls is nil if the settings name no TLS files.
 	tls *tlsconf.Reloader
-	// known is read by connections: who is believed.
+	// known is the set of instances whose connections are accepted. Connections
+	// read it outside the loop.
 	known atomic.Pointer[knownSet]
 
 	inbox   chan func()
 	stopped chan struct{}
 	calls   sync.WaitGroup
-	// callCtx ends the calls over the network.
+	// callCtx is cancelled to end calls over the network.
 	callCtx  context.Context
 	endCalls context.CancelFunc
 
-	// All below is the loop's.
+	// The fields below are accessed only by the loop.
 	random       random
 	now          time.Time
 	secondAt     time.Time
@@ -100,13 +101,13 @@
 	orders       orderState
 	view         *membership.View
 	viewDirty    bool
-	// rosterAt is when the ledger was last told whom to ask.
+	// rosterAt is when the ledger last got the list of sources to query.
 	rosterAt  time.Time
 	inForceAt time.Time
 }
 
-// New makes an agent of checked settings. Its errors are those of configservice.Open
-// and of the approvers.
+// New creates an agent from validated settings. Errors are those of
+// configservice.Open and of parsing the approvers.
 func New(s *Settings, o Options) (*Agent, error) {
 	now := clock.Now()
 	o = o.withDefaults()
@@ -136,19 +137,19 @@
 	return a, nil
 }
 
-// makeMachines makes the pure state machines and planners.
+// makeMachines creates the state machines and planners, which do no I/O.
 func (a *Agent) makeMachines(now time.Time) error {
 	s := a.settings
 	trusted, err := s.Approvers.set()
 	if err != nil {
-		return oops.In("agent").Wrapf(err, "take the approvers")
+		return oops.In("agent").Wrapf(err, "parse the approvers")
 	}
 	l, err := ledger.New(ledger.Settings{
 		Instance: s.Instance, Zone: s.Zone,
 		Approvers: trusted, Isolated: s.Isolated, PauseGap: s.PauseAfter,
 	}, now)
 	if err != nil {
-		return oops.In("agent").Wrapf(err, "take the approvers")
+		return oops.In("agent").Wrapf(err, "parse the approvers")
 	}
 	a.ledger = l
 	a.machine = membership.New(
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// makeClients makes what calls over the network.
+// makeClients creates the clients for calls over the network.
 func (a *Agent) makeClients() error {
 	a.peers = peer.NewPool(a.peerConfig(a.isKnown))
 	local := a.peerConfig(func(id peer.Identity) bool { return id.Instance == a.self.Instance })
@@ -178,13 +179,13 @@
 		Transport: newTransport(a.platformMeter.Counting(a.options.Dialer)),
 	})
 	if err != nil {
-		return oops.In("agent").Wrapf(err, "open the platform")
+		return oops.In("agent").Wrapf(err, "open the platform adapter")
 	}
 	a.reader = reader
 	return nil
 }
 
-// seed takes in the instances that the settings name.
+// seed registers the instances that the settings name.
 func (a *Agent) seed() {
 	var seeds []membership.Seed
 	for _, s := range a.settings.Peers.Seeds {
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -13,13 +13,13 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// TestOneInstance: bundle, lists and loads reach the entry.
+// TestOneInstance checks that bundle, lists and loads reach the entry.
 func TestOneInstance(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
 		nodes := f.startFleet(1, "hall-a")
-		f.within(2*time.Second, "loads and readiness at the entry", func() bool {
+		f.within(2*time.Second, "entry ready and upstream load known", func() bool {
 			u := nodes[0].entry.upstream("dc-1")
 			_, last := nodes[0].entry.seen()
 			return last.Ready && u != nil && u.Load != nil && u.Life == kernel.Live && u.Load.PiecesTotal == 2000
@@ -29,8 +29,8 @@
 	})
 }
 
-// TestFleetConverges: a version is in force everywhere soon after it is rolled,
-// while few instances read the platform.
+// TestFleetConverges checks that a version is in force everywhere soon after its
+// roll, while only a few instances read the platform.
 func TestFleetConverges(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestRelay: a zone that is cut off from the platform gets bundles and lists from
-// its peers.
+// TestRelay checks that a zone that is partitioned from the platform gets bundles
+// and lists from its peers.
 func TestRelay(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -66,7 +66,7 @@
 		f.publish(nil)
 		f.addEngine("pf-2", "hall-b", config.RolePrefill)
 		f.list()
-		took := f.within(10*time.Second, "version 2 in force, also where the platform is cut off", allAt(nodes, 2))
+		took := f.within(10*time.Second, "version 2 in force, also in the partitioned zone", allAt(nodes, 2))
 		t.Logf("in force everywhere after %v", took)
 		f.within(5*time.Second, "new upstream known everywhere", func() bool {
 			for _, n := range nodes {
@@ -79,7 +79,8 @@
 	})
 }
 
-// TestPlatformDownThenStale: nothing reverts, and heartbeats go on.
+// TestPlatformDownThenStale checks that nothing reverts to an older version while
+// the platform is down and then stale, and that heartbeats continue.
 func TestPlatformDownThenStale(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -111,8 +112,9 @@
 	})
 }
 
-// TestNewcomerLearnsTheFloor: an instance that starts while the platform serves
-// an old roll does not serve below what its peers have in force.
+// TestNewcomerLearnsTheFloor checks that an instance that starts while the
+// platform serves an old roll does not serve a version below what its peers have
+// in force.
 func TestNewcomerLearnsTheFloor(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -127,17 +129,17 @@
 		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeStale, StaleIndex: old}))
 		f.slowLists = 500 * time.Millisecond
 		nodes[2].start()
-		f.within(10*time.Second, "newcomer ready", func() bool {
+		f.within(10*time.Second, "new instance ready", func() bool {
 			_, last := nodes[2].entry.seen()
-			assert.Assert(t, nodes[2].entry.version() != 1, "served below the floor")
+			assert.Assert(t, nodes[2].entry.version() != 1, "served a version below the floor")
 			return last.Ready
 		})
 		assert.Equal(t, nodes[2].version(), uint64(2))
 	})
 }
 
-// TestEntryRestarts: a new life of the entry is sent everything, and the others
-// learn of it.
+// TestEntryRestarts checks that a restarted entry is sent its full state, and
+// that the other instances learn of its new incarnation.
 func TestEntryRestarts(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -145,21 +147,21 @@
 		time.Sleep(5 * time.Second)
 		old := nodes[0].entry.instance("hall-a-1").Incarnation
 		nodes[0].entry.stop()
-		f.within(5*time.Second, "the other entry knows that it is dead", func() bool {
+		f.within(5*time.Second, "stopped entry known as dead", func() bool {
 			in := nodes[1].entry.instance("hall-a-1")
 			return in.Incarnation == old && in.Life == kernel.Dead
 		})
 		nodes[0].startEntry()
 		f.within(2500*time.Millisecond, "version 1 in force on the new entry", allAt(nodes, 1))
-		f.within(5*time.Second, "the other entry knows the new life", func() bool {
+		f.within(5*time.Second, "new incarnation of the entry known", func() bool {
 			in := nodes[1].entry.instance("hall-a-1")
 			return in.Incarnation > old && in.Life == kernel.Live
 		})
 	})
 }
 
-// TestSuspended: a suspension of the machine, which Go's clock doesn't count, is a pause like
-// any other.
+// TestSuspended checks that a suspension of the machine, which Go's clock does
+// not count, is handled like any other pause.
 func TestSuspended(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		c := testclock.Use(t)
@@ -182,8 +184,8 @@
 	})
 }
 
-// TestPaused: after a pause the view is not trusted until it was refreshed, and
-// the entry is told.
+// TestPaused checks that after a pause the view is not trusted until it is
+// refreshed, and that the entry is notified.
 func TestPaused(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -203,13 +205,13 @@
 		assert.Equal(t, s.Bundle.Status, ledger.StatusRechecking)
 		view, last := n.entry.seen()
 		assert.Assert(t, !view.Trusted)
-		assert.Assert(t, last.Ready, "it goes on serving by the bundle in force")
+		assert.Assert(t, last.Ready, "entry continues to serve with the bundle in force")
 		assert.Assert(t, len(n.entry.pauses) == 1 && n.entry.pauses[0] >= 20_000, "%v", n.entry.pauses)
 		for _, other := range nodes[1:] {
 			f.net.cut(n.host, other.host, false)
 		}
 		f.net.cut(n.host, platformHost, false)
-		f.within(5*time.Second, "trusted again", func() bool { return n.status().Fleet.Trusted })
+		f.within(5*time.Second, "view trusted again", func() bool { return n.status().Fleet.Trusted })
 		f.within(10*time.Second, "bundle confirmed again", func() bool { return n.status().Bundle.Status == ledger.StatusReady })
 	})
 }
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -19,10 +19,10 @@
 	"github.com/wardspool/wardspool/settings"
 )
 
-// sizes are the sizes of today, of a middle way and of the users' plans.
+// sizes are the fleet sizes of today, of the users' plans and one between.
 var sizes = []struct{ instances, upstreams int }{{8, 12}, {68, 100}, {410, 600}}
 
-// benchAgent returns an agent that has lists and reports of the given sizes, in
+// benchAgent returns an agent with lists and load reports of the given sizes, in
 // six zones. Its loop does not run.
 func benchAgent(b testing.TB, instances, upstreams int) *Agent {
 	text := fmt.Sprintf(`
@@ -66,10 +66,11 @@
 	return a
 }
 
-// zoneNumber spreads processes over six zones.
+// zoneNumber distributes processes over six zones.
 func zoneNumber(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%6)) }
 
-// BenchmarkView measures a look at what is believed: up to five a second.
+// BenchmarkView measures a refresh of the view, which happens up to five times a
+// second.
 func BenchmarkView(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -82,8 +83,8 @@
 	}
 }
 
-// BenchmarkFeed measures making a view for the entry and its JSON, as often as
-// its gap allows.
+// BenchmarkFeed measures composing a view for the entry and encoding it as JSON,
+// which happens as often as the view gap allows.
 func BenchmarkFeed(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -101,11 +102,11 @@
 	}
 }
 
-// benchChanged is one upstream in how many of which a fresher load came since the
-// last view: one zone's of six.
+// benchChanged is the stride between upstreams with a new load report since the
+// last view: one in six, as if one of six zones had changed.
 const benchChanged = 6
 
-// BenchmarkFeedChanges measures what is sent instead to an entry that holds the
+// BenchmarkFeedChanges measures composing the changes for an entry that holds the
 // last view.
 func BenchmarkFeedChanges(b *testing.B) {
 	for _, size := range sizes {
@@ -130,8 +131,8 @@
 	}
 }
 
-// BenchmarkFeedTaken measures what the entry does with a view: decoding it and
-// turning it into the kernel's.
+// BenchmarkFeedTaken measures the entry's handling of a full view: decoding it
+// and converting it to the kernel's form.
 func BenchmarkFeedTaken(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -151,7 +152,8 @@
 	}
 }
 
-// BenchmarkFeedChangesTaken measures what the entry does with what changed.
+// BenchmarkFeedChangesTaken measures the entry's handling of a view that has only
+// changes.
 func BenchmarkFeedChangesTaken(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -175,14 +177,15 @@
 					b.Fatal(err)
 				}
 				if _, _, ok := views.Take(u.View, a.now); !ok {
-					b.Fatal("not taken")
+					b.Fatal("view not accepted")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkSecond measures what is done each second whatever happens.
+// BenchmarkSecond measures work that is done every second even if nothing
+// changes.
 func BenchmarkSecond(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -199,7 +202,7 @@
 	}
 }
 
-// BenchmarkRoster measures telling the ledger whom to ask for the floor.
+// BenchmarkRoster measures updating the ledger's list of sources for the floor.
 func BenchmarkRoster(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -214,8 +217,8 @@
 	}
 }
 
-// BenchmarkAssign measures the choice of the upstreams to read, each 5 s and when
-// the view changes.
+// BenchmarkAssign measures assigning the upstreams to read, which happens every 5
+// s and when the view changes.
 func BenchmarkAssign(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -229,7 +232,7 @@
 	}
 }
 
-// BenchmarkHeartbeat measures composing a heartbeat and taking in the answer.
+// BenchmarkHeartbeat measures composing a heartbeat and applying the reply.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -255,7 +258,7 @@
 	}
 }
 
-// ended returns a context that is over, so that no calls are made.
+// ended returns a cancelled context, so that no calls are made.
 func ended() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/agent/book.go
+++ b/agent/book.go
@@ -6,14 +6,16 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// book knows where processes are: from the settings and the platform's lists.
+// book holds the addresses of all known processes, from the settings and from the
+// platform's lists.
 type book struct {
 	instances map[ident.InstanceID]place
 	upstreams map[ident.UpstreamID]configservice.Upstream
 	lists     lists
 }
 
-// place is where an instance's processes take calls from peers.
+// place holds the addresses at which an instance's processes accept calls from
+// peers.
 type place struct {
 	agent string
 	entry string
@@ -27,13 +29,13 @@
 	}
 }
 
-// seed takes in an instance that the settings name.
+// seed adds an instance that the settings name.
 func (b *book) seed(s Seed) {
 	b.instances[s.Instance] = place{agent: s.Address, entry: s.Entry, seed: true}
 }
 
-// list takes in the platform's list of instances. Those of the settings are kept
-// where the list does not name them.
+// list replaces the instances with the platform's list. Instances from the
+// settings are kept if the list does not contain them.
 func (b *book) list(l *configservice.Instances) {
 	next := make(map[ident.InstanceID]place, len(l.Instances))
 	for id, p := range b.instances {
@@ -47,7 +49,7 @@
 	b.instances = next
 }
 
-// listUpstreams takes in the platform's list of upstreams.
+// listUpstreams replaces the upstreams with the platform's list.
 func (b *book) listUpstreams(l *configservice.Upstreams) {
 	b.upstreams = make(map[ident.UpstreamID]configservice.Upstream, len(l.Upstreams))
 	for _, u := range l.Upstreams {
@@ -55,10 +57,10 @@
 	}
 }
 
-// knownSet is the instances that are believed.
+// knownSet is the set of instances whose connections are accepted.
 type knownSet map[ident.InstanceID]struct{}
 
-// publishKnown makes connections believe who is known now.
+// publishKnown updates the set of instances that connections accept.
 func (a *Agent) publishKnown() {
 	set := make(knownSet, len(a.book.instances))
 	for id := range a.book.instances {
@@ -67,13 +69,15 @@
 	a.known.Store(&set)
 }
 
-// isKnown reports whether a peer is believed. Connections call it.
+// isKnown reports whether a peer's connection is accepted. It is called outside
+// the loop.
 func (a *Agent) isKnown(id peer.Identity) bool {
 	_, ok := (*a.known.Load())[id.Instance]
 	return ok
 }
 
-// isOperator reports whether the settings name an operator's identity.
+// isOperator reports whether an identity is listed in the settings as an
+// operator's.
 func (a *Agent) isOperator(id peer.Identity) bool {
 	for _, name := range a.settings.Operators.Names {
 		if name == id.Instance {
--- a/agent/bundlefeed_bench_test.go
+++ b/agent/bundlefeed_bench_test.go
@@ -17,7 +17,7 @@
 )
 
 // BenchmarkBundleFed measures feeding a bundle of the planned size to an entry
-// over loopback, both ends together: whole, and what changed where one workspace
+// over loopback, both ends together: in full, and as changes when one workspace
 // differs.
 func BenchmarkBundleFed(b *testing.B) {
 	c, findings := bundle.ParseSource("test.yaml", []byte(testContent))
--- a/agent/bundles.go
+++ b/agent/bundles.go
@@ -16,10 +16,10 @@
 	"github.com/wardspool/wardspool/rendezvous"
 )
 
-// tickEvent tells the ledger that time passed.
+// tickEvent advances the ledger's time.
 var tickEvent ledger.Event = ledger.Tick{}
 
-// step gives the ledger an event and does what it asks for.
+// step passes an event to the ledger and carries out the resulting actions.
 func (a *Agent) step(e ledger.Event) {
 	from := eventSource(e)
 	for _, act := range a.ledger.Step(a.now, e) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// eventSource returns who brought an event, zero if nobody did.
+// eventSource returns the source of an event, or the zero Source if it has none.
 func eventSource(e ledger.Event) ledger.Source {
 	switch e := e.(type) {
 	case ledger.RollSeen:
@@ -47,7 +47,7 @@
 	}
 }
 
-// act does one thing that the ledger asks for.
+// act carries out one action of the ledger.
 func (a *Agent) act(act ledger.Action) {
 	switch act := act.(type) {
 	case ledger.InForce:
@@ -71,7 +71,7 @@
 	}
 }
 
-// sourceNames renders sources for a log line.
+// sourceNames returns the names of sources for a log line.
 func sourceNames(sources []ledger.Source) []string {
 	names := make([]string, len(sources))
 	for i, s := range sources {
@@ -94,22 +94,22 @@
 	a.viewDirty = true
 }
 
-// readyRoster is the time between two looks at whom to ask while nobody is to be
-// asked: the roster is then only the first one after a pause, and is made anew
-// within a second.
+// readyRoster is the time between two updates of the roster while the ledger is
+// ready. The ledger queries no source then and needs the roster only as the first
+// one after a pause; after a pause it is rebuilt within a second.
 const readyRoster = 10 * time.Second
 
-// rosterDue reports whether the ledger is to be told anew whom to ask.
+// rosterDue reports whether the ledger's roster has to be updated.
 func (a *Agent) rosterDue() bool {
 	return a.ledger.Status() != ledger.StatusReady || a.now.Sub(a.rosterAt) >= readyRoster
 }
 
-// updateRoster tells the ledger whom to ask for the floor: the platform, the
-// living peers of the zone, a few of each other zone, and, while it starts, the
-// zone's engines, some of which check fencing numbers.
+// updateRoster passes the ledger the sources to query for the floor: the
+// platform, the live peers of the zone, a few peers of each other zone and,
+// during the start, the zone's engines, some of which check fencing numbers.
 //
-// Until the lists are there, the roster would be too short: a stale platform
-// alone could then pass for all who know the floor.
+// It does nothing until the lists are known. The roster would be incomplete, and
+// a stale platform alone could then count as all sources that know the floor.
 func (a *Agent) updateRoster() {
 	if a.awaitsLists() {
 		return
@@ -125,7 +125,7 @@
 	}
 	for zone, ids := range zones {
 		if zone != a.self.Zone {
-			// Other instances choose others.
+			// Rendezvous hashing makes other instances choose other sources.
 			ids = rendezvous.Top(string(a.self.Instance), ids, remoteSources)
 		}
 		for _, id := range ids {
@@ -143,8 +143,8 @@
 	a.step(ledger.Roster{Sources: a.keepAnswered(sources)})
 }
 
-// keepAnswered adds the peers that a starting instance has heard from and that
-// have gone since: what they had in force stays part of the floor.
+// keepAnswered adds the peers that reported to a starting instance and have
+// failed since: what they had in force remains part of the floor.
 func (a *Agent) keepAnswered(sources []ledger.Source) []ledger.Source {
 	if a.ledger.Status() != ledger.StatusStarting {
 		a.relay.answered = nil
@@ -158,8 +158,8 @@
 	return sources
 }
 
-// awaitsLists reports whether this instance just started and the platform's lists
-// may still come.
+// awaitsLists reports whether this instance started recently and still waits for
+// the platform's lists.
 func (a *Agent) awaitsLists() bool {
 	l := &a.book.lists
 	return (l.instances.index == 0 || l.upstreams.index == 0) && a.now.Sub(a.started) < listsTimeout
@@ -168,15 +168,16 @@
 // listsTimeout is how long a starting instance waits for the platform's lists.
 const listsTimeout = 3 * time.Second
 
-// remoteSources is how many instances of each other zone are asked for the floor.
+// remoteSources is the number of instances of each other zone that are queried
+// for the floor.
 const remoteSources = 3
 
-// peerSource names a peer to the ledger.
+// peerSource returns the ledger's source for a peer.
 func peerSource(id ident.InstanceID) ledger.Source {
 	return ledger.Source{Kind: ledger.SourcePeer, Name: string(id)}
 }
 
-// askFloor asks a source for the floor.
+// askFloor queries a source for the floor.
 func (a *Agent) askFloor(q ledger.AskFloor) {
 	switch q.From.Kind {
 	case ledger.SourcePlatform:
@@ -188,8 +189,8 @@
 	}
 }
 
-// askPlatformFloor asks the platform for its roll. A platform that is stale does
-// not know the floor.
+// askPlatformFloor reads the roll from the platform. A stale platform does not
+// know the floor.
 func (a *Agent) askPlatformFloor(q ledger.AskFloor) {
 	begun := a.now
 	a.spawn(func(ctx context.Context) {
@@ -210,7 +211,7 @@
 	})
 }
 
-// reportRoll gives the ledger a floor report with a roll in its encoded form.
+// reportRoll passes the ledger a floor report with an encoded roll.
 func (a *Agent) reportRoll(r ledger.FloorReport, b []byte) {
 	if len(b) > 0 {
 		roll, err := bundle.DecodeRoll(b)
@@ -226,7 +227,7 @@
 	a.step(r)
 }
 
-// askFence asks an engine for the highest fencing number that it has seen.
+// askFence queries an engine for the highest fencing number that it has seen.
 func (a *Agent) askFence(q ledger.AskFloor) {
 	address := a.book.upstreams[ident.UpstreamID(q.From.Name)].Address
 	a.spawn(func(ctx context.Context) {
--- a/agent/bundles_test.go
+++ b/agent/bundles_test.go
@@ -12,7 +12,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// testContent is the content of version 1; others differ in a workspace.
+// testContent is the content of version 1; other versions differ in one
+// workspace.
 const testContent = `
 deployment: test
 kinds:
@@ -39,13 +40,13 @@
   transfer_stall: 1s
 `
 
-// approver is the one whose signature the fleet trusts.
+// approver is the private key of the approver that the fleet trusts.
 var approver = func() ed25519.PrivateKey {
 	seed := bundle.DigestOf([]byte("test approver"))
 	return ed25519.NewKeyFromSeed(seed[:])
 }()
 
-// approvers is the trusted set.
+// approvers returns the trusted set.
 func approvers() bundle.Approvers {
 	var key bundle.PublicKey
 	copy(key[:], approver.Public().(ed25519.PublicKey))
@@ -60,7 +61,7 @@
 	return c
 }
 
-// build makes and signs the next bundle.
+// build creates and signs the next bundle.
 func (f *fleet) build(change func(*config.Content)) (*bundle.Head, *bundle.PartSet) {
 	version := 1
 	if f.head != nil {
@@ -76,7 +77,7 @@
 	return h, parts
 }
 
-// publish builds the next bundle, publishes it and rolls it to all.
+// publish builds the next bundle, publishes it and rolls it to all instances.
 func (f *fleet) publish(change func(*config.Content)) *bundle.SignedRoll {
 	h, parts := f.build(change)
 	for _, d := range parts.Digests() {
--- a/agent/changes.go
+++ b/agent/changes.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// nextView returns the view to send to the entry: what changed since the last one
-// if the entry holds that, else the whole.
+// nextView returns the next view to send to the entry: the changes since the last
+// one if the entry holds that one, otherwise the full view.
 func (a *Agent) nextView() *feed.View {
 	f := &a.feed
 	f.number++
@@ -41,8 +41,8 @@
 	return true
 }
 
-// changes returns what differs between two views of the same entries, of which
-// the second is that much later.
+// changes returns the difference between two views of the same entries. elapsed
+// is the time between them.
 func changes(before, after *feed.View, elapsed time.Duration) *feed.View {
 	out := &feed.View{
 		Version: after.Version, Number: after.Number, Base: before.Number, Trusted: after.Trusted,
@@ -61,12 +61,12 @@
 	return out
 }
 
-// ageRounding is how far the age of a report may seem to move when ages are
-// rounded, in milliseconds. Reports are a second apart and more.
+// ageRounding is the largest apparent change of a report's age, in milliseconds,
+// that is attributed to rounding. Reports are at least a second apart.
 const ageRounding = 2
 
-// sameUpstream reports whether an upstream is as it was, with the same load
-// report grown older.
+// sameUpstream reports whether an upstream is unchanged, apart from its load
+// report having aged by elapsed.
 func sameUpstream(before, after *feed.Upstream, elapsed time.Duration) bool {
 	was, is := *before, *after
 	drift := is.LoadAgeMS - was.LoadAgeMS - elapsed.Milliseconds()
--- a/agent/changes_test.go
+++ b/agent/changes_test.go
@@ -20,8 +20,8 @@
 	"github.com/wardspool/wardspool/membership"
 )
 
-// viewRun plays an agent and its entry with a network that loses updates and
-// replies between them.
+// viewRun simulates an agent and its entry, with a network between them that
+// loses updates and replies.
 type viewRun struct {
 	*rapid.T
 	agent *Agent
@@ -32,7 +32,7 @@
 	last  *kernel.View
 }
 
-// list gives the agent the upstreams anew.
+// list passes the agent a new version of the list of upstreams.
 func (r *viewRun) list() {
 	r.index++
 	doc, err := json.Marshal(configservice.Upstreams{Upstreams: r.ups})
@@ -40,7 +40,7 @@
 	assert.Assert(r, r.agent.takeUpstreams(r.agent.now, r.index, doc))
 }
 
-// happen lets something happen in the fleet.
+// happen applies a random change to the fleet.
 func (r *viewRun) happen() {
 	a := r.agent
 	u := &r.ups[rapid.IntRange(0, len(r.ups)-1).Draw(r.T, "upstream")]
@@ -62,7 +62,7 @@
 	}
 }
 
-// feed sends one update. It may be lost, or its reply, or both come.
+// feed sends one update. The update or its reply may be lost.
 func (r *viewRun) feed() {
 	a := r.agent
 	a.refreshView()
@@ -85,8 +85,9 @@
 
 func (*feedLost) Error() string { return "lost" }
 
-// TestChangesMakeTheWhole: whatever happened and was lost before, after three
-// updates that arrive, one to learn of a new entry, one whole and one of changes, the entry has what whole views would have given it.
+// TestChangesMakeTheWhole checks that after any changes and losses, three
+// delivered updates bring the entry to the state that full views would have given
+// it: one to detect a new entry, one full view and one with changes.
 func TestChangesMakeTheWhole(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		r := &viewRun{T: t, agent: benchAgent(outer, 5, 0), views: &peering.Views{}, inc: 1, index: 10}
@@ -113,16 +114,16 @@
 			}
 			r.agent.feedAnswered(r.agent.now, u, feed.Reply{Incarnation: r.inc, View: r.views.Number()})
 		}
-		assert.Assert(t, partial > 0, "the last update had changes only")
+		assert.Assert(t, partial > 0, "no update had changes only")
 		whole := peering.View(r.agent.feedView(), r.agent.now)
 		near := cmp.Comparer(func(x, y time.Time) bool { return x.Sub(y).Abs() <= 2*ageRounding*time.Millisecond })
 		assert.DeepEqual(t, r.last, whole, near)
 	})
 }
 
-// TestBundleChangesMakeTheWhole: whatever versions, lost updates, lost replies and
-// new entries came before, an entry that answers holds the content in force, and
-// the next version is sent as changes.
+// TestBundleChangesMakeTheWhole checks that after any sequence of versions, lost
+// updates, lost replies and new entries, an entry that replies holds the content
+// in force, and the next version is sent as changes.
 func TestBundleChangesMakeTheWhole(outer *testing.T) {
 	a := benchAgent(outer, 1, 0)
 	a.refreshView()
@@ -161,8 +162,8 @@
 	})
 }
 
-// TestOldEntriesGetWholeViews: an entry whose replies name no view takes whole
-// ones only.
+// TestOldEntriesGetWholeViews checks that an entry whose replies name no view, as
+// older releases do, gets only full views.
 func TestOldEntriesGetWholeViews(t *testing.T) {
 	a := benchAgent(t, 5, 5)
 	for range 3 {
@@ -180,8 +181,8 @@
 	}
 }
 
-// TestSameUpstream: each field of an upstream and of its load counts, and the age
-// of the load but for its growing with time.
+// TestSameUpstream checks that each field of an upstream and of its load counts
+// as a change, and the load's age only beyond its growth with time.
 func TestSameUpstream(t *testing.T) {
 	load := kernel.Load{Running: 3, PiecesTotal: 100}
 	before := feed.Upstream{ID: "dc-1", Address: "10.0.0.1:1", Load: &load, LoadAgeMS: 500}
--- a/agent/check.go
+++ b/agent/check.go
@@ -73,7 +73,7 @@
 		r.Add("isolated", fmt.Sprintf("%q is not known", s.Isolated), "wait or serve-preload")
 	}
 	if s.Isolated == ledger.IsolatedServePreload && s.Preload == "" {
-		r.Add("isolated", "there is nothing to serve", "name a folder under preload")
+		r.Add("isolated", "serve-preload needs a preloaded bundle", "name a folder under preload")
 	}
 }
 
--- a/agent/death_test.go
+++ b/agent/death_test.go
@@ -11,13 +11,13 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// deathTime is how soon an engine's death, and its return, must be known in all
-// zones.
+// deathTime limits the time until an engine's death, or its return, is known in
+// all zones.
 const deathTime = 5 * time.Second
 
-// TestEngineDeathIsKnownInAllZones crashes an engine whose connections then end
-// without an answer: no instance gives it work any more, in whatever zone, and
-// all do soon after it is back.
+// TestEngineDeathIsKnownInAllZones crashes an engine, whose connections then end
+// without a response. No instance in any zone may send it work after that, and
+// all must do so soon after it is back.
 func TestEngineDeathIsKnownInAllZones(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		e := f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -37,8 +37,8 @@
 	})
 }
 
-// TestBrokenStreamsAreLookedInto gives the entry of another zone a broken
-// connection to report: its agent looks by itself, and believes what it sees.
+// TestBrokenStreamsAreLookedInto makes the entry of another zone report a broken
+// connection. Its agent must check the engine itself and rely on that result.
 func TestBrokenStreamsAreLookedInto(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		e := f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -51,13 +51,13 @@
 		say := func(list ...feed.Evidence) { nodes[1].entry.set(func(r *feed.Reply) { r.Evidence = list }) }
 		say(broken)
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, lives(nodes, "dc-1")[1] <= kernel.Suspect, "one broken connection proves nothing")
+		assert.Assert(t, lives(nodes, "dc-1")[1] <= kernel.Suspect, "one broken connection is no proof of a failure")
 		say()
 		time.Sleep(time.Second)
 		f.net.cut(nodes[0].host, nodes[1].host, true)
 		e.Crash(time.Minute)
 		say(broken)
-		took := f.within(2*time.Second, "seen dead", all(nodes[1:], "dc-1", kernel.Unreachable))
-		t.Logf("seen dead after %v", took)
+		took := f.within(2*time.Second, "engine known as unreachable", all(nodes[1:], "dc-1", kernel.Unreachable))
+		t.Logf("known as unreachable after %v", took)
 	})
 }
--- a/agent/entry_test.go
+++ b/agent/entry_test.go
@@ -29,7 +29,7 @@
 	standin "github.com/wardspool/wardspool/standin/platform"
 )
 
-// loopbackBed is a real entry and its agent on 127.0.0.1.
+// loopbackBed is a test environment with a real entry and its agent on 127.0.0.1.
 type loopbackBed struct {
 	t        *testing.T
 	platform *standin.Platform
@@ -52,14 +52,14 @@
 	})
 }
 
-// listen opens a loopback address.
+// listen opens a listener on a loopback address.
 func (b *loopbackBed) listen() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b.t, err)
 	return l
 }
 
-// engine starts a stand-in engine.
+// engine starts a simulated engine.
 func (b *loopbackBed) engine(id ident.UpstreamID, role config.Role) {
 	l := b.listen()
 	client := &http.Client{Transport: &http.Transport{}}
@@ -86,7 +86,7 @@
 	b.platform.Put(key, doc)
 }
 
-// publish publishes a bundle that is larger than a frame between peers.
+// publish publishes a bundle that exceeds the frame size between peers.
 func (b *loopbackBed) publish() {
 	c, findings := bundle.ParseSource("test.yaml", []byte(testContent))
 	assert.NilError(b.t, findings.Err())
@@ -140,7 +140,7 @@
 	b.run(a.Serve)
 }
 
-// run serves until the test ends.
+// run calls serve in the background until the test ends.
 func (b *loopbackBed) run(serve func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -151,8 +151,9 @@
 	})
 }
 
-// TestRealEntry: with a real entry on real sockets, a completion is answered by
-// what the agent fed, a bundle larger than a frame between peers included.
+// TestRealEntry checks with a real entry on real sockets that a completion is
+// answered by what the agent fed, including a bundle that exceeds the frame size
+// between peers.
 func TestRealEntry(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	t.Cleanup(func() {
@@ -183,10 +184,11 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode == http.StatusOK
 	}), "the entry is ready")
-	assert.Assert(t, eventually(func() bool { return completes(t, url) }), "a completion is answered whole")
+	assert.Assert(t, eventually(func() bool { return completes(t, url) }), "a completion is answered completely")
 }
 
-// completes asks for a completion and reports whether the answer was whole.
+// completes sends a completion request and reports whether the answer was
+// complete.
 func completes(t *testing.T, url string) bool {
 	body := strings.NewReader(`{"model":"reader","prompt":"a b c d e","max_tokens":4}`)
 	resp, err := http.Post(url+"/v1/completions", "application/json", body)
@@ -198,8 +200,8 @@
 	return resp.Header.Get(api.HeaderOutcome) == string(api.Complete)
 }
 
-// eventually waits for a condition on real processes; the limit only bounds a
-// failing test.
+// eventually waits for a condition on real processes; the limit only bounds the
+// duration of a failing test.
 func eventually(holds func() bool) bool {
 	for deadline := time.Now().Add(60 * time.Second); time.Now().Before(deadline); {
 		if holds() {
--- a/agent/fakeentry_test.go
+++ b/agent/fakeentry_test.go
@@ -13,7 +13,7 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// fakeEntry stands in for an entry's feed and peers' listeners.
+// fakeEntry simulates an entry's listeners for the feed and for peers.
 type fakeEntry struct {
 	mu      sync.Mutex
 	reply   feed.Reply
@@ -22,11 +22,11 @@
 	updates int
 	pauses  []int64
 	stop    func()
-	// slow is how long an update takes, slowBundle one with a bundle.
+	// slow is the delay of an update, slowBundle that of an update with a bundle.
 	slow, slowBundle time.Duration
 }
 
-// startEntry starts a stand-in entry.
+// startEntry starts a simulated entry.
 func (n *node) startEntry() {
 	e := &fakeEntry{reply: feed.Reply{Incarnation: ident.NewIncarnation(time.Now())}}
 	cfg := peer.Config{
@@ -58,7 +58,7 @@
 	n.entry = e
 }
 
-// update takes an agent's update.
+// update handles an agent's update.
 func (e *fakeEntry) update(u feed.Update) feed.Reply {
 	time.Sleep(e.takes(u))
 	e.mu.Lock()
@@ -79,7 +79,7 @@
 	return r
 }
 
-// takes returns how long an update takes.
+// takes returns the time to spend on an update.
 func (e *fakeEntry) takes(u feed.Update) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,21 +89,21 @@
 	return e.slow
 }
 
-// slowDown sets how long an update takes.
+// slowDown sets the delay of updates.
 func (e *fakeEntry) slowDown(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slow = d
 }
 
-// set changes the reply.
+// set modifies the reply.
 func (e *fakeEntry) set(change func(*feed.Reply)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change(&e.reply)
 }
 
-// version returns the bundle version that the entry was given.
+// version returns the bundle version that the entry has received.
 func (e *fakeEntry) version() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -12,68 +12,70 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Bounds of feeding the entry.
+// Limits of the feed to the entry.
 const (
-	// feedFrame is the largest frame to the entry: the content of the largest
-	// bundle, as JSON.
+	// feedFrame is the largest frame sent to the entry; it fits the content of
+	// the largest bundle as JSON.
 	feedFrame = 32 << 20
-	// feedBackoff bounds the pause between attempts to reach the entry.
+	// feedBackoff limits the delay between attempts to connect to the entry.
 	feedBackoff = 500 * time.Millisecond
-	// feedTimeout bounds an update, feedBundleTimeout one with a bundle, which may
-	// be megabytes that an entry on a busy machine takes seconds to read. Sent
-	// again before that, they would only keep it busier.
+	// feedTimeout limits an update and feedBundleTimeout an update with a bundle.
+	// A bundle may have megabytes, which an entry on a busy machine takes seconds
+	// to read; an earlier retry would only add to its load.
 	feedTimeout       = 2 * time.Second
 	feedBundleTimeout = 30 * time.Second
-	// urgentGap is the least time between two updates.
+	// urgentGap is the minimum time between two updates.
 	urgentGap = 50 * time.Millisecond
-	// viewGap is the least time between two views of which the second has only
-	// fresher load reports; viewGapPerEntry is added for each instance and
-	// upstream, since a view has them all.
+	// viewGap is the minimum time between two views if the second differs only in
+	// load reports. viewGapPerEntry is added for each instance and upstream,
+	// since a view contains them all.
 	viewGap         = 200 * time.Millisecond
 	viewGapPerEntry = 3 * time.Millisecond
-	// bundleRetry is after how long a bundle is sent again that the entry does
-	// not confirm.
+	// bundleRetry is the time after which a bundle that the entry has not
+	// confirmed is sent again.
 	bundleRetry = 3 * time.Second
 )
 
-// feedState is the loop's part of feeding the entry.
+// feedState is the loop's state of the feed to the entry.
 type feedState struct {
 	busy   bool
 	sentAt time.Time
-	// urgent says that something changed that should not wait.
+	// urgent is set when a change should be sent without waiting for the
+	// interval.
 	urgent bool
-	// version is that of the view last sent, and viewAt when that was; shape is
-	// the fingerprint of the view without ages and loads.
+	// version is the version of the last view sent, and viewAt the time it was
+	// sent. shape is the fingerprint of the view without ages and loads.
 	version uint64
 	viewAt  time.Time
 	shape   uint64
-	// sent is the last view sent, as a whole, and agesAt the time that its ages
-	// are of; nil before the first.
+	// sent is the last view sent, in full, and agesAt the time to which its ages
+	// refer. sent is nil before the first view.
 	sent   *feed.View
 	agesAt time.Time
-	// number counts the views sent.
+	// number is the sequence number of the last view sent.
 	number uint64
-	// resend says that the entry must be sent everything.
+	// resend is set if the entry must be sent its full state.
 	resend bool
-	// bundle is the one in force, nil if there is none.
+	// bundle is the bundle in force, nil if there is none.
 	bundle     *feed.Bundle
 	bundleSent bool
-	// sentBundle is the one sent last, and base the one that the entry holds for
-	// changes; nil if there is none.
+	// sentBundle is the last bundle sent, and base the bundle held by the entry,
+	// against which changes are computed. Both are nil if there is none.
 	sentBundle, base *feed.Bundle
 	bundleAt         time.Time
-	// pause is the longest pause that the entry was not told of.
+	// pause is the longest process pause that has not been reported to the entry.
 	pause time.Duration
-	// reply is the entry's last answer; answers is false since a call failed.
+	// reply is the entry's last reply. answers is false after a failed call until
+	// the next reply.
 	reply   feed.Reply
 	answers bool
-	// gone says that the entry that answered last has ended.
+	// gone is set if the entry's process that last replied has ended.
 	gone bool
-	// lives translate upstreams' incarnations for the entry.
+	// lives maps upstreams to the incarnations reported to the entry.
 	lives map[ident.UpstreamID]*fedLife
 }
 
-// feedEntry sends the entry an update when one is due.
+// feedEntry sends the entry an update if one is due.
 func (a *Agent) feedEntry() {
 	f := &a.feed
 	if f.busy || !a.updateDue() {
@@ -105,7 +107,7 @@
 	return feedTimeout
 }
 
-// updateDue reports whether the entry is to be sent an update now.
+// updateDue reports whether an update has to be sent to the entry now.
 func (a *Agent) updateDue() bool {
 	f := &a.feed
 	since := a.now.Sub(f.sentAt)
@@ -115,14 +117,14 @@
 	case since >= a.settings.Entry.Interval:
 		return true
 	default:
-		// While nobody answers, the interval is soon enough.
+		// Without replies, the regular interval is sufficient.
 		return f.answers && (f.urgent || f.resend || a.viewDue())
 	}
 }
 
-// viewDue reports whether the entry is to be sent a view: at once if something
-// but loads and ages changed, otherwise when the gap allows. An unchanged view is
-// repeated too: an entry that was paused waits for one.
+// viewDue reports whether a view has to be sent to the entry: immediately if
+// anything but loads and ages changed, otherwise after the minimum gap. An
+// unchanged view is repeated too, since an entry that was paused waits for one.
 func (a *Agent) viewDue() bool {
 	f := &a.feed
 	entries := len(a.view.Instances) + len(a.view.Upstreams)
@@ -133,7 +135,7 @@
 	return f.urgent || f.resend || a.now.Sub(f.viewAt) >= gap
 }
 
-// composeUpdate returns what to send.
+// composeUpdate returns the next update for the entry.
 func (a *Agent) composeUpdate() feed.Update {
 	f := &a.feed
 	u := feed.Update{
@@ -152,8 +154,8 @@
 	return u
 }
 
-// nextBundle returns the bundle in force for the entry: what changed, if the entry
-// holds the content of one sent before, else the whole.
+// nextBundle returns the bundle in force in the form for the entry: as changes if
+// the entry holds the content of a bundle sent before, otherwise in full.
 func (f *feedState) nextBundle() *feed.Bundle {
 	f.sentBundle = f.bundle
 	if f.base == nil || f.base == f.bundle || f.reply.Base != f.base.Digest {
@@ -165,13 +167,14 @@
 	}
 }
 
-// bundleLost reports whether the entry should have taken the bundle by now.
+// bundleLost reports whether the entry has not confirmed the bundle within the
+// retry interval.
 func (a *Agent) bundleLost() bool {
 	f := &a.feed
 	return f.reply.BundleVersion < f.bundle.Version && a.now.Sub(f.bundleAt) >= bundleRetry
 }
 
-// feedAnswered takes in the entry's reply.
+// feedAnswered handles the entry's reply to an update.
 func (a *Agent) feedAnswered(begun time.Time, u feed.Update, r feed.Reply) {
 	f := &a.feed
 	changed := r.Incarnation != f.reply.Incarnation || r.Stopping != f.reply.Stopping || !f.answers
@@ -202,8 +205,9 @@
 	}
 }
 
-// noteDecides tells the ledger what the entry made of the bundle in force. An entry
-// that lacks a plug-in goes on under the version before; operators must know.
+// noteDecides passes the ledger the entry's acceptance or rejection of the bundle
+// in force. An entry that lacks a plug-in continues with the previous version, so
+// operators need an alarm.
 func (a *Agent) noteDecides(r feed.Reply) {
 	e := ledger.EntryDecides{Version: r.BundleVersion}
 	if r.Rejected != nil {
@@ -212,7 +216,7 @@
 	a.step(e)
 }
 
-// feedFailed takes in a failed update: what it said is to be said again.
+// feedFailed handles a failed update: its contents have to be sent again.
 func (a *Agent) feedFailed(u feed.Update, err error) {
 	f := &a.feed
 	a.counters.FeedFailures++
@@ -230,7 +234,8 @@
 	var dial *peer.DialError
 	s := membership.SelfState{Incarnation: f.reply.Incarnation, Leaving: f.reply.Stopping}
 	if errors.As(err, &dial) && dial.Kind == peer.DialRefused {
-		// The entry closes this listener last.
+		// The entry closes this listener last, so a refused connection means that
+		// its process has ended.
 		s.Gone, f.gone = true, true
 	} else {
 		s.Silent = true
@@ -238,8 +243,8 @@
 	a.machine.SetSelf(a.now, s)
 }
 
-// takeEvidence takes in what the entry's traffic showed. begun is when the
-// update was sent to which it replied.
+// takeEvidence applies an observation from the entry's traffic. begun is when the
+// update was sent whose reply carried it.
 func (a *Agent) takeEvidence(begun time.Time, e feed.Evidence) {
 	at := begun.Add(-time.Duration(e.AgeMS) * time.Millisecond)
 	if e.Peer != "" {
@@ -263,7 +268,7 @@
 	}
 }
 
-// takePeerEvidence takes in what the entry saw of another instance's entry.
+// takePeerEvidence applies an observation about another instance's entry.
 func (a *Agent) takePeerEvidence(at time.Time, e feed.Evidence) {
 	switch e.Kind {
 	case feed.EvidenceSucceeded:
@@ -275,7 +280,7 @@
 	}
 }
 
-// RejectedError is the reason that an entry gave for not taking a bundle.
+// RejectedError reports that an entry rejected a bundle, with the entry's reason.
 type RejectedError struct{ Reason string }
 
 // Error implements error.
--- a/agent/fleet_test.go
+++ b/agent/fleet_test.go
@@ -32,7 +32,8 @@
 	platformAddr = platformHost + ":7000"
 )
 
-// fleet is agents with stand-ins for all around them, in a synctest bubble.
+// fleet is a set of agents in a synctest bubble, with simulations of all
+// processes around them.
 type fleet struct {
 	t        *testing.T
 	net      *network
@@ -44,11 +45,11 @@
 	head     *bundle.Head
 	sequence uint64
 	closers  []func()
-	// slowLists is how long the platform takes to answer reads of its lists.
+	// slowLists is the platform's delay of reads of its lists.
 	slowLists time.Duration
 }
 
-// node is one instance: an agent and a stand-in for its entry.
+// node is one instance: an agent and a simulated entry.
 type node struct {
 	fleet *fleet
 	id    ident.InstanceID
@@ -61,7 +62,7 @@
 	stop      func()
 }
 
-// inFleet runs a test with a fleet of its own in a bubble.
+// inFleet runs a test with its own fleet in a bubble.
 func inFleet(t *testing.T, test func(*fleet)) {
 	t.Helper()
 	bubble.Test(t, func(t *testing.T) {
@@ -112,7 +113,7 @@
 	})
 }
 
-// addEngine starts a stand-in engine and lists it.
+// addEngine starts a simulated engine and lists it.
 func (f *fleet) addEngine(id ident.UpstreamID, zone ident.Zone, role config.Role) *engine.Engine {
 	addr := fmt.Sprintf("10.0.1.%d:8000", len(f.ups)+1)
 	e := engine.New(engine.Config{
@@ -132,7 +133,7 @@
 	return e
 }
 
-// list publishes both lists.
+// list publishes the lists of instances and upstreams.
 func (f *fleet) list() {
 	f.put(configservice.KeyInstances, configservice.Instances{Instances: f.listed})
 	f.put(configservice.KeyUpstreams, configservice.Upstreams{Upstreams: f.ups})
@@ -245,7 +246,8 @@
 // version returns the bundle version in force.
 func (n *node) version() uint64 { return n.status().Bundle.Version }
 
-// within fails unless the condition holds within a time.
+// within waits for a condition and returns the time taken. It fails the test if
+// the condition does not hold within the limit.
 func (f *fleet) within(limit time.Duration, what string, holds func() bool) time.Duration {
 	f.t.Helper()
 	start := time.Now()
--- a/agent/heartbeats.go
+++ b/agent/heartbeats.go
@@ -12,40 +12,42 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Bounds of calls to peers.
+// Limits of calls to peers.
 const (
 	heartbeatTimeout = 2 * time.Second
 	probeTimeout     = time.Second
-	// peerFrame is the largest frame between agents: a roll of the largest size,
-	// in base64.
+	// peerFrame is the largest frame between agents; it fits a roll of the
+	// largest size in base64.
 	peerFrame = 2 << 20
-	// peerBackoff bounds the pause between attempts to reach one address.
+	// peerBackoff limits the delay between attempts to connect to one address.
 	peerBackoff = time.Second
-	// spreadGap is the least time between two exchanges with one partner that
-	// only serve to spread news.
+	// spreadGap is the minimum time between two exchanges with one partner that
+	// only serve to propagate news.
 	spreadGap = 100 * time.Millisecond
-	// spreadJitter bounds the time for which an instance keeps news that a peer
-	// gave it: most partners have it by then, and need not be told.
+	// spreadJitter limits the random delay before news received from a peer is
+	// propagated: most partners have it by then and need no exchange.
 	spreadJitter = 300 * time.Millisecond
-	// partnerIntervals is after how many intervals without an exchange an
-	// instance is no partner any more.
+	// partnerIntervals is the number of heartbeat intervals without an exchange
+	// after which an instance no longer counts as a partner.
 	partnerIntervals = 4
 )
 
 // partner is an instance with which heartbeats are exchanged.
 type partner struct {
-	// mark is the last one heard.
+	// mark is the fingerprint of the partner's news in its last heartbeat.
 	mark uint64
-	// at is when the last exchange was, and sentAt when one was begun here.
+	// at is the time of the last exchange, sentAt that of the last exchange
+	// started by this instance.
 	at     time.Time
 	sentAt time.Time
-	// busy says that an exchange begun here has not ended.
+	// busy is set while an exchange started by this instance is in progress.
 	busy bool
-	// spreadAt is when the partner is to be told news, the zero time if it is not.
+	// spreadAt is when news is due to be sent to the partner, the zero time if
+	// there is none.
 	spreadAt time.Time
 }
 
-// partnerOf returns what is kept of a partner.
+// partnerOf returns the state of a partner, creating it if there is none.
 func (a *Agent) partnerOf(id ident.InstanceID) *partner {
 	p := a.partners[id]
 	if p == nil {
@@ -55,7 +57,8 @@
 	return p
 }
 
-// news returns what this instance has that all should have.
+// news returns the newest document versions known to this instance, which its
+// peers should have too.
 func (a *Agent) news() wire.News {
 	s := a.ledger.Summary()
 	return wire.News{
@@ -64,7 +67,7 @@
 	}
 }
 
-// compose returns the heartbeat for a peer.
+// compose returns the heartbeat to send to a peer.
 func (a *Agent) compose(to ident.InstanceID) wire.Heartbeat {
 	n := a.news()
 	hb := wire.Heartbeat{Heartbeat: a.machine.Heartbeat(a.now, to), Mark: n.Mark()}
@@ -80,7 +83,7 @@
 	return hb
 }
 
-// sendDue sends the heartbeats and probes that are due.
+// sendDue sends the heartbeats, probes and news that are due.
 func (a *Agent) sendDue() {
 	if !a.machine.NextDue(a.now).After(a.now) {
 		for _, d := range a.machine.Due(a.now) {
@@ -94,8 +97,8 @@
 	a.sendNews()
 }
 
-// spreadNews has all partners told that this instance has news: at once if it has
-// them from the platform.
+// spreadNews schedules news for all partners: immediately if it came from the
+// platform, with jitter if a peer relayed it.
 func (a *Agent) spreadNews(relayed bool) {
 	at := a.now
 	if relayed {
@@ -108,7 +111,7 @@
 	}
 }
 
-// sendNews tells the partners that are to be told.
+// sendNews starts exchanges with the partners for which news is due.
 func (a *Agent) sendNews() {
 	limit := a.now.Add(-partnerIntervals * a.machine.Interval())
 	mark := uint64(0)
@@ -127,7 +130,7 @@
 	}
 }
 
-// exchange exchanges heartbeats with an instance.
+// exchange starts a heartbeat exchange with an instance.
 func (a *Agent) exchange(to ident.InstanceID) {
 	address := a.book.instances[to].agent
 	if address == "" {
@@ -152,7 +155,7 @@
 	})
 }
 
-// exchanged takes in how an exchange ended.
+// exchanged handles the result of a heartbeat exchange.
 func (a *Agent) exchanged(to ident.InstanceID, begun time.Time, answer wire.Heartbeat, err error) {
 	if err != nil {
 		a.counters.HeartbeatsFailed++
@@ -166,7 +169,7 @@
 	a.hear(to, begun, &answer)
 }
 
-// receive answers a peer's heartbeat.
+// receive handles a peer's heartbeat and returns the reply.
 func (a *Agent) receive(from ident.InstanceID, hb wire.Heartbeat) (wire.Heartbeat, error) {
 	a.counters.HeartbeatsTaken++
 	answer, err := a.machine.Receive(a.now, from, hb.Heartbeat)
@@ -174,21 +177,21 @@
 		a.badHeartbeat(from, err)
 		return wire.Heartbeat{}, peer.Refuse(&peer.NotAllowedError{Instance: from})
 	}
-	// How long the heartbeat was on its way is not known.
+	// The time at which the peer sent the heartbeat is not known.
 	a.hear(from, time.Time{}, &hb)
 	out := a.compose(from)
 	out.Heartbeat = answer
 	return out, nil
 }
 
-// badHeartbeat notes a heartbeat that was not taken in.
+// badHeartbeat counts and logs a rejected heartbeat.
 func (a *Agent) badHeartbeat(from ident.InstanceID, err error) {
 	a.counters.Refused++
-	a.log.Debug("heartbeat refused", "from", from, "error", err)
+	a.log.Debug("heartbeat rejected", "from", from, "error", err)
 }
 
-// hear takes in what agents add to heartbeats. begun is a time after which it was
-// said, zero if there is none that is known.
+// hear applies the fields that agents add to membership heartbeats. begun is a
+// time after which the heartbeat was composed, zero if none is known.
 func (a *Agent) hear(from ident.InstanceID, begun time.Time, hb *wire.Heartbeat) {
 	p := a.partnerOf(from)
 	p.mark, p.at = hb.Mark, a.now
@@ -208,7 +211,7 @@
 	a.viewDirty = true
 }
 
-// probe learns whether the entry of an instance answers.
+// probe checks whether the entry of an instance responds.
 func (a *Agent) probe(to ident.InstanceID) {
 	address := a.book.instances[to].entry
 	if address == "" {
@@ -230,8 +233,9 @@
 	})
 }
 
-// probeAnswered reports whether the process answered a probe. That it knows no
-// such method, or not this instance, is an answer.
+// probeAnswered reports whether the process responded to a probe. The errors for
+// an unknown method, a caller that is not allowed and a stopping process are
+// responses too.
 func probeAnswered(err error) bool {
 	var unknown *peer.MethodError
 	var stranger *peer.NotAllowedError
@@ -239,7 +243,7 @@
 	return err == nil || errors.As(err, &unknown) || errors.As(err, &stranger) || errors.As(err, &stopping)
 }
 
-// peerFailed takes in a failed call to a process of an instance.
+// peerFailed handles a failed call to a process of an instance.
 func (a *Agent) peerFailed(to ident.InstanceID, begun time.Time, p membership.Process, err error) {
 	if kind, ok := failKind(err); ok {
 		a.machine.PeerFailed(a.now, begun, to, p, kind)
@@ -248,7 +252,7 @@
 }
 
 // failKind classifies the failure of a call to a peer. It returns false for a
-// call that was not tried, or that the peer answered.
+// call that was not attempted or that the peer responded to.
 func failKind(err error) (membership.FailKind, bool) {
 	var waiting *peer.BackoffError
 	var dial *peer.DialError
@@ -266,5 +270,6 @@
 	}
 }
 
-// answersPeers reports whether an instance is worth asking.
+// answersPeers reports whether an instance is presumed alive, so that calls to it
+// are worthwhile.
 func answersPeers(in membership.Instance) bool { return in.State <= membership.Suspect }
--- a/agent/leftovers.go
+++ b/agent/leftovers.go
@@ -8,13 +8,15 @@
 	"github.com/wardspool/wardspool/leftover"
 )
 
-// heldState is the loop's part of releasing leftovers.
+// heldState is the loop's state of releasing leftovers, attempts that dead
+// instances left on engines.
 type heldState struct {
-	// reading holds the engines whose lists are being read.
+	// reading holds the engines whose lists of attempts are being read.
 	reading map[ident.UpstreamID]bool
 }
 
-// runLeftovers reads the engines' lists and repeats the releases that are due.
+// runLeftovers reads the engines' lists of attempts and repeats the releases that
+// are due.
 func (a *Agent) runLeftovers() {
 	wake, ok := a.leftovers.NextWake()
 	if !ok || a.now.Before(wake) {
@@ -27,7 +29,7 @@
 	a.release(plan.Releases)
 }
 
-// readHeld reads the list of an engine.
+// readHeld reads the list of attempts that an engine holds.
 func (a *Agent) readHeld(id ident.UpstreamID) {
 	if a.held.reading[id] {
 		return
@@ -52,7 +54,7 @@
 	})
 }
 
-// release orders engines to release attempts, with a log line for each.
+// release tells engines to release attempts and logs each of them.
 func (a *Agent) release(releases []leftover.Release) {
 	for _, r := range releases {
 		a.counters.Releases++
--- a/agent/lists.go
+++ b/agent/lists.go
@@ -15,24 +15,24 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// list is the newest of the platform's lists that this instance has, in the form
-// in which peers get it.
+// list is the newest version of a platform list known to this instance, in the
+// form in which it is relayed to peers.
 type list struct {
 	index uint64
-	// begun is when the reading of it from the platform began.
+	// begun is when the read of the list from the platform started.
 	begun time.Time
 	gzip  []byte
 }
 
-// lists are the platform's lists.
+// lists holds the platform's lists.
 type lists struct {
 	instances list
 	upstreams list
-	// fetching says that they are being fetched from a peer.
+	// fetching is set while lists are being fetched from a peer.
 	fetching bool
 }
 
-// of returns the list under a key of the platform.
+// of returns the list stored under a platform key.
 func (l *lists) of(key string) *list {
 	if key == configservice.KeyInstances {
 		return &l.instances
@@ -40,7 +40,7 @@
 	return &l.upstreams
 }
 
-// takeListBytes takes in a list as the platform has it.
+// takeListBytes applies a list read from the platform.
 func (a *Agent) takeListBytes(key string, begun time.Time, index uint64, doc []byte) {
 	if l := a.book.lists.of(key); index < l.index {
 		return
@@ -55,7 +55,7 @@
 	a.keepList(key, list{index: index, begun: begun, gzip: compress(doc)}, false)
 }
 
-// keepList keeps a list for peers and tells them.
+// keepList stores a list for relaying and notifies the peers.
 func (a *Agent) keepList(key string, l list, relayed bool) {
 	*a.book.lists.of(key) = l
 	a.source.indexes[key] = max(a.source.indexes[key], l.index)
@@ -64,8 +64,8 @@
 	a.spreadNews(relayed)
 }
 
-// takeList decodes a list and gives it to the machine. It returns false for a
-// document that cannot be read or is old.
+// takeList decodes a list and passes it to the membership machine. It returns
+// false if the document is malformed or outdated.
 func (a *Agent) takeList(key string, begun time.Time, index uint64, doc []byte) bool {
 	if key == configservice.KeyInstances {
 		return a.takeInstances(begun, index, doc)
@@ -73,14 +73,14 @@
 	return a.takeUpstreams(begun, index, doc)
 }
 
-// badList logs a list that cannot be read; the one before stays.
+// badList counts and logs a malformed list; the previous one stays in use.
 func (a *Agent) badList(key string, index uint64, err error) bool {
 	a.counters.Refused++
-	a.log.Warn("list refused", "key", key, "index", index, "error", err)
+	a.log.Warn("list rejected", "key", key, "index", index, "error", err)
 	return false
 }
 
-// takeInstances takes in the list of instances.
+// takeInstances applies the list of instances.
 func (a *Agent) takeInstances(begun time.Time, index uint64, doc []byte) bool {
 	var l configservice.Instances
 	if err := json.Unmarshal(doc, &l); err != nil {
@@ -102,8 +102,8 @@
 	return true
 }
 
-// forgetInstances drops what is kept of instances that are no longer known, or
-// have moved.
+// forgetInstances drops the state of instances that are no longer known, and the
+// connections to addresses no longer in use.
 func (a *Agent) forgetInstances(before map[ident.InstanceID]place) {
 	for id, old := range before {
 		now, known := a.book.instances[id]
@@ -119,13 +119,13 @@
 	}
 }
 
-// forgetAddress closes the connection to an address. Closing may wait for the
-// network, so that the loop does not do it itself.
+// forgetAddress closes the connection to an address. It does so outside the loop,
+// because closing may block on the network.
 func (a *Agent) forgetAddress(address string) {
 	a.spawn(func(context.Context) { a.peers.Forget(address) })
 }
 
-// takeUpstreams takes in the list of upstreams.
+// takeUpstreams applies the list of upstreams.
 func (a *Agent) takeUpstreams(begun time.Time, index uint64, doc []byte) bool {
 	var l configservice.Upstreams
 	if err := json.Unmarshal(doc, &l); err != nil {
@@ -150,7 +150,7 @@
 	return true
 }
 
-// compress returns the gzip form of a document.
+// compress returns a document compressed with gzip.
 func compress(doc []byte) []byte {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -160,7 +160,7 @@
 	return b.Bytes()
 }
 
-// decompress undoes compress. Errors are those of package gzip and
+// decompress reverses compress. Errors are those of package gzip and
 // *configservice.TooLargeError.
 func decompress(key string, b []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(b))
@@ -177,7 +177,8 @@
 	return doc, nil
 }
 
-// newerLists returns the lists that are newer than a peer's.
+// newerLists returns the lists that are newer than the versions in a peer's
+// request.
 func (a *Agent) newerLists(r wire.ListsRequest) wire.Lists {
 	var out wire.Lists
 	if l := &a.book.lists.instances; l.index > r.Instances {
@@ -189,12 +190,12 @@
 	return out
 }
 
-// wireList returns a list in the form for peers.
+// wireList returns a list in its wire form.
 func (a *Agent) wireList(l *list) *wire.List {
 	return &wire.List{Index: l.index, AgeMS: a.now.Sub(l.begun).Milliseconds(), Gzip: l.gzip}
 }
 
-// fetchLists fetches from a peer what it has that is newer.
+// fetchLists fetches the lists from a peer that has newer ones.
 func (a *Agent) fetchLists(from ident.InstanceID, n *wire.News) {
 	have := &a.book.lists
 	if have.fetching || n.Instances <= have.instances.index && n.Upstreams <= have.upstreams.index {
@@ -214,7 +215,7 @@
 		a.post(func() {
 			have.fetching = false
 			if err != nil {
-				a.log.Debug("lists not fetched", "from", from, "error", err)
+				a.log.Debug("cannot fetch lists", "from", from, "error", err)
 				return
 			}
 			a.relayedList(configservice.KeyInstances, begun, got.Instances)
@@ -223,7 +224,7 @@
 	})
 }
 
-// relayedList takes in a list that a peer gave.
+// relayedList applies a list received from a peer.
 func (a *Agent) relayedList(key string, begun time.Time, l *wire.List) {
 	if l == nil || l.Index <= a.book.lists.of(key).index {
 		return
--- a/agent/lists_test.go
+++ b/agent/lists_test.go
@@ -19,14 +19,16 @@
 	assert.Assert(t, bytes.Equal(back, doc))
 }
 
-// TestDecompressIsBounded: a small frame must not become a large document.
+// TestDecompressIsBounded checks that a small frame cannot expand to a document
+// above the size limit.
 func TestDecompressIsBounded(t *testing.T) {
 	_, err := decompress(configservice.KeyInstances, compress(make([]byte, configservice.MaxValue+1)))
 	var large *configservice.TooLargeError
 	assert.Assert(t, errors.As(err, &large))
 }
 
-// FuzzDecompress checks that no bytes of a peer make a document above the bound.
+// FuzzDecompress checks that no input from a peer expands to a document above the
+// size limit.
 func FuzzDecompress(f *testing.F) {
 	f.Add(compress([]byte("{}")))
 	f.Add([]byte{})
@@ -34,7 +36,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		doc, err := decompress(configservice.KeyUpstreams, b)
 		if err == nil && len(doc) > configservice.MaxValue {
-			t.Fatalf("%d bytes", len(doc))
+			t.Fatalf("decompressed to %d bytes", len(doc))
 		}
 	})
 }
--- a/agent/loads.go
+++ b/agent/loads.go
@@ -10,56 +10,61 @@
 	"github.com/wardspool/wardspool/membership"
 )
 
-// Bounds of reading upstreams' state.
+// Limits of reading upstreams' state.
 const (
 	upstreamTimeout = 2 * time.Second
-	// doubtMin and doubtMax bound the time between attempts to reach an upstream
-	// that is not believed to live; it doubles. Those who gather its load for
-	// their zone try more often: the others learn from them that it is back.
+	// doubtMin and doubtMax limit the time between attempts to reach an upstream
+	// that is not considered alive; it doubles with each attempt. Instances that
+	// gather the upstream's load for their zone use the shorter limits
+	// gatherDoubtMin and gatherDoubtMax, since the others learn from them that it
+	// has recovered.
 	doubtMin       = 2 * time.Second
 	doubtMax       = 30 * time.Second
 	gatherDoubtMin = 500 * time.Millisecond
 	gatherDoubtMax = 2 * time.Second
-	// assumedPollBytes is what a read costs before any was measured.
+	// assumedPollBytes is the assumed cost of a read until enough reads were
+	// measured.
 	assumedPollBytes = 900
 )
 
-// assignInterval is the longest time between two choices of the upstreams to
-// read; they are chosen anew at once when the view changes.
+// assignInterval is the longest time between two assignments of the upstreams to
+// read; a change of the view triggers one immediately.
 const assignInterval = 5 * time.Second
 
-// loadState is the loop's part of gathering upstreams' state.
+// loadState is the loop's state of gathering upstreams' state.
 type loadState struct {
 	polls map[ident.UpstreamID]*poll
-	// assignedAt is when they were last chosen.
+	// assignedAt is the time of the last assignment.
 	assignedAt time.Time
-	// gathered is how many upstreams this instance gathers.
+	// gathered is the number of upstreams whose load this instance gathers for
+	// its zone.
 	gathered int
-	// specs are what the bundle in force declares, by ID.
+	// specs are the upstreams that the bundle in force declares, by ID.
 	specs map[ident.UpstreamID]*config.Upstream
-	// lives are the incarnations as of the last view.
+	// lives are the upstreams' incarnations as of the last view.
 	lives map[ident.UpstreamID]life
 }
 
-// poll is an upstream whose state this instance reads.
+// poll is the state of reading one upstream.
 type poll struct {
 	nextAt time.Time
-	// begunAt is when it was last read.
+	// begunAt is the start time of the last read.
 	begunAt time.Time
 	busy    bool
-	// gathers says that this instance reads for its zone; otherwise it reads
-	// because it doubts that the upstream lives.
+	// gathers is set if this instance reads the upstream for its zone. Otherwise
+	// it reads the upstream because it doubts that the upstream is alive.
 	gathers bool
 	doubt   time.Duration
 }
 
-// life is when an incarnation of an upstream became known here.
+// life records when an incarnation of an upstream was first seen by this
+// instance.
 type life struct {
 	incarnation ident.Incarnation
 	since       time.Time
 }
 
-// noteLives notes new incarnations of upstreams.
+// noteLives records new incarnations of upstreams.
 func (a *Agent) noteLives() {
 	old := a.loads.lives
 	lives := make(map[ident.UpstreamID]life, len(a.view.Upstreams))
@@ -74,18 +79,18 @@
 	a.loads.lives = lives
 }
 
-// sameLife reports whether what was seen of an upstream at the given time was
-// about the incarnation that is known now: evidence of live traffic does not say
-// which it is about.
+// sameLife reports whether an observation of an upstream at the given time
+// concerns the incarnation that is known now. Evidence from live traffic does not
+// name the incarnation.
 func (a *Agent) sameLife(at time.Time, id ident.UpstreamID) bool {
 	l, ok := a.loads.lives[id]
 	return ok && at.After(l.since)
 }
 
-// assignLoads takes on the upstreams whose state this instance reads: those that
-// it gathers for its zone, and those that it doubts to live. The latter must be
-// read by each instance that doubts, since no work is sent to them that could
-// show that they are back.
+// assignLoads selects the upstreams whose state this instance reads: those that
+// it gathers for its zone, and those that it does not consider alive. Each such
+// instance must read the latter itself, since no work is sent to them that could
+// show their recovery.
 func (a *Agent) assignLoads() {
 	a.loads.assignedAt = a.now
 	gathers := a.machine.Gathers(a.now)
@@ -111,7 +116,7 @@
 	a.loads.polls = next
 }
 
-// pollOf returns the poll of an upstream, a new one if there is none.
+// pollOf returns the poll of an upstream, creating one if there is none.
 func (a *Agent) pollOf(id ident.UpstreamID) *poll {
 	if p := a.loads.polls[id]; p != nil {
 		return p
@@ -119,8 +124,8 @@
 	return &poll{nextAt: a.now}
 }
 
-// loadInterval returns the time between two reads of one upstream, such that all
-// reads keep the budget.
+// loadInterval returns the time between two reads of one upstream that keeps all
+// reads within the budget.
 func (a *Agent) loadInterval() time.Duration {
 	bytes := float64(assumedPollBytes)
 	if n := a.counters.LoadPolls - a.counters.LoadPollsFailed; n > assumedAfter {
@@ -130,10 +135,11 @@
 	return max(a.settings.Loads.Interval, time.Duration(seconds*float64(time.Second)))
 }
 
-// assumedAfter is after how many reads their cost counts as measured.
+// assumedAfter is the number of reads after which their measured cost replaces
+// the assumed one.
 const assumedAfter = 20
 
-// pollLoads reads the upstreams whose turn it is.
+// pollLoads reads the upstreams that are due.
 func (a *Agent) pollLoads() {
 	interval := a.loadInterval()
 	for id, p := range a.loads.polls {
@@ -177,7 +183,7 @@
 	})
 }
 
-// report returns an engine's report in the machine's form.
+// report converts an engine's load report to the membership machine's form.
 func report(l engines.Load) membership.Report {
 	return membership.Report{
 		Incarnation: l.Incarnation, Sequence: uint32(l.Seq),
@@ -186,10 +192,10 @@
 	}
 }
 
-// loadFailed takes in a read that got no answer.
+// loadFailed handles a read that got no response.
 func (a *Agent) loadFailed(id ident.UpstreamID, begun time.Time, p *poll, err error) {
 	a.counters.LoadPollsFailed++
-	a.log.Debug("upstream not read", "upstream", id, "error", err)
+	a.log.Debug("cannot read upstream state", "upstream", id, "error", err)
 	kind := membership.FailTimeout
 	if engines.KindOf(err) == engines.FailRefused {
 		kind = membership.FailRefused
@@ -203,9 +209,9 @@
 	p.nextAt = a.now.Add(p.doubt)
 }
 
-// lookInto reads an upstream's state at once, since a connection to it broke at
-// the given time: many streams broken together mean that it is gone, and live
-// traffic notices that before the next read is due.
+// lookInto schedules an immediate read of an upstream's state, because a
+// connection to it broke at the given time. An upstream that fails breaks many
+// streams at once, and live traffic notices that before the next read is due.
 func (a *Agent) lookInto(at time.Time, id ident.UpstreamID) {
 	if _, listed := a.book.upstreams[id]; !listed {
 		return
--- a/agent/loop.go
+++ b/agent/loop.go
@@ -11,16 +11,17 @@
 
 // Timing of the loop.
 const (
-	// tick is the time between two looks at what is due.
+	// tick is the interval at which the loop checks for due work.
 	tick = 200 * time.Millisecond
-	// minPauseAfter keeps a busy machine from looking paused.
+	// minPauseAfter is the smallest pause threshold; a lower one would report a
+	// busy machine as paused.
 	minPauseAfter = 3 * tick
-	// inboxSize bounds what waits for the loop.
+	// inboxSize limits the functions queued for the loop.
 	inboxSize = 256
 )
 
-// post hands f to the loop, which runs it with the present time in a.now. It
-// returns false when the agent has stopped.
+// post queues f for the loop, which runs it with the current time in a.now. It
+// returns false if the agent has stopped.
 func (a *Agent) post(f func()) bool {
 	select {
 	case a.inbox <- f:
@@ -48,13 +49,13 @@
 	}
 }
 
-// spawn runs a call over the network beside the loop. The context ends when the
-// agent stops.
+// spawn runs f, which calls over the network, in a goroutine outside the loop.
+// Its context is cancelled when the agent stops.
 func (a *Agent) spawn(f func(context.Context)) {
 	a.calls.Go(func() { f(a.callCtx) })
 }
 
-// run is the loop. It ends with ctx.
+// run is the loop. It returns when ctx ends.
 func (a *Agent) run(ctx context.Context) {
 	defer close(a.stopped)
 	a.now = clock.Now()
@@ -75,8 +76,8 @@
 	}
 }
 
-// begin reads the clock and notices that the process did not run for a while,
-// before anything is made of what arrived meanwhile.
+// begin updates the loop's time and detects that the process did not run for a
+// while, before anything received meanwhile is handled.
 func (a *Agent) begin() {
 	last := a.now
 	clock.Check()
@@ -86,7 +87,7 @@
 	}
 }
 
-// due does what is due by the time.
+// due does the periodic work whose time has come.
 func (a *Agent) due() {
 	if a.now.Sub(a.secondAt) >= time.Second {
 		a.secondAt = a.now
@@ -100,7 +101,7 @@
 	}
 }
 
-// everySecond does what is cheap to do late.
+// everySecond does the periodic work that needs no finer resolution.
 func (a *Agent) everySecond() {
 	a.step(tickEvent)
 	if a.rosterDue() {
@@ -114,14 +115,14 @@
 	a.viewDirty = true
 }
 
-// follow sends what became due by what was just taken in.
+// follow sends what became due by the work just done.
 func (a *Agent) follow() {
 	a.sendDue()
 	a.feedEntry()
 }
 
-// paused follows up on a time in which the process did not run: what it believes
-// may be out of date until it was refreshed.
+// paused handles a period in which the process did not run: its state may be out
+// of date until it is refreshed.
 func (a *Agent) paused(gap time.Duration) {
 	a.log.Warn("process was paused", "gap", gap.String())
 	a.counters.Pauses++
@@ -129,7 +130,7 @@
 	a.step(tickEvent)
 	a.feed.pause = max(a.feed.pause, gap)
 	a.orderPlanner.Paused(a.now)
-	// The ledger asks for the roll by itself.
+	// The ledger requests the roll by itself.
 	a.readKey(configservice.KeyInstances)
 	a.readKey(configservice.KeyUpstreams)
 	a.refreshView()
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -17,16 +17,15 @@
 )
 
 const (
-	// metricsPrefix begins the names of all metrics.
+	// metricsPrefix is the prefix of all metric names.
 	metricsPrefix = "wardspool_agent"
-	// metricsTimeout bounds the reading of a request for metrics and the writing
-	// of its answer.
+	// metricsTimeout limits reading a request for metrics and writing its answer.
 	metricsTimeout = 5 * time.Second
-	// metricsHeaderBytes bounds the head of a request for metrics.
+	// metricsHeaderBytes limits the header of a request for metrics.
 	metricsHeaderBytes = 4 << 10
 )
 
-// metricsServer answers GET /metrics.
+// metricsServer serves GET /metrics.
 type metricsServer struct {
 	listener net.Listener
 	http     *http.Server
@@ -49,7 +48,7 @@
 	return err
 }
 
-// listenForMetrics opens the address for metrics, if there is one.
+// listenForMetrics opens the address for metrics if one is configured.
 func (a *Agent) listenForMetrics() error {
 	if a.settings.Metrics.Listen == "" {
 		return nil
@@ -70,8 +69,8 @@
 	return nil
 }
 
-// serveMetrics writes the agent's status as metrics. They are made when they are
-// asked for: an agent that nobody asks spends nothing on them.
+// serveMetrics writes the agent's status as metrics. They are computed per
+// request, so an agent that is not scraped spends nothing on them.
 func (a *Agent) serveMetrics(w http.ResponseWriter, r *http.Request) {
 	s, err := a.Status(r.Context())
 	if err != nil {
@@ -79,11 +78,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", metrics.ContentType)
-	// A reader that left is no concern of ours.
+	// A write fails only if the caller has disconnected.
 	_, _ = io.WriteString(w, metrics.Render(metricsPrefix, func(scope tally.Scope) { fillMetrics(scope, &s) }))
 }
 
-// fillMetrics gives a status as metrics.
+// fillMetrics records a status as metrics.
 func fillMetrics(scope tally.Scope, s *wire.Status) {
 	fillBundle(scope, s)
 	fillFleet(scope, &s.Fleet)
@@ -105,7 +104,7 @@
 	}
 }
 
-// lifeLabels are the labels of the numbers of instances and upstreams.
+// lifeLabels are the labels of the instance and upstream counts.
 type lifeLabels struct{ zone, state string }
 
 func fillFleet(scope tally.Scope, f *wire.FleetStatus) {
@@ -128,7 +127,8 @@
 	}
 }
 
-// stateLeaving is the label of what is leaving, whether it still answers or not.
+// stateLeaving is the label value for processes that are leaving, whether they
+// still respond or not.
 const stateLeaving = "leaving"
 
 func state(name string, leaving bool) string {
@@ -197,7 +197,7 @@
 	tagged.Counter("bytes_received").Inc(int64(t.Received))
 }
 
-// truth is 1 for true and 0 for false.
+// truth returns 1 for true and 0 for false.
 func truth(v bool) float64 {
 	if v {
 		return 1
--- a/agent/metrics_test.go
+++ b/agent/metrics_test.go
@@ -16,7 +16,8 @@
 	"github.com/wardspool/wardspool/metrics"
 )
 
-// TestMetrics gives a status as metrics, without those of the Go runtime.
+// TestMetrics checks the metrics of a status, which exclude those of the Go
+// runtime.
 func TestMetrics(t *testing.T) {
 	s := wire.Status{
 		Bundle: wire.BundleStatus{Version: 7, Newest: 8, MissingParts: 3},
@@ -48,7 +49,8 @@
 	}
 }
 
-// TestMetricsOfARunningAgent asks a running agent, as over its listener.
+// TestMetricsOfARunningAgent calls the metrics handler of a running agent, as its
+// listener does.
 func TestMetricsOfARunningAgent(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.addAll(2, "hall-a")
--- a/agent/network_test.go
+++ b/agent/network_test.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// network is an in-memory network of hosts, each an IP number. It works inside
-// testing/synctest bubbles, where real sockets don't.
+// network is an in-memory network of hosts, each an IP address. It works inside
+// testing/synctest bubbles, where real sockets do not.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -21,7 +21,7 @@
 	return &network{listeners: map[string]*listener{}, conns: map[*link]struct{}{}, cuts: map[[2]string]bool{}}
 }
 
-// host returns the host's IP number of "ip:port".
+// host returns the IP address of "ip:port".
 func host(addr string) string {
 	ip, _, _ := strings.Cut(addr, ":")
 	return ip
@@ -56,7 +56,7 @@
 func (l *link) LocalAddr() net.Addr  { return memAddr(l.local) }
 func (l *link) RemoteAddr() net.Addr { return memAddr(l.remote) }
 
-// listener accepts connections of one address.
+// listener accepts connections to one address.
 type listener struct {
 	n      *network
 	addr   string
@@ -101,13 +101,13 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return memAddr(l.addr) }
 
-// from is the network as one host sees it. It implements meter.Dialer.
+// from is a Dialer for connections from one host. It implements meter.Dialer.
 type from struct {
 	n    *network
 	host string
 }
 
-// DialContext opens a connection. Across a cut nothing answers.
+// DialContext opens a connection. Across a cut nothing responds.
 func (f from) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	f.n.mu.Lock()
 	l, cut := f.n.listeners[addr], f.n.cuts[[2]string{f.host, host(addr)}]
@@ -130,7 +130,7 @@
 	}
 }
 
-// pipe makes both ends of a connection.
+// pipe creates both ends of a connection.
 func (n *network) pipe(local, remote string) (near, far *link) {
 	a, b := net.Pipe()
 	near = &link{Conn: a, n: n, local: local, remote: remote}
@@ -141,7 +141,7 @@
 	return near, far
 }
 
-// cut ends or restores the way between two hosts, both directions.
+// cut starts or ends a network partition between two hosts, in both directions.
 func (n *network) cut(a, b string, cut bool) {
 	n.mu.Lock()
 	n.cuts[[2]string{a, b}], n.cuts[[2]string{b, a}] = cut, cut
--- a/agent/parts.go
+++ b/agent/parts.go
@@ -13,30 +13,31 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Bounds of fetching.
+// Limits of fetching parts.
 const (
-	// fetchTimeout bounds one fetch from a peer.
+	// fetchTimeout limits one fetch from a peer.
 	fetchTimeout = 5 * time.Second
-	// readBatch is how many parts are read from the platform at once, readPause the
-	// time between two batches: a whole bundle read by all readers of a fleet that
-	// starts must leave the platform's rate to others.
+	// readBatch is the number of parts read from the platform concurrently,
+	// readPause the time between two batches. When a fleet starts, all its
+	// readers read a whole bundle, and must not use up the platform's rate limit.
 	readBatch = 8
 	readPause = 150 * time.Millisecond
-	// hedgeAfter is how long the platform may take before a peer is asked as
-	// well.
+	// hedgeAfter is the duration of a platform read after which a peer is queried
+	// as well.
 	hedgeAfter = 300 * time.Millisecond
-	// maxTried bounds the peers that one fetch goes to.
+	// maxTried limits the peers that one fetch tries.
 	maxTried = 3
 )
 
 // fetchParts fetches parts from a peer or the platform. The ledger names the
-// source that it heard of last; here more is known. An instance that watches the
-// platform for its zone reads the platform at once, so that others have whom to
-// ask. The others go on with the source that just gave some, since two that asked
-// each other would both wait; they read the platform only if no peer gives any:
-// the parts of a bundle are some hundred calls.
+// source that last announced the bundle; the agent chooses with more information.
+// An instance that watches the platform for its zone reads the platform at once,
+// so that the others have a peer to fetch from. The others continue with the peer
+// that last provided parts, since two instances fetching from each other would
+// both wait. They read the platform only if no peer provides any, because the
+// parts of a bundle take some hundred calls.
 func (a *Agent) fetchParts(f ledger.FetchParts) {
-	a.log.Debug("fetch parts", "from", f.From.String(), "parts", len(f.Digests))
+	a.log.Debug("fetching parts", "from", f.From.String(), "parts", len(f.Digests))
 	first := a.firstPeer(f)
 	a.relay.provider = ledger.Source{}
 	if !a.readsBundles() {
@@ -47,9 +48,9 @@
 	a.spawn(func(ctx context.Context) { a.hedge(ctx, done, first) })
 }
 
-// firstPeer returns the fetch from the peer to ask first: the one that just gave
-// parts, or else the one that the ledger names, or else one that told this
-// starting instance of the floor.
+// firstPeer returns the fetch with the peer to query first: the one that last
+// provided parts, else the one that the ledger names, else one that reported the
+// floor to this starting instance.
 func (a *Agent) firstPeer(f ledger.FetchParts) ledger.FetchParts {
 	answered := a.relay.answered
 	switch {
@@ -68,7 +69,7 @@
 	return a.source.answers && (w[configservice.KeyRoll] != nil || w[configservice.KeyBundleHead] != nil)
 }
 
-// hedge asks a peer as well when a read of the platform takes long.
+// hedge queries a peer as well if a read of the platform takes long.
 func (a *Agent) hedge(ctx context.Context, done <-chan struct{}, f ledger.FetchParts) {
 	select {
 	case <-done:
@@ -78,9 +79,10 @@
 	}
 }
 
-// readParts reads parts from the platform, some at a time, and asks a peer if it
-// gives none. They are taken in together: the ledger asks anew for what is still
-// missing after each gift. The channel is closed at the end.
+// readParts reads parts from the platform in batches, and queries a peer if it
+// provides none. All parts are passed to the ledger together, because the ledger
+// requests what is still missing each time it receives parts. The returned
+// channel is closed at the end.
 func (a *Agent) readParts(f ledger.FetchParts) <-chan struct{} {
 	done := make(chan struct{})
 	a.spawn(func(ctx context.Context) {
@@ -97,7 +99,7 @@
 	return done
 }
 
-// readAll returns those of the parts that the platform gives.
+// readAll reads parts in batches and returns those that the platform provides.
 func (a *Agent) readAll(ctx context.Context, digests []bundle.Digest) []bundle.Part {
 	parts := make([]bundle.Part, 0, len(digests))
 	for len(digests) > 0 {
@@ -105,7 +107,7 @@
 		digests = digests[len(batch):]
 		got := a.readSome(ctx, batch)
 		parts = append(parts, got...)
-		// Where a whole batch fails the others would, too.
+		// If a whole batch fails, the remaining ones would fail too.
 		if len(digests) == 0 || len(got) == 0 || !rest(ctx, readPause) {
 			break
 		}
@@ -113,7 +115,7 @@
 	return parts
 }
 
-// readSome reads parts all at once.
+// readSome reads parts concurrently.
 func (a *Agent) readSome(ctx context.Context, digests []bundle.Digest) []bundle.Part {
 	parts := make([]bundle.Part, len(digests))
 	var group sync.WaitGroup
@@ -128,7 +130,7 @@
 	return slices.DeleteFunc(parts, func(p bundle.Part) bool { return p.Bytes == nil })
 }
 
-// rest waits. It returns false if ctx ended first.
+// rest waits for a duration. It returns false if ctx ends first.
 func rest(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -138,9 +140,9 @@
 	}
 }
 
-// fetchPeerParts fetches parts from a peer, or from others that know the same
-// bundles if it gives none, and last from the platform if so wanted. tried lists
-// those that gave none.
+// fetchPeerParts fetches parts from a peer; if it provides none, from other peers
+// that know the same bundles and, if platformLast is set, from the platform at
+// the end. tried lists the sources that provided none.
 func (a *Agent) fetchPeerParts(f ledger.FetchParts, tried []ledger.Source, platformLast bool) {
 	tried = append(tried, f.From)
 	address := a.addressOf(f.From)
@@ -164,8 +166,8 @@
 	})
 }
 
-// fetchElsewhere goes on with another partner that knows the same bundles. If
-// there is none, the ledger asks again after a while.
+// fetchElsewhere continues a fetch with another partner that knows the same
+// bundles. If there is none, the ledger retries after a while.
 func (a *Agent) fetchElsewhere(f ledger.FetchParts, tried []ledger.Source, platformLast bool) {
 	if a.ledger.Missing() == 0 {
 		return
@@ -179,7 +181,8 @@
 	}
 }
 
-// anotherHolder returns a partner that knows the same bundles and was not tried.
+// anotherHolder returns a partner that knows the same bundles and has not been
+// tried.
 func (a *Agent) anotherHolder(tried []ledger.Source) (ledger.Source, bool) {
 	if len(tried) >= maxTried {
 		return ledger.Source{}, false
@@ -194,10 +197,10 @@
 	return ledger.Source{}, false
 }
 
-// takeParts gives the ledger parts and wakes the peers that wait for some.
+// takeParts passes parts to the ledger and wakes the peers that wait for parts.
 func (a *Agent) takeParts(from ledger.Source, parts []bundle.Part) {
 	a.counters.PartsFetched += uint64(len(parts))
-	a.log.Debug("parts came", "from", from.String(), "parts", len(parts))
+	a.log.Debug("parts received", "from", from.String(), "parts", len(parts))
 	if len(parts) == 0 {
 		return
 	}
--- a/agent/placement.go
+++ b/agent/placement.go
@@ -15,17 +15,17 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// confirmGap is the least time between two rounds in which peers are asked which
-// bundle is in force on them.
+// confirmGap is the minimum time between two rounds of asking peers which bundle
+// is in force on them.
 const confirmGap = 2 * time.Second
 
-// orderState is the loop's part of giving placement orders.
+// orderState is the loop's state of giving placement orders.
 type orderState struct {
 	// askedAt is when peers were last asked which bundle is in force on them.
 	askedAt time.Time
 }
 
-// runOrders reads the engines that the planner asks for.
+// runOrders reads the engines that the planner requests.
 func (a *Agent) runOrders() {
 	wake, ok := a.orderPlanner.NextWake()
 	if !ok || a.now.Before(wake) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// readOrders reads what an engine is and lets the planner decide.
+// readOrders reads an engine's state and passes it to the planner.
 func (a *Agent) readOrders(id ident.UpstreamID) {
 	a.counters.OrderReads++
 	address := a.book.upstreams[id].Address
@@ -49,9 +49,8 @@
 	})
 }
 
-// observe gives the planner an engine's state and does what it decides. An
-// instance that does not know yet, or not any more, whether its bundle is the
-// newest gives no order.
+// observe passes an engine's state to the planner and carries out its decision.
+// An instance that cannot tell whether its bundle is the newest gives no order.
 func (a *Agent) observe(id ident.UpstreamID, s engines.OrderState) {
 	if a.ledger.Status() != ledger.StatusReady {
 		return
@@ -76,12 +75,12 @@
 	}
 }
 
-// placement returns an engine's placement in the planner's form.
+// placement converts an engine's placement to the planner's form.
 func placement(p engines.Placement) orders.Placement {
 	return orders.NewPlacement(p.Role, p.Models, p.Adapters, p.Version)
 }
 
-// decided does what the planner decided, with a log line for each order.
+// decided carries out the planner's decision and logs each order.
 func (a *Agent) decided(d orders.Decision) {
 	if r := d.Record; r != nil {
 		a.log.Info("placement", "upstream", r.Upstream, "step", string(r.Step), "reason", string(r.Reason),
@@ -89,7 +88,8 @@
 			"running", r.Running, "waited", r.Waited.String())
 	}
 	if h := d.Hint; h != nil {
-		// The hinted version is looked for where all is published.
+		// Look for the hinted version at the platform, where all versions are
+		// published.
 		a.readKey(configservice.KeyRoll)
 	}
 	if d.Order != nil {
@@ -97,7 +97,8 @@
 	}
 }
 
-// giveOrder gives an order. The planner reads it back.
+// giveOrder sends an order to an engine. The planner verifies it by reading the
+// engine's state.
 func (a *Agent) giveOrder(o orders.Order) {
 	a.counters.Orders++
 	address := a.book.upstreams[o.Upstream].Address
@@ -114,7 +115,7 @@
 	})
 }
 
-// ordered takes in how an order was received.
+// ordered handles the result of an order.
 func (a *Agent) ordered(o orders.Order, s engines.OrderState, err error) {
 	var call *engines.CallError
 	switch {
@@ -128,9 +129,10 @@
 	}
 }
 
-// askVersions asks the peers of the zone which bundle is in force on them: an
-// engine that does not check fencing numbers gets orders only while most of them
-// confirm the one in force here, and heartbeats reach only some of a large zone.
+// askVersions asks the peers of the zone which bundle is in force on them. An
+// engine that does not check fencing numbers gets orders only while most peers
+// confirm the bundle in force here, and heartbeats reach only some instances of a
+// large zone.
 func (a *Agent) askVersions() {
 	if a.now.Sub(a.orders.askedAt) < confirmGap {
 		return
--- a/agent/preload.go
+++ b/agent/preload.go
@@ -9,11 +9,11 @@
 	"github.com/wardspool/wardspool/configservice"
 )
 
-// fromPreload names the preloaded bundle to the ledger.
+// fromPreload is the ledger's source for the preloaded bundle.
 var fromPreload = ledger.Source{Kind: ledger.SourcePreload}
 
-// loadPreload gives the ledger the bundle and roll of the preload folder, which
-// has the keys of the platform as its files.
+// loadPreload passes the bundle and roll of the preload folder to the ledger. The
+// files in the folder are named like the platform's keys.
 func (a *Agent) loadPreload() {
 	dir := a.settings.Preload
 	if dir == "" {
@@ -24,7 +24,7 @@
 	}
 	files, err := filepath.Glob(filepath.Join(dir, filepath.FromSlash(configservice.KeyBundleParts), "*"))
 	if err != nil {
-		a.log.Warn("preload not read", "error", err)
+		a.log.Warn("cannot read the preloaded bundle", "error", err)
 		return
 	}
 	var parts []bundle.Part
@@ -40,11 +40,11 @@
 	a.takeParts(fromPreload, parts)
 }
 
-// readPreload reads the file of a key.
+// readPreload reads the file of a platform key.
 func (a *Agent) readPreload(key string) ([]byte, bool) {
 	b, err := os.ReadFile(filepath.Join(a.settings.Preload, filepath.FromSlash(key)))
 	if err != nil {
-		a.log.Warn("preload not read", "key", key, "error", err)
+		a.log.Warn("cannot read the preloaded bundle", "key", key, "error", err)
 		return nil, false
 	}
 	return b, true
--- a/agent/rejected_test.go
+++ b/agent/rejected_test.go
@@ -11,16 +11,17 @@
 	"github.com/wardspool/wardspool/feed"
 )
 
-// TestEntryRejects: where the entry lacks a plug-in of the version in force, its
-// agent raises an alarm with the operators' step; the version stays in force, and
-// the alarm goes when the entry was brought to a release that takes it.
+// TestEntryRejects checks that an agent raises an alarm with the step for
+// operators if its entry lacks a plug-in of the version in force. The version
+// stays in force, and the alarm ends when the entry is upgraded to a release that
+// accepts it.
 func TestEntryRejects(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.startFleet(2, "hall-a")
 		old := nodes[0].entry
 		old.set(func(r *feed.Reply) { r.Rejected = &feed.Rejection{Version: 1, Reason: "no plug-in order.of_tomorrow"} })
 		old.set(func(r *feed.Reply) { r.BundleVersion = 0 })
-		f.within(2*time.Second, "the alarm", func() bool { return len(nodes[0].status().Alarms) == 1 })
+		f.within(2*time.Second, "alarm raised", func() bool { return len(nodes[0].status().Alarms) == 1 })
 		a := nodes[0].status().Alarms[0]
 		assert.Equal(t, a.Type, ledger.AlarmEntryRejects)
 		assert.Assert(t, strings.Contains(a.Text, "order.of_tomorrow"), a.Text)
@@ -28,6 +29,6 @@
 		assert.Equal(t, nodes[0].version(), uint64(1))
 		assert.Equal(t, len(nodes[1].status().Alarms), 0)
 		old.set(func(r *feed.Reply) { r.Rejected, r.BundleVersion = nil, 1 })
-		f.within(2*time.Second, "no alarm", func() bool { return len(nodes[0].status().Alarms) == 0 })
+		f.within(2*time.Second, "alarm cleared", func() bool { return len(nodes[0].status().Alarms) == 0 })
 	})
 }
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -12,38 +12,41 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Bounds of relaying.
+// Limits of relaying.
 const (
-	// partsBytes bounds the parts of one answer; one part is always sent.
+	// partsBytes limits the parts of one answer; one part is always sent.
 	partsBytes = 128 << 10
-	// servingPause is the least time between two answers with parts, servingWait
-	// how long one may wait for its turn: when a zone starts, all of it asks the
-	// few who have the parts. Each answer makes about a megabyte of garbage.
+	// servingPause is the minimum time between two answers with parts,
+	// servingWait the longest wait for the next slot. When a zone starts, all its
+	// instances query the few that have the parts, and each answer makes about a
+	// megabyte of garbage.
 	servingPause = 50 * time.Millisecond
 	servingWait  = 300 * time.Millisecond
-	// partsWait is how long an answer waits for parts that are on their way here.
+	// partsWait is how long an answer waits for parts that this instance is
+	// fetching.
 	partsWait = 500 * time.Millisecond
-	// documentTimeout bounds the fetch of a roll or head; it is short, since one
-	// fetch at a time is made of each.
+	// documentTimeout limits the fetch of a roll or head. It is short, since only
+	// one fetch of each document runs at a time.
 	documentTimeout = 2 * time.Second
 )
 
-// relay is the loop's part of giving bundles to peers.
+// relay is the loop's state of relaying bundles to peers.
 type relay struct {
-	// changed is closed when parts came; then there is a new one.
+	// changed is closed and replaced when parts arrive.
 	changed chan struct{}
-	// serving is full while the last answer with parts is younger than the pause.
+	// serving is a semaphore, held until servingPause has passed since the last
+	// answer with parts.
 	serving chan struct{}
 	// fetching holds the keys of the documents that are being fetched.
 	fetching map[string]bool
-	// provider gave parts last, since the last fetch.
+	// provider is the source of the last parts received since the last fetch.
 	provider ledger.Source
-	// answered are the peers that told this starting instance of the floor.
+	// answered lists the peers that reported the floor to this starting instance.
 	answered []ledger.Source
 }
 
-// addressOf returns where the agent of a ledger's source takes calls, "" if that
-// is not known.
+// addressOf returns the address of the agent behind a ledger source, "" if it is
+// not known.
 func (a *Agent) addressOf(s ledger.Source) string {
 	return a.book.instances[ident.InstanceID(s.Name)].agent
 }
@@ -74,11 +77,11 @@
 	})
 }
 
-// fetched takes in a document that a peer gave.
+// fetched handles the result of fetching a document from a peer.
 func (a *Agent) fetched(from ledger.Source, key string, doc wire.Document, err error) {
 	switch {
 	case err != nil:
-		a.log.Debug("document not fetched", "from", from.String(), "key", key, "error", err)
+		a.log.Debug("cannot fetch document", "from", from.String(), "key", key, "error", err)
 	case len(doc.Bytes) == 0:
 	case key == configservice.KeyRoll:
 		a.takeRoll(from, a.now, doc.Bytes)
@@ -87,7 +90,7 @@
 	}
 }
 
-// askPeerFloor asks a peer for the floor.
+// askPeerFloor queries a peer for the floor.
 func (a *Agent) askPeerFloor(q ledger.AskFloor) {
 	address := a.addressOf(q.From)
 	if address == "" {
@@ -108,7 +111,7 @@
 	})
 }
 
-// handleRelay registers the methods by which peers get bundles and lists.
+// handleRelay registers the methods by which peers fetch bundles and lists.
 func (a *Agent) handleRelay(s *peer.Server) {
 	peer.Handle(s, wire.MethodRoll, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.Document, error) {
 		return ask(ctx, a, a.rollDocument)
@@ -144,22 +147,23 @@
 	return wire.Document{}
 }
 
-// floor answers a peer that asks for the floor.
+// floor returns this instance's knowledge of the floor for a peer.
 func (a *Agent) floor() wire.Floor {
 	r := a.ledger.Report()
 	return wire.Floor{Ready: r.Ready, InForce: r.InForce, Roll: a.rollDocument().Bytes}
 }
 
-// found is what the loop gives a peer that asks for parts.
+// found is the result of a peer's request for parts.
 type found struct {
 	parts wire.Parts
-	// changed is closed when there may be more, nil if none is on its way.
+	// changed is closed when more parts may be available, nil if none are being
+	// fetched.
 	changed <-chan struct{}
 }
 
-// serveParts answers a peer that asks for parts. If this instance has none of
-// them yet, but is fetching, the answer waits a little: so a bundle travels from
-// instance to instance without pauses.
+// serveParts answers a peer's request for parts. If this instance has none of
+// them but is fetching some, the answer waits briefly, so that a bundle
+// propagates from instance to instance without retry delays.
 func (a *Agent) serveParts(ctx context.Context, _ peer.Identity, r wire.PartsRequest) (wire.Parts, error) {
 	wait, cancel := context.WithTimeout(ctx, partsWait)
 	defer cancel()
@@ -176,9 +180,9 @@
 	}
 }
 
-// paced finds parts for an answer, after a while if many are asked for: the
-// memory of answers that are being written must stay small. It finds none if that
-// would take too long: others have them too.
+// paced finds parts for an answer, limiting the rate of answers to bound the
+// memory of those being written. It returns none if the wait would be too long:
+// other instances have the parts too.
 func (a *Agent) paced(ctx context.Context, digests []bundle.Digest) (found, error) {
 	select {
 	case a.relay.serving <- struct{}{}:
@@ -191,7 +195,8 @@
 	return ask(ctx, a, func() found { return a.findParts(digests) })
 }
 
-// findParts returns those of the parts asked for that are here and fit.
+// findParts returns the requested parts that this instance has, up to the size
+// limit.
 func (a *Agent) findParts(digests []bundle.Digest) found {
 	var f found
 	size := 0
--- a/agent/rolltime_test.go
+++ b/agent/rolltime_test.go
@@ -22,15 +22,16 @@
 	rolltimeWorkspaces = flag.Int("rolltime.workspaces", 300, "workspaces in the bundle")
 )
 
-// Bounds of TestTimeToInForce, in virtual time.
+// Limits of TestTimeToInForce, in virtual time.
 const (
 	startLimit   = time.Minute
 	inForceLimit = 16 * time.Second
 	sampleGap    = 50 * time.Millisecond
 )
 
-// arrivals samples when each entry has a version and returns the times since now,
-// sorted, of those that have it within the limit.
+// arrivals polls the entries for a version. It returns, sorted, the times since
+// the call at which entries had the version, for those that had it within the
+// limit.
 func (f *fleet) arrivals(nodes []*node, version uint64, limit time.Duration) []time.Duration {
 	begun := time.Now()
 	times := make([]time.Duration, 0, len(nodes))
@@ -48,9 +49,9 @@
 	return times
 }
 
-// TestTimeToInForce: what the protocol itself takes until a version of which one
-// workspace differs is in force on every entry. Time is virtual: processors and
-// the network take none of it, so the times are those of rounds, pauses and
+// TestTimeToInForce measures how long the protocol takes until a version that
+// changes one workspace is in force on every entry. Time is virtual: processors
+// and the network take none of it, so the times consist of rounds, pauses and
 // retries alone.
 func TestTimeToInForce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
@@ -83,7 +84,7 @@
 		for range 3 {
 			f.publish(change)
 			times = f.arrivals(nodes, f.head.Manifest.Version, inForceLimit)
-			assert.Equal(t, len(times), len(nodes), "in force")
+			assert.Equal(t, len(times), len(nodes), "instances with the version in force")
 			t.Logf("in force: p50 %v, p95 %v, last %v", times[len(times)/2], times[len(times)*95/100], times[len(times)-1])
 			time.Sleep(3 * time.Second)
 		}
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -15,14 +15,14 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// servers are the agent's listeners and what serves them.
+// servers holds the agent's listeners and their servers.
 type servers struct {
 	peers     *server
 	operators *server
 	metrics   *metricsServer
 }
 
-// server is a jsonrpc2 server and its listener.
+// server is a JSON-RPC 2.0 server with its listener.
 type server struct {
 	listener net.Listener
 	rpc      *peer.Server
@@ -44,7 +44,7 @@
 	}
 }
 
-// Listen opens the addresses of the settings. Errors are those of the listener.
+// Listen opens the configured addresses. Errors are those of the listener.
 func (a *Agent) Listen() error {
 	var err error
 	a.servers.peers, err = a.listen(a.settings.Peers.Listen, a.isKnown)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// listen opens a server.
+// listen opens an address and creates its server.
 func (a *Agent) listen(address string, allow func(peer.Identity) bool) (*server, error) {
 	l, err := a.options.Listen(address)
 	if err != nil {
@@ -94,17 +94,22 @@
 	a.handleRelay(s)
 }
 
-// PeerAddress, OperatorAddress and MetricsAddress return the addresses of the
-// listeners after Listen, "" for one that is not configured.
-func (a *Agent) PeerAddress() string     { return a.servers.peers.address() }
+// PeerAddress returns the address of the listener for peers after Listen.
+func (a *Agent) PeerAddress() string { return a.servers.peers.address() }
+
+// OperatorAddress returns the address of the listener for operators' tools after
+// Listen, "" if none is configured.
 func (a *Agent) OperatorAddress() string { return a.servers.operators.address() }
-func (a *Agent) MetricsAddress() string  { return a.servers.metrics.address() }
 
-// listeners is how many listeners there are at most.
+// MetricsAddress returns the address of the listener for metrics after Listen, ""
+// if none is configured.
+func (a *Agent) MetricsAddress() string { return a.servers.metrics.address() }
+
+// listeners is the maximum number of listeners.
 const listeners = 3
 
-// Serve runs the agent until ctx ends and then stops it. It returns an error if
-// a listener failed.
+// Serve runs the agent until ctx ends and then stops it. It returns an error if a
+// listener failed.
 func (a *Agent) Serve(ctx context.Context) error {
 	loop, endLoop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -134,7 +139,7 @@
 	return err
 }
 
-// begun is the loop's first work.
+// begun runs on the loop before any other work.
 func (a *Agent) begun() {
 	a.loadPreload()
 	a.refreshPlatform()
@@ -144,10 +149,10 @@
 // mayServe reports whether the entry may serve.
 func (a *Agent) mayServe() bool { return a.ledger.Status() != ledger.StatusStarting }
 
-// shutdownTimeout bounds the end of calls in progress.
+// shutdownTimeout limits the wait for calls in progress at shutdown.
 const shutdownTimeout = 2 * time.Second
 
-// shutdown ends everything that the agent runs.
+// shutdown stops the servers, the loop, the calls and the clients.
 func (a *Agent) shutdown(endLoop context.CancelFunc, running *sync.WaitGroup) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -161,7 +166,7 @@
 		errs = errors.Join(errs, a.servers.metrics.http.Shutdown(ctx))
 	}
 	if errs != nil {
-		a.log.Info("calls of peers were cut off", "error", errs)
+		a.log.Info("calls in progress cut off at shutdown", "error", errs)
 	}
 	a.endCalls()
 	endLoop()
@@ -171,6 +176,6 @@
 	a.feedPool.Close()
 	a.engines.Close()
 	if err := plugin.Unload(a.settings.Platform.Adapter, a.reader); err != nil {
-		a.log.Info("the platform's adapter was not closed", "error", err)
+		a.log.Info("cannot close the platform adapter", "error", err)
 	}
 }
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -13,10 +13,10 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// Settings are what an agent reads from its settings file. docs/settings.md
-// describes each field.
+// Settings is the agent's settings file. docs/settings.md describes each field.
 type Settings struct {
-	// Instance, Zone and Region say whose agent this is, and where.
+	// Instance, Zone and Region identify the instance of this agent and its
+	// location.
 	Instance ident.InstanceID `yaml:"instance"`
 	Zone     ident.Zone       `yaml:"zone"`
 	Region   ident.Region     `yaml:"region"`
@@ -25,7 +25,7 @@
 	Peers     PeerSettings     `yaml:"peers"`
 	Operators common.Operators `yaml:"operators"`
 	Metrics   MetricsSettings  `yaml:"metrics"`
-	// TLS protects the connections to other agents and from operators' tools;
+	// TLS secures the connections to other agents and from operators' tools;
 	// empty means plain TCP.
 	TLS      tlsconf.Settings `yaml:"tls"`
 	Platform PlatformSettings `yaml:"platform"`
@@ -33,81 +33,82 @@
 	Approvers ApproverSettings `yaml:"approvers"`
 	// Preload is a folder with a packed bundle and its roll; empty for none.
 	Preload string `yaml:"preload"`
-	// Isolated says what to do at the start when neither the platform nor a
-	// ready peer answers.
+	// Isolated is the policy at the start if neither the platform nor a ready
+	// peer responds.
 	Isolated ledger.IsolatedPolicy `yaml:"isolated"`
 
 	Loads  LoadSettings `yaml:"loads"`
 	Stop   StopSettings `yaml:"stop"`
 	Log    logs.Options `yaml:"log"`
 	Memory uint64       `yaml:"memory_bytes"`
-	// PauseAfter is how long the process must not have run to count as paused.
+	// PauseAfter is the time without running after which the process counts as
+	// paused.
 	PauseAfter time.Duration `yaml:"pause_after"`
 }
 
-// EntrySettings concern the entry beside the agent.
+// EntrySettings configures the feed to the entry beside the agent.
 type EntrySettings struct {
-	// Feed is the entry's feed.listen.
+	// Feed is the address in the entry's feed.listen.
 	Feed string `yaml:"feed"`
 	// Interval is the longest time between two updates.
 	Interval time.Duration `yaml:"interval"`
 }
 
-// PeerSettings concern the agents of the other instances.
+// PeerSettings configures the communication with the agents of other instances.
 type PeerSettings struct {
-	// Listen is where their calls are taken.
+	// Listen is the address for calls from peers.
 	Listen string `yaml:"listen"`
-	// Seeds lists instances that are known before the platform names them.
+	// Seeds lists instances that are known before the platform's list is.
 	Seeds []Seed `yaml:"seeds"`
-	// Budget bounds the bytes of all heartbeats sent and received, per second.
+	// Budget limits the bytes of all heartbeats, sent and received, per second.
 	Budget int `yaml:"budget"`
 }
 
-// Seed is another instance.
+// Seed is another instance that the settings name.
 type Seed struct {
 	Instance ident.InstanceID `yaml:"instance"`
 	Zone     ident.Zone       `yaml:"zone"`
-	// Address is its agent's, Entry its entry's address for peers.
+	// Address is the address of its agent, Entry that of its entry for peers.
 	Address string `yaml:"address"`
 	Entry   string `yaml:"entry"`
 }
 
-// MetricsSettings concern the metrics.
+// MetricsSettings configures the metrics.
 type MetricsSettings struct {
-	// Listen is where GET /metrics is answered; empty means nowhere.
+	// Listen is the address that serves GET /metrics; empty disables it.
 	Listen string `yaml:"listen"`
 }
 
-// PlatformSettings concern the platform's configuration service.
+// PlatformSettings configures the access to the platform's configuration service.
 type PlatformSettings struct {
-	// Adapter is the plug-in that reads it.
+	// Adapter is the plug-in that reads the service.
 	Adapter plugin.ID `yaml:"adapter"`
 	URLs    []string  `yaml:"urls"`
-	// Readers is how many instances of a zone watch one key.
+	// Readers is the number of instances of a zone that watch one key.
 	Readers int `yaml:"readers"`
-	// Wait is how long one poll of a watch waits.
+	// Wait is the duration of one long poll of a watch.
 	Wait time.Duration `yaml:"wait"`
-	// FallbackAfter is how long no word of the platform may come by way of the
-	// peers before this instance reads it itself.
+	// FallbackAfter is the time without news of the platform, direct or through
+	// peers, after which this instance reads the platform itself.
 	FallbackAfter time.Duration `yaml:"fallback_after"`
 }
 
-// ApproverSettings are the approvers whose quorum signs.
+// ApproverSettings configures the approvers whose quorum signs bundles.
 type ApproverSettings struct {
 	Epoch  uint64        `yaml:"epoch"`
 	Quorum int           `yaml:"quorum"`
 	Keys   []ApproverKey `yaml:"keys"`
 }
 
-// ApproverKey is one approver and the public key, in hexadecimal.
+// ApproverKey is an approver's name and public key, in hexadecimal.
 type ApproverKey struct {
 	Name string `yaml:"name"`
 	Key  string `yaml:"key"`
 }
 
-// KeyError reports an approver's key that is none.
+// KeyError reports an invalid approver key.
 type KeyError struct {
-	// Index is the key's place in the list.
+	// Index is the key's position in the list.
 	Index int
 	Err   error
 }
@@ -118,7 +119,7 @@
 // Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// set returns the approvers in the form of package bundle. Errors are *KeyError
+// set converts the approvers to the form of package bundle. Errors are *KeyError
 // and *bundle.ApproversError.
 func (a ApproverSettings) set() (bundle.Approvers, error) {
 	set := bundle.Approvers{Epoch: a.Epoch, Quorum: a.Quorum}
@@ -133,24 +134,25 @@
 	return set, set.Check()
 }
 
-// LoadSettings concern the upstreams' load reports.
+// LoadSettings configures reading the upstreams' load.
 type LoadSettings struct {
 	// Interval is the time between two reads of one upstream's load.
 	Interval time.Duration `yaml:"interval"`
-	// Budget bounds the bytes of all reads, sent and received, per second; the
-	// interval grows to keep it.
+	// Budget limits the bytes of all reads, sent and received, per second; the
+	// interval grows to stay within it.
 	Budget int `yaml:"budget"`
 }
 
-// StopSettings concern the end of the agent.
+// StopSettings configures the shutdown of the agent.
 type StopSettings struct {
-	// Grace is how long to wait for word that the entry is stopping as well.
+	// Grace is how long to wait for the entry to report that it is stopping as
+	// well.
 	Grace time.Duration `yaml:"grace"`
-	// Timeout bounds the wait for a stopping entry to end.
+	// Timeout limits the wait for a stopping entry to end.
 	Timeout time.Duration `yaml:"timeout"`
 }
 
-// Defaults of Settings.
+// Default settings.
 const (
 	defaultFeedInterval  = time.Second
 	defaultHeartbeats    = 2200
@@ -164,7 +166,8 @@
 	defaultPauseAfter    = 2 * time.Second
 )
 
-// defaultAdapter reads the platform by the protocol of docs/protocols/platform.md.
+// defaultAdapter reads the platform by the protocol of
+// docs/protocols/platform.md.
 const defaultAdapter plugin.ID = "platform.http"
 
 // SetDefaults implements settings.Defaulter.
--- a/agent/settings_test.go
+++ b/agent/settings_test.go
@@ -27,7 +27,8 @@
 	return out
 }
 
-// TestSettingsPage compares the settings with their page.
+// TestSettingsPage checks that the documentation of the settings covers each
+// field.
 func TestSettingsPage(t *testing.T) {
 	data, err := os.ReadFile("../docs/settings.md")
 	assert.NilError(t, err)
--- a/agent/source.go
+++ b/agent/source.go
@@ -14,45 +14,48 @@
 	"github.com/wardspool/wardspool/membership"
 )
 
-// watchedKeys are the keys of the platform that some instances of each zone
-// watch for all.
+// watchedKeys are the platform keys that some instances of each zone watch on
+// behalf of all.
 var watchedKeys = []string{configservice.KeyRoll, configservice.KeyBundleHead, configservice.KeyInstances, configservice.KeyUpstreams}
 
-// fromPlatform names the platform to the ledger.
+// fromPlatform is the ledger's source for the platform.
 var fromPlatform = ledger.Source{Kind: ledger.SourcePlatform}
 
-// Bounds of reading the platform.
+// Limits of reading the platform.
 const (
-	// readTimeout is how old a value that a watch delivers can be, besides the
-	// wait of its poll.
+	// readTimeout is the maximum age of a value delivered by a watch, in addition
+	// to the wait of its poll.
 	readTimeout = configservice.DefaultTimeout
-	// startRetry is the time between attempts of an instance that never had
-	// word of the platform.
+	// startRetry is the time between attempts of an instance that has had no news
+	// of the platform yet.
 	startRetry = 3 * time.Second
 )
 
-// source is the loop's part of reading the platform.
+// source is the loop's state of reading the platform.
 type source struct {
-	// watches ends the watches of this instance by key.
+	// watches holds the cancel functions of this instance's watches, by key.
 	watches map[string]context.CancelFunc
-	// indexes are the highest seen here, by key.
+	// indexes are the highest indexes seen by this instance, by key.
 	indexes map[string]uint64
-	// seen is when the platform last answered this instance or one that it has
-	// word of; the zero time is never.
+	// seen is the last time at which the platform is known to have responded, to
+	// this instance or to one whose heartbeat told of it; the zero time means
+	// never.
 	seen time.Time
-	// answers says that the last read of this instance's own was answered.
+	// answers is set if the last read by this instance got a response.
 	answers bool
-	// answered is how many calls had been answered at the last look.
+	// answered is the number of calls with a response as of the last check.
 	answered uint64
-	// watchUntil is until when this instance watches all keys, whoever is elected.
+	// watchUntil is the time until which this instance watches all keys,
+	// regardless of the election.
 	watchUntil time.Time
-	// retryAt is when it may read or watch by itself again, and reading counts
-	// its reads in progress.
+	// retryAt is the earliest time at which this instance may read or watch
+	// outside the election again. reading is the number of its reads in progress.
 	retryAt time.Time
 	reading int
 }
 
-// newTransport returns a transport for a few long connections to the platform.
+// newTransport returns a transport for a few long-lived connections to the
+// platform.
 func newTransport(d meter.Dialer) *http.Transport {
 	return &http.Transport{
 		DialContext:         d.DialContext,
@@ -64,11 +67,11 @@
 	}
 }
 
-// transportBuffer is the size of a connection's buffers, in bytes.
+// transportBuffer is the size of a connection's read and write buffers, in bytes.
 const transportBuffer = 2 << 10
 
-// zoneInstances lists the instances of the own zone that are believed to live,
-// this one included.
+// zoneInstances lists the instances of this zone that are presumed alive,
+// including this one.
 func (a *Agent) zoneInstances() []ident.InstanceID {
 	ids := []ident.InstanceID{a.self.Instance}
 	for _, in := range a.currentView().Instances {
@@ -79,9 +82,10 @@
 	return ids
 }
 
-// electReaders starts and ends this instance's watches.
+// electReaders starts and ends this instance's watches according to the election.
 //
-// A starting instance that has no lists yet would elect itself for everything.
+// It does nothing while the lists are missing: a starting instance without lists
+// would elect itself for every key.
 func (a *Agent) electReaders() {
 	if a.awaitsLists() {
 		a.noteAnswers()
@@ -102,13 +106,14 @@
 	a.noteAnswers()
 }
 
-// standsIn reports whether this instance watches a key because no word of the
-// platform came: one key first, the others once it has answered.
+// standsIn reports whether this instance watches a key because there was no news
+// of the platform: the roll first, the other keys once the platform has
+// responded.
 func (a *Agent) standsIn(key string) bool {
 	return a.now.Before(a.source.watchUntil) && (key == configservice.KeyRoll || a.source.answers)
 }
 
-// watch starts a watch of a key.
+// watch starts watching a key.
 func (a *Agent) watch(key string) {
 	ctx, end := context.WithCancel(a.callCtx)
 	a.source.watches[key] = end
@@ -121,13 +126,14 @@
 	})
 }
 
-// watched takes in what a watch delivered.
+// watched handles an event of a watch.
 func (a *Agent) watched(key string, since time.Time, e configservice.Event) {
 	if e.Err != nil {
 		a.platformFailed(key, e.Err)
 		return
 	}
-	// The reading began no earlier than this; the value may have waited here.
+	// The read started no earlier than this; the value may have waited in the
+	// loop's queue.
 	begun := a.now.Add(-a.settings.Platform.Wait - readTimeout)
 	if since.After(begun) {
 		begun = since
@@ -160,8 +166,9 @@
 	})
 }
 
-// fallBack watches the platform for a while when no word of it has come for long.
-// A watch from the indexes known costs nothing but the calls if nothing is new.
+// fallBack watches the platform for a while if there has been no news of it for
+// long. A watch from the known indexes costs only the calls if nothing has
+// changed.
 func (a *Agent) fallBack() {
 	s := &a.source
 	if s.reading > 0 || a.now.Before(s.retryAt) {
@@ -178,7 +185,8 @@
 	}
 }
 
-// noteAnswers notices that the platform answered, also where it had nothing new.
+// noteAnswers records that the platform responded, including responses without a
+// new value.
 func (a *Agent) noteAnswers() {
 	s := a.reader.Stats()
 	answered := s.Values + s.Unchanged + s.NotFound
@@ -190,7 +198,7 @@
 	a.source.seen = a.now
 }
 
-// platformFailed takes in a failed read.
+// platformFailed handles a failed read.
 func (a *Agent) platformFailed(key string, err error) {
 	var stale *configservice.StaleError
 	var absent *configservice.NotFoundError
@@ -200,11 +208,11 @@
 		a.log.Debug("platform is stale", "key", key, "seen", stale.Seen, "got", stale.Got.Index)
 	default:
 		a.source.answers = false
-		a.log.Debug("platform not read", "key", key, "error", err)
+		a.log.Debug("cannot read the platform", "key", key, "error", err)
 	}
 }
 
-// platformValue takes in a value of the platform.
+// platformValue handles a value read from the platform.
 func (a *Agent) platformValue(key string, begun time.Time, v configservice.Value) {
 	a.source.indexes[key] = max(a.source.indexes[key], v.Index)
 	a.source.seen, a.source.answers = a.now, true
@@ -218,7 +226,7 @@
 	}
 }
 
-// takeRoll decodes a roll and gives it to the ledger.
+// takeRoll decodes a roll and passes it to the ledger.
 func (a *Agent) takeRoll(from ledger.Source, begun time.Time, b []byte) {
 	roll, err := bundle.DecodeRoll(b)
 	if err != nil {
@@ -231,7 +239,7 @@
 	}
 }
 
-// takeHead decodes a bundle head and gives it to the ledger.
+// takeHead decodes a bundle head and passes it to the ledger.
 func (a *Agent) takeHead(from ledger.Source, b []byte) {
 	head, err := bundle.DecodeHead(b)
 	if err != nil {
--- a/agent/status.go
+++ b/agent/status.go
@@ -32,7 +32,7 @@
 	return s, nil
 }
 
-// loopStatus describes what the loop knows.
+// loopStatus returns the part of the status that the loop owns.
 func (a *Agent) loopStatus() wire.Status {
 	return wire.Status{
 		Instance: a.self.Instance, Zone: a.self.Zone, Incarnation: a.self.Incarnation,
@@ -46,7 +46,7 @@
 	}
 }
 
-// bundleStatus describes the ledger.
+// bundleStatus returns the status of the ledger.
 func (a *Agent) bundleStatus() wire.BundleStatus {
 	s := a.ledger.Summary()
 	out := wire.BundleStatus{
@@ -62,7 +62,7 @@
 	return out
 }
 
-// alarmStatus lists the alarms that stand.
+// alarmStatus returns the active alarms.
 func (a *Agent) alarmStatus() []wire.AlarmStatus {
 	var out []wire.AlarmStatus
 	for _, al := range a.ledger.Alarms() {
@@ -71,7 +71,7 @@
 	return out
 }
 
-// entryStatus describes the entry.
+// entryStatus returns the status of the entry.
 func (a *Agent) entryStatus() wire.EntryStatus {
 	r := a.feed.reply
 	return wire.EntryStatus{
@@ -80,7 +80,7 @@
 	}
 }
 
-// fleetStatus describes the view.
+// fleetStatus returns the status of the membership view.
 func (a *Agent) fleetStatus() wire.FleetStatus {
 	v := a.machine.View(a.now)
 	out := wire.FleetStatus{
@@ -102,7 +102,8 @@
 	return out
 }
 
-// countPartners counts the instances with which heartbeats are exchanged.
+// countPartners returns the number of instances with which heartbeats are
+// exchanged.
 func (a *Agent) countPartners() int {
 	n := 0
 	for _, p := range a.partners {
@@ -121,7 +122,7 @@
 	return age.Milliseconds()
 }
 
-// platformStatus describes the reading of the platform.
+// platformStatus returns the status of reading the platform.
 func (a *Agent) platformStatus() wire.PlatformStatus {
 	s := a.reader.Stats()
 	out := wire.PlatformStatus{
@@ -135,7 +136,7 @@
 	return out
 }
 
-// traffic adds up the bytes on all connections.
+// traffic returns the byte counts of all connections.
 func (a *Agent) traffic() wire.TrafficStatus {
 	out := wire.TrafficStatus{
 		Upstreams: metered(a.engines.Meter()),
@@ -151,15 +152,15 @@
 	return out
 }
 
-// metered returns a meter's counts.
+// metered converts a meter's counts to the wire form.
 func metered(m *meter.Meter) wire.Traffic {
 	return wire.Traffic{Sent: m.Sent(), Received: m.Received()}
 }
 
-// pooled returns the counts of jsonrpc2 connections.
+// pooled converts the counts of JSON-RPC connections to the wire form.
 func pooled(t peer.Traffic) wire.Traffic { return wire.Traffic{Sent: t.Sent, Received: t.Received} }
 
-// process describes what the process costs.
+// process returns the resource usage of the process.
 func (a *Agent) process() wire.ProcessStatus {
 	p := meter.ReadProcess()
 	return wire.ProcessStatus{
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -2,14 +2,17 @@
 
 import "time"
 
-// stopPoll is how often a stopping agent looks at its entry.
+// stopPoll is the interval at which a stopping agent polls its state.
 const stopPoll = 100 * time.Millisecond
 
-// leave ends the agent's part in the fleet. An instance that is stopped stops
-// both its processes: the entry says so, which the agent tells its peers; it goes
-// on until the entry has finished what is in flight, and tells that it has ended. An agent that
-// is stopped alone, to be restarted, says nothing: leaving is for ever for an
-// incarnation of the entry, and the entry goes on with its last view.
+// leave ends the agent's participation in the fleet. If the whole instance is
+// stopped, the entry reports that it is stopping and the agent announces that to
+// its peers. The agent continues until the entry has finished its requests in
+// flight, and then announces that the entry has ended.
+//
+// If only the agent is stopped, to be restarted, it announces nothing: leaving is
+// final for an incarnation of the entry, and the entry continues with its last
+// view.
 func (a *Agent) leave() {
 	a.log.Info("stopping")
 	if !a.wait(a.settings.Stop.Grace, a.entryStops) {
@@ -23,12 +26,13 @@
 		a.log.Info("entry goes on without its agent")
 		return
 	}
-	// The machine has it told to all partners, those called just before a moment
+	// The membership machine schedules heartbeats that announce this to all
+	// partners. Partners that were contacted just before get theirs a moment
 	// later than the others.
 	a.wait(shutdownTimeout, a.partnersTold)
 }
 
-// wait looks at a condition on the loop until it holds or the time is over.
+// wait polls a condition on the loop until it holds or the time limit is reached.
 func (a *Agent) wait(limit time.Duration, holds func() bool) bool {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
@@ -41,19 +45,20 @@
 	return false
 }
 
-// entryStops reports whether the entry stops too, or has ended.
+// entryStops reports whether the entry is stopping too, or does not respond.
 func (a *Agent) entryStops() bool {
 	return a.feed.reply.Incarnation != 0 && (a.feed.reply.Stopping || !a.feed.answers)
 }
 
-// entrySettled reports whether the entry's process is gone, or goes on after all.
+// entrySettled reports whether the entry's process has ended, or responds and is
+// not stopping.
 func (a *Agent) entrySettled() bool { return a.feed.gone || a.entryAnswersOn() }
 
-// entryAnswersOn reports whether the entry answers and does not stop: it was only
-// silent for a while.
+// entryAnswersOn reports whether the entry responds and is not stopping, so that
+// an earlier lack of responses was temporary.
 func (a *Agent) entryAnswersOn() bool { return a.feed.answers && !a.feed.reply.Stopping }
 
-// partnersTold reports whether all partners were told the newest and no exchange
+// partnersTold reports whether all partners got the newest state and no exchange
 // is in progress.
 func (a *Agent) partnersTold() bool {
 	if !a.machine.Told(a.now) {
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -12,9 +12,9 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// TestEndIsTold has an entry end at every phase of its agent's exchanges with its
-// partners: each partner is told before the agent exits, and has to find out
-// nothing by itself.
+// TestEndIsTold ends an entry at every phase of its agent's heartbeat exchanges.
+// The agent must notify each partner before it exits, so that none has to probe
+// the entry.
 func TestEndIsTold(t *testing.T) {
 	const phases, apart = 20, 50 * time.Millisecond
 	for i := range phases {
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestSlowEntryIsNotEnded stops an agent alone while its entry does not answer in
-// time: when it does again, and is not stopping, the agent waits no longer for its
-// end.
+// TestSlowEntryIsNotEnded stops an agent alone while its entry does not reply in
+// time. When the entry replies again and is not stopping, the agent must no
+// longer wait for it to end.
 func TestSlowEntryIsNotEnded(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.startFleet(2, "hall-a")[0]
@@ -70,8 +70,9 @@
 	})
 }
 
-// TestSlowlyTakenBundle has an entry take a bundle in more time than another
-// update may take: it is not sent again and again meanwhile.
+// TestSlowlyTakenBundle makes an entry take longer to accept a bundle than the
+// timeout of an ordinary update. The bundle must not be sent repeatedly in the
+// meantime.
 func TestSlowlyTakenBundle(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.startFleet(1, "hall-a")[0]
--- a/agent/tls_test.go
+++ b/agent/tls_test.go
@@ -38,8 +38,8 @@
 	return a
 }
 
-// TestTLS: with TLS, agents and operators are believed only under the name that
-// their certificate carries.
+// TestTLS checks that with TLS, agents and operators are accepted only under the
+// name in their certificate.
 func TestTLS(t *testing.T) {
 	authority := testcert.NewAuthority(t)
 	a := tlsAgent(t, authority.Files("a-1"))
--- a/agent/upstreams_test.go
+++ b/agent/upstreams_test.go
@@ -20,10 +20,10 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// benchHost is where the test itself calls from.
+// benchHost is the host from which the test itself makes calls.
 const benchHost = "10.0.9.9"
 
-// address returns where an upstream is.
+// address returns the address of an upstream.
 func (f *fleet) address(id ident.UpstreamID) string {
 	for _, u := range f.ups {
 		if u.ID == id {
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// bench returns a client for the test's own calls.
+// bench returns an engine client for the test's own calls.
 func (f *fleet) bench() *engines.Client {
 	c := engines.New(from{f.net, benchHost}, time.Second)
 	f.closers = append(f.closers, c.Close)
@@ -53,7 +53,7 @@
 	return resp.StatusCode
 }
 
-// lives returns what an entry believes of an upstream on each of the nodes.
+// lives returns the liveness of an upstream according to each node's entry.
 func lives(nodes []*node, id ident.UpstreamID) []kernel.Liveness {
 	var out []kernel.Liveness
 	for _, n := range nodes {
@@ -64,7 +64,8 @@
 	return out
 }
 
-// all reports whether every node believes the same of an upstream.
+// all returns a condition that holds if every node's entry has the given liveness
+// for an upstream.
 func all(nodes []*node, id ident.UpstreamID, want kernel.Liveness) func() bool {
 	return func() bool {
 		list := lives(nodes, id)
@@ -77,8 +78,9 @@
 	}
 }
 
-// TestUpstreamLeavesWhilePlatformIsDown: the engine's own word reaches all
-// instances, also of the other zone, and stays.
+// TestUpstreamLeavesWhilePlatformIsDown checks that an engine's own report that
+// it is draining reaches all instances, also those of the other zone, and is not
+// reverted.
 func TestUpstreamLeavesWhilePlatformIsDown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -95,8 +97,8 @@
 	})
 }
 
-// TestEvidenceOfDraining: an entry's word is believed of the life it was about,
-// and not of the next.
+// TestEvidenceOfDraining checks that an entry's evidence is applied to the
+// incarnation that it was about, and not to the next one.
 func TestEvidenceOfDraining(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		e := f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -108,20 +110,21 @@
 		drained := feed.Evidence{Kind: feed.EvidenceDraining, Upstream: "dc-1", AgeMS: 12_000}
 		before := nodes[0].status().Fleet.Upstreams[0].Incarnation
 		e.Crash(time.Second)
-		f.within(10*time.Second, "new life known", func() bool {
+		f.within(10*time.Second, "new incarnation known", func() bool {
 			return nodes[0].status().Fleet.Upstreams[0].Incarnation > before && all(nodes, "dc-1", kernel.Live)()
 		})
 		nodes[0].entry.set(func(r *feed.Reply) { r.Evidence = []feed.Evidence{drained} })
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, all(nodes, "dc-1", kernel.Live)(), "old evidence: %v", lives(nodes, "dc-1"))
+		assert.Assert(t, all(nodes, "dc-1", kernel.Live)(), "evidence about the previous incarnation was applied: %v", lives(nodes, "dc-1"))
 		drained.AgeMS = 10
 		nodes[0].entry.set(func(r *feed.Reply) { r.Evidence = []feed.Evidence{drained} })
 		f.within(3*time.Second, "leaving everywhere", all(nodes, "dc-1", kernel.Leaving))
 	})
 }
 
-// TestDeadUpstreamComesBack: an upstream that refused connections gets no work
-// and is found again when it is back, also a service, which reports no load.
+// TestDeadUpstreamComesBack checks that an upstream that refused connections gets
+// no work and is detected again when it is back, including a service, which
+// reports no load.
 func TestDeadUpstreamComesBack(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.addAll(3, "hall-a")
@@ -138,7 +141,8 @@
 		time.Sleep(time.Minute)
 		assert.Assert(t, all(nodes, "desk-1", kernel.Dead)())
 		f.serve("10.0.1.9:8000", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
-		// Where it isn't gathered it is suspect again after 10 s, which gets work.
+		// Instances that do not gather its load consider it suspect again after
+		// 10 s, and suspects get work.
 		f.within(doubtMax+5*time.Second, "service gets work", func() bool {
 			for _, life := range lives(nodes, "desk-1") {
 				if life > kernel.Suspect {
@@ -150,7 +154,8 @@
 	})
 }
 
-// TestLeftovers: what a dead instance left on an engine is released.
+// TestLeftovers checks that attempts that a dead instance left on an engine are
+// released.
 func TestLeftovers(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -168,7 +173,7 @@
 			return len(list)
 		}
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, held(), 1, "a live owner's attempt stays")
+		assert.Equal(t, held(), 1, "attempt of a live owner released")
 		nodes[0].stop()
 		took := f.within(12*time.Second, "leftover released", func() bool { return held() == 0 })
 		t.Logf("released after %v", took)
@@ -180,8 +185,9 @@
 	})
 }
 
-// TestOrders: engines are ordered what the bundle declares, by one instance, and
-// corrected; both those that check fencing numbers and those that do not.
+// TestOrders checks that one instance orders engines to run what the bundle
+// declares and corrects deviations, for engines that check fencing numbers and
+// for those that do not.
 func TestOrders(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -216,12 +222,12 @@
 			Role: config.RoleDecode, Models: []string{"reader"}, Version: "old",
 		}})
 		assert.NilError(t, err)
-		f.within(time.Minute, "decode engine corrected", runs("dc-1", "2"))
+		f.within(time.Minute, "placement of the decode engine corrected", runs("dc-1", "2"))
 	})
 }
 
-// TestNoOrdersWhileRechecking: after a pause, orders wait until the bundle is
-// confirmed to be the newest.
+// TestNoOrdersWhileRechecking checks that after a pause no orders are given until
+// the bundle is confirmed to be the newest.
 func TestNoOrdersWhileRechecking(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -242,7 +248,7 @@
 		assert.Equal(t, n.status().Bundle.Status, ledger.StatusRechecking)
 		assert.Equal(t, n.status().Counters.Orders, orders)
 		f.net.cut(n.host, platformHost, false)
-		f.within(time.Minute, "corrected once confirmed", func() bool {
+		f.within(time.Minute, "placement corrected once the bundle is confirmed", func() bool {
 			s, err := bench.ReadOrders(context.Background(), f.address("pf-1"))
 			assert.NilError(t, err)
 			return s.Version == "1"
@@ -250,8 +256,8 @@
 	})
 }
 
-// TestStop: an instance that stops says so, and that it has ended when its entry
-// has finished; its agent exits then.
+// TestStop checks that a stopping instance announces that it is leaving, and that
+// it has ended once its entry has finished; only then does its agent exit.
 func TestStop(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -274,7 +280,7 @@
 		assert.Assert(t, is(kernel.Leaving)())
 		select {
 		case <-stopped:
-			t.Fatal("it did not wait for its entry")
+			t.Fatal("agent exited before its entry ended")
 		default:
 		}
 		probes := nodes[1].status().Counters.Probes + nodes[2].status().Counters.Probes
@@ -282,6 +288,6 @@
 		f.within(3*time.Second, "dead", is(kernel.Dead))
 		<-stopped
 		assert.Equal(t, nodes[1].status().Counters.Probes+nodes[2].status().Counters.Probes, probes,
-			"its agent said so: nobody had to find out")
+			"peers probed the entry although its agent announced its end")
 	})
 }
--- a/agent/views.go
+++ b/agent/views.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/membership"
 )
 
-// currentView returns the view of the loop's last look, taking one if there is
+// currentView returns the view of the last refresh, creating one if there is
 // none.
 func (a *Agent) currentView() *membership.View {
 	if a.view == nil {
@@ -23,18 +23,18 @@
 	return a.view
 }
 
-// viewInterval returns the least time between two looks after ordinary news: a
-// look's cost grows with the fleet.
+// viewInterval returns the minimum time between two refreshes of the view after
+// ordinary news; the cost of a refresh grows with the fleet.
 func (a *Agent) viewInterval() time.Duration {
 	entries := len(a.view.Instances) + len(a.view.Upstreams)
 	return tick + viewPerEntry*time.Duration(entries)
 }
 
-// viewPerEntry is what each instance and upstream adds to the interval.
+// viewPerEntry is added to the interval for each instance and upstream.
 const viewPerEntry = time.Millisecond
 
-// refreshView looks anew at what is believed and tells the planners, if more than
-// loads and ages changed.
+// refreshView takes a new view from the membership machine and updates the
+// planners if more than loads and ages changed.
 func (a *Agent) refreshView() {
 	a.viewDirty = false
 	a.view = a.machine.View(a.now)
@@ -47,8 +47,9 @@
 	}
 }
 
-// viewShape is a fingerprint of a view without loads and ages. Suspects count as
-// alive: both get work, and without a sign of life for a while many are suspect.
+// viewShape returns a fingerprint of a view without loads and ages. Suspect
+// counts as alive: both states get work, and without heartbeats for a while many
+// processes are suspect.
 func viewShape(v *membership.View) uint64 {
 	h := xxhash.New()
 	number := func(n uint64) {
@@ -56,7 +57,7 @@
 		for i := range b {
 			b[i] = byte(n >> (8 * i))
 		}
-		// A Digest's writes never fail.
+		// Writes to a Digest never fail.
 		_, _ = h.Write(b[:])
 	}
 	flag := func(f bool) {
@@ -87,7 +88,7 @@
 	return h.Sum64()
 }
 
-// selfLife returns the life of this instance's own entry.
+// selfLife returns the liveness of this instance's own entry.
 func (a *Agent) selfLife() kernel.Liveness {
 	if a.view.Leaving {
 		return kernel.Leaving
@@ -95,8 +96,8 @@
 	return kernel.Live
 }
 
-// upstreamLife maps what is believed of an upstream. One that the platform does
-// not list any more gets no new work, but may be listed again.
+// upstreamLife returns the liveness of an upstream. One that the platform no
+// longer lists gets no new work, but may be listed again.
 func upstreamLife(u *membership.Upstream) kernel.Liveness {
 	life := membership.Life(u.State, u.Leaving)
 	if !u.Listed {
@@ -105,7 +106,7 @@
 	return life
 }
 
-// feedView returns the view in the entry's form.
+// feedView returns the view in the feed's form.
 func (a *Agent) feedView() *feed.View {
 	v := a.view
 	elapsed := a.now.Sub(v.At)
@@ -133,7 +134,7 @@
 	return out
 }
 
-// feedUpstream returns an upstream in the entry's form.
+// feedUpstream returns an upstream in the feed's form.
 func (a *Agent) feedUpstream(u *membership.Upstream, elapsed time.Duration) feed.Upstream {
 	out := feed.Upstream{
 		ID: u.ID, Zone: u.Zone, Address: u.Address,
@@ -150,18 +151,19 @@
 	return out
 }
 
-// fedLife is the incarnation of an upstream as the entry knows it.
+// fedLife tracks the incarnation of an upstream as reported to the entry.
 type fedLife struct {
-	// unnumbered says that the entry was told of the upstream before its
-	// incarnation was known. It was first then, once it is known.
+	// unnumbered is set if the upstream was reported to the entry before its
+	// incarnation was known. first is the incarnation that became known first, 0
+	// until then.
 	unnumbered bool
 	first      ident.Incarnation
 }
 
 // fedIncarnation returns an upstream's incarnation for the entry. The entry takes
-// a changed number for a new process and gives up what runs there; so an
-// upstream that it got to know without a number keeps 0 for as long as the
-// process lives on whose number became known first.
+// a changed incarnation as a new process and abandons the attempts on it. An
+// upstream that was first reported without an incarnation therefore keeps 0 until
+// the process whose incarnation became known first is replaced.
 func (a *Agent) fedIncarnation(u *membership.Upstream) ident.Incarnation {
 	l := a.feed.lives[u.ID]
 	if l == nil {
@@ -180,7 +182,7 @@
 	return u.Incarnation
 }
 
-// tellPlanners gives the planners the view in the kernel's form.
+// tellPlanners passes the view to the planners in the kernel's form.
 func (a *Agent) tellPlanners() {
 	self := kernel.Self{Instance: a.self.Instance, Incarnation: a.feed.reply.Incarnation, Zone: a.self.Zone}
 	v := a.kernelView()
@@ -188,8 +190,8 @@
 	a.orderPlanner.SetView(a.now, self, v)
 }
 
-// kernelView returns the view in the kernel's form, with what the bundle or else
-// the platform's list says of each upstream.
+// kernelView returns the view in the kernel's form, with the spec of each
+// upstream from the bundle or else from the platform's list.
 func (a *Agent) kernelView() *kernel.View {
 	v := a.view
 	out := &kernel.View{
@@ -213,8 +215,8 @@
 	return out
 }
 
-// spec returns what the bundle declares of an upstream, or else what the
-// platform's list says.
+// spec returns an upstream as declared by the bundle, or else as described by the
+// platform's list.
 func (a *Agent) spec(id ident.UpstreamID) config.Upstream {
 	if s := a.loads.specs[id]; s != nil {
 		return *s
@@ -223,7 +225,7 @@
 	return config.Upstream{ID: id, Role: u.Role, Models: u.Models, Service: u.Service}
 }
 
-// takeSpecs takes in the upstreams that a bundle declares.
+// takeSpecs stores the upstreams that a bundle declares.
 func (a *Agent) takeSpecs(c *config.Content) {
 	a.loads.specs = make(map[ident.UpstreamID]*config.Upstream, len(c.Upstreams))
 	for i := range c.Upstreams {
@@ -237,7 +239,7 @@
 	return role == config.RolePrefill || role == config.RoleDecode
 }
 
-// reportOf returns what is believed of an upstream, nil if it is not known.
+// reportOf returns an upstream of the current view, nil if it is not known.
 func (a *Agent) reportOf(id ident.UpstreamID) *membership.Upstream {
 	list := a.currentView().Upstreams
 	i, ok := slices.BinarySearchFunc(list, id, func(u membership.Upstream, id ident.UpstreamID) int {
--- a/agent/views_test.go
+++ b/agent/views_test.go
@@ -16,8 +16,8 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// TestFedIncarnation: the entry must not take an upstream whose number becomes
-// known for another process.
+// TestFedIncarnation checks that the entry does not mistake an upstream whose
+// incarnation becomes known for a new process.
 func TestFedIncarnation(t *testing.T) {
 	a := &Agent{feed: feedState{lives: map[ident.UpstreamID]*fedLife{}}}
 	fed := func(id ident.UpstreamID, inc ident.Incarnation) ident.Incarnation {
@@ -31,8 +31,8 @@
 	assert.Equal(t, fed("numbered", 6), ident.Incarnation(6))
 }
 
-// TestSupersededOrdersNothing: an instance whose name another process has must
-// not act on its view.
+// TestSupersededOrdersNothing checks that an instance does not act on its view if
+// another process has taken over its name.
 func TestSupersededOrdersNothing(t *testing.T) {
 	a := &Agent{view: &membership.View{Trusted: true}}
 	assert.Assert(t, a.kernelView().Trusted)
@@ -40,8 +40,9 @@
 	assert.Assert(t, !a.kernelView().Trusted)
 }
 
-// TestAnsweredPeersStayOnTheRoster: what a peer had in force is part of a starting
-// instance's floor, also when the peer is gone before the instance is ready.
+// TestAnsweredPeersStayOnTheRoster checks that what a peer had in force remains
+// part of a starting instance's floor if the peer fails before the instance is
+// ready.
 func TestAnsweredPeersStayOnTheRoster(t *testing.T) {
 	a := benchAgent(t, 3, 0)
 	gone := ledger.FloorReport{From: peerSource("i-009"), Ready: true}
@@ -50,8 +51,8 @@
 	assert.DeepEqual(t, got, []ledger.Source{fromPlatform, gone.From})
 }
 
-// TestUnlistedUpstream: what the platform lists no more gets no new work, and
-// gets it again when it is listed again.
+// TestUnlistedUpstream checks that an upstream that the platform no longer lists
+// gets no new work, and gets it again once it is listed again.
 func TestUnlistedUpstream(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -62,14 +63,15 @@
 		listed := f.ups
 		f.ups = nil
 		f.list()
-		f.within(3*time.Second, "no new work", all(nodes, "dc-1", kernel.Unreachable))
+		f.within(3*time.Second, "no new work for the unlisted upstream", all(nodes, "dc-1", kernel.Unreachable))
 		f.ups = listed
 		f.list()
-		f.within(3*time.Second, "work again", all(nodes, "dc-1", kernel.Live))
+		f.within(3*time.Second, "upstream gets work again", all(nodes, "dc-1", kernel.Live))
 	})
 }
 
-// TestReplacedInstancesAreForgotten: IDs come and go for months.
+// TestReplacedInstancesAreForgotten checks that the state of removed instances is
+// dropped. Instance IDs change over months, so keeping it would leak memory.
 func TestReplacedInstancesAreForgotten(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.addAll(3, "hall-a")
@@ -90,8 +92,8 @@
 	})
 }
 
-// TestFallback: when the zone's readers have no word of the platform for long, the
-// others read it themselves.
+// TestFallback checks that other instances read the platform themselves if the
+// zone's readers have had no news of it for long.
 func TestFallback(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.startFleet(8, "hall-a")
@@ -108,11 +110,12 @@
 		f.publish(nil)
 		took := f.within(2*time.Minute, "version 2 in force", allAt(nodes, 2))
 		t.Logf("in force everywhere after %v", took)
-		assert.Assert(t, took > 20*time.Second, "nobody but the readers reads while there is word")
+		assert.Assert(t, took > 20*time.Second, "other instances read the platform while the readers have news of it")
 	})
 }
 
-// TestPlatformCallsWhileDown: an outage must not make a storm of reads.
+// TestPlatformCallsWhileDown checks that an outage does not cause a storm of
+// reads.
 func TestPlatformCallsWhileDown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.startFleet(6, "hall-a")
@@ -123,13 +126,13 @@
 		time.Sleep(5 * time.Minute)
 		perSecond := float64(f.calls(nodes)-before) / 300
 		t.Logf("%.2f calls a second by 6 instances", perSecond)
-		// 8 watches, each at most every 7.5 s; each instance one more for 12 s in
-		// 30 s, with pauses that double from 0.1 s.
-		assert.Assert(t, perSecond < 8/7.5+6*7/30.0, "%f", perSecond)
+		// 8 watches, each at most every 7.5 s; in addition, each instance runs
+		// one watch for 12 s in every 30 s, with pauses that double from 0.1 s.
+		assert.Assert(t, perSecond < 8/7.5+6*7/30.0, "%f calls a second", perSecond)
 	})
 }
 
-// calls adds up the nodes' calls to the platform.
+// calls returns the sum of the nodes' calls to the platform.
 func (f *fleet) calls(nodes []*node) uint64 {
 	total := uint64(0)
 	for _, n := range nodes {
@@ -138,7 +141,8 @@
 	return total
 }
 
-// TestGarbledLists: a list that cannot be read leaves the one before in place.
+// TestGarbledLists checks that the previous list stays in use if a list is
+// malformed.
 func TestGarbledLists(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -154,6 +158,6 @@
 		f.list()
 		f.ups = append(f.ups, configservice.Upstream{ID: "dc-9", Zone: "hall-b", Address: "10.9.9.9:1", Role: config.RoleDecode, State: configservice.StateLive})
 		f.list()
-		f.within(3*time.Second, "good list taken", func() bool { return nodes[1].entry.upstream("dc-9") != nil })
+		f.within(3*time.Second, "valid list applied", func() bool { return nodes[1].entry.upstream("dc-9") != nil })
 	})
 }
