--- a/agent/agent.go
+++ b/agent/agent.go
@@ -62,10 +62,10 @@
 	self     peer.Identity
 	started  time.Time
 
-	peers    *peer.Pool
-	feedPool *peer.Pool
-	engines  *engines.Client
-	reader   configservice.Adapter
+	peers           *peer.Pool
+	feedPool        *peer.Pool
+	engines         *engines.Client
+	platformAdapter configservice.Adapter
 	// platformMeter counts the bytes exchanged by the platform adapter.
 	platformMeter meter.Meter
 	servers       servers
@@ -83,27 +83,27 @@
 	endCalls context.CancelFunc
 
 	// The fields below are accessed only by the loop.
-	random       random
-	now          time.Time
-	secondAt     time.Time
-	machine      *membership.Machine
-	ledger       *ledger.Ledger
-	leftovers    *leftover.Planner
-	orderPlanner *orders.Planner
-	counters     wire.Counters
-	book         book
-	source       source
-	relay        relay
-	partners     map[ident.InstanceID]*partner
-	feed         feedState
-	loads        loadState
-	held         heldState
-	orders       orderState
-	view         *membership.View
-	viewDirty    bool
-	// rosterAt is when the ledger last got the list of sources to query.
-	rosterAt  time.Time
-	inForceAt time.Time
+	random          random
+	now             time.Time
+	lastSecondAt    time.Time
+	machine         *membership.Machine
+	ledger          *ledger.Ledger
+	leftoverPlanner *leftover.Planner
+	orderPlanner    *orders.Planner
+	counters        wire.Counters
+	directory       directory
+	platform        platformState
+	relay           relay
+	partners        map[ident.InstanceID]*partner
+	feed            feedState
+	loads           loadState
+	leftoverReads   leftoverState
+	orders          orderState
+	view            *membership.View
+	viewDirty       bool
+	// rosterUpdatedAt is when the ledger last got the list of sources to query.
+	rosterUpdatedAt time.Time
+	inForceAt       time.Time
 }
 
 // New creates an agent from validated settings. Errors are those of
@@ -127,18 +127,18 @@
 	if err := a.readTLS(); err != nil {
 		return nil, err
 	}
-	if err := a.makeMachines(now); err != nil {
+	if err := a.initMachines(now); err != nil {
 		return nil, err
 	}
-	if err := a.makeClients(); err != nil {
+	if err := a.initClients(); err != nil {
 		return nil, err
 	}
-	a.seed()
+	a.addSeeds()
 	return a, nil
 }
 
-// makeMachines creates the state machines and planners, which do no I/O.
-func (a *Agent) makeMachines(now time.Time) error {
+// initMachines creates the state machines and planners, which do no I/O.
+func (a *Agent) initMachines(now time.Time) error {
 	s := a.settings
 	trusted, err := s.Approvers.set()
 	if err != nil {
@@ -155,19 +155,19 @@
 	a.machine = membership.New(
 		membership.Self{Instance: s.Instance, Zone: s.Zone},
 		membership.Config{Budget: s.Peers.Budget}, now)
-	a.leftovers = leftover.NewPlanner(leftover.DefaultSettings())
+	a.leftoverPlanner = leftover.NewPlanner(leftover.DefaultSettings())
 	a.orderPlanner = orders.NewPlanner(orders.DefaultSettings())
 	a.loads.polls = map[ident.UpstreamID]*poll{}
-	a.feed.lives = map[ident.UpstreamID]*fedLife{}
-	a.source.watches = map[string]context.CancelFunc{}
-	a.source.indexes = map[string]uint64{}
-	a.book = newBook()
-	a.relay = relay{changed: make(chan struct{}), serving: make(chan struct{}, 1), fetching: map[string]bool{}}
+	a.feed.incarnations = map[ident.UpstreamID]*reportedIncarnation{}
+	a.platform.watches = map[string]context.CancelFunc{}
+	a.platform.indexes = map[string]uint64{}
+	a.directory = newDirectory()
+	a.relay = relay{changed: make(chan struct{}), servingSlot: make(chan struct{}, 1), fetching: map[string]bool{}}
 	return nil
 }
 
-// makeClients creates the clients for calls over the network.
-func (a *Agent) makeClients() error {
+// initClients creates the clients for calls over the network.
+func (a *Agent) initClients() error {
 	a.peers = peer.NewPool(a.peerConfig(a.isKnown))
 	local := a.peerConfig(func(id peer.Identity) bool { return id.Instance == a.self.Instance })
 	local.TLS = nil
@@ -181,15 +181,15 @@
 	if err != nil {
 		return oops.In("agent").Wrapf(err, "open the platform adapter")
 	}
-	a.reader = reader
+	a.platformAdapter = reader
 	return nil
 }
 
-// seed registers the instances that the settings name.
-func (a *Agent) seed() {
+// addSeeds registers the instances that the settings name.
+func (a *Agent) addSeeds() {
 	var seeds []membership.Seed
 	for _, s := range a.settings.Peers.Seeds {
-		a.book.seed(s)
+		a.directory.addSeed(s)
 		seeds = append(seeds, membership.Seed{ID: s.Instance, Zone: s.Zone, Address: s.Address})
 	}
 	a.machine.Seeds(a.now, seeds)
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -25,7 +25,7 @@
 			return last.Ready && u != nil && u.Load != nil && u.Life == kernel.Live && u.Load.PiecesTotal == 2000
 		})
 		f.publish(nil)
-		f.within(time.Second, "version 2 in force", allAt(nodes, 2))
+		f.within(time.Second, "version 2 in force", versionInForce(nodes, 2))
 	})
 }
 
@@ -38,7 +38,7 @@
 		time.Sleep(20 * time.Second)
 		for range 3 {
 			f.publish(nil)
-			took := f.within(2*time.Second, "next version in force", allAt(nodes, f.head.Manifest.Version))
+			took := f.within(2*time.Second, "next version in force", versionInForce(nodes, f.head.Manifest.Version))
 			t.Logf("in force everywhere after %v", took)
 			time.Sleep(time.Second)
 		}
@@ -66,7 +66,7 @@
 		f.publish(nil)
 		f.addEngine("pf-2", "hall-b", config.RolePrefill)
 		f.list()
-		took := f.within(10*time.Second, "version 2 in force, also in the partitioned zone", allAt(nodes, 2))
+		took := f.within(10*time.Second, "version 2 in force, also in the partitioned zone", versionInForce(nodes, 2))
 		t.Logf("in force everywhere after %v", took)
 		f.within(5*time.Second, "new upstream known everywhere", func() bool {
 			for _, n := range nodes {
@@ -89,15 +89,15 @@
 		f.publish(nil)
 		old := f.platform.Put("marker", nil)
 		startAll(nodes)
-		f.within(8*time.Second, "version 1 in force", allAt(nodes, 1))
+		f.within(8*time.Second, "version 1 in force", versionInForce(nodes, 1))
 		f.publish(nil)
-		f.within(2*time.Second, "version 2 in force", allAt(nodes, 2))
+		f.within(2*time.Second, "version 2 in force", versionInForce(nodes, 2))
 		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeDown, DownBy: control.DownByClose}))
 		time.Sleep(time.Minute)
-		assert.Assert(t, allAt(nodes, 2)())
+		assert.Assert(t, versionInForce(nodes, 2)())
 		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeStale, StaleIndex: old}))
 		time.Sleep(3 * time.Minute)
-		assert.Assert(t, allAt(nodes, 2)())
+		assert.Assert(t, versionInForce(nodes, 2)())
 		stale := uint64(0)
 		for _, n := range nodes {
 			s := n.status()
@@ -108,7 +108,7 @@
 		assert.Assert(t, stale > 0)
 		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeUp}))
 		f.publish(nil)
-		f.within(time.Minute, "version 3 in force after the outage", allAt(nodes, 3))
+		f.within(time.Minute, "version 3 in force after the outage", versionInForce(nodes, 3))
 	})
 }
 
@@ -123,11 +123,11 @@
 		f.publish(nil)
 		old := f.platform.Put("marker", nil)
 		startAll(nodes[:2])
-		f.within(8*time.Second, "version 1 in force", allAt(nodes[:2], 1))
+		f.within(8*time.Second, "version 1 in force", versionInForce(nodes[:2], 1))
 		f.publish(nil)
-		f.within(2*time.Second, "version 2 in force", allAt(nodes[:2], 2))
+		f.within(2*time.Second, "version 2 in force", versionInForce(nodes[:2], 2))
 		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeStale, StaleIndex: old}))
-		f.slowLists = 500 * time.Millisecond
+		f.listDelay = 500 * time.Millisecond
 		nodes[2].start()
 		f.within(10*time.Second, "new instance ready", func() bool {
 			_, last := nodes[2].entry.seen()
@@ -152,7 +152,7 @@
 			return in.Incarnation == old && in.Life == kernel.Dead
 		})
 		nodes[0].startEntry()
-		f.within(2500*time.Millisecond, "version 1 in force on the new entry", allAt(nodes, 1))
+		f.within(2500*time.Millisecond, "version 1 in force on the new entry", versionInForce(nodes, 1))
 		f.within(5*time.Second, "new incarnation of the entry known", func() bool {
 			in := nodes[1].entry.instance("hall-a-1")
 			return in.Incarnation > old && in.Life == kernel.Live
@@ -175,7 +175,7 @@
 		}
 		f.net.cut(n.host, platformHost, true)
 		c.Suspend(20 * time.Second)
-		time.Sleep(2 * tick)
+		time.Sleep(2 * tickInterval)
 		s := n.status()
 		assert.Equal(t, s.Counters.Pauses, uint64(1))
 		assert.Assert(t, !s.Fleet.Trusted)
@@ -198,7 +198,7 @@
 		}
 		f.net.cut(n.host, platformHost, true)
 		n.agent.post(func() { time.Sleep(20 * time.Second) })
-		time.Sleep(20*time.Second + 2*tick)
+		time.Sleep(20*time.Second + 2*tickInterval)
 		s := n.status()
 		assert.Equal(t, s.Counters.Pauses, uint64(1))
 		assert.Assert(t, !s.Fleet.Trusted)
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -40,34 +40,35 @@
 	var l configservice.Instances
 	for i := range instances {
 		l.Instances = append(l.Instances, configservice.Instance{
-			ID: ident.InstanceID(fmt.Sprintf("i-%03d", i)), Zone: zoneNumber(i), Region: "region-1", State: configservice.StateLive,
+			ID: ident.InstanceID(fmt.Sprintf("i-%03d", i)), Zone: zoneOf(i), Region: "region-1", State: configservice.StateLive,
 			PeerAddress: "10.100.200.1:9100", AgentAddress: "10.100.200.1:9101", CallerAddress: "10.100.200.1:8080",
 		})
 	}
 	doc, err := json.Marshal(l)
 	assert.NilError(b, err)
-	assert.Assert(b, a.takeInstances(a.now, 1, doc))
+	assert.Assert(b, a.applyInstances(a.now, 1, doc))
 	var u configservice.Upstreams
 	for i := range upstreams {
 		u.Upstreams = append(u.Upstreams, configservice.Upstream{
-			ID: ident.UpstreamID(fmt.Sprintf("runner-%03d", i)), Zone: zoneNumber(i), Address: "10.100.100.1:8000",
+			ID: ident.UpstreamID(fmt.Sprintf("runner-%03d", i)), Zone: zoneOf(i), Address: "10.100.100.1:8000",
 			Role: config.RoleDecode, Models: []string{"model-1"}, State: configservice.StateLive, Incarnation: 1796223493000,
 		})
 	}
 	doc, err = json.Marshal(u)
 	assert.NilError(b, err)
-	assert.Assert(b, a.takeUpstreams(a.now, 1, doc))
+	assert.Assert(b, a.applyUpstreams(a.now, 1, doc))
 	for i := range upstreams {
 		a.machine.UpstreamReport(a.now, a.now, ident.UpstreamID(fmt.Sprintf("runner-%03d", i)),
 			membership.Report{Incarnation: 1796223493000, Sequence: 1, Running: 12, Slots: 20, PiecesUsed: 100})
 	}
-	a.book.lists.instances.index, a.book.lists.upstreams.index = 1, 1
+	a.directory.lists.instances.index, a.directory.lists.upstreams.index = 1, 1
 	a.feed.reply.Incarnation = 1796223493000
 	return a
 }
 
-// zoneNumber distributes processes over six zones.
-func zoneNumber(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%6)) }
+// zoneOf returns the zone of the i-th process, which distributes processes over
+// six zones.
+func zoneOf(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%6)) }
 
 // BenchmarkView measures a refresh of the view, which happens up to five times a
 // second.
@@ -102,9 +103,9 @@
 	}
 }
 
-// benchChanged is the stride between upstreams with a new load report since the
+// changedStride is the stride between upstreams with a new load report since the
 // last view: one in six, as if one of six zones had changed.
-const benchChanged = 6
+const changedStride = 6
 
 // BenchmarkFeedChanges measures composing the changes for an entry that holds the
 // last view.
@@ -118,7 +119,7 @@
 			for b.Loop() {
 				a.feed.sent = a.feedView()
 				a.feed.sent.Number, a.feed.reply.View = 1, 1
-				for i := 0; i < len(a.feed.sent.Upstreams); i += benchChanged {
+				for i := 0; i < len(a.feed.sent.Upstreams); i += changedStride {
 					a.feed.sent.Upstreams[i].LoadAgeMS += time.Second.Milliseconds()
 				}
 				a.feed.agesAt = a.now
@@ -160,13 +161,13 @@
 			a := benchAgent(b, size.instances, size.upstreams)
 			a.refreshView()
 			var views peering.Views
-			whole := a.feedView()
-			whole.Number = 1
-			views.Take(whole, a.now)
-			next := *whole
+			full := a.feedView()
+			full.Number = 1
+			views.Take(full, a.now)
+			next := *full
 			next.Base, next.Instances, next.Upstreams = 1, nil, nil
-			for i := 0; i < len(whole.Upstreams); i += benchChanged {
-				next.Upstreams = append(next.Upstreams, whole.Upstreams[i])
+			for i := 0; i < len(full.Upstreams); i += changedStride {
+				next.Upstreams = append(next.Upstreams, full.Upstreams[i])
 			}
 			doc, err := json.Marshal(feed.Update{View: &next})
 			assert.NilError(b, err)
@@ -190,7 +191,7 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
 			a := benchAgent(b, size.instances, size.upstreams)
-			a.callCtx, a.endCalls = ended()
+			a.callCtx, a.endCalls = cancelledContext()
 			a.refreshView()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -207,7 +208,7 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
 			a := benchAgent(b, size.instances, size.upstreams)
-			a.callCtx, a.endCalls = ended()
+			a.callCtx, a.endCalls = cancelledContext()
 			a.refreshView()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -242,7 +243,7 @@
 			bytes := 0
 			for b.Loop() {
 				a.now = a.now.Add(time.Second)
-				hb := a.compose(other)
+				hb := a.composeHeartbeat(other)
 				doc, err := json.Marshal(hb)
 				assert.NilError(b, err)
 				bytes = len(doc)
@@ -258,8 +259,9 @@
 	}
 }
 
-// ended returns a cancelled context, so that no calls are made.
-func ended() (context.Context, context.CancelFunc) {
+// cancelledContext returns a context that is already cancelled, so that no calls
+// are made.
+func cancelledContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx, cancel
--- a/agent/book.go
+++ b/agent/book.go
@@ -6,51 +6,51 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// book holds the addresses of all known processes, from the settings and from the
-// platform's lists.
-type book struct {
-	instances map[ident.InstanceID]place
+// directory holds the addresses of all known processes, from the settings and
+// from the platform's lists.
+type directory struct {
+	instances map[ident.InstanceID]instanceAddresses
 	upstreams map[ident.UpstreamID]configservice.Upstream
 	lists     lists
 }
 
-// place holds the addresses at which an instance's processes accept calls from
-// peers.
-type place struct {
+// instanceAddresses holds the addresses at which an instance's processes accept
+// calls from peers.
+type instanceAddresses struct {
 	agent string
 	entry string
 	seed  bool
 }
 
-func newBook() book {
-	return book{
-		instances: map[ident.InstanceID]place{},
+func newDirectory() directory {
+	return directory{
+		instances: map[ident.InstanceID]instanceAddresses{},
 		upstreams: map[ident.UpstreamID]configservice.Upstream{},
 	}
 }
 
-// seed adds an instance that the settings name.
-func (b *book) seed(s Seed) {
-	b.instances[s.Instance] = place{agent: s.Address, entry: s.Entry, seed: true}
+// addSeed adds an instance that the settings name.
+func (b *directory) addSeed(s Seed) {
+	b.instances[s.Instance] = instanceAddresses{agent: s.Address, entry: s.Entry, seed: true}
 }
 
-// list replaces the instances with the platform's list. Instances from the
-// settings are kept if the list does not contain them.
-func (b *book) list(l *configservice.Instances) {
-	next := make(map[ident.InstanceID]place, len(l.Instances))
+// setInstances replaces the instances with those of the platform's list.
+// Instances from the settings are kept if the list does not contain them.
+func (b *directory) setInstances(l *configservice.Instances) {
+	next := make(map[ident.InstanceID]instanceAddresses, len(l.Instances))
 	for id, p := range b.instances {
 		if p.seed {
 			next[id] = p
 		}
 	}
 	for _, i := range l.Instances {
-		next[i.ID] = place{agent: i.AgentAddress, entry: i.PeerAddress, seed: next[i.ID].seed}
+		next[i.ID] = instanceAddresses{agent: i.AgentAddress, entry: i.PeerAddress, seed: next[i.ID].seed}
 	}
 	b.instances = next
 }
 
-// listUpstreams replaces the upstreams with the platform's list.
-func (b *book) listUpstreams(l *configservice.Upstreams) {
+// setUpstreams replaces the upstreams with those of the platform's list.
+func (b *directory) setUpstreams(l *configservice.Upstreams) {
 	b.upstreams = make(map[ident.UpstreamID]configservice.Upstream, len(l.Upstreams))
 	for _, u := range l.Upstreams {
 		b.upstreams[u.ID] = u
@@ -62,8 +62,8 @@
 
 // publishKnown updates the set of instances that connections accept.
 func (a *Agent) publishKnown() {
-	set := make(knownSet, len(a.book.instances))
-	for id := range a.book.instances {
+	set := make(knownSet, len(a.directory.instances))
+	for id := range a.directory.instances {
 		set[id] = struct{}{}
 	}
 	a.known.Store(&set)
--- a/agent/bundles.go
+++ b/agent/bundles.go
@@ -19,15 +19,15 @@
 // tickEvent advances the ledger's time.
 var tickEvent ledger.Event = ledger.Tick{}
 
-// step passes an event to the ledger and carries out the resulting actions.
-func (a *Agent) step(e ledger.Event) {
+// stepLedger passes an event to the ledger and carries out the resulting actions.
+func (a *Agent) stepLedger(e ledger.Event) {
 	from := eventSource(e)
 	for _, act := range a.ledger.Step(a.now, e) {
 		if _, announce := act.(ledger.Announce); announce {
-			a.spreadNews(from.Kind == ledger.SourcePeer)
+			a.scheduleNews(from.Kind == ledger.SourcePeer)
 			continue
 		}
-		a.act(act)
+		a.execute(act)
 	}
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// act carries out one action of the ledger.
-func (a *Agent) act(act ledger.Action) {
+// execute carries out one action of the ledger.
+func (a *Agent) execute(act ledger.Action) {
 	switch act := act.(type) {
 	case ledger.InForce:
 		a.inForce(act)
@@ -56,7 +56,7 @@
 		a.log.Info("ready", "bundle_version", act.InForce.Version, "unconfirmed", sourceNames(act.Unconfirmed))
 		a.feed.urgent = true
 	case ledger.AskFloor:
-		a.askFloor(act)
+		a.queryFloor(act)
 	case ledger.FetchRoll:
 		a.fetchDocument(act.From, configservice.KeyRoll)
 	case ledger.FetchHead:
@@ -90,18 +90,18 @@
 	a.feed.bundleSent = false
 	a.feed.urgent = true
 	a.orderPlanner.SetBundle(a.now, act.Ref.Version, act.Content)
-	a.takeSpecs(act.Content)
+	a.setSpecs(act.Content)
 	a.viewDirty = true
 }
 
-// readyRoster is the time between two updates of the roster while the ledger is
-// ready. The ledger queries no source then and needs the roster only as the first
-// one after a pause; after a pause it is rebuilt within a second.
-const readyRoster = 10 * time.Second
+// readyRosterInterval is the time between two updates of the roster while the
+// ledger is ready. The ledger queries no source then and needs the roster only as
+// the first one after a pause; after a pause it is rebuilt within a second.
+const readyRosterInterval = 10 * time.Second
 
 // rosterDue reports whether the ledger's roster has to be updated.
 func (a *Agent) rosterDue() bool {
-	return a.ledger.Status() != ledger.StatusReady || a.now.Sub(a.rosterAt) >= readyRoster
+	return a.ledger.Status() != ledger.StatusReady || a.now.Sub(a.rosterUpdatedAt) >= readyRosterInterval
 }
 
 // updateRoster passes the ledger the sources to query for the floor: the
@@ -114,12 +114,12 @@
 	if a.awaitsLists() {
 		return
 	}
-	a.rosterAt = a.now
-	sources := []ledger.Source{fromPlatform}
+	a.rosterUpdatedAt = a.now
+	sources := []ledger.Source{platformSource}
 	zones := map[ident.Zone][]ident.InstanceID{}
 	v := a.currentView()
 	for _, in := range v.Instances {
-		if answersPeers(in) && a.book.instances[in.ID].agent != "" {
+		if presumedAlive(in) && a.directory.instances[in.ID].agent != "" {
 			zones[in.Zone] = append(zones[in.Zone], in.ID)
 		}
 	}
@@ -140,17 +140,17 @@
 	slices.SortFunc(sources, func(x, y ledger.Source) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Name, y.Name))
 	})
-	a.step(ledger.Roster{Sources: a.keepAnswered(sources)})
+	a.stepLedger(ledger.Roster{Sources: a.addFloorReporters(sources)})
 }
 
-// keepAnswered adds the peers that reported to a starting instance and have
+// addFloorReporters adds the peers that reported to a starting instance and have
 // failed since: what they had in force remains part of the floor.
-func (a *Agent) keepAnswered(sources []ledger.Source) []ledger.Source {
+func (a *Agent) addFloorReporters(sources []ledger.Source) []ledger.Source {
 	if a.ledger.Status() != ledger.StatusStarting {
-		a.relay.answered = nil
+		a.relay.floorReporters = nil
 		return sources
 	}
-	for _, s := range a.relay.answered {
+	for _, s := range a.relay.floorReporters {
 		if !slices.Contains(sources, s) {
 			sources = append(sources, s)
 		}
@@ -161,7 +161,7 @@
 // awaitsLists reports whether this instance started recently and still waits for
 // the platform's lists.
 func (a *Agent) awaitsLists() bool {
-	l := &a.book.lists
+	l := &a.directory.lists
 	return (l.instances.index == 0 || l.upstreams.index == 0) && a.now.Sub(a.started) < listsTimeout
 }
 
@@ -177,34 +177,34 @@
 	return ledger.Source{Kind: ledger.SourcePeer, Name: string(id)}
 }
 
-// askFloor queries a source for the floor.
-func (a *Agent) askFloor(q ledger.AskFloor) {
+// queryFloor queries a source for the floor.
+func (a *Agent) queryFloor(q ledger.AskFloor) {
 	switch q.From.Kind {
 	case ledger.SourcePlatform:
-		a.askPlatformFloor(q)
+		a.queryPlatformFloor(q)
 	case ledger.SourceUpstream:
-		a.askFence(q)
+		a.queryFence(q)
 	case ledger.SourcePeer:
-		a.askPeerFloor(q)
+		a.queryPeerFloor(q)
 	}
 }
 
-// askPlatformFloor reads the roll from the platform. A stale platform does not
+// queryPlatformFloor reads the roll from the platform. A stale platform does not
 // know the floor.
-func (a *Agent) askPlatformFloor(q ledger.AskFloor) {
-	begun := a.now
+func (a *Agent) queryPlatformFloor(q ledger.AskFloor) {
+	started := a.now
 	a.spawn(func(ctx context.Context) {
-		v, err := a.reader.Get(ctx, configservice.KeyRoll)
+		v, err := a.platformAdapter.Get(ctx, configservice.KeyRoll)
 		var absent *configservice.NotFoundError
 		a.post(func() {
 			switch {
 			case errors.As(err, &absent):
-				a.step(ledger.FloorReport{From: q.From, Round: q.Round})
+				a.stepLedger(ledger.FloorReport{From: q.From, Round: q.Round})
 			case err != nil:
 				a.platformFailed(configservice.KeyRoll, err)
-				a.step(ledger.Unreachable{From: q.From})
+				a.stepLedger(ledger.Unreachable{From: q.From})
 			default:
-				a.platformValue(configservice.KeyRoll, begun, v)
+				a.handlePlatformValue(configservice.KeyRoll, started, v)
 				a.reportRoll(ledger.FloorReport{From: q.From, Round: q.Round}, v.Bytes)
 			}
 		})
@@ -216,30 +216,30 @@
 	if len(b) > 0 {
 		roll, err := bundle.DecodeRoll(b)
 		if err != nil {
-			a.step(ledger.Unreachable{From: r.From})
+			a.stepLedger(ledger.Unreachable{From: r.From})
 			return
 		}
 		r.Roll = roll
 	}
-	if r.From.Kind == ledger.SourcePeer && !slices.Contains(a.relay.answered, r.From) {
-		a.relay.answered = append(a.relay.answered, r.From)
+	if r.From.Kind == ledger.SourcePeer && !slices.Contains(a.relay.floorReporters, r.From) {
+		a.relay.floorReporters = append(a.relay.floorReporters, r.From)
 	}
-	a.step(r)
+	a.stepLedger(r)
 }
 
-// askFence queries an engine for the highest fencing number that it has seen.
-func (a *Agent) askFence(q ledger.AskFloor) {
-	address := a.book.upstreams[ident.UpstreamID(q.From.Name)].Address
+// queryFence queries an engine for the highest fencing number that it has seen.
+func (a *Agent) queryFence(q ledger.AskFloor) {
+	address := a.directory.upstreams[ident.UpstreamID(q.From.Name)].Address
 	a.spawn(func(ctx context.Context) {
 		s, err := a.engines.ReadOrders(ctx, address)
 		a.post(func() {
 			switch {
 			case err == nil && s.ChecksFencing:
-				a.step(ledger.FloorReport{From: q.From, Round: q.Round, Fence: s.Highest})
+				a.stepLedger(ledger.FloorReport{From: q.From, Round: q.Round, Fence: s.Highest})
 			case engines.Answered(err):
-				a.step(ledger.FloorReport{From: q.From, Round: q.Round})
+				a.stepLedger(ledger.FloorReport{From: q.From, Round: q.Round})
 			default:
-				a.step(ledger.Unreachable{From: q.From})
+				a.stepLedger(ledger.Unreachable{From: q.From})
 			}
 		})
 	})
--- a/agent/changes.go
+++ b/agent/changes.go
@@ -12,13 +12,13 @@
 func (a *Agent) nextView() *feed.View {
 	f := &a.feed
 	f.number++
-	whole := a.feedView()
-	whole.Number = f.number
-	next := whole
-	if f.sent != nil && f.reply.View == f.sent.Number && sameEntries(f.sent, whole) {
-		next = changes(f.sent, whole, a.now.Sub(f.agesAt))
+	full := a.feedView()
+	full.Number = f.number
+	next := full
+	if f.sent != nil && f.reply.View == f.sent.Number && sameEntries(f.sent, full) {
+		next = changes(f.sent, full, a.now.Sub(f.agesAt))
 	}
-	f.sent, f.agesAt = whole, a.now
+	f.sent, f.agesAt = full, a.now
 	return next
 }
 
@@ -68,10 +68,10 @@
 // sameUpstream reports whether an upstream is unchanged, apart from its load
 // report having aged by elapsed.
 func sameUpstream(before, after *feed.Upstream, elapsed time.Duration) bool {
-	was, is := *before, *after
-	drift := is.LoadAgeMS - was.LoadAgeMS - elapsed.Milliseconds()
-	was.Load, was.LoadAgeMS, is.Load, is.LoadAgeMS = nil, 0, nil, 0
-	if was != is || !sameLoad(before.Load, after.Load) {
+	prev, next := *before, *after
+	drift := next.LoadAgeMS - prev.LoadAgeMS - elapsed.Milliseconds()
+	prev.Load, prev.LoadAgeMS, next.Load, next.LoadAgeMS = nil, 0, nil, 0
+	if prev != next || !sameLoad(before.Load, after.Load) {
 		return false
 	}
 	return after.Load == nil || drift >= -ageRounding && drift <= ageRounding
--- a/agent/changes_test.go
+++ b/agent/changes_test.go
@@ -20,30 +20,30 @@
 	"github.com/wardspool/wardspool/membership"
 )
 
-// viewRun simulates an agent and its entry, with a network between them that
-// loses updates and replies.
-type viewRun struct {
+// feedSimulation simulates an agent and its entry, with a network between them
+// that loses updates and replies.
+type feedSimulation struct {
 	*rapid.T
-	agent *Agent
-	views *peering.Views
-	inc   ident.Incarnation
-	ups   []configservice.Upstream
-	index uint64
-	last  *kernel.View
+	agent       *Agent
+	views       *peering.Views
+	incarnation ident.Incarnation
+	upstreams   []configservice.Upstream
+	index       uint64
+	last        *kernel.View
 }
 
 // list passes the agent a new version of the list of upstreams.
-func (r *viewRun) list() {
+func (r *feedSimulation) list() {
 	r.index++
-	doc, err := json.Marshal(configservice.Upstreams{Upstreams: r.ups})
+	doc, err := json.Marshal(configservice.Upstreams{Upstreams: r.upstreams})
 	assert.NilError(r, err)
-	assert.Assert(r, r.agent.takeUpstreams(r.agent.now, r.index, doc))
+	assert.Assert(r, r.agent.applyUpstreams(r.agent.now, r.index, doc))
 }
 
-// happen applies a random change to the fleet.
-func (r *viewRun) happen() {
+// applyRandomChange changes the simulated fleet at random.
+func (r *feedSimulation) applyRandomChange() {
 	a := r.agent
-	u := &r.ups[rapid.IntRange(0, len(r.ups)-1).Draw(r.T, "upstream")]
+	u := &r.upstreams[rapid.IntRange(0, len(r.upstreams)-1).Draw(r.T, "upstream")]
 	switch rapid.IntRange(0, 5).Draw(r.T, "what") {
 	case 0, 1:
 		report := membership.Report{Incarnation: 7, Sequence: uint32(a.now.Unix()), Running: rapid.IntRange(0, 3).Draw(r.T, "running"), Slots: 20}
@@ -54,51 +54,51 @@
 		u.Address = fmt.Sprintf("10.1.1.%d:1", rapid.IntRange(1, 250).Draw(r.T, "address"))
 		r.list()
 	case 4:
-		r.ups = append(r.ups, configservice.Upstream{ID: ident.UpstreamID(fmt.Sprintf("new-%03d", r.index)), Zone: "zone-1", Address: "10.1.2.3:1", State: configservice.StateLive})
+		r.upstreams = append(r.upstreams, configservice.Upstream{ID: ident.UpstreamID(fmt.Sprintf("new-%03d", r.index)), Zone: "zone-1", Address: "10.1.2.3:1", State: configservice.StateLive})
 		r.list()
 	case 5:
-		r.inc++
+		r.incarnation++
 		r.views = &peering.Views{}
 	}
 }
 
 // feed sends one update. The update or its reply may be lost.
-func (r *viewRun) feed() {
+func (r *feedSimulation) feed() {
 	a := r.agent
 	a.refreshView()
 	a.feed.urgent = true
 	u := a.composeUpdate()
-	fate := rapid.IntRange(0, 5).Draw(r.T, "fate")
-	if fate > 0 {
+	delivery := rapid.IntRange(0, 5).Draw(r.T, "fate")
+	if delivery > 0 {
 		if view, _, ok := r.views.Take(u.View, a.now); ok {
 			r.last = view
 		}
 	}
-	if fate <= 1 {
-		a.feedFailed(u, &feedLost{})
+	if delivery <= 1 {
+		a.feedFailed(u, &lostError{})
 		return
 	}
-	a.feedAnswered(a.now, u, feed.Reply{Incarnation: r.inc, View: r.views.Number()})
+	a.feedAnswered(a.now, u, feed.Reply{Incarnation: r.incarnation, View: r.views.Number()})
 }
 
-type feedLost struct{}
+type lostError struct{}
 
-func (*feedLost) Error() string { return "lost" }
+func (*lostError) Error() string { return "lost" }
 
 // TestChangesMakeTheWhole checks that after any changes and losses, three
 // delivered updates bring the entry to the state that full views would have given
 // it: one to detect a new entry, one full view and one with changes.
 func TestChangesMakeTheWhole(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
-		r := &viewRun{T: t, agent: benchAgent(outer, 5, 0), views: &peering.Views{}, inc: 1, index: 10}
+		r := &feedSimulation{T: t, agent: benchAgent(outer, 5, 0), views: &peering.Views{}, incarnation: 1, index: 10}
 		for i := range 5 {
-			r.ups = append(r.ups, configservice.Upstream{ID: ident.UpstreamID(fmt.Sprintf("runner-%d", i)), Zone: "zone-0", Address: "10.1.1.1:1", State: configservice.StateLive})
+			r.upstreams = append(r.upstreams, configservice.Upstream{ID: ident.UpstreamID(fmt.Sprintf("runner-%d", i)), Zone: "zone-0", Address: "10.1.1.1:1", State: configservice.StateLive})
 		}
 		r.list()
 		partial := 0
 		for range rapid.IntRange(1, 15).Draw(t, "steps") {
 			r.agent.now = r.agent.now.Add(time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond)
-			r.happen()
+			r.applyRandomChange()
 			r.feed()
 		}
 		for range 3 {
@@ -112,12 +112,12 @@
 			if view, _, ok := r.views.Take(u.View, r.agent.now); ok {
 				r.last = view
 			}
-			r.agent.feedAnswered(r.agent.now, u, feed.Reply{Incarnation: r.inc, View: r.views.Number()})
+			r.agent.feedAnswered(r.agent.now, u, feed.Reply{Incarnation: r.incarnation, View: r.views.Number()})
 		}
 		assert.Assert(t, partial > 0, "no update had changes only")
-		whole := peering.View(r.agent.feedView(), r.agent.now)
-		near := cmp.Comparer(func(x, y time.Time) bool { return x.Sub(y).Abs() <= 2*ageRounding*time.Millisecond })
-		assert.DeepEqual(t, r.last, whole, near)
+		full := peering.View(r.agent.feedView(), r.agent.now)
+		approximately := cmp.Comparer(func(x, y time.Time) bool { return x.Sub(y).Abs() <= 2*ageRounding*time.Millisecond })
+		assert.DeepEqual(t, r.last, full, approximately)
 	})
 }
 
@@ -130,20 +130,20 @@
 	rapid.Check(outer, func(t *rapid.T) {
 		a.feed.bundle, a.feed.sentBundle, a.feed.base, a.feed.reply = nil, nil, nil, feed.Reply{}
 		entry, version := &peering.Contents{}, uint64(0)
-		send := func(fate int) feed.Update {
+		send := func(delivery int) feed.Update {
 			version++
 			c := &config.Content{Workspaces: make([]config.Workspace, rapid.IntRange(1, 4).Draw(t, "workspaces"))}
 			c.Workspaces[0].Burst = rapid.IntRange(0, 3).Draw(t, "burst")
 			a.now = a.now.Add(bundleRetry)
 			a.feed.bundle, a.feed.bundleSent = &feed.Bundle{Version: version, Digest: fmt.Sprint(version), Content: c}, false
 			u := a.composeUpdate()
-			if fate > 0 {
+			if delivery > 0 {
 				if got := entry.Take(u.Bundle); got != nil {
 					assert.DeepEqual(t, got, c)
 				}
 			}
-			if fate <= 1 {
-				a.feedFailed(u, &feedLost{})
+			if delivery <= 1 {
+				a.feedFailed(u, &lostError{})
 				return u
 			}
 			a.feedAnswered(a.now, u, feed.Reply{Incarnation: 1, Base: entry.Digest(), BundleVersion: version})
--- a/agent/entry_test.go
+++ b/agent/entry_test.go
@@ -29,17 +29,17 @@
 	standin "github.com/wardspool/wardspool/standin/platform"
 )
 
-// loopbackBed is a test environment with a real entry and its agent on 127.0.0.1.
-type loopbackBed struct {
-	t        *testing.T
-	platform *standin.Platform
-	url      string
-	entry    *entry.Entry
-	ups      []configservice.Upstream
+// loopbackEnv is a test environment with a real entry and its agent on 127.0.0.1.
+type loopbackEnv struct {
+	t         *testing.T
+	platform  *standin.Platform
+	url       string
+	entry     *entry.Entry
+	upstreams []configservice.Upstream
 }
 
 // serve serves HTTP on loopback until the test ends.
-func (b *loopbackBed) serve(l net.Listener, h http.Handler) {
+func (b *loopbackEnv) serve(l net.Listener, h http.Handler) {
 	srv := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	done := make(chan struct{})
 	go func() {
@@ -53,14 +53,14 @@
 }
 
 // listen opens a listener on a loopback address.
-func (b *loopbackBed) listen() net.Listener {
+func (b *loopbackEnv) listen() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b.t, err)
 	return l
 }
 
 // engine starts a simulated engine.
-func (b *loopbackBed) engine(id ident.UpstreamID, role config.Role) {
+func (b *loopbackEnv) engine(id ident.UpstreamID, role config.Role) {
 	l := b.listen()
 	client := &http.Client{Transport: &http.Transport{}}
 	e := engine.New(engine.Config{
@@ -76,18 +76,18 @@
 		client.CloseIdleConnections()
 	})
 	b.serve(l, e.Handler())
-	b.ups = append(b.ups, configservice.Upstream{ID: id, Zone: "hall-a", Address: l.Addr().String(), Role: role, State: configservice.StateLive})
+	b.upstreams = append(b.upstreams, configservice.Upstream{ID: id, Zone: "hall-a", Address: l.Addr().String(), Role: role, State: configservice.StateLive})
 }
 
 // put publishes a value as JSON.
-func (b *loopbackBed) put(key string, v any) {
+func (b *loopbackEnv) put(key string, v any) {
 	doc, err := json.Marshal(v)
 	assert.NilError(b.t, err)
 	b.platform.Put(key, doc)
 }
 
 // publish publishes a bundle that exceeds the frame size between peers.
-func (b *loopbackBed) publish() {
+func (b *loopbackEnv) publish() {
 	c, findings := bundle.ParseSource("test.yaml", []byte(testContent))
 	assert.NilError(b.t, findings.Err())
 	for i := range 12_000 {
@@ -106,7 +106,7 @@
 }
 
 // startEntry starts the entry.
-func (b *loopbackBed) startEntry() {
+func (b *loopbackEnv) startEntry() {
 	s, err := settings.Parse[entry.Settings]("entry.yaml", []byte(`
 instance: entry-1
 zone: hall-a
@@ -123,7 +123,7 @@
 }
 
 // startAgent starts the agent.
-func (b *loopbackBed) startAgent() {
+func (b *loopbackEnv) startAgent() {
 	s, err := settings.Parse[Settings]("agent.yaml", []byte(fmt.Sprintf(`
 instance: entry-1
 zone: hall-a
@@ -141,7 +141,7 @@
 }
 
 // run calls serve in the background until the test ends.
-func (b *loopbackBed) run(serve func(context.Context) error) {
+func (b *loopbackEnv) run(serve func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { assert.Check(b.t, serve(ctx)) })
@@ -160,7 +160,7 @@
 		http.DefaultClient.CloseIdleConnections()
 		goleak.VerifyNone(t, ignore)
 	})
-	b := &loopbackBed{t: t, platform: standin.New(standin.Config{})}
+	b := &loopbackEnv{t: t, platform: standin.New(standin.Config{})}
 	t.Cleanup(b.platform.Close)
 	l := b.listen()
 	b.url = "http://" + l.Addr().String()
@@ -170,7 +170,7 @@
 	b.put(configservice.KeyInstances, configservice.Instances{Instances: []configservice.Instance{
 		{ID: "entry-1", Zone: "hall-a", PeerAddress: "127.0.0.1:1", AgentAddress: "127.0.0.1:1", State: configservice.StateLive},
 	}})
-	b.put(configservice.KeyUpstreams, configservice.Upstreams{Upstreams: b.ups})
+	b.put(configservice.KeyUpstreams, configservice.Upstreams{Upstreams: b.upstreams})
 	b.publish()
 	b.startEntry()
 	b.startAgent()
--- a/agent/fakeentry_test.go
+++ b/agent/fakeentry_test.go
@@ -22,8 +22,9 @@
 	updates int
 	pauses  []int64
 	stop    func()
-	// slow is the delay of an update, slowBundle that of an update with a bundle.
-	slow, slowBundle time.Duration
+	// delay is the time that an update takes, bundleDelay that of an update with
+	// a bundle.
+	delay, bundleDelay time.Duration
 }
 
 // startEntry starts a simulated entry.
@@ -60,7 +61,7 @@
 
 // update handles an agent's update.
 func (e *fakeEntry) update(u feed.Update) feed.Reply {
-	time.Sleep(e.takes(u))
+	time.Sleep(e.delayOf(u))
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.updates++
@@ -79,21 +80,21 @@
 	return r
 }
 
-// takes returns the time to spend on an update.
-func (e *fakeEntry) takes(u feed.Update) time.Duration {
+// delayOf returns the time that an update takes.
+func (e *fakeEntry) delayOf(u feed.Update) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if u.Bundle != nil {
-		return max(e.slow, e.slowBundle)
+		return max(e.delay, e.bundleDelay)
 	}
-	return e.slow
+	return e.delay
 }
 
-// slowDown sets the delay of updates.
-func (e *fakeEntry) slowDown(d time.Duration) {
+// setDelay sets the delay of updates.
+func (e *fakeEntry) setDelay(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = d
+	e.delay = d
 }
 
 // set modifies the reply.
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -24,13 +24,13 @@
 	// to read; an earlier retry would only add to its load.
 	feedTimeout       = 2 * time.Second
 	feedBundleTimeout = 30 * time.Second
-	// urgentGap is the minimum time between two updates.
-	urgentGap = 50 * time.Millisecond
-	// viewGap is the minimum time between two views if the second differs only in
-	// load reports. viewGapPerEntry is added for each instance and upstream,
-	// since a view contains them all.
-	viewGap         = 200 * time.Millisecond
-	viewGapPerEntry = 3 * time.Millisecond
+	// minUpdateGap is the minimum time between two updates.
+	minUpdateGap = 50 * time.Millisecond
+	// minViewGap is the minimum time between two views if the second differs only
+	// in load reports. minViewGapPerEntry is added for each instance and
+	// upstream, since a view contains them all.
+	minViewGap         = 200 * time.Millisecond
+	minViewGapPerEntry = 3 * time.Millisecond
 	// bundleRetry is the time after which a bundle that the entry has not
 	// confirmed is sent again.
 	bundleRetry = 3 * time.Second
@@ -44,10 +44,10 @@
 	// interval.
 	urgent bool
 	// version is the version of the last view sent, and viewAt the time it was
-	// sent. shape is the fingerprint of the view without ages and loads.
-	version uint64
-	viewAt  time.Time
-	shape   uint64
+	// sent. fingerprint is that of the view without ages and loads.
+	version     uint64
+	viewAt      time.Time
+	fingerprint uint64
 	// sent is the last view sent, in full, and agesAt the time to which its ages
 	// refer. sent is nil before the first view.
 	sent   *feed.View
@@ -65,14 +65,14 @@
 	bundleAt         time.Time
 	// pause is the longest process pause that has not been reported to the entry.
 	pause time.Duration
-	// reply is the entry's last reply. answers is false after a failed call until
-	// the next reply.
-	reply   feed.Reply
-	answers bool
-	// gone is set if the entry's process that last replied has ended.
-	gone bool
-	// lives maps upstreams to the incarnations reported to the entry.
-	lives map[ident.UpstreamID]*fedLife
+	// reply is the entry's last reply. responding is false after a failed call
+	// until the next reply.
+	reply      feed.Reply
+	responding bool
+	// ended is set if the entry's process that last replied has ended.
+	ended bool
+	// incarnations maps upstreams to the incarnations reported to the entry.
+	incarnations map[ident.UpstreamID]*reportedIncarnation
 }
 
 // feedEntry sends the entry an update if one is due.
@@ -83,7 +83,7 @@
 	}
 	u := a.composeUpdate()
 	f.busy, f.sentAt = true, a.now
-	begun := a.now
+	started := a.now
 	a.counters.FeedUpdates++
 	a.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, updateTimeout(u))
@@ -95,7 +95,7 @@
 				a.feedFailed(u, err)
 				return
 			}
-			a.feedAnswered(begun, u, reply)
+			a.feedAnswered(started, u, reply)
 		})
 	})
 }
@@ -112,13 +112,13 @@
 	f := &a.feed
 	since := a.now.Sub(f.sentAt)
 	switch {
-	case since < urgentGap || a.view == nil:
+	case since < minUpdateGap || a.view == nil:
 		return false
 	case since >= a.settings.Entry.Interval:
 		return true
 	default:
 		// Without replies, the regular interval is sufficient.
-		return f.answers && (f.urgent || f.resend || a.viewDue())
+		return f.responding && (f.urgent || f.resend || a.viewDue())
 	}
 }
 
@@ -128,7 +128,7 @@
 func (a *Agent) viewDue() bool {
 	f := &a.feed
 	entries := len(a.view.Instances) + len(a.view.Upstreams)
-	gap := viewGap + viewGapPerEntry*time.Duration(entries)
+	gap := minViewGap + minViewGapPerEntry*time.Duration(entries)
 	if a.view.Version == f.version {
 		gap = max(gap, a.settings.Entry.Interval)
 	}
@@ -175,29 +175,29 @@
 }
 
 // feedAnswered handles the entry's reply to an update.
-func (a *Agent) feedAnswered(begun time.Time, u feed.Update, r feed.Reply) {
+func (a *Agent) feedAnswered(started time.Time, u feed.Update, r feed.Reply) {
 	f := &a.feed
-	changed := r.Incarnation != f.reply.Incarnation || r.Stopping != f.reply.Stopping || !f.answers
+	changed := r.Incarnation != f.reply.Incarnation || r.Stopping != f.reply.Stopping || !f.responding
 	if r.Incarnation != f.reply.Incarnation {
 		a.log.Info("entry answers", "incarnation", uint64(r.Incarnation), "before", uint64(f.reply.Incarnation))
 		f.bundleSent = u.Bundle != nil
 		f.resend = true
-		clear(f.lives)
+		clear(f.incarnations)
 	}
 	if u.Bundle != nil {
 		f.bundleAt = a.now
 	}
-	decides := r.Rejected != nil || r.BundleVersion != f.reply.BundleVersion
-	f.reply, f.answers, f.gone = r, true, false
+	bundleDecided := r.Rejected != nil || r.BundleVersion != f.reply.BundleVersion
+	f.reply, f.responding, f.ended = r, true, false
 	if f.sentBundle != nil && r.Base == f.sentBundle.Digest {
 		f.base = f.sentBundle
 	}
-	if decides {
-		a.noteDecides(r)
+	if bundleDecided {
+		a.reportEntryDecision(r)
 	}
 	a.machine.SetSelf(a.now, membership.SelfState{Incarnation: r.Incarnation, Leaving: r.Stopping})
 	for _, e := range r.Evidence {
-		a.takeEvidence(begun, e)
+		a.applyEvidence(started, e)
 	}
 	a.viewDirty = true
 	if changed || f.urgent {
@@ -205,25 +205,25 @@
 	}
 }
 
-// noteDecides passes the ledger the entry's acceptance or rejection of the bundle
-// in force. An entry that lacks a plug-in continues with the previous version, so
-// operators need an alarm.
-func (a *Agent) noteDecides(r feed.Reply) {
+// reportEntryDecision passes the ledger the entry's acceptance or rejection of
+// the bundle in force. An entry that lacks a plug-in continues with the previous
+// version, so operators need an alarm.
+func (a *Agent) reportEntryDecision(r feed.Reply) {
 	e := ledger.EntryDecides{Version: r.BundleVersion}
 	if r.Rejected != nil {
 		e.Rejected, e.Err = r.Rejected.Version, &RejectedError{Reason: r.Rejected.Reason}
 	}
-	a.step(e)
+	a.stepLedger(e)
 }
 
 // feedFailed handles a failed update: its contents have to be sent again.
 func (a *Agent) feedFailed(u feed.Update, err error) {
 	f := &a.feed
 	a.counters.FeedFailures++
-	if f.answers {
+	if f.responding {
 		a.log.Warn("entry does not answer", "error", err)
 	}
-	f.answers, f.resend = false, true
+	f.responding, f.resend = false, true
 	f.pause = max(f.pause, time.Duration(u.PauseMS)*time.Millisecond)
 	if u.Bundle != nil {
 		f.bundleSent = false
@@ -236,19 +236,19 @@
 	if errors.As(err, &dial) && dial.Kind == peer.DialRefused {
 		// The entry closes this listener last, so a refused connection means that
 		// its process has ended.
-		s.Gone, f.gone = true, true
+		s.Gone, f.ended = true, true
 	} else {
 		s.Silent = true
 	}
 	a.machine.SetSelf(a.now, s)
 }
 
-// takeEvidence applies an observation from the entry's traffic. begun is when the
-// update was sent whose reply carried it.
-func (a *Agent) takeEvidence(begun time.Time, e feed.Evidence) {
-	at := begun.Add(-time.Duration(e.AgeMS) * time.Millisecond)
+// applyEvidence applies an observation from the entry's traffic. started is when
+// the update was sent whose reply carried it.
+func (a *Agent) applyEvidence(started time.Time, e feed.Evidence) {
+	at := started.Add(-time.Duration(e.AgeMS) * time.Millisecond)
 	if e.Peer != "" {
-		a.takePeerEvidence(at, e)
+		a.applyPeerEvidence(at, e)
 		return
 	}
 	switch e.Kind {
@@ -259,17 +259,17 @@
 	case feed.EvidenceTimeout:
 		a.machine.UpstreamFailed(a.now, at, e.Upstream, membership.FailTimeout)
 	case feed.EvidenceBroken:
-		a.lookInto(at, e.Upstream)
+		a.pollNow(at, e.Upstream)
 	case feed.EvidenceDraining:
-		if a.sameLife(at, e.Upstream) {
+		if a.sameIncarnation(at, e.Upstream) {
 			a.machine.UpstreamLeaving(a.now, e.Upstream, 0)
 			a.feed.urgent = true
 		}
 	}
 }
 
-// takePeerEvidence applies an observation about another instance's entry.
-func (a *Agent) takePeerEvidence(at time.Time, e feed.Evidence) {
+// applyPeerEvidence applies an observation about another instance's entry.
+func (a *Agent) applyPeerEvidence(at time.Time, e feed.Evidence) {
 	switch e.Kind {
 	case feed.EvidenceSucceeded:
 		a.machine.PeerAnswered(a.now, at, e.Peer)
--- a/agent/fleet_test.go
+++ b/agent/fleet_test.go
@@ -35,18 +35,18 @@
 // fleet is a set of agents in a synctest bubble, with simulations of all
 // processes around them.
 type fleet struct {
-	t        *testing.T
-	net      *network
-	platform *standin.Platform
-	engines  map[ident.UpstreamID]*engine.Engine
-	nodes    map[ident.InstanceID]*node
-	listed   []configservice.Instance
-	ups      []configservice.Upstream
-	head     *bundle.Head
-	sequence uint64
-	closers  []func()
-	// slowLists is the platform's delay of reads of its lists.
-	slowLists time.Duration
+	t         *testing.T
+	net       *network
+	platform  *standin.Platform
+	engines   map[ident.UpstreamID]*engine.Engine
+	nodes     map[ident.InstanceID]*node
+	listed    []configservice.Instance
+	upstreams []configservice.Upstream
+	head      *bundle.Head
+	sequence  uint64
+	closers   []func()
+	// listDelay is the platform's delay of reads of its lists.
+	listDelay time.Duration
 }
 
 // node is one instance: an agent and a simulated entry.
@@ -70,17 +70,17 @@
 			t: t, net: newNetwork(), platform: standin.New(standin.Config{}),
 			engines: map[ident.UpstreamID]*engine.Engine{}, nodes: map[ident.InstanceID]*node{},
 		}
-		f.serve(platformAddr, f.slowly(f.platform.Handler()))
+		f.serve(platformAddr, f.delayLists(f.platform.Handler()))
 		defer f.close()
 		test(f)
 	})
 }
 
-// slowly delays reads of the lists.
-func (f *fleet) slowly(h http.Handler) http.Handler {
+// delayLists wraps a handler to delay reads of the lists.
+func (f *fleet) delayLists(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, configservice.KeyInstances) || strings.HasSuffix(r.URL.Path, configservice.KeyUpstreams) {
-			time.Sleep(f.slowLists)
+			time.Sleep(f.listDelay)
 		}
 		h.ServeHTTP(w, r)
 	})
@@ -115,11 +115,11 @@
 
 // addEngine starts a simulated engine and lists it.
 func (f *fleet) addEngine(id ident.UpstreamID, zone ident.Zone, role config.Role) *engine.Engine {
-	addr := fmt.Sprintf("10.0.1.%d:8000", len(f.ups)+1)
+	addr := fmt.Sprintf("10.0.1.%d:8000", len(f.upstreams)+1)
 	e := engine.New(engine.Config{
 		ID: id, Role: role, Models: []string{"reader"}, Version: "1", Address: addr,
 		ChecksFencing: role == config.RolePrefill, LoadWeights: 2 * time.Second,
-		Client: &http.Client{Transport: &http.Transport{DialContext: from{f.net, host(addr)}.DialContext, DisableKeepAlives: true}},
+		Client: &http.Client{Transport: &http.Transport{DialContext: hostDialer{f.net, host(addr)}.DialContext, DisableKeepAlives: true}},
 		Perf: perf.Params{
 			Slots: 20, Pieces: 2000, PieceTokens: 100, PrefillTokensPerSecond: 200_000, PrefillChunk: 500,
 			KVBytesPerToken: 1000, LinkBytesPerSecond: 1e9, DecodeStep: 20 * time.Millisecond,
@@ -129,14 +129,14 @@
 	f.engines[id] = e
 	f.serve(addr, e.Handler())
 	f.closers = append(f.closers, e.Close)
-	f.ups = append(f.ups, configservice.Upstream{ID: id, Zone: zone, Address: addr, Role: role, Models: []string{"reader"}, State: configservice.StateLive})
+	f.upstreams = append(f.upstreams, configservice.Upstream{ID: id, Zone: zone, Address: addr, Role: role, Models: []string{"reader"}, State: configservice.StateLive})
 	return e
 }
 
 // list publishes the lists of instances and upstreams.
 func (f *fleet) list() {
 	f.put(configservice.KeyInstances, configservice.Instances{Instances: f.listed})
-	f.put(configservice.KeyUpstreams, configservice.Upstreams{Upstreams: f.ups})
+	f.put(configservice.KeyUpstreams, configservice.Upstreams{Upstreams: f.upstreams})
 }
 
 // put publishes a value as JSON.
@@ -174,15 +174,15 @@
 	}
 }
 
-// startFleet lists and starts n instances in each of the zones, and waits until the
-// first bundle is in force on all of them.
+// startFleet lists and starts n instances in each of the zones, and waits until
+// the first bundle is in force on all of them.
 func (f *fleet) startFleet(n int, zones ...ident.Zone) []*node {
 	f.t.Helper()
 	nodes := f.addAll(n, zones...)
 	f.list()
 	f.publish(nil)
 	startAll(nodes)
-	f.within(8*time.Second, "version 1 in force", allAt(nodes, 1))
+	f.within(8*time.Second, "version 1 in force", versionInForce(nodes, 1))
 	return nodes
 }
 
@@ -209,7 +209,7 @@
 	assert.NilError(t, err)
 	s.Entry.Feed = n.host + ":9200"
 	log := slog.New(slog.NewTextHandler(testLog{t, string(n.id)}, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	n.agent, err = New(s, Options{Log: log, Seed: uint64(len(n.fleet.nodes)), Dialer: from{n.fleet.net, n.host}, Listen: n.fleet.net.listen})
+	n.agent, err = New(s, Options{Log: log, Seed: uint64(len(n.fleet.nodes)), Dialer: hostDialer{n.fleet.net, n.host}, Listen: n.fleet.net.listen})
 	assert.NilError(t, err)
 	assert.NilError(t, n.agent.Listen())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -262,8 +262,9 @@
 	return 0
 }
 
-// allAt reports whether a version is in force on all nodes and their entries.
-func allAt(nodes []*node, version uint64) func() bool {
+// versionInForce returns a condition that holds if a version is in force on all
+// nodes and their entries.
+func versionInForce(nodes []*node, version uint64) func() bool {
 	return func() bool {
 		for _, n := range nodes {
 			if n.version() != version || n.entry.version() != version {
--- a/agent/heartbeats.go
+++ b/agent/heartbeats.go
@@ -21,12 +21,12 @@
 	peerFrame = 2 << 20
 	// peerBackoff limits the delay between attempts to connect to one address.
 	peerBackoff = time.Second
-	// spreadGap is the minimum time between two exchanges with one partner that
+	// minNewsGap is the minimum time between two exchanges with one partner that
 	// only serve to propagate news.
-	spreadGap = 100 * time.Millisecond
-	// spreadJitter limits the random delay before news received from a peer is
+	minNewsGap = 100 * time.Millisecond
+	// newsJitter limits the random delay before news received from a peer is
 	// propagated: most partners have it by then and need no exchange.
-	spreadJitter = 300 * time.Millisecond
+	newsJitter = 300 * time.Millisecond
 	// partnerIntervals is the number of heartbeat intervals without an exchange
 	// after which an instance no longer counts as a partner.
 	partnerIntervals = 4
@@ -34,17 +34,17 @@
 
 // partner is an instance with which heartbeats are exchanged.
 type partner struct {
-	// mark is the fingerprint of the partner's news in its last heartbeat.
-	mark uint64
-	// at is the time of the last exchange, sentAt that of the last exchange
+	// newsMark is the fingerprint of the partner's news in its last heartbeat.
+	newsMark uint64
+	// lastAt is the time of the last exchange, sentAt that of the last exchange
 	// started by this instance.
-	at     time.Time
+	lastAt time.Time
 	sentAt time.Time
 	// busy is set while an exchange started by this instance is in progress.
 	busy bool
-	// spreadAt is when news is due to be sent to the partner, the zero time if
+	// newsDueAt is when news is due to be sent to the partner, the zero time if
 	// there is none.
-	spreadAt time.Time
+	newsDueAt time.Time
 }
 
 // partnerOf returns the state of a partner, creating it if there is none.
@@ -63,50 +63,50 @@
 	s := a.ledger.Summary()
 	return wire.News{
 		RollSequence: s.RollSequence, RollDigest: s.RollDigest, Newest: s.Newest,
-		Instances: a.book.lists.instances.index, Upstreams: a.book.lists.upstreams.index,
+		Instances: a.directory.lists.instances.index, Upstreams: a.directory.lists.upstreams.index,
 	}
 }
 
-// compose returns the heartbeat to send to a peer.
-func (a *Agent) compose(to ident.InstanceID) wire.Heartbeat {
+// composeHeartbeat returns the heartbeat to send to a peer.
+func (a *Agent) composeHeartbeat(to ident.InstanceID) wire.Heartbeat {
 	n := a.news()
 	hb := wire.Heartbeat{Heartbeat: a.machine.Heartbeat(a.now, to), Mark: n.Mark()}
 	if ref, _, ok := a.ledger.InForce(); ok {
 		hb.Version = ref.Version
 	}
-	if a.partnerOf(to).mark != hb.Mark {
+	if a.partnerOf(to).newsMark != hb.Mark {
 		hb.News = &n
 	}
-	if !a.source.seen.IsZero() {
-		hb.PlatformAge = int(a.now.Sub(a.source.seen)/time.Second) + 1
+	if !a.platform.lastSeen.IsZero() {
+		hb.PlatformAge = int(a.now.Sub(a.platform.lastSeen)/time.Second) + 1
 	}
 	return hb
 }
 
-// sendDue sends the heartbeats, probes and news that are due.
-func (a *Agent) sendDue() {
+// sendHeartbeats sends the heartbeats, probes and news that are due.
+func (a *Agent) sendHeartbeats() {
 	if !a.machine.NextDue(a.now).After(a.now) {
 		for _, d := range a.machine.Due(a.now) {
 			if d.Kind == membership.DueProbe {
-				a.probe(d.To)
+				a.probeEntry(d.To)
 				continue
 			}
-			a.exchange(d.To)
+			a.startExchange(d.To)
 		}
 	}
 	a.sendNews()
 }
 
-// spreadNews schedules news for all partners: immediately if it came from the
+// scheduleNews schedules news for all partners: immediately if it came from the
 // platform, with jitter if a peer relayed it.
-func (a *Agent) spreadNews(relayed bool) {
+func (a *Agent) scheduleNews(relayed bool) {
 	at := a.now
 	if relayed {
-		at = at.Add(a.random.N(spreadJitter))
+		at = at.Add(a.random.N(newsJitter))
 	}
 	for _, p := range a.partners {
-		if p.spreadAt.IsZero() || at.Before(p.spreadAt) {
-			p.spreadAt = at
+		if p.newsDueAt.IsZero() || at.Before(p.newsDueAt) {
+			p.newsDueAt = at
 		}
 	}
 }
@@ -116,23 +116,23 @@
 	limit := a.now.Add(-partnerIntervals * a.machine.Interval())
 	mark := uint64(0)
 	for id, p := range a.partners {
-		if p.spreadAt.IsZero() || a.now.Before(p.spreadAt) || a.now.Sub(p.sentAt) < spreadGap {
+		if p.newsDueAt.IsZero() || a.now.Before(p.newsDueAt) || a.now.Sub(p.sentAt) < minNewsGap {
 			continue
 		}
 		if mark == 0 {
 			n := a.news()
 			mark = n.Mark()
 		}
-		p.spreadAt = time.Time{}
-		if p.mark != mark && p.at.After(limit) {
-			a.exchange(id)
+		p.newsDueAt = time.Time{}
+		if p.newsMark != mark && p.lastAt.After(limit) {
+			a.startExchange(id)
 		}
 	}
 }
 
-// exchange starts a heartbeat exchange with an instance.
-func (a *Agent) exchange(to ident.InstanceID) {
-	address := a.book.instances[to].agent
+// startExchange starts a heartbeat exchange with an instance.
+func (a *Agent) startExchange(to ident.InstanceID) {
+	address := a.directory.instances[to].agent
 	if address == "" {
 		return
 	}
@@ -141,8 +141,8 @@
 		return
 	}
 	p.busy, p.sentAt = true, a.now
-	hb := a.compose(to)
-	begun := a.now
+	hb := a.composeHeartbeat(to)
+	started := a.now
 	a.counters.Heartbeats++
 	a.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
@@ -150,85 +150,86 @@
 		answer, err := peer.Call[wire.Heartbeat](ctx, a.peers, address, wire.MethodHeartbeat, hb, peer.Expect(to, 0))
 		a.post(func() {
 			p.busy = false
-			a.exchanged(to, begun, answer, err)
+			a.handleExchange(to, started, answer, err)
 		})
 	})
 }
 
-// exchanged handles the result of a heartbeat exchange.
-func (a *Agent) exchanged(to ident.InstanceID, begun time.Time, answer wire.Heartbeat, err error) {
+// handleExchange handles the result of a heartbeat exchange.
+func (a *Agent) handleExchange(to ident.InstanceID, started time.Time, answer wire.Heartbeat, err error) {
 	if err != nil {
 		a.counters.HeartbeatsFailed++
-		a.peerFailed(to, begun, membership.ProcessAgent, err)
+		a.peerFailed(to, started, membership.ProcessAgent, err)
 		return
 	}
-	if err := a.machine.Answered(a.now, begun, to, answer.Heartbeat); err != nil {
-		a.badHeartbeat(to, err)
+	if err := a.machine.Answered(a.now, started, to, answer.Heartbeat); err != nil {
+		a.rejectHeartbeat(to, err)
 		return
 	}
-	a.hear(to, begun, &answer)
+	a.applyHeartbeat(to, started, &answer)
 }
 
-// receive handles a peer's heartbeat and returns the reply.
-func (a *Agent) receive(from ident.InstanceID, hb wire.Heartbeat) (wire.Heartbeat, error) {
+// handleHeartbeat handles a peer's heartbeat and returns the reply.
+func (a *Agent) handleHeartbeat(from ident.InstanceID, hb wire.Heartbeat) (wire.Heartbeat, error) {
 	a.counters.HeartbeatsTaken++
 	answer, err := a.machine.Receive(a.now, from, hb.Heartbeat)
 	if err != nil {
-		a.badHeartbeat(from, err)
+		a.rejectHeartbeat(from, err)
 		return wire.Heartbeat{}, peer.Refuse(&peer.NotAllowedError{Instance: from})
 	}
 	// The time at which the peer sent the heartbeat is not known.
-	a.hear(from, time.Time{}, &hb)
-	out := a.compose(from)
+	a.applyHeartbeat(from, time.Time{}, &hb)
+	out := a.composeHeartbeat(from)
 	out.Heartbeat = answer
 	return out, nil
 }
 
-// badHeartbeat counts and logs a rejected heartbeat.
-func (a *Agent) badHeartbeat(from ident.InstanceID, err error) {
+// rejectHeartbeat counts and logs a rejected heartbeat.
+func (a *Agent) rejectHeartbeat(from ident.InstanceID, err error) {
 	a.counters.Refused++
 	a.log.Debug("heartbeat rejected", "from", from, "error", err)
 }
 
-// hear applies the fields that agents add to membership heartbeats. begun is a
-// time after which the heartbeat was composed, zero if none is known.
-func (a *Agent) hear(from ident.InstanceID, begun time.Time, hb *wire.Heartbeat) {
+// applyHeartbeat applies the fields that agents add to membership heartbeats.
+// started is a time after which the heartbeat was composed, zero if none is
+// known.
+func (a *Agent) applyHeartbeat(from ident.InstanceID, started time.Time, hb *wire.Heartbeat) {
 	p := a.partnerOf(from)
-	p.mark, p.at = hb.Mark, a.now
+	p.newsMark, p.lastAt = hb.Mark, a.now
 	if hb.PlatformAge > 0 {
 		seen := a.now.Add(-time.Duration(hb.PlatformAge) * time.Second)
-		if seen.After(a.source.seen) {
-			a.source.seen = seen
+		if seen.After(a.platform.lastSeen) {
+			a.platform.lastSeen = seen
 		}
 	}
-	if hb.Version > 0 && !begun.IsZero() {
-		a.orderPlanner.PeerInForce(begun, from, hb.Version)
+	if hb.Version > 0 && !started.IsZero() {
+		a.orderPlanner.PeerInForce(started, from, hb.Version)
 	}
 	if hb.News != nil {
-		a.step(ledger.Announced{From: peerSource(from), Summary: hb.News.Summary()})
+		a.stepLedger(ledger.Announced{From: peerSource(from), Summary: hb.News.Summary()})
 		a.fetchLists(from, hb.News)
 	}
 	a.viewDirty = true
 }
 
-// probe checks whether the entry of an instance responds.
-func (a *Agent) probe(to ident.InstanceID) {
-	address := a.book.instances[to].entry
+// probeEntry checks whether the entry of an instance responds.
+func (a *Agent) probeEntry(to ident.InstanceID) {
+	address := a.directory.instances[to].entry
 	if address == "" {
 		return
 	}
 	a.counters.Probes++
-	begun := a.now
+	started := a.now
 	a.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 		_, err := peer.Call[wire.Nothing](ctx, a.peers, address, wire.MethodProbe, wire.Nothing{}, peer.Expect(to, 0))
 		a.post(func() {
 			if probeAnswered(err) {
-				a.machine.PeerAnswered(a.now, begun, to)
+				a.machine.PeerAnswered(a.now, started, to)
 				return
 			}
-			a.peerFailed(to, begun, membership.ProcessEntry, err)
+			a.peerFailed(to, started, membership.ProcessEntry, err)
 		})
 	})
 }
@@ -238,15 +239,15 @@
 // responses too.
 func probeAnswered(err error) bool {
 	var unknown *peer.MethodError
-	var stranger *peer.NotAllowedError
+	var notAllowed *peer.NotAllowedError
 	var stopping *peer.StoppingError
-	return err == nil || errors.As(err, &unknown) || errors.As(err, &stranger) || errors.As(err, &stopping)
+	return err == nil || errors.As(err, &unknown) || errors.As(err, &notAllowed) || errors.As(err, &stopping)
 }
 
 // peerFailed handles a failed call to a process of an instance.
-func (a *Agent) peerFailed(to ident.InstanceID, begun time.Time, p membership.Process, err error) {
+func (a *Agent) peerFailed(to ident.InstanceID, started time.Time, p membership.Process, err error) {
 	if kind, ok := failKind(err); ok {
-		a.machine.PeerFailed(a.now, begun, to, p, kind)
+		a.machine.PeerFailed(a.now, started, to, p, kind)
 		a.viewDirty = true
 	}
 }
@@ -256,10 +257,10 @@
 func failKind(err error) (membership.FailKind, bool) {
 	var waiting *peer.BackoffError
 	var dial *peer.DialError
-	var stranger *peer.NotAllowedError
+	var notAllowed *peer.NotAllowedError
 	var busy *peer.BusyError
 	switch {
-	case errors.As(err, &waiting), errors.As(err, &busy), errors.As(err, &stranger):
+	case errors.As(err, &waiting), errors.As(err, &busy), errors.As(err, &notAllowed):
 		return 0, false
 	case errors.As(err, &dial) && dial.Kind == peer.DialRefused:
 		return membership.FailRefused, true
@@ -270,6 +271,6 @@
 	}
 }
 
-// answersPeers reports whether an instance is presumed alive, so that calls to it
-// are worthwhile.
-func answersPeers(in membership.Instance) bool { return in.State <= membership.Suspect }
+// presumedAlive reports whether an instance is presumed alive, so that calls to
+// it are worthwhile.
+func presumedAlive(in membership.Instance) bool { return in.State <= membership.Suspect }
--- a/agent/leftovers.go
+++ b/agent/leftovers.go
@@ -8,9 +8,9 @@
 	"github.com/wardspool/wardspool/leftover"
 )
 
-// heldState is the loop's state of releasing leftovers, attempts that dead
+// leftoverState is the loop's state of releasing leftovers, attempts that dead
 // instances left on engines.
-type heldState struct {
+type leftoverState struct {
 	// reading holds the engines whose lists of attempts are being read.
 	reading map[ident.UpstreamID]bool
 }
@@ -18,11 +18,11 @@
 // runLeftovers reads the engines' lists of attempts and repeats the releases that
 // are due.
 func (a *Agent) runLeftovers() {
-	wake, ok := a.leftovers.NextWake()
+	wake, ok := a.leftoverPlanner.NextWake()
 	if !ok || a.now.Before(wake) {
 		return
 	}
-	plan := a.leftovers.Tick(a.now)
+	plan := a.leftoverPlanner.Tick(a.now)
 	for _, r := range plan.Reads {
 		a.readHeld(r.Upstream)
 	}
@@ -31,25 +31,25 @@
 
 // readHeld reads the list of attempts that an engine holds.
 func (a *Agent) readHeld(id ident.UpstreamID) {
-	if a.held.reading[id] {
+	if a.leftoverReads.reading[id] {
 		return
 	}
-	if a.held.reading == nil {
-		a.held.reading = map[ident.UpstreamID]bool{}
+	if a.leftoverReads.reading == nil {
+		a.leftoverReads.reading = map[ident.UpstreamID]bool{}
 	}
-	a.held.reading[id] = true
+	a.leftoverReads.reading[id] = true
 	a.counters.HeldReads++
-	address := a.book.upstreams[id].Address
+	address := a.directory.upstreams[id].Address
 	a.spawn(func(ctx context.Context) {
 		attempts, err := a.engines.Held(ctx, address)
 		a.post(func() {
-			delete(a.held.reading, id)
+			delete(a.leftoverReads.reading, id)
 			if err != nil {
 				a.counters.HeldReadsFailed++
-				a.leftovers.ReadFailed(a.now, id)
+				a.leftoverPlanner.ReadFailed(a.now, id)
 				return
 			}
-			a.release(a.leftovers.Held(a.now, id, attempts))
+			a.release(a.leftoverPlanner.Held(a.now, id, attempts))
 		})
 	})
 }
@@ -66,7 +66,7 @@
 
 // sendRelease sends one release. The planner repeats it until it is acknowledged.
 func (a *Agent) sendRelease(r leftover.Release) {
-	address := a.book.upstreams[r.Upstream].Address
+	address := a.directory.upstreams[r.Upstream].Address
 	a.spawn(func(ctx context.Context) {
 		released, err := a.engines.Abort(ctx, address, r.Attempt.String())
 		a.post(func() {
@@ -75,7 +75,7 @@
 				return
 			}
 			a.counters.Released++
-			a.leftovers.Released(r.Upstream, r.Attempt)
+			a.leftoverPlanner.Released(r.Upstream, r.Attempt)
 			a.log.Info("leftover released", "upstream", r.Upstream, "attempt", r.Attempt.String(),
 				"was_held", released, "age", a.now.Sub(r.Attempt.Deadline).Round(time.Millisecond).String())
 		})
--- a/agent/lists.go
+++ b/agent/lists.go
@@ -19,9 +19,9 @@
 // form in which it is relayed to peers.
 type list struct {
 	index uint64
-	// begun is when the read of the list from the platform started.
-	begun time.Time
-	gzip  []byte
+	// readStartedAt is when the read of the list from the platform started.
+	readStartedAt time.Time
+	gzip          []byte
 }
 
 // lists holds the platform's lists.
@@ -40,51 +40,51 @@
 	return &l.upstreams
 }
 
-// takeListBytes applies a list read from the platform.
-func (a *Agent) takeListBytes(key string, begun time.Time, index uint64, doc []byte) {
-	if l := a.book.lists.of(key); index < l.index {
+// applyPlatformList applies a list read from the platform.
+func (a *Agent) applyPlatformList(key string, started time.Time, index uint64, doc []byte) {
+	if l := a.directory.lists.of(key); index < l.index {
 		return
 	} else if index == l.index {
-		l.begun = begun
-		a.machine.Confirmed(a.now, begun)
+		l.readStartedAt = started
+		a.machine.Confirmed(a.now, started)
 		return
 	}
-	if !a.takeList(key, begun, index, doc) {
+	if !a.applyList(key, started, index, doc) {
 		return
 	}
-	a.keepList(key, list{index: index, begun: begun, gzip: compress(doc)}, false)
+	a.storeList(key, list{index: index, readStartedAt: started, gzip: compress(doc)}, false)
 }
 
-// keepList stores a list for relaying and notifies the peers.
-func (a *Agent) keepList(key string, l list, relayed bool) {
-	*a.book.lists.of(key) = l
-	a.source.indexes[key] = max(a.source.indexes[key], l.index)
+// storeList stores a list for relaying and notifies the peers.
+func (a *Agent) storeList(key string, l list, relayed bool) {
+	*a.directory.lists.of(key) = l
+	a.platform.indexes[key] = max(a.platform.indexes[key], l.index)
 	a.refreshView()
 	a.updateRoster()
-	a.spreadNews(relayed)
+	a.scheduleNews(relayed)
 }
 
-// takeList decodes a list and passes it to the membership machine. It returns
+// applyList decodes a list and passes it to the membership machine. It returns
 // false if the document is malformed or outdated.
-func (a *Agent) takeList(key string, begun time.Time, index uint64, doc []byte) bool {
+func (a *Agent) applyList(key string, started time.Time, index uint64, doc []byte) bool {
 	if key == configservice.KeyInstances {
-		return a.takeInstances(begun, index, doc)
+		return a.applyInstances(started, index, doc)
 	}
-	return a.takeUpstreams(begun, index, doc)
+	return a.applyUpstreams(started, index, doc)
 }
 
-// badList counts and logs a malformed list; the previous one stays in use.
-func (a *Agent) badList(key string, index uint64, err error) bool {
+// rejectList counts and logs a malformed list; the previous one stays in use.
+func (a *Agent) rejectList(key string, index uint64, err error) bool {
 	a.counters.Refused++
 	a.log.Warn("list rejected", "key", key, "index", index, "error", err)
 	return false
 }
 
-// takeInstances applies the list of instances.
-func (a *Agent) takeInstances(begun time.Time, index uint64, doc []byte) bool {
+// applyInstances applies the list of instances.
+func (a *Agent) applyInstances(started time.Time, index uint64, doc []byte) bool {
 	var l configservice.Instances
 	if err := json.Unmarshal(doc, &l); err != nil {
-		return a.badList(configservice.KeyInstances, index, err)
+		return a.rejectList(configservice.KeyInstances, index, err)
 	}
 	listed := make([]membership.ListedInstance, len(l.Instances))
 	for i, x := range l.Instances {
@@ -92,11 +92,11 @@
 			ID: x.ID, Zone: x.Zone, Address: x.AgentAddress, Leaving: x.State == configservice.StateLeaving,
 		}
 	}
-	if !a.machine.Instances(a.now, begun, index, listed) {
+	if !a.machine.Instances(a.now, started, index, listed) {
 		return false
 	}
-	before := a.book.instances
-	a.book.list(&l)
+	before := a.directory.instances
+	a.directory.setInstances(&l)
 	a.publishKnown()
 	a.forgetInstances(before)
 	return true
@@ -104,9 +104,9 @@
 
 // forgetInstances drops the state of instances that are no longer known, and the
 // connections to addresses no longer in use.
-func (a *Agent) forgetInstances(before map[ident.InstanceID]place) {
+func (a *Agent) forgetInstances(before map[ident.InstanceID]instanceAddresses) {
 	for id, old := range before {
-		now, known := a.book.instances[id]
+		now, known := a.directory.instances[id]
 		if !known {
 			delete(a.partners, id)
 		}
@@ -125,11 +125,11 @@
 	a.spawn(func(context.Context) { a.peers.Forget(address) })
 }
 
-// takeUpstreams applies the list of upstreams.
-func (a *Agent) takeUpstreams(begun time.Time, index uint64, doc []byte) bool {
+// applyUpstreams applies the list of upstreams.
+func (a *Agent) applyUpstreams(started time.Time, index uint64, doc []byte) bool {
 	var l configservice.Upstreams
 	if err := json.Unmarshal(doc, &l); err != nil {
-		return a.badList(configservice.KeyUpstreams, index, err)
+		return a.rejectList(configservice.KeyUpstreams, index, err)
 	}
 	listed := make([]membership.ListedUpstream, len(l.Upstreams))
 	for i, x := range l.Upstreams {
@@ -138,13 +138,13 @@
 			Incarnation: x.Incarnation, Leaving: x.State == configservice.StateLeaving,
 		}
 	}
-	if !a.machine.Upstreams(a.now, begun, index, listed) {
+	if !a.machine.Upstreams(a.now, started, index, listed) {
 		return false
 	}
-	a.book.listUpstreams(&l)
-	for id := range a.feed.lives {
-		if _, listed := a.book.upstreams[id]; !listed {
-			delete(a.feed.lives, id)
+	a.directory.setUpstreams(&l)
+	for id := range a.feed.incarnations {
+		if _, listed := a.directory.upstreams[id]; !listed {
+			delete(a.feed.incarnations, id)
 		}
 	}
 	return true
@@ -181,10 +181,10 @@
 // request.
 func (a *Agent) newerLists(r wire.ListsRequest) wire.Lists {
 	var out wire.Lists
-	if l := &a.book.lists.instances; l.index > r.Instances {
+	if l := &a.directory.lists.instances; l.index > r.Instances {
 		out.Instances = a.wireList(l)
 	}
-	if l := &a.book.lists.upstreams; l.index > r.Upstreams {
+	if l := &a.directory.lists.upstreams; l.index > r.Upstreams {
 		out.Upstreams = a.wireList(l)
 	}
 	return out
@@ -192,22 +192,22 @@
 
 // wireList returns a list in its wire form.
 func (a *Agent) wireList(l *list) *wire.List {
-	return &wire.List{Index: l.index, AgeMS: a.now.Sub(l.begun).Milliseconds(), Gzip: l.gzip}
+	return &wire.List{Index: l.index, AgeMS: a.now.Sub(l.readStartedAt).Milliseconds(), Gzip: l.gzip}
 }
 
 // fetchLists fetches the lists from a peer that has newer ones.
 func (a *Agent) fetchLists(from ident.InstanceID, n *wire.News) {
-	have := &a.book.lists
+	have := &a.directory.lists
 	if have.fetching || n.Instances <= have.instances.index && n.Upstreams <= have.upstreams.index {
 		return
 	}
-	address := a.book.instances[from].agent
+	address := a.directory.instances[from].agent
 	if address == "" {
 		return
 	}
 	have.fetching = true
 	req := wire.ListsRequest{Instances: have.instances.index, Upstreams: have.upstreams.index}
-	begun := a.now
+	started := a.now
 	a.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 		defer cancel()
@@ -218,25 +218,25 @@
 				a.log.Debug("cannot fetch lists", "from", from, "error", err)
 				return
 			}
-			a.relayedList(configservice.KeyInstances, begun, got.Instances)
-			a.relayedList(configservice.KeyUpstreams, begun, got.Upstreams)
+			a.applyRelayedList(configservice.KeyInstances, started, got.Instances)
+			a.applyRelayedList(configservice.KeyUpstreams, started, got.Upstreams)
 		})
 	})
 }
 
-// relayedList applies a list received from a peer.
-func (a *Agent) relayedList(key string, begun time.Time, l *wire.List) {
-	if l == nil || l.Index <= a.book.lists.of(key).index {
+// applyRelayedList applies a list received from a peer.
+func (a *Agent) applyRelayedList(key string, started time.Time, l *wire.List) {
+	if l == nil || l.Index <= a.directory.lists.of(key).index {
 		return
 	}
 	doc, err := decompress(key, l.Gzip)
 	if err != nil {
-		a.badList(key, l.Index, err)
+		a.rejectList(key, l.Index, err)
 		return
 	}
-	read := begun.Add(-time.Duration(max(l.AgeMS, 0)) * time.Millisecond)
-	if a.takeList(key, read, l.Index, doc) {
+	read := started.Add(-time.Duration(max(l.AgeMS, 0)) * time.Millisecond)
+	if a.applyList(key, read, l.Index, doc) {
 		a.counters.ListsFetched++
-		a.keepList(key, list{index: l.Index, begun: read, gzip: l.Gzip}, true)
+		a.storeList(key, list{index: l.Index, readStartedAt: read, gzip: l.Gzip}, true)
 	}
 }
--- a/agent/loads.go
+++ b/agent/loads.go
@@ -13,15 +13,15 @@
 // Limits of reading upstreams' state.
 const (
 	upstreamTimeout = 2 * time.Second
-	// doubtMin and doubtMax limit the time between attempts to reach an upstream
+	// retryMin and retryMax limit the time between attempts to reach an upstream
 	// that is not considered alive; it doubles with each attempt. Instances that
 	// gather the upstream's load for their zone use the shorter limits
-	// gatherDoubtMin and gatherDoubtMax, since the others learn from them that it
+	// gatherRetryMin and gatherRetryMax, since the others learn from them that it
 	// has recovered.
-	doubtMin       = 2 * time.Second
-	doubtMax       = 30 * time.Second
-	gatherDoubtMin = 500 * time.Millisecond
-	gatherDoubtMax = 2 * time.Second
+	retryMin       = 2 * time.Second
+	retryMax       = 30 * time.Second
+	gatherRetryMin = 500 * time.Millisecond
+	gatherRetryMax = 2 * time.Second
 	// assumedPollBytes is the assumed cost of a read until enough reads were
 	// measured.
 	assumedPollBytes = 900
@@ -41,49 +41,49 @@
 	gathered int
 	// specs are the upstreams that the bundle in force declares, by ID.
 	specs map[ident.UpstreamID]*config.Upstream
-	// lives are the upstreams' incarnations as of the last view.
-	lives map[ident.UpstreamID]life
+	// incarnations are the upstreams' known incarnations as of the last view.
+	incarnations map[ident.UpstreamID]knownIncarnation
 }
 
 // poll is the state of reading one upstream.
 type poll struct {
 	nextAt time.Time
-	// begunAt is the start time of the last read.
-	begunAt time.Time
-	busy    bool
+	// lastReadAt is when the last read was started.
+	lastReadAt time.Time
+	busy       bool
 	// gathers is set if this instance reads the upstream for its zone. Otherwise
 	// it reads the upstream because it doubts that the upstream is alive.
 	gathers bool
-	doubt   time.Duration
+	backoff time.Duration
 }
 
-// life records when an incarnation of an upstream was first seen by this
-// instance.
-type life struct {
+// knownIncarnation records when an incarnation of an upstream was first seen by
+// this instance.
+type knownIncarnation struct {
 	incarnation ident.Incarnation
 	since       time.Time
 }
 
-// noteLives records new incarnations of upstreams.
-func (a *Agent) noteLives() {
-	old := a.loads.lives
-	lives := make(map[ident.UpstreamID]life, len(a.view.Upstreams))
+// recordIncarnations records new incarnations of upstreams.
+func (a *Agent) recordIncarnations() {
+	old := a.loads.incarnations
+	lives := make(map[ident.UpstreamID]knownIncarnation, len(a.view.Upstreams))
 	for i := range a.view.Upstreams {
 		u := &a.view.Upstreams[i]
 		l, ok := old[u.ID]
 		if !ok || l.incarnation != u.Incarnation {
-			l = life{incarnation: u.Incarnation, since: a.now}
+			l = knownIncarnation{incarnation: u.Incarnation, since: a.now}
 		}
 		lives[u.ID] = l
 	}
-	a.loads.lives = lives
+	a.loads.incarnations = lives
 }
 
-// sameLife reports whether an observation of an upstream at the given time
+// sameIncarnation reports whether an observation of an upstream at the given time
 // concerns the incarnation that is known now. Evidence from live traffic does not
 // name the incarnation.
-func (a *Agent) sameLife(at time.Time, id ident.UpstreamID) bool {
-	l, ok := a.loads.lives[id]
+func (a *Agent) sameIncarnation(at time.Time, id ident.UpstreamID) bool {
+	l, ok := a.loads.incarnations[id]
 	return ok && at.After(l.since)
 }
 
@@ -96,7 +96,7 @@
 	gathers := a.machine.Gathers(a.now)
 	next := make(map[ident.UpstreamID]*poll, len(gathers))
 	for _, id := range gathers {
-		if _, listed := a.book.upstreams[id]; !listed {
+		if _, listed := a.directory.upstreams[id]; !listed {
 			continue
 		}
 		p := a.pollOf(id)
@@ -128,16 +128,16 @@
 // reads within the budget.
 func (a *Agent) loadInterval() time.Duration {
 	bytes := float64(assumedPollBytes)
-	if n := a.counters.LoadPolls - a.counters.LoadPollsFailed; n > assumedAfter {
+	if n := a.counters.LoadPolls - a.counters.LoadPollsFailed; n > minMeasuredPolls {
 		bytes = float64(a.engines.Meter().Total()) / float64(n)
 	}
 	seconds := bytes * float64(a.loads.gathered) / float64(a.settings.Loads.Budget)
 	return max(a.settings.Loads.Interval, time.Duration(seconds*float64(time.Second)))
 }
 
-// assumedAfter is the number of reads after which their measured cost replaces
-// the assumed one.
-const assumedAfter = 20
+// minMeasuredPolls is the number of reads after which their measured cost
+// replaces the assumed one.
+const minMeasuredPolls = 20
 
 // pollLoads reads the upstreams that are due.
 func (a *Agent) pollLoads() {
@@ -155,9 +155,9 @@
 // readLoad reads an upstream's state.
 func (a *Agent) readLoad(id ident.UpstreamID, p *poll) {
 	a.counters.LoadPolls++
-	address := a.book.upstreams[id].Address
-	begun := a.now
-	p.begunAt = begun
+	address := a.directory.upstreams[id].Address
+	started := a.now
+	p.lastReadAt = started
 	isEngine := a.isEngine(id)
 	a.spawn(func(ctx context.Context) {
 		var l engines.Load
@@ -171,13 +171,13 @@
 			p.busy = false
 			a.viewDirty = true
 			if !engines.Answered(err) {
-				a.loadFailed(id, begun, p, err)
+				a.loadFailed(id, started, p, err)
 				return
 			}
-			p.doubt = 0
-			a.machine.UpstreamAnswered(a.now, begun, id)
+			p.backoff = 0
+			a.machine.UpstreamAnswered(a.now, started, id)
 			if isEngine && err == nil {
-				a.machine.UpstreamReport(a.now, begun, id, report(l))
+				a.machine.UpstreamReport(a.now, started, id, report(l))
 			}
 		})
 	})
@@ -193,31 +193,31 @@
 }
 
 // loadFailed handles a read that got no response.
-func (a *Agent) loadFailed(id ident.UpstreamID, begun time.Time, p *poll, err error) {
+func (a *Agent) loadFailed(id ident.UpstreamID, started time.Time, p *poll, err error) {
 	a.counters.LoadPollsFailed++
 	a.log.Debug("cannot read upstream state", "upstream", id, "error", err)
 	kind := membership.FailTimeout
 	if engines.KindOf(err) == engines.FailRefused {
 		kind = membership.FailRefused
 	}
-	a.machine.UpstreamFailed(a.now, begun, id, kind)
-	least, most := doubtMin, doubtMax
+	a.machine.UpstreamFailed(a.now, started, id, kind)
+	minBackoff, maxBackoff := retryMin, retryMax
 	if p.gathers {
-		least, most = gatherDoubtMin, gatherDoubtMax
+		minBackoff, maxBackoff = gatherRetryMin, gatherRetryMax
 	}
-	p.doubt = min(max(2*p.doubt, least), most)
-	p.nextAt = a.now.Add(p.doubt)
+	p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
+	p.nextAt = a.now.Add(p.backoff)
 }
 
-// lookInto schedules an immediate read of an upstream's state, because a
+// pollNow schedules an immediate read of an upstream's state, because a
 // connection to it broke at the given time. An upstream that fails breaks many
 // streams at once, and live traffic notices that before the next read is due.
-func (a *Agent) lookInto(at time.Time, id ident.UpstreamID) {
-	if _, listed := a.book.upstreams[id]; !listed {
+func (a *Agent) pollNow(at time.Time, id ident.UpstreamID) {
+	if _, listed := a.directory.upstreams[id]; !listed {
 		return
 	}
 	p := a.pollOf(id)
-	if at.After(p.begunAt) {
+	if at.After(p.lastReadAt) {
 		p.nextAt = a.now
 	}
 	a.loads.polls[id] = p
--- a/agent/loop.go
+++ b/agent/loop.go
@@ -11,11 +11,11 @@
 
 // Timing of the loop.
 const (
-	// tick is the interval at which the loop checks for due work.
-	tick = 200 * time.Millisecond
+	// tickInterval is the interval at which the loop checks for due work.
+	tickInterval = 200 * time.Millisecond
 	// minPauseAfter is the smallest pause threshold; a lower one would report a
 	// busy machine as paused.
-	minPauseAfter = 3 * tick
+	minPauseAfter = 3 * tickInterval
 	// inboxSize limits the functions queued for the loop.
 	inboxSize = 256
 )
@@ -31,9 +31,9 @@
 	}
 }
 
-// ask runs f on the loop and returns its result. Errors are the context's and
-// *peer.StoppingError.
-func ask[T any](ctx context.Context, a *Agent, f func() T) (T, error) {
+// callLoop runs f on the loop and returns its result. Errors are the context's
+// and *peer.StoppingError.
+func callLoop[T any](ctx context.Context, a *Agent, f func() T) (T, error) {
 	var zero T
 	result := make(chan T, 1)
 	if !a.post(func() { result <- f() }) {
@@ -59,38 +59,38 @@
 func (a *Agent) run(ctx context.Context) {
 	defer close(a.stopped)
 	a.now = clock.Now()
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case f := <-a.inbox:
-			a.begin()
+			a.updateClock()
 			f()
 		case <-ticker.C:
-			a.begin()
-			a.due()
+			a.updateClock()
+			a.runPeriodic()
 		case <-ctx.Done():
 			return
 		}
-		a.follow()
+		a.sendPending()
 	}
 }
 
-// begin updates the loop's time and detects that the process did not run for a
-// while, before anything received meanwhile is handled.
-func (a *Agent) begin() {
+// updateClock updates the loop's time and detects that the process did not run
+// for a while, before anything received meanwhile is handled.
+func (a *Agent) updateClock() {
 	last := a.now
 	clock.Check()
 	a.now = clock.Now()
 	if gap := a.now.Sub(last); gap >= a.settings.PauseAfter {
-		a.paused(gap)
+		a.handlePause(gap)
 	}
 }
 
-// due does the periodic work whose time has come.
-func (a *Agent) due() {
-	if a.now.Sub(a.secondAt) >= time.Second {
-		a.secondAt = a.now
+// runPeriodic does the periodic work that is due.
+func (a *Agent) runPeriodic() {
+	if a.now.Sub(a.lastSecondAt) >= time.Second {
+		a.lastSecondAt = a.now
 		a.everySecond()
 	}
 	a.pollLoads()
@@ -103,11 +103,11 @@
 
 // everySecond does the periodic work that needs no finer resolution.
 func (a *Agent) everySecond() {
-	a.step(tickEvent)
+	a.stepLedger(tickEvent)
 	if a.rosterDue() {
 		a.updateRoster()
 	}
-	a.fallBack()
+	a.startFallback()
 	a.electReaders()
 	if a.now.Sub(a.loads.assignedAt) >= assignInterval {
 		a.assignLoads()
@@ -115,19 +115,19 @@
 	a.viewDirty = true
 }
 
-// follow sends what became due by the work just done.
-func (a *Agent) follow() {
-	a.sendDue()
+// sendPending sends what became due by the work just done.
+func (a *Agent) sendPending() {
+	a.sendHeartbeats()
 	a.feedEntry()
 }
 
-// paused handles a period in which the process did not run: its state may be out
-// of date until it is refreshed.
-func (a *Agent) paused(gap time.Duration) {
+// handlePause handles a period in which the process did not run: its state may be
+// out of date until it is refreshed.
+func (a *Agent) handlePause(gap time.Duration) {
 	a.log.Warn("process was paused", "gap", gap.String())
 	a.counters.Pauses++
 	a.machine.Paused(a.now, gap)
-	a.step(tickEvent)
+	a.stepLedger(tickEvent)
 	a.feed.pause = max(a.feed.pause, gap)
 	a.orderPlanner.Paused(a.now)
 	// The ledger requests the roll by itself.
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -88,7 +88,7 @@
 	fillFleet(scope, &s.Fleet)
 	fillCounters(scope, &s.Counters)
 	fillPlatform(scope, &s.Platform)
-	fillCosts(scope, s)
+	fillUsage(scope, s)
 }
 
 func fillBundle(scope tally.Scope, s *wire.Status) {
@@ -96,7 +96,7 @@
 	scope.Gauge("bundle_newest_version").Update(float64(s.Bundle.Newest))
 	scope.Gauge("bundle_missing_parts").Update(float64(s.Bundle.MissingParts))
 	scope.Gauge("bundle_roll_sequence").Update(float64(s.Bundle.RollSequence))
-	scope.Gauge("entry_answers").Update(truth(s.Entry.Answers))
+	scope.Gauge("entry_answers").Update(boolGauge(s.Entry.Answers))
 	scope.Gauge("entry_bundle_version").Update(float64(s.Entry.BundleVersion))
 	scope.Gauge("entry_in_flight").Update(float64(s.Entry.InFlight))
 	for _, alarm := range s.Alarms {
@@ -104,25 +104,25 @@
 	}
 }
 
-// lifeLabels are the labels of the instance and upstream counts.
-type lifeLabels struct{ zone, state string }
+// livenessLabels are the labels of the instance and upstream counts.
+type livenessLabels struct{ zone, state string }
 
 func fillFleet(scope tally.Scope, f *wire.FleetStatus) {
-	scope.Gauge("view_trusted").Update(truth(f.Trusted))
+	scope.Gauge("view_trusted").Update(boolGauge(f.Trusted))
 	scope.Gauge("heartbeat_partners").Update(float64(f.Partners))
-	instances, upstreams := map[lifeLabels]int{}, map[lifeLabels]int{}
+	instances, upstreams := map[livenessLabels]int{}, map[livenessLabels]int{}
 	for _, in := range f.Instances {
-		instances[lifeLabels{string(in.Zone), state(in.State, in.Leaving)}]++
+		instances[livenessLabels{string(in.Zone), stateLabel(in.State, in.Leaving)}]++
 	}
 	for _, u := range f.Upstreams {
-		upstreams[lifeLabels{string(u.Zone), state(u.State, u.Leaving)}]++
+		upstreams[livenessLabels{string(u.Zone), stateLabel(u.State, u.Leaving)}]++
 	}
-	fillLives(scope, "instances", instances)
-	fillLives(scope, "upstreams", upstreams)
+	fillProcesses(scope, "instances", instances)
+	fillProcesses(scope, "upstreams", upstreams)
 }
 
-func fillLives(scope tally.Scope, name string, numbers map[lifeLabels]int) {
-	for l, n := range numbers {
+func fillProcesses(scope tally.Scope, name string, counts map[livenessLabels]int) {
+	for l, n := range counts {
 		scope.Tagged(map[string]string{"zone": l.zone, "state": l.state}).Gauge(name).Update(float64(n))
 	}
 }
@@ -131,7 +131,7 @@
 // still respond or not.
 const stateLeaving = "leaving"
 
-func state(name string, leaving bool) string {
+func stateLabel(name string, leaving bool) string {
 	if leaving {
 		return stateLeaving
 	}
@@ -181,7 +181,7 @@
 	scope.Counter("platform_rate_limited").Inc(int64(p.RateLimited))
 }
 
-func fillCosts(scope tally.Scope, s *wire.Status) {
+func fillUsage(scope tally.Scope, s *wire.Status) {
 	fillTraffic(scope, "peers", s.Traffic.Peers)
 	fillTraffic(scope, "upstreams", s.Traffic.Upstreams)
 	fillTraffic(scope, "platform", s.Traffic.Platform)
@@ -197,8 +197,8 @@
 	tagged.Counter("bytes_received").Inc(int64(t.Received))
 }
 
-// truth returns 1 for true and 0 for false.
-func truth(v bool) float64 {
+// boolGauge returns 1 for true and 0 for false.
+func boolGauge(v bool) float64 {
 	if v {
 		return 1
 	}
--- a/agent/network_test.go
+++ b/agent/network_test.go
@@ -101,14 +101,14 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return memAddr(l.addr) }
 
-// from is a Dialer for connections from one host. It implements meter.Dialer.
-type from struct {
+// hostDialer opens connections from one host. It implements meter.Dialer.
+type hostDialer struct {
 	n    *network
 	host string
 }
 
 // DialContext opens a connection. Across a cut nothing responds.
-func (f from) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
+func (f hostDialer) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	f.n.mu.Lock()
 	l, cut := f.n.listeners[addr], f.n.cuts[[2]string{f.host, host(addr)}]
 	f.n.mu.Unlock()
--- a/agent/parts.go
+++ b/agent/parts.go
@@ -17,16 +17,16 @@
 const (
 	// fetchTimeout limits one fetch from a peer.
 	fetchTimeout = 5 * time.Second
-	// readBatch is the number of parts read from the platform concurrently,
+	// readBatchSize is the number of parts read from the platform concurrently,
 	// readPause the time between two batches. When a fleet starts, all its
 	// readers read a whole bundle, and must not use up the platform's rate limit.
-	readBatch = 8
-	readPause = 150 * time.Millisecond
+	readBatchSize = 8
+	readPause     = 150 * time.Millisecond
 	// hedgeAfter is the duration of a platform read after which a peer is queried
 	// as well.
 	hedgeAfter = 300 * time.Millisecond
-	// maxTried limits the peers that one fetch tries.
-	maxTried = 3
+	// maxPeersTried limits the peers that one fetch tries.
+	maxPeersTried = 3
 )
 
 // fetchParts fetches parts from a peer or the platform. The ledger names the
@@ -38,21 +38,21 @@
 // parts of a bundle take some hundred calls.
 func (a *Agent) fetchParts(f ledger.FetchParts) {
 	a.log.Debug("fetching parts", "from", f.From.String(), "parts", len(f.Digests))
-	first := a.firstPeer(f)
+	first := a.chooseFirstPeer(f)
 	a.relay.provider = ledger.Source{}
 	if !a.readsBundles() {
-		a.fetchPeerParts(first, nil, f.From == fromPlatform)
+		a.fetchPeerParts(first, nil, f.From == platformSource)
 		return
 	}
 	done := a.readParts(first)
 	a.spawn(func(ctx context.Context) { a.hedge(ctx, done, first) })
 }
 
-// firstPeer returns the fetch with the peer to query first: the one that last
-// provided parts, else the one that the ledger names, else one that reported the
-// floor to this starting instance.
-func (a *Agent) firstPeer(f ledger.FetchParts) ledger.FetchParts {
-	answered := a.relay.answered
+// chooseFirstPeer returns the fetch with the peer to query first: the one that
+// last provided parts, else the one that the ledger names, else one that reported
+// the floor to this starting instance.
+func (a *Agent) chooseFirstPeer(f ledger.FetchParts) ledger.FetchParts {
+	answered := a.relay.floorReporters
 	switch {
 	case a.relay.provider.Kind == ledger.SourcePeer:
 		f.From = a.relay.provider
@@ -65,8 +65,8 @@
 // readsBundles reports whether this instance watches a bundle key for its zone
 // and reaches the platform.
 func (a *Agent) readsBundles() bool {
-	w := a.source.watches
-	return a.source.answers && (w[configservice.KeyRoll] != nil || w[configservice.KeyBundleHead] != nil)
+	w := a.platform.watches
+	return a.platform.responding && (w[configservice.KeyRoll] != nil || w[configservice.KeyBundleHead] != nil)
 }
 
 // hedge queries a peer as well if a read of the platform takes long.
@@ -87,41 +87,42 @@
 	done := make(chan struct{})
 	a.spawn(func(ctx context.Context) {
 		defer close(done)
-		parts := a.readAll(ctx, f.Digests)
+		parts := a.readBatches(ctx, f.Digests)
 		a.post(func() {
 			if len(parts) == 0 && f.From.Kind == ledger.SourcePeer {
 				a.fetchPeerParts(f, nil, false)
 				return
 			}
-			a.takeParts(fromPlatform, parts)
+			a.applyParts(platformSource, parts)
 		})
 	})
 	return done
 }
 
-// readAll reads parts in batches and returns those that the platform provides.
-func (a *Agent) readAll(ctx context.Context, digests []bundle.Digest) []bundle.Part {
+// readBatches reads parts in batches and returns those that the platform
+// provides.
+func (a *Agent) readBatches(ctx context.Context, digests []bundle.Digest) []bundle.Part {
 	parts := make([]bundle.Part, 0, len(digests))
 	for len(digests) > 0 {
-		batch := digests[:min(readBatch, len(digests))]
+		batch := digests[:min(readBatchSize, len(digests))]
 		digests = digests[len(batch):]
-		got := a.readSome(ctx, batch)
+		got := a.readConcurrently(ctx, batch)
 		parts = append(parts, got...)
 		// If a whole batch fails, the remaining ones would fail too.
-		if len(digests) == 0 || len(got) == 0 || !rest(ctx, readPause) {
+		if len(digests) == 0 || len(got) == 0 || !sleep(ctx, readPause) {
 			break
 		}
 	}
 	return parts
 }
 
-// readSome reads parts concurrently.
-func (a *Agent) readSome(ctx context.Context, digests []bundle.Digest) []bundle.Part {
+// readConcurrently reads parts concurrently.
+func (a *Agent) readConcurrently(ctx context.Context, digests []bundle.Digest) []bundle.Part {
 	parts := make([]bundle.Part, len(digests))
 	var group sync.WaitGroup
 	for i, d := range digests {
 		group.Go(func() {
-			if v, err := a.reader.Get(ctx, configservice.KeyBundleParts+d.String()); err == nil {
+			if v, err := a.platformAdapter.Get(ctx, configservice.KeyBundleParts+d.String()); err == nil {
 				parts[i] = bundle.Part{Digest: d, Bytes: v.Bytes}
 			}
 		})
@@ -130,8 +131,8 @@
 	return slices.DeleteFunc(parts, func(p bundle.Part) bool { return p.Bytes == nil })
 }
 
-// rest waits for a duration. It returns false if ctx ends first.
-func rest(ctx context.Context, d time.Duration) bool {
+// sleep waits for a duration. It returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -147,7 +148,7 @@
 	tried = append(tried, f.From)
 	address := a.addressOf(f.From)
 	if f.From.Kind != ledger.SourcePeer || address == "" {
-		a.fetchElsewhere(f, tried, platformLast)
+		a.fetchFromNextPeer(f, tried, platformLast)
 		return
 	}
 	a.spawn(func(ctx context.Context) {
@@ -155,24 +156,24 @@
 		defer cancel()
 		got, err := peer.Call[wire.Parts](ctx, a.peers, address, wire.MethodParts, wire.PartsRequest{Digests: f.Digests})
 		if err != nil || len(got.Parts) == 0 {
-			a.post(func() { a.fetchElsewhere(f, tried, platformLast) })
+			a.post(func() { a.fetchFromNextPeer(f, tried, platformLast) })
 			return
 		}
 		parts := make([]bundle.Part, len(got.Parts))
 		for i, p := range got.Parts {
 			parts[i] = bundle.Part{Digest: p.Digest, Bytes: p.Bytes}
 		}
-		a.post(func() { a.takeParts(f.From, parts) })
+		a.post(func() { a.applyParts(f.From, parts) })
 	})
 }
 
-// fetchElsewhere continues a fetch with another partner that knows the same
+// fetchFromNextPeer continues a fetch with another partner that knows the same
 // bundles. If there is none, the ledger retries after a while.
-func (a *Agent) fetchElsewhere(f ledger.FetchParts, tried []ledger.Source, platformLast bool) {
+func (a *Agent) fetchFromNextPeer(f ledger.FetchParts, tried []ledger.Source, platformLast bool) {
 	if a.ledger.Missing() == 0 {
 		return
 	}
-	if from, ok := a.anotherHolder(tried); ok {
+	if from, ok := a.nextPeer(tried); ok {
 		a.fetchPeerParts(ledger.FetchParts{From: from, Digests: f.Digests}, tried, platformLast)
 		return
 	}
@@ -181,31 +182,31 @@
 	}
 }
 
-// anotherHolder returns a partner that knows the same bundles and has not been
+// nextPeer returns a partner that knows the same bundles and has not been
 // tried.
-func (a *Agent) anotherHolder(tried []ledger.Source) (ledger.Source, bool) {
-	if len(tried) >= maxTried {
+func (a *Agent) nextPeer(tried []ledger.Source) (ledger.Source, bool) {
+	if len(tried) >= maxPeersTried {
 		return ledger.Source{}, false
 	}
 	n := a.news()
 	mark := n.Mark()
 	for id, p := range a.partners {
-		if from := peerSource(id); p.mark == mark && !slices.Contains(tried, from) {
+		if from := peerSource(id); p.newsMark == mark && !slices.Contains(tried, from) {
 			return from, true
 		}
 	}
 	return ledger.Source{}, false
 }
 
-// takeParts passes parts to the ledger and wakes the peers that wait for parts.
-func (a *Agent) takeParts(from ledger.Source, parts []bundle.Part) {
+// applyParts passes parts to the ledger and wakes the peers that wait for parts.
+func (a *Agent) applyParts(from ledger.Source, parts []bundle.Part) {
 	a.counters.PartsFetched += uint64(len(parts))
 	a.log.Debug("parts received", "from", from.String(), "parts", len(parts))
 	if len(parts) == 0 {
 		return
 	}
 	a.relay.provider = from
-	a.step(ledger.PartsSeen{From: from, Parts: parts})
+	a.stepLedger(ledger.PartsSeen{From: from, Parts: parts})
 	close(a.relay.changed)
 	a.relay.changed = make(chan struct{})
 }
--- a/agent/placement.go
+++ b/agent/placement.go
@@ -15,14 +15,14 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// confirmGap is the minimum time between two rounds of asking peers which bundle
-// is in force on them.
-const confirmGap = 2 * time.Second
+// minConfirmGap is the minimum time between two rounds of asking peers which
+// bundle is in force on them.
+const minConfirmGap = 2 * time.Second
 
 // orderState is the loop's state of giving placement orders.
 type orderState struct {
-	// askedAt is when peers were last asked which bundle is in force on them.
-	askedAt time.Time
+	// queriedAt is when peers were last asked which bundle is in force on them.
+	queriedAt time.Time
 }
 
 // runOrders reads the engines that the planner requests.
@@ -39,19 +39,20 @@
 // readOrders reads an engine's state and passes it to the planner.
 func (a *Agent) readOrders(id ident.UpstreamID) {
 	a.counters.OrderReads++
-	address := a.book.upstreams[id].Address
+	address := a.directory.upstreams[id].Address
 	a.spawn(func(ctx context.Context) {
 		s, err := a.engines.ReadOrders(ctx, address)
 		if err != nil {
 			return
 		}
-		a.post(func() { a.observe(id, s) })
+		a.post(func() { a.observeEngine(id, s) })
 	})
 }
 
-// observe passes an engine's state to the planner and carries out its decision.
-// An instance that cannot tell whether its bundle is the newest gives no order.
-func (a *Agent) observe(id ident.UpstreamID, s engines.OrderState) {
+// observeEngine passes an engine's state to the planner and carries out its
+// decision. An instance that cannot tell whether its bundle is the newest gives
+// no order.
+func (a *Agent) observeEngine(id ident.UpstreamID, s engines.OrderState) {
 	if a.ledger.Status() != ledger.StatusReady {
 		return
 	}
@@ -64,14 +65,14 @@
 		loading := placement(s.Loading.Placement)
 		o.Loading = &loading
 	}
-	if u := a.reportOf(id); u != nil {
+	if u := a.findUpstream(id); u != nil {
 		o.Running = u.Report.Running
 	}
 	d := a.orderPlanner.Observe(a.now, id, o)
-	a.decided(d)
+	a.applyDecision(d)
 	spec := a.spec(id)
 	if d.Order == nil && !spec.ChecksFencing && !o.Placement.Equal(orders.Desired(&spec)) {
-		a.askVersions()
+		a.queryVersions()
 	}
 }
 
@@ -80,8 +81,8 @@
 	return orders.NewPlacement(p.Role, p.Models, p.Adapters, p.Version)
 }
 
-// decided carries out the planner's decision and logs each order.
-func (a *Agent) decided(d orders.Decision) {
+// applyDecision carries out the planner's decision and logs each order.
+func (a *Agent) applyDecision(d orders.Decision) {
 	if r := d.Record; r != nil {
 		a.log.Info("placement", "upstream", r.Upstream, "step", string(r.Step), "reason", string(r.Reason),
 			"bundle_version", r.Bundle, "want", r.Want, "seen", r.Seen, "highest_fence", r.Highest,
@@ -101,7 +102,7 @@
 // engine's state.
 func (a *Agent) giveOrder(o orders.Order) {
 	a.counters.Orders++
-	address := a.book.upstreams[o.Upstream].Address
+	address := a.directory.upstreams[o.Upstream].Address
 	order := engines.Order{Fence: o.Fence, Placement: engines.Placement{
 		Role: o.Placement.Role, Models: o.Placement.Models, Adapters: o.Placement.Adapters, Version: o.Placement.Version,
 	}}
@@ -111,45 +112,45 @@
 			return
 		}
 		s, err := a.engines.GiveOrder(ctx, address, order)
-		a.post(func() { a.ordered(o, s, err) })
+		a.post(func() { a.handleOrderResult(o, s, err) })
 	})
 }
 
-// ordered handles the result of an order.
-func (a *Agent) ordered(o orders.Order, s engines.OrderState, err error) {
+// handleOrderResult handles the result of an order.
+func (a *Agent) handleOrderResult(o orders.Order, s engines.OrderState, err error) {
 	var call *engines.CallError
 	switch {
 	case err == nil:
 		a.log.Info("placement order taken", "upstream", o.Upstream, "fence", o.Fence, "highest_fence", s.Highest)
 	case errors.As(err, &call) && call.Code == engines.CodeStaleFence:
 		a.counters.OrdersRefused++
-		a.decided(a.orderPlanner.Refused(a.now, o.Upstream, call.Highest))
+		a.applyDecision(a.orderPlanner.Refused(a.now, o.Upstream, call.Highest))
 	default:
 		a.log.Info("placement order failed", "upstream", o.Upstream, "fence", o.Fence, "error", err)
 	}
 }
 
-// askVersions asks the peers of the zone which bundle is in force on them. An
+// queryVersions asks the peers of the zone which bundle is in force on them. An
 // engine that does not check fencing numbers gets orders only while most peers
 // confirm the bundle in force here, and heartbeats reach only some instances of a
 // large zone.
-func (a *Agent) askVersions() {
-	if a.now.Sub(a.orders.askedAt) < confirmGap {
+func (a *Agent) queryVersions() {
+	if a.now.Sub(a.orders.queriedAt) < minConfirmGap {
 		return
 	}
-	a.orders.askedAt = a.now
+	a.orders.queriedAt = a.now
 	for _, in := range a.currentView().Instances {
-		address := a.book.instances[in.ID].agent
-		if in.Zone != a.self.Zone || !answersPeers(in) || address == "" {
+		address := a.directory.instances[in.ID].agent
+		if in.Zone != a.self.Zone || !presumedAlive(in) || address == "" {
 			continue
 		}
-		a.askVersion(in.ID, address)
+		a.queryVersion(in.ID, address)
 	}
 }
 
-// askVersion asks a peer which bundle is in force on it.
-func (a *Agent) askVersion(id ident.InstanceID, address string) {
-	begun := a.now
+// queryVersion asks a peer which bundle is in force on it.
+func (a *Agent) queryVersion(id ident.InstanceID, address string) {
+	started := a.now
 	a.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		defer cancel()
@@ -157,6 +158,6 @@
 		if err != nil {
 			return
 		}
-		a.post(func() { a.orderPlanner.PeerInForce(begun, id, got.Version) })
+		a.post(func() { a.orderPlanner.PeerInForce(started, id, got.Version) })
 	})
 }
--- a/agent/preload.go
+++ b/agent/preload.go
@@ -9,8 +9,8 @@
 	"github.com/wardspool/wardspool/configservice"
 )
 
-// fromPreload is the ledger's source for the preloaded bundle.
-var fromPreload = ledger.Source{Kind: ledger.SourcePreload}
+// preloadSource is the ledger's source for the preloaded bundle.
+var preloadSource = ledger.Source{Kind: ledger.SourcePreload}
 
 // loadPreload passes the bundle and roll of the preload folder to the ledger. The
 // files in the folder are named like the platform's keys.
@@ -20,7 +20,7 @@
 		return
 	}
 	if b, ok := a.readPreload(configservice.KeyRoll); ok {
-		a.takeRoll(fromPreload, a.now, b)
+		a.applyRoll(preloadSource, a.now, b)
 	}
 	files, err := filepath.Glob(filepath.Join(dir, filepath.FromSlash(configservice.KeyBundleParts), "*"))
 	if err != nil {
@@ -37,7 +37,7 @@
 			parts = append(parts, bundle.Part{Digest: d, Bytes: b})
 		}
 	}
-	a.takeParts(fromPreload, parts)
+	a.applyParts(preloadSource, parts)
 }
 
 // readPreload reads the file of a platform key.
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -16,15 +16,15 @@
 const (
 	// partsBytes limits the parts of one answer; one part is always sent.
 	partsBytes = 128 << 10
-	// servingPause is the minimum time between two answers with parts,
-	// servingWait the longest wait for the next slot. When a zone starts, all its
-	// instances query the few that have the parts, and each answer makes about a
-	// megabyte of garbage.
-	servingPause = 50 * time.Millisecond
-	servingWait  = 300 * time.Millisecond
-	// partsWait is how long an answer waits for parts that this instance is
+	// servingInterval is the minimum time between two answers with parts,
+	// maxServingWait the longest wait for the next slot. When a zone starts, all
+	// its instances query the few that have the parts, and each answer makes
+	// about a megabyte of garbage.
+	servingInterval = 50 * time.Millisecond
+	maxServingWait  = 300 * time.Millisecond
+	// maxPartsWait is how long an answer waits for parts that this instance is
 	// fetching.
-	partsWait = 500 * time.Millisecond
+	maxPartsWait = 500 * time.Millisecond
 	// documentTimeout limits the fetch of a roll or head. It is short, since only
 	// one fetch of each document runs at a time.
 	documentTimeout = 2 * time.Second
@@ -34,21 +34,22 @@
 type relay struct {
 	// changed is closed and replaced when parts arrive.
 	changed chan struct{}
-	// serving is a semaphore, held until servingPause has passed since the last
-	// answer with parts.
-	serving chan struct{}
+	// servingSlot is a semaphore, held until servingInterval has passed since the
+	// last answer with parts.
+	servingSlot chan struct{}
 	// fetching holds the keys of the documents that are being fetched.
 	fetching map[string]bool
 	// provider is the source of the last parts received since the last fetch.
 	provider ledger.Source
-	// answered lists the peers that reported the floor to this starting instance.
-	answered []ledger.Source
+	// floorReporters lists the peers that reported the floor to this starting
+	// instance.
+	floorReporters []ledger.Source
 }
 
 // addressOf returns the address of the agent behind a ledger source, "" if it is
 // not known.
 func (a *Agent) addressOf(s ledger.Source) string {
-	return a.book.instances[ident.InstanceID(s.Name)].agent
+	return a.directory.instances[ident.InstanceID(s.Name)].agent
 }
 
 // fetchDocument fetches the newest roll or head from a peer or the platform.
@@ -72,29 +73,29 @@
 		doc, err := peer.Call[wire.Document](ctx, a.peers, address, method, wire.Nothing{})
 		a.post(func() {
 			delete(a.relay.fetching, key)
-			a.fetched(from, key, doc, err)
+			a.handleDocument(from, key, doc, err)
 		})
 	})
 }
 
-// fetched handles the result of fetching a document from a peer.
-func (a *Agent) fetched(from ledger.Source, key string, doc wire.Document, err error) {
+// handleDocument handles the result of fetching a document from a peer.
+func (a *Agent) handleDocument(from ledger.Source, key string, doc wire.Document, err error) {
 	switch {
 	case err != nil:
 		a.log.Debug("cannot fetch document", "from", from.String(), "key", key, "error", err)
 	case len(doc.Bytes) == 0:
 	case key == configservice.KeyRoll:
-		a.takeRoll(from, a.now, doc.Bytes)
+		a.applyRoll(from, a.now, doc.Bytes)
 	default:
-		a.takeHead(from, doc.Bytes)
+		a.applyHead(from, doc.Bytes)
 	}
 }
 
-// askPeerFloor queries a peer for the floor.
-func (a *Agent) askPeerFloor(q ledger.AskFloor) {
+// queryPeerFloor queries a peer for the floor.
+func (a *Agent) queryPeerFloor(q ledger.AskFloor) {
 	address := a.addressOf(q.From)
 	if address == "" {
-		a.step(ledger.Unreachable{From: q.From})
+		a.stepLedger(ledger.Unreachable{From: q.From})
 		return
 	}
 	a.spawn(func(ctx context.Context) {
@@ -103,7 +104,7 @@
 		f, err := peer.Call[wire.Floor](ctx, a.peers, address, wire.MethodFloor, wire.Nothing{})
 		a.post(func() {
 			if err != nil {
-				a.step(ledger.Unreachable{From: q.From})
+				a.stepLedger(ledger.Unreachable{From: q.From})
 				return
 			}
 			a.reportRoll(ledger.FloorReport{From: q.From, Round: q.Round, Ready: f.Ready, InForce: f.InForce}, f.Roll)
@@ -114,19 +115,19 @@
 // handleRelay registers the methods by which peers fetch bundles and lists.
 func (a *Agent) handleRelay(s *peer.Server) {
 	peer.Handle(s, wire.MethodRoll, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.Document, error) {
-		return ask(ctx, a, a.rollDocument)
+		return callLoop(ctx, a, a.rollDocument)
 	})
 	peer.Handle(s, wire.MethodManifest, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.Document, error) {
-		return ask(ctx, a, a.headDocument)
+		return callLoop(ctx, a, a.headDocument)
 	})
 	peer.Handle(s, wire.MethodFloor, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.Floor, error) {
-		return ask(ctx, a, a.floor)
+		return callLoop(ctx, a, a.floor)
 	})
 	peer.Handle(s, wire.MethodInForce, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.InForce, error) {
-		return ask(ctx, a, func() wire.InForce { return wire.InForce{Version: a.ledger.Summary().InForce.Version} })
+		return callLoop(ctx, a, func() wire.InForce { return wire.InForce{Version: a.ledger.Summary().InForce.Version} })
 	})
 	peer.Handle(s, wire.MethodLists, func(ctx context.Context, _ peer.Identity, r wire.ListsRequest) (wire.Lists, error) {
-		return ask(ctx, a, func() wire.Lists { return a.newerLists(r) })
+		return callLoop(ctx, a, func() wire.Lists { return a.newerLists(r) })
 	})
 	peer.Handle(s, wire.MethodParts, a.serveParts)
 }
@@ -153,8 +154,8 @@
 	return wire.Floor{Ready: r.Ready, InForce: r.InForce, Roll: a.rollDocument().Bytes}
 }
 
-// found is the result of a peer's request for parts.
-type found struct {
+// partsResult is the result of a peer's request for parts.
+type partsResult struct {
 	parts wire.Parts
 	// changed is closed when more parts may be available, nil if none are being
 	// fetched.
@@ -165,10 +166,10 @@
 // them but is fetching some, the answer waits briefly, so that a bundle
 // propagates from instance to instance without retry delays.
 func (a *Agent) serveParts(ctx context.Context, _ peer.Identity, r wire.PartsRequest) (wire.Parts, error) {
-	wait, cancel := context.WithTimeout(ctx, partsWait)
+	wait, cancel := context.WithTimeout(ctx, maxPartsWait)
 	defer cancel()
 	for {
-		f, err := a.paced(ctx, r.Digests)
+		f, err := a.findPartsPaced(ctx, r.Digests)
 		if err != nil || len(f.parts.Parts) > 0 || f.changed == nil {
 			return f.parts, err
 		}
@@ -180,25 +181,25 @@
 	}
 }
 
-// paced finds parts for an answer, limiting the rate of answers to bound the
-// memory of those being written. It returns none if the wait would be too long:
-// other instances have the parts too.
-func (a *Agent) paced(ctx context.Context, digests []bundle.Digest) (found, error) {
+// findPartsPaced finds parts for an answer, limiting the rate of answers to bound
+// the memory of those being written. It returns none if the wait would be too
+// long: other instances have the parts too.
+func (a *Agent) findPartsPaced(ctx context.Context, digests []bundle.Digest) (partsResult, error) {
 	select {
-	case a.relay.serving <- struct{}{}:
-		time.AfterFunc(servingPause, func() { <-a.relay.serving })
-	case <-time.After(servingWait):
-		return found{}, nil
+	case a.relay.servingSlot <- struct{}{}:
+		time.AfterFunc(servingInterval, func() { <-a.relay.servingSlot })
+	case <-time.After(maxServingWait):
+		return partsResult{}, nil
 	case <-ctx.Done():
-		return found{}, ctx.Err()
+		return partsResult{}, ctx.Err()
 	}
-	return ask(ctx, a, func() found { return a.findParts(digests) })
+	return callLoop(ctx, a, func() partsResult { return a.findParts(digests) })
 }
 
 // findParts returns the requested parts that this instance has, up to the size
 // limit.
-func (a *Agent) findParts(digests []bundle.Digest) found {
-	var f found
+func (a *Agent) findParts(digests []bundle.Digest) partsResult {
+	var f partsResult
 	size := 0
 	for _, d := range digests[:min(len(digests), ledger.MaxFetchParts)] {
 		b, ok := a.ledger.Part(d)
--- a/agent/rolltime_test.go
+++ b/agent/rolltime_test.go
@@ -29,20 +29,20 @@
 	sampleGap    = 50 * time.Millisecond
 )
 
-// arrivals polls the entries for a version. It returns, sorted, the times since
-// the call at which entries had the version, for those that had it within the
-// limit.
-func (f *fleet) arrivals(nodes []*node, version uint64, limit time.Duration) []time.Duration {
-	begun := time.Now()
+// timesInForce polls the entries for a version. It returns, sorted, the times
+// since the call at which entries had the version, for those that had it within
+// the limit.
+func (f *fleet) timesInForce(nodes []*node, version uint64, limit time.Duration) []time.Duration {
+	started := time.Now()
 	times := make([]time.Duration, 0, len(nodes))
 	waiting := slices.Clone(nodes)
-	for len(waiting) > 0 && time.Since(begun) < limit {
+	for len(waiting) > 0 && time.Since(started) < limit {
 		time.Sleep(sampleGap)
 		waiting = slices.DeleteFunc(waiting, func(n *node) bool {
 			if n.entry.version() < version {
 				return false
 			}
-			times = append(times, time.Since(begun))
+			times = append(times, time.Since(started))
 			return true
 		})
 	}
@@ -77,13 +77,13 @@
 		}
 		f.publish(change)
 		startAll(nodes)
-		times := f.arrivals(nodes, 1, startLimit)
+		times := f.timesInForce(nodes, 1, startLimit)
 		assert.Equal(t, len(times), len(nodes), "started")
 		t.Logf("%d instances started: last %v", len(nodes), times[len(times)-1])
 		time.Sleep(10 * time.Second)
 		for range 3 {
 			f.publish(change)
-			times = f.arrivals(nodes, f.head.Manifest.Version, inForceLimit)
+			times = f.timesInForce(nodes, f.head.Manifest.Version, inForceLimit)
 			assert.Equal(t, len(times), len(nodes), "instances with the version in force")
 			t.Logf("in force: p50 %v, p95 %v, last %v", times[len(times)/2], times[len(times)*95/100], times[len(times)-1])
 			time.Sleep(3 * time.Second)
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -82,8 +82,8 @@
 			answer wire.Heartbeat
 			err    error
 		}
-		r, err := ask(ctx, a, func() result {
-			answer, err := a.receive(from.Instance, hb)
+		r, err := callLoop(ctx, a, func() result {
+			answer, err := a.handleHeartbeat(from.Instance, hb)
 			return result{answer, err}
 		})
 		if err != nil {
@@ -118,7 +118,7 @@
 	if a.tls != nil {
 		running.Go(func() { a.tls.Run(loop) })
 	}
-	a.post(a.begun)
+	a.post(a.start)
 	for _, s := range []*server{a.servers.peers, a.servers.operators} {
 		if s != nil {
 			running.Go(func() { failed <- s.rpc.Serve(s.listener) })
@@ -139,8 +139,8 @@
 	return err
 }
 
-// begun runs on the loop before any other work.
-func (a *Agent) begun() {
+// start runs on the loop before any other work.
+func (a *Agent) start() {
 	a.loadPreload()
 	a.refreshPlatform()
 	a.updateRoster()
@@ -175,7 +175,7 @@
 	a.peers.Close()
 	a.feedPool.Close()
 	a.engines.Close()
-	if err := plugin.Unload(a.settings.Platform.Adapter, a.reader); err != nil {
+	if err := plugin.Unload(a.settings.Platform.Adapter, a.platformAdapter); err != nil {
 		a.log.Info("cannot close the platform adapter", "error", err)
 	}
 }
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -154,16 +154,16 @@
 
 // Default settings.
 const (
-	defaultFeedInterval  = time.Second
-	defaultHeartbeats    = 2200
-	defaultReaders       = 2
-	defaultFallbackAfter = 30 * time.Second
-	defaultLoadInterval  = time.Second
-	defaultLoadBudget    = 800
-	defaultGrace         = 3 * time.Second
-	defaultStopTimeout   = 6 * time.Minute
-	defaultMemory        = 20 << 20
-	defaultPauseAfter    = 2 * time.Second
+	defaultFeedInterval    = time.Second
+	defaultHeartbeatBudget = 2200
+	defaultReaders         = 2
+	defaultFallbackAfter   = 30 * time.Second
+	defaultLoadInterval    = time.Second
+	defaultLoadBudget      = 800
+	defaultGrace           = 3 * time.Second
+	defaultStopTimeout     = 6 * time.Minute
+	defaultMemory          = 20 << 20
+	defaultPauseAfter      = 2 * time.Second
 )
 
 // defaultAdapter reads the platform by the protocol of
@@ -173,7 +173,7 @@
 // SetDefaults implements settings.Defaulter.
 func (s *Settings) SetDefaults() {
 	s.Entry.Interval = defaultFeedInterval
-	s.Peers.Budget = defaultHeartbeats
+	s.Peers.Budget = defaultHeartbeatBudget
 	s.Platform = PlatformSettings{
 		Adapter: defaultAdapter, Readers: defaultReaders, Wait: configservice.DefaultWait, FallbackAfter: defaultFallbackAfter,
 	}
--- a/agent/source.go
+++ b/agent/source.go
@@ -18,8 +18,8 @@
 // behalf of all.
 var watchedKeys = []string{configservice.KeyRoll, configservice.KeyBundleHead, configservice.KeyInstances, configservice.KeyUpstreams}
 
-// fromPlatform is the ledger's source for the platform.
-var fromPlatform = ledger.Source{Kind: ledger.SourcePlatform}
+// platformSource is the ledger's source for the platform.
+var platformSource = ledger.Source{Kind: ledger.SourcePlatform}
 
 // Limits of reading the platform.
 const (
@@ -31,27 +31,27 @@
 	startRetry = 3 * time.Second
 )
 
-// source is the loop's state of reading the platform.
-type source struct {
+// platformState is the loop's state of reading the platform.
+type platformState struct {
 	// watches holds the cancel functions of this instance's watches, by key.
 	watches map[string]context.CancelFunc
 	// indexes are the highest indexes seen by this instance, by key.
 	indexes map[string]uint64
-	// seen is the last time at which the platform is known to have responded, to
-	// this instance or to one whose heartbeat told of it; the zero time means
+	// lastSeen is the last time at which the platform is known to have responded,
+	// to this instance or to one whose heartbeat told of it; the zero time means
 	// never.
-	seen time.Time
-	// answers is set if the last read by this instance got a response.
-	answers bool
-	// answered is the number of calls with a response as of the last check.
-	answered uint64
-	// watchUntil is the time until which this instance watches all keys,
+	lastSeen time.Time
+	// responding is set if the last read by this instance got a response.
+	responding bool
+	// responses is the number of calls with a response as of the last check.
+	responses uint64
+	// fallbackUntil is the time until which this instance watches all keys,
 	// regardless of the election.
-	watchUntil time.Time
+	fallbackUntil time.Time
 	// retryAt is the earliest time at which this instance may read or watch
 	// outside the election again. reading is the number of its reads in progress.
-	retryAt time.Time
-	reading int
+	retryAt         time.Time
+	readsInProgress int
 }
 
 // newTransport returns a transport for a few long-lived connections to the
@@ -88,62 +88,62 @@
 // would elect itself for every key.
 func (a *Agent) electReaders() {
 	if a.awaitsLists() {
-		a.noteAnswers()
+		a.recordResponses()
 		return
 	}
 	live := a.zoneInstances()
 	for _, key := range watchedKeys {
-		reads := a.standsIn(key) || configservice.Reads(a.self.Instance, key, a.self.Zone, live, a.settings.Platform.Readers)
-		end, watching := a.source.watches[key]
+		reads := a.isFallbackReader(key) || configservice.Reads(a.self.Instance, key, a.self.Zone, live, a.settings.Platform.Readers)
+		end, watching := a.platform.watches[key]
 		switch {
 		case reads && !watching:
 			a.watch(key)
 		case !reads && watching:
 			end()
-			delete(a.source.watches, key)
+			delete(a.platform.watches, key)
 		}
 	}
-	a.noteAnswers()
+	a.recordResponses()
 }
 
-// standsIn reports whether this instance watches a key because there was no news
-// of the platform: the roll first, the other keys once the platform has
+// isFallbackReader reports whether this instance watches a key because there was
+// no news of the platform: the roll first, the other keys once the platform has
 // responded.
-func (a *Agent) standsIn(key string) bool {
-	return a.now.Before(a.source.watchUntil) && (key == configservice.KeyRoll || a.source.answers)
+func (a *Agent) isFallbackReader(key string) bool {
+	return a.now.Before(a.platform.fallbackUntil) && (key == configservice.KeyRoll || a.platform.responding)
 }
 
 // watch starts watching a key.
 func (a *Agent) watch(key string) {
 	ctx, end := context.WithCancel(a.callCtx)
-	a.source.watches[key] = end
-	events := a.reader.Watch(ctx, key, a.source.indexes[key])
+	a.platform.watches[key] = end
+	events := a.platformAdapter.Watch(ctx, key, a.platform.indexes[key])
 	since := a.now
 	a.calls.Go(func() {
 		for e := range events {
-			a.post(func() { a.watched(key, since, e) })
+			a.post(func() { a.handleWatchEvent(key, since, e) })
 		}
 	})
 }
 
-// watched handles an event of a watch.
-func (a *Agent) watched(key string, since time.Time, e configservice.Event) {
+// handleWatchEvent handles an event of a watch.
+func (a *Agent) handleWatchEvent(key string, since time.Time, e configservice.Event) {
 	if e.Err != nil {
 		a.platformFailed(key, e.Err)
 		return
 	}
 	// The read started no earlier than this; the value may have waited in the
 	// loop's queue.
-	begun := a.now.Add(-a.settings.Platform.Wait - readTimeout)
-	if since.After(begun) {
-		begun = since
+	started := a.now.Add(-a.settings.Platform.Wait - readTimeout)
+	if since.After(started) {
+		started = since
 	}
-	a.platformValue(key, begun, e.Value)
+	a.handlePlatformValue(key, started, e.Value)
 }
 
 // refreshPlatform reads all watched keys once.
 func (a *Agent) refreshPlatform() {
-	a.source.retryAt = a.now.Add(a.random.jittered(startRetry))
+	a.platform.retryAt = a.now.Add(a.random.jittered(startRetry))
 	for _, key := range watchedKeys {
 		a.readKey(key)
 	}
@@ -151,51 +151,51 @@
 
 // readKey reads a key once.
 func (a *Agent) readKey(key string) {
-	a.source.reading++
-	begun := a.now
+	a.platform.readsInProgress++
+	started := a.now
 	a.spawn(func(ctx context.Context) {
-		v, err := a.reader.Get(ctx, key)
+		v, err := a.platformAdapter.Get(ctx, key)
 		a.post(func() {
-			a.source.reading--
+			a.platform.readsInProgress--
 			if err != nil {
 				a.platformFailed(key, err)
 				return
 			}
-			a.platformValue(key, begun, v)
+			a.handlePlatformValue(key, started, v)
 		})
 	})
 }
 
-// fallBack watches the platform for a while if there has been no news of it for
-// long. A watch from the known indexes costs only the calls if nothing has
+// startFallback watches the platform for a while if there has been no news of it
+// for long. A watch from the known indexes costs only the calls if nothing has
 // changed.
-func (a *Agent) fallBack() {
-	s := &a.source
-	if s.reading > 0 || a.now.Before(s.retryAt) {
+func (a *Agent) startFallback() {
+	s := &a.platform
+	if s.readsInProgress > 0 || a.now.Before(s.retryAt) {
 		return
 	}
 	after := a.settings.Platform.FallbackAfter
 	switch {
-	case s.seen.IsZero():
+	case s.lastSeen.IsZero():
 		a.refreshPlatform()
-	case a.now.Sub(s.seen) >= after:
-		s.watchUntil = a.now.Add(a.settings.Platform.Wait + readTimeout)
-		s.answers = false
+	case a.now.Sub(s.lastSeen) >= after:
+		s.fallbackUntil = a.now.Add(a.settings.Platform.Wait + readTimeout)
+		s.responding = false
 		s.retryAt = a.now.Add(a.random.jittered(after))
 	}
 }
 
-// noteAnswers records that the platform responded, including responses without a
-// new value.
-func (a *Agent) noteAnswers() {
-	s := a.reader.Stats()
+// recordResponses records that the platform responded, including responses
+// without a new value.
+func (a *Agent) recordResponses() {
+	s := a.platformAdapter.Stats()
 	answered := s.Values + s.Unchanged + s.NotFound
-	if answered == a.source.answered {
+	if answered == a.platform.responses {
 		return
 	}
-	a.source.answered = answered
-	a.source.answers = true
-	a.source.seen = a.now
+	a.platform.responses = answered
+	a.platform.responding = true
+	a.platform.lastSeen = a.now
 }
 
 // platformFailed handles a failed read.
@@ -207,44 +207,44 @@
 	case errors.As(err, &stale):
 		a.log.Debug("platform is stale", "key", key, "seen", stale.Seen, "got", stale.Got.Index)
 	default:
-		a.source.answers = false
+		a.platform.responding = false
 		a.log.Debug("cannot read the platform", "key", key, "error", err)
 	}
 }
 
-// platformValue handles a value read from the platform.
-func (a *Agent) platformValue(key string, begun time.Time, v configservice.Value) {
-	a.source.indexes[key] = max(a.source.indexes[key], v.Index)
-	a.source.seen, a.source.answers = a.now, true
+// handlePlatformValue handles a value read from the platform.
+func (a *Agent) handlePlatformValue(key string, started time.Time, v configservice.Value) {
+	a.platform.indexes[key] = max(a.platform.indexes[key], v.Index)
+	a.platform.lastSeen, a.platform.responding = a.now, true
 	switch key {
 	case configservice.KeyRoll:
-		a.takeRoll(fromPlatform, begun, v.Bytes)
+		a.applyRoll(platformSource, started, v.Bytes)
 	case configservice.KeyBundleHead:
-		a.takeHead(fromPlatform, v.Bytes)
+		a.applyHead(platformSource, v.Bytes)
 	case configservice.KeyInstances, configservice.KeyUpstreams:
-		a.takeListBytes(key, begun, v.Index, v.Bytes)
+		a.applyPlatformList(key, started, v.Index, v.Bytes)
 	}
 }
 
-// takeRoll decodes a roll and passes it to the ledger.
-func (a *Agent) takeRoll(from ledger.Source, begun time.Time, b []byte) {
+// applyRoll decodes a roll and passes it to the ledger.
+func (a *Agent) applyRoll(from ledger.Source, started time.Time, b []byte) {
 	roll, err := bundle.DecodeRoll(b)
 	if err != nil {
-		a.step(ledger.Garbled{From: from, Document: ledger.DocumentRoll, Err: err})
+		a.stepLedger(ledger.Garbled{From: from, Document: ledger.DocumentRoll, Err: err})
 		return
 	}
-	a.step(ledger.RollSeen{From: from, Roll: roll})
-	if from == fromPlatform {
-		a.orderPlanner.PlatformHead(begun, roll.Roll.Assigned(a.self.Instance, a.self.Zone).Version)
+	a.stepLedger(ledger.RollSeen{From: from, Roll: roll})
+	if from == platformSource {
+		a.orderPlanner.PlatformHead(started, roll.Roll.Assigned(a.self.Instance, a.self.Zone).Version)
 	}
 }
 
-// takeHead decodes a bundle head and passes it to the ledger.
-func (a *Agent) takeHead(from ledger.Source, b []byte) {
+// applyHead decodes a bundle head and passes it to the ledger.
+func (a *Agent) applyHead(from ledger.Source, b []byte) {
 	head, err := bundle.DecodeHead(b)
 	if err != nil {
-		a.step(ledger.Garbled{From: from, Document: ledger.DocumentHead, Err: err})
+		a.stepLedger(ledger.Garbled{From: from, Document: ledger.DocumentHead, Err: err})
 		return
 	}
-	a.step(ledger.HeadSeen{From: from, Head: head})
+	a.stepLedger(ledger.HeadSeen{From: from, Head: head})
 }
--- a/agent/status.go
+++ b/agent/status.go
@@ -23,7 +23,7 @@
 
 // Status describes the agent. Errors are the context's and *peer.StoppingError.
 func (a *Agent) Status(ctx context.Context) (wire.Status, error) {
-	s, err := ask(ctx, a, a.loopStatus)
+	s, err := callLoop(ctx, a, a.loopStatus)
 	if err != nil {
 		return wire.Status{}, err
 	}
@@ -75,7 +75,7 @@
 func (a *Agent) entryStatus() wire.EntryStatus {
 	r := a.feed.reply
 	return wire.EntryStatus{
-		Incarnation: r.Incarnation, BundleVersion: r.BundleVersion, Answers: a.feed.answers,
+		Incarnation: r.Incarnation, BundleVersion: r.BundleVersion, Answers: a.feed.responding,
 		Stopping: r.Stopping, InFlight: r.InFlight,
 	}
 }
@@ -107,7 +107,7 @@
 func (a *Agent) countPartners() int {
 	n := 0
 	for _, p := range a.partners {
-		if !p.at.IsZero() && a.now.Sub(p.at) < partnerIntervals*a.machine.Interval() {
+		if !p.lastAt.IsZero() && a.now.Sub(p.lastAt) < partnerIntervals*a.machine.Interval() {
 			n++
 		}
 	}
@@ -124,14 +124,14 @@
 
 // platformStatus returns the status of reading the platform.
 func (a *Agent) platformStatus() wire.PlatformStatus {
-	s := a.reader.Stats()
+	s := a.platformAdapter.Stats()
 	out := wire.PlatformStatus{
-		Watches:   slices.Sorted(maps.Keys(a.source.watches)),
-		Instances: a.book.lists.instances.index, Upstreams: a.book.lists.upstreams.index,
+		Watches:   slices.Sorted(maps.Keys(a.platform.watches)),
+		Instances: a.directory.lists.instances.index, Upstreams: a.directory.lists.upstreams.index,
 		SeenAgeMS: -1, Calls: s.Calls, Unavailable: s.Unavailable, Stale: s.Stale, RateLimited: s.RateLimited,
 	}
-	if !a.source.seen.IsZero() {
-		out.SeenAgeMS = a.now.Sub(a.source.seen).Milliseconds()
+	if !a.platform.lastSeen.IsZero() {
+		out.SeenAgeMS = a.now.Sub(a.platform.lastSeen).Milliseconds()
 	}
 	return out
 }
@@ -139,26 +139,28 @@
 // traffic returns the byte counts of all connections.
 func (a *Agent) traffic() wire.TrafficStatus {
 	out := wire.TrafficStatus{
-		Upstreams: metered(a.engines.Meter()),
-		Platform:  metered(&a.platformMeter),
-		Peers:     pooled(a.peers.Stats().Total),
-		Entry:     pooled(a.feedPool.Stats().Total),
+		Upstreams: meterTraffic(a.engines.Meter()),
+		Platform:  meterTraffic(&a.platformMeter),
+		Peers:     connTraffic(a.peers.Stats().Total),
+		Entry:     connTraffic(a.feedPool.Stats().Total),
 	}
 	if s := a.servers.peers; s != nil {
-		served := pooled(s.rpc.Stats().Total)
+		served := connTraffic(s.rpc.Stats().Total)
 		out.Peers.Sent += served.Sent
 		out.Peers.Received += served.Received
 	}
 	return out
 }
 
-// metered converts a meter's counts to the wire form.
-func metered(m *meter.Meter) wire.Traffic {
+// meterTraffic converts a meter's counts to the wire form.
+func meterTraffic(m *meter.Meter) wire.Traffic {
 	return wire.Traffic{Sent: m.Sent(), Received: m.Received()}
 }
 
-// pooled converts the counts of JSON-RPC connections to the wire form.
-func pooled(t peer.Traffic) wire.Traffic { return wire.Traffic{Sent: t.Sent, Received: t.Received} }
+// connTraffic converts the counts of JSON-RPC connections to the wire form.
+func connTraffic(t peer.Traffic) wire.Traffic {
+	return wire.Traffic{Sent: t.Sent, Received: t.Received}
+}
 
 // process returns the resource usage of the process.
 func (a *Agent) process() wire.ProcessStatus {
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -15,28 +15,29 @@
 // view.
 func (a *Agent) leave() {
 	a.log.Info("stopping")
-	if !a.wait(a.settings.Stop.Grace, a.entryStops) {
+	if !a.waitFor(a.settings.Stop.Grace, a.entryStops) {
 		a.log.Info("entry goes on without its agent")
 		return
 	}
-	if !a.wait(a.settings.Stop.Timeout, a.entrySettled) {
+	if !a.waitFor(a.settings.Stop.Timeout, a.entryEndedOrResumed) {
 		a.log.Warn("entry still has requests in flight")
 	}
-	if goesOn, _ := ask(a.callCtx, a, a.entryAnswersOn); goesOn {
+	if continues, _ := callLoop(a.callCtx, a, a.entryContinues); continues {
 		a.log.Info("entry goes on without its agent")
 		return
 	}
 	// The membership machine schedules heartbeats that announce this to all
 	// partners. Partners that were contacted just before get theirs a moment
 	// later than the others.
-	a.wait(shutdownTimeout, a.partnersTold)
+	a.waitFor(shutdownTimeout, a.partnersNotified)
 }
 
-// wait polls a condition on the loop until it holds or the time limit is reached.
-func (a *Agent) wait(limit time.Duration, holds func() bool) bool {
+// waitFor polls a condition on the loop until it holds or the time limit is
+// reached.
+func (a *Agent) waitFor(limit time.Duration, holds func() bool) bool {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
-		held, err := ask(a.callCtx, a, holds)
+		held, err := callLoop(a.callCtx, a, holds)
 		if held || err != nil {
 			return held
 		}
@@ -47,20 +48,20 @@
 
 // entryStops reports whether the entry is stopping too, or does not respond.
 func (a *Agent) entryStops() bool {
-	return a.feed.reply.Incarnation != 0 && (a.feed.reply.Stopping || !a.feed.answers)
+	return a.feed.reply.Incarnation != 0 && (a.feed.reply.Stopping || !a.feed.responding)
 }
 
-// entrySettled reports whether the entry's process has ended, or responds and is
-// not stopping.
-func (a *Agent) entrySettled() bool { return a.feed.gone || a.entryAnswersOn() }
+// entryEndedOrResumed reports whether the entry's process has ended, or responds
+// and is not stopping.
+func (a *Agent) entryEndedOrResumed() bool { return a.feed.ended || a.entryContinues() }
 
-// entryAnswersOn reports whether the entry responds and is not stopping, so that
+// entryContinues reports whether the entry responds and is not stopping, so that
 // an earlier lack of responses was temporary.
-func (a *Agent) entryAnswersOn() bool { return a.feed.answers && !a.feed.reply.Stopping }
+func (a *Agent) entryContinues() bool { return a.feed.responding && !a.feed.reply.Stopping }
 
-// partnersTold reports whether all partners got the newest state and no exchange
-// is in progress.
-func (a *Agent) partnersTold() bool {
+// partnersNotified reports whether all partners got the newest state and no
+// exchange is in progress.
+func (a *Agent) partnersNotified() bool {
 	if !a.machine.Told(a.now) {
 		return false
 	}
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -20,12 +20,12 @@
 	for i := range phases {
 		phase := time.Duration(i) * apart
 		t.Run(fmt.Sprint(phase), func(t *testing.T) {
-			inFleet(t, func(f *fleet) { endIsTold(f, phase) })
+			inFleet(t, func(f *fleet) { checkEndIsAnnounced(f, phase) })
 		})
 	}
 }
 
-func endIsTold(f *fleet, phase time.Duration) {
+func checkEndIsAnnounced(f *fleet, phase time.Duration) {
 	nodes := f.startFleet(3, "hall-a")
 	time.Sleep(5 * time.Second)
 	ending := nodes[0]
@@ -55,7 +55,7 @@
 	inFleet(t, func(f *fleet) {
 		n := f.startFleet(2, "hall-a")[0]
 		time.Sleep(5 * time.Second)
-		n.entry.slowDown(2 * feedTimeout)
+		n.entry.setDelay(2 * feedTimeout)
 		time.Sleep(3 * feedTimeout)
 		stopped := make(chan struct{})
 		go func() {
@@ -63,10 +63,10 @@
 			n.stopAgent()
 		}()
 		time.Sleep(feedTimeout)
-		n.entry.slowDown(0)
-		begun := time.Now()
+		n.entry.setDelay(0)
+		started := time.Now()
 		<-stopped
-		assert.Assert(t, time.Since(begun) < 10*time.Second, "stopped after %v", time.Since(begun))
+		assert.Assert(t, time.Since(started) < 10*time.Second, "stopped after %v", time.Since(started))
 	})
 }
 
@@ -76,7 +76,7 @@
 func TestSlowlyTakenBundle(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.startFleet(1, "hall-a")[0]
-		n.entry.slowBundle = 3 * feedTimeout
+		n.entry.bundleDelay = 3 * feedTimeout
 		sent := n.status().Counters.FeedFailures
 		f.publish(nil)
 		f.within(30*time.Second, "the bundle in force", func() bool { return n.entry.version() == 2 })
--- a/agent/upstreams_test.go
+++ b/agent/upstreams_test.go
@@ -20,12 +20,12 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// benchHost is the host from which the test itself makes calls.
-const benchHost = "10.0.9.9"
+// testHost is the host from which the test itself makes calls.
+const testHost = "10.0.9.9"
 
 // address returns the address of an upstream.
 func (f *fleet) address(id ident.UpstreamID) string {
-	for _, u := range f.ups {
+	for _, u := range f.upstreams {
 		if u.ID == id {
 			return u.Address
 		}
@@ -34,16 +34,16 @@
 	return ""
 }
 
-// bench returns an engine client for the test's own calls.
-func (f *fleet) bench() *engines.Client {
-	c := engines.New(from{f.net, benchHost}, time.Second)
+// engineClient returns a client for the test's own calls to engines.
+func (f *fleet) engineClient() *engines.Client {
+	c := engines.New(hostDialer{f.net, testHost}, time.Second)
 	f.closers = append(f.closers, c.Close)
 	return c
 }
 
 // do sends a request to an upstream and returns the status.
 func (f *fleet) do(method string, id ident.UpstreamID, path, attempt, body string) int {
-	client := &http.Client{Transport: &http.Transport{DialContext: from{f.net, benchHost}.DialContext, DisableKeepAlives: true}}
+	client := &http.Client{Transport: &http.Transport{DialContext: hostDialer{f.net, testHost}.DialContext, DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+f.address(id)+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
 	req.Header.Set("X-Request-Id", attempt)
@@ -53,8 +53,8 @@
 	return resp.StatusCode
 }
 
-// lives returns the liveness of an upstream according to each node's entry.
-func lives(nodes []*node, id ident.UpstreamID) []kernel.Liveness {
+// livenessAt returns the liveness of an upstream according to each node's entry.
+func livenessAt(nodes []*node, id ident.UpstreamID) []kernel.Liveness {
 	var out []kernel.Liveness
 	for _, n := range nodes {
 		if u := n.entry.upstream(id); u != nil {
@@ -64,11 +64,11 @@
 	return out
 }
 
-// all returns a condition that holds if every node's entry has the given liveness
-// for an upstream.
-func all(nodes []*node, id ident.UpstreamID, want kernel.Liveness) func() bool {
+// upstreamIs returns a condition that holds if every node's entry has the given
+// liveness for an upstream.
+func upstreamIs(nodes []*node, id ident.UpstreamID, want kernel.Liveness) func() bool {
 	return func() bool {
-		list := lives(nodes, id)
+		list := livenessAt(nodes, id)
 		for _, life := range list {
 			if life != want {
 				return false
@@ -89,11 +89,11 @@
 		time.Sleep(5 * time.Second)
 		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeDown}))
 		f.do(http.MethodPut, "dc-1", control.PathFaults, "", `{"draining":true}`)
-		took := f.within(4*time.Second, "leaving everywhere", all(nodes, "dc-1", kernel.Leaving))
+		took := f.within(4*time.Second, "leaving everywhere", upstreamIs(nodes, "dc-1", kernel.Leaving))
 		t.Logf("leaving everywhere after %v", took)
 		f.do(http.MethodPut, "dc-1", control.PathFaults, "", `{}`)
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, all(nodes, "dc-1", kernel.Leaving)(), "%v", lives(nodes, "dc-1"))
+		assert.Assert(t, upstreamIs(nodes, "dc-1", kernel.Leaving)(), "%v", livenessAt(nodes, "dc-1"))
 	})
 }
 
@@ -105,20 +105,20 @@
 		nodes := f.addAll(2, "hall-a")
 		f.list()
 		startAll(nodes)
-		f.within(5*time.Second, "engine live", all(nodes, "dc-1", kernel.Live))
+		f.within(5*time.Second, "engine live", upstreamIs(nodes, "dc-1", kernel.Live))
 		time.Sleep(5 * time.Second)
 		drained := feed.Evidence{Kind: feed.EvidenceDraining, Upstream: "dc-1", AgeMS: 12_000}
 		before := nodes[0].status().Fleet.Upstreams[0].Incarnation
 		e.Crash(time.Second)
 		f.within(10*time.Second, "new incarnation known", func() bool {
-			return nodes[0].status().Fleet.Upstreams[0].Incarnation > before && all(nodes, "dc-1", kernel.Live)()
+			return nodes[0].status().Fleet.Upstreams[0].Incarnation > before && upstreamIs(nodes, "dc-1", kernel.Live)()
 		})
 		nodes[0].entry.set(func(r *feed.Reply) { r.Evidence = []feed.Evidence{drained} })
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, all(nodes, "dc-1", kernel.Live)(), "evidence about the previous incarnation was applied: %v", lives(nodes, "dc-1"))
+		assert.Assert(t, upstreamIs(nodes, "dc-1", kernel.Live)(), "evidence about the previous incarnation was applied: %v", livenessAt(nodes, "dc-1"))
 		drained.AgeMS = 10
 		nodes[0].entry.set(func(r *feed.Reply) { r.Evidence = []feed.Evidence{drained} })
-		f.within(3*time.Second, "leaving everywhere", all(nodes, "dc-1", kernel.Leaving))
+		f.within(3*time.Second, "leaving everywhere", upstreamIs(nodes, "dc-1", kernel.Leaving))
 	})
 }
 
@@ -128,7 +128,7 @@
 func TestDeadUpstreamComesBack(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.addAll(3, "hall-a")
-		f.ups = append(f.ups, configservice.Upstream{ID: "desk-1", Zone: "hall-a", Address: "10.0.1.9:8000",
+		f.upstreams = append(f.upstreams, configservice.Upstream{ID: "desk-1", Zone: "hall-a", Address: "10.0.1.9:8000",
 			Role: config.RoleService, Service: "desk", State: configservice.StateLive})
 		f.list()
 		startAll(nodes)
@@ -137,14 +137,14 @@
 				r.Evidence = []feed.Evidence{{Kind: feed.EvidenceRefused, Upstream: "desk-1"}}
 			})
 		}
-		f.within(5*time.Second, "service dead", all(nodes, "desk-1", kernel.Dead))
+		f.within(5*time.Second, "service dead", upstreamIs(nodes, "desk-1", kernel.Dead))
 		time.Sleep(time.Minute)
-		assert.Assert(t, all(nodes, "desk-1", kernel.Dead)())
+		assert.Assert(t, upstreamIs(nodes, "desk-1", kernel.Dead)())
 		f.serve("10.0.1.9:8000", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 		// Instances that do not gather its load consider it suspect again after
 		// 10 s, and suspects get work.
-		f.within(doubtMax+5*time.Second, "service gets work", func() bool {
-			for _, life := range lives(nodes, "desk-1") {
+		f.within(retryMax+5*time.Second, "service gets work", func() bool {
+			for _, life := range livenessAt(nodes, "desk-1") {
 				if life > kernel.Suspect {
 					return false
 				}
@@ -166,7 +166,7 @@
 		status := f.do(http.MethodPost, "dc-1", "/v1/completions", id.String(),
 			fmt.Sprintf(`{"model":"reader","prompt":"a b c","max_tokens":%d,"stream":true}`, 4000))
 		assert.Equal(t, status, http.StatusOK)
-		bench := f.bench()
+		bench := f.engineClient()
 		held := func() int {
 			list, err := bench.Held(context.Background(), f.address("dc-1"))
 			assert.NilError(t, err)
@@ -193,7 +193,7 @@
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
 		nodes := f.startFleet(3, "hall-a")
-		bench := f.bench()
+		bench := f.engineClient()
 		f.within(5*time.Second, "the engine that checks fencing numbers has seen version 1", func() bool {
 			s, err := bench.ReadOrders(context.Background(), f.address("pf-1"))
 			assert.NilError(t, err)
@@ -238,7 +238,7 @@
 		n.agent.post(func() { time.Sleep(10 * time.Second) })
 		time.Sleep(11 * time.Second)
 		assert.Equal(t, n.status().Bundle.Status, ledger.StatusRechecking)
-		bench := f.bench()
+		bench := f.engineClient()
 		_, err := bench.GiveOrder(context.Background(), f.address("pf-1"), engines.Order{Fence: 1, Placement: engines.Placement{
 			Role: config.RolePrefill, Models: []string{"reader"}, Version: "other",
 		}})
--- a/agent/views.go
+++ b/agent/views.go
@@ -27,7 +27,7 @@
 // ordinary news; the cost of a refresh grows with the fleet.
 func (a *Agent) viewInterval() time.Duration {
 	entries := len(a.view.Instances) + len(a.view.Upstreams)
-	return tick + viewPerEntry*time.Duration(entries)
+	return tickInterval + viewPerEntry*time.Duration(entries)
 }
 
 // viewPerEntry is added to the interval for each instance and upstream.
@@ -38,19 +38,19 @@
 func (a *Agent) refreshView() {
 	a.viewDirty = false
 	a.view = a.machine.View(a.now)
-	a.noteLives()
-	if shape := viewShape(a.view); shape != a.feed.shape {
-		a.feed.shape = shape
+	a.recordIncarnations()
+	if shape := viewFingerprint(a.view); shape != a.feed.fingerprint {
+		a.feed.fingerprint = shape
 		a.feed.urgent = true
-		a.tellPlanners()
+		a.updatePlanners()
 		a.assignLoads()
 	}
 }
 
-// viewShape returns a fingerprint of a view without loads and ages. Suspect
+// viewFingerprint returns a fingerprint of a view without loads and ages. Suspect
 // counts as alive: both states get work, and without heartbeats for a while many
 // processes are suspect.
-func viewShape(v *membership.View) uint64 {
+func viewFingerprint(v *membership.View) uint64 {
 	h := xxhash.New()
 	number := func(n uint64) {
 		var b [8]byte
@@ -88,17 +88,17 @@
 	return h.Sum64()
 }
 
-// selfLife returns the liveness of this instance's own entry.
-func (a *Agent) selfLife() kernel.Liveness {
+// selfLiveness returns the liveness of this instance's own entry.
+func (a *Agent) selfLiveness() kernel.Liveness {
 	if a.view.Leaving {
 		return kernel.Leaving
 	}
 	return kernel.Live
 }
 
-// upstreamLife returns the liveness of an upstream. One that the platform no
+// upstreamLiveness returns the liveness of an upstream. One that the platform no
 // longer lists gets no new work, but may be listed again.
-func upstreamLife(u *membership.Upstream) kernel.Liveness {
+func upstreamLiveness(u *membership.Upstream) kernel.Liveness {
 	life := membership.Life(u.State, u.Leaving)
 	if !u.Listed {
 		return max(life, kernel.Unreachable)
@@ -117,15 +117,15 @@
 	}
 	if inc := a.feed.reply.Incarnation; inc != 0 {
 		out.Instances = append(out.Instances, feed.Instance{
-			ID: a.self.Instance, Zone: a.self.Zone, Incarnation: inc, Life: a.selfLife(),
-			PeerAddress: a.book.instances[a.self.Instance].entry,
+			ID: a.self.Instance, Zone: a.self.Zone, Incarnation: inc, Life: a.selfLiveness(),
+			PeerAddress: a.directory.instances[a.self.Instance].entry,
 		})
 	}
 	for i := range v.Instances {
 		in := &v.Instances[i]
 		out.Instances = append(out.Instances, feed.Instance{
 			ID: in.ID, Zone: in.Zone, Incarnation: in.Incarnation,
-			Life: membership.Life(in.State, in.Leaving), PeerAddress: a.book.instances[in.ID].entry,
+			Life: membership.Life(in.State, in.Leaving), PeerAddress: a.directory.instances[in.ID].entry,
 		})
 	}
 	for i := range v.Upstreams {
@@ -138,7 +138,7 @@
 func (a *Agent) feedUpstream(u *membership.Upstream, elapsed time.Duration) feed.Upstream {
 	out := feed.Upstream{
 		ID: u.ID, Zone: u.Zone, Address: u.Address,
-		Incarnation: a.fedIncarnation(u), Life: upstreamLife(u),
+		Incarnation: a.entryIncarnation(u), Life: upstreamLiveness(u),
 	}
 	if u.HasReport {
 		out.Load = &kernel.Load{
@@ -151,8 +151,9 @@
 	return out
 }
 
-// fedLife tracks the incarnation of an upstream as reported to the entry.
-type fedLife struct {
+// reportedIncarnation tracks the incarnation of an upstream as reported to the
+// entry.
+type reportedIncarnation struct {
 	// unnumbered is set if the upstream was reported to the entry before its
 	// incarnation was known. first is the incarnation that became known first, 0
 	// until then.
@@ -160,15 +161,15 @@
 	first      ident.Incarnation
 }
 
-// fedIncarnation returns an upstream's incarnation for the entry. The entry takes
-// a changed incarnation as a new process and abandons the attempts on it. An
-// upstream that was first reported without an incarnation therefore keeps 0 until
-// the process whose incarnation became known first is replaced.
-func (a *Agent) fedIncarnation(u *membership.Upstream) ident.Incarnation {
-	l := a.feed.lives[u.ID]
+// entryIncarnation returns an upstream's incarnation for the entry. The entry
+// takes a changed incarnation as a new process and abandons the attempts on it.
+// An upstream that was first reported without an incarnation therefore keeps 0
+// until the process whose incarnation became known first is replaced.
+func (a *Agent) entryIncarnation(u *membership.Upstream) ident.Incarnation {
+	l := a.feed.incarnations[u.ID]
 	if l == nil {
-		l = &fedLife{unnumbered: u.Incarnation == 0}
-		a.feed.lives[u.ID] = l
+		l = &reportedIncarnation{unnumbered: u.Incarnation == 0}
+		a.feed.incarnations[u.ID] = l
 	}
 	if !l.unnumbered {
 		return u.Incarnation
@@ -182,11 +183,11 @@
 	return u.Incarnation
 }
 
-// tellPlanners passes the view to the planners in the kernel's form.
-func (a *Agent) tellPlanners() {
+// updatePlanners passes the view to the planners in the kernel's form.
+func (a *Agent) updatePlanners() {
 	self := kernel.Self{Instance: a.self.Instance, Incarnation: a.feed.reply.Incarnation, Zone: a.self.Zone}
 	v := a.kernelView()
-	a.leftovers.SetView(a.now, self, v)
+	a.leftoverPlanner.SetView(a.now, self, v)
 	a.orderPlanner.SetView(a.now, self, v)
 }
 
@@ -209,7 +210,7 @@
 		u := &v.Upstreams[i]
 		out.Upstreams = append(out.Upstreams, kernel.Upstream{
 			Index: i, ID: u.ID, Zone: u.Zone, Address: u.Address,
-			Incarnation: u.Incarnation, Liveness: upstreamLife(u), Spec: a.spec(u.ID),
+			Incarnation: u.Incarnation, Liveness: upstreamLiveness(u), Spec: a.spec(u.ID),
 		})
 	}
 	return out
@@ -221,12 +222,12 @@
 	if s := a.loads.specs[id]; s != nil {
 		return *s
 	}
-	u := a.book.upstreams[id]
+	u := a.directory.upstreams[id]
 	return config.Upstream{ID: id, Role: u.Role, Models: u.Models, Service: u.Service}
 }
 
-// takeSpecs stores the upstreams that a bundle declares.
-func (a *Agent) takeSpecs(c *config.Content) {
+// setSpecs stores the upstreams that a bundle declares.
+func (a *Agent) setSpecs(c *config.Content) {
 	a.loads.specs = make(map[ident.UpstreamID]*config.Upstream, len(c.Upstreams))
 	for i := range c.Upstreams {
 		a.loads.specs[c.Upstreams[i].ID] = &c.Upstreams[i]
@@ -239,8 +240,8 @@
 	return role == config.RolePrefill || role == config.RoleDecode
 }
 
-// reportOf returns an upstream of the current view, nil if it is not known.
-func (a *Agent) reportOf(id ident.UpstreamID) *membership.Upstream {
+// findUpstream returns an upstream of the current view, nil if it is not known.
+func (a *Agent) findUpstream(id ident.UpstreamID) *membership.Upstream {
 	list := a.currentView().Upstreams
 	i, ok := slices.BinarySearchFunc(list, id, func(u membership.Upstream, id ident.UpstreamID) int {
 		return strings.Compare(string(u.ID), string(id))
--- a/agent/views_test.go
+++ b/agent/views_test.go
@@ -19,16 +19,16 @@
 // TestFedIncarnation checks that the entry does not mistake an upstream whose
 // incarnation becomes known for a new process.
 func TestFedIncarnation(t *testing.T) {
-	a := &Agent{feed: feedState{lives: map[ident.UpstreamID]*fedLife{}}}
-	fed := func(id ident.UpstreamID, inc ident.Incarnation) ident.Incarnation {
-		return a.fedIncarnation(&membership.Upstream{ID: id, Incarnation: inc})
+	a := &Agent{feed: feedState{incarnations: map[ident.UpstreamID]*reportedIncarnation{}}}
+	incarnationFor := func(id ident.UpstreamID, inc ident.Incarnation) ident.Incarnation {
+		return a.entryIncarnation(&membership.Upstream{ID: id, Incarnation: inc})
 	}
-	assert.Equal(t, fed("unnumbered", 0), ident.Incarnation(0))
-	assert.Equal(t, fed("unnumbered", 5), ident.Incarnation(0), "the same process")
-	assert.Equal(t, fed("unnumbered", 5), ident.Incarnation(0))
-	assert.Equal(t, fed("unnumbered", 6), ident.Incarnation(6), "another process")
-	assert.Equal(t, fed("numbered", 5), ident.Incarnation(5))
-	assert.Equal(t, fed("numbered", 6), ident.Incarnation(6))
+	assert.Equal(t, incarnationFor("unnumbered", 0), ident.Incarnation(0))
+	assert.Equal(t, incarnationFor("unnumbered", 5), ident.Incarnation(0), "the same process")
+	assert.Equal(t, incarnationFor("unnumbered", 5), ident.Incarnation(0))
+	assert.Equal(t, incarnationFor("unnumbered", 6), ident.Incarnation(6), "another process")
+	assert.Equal(t, incarnationFor("numbered", 5), ident.Incarnation(5))
+	assert.Equal(t, incarnationFor("numbered", 6), ident.Incarnation(6))
 }
 
 // TestSupersededOrdersNothing checks that an instance does not act on its view if
@@ -47,8 +47,8 @@
 	a := benchAgent(t, 3, 0)
 	gone := ledger.FloorReport{From: peerSource("i-009"), Ready: true}
 	a.reportRoll(gone, nil)
-	got := a.keepAnswered([]ledger.Source{fromPlatform})
-	assert.DeepEqual(t, got, []ledger.Source{fromPlatform, gone.From})
+	got := a.addFloorReporters([]ledger.Source{platformSource})
+	assert.DeepEqual(t, got, []ledger.Source{platformSource, gone.From})
 }
 
 // TestUnlistedUpstream checks that an upstream that the platform no longer lists
@@ -59,14 +59,14 @@
 		nodes := f.addAll(2, "hall-a")
 		f.list()
 		startAll(nodes)
-		f.within(5*time.Second, "engine live", all(nodes, "dc-1", kernel.Live))
-		listed := f.ups
-		f.ups = nil
+		f.within(5*time.Second, "engine live", upstreamIs(nodes, "dc-1", kernel.Live))
+		listed := f.upstreams
+		f.upstreams = nil
 		f.list()
-		f.within(3*time.Second, "no new work for the unlisted upstream", all(nodes, "dc-1", kernel.Unreachable))
-		f.ups = listed
+		f.within(3*time.Second, "no new work for the unlisted upstream", upstreamIs(nodes, "dc-1", kernel.Unreachable))
+		f.upstreams = listed
 		f.list()
-		f.within(3*time.Second, "upstream gets work again", all(nodes, "dc-1", kernel.Live))
+		f.within(3*time.Second, "upstream gets work again", upstreamIs(nodes, "dc-1", kernel.Live))
 	})
 }
 
@@ -78,17 +78,17 @@
 		f.list()
 		startAll(nodes)
 		time.Sleep(5 * time.Second)
-		kept := func() int {
-			n, err := ask(context.Background(), nodes[0].agent, func() int { return len(nodes[0].agent.partners) })
+		partnerCount := func() int {
+			n, err := callLoop(context.Background(), nodes[0].agent, func() int { return len(nodes[0].agent.partners) })
 			assert.NilError(t, err)
 			return n
 		}
-		assert.Equal(t, kept(), 2)
+		assert.Equal(t, partnerCount(), 2)
 		nodes[2].stop()
 		f.listed = f.listed[:2]
 		f.list()
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, kept(), 1)
+		assert.Equal(t, partnerCount(), 1)
 	})
 }
 
@@ -108,7 +108,7 @@
 		}
 		assert.Assert(t, others > 0)
 		f.publish(nil)
-		took := f.within(2*time.Minute, "version 2 in force", allAt(nodes, 2))
+		took := f.within(2*time.Minute, "version 2 in force", versionInForce(nodes, 2))
 		t.Logf("in force everywhere after %v", took)
 		assert.Assert(t, took > 20*time.Second, "other instances read the platform while the readers have news of it")
 	})
@@ -149,14 +149,14 @@
 		nodes := f.addAll(2, "hall-a")
 		f.list()
 		startAll(nodes)
-		f.within(5*time.Second, "engine live", all(nodes, "dc-1", kernel.Live))
+		f.within(5*time.Second, "engine live", upstreamIs(nodes, "dc-1", kernel.Live))
 		f.platform.Put(configservice.KeyUpstreams, []byte(`{"upstreams":[`))
 		f.platform.Put(configservice.KeyInstances, []byte(`[]`))
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, all(nodes, "dc-1", kernel.Live)())
+		assert.Assert(t, upstreamIs(nodes, "dc-1", kernel.Live)())
 		assert.Equal(t, nodes[0].status().Fleet.Instances[0].State, "alive")
 		f.list()
-		f.ups = append(f.ups, configservice.Upstream{ID: "dc-9", Zone: "hall-b", Address: "10.9.9.9:1", Role: config.RoleDecode, State: configservice.StateLive})
+		f.upstreams = append(f.upstreams, configservice.Upstream{ID: "dc-9", Zone: "hall-b", Address: "10.9.9.9:1", Role: config.RoleDecode, State: configservice.StateLive})
 		f.list()
 		f.within(3*time.Second, "valid list applied", func() bool { return nodes[1].entry.upstream("dc-9") != nil })
 	})
