--- a/agent/agent.go
+++ b/agent/agent.go
@@ -24,22 +24,22 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// Options are what an agent needs besides its settings.
+// Options configures an agent beyond its settings file.
 type Options struct {
 	Log *slog.Logger
-	// Version is the program's, for the status.
+	// Version is the program version, shown in the status.
 	Version string
-	// TLS protects the connections between agents; nil for what the settings say.
+	// TLS secures the connections between agents. If nil, the TLS settings apply.
 	TLS peer.TLS
-	// Seed makes jitter repeatable; 0 draws one.
+	// Seed makes jitter repeatable; 0 selects a random seed.
 	Seed uint64
-	// Dialer opens all connections, Listen all listeners. Nil means the
-	// system's network; tests put in their own.
+	// Dialer opens all connections and Listen all listeners. If nil, the system's
+	// network is used; tests substitute their own.
 	Dialer meter.Dialer
 	Listen func(address string) (net.Listener, error)
 }
 
-// withDefaults fills in what is not set.
+// withDefaults returns the options with defaults for unset fields.
 func (o Options) withDefaults() Options {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -53,8 +53,8 @@
 	return o
 }
 
-// Agent is the agent of one instance. New makes it, Listen opens its addresses,
-// Serve runs it.
+// Agent is the agent of one instance. New creates it, Listen opens its addresses
+// and Serve runs it.
 type Agent struct {
 	settings *Settings
 	options  Options
@@ -62,51 +62,52 @@
 	self     peer.Identity
 	started  time.Time
 
-	peers    *peer.Pool
-	feedPool *peer.Pool
-	engines  *engines.Client
-	reader   configservice.Adapter
-	// platformMeter counts the bytes of the reader.
+	peers           *peer.Pool
+	feedPool        *peer.Pool
+	engines         *engines.Client
+	platformAdapter configservice.Adapter
+	// platformMeter counts the bytes exchanged by the platform adapter.
 	platformMeter meter.Meter
 	servers       servers
-	// tls is nil without files in the settings.
+	// tls is nil if the settings name no TLS files.
 	tls *tlsconf.Reloader
-	// known is read by connections: who is believed.
+	// known is the set of instances whose connections are accepted. Connections
+	// read it outside the loop.
 	known atomic.Pointer[knownSet]
 
 	inbox   chan func()
 	stopped chan struct{}
 	calls   sync.WaitGroup
-	// callCtx ends the calls over the network.
+	// callCtx is cancelled to end calls over the network.
 	callCtx  context.Context
 	endCalls context.CancelFunc
 
-	// All below is the loop's.
-	random       random
-	now          time.Time
-	secondAt     time.Time
-	machine      *membership.Machine
-	ledger       *ledger.Ledger
-	leftovers    *leftover.Planner
-	orderPlanner *orders.Planner
-	counters     wire.Counters
-	book         book
-	source       source
-	relay        relay
-	partners     map[ident.InstanceID]*partner
-	feed         feedState
-	loads        loadState
-	held         heldState
-	orders       orderState
-	view         *membership.View
-	viewDirty    bool
-	// rosterAt is when the ledger was last told whom to ask.
-	rosterAt  time.Time
-	inForceAt time.Time
+	// The fields below are accessed only by the loop.
+	random          random
+	now             time.Time
+	lastSecondAt    time.Time
+	machine         *membership.Machine
+	ledger          *ledger.Ledger
+	leftoverPlanner *leftover.Planner
+	orderPlanner    *orders.Planner
+	counters        wire.Counters
+	directory       directory
+	platform        platformState
+	relay           relay
+	partners        map[ident.InstanceID]*partner
+	feed            feedState
+	loads           loadState
+	leftoverReads   leftoverState
+	orders          orderState
+	view            *membership.View
+	viewDirty       bool
+	// rosterUpdatedAt is when the ledger last got the list of sources to query.
+	rosterUpdatedAt time.Time
+	inForceAt       time.Time
 }
 
-// New makes an agent of checked settings. Its errors are those of configservice.Open
-// and of the approvers.
+// New creates an agent from validated settings. Errors are those of
+// configservice.Open and of parsing the approvers.
 func New(s *Settings, o Options) (*Agent, error) {
 	now := clock.Now()
 	o = o.withDefaults()
@@ -126,47 +127,47 @@
 	if err := a.readTLS(); err != nil {
 		return nil, err
 	}
-	if err := a.makeMachines(now); err != nil {
+	if err := a.initMachines(now); err != nil {
 		return nil, err
 	}
-	if err := a.makeClients(); err != nil {
+	if err := a.initClients(); err != nil {
 		return nil, err
 	}
-	a.seed()
+	a.addSeeds()
 	return a, nil
 }
 
-// makeMachines makes the pure state machines and planners.
-func (a *Agent) makeMachines(now time.Time) error {
+// initMachines creates the state machines and planners, which do no I/O.
+func (a *Agent) initMachines(now time.Time) error {
 	s := a.settings
 	trusted, err := s.Approvers.set()
 	if err != nil {
-		return oops.In("agent").Wrapf(err, "take the approvers")
+		return oops.In("agent").Wrapf(err, "parse the approvers")
 	}
 	l, err := ledger.New(ledger.Settings{
 		Instance: s.Instance, Zone: s.Zone,
 		Approvers: trusted, Isolated: s.Isolated, PauseGap: s.PauseAfter,
 	}, now)
 	if err != nil {
-		return oops.In("agent").Wrapf(err, "take the approvers")
+		return oops.In("agent").Wrapf(err, "parse the approvers")
 	}
 	a.ledger = l
 	a.machine = membership.New(
 		membership.Self{Instance: s.Instance, Zone: s.Zone},
 		membership.Config{Budget: s.Peers.Budget}, now)
-	a.leftovers = leftover.NewPlanner(leftover.DefaultSettings())
+	a.leftoverPlanner = leftover.NewPlanner(leftover.DefaultSettings())
 	a.orderPlanner = orders.NewPlanner(orders.DefaultSettings())
 	a.loads.polls = map[ident.UpstreamID]*poll{}
-	a.feed.lives = map[ident.UpstreamID]*fedLife{}
-	a.source.watches = map[string]context.CancelFunc{}
-	a.source.indexes = map[string]uint64{}
-	a.book = newBook()
-	a.relay = relay{changed: make(chan struct{}), serving: make(chan struct{}, 1), fetching: map[string]bool{}}
+	a.feed.incarnations = map[ident.UpstreamID]*reportedIncarnation{}
+	a.platform.watches = map[string]context.CancelFunc{}
+	a.platform.indexes = map[string]uint64{}
+	a.directory = newDirectory()
+	a.relay = relay{changed: make(chan struct{}), servingSlot: make(chan struct{}, 1), fetching: map[string]bool{}}
 	return nil
 }
 
-// makeClients makes what calls over the network.
-func (a *Agent) makeClients() error {
+// initClients creates the clients for calls over the network.
+func (a *Agent) initClients() error {
 	a.peers = peer.NewPool(a.peerConfig(a.isKnown))
 	local := a.peerConfig(func(id peer.Identity) bool { return id.Instance == a.self.Instance })
 	local.TLS = nil
@@ -178,17 +179,17 @@
 		Transport: newTransport(a.platformMeter.Counting(a.options.Dialer)),
 	})
 	if err != nil {
-		return oops.In("agent").Wrapf(err, "open the platform")
+		return oops.In("agent").Wrapf(err, "open the platform adapter")
 	}
-	a.reader = reader
+	a.platformAdapter = reader
 	return nil
 }
 
-// seed takes in the instances that the settings name.
-func (a *Agent) seed() {
+// addSeeds registers the instances that the settings name.
+func (a *Agent) addSeeds() {
 	var seeds []membership.Seed
 	for _, s := range a.settings.Peers.Seeds {
-		a.book.seed(s)
+		a.directory.addSeed(s)
 		seeds = append(seeds, membership.Seed{ID: s.Instance, Zone: s.Zone, Address: s.Address})
 	}
 	a.machine.Seeds(a.now, seeds)
--- a/agent/leftovers.go
+++ b/agent/leftovers.go
@@ -8,51 +8,53 @@
 	"github.com/wardspool/wardspool/leftover"
 )
 
-// heldState is the loop's part of releasing leftovers.
-type heldState struct {
-	// reading holds the engines whose lists are being read.
+// leftoverState is the loop's state of releasing leftovers, attempts that dead
+// instances left on engines.
+type leftoverState struct {
+	// reading holds the engines whose lists of attempts are being read.
 	reading map[ident.UpstreamID]bool
 }
 
-// runLeftovers reads the engines' lists and repeats the releases that are due.
+// runLeftovers reads the engines' lists of attempts and repeats the releases that
+// are due.
 func (a *Agent) runLeftovers() {
-	wake, ok := a.leftovers.NextWake()
+	wake, ok := a.leftoverPlanner.NextWake()
 	if !ok || a.now.Before(wake) {
 		return
 	}
-	plan := a.leftovers.Tick(a.now)
+	plan := a.leftoverPlanner.Tick(a.now)
 	for _, r := range plan.Reads {
 		a.readHeld(r.Upstream)
 	}
 	a.release(plan.Releases)
 }
 
-// readHeld reads the list of an engine.
+// readHeld reads the list of attempts that an engine holds.
 func (a *Agent) readHeld(id ident.UpstreamID) {
-	if a.held.reading[id] {
+	if a.leftoverReads.reading[id] {
 		return
 	}
-	if a.held.reading == nil {
-		a.held.reading = map[ident.UpstreamID]bool{}
+	if a.leftoverReads.reading == nil {
+		a.leftoverReads.reading = map[ident.UpstreamID]bool{}
 	}
-	a.held.reading[id] = true
+	a.leftoverReads.reading[id] = true
 	a.counters.HeldReads++
-	address := a.book.upstreams[id].Address
+	address := a.directory.upstreams[id].Address
 	a.spawn(func(ctx context.Context) {
 		attempts, err := a.engines.Held(ctx, address)
 		a.post(func() {
-			delete(a.held.reading, id)
+			delete(a.leftoverReads.reading, id)
 			if err != nil {
 				a.counters.HeldReadsFailed++
-				a.leftovers.ReadFailed(a.now, id)
+				a.leftoverPlanner.ReadFailed(a.now, id)
 				return
 			}
-			a.release(a.leftovers.Held(a.now, id, attempts))
+			a.release(a.leftoverPlanner.Held(a.now, id, attempts))
 		})
 	})
 }
 
-// release orders engines to release attempts, with a log line for each.
+// release tells engines to release attempts and logs each of them.
 func (a *Agent) release(releases []leftover.Release) {
 	for _, r := range releases {
 		a.counters.Releases++
@@ -64,7 +66,7 @@
 
 // sendRelease sends one release. The planner repeats it until it is acknowledged.
 func (a *Agent) sendRelease(r leftover.Release) {
-	address := a.book.upstreams[r.Upstream].Address
+	address := a.directory.upstreams[r.Upstream].Address
 	a.spawn(func(ctx context.Context) {
 		released, err := a.engines.Abort(ctx, address, r.Attempt.String())
 		a.post(func() {
@@ -73,7 +75,7 @@
 				return
 			}
 			a.counters.Released++
-			a.leftovers.Released(r.Upstream, r.Attempt)
+			a.leftoverPlanner.Released(r.Upstream, r.Attempt)
 			a.log.Info("leftover released", "upstream", r.Upstream, "attempt", r.Attempt.String(),
 				"was_held", released, "age", a.now.Sub(r.Attempt.Deadline).Round(time.Millisecond).String())
 		})
--- a/agent/rolltime_test.go
+++ b/agent/rolltime_test.go
@@ -22,35 +22,36 @@
 	rolltimeWorkspaces = flag.Int("rolltime.workspaces", 300, "workspaces in the bundle")
 )
 
-// Bounds of TestTimeToInForce, in virtual time.
+// Limits of TestTimeToInForce, in virtual time.
 const (
 	startLimit   = time.Minute
 	inForceLimit = 16 * time.Second
 	sampleGap    = 50 * time.Millisecond
 )
 
-// arrivals samples when each entry has a version and returns the times since now,
-// sorted, of those that have it within the limit.
-func (f *fleet) arrivals(nodes []*node, version uint64, limit time.Duration) []time.Duration {
-	begun := time.Now()
+// timesInForce polls the entries for a version. It returns, sorted, the times
+// since the call at which entries had the version, for those that had it within
+// the limit.
+func (f *fleet) timesInForce(nodes []*node, version uint64, limit time.Duration) []time.Duration {
+	started := time.Now()
 	times := make([]time.Duration, 0, len(nodes))
 	waiting := slices.Clone(nodes)
-	for len(waiting) > 0 && time.Since(begun) < limit {
+	for len(waiting) > 0 && time.Since(started) < limit {
 		time.Sleep(sampleGap)
 		waiting = slices.DeleteFunc(waiting, func(n *node) bool {
 			if n.entry.version() < version {
 				return false
 			}
-			times = append(times, time.Since(begun))
+			times = append(times, time.Since(started))
 			return true
 		})
 	}
 	return times
 }
 
-// TestTimeToInForce: what the protocol itself takes until a version of which one
-// workspace differs is in force on every entry. Time is virtual: processors and
-// the network take none of it, so the times are those of rounds, pauses and
+// TestTimeToInForce measures how long the protocol takes until a version that
+// changes one workspace is in force on every entry. Time is virtual: processors
+// and the network take none of it, so the times consist of rounds, pauses and
 // retries alone.
 func TestTimeToInForce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
@@ -76,14 +77,14 @@
 		}
 		f.publish(change)
 		startAll(nodes)
-		times := f.arrivals(nodes, 1, startLimit)
+		times := f.timesInForce(nodes, 1, startLimit)
 		assert.Equal(t, len(times), len(nodes), "started")
 		t.Logf("%d instances started: last %v", len(nodes), times[len(times)-1])
 		time.Sleep(10 * time.Second)
 		for range 3 {
 			f.publish(change)
-			times = f.arrivals(nodes, f.head.Manifest.Version, inForceLimit)
-			assert.Equal(t, len(times), len(nodes), "in force")
+			times = f.timesInForce(nodes, f.head.Manifest.Version, inForceLimit)
+			assert.Equal(t, len(times), len(nodes), "instances with the version in force")
 			t.Logf("in force: p50 %v, p95 %v, last %v", times[len(times)/2], times[len(times)*95/100], times[len(times)-1])
 			time.Sleep(3 * time.Second)
 		}
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -12,20 +12,20 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// TestEndIsTold has an entry end at every phase of its agent's exchanges with its
-// partners: each partner is told before the agent exits, and has to find out
-// nothing by itself.
+// TestEndIsTold ends an entry at every phase of its agent's heartbeat exchanges.
+// The agent must notify each partner before it exits, so that none has to probe
+// the entry.
 func TestEndIsTold(t *testing.T) {
 	const phases, apart = 20, 50 * time.Millisecond
 	for i := range phases {
 		phase := time.Duration(i) * apart
 		t.Run(fmt.Sprint(phase), func(t *testing.T) {
-			inFleet(t, func(f *fleet) { endIsTold(f, phase) })
+			inFleet(t, func(f *fleet) { checkEndIsAnnounced(f, phase) })
 		})
 	}
 }
 
-func endIsTold(f *fleet, phase time.Duration) {
+func checkEndIsAnnounced(f *fleet, phase time.Duration) {
 	nodes := f.startFleet(3, "hall-a")
 	time.Sleep(5 * time.Second)
 	ending := nodes[0]
@@ -48,14 +48,14 @@
 	}
 }
 
-// TestSlowEntryIsNotEnded stops an agent alone while its entry does not answer in
-// time: when it does again, and is not stopping, the agent waits no longer for its
-// end.
+// TestSlowEntryIsNotEnded stops an agent alone while its entry does not reply in
+// time. When the entry replies again and is not stopping, the agent must no
+// longer wait for it to end.
 func TestSlowEntryIsNotEnded(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.startFleet(2, "hall-a")[0]
 		time.Sleep(5 * time.Second)
-		n.entry.slowDown(2 * feedTimeout)
+		n.entry.setDelay(2 * feedTimeout)
 		time.Sleep(3 * feedTimeout)
 		stopped := make(chan struct{})
 		go func() {
@@ -63,19 +63,20 @@
 			n.stopAgent()
 		}()
 		time.Sleep(feedTimeout)
-		n.entry.slowDown(0)
-		begun := time.Now()
+		n.entry.setDelay(0)
+		started := time.Now()
 		<-stopped
-		assert.Assert(t, time.Since(begun) < 10*time.Second, "stopped after %v", time.Since(begun))
+		assert.Assert(t, time.Since(started) < 10*time.Second, "stopped after %v", time.Since(started))
 	})
 }
 
-// TestSlowlyTakenBundle has an entry take a bundle in more time than another
-// update may take: it is not sent again and again meanwhile.
+// TestSlowlyTakenBundle makes an entry take longer to accept a bundle than the
+// timeout of an ordinary update. The bundle must not be sent repeatedly in the
+// meantime.
 func TestSlowlyTakenBundle(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.startFleet(1, "hall-a")[0]
-		n.entry.slowBundle = 3 * feedTimeout
+		n.entry.bundleDelay = 3 * feedTimeout
 		sent := n.status().Counters.FeedFailures
 		f.publish(nil)
 		f.within(30*time.Second, "the bundle in force", func() bool { return n.entry.version() == 2 })
