--- a/agent/agent.go
+++ b/agent/agent.go
@@ -176,7 +176,7 @@
 	a.engines = engines.New(a.options.Dialer, upstreamTimeout)
 	reader, err := configservice.Open(a.settings.Platform.Adapter, configservice.Options{
 		URLs: a.settings.Platform.URLs, Reader: a.self.Instance, Wait: a.settings.Platform.Wait,
-		Transport: newTransport(a.platformMeter.Counting(a.options.Dialer)),
+		Transport: newTransport(a.platformMeter.CountingDialer(a.options.Dialer)),
 	})
 	if err != nil {
 		return oops.In("agent").Wrapf(err, "open the platform adapter")
@@ -192,6 +192,6 @@
 		a.directory.addSeed(s)
 		seeds = append(seeds, membership.Seed{ID: s.Instance, Zone: s.Zone, Address: s.Address})
 	}
-	a.machine.Seeds(a.now, seeds)
+	a.machine.AddSeeds(a.now, seeds)
 	a.publishKnown()
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -22,7 +22,7 @@
 		f.within(2*time.Second, "entry ready and upstream load known", func() bool {
 			u := nodes[0].entry.upstream("dc-1")
 			_, last := nodes[0].entry.seen()
-			return last.Ready && u != nil && u.Load != nil && u.Life == kernel.Live && u.Load.PiecesTotal == 2000
+			return last.Ready && u != nil && u.Load != nil && u.Liveness == kernel.Live && u.Load.PiecesTotal == 2000
 		})
 		f.publish(nil)
 		f.within(time.Second, "version 2 in force", versionInForce(nodes, 2))
@@ -149,13 +149,13 @@
 		nodes[0].entry.stop()
 		f.within(5*time.Second, "stopped entry known as dead", func() bool {
 			in := nodes[1].entry.instance("hall-a-1")
-			return in.Incarnation == old && in.Life == kernel.Dead
+			return in.Incarnation == old && in.Liveness == kernel.Dead
 		})
 		nodes[0].startEntry()
 		f.within(2500*time.Millisecond, "version 1 in force on the new entry", versionInForce(nodes, 1))
 		f.within(5*time.Second, "new incarnation of the entry known", func() bool {
 			in := nodes[1].entry.instance("hall-a-1")
-			return in.Incarnation > old && in.Life == kernel.Live
+			return in.Incarnation > old && in.Liveness == kernel.Live
 		})
 	})
 }
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -147,7 +147,7 @@
 				if err := json.Unmarshal(doc, &u); err != nil {
 					b.Fatal(err)
 				}
-				peering.View(u.View, a.now)
+				peering.KernelView(u.View, a.now)
 			}
 		})
 	}
@@ -160,10 +160,10 @@
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
 			a := benchAgent(b, size.instances, size.upstreams)
 			a.refreshView()
-			var views peering.Views
+			var views peering.ViewCache
 			full := a.feedView()
 			full.Number = 1
-			views.Take(full, a.now)
+			views.Apply(full, a.now)
 			next := *full
 			next.Base, next.Instances, next.Upstreams = 1, nil, nil
 			for i := 0; i < len(full.Upstreams); i += changedStride {
@@ -177,7 +177,7 @@
 				if err := json.Unmarshal(doc, &u); err != nil {
 					b.Fatal(err)
 				}
-				if _, _, ok := views.Take(u.View, a.now); !ok {
+				if _, _, ok := views.Apply(u.View, a.now); !ok {
 					b.Fatal("view not accepted")
 				}
 			}
@@ -250,7 +250,7 @@
 				if err := json.Unmarshal(doc, &hb); err != nil {
 					b.Fatal(err)
 				}
-				if err := a.machine.Answered(a.now, a.now, other, hb.Heartbeat); err != nil {
+				if err := a.machine.HeartbeatAnswered(a.now, a.now, other, hb.Heartbeat); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/agent/bundlefeed_bench_test.go
+++ b/agent/bundlefeed_bench_test.go
@@ -54,7 +54,7 @@
 		for b.Loop() {
 			changes := feed.NewChanges("", c, &next)
 			send(&feed.Bundle{Version: 1, Changes: changes})
-			_, err := changes.On(c)
+			_, err := changes.Apply(c)
 			assert.NilError(b, err)
 		}
 	})
--- a/agent/bundles.go
+++ b/agent/bundles.go
@@ -236,7 +236,7 @@
 			switch {
 			case err == nil && s.ChecksFencing:
 				a.stepLedger(ledger.FloorReport{From: q.From, Round: q.Round, Fence: s.Highest})
-			case engines.Answered(err):
+			case engines.Responded(err):
 				a.stepLedger(ledger.FloorReport{From: q.From, Round: q.Round})
 			default:
 				a.stepLedger(ledger.Unreachable{From: q.From})
--- a/agent/changes_test.go
+++ b/agent/changes_test.go
@@ -25,7 +25,7 @@
 type feedSimulation struct {
 	*rapid.T
 	agent       *Agent
-	views       *peering.Views
+	views       *peering.ViewCache
 	incarnation ident.Incarnation
 	upstreams   []configservice.Upstream
 	index       uint64
@@ -58,7 +58,7 @@
 		r.list()
 	case 5:
 		r.incarnation++
-		r.views = &peering.Views{}
+		r.views = &peering.ViewCache{}
 	}
 }
 
@@ -70,7 +70,7 @@
 	u := a.composeUpdate()
 	delivery := rapid.IntRange(0, 5).Draw(r.T, "fate")
 	if delivery > 0 {
-		if view, _, ok := r.views.Take(u.View, a.now); ok {
+		if view, _, ok := r.views.Apply(u.View, a.now); ok {
 			r.last = view
 		}
 	}
@@ -90,7 +90,7 @@
 // it: one to detect a new entry, one full view and one with changes.
 func TestChangesMakeTheWhole(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
-		r := &feedSimulation{T: t, agent: benchAgent(outer, 5, 0), views: &peering.Views{}, incarnation: 1, index: 10}
+		r := &feedSimulation{T: t, agent: benchAgent(outer, 5, 0), views: &peering.ViewCache{}, incarnation: 1, index: 10}
 		for i := range 5 {
 			r.upstreams = append(r.upstreams, configservice.Upstream{ID: ident.UpstreamID(fmt.Sprintf("runner-%d", i)), Zone: "zone-0", Address: "10.1.1.1:1", State: configservice.StateLive})
 		}
@@ -109,13 +109,13 @@
 			if u.View.Base != 0 {
 				partial++
 			}
-			if view, _, ok := r.views.Take(u.View, r.agent.now); ok {
+			if view, _, ok := r.views.Apply(u.View, r.agent.now); ok {
 				r.last = view
 			}
 			r.agent.feedAnswered(r.agent.now, u, feed.Reply{Incarnation: r.incarnation, View: r.views.Number()})
 		}
 		assert.Assert(t, partial > 0, "no update had changes only")
-		full := peering.View(r.agent.feedView(), r.agent.now)
+		full := peering.KernelView(r.agent.feedView(), r.agent.now)
 		approximately := cmp.Comparer(func(x, y time.Time) bool { return x.Sub(y).Abs() <= 2*ageRounding*time.Millisecond })
 		assert.DeepEqual(t, r.last, full, approximately)
 	})
@@ -129,7 +129,7 @@
 	a.refreshView()
 	rapid.Check(outer, func(t *rapid.T) {
 		a.feed.bundle, a.feed.sentBundle, a.feed.base, a.feed.reply = nil, nil, nil, feed.Reply{}
-		entry, version := &peering.Contents{}, uint64(0)
+		entry, version := &peering.ContentCache{}, uint64(0)
 		send := func(delivery int) feed.Update {
 			version++
 			c := &config.Content{Workspaces: make([]config.Workspace, rapid.IntRange(1, 4).Draw(t, "workspaces"))}
@@ -138,7 +138,7 @@
 			a.feed.bundle, a.feed.bundleSent = &feed.Bundle{Version: version, Digest: fmt.Sprint(version), Content: c}, false
 			u := a.composeUpdate()
 			if delivery > 0 {
-				if got := entry.Take(u.Bundle); got != nil {
+				if got := entry.Apply(u.Bundle); got != nil {
 					assert.DeepEqual(t, got, c)
 				}
 			}
@@ -151,7 +151,7 @@
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "versions") {
 			if rapid.IntRange(0, 5).Draw(t, "new entry") == 0 {
-				entry = &peering.Contents{}
+				entry = &peering.ContentCache{}
 			}
 			send(rapid.IntRange(0, 3).Draw(t, "fate"))
 		}
@@ -196,7 +196,7 @@
 		"other load":  {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Load = &kernel.Load{Running: 3, PiecesTotal: 90} }, false},
 		"no load":     {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Load = nil }, false},
 		"other place": {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Address = "10.0.0.2:1" }, false},
-		"leaving":     {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Life = kernel.Leaving }, false},
+		"leaving":     {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Liveness = kernel.Leaving }, false},
 	} {
 		after := before
 		tc.change(&after)
--- a/agent/console/fleet.go
+++ b/agent/console/fleet.go
@@ -28,7 +28,7 @@
 // in parallel.
 func Look(ctx context.Context, pool *peer.Pool, addresses []string) *Fleet {
 	f := &Fleet{At: time.Now()}
-	f.Agents, f.Unreached = inquiry.CallAll[wire.Status](ctx, pool, addresses, wire.MethodStatus, wire.Nothing{})
+	f.Agents, f.Unreached = inquiry.CallAll[wire.Status](ctx, pool, addresses, wire.MethodStatus, wire.Empty{})
 	slices.SortFunc(f.Agents, func(a, b wire.Status) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Instance, b.Instance))
 	})
@@ -157,10 +157,10 @@
 // platformText returns the time since the last known response of the platform,
 // and the number of watches that this instance holds.
 func platformText(p *wire.PlatformStatus) string {
-	if p.SeenAgeMS < 0 {
+	if p.LastResponseAgeMS < 0 {
 		return "never"
 	}
-	return fmt.Sprintf("%ds ago, %d watches", p.SeenAgeMS/1000, len(p.Watches))
+	return fmt.Sprintf("%ds ago, %d watches", p.LastResponseAgeMS/1000, len(p.Watches))
 }
 
 // cpuText returns the average CPU usage since the start, as a percentage of one
--- a/agent/console/fleet_test.go
+++ b/agent/console/fleet_test.go
@@ -29,7 +29,7 @@
 			},
 			Upstreams: []wire.UpstreamStatus{{ID: "pf-1", State: "alive", Listed: true}, {ID: "dc-1", State: "unreachable", Listed: true}},
 		},
-		Platform: wire.PlatformStatus{SeenAgeMS: 2500, Watches: []string{"instances"}},
+		Platform: wire.PlatformStatus{LastResponseAgeMS: 2500, Watches: []string{"instances"}},
 		Process:  wire.ProcessStatus{UptimeMS: 10_000, CPUMS: 50, RSSBytes: 20 << 20},
 		Traffic:  wire.TrafficStatus{Peers: wire.Traffic{Sent: 10_000, Received: 10_000}},
 	}
@@ -45,7 +45,7 @@
 			statusOf(7, nil),
 			statusOf(0, func(s *wire.Status) {
 				s.Instance, s.Entry, s.Fleet = "a-9", wire.EntryStatus{}, wire.FleetStatus{}
-				s.Platform.SeenAgeMS = -1
+				s.Platform.LastResponseAgeMS = -1
 				s.Alarms = []wire.AlarmStatus{{Type: ledger.AlarmNothingRolled, Text: "nothing-rolled; step: publish"}}
 			}),
 		},
@@ -79,7 +79,7 @@
 func TestLook(t *testing.T) {
 	all := func(peer.Identity) bool { return true }
 	srv := peer.NewServer(peer.Config{Self: peer.Identity{Instance: "a-1", Incarnation: 1, Zone: "hall-a"}, Allow: all})
-	peer.Handle(srv, wire.MethodStatus, func(context.Context, peer.Identity, wire.Nothing) (wire.Status, error) {
+	peer.Handle(srv, wire.MethodStatus, func(context.Context, peer.Identity, wire.Empty) (wire.Status, error) {
 		return statusOf(3, nil), nil
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/agent/engines/attempts.go
+++ b/agent/engines/attempts.go
@@ -12,8 +12,8 @@
 	} `json:"requests"`
 }
 
-// Held returns the IDs of the attempts that an engine holds.
-func (c *Client) Held(ctx context.Context, address string) ([]string, error) {
+// HeldAttempts returns the IDs of the attempts that an engine holds.
+func (c *Client) HeldAttempts(ctx context.Context, address string) ([]string, error) {
 	var b attemptsBody
 	if _, err := c.call(ctx, http.MethodGet, address, pathRequests, nil, &b); err != nil {
 		return nil, err
--- a/agent/engines/client.go
+++ b/agent/engines/client.go
@@ -57,7 +57,7 @@
 	c := &Client{timeout: timeout}
 	c.http = &http.Client{
 		Transport: &http.Transport{
-			DialContext:         c.meter.Counting(d).DialContext,
+			DialContext:         c.meter.CountingDialer(d).DialContext,
 			MaxIdleConnsPerHost: idlePerUpstream,
 			IdleConnTimeout:     idleTimeout,
 			ReadBufferSize:      bufferBytes,
@@ -126,9 +126,9 @@
 	FailBody Failure = "invalid response"
 )
 
-// Answered reports whether the upstream responded, be it with an error. It
+// Responded reports whether the upstream responded, be it with an error. It
 // returns true for a nil error.
-func Answered(err error) bool {
+func Responded(err error) bool {
 	var call *CallError
 	if !errors.As(err, &call) {
 		return err == nil
@@ -136,9 +136,9 @@
 	return call.Kind == FailStatus || call.Kind == FailBody
 }
 
-// KindOf returns the kind of a failed call, and FailTimeout for errors of other
+// FailureKind returns the kind of a failed call, and FailTimeout for errors of other
 // types than *CallError.
-func KindOf(err error) Failure {
+func FailureKind(err error) Failure {
 	var call *CallError
 	if errors.As(err, &call) {
 		return call.Kind
--- a/agent/engines/client_test.go
+++ b/agent/engines/client_test.go
@@ -56,7 +56,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, l.Slots, perf.Defaults().Slots)
 	assert.Assert(t, l.Incarnation > 0 && l.Seq > 0 && !l.Draining)
-	held, err := c.Held(ctx, addr)
+	held, err := c.HeldAttempts(ctx, addr)
 	assert.NilError(t, err)
 	assert.Equal(t, len(held), 0)
 	released, err := c.Abort(ctx, addr, "a-1.1.1.1")
@@ -68,7 +68,7 @@
 func TestOrders(t *testing.T) {
 	c, addr, ctx := newClient(t), standin(t), context.Background()
 	order := Order{Fence: 7, Placement: Placement{Role: config.RoleDecode, Models: []string{"m"}, Version: "2"}}
-	s, err := c.GiveOrder(ctx, addr, order)
+	s, err := c.SendOrder(ctx, addr, order)
 	assert.NilError(t, err)
 	assert.Equal(t, s.Highest, uint64(7))
 	assert.Equal(t, s.Loading.Version, "2")
@@ -77,12 +77,12 @@
 	assert.Equal(t, s.Version, "1")
 	assert.Assert(t, s.ChecksFencing)
 	order.Fence = 6
-	_, err = c.GiveOrder(ctx, addr, order)
+	_, err = c.SendOrder(ctx, addr, order)
 	var call *CallError
 	assert.Assert(t, errors.As(err, &call))
 	assert.Equal(t, call.Code, CodeStaleFence)
 	assert.Equal(t, call.Highest, uint64(7))
-	assert.Assert(t, Answered(err))
+	assert.Assert(t, Responded(err))
 }
 
 // TestFreshHeader checks that the load report of the header is preferred to the
@@ -139,8 +139,8 @@
 				ctx = canceled
 			}
 			_, err := newClient(t).Load(ctx, c.addr)
-			assert.Equal(t, KindOf(err), c.kind)
-			assert.Equal(t, Answered(err), c.answered)
+			assert.Equal(t, FailureKind(err), c.kind)
+			assert.Equal(t, Responded(err), c.answered)
 		})
 	}
 }
--- a/agent/engines/orders.go
+++ b/agent/engines/orders.go
@@ -47,8 +47,8 @@
 	return s, err
 }
 
-// GiveOrder sends an order and returns the resulting state of the engine.
-func (c *Client) GiveOrder(ctx context.Context, address string, o Order) (OrderState, error) {
+// SendOrder sends an order and returns the resulting state of the engine.
+func (c *Client) SendOrder(ctx context.Context, address string, o Order) (OrderState, error) {
 	var s OrderState
 	_, err := c.call(ctx, http.MethodPost, address, pathOrders, o, &s)
 	return s, err
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -236,9 +236,9 @@
 	if errors.As(err, &dial) && dial.Kind == peer.DialRefused {
 		// The entry closes this listener last, so a refused connection means that
 		// its process has ended.
-		s.Gone, f.ended = true, true
+		s.Ended, f.ended = true, true
 	} else {
-		s.Silent = true
+		s.Unresponsive = true
 	}
 	a.machine.SetSelf(a.now, s)
 }
--- a/agent/heartbeats.go
+++ b/agent/heartbeats.go
@@ -59,9 +59,9 @@
 
 // news returns the newest document versions known to this instance, which its
 // peers should have too.
-func (a *Agent) news() wire.News {
+func (a *Agent) news() wire.Revisions {
 	s := a.ledger.Summary()
-	return wire.News{
+	return wire.Revisions{
 		RollSequence: s.RollSequence, RollDigest: s.RollDigest, Newest: s.Newest,
 		Instances: a.directory.lists.instances.index, Upstreams: a.directory.lists.upstreams.index,
 	}
@@ -70,12 +70,12 @@
 // composeHeartbeat returns the heartbeat to send to a peer.
 func (a *Agent) composeHeartbeat(to ident.InstanceID) wire.Heartbeat {
 	n := a.news()
-	hb := wire.Heartbeat{Heartbeat: a.machine.Heartbeat(a.now, to), Mark: n.Mark()}
+	hb := wire.Heartbeat{Heartbeat: a.machine.Heartbeat(a.now, to), Fingerprint: n.Fingerprint()}
 	if ref, _, ok := a.ledger.InForce(); ok {
 		hb.Version = ref.Version
 	}
-	if a.partnerOf(to).newsMark != hb.Mark {
-		hb.News = &n
+	if a.partnerOf(to).newsMark != hb.Fingerprint {
+		hb.Revisions = &n
 	}
 	if !a.platform.lastSeen.IsZero() {
 		hb.PlatformAge = int(a.now.Sub(a.platform.lastSeen)/time.Second) + 1
@@ -121,7 +121,7 @@
 		}
 		if mark == 0 {
 			n := a.news()
-			mark = n.Mark()
+			mark = n.Fingerprint()
 		}
 		p.newsDueAt = time.Time{}
 		if p.newsMark != mark && p.lastAt.After(limit) {
@@ -162,7 +162,7 @@
 		a.peerFailed(to, started, membership.ProcessAgent, err)
 		return
 	}
-	if err := a.machine.Answered(a.now, started, to, answer.Heartbeat); err != nil {
+	if err := a.machine.HeartbeatAnswered(a.now, started, to, answer.Heartbeat); err != nil {
 		a.rejectHeartbeat(to, err)
 		return
 	}
@@ -195,7 +195,7 @@
 // known.
 func (a *Agent) applyHeartbeat(from ident.InstanceID, started time.Time, hb *wire.Heartbeat) {
 	p := a.partnerOf(from)
-	p.newsMark, p.lastAt = hb.Mark, a.now
+	p.newsMark, p.lastAt = hb.Fingerprint, a.now
 	if hb.PlatformAge > 0 {
 		seen := a.now.Add(-time.Duration(hb.PlatformAge) * time.Second)
 		if seen.After(a.platform.lastSeen) {
@@ -205,9 +205,9 @@
 	if hb.Version > 0 && !started.IsZero() {
 		a.orderPlanner.PeerInForce(started, from, hb.Version)
 	}
-	if hb.News != nil {
-		a.stepLedger(ledger.Announced{From: peerSource(from), Summary: hb.News.Summary()})
-		a.fetchLists(from, hb.News)
+	if hb.Revisions != nil {
+		a.stepLedger(ledger.Announced{From: peerSource(from), Summary: hb.Revisions.Summary()})
+		a.fetchLists(from, hb.Revisions)
 	}
 	a.viewDirty = true
 }
@@ -223,7 +223,7 @@
 	a.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
-		_, err := peer.Call[wire.Nothing](ctx, a.peers, address, wire.MethodProbe, wire.Nothing{}, peer.Expect(to, 0))
+		_, err := peer.Call[wire.Empty](ctx, a.peers, address, wire.MethodProbe, wire.Empty{}, peer.Expect(to, 0))
 		a.post(func() {
 			if probeAnswered(err) {
 				a.machine.PeerAnswered(a.now, started, to)
@@ -264,8 +264,8 @@
 		return 0, false
 	case errors.As(err, &dial) && dial.Kind == peer.DialRefused:
 		return membership.FailRefused, true
-	case errors.As(err, &dial) && dial.Kind == peer.DialSilent:
-		return membership.FailSilent, true
+	case errors.As(err, &dial) && dial.Kind == peer.DialHelloTimeout:
+		return membership.FailNoResponse, true
 	default:
 		return membership.FailTimeout, true
 	}
--- a/agent/leftovers.go
+++ b/agent/leftovers.go
@@ -41,7 +41,7 @@
 	a.counters.HeldReads++
 	address := a.directory.upstreams[id].Address
 	a.spawn(func(ctx context.Context) {
-		attempts, err := a.engines.Held(ctx, address)
+		attempts, err := a.engines.HeldAttempts(ctx, address)
 		a.post(func() {
 			delete(a.leftoverReads.reading, id)
 			if err != nil {
--- a/agent/lists.go
+++ b/agent/lists.go
@@ -46,7 +46,7 @@
 		return
 	} else if index == l.index {
 		l.readStartedAt = started
-		a.machine.Confirmed(a.now, started)
+		a.machine.ListsConfirmed(a.now, started)
 		return
 	}
 	if !a.applyList(key, started, index, doc) {
@@ -92,7 +92,7 @@
 			ID: x.ID, Zone: x.Zone, Address: x.AgentAddress, Leaving: x.State == configservice.StateLeaving,
 		}
 	}
-	if !a.machine.Instances(a.now, started, index, listed) {
+	if !a.machine.ApplyInstanceList(a.now, started, index, listed) {
 		return false
 	}
 	before := a.directory.instances
@@ -138,7 +138,7 @@
 			Incarnation: x.Incarnation, Leaving: x.State == configservice.StateLeaving,
 		}
 	}
-	if !a.machine.Upstreams(a.now, started, index, listed) {
+	if !a.machine.ApplyUpstreamList(a.now, started, index, listed) {
 		return false
 	}
 	a.directory.setUpstreams(&l)
@@ -196,7 +196,7 @@
 }
 
 // fetchLists fetches the lists from a peer that has newer ones.
-func (a *Agent) fetchLists(from ident.InstanceID, n *wire.News) {
+func (a *Agent) fetchLists(from ident.InstanceID, n *wire.Revisions) {
 	have := &a.directory.lists
 	if have.fetching || n.Instances <= have.instances.index && n.Upstreams <= have.upstreams.index {
 		return
--- a/agent/loads.go
+++ b/agent/loads.go
@@ -93,7 +93,7 @@
 // show their recovery.
 func (a *Agent) assignLoads() {
 	a.loads.assignedAt = a.now
-	gathers := a.machine.Gathers(a.now)
+	gathers := a.machine.PolledUpstreams(a.now)
 	next := make(map[ident.UpstreamID]*poll, len(gathers))
 	for _, id := range gathers {
 		if _, listed := a.directory.upstreams[id]; !listed {
@@ -170,7 +170,7 @@
 		a.post(func() {
 			p.busy = false
 			a.viewDirty = true
-			if !engines.Answered(err) {
+			if !engines.Responded(err) {
 				a.loadFailed(id, started, p, err)
 				return
 			}
@@ -197,7 +197,7 @@
 	a.counters.LoadPollsFailed++
 	a.log.Debug("cannot read upstream state", "upstream", id, "error", err)
 	kind := membership.FailTimeout
-	if engines.KindOf(err) == engines.FailRefused {
+	if engines.FailureKind(err) == engines.FailRefused {
 		kind = membership.FailRefused
 	}
 	a.machine.UpstreamFailed(a.now, started, id, kind)
--- a/agent/loop.go
+++ b/agent/loop.go
@@ -126,7 +126,7 @@
 func (a *Agent) handlePause(gap time.Duration) {
 	a.log.Warn("process was paused", "gap", gap.String())
 	a.counters.Pauses++
-	a.machine.Paused(a.now, gap)
+	a.machine.RecordPause(a.now, gap)
 	a.stepLedger(tickEvent)
 	a.feed.pause = max(a.feed.pause, gap)
 	a.orderPlanner.Paused(a.now)
--- a/agent/meter/meter.go
+++ b/agent/meter/meter.go
@@ -29,8 +29,8 @@
 // Total returns the number of bytes written and read so far.
 func (m *Meter) Total() uint64 { return m.Sent() + m.Received() }
 
-// Counting returns a dialer that opens connections with d and counts their bytes.
-func (m *Meter) Counting(d Dialer) Dialer { return &countingDialer{meter: m, dialer: d} }
+// CountingDialer returns a dialer that opens connections with d and counts their bytes.
+func (m *Meter) CountingDialer(d Dialer) Dialer { return &countingDialer{meter: m, dialer: d} }
 
 // countingDialer opens connections whose bytes are counted.
 type countingDialer struct {
--- a/agent/meter/meter_test.go
+++ b/agent/meter/meter_test.go
@@ -31,7 +31,7 @@
 		}
 	}()
 	var m Meter
-	c, err := m.Counting(&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr().String())
+	c, err := m.CountingDialer(&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr().String())
 	assert.NilError(t, err)
 	defer c.Close()
 	_, err = c.Write([]byte("hello"))
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -171,8 +171,8 @@
 
 func fillPlatform(scope tally.Scope, p *wire.PlatformStatus) {
 	scope.Gauge("platform_watches").Update(float64(len(p.Watches)))
-	if p.SeenAgeMS >= 0 {
-		age := time.Duration(p.SeenAgeMS) * time.Millisecond
+	if p.LastResponseAgeMS >= 0 {
+		age := time.Duration(p.LastResponseAgeMS) * time.Millisecond
 		scope.Gauge("platform_seen_age_seconds").Update(age.Seconds())
 	}
 	scope.Counter("platform_calls").Inc(int64(p.Calls))
--- a/agent/metrics_test.go
+++ b/agent/metrics_test.go
@@ -27,7 +27,7 @@
 			{Zone: "hall-a", State: "alive"}, {Zone: "hall-a", State: "alive"}, {Zone: "hall-b", State: "alive", Leaving: true},
 		}},
 		Counters: wire.Counters{Orders: 4},
-		Platform: wire.PlatformStatus{SeenAgeMS: 1500},
+		Platform: wire.PlatformStatus{LastResponseAgeMS: 1500},
 		Traffic:  wire.TrafficStatus{Peers: wire.Traffic{Sent: 100, Received: 50}},
 		Process:  wire.ProcessStatus{CPUMS: 250},
 	}
--- a/agent/parts.go
+++ b/agent/parts.go
@@ -189,7 +189,7 @@
 		return ledger.Source{}, false
 	}
 	n := a.news()
-	mark := n.Mark()
+	mark := n.Fingerprint()
 	for id, p := range a.partners {
 		if from := peerSource(id); p.newsMark == mark && !slices.Contains(tried, from) {
 			return from, true
--- a/agent/placement.go
+++ b/agent/placement.go
@@ -111,7 +111,7 @@
 			a.post(func() { a.log.Info("placement order withheld", "upstream", o.Upstream, "reason", "too late") })
 			return
 		}
-		s, err := a.engines.GiveOrder(ctx, address, order)
+		s, err := a.engines.SendOrder(ctx, address, order)
 		a.post(func() { a.handleOrderResult(o, s, err) })
 	})
 }
@@ -154,7 +154,7 @@
 	a.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		defer cancel()
-		got, err := peer.Call[wire.InForce](ctx, a.peers, address, wire.MethodInForce, wire.Nothing{}, peer.Expect(id, 0))
+		got, err := peer.Call[wire.InForce](ctx, a.peers, address, wire.MethodInForce, wire.Empty{}, peer.Expect(id, 0))
 		if err != nil {
 			return
 		}
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -70,7 +70,7 @@
 	a.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, documentTimeout)
 		defer cancel()
-		doc, err := peer.Call[wire.Document](ctx, a.peers, address, method, wire.Nothing{})
+		doc, err := peer.Call[wire.Document](ctx, a.peers, address, method, wire.Empty{})
 		a.post(func() {
 			delete(a.relay.fetching, key)
 			a.handleDocument(from, key, doc, err)
@@ -101,7 +101,7 @@
 	a.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 		defer cancel()
-		f, err := peer.Call[wire.Floor](ctx, a.peers, address, wire.MethodFloor, wire.Nothing{})
+		f, err := peer.Call[wire.Floor](ctx, a.peers, address, wire.MethodFloor, wire.Empty{})
 		a.post(func() {
 			if err != nil {
 				a.stepLedger(ledger.Unreachable{From: q.From})
@@ -114,16 +114,16 @@
 
 // handleRelay registers the methods by which peers fetch bundles and lists.
 func (a *Agent) handleRelay(s *peer.Server) {
-	peer.Handle(s, wire.MethodRoll, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.Document, error) {
+	peer.Handle(s, wire.MethodRoll, func(ctx context.Context, _ peer.Identity, _ wire.Empty) (wire.Document, error) {
 		return callLoop(ctx, a, a.rollDocument)
 	})
-	peer.Handle(s, wire.MethodManifest, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.Document, error) {
+	peer.Handle(s, wire.MethodManifest, func(ctx context.Context, _ peer.Identity, _ wire.Empty) (wire.Document, error) {
 		return callLoop(ctx, a, a.headDocument)
 	})
-	peer.Handle(s, wire.MethodFloor, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.Floor, error) {
+	peer.Handle(s, wire.MethodFloor, func(ctx context.Context, _ peer.Identity, _ wire.Empty) (wire.Floor, error) {
 		return callLoop(ctx, a, a.floor)
 	})
-	peer.Handle(s, wire.MethodInForce, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.InForce, error) {
+	peer.Handle(s, wire.MethodInForce, func(ctx context.Context, _ peer.Identity, _ wire.Empty) (wire.InForce, error) {
 		return callLoop(ctx, a, func() wire.InForce { return wire.InForce{Version: a.ledger.Summary().InForce.Version} })
 	})
 	peer.Handle(s, wire.MethodLists, func(ctx context.Context, _ peer.Identity, r wire.ListsRequest) (wire.Lists, error) {
--- a/agent/status.go
+++ b/agent/status.go
@@ -16,7 +16,7 @@
 
 // handleStatus registers the methods for operators' tools.
 func (a *Agent) handleStatus(s *peer.Server) {
-	peer.Handle(s, wire.MethodStatus, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.Status, error) {
+	peer.Handle(s, wire.MethodStatus, func(ctx context.Context, _ peer.Identity, _ wire.Empty) (wire.Status, error) {
 		return a.Status(ctx)
 	})
 }
@@ -128,10 +128,10 @@
 	out := wire.PlatformStatus{
 		Watches:   slices.Sorted(maps.Keys(a.platform.watches)),
 		Instances: a.directory.lists.instances.index, Upstreams: a.directory.lists.upstreams.index,
-		SeenAgeMS: -1, Calls: s.Calls, Unavailable: s.Unavailable, Stale: s.Stale, RateLimited: s.RateLimited,
+		LastResponseAgeMS: -1, Calls: s.Calls, Unavailable: s.Unavailable, Stale: s.Stale, RateLimited: s.RateLimited,
 	}
 	if !a.platform.lastSeen.IsZero() {
-		out.SeenAgeMS = a.now.Sub(a.platform.lastSeen).Milliseconds()
+		out.LastResponseAgeMS = a.now.Sub(a.platform.lastSeen).Milliseconds()
 	}
 	return out
 }
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -62,7 +62,7 @@
 // partnersNotified reports whether all partners got the newest state and no
 // exchange is in progress.
 func (a *Agent) partnersNotified() bool {
-	if !a.machine.Told(a.now) {
+	if !a.machine.AllPartnersNotified(a.now) {
 		return false
 	}
 	for _, p := range a.partners {
--- a/agent/stop_test.go
+++ b/agent/stop_test.go
@@ -43,7 +43,7 @@
 	ending.entry.stop()
 	<-stopped
 	for _, n := range nodes[1:] {
-		f.within(time.Second, "dead", func() bool { return n.entry.instance(ending.id).Life == kernel.Dead })
+		f.within(time.Second, "dead", func() bool { return n.entry.instance(ending.id).Liveness == kernel.Dead })
 		assert.Equal(f.t, n.status().Counters.Probes, probes[n.id])
 	}
 }
--- a/agent/tls_test.go
+++ b/agent/tls_test.go
@@ -55,7 +55,7 @@
 		}
 		pool := peer.NewPool(c)
 		defer pool.Close()
-		_, err := peer.Call[wire.Status](t.Context(), pool, address, method, wire.Nothing{})
+		_, err := peer.Call[wire.Status](t.Context(), pool, address, method, wire.Empty{})
 		return err
 	}
 	for name, good := range map[string]bool{"ops-1": true, "ops-2": false, "": false} {
--- a/agent/upstreams_test.go
+++ b/agent/upstreams_test.go
@@ -58,7 +58,7 @@
 	var out []kernel.Liveness
 	for _, n := range nodes {
 		if u := n.entry.upstream(id); u != nil {
-			out = append(out, u.Life)
+			out = append(out, u.Liveness)
 		}
 	}
 	return out
@@ -168,7 +168,7 @@
 		assert.Equal(t, status, http.StatusOK)
 		bench := f.engineClient()
 		held := func() int {
-			list, err := bench.Held(context.Background(), f.address("dc-1"))
+			list, err := bench.HeldAttempts(context.Background(), f.address("dc-1"))
 			assert.NilError(t, err)
 			return len(list)
 		}
@@ -218,7 +218,7 @@
 			orders += n.status().Counters.Orders
 		}
 		assert.Equal(t, orders, uint64(3), "one for the fence of version 1, two for version 2")
-		_, err := bench.GiveOrder(context.Background(), f.address("dc-1"), engines.Order{Fence: 1, Placement: engines.Placement{
+		_, err := bench.SendOrder(context.Background(), f.address("dc-1"), engines.Order{Fence: 1, Placement: engines.Placement{
 			Role: config.RoleDecode, Models: []string{"reader"}, Version: "old",
 		}})
 		assert.NilError(t, err)
@@ -239,7 +239,7 @@
 		time.Sleep(11 * time.Second)
 		assert.Equal(t, n.status().Bundle.Status, ledger.StatusRechecking)
 		bench := f.engineClient()
-		_, err := bench.GiveOrder(context.Background(), f.address("pf-1"), engines.Order{Fence: 1, Placement: engines.Placement{
+		_, err := bench.SendOrder(context.Background(), f.address("pf-1"), engines.Order{Fence: 1, Placement: engines.Placement{
 			Role: config.RolePrefill, Models: []string{"reader"}, Version: "other",
 		}})
 		assert.NilError(t, err)
@@ -272,7 +272,7 @@
 		}()
 		is := func(life kernel.Liveness) func() bool {
 			return func() bool {
-				return nodes[1].entry.instance("hall-a-1").Life == life && nodes[2].entry.instance("hall-a-1").Life == life
+				return nodes[1].entry.instance("hall-a-1").Liveness == life && nodes[2].entry.instance("hall-a-1").Liveness == life
 			}
 		}
 		f.within(3*time.Second, "leaving", is(kernel.Leaving))
--- a/agent/views.go
+++ b/agent/views.go
@@ -99,7 +99,7 @@
 // upstreamLiveness returns the liveness of an upstream. One that the platform no
 // longer lists gets no new work, but may be listed again.
 func upstreamLiveness(u *membership.Upstream) kernel.Liveness {
-	life := membership.Life(u.State, u.Leaving)
+	life := membership.LivenessOf(u.State, u.Leaving)
 	if !u.Listed {
 		return max(life, kernel.Unreachable)
 	}
@@ -117,7 +117,7 @@
 	}
 	if inc := a.feed.reply.Incarnation; inc != 0 {
 		out.Instances = append(out.Instances, feed.Instance{
-			ID: a.self.Instance, Zone: a.self.Zone, Incarnation: inc, Life: a.selfLiveness(),
+			ID: a.self.Instance, Zone: a.self.Zone, Incarnation: inc, Liveness: a.selfLiveness(),
 			PeerAddress: a.directory.instances[a.self.Instance].entry,
 		})
 	}
@@ -125,7 +125,7 @@
 		in := &v.Instances[i]
 		out.Instances = append(out.Instances, feed.Instance{
 			ID: in.ID, Zone: in.Zone, Incarnation: in.Incarnation,
-			Life: membership.Life(in.State, in.Leaving), PeerAddress: a.directory.instances[in.ID].entry,
+			Liveness: membership.LivenessOf(in.State, in.Leaving), PeerAddress: a.directory.instances[in.ID].entry,
 		})
 	}
 	for i := range v.Upstreams {
@@ -138,7 +138,7 @@
 func (a *Agent) feedUpstream(u *membership.Upstream, elapsed time.Duration) feed.Upstream {
 	out := feed.Upstream{
 		ID: u.ID, Zone: u.Zone, Address: u.Address,
-		Incarnation: a.entryIncarnation(u), Life: upstreamLiveness(u),
+		Incarnation: a.entryIncarnation(u), Liveness: upstreamLiveness(u),
 	}
 	if u.HasReport {
 		out.Load = &kernel.Load{
@@ -203,7 +203,7 @@
 	for i := range v.Instances {
 		in := &v.Instances[i]
 		out.Instances = append(out.Instances, kernel.Instance{
-			ID: in.ID, Zone: in.Zone, Incarnation: in.Incarnation, Liveness: membership.Life(in.State, in.Leaving),
+			ID: in.ID, Zone: in.Zone, Incarnation: in.Incarnation, Liveness: membership.LivenessOf(in.State, in.Leaving),
 		})
 	}
 	for i := range v.Upstreams {
--- a/agent/wire/status.go
+++ b/agent/wire/status.go
@@ -101,9 +101,9 @@
 	// Instances and Upstreams are the indexes of the lists in use.
 	Instances uint64 `json:"instances"`
 	Upstreams uint64 `json:"upstreams"`
-	// SeenAgeMS is the time since the latest response of the platform, to any
+	// LastResponseAgeMS is the time since the latest response of the platform, to any
 	// instance, that this instance knows of; -1 if there was none.
-	SeenAgeMS int64 `json:"seen_age_ms"`
+	LastResponseAgeMS int64 `json:"seen_age_ms"`
 	// Calls counts the calls of this instance; the fields after it count calls by
 	// their result.
 	Calls       uint64 `json:"calls"`
--- a/agent/wire/wire.go
+++ b/agent/wire/wire.go
@@ -35,18 +35,18 @@
 	MethodStatus = "agent.status"
 )
 
-// Nothing is the parameter of methods that take no parameters.
-type Nothing struct{}
+// Empty is the parameter of methods that take no parameters.
+type Empty struct{}
 
 // Heartbeat is a heartbeat of package membership with the fields that agents add.
 type Heartbeat struct {
 	membership.Heartbeat
-	// Mark is the sender's News.Mark. Partners with equal marks have the same
+	// Fingerprint is the sender's News.Fingerprint. Partners with equal marks have the same
 	// bundles and lists.
-	Mark uint64 `json:"k"`
-	// News is set if the receiver's mark, as last known to the sender, differs
+	Fingerprint uint64 `json:"k"`
+	// Revisions is set if the receiver's mark, as last known to the sender, differs
 	// from Mark.
-	News *News `json:"n,omitempty"`
+	Revisions *Revisions `json:"n,omitempty"`
 	// Version is the bundle version in force on the sender, 0 if there is none.
 	Version uint64 `json:"v,omitempty"`
 	// PlatformAge is the time since the latest response of the platform, to any
@@ -55,9 +55,9 @@
 	PlatformAge int `json:"p,omitempty"`
 }
 
-// News identifies the latest versions that an agent has of the data that all
+// Revisions identifies the latest versions that an agent has of the data that all
 // instances should have: the roll, the bundle and the platform's lists.
-type News struct {
+type Revisions struct {
 	RollSequence uint64        `json:"roll_sequence,omitempty"`
 	RollDigest   bundle.Digest `json:"roll_digest"`
 	// Newest is the signed bundle with the highest version.
@@ -67,8 +67,8 @@
 	Upstreams uint64 `json:"upstreams,omitempty"`
 }
 
-// Mark returns a hash of the news, for comparison with that of a partner.
-func (n *News) Mark() uint64 {
+// Fingerprint returns a hash of the news, for comparison with that of a partner.
+func (n *Revisions) Fingerprint() uint64 {
 	h := xxhash.New()
 	var b [8]byte
 	for _, v := range []uint64{n.RollSequence, n.Newest.Version, n.Instances, n.Upstreams} {
@@ -82,7 +82,7 @@
 }
 
 // Summary returns the part of the news that the ledger uses.
-func (n *News) Summary() ledger.Summary {
+func (n *Revisions) Summary() ledger.Summary {
 	return ledger.Summary{RollSequence: n.RollSequence, RollDigest: n.RollDigest, Newest: n.Newest}
 }
 
--- a/entry/console/watch.go
+++ b/entry/console/watch.go
@@ -56,7 +56,7 @@
 
 // Look requests the statistics of all instances and returns their sum.
 func (w *Watcher) Look(ctx context.Context, now time.Time) Snapshot {
-	replies, unreachable := inquiry.CallAll[peering.StatsReply](ctx, w.pool, w.addresses, peering.MethodStats, peering.Nothing{})
+	replies, unreachable := inquiry.CallAll[peering.StatsReply](ctx, w.pool, w.addresses, peering.MethodStats, peering.Empty{})
 	s := Snapshot{At: now, Unreached: unreachable}
 	inForce := map[uint64]int{}
 	for _, r := range replies {
--- a/entry/driver/attempt.go
+++ b/entry/driver/attempt.go
@@ -97,7 +97,7 @@
 // handleObservation passes an upstream's report about its own state to the
 // observer and the kernel.
 func (d *Driver) handleObservation(upstream ident.UpstreamID, o adapter.Observation) {
-	d.opts.Observer.Observed(upstream, o)
+	d.opts.Observer.LoadObserved(upstream, o)
 	d.tryPost(kernel.LoadReported{Upstream: upstream, Load: o.Load})
 }
 
@@ -109,7 +109,7 @@
 		close(a.ended)
 		a.cancel(nil)
 		if err == nil {
-			d.opts.Observer.Contact(a.target.Upstream, nil)
+			d.opts.Observer.AttemptEnded(a.target.Upstream, nil)
 			d.send(message{event: ev, attempt: a})
 			return
 		}
@@ -148,7 +148,7 @@
 	code := a.code(e)
 	seen := *e
 	seen.Code = code
-	d.opts.Observer.Contact(a.target.Upstream, &seen)
+	d.opts.Observer.AttemptEnded(a.target.Upstream, &seen)
 	d.opts.Log.Debug("attempt failed", "attempt", a.id.String(), "upstream", a.target.Upstream, "error", err)
 	d.send(message{attempt: a, event: kernel.AttemptFailed{
 		Attempt:    a.id,
--- a/entry/driver/driver.go
+++ b/entry/driver/driver.go
@@ -40,17 +40,17 @@
 	Decided(r kernel.Record)
 	// Ended receives the summary of each finished request.
 	Ended(s Summary)
-	// Late is called for each dropped token: one from an attempt that is no
+	// TokenDropped is called for each dropped token: one from an attempt that is no
 	// longer current, or a duplicate.
-	Late()
-	// Contact receives the result of each attempt at an upstream. err is nil if
+	TokenDropped()
+	// AttemptEnded receives the result of each attempt at an upstream. err is nil if
 	// the attempt succeeded.
-	Contact(upstream ident.UpstreamID, err *adapter.CallError)
-	// Observed receives what an upstream reported about its own state.
-	Observed(upstream ident.UpstreamID, o adapter.Observation)
-	// Undelivered receives the error of a message that could not be sent to a
+	AttemptEnded(upstream ident.UpstreamID, err *adapter.CallError)
+	// LoadObserved receives what an upstream reported about its own state.
+	LoadObserved(upstream ident.UpstreamID, o adapter.Observation)
+	// PeerSendFailed receives the error of a message that could not be sent to a
 	// peer.
-	Undelivered(to ident.InstanceID, err error)
+	PeerSendFailed(to ident.InstanceID, err error)
 }
 
 // Options are the parameters of New.
--- a/entry/driver/peers.go
+++ b/entry/driver/peers.go
@@ -53,6 +53,6 @@
 	if err == nil {
 		return
 	}
-	d.opts.Observer.Undelivered(to, err)
+	d.opts.Observer.PeerSendFailed(to, err)
 	d.Post(kernel.PeerUndelivered{To: to, Message: m})
 }
--- a/entry/driver/rig_test.go
+++ b/entry/driver/rig_test.go
@@ -113,15 +113,15 @@
 	o.ended = append(o.ended, s)
 }
 
-func (o *fakeObserver) Late() {
+func (o *fakeObserver) TokenDropped() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.late++
 }
 
-func (*fakeObserver) Contact(ident.UpstreamID, *adapter.CallError)   {}
-func (*fakeObserver) Observed(ident.UpstreamID, adapter.Observation) {}
-func (*fakeObserver) Undelivered(ident.InstanceID, error)            {}
+func (*fakeObserver) AttemptEnded(ident.UpstreamID, *adapter.CallError)  {}
+func (*fakeObserver) LoadObserved(ident.UpstreamID, adapter.Observation) {}
+func (*fakeObserver) PeerSendFailed(ident.InstanceID, error)             {}
 
 // recordedOutput is an Output that appends the text of the tokens, and fails
 // with err if it is set.
--- a/entry/driver/sink.go
+++ b/entry/driver/sink.go
@@ -31,7 +31,7 @@
 	v, err := s.a.exchange.delivery.writeToken(s.a.id, c)
 	s.watch.progress()
 	if v == tokenDropped {
-		s.d.opts.Observer.Late()
+		s.d.opts.Observer.TokenDropped()
 	}
 	if err != nil {
 		return err
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -42,10 +42,10 @@
 	driver       *driver.Driver
 	front        *front.Front
 	// desk is nil if no ticket keys are configured.
-	desk     *tickets.Desk
-	book     *peering.Book
-	views    peering.Views
-	contents peering.Contents
+	desk     *tickets.Dispatcher
+	book     *peering.AddressBook
+	views    peering.ViewCache
+	contents peering.ContentCache
 	pool     *peer.Pool
 	servers  servers
 
@@ -93,7 +93,7 @@
 	scope, closer := metrics.NewScope(reporter, "wardspool_entry")
 	e.closeMetrics = closer.Close
 	e.recorder = newRecorder(log, scope, s.ExplainRecords)
-	e.book = peering.NewBook(knownPeers(s.Peers.Known))
+	e.book = peering.NewAddressBook(knownPeers(s.Peers.Known))
 	e.pool = peer.NewPool(e.peerConfig(e.book.Known))
 	e.driver = e.newDriver(k)
 	if e.desk, err = newDesk(&s.Tickets, e.self, e.book, e.pool, e.recorder); err != nil {
@@ -195,7 +195,7 @@
 }
 
 // unready returns why the instance is not ready, or front.IsReady.
-func (e *Entry) unready() front.Unready {
+func (e *Entry) unready() front.NotReadyReason {
 	switch {
 	case e.stopping.Load():
 		return front.Stopping
@@ -204,7 +204,7 @@
 	case !e.ready.Load():
 		return front.NoAgent
 	case e.notReady.Load():
-		return front.Leaving
+		return front.ShutdownPending
 	default:
 		return front.IsReady
 	}
--- a/entry/evidence/evidence.go
+++ b/entry/evidence/evidence.go
@@ -46,9 +46,9 @@
 	l.items[k] = i
 }
 
-// Contact records the result of an attempt at an upstream. err is nil if it
+// RecordAttempt records the result of an attempt at an upstream. err is nil if it
 // succeeded.
-func (l *Log) Contact(upstream ident.UpstreamID, err *adapter.CallError, now time.Time) {
+func (l *Log) RecordAttempt(upstream ident.UpstreamID, err *adapter.CallError, now time.Time) {
 	kind, ok := classify(err)
 	if ok {
 		l.add(key{kind: kind, upstream: upstream}, item{at: now})
@@ -89,8 +89,8 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Observed records what an upstream reported about its own state.
-func (l *Log) Observed(upstream ident.UpstreamID, o adapter.Observation, now time.Time) {
+// RecordObservation records what an upstream reported about its own state.
+func (l *Log) RecordObservation(upstream ident.UpstreamID, o adapter.Observation, now time.Time) {
 	load := o.Load
 	l.add(key{kind: feed.EvidenceLoad, upstream: upstream}, item{at: now, load: &load})
 	if o.Draining {
@@ -98,9 +98,9 @@
 	}
 }
 
-// Peer records that a peer could not be reached. refused means that it refused
+// RecordPeerFailure records that a peer could not be reached. refused means that it refused
 // the connection, otherwise it did not respond.
-func (l *Log) Peer(peer ident.InstanceID, refused bool, now time.Time) {
+func (l *Log) RecordPeerFailure(peer ident.InstanceID, refused bool, now time.Time) {
 	kind := feed.EvidenceTimeout
 	if refused {
 		kind = feed.EvidenceRefused
--- a/entry/evidence/evidence_test.go
+++ b/entry/evidence/evidence_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, now := New(), time.Now()
-			l.Contact("u-1", c.err, now)
+			l.RecordAttempt("u-1", c.err, now)
 			got := l.Take(now.Add(time.Second))
 			if c.want == "" {
 				assert.Equal(t, len(got), 0)
@@ -47,11 +47,11 @@
 
 func TestNewestIsKeptUntilTaken(t *testing.T) {
 	l, now := New(), time.Now()
-	l.Observed("u-2", adapter.Observation{Load: kernel.Load{Running: 1}}, now)
-	l.Observed("u-2", adapter.Observation{Load: kernel.Load{Running: 2}, Draining: true}, now)
-	l.Contact("u-1", nil, now)
-	l.Peer("p-1", true, now)
-	l.Peer("p-2", false, now)
+	l.RecordObservation("u-2", adapter.Observation{Load: kernel.Load{Running: 1}}, now)
+	l.RecordObservation("u-2", adapter.Observation{Load: kernel.Load{Running: 2}, Draining: true}, now)
+	l.RecordAttempt("u-1", nil, now)
+	l.RecordPeerFailure("p-1", true, now)
+	l.RecordPeerFailure("p-2", false, now)
 	got := l.Take(now)
 	assert.Equal(t, len(got), 5)
 	assert.Equal(t, got[0].Kind, feed.EvidenceRefused)
--- a/entry/fed_test.go
+++ b/entry/fed_test.go
@@ -115,11 +115,11 @@
 	for i, e := range f.entries {
 		v.Instances = append(v.Instances, feed.Instance{
 			ID: e.Instance(), Zone: "hall-a", Incarnation: ident.Incarnation(i + 1),
-			Life: kernel.Live, PeerAddress: e.PeerAddress(),
+			Liveness: kernel.Live, PeerAddress: e.PeerAddress(),
 		})
 	}
 	for id, address := range f.addresses {
-		v.Upstreams = append(v.Upstreams, feed.Upstream{ID: id, Zone: "hall-a", Address: address, Incarnation: 1, Life: kernel.Live})
+		v.Upstreams = append(v.Upstreams, feed.Upstream{ID: id, Zone: "hall-a", Address: address, Incarnation: 1, Liveness: kernel.Live})
 	}
 	return v
 }
--- a/entry/feed.go
+++ b/entry/feed.go
@@ -18,13 +18,13 @@
 		e.driver.Post(kernel.Paused{Gap: time.Duration(u.PauseMS) * time.Millisecond})
 	}
 	if u.View != nil {
-		if view, addresses, ok := e.views.Take(u.View, now); ok {
+		if view, addresses, ok := e.views.Apply(u.View, now); ok {
 			e.book.Replace(addresses)
 			e.driver.Post(kernel.ViewChanged{View: view})
 		}
 	}
 	if u.Bundle != nil {
-		if content := e.contents.Take(u.Bundle); content != nil {
+		if content := e.contents.Apply(u.Bundle); content != nil {
 			e.driver.Post(kernel.Configured{Version: u.Bundle.Version, Content: content})
 		}
 	}
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -45,7 +45,7 @@
 	front   *Front
 	submit  *fakeSubmitter
 	address string
-	unready Unready
+	unready NotReadyReason
 }
 
 // newTestFront starts a testFront. change modifies its options.
@@ -61,7 +61,7 @@
 	o := Options{
 		Instance: "e-1", Limits: DefaultLimits(), Submit: r.submit,
 		Catalog: func() *intake.Catalog { return catalog },
-		Ready:   func() Unready { return r.unready },
+		Ready:   func() NotReadyReason { return r.unready },
 		Metrics: http.NotFoundHandler(),
 		Log:     slog.New(slog.DiscardHandler),
 	}
@@ -254,12 +254,12 @@
 
 func TestReadiness(t *testing.T) {
 	for _, c := range []struct {
-		unready Unready
+		unready NotReadyReason
 		probe   int
 		want    api.ProblemType
 	}{
 		{IsReady, 200, ""},
-		{Leaving, 503, ""},
+		{ShutdownPending, 503, ""},
 		{Stopping, 503, api.ProblemStopping},
 		{NoBundle, 503, api.ProblemNotReady},
 		{NoAgent, 503, api.ProblemNotReady},
--- a/entry/front/options.go
+++ b/entry/front/options.go
@@ -68,7 +68,7 @@
 	Catalog func() *intake.Catalog
 	// Ready returns the reason why the instance should get no new requests, or
 	// IsReady if there is none.
-	Ready func() Unready
+	Ready func() NotReadyReason
 	// Metrics handles GET /metrics.
 	Metrics http.Handler
 	// Tickets runs calls that carry a ticket. It is nil if no ticket keys are
@@ -77,22 +77,22 @@
 	Log     *slog.Logger
 }
 
-// Unready is the reason why an instance should get no new requests.
-type Unready string
+// NotReadyReason is the reason why an instance should get no new requests.
+type NotReadyReason string
 
 // Values of Unready.
 const (
 	// IsReady means that the instance accepts requests.
-	IsReady Unready = ""
+	IsReady NotReadyReason = ""
 	// NoBundle means that no bundle is in force yet.
-	NoBundle Unready = "no bundle is in force on this instance yet"
+	NoBundle NotReadyReason = "no bundle is in force on this instance yet"
 	// NoAgent means that the agent does not yet know the lowest bundle version
 	// that may be in force.
-	NoAgent Unready = "the agent beside this instance is not ready"
-	// Leaving means that the instance is about to shut down. It still accepts
+	NoAgent NotReadyReason = "the agent beside this instance is not ready"
+	// ShutdownPending means that the instance is about to shut down. It still accepts
 	// requests, so that none is lost before the platform's load balancer has
 	// noticed.
-	Leaving Unready = "this instance is about to shut down"
+	ShutdownPending NotReadyReason = "this instance is about to shut down"
 	// Stopping means that the instance is shutting down.
-	Stopping Unready = "this instance is shutting down"
+	Stopping NotReadyReason = "this instance is shutting down"
 )
--- a/entry/front/problem.go
+++ b/entry/front/problem.go
@@ -43,7 +43,7 @@
 // requests, or nil if it accepts them.
 func (f *Front) notReadyProblem() *api.Problem {
 	switch why := f.opts.Ready(); why {
-	case IsReady, Leaving:
+	case IsReady, ShutdownPending:
 		return nil
 	case Stopping:
 		return api.NewProblem(api.ProblemStopping, api.NotRun, string(why)).RetryAfter(retryAfterOverload)
--- a/entry/front/ticket.go
+++ b/entry/front/ticket.go
@@ -95,7 +95,7 @@
 		f.fail(w, c, tooLarge())
 		return
 	}
-	wait, problem := c.catalog.Wait(c.headers, c.target.route())
+	wait, problem := c.catalog.Deadline(c.headers, c.target.route())
 	if problem != nil {
 		f.fail(w, c, problem)
 		return
--- a/entry/intake/headers.go
+++ b/entry/intake/headers.go
@@ -186,9 +186,9 @@
 	return problem == nil && kind.TicketRequired
 }
 
-// Wait returns how long the caller of a request waits for the answer, as set by
+// Deadline returns how long the caller of a request waits for the answer, as set by
 // the headers or else by the kind.
-func (c *Catalog) Wait(h Headers, route config.Route) (time.Duration, *api.Problem) {
+func (c *Catalog) Deadline(h Headers, route config.Route) (time.Duration, *api.Problem) {
 	kind, problem := c.kind(h.Kind, route)
 	if problem != nil {
 		return 0, problem
--- a/entry/peering/book.go
+++ b/entry/peering/book.go
@@ -16,22 +16,22 @@
 	return fmt.Sprintf("no address is known for instance %q", e.Instance)
 }
 
-// Book holds the addresses of the other instances: those of the settings and those
+// AddressBook holds the addresses of the other instances: those of the settings and those
 // of the agent's newest view. It is safe for concurrent use.
-type Book struct {
+type AddressBook struct {
 	settings map[ident.InstanceID]string
 
 	mu   sync.RWMutex
 	view map[ident.InstanceID]string
 }
 
-// NewBook returns a Book with the addresses of the settings.
-func NewBook(settings map[ident.InstanceID]string) *Book {
-	return &Book{settings: settings}
+// NewAddressBook returns a Book with the addresses of the settings.
+func NewAddressBook(settings map[ident.InstanceID]string) *AddressBook {
+	return &AddressBook{settings: settings}
 }
 
 // Replace replaces the addresses of the previous view.
-func (b *Book) Replace(view map[ident.InstanceID]string) {
+func (b *AddressBook) Replace(view map[ident.InstanceID]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.view = view
@@ -39,7 +39,7 @@
 
 // Address returns the address at which an instance accepts calls. The view takes
 // precedence over the settings. The error is an *UnknownPeerError.
-func (b *Book) Address(id ident.InstanceID) (string, error) {
+func (b *AddressBook) Address(id ident.InstanceID) (string, error) {
 	b.mu.RLock()
 	addr, ok := b.view[id]
 	b.mu.RUnlock()
@@ -54,7 +54,7 @@
 
 // Known reports whether the instance is listed in the view or the settings and is
 // therefore accepted as a peer.
-func (b *Book) Known(id peer.Identity) bool {
+func (b *AddressBook) Known(id peer.Identity) bool {
 	b.mu.RLock()
 	_, inView := b.view[id.Instance]
 	b.mu.RUnlock()
--- a/entry/peering/feed.go
+++ b/entry/peering/feed.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// View converts an agent's view to the kernel's form. Load ages become points in time,
+// KernelView converts an agent's view to the kernel's form. Load ages become points in time,
 // relative to now.
-func View(v *feed.View, now time.Time) *kernel.View {
+func KernelView(v *feed.View, now time.Time) *kernel.View {
 	out := &kernel.View{
 		Version:   v.Version,
 		Trusted:   v.Trusted,
@@ -45,13 +45,13 @@
 	}
 	for _, i := range v.Instances {
 		out.Instances = append(out.Instances, kernel.Instance{
-			ID: i.ID, Zone: i.Zone, Incarnation: i.Incarnation, Liveness: i.Life,
+			ID: i.ID, Zone: i.Zone, Incarnation: i.Incarnation, Liveness: i.Liveness,
 		})
 	}
 	for n, u := range v.Upstreams {
 		k := kernel.Upstream{
 			Index: n, ID: u.ID, Zone: u.Zone, Address: u.Address,
-			Incarnation: u.Incarnation, Liveness: u.Life,
+			Incarnation: u.Incarnation, Liveness: u.Liveness,
 		}
 		if u.Load != nil {
 			k.Load = *u.Load
--- a/entry/peering/kernel.go
+++ b/entry/peering/kernel.go
@@ -21,13 +21,13 @@
 // Sender sends messages to the kernels of other instances. It implements
 // driver.PeerSender.
 type Sender struct {
-	book *Book
+	book *AddressBook
 	pool *peer.Pool
 }
 
 // NewSender returns a Sender that takes addresses from book and connections from
 // pool.
-func NewSender(book *Book, pool *peer.Pool) *Sender { return &Sender{book: book, pool: pool} }
+func NewSender(book *AddressBook, pool *peer.Pool) *Sender { return &Sender{book: book, pool: pool} }
 
 // Send sends a message at most once. Its errors are *UnknownPeerError,
 // *kernel.MessageBodyError and *peer.CallError.
@@ -44,19 +44,19 @@
 	return peer.Notify(ctx, s.pool, addr, MethodKernel, msg, peer.Expect(to, 0))
 }
 
-// Nothing is the parameter or result of methods that have none.
-type Nothing struct{}
+// Empty is the parameter or result of methods that have none.
+type Empty struct{}
 
 // HandleKernel registers the method that passes other kernels' messages to post.
 func HandleKernel(s *peer.Server, post func(kernel.Event) bool) {
-	peer.Handle(s, MethodKernel, func(_ context.Context, from peer.Identity, m KernelMessage) (Nothing, error) {
+	peer.Handle(s, MethodKernel, func(_ context.Context, from peer.Identity, m KernelMessage) (Empty, error) {
 		decoded, err := kernel.DecodeMessage(m.Kind, m.Body)
 		if err != nil {
-			return Nothing{}, err
+			return Empty{}, err
 		}
 		if !post(kernel.PeerReceived{From: from.Instance, Message: decoded}) {
-			return Nothing{}, &peer.StoppingError{}
+			return Empty{}, &peer.StoppingError{}
 		}
-		return Nothing{}, nil
+		return Empty{}, nil
 	})
 }
--- a/entry/peering/operator.go
+++ b/entry/peering/operator.go
@@ -57,7 +57,7 @@
 	peer.Handle(s, MethodExplain, func(_ context.Context, _ peer.Identity, r ExplainRequest) (ExplainReply, error) {
 		return src.Explain(r.Request), nil
 	})
-	peer.Handle(s, MethodStats, func(context.Context, peer.Identity, Nothing) (StatsReply, error) {
+	peer.Handle(s, MethodStats, func(context.Context, peer.Identity, Empty) (StatsReply, error) {
 		return src.Stats(), nil
 	})
 }
--- a/entry/peering/peering_test.go
+++ b/entry/peering/peering_test.go
@@ -15,11 +15,11 @@
 // TestView checks the conversion of an agent's view to the kernel's form.
 func TestView(t *testing.T) {
 	now := time.Now()
-	v := View(&feed.View{
+	v := KernelView(&feed.View{
 		Version: 3, Trusted: true,
-		Instances: []feed.Instance{{ID: "e-1", Zone: "hall-a", Incarnation: 5, Life: kernel.Leaving, PeerAddress: "10.0.0.1:9"}},
+		Instances: []feed.Instance{{ID: "e-1", Zone: "hall-a", Incarnation: 5, Liveness: kernel.Leaving, PeerAddress: "10.0.0.1:9"}},
 		Upstreams: []feed.Upstream{
-			{ID: "u-1", Zone: "hall-b", Address: "10.0.0.2:9", Incarnation: 6, Life: kernel.Live},
+			{ID: "u-1", Zone: "hall-b", Address: "10.0.0.2:9", Incarnation: 6, Liveness: kernel.Live},
 			{ID: "u-2", Load: &kernel.Load{Running: 4}, LoadAgeMS: 1500},
 		},
 	}, now)
@@ -34,7 +34,7 @@
 // TestBook checks that addresses of the view take precedence over those of the settings,
 // and that an instance without an address is still accepted as a peer.
 func TestBook(t *testing.T) {
-	b := NewBook(map[ident.InstanceID]string{"seed": "10.0.0.1:1", "both": "10.0.0.1:2"})
+	b := NewAddressBook(map[ident.InstanceID]string{"seed": "10.0.0.1:1", "both": "10.0.0.1:2"})
 	b.Replace(Addresses(&feed.View{Instances: []feed.Instance{{ID: "both", PeerAddress: "10.0.0.9:2"}, {ID: "silent"}}}))
 	for id, want := range map[ident.InstanceID]string{"seed": "10.0.0.1:1", "both": "10.0.0.9:2"} {
 		got, err := b.Address(id)
--- a/entry/peering/views.go
+++ b/entry/peering/views.go
@@ -11,9 +11,9 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Views holds the newest view, so that the agent needs to send only changes to it. The
+// ViewCache holds the newest view, so that the agent needs to send only changes to it. The
 // zero value is empty. It is safe for concurrent use.
-type Views struct {
+type ViewCache struct {
 	mu     sync.Mutex
 	number uint64
 	// view is never returned, only copies of it, because receivers may modify them.
@@ -25,18 +25,18 @@
 }
 
 // Number returns the number of the view held, 0 if there is none.
-func (w *Views) Number() uint64 {
+func (w *ViewCache) Number() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.number
 }
 
-// Take stores a view or applies changes to the one held. It returns a copy of the whole
+// Apply stores a view or applies changes to the one held. It returns a copy of the whole
 // view, which the caller may modify, and the addresses at which its instances accept
 // calls. It returns false if the changes have another view as their base or concern
 // unknown members. The reply to the agent names the view held, and the agent then
 // sends the view in full.
-func (w *Views) Take(v *feed.View, now time.Time) (*kernel.View, map[ident.InstanceID]string, bool) {
+func (w *ViewCache) Apply(v *feed.View, now time.Time) (*kernel.View, map[ident.InstanceID]string, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if v.Base != 0 && (v.Base != w.number || !w.containsAll(v)) {
@@ -55,7 +55,7 @@
 }
 
 // containsAll reports whether the view held has all instances and upstreams that changed.
-func (w *Views) containsAll(v *feed.View) bool {
+func (w *ViewCache) containsAll(v *feed.View) bool {
 	for i := range v.Instances {
 		if _, ok := w.instanceIndex[v.Instances[i].ID]; !ok {
 			return false
@@ -70,8 +70,8 @@
 }
 
 // replace stores a whole view.
-func (w *Views) replace(v *feed.View, now time.Time) {
-	w.view = *View(v, now)
+func (w *ViewCache) replace(v *feed.View, now time.Time) {
+	w.view = *KernelView(v, now)
 	w.addresses = Addresses(v)
 	w.instanceIndex = make(map[ident.InstanceID]int, len(v.Instances))
 	for i := range v.Instances {
@@ -84,8 +84,8 @@
 }
 
 // applyChanges applies changes to the view held.
-func (w *Views) applyChanges(v *feed.View, now time.Time) {
-	part := View(v, now)
+func (w *ViewCache) applyChanges(v *feed.View, now time.Time) {
+	part := KernelView(v, now)
 	w.view.Version, w.view.Trusted = part.Version, part.Trusted
 	for i, in := range part.Instances {
 		w.view.Instances[w.instanceIndex[in.ID]] = in
--- a/entry/recorder.go
+++ b/entry/recorder.go
@@ -108,12 +108,12 @@
 	r.counters.countRequest(&s)
 }
 
-// Late implements driver.Observer.
-func (r *recorder) Late() { r.counters.lateTokens.Inc(1) }
+// TokenDropped implements driver.Observer.
+func (r *recorder) TokenDropped() { r.counters.lateTokens.Inc(1) }
 
-// Contact implements driver.Observer.
-func (r *recorder) Contact(upstream ident.UpstreamID, err *adapter.CallError) {
-	r.evidence.Contact(upstream, err, time.Now())
+// AttemptEnded implements driver.Observer.
+func (r *recorder) AttemptEnded(upstream ident.UpstreamID, err *adapter.CallError) {
+	r.evidence.RecordAttempt(upstream, err, time.Now())
 	if err != nil {
 		r.counters.attemptsFailed.Inc(1)
 		return
@@ -121,17 +121,17 @@
 	r.counters.attemptsDone.Inc(1)
 }
 
-// Observed implements driver.Observer.
-func (r *recorder) Observed(upstream ident.UpstreamID, o adapter.Observation) {
-	r.evidence.Observed(upstream, o, time.Now())
+// LoadObserved implements driver.Observer.
+func (r *recorder) LoadObserved(upstream ident.UpstreamID, o adapter.Observation) {
+	r.evidence.RecordObservation(upstream, o, time.Now())
 }
 
-// Undelivered implements driver.Observer.
-func (r *recorder) Undelivered(to ident.InstanceID, err error) {
+// PeerSendFailed implements driver.Observer.
+func (r *recorder) PeerSendFailed(to ident.InstanceID, err error) {
 	r.counters.undeliveredMessages.Inc(1)
 	var dial *peer.DialError
 	if errors.As(err, &dial) {
-		r.evidence.Peer(to, dial.Kind == peer.DialRefused, time.Now())
+		r.evidence.RecordPeerFailure(to, dial.Kind == peer.DialRefused, time.Now())
 	}
 	r.log.Debug("peer message not delivered", "peer", to, "error", err)
 }
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -37,7 +37,7 @@
 
 // newDesk returns the ticket desk of an instance, nil if no ticket keys are
 // configured.
-func newDesk(t *TicketSettings, self kernel.Self, book *peering.Book, pool *peer.Pool, r *recorder) (*tickets.Desk, error) {
+func newDesk(t *TicketSettings, self kernel.Self, book *peering.AddressBook, pool *peer.Pool, r *recorder) (*tickets.Dispatcher, error) {
 	codec, err := t.codec()
 	if err != nil || codec == nil {
 		return nil, err
--- a/entry/tickets/desk.go
+++ b/entry/tickets/desk.go
@@ -74,9 +74,9 @@
 	Problem *api.Problem   `json:"problem,omitempty"`
 }
 
-// Desk executes the calls of tickets issued by this instance and forwards the
+// Dispatcher executes the calls of tickets issued by this instance and forwards the
 // calls of other instances' tickets. It is safe for concurrent use.
-type Desk struct {
+type Dispatcher struct {
 	codec   *ticket.Codec
 	forward Forwarder
 	run     Runner
@@ -111,8 +111,8 @@
 
 // New returns a desk for a new life (incarnation) of an instance. SetRunner
 // must be called before the first call arrives.
-func New(o Options) *Desk {
-	return &Desk{
+func New(o Options) *Dispatcher {
+	return &Dispatcher{
 		codec:    o.Codec,
 		forward:  o.Forward,
 		observe:  o.Observe,
@@ -123,11 +123,11 @@
 }
 
 // SetRunner sets the function that runs calls.
-func (d *Desk) SetRunner(r Runner) { d.run = r }
+func (d *Dispatcher) SetRunner(r Runner) { d.run = r }
 
 // Issue returns the text and the expiry of a new ticket, or the problem that
 // prevents issuing one.
-func (d *Desk) Issue(w ident.Workspace) (text string, expires time.Time, problem *api.Problem) {
+func (d *Dispatcher) Issue(w ident.Workspace) (text string, expires time.Time, problem *api.Problem) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,7 +147,7 @@
 // instance. It waits no longer than answerMargin beyond the caller's deadline:
 // an executor behind a network partition does not answer, and a call started by
 // another presentation may have a later deadline.
-func (d *Desk) Execute(ctx context.Context, c *Call) Reply {
+func (d *Dispatcher) Execute(ctx context.Context, c *Call) Reply {
 	ctx, stop := context.WithTimeout(ctx, c.Wait+answerMargin)
 	defer stop()
 	t, err := d.codec.Open(c.Ticket)
@@ -169,7 +169,7 @@
 
 // ExecuteHere presents a call that another instance forwarded. It never
 // forwards the call again.
-func (d *Desk) ExecuteHere(ctx context.Context, c *Call) Reply {
+func (d *Dispatcher) ExecuteHere(ctx context.Context, c *Call) Reply {
 	t, err := d.codec.Open(c.Ticket)
 	if err != nil {
 		return Reply{Problem: ticket.InvalidProblem(err)}
@@ -178,7 +178,7 @@
 	return d.present(ctx, t, c)
 }
 
-func (d *Desk) life() ticket.Life {
+func (d *Dispatcher) life() ticket.Life {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.executor.Life()
@@ -187,7 +187,7 @@
 // view returns a view that tells ticket.Route whether the executor's address is
 // known. The agents' opinion on the executor's liveness is left out: only the
 // executor itself can give a better answer than "unknown".
-func (d *Desk) view(t ticket.Ticket) *kernel.View {
+func (d *Dispatcher) view(t ticket.Ticket) *kernel.View {
 	v := &kernel.View{}
 	if d.forward != nil && d.forward.Known(t.Executor.Instance) {
 		v.Instances = []kernel.Instance{{ID: t.Executor.Instance}}
@@ -196,7 +196,7 @@
 }
 
 // forwardCall forwards a call to its executor.
-func (d *Desk) forwardCall(ctx context.Context, t ticket.Ticket, to ident.InstanceID, c *Call) Reply {
+func (d *Dispatcher) forwardCall(ctx context.Context, t ticket.Ticket, to ident.InstanceID, c *Call) Reply {
 	r, err := d.forward.Forward(ctx, to, c)
 	if err != nil {
 		d.reportPresentation(t, c, journal.PresentationUnreachable)
@@ -207,7 +207,7 @@
 }
 
 // present asks the executor for a decision on a call and applies it.
-func (d *Desk) present(ctx context.Context, t ticket.Ticket, c *Call) Reply {
+func (d *Dispatcher) present(ctx context.Context, t ticket.Ticket, c *Call) Reply {
 	d.mu.Lock()
 	now := time.Now()
 	d.executor.Sweep(now)
@@ -230,7 +230,7 @@
 }
 
 // startJob starts a call. d.mu must be held.
-func (d *Desk) startJob(t ticket.Ticket, c *Call) {
+func (d *Dispatcher) startJob(t ticket.Ticket, c *Call) {
 	ctx, cancel := context.WithCancel(context.Background())
 	j := &job{done: make(chan struct{}), cancel: cancel}
 	d.jobs[t.Sequence] = j
@@ -245,7 +245,7 @@
 
 // finish records the result of a call and wakes the presentations that wait for
 // it.
-func (d *Desk) finish(t ticket.Ticket, j *job, r ticket.Result) {
+func (d *Dispatcher) finish(t ticket.Ticket, j *job, r ticket.Result) {
 	d.mu.Lock()
 	err := d.executor.Finish(time.Now(), t, r)
 	delete(d.jobs, t.Sequence)
@@ -259,7 +259,7 @@
 
 // awaitJob waits for the end of a call that is running at this instance. If the
 // last waiting presentation leaves, the call is cancelled.
-func (d *Desk) awaitJob(ctx context.Context, t ticket.Ticket, j *job) Reply {
+func (d *Dispatcher) awaitJob(ctx context.Context, t ticket.Ticket, j *job) Reply {
 	select {
 	case <-j.done:
 		return Reply{Result: &j.result}
@@ -278,18 +278,18 @@
 }
 
 // Paused reports a pause of the process to the executor.
-func (d *Desk) Paused(gap time.Duration) {
+func (d *Dispatcher) Paused(gap time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.executor.Paused(time.Now(), gap)
 }
 
 // Stop starts a graceful shutdown. Wait waits for the running calls.
-func (d *Desk) Stop() {
+func (d *Dispatcher) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.executor.Stop()
 }
 
 // Wait waits until no call is running.
-func (d *Desk) Wait() { d.workers.Wait() }
+func (d *Dispatcher) Wait() { d.workers.Wait() }
--- a/entry/tickets/desk_test.go
+++ b/entry/tickets/desk_test.go
@@ -20,7 +20,7 @@
 // fakeForwarder is a Forwarder that forwards to a desk in the same process.
 type fakeForwarder struct {
 	known bool
-	desk  *Desk
+	desk  *Dispatcher
 	err   error
 }
 
@@ -34,7 +34,7 @@
 	return &r, nil
 }
 
-func newTestDesk(t *testing.T, instance ident.InstanceID, f Forwarder) *Desk {
+func newTestDesk(t *testing.T, instance ident.InstanceID, f Forwarder) *Dispatcher {
 	t.Helper()
 	codec, err := ticket.NewCodec(ticket.Key{ID: "k", Secret: bytes.Repeat([]byte("s"), 32)})
 	assert.NilError(t, err)
@@ -45,7 +45,7 @@
 	})
 }
 
-func issueCall(t *testing.T, d *Desk) *Call {
+func issueCall(t *testing.T, d *Dispatcher) *Call {
 	t.Helper()
 	text, _, problem := d.Issue("default")
 	assert.Assert(t, problem == nil)
--- a/entry/tickets/forward.go
+++ b/entry/tickets/forward.go
@@ -15,13 +15,15 @@
 // Peers forwards calls to other instances over JSON-RPC 2.0. It implements
 // Forwarder.
 type Peers struct {
-	book *peering.Book
+	book *peering.AddressBook
 	pool *peer.Pool
 }
 
 // NewPeers returns a forwarder that looks up addresses in book and takes
 // connections from pool.
-func NewPeers(book *peering.Book, pool *peer.Pool) *Peers { return &Peers{book: book, pool: pool} }
+func NewPeers(book *peering.AddressBook, pool *peer.Pool) *Peers {
+	return &Peers{book: book, pool: pool}
+}
 
 // Known implements Forwarder.
 func (p *Peers) Known(id ident.InstanceID) bool {
@@ -44,7 +46,7 @@
 }
 
 // Handle registers the handler of forwarded calls at a server.
-func Handle(s *peer.Server, d *Desk) {
+func Handle(s *peer.Server, d *Dispatcher) {
 	peer.Handle(s, MethodExecute, func(ctx context.Context, _ peer.Identity, c Call) (Reply, error) {
 		return d.ExecuteHere(ctx, &c), nil
 	})
--- a/entry/tickets/run.go
+++ b/entry/tickets/run.go
@@ -36,7 +36,7 @@
 }
 
 // reportPresentation reports the handling of a presentation to the observer.
-func (d *Desk) reportPresentation(t ticket.Ticket, c *Call, action journal.PresentationAction) {
+func (d *Dispatcher) reportPresentation(t ticket.Ticket, c *Call, action journal.PresentationAction) {
 	if d.observe == nil {
 		return
 	}
--- a/feed/changes.go
+++ b/feed/changes.go
@@ -50,9 +50,9 @@
 	return c
 }
 
-// On applies the changes to before and returns the new content. It does not modify
+// Apply applies the changes to before and returns the new content. It does not modify
 // before, but the two share memory. The error is a *SpliceError.
-func (c *Changes) On(before *config.Content) (*config.Content, error) {
+func (c *Changes) Apply(before *config.Content) (*config.Content, error) {
 	after := c.Rest
 	var err error
 	if after.Workspaces, err = c.Workspaces.apply(before.Workspaces); err != nil {
--- a/feed/changes_test.go
+++ b/feed/changes_test.go
@@ -38,7 +38,7 @@
 		assert.NilError(t, err)
 		var c Changes
 		assert.NilError(t, json.Unmarshal(doc, &c))
-		got, err := c.On(before)
+		got, err := c.Apply(before)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, got, after)
 		assert.DeepEqual(t, before, original)
@@ -56,7 +56,7 @@
 
 func TestSplicesOfOtherListsAreRefused(t *testing.T) {
 	for _, s := range []Splice[config.Workspace]{{Keep: 3}, {Tail: 3}, {Keep: 2, Tail: 1}, {Keep: -1}, {Tail: -1}} {
-		_, err := (&Changes{Workspaces: s}).On(&config.Content{Workspaces: make([]config.Workspace, 2)})
+		_, err := (&Changes{Workspaces: s}).Apply(&config.Content{Workspaces: make([]config.Workspace, 2)})
 		var bad *SpliceError
 		assert.Assert(t, errors.As(err, &bad), "%+v", s)
 	}
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -65,7 +65,7 @@
 	ID          ident.InstanceID  `json:"id"`
 	Zone        ident.Zone        `json:"zone"`
 	Incarnation ident.Incarnation `json:"incarnation"`
-	Life        kernel.Liveness   `json:"life"`
+	Liveness    kernel.Liveness   `json:"life"`
 	// PeerAddress is the address on which its entry accepts jsonrpc2 calls from
 	// peers, "IP:port".
 	PeerAddress string `json:"peer_address"`
@@ -77,7 +77,7 @@
 	Zone        ident.Zone        `json:"zone"`
 	Address     string            `json:"address"`
 	Incarnation ident.Incarnation `json:"incarnation"`
-	Life        kernel.Liveness   `json:"life"`
+	Liveness    kernel.Liveness   `json:"life"`
 	// Load is the latest load report, absent if none is known. LoadAgeMS is its
 	// age.
 	Load      *kernel.Load `json:"load,omitempty"`
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -152,7 +152,7 @@
 	defer cancel()
 	out := make([]wire.Status, len(b.nodes))
 	for i, x := range b.nodes {
-		s, err := peer.Call[wire.Status](ctx, pool, x.operator, wire.MethodStatus, wire.Nothing{})
+		s, err := peer.Call[wire.Status](ctx, pool, x.operator, wire.MethodStatus, wire.Empty{})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/capacity/simulated.go
+++ b/internal/capacity/simulated.go
@@ -105,10 +105,10 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		answer, err := x.machine.Receive(time.Now(), from.Instance, hb.Heartbeat)
-		x.marks[from.Instance] = hb.Mark
+		x.marks[from.Instance] = hb.Fingerprint
 		return x.wire(from.Instance, answer), err
 	})
-	peer.Handle(srv, wire.MethodFloor, func(context.Context, peer.Identity, wire.Nothing) (wire.Floor, error) {
+	peer.Handle(srv, wire.MethodFloor, func(context.Context, peer.Identity, wire.Empty) (wire.Floor, error) {
 		p := s.bed.publisher
 		return wire.Floor{Ready: true, InForce: p.head.Ref(), Roll: p.roll}, nil
 	})
@@ -119,7 +119,7 @@
 
 // wire adds what agents add to a heartbeat.
 func (x *simulated) wire(to ident.InstanceID, hb membership.Heartbeat) wire.Heartbeat {
-	return wire.Heartbeat{Heartbeat: hb, Mark: x.marks[to], Version: 1, PlatformAge: 1}
+	return wire.Heartbeat{Heartbeat: hb, Fingerprint: x.marks[to], Version: 1, PlatformAge: 1}
 }
 
 // begin gives the lists to all and starts their time.
@@ -134,8 +134,8 @@
 		ul = append(ul, membership.ListedUpstream{ID: u.ID, Zone: u.Zone, Address: u.Address, Incarnation: u.Incarnation})
 	}
 	for _, x := range s.order {
-		x.machine.Instances(now, now, 1, il)
-		x.machine.Upstreams(now, now, 1, ul)
+		x.machine.ApplyInstanceList(now, now, 1, il)
+		x.machine.ApplyUpstreamList(now, now, 1, ul)
 	}
 	ctx, end := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -173,7 +173,7 @@
 // gather lets each report the load of the upstreams that it gathers.
 func (s *simulation) gather(now time.Time) {
 	for _, x := range s.order {
-		for _, id := range x.machine.Gathers(now) {
+		for _, id := range x.machine.PolledUpstreams(now) {
 			x.machine.UpstreamReport(now, now, id, simReport(now))
 		}
 	}
@@ -199,7 +199,7 @@
 	answer, err := to.machine.Receive(now, x.id, x.machine.Heartbeat(now, to.id))
 	if err == nil {
 		// What a machine composes, another takes.
-		_ = x.machine.Answered(now, now, to.id, answer)
+		_ = x.machine.HeartbeatAnswered(now, now, to.id, answer)
 	}
 }
 
@@ -215,8 +215,8 @@
 		x.machine.PeerFailed(now, begun, to, membership.ProcessAgent, membership.FailTimeout)
 		return
 	}
-	x.marks[to] = answer.Mark
-	_ = x.machine.Answered(now, begun, to, answer.Heartbeat)
+	x.marks[to] = answer.Fingerprint
+	_ = x.machine.HeartbeatAnswered(now, begun, to, answer.Heartbeat)
 }
 
 // simIncarnation is that of every simulated engine.
--- a/membership/absence_test.go
+++ b/membership/absence_test.go
@@ -15,7 +15,7 @@
 func newEngineFleet(t *testing.T, perZone int) *fleet {
 	f := newFleet(t, Config{}, perZone, perZone, perZone)
 	for _, n := range f.nodes {
-		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
+		n.machine.ApplyUpstreamList(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 	}
 	f.settle()
 	f.report(f.nodes[0], 5, 1)
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -38,14 +38,14 @@
 		}
 	}
 	for _, n := range f.nodes {
-		n.machine.Upstreams(f.now, f.now, 1, list)
+		n.machine.ApplyUpstreamList(f.now, f.now, 1, list)
 	}
 }
 
 // reportLoads has every node report the load of the upstreams that it polls.
 func (f *fleet) reportLoads(seq uint32) {
 	for _, n := range f.nodes {
-		for _, id := range n.machine.Gathers(f.now) {
+		for _, id := range n.machine.PolledUpstreams(f.now) {
 			n.machine.UpstreamReport(f.now, f.now, id, Report{Incarnation: 1, Sequence: seq, Running: int(seq % 20), Slots: 20, PiecesUsed: 100})
 		}
 	}
@@ -218,7 +218,7 @@
 		now = now.Add(100 * time.Millisecond)
 		answer := peer.Heartbeat(now, "entry-a2")
 		m.Heartbeat(now, "entry-a1")
-		assert.NilError(b, m.Answered(now, now, "entry-a1", answer))
+		assert.NilError(b, m.HeartbeatAnswered(now, now, "entry-a1", answer))
 	}
 }
 
@@ -232,7 +232,7 @@
 			list = append(list, ListedInstance{ID: ident.InstanceID(fmt.Sprintf("entry-%c%d", 'a'+z, i)), Zone: ident.Zone(fmt.Sprintf("hall-%c", 'a'+z)), Incarnation: 1000})
 		}
 	}
-	m.Instances(start, start, 1, list)
+	m.ApplyInstanceList(start, start, 1, list)
 	f := fleet{now: start, nodes: []*node{{machine: m}}}
 	f.addUpstreams(len(zoneSizes[410]), upstreamsPerZone)
 	for _, u := range m.sortedUpstreams {
--- a/membership/config.go
+++ b/membership/config.go
@@ -51,9 +51,9 @@
 	// ForgetAfter is how long an unlisted instance without evidence of
 	// liveness, or an unlisted upstream, is kept.
 	ForgetAfter time.Duration
-	// Gatherers is the number of instances of a zone that poll one upstream's
+	// Pollers is the number of instances of a zone that poll one upstream's
 	// load.
-	Gatherers int
+	Pollers int
 }
 
 // Defaults of Config.
@@ -73,7 +73,7 @@
 	DefaultListLag          = time.Minute
 	DefaultTrustTimeout     = 5 * time.Second
 	DefaultForgetAfter      = 10 * time.Minute
-	DefaultGatherers        = 2
+	DefaultPollers          = 2
 )
 
 // Limits that are not configurable: they bound memory use.
@@ -110,7 +110,7 @@
 	orTime(&c.ListLag, DefaultListLag)
 	orTime(&c.TrustTimeout, DefaultTrustTimeout)
 	orTime(&c.ForgetAfter, DefaultForgetAfter)
-	orInt(&c.Gatherers, DefaultGatherers)
+	orInt(&c.Pollers, DefaultPollers)
 	return c
 }
 
@@ -126,10 +126,10 @@
 	Incarnation ident.Incarnation
 	// Leaving is true if the entry takes no new work. It is sticky.
 	Leaving bool
-	// Gone is true if the entry of this incarnation has ended.
-	Gone bool
-	// Silent is true while the entry does not answer its agent. It is not
+	// Ended is true if the entry of this incarnation has ended.
+	Ended bool
+	// Unresponsive is true while the entry does not answer its agent. It is not
 	// sticky; while it is set, heartbeats carry no evidence of the entry's
 	// liveness.
-	Silent bool
+	Unresponsive bool
 }
--- a/membership/due_test.go
+++ b/membership/due_test.go
@@ -25,7 +25,7 @@
 // finishExchange completes at d an exchange that was started at began.
 func finishExchange(t *testing.T, m *Machine, began, d time.Duration) {
 	t.Helper()
-	assert.NilError(t, m.Answered(timeAt(d), timeAt(began), other, heartbeatAfter(5, d)))
+	assert.NilError(t, m.HeartbeatAnswered(timeAt(d), timeAt(began), other, heartbeatAfter(5, d)))
 }
 
 // TestNewsDuringAnExchange checks that a fact that came up during an exchange,
@@ -36,7 +36,7 @@
 	gap := DefaultMinInterval / expediteGapDivisor
 	m := newMachineWithPeer()
 	assert.Assert(t, !beginExchange(t, m, began).Gone)
-	m.SetSelf(timeAt(began), SelfState{Incarnation: 1000, Gone: true})
+	m.SetSelf(timeAt(began), SelfState{Incarnation: 1000, Ended: true})
 	finishExchange(t, m, began, began+10*time.Millisecond)
 	assert.Assert(t, beginExchange(t, m, began+gap).Gone)
 }
@@ -49,8 +49,8 @@
 	beginExchange(t, m, began)
 	hb := heartbeatAfter(5, began)
 	hb.Leaving = true
-	assert.NilError(t, m.Answered(timeAt(began), timeAt(began), other, hb))
-	assert.Assert(t, m.Told(timeAt(began)))
+	assert.NilError(t, m.HeartbeatAnswered(timeAt(began), timeAt(began), other, hb))
+	assert.Assert(t, m.AllPartnersNotified(timeAt(began)))
 	assert.Equal(t, len(m.Due(timeAt(began+DefaultMinInterval/expediteGapDivisor))), 0)
 }
 
@@ -59,18 +59,18 @@
 func TestToldNeedsEveryPartner(t *testing.T) {
 	const second ident.InstanceID = "entry-a2"
 	m := newMachineWithPeer()
-	m.Instances(timeAt(0), timeAt(0), 2, []ListedInstance{{ID: other, Zone: "hall-a"}, {ID: second, Zone: "hall-a"}})
+	m.ApplyInstanceList(timeAt(0), timeAt(0), 2, []ListedInstance{{ID: other, Zone: "hall-a"}, {ID: second, Zone: "hall-a"}})
 	m.Due(timeAt(time.Second))
 	m.Heartbeat(timeAt(time.Second), other)
 	m.Heartbeat(timeAt(time.Second), second)
-	assert.Assert(t, m.Told(timeAt(time.Second)))
+	assert.Assert(t, m.AllPartnersNotified(timeAt(time.Second)))
 
-	m.SetSelf(timeAt(2*time.Second), SelfState{Incarnation: 1000, Gone: true})
-	assert.Assert(t, !m.Told(timeAt(2*time.Second)))
+	m.SetSelf(timeAt(2*time.Second), SelfState{Incarnation: 1000, Ended: true})
+	assert.Assert(t, !m.AllPartnersNotified(timeAt(2*time.Second)))
 	beginExchange(t, m, 2*time.Second)
-	assert.Assert(t, !m.Told(timeAt(2*time.Second)))
+	assert.Assert(t, !m.AllPartnersNotified(timeAt(2*time.Second)))
 	answer, err := m.Receive(timeAt(2*time.Second), second, heartbeatAfter(7, time.Second))
 	assert.NilError(t, err)
 	assert.Assert(t, answer.Gone)
-	assert.Assert(t, m.Told(timeAt(2*time.Second)))
+	assert.Assert(t, m.AllPartnersNotified(timeAt(2*time.Second)))
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -72,7 +72,7 @@
 	n.cond = running
 	n.machine = New(Self{Instance: n.id, Zone: n.zone}, cfg, f.now)
 	n.machine.SetSelf(f.now, SelfState{Incarnation: ident.NewIncarnation(f.now)})
-	n.machine.Instances(f.now, f.now, 1, f.list())
+	n.machine.ApplyInstanceList(f.now, f.now, 1, f.list())
 }
 
 // list returns the platform's list of all nodes.
@@ -130,7 +130,7 @@
 	case to.cond == killed:
 		n.machine.PeerFailed(f.now, f.now, to.id, ProcessEntry, FailRefused)
 	case to.cond == paused:
-		n.machine.PeerFailed(f.now, f.now, to.id, ProcessEntry, FailSilent)
+		n.machine.PeerFailed(f.now, f.now, to.id, ProcessEntry, FailNoResponse)
 	default:
 		n.machine.PeerAnswered(f.now, f.now, to.id)
 	}
@@ -149,7 +149,7 @@
 		n.machine.PeerFailed(f.now, f.now, to.id, ProcessAgent, FailRefused)
 		return
 	case paused:
-		n.machine.PeerFailed(f.now, f.now, to.id, ProcessAgent, FailSilent)
+		n.machine.PeerFailed(f.now, f.now, to.id, ProcessAgent, FailNoResponse)
 		return
 	}
 	f.count(to, hb)
@@ -161,7 +161,7 @@
 		return
 	}
 	f.count(n, answer)
-	assert.NilError(f.t, n.machine.Answered(f.now, f.now, to.id, answer))
+	assert.NilError(f.t, n.machine.HeartbeatAnswered(f.now, f.now, to.id, answer))
 }
 
 // count records a frame that a node sent or received.
@@ -175,7 +175,7 @@
 
 func (f *fleet) resume(n *node) {
 	n.cond = running
-	n.machine.Paused(f.now, f.now.Sub(n.pausedAt))
+	n.machine.RecordPause(f.now, f.now.Sub(n.pausedAt))
 }
 
 // viewOf returns one node's view of another.
--- a/membership/heartbeat.go
+++ b/membership/heartbeat.go
@@ -50,7 +50,7 @@
 		Incarnation: m.selfState.Incarnation,
 		Stamp:       m.stamp(at),
 		Leaving:     m.selfState.Leaving,
-		Gone:        m.selfState.Gone,
+		Gone:        m.selfState.Ended,
 		WaitMS:      m.interval().Milliseconds(),
 		Digest:      m.Digest(),
 	}
@@ -97,9 +97,9 @@
 	return m.Heartbeat(now, from), nil
 }
 
-// Answered processes the answer to a heartbeat that was sent at the given time.
+// HeartbeatAnswered processes the answer to a heartbeat that was sent at the given time.
 // Errors are those of Receive.
-func (m *Machine) Answered(now, started time.Time, from ident.InstanceID, hb Heartbeat) error {
+func (m *Machine) HeartbeatAnswered(now, started time.Time, from ident.InstanceID, hb Heartbeat) error {
 	factsBefore := m.factCount
 	if err := m.mergeHeartbeat(now, from, hb); err != nil {
 		return err
--- a/membership/leaving_test.go
+++ b/membership/leaving_test.go
@@ -29,7 +29,7 @@
 	const sec = time.Second
 	sources := map[string]func(t *testing.T, m *Machine){
 		"list": func(_ *testing.T, m *Machine) {
-			m.Upstreams(timeAt(sec), timeAt(sec), 5, listUpstreamAs(ListedUpstream{Incarnation: 7, Leaving: true}))
+			m.ApplyUpstreamList(timeAt(sec), timeAt(sec), 5, listUpstreamAs(ListedUpstream{Incarnation: 7, Leaving: true}))
 		},
 		"own refusal": func(_ *testing.T, m *Machine) { m.UpstreamLeaving(timeAt(sec), "dc-1", 7) },
 		"own report": func(_ *testing.T, m *Machine) {
@@ -43,15 +43,15 @@
 	for name, mark := range sources {
 		t.Run(name, func(t *testing.T) {
 			m := newMachineWithPeer()
-			m.Upstreams(timeAt(0), timeAt(0), 2, listUpstreamAs(ListedUpstream{Incarnation: 7}))
+			m.ApplyUpstreamList(timeAt(0), timeAt(0), 2, listUpstreamAs(ListedUpstream{Incarnation: 7}))
 			assert.Assert(t, !upstreamView(m, 0).Leaving)
 			mark(t, m)
 			assert.Assert(t, upstreamView(m, sec).Leaving)
 			for i, index := range []uint64{1, 5, 6, 90} {
 				d := time.Duration(i+2) * sec
-				m.Upstreams(timeAt(d), timeAt(d), index, listUpstreamAs(ListedUpstream{Incarnation: 7}))
+				m.ApplyUpstreamList(timeAt(d), timeAt(d), index, listUpstreamAs(ListedUpstream{Incarnation: 7}))
 				m.UpstreamReport(timeAt(d), timeAt(d), "dc-1", Report{Incarnation: 7, Sequence: uint32(i + 2)})
-				m.Upstreams(timeAt(d), timeAt(d), index, listUpstreamAs(ListedUpstream{}))
+				m.ApplyUpstreamList(timeAt(d), timeAt(d), index, listUpstreamAs(ListedUpstream{}))
 				assert.Assert(t, upstreamView(m, d).Leaving, "mark cleared by a list with index %d", index)
 			}
 			m.UpstreamReport(timeAt(9*sec), timeAt(9*sec), "dc-1", Report{Incarnation: 8, Sequence: 1})
@@ -68,34 +68,34 @@
 		want bool
 	}{
 		{"leaving", func(_ *testing.T, m *Machine) {
-			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
+			m.ApplyInstanceList(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
 		}, true},
 		{"leaving, then an older list", func(_ *testing.T, m *Machine) {
-			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
-			m.Instances(timeAt(3*sec), timeAt(3*sec), 4, listOther(false))
+			m.ApplyInstanceList(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
+			m.ApplyInstanceList(timeAt(3*sec), timeAt(3*sec), 4, listOther(false))
 		}, true},
 		{"leaving, then dropped from the list", func(_ *testing.T, m *Machine) {
-			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
-			m.Instances(timeAt(3*sec), timeAt(3*sec), 6, nil)
+			m.ApplyInstanceList(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
+			m.ApplyInstanceList(timeAt(3*sec), timeAt(3*sec), 6, nil)
 		}, true},
 		{"leaving, then a newer list for a new incarnation", func(_ *testing.T, m *Machine) {
-			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
-			m.Instances(timeAt(3*sec), timeAt(3*sec), 6, listOther(false))
+			m.ApplyInstanceList(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
+			m.ApplyInstanceList(timeAt(3*sec), timeAt(3*sec), 6, listOther(false))
 		}, false},
 		{"a list applies to an incarnation known for long", func(t *testing.T, m *Machine) {
 			receiveFromOther(t, m, sec, heartbeatAfter(5, sec))
-			m.Instances(timeAt(2*time.Minute), timeAt(2*time.Minute), 5, listOther(true))
-			m.Instances(timeAt(3*time.Minute), timeAt(3*time.Minute), 6, listOther(false))
+			m.ApplyInstanceList(timeAt(2*time.Minute), timeAt(2*time.Minute), 5, listOther(true))
+			m.ApplyInstanceList(timeAt(3*time.Minute), timeAt(3*time.Minute), 6, listOther(false))
 		}, true},
 		{"a lagging list does not apply to a young incarnation", func(t *testing.T, m *Machine) {
 			receiveFromOther(t, m, sec, heartbeatAfter(5, sec))
-			m.Instances(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
-			m.Instances(timeAt(3*time.Minute), timeAt(3*time.Minute), 6, listOther(false))
+			m.ApplyInstanceList(timeAt(2*sec), timeAt(2*sec), 5, listOther(true))
+			m.ApplyInstanceList(timeAt(3*time.Minute), timeAt(3*time.Minute), 6, listOther(false))
 		}, false},
 		{"a platform set up from scratch", func(_ *testing.T, m *Machine) {
-			m.Instances(timeAt(2*sec), timeAt(2*sec), 500, listOther(true))
+			m.ApplyInstanceList(timeAt(2*sec), timeAt(2*sec), 500, listOther(true))
 			m.ResetLists()
-			m.Instances(timeAt(3*sec), timeAt(3*sec), 2, listOther(false))
+			m.ApplyInstanceList(timeAt(3*sec), timeAt(3*sec), 2, listOther(false))
 		}, false},
 	}
 	for _, tt := range tests {
@@ -111,10 +111,10 @@
 	m := newMachineWithPeer()
 	m.SetSelf(start, SelfState{Incarnation: ident.NewIncarnation(start)})
 	self := []ListedInstance{{ID: "entry-a0", Zone: "hall-a", Leaving: true}}
-	m.Instances(timeAt(time.Second), timeAt(time.Second), 2, self)
+	m.ApplyInstanceList(timeAt(time.Second), timeAt(time.Second), 2, self)
 	assert.Assert(t, !m.View(timeAt(time.Second)).Leaving, "the lagging list may refer to the previous incarnation")
 	m.SetSelf(start, SelfState{Incarnation: ident.NewIncarnation(start.Add(-time.Hour))})
-	m.Instances(timeAt(2*time.Second), timeAt(2*time.Second), 3, self)
+	m.ApplyInstanceList(timeAt(2*time.Second), timeAt(2*time.Second), 3, self)
 	assert.Assert(t, m.View(timeAt(2*time.Second)).Leaving)
 	assert.Assert(t, m.Heartbeat(timeAt(2*time.Second), other).Leaving)
 }
@@ -140,10 +140,10 @@
 
 func TestOlderListsChangeNothing(t *testing.T) {
 	m := newMachineWithPeer()
-	m.Instances(timeAt(0), timeAt(0), 5, []ListedInstance{{ID: other, Zone: "hall-a", Address: "new"}})
-	m.Upstreams(timeAt(0), timeAt(0), 5, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Address: "new"}})
-	assert.Assert(t, !m.Instances(timeAt(time.Second), timeAt(time.Second), 4, []ListedInstance{{ID: other, Zone: "hall-a", Address: "old"}}))
-	assert.Assert(t, !m.Upstreams(timeAt(time.Second), timeAt(time.Second), 4, nil))
+	m.ApplyInstanceList(timeAt(0), timeAt(0), 5, []ListedInstance{{ID: other, Zone: "hall-a", Address: "new"}})
+	m.ApplyUpstreamList(timeAt(0), timeAt(0), 5, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Address: "new"}})
+	assert.Assert(t, !m.ApplyInstanceList(timeAt(time.Second), timeAt(time.Second), 4, []ListedInstance{{ID: other, Zone: "hall-a", Address: "old"}}))
+	assert.Assert(t, !m.ApplyUpstreamList(timeAt(time.Second), timeAt(time.Second), 4, nil))
 	v := m.View(timeAt(time.Second))
 	assert.Equal(t, v.Instances[0].Address, "new")
 	assert.Assert(t, v.Upstreams[0].Listed)
@@ -153,7 +153,7 @@
 func TestSilentEntryGivesNoSignOfLife(t *testing.T) {
 	m := newMachineWithPeer()
 	assert.Assert(t, m.Heartbeat(timeAt(time.Second), other).Stamp > 0)
-	m.SetSelf(timeAt(time.Second), SelfState{Incarnation: 1000, Silent: true})
+	m.SetSelf(timeAt(time.Second), SelfState{Incarnation: 1000, Unresponsive: true})
 	assert.Equal(t, m.Heartbeat(timeAt(time.Second), other).Stamp, Stamp(0))
 	m.SetSelf(timeAt(2*time.Second), SelfState{Incarnation: 1000})
 	assert.Assert(t, m.Heartbeat(timeAt(2*time.Second), other).Stamp > 0)
@@ -189,7 +189,7 @@
 // is reported missing.
 func TestAnotherZoneIsBelievedAsAWhole(t *testing.T) {
 	m := newMachineWithPeer()
-	m.Seeds(start, []Seed{{ID: "entry-b0", Zone: "hall-b"}, {ID: "entry-b1", Zone: "hall-b"}})
+	m.AddSeeds(start, []Seed{{ID: "entry-b0", Zone: "hall-b"}, {ID: "entry-b1", Zone: "hall-b"}})
 	for d := time.Second; d < 10*time.Minute; d += time.Second {
 		_, err := m.Receive(timeAt(d), "entry-b0", heartbeatAfter(5, d))
 		assert.NilError(t, err)
--- a/membership/list.go
+++ b/membership/list.go
@@ -42,8 +42,8 @@
 	read      bool
 }
 
-// Seeds adds the instances that the settings name.
-func (m *Machine) Seeds(now time.Time, seeds []Seed) {
+// AddSeeds adds the instances that the settings name.
+func (m *Machine) AddSeeds(now time.Time, seeds []Seed) {
 	at := m.advanceTo(now)
 	for _, s := range seeds {
 		if s.ID == m.self.Instance {
@@ -65,11 +65,11 @@
 	x.address = address
 }
 
-// Instances applies the platform's list of instances. index is the platform's
+// ApplyInstanceList applies the platform's list of instances. index is the platform's
 // index of the list, and started is when reading it began, here or at the peer
-// that relays it. Instances ignores a list older than one already seen and
+// that relays it. ApplyInstanceList ignores a list older than one already seen and
 // returns false.
-func (m *Machine) Instances(now, started time.Time, index uint64, list []ListedInstance) bool {
+func (m *Machine) ApplyInstanceList(now, started time.Time, index uint64, list []ListedInstance) bool {
 	at := m.advanceTo(now)
 	if index < m.lists.instances {
 		return false
@@ -90,9 +90,9 @@
 	return true
 }
 
-// Confirmed records that a read of the platform, begun at the given time, found
+// ListsConfirmed records that a read of the platform, begun at the given time, found
 // nothing newer than the lists seen.
-func (m *Machine) Confirmed(now, started time.Time) {
+func (m *Machine) ListsConfirmed(now, started time.Time) {
 	m.advanceTo(now)
 	m.recordListRead(m.sinceEpoch(started))
 }
@@ -150,9 +150,9 @@
 	return inc != 0 && now-learned >= m.cfg.ListLag
 }
 
-// Upstreams applies the platform's list of upstreams in the same way as
+// ApplyUpstreamList applies the platform's list of upstreams in the same way as
 // Instances.
-func (m *Machine) Upstreams(now, started time.Time, index uint64, list []ListedUpstream) bool {
+func (m *Machine) ApplyUpstreamList(now, started time.Time, index uint64, list []ListedUpstream) bool {
 	at := m.advanceTo(now)
 	if index < m.lists.upstreams {
 		return false
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -85,7 +85,7 @@
 	old := m.selfState
 	if s.Incarnation == old.Incarnation {
 		s.Leaving = s.Leaving || old.Leaving
-		s.Gone = s.Gone || old.Gone
+		s.Ended = s.Ended || old.Ended
 	}
 	if s == old {
 		return
@@ -109,7 +109,7 @@
 // stamp returns the evidence of the own entry's liveness, 0 while there is
 // none.
 func (m *Machine) stamp(now time.Duration) Stamp {
-	if m.selfState.Incarnation == 0 || m.selfState.Gone || m.selfState.Silent {
+	if m.selfState.Incarnation == 0 || m.selfState.Ended || m.selfState.Unresponsive {
 		return 0
 	}
 	return max(newStamp(m.stampBase+now), 1)
--- a/membership/member.go
+++ b/membership/member.go
@@ -21,9 +21,9 @@
 	FailTimeout FailKind = iota
 	// FailRefused means that the remote kernel refused the connection.
 	FailRefused
-	// FailSilent means that the remote kernel accepted the connection and the
+	// FailNoResponse means that the remote kernel accepted the connection and the
 	// process did not answer.
-	FailSilent
+	FailNoResponse
 )
 
 // Process identifies the process of an instance that was called.
@@ -260,8 +260,8 @@
 		return Alive
 	case age <= t.unreachable:
 		return Suspect
-	case m.failKind == FailSilent && !m.reachable():
-		return Frozen
+	case m.failKind == FailNoResponse && !m.reachable():
+		return Unresponsive
 	default:
 		return Unreachable
 	}
--- a/membership/partners.go
+++ b/membership/partners.go
@@ -191,9 +191,9 @@
 	}
 }
 
-// Gathers returns the upstreams of the own zone whose load this instance polls,
+// PolledUpstreams returns the upstreams of the own zone whose load this instance polls,
 // sorted: each is polled by a few instances, chosen by rendezvous hashing.
-func (m *Machine) Gathers(now time.Time) []ident.UpstreamID {
+func (m *Machine) PolledUpstreams(now time.Time) []ident.UpstreamID {
 	zones, _ := m.liveByZone(m.advanceTo(now))
 	own := zones[m.self.Zone]
 	var out []ident.UpstreamID
@@ -201,7 +201,7 @@
 		if u.zone != m.self.Zone {
 			continue
 		}
-		if rendezvous.Contains(string(u.id), own, m.cfg.Gatherers, m.self.Instance) {
+		if rendezvous.Contains(string(u.id), own, m.cfg.Pollers, m.self.Instance) {
 			out = append(out, u.id)
 		}
 	}
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -24,8 +24,8 @@
 func newMachineWithSender() *Machine {
 	m := New(Self{Instance: "entry-a0", Zone: "hall-a"}, Config{}, start)
 	m.SetSelf(start, SelfState{Incarnation: 1})
-	m.Seeds(start, []Seed{{ID: sender, Zone: "hall-a"}, {ID: subjects[0], Zone: "hall-a"}, {ID: subjects[1], Zone: "hall-a"}, {ID: subjects[2], Zone: "hall-b"}})
-	m.Upstreams(start, start, 1, []ListedUpstream{{ID: backends[0], Zone: "hall-a"}, {ID: backends[1], Zone: "hall-b"}})
+	m.AddSeeds(start, []Seed{{ID: sender, Zone: "hall-a"}, {ID: subjects[0], Zone: "hall-a"}, {ID: subjects[1], Zone: "hall-a"}, {ID: subjects[2], Zone: "hall-b"}})
+	m.ApplyUpstreamList(start, start, 1, []ListedUpstream{{ID: backends[0], Zone: "hall-a"}, {ID: backends[1], Zone: "hall-b"}})
 	return m
 }
 
@@ -141,7 +141,7 @@
 			_, err := m.Receive(now, sender, drawMessage(t))
 			assert.NilError(t, err)
 			index := uint64(rapid.IntRange(0, 9).Draw(t, "list index"))
-			m.Upstreams(now, now, index, []ListedUpstream{{ID: backends[0], Zone: "hall-a", Incarnation: ident.Incarnation(rapid.IntRange(0, 3).Draw(t, "listed"))}, {ID: backends[1], Zone: "hall-b"}})
+			m.ApplyUpstreamList(now, now, index, []ListedUpstream{{ID: backends[0], Zone: "hall-a", Incarnation: ident.Incarnation(rapid.IntRange(0, 3).Draw(t, "listed"))}, {ID: backends[1], Zone: "hall-b"}})
 			after := allStickyFacts(m)
 			for i := range before {
 				checkGrown(t, before[i], after[i])
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -63,7 +63,7 @@
 	t.Logf("known by all 24 after %s", took)
 	// A lagging list that every node reads later must not clear the mark.
 	for _, n := range f.nodes {
-		n.machine.Instances(f.now, f.now, 9, f.list())
+		n.machine.ApplyInstanceList(f.now, f.now, 9, f.list())
 	}
 	f.run(time.Minute)
 	assert.Assert(t, f.allOthers(leaver, func(x Instance) bool { return x.Leaving }))
@@ -72,7 +72,7 @@
 func TestLeavingUpstreamSpreadsToOtherZones(t *testing.T) {
 	f := newDefaultFleet(t)
 	for _, n := range f.nodes {
-		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
+		n.machine.ApplyUpstreamList(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 	}
 	f.settle()
 	// One instance receives the upstream's own refusal.
@@ -87,7 +87,7 @@
 	})
 	t.Logf("known by all 24 after %s", took)
 	for _, n := range f.nodes {
-		n.machine.Upstreams(f.now, f.now, 2, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
+		n.machine.ApplyUpstreamList(f.now, f.now, 2, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 		assert.Assert(t, n.machine.View(f.now).Upstreams[0].Leaving)
 	}
 }
@@ -128,7 +128,7 @@
 		f.run(time.Second)
 		assert.Assert(t, f.allOthers(victim, func(x Instance) bool { return x.State != Dead && !x.Ended(inc) }))
 	}
-	assert.Equal(t, f.viewOf(f.nodes[1], victim).State, Frozen)
+	assert.Equal(t, f.viewOf(f.nodes[1], victim).State, Unresponsive)
 	f.resume(victim)
 	assert.Assert(t, !victim.machine.Trusted(f.now))
 	took := f.runUntil(2*time.Second, func() bool { return victim.machine.Trusted(f.now) })
@@ -190,14 +190,14 @@
 	f.nodes[1].cond, f.nodes[2].cond = killed, killed
 	f.resume(n)
 	woke := f.now
-	n.machine.Confirmed(f.now, woke.Add(-time.Second))
+	n.machine.ListsConfirmed(f.now, woke.Add(-time.Second))
 	f.run(DefaultTrustTimeout - step)
 	assert.Assert(t, !n.machine.Trusted(f.now))
 	f.run(step)
 	assert.Assert(t, n.machine.Trusted(f.now))
-	n.machine.Paused(f.now, time.Second)
+	n.machine.RecordPause(f.now, time.Second)
 	assert.Assert(t, !n.machine.Trusted(f.now))
-	n.machine.Confirmed(f.now, f.now)
+	n.machine.ListsConfirmed(f.now, f.now)
 	assert.Assert(t, n.machine.Trusted(f.now))
 }
 
@@ -222,7 +222,7 @@
 func TestLeavingUpstreamIsLearnedAfterACut(t *testing.T) {
 	f := newDefaultFleet(t)
 	for _, n := range f.nodes {
-		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
+		n.machine.ApplyUpstreamList(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 	}
 	f.settle()
 	f.lost = func(a, b *node) bool { return a.zone != b.zone }
@@ -249,15 +249,15 @@
 	n := f.nodes[0]
 	sent := f.now
 	f.now = f.now.Add(10 * time.Second)
-	n.machine.Paused(f.now, 10*time.Second)
+	n.machine.RecordPause(f.now, 10*time.Second)
 	for _, other := range f.nodes[1:] {
 		answer := other.machine.Heartbeat(f.now, n.id)
-		assert.NilError(t, n.machine.Answered(f.now, sent, other.id, answer))
+		assert.NilError(t, n.machine.HeartbeatAnswered(f.now, sent, other.id, answer))
 	}
 	assert.Assert(t, !n.machine.Trusted(f.now))
 	for _, other := range f.nodes[1:] {
 		answer := other.machine.Heartbeat(f.now, n.id)
-		assert.NilError(t, n.machine.Answered(f.now, f.now, other.id, answer))
+		assert.NilError(t, n.machine.HeartbeatAnswered(f.now, f.now, other.id, answer))
 	}
 	assert.Assert(t, n.machine.Trusted(f.now))
 }
--- a/membership/state.go
+++ b/membership/state.go
@@ -15,10 +15,10 @@
 	// Unreachable means that there has been no evidence of liveness for long.
 	// The process may still run behind a network partition.
 	Unreachable
-	// Frozen means that the kernel answers and the process does not. The
+	// Unresponsive means that the kernel answers and the process does not. The
 	// process may be paused, in which case it still has its requests when it
 	// continues.
-	Frozen
+	Unresponsive
 	// Dead means that the process is known not to run: its kernel refuses
 	// connections, or its own agent reported its end.
 	Dead
@@ -33,7 +33,7 @@
 		return "suspect"
 	case Unreachable:
 		return "unreachable"
-	case Frozen:
+	case Unresponsive:
 		return "frozen"
 	case Dead:
 		return "dead"
@@ -42,12 +42,12 @@
 	}
 }
 
-// Life maps a state and the leaving mark to the kernel's liveness scale.
-func Life(s State, leaving bool) kernel.Liveness {
+// LivenessOf maps a state and the leaving mark to the kernel's liveness scale.
+func LivenessOf(s State, leaving bool) kernel.Liveness {
 	switch {
 	case s == Dead:
 		return kernel.Dead
-	case s == Unreachable || s == Frozen:
+	case s == Unreachable || s == Unresponsive:
 		return kernel.Unreachable
 	case leaving:
 		return kernel.Leaving
--- a/membership/state_test.go
+++ b/membership/state_test.go
@@ -19,8 +19,8 @@
 func newMachineWithPeer() *Machine {
 	m := New(Self{Instance: "entry-a0", Zone: "hall-a"}, Config{}, start)
 	m.SetSelf(start, SelfState{Incarnation: 1000})
-	m.Instances(start, start, 1, []ListedInstance{{ID: other, Zone: "hall-a"}})
-	m.Upstreams(start, start, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a"}})
+	m.ApplyInstanceList(start, start, 1, []ListedInstance{{ID: other, Zone: "hall-a"}})
+	m.ApplyUpstreamList(start, start, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a"}})
 	return m
 }
 
@@ -42,7 +42,7 @@
 // receiveMissing has a peer report the other instance missing since a stamp.
 func receiveMissing(t *testing.T, m *Machine, d time.Duration, inc ident.Incarnation, s Stamp) {
 	t.Helper()
-	m.Seeds(start, []Seed{{ID: sender, Zone: "hall-a"}})
+	m.AddSeeds(start, []Seed{{ID: sender, Zone: "hall-a"}})
 	r := keyedRecord{key: keyOf(string(other)), memberRecord: memberRecord{incarnation: inc, missing: true, stamp: s}}
 	_, err := m.Receive(timeAt(d), sender, Heartbeat{Members: appendMember(nil, r)})
 	assert.NilError(t, err)
@@ -73,8 +73,8 @@
 		{"heard long ago", func(t *testing.T, m *Machine) { receiveFromOther(t, m, sec, heartbeatAfter(5, sec)) }, 20 * sec, Unreachable},
 		{"heard long ago, kernel answers", func(t *testing.T, m *Machine) {
 			receiveFromOther(t, m, sec, heartbeatAfter(5, sec))
-			m.PeerFailed(timeAt(19*sec), timeAt(19*sec), other, ProcessEntry, FailSilent)
-		}, 20 * sec, Frozen},
+			m.PeerFailed(timeAt(19*sec), timeAt(19*sec), other, ProcessEntry, FailNoResponse)
+		}, 20 * sec, Unresponsive},
 		{"heard long ago, calls time out", func(t *testing.T, m *Machine) {
 			receiveFromOther(t, m, sec, heartbeatAfter(5, sec))
 			m.PeerFailed(timeAt(19*sec), timeAt(19*sec), other, ProcessEntry, FailTimeout)
@@ -167,13 +167,13 @@
 func TestForgottenLifeStaysOld(t *testing.T) {
 	m := newMachineWithPeer()
 	receiveFromOther(t, m, time.Second, heartbeatAfter(6, time.Second))
-	m.Instances(timeAt(time.Minute), timeAt(time.Minute), 2, nil)
-	m.Instances(timeAt(20*time.Minute), timeAt(20*time.Minute), 3, nil)
+	m.ApplyInstanceList(timeAt(time.Minute), timeAt(time.Minute), 2, nil)
+	m.ApplyInstanceList(timeAt(20*time.Minute), timeAt(20*time.Minute), 3, nil)
 	assert.Equal(t, len(m.View(timeAt(20*time.Minute)).Instances), 0)
 	assert.Assert(t, !m.Known(other))
 	_, err := m.Receive(timeAt(20*time.Minute), other, heartbeatAfter(6, time.Second))
 	assert.Assert(t, errors.As(err, new(*UnknownError)))
-	m.Instances(timeAt(21*time.Minute), timeAt(21*time.Minute), 4, []ListedInstance{{ID: other, Zone: "hall-a"}})
+	m.ApplyInstanceList(timeAt(21*time.Minute), timeAt(21*time.Minute), 4, []ListedInstance{{ID: other, Zone: "hall-a"}})
 	receiveFromOther(t, m, 21*time.Minute, heartbeatAfter(5, time.Hour))
 	x := otherView(m, 21*time.Minute)
 	assert.Equal(t, x.Incarnation, ident.Incarnation(6))
@@ -213,8 +213,8 @@
 		}, Unreachable},
 		{"silent after the report", func(_ *testing.T, m *Machine) {
 			report(m, 15*sec, 1)
-			m.UpstreamFailed(timeAt(16*sec), timeAt(16*sec), "dc-1", FailSilent)
-		}, Frozen},
+			m.UpstreamFailed(timeAt(16*sec), timeAt(16*sec), "dc-1", FailNoResponse)
+		}, Unresponsive},
 		{"refused at a peer after the report", func(t *testing.T, m *Machine) {
 			report(m, 15*sec, 1)
 			relay(t, m, 16*sec, UpstreamDigest{Sequence: 1, Down: true})
@@ -263,9 +263,9 @@
 	}{
 		{Alive, false, kernel.Live}, {Alive, true, kernel.Leaving},
 		{Suspect, false, kernel.Suspect}, {Suspect, true, kernel.Leaving},
-		{Unreachable, true, kernel.Unreachable}, {Frozen, false, kernel.Unreachable},
+		{Unreachable, true, kernel.Unreachable}, {Unresponsive, false, kernel.Unreachable},
 		{Dead, true, kernel.Dead},
 	} {
-		assert.Equal(t, Life(tt.state, tt.leaving), tt.want)
+		assert.Equal(t, LivenessOf(tt.state, tt.leaving), tt.want)
 	}
 }
--- a/membership/trust.go
+++ b/membership/trust.go
@@ -44,10 +44,10 @@
 	return 2*reached > len(t.peers)
 }
 
-// Paused records that the process did not run for the duration gap until now.
+// RecordPause records that the process did not run for the duration gap until now.
 // The view is distrusted from then on, and exchanges with all partners become
 // due.
-func (m *Machine) Paused(now time.Time, gap time.Duration) {
+func (m *Machine) RecordPause(now time.Time, gap time.Duration) {
 	at := m.advanceTo(now)
 	before := at - gap
 	var peers []ident.InstanceID
--- a/membership/upstream.go
+++ b/membership/upstream.go
@@ -196,8 +196,8 @@
 	switch k {
 	case FailRefused:
 		return Dead
-	case FailSilent:
-		return Frozen
+	case FailNoResponse:
+		return Unresponsive
 	default:
 		return Unreachable
 	}
--- a/membership/view.go
+++ b/membership/view.go
@@ -183,7 +183,7 @@
 // incarnation and marks of each instance and upstream. Two instances of a zone
 // with equal digests agree on them.
 func (m *Machine) Digest() uint64 {
-	sum := stickyHash(keyOf(string(m.self.Instance)), uint64(m.selfState.Incarnation), m.selfState.Leaving, m.selfState.Gone)
+	sum := stickyHash(keyOf(string(m.self.Instance)), uint64(m.selfState.Incarnation), m.selfState.Leaving, m.selfState.Ended)
 	for _, x := range m.sortedMembers {
 		if x.zone == m.self.Zone && x.facts.incarnation != 0 {
 			sum ^= stickyHash(x.key, uint64(x.facts.incarnation), x.facts.leaving, x.facts.gone)
--- a/membership/zonedoubt_test.go
+++ b/membership/zonedoubt_test.go
@@ -18,7 +18,7 @@
 	for _, id := range far {
 		list = append(list, ListedUpstream{ID: id, Zone: "hall-b"})
 	}
-	m.Upstreams(timeAt(0), timeAt(0), 9, list)
+	m.ApplyUpstreamList(timeAt(0), timeAt(0), 9, list)
 	for _, u := range list {
 		m.UpstreamAnswered(timeAt(time.Second), timeAt(time.Second), u.ID)
 	}
--- a/peer/connect.go
+++ b/peer/connect.go
@@ -70,7 +70,7 @@
 	var closed *ClosedError
 	switch {
 	case errors.Is(cause, context.DeadlineExceeded):
-		return &DialError{Addr: c.addr, Kind: DialSilent, Err: cause}
+		return &DialError{Addr: c.addr, Kind: DialHelloTimeout, Err: cause}
 	case errors.As(cause, &closed), c.cfg.TLS != nil && c.stream == nil:
 		return newDialError(c.addr, cause)
 	default:
--- a/peer/dialerror.go
+++ b/peer/dialerror.go
@@ -22,10 +22,10 @@
 	DialTimeout
 	// DialUnreachable means that there is no route to the host or network.
 	DialUnreachable
-	// DialSilent means that the remote kernel accepted the connection, but the
+	// DialHelloTimeout means that the remote kernel accepted the connection, but the
 	// process did not complete the TLS handshake and the hello in time. The
 	// process may be paused.
-	DialSilent
+	DialHelloTimeout
 )
 
 // String returns the name of k as used in logs.
@@ -37,7 +37,7 @@
 		return "timeout"
 	case DialUnreachable:
 		return "unreachable"
-	case DialSilent:
+	case DialHelloTimeout:
 		return "silent"
 	default:
 		return "other"
--- a/peer/hello_test.go
+++ b/peer/hello_test.go
@@ -184,7 +184,7 @@
 		_, err := Call[echoResponse](context.Background(), p, "b", "echo", echoRequest{})
 		var de *DialError
 		assert.Assert(t, errors.As(err, &de), "%v", err)
-		assert.Equal(t, de.Kind, DialSilent)
+		assert.Equal(t, de.Kind, DialHelloTimeout)
 		assert.Equal(t, DeliveryOf(err), NotSent)
 		assert.Equal(t, time.Since(start), DefaultHello)
 	})
