--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -19,10 +19,10 @@
 	"github.com/wardspool/wardspool/settings"
 )
 
-// sizes are the sizes of today, of a middle way and of the users' plans.
+// sizes are the fleet sizes of today, of the users' plans and one between.
 var sizes = []struct{ instances, upstreams int }{{8, 12}, {68, 100}, {410, 600}}
 
-// benchAgent returns an agent that has lists and reports of the given sizes, in
+// benchAgent returns an agent with lists and load reports of the given sizes, in
 // six zones. Its loop does not run.
 func benchAgent(b testing.TB, instances, upstreams int) *Agent {
 	text := fmt.Sprintf(`
@@ -40,36 +40,38 @@
 	var l configservice.Instances
 	for i := range instances {
 		l.Instances = append(l.Instances, configservice.Instance{
-			ID: ident.InstanceID(fmt.Sprintf("i-%03d", i)), Zone: zoneNumber(i), Region: "region-1", State: configservice.StateLive,
+			ID: ident.InstanceID(fmt.Sprintf("i-%03d", i)), Zone: zoneOf(i), Region: "region-1", State: configservice.StateLive,
 			PeerAddress: "10.100.200.1:9100", AgentAddress: "10.100.200.1:9101", CallerAddress: "10.100.200.1:8080",
 		})
 	}
 	doc, err := json.Marshal(l)
 	assert.NilError(b, err)
-	assert.Assert(b, a.takeInstances(a.now, 1, doc))
+	assert.Assert(b, a.applyInstances(a.now, 1, doc))
 	var u configservice.Upstreams
 	for i := range upstreams {
 		u.Upstreams = append(u.Upstreams, configservice.Upstream{
-			ID: ident.UpstreamID(fmt.Sprintf("runner-%03d", i)), Zone: zoneNumber(i), Address: "10.100.100.1:8000",
+			ID: ident.UpstreamID(fmt.Sprintf("runner-%03d", i)), Zone: zoneOf(i), Address: "10.100.100.1:8000",
 			Role: config.RoleDecode, Models: []string{"model-1"}, State: configservice.StateLive, Incarnation: 1796223493000,
 		})
 	}
 	doc, err = json.Marshal(u)
 	assert.NilError(b, err)
-	assert.Assert(b, a.takeUpstreams(a.now, 1, doc))
+	assert.Assert(b, a.applyUpstreams(a.now, 1, doc))
 	for i := range upstreams {
 		a.machine.UpstreamReport(a.now, a.now, ident.UpstreamID(fmt.Sprintf("runner-%03d", i)),
 			membership.Report{Incarnation: 1796223493000, Sequence: 1, Running: 12, Slots: 20, PiecesUsed: 100})
 	}
-	a.book.lists.instances.index, a.book.lists.upstreams.index = 1, 1
+	a.directory.lists.instances.index, a.directory.lists.upstreams.index = 1, 1
 	a.feed.reply.Incarnation = 1796223493000
 	return a
 }
 
-// zoneNumber spreads processes over six zones.
-func zoneNumber(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%6)) }
+// zoneOf returns the zone of the i-th process, which distributes processes over
+// six zones.
+func zoneOf(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%6)) }
 
-// BenchmarkView measures a look at what is believed: up to five a second.
+// BenchmarkView measures a refresh of the view, which happens up to five times a
+// second.
 func BenchmarkView(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -82,8 +84,8 @@
 	}
 }
 
-// BenchmarkFeed measures making a view for the entry and its JSON, as often as
-// its gap allows.
+// BenchmarkFeed measures composing a view for the entry and encoding it as JSON,
+// which happens as often as the view gap allows.
 func BenchmarkFeed(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -101,11 +103,11 @@
 	}
 }
 
-// benchChanged is one upstream in how many of which a fresher load came since the
-// last view: one zone's of six.
-const benchChanged = 6
+// changedStride is the stride between upstreams with a new load report since the
+// last view: one in six, as if one of six zones had changed.
+const changedStride = 6
 
-// BenchmarkFeedChanges measures what is sent instead to an entry that holds the
+// BenchmarkFeedChanges measures composing the changes for an entry that holds the
 // last view.
 func BenchmarkFeedChanges(b *testing.B) {
 	for _, size := range sizes {
@@ -117,7 +119,7 @@
 			for b.Loop() {
 				a.feed.sent = a.feedView()
 				a.feed.sent.Number, a.feed.reply.View = 1, 1
-				for i := 0; i < len(a.feed.sent.Upstreams); i += benchChanged {
+				for i := 0; i < len(a.feed.sent.Upstreams); i += changedStride {
 					a.feed.sent.Upstreams[i].LoadAgeMS += time.Second.Milliseconds()
 				}
 				a.feed.agesAt = a.now
@@ -130,8 +132,8 @@
 	}
 }
 
-// BenchmarkFeedTaken measures what the entry does with a view: decoding it and
-// turning it into the kernel's.
+// BenchmarkFeedTaken measures the entry's handling of a full view: decoding it
+// and converting it to the kernel's form.
 func BenchmarkFeedTaken(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -145,26 +147,27 @@
 				if err := json.Unmarshal(doc, &u); err != nil {
 					b.Fatal(err)
 				}
-				peering.View(u.View, a.now)
+				peering.KernelView(u.View, a.now)
 			}
 		})
 	}
 }
 
-// BenchmarkFeedChangesTaken measures what the entry does with what changed.
+// BenchmarkFeedChangesTaken measures the entry's handling of a view that has only
+// changes.
 func BenchmarkFeedChangesTaken(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
 			a := benchAgent(b, size.instances, size.upstreams)
 			a.refreshView()
-			var views peering.Views
-			whole := a.feedView()
-			whole.Number = 1
-			views.Take(whole, a.now)
-			next := *whole
+			var views peering.ViewCache
+			full := a.feedView()
+			full.Number = 1
+			views.Apply(full, a.now)
+			next := *full
 			next.Base, next.Instances, next.Upstreams = 1, nil, nil
-			for i := 0; i < len(whole.Upstreams); i += benchChanged {
-				next.Upstreams = append(next.Upstreams, whole.Upstreams[i])
+			for i := 0; i < len(full.Upstreams); i += changedStride {
+				next.Upstreams = append(next.Upstreams, full.Upstreams[i])
 			}
 			doc, err := json.Marshal(feed.Update{View: &next})
 			assert.NilError(b, err)
@@ -174,20 +177,21 @@
 				if err := json.Unmarshal(doc, &u); err != nil {
 					b.Fatal(err)
 				}
-				if _, _, ok := views.Take(u.View, a.now); !ok {
-					b.Fatal("not taken")
+				if _, _, ok := views.Apply(u.View, a.now); !ok {
+					b.Fatal("view not accepted")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkSecond measures what is done each second whatever happens.
+// BenchmarkSecond measures work that is done every second even if nothing
+// changes.
 func BenchmarkSecond(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
 			a := benchAgent(b, size.instances, size.upstreams)
-			a.callCtx, a.endCalls = ended()
+			a.callCtx, a.endCalls = cancelledContext()
 			a.refreshView()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -199,12 +203,12 @@
 	}
 }
 
-// BenchmarkRoster measures telling the ledger whom to ask for the floor.
+// BenchmarkRoster measures updating the ledger's list of sources for the floor.
 func BenchmarkRoster(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
 			a := benchAgent(b, size.instances, size.upstreams)
-			a.callCtx, a.endCalls = ended()
+			a.callCtx, a.endCalls = cancelledContext()
 			a.refreshView()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -214,8 +218,8 @@
 	}
 }
 
-// BenchmarkAssign measures the choice of the upstreams to read, each 5 s and when
-// the view changes.
+// BenchmarkAssign measures assigning the upstreams to read, which happens every 5
+// s and when the view changes.
 func BenchmarkAssign(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -229,7 +233,7 @@
 	}
 }
 
-// BenchmarkHeartbeat measures composing a heartbeat and taking in the answer.
+// BenchmarkHeartbeat measures composing a heartbeat and applying the reply.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.upstreams), func(b *testing.B) {
@@ -239,14 +243,14 @@
 			bytes := 0
 			for b.Loop() {
 				a.now = a.now.Add(time.Second)
-				hb := a.compose(other)
+				hb := a.composeHeartbeat(other)
 				doc, err := json.Marshal(hb)
 				assert.NilError(b, err)
 				bytes = len(doc)
 				if err := json.Unmarshal(doc, &hb); err != nil {
 					b.Fatal(err)
 				}
-				if err := a.machine.Answered(a.now, a.now, other, hb.Heartbeat); err != nil {
+				if err := a.machine.HeartbeatAnswered(a.now, a.now, other, hb.Heartbeat); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -255,8 +259,9 @@
 	}
 }
 
-// ended returns a context that is over, so that no calls are made.
-func ended() (context.Context, context.CancelFunc) {
+// cancelledContext returns a context that is already cancelled, so that no calls
+// are made.
+func cancelledContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx, cancel
--- a/agent/changes.go
+++ b/agent/changes.go
@@ -7,18 +7,18 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// nextView returns the view to send to the entry: what changed since the last one
-// if the entry holds that, else the whole.
+// nextView returns the next view to send to the entry: the changes since the last
+// one if the entry holds that one, otherwise the full view.
 func (a *Agent) nextView() *feed.View {
 	f := &a.feed
 	f.number++
-	whole := a.feedView()
-	whole.Number = f.number
-	next := whole
-	if f.sent != nil && f.reply.View == f.sent.Number && sameEntries(f.sent, whole) {
-		next = changes(f.sent, whole, a.now.Sub(f.agesAt))
+	full := a.feedView()
+	full.Number = f.number
+	next := full
+	if f.sent != nil && f.reply.View == f.sent.Number && sameEntries(f.sent, full) {
+		next = changes(f.sent, full, a.now.Sub(f.agesAt))
 	}
-	f.sent, f.agesAt = whole, a.now
+	f.sent, f.agesAt = full, a.now
 	return next
 }
 
@@ -41,8 +41,8 @@
 	return true
 }
 
-// changes returns what differs between two views of the same entries, of which
-// the second is that much later.
+// changes returns the difference between two views of the same entries. elapsed
+// is the time between them.
 func changes(before, after *feed.View, elapsed time.Duration) *feed.View {
 	out := &feed.View{
 		Version: after.Version, Number: after.Number, Base: before.Number, Trusted: after.Trusted,
@@ -61,17 +61,17 @@
 	return out
 }
 
-// ageRounding is how far the age of a report may seem to move when ages are
-// rounded, in milliseconds. Reports are a second apart and more.
+// ageRounding is the largest apparent change of a report's age, in milliseconds,
+// that is attributed to rounding. Reports are at least a second apart.
 const ageRounding = 2
 
-// sameUpstream reports whether an upstream is as it was, with the same load
-// report grown older.
+// sameUpstream reports whether an upstream is unchanged, apart from its load
+// report having aged by elapsed.
 func sameUpstream(before, after *feed.Upstream, elapsed time.Duration) bool {
-	was, is := *before, *after
-	drift := is.LoadAgeMS - was.LoadAgeMS - elapsed.Milliseconds()
-	was.Load, was.LoadAgeMS, is.Load, is.LoadAgeMS = nil, 0, nil, 0
-	if was != is || !sameLoad(before.Load, after.Load) {
+	prev, next := *before, *after
+	drift := next.LoadAgeMS - prev.LoadAgeMS - elapsed.Milliseconds()
+	prev.Load, prev.LoadAgeMS, next.Load, next.LoadAgeMS = nil, 0, nil, 0
+	if prev != next || !sameLoad(before.Load, after.Load) {
 		return false
 	}
 	return after.Load == nil || drift >= -ageRounding && drift <= ageRounding
--- a/agent/changes_test.go
+++ b/agent/changes_test.go
@@ -20,30 +20,30 @@
 	"github.com/wardspool/wardspool/membership"
 )
 
-// viewRun plays an agent and its entry with a network that loses updates and
-// replies between them.
-type viewRun struct {
+// feedSimulation simulates an agent and its entry, with a network between them
+// that loses updates and replies.
+type feedSimulation struct {
 	*rapid.T
-	agent *Agent
-	views *peering.Views
-	inc   ident.Incarnation
-	ups   []configservice.Upstream
-	index uint64
-	last  *kernel.View
+	agent       *Agent
+	views       *peering.ViewCache
+	incarnation ident.Incarnation
+	upstreams   []configservice.Upstream
+	index       uint64
+	last        *kernel.View
 }
 
-// list gives the agent the upstreams anew.
-func (r *viewRun) list() {
+// list passes the agent a new version of the list of upstreams.
+func (r *feedSimulation) list() {
 	r.index++
-	doc, err := json.Marshal(configservice.Upstreams{Upstreams: r.ups})
+	doc, err := json.Marshal(configservice.Upstreams{Upstreams: r.upstreams})
 	assert.NilError(r, err)
-	assert.Assert(r, r.agent.takeUpstreams(r.agent.now, r.index, doc))
+	assert.Assert(r, r.agent.applyUpstreams(r.agent.now, r.index, doc))
 }
 
-// happen lets something happen in the fleet.
-func (r *viewRun) happen() {
+// applyRandomChange changes the simulated fleet at random.
+func (r *feedSimulation) applyRandomChange() {
 	a := r.agent
-	u := &r.ups[rapid.IntRange(0, len(r.ups)-1).Draw(r.T, "upstream")]
+	u := &r.upstreams[rapid.IntRange(0, len(r.upstreams)-1).Draw(r.T, "upstream")]
 	switch rapid.IntRange(0, 5).Draw(r.T, "what") {
 	case 0, 1:
 		report := membership.Report{Incarnation: 7, Sequence: uint32(a.now.Unix()), Running: rapid.IntRange(0, 3).Draw(r.T, "running"), Slots: 20}
@@ -54,50 +54,51 @@
 		u.Address = fmt.Sprintf("10.1.1.%d:1", rapid.IntRange(1, 250).Draw(r.T, "address"))
 		r.list()
 	case 4:
-		r.ups = append(r.ups, configservice.Upstream{ID: ident.UpstreamID(fmt.Sprintf("new-%03d", r.index)), Zone: "zone-1", Address: "10.1.2.3:1", State: configservice.StateLive})
+		r.upstreams = append(r.upstreams, configservice.Upstream{ID: ident.UpstreamID(fmt.Sprintf("new-%03d", r.index)), Zone: "zone-1", Address: "10.1.2.3:1", State: configservice.StateLive})
 		r.list()
 	case 5:
-		r.inc++
-		r.views = &peering.Views{}
+		r.incarnation++
+		r.views = &peering.ViewCache{}
 	}
 }
 
-// feed sends one update. It may be lost, or its reply, or both come.
-func (r *viewRun) feed() {
+// feed sends one update. The update or its reply may be lost.
+func (r *feedSimulation) feed() {
 	a := r.agent
 	a.refreshView()
 	a.feed.urgent = true
 	u := a.composeUpdate()
-	fate := rapid.IntRange(0, 5).Draw(r.T, "fate")
-	if fate > 0 {
-		if view, _, ok := r.views.Take(u.View, a.now); ok {
+	delivery := rapid.IntRange(0, 5).Draw(r.T, "fate")
+	if delivery > 0 {
+		if view, _, ok := r.views.Apply(u.View, a.now); ok {
 			r.last = view
 		}
 	}
-	if fate <= 1 {
-		a.feedFailed(u, &feedLost{})
+	if delivery <= 1 {
+		a.feedFailed(u, &lostError{})
 		return
 	}
-	a.feedAnswered(a.now, u, feed.Reply{Incarnation: r.inc, View: r.views.Number()})
+	a.feedAnswered(a.now, u, feed.Reply{Incarnation: r.incarnation, View: r.views.Number()})
 }
 
-type feedLost struct{}
+type lostError struct{}
 
-func (*feedLost) Error() string { return "lost" }
+func (*lostError) Error() string { return "lost" }
 
-// TestChangesMakeTheWhole: whatever happened and was lost before, after three
-// updates that arrive, one to learn of a new entry, one whole and one of changes, the entry has what whole views would have given it.
+// TestChangesMakeTheWhole checks that after any changes and losses, three
+// delivered updates bring the entry to the state that full views would have given
+// it: one to detect a new entry, one full view and one with changes.
 func TestChangesMakeTheWhole(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
-		r := &viewRun{T: t, agent: benchAgent(outer, 5, 0), views: &peering.Views{}, inc: 1, index: 10}
+		r := &feedSimulation{T: t, agent: benchAgent(outer, 5, 0), views: &peering.ViewCache{}, incarnation: 1, index: 10}
 		for i := range 5 {
-			r.ups = append(r.ups, configservice.Upstream{ID: ident.UpstreamID(fmt.Sprintf("runner-%d", i)), Zone: "zone-0", Address: "10.1.1.1:1", State: configservice.StateLive})
+			r.upstreams = append(r.upstreams, configservice.Upstream{ID: ident.UpstreamID(fmt.Sprintf("runner-%d", i)), Zone: "zone-0", Address: "10.1.1.1:1", State: configservice.StateLive})
 		}
 		r.list()
 		partial := 0
 		for range rapid.IntRange(1, 15).Draw(t, "steps") {
 			r.agent.now = r.agent.now.Add(time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond)
-			r.happen()
+			r.applyRandomChange()
 			r.feed()
 		}
 		for range 3 {
@@ -108,41 +109,41 @@
 			if u.View.Base != 0 {
 				partial++
 			}
-			if view, _, ok := r.views.Take(u.View, r.agent.now); ok {
+			if view, _, ok := r.views.Apply(u.View, r.agent.now); ok {
 				r.last = view
 			}
-			r.agent.feedAnswered(r.agent.now, u, feed.Reply{Incarnation: r.inc, View: r.views.Number()})
+			r.agent.feedAnswered(r.agent.now, u, feed.Reply{Incarnation: r.incarnation, View: r.views.Number()})
 		}
-		assert.Assert(t, partial > 0, "the last update had changes only")
-		whole := peering.View(r.agent.feedView(), r.agent.now)
-		near := cmp.Comparer(func(x, y time.Time) bool { return x.Sub(y).Abs() <= 2*ageRounding*time.Millisecond })
-		assert.DeepEqual(t, r.last, whole, near)
+		assert.Assert(t, partial > 0, "no update had changes only")
+		full := peering.KernelView(r.agent.feedView(), r.agent.now)
+		approximately := cmp.Comparer(func(x, y time.Time) bool { return x.Sub(y).Abs() <= 2*ageRounding*time.Millisecond })
+		assert.DeepEqual(t, r.last, full, approximately)
 	})
 }
 
-// TestBundleChangesMakeTheWhole: whatever versions, lost updates, lost replies and
-// new entries came before, an entry that answers holds the content in force, and
-// the next version is sent as changes.
+// TestBundleChangesMakeTheWhole checks that after any sequence of versions, lost
+// updates, lost replies and new entries, an entry that replies holds the content
+// in force, and the next version is sent as changes.
 func TestBundleChangesMakeTheWhole(outer *testing.T) {
 	a := benchAgent(outer, 1, 0)
 	a.refreshView()
 	rapid.Check(outer, func(t *rapid.T) {
 		a.feed.bundle, a.feed.sentBundle, a.feed.base, a.feed.reply = nil, nil, nil, feed.Reply{}
-		entry, version := &peering.Contents{}, uint64(0)
-		send := func(fate int) feed.Update {
+		entry, version := &peering.ContentCache{}, uint64(0)
+		send := func(delivery int) feed.Update {
 			version++
 			c := &config.Content{Workspaces: make([]config.Workspace, rapid.IntRange(1, 4).Draw(t, "workspaces"))}
 			c.Workspaces[0].Burst = rapid.IntRange(0, 3).Draw(t, "burst")
 			a.now = a.now.Add(bundleRetry)
 			a.feed.bundle, a.feed.bundleSent = &feed.Bundle{Version: version, Digest: fmt.Sprint(version), Content: c}, false
 			u := a.composeUpdate()
-			if fate > 0 {
-				if got := entry.Take(u.Bundle); got != nil {
+			if delivery > 0 {
+				if got := entry.Apply(u.Bundle); got != nil {
 					assert.DeepEqual(t, got, c)
 				}
 			}
-			if fate <= 1 {
-				a.feedFailed(u, &feedLost{})
+			if delivery <= 1 {
+				a.feedFailed(u, &lostError{})
 				return u
 			}
 			a.feedAnswered(a.now, u, feed.Reply{Incarnation: 1, Base: entry.Digest(), BundleVersion: version})
@@ -150,7 +151,7 @@
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "versions") {
 			if rapid.IntRange(0, 5).Draw(t, "new entry") == 0 {
-				entry = &peering.Contents{}
+				entry = &peering.ContentCache{}
 			}
 			send(rapid.IntRange(0, 3).Draw(t, "fate"))
 		}
@@ -161,8 +162,8 @@
 	})
 }
 
-// TestOldEntriesGetWholeViews: an entry whose replies name no view takes whole
-// ones only.
+// TestOldEntriesGetWholeViews checks that an entry whose replies name no view, as
+// older releases do, gets only full views.
 func TestOldEntriesGetWholeViews(t *testing.T) {
 	a := benchAgent(t, 5, 5)
 	for range 3 {
@@ -180,8 +181,8 @@
 	}
 }
 
-// TestSameUpstream: each field of an upstream and of its load counts, and the age
-// of the load but for its growing with time.
+// TestSameUpstream checks that each field of an upstream and of its load counts
+// as a change, and the load's age only beyond its growth with time.
 func TestSameUpstream(t *testing.T) {
 	load := kernel.Load{Running: 3, PiecesTotal: 100}
 	before := feed.Upstream{ID: "dc-1", Address: "10.0.0.1:1", Load: &load, LoadAgeMS: 500}
@@ -195,7 +196,7 @@
 		"other load":  {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Load = &kernel.Load{Running: 3, PiecesTotal: 90} }, false},
 		"no load":     {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Load = nil }, false},
 		"other place": {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Address = "10.0.0.2:1" }, false},
-		"leaving":     {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Life = kernel.Leaving }, false},
+		"leaving":     {func(u *feed.Upstream) { u.LoadAgeMS += 1000; u.Liveness = kernel.Leaving }, false},
 	} {
 		after := before
 		tc.change(&after)
--- a/agent/engines/attempts.go
+++ b/agent/engines/attempts.go
@@ -5,16 +5,16 @@
 	"net/http"
 )
 
-// heldBody is the answer to a read of the held attempts.
-type heldBody struct {
+// attemptsBody is the body of the response that lists the held attempts.
+type attemptsBody struct {
 	Requests []struct {
 		ID string `json:"id"`
 	} `json:"requests"`
 }
 
-// Held lists the IDs of the attempts that an engine holds.
-func (c *Client) Held(ctx context.Context, address string) ([]string, error) {
-	var b heldBody
+// HeldAttempts returns the IDs of the attempts that an engine holds.
+func (c *Client) HeldAttempts(ctx context.Context, address string) ([]string, error) {
+	var b attemptsBody
 	if _, err := c.call(ctx, http.MethodGet, address, pathRequests, nil, &b); err != nil {
 		return nil, err
 	}
@@ -25,20 +25,21 @@
 	return ids, nil
 }
 
-// abortBody is the body of an abort.
-type abortBody struct {
+// abortRequest is the body of an abort request.
+type abortRequest struct {
 	Attempt string `json:"rid"`
 }
 
-// abortAnswer is the answer to an abort.
-type abortAnswer struct {
+// abortResponse is the body of the response to an abort request.
+type abortResponse struct {
 	Released bool `json:"released"`
 }
 
-// Abort has an engine release an attempt. It reports whether this call released
-// something; a nil error alone is the acknowledgement that nothing is held.
+// Abort makes an engine release an attempt. It reports whether this call released
+// anything. A nil error acknowledges that the engine no longer holds the attempt,
+// whatever the result.
 func (c *Client) Abort(ctx context.Context, address, attempt string) (bool, error) {
-	var a abortAnswer
-	_, err := c.call(ctx, http.MethodPost, address, pathAbort, abortBody{Attempt: attempt}, &a)
+	var a abortResponse
+	_, err := c.call(ctx, http.MethodPost, address, pathAbort, abortRequest{Attempt: attempt}, &a)
 	return a.Released, err
 }
--- a/agent/loop.go
+++ b/agent/loop.go
@@ -11,16 +11,17 @@
 
 // Timing of the loop.
 const (
-	// tick is the time between two looks at what is due.
-	tick = 200 * time.Millisecond
-	// minPauseAfter keeps a busy machine from looking paused.
-	minPauseAfter = 3 * tick
-	// inboxSize bounds what waits for the loop.
+	// tickInterval is the interval at which the loop checks for due work.
+	tickInterval = 200 * time.Millisecond
+	// minPauseAfter is the smallest pause threshold; a lower one would report a
+	// busy machine as paused.
+	minPauseAfter = 3 * tickInterval
+	// inboxSize limits the functions queued for the loop.
 	inboxSize = 256
 )
 
-// post hands f to the loop, which runs it with the present time in a.now. It
-// returns false when the agent has stopped.
+// post queues f for the loop, which runs it with the current time in a.now. It
+// returns false if the agent has stopped.
 func (a *Agent) post(f func()) bool {
 	select {
 	case a.inbox <- f:
@@ -30,9 +31,9 @@
 	}
 }
 
-// ask runs f on the loop and returns its result. Errors are the context's and
-// *peer.StoppingError.
-func ask[T any](ctx context.Context, a *Agent, f func() T) (T, error) {
+// callLoop runs f on the loop and returns its result. Errors are the context's
+// and *peer.StoppingError.
+func callLoop[T any](ctx context.Context, a *Agent, f func() T) (T, error) {
 	var zero T
 	result := make(chan T, 1)
 	if !a.post(func() { result <- f() }) {
@@ -48,48 +49,48 @@
 	}
 }
 
-// spawn runs a call over the network beside the loop. The context ends when the
-// agent stops.
+// spawn runs f, which calls over the network, in a goroutine outside the loop.
+// Its context is cancelled when the agent stops.
 func (a *Agent) spawn(f func(context.Context)) {
 	a.calls.Go(func() { f(a.callCtx) })
 }
 
-// run is the loop. It ends with ctx.
+// run is the loop. It returns when ctx ends.
 func (a *Agent) run(ctx context.Context) {
 	defer close(a.stopped)
 	a.now = clock.Now()
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case f := <-a.inbox:
-			a.begin()
+			a.updateClock()
 			f()
 		case <-ticker.C:
-			a.begin()
-			a.due()
+			a.updateClock()
+			a.runPeriodic()
 		case <-ctx.Done():
 			return
 		}
-		a.follow()
+		a.sendPending()
 	}
 }
 
-// begin reads the clock and notices that the process did not run for a while,
-// before anything is made of what arrived meanwhile.
-func (a *Agent) begin() {
+// updateClock updates the loop's time and detects that the process did not run
+// for a while, before anything received meanwhile is handled.
+func (a *Agent) updateClock() {
 	last := a.now
 	clock.Check()
 	a.now = clock.Now()
 	if gap := a.now.Sub(last); gap >= a.settings.PauseAfter {
-		a.paused(gap)
+		a.handlePause(gap)
 	}
 }
 
-// due does what is due by the time.
-func (a *Agent) due() {
-	if a.now.Sub(a.secondAt) >= time.Second {
-		a.secondAt = a.now
+// runPeriodic does the periodic work that is due.
+func (a *Agent) runPeriodic() {
+	if a.now.Sub(a.lastSecondAt) >= time.Second {
+		a.lastSecondAt = a.now
 		a.everySecond()
 	}
 	a.pollLoads()
@@ -100,13 +101,13 @@
 	}
 }
 
-// everySecond does what is cheap to do late.
+// everySecond does the periodic work that needs no finer resolution.
 func (a *Agent) everySecond() {
-	a.step(tickEvent)
+	a.stepLedger(tickEvent)
 	if a.rosterDue() {
 		a.updateRoster()
 	}
-	a.fallBack()
+	a.startFallback()
 	a.electReaders()
 	if a.now.Sub(a.loads.assignedAt) >= assignInterval {
 		a.assignLoads()
@@ -114,22 +115,22 @@
 	a.viewDirty = true
 }
 
-// follow sends what became due by what was just taken in.
-func (a *Agent) follow() {
-	a.sendDue()
+// sendPending sends what became due by the work just done.
+func (a *Agent) sendPending() {
+	a.sendHeartbeats()
 	a.feedEntry()
 }
 
-// paused follows up on a time in which the process did not run: what it believes
-// may be out of date until it was refreshed.
-func (a *Agent) paused(gap time.Duration) {
+// handlePause handles a period in which the process did not run: its state may be
+// out of date until it is refreshed.
+func (a *Agent) handlePause(gap time.Duration) {
 	a.log.Warn("process was paused", "gap", gap.String())
 	a.counters.Pauses++
-	a.machine.Paused(a.now, gap)
-	a.step(tickEvent)
+	a.machine.RecordPause(a.now, gap)
+	a.stepLedger(tickEvent)
 	a.feed.pause = max(a.feed.pause, gap)
 	a.orderPlanner.Paused(a.now)
-	// The ledger asks for the roll by itself.
+	// The ledger requests the roll by itself.
 	a.readKey(configservice.KeyInstances)
 	a.readKey(configservice.KeyUpstreams)
 	a.refreshView()
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -17,16 +17,15 @@
 )
 
 const (
-	// metricsPrefix begins the names of all metrics.
+	// metricsPrefix is the prefix of all metric names.
 	metricsPrefix = "wardspool_agent"
-	// metricsTimeout bounds the reading of a request for metrics and the writing
-	// of its answer.
+	// metricsTimeout limits reading a request for metrics and writing its answer.
 	metricsTimeout = 5 * time.Second
-	// metricsHeaderBytes bounds the head of a request for metrics.
+	// metricsHeaderBytes limits the header of a request for metrics.
 	metricsHeaderBytes = 4 << 10
 )
 
-// metricsServer answers GET /metrics.
+// metricsServer serves GET /metrics.
 type metricsServer struct {
 	listener net.Listener
 	http     *http.Server
@@ -49,7 +48,7 @@
 	return err
 }
 
-// listenForMetrics opens the address for metrics, if there is one.
+// listenForMetrics opens the address for metrics if one is configured.
 func (a *Agent) listenForMetrics() error {
 	if a.settings.Metrics.Listen == "" {
 		return nil
@@ -70,8 +69,8 @@
 	return nil
 }
 
-// serveMetrics writes the agent's status as metrics. They are made when they are
-// asked for: an agent that nobody asks spends nothing on them.
+// serveMetrics writes the agent's status as metrics. They are computed per
+// request, so an agent that is not scraped spends nothing on them.
 func (a *Agent) serveMetrics(w http.ResponseWriter, r *http.Request) {
 	s, err := a.Status(r.Context())
 	if err != nil {
@@ -79,17 +78,17 @@
 		return
 	}
 	w.Header().Set("Content-Type", metrics.ContentType)
-	// A reader that left is no concern of ours.
+	// A write fails only if the caller has disconnected.
 	_, _ = io.WriteString(w, metrics.Render(metricsPrefix, func(scope tally.Scope) { fillMetrics(scope, &s) }))
 }
 
-// fillMetrics gives a status as metrics.
+// fillMetrics records a status as metrics.
 func fillMetrics(scope tally.Scope, s *wire.Status) {
 	fillBundle(scope, s)
 	fillFleet(scope, &s.Fleet)
 	fillCounters(scope, &s.Counters)
 	fillPlatform(scope, &s.Platform)
-	fillCosts(scope, s)
+	fillUsage(scope, s)
 }
 
 func fillBundle(scope tally.Scope, s *wire.Status) {
@@ -97,7 +96,7 @@
 	scope.Gauge("bundle_newest_version").Update(float64(s.Bundle.Newest))
 	scope.Gauge("bundle_missing_parts").Update(float64(s.Bundle.MissingParts))
 	scope.Gauge("bundle_roll_sequence").Update(float64(s.Bundle.RollSequence))
-	scope.Gauge("entry_answers").Update(truth(s.Entry.Answers))
+	scope.Gauge("entry_answers").Update(boolGauge(s.Entry.Answers))
 	scope.Gauge("entry_bundle_version").Update(float64(s.Entry.BundleVersion))
 	scope.Gauge("entry_in_flight").Update(float64(s.Entry.InFlight))
 	for _, alarm := range s.Alarms {
@@ -105,33 +104,34 @@
 	}
 }
 
-// lifeLabels are the labels of the numbers of instances and upstreams.
-type lifeLabels struct{ zone, state string }
+// livenessLabels are the labels of the instance and upstream counts.
+type livenessLabels struct{ zone, state string }
 
 func fillFleet(scope tally.Scope, f *wire.FleetStatus) {
-	scope.Gauge("view_trusted").Update(truth(f.Trusted))
+	scope.Gauge("view_trusted").Update(boolGauge(f.Trusted))
 	scope.Gauge("heartbeat_partners").Update(float64(f.Partners))
-	instances, upstreams := map[lifeLabels]int{}, map[lifeLabels]int{}
+	instances, upstreams := map[livenessLabels]int{}, map[livenessLabels]int{}
 	for _, in := range f.Instances {
-		instances[lifeLabels{string(in.Zone), state(in.State, in.Leaving)}]++
+		instances[livenessLabels{string(in.Zone), stateLabel(in.State, in.Leaving)}]++
 	}
 	for _, u := range f.Upstreams {
-		upstreams[lifeLabels{string(u.Zone), state(u.State, u.Leaving)}]++
+		upstreams[livenessLabels{string(u.Zone), stateLabel(u.State, u.Leaving)}]++
 	}
-	fillLives(scope, "instances", instances)
-	fillLives(scope, "upstreams", upstreams)
+	fillProcesses(scope, "instances", instances)
+	fillProcesses(scope, "upstreams", upstreams)
 }
 
-func fillLives(scope tally.Scope, name string, numbers map[lifeLabels]int) {
-	for l, n := range numbers {
+func fillProcesses(scope tally.Scope, name string, counts map[livenessLabels]int) {
+	for l, n := range counts {
 		scope.Tagged(map[string]string{"zone": l.zone, "state": l.state}).Gauge(name).Update(float64(n))
 	}
 }
 
-// stateLeaving is the label of what is leaving, whether it still answers or not.
+// stateLeaving is the label value for processes that are leaving, whether they
+// still respond or not.
 const stateLeaving = "leaving"
 
-func state(name string, leaving bool) string {
+func stateLabel(name string, leaving bool) string {
 	if leaving {
 		return stateLeaving
 	}
@@ -171,8 +171,8 @@
 
 func fillPlatform(scope tally.Scope, p *wire.PlatformStatus) {
 	scope.Gauge("platform_watches").Update(float64(len(p.Watches)))
-	if p.SeenAgeMS >= 0 {
-		age := time.Duration(p.SeenAgeMS) * time.Millisecond
+	if p.LastResponseAgeMS >= 0 {
+		age := time.Duration(p.LastResponseAgeMS) * time.Millisecond
 		scope.Gauge("platform_seen_age_seconds").Update(age.Seconds())
 	}
 	scope.Counter("platform_calls").Inc(int64(p.Calls))
@@ -181,7 +181,7 @@
 	scope.Counter("platform_rate_limited").Inc(int64(p.RateLimited))
 }
 
-func fillCosts(scope tally.Scope, s *wire.Status) {
+func fillUsage(scope tally.Scope, s *wire.Status) {
 	fillTraffic(scope, "peers", s.Traffic.Peers)
 	fillTraffic(scope, "upstreams", s.Traffic.Upstreams)
 	fillTraffic(scope, "platform", s.Traffic.Platform)
@@ -197,8 +197,8 @@
 	tagged.Counter("bytes_received").Inc(int64(t.Received))
 }
 
-// truth is 1 for true and 0 for false.
-func truth(v bool) float64 {
+// boolGauge returns 1 for true and 0 for false.
+func boolGauge(v bool) float64 {
 	if v {
 		return 1
 	}
--- a/agent/metrics_test.go
+++ b/agent/metrics_test.go
@@ -16,7 +16,8 @@
 	"github.com/wardspool/wardspool/metrics"
 )
 
-// TestMetrics gives a status as metrics, without those of the Go runtime.
+// TestMetrics checks the metrics of a status, which exclude those of the Go
+// runtime.
 func TestMetrics(t *testing.T) {
 	s := wire.Status{
 		Bundle: wire.BundleStatus{Version: 7, Newest: 8, MissingParts: 3},
@@ -26,7 +27,7 @@
 			{Zone: "hall-a", State: "alive"}, {Zone: "hall-a", State: "alive"}, {Zone: "hall-b", State: "alive", Leaving: true},
 		}},
 		Counters: wire.Counters{Orders: 4},
-		Platform: wire.PlatformStatus{SeenAgeMS: 1500},
+		Platform: wire.PlatformStatus{LastResponseAgeMS: 1500},
 		Traffic:  wire.TrafficStatus{Peers: wire.Traffic{Sent: 100, Received: 50}},
 		Process:  wire.ProcessStatus{CPUMS: 250},
 	}
@@ -48,7 +49,8 @@
 	}
 }
 
-// TestMetricsOfARunningAgent asks a running agent, as over its listener.
+// TestMetricsOfARunningAgent calls the metrics handler of a running agent, as its
+// listener does.
 func TestMetricsOfARunningAgent(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.addAll(2, "hall-a")
--- a/agent/preload.go
+++ b/agent/preload.go
@@ -9,22 +9,22 @@
 	"github.com/wardspool/wardspool/configservice"
 )
 
-// fromPreload names the preloaded bundle to the ledger.
-var fromPreload = ledger.Source{Kind: ledger.SourcePreload}
+// preloadSource is the ledger's source for the preloaded bundle.
+var preloadSource = ledger.Source{Kind: ledger.SourcePreload}
 
-// loadPreload gives the ledger the bundle and roll of the preload folder, which
-// has the keys of the platform as its files.
+// loadPreload passes the bundle and roll of the preload folder to the ledger. The
+// files in the folder are named like the platform's keys.
 func (a *Agent) loadPreload() {
 	dir := a.settings.Preload
 	if dir == "" {
 		return
 	}
 	if b, ok := a.readPreload(configservice.KeyRoll); ok {
-		a.takeRoll(fromPreload, a.now, b)
+		a.applyRoll(preloadSource, a.now, b)
 	}
 	files, err := filepath.Glob(filepath.Join(dir, filepath.FromSlash(configservice.KeyBundleParts), "*"))
 	if err != nil {
-		a.log.Warn("preload not read", "error", err)
+		a.log.Warn("cannot read the preloaded bundle", "error", err)
 		return
 	}
 	var parts []bundle.Part
@@ -37,14 +37,14 @@
 			parts = append(parts, bundle.Part{Digest: d, Bytes: b})
 		}
 	}
-	a.takeParts(fromPreload, parts)
+	a.applyParts(preloadSource, parts)
 }
 
-// readPreload reads the file of a key.
+// readPreload reads the file of a platform key.
 func (a *Agent) readPreload(key string) ([]byte, bool) {
 	b, err := os.ReadFile(filepath.Join(a.settings.Preload, filepath.FromSlash(key)))
 	if err != nil {
-		a.log.Warn("preload not read", "key", key, "error", err)
+		a.log.Warn("cannot read the preloaded bundle", "key", key, "error", err)
 		return nil, false
 	}
 	return b, true
--- a/agent/status.go
+++ b/agent/status.go
@@ -16,14 +16,14 @@
 
 // handleStatus registers the methods for operators' tools.
 func (a *Agent) handleStatus(s *peer.Server) {
-	peer.Handle(s, wire.MethodStatus, func(ctx context.Context, _ peer.Identity, _ wire.Nothing) (wire.Status, error) {
+	peer.Handle(s, wire.MethodStatus, func(ctx context.Context, _ peer.Identity, _ wire.Empty) (wire.Status, error) {
 		return a.Status(ctx)
 	})
 }
 
 // Status describes the agent. Errors are the context's and *peer.StoppingError.
 func (a *Agent) Status(ctx context.Context) (wire.Status, error) {
-	s, err := ask(ctx, a, a.loopStatus)
+	s, err := callLoop(ctx, a, a.loopStatus)
 	if err != nil {
 		return wire.Status{}, err
 	}
@@ -32,7 +32,7 @@
 	return s, nil
 }
 
-// loopStatus describes what the loop knows.
+// loopStatus returns the part of the status that the loop owns.
 func (a *Agent) loopStatus() wire.Status {
 	return wire.Status{
 		Instance: a.self.Instance, Zone: a.self.Zone, Incarnation: a.self.Incarnation,
@@ -46,7 +46,7 @@
 	}
 }
 
-// bundleStatus describes the ledger.
+// bundleStatus returns the status of the ledger.
 func (a *Agent) bundleStatus() wire.BundleStatus {
 	s := a.ledger.Summary()
 	out := wire.BundleStatus{
@@ -62,7 +62,7 @@
 	return out
 }
 
-// alarmStatus lists the alarms that stand.
+// alarmStatus returns the active alarms.
 func (a *Agent) alarmStatus() []wire.AlarmStatus {
 	var out []wire.AlarmStatus
 	for _, al := range a.ledger.Alarms() {
@@ -71,16 +71,16 @@
 	return out
 }
 
-// entryStatus describes the entry.
+// entryStatus returns the status of the entry.
 func (a *Agent) entryStatus() wire.EntryStatus {
 	r := a.feed.reply
 	return wire.EntryStatus{
-		Incarnation: r.Incarnation, BundleVersion: r.BundleVersion, Answers: a.feed.answers,
+		Incarnation: r.Incarnation, BundleVersion: r.BundleVersion, Answers: a.feed.responding,
 		Stopping: r.Stopping, InFlight: r.InFlight,
 	}
 }
 
-// fleetStatus describes the view.
+// fleetStatus returns the status of the membership view.
 func (a *Agent) fleetStatus() wire.FleetStatus {
 	v := a.machine.View(a.now)
 	out := wire.FleetStatus{
@@ -102,11 +102,12 @@
 	return out
 }
 
-// countPartners counts the instances with which heartbeats are exchanged.
+// countPartners returns the number of instances with which heartbeats are
+// exchanged.
 func (a *Agent) countPartners() int {
 	n := 0
 	for _, p := range a.partners {
-		if !p.at.IsZero() && a.now.Sub(p.at) < partnerIntervals*a.machine.Interval() {
+		if !p.lastAt.IsZero() && a.now.Sub(p.lastAt) < partnerIntervals*a.machine.Interval() {
 			n++
 		}
 	}
@@ -121,45 +122,47 @@
 	return age.Milliseconds()
 }
 
-// platformStatus describes the reading of the platform.
+// platformStatus returns the status of reading the platform.
 func (a *Agent) platformStatus() wire.PlatformStatus {
-	s := a.reader.Stats()
+	s := a.platformAdapter.Stats()
 	out := wire.PlatformStatus{
-		Watches:   slices.Sorted(maps.Keys(a.source.watches)),
-		Instances: a.book.lists.instances.index, Upstreams: a.book.lists.upstreams.index,
-		SeenAgeMS: -1, Calls: s.Calls, Unavailable: s.Unavailable, Stale: s.Stale, RateLimited: s.RateLimited,
+		Watches:   slices.Sorted(maps.Keys(a.platform.watches)),
+		Instances: a.directory.lists.instances.index, Upstreams: a.directory.lists.upstreams.index,
+		LastResponseAgeMS: -1, Calls: s.Calls, Unavailable: s.Unavailable, Stale: s.Stale, RateLimited: s.RateLimited,
 	}
-	if !a.source.seen.IsZero() {
-		out.SeenAgeMS = a.now.Sub(a.source.seen).Milliseconds()
+	if !a.platform.lastSeen.IsZero() {
+		out.LastResponseAgeMS = a.now.Sub(a.platform.lastSeen).Milliseconds()
 	}
 	return out
 }
 
-// traffic adds up the bytes on all connections.
+// traffic returns the byte counts of all connections.
 func (a *Agent) traffic() wire.TrafficStatus {
 	out := wire.TrafficStatus{
-		Upstreams: metered(a.engines.Meter()),
-		Platform:  metered(&a.platformMeter),
-		Peers:     pooled(a.peers.Stats().Total),
-		Entry:     pooled(a.feedPool.Stats().Total),
+		Upstreams: meterTraffic(a.engines.Meter()),
+		Platform:  meterTraffic(&a.platformMeter),
+		Peers:     connTraffic(a.peers.Stats().Total),
+		Entry:     connTraffic(a.feedPool.Stats().Total),
 	}
 	if s := a.servers.peers; s != nil {
-		served := pooled(s.rpc.Stats().Total)
+		served := connTraffic(s.rpc.Stats().Total)
 		out.Peers.Sent += served.Sent
 		out.Peers.Received += served.Received
 	}
 	return out
 }
 
-// metered returns a meter's counts.
-func metered(m *meter.Meter) wire.Traffic {
+// meterTraffic converts a meter's counts to the wire form.
+func meterTraffic(m *meter.Meter) wire.Traffic {
 	return wire.Traffic{Sent: m.Sent(), Received: m.Received()}
 }
 
-// pooled returns the counts of jsonrpc2 connections.
-func pooled(t peer.Traffic) wire.Traffic { return wire.Traffic{Sent: t.Sent, Received: t.Received} }
+// connTraffic converts the counts of JSON-RPC connections to the wire form.
+func connTraffic(t peer.Traffic) wire.Traffic {
+	return wire.Traffic{Sent: t.Sent, Received: t.Received}
+}
 
-// process describes what the process costs.
+// process returns the resource usage of the process.
 func (a *Agent) process() wire.ProcessStatus {
 	p := meter.ReadProcess()
 	return wire.ProcessStatus{
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -2,37 +2,42 @@
 
 import "time"
 
-// stopPoll is how often a stopping agent looks at its entry.
+// stopPoll is the interval at which a stopping agent polls its state.
 const stopPoll = 100 * time.Millisecond
 
-// leave ends the agent's part in the fleet. An instance that is stopped stops
-// both its processes: the entry says so, which the agent tells its peers; it goes
-// on until the entry has finished what is in flight, and tells that it has ended. An agent that
-// is stopped alone, to be restarted, says nothing: leaving is for ever for an
-// incarnation of the entry, and the entry goes on with its last view.
+// leave ends the agent's participation in the fleet. If the whole instance is
+// stopped, the entry reports that it is stopping and the agent announces that to
+// its peers. The agent continues until the entry has finished its requests in
+// flight, and then announces that the entry has ended.
+//
+// If only the agent is stopped, to be restarted, it announces nothing: leaving is
+// final for an incarnation of the entry, and the entry continues with its last
+// view.
 func (a *Agent) leave() {
 	a.log.Info("stopping")
-	if !a.wait(a.settings.Stop.Grace, a.entryStops) {
+	if !a.waitFor(a.settings.Stop.Grace, a.entryStops) {
 		a.log.Info("entry goes on without its agent")
 		return
 	}
-	if !a.wait(a.settings.Stop.Timeout, a.entrySettled) {
+	if !a.waitFor(a.settings.Stop.Timeout, a.entryEndedOrResumed) {
 		a.log.Warn("entry still has requests in flight")
 	}
-	if goesOn, _ := ask(a.callCtx, a, a.entryAnswersOn); goesOn {
+	if continues, _ := callLoop(a.callCtx, a, a.entryContinues); continues {
 		a.log.Info("entry goes on without its agent")
 		return
 	}
-	// The machine has it told to all partners, those called just before a moment
+	// The membership machine schedules heartbeats that announce this to all
+	// partners. Partners that were contacted just before get theirs a moment
 	// later than the others.
-	a.wait(shutdownTimeout, a.partnersTold)
+	a.waitFor(shutdownTimeout, a.partnersNotified)
 }
 
-// wait looks at a condition on the loop until it holds or the time is over.
-func (a *Agent) wait(limit time.Duration, holds func() bool) bool {
+// waitFor polls a condition on the loop until it holds or the time limit is
+// reached.
+func (a *Agent) waitFor(limit time.Duration, holds func() bool) bool {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
-		held, err := ask(a.callCtx, a, holds)
+		held, err := callLoop(a.callCtx, a, holds)
 		if held || err != nil {
 			return held
 		}
@@ -41,22 +46,23 @@
 	return false
 }
 
-// entryStops reports whether the entry stops too, or has ended.
+// entryStops reports whether the entry is stopping too, or does not respond.
 func (a *Agent) entryStops() bool {
-	return a.feed.reply.Incarnation != 0 && (a.feed.reply.Stopping || !a.feed.answers)
+	return a.feed.reply.Incarnation != 0 && (a.feed.reply.Stopping || !a.feed.responding)
 }
 
-// entrySettled reports whether the entry's process is gone, or goes on after all.
-func (a *Agent) entrySettled() bool { return a.feed.gone || a.entryAnswersOn() }
+// entryEndedOrResumed reports whether the entry's process has ended, or responds
+// and is not stopping.
+func (a *Agent) entryEndedOrResumed() bool { return a.feed.ended || a.entryContinues() }
 
-// entryAnswersOn reports whether the entry answers and does not stop: it was only
-// silent for a while.
-func (a *Agent) entryAnswersOn() bool { return a.feed.answers && !a.feed.reply.Stopping }
+// entryContinues reports whether the entry responds and is not stopping, so that
+// an earlier lack of responses was temporary.
+func (a *Agent) entryContinues() bool { return a.feed.responding && !a.feed.reply.Stopping }
 
-// partnersTold reports whether all partners were told the newest and no exchange
-// is in progress.
-func (a *Agent) partnersTold() bool {
-	if !a.machine.Told(a.now) {
+// partnersNotified reports whether all partners got the newest state and no
+// exchange is in progress.
+func (a *Agent) partnersNotified() bool {
+	if !a.machine.AllPartnersNotified(a.now) {
 		return false
 	}
 	for _, p := range a.partners {
--- a/agent/upstreams_test.go
+++ b/agent/upstreams_test.go
@@ -20,12 +20,12 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// benchHost is where the test itself calls from.
-const benchHost = "10.0.9.9"
+// testHost is the host from which the test itself makes calls.
+const testHost = "10.0.9.9"
 
-// address returns where an upstream is.
+// address returns the address of an upstream.
 func (f *fleet) address(id ident.UpstreamID) string {
-	for _, u := range f.ups {
+	for _, u := range f.upstreams {
 		if u.ID == id {
 			return u.Address
 		}
@@ -34,16 +34,16 @@
 	return ""
 }
 
-// bench returns a client for the test's own calls.
-func (f *fleet) bench() *engines.Client {
-	c := engines.New(from{f.net, benchHost}, time.Second)
+// engineClient returns a client for the test's own calls to engines.
+func (f *fleet) engineClient() *engines.Client {
+	c := engines.New(hostDialer{f.net, testHost}, time.Second)
 	f.closers = append(f.closers, c.Close)
 	return c
 }
 
 // do sends a request to an upstream and returns the status.
 func (f *fleet) do(method string, id ident.UpstreamID, path, attempt, body string) int {
-	client := &http.Client{Transport: &http.Transport{DialContext: from{f.net, benchHost}.DialContext, DisableKeepAlives: true}}
+	client := &http.Client{Transport: &http.Transport{DialContext: hostDialer{f.net, testHost}.DialContext, DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+f.address(id)+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
 	req.Header.Set("X-Request-Id", attempt)
@@ -53,21 +53,22 @@
 	return resp.StatusCode
 }
 
-// lives returns what an entry believes of an upstream on each of the nodes.
-func lives(nodes []*node, id ident.UpstreamID) []kernel.Liveness {
+// livenessAt returns the liveness of an upstream according to each node's entry.
+func livenessAt(nodes []*node, id ident.UpstreamID) []kernel.Liveness {
 	var out []kernel.Liveness
 	for _, n := range nodes {
 		if u := n.entry.upstream(id); u != nil {
-			out = append(out, u.Life)
+			out = append(out, u.Liveness)
 		}
 	}
 	return out
 }
 
-// all reports whether every node believes the same of an upstream.
-func all(nodes []*node, id ident.UpstreamID, want kernel.Liveness) func() bool {
+// upstreamIs returns a condition that holds if every node's entry has the given
+// liveness for an upstream.
+func upstreamIs(nodes []*node, id ident.UpstreamID, want kernel.Liveness) func() bool {
 	return func() bool {
-		list := lives(nodes, id)
+		list := livenessAt(nodes, id)
 		for _, life := range list {
 			if life != want {
 				return false
@@ -77,8 +78,9 @@
 	}
 }
 
-// TestUpstreamLeavesWhilePlatformIsDown: the engine's own word reaches all
-// instances, also of the other zone, and stays.
+// TestUpstreamLeavesWhilePlatformIsDown checks that an engine's own report that
+// it is draining reaches all instances, also those of the other zone, and is not
+// reverted.
 func TestUpstreamLeavesWhilePlatformIsDown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -87,45 +89,46 @@
 		time.Sleep(5 * time.Second)
 		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeDown}))
 		f.do(http.MethodPut, "dc-1", control.PathFaults, "", `{"draining":true}`)
-		took := f.within(4*time.Second, "leaving everywhere", all(nodes, "dc-1", kernel.Leaving))
+		took := f.within(4*time.Second, "leaving everywhere", upstreamIs(nodes, "dc-1", kernel.Leaving))
 		t.Logf("leaving everywhere after %v", took)
 		f.do(http.MethodPut, "dc-1", control.PathFaults, "", `{}`)
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, all(nodes, "dc-1", kernel.Leaving)(), "%v", lives(nodes, "dc-1"))
+		assert.Assert(t, upstreamIs(nodes, "dc-1", kernel.Leaving)(), "%v", livenessAt(nodes, "dc-1"))
 	})
 }
 
-// TestEvidenceOfDraining: an entry's word is believed of the life it was about,
-// and not of the next.
+// TestEvidenceOfDraining checks that an entry's evidence is applied to the
+// incarnation that it was about, and not to the next one.
 func TestEvidenceOfDraining(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		e := f.addEngine("dc-1", "hall-a", config.RoleDecode)
 		nodes := f.addAll(2, "hall-a")
 		f.list()
 		startAll(nodes)
-		f.within(5*time.Second, "engine live", all(nodes, "dc-1", kernel.Live))
+		f.within(5*time.Second, "engine live", upstreamIs(nodes, "dc-1", kernel.Live))
 		time.Sleep(5 * time.Second)
 		drained := feed.Evidence{Kind: feed.EvidenceDraining, Upstream: "dc-1", AgeMS: 12_000}
 		before := nodes[0].status().Fleet.Upstreams[0].Incarnation
 		e.Crash(time.Second)
-		f.within(10*time.Second, "new life known", func() bool {
-			return nodes[0].status().Fleet.Upstreams[0].Incarnation > before && all(nodes, "dc-1", kernel.Live)()
+		f.within(10*time.Second, "new incarnation known", func() bool {
+			return nodes[0].status().Fleet.Upstreams[0].Incarnation > before && upstreamIs(nodes, "dc-1", kernel.Live)()
 		})
 		nodes[0].entry.set(func(r *feed.Reply) { r.Evidence = []feed.Evidence{drained} })
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, all(nodes, "dc-1", kernel.Live)(), "old evidence: %v", lives(nodes, "dc-1"))
+		assert.Assert(t, upstreamIs(nodes, "dc-1", kernel.Live)(), "evidence about the previous incarnation was applied: %v", livenessAt(nodes, "dc-1"))
 		drained.AgeMS = 10
 		nodes[0].entry.set(func(r *feed.Reply) { r.Evidence = []feed.Evidence{drained} })
-		f.within(3*time.Second, "leaving everywhere", all(nodes, "dc-1", kernel.Leaving))
+		f.within(3*time.Second, "leaving everywhere", upstreamIs(nodes, "dc-1", kernel.Leaving))
 	})
 }
 
-// TestDeadUpstreamComesBack: an upstream that refused connections gets no work
-// and is found again when it is back, also a service, which reports no load.
+// TestDeadUpstreamComesBack checks that an upstream that refused connections gets
+// no work and is detected again when it is back, including a service, which
+// reports no load.
 func TestDeadUpstreamComesBack(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.addAll(3, "hall-a")
-		f.ups = append(f.ups, configservice.Upstream{ID: "desk-1", Zone: "hall-a", Address: "10.0.1.9:8000",
+		f.upstreams = append(f.upstreams, configservice.Upstream{ID: "desk-1", Zone: "hall-a", Address: "10.0.1.9:8000",
 			Role: config.RoleService, Service: "desk", State: configservice.StateLive})
 		f.list()
 		startAll(nodes)
@@ -134,13 +137,14 @@
 				r.Evidence = []feed.Evidence{{Kind: feed.EvidenceRefused, Upstream: "desk-1"}}
 			})
 		}
-		f.within(5*time.Second, "service dead", all(nodes, "desk-1", kernel.Dead))
+		f.within(5*time.Second, "service dead", upstreamIs(nodes, "desk-1", kernel.Dead))
 		time.Sleep(time.Minute)
-		assert.Assert(t, all(nodes, "desk-1", kernel.Dead)())
+		assert.Assert(t, upstreamIs(nodes, "desk-1", kernel.Dead)())
 		f.serve("10.0.1.9:8000", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
-		// Where it isn't gathered it is suspect again after 10 s, which gets work.
-		f.within(doubtMax+5*time.Second, "service gets work", func() bool {
-			for _, life := range lives(nodes, "desk-1") {
+		// Instances that do not gather its load consider it suspect again after
+		// 10 s, and suspects get work.
+		f.within(retryMax+5*time.Second, "service gets work", func() bool {
+			for _, life := range livenessAt(nodes, "desk-1") {
 				if life > kernel.Suspect {
 					return false
 				}
@@ -150,7 +154,8 @@
 	})
 }
 
-// TestLeftovers: what a dead instance left on an engine is released.
+// TestLeftovers checks that attempts that a dead instance left on an engine are
+// released.
 func TestLeftovers(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -161,14 +166,14 @@
 		status := f.do(http.MethodPost, "dc-1", "/v1/completions", id.String(),
 			fmt.Sprintf(`{"model":"reader","prompt":"a b c","max_tokens":%d,"stream":true}`, 4000))
 		assert.Equal(t, status, http.StatusOK)
-		bench := f.bench()
+		bench := f.engineClient()
 		held := func() int {
-			list, err := bench.Held(context.Background(), f.address("dc-1"))
+			list, err := bench.HeldAttempts(context.Background(), f.address("dc-1"))
 			assert.NilError(t, err)
 			return len(list)
 		}
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, held(), 1, "a live owner's attempt stays")
+		assert.Equal(t, held(), 1, "attempt of a live owner released")
 		nodes[0].stop()
 		took := f.within(12*time.Second, "leftover released", func() bool { return held() == 0 })
 		t.Logf("released after %v", took)
@@ -180,14 +185,15 @@
 	})
 }
 
-// TestOrders: engines are ordered what the bundle declares, by one instance, and
-// corrected; both those that check fencing numbers and those that do not.
+// TestOrders checks that one instance orders engines to run what the bundle
+// declares and corrects deviations, for engines that check fencing numbers and
+// for those that do not.
 func TestOrders(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
 		nodes := f.startFleet(3, "hall-a")
-		bench := f.bench()
+		bench := f.engineClient()
 		f.within(5*time.Second, "the engine that checks fencing numbers has seen version 1", func() bool {
 			s, err := bench.ReadOrders(context.Background(), f.address("pf-1"))
 			assert.NilError(t, err)
@@ -212,16 +218,16 @@
 			orders += n.status().Counters.Orders
 		}
 		assert.Equal(t, orders, uint64(3), "one for the fence of version 1, two for version 2")
-		_, err := bench.GiveOrder(context.Background(), f.address("dc-1"), engines.Order{Fence: 1, Placement: engines.Placement{
+		_, err := bench.SendOrder(context.Background(), f.address("dc-1"), engines.Order{Fence: 1, Placement: engines.Placement{
 			Role: config.RoleDecode, Models: []string{"reader"}, Version: "old",
 		}})
 		assert.NilError(t, err)
-		f.within(time.Minute, "decode engine corrected", runs("dc-1", "2"))
+		f.within(time.Minute, "placement of the decode engine corrected", runs("dc-1", "2"))
 	})
 }
 
-// TestNoOrdersWhileRechecking: after a pause, orders wait until the bundle is
-// confirmed to be the newest.
+// TestNoOrdersWhileRechecking checks that after a pause no orders are given until
+// the bundle is confirmed to be the newest.
 func TestNoOrdersWhileRechecking(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-a", config.RolePrefill)
@@ -232,8 +238,8 @@
 		n.agent.post(func() { time.Sleep(10 * time.Second) })
 		time.Sleep(11 * time.Second)
 		assert.Equal(t, n.status().Bundle.Status, ledger.StatusRechecking)
-		bench := f.bench()
-		_, err := bench.GiveOrder(context.Background(), f.address("pf-1"), engines.Order{Fence: 1, Placement: engines.Placement{
+		bench := f.engineClient()
+		_, err := bench.SendOrder(context.Background(), f.address("pf-1"), engines.Order{Fence: 1, Placement: engines.Placement{
 			Role: config.RolePrefill, Models: []string{"reader"}, Version: "other",
 		}})
 		assert.NilError(t, err)
@@ -242,7 +248,7 @@
 		assert.Equal(t, n.status().Bundle.Status, ledger.StatusRechecking)
 		assert.Equal(t, n.status().Counters.Orders, orders)
 		f.net.cut(n.host, platformHost, false)
-		f.within(time.Minute, "corrected once confirmed", func() bool {
+		f.within(time.Minute, "placement corrected once the bundle is confirmed", func() bool {
 			s, err := bench.ReadOrders(context.Background(), f.address("pf-1"))
 			assert.NilError(t, err)
 			return s.Version == "1"
@@ -250,8 +256,8 @@
 	})
 }
 
-// TestStop: an instance that stops says so, and that it has ended when its entry
-// has finished; its agent exits then.
+// TestStop checks that a stopping instance announces that it is leaving, and that
+// it has ended once its entry has finished; only then does its agent exit.
 func TestStop(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -266,7 +272,7 @@
 		}()
 		is := func(life kernel.Liveness) func() bool {
 			return func() bool {
-				return nodes[1].entry.instance("hall-a-1").Life == life && nodes[2].entry.instance("hall-a-1").Life == life
+				return nodes[1].entry.instance("hall-a-1").Liveness == life && nodes[2].entry.instance("hall-a-1").Liveness == life
 			}
 		}
 		f.within(3*time.Second, "leaving", is(kernel.Leaving))
@@ -274,7 +280,7 @@
 		assert.Assert(t, is(kernel.Leaving)())
 		select {
 		case <-stopped:
-			t.Fatal("it did not wait for its entry")
+			t.Fatal("agent exited before its entry ended")
 		default:
 		}
 		probes := nodes[1].status().Counters.Probes + nodes[2].status().Counters.Probes
@@ -282,6 +288,6 @@
 		f.within(3*time.Second, "dead", is(kernel.Dead))
 		<-stopped
 		assert.Equal(t, nodes[1].status().Counters.Probes+nodes[2].status().Counters.Probes, probes,
-			"its agent said so: nobody had to find out")
+			"peers probed the entry although its agent announced its end")
 	})
 }
--- a/entry/driver/actions.go
+++ b/entry/driver/actions.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// do carries out one action. It never blocks and never calls the kernel.
-func (d *Driver) do(a kernel.Action) {
+// execute executes one kernel action. It never blocks and never calls the kernel.
+func (d *Driver) execute(a kernel.Action) {
 	switch a := a.(type) {
 	case kernel.StartPrefill:
 		d.startPrefill(a)
@@ -34,13 +34,14 @@
 		d.sendPeer(a)
 	case kernel.ConfigRejected:
 		d.rejected.Store(&a)
-		d.logLater(slog.LevelError, "bundle rejected", "bundle_version", a.Version, "error", a.Err)
+		d.logAsync(slog.LevelError, "bundle rejected", "bundle_version", a.Version, "error", a.Err)
 	case kernel.Log:
 		d.opts.Observer.Decided(a.Record)
 	}
 }
 
-// admit hands a new request to the kernel.
+// admit registers a new request and passes it to the kernel. A request whose ID
+// is already in flight is refused here.
 func (d *Driver) admit(ex *Exchange) {
 	id := ex.Request.ID
 	if _, taken := d.exchanges[id]; taken {
@@ -53,12 +54,12 @@
 	d.step(kernel.Arrive{Request: ex.Request})
 }
 
-// ReasonDuplicateID is the one reason for a refusal that is not the kernel's: a
-// request came with the ID of another one in flight.
+// ReasonDuplicateID is the reason of a refusal for a request ID that is already
+// in flight. It is the only refusal reason that does not come from the kernel.
 const ReasonDuplicateID kernel.Reason = "duplicate_request_id"
 
-// duplicateRecord is the decision record of a request whose ID is in use, which
-// the kernel never sees.
+// duplicateRecord returns the decision record for a request with a duplicate
+// ID. The kernel never sees such a request.
 func duplicateRecord(r *kernel.Request, version uint64) kernel.Record {
 	return kernel.Record{
 		Time:          time.Now(),
@@ -72,7 +73,7 @@
 	}
 }
 
-// answer ends an exchange.
+// answer ends an exchange with the kernel's final answer.
 func (d *Driver) answer(a kernel.Answer) {
 	ex, ok := d.exchanges[a.Request]
 	if !ok {
@@ -80,8 +81,9 @@
 	}
 	delete(d.exchanges, a.Request)
 	for live := range ex.live {
-		// The kernel cancels upstream what it must; nobody reads on here.
-		d.forget(live)
+		// The kernel issues its own cancels to the upstreams. Here it is enough
+		// to end the local calls, since their output is no longer read.
+		d.removeAttempt(live)
 		live.cancel(&CancelledError{})
 	}
 	r := Result{
@@ -92,7 +94,7 @@
 		Service:       ex.served,
 	}
 	ex.delivery.close()
-	d.endings = append(d.endings, ending{ex, r})
+	d.finishedExchanges = append(d.finishedExchanges, finishedExchange{ex, r})
 	d.opts.Observer.Ended(ex.summary(r, time.Now()))
 }
 
@@ -106,10 +108,10 @@
 		Model:        a.exchange.Model,
 		ContinueFrom: s.ContinueFrom,
 	}
-	patience := d.prefillPatience(a, s.ContinueFrom)
-	d.charge(a, a.exchange.Request.PromptTokens+s.ContinueFrom)
+	limits := d.prefillLimits(a, s.ContinueFrom)
+	d.addPrefillWork(a, a.exchange.Request.PromptTokens+s.ContinueFrom)
 	d.run(a, func() (kernel.Event, error) {
-		watch := d.newWatch(a, patience)
+		watch := d.newWatch(a, limits)
 		defer watch.stop()
 		got, err := d.opts.Engine.Prefill(a.ctx, call)
 		if err != nil {
@@ -128,19 +130,19 @@
 	if a == nil {
 		return
 	}
-	a.exchange.delivery.choose(a.id)
+	a.exchange.delivery.setCurrent(a.id)
 	call := &adapter.DecodeCall{
 		Target:       a.target,
 		Model:        a.exchange.Model,
 		Params:       s.KV.Params,
 		ContinueFrom: s.ContinueFrom,
 	}
-	patience := d.patience(a, s.KV.Engine)
+	limits := d.decodeLimits(a, s.KV.Engine)
 	d.run(a, func() (kernel.Event, error) {
-		sink := d.newSink(a, patience)
+		sink := d.newSink(a, limits)
 		defer sink.watch.stop()
 		got, err := d.opts.Engine.Decode(a.ctx, call, sink)
-		return a.decodedWhole(got, err)
+		return a.checkComplete(got, err)
 	})
 }
 
@@ -150,26 +152,26 @@
 		return
 	}
 	a.reattached = true
-	a.exchange.delivery.choose(a.id)
+	a.exchange.delivery.setCurrent(a.id)
 	call := &adapter.ReattachCall{
 		Target:   a.target,
 		Endpoint: a.exchange.Model.Endpoint,
 		Offset:   s.Offset,
 	}
-	patience := d.patience(a, "")
+	limits := d.decodeLimits(a, "")
 	d.run(a, func() (kernel.Event, error) {
 		if s.Wait > 0 && !pause.For(a.ctx, s.Wait) {
 			return nil, a.ctx.Err()
 		}
-		sink := d.newSink(a, patience)
+		sink := d.newSink(a, limits)
 		defer sink.watch.stop()
 		got, err := d.opts.Engine.Reattach(a.ctx, call, sink)
-		return a.decodedWhole(got, err)
+		return a.checkComplete(got, err)
 	})
 }
 
-// decodedWhole checks that the caller has all tokens of an output.
-func (a *attempt) decodedWhole(got adapter.Decoded, err error) (kernel.Event, error) {
+// checkComplete checks that the caller received every token of the output.
+func (a *attempt) checkComplete(got adapter.Decoded, err error) (kernel.Event, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/entry/driver/rig_test.go
+++ b/entry/driver/rig_test.go
@@ -16,16 +16,16 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// script is a Decider whose decisions a test writes.
-type script struct {
+// scriptedKernel is a Decider whose decisions are scripted by a test.
+type scriptedKernel struct {
 	mu sync.Mutex
-	// events lists all events but ticks.
+	// events lists all events received.
 	events []kernel.Event
 	decide func(ev kernel.Event) []kernel.Action
 	open   int
 }
 
-func (s *script) Step(_ time.Time, ev kernel.Event) []kernel.Action {
+func (s *scriptedKernel) Step(_ time.Time, ev kernel.Event) []kernel.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, ev)
@@ -41,13 +41,13 @@
 	return actions
 }
 
-func (s *script) NextWake() (time.Time, bool) { return time.Time{}, false }
-func (s *script) InFlight() int               { return s.open }
-func (s *script) PendingCancels() int         { return 0 }
-func (s *script) Version() uint64             { return 7 }
+func (s *scriptedKernel) NextWake() (time.Time, bool) { return time.Time{}, false }
+func (s *scriptedKernel) InFlight() int               { return s.open }
+func (s *scriptedKernel) PendingCancels() int         { return 0 }
+func (s *scriptedKernel) Version() uint64             { return 7 }
 
-// seen returns the events of a type.
-func seen[E kernel.Event](s *script) []E {
+// eventsOf returns the received events of type E.
+func eventsOf[E kernel.Event](s *scriptedKernel) []E {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []E
@@ -59,7 +59,7 @@
 	return out
 }
 
-// fakeEngine is an engine whose decodes a test writes.
+// fakeEngine is an engine whose calls are scripted by a test.
 type fakeEngine struct {
 	// prefill is optional.
 	prefill func(ctx context.Context) (adapter.Prefilled, error)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// fakeObserver counts.
+// fakeObserver records dropped tokens, summaries and decision records.
 type fakeObserver struct {
 	mu      sync.Mutex
 	late    int
@@ -113,53 +113,56 @@
 	o.ended = append(o.ended, s)
 }
 
-func (o *fakeObserver) Late() {
+func (o *fakeObserver) TokenDropped() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.late++
 }
 
-func (*fakeObserver) Contact(ident.UpstreamID, *adapter.CallError)   {}
-func (*fakeObserver) Observed(ident.UpstreamID, adapter.Observation) {}
-func (*fakeObserver) Undelivered(ident.InstanceID, error)            {}
+func (*fakeObserver) AttemptEnded(ident.UpstreamID, *adapter.CallError)  {}
+func (*fakeObserver) LoadObserved(ident.UpstreamID, adapter.Observation) {}
+func (*fakeObserver) PeerSendFailed(ident.InstanceID, error)             {}
 
-// collect is an Output that keeps tokens.
-type collect struct {
+// recordedOutput is an Output that appends the text of the tokens, and fails
+// with err if it is set.
+type recordedOutput struct {
 	mu   sync.Mutex
 	text string
 	err  error
 }
 
-func (c *collect) Token(t adapter.Chunk) error {
+func (c *recordedOutput) Token(t adapter.Chunk) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.text += t.Text
 	return c.err
 }
 
-// rig is a driver with all that is around it.
-type rig struct {
+// testDriver is a running driver with a scripted kernel, a fake engine, an
+// observer and an output.
+type testDriver struct {
 	driver   *Driver
-	kernel   *script
+	kernel   *scriptedKernel
 	engine   *fakeEngine
 	observer *fakeObserver
-	out      *collect
+	out      *recordedOutput
 	stop     context.CancelFunc
 }
 
-// attemptID numbers attempts.
+// attemptID returns the attempt ID with sequence number n.
 func attemptID(n uint64) ident.AttemptID {
 	return ident.AttemptID{Instance: "e-1", Incarnation: 1, Sequence: n}
 }
 
-// inRig runs a test in a bubble with fake time. decide is the kernel.
-func inRig(t *testing.T, decide func(ev kernel.Event) []kernel.Action, test func(t *testing.T, r *rig)) {
+// withDriver runs a test with a running driver in a synctest bubble (fake clock).
+// decide makes the kernel's decisions.
+func withDriver(t *testing.T, decide func(ev kernel.Event) []kernel.Action, test func(t *testing.T, r *testDriver)) {
 	bubble.Test(t, func(t *testing.T) {
-		r := &rig{
-			kernel:   &script{decide: decide},
+		r := &testDriver{
+			kernel:   &scriptedKernel{decide: decide},
 			engine:   &fakeEngine{},
 			observer: &fakeObserver{},
-			out:      &collect{},
+			out:      &recordedOutput{},
 		}
 		r.driver = New(Options{
 			Kernel: r.kernel, Engine: r.engine, Observer: r.observer,
@@ -179,8 +182,8 @@
 	})
 }
 
-// submit submits a request and returns its result.
-func (r *rig) submit(ctx context.Context) Result {
+// submit submits a repeatable model request and returns its result.
+func (r *testDriver) submit(ctx context.Context) Result {
 	return r.driver.Submit(ctx, &Exchange{
 		Request: &kernel.Request{ID: "r-1", Repeatable: true, Route: config.RouteModel, PromptTokens: 10, Deadline: time.Now().Add(time.Minute)},
 		Model:   &adapter.ModelRequest{Endpoint: adapter.Completions},
@@ -188,8 +191,9 @@
 	})
 }
 
-// decodeOnce is a kernel that starts one decode and answers as it ends.
-func decodeOnce(ev kernel.Event) []kernel.Action {
+// decideDecode is the decision function of a kernel that starts one decode and
+// answers when it ends.
+func decideDecode(ev kernel.Event) []kernel.Action {
 	switch ev.(type) {
 	case kernel.Arrive:
 		return []kernel.Action{kernel.StartDecode{Attempt: attemptID(1), Request: "r-1", Upstream: "dc-1"}}
@@ -205,13 +209,13 @@
 	}
 }
 
-// token is the token at an offset of the answer "abc...".
+// token returns the token at an offset of the answer "abc...".
 func token(offset int) adapter.Chunk {
 	return adapter.Chunk{Offset: offset, Text: string(rune('a' + offset))}
 }
 
-// play sends the tokens at the given offsets.
-func play(s adapter.Sink, offsets ...int) error {
+// sendTokens sends the tokens at the given offsets to s.
+func sendTokens(s adapter.Sink, offsets ...int) error {
 	for _, o := range offsets {
 		if err := s.Token(token(o)); err != nil {
 			return err
--- a/entry/evidence/evidence_test.go
+++ b/entry/evidence/evidence_test.go
@@ -23,18 +23,18 @@
 		want feed.EvidenceKind
 	}{
 		{"success", nil, feed.EvidenceSucceeded},
-		{"an answer is a sign of life", &adapter.CallError{Code: kernel.FailureUpstream, Status: 500}, feed.EvidenceSucceeded},
+		{"a response with an error status shows liveness", &adapter.CallError{Code: kernel.FailureUpstream, Status: 500}, feed.EvidenceSucceeded},
 		{"draining", &adapter.CallError{Code: kernel.FailureDraining, Status: 503}, feed.EvidenceDraining},
 		{"refused", &adapter.CallError{Code: kernel.FailureConnect, Err: refused}, feed.EvidenceRefused},
 		{"timeout", &adapter.CallError{Code: kernel.FailureTimeout, Err: context.DeadlineExceeded}, feed.EvidenceTimeout},
 		{"reset", &adapter.CallError{Code: kernel.FailureBroken, Err: &net.OpError{Op: "read", Err: syscall.ECONNRESET}}, feed.EvidenceBroken},
 		{"stalled", &adapter.CallError{Code: kernel.FailureStalled, Err: context.Canceled}, feed.EvidenceBroken},
 		{"ended", &adapter.CallError{Code: kernel.FailureBroken, Err: io.ErrUnexpectedEOF}, feed.EvidenceBroken},
-		{"our own cancel proves nothing", &adapter.CallError{Code: kernel.FailureBroken, Err: context.Canceled}, ""},
+		{"local cancel gives no evidence", &adapter.CallError{Code: kernel.FailureBroken, Err: context.Canceled}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, now := New(), time.Now()
-			l.Contact("u-1", c.err, now)
+			l.RecordAttempt("u-1", c.err, now)
 			got := l.Take(now.Add(time.Second))
 			if c.want == "" {
 				assert.Equal(t, len(got), 0)
@@ -47,11 +47,11 @@
 
 func TestNewestIsKeptUntilTaken(t *testing.T) {
 	l, now := New(), time.Now()
-	l.Observed("u-2", adapter.Observation{Load: kernel.Load{Running: 1}}, now)
-	l.Observed("u-2", adapter.Observation{Load: kernel.Load{Running: 2}, Draining: true}, now)
-	l.Contact("u-1", nil, now)
-	l.Peer("p-1", true, now)
-	l.Peer("p-2", false, now)
+	l.RecordObservation("u-2", adapter.Observation{Load: kernel.Load{Running: 1}}, now)
+	l.RecordObservation("u-2", adapter.Observation{Load: kernel.Load{Running: 2}, Draining: true}, now)
+	l.RecordAttempt("u-1", nil, now)
+	l.RecordPeerFailure("p-1", true, now)
+	l.RecordPeerFailure("p-2", false, now)
 	got := l.Take(now)
 	assert.Equal(t, len(got), 5)
 	assert.Equal(t, got[0].Kind, feed.EvidenceRefused)
--- a/entry/peering/book.go
+++ b/entry/peering/book.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// UnknownPeerError reports an instance without a known address.
+// UnknownPeerError reports that no address is known for an instance.
 type UnknownPeerError struct{ Instance ident.InstanceID }
 
 // Error implements error.
@@ -16,30 +16,30 @@
 	return fmt.Sprintf("no address is known for instance %q", e.Instance)
 }
 
-// Book knows the other instances and their addresses: those of the settings and
-// those of the agent's newest view. It is safe for concurrent use.
-type Book struct {
+// AddressBook holds the addresses of the other instances: those of the settings and those
+// of the agent's newest view. It is safe for concurrent use.
+type AddressBook struct {
 	settings map[ident.InstanceID]string
 
 	mu   sync.RWMutex
 	view map[ident.InstanceID]string
 }
 
-// NewBook returns a book with the addresses of the settings.
-func NewBook(settings map[ident.InstanceID]string) *Book {
-	return &Book{settings: settings}
+// NewAddressBook returns a Book with the addresses of the settings.
+func NewAddressBook(settings map[ident.InstanceID]string) *AddressBook {
+	return &AddressBook{settings: settings}
 }
 
-// Replace takes over the addresses of a view.
-func (b *Book) Replace(view map[ident.InstanceID]string) {
+// Replace replaces the addresses of the previous view.
+func (b *AddressBook) Replace(view map[ident.InstanceID]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.view = view
 }
 
-// Address returns where an instance takes calls. The error is an
-// *UnknownPeerError.
-func (b *Book) Address(id ident.InstanceID) (string, error) {
+// Address returns the address at which an instance accepts calls. The view takes
+// precedence over the settings. The error is an *UnknownPeerError.
+func (b *AddressBook) Address(id ident.InstanceID) (string, error) {
 	b.mu.RLock()
 	addr, ok := b.view[id]
 	b.mu.RUnlock()
@@ -52,8 +52,9 @@
 	return "", &UnknownPeerError{Instance: id}
 }
 
-// Known reports whether an instance is believed.
-func (b *Book) Known(id peer.Identity) bool {
+// Known reports whether the instance is listed in the view or the settings and is
+// therefore accepted as a peer.
+func (b *AddressBook) Known(id peer.Identity) bool {
 	b.mu.RLock()
 	_, inView := b.view[id.Instance]
 	b.mu.RUnlock()
--- a/entry/stats/sum.go
+++ b/entry/stats/sum.go
@@ -1,21 +1,21 @@
 package stats
 
-// Sum adds up the counts of several instances, by version.
+// Sum adds up the counts of several instances for each version.
 func Sum(parts ...[]Version) []Version {
-	t := New()
+	c := New()
 	for _, part := range parts {
 		for _, v := range part {
-			t.add(v)
+			c.add(v)
 		}
 	}
-	return t.Versions()
+	return c.Versions()
 }
 
-// add adds the counts of one version.
-func (t *Tally) add(from Version) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	v := t.version(from.Version)
+// add adds counts to those of the same version.
+func (c *Collector) add(from Version) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	v := c.version(from.Version)
 	v.prefill += from.PrefillTokens
 	v.wasted += from.WastedTokens
 	for _, k := range from.Kinds {
--- a/feed/changes_test.go
+++ b/feed/changes_test.go
@@ -14,8 +14,9 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// contents draws a content with short lists of few different entries.
-func contents(t *rapid.T) *config.Content {
+// drawContent draws a content with short lists of few distinct entries, so that
+// common prefixes and suffixes are frequent.
+func drawContent(t *rapid.T) *config.Content {
 	c := &config.Content{Deployment: rapid.SampledFrom([]string{"coastline", "lagos"}).Draw(t, "deployment")}
 	for _, name := range rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 6).Draw(t, "workspaces") {
 		c.Workspaces = append(c.Workspaces, config.Workspace{Name: ident.Workspace(name), Models: []string{name}})
@@ -26,20 +27,21 @@
 	return c
 }
 
-// The changes between any two contents make the one of the other, also after
-// their way over the network.
+// TestChangesMakeTheContent checks that the changes between any two contents, after
+// they are encoded and decoded as JSON, produce the second content from the first
+// and do not modify the first.
 func TestChangesMakeTheContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		before, after := contents(t), contents(t)
-		kept := &config.Content{Deployment: before.Deployment, Workspaces: slices.Clone(before.Workspaces), Upstreams: slices.Clone(before.Upstreams)}
+		before, after := drawContent(t), drawContent(t)
+		original := &config.Content{Deployment: before.Deployment, Workspaces: slices.Clone(before.Workspaces), Upstreams: slices.Clone(before.Upstreams)}
 		doc, err := json.Marshal(NewChanges("base", before, after))
 		assert.NilError(t, err)
 		var c Changes
 		assert.NilError(t, json.Unmarshal(doc, &c))
-		got, err := c.On(before)
+		got, err := c.Apply(before)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, got, after)
-		assert.DeepEqual(t, before, kept)
+		assert.DeepEqual(t, before, original)
 	})
 }
 
@@ -54,7 +56,7 @@
 
 func TestSplicesOfOtherListsAreRefused(t *testing.T) {
 	for _, s := range []Splice[config.Workspace]{{Keep: 3}, {Tail: 3}, {Keep: 2, Tail: 1}, {Keep: -1}, {Tail: -1}} {
-		_, err := (&Changes{Workspaces: s}).On(&config.Content{Workspaces: make([]config.Workspace, 2)})
+		_, err := (&Changes{Workspaces: s}).Apply(&config.Content{Workspaces: make([]config.Workspace, 2)})
 		var bad *SpliceError
 		assert.Assert(t, errors.As(err, &bad), "%+v", s)
 	}
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -10,7 +10,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// sender relays everything in the property tests.
+// sender is the instance that relays all messages in the property tests.
 const sender ident.InstanceID = "entry-a9"
 
 // Processes that the messages are about.
@@ -19,18 +19,20 @@
 	backends = []ident.UpstreamID{"dc-1", "dc-2"}
 )
 
-// watcher returns a machine that knows the sender, the subjects and the backends
-// from its settings and a list without incarnations.
-func watcher() *Machine {
+// newMachineWithSender returns a machine that knows the sender, the subjects
+// and the backends from its settings and a list without incarnations.
+func newMachineWithSender() *Machine {
 	m := New(Self{Instance: "entry-a0", Zone: "hall-a"}, Config{}, start)
 	m.SetSelf(start, SelfState{Incarnation: 1})
-	m.Seeds(start, []Seed{{ID: sender, Zone: "hall-a"}, {ID: subjects[0], Zone: "hall-a"}, {ID: subjects[1], Zone: "hall-a"}, {ID: subjects[2], Zone: "hall-b"}})
-	m.Upstreams(start, start, 1, []ListedUpstream{{ID: backends[0], Zone: "hall-a"}, {ID: backends[1], Zone: "hall-b"}})
+	m.AddSeeds(start, []Seed{{ID: sender, Zone: "hall-a"}, {ID: subjects[0], Zone: "hall-a"}, {ID: subjects[1], Zone: "hall-a"}, {ID: subjects[2], Zone: "hall-b"}})
+	m.ApplyUpstreamList(start, start, 1, []ListedUpstream{{ID: backends[0], Zone: "hall-a"}, {ID: backends[1], Zone: "hall-b"}})
 	return m
 }
 
-// drawRecord draws what a message may say of a subject. A mark is part of an
-// incarnation's history: from some stamp on every message carries it.
+// drawRecord draws what a message may state about a subject. A mark is part of
+// an incarnation's history: in operation every message from some stamp on
+// carries it. Here marks are drawn independently of the stamp, which allows
+// more orders.
 func drawRecord(t *rapid.T) keyedRecord {
 	r := keyedRecord{key: keyOf(string(rapid.SampledFrom(subjects).Draw(t, "subject")))}
 	r.incarnation = ident.Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation"))
@@ -45,8 +47,8 @@
 	return r
 }
 
-// drawDigest draws what a message may say of a backend. Reports of one sequence
-// are the same.
+// drawDigest draws what a message may state about a backend. Reports with the
+// same incarnation and sequence have the same load.
 func drawDigest(t *rapid.T) UpstreamDigest {
 	seq := rapid.IntRange(0, 5).Draw(t, "sequence")
 	inc := rapid.IntRange(1, 3).Draw(t, "incarnation")
@@ -75,8 +77,9 @@
 	return hb
 }
 
-// sticky is what must not depend on the order of messages.
-type sticky struct {
+// stickyFacts holds the facts about a process that must not depend on the order
+// of messages.
+type stickyFacts struct {
 	Incarnation     ident.Incarnation
 	Leaving, Gone   bool
 	Stamp, Missing  Stamp
@@ -87,21 +90,21 @@
 	UpstreamLeaving bool
 }
 
-// stickies returns what must not depend on the order of messages.
-func stickies(m *Machine) []sticky {
-	var out []sticky
+// allStickyFacts returns those facts for all subjects and backends.
+func allStickyFacts(m *Machine) []stickyFacts {
+	var out []stickyFacts
 	for _, id := range subjects {
-		l := &m.members[id].life
-		out = append(out, sticky{Incarnation: l.incarnation, Leaving: l.leaving, Gone: l.gone, Stamp: l.clock.stamp, Missing: l.missing})
+		l := &m.members[id].facts
+		out = append(out, stickyFacts{Incarnation: l.incarnation, Leaving: l.leaving, Gone: l.gone, Stamp: l.clock.stamp, Missing: l.missingAfter})
 	}
 	for _, id := range backends {
 		u := m.upstreams[id]
-		out = append(out, sticky{Incarnation: u.incarnation, UpstreamLeaving: u.leaving, HasReport: u.hasReport, Report: u.report, Down: u.down.after, MissingAfter: u.missing.after})
+		out = append(out, stickyFacts{Incarnation: u.incarnation, UpstreamLeaving: u.leaving, HasReport: u.hasReport, Report: u.report, Down: u.down.after, MissingAfter: u.missing.after})
 	}
 	return out
 }
 
-// deliver gives messages to a machine, one each second.
+// deliver passes messages to a machine, one per second.
 func deliver(t *rapid.T, m *Machine, messages []Heartbeat) {
 	now := start
 	for _, hb := range messages {
@@ -111,35 +114,35 @@
 	}
 }
 
-// TestOrderAndRepetitionDoNotMatter gives the same messages to two machines, to
-// one of them shuffled and some twice.
+// TestOrderAndRepetitionDoNotMatter passes the same messages to two machines,
+// to one of them shuffled and some of them twice.
 func TestOrderAndRepetitionDoNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		messages := rapid.SliceOfN(rapid.Custom(drawMessage), 1, 12).Draw(t, "messages")
 		again := rapid.SliceOfN(rapid.SampledFrom(messages), 0, 6).Draw(t, "again")
 		shuffled := rapid.Permutation(append(again, messages...)).Draw(t, "shuffled")
-		a, b := watcher(), watcher()
+		a, b := newMachineWithSender(), newMachineWithSender()
 		deliver(t, a, messages)
 		deliver(t, b, shuffled)
-		assert.DeepEqual(t, stickies(a), stickies(b))
+		assert.DeepEqual(t, allStickyFacts(a), allStickyFacts(b))
 		assert.Equal(t, a.Digest(), b.Digest())
 	})
 }
 
 // TestWhatIsKnownOnlyGrows checks after each message that incarnations never
-// fall and that marks last as long as the incarnation.
+// decrease and that marks last as long as the incarnation.
 func TestWhatIsKnownOnlyGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := watcher()
-		before := stickies(m)
+		m := newMachineWithSender()
+		before := allStickyFacts(m)
 		now := start
 		for range rapid.IntRange(1, 20).Draw(t, "messages") {
 			now = now.Add(time.Second)
 			_, err := m.Receive(now, sender, drawMessage(t))
 			assert.NilError(t, err)
 			index := uint64(rapid.IntRange(0, 9).Draw(t, "list index"))
-			m.Upstreams(now, now, index, []ListedUpstream{{ID: backends[0], Zone: "hall-a", Incarnation: ident.Incarnation(rapid.IntRange(0, 3).Draw(t, "listed"))}, {ID: backends[1], Zone: "hall-b"}})
-			after := stickies(m)
+			m.ApplyUpstreamList(now, now, index, []ListedUpstream{{ID: backends[0], Zone: "hall-a", Incarnation: ident.Incarnation(rapid.IntRange(0, 3).Draw(t, "listed"))}, {ID: backends[1], Zone: "hall-b"}})
+			after := allStickyFacts(m)
 			for i := range before {
 				checkGrown(t, before[i], after[i])
 			}
@@ -148,28 +151,29 @@
 	})
 }
 
-// checkGrown checks one process.
-func checkGrown(t *rapid.T, before, after sticky) {
-	assert.Assert(t, after.Incarnation >= before.Incarnation, "incarnation fell from %d to %d", before.Incarnation, after.Incarnation)
+// checkGrown checks that the facts about one process have only grown.
+func checkGrown(t *rapid.T, before, after stickyFacts) {
+	assert.Assert(t, after.Incarnation >= before.Incarnation, "incarnation decreased from %d to %d", before.Incarnation, after.Incarnation)
 	if after.Incarnation > before.Incarnation {
 		return
 	}
-	assert.Assert(t, after.Leaving || !before.Leaving, "leaving was undone")
-	assert.Assert(t, after.UpstreamLeaving || !before.UpstreamLeaving, "an upstream's leaving was undone")
-	assert.Assert(t, after.Gone || !before.Gone, "an end was undone")
-	assert.Assert(t, after.Stamp >= before.Stamp, "a sign of life was undone")
-	assert.Assert(t, after.Report.Sequence >= before.Report.Sequence, "a report was undone")
+	assert.Assert(t, after.Leaving || !before.Leaving, "the leaving mark was cleared")
+	assert.Assert(t, after.UpstreamLeaving || !before.UpstreamLeaving, "an upstream's leaving mark was cleared")
+	assert.Assert(t, after.Gone || !before.Gone, "the gone mark was cleared")
+	assert.Assert(t, after.Stamp >= before.Stamp, "the stamp decreased")
+	assert.Assert(t, after.Report.Sequence >= before.Report.Sequence, "a newer report was replaced by an older one")
 }
 
-// TestOldMessagesRaiseNobody lets an instance fall silent and then delivers
-// messages of its life, however late, often and with whatever age.
+// TestOldMessagesRaiseNobody lets an instance become silent and then delivers
+// earlier messages about it: whatever their delay, number and age, they must
+// not make it alive again.
 func TestOldMessagesRaiseNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := watcher()
+		m := newMachineWithSender()
 		last := rapid.IntRange(10, 500).Draw(t, "last stamp")
 		now := start.Add(time.Hour)
 		say := func(inc int, s Stamp, age time.Duration) {
-			r := keyedRecord{key: keyOf(string(subjects[0])), record: record{incarnation: ident.Incarnation(inc), hasStamp: true, stamp: s, age: age}}
+			r := keyedRecord{key: keyOf(string(subjects[0])), memberRecord: memberRecord{incarnation: ident.Incarnation(inc), hasStamp: true, stamp: s, age: age}}
 			_, err := m.Receive(now, sender, Heartbeat{Members: appendMember(nil, r)})
 			assert.NilError(t, err)
 		}
@@ -185,12 +189,13 @@
 	})
 }
 
-// TestClockEstimateBounds checks that a sign of life is never thought earlier
-// than it was by more than the drift allowance, nor later than the least delayed
-// message makes it.
+// TestClockEstimateBounds checks that the estimated time of the last evidence
+// of liveness is never before the real time, and after it by no more than the
+// smallest delay of a message, the drift allowance and the resolution of a
+// stamp.
 func TestClockEstimateBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c lifeClock
+		var c livenessClock
 		boot := time.Duration(rapid.IntRange(0, 1000).Draw(t, "boot")) * time.Second
 		now, least, newest := boot, time.Hour, Stamp(0)
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
@@ -202,12 +207,12 @@
 			s := Stamp((now - delay - boot) / stampUnit)
 			c.observe(now, s, 0)
 			least, newest = min(least, delay), max(newest, s)
-			heard, ok := c.heard(now)
+			heard, ok := c.latestAt(now)
 			assert.Assert(t, ok)
 			truth := boot + time.Duration(newest)*stampUnit
 			drift := (now - boot) / driftDivisor
-			assert.Assert(t, heard >= truth, "thought earlier by %s", truth-heard)
-			assert.Assert(t, heard <= truth+least+drift+stampUnit, "thought later by %s", heard-truth)
+			assert.Assert(t, heard >= truth, "estimate is too early by %s", truth-heard)
+			assert.Assert(t, heard <= truth+least+drift+stampUnit, "estimate is too late by %s", heard-truth)
 		}
 	})
 }
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// rpcOverhead is what a heartbeat's frame has besides the Heartbeat itself, as
-// measured by package peer: header, envelope, method and timeout.
+// rpcOverhead is the size of a heartbeat's frame without the Heartbeat itself,
+// as measured by package peer: header, envelope, method and timeout.
 const rpcOverhead = 125
 
 // frameBytes returns the size of a heartbeat's frame.
@@ -21,12 +21,13 @@
 	return len(b) + rpcOverhead
 }
 
-// alive waits until every node has heard of every other.
+// settle runs the fleet until every running node is alive in the view of all
+// the others and its incarnation is known there.
 func (f *fleet) settle() {
 	f.t.Helper()
 	f.runUntil(2*time.Minute, func() bool {
 		for _, n := range f.nodes {
-			if n.cond == running && !f.all(n, func(x Instance) bool { return x.State == Alive && x.Incarnation != 0 }) {
+			if n.cond == running && !f.allOthers(n, func(x Instance) bool { return x.State == Alive && x.Incarnation != 0 }) {
 				return false
 			}
 		}
@@ -34,16 +35,17 @@
 	})
 }
 
-// todaysFleet is three zones of the size the users run.
-func todaysFleet(t testing.TB) *fleet { return newFleet(t, Config{}, 8, 8, 8) }
+// newDefaultFleet returns a fleet of three zones with 8 instances each, the
+// size that users run.
+func newDefaultFleet(t testing.TB) *fleet { return newFleet(t, Config{}, 8, 8, 8) }
 
 func TestEveryoneIsAliveAndStaysSo(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	for range 60 {
 		f.run(time.Second)
 		for _, n := range f.nodes {
-			assert.Assert(t, f.all(n, func(x Instance) bool { return x.State == Alive }), "%s at %s", n.id, f.now.Sub(start))
+			assert.Assert(t, f.allOthers(n, func(x Instance) bool { return x.State == Alive }), "%s at %s", n.id, f.now.Sub(start))
 		}
 	}
 	digest := f.nodes[0].machine.Digest()
@@ -53,27 +55,27 @@
 }
 
 func TestLeavingSpreadsWithoutThePlatform(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	leaver := f.nodes[0]
 	leaver.machine.Leave(f.now)
-	took := f.runUntil(time.Second, func() bool { return f.all(leaver, func(x Instance) bool { return x.Leaving }) })
+	took := f.runUntil(time.Second, func() bool { return f.allOthers(leaver, func(x Instance) bool { return x.Leaving }) })
 	t.Logf("known by all 24 after %s", took)
-	// A list that lags, read later by everyone, must not undo it.
+	// A lagging list that every node reads later must not clear the mark.
 	for _, n := range f.nodes {
-		n.machine.Instances(f.now, f.now, 9, f.list())
+		n.machine.ApplyInstanceList(f.now, f.now, 9, f.list())
 	}
 	f.run(time.Minute)
-	assert.Assert(t, f.all(leaver, func(x Instance) bool { return x.Leaving }))
+	assert.Assert(t, f.allOthers(leaver, func(x Instance) bool { return x.Leaving }))
 }
 
 func TestLeavingUpstreamSpreadsToOtherZones(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	for _, n := range f.nodes {
-		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
+		n.machine.ApplyUpstreamList(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 	}
 	f.settle()
-	// One instance meets the upstream's own refusal.
+	// One instance receives the upstream's own refusal.
 	f.nodes[0].machine.UpstreamLeaving(f.now, "dc-1", 5)
 	took := f.runUntil(time.Second, func() bool {
 		for _, n := range f.nodes {
@@ -85,20 +87,20 @@
 	})
 	t.Logf("known by all 24 after %s", took)
 	for _, n := range f.nodes {
-		n.machine.Upstreams(f.now, f.now, 2, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
+		n.machine.ApplyUpstreamList(f.now, f.now, 2, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 		assert.Assert(t, n.machine.View(f.now).Upstreams[0].Leaving)
 	}
 }
 
 func TestKilledInstanceIsDeadToItsZone(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	victim := f.nodes[0]
-	before := f.sees(f.nodes[1], victim).Incarnation
+	before := f.viewOf(f.nodes[1], victim).Incarnation
 	victim.cond = killed
 	took := f.runUntil(30*time.Second, func() bool {
 		for _, n := range f.nodes[1:8] {
-			if !f.sees(n, victim).Ended(before) {
+			if !f.viewOf(n, victim).Ended(before) {
 				return false
 			}
 		}
@@ -106,38 +108,39 @@
 	})
 	t.Logf("dead to its zone after %s", took)
 	f.run(time.Minute)
-	assert.Assert(t, f.all(victim, func(x Instance) bool { return x.State >= Unreachable }))
-	// A new life of the same ID.
+	assert.Assert(t, f.allOthers(victim, func(x Instance) bool { return x.State >= Unreachable }))
+	// The ID restarts with a new incarnation.
 	f.boot(victim, Config{})
 	f.runUntil(time.Minute, func() bool {
-		return f.all(victim, func(x Instance) bool { return x.State == Alive && x.Incarnation > before && x.Ended(before) })
+		return f.allOthers(victim, func(x Instance) bool { return x.State == Alive && x.Incarnation > before && x.Ended(before) })
 	})
 }
 
-// TestPausedInstanceIsNeverDead keeps a process stopped for long: its requests
-// are still its own when it wakes up.
+// TestPausedInstanceIsNeverDead keeps a process stopped for 90 s: it still owns
+// its requests when it continues, so it must not be considered dead.
 func TestPausedInstanceIsNeverDead(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	victim := f.nodes[0]
-	inc := f.sees(f.nodes[1], victim).Incarnation
+	inc := f.viewOf(f.nodes[1], victim).Incarnation
 	f.pause(victim)
 	for range 90 {
 		f.run(time.Second)
-		assert.Assert(t, f.all(victim, func(x Instance) bool { return x.State != Dead && !x.Ended(inc) }))
+		assert.Assert(t, f.allOthers(victim, func(x Instance) bool { return x.State != Dead && !x.Ended(inc) }))
 	}
-	assert.Equal(t, f.sees(f.nodes[1], victim).State, Frozen)
+	assert.Equal(t, f.viewOf(f.nodes[1], victim).State, Unresponsive)
 	f.resume(victim)
 	assert.Assert(t, !victim.machine.Trusted(f.now))
 	took := f.runUntil(2*time.Second, func() bool { return victim.machine.Trusted(f.now) })
 	t.Logf("trusted again after %s", took)
-	f.runUntil(time.Minute, func() bool { return f.all(victim, func(x Instance) bool { return x.State == Alive }) })
+	f.runUntil(time.Minute, func() bool { return f.allOthers(victim, func(x Instance) bool { return x.State == Alive }) })
 }
 
-// TestCutInstanceIsUnreachableAndNotDead also checks that the rest stays alive
-// and that the cut heals without the platform.
+// TestCutZoneHeals cuts one zone off. Both sides must stay alive to themselves
+// and consider the other unreachable but not dead, and the network partition
+// must heal without the platform.
 func TestCutZoneHeals(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	a := func(n *node) bool { return n.zone == "hall-a" }
 	f.lost = func(from, to *node) bool { return a(from) != a(to) }
@@ -157,27 +160,28 @@
 	t.Logf("healed after %s", f.now.Sub(begin))
 }
 
-// TestAsymmetricCut loses only what one instance sends to another: both still
-// live, by the word of the others, and only the way is marked.
+// TestAsymmetricCut loses only packets from one instance to another. Both stay
+// alive, since others still hear them; only the direct path is marked as
+// unreachable.
 func TestAsymmetricCut(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	from, to := f.nodes[0], f.nodes[1]
 	f.lost = func(a, b *node) bool { return a == from && b == to }
 	f.run(time.Minute)
-	x := f.sees(from, to)
+	x := f.viewOf(from, to)
 	assert.Equal(t, x.State, Alive)
 	assert.Assert(t, !x.Reachable)
-	assert.Equal(t, f.sees(to, from).State, Alive)
+	assert.Equal(t, f.viewOf(to, from).State, Alive)
 	for _, n := range f.nodes[2:] {
-		assert.Assert(t, f.sees(n, from).Reachable && f.sees(n, to).Reachable)
+		assert.Assert(t, f.viewOf(n, from).Reachable && f.viewOf(n, to).Reachable)
 	}
 }
 
 func TestTrustAfterAPause(t *testing.T) {
-	// With its zone gone and the platform down a woken instance trusts its view
-	// only after the timeout; a list read since makes it sooner, one read before
-	// does not.
+	// With its zone gone and the platform down, a resumed instance trusts its
+	// view only after the timeout. A list read after the pause makes that
+	// earlier, one read before the pause does not.
 	f := newFleet(t, Config{}, 3)
 	f.settle()
 	n := f.nodes[0]
@@ -186,18 +190,18 @@
 	f.nodes[1].cond, f.nodes[2].cond = killed, killed
 	f.resume(n)
 	woke := f.now
-	n.machine.Confirmed(f.now, woke.Add(-time.Second))
+	n.machine.ListsConfirmed(f.now, woke.Add(-time.Second))
 	f.run(DefaultTrustTimeout - step)
 	assert.Assert(t, !n.machine.Trusted(f.now))
 	f.run(step)
 	assert.Assert(t, n.machine.Trusted(f.now))
-	n.machine.Paused(f.now, time.Second)
+	n.machine.RecordPause(f.now, time.Second)
 	assert.Assert(t, !n.machine.Trusted(f.now))
-	n.machine.Confirmed(f.now, f.now)
+	n.machine.ListsConfirmed(f.now, f.now)
 	assert.Assert(t, n.machine.Trusted(f.now))
 }
 
-// TestTrustNeedsAMajority lets one of four peers answer.
+// TestTrustNeedsAMajority lets only one of four peers answer.
 func TestTrustNeedsAMajority(t *testing.T) {
 	f := newFleet(t, Config{}, 5)
 	f.settle()
@@ -212,12 +216,13 @@
 	assert.Assert(t, !n.machine.Trusted(f.now))
 }
 
-// TestLeavingUpstreamIsLearnedAfterACut marks an upstream while its zone is cut
-// off: the others must learn of it when the cut ends, without a list.
+// TestLeavingUpstreamIsLearnedAfterACut marks an upstream as leaving while its
+// zone is cut off: the other zones must learn of it when the network partition
+// ends, without a list.
 func TestLeavingUpstreamIsLearnedAfterACut(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	for _, n := range f.nodes {
-		n.machine.Upstreams(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
+		n.machine.ApplyUpstreamList(f.now, f.now, 1, []ListedUpstream{{ID: "dc-1", Zone: "hall-a", Incarnation: 5}})
 	}
 	f.settle()
 	f.lost = func(a, b *node) bool { return a.zone != b.zone }
@@ -236,44 +241,44 @@
 	})
 }
 
-// TestAnswersFromBeforeAPauseDoNotCount lets the answers to heartbeats that were
-// sent before a pause arrive after it.
+// TestAnswersFromBeforeAPauseDoNotCount delivers the answers to heartbeats sent
+// before a pause after it: they must not restore trust.
 func TestAnswersFromBeforeAPauseDoNotCount(t *testing.T) {
 	f := newFleet(t, Config{}, 3)
 	f.settle()
 	n := f.nodes[0]
 	sent := f.now
 	f.now = f.now.Add(10 * time.Second)
-	n.machine.Paused(f.now, 10*time.Second)
+	n.machine.RecordPause(f.now, 10*time.Second)
 	for _, other := range f.nodes[1:] {
 		answer := other.machine.Heartbeat(f.now, n.id)
-		assert.NilError(t, n.machine.Answered(f.now, sent, other.id, answer))
+		assert.NilError(t, n.machine.HeartbeatAnswered(f.now, sent, other.id, answer))
 	}
 	assert.Assert(t, !n.machine.Trusted(f.now))
 	for _, other := range f.nodes[1:] {
 		answer := other.machine.Heartbeat(f.now, n.id)
-		assert.NilError(t, n.machine.Answered(f.now, f.now, other.id, answer))
+		assert.NilError(t, n.machine.HeartbeatAnswered(f.now, f.now, other.id, answer))
 	}
 	assert.Assert(t, n.machine.Trusted(f.now))
 }
 
-// TestRefusalIsNews lets one instance meet the refused connection of another:
-// the rest of the zone must look for itself at once, and then believe it dead,
-// before its own exchanges with it would be due.
+// TestRefusalIsNews has one instance see a refused connection of another: the
+// rest of the zone must probe it at once and consider it dead before their own
+// exchanges with it would be due.
 func TestRefusalIsNews(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	victim := f.nodes[0]
-	inc := f.sees(f.nodes[1], victim).Incarnation
+	inc := f.viewOf(f.nodes[1], victim).Incarnation
 	victim.cond = killed
-	// Exchanges with the victim are far off for everyone.
+	// No node has an exchange with the victim due soon.
 	for _, n := range f.nodes[1:] {
 		n.machine.members[victim.id].dueAt = n.machine.last + time.Minute
 	}
 	f.nodes[1].machine.PeerFailed(f.now, f.now, victim.id, ProcessEntry, FailRefused)
 	f.runUntil(DefaultDeadGrace+time.Second/2, func() bool {
 		for _, n := range f.nodes[1:8] {
-			if !f.sees(n, victim).Ended(inc) {
+			if !f.viewOf(n, victim).Ended(inc) {
 				return false
 			}
 		}
@@ -281,14 +286,14 @@
 	})
 }
 
-// TestRefutedMissingIsTold lets one instance miss another that the rest hears:
-// those who know better must tell it.
+// TestRefutedMissingIsTold has one instance lose contact with another that the
+// rest can reach: those with later evidence of liveness must tell it.
 func TestRefutedMissingIsTold(t *testing.T) {
-	f := todaysFleet(t)
+	f := newDefaultFleet(t)
 	f.settle()
 	x := f.nodes[0]
 	f.lost = func(a, b *node) bool { return (a == x) != (b == x) && (a == f.nodes[1] || b == f.nodes[1]) }
 	f.run(2 * time.Minute)
-	assert.Equal(t, f.sees(f.nodes[1], x).State, Alive)
-	assert.Assert(t, !f.sees(f.nodes[1], x).Reachable)
+	assert.Equal(t, f.viewOf(f.nodes[1], x).State, Alive)
+	assert.Assert(t, !f.viewOf(f.nodes[1], x).Reachable)
 }
--- a/peer/hello_test.go
+++ b/peer/hello_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-const goodHello = `{"jsonrpc":"2.0","id":1,"method":"hello","params":{"version":1,"instance":"entry-a1","incarnation":7,"zone":"hall-a"}}`
+const validHello = `{"jsonrpc":"2.0","id":1,"method":"hello","params":{"version":1,"instance":"entry-a1","incarnation":7,"zone":"hall-a"}}`
 
 func TestHelloIsChecked(t *testing.T) {
 	tests := []struct {
@@ -37,18 +37,18 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := NewServer(Config{Self: entryB, Allow: onlyA})
 			Handle(s, "echo", func(context.Context, Identity, echoRequest) (echoResponse, error) {
-				t.Error("handler ran for a peer that is not believed")
+				t.Error("handler ran for a peer that was not accepted")
 				return echoResponse{}, nil
 			})
 			near, far := net.Pipe()
 			go s.ServeConn(far)
-			r := newRemote(t, near)
+			r := newScriptedPeer(t, near)
 			r.send(tt.first)
 			got := r.receive()
 			assert.Assert(t, got.Error != nil)
 			assert.Equal(t, got.Error.Code, tt.want)
 			assert.Assert(t, got.Error.Data.Refused)
-			r.closed()
+			r.expectClosed()
 			assert.NilError(t, s.Shutdown(context.Background()))
 		})
 	}
@@ -58,12 +58,12 @@
 	s := NewServer(Config{Self: entryB, Allow: allowAll})
 	near, far := net.Pipe()
 	go s.ServeConn(far)
-	r := newRemote(t, near)
-	r.send(goodHello)
+	r := newScriptedPeer(t, near)
+	r.send(validHello)
 	assert.Assert(t, r.receive().Error == nil)
-	r.send(goodHello)
+	r.send(validHello)
 	assert.Equal(t, r.receive().Error.Code, CodeHello)
-	r.closed()
+	r.expectClosed()
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
@@ -73,7 +73,7 @@
 		near, far := net.Pipe()
 		start := time.Now()
 		go s.ServeConn(far)
-		newRemote(t, near).closed()
+		newScriptedPeer(t, near).expectClosed()
 		assert.Equal(t, time.Since(start), DefaultHello)
 		assert.NilError(t, s.Shutdown(context.Background()))
 	})
@@ -83,15 +83,15 @@
 	s := NewServer(Config{Self: entryB, Allow: allowAll})
 	near, far := net.Pipe()
 	go s.ServeConn(far)
-	r := newRemote(t, near)
+	r := newScriptedPeer(t, near)
 	_, err := near.Write([]byte("Content-Length: 4097\r\n\r\n"))
 	assert.NilError(t, err)
-	r.closed()
+	r.expectClosed()
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
-// TestPoolChecksTheServer lets the dialling side meet servers that it must not
-// believe.
+// TestPoolChecksTheServer checks that the dialling side rejects servers of another
+// version or not allowed, and passes on a server's refusal.
 func TestPoolChecksTheServer(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -110,7 +110,7 @@
 			near, far := net.Pipe()
 			p := NewPool(Config{Self: entryA, Dialer: fixedDialer{near}, Allow: func(id Identity) bool { return id.Instance == "entry-b1" }})
 			go func() {
-				r := newRemote(t, far)
+				r := newScriptedPeer(t, far)
 				r.receive()
 				r.send(tt.reply)
 			}()
@@ -122,7 +122,7 @@
 	}
 }
 
-// fixedDialer always gives the same connection.
+// fixedDialer always returns the same connection.
 type fixedDialer struct{ conn net.Conn }
 
 // DialContext implements Dialer.
@@ -143,7 +143,9 @@
 	}
 }
 
-// TestRecheckClosesConnectionsOfDroppedPeers takes both sides off the list.
+// TestRecheckClosesConnectionsOfDroppedPeers checks that Recheck closes the
+// connections of peers that Allow no longer accepts, on the server and in the
+// pool, and that new connections of them are refused.
 func TestRecheckClosesConnectionsOfDroppedPeers(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		var dropped atomic.Bool
@@ -170,8 +172,8 @@
 	})
 }
 
-// TestSilentServerIsToldApart meets a process whose kernel accepts connections
-// and that does not run.
+// TestSilentServerIsToldApart checks that a process that is paused while its
+// kernel still accepts connections is reported as DialSilent.
 func TestSilentServerIsToldApart(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -182,7 +184,7 @@
 		_, err := Call[echoResponse](context.Background(), p, "b", "echo", echoRequest{})
 		var de *DialError
 		assert.Assert(t, errors.As(err, &de), "%v", err)
-		assert.Equal(t, de.Kind, DialSilent)
+		assert.Equal(t, de.Kind, DialHelloTimeout)
 		assert.Equal(t, DeliveryOf(err), NotSent)
 		assert.Equal(t, time.Since(start), DefaultHello)
 	})
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -15,19 +15,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echoRequest and echoResponse are the messages of the test methods.
+// echoRequest and echoResponse are the parameters and the result of the test
+// methods.
 type echoRequest struct {
 	Text string `json:"text"`
 }
 
 type echoResponse struct {
-	Text string            `json:"text"`
-	From ident.InstanceID  `json:"from"`
-	Zone ident.Zone        `json:"zone"`
-	Life ident.Incarnation `json:"life"`
+	Text        string            `json:"text"`
+	From        ident.InstanceID  `json:"from"`
+	Zone        ident.Zone        `json:"zone"`
+	Incarnation ident.Incarnation `json:"life"`
 }
 
-// fullError is a registered error of the tests.
+// fullError is an error type registered by the tests.
 type fullError struct {
 	Slots int `json:"slots"`
 }
@@ -43,12 +44,13 @@
 
 func allowAll(Identity) bool { return true }
 
-// echo answers with what it got.
+// echo returns the text of the request and the caller's identity.
 func echo(_ context.Context, from Identity, r echoRequest) (echoResponse, error) {
-	return echoResponse{Text: r.Text, From: from.Instance, Zone: from.Zone, Life: from.Incarnation}, nil
+	return echoResponse{Text: r.Text, From: from.Instance, Zone: from.Zone, Incarnation: from.Incarnation}, nil
 }
 
-// startServer serves on loopback until the test ends.
+// startServer starts a server on the loopback interface that is shut down when
+// the test ends, and returns its address.
 func startServer(t testing.TB, cfg Config, add func(*Server)) string {
 	t.Helper()
 	s := NewServer(cfg)
@@ -81,7 +83,7 @@
 	p := startPool(t, Config{Self: entryA, Allow: allowAll})
 	got, err := Call[echoResponse](context.Background(), p, addr, "echo", echoRequest{Text: "hi"})
 	assert.NilError(t, err)
-	assert.Equal(t, got, echoResponse{Text: "hi", From: "entry-a1", Zone: "hall-a", Life: 7})
+	assert.Equal(t, got, echoResponse{Text: "hi", From: "entry-a1", Zone: "hall-a", Incarnation: 7})
 	id, ok := p.Identity(addr)
 	assert.Assert(t, ok)
 	assert.Equal(t, id, Identity{Instance: "entry-b1", Incarnation: 8, Zone: "hall-b", Addr: addr})
