--- a/bundle/ledger/action.go
+++ b/bundle/ledger/action.go
@@ -5,49 +5,51 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Action is something that the ledger wants done or known.
+// Action is an output of Step that the caller carries out or reports.
 type Action interface{ isAction() }
 
-// InForce says that a bundle is now in force on the instance. Its version is
-// also the fencing number of the orders that follow from it. Orders and requests
-// wait until the ledger is ready.
+// InForce reports that a bundle is now in force on the instance. Its version is
+// also the fencing number of the orders derived from it. The instance must not
+// give orders or serve requests before the ledger is ready.
 type InForce struct {
 	Ref bundle.Ref
-	// From is the bundle that was in force before, zero if none.
+	// From is the bundle previously in force, zero if none.
 	From    bundle.Ref
 	Content *config.Content
 }
 
-// Ready says that the instance may serve.
+// Ready reports that the instance may serve.
 type Ready struct {
 	InForce bundle.Ref
-	// Unconfirmed lists the sources that did not answer: what only they know,
-	// the instance does not.
+	// Unconfirmed lists the sources that did not answer. A version that only
+	// they know of is unknown to the instance.
 	Unconfirmed []Source
 }
 
-// AskFloor asks for a source's FloorReport, which must repeat the Round.
+// AskFloor requests a FloorReport from a source. The report must carry the same
+// Round.
 type AskFloor struct {
 	From  Source
 	Round uint64
 }
 
-// FetchRoll asks a source for its newest roll.
+// FetchRoll requests the newest roll that a source has.
 type FetchRoll struct{ From Source }
 
-// FetchHead asks a source for its newest bundle head.
+// FetchHead requests the newest bundle head that a source has.
 type FetchHead struct{ From Source }
 
-// FetchParts asks a source for parts.
+// FetchParts requests parts from a source by digest.
 type FetchParts struct {
 	From    Source
 	Digests []bundle.Digest
 }
 
-// Announce asks that peers be told the instance's Summary.
+// Announce requests that the instance's Summary be sent to its peers.
 type Announce struct{ Summary Summary }
 
-// Refused says that something was refused and why. The bundle in force stays.
+// Refused reports a document that was rejected, and why. The bundle in force is
+// unchanged.
 type Refused struct {
 	From Source
 	Err  error
--- a/bundle/ledger/alarm.go
+++ b/bundle/ledger/alarm.go
@@ -7,44 +7,47 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// AlarmType says what is wrong. Each type has one step that operators take.
+// AlarmType identifies a condition that needs an operator. Each type has one
+// remedy, returned by Step.
 type AlarmType string
 
-// The types of alarm.
+// The alarm types.
 const (
-	// AlarmSplitVersion is two signed bundles of one version.
+	// AlarmSplitVersion reports two different signed bundles with one version.
 	AlarmSplitVersion AlarmType = "split-version"
-	// AlarmSplitRoll is two signed rolls of one sequence number.
+	// AlarmSplitRoll reports two different signed rolls with one sequence number.
 	AlarmSplitRoll AlarmType = "split-roll"
-	// AlarmUnverified is a newer document that no quorum of trusted approvers
-	// signed.
+	// AlarmUnverified reports a newer document that is not signed by a quorum of
+	// trusted approvers.
 	AlarmUnverified AlarmType = "unverified"
-	// AlarmGarbled is bytes on the platform that are no document, or parts that
-	// do not have their digests.
+	// AlarmGarbled reports bytes that do not decode as a document, or parts
+	// that do not match their digests.
 	AlarmGarbled AlarmType = "garbled"
-	// AlarmRollOrder is a signed roll that may not follow the one before.
+	// AlarmRollOrder reports a signed roll that may not follow the current one.
 	AlarmRollOrder AlarmType = "roll-order"
-	// AlarmBrokenChain is a version that does not follow the one in force.
+	// AlarmBrokenChain reports a version whose manifest does not name the bundle in
+	// force as its predecessor.
 	AlarmBrokenChain AlarmType = "broken-chain"
-	// AlarmInvalidContent is a signed bundle whose content fails its checks on
-	// this instance.
+	// AlarmInvalidContent reports a signed bundle whose content fails validation
+	// on this instance.
 	AlarmInvalidContent AlarmType = "invalid-content"
-	// AlarmEntryRejects is a bundle in force that the instance's entry cannot run:
-	// it goes on under the version before.
+	// AlarmEntryRejects reports a bundle in force that the instance's entry
+	// cannot run; the entry continues with the previous version.
 	AlarmEntryRejects AlarmType = "entry-rejects"
-	// AlarmHalfPublished is a rolled bundle with parts that nobody gives.
+	// AlarmHalfPublished reports a bundle named by a roll, parts of which no source
+	// provides.
 	AlarmHalfPublished AlarmType = "half-published"
-	// AlarmFloorAbove is an upstream's fencing number above every bundle that
-	// this starting instance could find.
+	// AlarmFloorAbove reports an upstream's fencing number that is higher than
+	// every bundle version that this starting instance could find.
 	AlarmFloorAbove AlarmType = "floor-above"
-	// AlarmIsolated is a starting instance that neither the platform nor a ready
-	// peer answers.
+	// AlarmIsolated reports that neither the platform nor a ready peer answers
+	// this starting instance.
 	AlarmIsolated AlarmType = "isolated"
-	// AlarmNothingRolled is a starting instance that found no roll.
+	// AlarmNothingRolled reports that this starting instance found no roll.
 	AlarmNothingRolled AlarmType = "nothing-rolled"
 )
 
-// steps holds what operators do about each alarm.
+// steps maps each alarm type to the action that operators take.
 var steps = map[AlarmType]string{
 	AlarmSplitVersion:   "find who signed both; build the next version with --supersedes for the digest that is not its previous, and roll it to all",
 	AlarmSplitRoll:      "find who signed both; sign and publish a roll with a higher sequence",
@@ -60,25 +63,25 @@
 	AlarmNothingRolled:  "publish a bundle and a roll; wardspoolctl pack commands write the values",
 }
 
-// Step returns what operators do about an alarm of this type.
+// Step returns the action that operators take for an alarm of this type.
 func (t AlarmType) Step() string { return steps[t] }
 
-// Alarm tells operators of something that the ledger cannot mend. Each is raised
-// once; Alarms lists those that stand.
+// Alarm reports to operators a condition that the ledger cannot resolve itself.
+// Each alarm is raised once; Ledger.Alarms lists the active ones.
 type Alarm struct {
 	Type AlarmType
-	// Ref is the bundle concerned, and Other the one it clashes with.
+	// Ref is the bundle concerned, and Other the one it conflicts with.
 	Ref, Other bundle.Ref
 	// Number is the roll sequence or fencing number concerned, if any.
 	Number uint64
-	// From is who brought it, if anyone, and Document what it should have been.
+	// From is the source of the document, if any, and Document its expected kind.
 	From     Source
 	Document Document
-	// Err says more, where there is more.
+	// Err is the underlying error, if any.
 	Err error
 }
 
-// String renders the alarm with its operator step.
+// String formats the alarm, including the operator's remedy.
 func (a Alarm) String() string {
 	text := string(a.Type)
 	if !a.Ref.IsZero() {
@@ -99,14 +102,15 @@
 	return text + "; step: " + a.Type.Step()
 }
 
-// maxAlarms bounds the alarms that stand at once and that anyone could raise
-// with bytes of his own. The others need a quorum's signatures.
+// maxAlarms bounds the active alarms above which no further unsigned ones are
+// raised: anyone can cause those by sending arbitrary bytes. The other types
+// need the signatures of a quorum.
 const maxAlarms = 64
 
-// unsigned reports whether the alarm needs no signature to be raised.
+// unsigned reports whether an unsigned document can raise the alarm.
 func (t AlarmType) unsigned() bool { return t == AlarmGarbled || t == AlarmUnverified }
 
-// alarm raises an alarm unless one like it stands.
+// alarm raises an alarm unless an equal one is active.
 func (l *Ledger) alarm(a Alarm) {
 	same := func(b Alarm) bool {
 		return a.Type == b.Type && a.Ref == b.Ref && a.Other == b.Other && a.Number == b.Number && a.From == b.From && a.Document == b.Document
@@ -118,13 +122,13 @@
 	l.act(a)
 }
 
-// clearAlarms drops the alarms that a change of state has answered.
+// clearAlarms removes the alarms that a state change has resolved.
 func (l *Ledger) clearAlarms(answered func(Alarm) bool) {
 	l.alarms = slices.DeleteFunc(l.alarms, answered)
 }
 
-// gave drops the alarm of a garbled document from a source that now gave one of
-// the kind that can be read.
+// gave clears the AlarmGarbled of a source that has now sent a readable document
+// of the same kind.
 func (l *Ledger) gave(from Source, d Document) {
 	l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmGarbled && a.From == from && a.Document == d })
 }
@@ -137,5 +141,5 @@
 	}
 }
 
-// Alarms lists the alarms that stand.
+// Alarms returns the active alarms.
 func (l *Ledger) Alarms() []Alarm { return slices.Clone(l.alarms) }
--- a/bundle/ledger/alarms_test.go
+++ b/bundle/ledger/alarms_test.go
@@ -12,8 +12,9 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// An entry that cannot run the version in force raises an alarm with its step,
-// once; the version stays in force, and the alarm goes when the entry takes it.
+// An entry that cannot run the version in force raises one alarm that names the
+// remedy. The version stays in force, and the alarm is cleared when the entry
+// accepts it.
 func TestEntryRejects(t *testing.T) {
 	d := newDocuments(t)
 	s := ready(t, d)
@@ -35,9 +36,9 @@
 	assert.Equal(t, len(s.ledger.Alarms()), 0)
 }
 
-// What a peer had in force is part of a starting instance's floor also when the
-// peer leaves the roster: the base must not stand in for a version that a peer
-// was ready with.
+// The bundle that a peer had in force is part of a starting instance's floor even
+// after the peer has left the roster. Otherwise the instance would serve the
+// roll's base although a peer was ready with the target.
 func TestFloorOfAPeerThatLeft(t *testing.T) {
 	d := newDocuments(t)
 	s := started(t, d, testSettings("entry-1", "hall-a"), platform, peer("entry-2"))
@@ -52,11 +53,11 @@
 	assert.Equal(t, s.ledger.Status(), StatusReady)
 	assert.Equal(t, s.inForce(), uint64(2))
 	s.step("the roster", Roster{Sources: []Source{platform}})
-	assert.Equal(t, len(s.ledger.floor.answers), 1, "once ready, those gone are forgotten")
+	assert.Equal(t, len(s.ledger.floor.answers), 1, "sources not on the roster are kept after the instance became ready")
 }
 
-// A garbled alarm goes when its source gives a readable document of the kind, not
-// before and not by another's.
+// AlarmGarbled is cleared when the same source sends a readable document of the
+// same kind, and not by documents of another source or kind.
 func TestGarbledGoes(t *testing.T) {
 	d := newDocuments(t)
 	s := ready(t, d)
--- a/bundle/ledger/bench_test.go
+++ b/bundle/ledger/bench_test.go
@@ -11,13 +11,13 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// The size of a bundle that docs/CAPACITY.md plans for.
+// The bundle size that docs/CAPACITY.md plans for.
 const (
 	plannedWorkspaces = 3400
 	plannedUpstreams  = 600
 )
 
-// enlarge gives the publisher's content the planned size.
+// enlarge grows the publisher's content to the planned size.
 func (p *publisher) enlarge() {
 	for i := range plannedWorkspaces {
 		p.content.Workspaces = append(p.content.Workspaces, config.Workspace{
@@ -32,14 +32,14 @@
 	}
 }
 
-// change is one version's documents.
+// change holds the documents of one version.
 type change struct {
 	head *bundle.Head
 	roll *bundle.SignedRoll
 }
 
-// changes builds n versions in each of which one workspace differs from the one
-// before.
+// changes builds n versions, each of which differs from the previous one in one
+// workspace.
 func (p *publisher) changes(n int) []change {
 	var list []change
 	var last *bundle.Head
@@ -52,11 +52,11 @@
 	return list
 }
 
-// benchVersions is how many versions a benchmark's documents are made for.
+// benchVersions is the number of versions for which a benchmark builds documents.
 const benchVersions = 20
 
-// BenchmarkChange measures what the ledger does from a changed bundle's head to
-// its coming into force: one workspace of 3,400 differs.
+// BenchmarkChange measures the ledger's work from receiving the head of a changed
+// bundle to putting it into force. One workspace of 3,400 differs.
 func BenchmarkChange(b *testing.B) {
 	p := newPublisher(b)
 	p.enlarge()
@@ -77,7 +77,7 @@
 	}
 }
 
-// take brings a change into force: head, roll, parts.
+// take puts a change into force by its head, parts and roll.
 func (s *session) take(c change) {
 	s.step("head", HeadSeen{From: platform, Head: c.head})
 	s.parts(platform)
--- a/bundle/ledger/documents.go
+++ b/bundle/ledger/documents.go
@@ -7,11 +7,11 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// StaleError reports a document that is older than one already accepted: a
-// stale read or a replay.
+// StaleError reports a document that is older than one already accepted, because
+// of a stale read or a replay.
 type StaleError struct {
 	What string
-	// Have is the number already accepted, and Seen the document's.
+	// Have is the number already accepted, and Seen the rejected document's.
 	Have, Seen uint64
 }
 
@@ -20,12 +20,12 @@
 	return fmt.Sprintf("%s %d is older than %d", e.What, e.Seen, e.Have)
 }
 
-// ConflictError reports a signed document that has the number of an accepted one
-// and another digest.
+// ConflictError reports a signed document with the number of an accepted one but
+// a different digest.
 type ConflictError struct {
 	What   string
 	Number uint64
-	// Have is the digest accepted, and Seen the document's.
+	// Have is the accepted digest, and Seen the rejected document's.
 	Have, Seen bundle.Digest
 }
 
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%s %d is signed as %s and as %s", e.What, e.Number, e.Have.Short(), e.Seen.Short())
 }
 
-// refuse records that something was refused.
+// refuse emits a Refused action.
 func (l *Ledger) refuse(from Source, err error) { l.act(Refused{From: from, Err: err}) }
 
 // apply implements Event.
@@ -74,7 +74,7 @@
 	l.act(Announce{Summary: l.Summary()})
 }
 
-// refs lists the bundles that the ledger knows to be signed.
+// refs lists the bundles whose signatures the ledger has verified.
 func (l *Ledger) refs() []bundle.Ref {
 	refs := []bundle.Ref{l.inForceRef, l.nextRef}
 	if l.roll != nil {
@@ -92,8 +92,8 @@
 	return false
 }
 
-// conflicting returns a known bundle with the same version as ref and another
-// digest.
+// conflicting returns a known bundle with the same version as ref but a
+// different digest.
 func (l *Ledger) conflicting(ref bundle.Ref) (bundle.Ref, bool) {
 	for _, r := range l.refs() {
 		if r.Version == ref.Version && r.Digest != ref.Digest && !r.IsZero() {
@@ -111,7 +111,7 @@
 	return newest
 }
 
-// split raises the alarm for two signed bundles of one version.
+// split raises AlarmSplitVersion for two signed bundles with one version.
 func (l *Ledger) split(have, seen bundle.Ref) {
 	if l.on(guardConflict) {
 		l.alarm(Alarm{Type: AlarmSplitVersion, Ref: have, Other: seen})
@@ -121,8 +121,8 @@
 // apply implements Event.
 func (e RollSeen) apply(l *Ledger) { l.takeRoll(e.From, e.Roll) }
 
-// takeRoll accepts or refuses a roll. It reports false only for a roll that may
-// be newer than the ledger's and cannot be verified.
+// takeRoll accepts or rejects a roll. It returns false only if the roll cannot be
+// verified but may be newer than the ledger's.
 func (l *Ledger) takeRoll(from Source, s *bundle.SignedRoll) bool {
 	l.gave(from, DocumentRoll)
 	if l.roll != nil && l.rollDigest == s.Roll.Digest() {
@@ -145,8 +145,9 @@
 	return true
 }
 
-// refusedStale refuses a roll that is older than the current one. It may still
-// show that a version was signed twice.
+// refusedStale rejects a roll that is older than the current one, and reports
+// whether it did. Such a roll may still reveal two signed bundles with one
+// version, so it is checked for conflicts.
 func (l *Ledger) refusedStale(from Source, s *bundle.SignedRoll) bool {
 	if l.roll == nil || s.Roll.Sequence >= l.roll.Roll.Sequence || !l.on(guardOrder) {
 		return false
@@ -158,14 +159,14 @@
 	return true
 }
 
-// clashes reports whether a bundle of the roll clashes with a known one.
+// clashes reports whether the roll's target or base conflicts with a known bundle.
 func (l *Ledger) clashes(s *bundle.SignedRoll) bool {
 	_, target := l.conflicting(s.Roll.Target)
 	_, base := l.conflicting(s.Roll.Base)
 	return target || base
 }
 
-// verifyRoll verifies the roll's target and its own signatures.
+// verifyRoll verifies the signatures of the roll and of its target.
 func (l *Ledger) verifyRoll(s *bundle.SignedRoll) error {
 	trusted := l.approvers
 	if !l.on(guardManifest) {
@@ -177,7 +178,8 @@
 	return l.checker.roll(s, trusted)
 }
 
-// reportSplits raises alarms for bundles of the roll that clash with known ones.
+// reportSplits raises alarms for bundles of the roll that conflict with known
+// ones.
 func (l *Ledger) reportSplits(s *bundle.SignedRoll) {
 	for _, ref := range []bundle.Ref{s.Roll.Target, s.Roll.Base} {
 		if other, conflict := l.conflicting(ref); conflict {
@@ -186,7 +188,8 @@
 	}
 }
 
-// refusedOrder refuses a signed roll that may not follow the current one.
+// refusedOrder rejects a signed roll that may not follow the current one, and
+// reports whether it did.
 func (l *Ledger) refusedOrder(from Source, s *bundle.SignedRoll) bool {
 	if l.roll == nil || !l.on(guardOrder) {
 		return false
@@ -229,7 +232,8 @@
 		l.act(FetchRoll{From: e.From})
 	case e.Summary.RollDigest == mine.RollDigest && e.Summary.Whole:
 		if l.parts.addWhole(e.From) {
-			// Fetch from it now, whoever was asked before.
+			// Fetch from this peer immediately, even if a fetch from another source
+			// is pending.
 			l.parts.fetchedAt, l.parts.tries = time.Time{}, 0
 		}
 	}
--- a/bundle/ledger/event.go
+++ b/bundle/ledger/event.go
@@ -2,29 +2,29 @@
 
 import "github.com/wardspool/wardspool/bundle"
 
-// SourceKind says what kind of thing told the ledger something.
+// SourceKind is the kind of a Source.
 type SourceKind string
 
-// The kinds of source.
+// The source kinds.
 const (
-	// SourcePlatform is the platform's configuration service. It may be stale.
+	// SourcePlatform is the platform's configuration service. Its data may be stale.
 	SourcePlatform SourceKind = "platform"
 	// SourcePeer is another instance.
 	SourcePeer SourceKind = "peer"
 	// SourceUpstream is an upstream that checks fencing numbers.
 	SourceUpstream SourceKind = "upstream"
-	// SourcePreload is what the instance was given with its settings.
+	// SourcePreload is the bundle supplied with the instance's settings.
 	SourcePreload SourceKind = "preload"
 )
 
-// Source names who told the ledger something. Name is empty for the platform
-// and the preload.
+// Source identifies the origin of an event. Name is empty for the platform and
+// the preload.
 type Source struct {
 	Kind SourceKind
 	Name string
 }
 
-// String renders the source as "kind" or "kind name".
+// String formats the source as "kind" or "kind name".
 func (s Source) String() string {
 	if s.Name == "" {
 		return string(s.Kind)
@@ -32,87 +32,88 @@
 	return string(s.Kind) + " " + s.Name
 }
 
-// Event is something that happened to the instance. The documents in events must
-// be as bundle.DecodeHead and bundle.DecodeRoll returned them; the ledger keeps
-// them and does not change them.
+// Event is an input of Step. Its documents must be as returned by
+// bundle.DecodeHead and bundle.DecodeRoll; the ledger retains them and does not
+// modify them.
 type Event interface{ apply(*Ledger) }
 
-// HeadSeen reports a bundle head that a source gave.
+// HeadSeen reports a bundle head received from a source.
 type HeadSeen struct {
 	From Source
 	Head *bundle.Head
 }
 
-// RollSeen reports a roll that a source gave.
+// RollSeen reports a roll received from a source.
 type RollSeen struct {
 	From Source
 	Roll *bundle.SignedRoll
 }
 
-// PartsSeen reports parts that a source gave.
+// PartsSeen reports parts received from a source.
 type PartsSeen struct {
 	From  Source
 	Parts []bundle.Part
 }
 
-// Garbled reports bytes from a source that could not be decoded.
+// Garbled reports bytes received from a source that could not be decoded.
 type Garbled struct {
 	From Source
-	// Document is what the bytes should have been.
+	// Document is the expected kind of document.
 	Document Document
 	Err      error
 }
 
-// Document is a kind of document that a source gives.
+// Document is a kind of document that sources provide.
 type Document string
 
-// The kinds of document.
+// The document kinds.
 const (
 	DocumentRoll Document = "roll"
 	DocumentHead Document = "head"
 	DocumentPart Document = "part"
 )
 
-// Roster says whom a starting instance must ask for the floor, and whose answers
-// count. It replaces the roster before. It should name every live peer of the
-// instance's own zone, a few of each other zone, and the zone's upstreams that
-// check fencing numbers.
+// Roster lists the sources that a starting instance must query for the floor;
+// answers of other sources are ignored. It replaces the previous roster. It
+// should list every live peer of the instance's own zone, a few of each other
+// zone, and the zone's upstreams that check fencing numbers.
 type Roster struct{ Sources []Source }
 
 // FloorReport is a source's answer to AskFloor.
 type FloorReport struct {
 	From Source
-	// Round repeats that of the question. A report of an earlier round, which
-	// may have waited while the process was paused, does not count.
+	// Round is the Round of the AskFloor. Reports of earlier rounds are ignored,
+	// since they may have been queued while the process was paused.
 	Round uint64
-	// Ready says that a peer is ready; it is ignored from other sources.
+	// Ready reports that a peer is ready; it is ignored for other sources.
 	Ready bool
 	// InForce is the bundle in force on a peer, zero if there is none.
 	InForce bundle.Ref
 	// Roll is the newest roll that a peer or the platform has, nil if none.
 	Roll *bundle.SignedRoll
-	// Fence is the highest fencing number that an upstream has seen. Fencing
-	// numbers are bundle versions.
+	// Fence is the highest fencing number that an upstream has received.
+	// Fencing numbers are bundle versions.
 	Fence uint64
 }
 
-// Unreachable reports that a source did not answer. The ledger asks again.
+// Unreachable reports that a source did not answer. The ledger queries it again.
 type Unreachable struct{ From Source }
 
-// EntryDecides reports under which version the instance's entry decides, and which
-// higher one it cannot run: its binary lacks a plug-in, say. Zero is none.
+// EntryDecides reports the version that the instance's entry makes its decisions
+// with, and a higher one that it cannot run, for example because its binary
+// lacks a plug-in. Zero means none.
 type EntryDecides struct {
 	Version, Rejected uint64
-	// Err is the entry's reason.
+	// Err is why the entry rejected the version.
 	Err error
 }
 
-// Announced reports a peer's Summary.
+// Announced reports a Summary received from a peer.
 type Announced struct {
 	From    Source
 	Summary Summary
 }
 
-// Tick reports that time passed. The caller sends one at least every
+// Tick reports that time has passed. The caller must send one at least every
 // RetryInterval.
 type Tick struct{}
--- a/bundle/ledger/fixture_test.go
+++ b/bundle/ledger/fixture_test.go
@@ -31,7 +31,7 @@
 	return ed25519.NewKeyFromSeed(seed[:])
 }
 
-// approverSet returns a set of epoch 1 with a quorum of two.
+// approverSet returns a set of approvers of epoch 1 with a quorum of two.
 func approverSet(names ...string) bundle.Approvers {
 	a := bundle.Approvers{Epoch: 1, Quorum: 2}
 	for _, name := range names {
@@ -42,7 +42,7 @@
 	return a
 }
 
-// publisher makes the documents of a test and keeps all their parts.
+// publisher builds the documents of a test and stores all their parts.
 type publisher struct {
 	t       testing.TB
 	content config.Content
@@ -65,8 +65,8 @@
 	return b, ok
 }
 
-// build builds and signs the bundle after previous. The queue limit tells
-// bundles of one version apart.
+// build builds and signs the bundle that follows previous. The queue limit makes
+// bundles of one version differ.
 func (p *publisher) build(previous *bundle.Head, queue int, set bundle.Approvers, signers ...string) *bundle.Head {
 	p.t.Helper()
 	return p.draft(bundle.Draft{Previous: previous, Approvers: set}, queue, signers...)
@@ -88,7 +88,7 @@
 	return h
 }
 
-// roll makes and signs a roll; the target's and base's references are filled in.
+// roll builds and signs a roll, with the references of target and base filled in.
 func (p *publisher) roll(r bundle.Roll, target, base *bundle.Head, signers ...string) *bundle.SignedRoll {
 	p.t.Helper()
 	r.Format, r.Target = bundle.Format, target.Ref()
@@ -99,7 +99,7 @@
 	for _, name := range signers {
 		s.AddSignature(bundle.SignRoll(testKey(name), &s.Roll))
 	}
-	// What a ledger is given must be as the decoder gives it.
+	// The documents of events must be as returned by the decoder.
 	decoded, err := bundle.DecodeRoll(s.Encode())
 	assert.NilError(p.t, err)
 	return decoded
@@ -116,7 +116,7 @@
 	return p.roll(r, target, base, signers...)
 }
 
-// give returns the parts that a FetchParts asks for.
+// give returns the available parts with the given digests.
 func (p *publisher) give(digests []bundle.Digest) []bundle.Part {
 	var parts []bundle.Part
 	for _, d := range digests {
--- a/bundle/ledger/floor.go
+++ b/bundle/ledger/floor.go
@@ -7,25 +7,26 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// answer is what the ledger holds of one source of the roster.
+// answer is the state of the floor query to one source of the roster.
 type answer struct {
 	source   Source
 	askedAt  time.Time
 	answered bool
-	// vouches says that the source can know the floor: a ready peer, or a
-	// platform that holds a roll.
+	// vouches is set if the source can know the floor: a ready peer, or the
+	// platform if it has a roll.
 	vouches bool
 	// inForce and fence are as in FloorReport.
 	inForce bundle.Ref
 	fence   uint64
 }
 
-// floorState is how far a starting or rechecking instance has come in learning
+// floorState is the progress of a starting or rechecking instance in determining
 // the floor.
 type floorState struct {
 	status Status
 	since  time.Time
-	// round numbers the times that the instance began to ask.
+	// round counts the query rounds, so that reports of earlier ones are
+	// recognised.
 	round uint64
 	// answers holds one entry for each source of the roster.
 	answers []answer
@@ -35,8 +36,8 @@
 	return floorState{status: status, since: now}
 }
 
-// recheck makes an instance that was paused ask anew: what it was told may be
-// long out of date.
+// recheck starts a new query round after the process was paused, since the
+// answers received before may be long out of date.
 func (l *Ledger) recheck() {
 	status := StatusStarting
 	if l.floor.status != StatusStarting {
@@ -57,8 +58,9 @@
 	return sources
 }
 
-// apply implements Event. A peer that answered a starting instance and goes stays
-// on its roster: what it had in force is part of the floor.
+// apply implements Event. While the instance is starting, a peer that has
+// answered is kept even if the new roster omits it: the bundle that it had in
+// force is part of the floor.
 func (e Roster) apply(l *Ledger) {
 	answers := make([]answer, 0, len(e.Sources))
 	if l.floor.status == StatusStarting {
@@ -86,8 +88,8 @@
 	return &f.answers[i]
 }
 
-// apply implements Event. A report whose roll cannot be verified is no answer:
-// what it knows is not known here.
+// apply implements Event. A report whose roll cannot be verified does not count
+// as an answer, since what its source knows remains unknown.
 func (e FloorReport) apply(l *Ledger) {
 	usable := true
 	if e.Roll != nil {
@@ -110,7 +112,7 @@
 	}
 }
 
-// ask asks the sources that have not answered, each once per RetryInterval.
+// ask queries the sources that have not answered, each once per RetryInterval.
 func (l *Ledger) ask() {
 	if l.floor.status == StatusReady {
 		return
@@ -125,13 +127,13 @@
 	}
 }
 
-// timedOut reports whether the sources had their time to answer.
+// timedOut reports whether StartTimeout has passed since the query round began.
 func (l *Ledger) timedOut() bool {
 	return l.now.Sub(l.floor.since) >= l.settings.StartTimeout
 }
 
-// settled reports whether the ledger may act on what it knows: always once
-// ready, and before that when it has learned the floor as far as it can.
+// settled reports whether the ledger may put a bundle into force: always when
+// ready, and otherwise once the floor is known as far as it can be.
 func (l *Ledger) settled() bool {
 	if l.floor.status == StatusReady || !l.on(guardAnswers) {
 		return true
@@ -150,8 +152,8 @@
 	return len(f.answers) > 0 && !slices.ContainsFunc(f.answers, func(a answer) bool { return !a.answered })
 }
 
-// evidence reports whether the ledger heard from someone who can know the floor.
-// An instance that was ready is such evidence itself.
+// evidence reports whether a source that can know the floor has answered. An
+// instance that was ready before knows the floor itself.
 func (l *Ledger) evidence() bool {
 	if l.floor.status == StatusRechecking || (l.settings.Isolated == IsolatedServePreload && l.timedOut()) {
 		return true
@@ -159,7 +161,7 @@
 	return slices.ContainsFunc(l.floor.answers, func(a answer) bool { return a.answered && a.vouches })
 }
 
-// fence returns the highest fencing number that an upstream has seen.
+// fence returns the highest fencing number that an upstream has reported.
 func (l *Ledger) fence() uint64 {
 	var highest uint64
 	for _, a := range l.floor.answers {
@@ -177,9 +179,11 @@
 	return l.roll.Roll.Target.Version
 }
 
-// standsIn reports whether the roll's base may stand in for a target that covers
-// this starting instance and cannot be had: its parts are missing for too long,
-// and everyone was asked and nobody has it in force. It was published by halves.
+// standsIn reports whether this starting instance may use the roll's base in
+// place of a target that covers it but is incomplete. This is so if parts of the
+// target have been missing for PartsTimeout, and every source has answered and
+// none reports the target's version or a higher one: the target was then
+// published only in part.
 func (l *Ledger) standsIn() bool {
 	target := l.roll.Roll.Target
 	if l.floor.status != StatusStarting || l.roll.Roll.Base.IsZero() || !l.floor.complete() {
@@ -193,8 +197,8 @@
 	})
 }
 
-// becomeReady declares the instance ready once the assigned bundle, or a higher
-// one, is in force.
+// becomeReady makes the instance ready once the assigned bundle or a higher
+// version is in force.
 func (l *Ledger) becomeReady() {
 	if l.floor.status == StatusReady || l.inForce == nil {
 		return
@@ -216,7 +220,7 @@
 	l.act(Announce{Summary: l.Summary()})
 }
 
-// watchTimeouts raises the alarms of an instance that waits for too long.
+// watchTimeouts raises the alarms for waits that exceed their timeouts.
 func (l *Ledger) watchTimeouts() {
 	if len(l.parts.lacking) > 0 && l.now.Sub(l.parts.since) >= l.settings.PartsTimeout {
 		l.alarm(Alarm{Type: AlarmHalfPublished, Ref: l.parts.lacking[0]})
--- a/bundle/ledger/guard.go
+++ b/bundle/ledger/guard.go
@@ -5,48 +5,53 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// guard names one of the rules that the ledger's promises rest on.
+// guard is one of the rules that ensure the ledger's invariants.
 type guard int
 
-// The guards. All are always on; the model check in the tests takes one away at
-// a time and shows that a promise then breaks.
+// The guards. All are always enabled in production; the model check in the tests
+// disables one at a time and shows that an invariant is then violated.
 const (
 	noGuard guard = iota
-	// guardRising: only a version above the one in force comes into force.
+	// guardRising: only a version above the one in force is put into force.
 	guardRising
-	// guardManifest: the target's manifest descends from trusted approvers.
+	// guardManifest: the target's manifest is signed by trusted approvers, or by
+	// approvers that a chain of rotations leads to from the trusted ones.
 	guardManifest
 	// guardRoll: a quorum of the target's approvers signed the roll.
 	guardRoll
 	// guardOrder: a roll follows the one before it.
 	guardOrder
-	// guardCoverage: a canary comes into force only where the roll says.
+	// guardCoverage: a canary is put into force only on instances that the roll
+	// assigns it to.
 	guardCoverage
-	// guardAbandoned: an abandoned version comes into force nowhere.
+	// guardAbandoned: an abandoned version is not put into force.
 	guardAbandoned
-	// guardChain: a version directly above the one in force names its digest.
+	// guardChain: a version directly above the one in force must name the digest
+	// of the bundle in force.
 	guardChain
-	// guardAnswers: a starting instance hears its sources before it decides.
+	// guardAnswers: a starting instance waits for its sources' answers before it
+	// puts a bundle into force.
 	guardAnswers
-	// guardEvidence: the platform or a ready peer is among them.
+	// guardEvidence: the platform or a ready peer must be among those answers.
 	guardEvidence
-	// guardFence: no upstream has seen a newer version than the roll's.
+	// guardFence: no upstream may have reported a fencing number above the version
+	// of the roll's target.
 	guardFence
-	// guardConflict: two digests of one version raise an alarm.
+	// guardConflict: two signed digests of one version raise an alarm.
 	guardConflict
 )
 
-// on reports whether a guard is in place.
+// on reports whether a guard is enabled.
 func (l *Ledger) on(g guard) bool { return l.removed != g }
 
-// checker holds the checks of documents, which are costly. The tests put a cache
-// before them.
+// checker holds the costly document checks as functions, so that tests can
+// cache their results.
 type checker struct {
 	head     func(*bundle.Head, bundle.Approvers) error
 	roll     func(*bundle.SignedRoll, bundle.Approvers) error
 	missing  func(*bundle.Manifest, bundle.PartSource) ([]bundle.Digest, error)
 	assemble func(*bundle.Manifest, bundle.PartSource) (*config.Content, error)
-	// memo is what missing and assemble remember.
+	// memo caches the work of missing and assemble.
 	memo *bundle.Memo
 }
 
--- a/bundle/ledger/ledger.go
+++ b/bundle/ledger/ledger.go
@@ -7,23 +7,24 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Status says whether the instance may serve.
+// Status is whether the instance may serve and give orders.
 type Status string
 
-// The states. An instance goes from starting to ready, and between ready and
-// rechecking after that.
+// The states. An instance starts in StatusStarting, becomes ready, and then
+// alternates between ready and rechecking.
 const (
-	// StatusStarting instances learn the floor. They serve nothing and give no
-	// orders.
+	// StatusStarting means that the instance is determining the floor. It
+	// serves no requests and gives no orders.
 	StatusStarting Status = "starting"
-	// StatusReady instances serve by the bundle in force.
+	// StatusReady means that the instance serves by the bundle in force.
 	StatusReady Status = "ready"
-	// StatusRechecking instances were paused and ask again what they missed.
-	// They may go on serving by the bundle in force, but give no orders.
+	// StatusRechecking means that the process was paused and the instance
+	// queries its sources again for changes that it missed. It may continue to
+	// serve by the bundle in force, but gives no orders.
 	StatusRechecking Status = "rechecking"
 )
 
-// Ledger is the state of one instance. It is not safe for concurrent use.
+// Ledger is the state machine of one instance. It is not safe for concurrent use.
 type Ledger struct {
 	settings Settings
 	checker  checker
@@ -33,9 +34,10 @@
 	actions []Action
 	alarms  []Alarm
 
-	// approvers is the set trusted now.
+	// approvers is the currently trusted set.
 	approvers bundle.Approvers
-	// roll is the newest roll, and next a head above its target, fetched early.
+	// roll is the newest accepted roll, and next a head above its target that is
+	// fetched ahead of its own roll.
 	roll       *bundle.SignedRoll
 	rollDigest bundle.Digest
 	next       *bundle.Head
@@ -45,15 +47,15 @@
 	inForce    *bundle.Head
 	inForceRef bundle.Ref
 	content    *config.Content
-	// spoiled is a bundle that could not be assembled, not to be tried again.
+	// spoiled is a bundle that could not be assembled and is not retried.
 	spoiled bundle.Ref
 
 	parts partState
 	floor floorState
 }
 
-// New returns the ledger of a starting instance. It returns an
-// *bundle.ApproversError if the trusted set cannot be used.
+// New returns the ledger of a starting instance. It returns a
+// *bundle.ApproversError if the set of trusted approvers is invalid.
 func New(s Settings, now time.Time) (*Ledger, error) {
 	if err := s.Approvers.Check(); err != nil {
 		return nil, err
@@ -66,8 +68,8 @@
 	}, nil
 }
 
-// Step takes in one event at a time no earlier than the last, and returns what
-// is to be done. The time must come from a monotonic clock.
+// Step applies one event and returns the resulting actions. now must come from a
+// monotonic clock and not be before that of the previous call.
 func (l *Ledger) Step(now time.Time, e Event) []Action {
 	paused := now.Sub(l.now) >= l.settings.PauseGap
 	l.now = now
@@ -81,13 +83,13 @@
 	return actions
 }
 
-// act adds an action to what the step returns.
+// act appends an action to the result of the current Step.
 func (l *Ledger) act(a Action) { l.actions = append(l.actions, a) }
 
 // apply implements Event.
 func (Tick) apply(*Ledger) {}
 
-// settle draws the consequences of an event.
+// settle updates the state and emits the actions that follow from an event.
 func (l *Ledger) settle() {
 	l.findMissing()
 	if l.settled() {
@@ -99,7 +101,7 @@
 	l.watchTimeouts()
 }
 
-// assigned returns the bundle that the newest roll puts in force here.
+// assigned returns the bundle that the newest roll assigns to this instance.
 func (l *Ledger) assigned() bundle.Ref {
 	if l.roll == nil {
 		return bundle.Ref{}
@@ -115,8 +117,8 @@
 	return ref
 }
 
-// advance brings the assigned bundle into force if it is above the one in force
-// and whole.
+// advance puts the assigned bundle into force if its version is above the one in
+// force and none of its parts is missing.
 func (l *Ledger) advance() {
 	ref := l.assigned()
 	rises := ref.Version > l.inForceRef.Version
--- a/bundle/ledger/ledger_test.go
+++ b/bundle/ledger/ledger_test.go
@@ -19,8 +19,8 @@
 	assert.Assert(t, errors.As(err, &bad))
 }
 
-// started returns a session with roll 1 and its parts preloaded and nobody
-// asked yet.
+// started returns a session with roll 1 and its parts preloaded, and no source
+// has answered yet.
 func started(t *testing.T, d *documents, s Settings, roster ...Source) *session {
 	t.Helper()
 	x := newSession(t, d.publisher, s, roster...)
@@ -31,7 +31,8 @@
 	return x
 }
 
-// What makes a starting instance ready, and what does not.
+// The combinations of answers, timeouts and settings under which a starting
+// instance becomes ready, and the alarms under which it does not.
 func TestReadiness(t *testing.T) {
 	d := newDocuments(t)
 	second := d.publisher.all(2, d.v2, d.v1, "ada", "ben")
@@ -102,9 +103,10 @@
 	}
 }
 
-// The limit that docs/design/bundles.md states: where all instances are replaced
-// at once, the platform is stale and no upstream checks fencing numbers, nothing
-// remembers the version that was in force.
+// Documents a known limitation that docs/design/bundles.md states: if all
+// instances are replaced at once while the platform is stale and no upstream
+// checks fencing numbers, no source knows the version that was in force, and the
+// replacements become ready with an older one.
 func TestLimitNothingRemembers(t *testing.T) {
 	d := newDocuments(t)
 	first := ready(t, d)
@@ -116,8 +118,8 @@
 	assert.Equal(t, replacement.ledger.Status(), StatusReady)
 }
 
-// Parts that are not missing are dropped: nobody can fill the memory of an
-// instance with them.
+// Parts that are not missing are discarded, so that a peer cannot exhaust an
+// instance's memory with them.
 func TestUnwantedPartsAreDropped(t *testing.T) {
 	s := ready(t, newDocuments(t))
 	before := s.ledger.parts.have.Len()
@@ -127,7 +129,7 @@
 	assert.Equal(t, s.ledger.parts.have.Len(), before)
 }
 
-// Parts that no bundle needs any longer are dropped too.
+// Parts that no bundle needs any more are removed.
 func TestOldPartsAreDropped(t *testing.T) {
 	d := newDocuments(t)
 	s := ready(t, d)
@@ -138,7 +140,8 @@
 		base, sequence = head, sequence+1
 		head = d.publisher.build(base, queue, firstSet, "ada", "ben")
 	}
-	// The policy part differs in each version: the newest and its base are kept.
+	// The policy part differs in each version. Only the parts of the newest version
+	// and its base are kept.
 	wanted := map[bundle.Digest]bool{}
 	for _, h := range []*bundle.Head{&s.ledger.roll.Target, s.ledger.roll.Base} {
 		digests, err := bundle.Wanted(&h.Manifest, s.ledger.parts.have)
@@ -150,8 +153,8 @@
 	assert.Equal(t, s.ledger.parts.have.Len(), len(wanted))
 }
 
-// A signed bundle whose content an instance does not accept stays out of force,
-// and the next one is taken.
+// A signed bundle whose content fails validation on the instance is not put into
+// force, and does not prevent the next one from being put into force.
 func TestInvalidContentStaysOut(t *testing.T) {
 	d := newDocuments(t)
 	s := ready(t, d)
--- a/bundle/ledger/model_test.go
+++ b/bundle/ledger/model_test.go
@@ -10,62 +10,65 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// The model runs real ledgers under every interleaving of what can happen to
-// them: stale, fresh, repeated and lost reads of the platform and of peers,
-// forged documents, restarts, timeouts, and operators who publish step by step.
-// Loss needs no step of its own: what is lost is a step not taken.
+// The model runs real ledgers under every interleaving of the events that can
+// reach them: stale, fresh, repeated and lost reads of the platform and of peers,
+// forged documents, restarts, timeouts, and operators who publish one document at
+// a time. Message loss needs no step of its own: it is covered by the
+// interleavings in which the step is not taken.
 
-// scenario bounds one model.
+// scenario holds the parameters of one model.
 type scenario struct {
 	name string
-	// rolls are the documents that operators publish, in order.
+	// rolls are the rolls that operators publish, in order.
 	rolls []*bundle.SignedRoll
-	// forged are documents that an attacker may show to anyone at any time.
+	// forged are rolls that an attacker may send to any instance at any time.
 	forged []*bundle.SignedRoll
 	zones  []ident.Zone
-	// settings changes the settings of an instance's life.
+	// settings modifies the settings of one life of an instance.
 	settings func(s *Settings, life int)
-	// preload is given to each life at its start, if there is one.
+	// preload is the preloaded roll of each life, nil if none.
 	preload *bundle.SignedRoll
-	// cut lists the instances that can reach neither the platform nor a peer.
+	// cut lists the instances that are partitioned from the platform and all
+	// peers.
 	cut []int
 	// fencing adds an upstream that checks fencing numbers, to the first
 	// instance's zone.
 	fencing bool
-	// delayed lets a peer's answers arrive late and twice.
+	// delayed allows the answers of peers to arrive late and more than once.
 	delayed bool
-	// published is how many rolls are published at the start.
+	// published is the number of rolls published at the start.
 	published int
-	// restarts bounds how often instances are replaced, all together.
+	// restarts bounds the total number of instance replacements.
 	restarts int
-	// warm starts every instance ready, with the first roll.
+	// warm makes every instance start ready, with the first roll.
 	warm bool
-	// stuck says that instances need not converge: the operators' last version
-	// does not heal their split.
+	// stuck is set if instances need not converge, because the operators' last
+	// version does not resolve their split.
 	stuck bool
-	// signedTwice says that an approver signed two bundles of one version.
+	// signedTwice is set if an approver signed two bundles of one version.
 	signedTwice bool
 }
 
-// life is one instance's life in the model, with what the checks remember.
+// life is one run of an instance's process in the model, from its start to its
+// replacement, with the history that the checks need.
 type life struct {
 	ledger *Ledger
 	now    time.Time
 	number int
-	// owed holds, for each other instance that was ready when this life began
-	// and has been up since, the sequence of the roll it knew.
+	// owed holds, for each other instance that was ready when this life began and
+	// has not been replaced since, the sequence of the roll it had then.
 	owed []uint64
-	// abandoned lists versions that this life was told are abandoned while they
-	// were not in force on it.
+	// abandoned lists the versions that this life learned are abandoned before
+	// they were in force on it.
 	abandoned []uint64
-	// fenceOwed is the fencing number that the upstream had seen at the start.
+	// fenceOwed is the upstream's highest fencing number when this life began.
 	fenceOwed uint64
-	// heard holds the answers of peers on their way to this life.
+	// heard holds the answers of peers that are in flight to this life.
 	heard []*FloorReport
 	late  bool
 }
 
-// world is one state of the model.
+// world is one state of the model: all instances, the platform and the upstream.
 type world struct {
 	lives     []*life
 	published int
@@ -73,11 +76,11 @@
 	fence     uint64
 }
 
-// model makes worlds of a scenario, with one guard removed.
+// model generates the worlds of a scenario, with one guard disabled.
 type model struct {
 	scenario
 	removed guard
-	// only is the one promise to check, all if empty.
+	// only is the single promise to check; all are checked if it is empty.
 	only    promise
 	checker checker
 }
@@ -94,8 +97,8 @@
 	return w
 }
 
-// warmUp lets every instance read the first roll and hear every peer, twice: at
-// first no peer is ready.
+// warmUp makes every instance read the first roll and the report of every peer.
+// It does so twice, since no peer is ready the first time.
 func (m *model) warmUp(w *world) {
 	for range 2 {
 		for _, v := range w.lives {
@@ -107,7 +110,7 @@
 	}
 }
 
-// birth starts a life of an instance.
+// birth starts a new life of an instance.
 func (m *model) birth(w *world, i, number int) *life {
 	s := testSettings(ident.InstanceID(fmt.Sprintf("entry-%d", i)), m.zones[i])
 	s.PauseGap = time.Hour
@@ -151,12 +154,12 @@
 	return sources
 }
 
-// next lists what can happen in a world.
+// next lists the transitions from a world.
 func (m *model) next(w *world) []modelcheck.Step[*world] {
 	var steps []modelcheck.Step[*world]
 	if w.published == len(m.rolls) && !m.stuck && (m.only == "" || m.only == converges) {
 		if i, ok := m.converged(w); !ok {
-			steps = append(steps, modelcheck.Step[*world]{Name: "all is read", Broken: &brokenPromise{promise: converges, instance: i}})
+			steps = append(steps, modelcheck.Step[*world]{Name: "everything is published and read", Broken: &brokenPromise{promise: converges, instance: i}})
 		}
 	}
 	if w.published < len(m.rolls) {
@@ -171,7 +174,7 @@
 	return steps
 }
 
-// reads lists the reads that an instance can do.
+// reads lists the transitions in which an instance receives a document or report.
 func (m *model) reads(w *world, i int) []modelcheck.Step[*world] {
 	var steps []modelcheck.Step[*world]
 	if !m.isCut(i) {
@@ -187,31 +190,32 @@
 		}
 	}
 	if m.hasFencing(i) {
-		name := fmt.Sprintf("hears fencing number %d", w.fence)
+		name := fmt.Sprintf("receives fencing number %d", w.fence)
 		steps = append(steps, m.event(w, i, name, FloorReport{From: engine, Fence: w.fence}))
 	}
 	for _, r := range m.forged {
-		steps = append(steps, m.event(w, i, "is shown forged "+rollName(r), RollSeen{From: peer("thief"), Roll: r}))
+		steps = append(steps, m.event(w, i, "receives forged "+rollName(r), RollSeen{From: peer("thief"), Roll: r}))
 	}
 	return steps
 }
 
-// peerReads lists how instance i can hear from j: at once, or late and twice.
+// peerReads lists the transitions in which instance i receives the report of j:
+// immediately, or with delayed set late and more than once.
 func (m *model) peerReads(w *world, i, j int) []modelcheck.Step[*world] {
 	report := w.lives[j].ledger.Report()
 	if !m.delayed {
-		return []modelcheck.Step[*world]{m.event(w, i, fmt.Sprintf("hears from entry-%d", j), report)}
+		return []modelcheck.Step[*world]{m.event(w, i, fmt.Sprintf("receives the report of entry-%d", j), report)}
 	}
 	asked := w.clone(i)
 	asked.lives[i].heard[j] = &report
-	steps := []modelcheck.Step[*world]{{Name: fmt.Sprintf("entry-%d answers entry-%d", j, i), State: asked}}
+	steps := []modelcheck.Step[*world]{{Name: fmt.Sprintf("entry-%d sends its report to entry-%d", j, i), State: asked}}
 	if late := w.lives[i].heard[j]; late != nil {
-		steps = append(steps, m.event(w, i, fmt.Sprintf("gets the answer of entry-%d", j), *late))
+		steps = append(steps, m.event(w, i, fmt.Sprintf("receives the delayed report of entry-%d", j), *late))
 	}
 	return steps
 }
 
-// faults lists the restarts and timeouts of an instance.
+// faults lists the timeouts and replacements of an instance.
 func (m *model) faults(w *world, i int) []modelcheck.Step[*world] {
 	var steps []modelcheck.Step[*world]
 	v := w.lives[i]
@@ -219,7 +223,7 @@
 		c := w.clone(i)
 		c.lives[i].late = true
 		c.lives[i].now = v.now.Add(v.ledger.settings.StartTimeout)
-		steps = append(steps, m.stepped(w, c, i, "waits for its timeout", Tick{}))
+		steps = append(steps, m.stepped(w, c, i, "reaches its timeout", Tick{}))
 	}
 	if w.restarts > 0 {
 		steps = append(steps, modelcheck.Step[*world]{Name: fmt.Sprintf("entry-%d is replaced", i), State: m.replaced(w, i)})
@@ -227,7 +231,8 @@
 	return steps
 }
 
-// replaced starts a new life of instance i. Nobody is owed what it knew.
+// replaced starts a new life of instance i. The others are no longer required to
+// know what the previous life knew.
 func (m *model) replaced(w *world, i int) *world {
 	c := *w
 	c.restarts--
@@ -248,21 +253,22 @@
 	return m.stepped(w, w.clone(i), i, name, e)
 }
 
-// stepped gives an event to a life of w, which is a copy of old that may be
-// changed, and checks every promise.
+// stepped applies an event to instance i of w, a copy of old that it may modify,
+// and checks every promise.
 func (m *model) stepped(old, w *world, i int, name string, e Event) modelcheck.Step[*world] {
 	v, before := w.lives[i], old.lives[i].ledger
 	m.remember(v, e)
 	actions := v.ledger.Step(v.now, e)
 	broken := m.check(w, i, before, e, actions)
 	if ref, _, ok := v.ledger.InForce(); ok && v.ledger.Status() == StatusReady && m.hasFencing(i) {
-		// A ready instance gives its orders at once.
+		// A ready instance gives its orders immediately, which raises the
+		// upstream's fencing number.
 		w.fence = max(w.fence, ref.Version)
 	}
 	return modelcheck.Step[*world]{Name: fmt.Sprintf("entry-%d %s", i, name), State: w, Broken: broken}
 }
 
-// remember notes an abandoned version that the life is told of.
+// remember records an abandoned version that the life learns of.
 func (m *model) remember(v *life, e Event) {
 	r := rollOf(e)
 	if r == nil || r.Roll.Stage != bundle.StageAbandoned || m.checker.roll(r, v.ledger.approvers) != nil {
--- a/bundle/ledger/modelcheck_test.go
+++ b/bundle/ledger/modelcheck_test.go
@@ -11,10 +11,12 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// modelLimit bounds the states of one scenario. All scenarios stay below it.
+// modelLimit bounds the states of one scenario. Every scenario must be explored
+// completely below it.
 const modelLimit = 400_000
 
-// documents are what the scenarios publish and forge.
+// documents holds the documents that the scenarios publish, and the publisher
+// that built them.
 type documents struct {
 	publisher *publisher
 	// v1 is in force at the start of most scenarios.
@@ -32,7 +34,8 @@
 	return d
 }
 
-// forgeries are documents by someone with one approver's key and keys of his own.
+// forgeries returns rolls forged by an attacker who has the key of one approver
+// and keys of their own.
 func (d *documents) forgeries() []*bundle.SignedRoll {
 	p := d.publisher
 	own := p.build(nil, 666, thieves, "mal", "mat")
@@ -89,14 +92,14 @@
 	return a
 }
 
-// explore visits a scenario with one guard removed and checks one promise, or
-// all if only is empty.
+// explore checks a scenario with one guard disabled for one promise, or for all
+// if only is empty.
 func explore(s scenario, removed guard, only promise, parts bundle.PartSource) modelcheck.Result {
 	m := &model{scenario: s, removed: removed, only: only, checker: modelChecker(parts)}
 	return modelcheck.Explore(modelcheck.Model[*world]{Start: m.start(), Key: m.key, Next: m.next, Limit: modelLimit})
 }
 
-// With every guard in place, every promise holds in every state of every
+// With every guard enabled, every promise holds in every reachable state of every
 // scenario.
 func TestPromisesHold(t *testing.T) {
 	all, parts := scenarios(t)
@@ -113,7 +116,7 @@
 	}
 }
 
-// Each guard is needed: without it some promise breaks.
+// Each guard is necessary: with it disabled, some promise is violated.
 func TestEachGuardIsNeeded(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -143,7 +146,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := explore(byName[tc.scenario], tc.removed, tc.broken, parts)
-			assert.Assert(t, r.Violation != nil, "no promise broke in %d states", r.States)
+			assert.Assert(t, r.Violation != nil, "no promise was violated in %d states", r.States)
 			var broken *brokenPromise
 			assert.Assert(t, errors.As(r.Violation.Broken, &broken))
 			assert.Equal(t, broken.promise, tc.broken)
--- a/bundle/ledger/modelstate_test.go
+++ b/bundle/ledger/modelstate_test.go
@@ -8,7 +8,8 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// clone copies a world deeply but for one life, which is copied for change.
+// clone copies a world so that life i may be modified; the others are shared with
+// the original.
 func (w *world) clone(i int) *world {
 	c := *w
 	c.lives = slices.Clone(w.lives)
@@ -34,7 +35,8 @@
 	return &c
 }
 
-// key identifies a world by all that its behaviour and the checks depend on.
+// key identifies a world by everything that its behaviour and the checks depend
+// on.
 func (m *model) key(w *world) string {
 	b := fmt.Appendf(nil, "%d %d %d", w.published, w.restarts, w.fence)
 	for _, v := range w.lives {
@@ -59,14 +61,15 @@
 	}
 	for _, h := range v.heard {
 		b = append(b, '~')
-		// A ready instance refuses an old roll, whatever it is, unless it shows
-		// that something was signed twice.
+		// A ready instance rejects every older roll, and the roll's content
+		// matters only if it reveals two signed bundles of one version.
 		if h != nil && h.Roll != nil && (!ready || signedTwice || h.Roll.Roll.Sequence > l.roll.Roll.Sequence) {
 			b = appendReport(b, h)
 		}
 	}
 	if ready {
-		// What a life is owed and was answered matters until it is ready.
+		// The requirements on a life and the answers that it received matter only
+		// until it is ready.
 		return b
 	}
 	b = fmt.Appendf(b, "%d %v %v %d", v.number, v.owed, v.late, v.fenceOwed)
@@ -83,8 +86,8 @@
 	return append(b, byte(r.Roll.Roll.Sequence), r.Roll.Roll.Target.Digest[0])
 }
 
-// modelChecker puts a cache before the costly checks of documents. Parts are not
-// part of the model: every instance has those of every bundle.
+// modelChecker caches the costly document checks. Parts are not modelled: every
+// instance has those of every bundle.
 func modelChecker(parts bundle.PartSource) checker {
 	real := newChecker()
 	errs := map[string]error{}
--- a/bundle/ledger/parts.go
+++ b/bundle/ledger/parts.go
@@ -8,39 +8,41 @@
 )
 
 const (
-	// MaxFetchParts bounds the parts that one FetchParts asks for.
+	// MaxFetchParts bounds the parts requested by one FetchParts.
 	MaxFetchParts = 64
-	// maxBackoff is how often the interval between fetches doubles.
+	// maxBackoff is how many times the interval between fetches may double.
 	maxBackoff = 3
-	// maxHolders bounds the sources remembered for a fetch.
+	// maxHolders bounds the sources that are recorded as having the parts.
 	maxHolders = 8
 )
 
-// partState holds the parts and what is missing of the bundles wanted.
+// partState holds the available parts and tracks those that the wanted bundles
+// still lack.
 type partState struct {
 	have *bundle.PartSet
-	// holders are sources that may have the parts, the likeliest last, and whole
-	// the peers among them that said they have all.
+	// holders are sources that may have the parts, the most likely last; whole
+	// are the peers among them that announced that they have all parts.
 	holders []Source
 	whole   []Source
-	// stale says that missing must be found anew.
+	// stale is set if missing and lacking must be computed again.
 	stale bool
-	// missing lists the parts to fetch, and lacking the bundles they are of.
+	// missing lists the parts to fetch, and lacking the bundles that need them.
 	missing []bundle.Digest
 	lacking []bundle.Ref
-	// since is when parts of the roll's bundles began to be missing.
+	// since is when the wait for missing parts began or last made progress;
+	// PartsTimeout counts from it.
 	since time.Time
-	// fetchedAt is the time of the last fetch, and tries counts fetches without
-	// progress since.
+	// fetchedAt is the time of the last fetch, and tries the number of fetches
+	// since the last progress.
 	fetchedAt time.Time
 	tries     int
 }
 
-// lacks reports whether parts of a bundle are missing.
+// lacks reports whether any part of a bundle is missing.
 func (p *partState) lacks(ref bundle.Ref) bool { return slices.Contains(p.lacking, ref) }
 
-// addWhole remembers a peer that said it has all parts of the newest roll. It
-// reports whether that is news.
+// addWhole records a peer that announced that it has all parts of the newest
+// roll's target. It reports whether the peer was added.
 func (p *partState) addWhole(s Source) bool {
 	if slices.Contains(p.whole, s) || len(p.whole) == maxHolders {
 		return false
@@ -51,7 +53,8 @@
 	return true
 }
 
-// addHolder remembers a source that may have the parts. Upstreams have none.
+// addHolder records a source that may have the parts. Upstreams and the preload
+// cannot be asked for parts.
 func (p *partState) addHolder(s Source) {
 	if s.Kind == SourceUpstream || s.Kind == SourcePreload || slices.Contains(p.holders, s) {
 		return
@@ -62,7 +65,8 @@
 	p.holders = append(slices.Clip(p.holders), s)
 }
 
-// restart begins the fetch for a new roll, which a source gave.
+// restart resets the fetch state for a new roll, which came from the given
+// source.
 func (p *partState) restart(now time.Time, from Source) {
 	p.holders, p.whole = nil, nil
 	p.addHolder(from)
@@ -72,8 +76,8 @@
 	p.tries = 0
 }
 
-// wantedHeads lists the bundles whose parts the instance wants: first the one
-// assigned to it, then those that it may need next or that peers may ask it for.
+// wantedHeads lists the bundles whose parts the instance fetches: first the one
+// assigned to it, then those that it may need next or that peers may request.
 func (l *Ledger) wantedHeads() []*bundle.Head {
 	var heads []*bundle.Head
 	if l.roll != nil {
@@ -86,7 +90,7 @@
 		heads = append(heads, l.next)
 	}
 	if l.roll != nil && l.roll.Base != nil && l.floor.status == StatusStarting {
-		// The base may have to stand in for the target.
+		// The base may have to replace an incomplete target.
 		heads = append(heads, l.roll.Base)
 	}
 	return heads
@@ -97,8 +101,8 @@
 	return l.roll != nil && !l.parts.stale && !l.parts.lacks(l.roll.Roll.Target)
 }
 
-// findMissing brings the list of missing parts up to date, and tells peers when
-// the newest roll's target is whole.
+// findMissing updates the list of missing parts, and announces to peers when all
+// parts of the newest roll's target have become present.
 func (l *Ledger) findMissing() {
 	if !l.parts.stale {
 		return
@@ -117,7 +121,7 @@
 	}
 }
 
-// findMissingOf adds one bundle's missing parts to the list.
+// findMissingOf adds the missing parts of one bundle to the list.
 func (l *Ledger) findMissingOf(head *bundle.Head) {
 	missing, err := l.checker.missing(&head.Manifest, l.parts.have)
 	if err != nil {
@@ -135,8 +139,9 @@
 	}
 }
 
-// fetchSources lists whom to ask for parts: the platform last, since its reads
-// are few for all instances together.
+// fetchSources lists the sources to fetch parts from, the preferred one last. The
+// platform comes first unless it is a holder itself, so that it is tried last:
+// all instances together share its limited rate of reads.
 func (l *Ledger) fetchSources() []Source {
 	platform := Source{Kind: SourcePlatform}
 	if l.floor.find(platform) == nil || slices.Contains(l.parts.holders, platform) {
@@ -145,8 +150,8 @@
 	return append([]Source{platform}, l.parts.holders...)
 }
 
-// fetch asks for missing parts: at once after progress, and otherwise again
-// after ever longer intervals, from one holder after the other.
+// fetch requests missing parts: immediately after progress, and otherwise at
+// exponentially growing intervals, from the holders in turn.
 func (l *Ledger) fetch() {
 	p := &l.parts
 	holders := l.fetchSources()
@@ -158,15 +163,15 @@
 		return
 	}
 	n := min(len(p.missing), MaxFetchParts)
-	// The likeliest holder first.
+	// Start with the most likely holder.
 	from := holders[len(holders)-1-p.tries%len(holders)]
 	l.act(FetchParts{From: from, Digests: slices.Clone(p.missing[:n])})
 	p.fetchedAt = l.now
 	p.tries++
 }
 
-// apply implements Event. Parts that are not missing are dropped, so that nobody
-// can fill an instance's memory.
+// apply implements Event. Parts that are not missing are discarded, so that a
+// peer cannot exhaust the instance's memory.
 func (e PartsSeen) apply(l *Ledger) {
 	progress := false
 	for added := true; added; {
@@ -192,7 +197,8 @@
 	}
 }
 
-// prune drops parts that neither the bundle in force nor a wanted one needs.
+// prune removes the parts that are needed neither by the bundle in force nor by a
+// wanted bundle nor by the roll's base.
 func (l *Ledger) prune() {
 	heads := append(l.wantedHeads(), l.inForce)
 	if l.roll.Base != nil {
@@ -200,7 +206,8 @@
 	}
 	keep := map[bundle.Digest]bool{}
 	for _, head := range heads {
-		// A malformed part was reported by findMissing; what is known counts.
+		// findMissing has already reported malformed parts; keep the digests found
+		// before the error.
 		wanted, _ := l.checker.memo.Wanted(&head.Manifest, l.parts.have)
 		for _, d := range wanted {
 			keep[d] = true
--- a/bundle/ledger/promises_test.go
+++ b/bundle/ledger/promises_test.go
@@ -7,33 +7,34 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// promise names what the ledger promises. The model checks each after each step.
+// promise is an invariant of the ledger, described by its value. The model checks
+// each after every step.
 type promise string
 
 const (
-	neverReverts  promise = "a life's bundle in force only rises"
-	onlyRolled    promise = "only what a published, signed roll assigns to an instance comes into force on it"
-	noAbandoned   promise = "a version known to be abandoned does not come into force"
+	neverReverts  promise = "the version in force on an instance only increases until the instance is replaced"
+	onlyRolled    promise = "only bundles that a published, signed roll assigns to an instance are put into force on it"
+	noAbandoned   promise = "a version known to be abandoned is not put into force"
 	chained       promise = "a version directly above the one in force names its digest"
 	noSplit       promise = "two digests of one version are in force only if an approver signed both"
-	splitAlarm    promise = "an instance that is shown two signed digests of one version raises an alarm"
-	peersFloor    promise = "a new instance is not ready below what a ready peer knew when it started"
-	fencesFloor   promise = "a new instance is not ready if an upstream has seen a version above all it knows"
-	converges     promise = "once all is published and read, every instance is ready with what the last roll assigns to it"
-	notReadyAlone promise = "a new instance that hears neither the platform nor a ready peer is not ready"
+	splitAlarm    promise = "an instance that receives two signed digests of one version raises an alarm"
+	peersFloor    promise = "a new instance is not ready with a roll older than a ready peer had when it started"
+	fencesFloor   promise = "a new instance is not ready if an upstream has reported a fencing number above every version it knows"
+	converges     promise = "once everything is published and read, every instance is ready with the bundle that the last roll assigns to it"
+	notReadyAlone promise = "a new instance without an answer from the platform or a ready peer is not ready"
 )
 
-// brokenPromise is a promise that a step broke.
+// brokenPromise is the violation of a promise by a step.
 type brokenPromise struct {
 	promise  promise
 	instance int
 }
 
 func (e *brokenPromise) Error() string {
-	return fmt.Sprintf("broken on entry-%d: %s", e.instance, e.promise)
+	return fmt.Sprintf("violated on entry-%d: %s", e.instance, e.promise)
 }
 
-// check checks every promise after instance i took in an event.
+// check checks every promise after instance i has processed an event.
 func (m *model) check(w *world, i int, before *Ledger, e Event, actions []Action) error {
 	v := w.lives[i]
 	checks := []struct {
@@ -68,8 +69,8 @@
 	return before == after || after.Version > before.Version
 }
 
-// rolledHere reports whether what is in force on instance i was assigned to it
-// by a roll that was published.
+// rolledHere reports whether the bundle in force on instance i was assigned to it
+// by a published roll.
 func (m *model) rolledHere(w *world, i int) bool {
 	l := w.lives[i].ledger
 	if l.inForce == nil {
@@ -97,8 +98,8 @@
 	return false
 }
 
-// shownSplit returns a signed bundle of the event that clashes with one that the
-// ledger knew, nil if there is none.
+// shownSplit returns a signed bundle of the event that conflicts with one that
+// the ledger knew, nil if there is none.
 func (m *model) shownSplit(before *Ledger, e Event) *bundle.Ref {
 	r := rollOf(e)
 	if r == nil || m.checker.roll(r, before.approvers) != nil {
@@ -112,7 +113,8 @@
 	return nil
 }
 
-// raisedSplit reports whether an alarm for a split version stands.
+// raisedSplit reports whether AlarmSplitVersion was active or has just been
+// raised.
 func raisedSplit(before *Ledger, actions []Action) bool {
 	alarms := before.Alarms()
 	for _, a := range actions {
@@ -127,8 +129,9 @@
 	return before.Status() == StatusStarting && v.ledger.Status() == StatusReady
 }
 
-// paidPeers reports whether a life that became ready knows what each peer within
-// reach knew when the life began, and serves what that assigns to it.
+// paidPeers reports whether a life that became ready has a roll at least as new as
+// each reachable peer had when the life began, and serves a version at least as
+// high as that roll assigns to it.
 func (m *model) paidPeers(i int, v *life) bool {
 	l := v.ledger
 	for j, sequence := range v.owed {
@@ -149,9 +152,10 @@
 	return slices.ContainsFunc(v.ledger.floor.answers, func(a answer) bool { return a.answered && a.vouches })
 }
 
-// converged reports whether every instance, once it has read all that is
-// published and heard all that peers know, is ready with what the last roll
-// assigns to it. Instances that are cut off may wait.
+// converged reports whether every instance is ready with the bundle that the last
+// roll assigns to it once it has read everything published and the reports of all
+// peers. It otherwise returns an instance that is not. Partitioned instances are
+// exempt.
 func (m *model) converged(w *world) (int, bool) {
 	last := m.rolls[len(m.rolls)-1]
 	c := *w
@@ -174,7 +178,7 @@
 	return 0, true
 }
 
-// readAll lets a life read all that it can reach.
+// readAll makes a life read from every source that it can reach.
 func (m *model) readAll(w *world, i int, v *life) {
 	if m.hasFencing(i) {
 		v.ledger.Step(v.now, FloorReport{From: engine, Fence: w.fence})
--- a/bundle/ledger/session_test.go
+++ b/bundle/ledger/session_test.go
@@ -12,14 +12,14 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// session runs one ledger and writes down every event and action.
+// session runs one ledger and records every event and action as text.
 type session struct {
 	t      testing.TB
 	p      *publisher
 	ledger *Ledger
 	now    time.Time
 	text   strings.Builder
-	// fetched are the digests that the last FetchParts asked for.
+	// fetched holds the digests of the last FetchParts.
 	fetched []bundle.Digest
 }
 
@@ -32,7 +32,7 @@
 	return s
 }
 
-// step gives an event to the ledger and writes down what it does.
+// step applies an event to the ledger and records the resulting actions.
 func (s *session) step(what string, e Event) []Action {
 	fmt.Fprintf(&s.text, "%6s  %s\n", s.now.Sub(epoch), what)
 	actions := s.ledger.Step(s.now, e)
@@ -45,14 +45,14 @@
 	return actions
 }
 
-// parts gives all that is fetched, level after level.
+// parts supplies the parts that the ledger fetches until none is missing.
 func (s *session) parts(from Source) {
 	for s.ledger.Missing() > 0 {
 		s.step(fmt.Sprintf("%d parts from the %s", len(s.fetched), from), PartsSeen{From: from, Parts: s.p.give(s.fetched)})
 	}
 }
 
-// wait lets time pass in steps that no pause is seen in.
+// wait advances the time in steps too short to be taken for a pause.
 func (s *session) wait(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(time.Second)
@@ -93,8 +93,8 @@
 	return fmt.Sprintf("%#v", a)
 }
 
-// sessions are whole rolls and failures as one instance in hall-a lives them.
-// testdata holds what it does.
+// Compares the recorded events and actions of one instance in hall-a during
+// complete rolls and failures with the golden files in testdata.
 func TestSessions(t *testing.T) {
 	sessions := []struct {
 		name string
@@ -167,8 +167,8 @@
 	return s
 }
 
-// relayed takes a bundle from peers while the platform is out of reach. The peer
-// that first tells of the roll lacks the parts itself.
+// relayed fetches a bundle from peers while the platform is unreachable. The peer
+// that first sends the roll lacks the parts itself.
 func relayed(t *testing.T, d *documents) *session {
 	r := d.publisher.all(2, d.v2, d.v1, "ada", "ben")
 	s := ready(t, d)
@@ -241,15 +241,15 @@
 	s.step("an answer from before the pause", FloorReport{From: platform, Roll: d.first})
 	s.step("the platform has roll 2", FloorReport{From: platform, Round: 1, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
 	s.parts(platform)
-	assert.Equal(t, s.inForce(), uint64(1), "nothing changes before the answers are in")
+	assert.Equal(t, s.inForce(), uint64(1), "version changed before all sources had answered")
 	s.step("entry-2 has roll 1", FloorReport{From: peer("entry-2"), Round: 1, Ready: true, Roll: d.first})
 	assert.Equal(t, s.inForce(), uint64(2))
 	assert.Equal(t, s.ledger.Status(), StatusReady)
 	return s
 }
 
-// farBehind takes an instance from version 1 to version 9, over a rotation, with
-// none of the documents between.
+// farBehind takes an instance from version 1 to version 9, across a rotation of
+// the approvers, without any of the intermediate documents.
 func farBehind(t *testing.T, d *documents) *session {
 	p := d.publisher
 	s := ready(t, d)
@@ -269,7 +269,8 @@
 	return s
 }
 
-// standIn starts an instance under a canary that was published by halves.
+// standIn starts an instance while a canary that covers it is published only in
+// part, so that the roll's base is put into force until the parts arrive.
 func standIn(t *testing.T, d *documents) *session {
 	p := d.publisher
 	canary := p.canary(2, d.v2, d.v1, "hall-a", "ada", "ben")
--- a/bundle/ledger/settings.go
+++ b/bundle/ledger/settings.go
@@ -8,18 +8,18 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// IsolatedPolicy says what a starting instance does when neither the platform
-// nor a ready peer answers.
+// IsolatedPolicy determines what a starting instance does when neither the
+// platform nor a ready peer answers.
 type IsolatedPolicy string
 
 // The policies.
 const (
-	// IsolatedWait keeps the instance from serving until one of them answers.
-	// It is the default: nothing below the floor is ever served.
+	// IsolatedWait prevents the instance from serving until one of them answers.
+	// It is the default, since it never serves a version below the floor.
 	IsolatedWait IsolatedPolicy = "wait"
-	// IsolatedServePreload lets the instance serve the preloaded bundle after
-	// StartTimeout, unless an upstream's fencing number shows a newer one. The
-	// preloaded bundle may be below the floor.
+	// IsolatedServePreload allows the instance to serve the preloaded bundle
+	// after StartTimeout, unless an upstream's fencing number shows that a newer
+	// one exists. The preloaded bundle may be below the floor.
 	IsolatedServePreload IsolatedPolicy = "serve-preload"
 )
 
@@ -31,27 +31,27 @@
 	DefaultPauseGap      = 3 * time.Second
 )
 
-// Settings are one instance's.
+// Settings configure the ledger of one instance.
 type Settings struct {
 	Instance ident.InstanceID
 	Zone     ident.Zone
-	// Approvers is the set that the instance trusts from the start.
+	// Approvers is the set that the instance trusts initially.
 	Approvers bundle.Approvers
-	// Isolated is IsolatedWait if empty.
+	// Isolated defaults to IsolatedWait.
 	Isolated IsolatedPolicy
 	// StartTimeout is how long a starting instance waits for all its sources
-	// before it makes do with those that answered.
+	// before it proceeds with those that have answered.
 	StartTimeout time.Duration
-	// RetryInterval is the time between repeats of a question or fetch.
+	// RetryInterval is the time between retries of a floor query or a fetch.
 	RetryInterval time.Duration
-	// PartsTimeout is how long parts may be missing before an alarm.
+	// PartsTimeout is how long parts may be missing before an alarm is raised.
 	PartsTimeout time.Duration
-	// PauseGap is the time between two steps after which the process must have
-	// been paused. The caller must step the ledger more often than that.
+	// PauseGap is the interval between two steps from which on the process is
+	// taken to have been paused. The caller must call Step more often than that.
 	PauseGap time.Duration
 }
 
-// withDefaults fills in what is not set.
+// withDefaults returns the settings with defaults for unset fields.
 func (s Settings) withDefaults() Settings {
 	s.Isolated = cmp.Or(s.Isolated, IsolatedWait)
 	s.StartTimeout = cmp.Or(s.StartTimeout, DefaultStartTimeout)
--- a/bundle/ledger/status.go
+++ b/bundle/ledger/status.go
@@ -5,17 +5,18 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Summary is what instances tell each other often: enough to see who knows more.
+// Summary is the state that instances announce to each other frequently. It lets
+// a receiver see which documents the other instance has that it lacks.
 type Summary struct {
-	// RollSequence and RollDigest name the newest roll, zero if there is none.
+	// RollSequence and RollDigest identify the newest roll, zero if there is none.
 	RollSequence uint64        `json:"roll_sequence"`
 	RollDigest   bundle.Digest `json:"roll_digest"`
-	// Newest is the highest signed bundle known, rolled or not.
+	// Newest is the highest signed bundle known, whether or not a roll covers it.
 	Newest bundle.Ref `json:"newest"`
 	// InForce is the bundle in force, zero if there is none.
 	InForce bundle.Ref `json:"in_force"`
 	Status  Status     `json:"status"`
-	// Whole says that the instance has every part of the newest roll's target.
+	// Whole is set if the instance has every part of the newest roll's target.
 	Whole bool `json:"whole"`
 }
 
@@ -33,7 +34,7 @@
 	return s
 }
 
-// Report returns the instance's answer to a peer that asks for the floor.
+// Report returns the instance's answer to a peer's AskFloor.
 func (l *Ledger) Report() FloorReport {
 	return FloorReport{
 		From:  Source{Kind: SourcePeer, Name: string(l.settings.Instance)},
@@ -50,12 +51,11 @@
 	return l.inForceRef, l.content, l.inForce != nil
 }
 
-// Roll returns the newest roll, nil if there is none. It is for peers that fetch
-// it.
+// Roll returns the newest roll, nil if there is none. It serves peers' fetches.
 func (l *Ledger) Roll() *bundle.SignedRoll { return l.roll }
 
 // Newest returns the head of the highest signed bundle, nil if there is none. It
-// is for peers that fetch it.
+// serves peers' fetches.
 func (l *Ledger) Newest() *bundle.Head {
 	if l.next != nil {
 		return l.next
@@ -66,8 +66,9 @@
 	return nil
 }
 
-// Part returns a part for a peer that fetches it. The caller must not change it.
+// Part returns the part with the given digest. It serves peers' fetches. The
+// caller must not modify the bytes.
 func (l *Ledger) Part(d bundle.Digest) ([]byte, bool) { return l.parts.have.Part(d) }
 
-// Missing returns how many parts are known to be missing.
+// Missing returns the number of parts known to be missing.
 func (l *Ledger) Missing() int { return len(l.parts.missing) }
--- a/bundle/modelcheck/modelcheck.go
+++ b/bundle/modelcheck/modelcheck.go
@@ -1,5 +1,5 @@
-// Package modelcheck explores every state that a small model can reach and
-// checks a promise in each. It is for tests.
+// Package modelcheck is an explicit-state model checker for tests: it explores
+// every reachable state of a small model and checks invariants on each step.
 package modelcheck
 
 import (
@@ -7,43 +7,44 @@
 	"strings"
 )
 
-// Step is one thing that can happen next, and the state it leads to.
+// Step is a transition of the model to a successor state.
 type Step[S any] struct {
-	// Name says what happens, for the trace of a violation.
+	// Name describes the transition in the trace of a violation.
 	Name  string
 	State S
-	// Broken is the promise that the step breaks, nil if none.
+	// Broken is the invariant violation that the step causes, nil if none.
 	Broken error
 }
 
-// Model is a system small enough to visit all its states.
+// Model is a transition system whose states can all be visited.
 type Model[S any] struct {
 	Start S
-	// Key identifies a state. States with one key must behave alike.
+	// Key identifies a state. States with equal keys must behave identically.
 	Key func(S) string
-	// Next lists what can happen in a state. It must not change the state.
+	// Next lists the transitions from a state. It must not modify the state.
 	Next func(S) []Step[S]
-	// Limit bounds the states visited.
+	// Limit bounds the number of states visited.
 	Limit int
 }
 
-// Result is what Explore found.
+// Result is the outcome of Explore.
 type Result struct {
-	// States and Steps count the distinct states visited and the steps taken.
+	// States is the number of distinct states visited, and Steps the number of
+	// transitions taken.
 	States, Steps int
-	// Depth is the number of steps to the farthest state.
+	// Depth is the number of steps from the start to the most distant state.
 	Depth int
-	// Complete is false if Limit was reached first.
+	// Complete is false if Limit was reached before all states were visited.
 	Complete bool
-	// Violation is the first broken promise found, nil if there is none. Its
-	// trace is among the shortest.
+	// Violation is the first violation found, nil if there is none. No other
+	// violation has a shorter trace.
 	Violation *Violation
 }
 
-// Violation is a broken promise and how it came about.
+// Violation is a violated invariant and the trace that leads to it.
 type Violation struct {
 	Broken error
-	// Trace names the steps from the start.
+	// Trace lists the names of the steps from the start state.
 	Trace []string
 }
 
@@ -52,7 +53,7 @@
 	return fmt.Sprintf("%v after:\n  %s", v.Broken, strings.Join(v.Trace, "\n  "))
 }
 
-// visited is a state on the search's queue, with the way to it.
+// visited is a state in the search queue, with a link to its predecessor.
 type visited[S any] struct {
 	state  S
 	name   string
@@ -60,8 +61,8 @@
 	depth  int
 }
 
-// Explore visits the model's states breadth first until a promise is broken, no
-// state is left, or Limit is reached.
+// Explore visits the model's states in breadth-first order until a step violates
+// an invariant, no state is left, or Limit is reached.
 func Explore[S any](m Model[S]) Result {
 	queue := []visited[S]{{state: m.Start, parent: -1}}
 	seen := map[string]bool{m.Key(m.Start): true}
@@ -86,7 +87,8 @@
 			queue = append(queue, visited[S]{state: step.State, name: step.Name, parent: i, depth: queue[i].depth + 1})
 			r.Depth = queue[i].depth + 1
 		}
-		// A state that was expanded is needed for its trace only.
+		// After its expansion, only the trace of a state is needed; release its
+		// memory.
 		var none S
 		queue[i].state = none
 	}
@@ -94,7 +96,7 @@
 	return r
 }
 
-// trace names the steps from the start to a visited state.
+// trace lists the names of the steps from the start to a visited state.
 func trace[S any](queue []visited[S], i int) []string {
 	var names []string
 	for ; queue[i].parent >= 0; i = queue[i].parent {
--- a/bundle/modelcheck/modelcheck_test.go
+++ b/bundle/modelcheck/modelcheck_test.go
@@ -10,7 +10,7 @@
 
 var errTooHigh = errors.New("above 7")
 
-// counter is a model that adds 1 or 3 up to a top.
+// counter is a model whose steps add 1 or 3 to a number, up to top.
 func counter(top int, broken func(int) error) Model[int] {
 	return Model[int]{
 		Key: strconv.Itoa, Limit: 1000,
--- a/configservice/adapter.go
+++ b/configservice/adapter.go
@@ -6,11 +6,11 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// Namespace is the plug-ins' that read a platform.
+// Namespace is the namespace of the plug-ins that read a platform.
 const Namespace = "platform"
 
-// Adapter is a plug-in that reads a platform. It is given its options before it
-// is provisioned, and read once it is.
+// Adapter is a plug-in that reads a platform's configuration service. Use is
+// called before it is provisioned, the methods of Reader only afterwards.
 type Adapter interface {
 	plugin.Plugin
 	Reader
@@ -18,15 +18,15 @@
 	Use(o Options)
 }
 
-// NotAdapterError reports a plug-in that reads no platform.
+// NotAdapterError reports a plug-in that does not implement Adapter.
 type NotAdapterError struct{ ID plugin.ID }
 
 // Error implements error.
 func (e *NotAdapterError) Error() string {
-	return fmt.Sprintf("plug-in %s is no adapter for a platform", e.ID)
+	return fmt.Sprintf("plug-in %s is not a platform adapter", e.ID)
 }
 
-// Open makes the adapter with the given ID; close it with plugin.Unload. Errors
+// Open loads the adapter with the given ID; close it with plugin.Unload. Errors
 // are *plugin.UnknownError, *plugin.LifecycleError and *NotAdapterError.
 func Open(id plugin.ID, o Options) (Adapter, error) {
 	p, err := plugin.Load(id, func(into any) error {
--- a/configservice/client.go
+++ b/configservice/client.go
@@ -15,7 +15,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// MaxValue is the largest value of the configuration service, in bytes.
+// MaxValue is the maximum size of a value in the configuration service, in bytes.
 const MaxValue = 1 << 20
 
 // Headers of the platform's protocol.
@@ -30,7 +30,7 @@
 
 // Value is the value of a key.
 type Value struct {
-	// Index is that of the key's last change. It rises with each write.
+	// Index is the index of the key's last change. It increases with each write.
 	Index uint64
 	Bytes []byte
 }
@@ -41,10 +41,10 @@
 	// *RateLimitedError, *TooLargeError, *ProtocolError and *StaleError.
 	Get(ctx context.Context, key string) (Value, error)
 	// Watch delivers the values of a key whose index is above since, until ctx
-	// ends; then it closes the channel.
+	// is done; then it closes the channel.
 	Watch(ctx context.Context, key string, since uint64) <-chan Event
-	// Forget makes indexes of a key that are lower than one seen acceptable
-	// again: the platform may have been set up anew.
+	// Forget discards the highest index seen of a key, so that lower ones are
+	// accepted again: the platform may have been reinstalled.
 	Forget(key string)
 	// Stats returns the counts so far.
 	Stats() Stats
@@ -60,12 +60,12 @@
 
 // Options configure a Client. Zero fields take their defaults.
 type Options struct {
-	// URLs are the addresses of the service, tried in turn: the next one when
-	// one is unavailable.
+	// URLs are the addresses of the service. When one is unavailable, later
+	// requests go to the next.
 	URLs []string
-	// Reader names this instance to the service.
+	// Reader identifies this instance to the service.
 	Reader ident.InstanceID
-	// Timeout bounds one read, on top of the wait of a watch.
+	// Timeout bounds one read; a poll of a watch is bounded by Timeout plus Wait.
 	Timeout time.Duration
 	// Wait is how long one poll of a watch waits for a newer value.
 	Wait time.Duration
@@ -88,7 +88,7 @@
 	seen map[string]sighting
 }
 
-// sighting is the highest index seen of a key.
+// sighting is the highest index seen of a key, and when it was first seen.
 type sighting struct {
 	index uint64
 	at    time.Time
@@ -135,7 +135,7 @@
 	return urls, nil
 }
 
-// newTransport returns a transport for a few long connections.
+// newTransport returns a transport for a small number of long-lived connections.
 func newTransport(timeout time.Duration) *http.Transport {
 	const idleConnections = 4
 	return &http.Transport{
@@ -143,12 +143,12 @@
 		TLSHandshakeTimeout: timeout,
 		MaxIdleConnsPerHost: idleConnections,
 		IdleConnTimeout:     time.Minute,
-		// A value counts by its size on the wire.
+		// MaxValue and Stats.Bytes apply to the size on the wire.
 		DisableCompression: true,
 	}
 }
 
-// noRedirect keeps the client at the addresses of its settings.
+// noRedirect restricts the client to its configured addresses.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Close closes idle connections.
@@ -175,20 +175,20 @@
 // Stats implements Reader.
 func (c *Client) Stats() Stats { return c.counts.read() }
 
-// poll is the query of one poll of a watch.
+// poll holds the query parameters of one poll of a watch.
 type poll struct {
 	index uint64
 	wait  time.Duration
 }
 
-// reading is the answer to a read.
+// reading is the result of a read.
 type reading struct {
 	value Value
-	// unchanged is true if there is no newer value.
+	// unchanged is set if there is no newer value.
 	unchanged bool
 }
 
-// read makes one request and counts it.
+// read sends one request and counts it and its outcome.
 func (c *Client) read(ctx context.Context, key string, p *poll) (reading, error) {
 	c.counts.calls.Add(1)
 	at := c.current.Load()
@@ -200,7 +200,7 @@
 	return c.counted(r, err)
 }
 
-// try makes one request to the address of the given number.
+// try sends one request to the address with the given number.
 func (c *Client) try(ctx context.Context, at uint32, key string, p *poll) (reading, error) {
 	req, err := c.request(ctx, at, key, p)
 	if err != nil {
@@ -210,7 +210,7 @@
 	if err != nil {
 		return reading{}, &UnavailableError{Key: key, Err: err}
 	}
-	// The body was read to its end or is given up.
+	// The body has been read to its end, or the connection is abandoned.
 	defer resp.Body.Close()
 	return c.answer(key, resp)
 }
@@ -232,7 +232,7 @@
 	return req, nil
 }
 
-// counted counts the outcome of a call, which it returns.
+// counted counts the outcome of a call and returns it unchanged.
 func (c *Client) counted(r reading, err error) (reading, error) {
 	switch {
 	case err != nil:
@@ -246,10 +246,11 @@
 	return r, nil
 }
 
-// next moves on from an address that is unavailable, unless another read did.
+// next switches from an unavailable address to the next one, unless a concurrent
+// read has already done so.
 func (c *Client) next(at uint32) { c.current.CompareAndSwap(at, at+1) }
 
-// answer reads a response.
+// answer converts a response to a reading or an error.
 func (c *Client) answer(key string, resp *http.Response) (reading, error) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
@@ -267,7 +268,7 @@
 	}
 }
 
-// value reads the body of a 200.
+// value reads the body of a 200 response.
 func (c *Client) value(key string, resp *http.Response) (reading, error) {
 	index, ok := readIndex(resp.Header)
 	if !ok {
@@ -288,13 +289,14 @@
 	return reading{value: v}, nil
 }
 
-// readIndex reads the index header.
+// readIndex parses the index header.
 func readIndex(h http.Header) (uint64, bool) {
 	index, err := strconv.ParseUint(h.Get(headerIndex), 10, 64)
 	return index, err == nil
 }
 
-// retryAfter reads when to come back, between 1 s and 1 minute.
+// retryAfter parses the Retry-After header. The result is between 1 s and
+// 1 minute.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get(headerRetryAfter))
 	if err != nil || seconds < 1 {
--- a/configservice/client_test.go
+++ b/configservice/client_test.go
@@ -19,18 +19,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// transport is a service made of one function.
+// transport is a fake service implemented by a function.
 type transport func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
 func (f transport) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// refusal is the network's error of the tests.
+// refusal is the network error that fakes return.
 type refusal struct{}
 
 func (refusal) Error() string { return "connection refused" }
 
-// answer builds a response; index 0 leaves the header out.
+// answer builds a response, without an index header if index is 0.
 func answer(status int, index uint64, body string) *http.Response {
 	h := http.Header{}
 	if index > 0 {
@@ -39,7 +39,7 @@
 	return &http.Response{StatusCode: status, Status: strconv.Itoa(status), Header: h, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// newTestClient returns a client of the given service.
+// newTestClient returns a client of the given fake service with two addresses.
 func newTestClient(t *testing.T, f transport) *Client {
 	t.Helper()
 	c, err := NewClient(Options{URLs: []string{"http://a.test", "http://b.test"}, Reader: "entry-a1", Transport: f})
@@ -168,5 +168,5 @@
 		other := Elect(key, "hall-a", live, 2)
 		differs = differs || other[0] != chosen[0] || other[1] != chosen[1]
 	}
-	assert.Assert(t, differs, "all keys have the same readers")
+	assert.Assert(t, differs, "the same instances are elected for every key")
 }
--- a/configservice/documents.go
+++ b/configservice/documents.go
@@ -1,5 +1,5 @@
-// Package configservice is the system's interface to the platform's configuration
-// service, which can only be read and watched, and the documents found there.
+// Package configservice is a client of the platform's configuration service, which
+// can only be read and watched. It also defines the keys and documents found there.
 package configservice
 
 import (
@@ -22,7 +22,7 @@
 	KeyUpstreams = "upstreams"
 )
 
-// State says whether the platform keeps a process running.
+// State is the platform's intent for a process.
 type State string
 
 // The states.
@@ -33,44 +33,45 @@
 	StateLeaving State = "leaving"
 )
 
-// Instances is the platform's list of entry instances, under KeyInstances. It
-// lags behind the truth.
+// Instances is the platform's list of entry instances, under KeyInstances. It may
+// lag behind the actual state.
 type Instances struct {
 	Instances []Instance `json:"instances"`
 }
 
-// Instance is one entry instance as the platform lists it.
+// Instance is one entry instance in the platform's list.
 type Instance struct {
 	ID     ident.InstanceID `json:"id"`
 	Zone   ident.Zone       `json:"zone"`
 	Region ident.Region     `json:"region"`
-	// PeerAddress is where other instances reach it, as IP:port.
+	// PeerAddress is the address for other instances, as IP:port.
 	PeerAddress string `json:"peer_address"`
-	// AgentAddress is where other instances reach its agent, as IP:port.
+	// AgentAddress is the address of its agent for other instances, as IP:port.
 	AgentAddress string `json:"agent_address,omitempty"`
-	// CallerAddress is where callers reach it, as IP:port.
+	// CallerAddress is the address for callers, as IP:port.
 	CallerAddress string `json:"caller_address"`
 	State         State  `json:"state"`
 }
 
-// Upstreams is the platform's list of upstreams, under KeyUpstreams. It lags
-// behind the truth.
+// Upstreams is the platform's list of upstreams, under KeyUpstreams. It may lag
+// behind the actual state.
 type Upstreams struct {
 	Upstreams []Upstream `json:"upstreams"`
 }
 
-// Upstream is one back end as the platform lists it.
+// Upstream is one back end in the platform's list.
 type Upstream struct {
 	ID   ident.UpstreamID `json:"id"`
 	Zone ident.Zone       `json:"zone"`
-	// Address is where the upstream serves HTTP, as IP:port.
+	// Address is the upstream's HTTP address, as IP:port.
 	Address string      `json:"address"`
 	Role    config.Role `json:"role"`
 	// Models lists the models of an engine.
 	Models []string `json:"models,omitempty"`
-	// Service names the plain service, for config.RoleService.
+	// Service is the name of the plain service, for config.RoleService.
 	Service string `json:"service,omitempty"`
 	State   State  `json:"state"`
-	// Incarnation numbers the upstream's life, 0 if the platform doesn't know.
+	// Incarnation distinguishes successive runs of the upstream, 0 if the
+	// platform does not know.
 	Incarnation ident.Incarnation `json:"incarnation,omitempty"`
 }
--- a/configservice/elect.go
+++ b/configservice/elect.go
@@ -7,15 +7,16 @@
 	"github.com/wardspool/wardspool/rendezvous"
 )
 
-// Elect chooses the k instances of a zone that read a key from the platform;
-// the others get it from them. live lists the zone's live instances. Instances
-// with the same list choose alike; while lists differ a few more or fewer read,
-// which costs calls or time but never correctness.
+// Elect selects the k instances of a zone that read a key from the platform; the
+// other instances get the key from those. live lists the zone's live instances.
+// Instances with equal lists select the same readers. While their lists differ,
+// somewhat more or fewer instances read, which costs calls or delay but does not
+// affect correctness.
 func Elect(key string, zone ident.Zone, live []ident.InstanceID, k int) []ident.InstanceID {
 	return rendezvous.Top(key+"\x00"+string(zone), live, k)
 }
 
-// Reads reports whether self is one of the instances that Elect chooses.
+// Reads reports whether self is one of the instances that Elect selects.
 func Reads(self ident.InstanceID, key string, zone ident.Zone, live []ident.InstanceID, k int) bool {
 	return slices.Contains(Elect(key, zone, live, k), self)
 }
--- a/configservice/stale.go
+++ b/configservice/stale.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// checkFresh notes the index of a value, or reports that a newer one was seen.
+// checkFresh records the index of a value. It returns a *StaleError if a higher
+// index was seen before.
 func (c *Client) checkFresh(key string, v Value) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -19,7 +20,8 @@
 	return nil
 }
 
-// checkUnchanged reports a 304 whose index is lower than one seen.
+// checkUnchanged returns a *StaleError for a 304 response whose index is lower
+// than one seen before.
 func (c *Client) checkUnchanged(key string, resp *http.Response) error {
 	index, ok := readIndex(resp.Header)
 	if !ok {
@@ -33,12 +35,13 @@
 	return nil
 }
 
-// staleError describes a value older than the one sighted.
+// staleError returns the error for a value older than the newest one seen.
 func staleError(key string, s sighting, v Value) error {
 	return &StaleError{Key: key, Seen: s.index, Got: v, Age: time.Since(s.at)}
 }
 
-// noteIndex raises the highest index seen, as known from elsewhere.
+// noteIndex raises the highest index seen to one that the caller of Watch already
+// has.
 func (c *Client) noteIndex(key string, index uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/configservice/stats.go
+++ b/configservice/stats.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Stats counts a Reader's calls by what came of them. Each call, a poll of a
-// watch as well, counts against the platform's rate.
+// Stats counts a Reader's calls by outcome. Each call, including each poll of a
+// watch, counts against the platform's rate limit.
 type Stats struct {
 	Calls       uint64
 	Values      uint64
@@ -12,9 +12,9 @@
 	RateLimited uint64
 	Unavailable uint64
 	Stale       uint64
-	// Faulty counts answers that were too large or not of the protocol.
+	// Faulty counts responses that were too large or violated the protocol.
 	Faulty uint64
-	// Bytes is the size of all bodies read.
+	// Bytes is the total size of the response bodies read.
 	Bytes uint64
 }
 
@@ -23,7 +23,7 @@
 	calls, values, unchanged, notFound, rateLimited, unavailable, stale, faulty, bytes atomic.Uint64
 }
 
-// read returns the counts so far.
+// read returns the current values of the counters.
 func (c *counts) read() Stats {
 	return Stats{
 		Calls:       c.calls.Load(),
--- a/configservice/watch.go
+++ b/configservice/watch.go
@@ -10,24 +10,27 @@
 	"github.com/wardspool/wardspool/internal/pause"
 )
 
-// Bounds of the jittered pause of a watch after a failure.
+// Bounds of the jittered backoff of a watch after a failed poll.
 const (
 	watchPauseMin = 200 * time.Millisecond
 	watchPauseMax = 15 * time.Second
 )
 
-// minPoll is the least time between two polls of one watch: it bounds the calls
-// if the service answers at once although it was asked to wait.
+// minPoll is the minimum interval between two polls of one watch. It bounds the
+// rate of calls if the service responds immediately although it was asked to
+// wait.
 const minPoll = 100 * time.Millisecond
 
-// Event is what a watch delivers: a newer value or an error.
+// Event is delivered by a watch: a newer value or an error.
 type Event struct {
 	Value Value
-	// Err is one of Get's errors; then Value is zero and the watch goes on.
+	// Err is one of the errors of Get; then Value is zero and the watch
+	// continues.
 	Err error
 }
 
-// Watch implements Reader. Failed polls are repeated after a jittered pause.
+// Watch implements Reader. Failed polls are repeated with jittered exponential
+// backoff.
 func (c *Client) Watch(ctx context.Context, key string, since uint64) <-chan Event {
 	c.noteIndex(key, since)
 	w := &watch{client: c, key: key, index: since, events: make(chan Event), pause: newPause()}
@@ -35,7 +38,7 @@
 	return w.events
 }
 
-// newPause returns the pauses between failing polls.
+// newPause returns the backoff between failing polls.
 func newPause() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = watchPauseMin
@@ -44,7 +47,7 @@
 	return b
 }
 
-// watch is a watch in progress.
+// watch is the state of one call of Watch.
 type watch struct {
 	client *Client
 	key    string
@@ -53,7 +56,7 @@
 	pause  *backoff.ExponentialBackOff
 }
 
-// run polls until ctx ends.
+// run polls until ctx is done.
 func (w *watch) run(ctx context.Context) {
 	defer close(w.events)
 	for ctx.Err() == nil {
@@ -72,14 +75,15 @@
 	}
 }
 
-// poll asks once for a newer value.
+// poll sends one long poll for a newer value.
 func (w *watch) poll(ctx context.Context) (reading, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.client.wait+w.client.timeout)
 	defer cancel()
 	return w.client.read(ctx, w.key, &poll{index: w.index, wait: w.client.wait})
 }
 
-// deliver passes on what a poll gave. It returns false if ctx ended.
+// deliver sends the result of a poll as an event, unless nothing changed. It
+// returns false if ctx is done.
 func (w *watch) deliver(ctx context.Context, r reading, err error) bool {
 	switch {
 	case err != nil:
@@ -91,7 +95,7 @@
 	return w.send(ctx, Event{Value: r.value})
 }
 
-// send delivers an event. It returns false if ctx ended first.
+// send delivers an event. It returns false if ctx is done first.
 func (w *watch) send(ctx context.Context, e Event) bool {
 	select {
 	case w.events <- e:
@@ -101,7 +105,7 @@
 	}
 }
 
-// rest returns the pause after a poll.
+// rest returns how long to pause after a poll.
 func (w *watch) rest(err error, took time.Duration) time.Duration {
 	if err == nil || w.waited(err, took) {
 		w.pause.Reset()
@@ -110,15 +114,16 @@
 	rest := w.pause.NextBackOff()
 	var limited *RateLimitedError
 	if errors.As(err, &limited) {
-		// The jitter comes on top, so that readers don't return together.
+		// The jittered backoff is added to RetryAfter, so that readers do not
+		// retry in lockstep.
 		rest += limited.RetryAfter
 	}
 	return rest
 }
 
-// waited reports whether the service waited for a change before it answered that
-// the key is absent or old. That was pause enough, and a further one would only
-// delay the change.
+// waited reports whether the service waited for a change before it responded that
+// the key is absent or its value stale. That wait already limits the rate of
+// polls, and a further pause would only delay the next change.
 func (w *watch) waited(err error, took time.Duration) bool {
 	var absent *NotFoundError
 	var old *StaleError
--- a/configservice/watch_test.go
+++ b/configservice/watch_test.go
@@ -15,16 +15,16 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// service is a fake of one key with long polls.
+// service is a fake service with one key and long polling.
 type service struct {
 	mu      sync.Mutex
 	index   uint64
 	changed chan struct{}
-	// fail, if set, answers every read.
+	// fail, if set, produces the response to every read.
 	fail func() (*http.Response, error)
-	// impatient makes it answer at once although it is asked to wait.
+	// impatient makes it respond immediately although it is asked to wait.
 	impatient bool
-	// absent makes it answer 404 in place of 304.
+	// absent makes it respond with 404 instead of 304.
 	absent bool
 	calls  int
 }
@@ -34,7 +34,7 @@
 	return &service{index: index, changed: make(chan struct{})}
 }
 
-// set changes the service.
+// set changes the service's state and wakes the waiting polls.
 func (s *service) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,14 +43,14 @@
 	s.changed = make(chan struct{})
 }
 
-// look returns the present state.
+// look returns the current state.
 func (s *service) look() (uint64, <-chan struct{}, func() (*http.Response, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index, s.changed, s.fail
 }
 
-// roundTrip answers a read.
+// roundTrip implements transport: a long poll for an index above the given one.
 func (s *service) roundTrip(r *http.Request) (*http.Response, error) {
 	s.mu.Lock()
 	s.calls++
@@ -87,7 +87,7 @@
 	}
 }
 
-// startWatch watches a key of the service; stop ends it.
+// startWatch watches the key of the service; stop ends the watch.
 func startWatch(t *testing.T, s *service, since uint64) (c *Client, events <-chan Event, stop func()) {
 	c = newTestClient(t, s.roundTrip)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -141,7 +141,8 @@
 		for time.Now().Before(end) {
 			assert.Assert(t, errors.As((<-events).Err, new(*UnavailableError)))
 		}
-		// 200 ms doubling to 15 s takes 8 polls; then one each 7.5 to 22.5 s.
+		// The backoff doubles from 200 ms to 15 s within 8 polls; then there is one
+		// poll every 7.5 to 22.5 s.
 		assert.Assert(t, s.calls >= 30 && s.calls <= 90, "%d calls", s.calls)
 		s.set(func() { s.fail = nil })
 		for e := range events {
@@ -153,8 +154,9 @@
 	})
 }
 
-// TestWatchSeesAnAbsentKeyAppear keeps a key absent for long: the watch must
-// still see it at once.
+// TestWatchSeesAnAbsentKeyAppear guards against backoff on long polls of an absent
+// key: however long the key was absent, its first value must be delivered without
+// delay.
 func TestWatchSeesAnAbsentKeyAppear(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		s := newService(0)
@@ -207,7 +209,7 @@
 		c := newTestClient(t, s.roundTrip)
 		ctx, cancel := context.WithCancel(context.Background())
 		events := c.Watch(ctx, "k", 0)
-		// Nobody receives: the watch must still end.
+		// The watch must end although nothing receives its event.
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
