--- a/bundle/ledger/alarm.go
+++ b/bundle/ledger/alarm.go
@@ -47,8 +47,8 @@
 	AlarmNothingRolled AlarmType = "nothing-rolled"
 )
 
-// steps maps each alarm type to the action that operators take.
-var steps = map[AlarmType]string{
+// operatorSteps maps each alarm type to the action that operators take.
+var operatorSteps = map[AlarmType]string{
 	AlarmSplitVersion:   "find who signed both; build the next version with --supersedes for the digest that is not its previous, and roll it to all",
 	AlarmSplitRoll:      "find who signed both; sign and publish a roll with a higher sequence",
 	AlarmUnverified:     "verify the published document with wardspoolctl; if it is genuine, bring this instance's approvers up to date; if not, find who wrote it",
@@ -64,7 +64,7 @@
 }
 
 // Step returns the action that operators take for an alarm of this type.
-func (t AlarmType) Step() string { return steps[t] }
+func (t AlarmType) Step() string { return operatorSteps[t] }
 
 // Alarm reports to operators a condition that the ledger cannot resolve itself.
 // Each alarm is raised once; Ledger.Alarms lists the active ones.
@@ -119,7 +119,7 @@
 		return
 	}
 	l.alarms = append(l.alarms, a)
-	l.act(a)
+	l.emit(a)
 }
 
 // clearAlarms removes the alarms that a state change has resolved.
@@ -127,9 +127,9 @@
 	l.alarms = slices.DeleteFunc(l.alarms, answered)
 }
 
-// gave clears the AlarmGarbled of a source that has now sent a readable document
-// of the same kind.
-func (l *Ledger) gave(from Source, d Document) {
+// clearGarbled clears the AlarmGarbled of a source that has now sent a readable
+// document of the same kind.
+func (l *Ledger) clearGarbled(from Source, d Document) {
 	l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmGarbled && a.From == from && a.Document == d })
 }
 
--- a/bundle/ledger/bench_test.go
+++ b/bundle/ledger/bench_test.go
@@ -68,20 +68,20 @@
 		if next == len(changes) {
 			b.StopTimer()
 			s = newSession(b, p, testSettings("entry-1", "hall-a"), platform)
-			s.take(changes[0])
+			s.applyChange(changes[0])
 			next = 1
 			b.StartTimer()
 		}
-		s.take(changes[next])
+		s.applyChange(changes[next])
 		next++
 	}
 }
 
-// take puts a change into force by its head, parts and roll.
-func (s *session) take(c change) {
+// applyChange puts a change into force by its head, parts and roll.
+func (s *session) applyChange(c change) {
 	s.step("head", HeadSeen{From: platform, Head: c.head})
-	s.parts(platform)
+	s.supplyParts(platform)
 	s.step("roll", FloorReport{From: platform, Roll: c.roll})
-	s.parts(platform)
+	s.supplyParts(platform)
 	assert.Equal(s.t, s.inForce(), c.head.Manifest.Version)
 }
--- a/bundle/ledger/documents.go
+++ b/bundle/ledger/documents.go
@@ -35,7 +35,7 @@
 }
 
 // refuse emits a Refused action.
-func (l *Ledger) refuse(from Source, err error) { l.act(Refused{From: from, Err: err}) }
+func (l *Ledger) refuse(from Source, err error) { l.emit(Refused{From: from, Err: err}) }
 
 // apply implements Event.
 func (e Garbled) apply(l *Ledger) {
@@ -45,7 +45,7 @@
 
 // apply implements Event.
 func (e HeadSeen) apply(l *Ledger) {
-	l.gave(e.From, DocumentHead)
+	l.clearGarbled(e.From, DocumentHead)
 	ref := e.Head.Ref()
 	if l.known(ref) {
 		l.parts.addHolder(e.From)
@@ -64,14 +64,14 @@
 	}
 	if conflict {
 		l.refuse(e.From, &ConflictError{What: "version", Number: ref.Version, Have: other.Digest, Seen: ref.Digest})
-		l.split(other, ref)
+		l.alarmSplit(other, ref)
 		return
 	}
 	l.next, l.nextRef = e.Head, ref
 	l.parts.addHolder(e.From)
 	l.parts.stale = true
 	l.parts.since = l.now
-	l.act(Announce{Summary: l.Summary()})
+	l.emit(Announce{Summary: l.Summary()})
 }
 
 // refs lists the bundles whose signatures the ledger has verified.
@@ -111,20 +111,20 @@
 	return newest
 }
 
-// split raises AlarmSplitVersion for two signed bundles with one version.
-func (l *Ledger) split(have, seen bundle.Ref) {
-	if l.on(guardConflict) {
+// alarmSplit raises AlarmSplitVersion for two signed bundles with one version.
+func (l *Ledger) alarmSplit(have, seen bundle.Ref) {
+	if l.enabled(guardConflict) {
 		l.alarm(Alarm{Type: AlarmSplitVersion, Ref: have, Other: seen})
 	}
 }
 
 // apply implements Event.
-func (e RollSeen) apply(l *Ledger) { l.takeRoll(e.From, e.Roll) }
+func (e RollSeen) apply(l *Ledger) { l.processRoll(e.From, e.Roll) }
 
-// takeRoll accepts or rejects a roll. It returns false only if the roll cannot be
-// verified but may be newer than the ledger's.
-func (l *Ledger) takeRoll(from Source, s *bundle.SignedRoll) bool {
-	l.gave(from, DocumentRoll)
+// processRoll accepts or rejects a roll. It returns false only if the roll cannot
+// be verified but may be newer than the ledger's.
+func (l *Ledger) processRoll(from Source, s *bundle.SignedRoll) bool {
+	l.clearGarbled(from, DocumentRoll)
 	if l.roll != nil && l.rollDigest == s.Roll.Digest() {
 		l.parts.addHolder(from)
 		return true
@@ -149,18 +149,18 @@
 // whether it did. Such a roll may still reveal two signed bundles with one
 // version, so it is checked for conflicts.
 func (l *Ledger) refusedStale(from Source, s *bundle.SignedRoll) bool {
-	if l.roll == nil || s.Roll.Sequence >= l.roll.Roll.Sequence || !l.on(guardOrder) {
+	if l.roll == nil || s.Roll.Sequence >= l.roll.Roll.Sequence || !l.enabled(guardOrder) {
 		return false
 	}
 	l.refuse(from, &StaleError{What: "roll", Have: l.roll.Roll.Sequence, Seen: s.Roll.Sequence})
-	if l.clashes(s) && l.verifyRoll(s) == nil {
+	if l.conflicts(s) && l.verifyRoll(s) == nil {
 		l.reportSplits(s)
 	}
 	return true
 }
 
-// clashes reports whether the roll's target or base conflicts with a known bundle.
-func (l *Ledger) clashes(s *bundle.SignedRoll) bool {
+// conflicts reports whether the roll's target or base conflicts with a known bundle.
+func (l *Ledger) conflicts(s *bundle.SignedRoll) bool {
 	_, target := l.conflicting(s.Roll.Target)
 	_, base := l.conflicting(s.Roll.Base)
 	return target || base
@@ -169,10 +169,10 @@
 // verifyRoll verifies the signatures of the roll and of its target.
 func (l *Ledger) verifyRoll(s *bundle.SignedRoll) error {
 	trusted := l.approvers
-	if !l.on(guardManifest) {
+	if !l.enabled(guardManifest) {
 		trusted = s.Target.Manifest.Approvers
 	}
-	if !l.on(guardRoll) {
+	if !l.enabled(guardRoll) {
 		return l.checker.head(&s.Target, trusted)
 	}
 	return l.checker.roll(s, trusted)
@@ -183,7 +183,7 @@
 func (l *Ledger) reportSplits(s *bundle.SignedRoll) {
 	for _, ref := range []bundle.Ref{s.Roll.Target, s.Roll.Base} {
 		if other, conflict := l.conflicting(ref); conflict {
-			l.split(other, ref)
+			l.alarmSplit(other, ref)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 // refusedOrder rejects a signed roll that may not follow the current one, and
 // reports whether it did.
 func (l *Ledger) refusedOrder(from Source, s *bundle.SignedRoll) bool {
-	if l.roll == nil || !l.on(guardOrder) {
+	if l.roll == nil || !l.enabled(guardOrder) {
 		return false
 	}
 	current := &l.roll.Roll
@@ -219,8 +219,8 @@
 	l.clearAlarms(func(a Alarm) bool {
 		return a.Type == AlarmNothingRolled || (a.Number != 0 && a.Number < s.Roll.Sequence && a.Type != AlarmFloorAbove)
 	})
-	l.parts.restart(l.now, from)
-	l.act(Announce{Summary: l.Summary()})
+	l.parts.reset(l.now, from)
+	l.emit(Announce{Summary: l.Summary()})
 }
 
 // apply implements Event.
@@ -229,15 +229,15 @@
 	switch {
 	case e.Summary.RollSequence > mine.RollSequence,
 		e.Summary.RollSequence == mine.RollSequence && e.Summary.RollDigest != mine.RollDigest:
-		l.act(FetchRoll{From: e.From})
+		l.emit(FetchRoll{From: e.From})
 	case e.Summary.RollDigest == mine.RollDigest && e.Summary.Whole:
-		if l.parts.addWhole(e.From) {
+		if l.parts.addCompletePeer(e.From) {
 			// Fetch from this peer immediately, even if a fetch from another source
 			// is pending.
-			l.parts.fetchedAt, l.parts.tries = time.Time{}, 0
+			l.parts.fetchedAt, l.parts.fetches = time.Time{}, 0
 		}
 	}
 	if e.Summary.Newest.Version > mine.Newest.Version {
-		l.act(FetchHead{From: e.From})
+		l.emit(FetchHead{From: e.From})
 	}
 }
--- a/bundle/ledger/fixture_test.go
+++ b/bundle/ledger/fixture_test.go
@@ -21,7 +21,7 @@
 
 	firstSet  = approverSet("ada", "ben", "cyd")
 	secondSet = approverSet("dan", "eve", "fay")
-	thieves   = approverSet("mal", "mat")
+	attackers = approverSet("mal", "mat")
 )
 
 func peer(name string) Source { return Source{Kind: SourcePeer, Name: name} }
@@ -116,8 +116,8 @@
 	return p.roll(r, target, base, signers...)
 }
 
-// give returns the available parts with the given digests.
-func (p *publisher) give(digests []bundle.Digest) []bundle.Part {
+// partsFor returns the available parts with the given digests.
+func (p *publisher) partsFor(digests []bundle.Digest) []bundle.Part {
 	var parts []bundle.Part
 	for _, d := range digests {
 		if b, ok := p.parts[d]; ok {
--- a/bundle/ledger/floor.go
+++ b/bundle/ledger/floor.go
@@ -12,9 +12,9 @@
 	source   Source
 	askedAt  time.Time
 	answered bool
-	// vouches is set if the source can know the floor: a ready peer, or the
+	// authoritative is set if the source can know the floor: a ready peer, or the
 	// platform if it has a roll.
-	vouches bool
+	authoritative bool
 	// inForce and fence are as in FloorReport.
 	inForce bundle.Ref
 	fence   uint64
@@ -93,14 +93,14 @@
 func (e FloorReport) apply(l *Ledger) {
 	usable := true
 	if e.Roll != nil {
-		usable = l.takeRoll(e.From, e.Roll)
+		usable = l.processRoll(e.From, e.Roll)
 	}
 	a := l.floor.find(e.From)
 	if a == nil || e.Round != l.floor.round {
 		return
 	}
 	a.answered = usable
-	a.vouches = (e.From.Kind == SourcePeer && e.Ready) || (e.From.Kind == SourcePlatform && e.Roll != nil)
+	a.authoritative = (e.From.Kind == SourcePeer && e.Ready) || (e.From.Kind == SourcePlatform && e.Roll != nil)
 	a.inForce = e.InForce
 	a.fence = e.Fence
 }
@@ -112,8 +112,9 @@
 	}
 }
 
-// ask queries the sources that have not answered, each once per RetryInterval.
-func (l *Ledger) ask() {
+// querySources queries the sources that have not answered, each once per
+// RetryInterval.
+func (l *Ledger) querySources() {
 	if l.floor.status == StatusReady {
 		return
 	}
@@ -122,7 +123,7 @@
 		due := a.askedAt.IsZero() || l.now.Sub(a.askedAt) >= l.settings.RetryInterval
 		if !a.answered && due {
 			a.askedAt = l.now
-			l.act(AskFloor{From: a.source, Round: l.floor.round})
+			l.emit(AskFloor{From: a.source, Round: l.floor.round})
 		}
 	}
 }
@@ -132,19 +133,19 @@
 	return l.now.Sub(l.floor.since) >= l.settings.StartTimeout
 }
 
-// settled reports whether the ledger may put a bundle into force: always when
-// ready, and otherwise once the floor is known as far as it can be.
-func (l *Ledger) settled() bool {
-	if l.floor.status == StatusReady || !l.on(guardAnswers) {
+// floorDetermined reports whether the ledger may put a bundle into force: always
+// when ready, and otherwise once the floor is known as far as it can be.
+func (l *Ledger) floorDetermined() bool {
+	if l.floor.status == StatusReady || !l.enabled(guardAnswers) {
 		return true
 	}
 	if !l.floor.complete() && !l.timedOut() {
 		return false
 	}
-	if l.on(guardEvidence) && !l.evidence() {
+	if l.enabled(guardAuthoritative) && !l.hasAuthoritativeSource() {
 		return false
 	}
-	return !l.on(guardFence) || l.fence() <= l.targetVersion()
+	return !l.enabled(guardFence) || l.highestFence() <= l.targetVersion()
 }
 
 // complete reports whether every source has answered.
@@ -152,17 +153,18 @@
 	return len(f.answers) > 0 && !slices.ContainsFunc(f.answers, func(a answer) bool { return !a.answered })
 }
 
-// evidence reports whether a source that can know the floor has answered. An
-// instance that was ready before knows the floor itself.
-func (l *Ledger) evidence() bool {
+// hasAuthoritativeSource reports whether a source that can know the floor has
+// answered. An instance that was ready before knows the floor itself, and one
+// with IsolatedServePreload does without such a source after StartTimeout.
+func (l *Ledger) hasAuthoritativeSource() bool {
 	if l.floor.status == StatusRechecking || (l.settings.Isolated == IsolatedServePreload && l.timedOut()) {
 		return true
 	}
-	return slices.ContainsFunc(l.floor.answers, func(a answer) bool { return a.answered && a.vouches })
+	return slices.ContainsFunc(l.floor.answers, func(a answer) bool { return a.answered && a.authoritative })
 }
 
-// fence returns the highest fencing number that an upstream has reported.
-func (l *Ledger) fence() uint64 {
+// highestFence returns the highest fencing number that an upstream has reported.
+func (l *Ledger) highestFence() uint64 {
 	var highest uint64
 	for _, a := range l.floor.answers {
 		if a.source.Kind == SourceUpstream {
@@ -179,17 +181,17 @@
 	return l.roll.Roll.Target.Version
 }
 
-// standsIn reports whether this starting instance may use the roll's base in
+// baseReplacesTarget reports whether this starting instance may use the roll's base in
 // place of a target that covers it but is incomplete. This is so if parts of the
 // target have been missing for PartsTimeout, and every source has answered and
 // none reports the target's version or a higher one: the target was then
 // published only in part.
-func (l *Ledger) standsIn() bool {
+func (l *Ledger) baseReplacesTarget() bool {
 	target := l.roll.Roll.Target
 	if l.floor.status != StatusStarting || l.roll.Roll.Base.IsZero() || !l.floor.complete() {
 		return false
 	}
-	if !l.parts.lacks(target) || l.now.Sub(l.parts.since) < l.settings.PartsTimeout {
+	if !l.parts.isIncomplete(target) || l.now.Sub(l.parts.since) < l.settings.PartsTimeout {
 		return false
 	}
 	return !slices.ContainsFunc(l.floor.answers, func(a answer) bool {
@@ -216,24 +218,24 @@
 	l.clearAlarms(func(a Alarm) bool {
 		return a.Type == AlarmIsolated || a.Type == AlarmFloorAbove || a.Type == AlarmNothingRolled
 	})
-	l.act(Ready{InForce: l.inForceRef, Unconfirmed: unconfirmed})
-	l.act(Announce{Summary: l.Summary()})
+	l.emit(Ready{InForce: l.inForceRef, Unconfirmed: unconfirmed})
+	l.emit(Announce{Summary: l.Summary()})
 }
 
 // watchTimeouts raises the alarms for waits that exceed their timeouts.
 func (l *Ledger) watchTimeouts() {
-	if len(l.parts.lacking) > 0 && l.now.Sub(l.parts.since) >= l.settings.PartsTimeout {
-		l.alarm(Alarm{Type: AlarmHalfPublished, Ref: l.parts.lacking[0]})
+	if len(l.parts.incomplete) > 0 && l.now.Sub(l.parts.since) >= l.settings.PartsTimeout {
+		l.alarm(Alarm{Type: AlarmHalfPublished, Ref: l.parts.incomplete[0]})
 	}
 	if l.floor.status != StatusStarting || !l.timedOut() {
 		return
 	}
-	switch fence := l.fence(); {
+	switch fence := l.highestFence(); {
 	case fence > l.targetVersion():
 		l.alarm(Alarm{Type: AlarmFloorAbove, Number: fence})
 	case l.roll == nil && slices.ContainsFunc(l.floor.answers, func(a answer) bool { return a.answered }):
 		l.alarm(Alarm{Type: AlarmNothingRolled})
-	case !l.evidence():
+	case !l.hasAuthoritativeSource():
 		l.alarm(Alarm{Type: AlarmIsolated})
 	}
 }
--- a/bundle/ledger/guard.go
+++ b/bundle/ledger/guard.go
@@ -12,8 +12,8 @@
 // disables one at a time and shows that an invariant is then violated.
 const (
 	noGuard guard = iota
-	// guardRising: only a version above the one in force is put into force.
-	guardRising
+	// guardMonotonic: only a version above the one in force is put into force.
+	guardMonotonic
 	// guardManifest: the target's manifest is signed by trusted approvers, or by
 	// approvers that a chain of rotations leads to from the trusted ones.
 	guardManifest
@@ -32,8 +32,8 @@
 	// guardAnswers: a starting instance waits for its sources' answers before it
 	// puts a bundle into force.
 	guardAnswers
-	// guardEvidence: the platform or a ready peer must be among those answers.
-	guardEvidence
+	// guardAuthoritative: the platform or a ready peer must be among those answers.
+	guardAuthoritative
 	// guardFence: no upstream may have reported a fencing number above the version
 	// of the roll's target.
 	guardFence
@@ -41,8 +41,8 @@
 	guardConflict
 )
 
-// on reports whether a guard is enabled.
-func (l *Ledger) on(g guard) bool { return l.removed != g }
+// enabled reports whether a guard is enabled.
+func (l *Ledger) enabled(g guard) bool { return l.disabledGuard != g }
 
 // checker holds the costly document checks as functions, so that tests can
 // cache their results.
--- a/bundle/ledger/ledger.go
+++ b/bundle/ledger/ledger.go
@@ -26,9 +26,9 @@
 
 // Ledger is the state machine of one instance. It is not safe for concurrent use.
 type Ledger struct {
-	settings Settings
-	checker  checker
-	removed  guard
+	settings      Settings
+	checker       checker
+	disabledGuard guard
 
 	now     time.Time
 	actions []Action
@@ -47,8 +47,8 @@
 	inForce    *bundle.Head
 	inForceRef bundle.Ref
 	content    *config.Content
-	// spoiled is a bundle that could not be assembled and is not retried.
-	spoiled bundle.Ref
+	// invalidRef is a bundle that could not be assembled and is not retried.
+	invalidRef bundle.Ref
 
 	parts partState
 	floor floorState
@@ -77,27 +77,27 @@
 		l.recheck()
 	}
 	e.apply(l)
-	l.settle()
+	l.reconcile()
 	actions := l.actions
 	l.actions = nil
 	return actions
 }
 
-// act appends an action to the result of the current Step.
-func (l *Ledger) act(a Action) { l.actions = append(l.actions, a) }
+// emit appends an action to the result of the current Step.
+func (l *Ledger) emit(a Action) { l.actions = append(l.actions, a) }
 
 // apply implements Event.
 func (Tick) apply(*Ledger) {}
 
-// settle updates the state and emits the actions that follow from an event.
-func (l *Ledger) settle() {
-	l.findMissing()
-	if l.settled() {
-		l.advance()
+// reconcile updates the state and emits the actions that follow from an event.
+func (l *Ledger) reconcile() {
+	l.updateMissing()
+	if l.floorDetermined() {
+		l.putAssignedInForce()
 		l.becomeReady()
 	}
 	l.fetch()
-	l.ask()
+	l.querySources()
 	l.watchTimeouts()
 }
 
@@ -107,48 +107,48 @@
 		return bundle.Ref{}
 	}
 	r := &l.roll.Roll
-	if !l.on(guardCoverage) || (!l.on(guardAbandoned) && r.Stage == bundle.StageAbandoned) {
+	if !l.enabled(guardCoverage) || (!l.enabled(guardAbandoned) && r.Stage == bundle.StageAbandoned) {
 		return r.Target
 	}
 	ref := r.Assigned(l.settings.Instance, l.settings.Zone)
-	if ref == r.Target && l.standsIn() {
+	if ref == r.Target && l.baseReplacesTarget() {
 		return r.Base
 	}
 	return ref
 }
 
-// advance puts the assigned bundle into force if its version is above the one in
-// force and none of its parts is missing.
-func (l *Ledger) advance() {
+// putAssignedInForce puts the assigned bundle into force if its version is above
+// the one in force and none of its parts is missing.
+func (l *Ledger) putAssignedInForce() {
 	ref := l.assigned()
 	rises := ref.Version > l.inForceRef.Version
-	if !l.on(guardRising) {
+	if !l.enabled(guardMonotonic) {
 		rises = ref != l.inForceRef
 	}
-	if ref.IsZero() || !rises || ref == l.spoiled {
+	if ref.IsZero() || !rises || ref == l.invalidRef {
 		return
 	}
 	head, _ := l.roll.Head(ref)
-	if l.inForce != nil && l.on(guardChain) && !head.Manifest.Follows(l.inForceRef) {
+	if l.inForce != nil && l.enabled(guardChain) && !head.Manifest.Follows(l.inForceRef) {
 		l.alarm(Alarm{Type: AlarmBrokenChain, Ref: ref, Other: l.inForceRef})
 		return
 	}
-	if l.parts.lacks(ref) {
+	if l.parts.isIncomplete(ref) {
 		return
 	}
 	content, err := l.checker.assemble(&head.Manifest, l.parts.have)
 	if err != nil {
-		l.spoiled = ref
+		l.invalidRef = ref
 		l.alarm(Alarm{Type: AlarmInvalidContent, Ref: ref, Err: err})
 		return
 	}
-	l.bringInForce(head, ref, content)
+	l.putInForce(head, ref, content)
 }
 
-func (l *Ledger) bringInForce(head *bundle.Head, ref bundle.Ref, content *config.Content) {
-	l.act(InForce{Ref: ref, From: l.inForceRef, Content: content})
+func (l *Ledger) putInForce(head *bundle.Head, ref bundle.Ref, content *config.Content) {
+	l.emit(InForce{Ref: ref, From: l.inForceRef, Content: content})
 	l.inForce, l.inForceRef, l.content = head, ref, content
 	l.clearAlarms(func(a Alarm) bool { return a.Ref.Version < ref.Version && a.Number == 0 })
 	l.prune()
-	l.act(Announce{Summary: l.Summary()})
+	l.emit(Announce{Summary: l.Summary()})
 }
--- a/bundle/ledger/ledger_test.go
+++ b/bundle/ledger/ledger_test.go
@@ -26,7 +26,7 @@
 	x := newSession(t, d.publisher, s, roster...)
 	x.step("preload", RollSeen{From: preload, Roll: d.first})
 	for x.ledger.Missing() > 0 {
-		x.step("preload", PartsSeen{From: preload, Parts: d.publisher.give(x.ledger.parts.missing)})
+		x.step("preload", PartsSeen{From: preload, Parts: d.publisher.partsFor(x.ledger.parts.missing)})
 	}
 	return x
 }
@@ -57,19 +57,19 @@
 		alarm    AlarmType
 	}{
 		{name: "everyone answered", roster: noUpstream, events: []Event{platform1, fromOther}, ready: true},
-		{name: "a peer is still out", roster: noUpstream, events: []Event{platform1}},
-		{name: "a peer is out for long", roster: noUpstream, events: []Event{platform1}, timeout: true, ready: true},
-		{name: "the platform is out for long", roster: noUpstream, events: []Event{fromOther}, timeout: true, ready: true},
+		{name: "a peer has not answered yet", roster: noUpstream, events: []Event{platform1}},
+		{name: "a peer did not answer within the timeout", roster: noUpstream, events: []Event{platform1}, timeout: true, ready: true},
+		{name: "the platform did not answer within the timeout", roster: noUpstream, events: []Event{fromOther}, timeout: true, ready: true},
 		{name: "nobody answers", roster: noUpstream, timeout: true, alarm: AlarmIsolated},
 		{name: "nobody answers, serve the preload", roster: noUpstream, isolated: serve, timeout: true, ready: true},
-		{name: "peers start too", roster: noUpstream, events: []Event{starting}, timeout: true, alarm: AlarmIsolated},
+		{name: "all peers are starting", roster: noUpstream, events: []Event{starting}, timeout: true, alarm: AlarmIsolated},
 		{name: "no roster", timeout: true, alarm: AlarmIsolated},
 		{name: "the platform lost its roll", roster: noUpstream, events: []Event{noRoll}, timeout: true, alarm: AlarmIsolated},
 		{name: "a roll that cannot be verified is no answer", roster: noUpstream,
 			events: []Event{platform1, FloorReport{From: other, Ready: true, Roll: unverifiable}}},
 		{name: "an answer of another round", roster: noUpstream,
 			events: []Event{platform1, FloorReport{From: other, Round: 7, Ready: true, Roll: d.first}}},
-		{name: "an answer of someone not asked", roster: []Source{platform},
+		{name: "an answer of a source not on the roster", roster: []Source{platform},
 			events: []Event{FloorReport{From: other, Ready: true, Roll: d.first}}},
 		{name: "an upstream saw this version", roster: everyone,
 			events: []Event{platform1, fromOther, FloorReport{From: engine, Fence: 1}}, ready: true},
@@ -111,7 +111,7 @@
 	d := newDocuments(t)
 	first := ready(t, d)
 	first.step("roll 2", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
-	first.parts(platform)
+	first.supplyParts(platform)
 	assert.Equal(t, first.inForce(), uint64(2))
 	replacement := ready(t, d)
 	assert.Equal(t, replacement.inForce(), uint64(1))
@@ -136,7 +136,7 @@
 	head, base, sequence := d.v2, d.v1, uint64(2)
 	for queue := 300; queue < 310; queue++ {
 		s.step("roll", RollSeen{From: platform, Roll: d.publisher.all(sequence, head, base, "ada", "ben")})
-		s.parts(platform)
+		s.supplyParts(platform)
 		base, sequence = head, sequence+1
 		head = d.publisher.build(base, queue, firstSet, "ada", "ben")
 	}
@@ -162,12 +162,12 @@
 		return nil, &bundle.FindingsError{}
 	}
 	s.step("roll 2", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
-	s.parts(platform)
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(1))
 	assert.Equal(t, s.ledger.Alarms()[0].Type, AlarmInvalidContent)
 	s.ledger.checker = newChecker()
 	s.step("roll 3", RollSeen{From: platform, Roll: d.publisher.all(3, d.v3, d.v2, "ada", "ben")})
-	s.parts(platform)
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(3))
 	assert.Equal(t, len(s.ledger.Alarms()), 0)
 }
--- a/bundle/ledger/model_test.go
+++ b/bundle/ledger/model_test.go
@@ -24,9 +24,9 @@
 	// forged are rolls that an attacker may send to any instance at any time.
 	forged []*bundle.SignedRoll
 	zones  []ident.Zone
-	// settings modifies the settings of one life of an instance.
-	settings func(s *Settings, life int)
-	// preload is the preloaded roll of each life, nil if none.
+	// settings modifies the settings of an incarnation with the given number.
+	settings func(s *Settings, number int)
+	// preload is the preloaded roll of each incarnation, nil if none.
 	preload *bundle.SignedRoll
 	// cut lists the instances that are partitioned from the platform and all
 	// peers.
@@ -40,78 +40,81 @@
 	published int
 	// restarts bounds the total number of instance replacements.
 	restarts int
-	// warm makes every instance start ready, with the first roll.
-	warm bool
-	// stuck is set if instances need not converge, because the operators' last
+	// startReady makes every instance start ready, with the first roll.
+	startReady bool
+	// mayDiverge is set if instances need not converge, because the operators' last
 	// version does not resolve their split.
-	stuck bool
+	mayDiverge bool
 	// signedTwice is set if an approver signed two bundles of one version.
 	signedTwice bool
 }
 
-// life is one run of an instance's process in the model, from its start to its
+// incarnation is one run of an instance's process in the model, from its start to its
 // replacement, with the history that the checks need.
-type life struct {
+type incarnation struct {
 	ledger *Ledger
 	now    time.Time
 	number int
-	// owed holds, for each other instance that was ready when this life began and
-	// has not been replaced since, the sequence of the roll it had then.
-	owed []uint64
-	// abandoned lists the versions that this life learned are abandoned before
-	// they were in force on it.
+	// peersFloor holds, for each other instance that was ready when this
+	// incarnation started and has not been replaced since, the sequence of the
+	// roll it had then.
+	peersFloor []uint64
+	// abandoned lists the versions that this incarnation learned are abandoned
+	// before they were in force on it.
 	abandoned []uint64
-	// fenceOwed is the upstream's highest fencing number when this life began.
-	fenceOwed uint64
-	// heard holds the answers of peers that are in flight to this life.
-	heard []*FloorReport
-	late  bool
+	// fenceFloor is the upstream's highest fencing number when this incarnation
+	// started.
+	fenceFloor uint64
+	// inFlight holds the reports of peers that are in flight to this incarnation.
+	inFlight []*FloorReport
+	timedOut bool
 }
 
-// world is one state of the model: all instances, the platform and the upstream.
-type world struct {
-	lives     []*life
-	published int
-	restarts  int
-	fence     uint64
+// modelState is one state of the model: that of all instances, the platform and
+// the upstream.
+type modelState struct {
+	incarnations []*incarnation
+	published    int
+	restarts     int
+	fence        uint64
 }
 
-// model generates the worlds of a scenario, with one guard disabled.
+// model generates the states of a scenario, with one guard disabled.
 type model struct {
 	scenario
-	removed guard
-	// only is the single promise to check; all are checked if it is empty.
-	only    promise
+	disabledGuard guard
+	// only is the single invariant to check; all are checked if it is empty.
+	only    invariant
 	checker checker
 }
 
-func (m *model) start() *world {
-	w := &world{published: m.published, restarts: m.restarts}
+func (m *model) start() *modelState {
+	w := &modelState{published: m.published, restarts: m.restarts}
 	for i := range m.zones {
-		w.lives = append(w.lives, nil)
-		w.lives[i] = m.birth(w, i, 0)
+		w.incarnations = append(w.incarnations, nil)
+		w.incarnations[i] = m.startIncarnation(w, i, 0)
 	}
-	if m.warm {
-		m.warmUp(w)
+	if m.startReady {
+		m.makeAllReady(w)
 	}
 	return w
 }
 
-// warmUp makes every instance read the first roll and the report of every peer.
-// It does so twice, since no peer is ready the first time.
-func (m *model) warmUp(w *world) {
+// makeAllReady makes every instance read the first roll and the report of every
+// peer. It does so twice, since no peer is ready the first time.
+func (m *model) makeAllReady(w *modelState) {
 	for range 2 {
-		for _, v := range w.lives {
+		for _, v := range w.incarnations {
 			v.ledger.Step(v.now, FloorReport{From: platform, Roll: m.rolls[0]})
-			for _, other := range w.lives {
+			for _, other := range w.incarnations {
 				v.ledger.Step(v.now, other.ledger.Report())
 			}
 		}
 	}
 }
 
-// birth starts a new life of an instance.
-func (m *model) birth(w *world, i, number int) *life {
+// startIncarnation starts a new incarnation of instance i.
+func (m *model) startIncarnation(w *modelState, i, number int) *incarnation {
 	s := testSettings(ident.InstanceID(fmt.Sprintf("entry-%d", i)), m.zones[i])
 	s.PauseGap = time.Hour
 	if m.settings != nil {
@@ -121,13 +124,13 @@
 	if err != nil {
 		panic(err)
 	}
-	l.removed, l.checker = m.removed, m.checker
-	v := &life{ledger: l, now: epoch, number: number, fenceOwed: w.fence}
-	v.heard = make([]*FloorReport, len(m.zones))
-	v.owed = make([]uint64, len(m.zones))
-	for j, other := range w.lives {
+	l.disabledGuard, l.checker = m.disabledGuard, m.checker
+	v := &incarnation{ledger: l, now: epoch, number: number, fenceFloor: w.fence}
+	v.inFlight = make([]*FloorReport, len(m.zones))
+	v.peersFloor = make([]uint64, len(m.zones))
+	for j, other := range w.incarnations {
 		if other != nil && j != i && other.ledger.Status() == StatusReady {
-			v.owed[j] = other.ledger.roll.Roll.Sequence
+			v.peersFloor[j] = other.ledger.roll.Roll.Sequence
 		}
 	}
 	if m.preload != nil {
@@ -154,20 +157,20 @@
 	return sources
 }
 
-// next lists the transitions from a world.
-func (m *model) next(w *world) []modelcheck.Step[*world] {
-	var steps []modelcheck.Step[*world]
-	if w.published == len(m.rolls) && !m.stuck && (m.only == "" || m.only == converges) {
+// next lists the transitions from a state.
+func (m *model) next(w *modelState) []modelcheck.Step[*modelState] {
+	var steps []modelcheck.Step[*modelState]
+	if w.published == len(m.rolls) && !m.mayDiverge && (m.only == "" || m.only == converges) {
 		if i, ok := m.converged(w); !ok {
-			steps = append(steps, modelcheck.Step[*world]{Name: "everything is published and read", Broken: &brokenPromise{promise: converges, instance: i}})
+			steps = append(steps, modelcheck.Step[*modelState]{Name: "everything is published and read", Violation: &violation{invariant: converges, instance: i}})
 		}
 	}
 	if w.published < len(m.rolls) {
 		c := *w
 		c.published++
-		steps = append(steps, modelcheck.Step[*world]{Name: fmt.Sprintf("publish %s", rollName(m.rolls[w.published])), State: &c})
+		steps = append(steps, modelcheck.Step[*modelState]{Name: fmt.Sprintf("publish %s", rollName(m.rolls[w.published])), State: &c})
 	}
-	for i := range w.lives {
+	for i := range w.incarnations {
 		steps = append(steps, m.reads(w, i)...)
 		steps = append(steps, m.faults(w, i)...)
 	}
@@ -175,15 +178,15 @@
 }
 
 // reads lists the transitions in which an instance receives a document or report.
-func (m *model) reads(w *world, i int) []modelcheck.Step[*world] {
-	var steps []modelcheck.Step[*world]
+func (m *model) reads(w *modelState, i int) []modelcheck.Step[*modelState] {
+	var steps []modelcheck.Step[*modelState]
 	if !m.isCut(i) {
 		steps = append(steps, m.event(w, i, "reads nothing from the platform", FloorReport{From: platform}))
 		for _, r := range m.rolls[:w.published] {
 			name := "reads from the platform " + rollName(r)
 			steps = append(steps, m.event(w, i, name, FloorReport{From: platform, Roll: r}))
 		}
-		for j := range w.lives {
+		for j := range w.incarnations {
 			if j != i && !m.isCut(j) {
 				steps = append(steps, m.peerReads(w, i, j)...)
 			}
@@ -201,75 +204,75 @@
 
 // peerReads lists the transitions in which instance i receives the report of j:
 // immediately, or with delayed set late and more than once.
-func (m *model) peerReads(w *world, i, j int) []modelcheck.Step[*world] {
-	report := w.lives[j].ledger.Report()
+func (m *model) peerReads(w *modelState, i, j int) []modelcheck.Step[*modelState] {
+	report := w.incarnations[j].ledger.Report()
 	if !m.delayed {
-		return []modelcheck.Step[*world]{m.event(w, i, fmt.Sprintf("receives the report of entry-%d", j), report)}
+		return []modelcheck.Step[*modelState]{m.event(w, i, fmt.Sprintf("receives the report of entry-%d", j), report)}
 	}
 	asked := w.clone(i)
-	asked.lives[i].heard[j] = &report
-	steps := []modelcheck.Step[*world]{{Name: fmt.Sprintf("entry-%d sends its report to entry-%d", j, i), State: asked}}
-	if late := w.lives[i].heard[j]; late != nil {
+	asked.incarnations[i].inFlight[j] = &report
+	steps := []modelcheck.Step[*modelState]{{Name: fmt.Sprintf("entry-%d sends its report to entry-%d", j, i), State: asked}}
+	if late := w.incarnations[i].inFlight[j]; late != nil {
 		steps = append(steps, m.event(w, i, fmt.Sprintf("receives the delayed report of entry-%d", j), *late))
 	}
 	return steps
 }
 
 // faults lists the timeouts and replacements of an instance.
-func (m *model) faults(w *world, i int) []modelcheck.Step[*world] {
-	var steps []modelcheck.Step[*world]
-	v := w.lives[i]
-	if len(m.cut) > 0 && !v.late && v.ledger.Status() == StatusStarting {
+func (m *model) faults(w *modelState, i int) []modelcheck.Step[*modelState] {
+	var steps []modelcheck.Step[*modelState]
+	v := w.incarnations[i]
+	if len(m.cut) > 0 && !v.timedOut && v.ledger.Status() == StatusStarting {
 		c := w.clone(i)
-		c.lives[i].late = true
-		c.lives[i].now = v.now.Add(v.ledger.settings.StartTimeout)
-		steps = append(steps, m.stepped(w, c, i, "reaches its timeout", Tick{}))
+		c.incarnations[i].timedOut = true
+		c.incarnations[i].now = v.now.Add(v.ledger.settings.StartTimeout)
+		steps = append(steps, m.applyEvent(w, c, i, "reaches its timeout", Tick{}))
 	}
 	if w.restarts > 0 {
-		steps = append(steps, modelcheck.Step[*world]{Name: fmt.Sprintf("entry-%d is replaced", i), State: m.replaced(w, i)})
+		steps = append(steps, modelcheck.Step[*modelState]{Name: fmt.Sprintf("entry-%d is replaced", i), State: m.replaced(w, i)})
 	}
 	return steps
 }
 
-// replaced starts a new life of instance i. The others are no longer required to
-// know what the previous life knew.
-func (m *model) replaced(w *world, i int) *world {
+// replaced starts a new incarnation of instance i. The others are no longer
+// required to know what the previous one knew.
+func (m *model) replaced(w *modelState, i int) *modelState {
 	c := *w
 	c.restarts--
-	c.lives = slices.Clone(w.lives)
-	for j, other := range w.lives {
-		if other.owed[i] != 0 {
+	c.incarnations = slices.Clone(w.incarnations)
+	for j, other := range w.incarnations {
+		if other.peersFloor[i] != 0 {
 			o := *other
-			o.owed = slices.Clone(other.owed)
-			o.owed[i] = 0
-			c.lives[j] = &o
+			o.peersFloor = slices.Clone(other.peersFloor)
+			o.peersFloor[i] = 0
+			c.incarnations[j] = &o
 		}
 	}
-	c.lives[i] = m.birth(&c, i, w.lives[i].number+1)
+	c.incarnations[i] = m.startIncarnation(&c, i, w.incarnations[i].number+1)
 	return &c
 }
 
-func (m *model) event(w *world, i int, name string, e Event) modelcheck.Step[*world] {
-	return m.stepped(w, w.clone(i), i, name, e)
+func (m *model) event(w *modelState, i int, name string, e Event) modelcheck.Step[*modelState] {
+	return m.applyEvent(w, w.clone(i), i, name, e)
 }
 
-// stepped applies an event to instance i of w, a copy of old that it may modify,
-// and checks every promise.
-func (m *model) stepped(old, w *world, i int, name string, e Event) modelcheck.Step[*world] {
-	v, before := w.lives[i], old.lives[i].ledger
-	m.remember(v, e)
+// applyEvent applies an event to instance i of w, a copy of old that it may modify,
+// and checks every invariant.
+func (m *model) applyEvent(old, w *modelState, i int, name string, e Event) modelcheck.Step[*modelState] {
+	v, before := w.incarnations[i], old.incarnations[i].ledger
+	m.recordAbandoned(v, e)
 	actions := v.ledger.Step(v.now, e)
-	broken := m.check(w, i, before, e, actions)
+	violated := m.check(w, i, before, e, actions)
 	if ref, _, ok := v.ledger.InForce(); ok && v.ledger.Status() == StatusReady && m.hasFencing(i) {
 		// A ready instance gives its orders immediately, which raises the
 		// upstream's fencing number.
 		w.fence = max(w.fence, ref.Version)
 	}
-	return modelcheck.Step[*world]{Name: fmt.Sprintf("entry-%d %s", i, name), State: w, Broken: broken}
+	return modelcheck.Step[*modelState]{Name: fmt.Sprintf("entry-%d %s", i, name), State: w, Violation: violated}
 }
 
-// remember records an abandoned version that the life learns of.
-func (m *model) remember(v *life, e Event) {
+// recordAbandoned records an abandoned version that the incarnation learns of.
+func (m *model) recordAbandoned(v *incarnation, e Event) {
 	r := rollOf(e)
 	if r == nil || r.Roll.Stage != bundle.StageAbandoned || m.checker.roll(r, v.ledger.approvers) != nil {
 		return
--- a/bundle/ledger/modelcheck_test.go
+++ b/bundle/ledger/modelcheck_test.go
@@ -38,7 +38,7 @@
 // and keys of their own.
 func (d *documents) forgeries() []*bundle.SignedRoll {
 	p := d.publisher
-	own := p.build(nil, 666, thieves, "mal", "mat")
+	own := p.build(nil, 666, attackers, "mal", "mat")
 	short := p.build(d.v1, 667, firstSet, "ada", "mal")
 	return []*bundle.SignedRoll{
 		p.all(9, own, nil, "mal", "mat"),
@@ -72,11 +72,11 @@
 			rolls: []*bundle.SignedRoll{d.first, canary, all2}},
 		{name: "canary abandoned and undone", zones: halls, published: 1, restarts: 1, delayed: true,
 			rolls: []*bundle.SignedRoll{d.first, canary, abandoned, undone}},
-		{name: "three instances", zones: []ident.Zone{"hall-a", "hall-b", "hall-b"}, published: 1, restarts: 1, warm: true,
+		{name: "three instances", zones: []ident.Zone{"hall-a", "hall-b", "hall-b"}, published: 1, restarts: 1, startReady: true,
 			rolls: []*bundle.SignedRoll{d.first, canary, all2}},
 		{name: "forged documents", zones: halls, published: 1, restarts: 1,
 			rolls: []*bundle.SignedRoll{d.first, canary, all2}, forged: d.forgeries()},
-		{name: "racing operators, chained", zones: halls, published: 1, restarts: 1, signedTwice: true, stuck: true,
+		{name: "racing operators, chained", zones: halls, published: 1, restarts: 1, signedTwice: true, mayDiverge: true,
 			rolls: []*bundle.SignedRoll{d.first, raceA, raceB, p.all(3, v3chained, d.v2, "ada", "ben")}},
 		{name: "racing operators, healed", zones: halls, published: 1, restarts: 1, signedTwice: true,
 			rolls: []*bundle.SignedRoll{d.first, raceA, raceB, p.all(3, healing, d.v2, "ada", "ben")}},
@@ -92,15 +92,15 @@
 	return a
 }
 
-// explore checks a scenario with one guard disabled for one promise, or for all
+// explore checks a scenario with one guard disabled for one invariant, or for all
 // if only is empty.
-func explore(s scenario, removed guard, only promise, parts bundle.PartSource) modelcheck.Result {
-	m := &model{scenario: s, removed: removed, only: only, checker: modelChecker(parts)}
-	return modelcheck.Explore(modelcheck.Model[*world]{Start: m.start(), Key: m.key, Next: m.next, Limit: modelLimit})
+func explore(s scenario, disabled guard, only invariant, parts bundle.PartSource) modelcheck.Result {
+	m := &model{scenario: s, disabledGuard: disabled, only: only, checker: modelChecker(parts)}
+	return modelcheck.Explore(modelcheck.Model[*modelState]{Start: m.start(), Key: m.key, Next: m.next, Limit: modelLimit})
 }
 
-// With every guard enabled, every promise holds in every reachable state of every
-// scenario.
+// With every guard enabled, every invariant holds in every reachable state of
+// every scenario.
 func TestPromisesHold(t *testing.T) {
 	all, parts := scenarios(t)
 	for _, s := range all {
@@ -116,15 +116,15 @@
 	}
 }
 
-// Each guard is necessary: with it disabled, some promise is violated.
+// Each guard is necessary: with it disabled, some invariant is violated.
 func TestEachGuardIsNeeded(t *testing.T) {
 	tests := []struct {
 		name     string
-		removed  guard
+		disabled guard
 		scenario string
-		broken   promise
+		violated invariant
 	}{
-		{"rising", guardRising, "canary abandoned and undone", neverReverts},
+		{"rising", guardMonotonic, "canary abandoned and undone", monotonic},
 		{"manifest", guardManifest, "forged documents", onlyRolled},
 		{"manifest and split", guardManifest, "forged documents", noSplit},
 		{"roll", guardRoll, "forged documents", onlyRolled},
@@ -134,7 +134,7 @@
 		{"abandoned", guardAbandoned, "canary abandoned and undone", noAbandoned},
 		{"chain", guardChain, "racing operators, chained", chained},
 		{"answers", guardAnswers, "canary then all", peersFloor},
-		{"evidence", guardEvidence, "zone cut off", notReadyAlone},
+		{"evidence", guardAuthoritative, "zone cut off", notReadyIsolated},
 		{"fence", guardFence, "zone cut off", fencesFloor},
 		{"conflict", guardConflict, "racing operators, healed", splitAlarm},
 	}
@@ -145,11 +145,11 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := explore(byName[tc.scenario], tc.removed, tc.broken, parts)
-			assert.Assert(t, r.Violation != nil, "no promise was violated in %d states", r.States)
-			var broken *brokenPromise
-			assert.Assert(t, errors.As(r.Violation.Broken, &broken))
-			assert.Equal(t, broken.promise, tc.broken)
+			r := explore(byName[tc.scenario], tc.disabled, tc.violated, parts)
+			assert.Assert(t, r.Violation != nil, "no invariant was violated in %d states", r.States)
+			var found *violation
+			assert.Assert(t, errors.As(r.Violation.Err, &found))
+			assert.Equal(t, found.invariant, tc.violated)
 			t.Logf("after %d states, %d steps: %v", r.States, len(r.Violation.Trace), r.Violation)
 		})
 	}
--- a/bundle/ledger/modelstate_test.go
+++ b/bundle/ledger/modelstate_test.go
@@ -8,17 +8,17 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// clone copies a world so that life i may be modified; the others are shared with
-// the original.
-func (w *world) clone(i int) *world {
+// clone copies a state so that the incarnation of instance i may be modified; the
+// others are shared with the original.
+func (w *modelState) clone(i int) *modelState {
 	c := *w
-	c.lives = slices.Clone(w.lives)
-	v := *w.lives[i]
+	c.incarnations = slices.Clone(w.incarnations)
+	v := *w.incarnations[i]
 	v.ledger = v.ledger.clone()
-	v.owed = slices.Clone(v.owed)
+	v.peersFloor = slices.Clone(v.peersFloor)
 	v.abandoned = slices.Clone(v.abandoned)
-	v.heard = slices.Clone(v.heard)
-	c.lives[i] = &v
+	v.inFlight = slices.Clone(v.inFlight)
+	c.incarnations[i] = &v
 	return &c
 }
 
@@ -28,24 +28,24 @@
 	c.alarms = slices.Clone(l.alarms)
 	c.parts.have = l.parts.have.Clone()
 	c.parts.holders = slices.Clone(l.parts.holders)
-	c.parts.whole = slices.Clone(l.parts.whole)
+	c.parts.completePeers = slices.Clone(l.parts.completePeers)
 	c.parts.missing = slices.Clone(l.parts.missing)
-	c.parts.lacking = slices.Clone(l.parts.lacking)
+	c.parts.incomplete = slices.Clone(l.parts.incomplete)
 	c.floor.answers = slices.Clone(l.floor.answers)
 	return &c
 }
 
-// key identifies a world by everything that its behaviour and the checks depend
+// key identifies a state by everything that its behaviour and the checks depend
 // on.
-func (m *model) key(w *world) string {
+func (m *model) key(w *modelState) string {
 	b := fmt.Appendf(nil, "%d %d %d", w.published, w.restarts, w.fence)
-	for _, v := range w.lives {
+	for _, v := range w.incarnations {
 		b = v.appendKey(b, m.signedTwice)
 	}
 	return string(b)
 }
 
-func (v *life) appendKey(b []byte, signedTwice bool) []byte {
+func (v *incarnation) appendKey(b []byte, signedTwice bool) []byte {
 	l := v.ledger
 	ready := l.floor.status == StatusReady
 	b = append(append(b, '|'), l.floor.status[0])
@@ -59,7 +59,7 @@
 			b = append(b, 's', byte(a.Ref.Version))
 		}
 	}
-	for _, h := range v.heard {
+	for _, h := range v.inFlight {
 		b = append(b, '~')
 		// A ready instance rejects every older roll, and the roll's content
 		// matters only if it reveals two signed bundles of one version.
@@ -68,13 +68,13 @@
 		}
 	}
 	if ready {
-		// The requirements on a life and the answers that it received matter only
-		// until it is ready.
+		// The requirements on an incarnation and the answers that it received
+		// matter only until it is ready.
 		return b
 	}
-	b = fmt.Appendf(b, "%d %v %v %d", v.number, v.owed, v.late, v.fenceOwed)
+	b = fmt.Appendf(b, "%d %v %v %d", v.number, v.peersFloor, v.timedOut, v.fenceFloor)
 	for _, a := range l.floor.answers {
-		b = fmt.Appendf(b, ",%v %v %d", a.answered, a.vouches, a.fence)
+		b = fmt.Appendf(b, ",%v %v %d", a.answered, a.authoritative, a.fence)
 	}
 	return b
 }
--- a/bundle/ledger/parts.go
+++ b/bundle/ledger/parts.go
@@ -10,8 +10,8 @@
 const (
 	// MaxFetchParts bounds the parts requested by one FetchParts.
 	MaxFetchParts = 64
-	// maxBackoff is how many times the interval between fetches may double.
-	maxBackoff = 3
+	// maxBackoffDoublings is how many times the interval between fetches may double.
+	maxBackoffDoublings = 3
 	// maxHolders bounds the sources that are recorded as having the parts.
 	maxHolders = 8
 )
@@ -20,34 +20,36 @@
 // still lack.
 type partState struct {
 	have *bundle.PartSet
-	// holders are sources that may have the parts, the most likely last; whole
-	// are the peers among them that announced that they have all parts.
-	holders []Source
-	whole   []Source
-	// stale is set if missing and lacking must be computed again.
+	// holders are sources that may have the parts, the most likely last;
+	// completePeers are the peers among them that announced that they have all
+	// parts.
+	holders       []Source
+	completePeers []Source
+	// stale is set if missing and incomplete must be computed again.
 	stale bool
-	// missing lists the parts to fetch, and lacking the bundles that need them.
-	missing []bundle.Digest
-	lacking []bundle.Ref
+	// missing lists the parts to fetch, and incomplete the bundles that need
+	// them.
+	missing    []bundle.Digest
+	incomplete []bundle.Ref
 	// since is when the wait for missing parts began or last made progress;
 	// PartsTimeout counts from it.
 	since time.Time
-	// fetchedAt is the time of the last fetch, and tries the number of fetches
+	// fetchedAt is the time of the last fetch, and fetches the number of fetches
 	// since the last progress.
 	fetchedAt time.Time
-	tries     int
+	fetches   int
 }
 
-// lacks reports whether any part of a bundle is missing.
-func (p *partState) lacks(ref bundle.Ref) bool { return slices.Contains(p.lacking, ref) }
+// isIncomplete reports whether any part of a bundle is missing.
+func (p *partState) isIncomplete(ref bundle.Ref) bool { return slices.Contains(p.incomplete, ref) }
 
-// addWhole records a peer that announced that it has all parts of the newest
+// addCompletePeer records a peer that announced that it has all parts of the newest
 // roll's target. It reports whether the peer was added.
-func (p *partState) addWhole(s Source) bool {
-	if slices.Contains(p.whole, s) || len(p.whole) == maxHolders {
+func (p *partState) addCompletePeer(s Source) bool {
+	if slices.Contains(p.completePeers, s) || len(p.completePeers) == maxHolders {
 		return false
 	}
-	p.whole = append(slices.Clip(p.whole), s)
+	p.completePeers = append(slices.Clip(p.completePeers), s)
 	p.holders = slices.DeleteFunc(slices.Clone(p.holders), func(h Source) bool { return h == s })
 	p.addHolder(s)
 	return true
@@ -65,15 +67,15 @@
 	p.holders = append(slices.Clip(p.holders), s)
 }
 
-// restart resets the fetch state for a new roll, which came from the given
+// reset resets the fetch state for a new roll, which came from the given
 // source.
-func (p *partState) restart(now time.Time, from Source) {
-	p.holders, p.whole = nil, nil
+func (p *partState) reset(now time.Time, from Source) {
+	p.holders, p.completePeers = nil, nil
 	p.addHolder(from)
 	p.stale = true
 	p.since = now
 	p.fetchedAt = time.Time{}
-	p.tries = 0
+	p.fetches = 0
 }
 
 // wantedHeads lists the bundles whose parts the instance fetches: first the one
@@ -96,41 +98,42 @@
 	return heads
 }
 
-// whole reports whether the instance has every part of the newest roll's target.
-func (l *Ledger) whole() bool {
-	return l.roll != nil && !l.parts.stale && !l.parts.lacks(l.roll.Roll.Target)
+// targetComplete reports whether the instance has every part of the newest roll's
+// target.
+func (l *Ledger) targetComplete() bool {
+	return l.roll != nil && !l.parts.stale && !l.parts.isIncomplete(l.roll.Roll.Target)
 }
 
-// findMissing updates the list of missing parts, and announces to peers when all
+// updateMissing updates the list of missing parts, and announces to peers when all
 // parts of the newest roll's target have become present.
-func (l *Ledger) findMissing() {
+func (l *Ledger) updateMissing() {
 	if !l.parts.stale {
 		return
 	}
-	was := l.whole()
+	before := l.targetComplete()
 	l.parts.stale = false
-	l.parts.missing, l.parts.lacking = nil, nil
+	l.parts.missing, l.parts.incomplete = nil, nil
 	for _, head := range l.wantedHeads() {
-		l.findMissingOf(head)
+		l.addMissing(head)
 	}
 	if len(l.parts.missing) == 0 {
 		l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmHalfPublished })
 	}
-	if !was && l.whole() {
-		l.act(Announce{Summary: l.Summary()})
+	if !before && l.targetComplete() {
+		l.emit(Announce{Summary: l.Summary()})
 	}
 }
 
-// findMissingOf adds the missing parts of one bundle to the list.
-func (l *Ledger) findMissingOf(head *bundle.Head) {
+// addMissing adds the missing parts of one bundle to the list.
+func (l *Ledger) addMissing(head *bundle.Head) {
 	missing, err := l.checker.missing(&head.Manifest, l.parts.have)
 	if err != nil {
-		l.spoiled = head.Ref()
-		l.alarm(Alarm{Type: AlarmInvalidContent, Ref: l.spoiled, Err: err})
+		l.invalidRef = head.Ref()
+		l.alarm(Alarm{Type: AlarmInvalidContent, Ref: l.invalidRef, Err: err})
 		return
 	}
 	if len(missing) > 0 {
-		l.parts.lacking = append(l.parts.lacking, head.Ref())
+		l.parts.incomplete = append(l.parts.incomplete, head.Ref())
 	}
 	for _, d := range missing {
 		if !slices.Contains(l.parts.missing, d) {
@@ -158,16 +161,16 @@
 	if len(p.missing) == 0 || len(holders) == 0 {
 		return
 	}
-	interval := l.settings.RetryInterval << min(p.tries, maxBackoff)
+	interval := l.settings.RetryInterval << min(p.fetches, maxBackoffDoublings)
 	if !p.fetchedAt.IsZero() && l.now.Sub(p.fetchedAt) < interval {
 		return
 	}
 	n := min(len(p.missing), MaxFetchParts)
 	// Start with the most likely holder.
-	from := holders[len(holders)-1-p.tries%len(holders)]
-	l.act(FetchParts{From: from, Digests: slices.Clone(p.missing[:n])})
+	from := holders[len(holders)-1-p.fetches%len(holders)]
+	l.emit(FetchParts{From: from, Digests: slices.Clone(p.missing[:n])})
 	p.fetchedAt = l.now
-	p.tries++
+	p.fetches++
 }
 
 // apply implements Event. Parts that are not missing are discarded, so that a
@@ -176,7 +179,7 @@
 	progress := false
 	for added := true; added; {
 		added = false
-		l.findMissing()
+		l.updateMissing()
 		for _, part := range e.Parts {
 			if !slices.Contains(l.parts.missing, part.Digest) {
 				continue
@@ -191,8 +194,8 @@
 		}
 	}
 	if progress {
-		l.gave(e.From, DocumentPart)
-		l.parts.fetchedAt, l.parts.tries = time.Time{}, 0
+		l.clearGarbled(e.From, DocumentPart)
+		l.parts.fetchedAt, l.parts.fetches = time.Time{}, 0
 		l.parts.since = l.now
 	}
 }
@@ -206,7 +209,7 @@
 	}
 	keep := map[bundle.Digest]bool{}
 	for _, head := range heads {
-		// findMissing has already reported malformed parts; keep the digests found
+		// updateMissing has already reported malformed parts; keep the digests found
 		// before the error.
 		wanted, _ := l.checker.memo.Wanted(&head.Manifest, l.parts.have)
 		for _, d := range wanted {
--- a/bundle/ledger/promises_test.go
+++ b/bundle/ledger/promises_test.go
@@ -7,42 +7,42 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// promise is an invariant of the ledger, described by its value. The model checks
-// each after every step.
-type promise string
+// invariant is an invariant of the ledger, described by its value. The model
+// checks each after every step.
+type invariant string
 
 const (
-	neverReverts  promise = "the version in force on an instance only increases until the instance is replaced"
-	onlyRolled    promise = "only bundles that a published, signed roll assigns to an instance are put into force on it"
-	noAbandoned   promise = "a version known to be abandoned is not put into force"
-	chained       promise = "a version directly above the one in force names its digest"
-	noSplit       promise = "two digests of one version are in force only if an approver signed both"
-	splitAlarm    promise = "an instance that receives two signed digests of one version raises an alarm"
-	peersFloor    promise = "a new instance is not ready with a roll older than a ready peer had when it started"
-	fencesFloor   promise = "a new instance is not ready if an upstream has reported a fencing number above every version it knows"
-	converges     promise = "once everything is published and read, every instance is ready with the bundle that the last roll assigns to it"
-	notReadyAlone promise = "a new instance without an answer from the platform or a ready peer is not ready"
+	monotonic        invariant = "the version in force on an instance only increases until the instance is replaced"
+	onlyRolled       invariant = "only bundles that a published, signed roll assigns to an instance are put into force on it"
+	noAbandoned      invariant = "a version known to be abandoned is not put into force"
+	chained          invariant = "a version directly above the one in force names its digest"
+	noSplit          invariant = "two digests of one version are in force only if an approver signed both"
+	splitAlarm       invariant = "an instance that receives two signed digests of one version raises an alarm"
+	peersFloor       invariant = "a new instance is not ready with a roll older than a ready peer had when it started"
+	fencesFloor      invariant = "a new instance is not ready if an upstream has reported a fencing number above every version it knows"
+	converges        invariant = "once everything is published and read, every instance is ready with the bundle that the last roll assigns to it"
+	notReadyIsolated invariant = "a new instance without an answer from the platform or a ready peer is not ready"
 )
 
-// brokenPromise is the violation of a promise by a step.
-type brokenPromise struct {
-	promise  promise
-	instance int
+// violation is the violation of an invariant by a step.
+type violation struct {
+	invariant invariant
+	instance  int
 }
 
-func (e *brokenPromise) Error() string {
-	return fmt.Sprintf("violated on entry-%d: %s", e.instance, e.promise)
+func (e *violation) Error() string {
+	return fmt.Sprintf("violated on entry-%d: %s", e.instance, e.invariant)
 }
 
-// check checks every promise after instance i has processed an event.
-func (m *model) check(w *world, i int, before *Ledger, e Event, actions []Action) error {
-	v := w.lives[i]
+// check checks every invariant after instance i has processed an event.
+func (m *model) check(w *modelState, i int, before *Ledger, e Event, actions []Action) error {
+	v := w.incarnations[i]
 	checks := []struct {
-		promise promise
-		holds   func() bool
+		invariant invariant
+		holds     func() bool
 	}{
-		{neverReverts, func() bool { return rises(before.inForceRef, v.ledger.inForceRef) }},
-		{onlyRolled, func() bool { return m.rolledHere(w, i) }},
+		{monotonic, func() bool { return isMonotonic(before.inForceRef, v.ledger.inForceRef) }},
+		{onlyRolled, func() bool { return m.inForceIsAssigned(w, i) }},
 		{noAbandoned, func() bool {
 			return before.inForceRef == v.ledger.inForceRef || !slices.Contains(v.abandoned, v.ledger.inForceRef.Version)
 		}},
@@ -50,29 +50,29 @@
 			return before.inForce == nil || before.inForceRef == v.ledger.inForceRef || v.ledger.inForce.Manifest.Follows(before.inForceRef)
 		}},
 		{noSplit, func() bool { return m.signedTwice || !w.isSplit() }},
-		{splitAlarm, func() bool { return m.shownSplit(before, e) == nil || raisedSplit(before, actions) }},
-		{peersFloor, func() bool { return !becameReady(before, v) || m.paidPeers(i, v) }},
+		{splitAlarm, func() bool { return m.receivedSplit(before, e) == nil || hasSplitAlarm(before, actions) }},
+		{peersFloor, func() bool { return !becameReady(before, v) || m.reachesPeersFloor(i, v) }},
 		{fencesFloor, func() bool {
-			return !becameReady(before, v) || !heard(v, engine) || v.ledger.targetVersion() >= v.fenceOwed
+			return !becameReady(before, v) || !hasAnswered(v, engine) || v.ledger.targetVersion() >= v.fenceFloor
 		}},
-		{notReadyAlone, func() bool { return !becameReady(before, v) || heardAnyone(v) }},
+		{notReadyIsolated, func() bool { return !becameReady(before, v) || hasAuthoritativeAnswer(v) }},
 	}
 	for _, c := range checks {
-		if (m.only == "" || m.only == c.promise) && !c.holds() {
-			return &brokenPromise{promise: c.promise, instance: i}
+		if (m.only == "" || m.only == c.invariant) && !c.holds() {
+			return &violation{invariant: c.invariant, instance: i}
 		}
 	}
 	return nil
 }
 
-func rises(before, after bundle.Ref) bool {
+func isMonotonic(before, after bundle.Ref) bool {
 	return before == after || after.Version > before.Version
 }
 
-// rolledHere reports whether the bundle in force on instance i was assigned to it
-// by a published roll.
-func (m *model) rolledHere(w *world, i int) bool {
-	l := w.lives[i].ledger
+// inForceIsAssigned reports whether the bundle in force on instance i was assigned
+// to it by a published roll.
+func (m *model) inForceIsAssigned(w *modelState, i int) bool {
+	l := w.incarnations[i].ledger
 	if l.inForce == nil {
 		return true
 	}
@@ -86,9 +86,9 @@
 }
 
 // isSplit reports whether two digests of one version are in force.
-func (w *world) isSplit() bool {
-	for i, v := range w.lives {
-		for _, other := range w.lives[:i] {
+func (w *modelState) isSplit() bool {
+	for i, v := range w.incarnations {
+		for _, other := range w.incarnations[:i] {
 			a, b := v.ledger.inForceRef, other.ledger.inForceRef
 			if a.Version == b.Version && a.Digest != b.Digest {
 				return true
@@ -98,9 +98,9 @@
 	return false
 }
 
-// shownSplit returns a signed bundle of the event that conflicts with one that
+// receivedSplit returns a signed bundle of the event that conflicts with one that
 // the ledger knew, nil if there is none.
-func (m *model) shownSplit(before *Ledger, e Event) *bundle.Ref {
+func (m *model) receivedSplit(before *Ledger, e Event) *bundle.Ref {
 	r := rollOf(e)
 	if r == nil || m.checker.roll(r, before.approvers) != nil {
 		return nil
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// raisedSplit reports whether AlarmSplitVersion was active or has just been
+// hasSplitAlarm reports whether AlarmSplitVersion was active or has just been
 // raised.
-func raisedSplit(before *Ledger, actions []Action) bool {
+func hasSplitAlarm(before *Ledger, actions []Action) bool {
 	alarms := before.Alarms()
 	for _, a := range actions {
 		if alarm, ok := a.(Alarm); ok {
@@ -125,16 +125,16 @@
 	return slices.ContainsFunc(alarms, func(a Alarm) bool { return a.Type == AlarmSplitVersion })
 }
 
-func becameReady(before *Ledger, v *life) bool {
+func becameReady(before *Ledger, v *incarnation) bool {
 	return before.Status() == StatusStarting && v.ledger.Status() == StatusReady
 }
 
-// paidPeers reports whether a life that became ready has a roll at least as new as
-// each reachable peer had when the life began, and serves a version at least as
-// high as that roll assigns to it.
-func (m *model) paidPeers(i int, v *life) bool {
+// reachesPeersFloor reports whether an incarnation that became ready has a roll at
+// least as new as each reachable peer had when the incarnation started, and
+// serves a version at least as high as that roll assigns to it.
+func (m *model) reachesPeersFloor(i int, v *incarnation) bool {
 	l := v.ledger
-	for j, sequence := range v.owed {
+	for j, sequence := range v.peersFloor {
 		reachable := !m.isCut(i) && !m.isCut(j)
 		if reachable && l.roll.Roll.Sequence < sequence {
 			return false
@@ -143,32 +143,32 @@
 	return l.inForceRef.Version >= l.roll.Roll.Assigned(l.settings.Instance, l.settings.Zone).Version
 }
 
-func heard(v *life, s Source) bool {
+func hasAnswered(v *incarnation, s Source) bool {
 	a := v.ledger.floor.find(s)
 	return a != nil && a.answered
 }
 
-func heardAnyone(v *life) bool {
-	return slices.ContainsFunc(v.ledger.floor.answers, func(a answer) bool { return a.answered && a.vouches })
+func hasAuthoritativeAnswer(v *incarnation) bool {
+	return slices.ContainsFunc(v.ledger.floor.answers, func(a answer) bool { return a.answered && a.authoritative })
 }
 
 // converged reports whether every instance is ready with the bundle that the last
 // roll assigns to it once it has read everything published and the reports of all
 // peers. It otherwise returns an instance that is not. Partitioned instances are
 // exempt.
-func (m *model) converged(w *world) (int, bool) {
+func (m *model) converged(w *modelState) (int, bool) {
 	last := m.rolls[len(m.rolls)-1]
 	c := *w
-	c.lives = slices.Clone(w.lives)
-	for i := range c.lives {
+	c.incarnations = slices.Clone(w.incarnations)
+	for i := range c.incarnations {
 		c = *c.clone(i)
 	}
 	for range 2 {
-		for i, v := range c.lives {
+		for i, v := range c.incarnations {
 			m.readAll(&c, i, v)
 		}
 	}
-	for i, v := range c.lives {
+	for i, v := range c.incarnations {
 		s := v.ledger.settings
 		assigned := last.Roll.Assigned(s.Instance, s.Zone)
 		if !m.isCut(i) && (v.ledger.Status() != StatusReady || v.ledger.inForceRef != assigned) {
@@ -178,8 +178,8 @@
 	return 0, true
 }
 
-// readAll makes a life read from every source that it can reach.
-func (m *model) readAll(w *world, i int, v *life) {
+// readAll makes an incarnation read from every source that it can reach.
+func (m *model) readAll(w *modelState, i int, v *incarnation) {
 	if m.hasFencing(i) {
 		v.ledger.Step(v.now, FloorReport{From: engine, Fence: w.fence})
 	}
@@ -189,13 +189,13 @@
 	for _, r := range m.rolls {
 		v.ledger.Step(v.now, FloorReport{From: platform, Roll: r})
 	}
-	for j, other := range w.lives {
+	for j, other := range w.incarnations {
 		if j != i && !m.isCut(j) {
 			v.ledger.Step(v.now, other.ledger.Report())
 		}
 	}
-	if len(m.cut) > 0 && !v.late {
-		v.late = true
+	if len(m.cut) > 0 && !v.timedOut {
+		v.timedOut = true
 		v.now = v.now.Add(v.ledger.settings.StartTimeout)
 		v.ledger.Step(v.now, Tick{})
 	}
--- a/bundle/ledger/session_test.go
+++ b/bundle/ledger/session_test.go
@@ -14,11 +14,11 @@
 
 // session runs one ledger and records every event and action as text.
 type session struct {
-	t      testing.TB
-	p      *publisher
-	ledger *Ledger
-	now    time.Time
-	text   strings.Builder
+	t          testing.TB
+	publisher  *publisher
+	ledger     *Ledger
+	now        time.Time
+	transcript strings.Builder
 	// fetched holds the digests of the last FetchParts.
 	fetched []bundle.Digest
 }
@@ -27,17 +27,17 @@
 	t.Helper()
 	l, err := New(settings, epoch)
 	assert.NilError(t, err)
-	s := &session{t: t, p: p, ledger: l, now: epoch}
+	s := &session{t: t, publisher: p, ledger: l, now: epoch}
 	s.step("the roster", Roster{Sources: roster})
 	return s
 }
 
 // step applies an event to the ledger and records the resulting actions.
 func (s *session) step(what string, e Event) []Action {
-	fmt.Fprintf(&s.text, "%6s  %s\n", s.now.Sub(epoch), what)
+	fmt.Fprintf(&s.transcript, "%6s  %s\n", s.now.Sub(epoch), what)
 	actions := s.ledger.Step(s.now, e)
 	for _, a := range actions {
-		fmt.Fprintf(&s.text, "            -> %s\n", describeAction(a))
+		fmt.Fprintf(&s.transcript, "            -> %s\n", describeAction(a))
 		if f, ok := a.(FetchParts); ok {
 			s.fetched = f.Digests
 		}
@@ -45,10 +45,10 @@
 	return actions
 }
 
-// parts supplies the parts that the ledger fetches until none is missing.
-func (s *session) parts(from Source) {
+// supplyParts supplies the parts that the ledger fetches until none is missing.
+func (s *session) supplyParts(from Source) {
 	for s.ledger.Missing() > 0 {
-		s.step(fmt.Sprintf("%d parts from the %s", len(s.fetched), from), PartsSeen{From: from, Parts: s.p.give(s.fetched)})
+		s.step(fmt.Sprintf("%d parts from the %s", len(s.fetched), from), PartsSeen{From: from, Parts: s.publisher.partsFor(s.fetched)})
 	}
 }
 
@@ -108,12 +108,12 @@
 		{"cut-zone", cutZone},
 		{"paused", paused},
 		{"far-behind", farBehind},
-		{"stand-in", standIn},
+		{"stand-in", baseInForce},
 	}
 	for _, tc := range sessions {
 		t.Run(tc.name, func(t *testing.T) {
 			s := tc.run(t, newDocuments(t))
-			golden.Assert(t, s.text.String(), tc.name+".golden")
+			golden.Assert(t, s.transcript.String(), tc.name+".golden")
 		})
 	}
 }
@@ -122,7 +122,7 @@
 func ready(t *testing.T, d *documents) *session {
 	s := newSession(t, d.publisher, testSettings("entry-1", "hall-a"), platform, peer("entry-2"))
 	s.step("the platform has roll 1", FloorReport{From: platform, Roll: d.first})
-	s.parts(platform)
+	s.supplyParts(platform)
 	s.step("entry-2 has nothing", FloorReport{From: peer("entry-2")})
 	assert.Equal(t, s.ledger.Status(), StatusReady)
 	return s
@@ -132,7 +132,7 @@
 	p := d.publisher
 	s := ready(t, d)
 	s.step("the platform has the head of version 2", HeadSeen{From: platform, Head: d.v2})
-	s.parts(platform)
+	s.supplyParts(platform)
 	s.step("roll 2: canary in hall-b", RollSeen{From: platform, Roll: p.canary(2, d.v2, d.v1, "hall-b", "ada", "ben")})
 	assert.Equal(t, s.inForce(), uint64(1))
 	third := p.all(3, d.v2, d.v1, "ada", "ben")
@@ -155,11 +155,11 @@
 	_, err := bundle.DecodeRoll(d.first.Encode()[:500])
 	s.step("a truncated roll", Garbled{From: platform, Err: err})
 	s.step("roll 2: all", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
-	part := d.publisher.give(s.fetched[:1])[0]
+	part := d.publisher.partsFor(s.fetched[:1])[0]
 	part.Bytes = part.Bytes[:len(part.Bytes)-1]
 	s.step("a truncated part", PartsSeen{From: platform, Parts: []bundle.Part{part}})
 	assert.Equal(t, s.inForce(), uint64(1))
-	s.parts(platform)
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(2))
 	s.step("roll 1 again, from a stale read", RollSeen{From: platform, Roll: d.first})
 	s.step("the head of version 1 again", HeadSeen{From: platform, Head: d.v1})
@@ -178,7 +178,7 @@
 	s.step("entry-3 announces roll 2, without parts", Announced{From: peer("entry-3"), Summary: has})
 	has.Whole = true
 	s.step("entry-3 announces roll 2, whole", Announced{From: peer("entry-3"), Summary: has})
-	s.parts(peer("entry-3"))
+	s.supplyParts(peer("entry-3"))
 	assert.Equal(t, s.inForce(), uint64(2))
 	return s
 }
@@ -188,7 +188,7 @@
 	s.step("roll 2: all, without its parts", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
 	s.wait(11 * time.Second)
 	assert.Equal(t, s.inForce(), uint64(1))
-	s.parts(platform)
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(2))
 	assert.Equal(t, len(s.ledger.Alarms()), 0)
 	return s
@@ -199,17 +199,17 @@
 	other := p.build(d.v1, 202, firstSet, "ben", "cyd")
 	s := ready(t, d)
 	s.step("roll 2: version 2", RollSeen{From: platform, Roll: p.all(2, d.v2, d.v1, "ada", "ben")})
-	s.parts(platform)
+	s.supplyParts(platform)
 	s.step("roll 2: another version 2", RollSeen{From: platform, Roll: p.all(2, other, d.v1, "ben", "cyd")})
 	s.step("the head of the other", HeadSeen{From: platform, Head: other})
 	assert.Equal(t, s.inForce(), uint64(2))
-	deaf := p.build(other, 103, firstSet, "ben", "cyd")
-	s.step("roll 3: version 3, which follows the other", RollSeen{From: platform, Roll: p.all(3, deaf, other, "ben", "cyd")})
-	s.parts(platform)
+	thirdOfOther := p.build(other, 103, firstSet, "ben", "cyd")
+	s.step("roll 3: version 3, which follows the other", RollSeen{From: platform, Roll: p.all(3, thirdOfOther, other, "ben", "cyd")})
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(2))
-	healing := p.draft(bundle.Draft{Previous: deaf, Approvers: firstSet}, 104, "ada", "ben")
-	s.step("roll 4: version 4", RollSeen{From: platform, Roll: p.all(4, healing, deaf, "ada", "ben")})
-	s.parts(platform)
+	healing := p.draft(bundle.Draft{Previous: thirdOfOther, Approvers: firstSet}, 104, "ada", "ben")
+	s.step("roll 4: version 4", RollSeen{From: platform, Roll: p.all(4, healing, thirdOfOther, "ada", "ben")})
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(4))
 	assert.Equal(t, len(s.ledger.Alarms()), 0)
 	return s
@@ -220,14 +220,14 @@
 	settings.Isolated = IsolatedServePreload
 	s := newSession(t, d.publisher, settings, platform, peer("entry-2"), engine)
 	s.step("roll 1 preloaded", RollSeen{From: preload, Roll: d.first})
-	s.step("its parts preloaded", PartsSeen{From: preload, Parts: d.publisher.give(s.ledger.parts.missing)})
+	s.step("its parts preloaded", PartsSeen{From: preload, Parts: d.publisher.partsFor(s.ledger.parts.missing)})
 	s.step("no platform", Unreachable{From: platform})
 	s.step("entry-2 is starting too", FloorReport{From: peer("entry-2")})
 	s.step("an engine has seen number 2", FloorReport{From: engine, Fence: 2})
 	s.wait(6 * time.Second)
 	assert.Equal(t, s.ledger.Status(), StatusStarting)
 	s.step("entry-2 has roll 2", FloorReport{From: peer("entry-2"), Ready: true, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
-	s.parts(peer("entry-2"))
+	s.supplyParts(peer("entry-2"))
 	assert.Equal(t, s.ledger.Status(), StatusReady)
 	assert.Equal(t, s.inForce(), uint64(2))
 	return s
@@ -240,7 +240,7 @@
 	assert.Equal(t, s.ledger.Status(), StatusRechecking)
 	s.step("an answer from before the pause", FloorReport{From: platform, Roll: d.first})
 	s.step("the platform has roll 2", FloorReport{From: platform, Round: 1, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
-	s.parts(platform)
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(1), "version changed before all sources had answered")
 	s.step("entry-2 has roll 1", FloorReport{From: peer("entry-2"), Round: 1, Ready: true, Roll: d.first})
 	assert.Equal(t, s.inForce(), uint64(2))
@@ -261,7 +261,7 @@
 	s.step("roll 12: version 9, with no base", RollSeen{From: platform, Roll: r})
 	r = p.all(13, head, d.v3, "eve", "fay")
 	s.step("roll 13: version 9", RollSeen{From: platform, Roll: r})
-	s.parts(platform)
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(9))
 	byOld := p.build(head, 110, firstSet, "ada", "ben", "cyd")
 	s.step("roll 14, by the approvers that were replaced", RollSeen{From: platform, Roll: p.all(14, byOld, head, "ada", "ben", "cyd")})
@@ -269,9 +269,9 @@
 	return s
 }
 
-// standIn starts an instance while a canary that covers it is published only in
+// baseInForce starts an instance while a canary that covers it is published only in
 // part, so that the roll's base is put into force until the parts arrive.
-func standIn(t *testing.T, d *documents) *session {
+func baseInForce(t *testing.T, d *documents) *session {
 	p := d.publisher
 	canary := p.canary(2, d.v2, d.v1, "hall-a", "ada", "ben")
 	s := newSession(t, p, testSettings("entry-1", "hall-a"), platform, peer("entry-2"))
@@ -282,7 +282,7 @@
 		if len(missing) == 0 {
 			break
 		}
-		s.step("parts of version 1 only", PartsSeen{From: peer("entry-2"), Parts: p.give(missing)})
+		s.step("parts of version 1 only", PartsSeen{From: peer("entry-2"), Parts: p.partsFor(missing)})
 	}
 	s.step("the platform has roll 2", FloorReport{From: platform, Roll: canary})
 	s.wait(9 * time.Second)
@@ -290,7 +290,7 @@
 	s.wait(time.Second)
 	assert.Equal(t, s.ledger.Status(), StatusReady)
 	assert.Equal(t, s.inForce(), uint64(1))
-	s.parts(platform)
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(2))
 	return s
 }
--- a/bundle/ledger/status.go
+++ b/bundle/ledger/status.go
@@ -26,7 +26,7 @@
 	if l.roll != nil {
 		s.RollSequence = l.roll.Roll.Sequence
 		s.RollDigest = l.rollDigest
-		s.Whole = l.whole()
+		s.Whole = l.targetComplete()
 		if s.Newest.IsZero() {
 			s.Newest = l.roll.Roll.Target
 		}
--- a/bundle/modelcheck/modelcheck.go
+++ b/bundle/modelcheck/modelcheck.go
@@ -12,8 +12,8 @@
 	// Name describes the transition in the trace of a violation.
 	Name  string
 	State S
-	// Broken is the invariant violation that the step causes, nil if none.
-	Broken error
+	// Violation is the invariant violation that the step causes, nil if none.
+	Violation error
 }
 
 // Model is a transition system whose states can all be visited.
@@ -43,18 +43,18 @@
 
 // Violation is a violated invariant and the trace that leads to it.
 type Violation struct {
-	Broken error
+	Err error
 	// Trace lists the names of the steps from the start state.
 	Trace []string
 }
 
 // Error implements error.
 func (v *Violation) Error() string {
-	return fmt.Sprintf("%v after:\n  %s", v.Broken, strings.Join(v.Trace, "\n  "))
+	return fmt.Sprintf("%v after:\n  %s", v.Err, strings.Join(v.Trace, "\n  "))
 }
 
-// visited is a state in the search queue, with a link to its predecessor.
-type visited[S any] struct {
+// searchNode is a state in the search queue, with a link to its predecessor.
+type searchNode[S any] struct {
 	state  S
 	name   string
 	parent int
@@ -64,15 +64,15 @@
 // Explore visits the model's states in breadth-first order until a step violates
 // an invariant, no state is left, or Limit is reached.
 func Explore[S any](m Model[S]) Result {
-	queue := []visited[S]{{state: m.Start, parent: -1}}
+	queue := []searchNode[S]{{state: m.Start, parent: -1}}
 	seen := map[string]bool{m.Key(m.Start): true}
 	r := Result{Complete: true}
 	for i := 0; i < len(queue); i++ {
 		for _, step := range m.Next(queue[i].state) {
 			r.Steps++
-			if step.Broken != nil {
+			if step.Violation != nil {
 				r.States = len(queue)
-				r.Violation = &Violation{Broken: step.Broken, Trace: append(trace(queue, i), step.Name)}
+				r.Violation = &Violation{Err: step.Violation, Trace: append(trace(queue, i), step.Name)}
 				return r
 			}
 			key := m.Key(step.State)
@@ -84,7 +84,7 @@
 				continue
 			}
 			seen[key] = true
-			queue = append(queue, visited[S]{state: step.State, name: step.Name, parent: i, depth: queue[i].depth + 1})
+			queue = append(queue, searchNode[S]{state: step.State, name: step.Name, parent: i, depth: queue[i].depth + 1})
 			r.Depth = queue[i].depth + 1
 		}
 		// After its expansion, only the trace of a state is needed; release its
@@ -97,7 +97,7 @@
 }
 
 // trace lists the names of the steps from the start to a visited state.
-func trace[S any](queue []visited[S], i int) []string {
+func trace[S any](queue []searchNode[S], i int) []string {
 	var names []string
 	for ; queue[i].parent >= 0; i = queue[i].parent {
 		names = append([]string{queue[i].name}, names...)
--- a/bundle/modelcheck/modelcheck_test.go
+++ b/bundle/modelcheck/modelcheck_test.go
@@ -11,14 +11,14 @@
 var errTooHigh = errors.New("above 7")
 
 // counter is a model whose steps add 1 or 3 to a number, up to top.
-func counter(top int, broken func(int) error) Model[int] {
+func counter(top int, check func(int) error) Model[int] {
 	return Model[int]{
 		Key: strconv.Itoa, Limit: 1000,
 		Next: func(n int) []Step[int] {
 			var steps []Step[int]
 			for _, add := range []int{1, 3} {
 				if n+add <= top {
-					steps = append(steps, Step[int]{Name: "add " + strconv.Itoa(add), State: n + add, Broken: broken(n + add)})
+					steps = append(steps, Step[int]{Name: "add " + strconv.Itoa(add), State: n + add, Violation: check(n + add)})
 				}
 			}
 			return steps
@@ -41,7 +41,7 @@
 		}
 		return nil
 	}))
-	assert.Assert(t, errors.Is(r.Violation.Broken, errTooHigh))
+	assert.Assert(t, errors.Is(r.Violation.Err, errTooHigh))
 	assert.DeepEqual(t, r.Violation.Trace, []string{"add 3", "add 3", "add 3"})
 }
 
--- a/configservice/client.go
+++ b/configservice/client.go
@@ -82,14 +82,14 @@
 	timeout time.Duration
 	wait    time.Duration
 	http    *http.Client
-	counts  counts
+	counts  counters
 
 	mu   sync.Mutex
-	seen map[string]sighting
+	seen map[string]seenIndex
 }
 
-// sighting is the highest index seen of a key, and when it was first seen.
-type sighting struct {
+// seenIndex is the highest index seen of a key, and when it was first seen.
+type seenIndex struct {
 	index uint64
 	at    time.Time
 }
@@ -115,7 +115,7 @@
 		timeout: o.Timeout,
 		wait:    o.Wait,
 		http:    &http.Client{Transport: o.Transport, CheckRedirect: noRedirect},
-		seen:    map[string]sighting{},
+		seen:    map[string]seenIndex{},
 	}, nil
 }
 
@@ -175,48 +175,48 @@
 // Stats implements Reader.
 func (c *Client) Stats() Stats { return c.counts.read() }
 
-// poll holds the query parameters of one poll of a watch.
-type poll struct {
+// pollQuery holds the query parameters of one poll of a watch.
+type pollQuery struct {
 	index uint64
 	wait  time.Duration
 }
 
-// reading is the result of a read.
-type reading struct {
+// readResult is the result of a read.
+type readResult struct {
 	value Value
 	// unchanged is set if there is no newer value.
 	unchanged bool
 }
 
 // read sends one request and counts it and its outcome.
-func (c *Client) read(ctx context.Context, key string, p *poll) (reading, error) {
+func (c *Client) read(ctx context.Context, key string, p *pollQuery) (readResult, error) {
 	c.counts.calls.Add(1)
 	at := c.current.Load()
-	r, err := c.try(ctx, at, key, p)
-	var down *UnavailableError
-	if errors.As(err, &down) {
-		c.next(at)
+	r, err := c.send(ctx, at, key, p)
+	var unavailable *UnavailableError
+	if errors.As(err, &unavailable) {
+		c.switchAddress(at)
 	}
-	return c.counted(r, err)
+	return c.countOutcome(r, err)
 }
 
-// try sends one request to the address with the given number.
-func (c *Client) try(ctx context.Context, at uint32, key string, p *poll) (reading, error) {
-	req, err := c.request(ctx, at, key, p)
+// send sends one request to the address with the given number.
+func (c *Client) send(ctx context.Context, at uint32, key string, p *pollQuery) (readResult, error) {
+	req, err := c.newRequest(ctx, at, key, p)
 	if err != nil {
-		return reading{}, &ProtocolError{Key: key, Detail: "bad key"}
+		return readResult{}, &ProtocolError{Key: key, Detail: "bad key"}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return reading{}, &UnavailableError{Key: key, Err: err}
+		return readResult{}, &UnavailableError{Key: key, Err: err}
 	}
 	// The body has been read to its end, or the connection is abandoned.
 	defer resp.Body.Close()
-	return c.answer(key, resp)
+	return c.readResponse(key, resp)
 }
 
-// request builds the request for a key.
-func (c *Client) request(ctx context.Context, at uint32, key string, p *poll) (*http.Request, error) {
+// newRequest builds the request for a key.
+func (c *Client) newRequest(ctx context.Context, at uint32, key string, p *pollQuery) (*http.Request, error) {
 	u := c.urls[int(at)%len(c.urls)].JoinPath(pathKeys, key)
 	if p != nil {
 		q := url.Values{}
@@ -232,12 +232,12 @@
 	return req, nil
 }
 
-// counted counts the outcome of a call and returns it unchanged.
-func (c *Client) counted(r reading, err error) (reading, error) {
+// countOutcome counts the outcome of a call and returns it unchanged.
+func (c *Client) countOutcome(r readResult, err error) (readResult, error) {
 	switch {
 	case err != nil:
 		c.counts.failure(err)
-		return reading{}, err
+		return readResult{}, err
 	case r.unchanged:
 		c.counts.unchanged.Add(1)
 	default:
@@ -246,47 +246,47 @@
 	return r, nil
 }
 
-// next switches from an unavailable address to the next one, unless a concurrent
-// read has already done so.
-func (c *Client) next(at uint32) { c.current.CompareAndSwap(at, at+1) }
+// switchAddress switches from an unavailable address to the next one, unless a
+// concurrent read has already done so.
+func (c *Client) switchAddress(at uint32) { c.current.CompareAndSwap(at, at+1) }
 
-// answer converts a response to a reading or an error.
-func (c *Client) answer(key string, resp *http.Response) (reading, error) {
+// readResponse converts a response to a result or an error.
+func (c *Client) readResponse(key string, resp *http.Response) (readResult, error) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		return c.value(key, resp)
+		return c.readValue(key, resp)
 	case resp.StatusCode == http.StatusNotModified:
-		return reading{unchanged: true}, c.checkUnchanged(key, resp)
+		return readResult{unchanged: true}, c.checkUnchanged(key, resp)
 	case resp.StatusCode == http.StatusNotFound:
-		return reading{}, &NotFoundError{Key: key}
+		return readResult{}, &NotFoundError{Key: key}
 	case resp.StatusCode == http.StatusTooManyRequests:
-		return reading{}, &RateLimitedError{Key: key, RetryAfter: retryAfter(resp.Header)}
+		return readResult{}, &RateLimitedError{Key: key, RetryAfter: retryAfter(resp.Header)}
 	case resp.StatusCode >= http.StatusInternalServerError:
-		return reading{}, &UnavailableError{Key: key, Status: resp.StatusCode}
+		return readResult{}, &UnavailableError{Key: key, Status: resp.StatusCode}
 	default:
-		return reading{}, &ProtocolError{Key: key, Detail: "status " + resp.Status}
+		return readResult{}, &ProtocolError{Key: key, Detail: "status " + resp.Status}
 	}
 }
 
-// value reads the body of a 200 response.
-func (c *Client) value(key string, resp *http.Response) (reading, error) {
+// readValue reads the body of a 200 response.
+func (c *Client) readValue(key string, resp *http.Response) (readResult, error) {
 	index, ok := readIndex(resp.Header)
 	if !ok {
-		return reading{}, &ProtocolError{Key: key, Detail: "no " + headerIndex}
+		return readResult{}, &ProtocolError{Key: key, Detail: "no " + headerIndex}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxValue+1))
 	c.counts.bytes.Add(uint64(len(body)))
 	switch {
 	case err != nil:
-		return reading{}, &UnavailableError{Key: key, Err: err}
+		return readResult{}, &UnavailableError{Key: key, Err: err}
 	case len(body) > MaxValue:
-		return reading{}, &TooLargeError{Key: key, Limit: MaxValue}
+		return readResult{}, &TooLargeError{Key: key, Limit: MaxValue}
 	}
 	v := Value{Index: index, Bytes: body}
 	if err := c.checkFresh(key, v); err != nil {
-		return reading{}, err
+		return readResult{}, err
 	}
-	return reading{value: v}, nil
+	return readResult{value: v}, nil
 }
 
 // readIndex parses the index header.
--- a/configservice/client_test.go
+++ b/configservice/client_test.go
@@ -19,19 +19,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// transport is a fake service implemented by a function.
-type transport func(*http.Request) (*http.Response, error)
+// fakeTransport is a fake service implemented by a function.
+type fakeTransport func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
-func (f transport) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// refusal is the network error that fakes return.
-type refusal struct{}
+// connectionError is the network error that fakes return.
+type connectionError struct{}
 
-func (refusal) Error() string { return "connection refused" }
+func (connectionError) Error() string { return "connection refused" }
 
-// answer builds a response, without an index header if index is 0.
-func answer(status int, index uint64, body string) *http.Response {
+// newResponse builds a response, without an index header if index is 0.
+func newResponse(status int, index uint64, body string) *http.Response {
 	h := http.Header{}
 	if index > 0 {
 		h.Set(headerIndex, strconv.FormatUint(index, 10))
@@ -40,7 +40,7 @@
 }
 
 // newTestClient returns a client of the given fake service with two addresses.
-func newTestClient(t *testing.T, f transport) *Client {
+func newTestClient(t *testing.T, f fakeTransport) *Client {
 	t.Helper()
 	c, err := NewClient(Options{URLs: []string{"http://a.test", "http://b.test"}, Reader: "entry-a1", Transport: f})
 	assert.NilError(t, err)
@@ -48,7 +48,7 @@
 }
 
 func TestGet(t *testing.T) {
-	limited := answer(http.StatusTooManyRequests, 0, "")
+	limited := newResponse(http.StatusTooManyRequests, 0, "")
 	limited.Header.Set(headerRetryAfter, "3")
 	tests := []struct {
 		name string
@@ -56,23 +56,23 @@
 		err  error
 		is   func(error) bool
 	}{
-		{"value", answer(200, 5, "body"), nil, func(err error) bool { return err == nil }},
-		{"absent", answer(404, 0, ""), nil, func(err error) bool { return errors.As(err, new(*NotFoundError)) }},
+		{"value", newResponse(200, 5, "body"), nil, func(err error) bool { return err == nil }},
+		{"absent", newResponse(404, 0, ""), nil, func(err error) bool { return errors.As(err, new(*NotFoundError)) }},
 		{"rate limited", limited, nil, func(err error) bool {
 			var e *RateLimitedError
 			return errors.As(err, &e) && e.RetryAfter == 3*time.Second
 		}},
-		{"rate limited without a time", answer(429, 0, ""), nil, func(err error) bool {
+		{"rate limited without a time", newResponse(429, 0, ""), nil, func(err error) bool {
 			var e *RateLimitedError
 			return errors.As(err, &e) && e.RetryAfter == time.Second
 		}},
-		{"down", answer(503, 0, ""), nil, func(err error) bool { return errors.As(err, new(*UnavailableError)) }},
-		{"no answer", nil, refusal{}, func(err error) bool {
-			return errors.As(err, new(*UnavailableError)) && errors.As(err, new(refusal))
+		{"down", newResponse(503, 0, ""), nil, func(err error) bool { return errors.As(err, new(*UnavailableError)) }},
+		{"no answer", nil, connectionError{}, func(err error) bool {
+			return errors.As(err, new(*UnavailableError)) && errors.As(err, new(connectionError))
 		}},
-		{"too large", answer(200, 5, strings.Repeat("x", MaxValue+1)), nil, func(err error) bool { return errors.As(err, new(*TooLargeError)) }},
-		{"no index", answer(200, 0, "body"), nil, func(err error) bool { return errors.As(err, new(*ProtocolError)) }},
-		{"redirect", answer(302, 0, ""), nil, func(err error) bool { return errors.As(err, new(*ProtocolError)) }},
+		{"too large", newResponse(200, 5, strings.Repeat("x", MaxValue+1)), nil, func(err error) bool { return errors.As(err, new(*TooLargeError)) }},
+		{"no index", newResponse(200, 0, "body"), nil, func(err error) bool { return errors.As(err, new(*ProtocolError)) }},
+		{"redirect", newResponse(302, 0, ""), nil, func(err error) bool { return errors.As(err, new(*ProtocolError)) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -97,9 +97,9 @@
 	c := newTestClient(t, func(r *http.Request) (*http.Response, error) {
 		hosts = append(hosts, r.URL.Host)
 		if r.URL.Host == "a.test" {
-			return nil, refusal{}
+			return nil, connectionError{}
 		}
-		return answer(200, 1, ""), nil
+		return newResponse(200, 1, ""), nil
 	})
 	_, err := c.Get(context.Background(), "k")
 	assert.Assert(t, err != nil)
@@ -113,7 +113,7 @@
 func TestGetReportsOldValues(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		index := uint64(9)
-		c := newTestClient(t, func(*http.Request) (*http.Response, error) { return answer(200, index, "old"), nil })
+		c := newTestClient(t, func(*http.Request) (*http.Response, error) { return newResponse(200, index, "old"), nil })
 		_, err := c.Get(context.Background(), "k")
 		assert.NilError(t, err)
 		time.Sleep(time.Minute)
--- a/configservice/stale.go
+++ b/configservice/stale.go
@@ -15,7 +15,7 @@
 		return staleError(key, s, v)
 	}
 	if !ok || v.Index > s.index {
-		c.seen[key] = sighting{index: v.Index, at: time.Now()}
+		c.seen[key] = seenIndex{index: v.Index, at: time.Now()}
 	}
 	return nil
 }
@@ -36,16 +36,16 @@
 }
 
 // staleError returns the error for a value older than the newest one seen.
-func staleError(key string, s sighting, v Value) error {
+func staleError(key string, s seenIndex, v Value) error {
 	return &StaleError{Key: key, Seen: s.index, Got: v, Age: time.Since(s.at)}
 }
 
-// noteIndex raises the highest index seen to one that the caller of Watch already
-// has.
-func (c *Client) noteIndex(key string, index uint64) {
+// raiseIndex raises the highest index seen to one that the caller of Watch
+// already has.
+func (c *Client) raiseIndex(key string, index uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s, ok := c.seen[key]; index > 0 && (!ok || index > s.index) {
-		c.seen[key] = sighting{index: index, at: time.Now()}
+		c.seen[key] = seenIndex{index: index, at: time.Now()}
 	}
 }
--- a/configservice/stats.go
+++ b/configservice/stats.go
@@ -18,13 +18,13 @@
 	Bytes uint64
 }
 
-// counts holds a client's counters.
-type counts struct {
+// counters holds a client's counters.
+type counters struct {
 	calls, values, unchanged, notFound, rateLimited, unavailable, stale, faulty, bytes atomic.Uint64
 }
 
 // read returns the current values of the counters.
-func (c *counts) read() Stats {
+func (c *counters) read() Stats {
 	return Stats{
 		Calls:       c.calls.Load(),
 		Values:      c.values.Load(),
@@ -39,7 +39,7 @@
 }
 
 // failure counts a failed call.
-func (c *counts) failure(err error) {
+func (c *counters) failure(err error) {
 	switch err.(type) {
 	case *NotFoundError:
 		c.notFound.Add(1)
--- a/configservice/watch.go
+++ b/configservice/watch.go
@@ -12,14 +12,14 @@
 
 // Bounds of the jittered backoff of a watch after a failed poll.
 const (
-	watchPauseMin = 200 * time.Millisecond
-	watchPauseMax = 15 * time.Second
+	watchBackoffMin = 200 * time.Millisecond
+	watchBackoffMax = 15 * time.Second
 )
 
-// minPoll is the minimum interval between two polls of one watch. It bounds the
-// rate of calls if the service responds immediately although it was asked to
-// wait.
-const minPoll = 100 * time.Millisecond
+// minPollInterval is the minimum interval between two polls of one watch. It
+// bounds the rate of calls if the service responds immediately although it was
+// asked to wait.
+const minPollInterval = 100 * time.Millisecond
 
 // Event is delivered by a watch: a newer value or an error.
 type Event struct {
@@ -32,28 +32,28 @@
 // Watch implements Reader. Failed polls are repeated with jittered exponential
 // backoff.
 func (c *Client) Watch(ctx context.Context, key string, since uint64) <-chan Event {
-	c.noteIndex(key, since)
-	w := &watch{client: c, key: key, index: since, events: make(chan Event), pause: newPause()}
+	c.raiseIndex(key, since)
+	w := &watch{client: c, key: key, index: since, events: make(chan Event), backoff: newBackoff()}
 	go w.run(ctx)
 	return w.events
 }
 
-// newPause returns the backoff between failing polls.
-func newPause() *backoff.ExponentialBackOff {
+// newBackoff returns the backoff between failing polls.
+func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = watchPauseMin
-	b.MaxInterval = watchPauseMax
+	b.InitialInterval = watchBackoffMin
+	b.MaxInterval = watchBackoffMax
 	b.Multiplier = 2
 	return b
 }
 
 // watch is the state of one call of Watch.
 type watch struct {
-	client *Client
-	key    string
-	index  uint64
-	events chan Event
-	pause  *backoff.ExponentialBackOff
+	client  *Client
+	key     string
+	index   uint64
+	events  chan Event
+	backoff *backoff.ExponentialBackOff
 }
 
 // run polls until ctx is done.
@@ -69,22 +69,22 @@
 		if !w.deliver(ctx, r, err) {
 			return
 		}
-		if !pause.For(ctx, max(w.rest(err, took), minPoll-took)) {
+		if !pause.For(ctx, max(w.pauseAfter(err, took), minPollInterval-took)) {
 			return
 		}
 	}
 }
 
 // poll sends one long poll for a newer value.
-func (w *watch) poll(ctx context.Context) (reading, error) {
+func (w *watch) poll(ctx context.Context) (readResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.client.wait+w.client.timeout)
 	defer cancel()
-	return w.client.read(ctx, w.key, &poll{index: w.index, wait: w.client.wait})
+	return w.client.read(ctx, w.key, &pollQuery{index: w.index, wait: w.client.wait})
 }
 
 // deliver sends the result of a poll as an event, unless nothing changed. It
 // returns false if ctx is done.
-func (w *watch) deliver(ctx context.Context, r reading, err error) bool {
+func (w *watch) deliver(ctx context.Context, r readResult, err error) bool {
 	switch {
 	case err != nil:
 		return w.send(ctx, Event{Err: err})
@@ -105,13 +105,13 @@
 	}
 }
 
-// rest returns how long to pause after a poll.
-func (w *watch) rest(err error, took time.Duration) time.Duration {
-	if err == nil || w.waited(err, took) {
-		w.pause.Reset()
+// pauseAfter returns how long to pause after a poll.
+func (w *watch) pauseAfter(err error, took time.Duration) time.Duration {
+	if err == nil || w.wasLongPoll(err, took) {
+		w.backoff.Reset()
 		return 0
 	}
-	rest := w.pause.NextBackOff()
+	rest := w.backoff.NextBackOff()
 	var limited *RateLimitedError
 	if errors.As(err, &limited) {
 		// The jittered backoff is added to RetryAfter, so that readers do not
@@ -121,10 +121,10 @@
 	return rest
 }
 
-// waited reports whether the service waited for a change before it responded that
-// the key is absent or its value stale. That wait already limits the rate of
+// wasLongPoll reports whether the service waited for a change before it responded
+// that the key is absent or its value stale. That wait already limits the rate of
 // polls, and a further pause would only delay the next change.
-func (w *watch) waited(err error, took time.Duration) bool {
+func (w *watch) wasLongPoll(err error, took time.Duration) bool {
 	var absent *NotFoundError
 	var old *StaleError
 	answered := errors.As(err, &absent) || errors.As(err, &old)
--- a/configservice/watch_test.go
+++ b/configservice/watch_test.go
@@ -15,27 +15,27 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// service is a fake service with one key and long polling.
-type service struct {
+// fakeService is a fake service with one key and long polling.
+type fakeService struct {
 	mu      sync.Mutex
 	index   uint64
 	changed chan struct{}
 	// fail, if set, produces the response to every read.
 	fail func() (*http.Response, error)
-	// impatient makes it respond immediately although it is asked to wait.
-	impatient bool
+	// ignoresWait makes it respond immediately although it is asked to wait.
+	ignoresWait bool
 	// absent makes it respond with 404 instead of 304.
 	absent bool
 	calls  int
 }
 
 // newService returns a service whose key has the given index.
-func newService(index uint64) *service {
-	return &service{index: index, changed: make(chan struct{})}
+func newService(index uint64) *fakeService {
+	return &fakeService{index: index, changed: make(chan struct{})}
 }
 
-// set changes the service's state and wakes the waiting polls.
-func (s *service) set(change func()) {
+// update changes the service's state and wakes the waiting polls.
+func (s *fakeService) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -43,15 +43,15 @@
 	s.changed = make(chan struct{})
 }
 
-// look returns the current state.
-func (s *service) look() (uint64, <-chan struct{}, func() (*http.Response, error)) {
+// snapshot returns the current state.
+func (s *fakeService) snapshot() (uint64, <-chan struct{}, func() (*http.Response, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index, s.changed, s.fail
 }
 
 // roundTrip implements transport: a long poll for an index above the given one.
-func (s *service) roundTrip(r *http.Request) (*http.Response, error) {
+func (s *fakeService) roundTrip(r *http.Request) (*http.Response, error) {
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
@@ -65,22 +65,22 @@
 	}
 	over := time.After(wait)
 	for {
-		index, changed, fail := s.look()
+		index, changed, fail := s.snapshot()
 		switch {
 		case fail != nil:
 			return fail()
 		case index > since:
-			return answer(http.StatusOK, index, strconv.FormatUint(index, 10)), nil
-		case s.impatient:
-			return answer(http.StatusNotModified, index, ""), nil
+			return newResponse(http.StatusOK, index, strconv.FormatUint(index, 10)), nil
+		case s.ignoresWait:
+			return newResponse(http.StatusNotModified, index, ""), nil
 		}
 		select {
 		case <-changed:
 		case <-over:
 			if s.absent {
-				return answer(http.StatusNotFound, 0, ""), nil
+				return newResponse(http.StatusNotFound, 0, ""), nil
 			}
-			return answer(http.StatusNotModified, index, ""), nil
+			return newResponse(http.StatusNotModified, index, ""), nil
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
 		}
@@ -88,7 +88,7 @@
 }
 
 // startWatch watches the key of the service; stop ends the watch.
-func startWatch(t *testing.T, s *service, since uint64) (c *Client, events <-chan Event, stop func()) {
+func startWatch(t *testing.T, s *fakeService, since uint64) (c *Client, events <-chan Event, stop func()) {
 	c = newTestClient(t, s.roundTrip)
 	ctx, cancel := context.WithCancel(context.Background())
 	events = c.Watch(ctx, "k", since)
@@ -106,7 +106,7 @@
 		defer stop()
 		assert.Equal(t, (<-events).Value.Index, uint64(3))
 		time.Sleep(5 * DefaultWait / 2)
-		s.set(func() { s.index = 7 })
+		s.update(func() { s.index = 7 })
 		start := time.Now()
 		assert.Equal(t, (<-events).Value.Index, uint64(7))
 		assert.Equal(t, time.Since(start), time.Duration(0))
@@ -126,7 +126,7 @@
 		assert.Equal(t, old.Seen, uint64(9))
 		assert.Equal(t, old.Got.Index, uint64(5))
 		assert.Equal(t, old.Age, DefaultWait)
-		s.set(func() { s.index = 10 })
+		s.update(func() { s.index = 10 })
 		assert.Equal(t, (<-events).Value.Index, uint64(10))
 	})
 }
@@ -134,7 +134,7 @@
 func TestWatchBacksOffWhileDown(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		s := newService(1)
-		s.fail = func() (*http.Response, error) { return nil, refusal{} }
+		s.fail = func() (*http.Response, error) { return nil, connectionError{} }
 		_, events, stop := startWatch(t, s, 0)
 		defer stop()
 		end := time.Now().Add(10 * time.Minute)
@@ -144,7 +144,7 @@
 		// The backoff doubles from 200 ms to 15 s within 8 polls; then there is one
 		// poll every 7.5 to 22.5 s.
 		assert.Assert(t, s.calls >= 30 && s.calls <= 90, "%d calls", s.calls)
-		s.set(func() { s.fail = nil })
+		s.update(func() { s.fail = nil })
 		for e := range events {
 			if e.Err == nil {
 				assert.Equal(t, e.Value.Index, uint64(1))
@@ -167,7 +167,7 @@
 			assert.Assert(t, errors.As((<-events).Err, new(*NotFoundError)))
 		}
 		synctest.Wait()
-		s.set(func() { s.index = 1 })
+		s.update(func() { s.index = 1 })
 		start := time.Now()
 		assert.Equal(t, (<-events).Value.Index, uint64(1))
 		assert.Equal(t, time.Since(start), time.Duration(0))
@@ -178,7 +178,7 @@
 	bubble.Test(t, func(t *testing.T) {
 		s := newService(1)
 		s.fail = func() (*http.Response, error) {
-			r := answer(http.StatusTooManyRequests, 0, "")
+			r := newResponse(http.StatusTooManyRequests, 0, "")
 			r.Header.Set(headerRetryAfter, "20")
 			return r, nil
 		}
@@ -194,7 +194,7 @@
 func TestWatchBoundsCallsToAnImpatientService(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		s := newService(1)
-		s.impatient = true
+		s.ignoresWait = true
 		_, events, stop := startWatch(t, s, 0)
 		assert.Equal(t, (<-events).Value.Index, uint64(1))
 		time.Sleep(time.Minute)
