--- a/bundle/ledger/documents.go
+++ b/bundle/ledger/documents.go
@@ -7,11 +7,11 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// StaleError reports a document that is older than one already accepted: a
-// stale read or a replay.
+// StaleError reports a document that is older than one already accepted, because
+// of a stale read or a replay.
 type StaleError struct {
 	What string
-	// Have is the number already accepted, and Seen the document's.
+	// Have is the number already accepted, and Seen the rejected document's.
 	Have, Seen uint64
 }
 
@@ -20,12 +20,12 @@
 	return fmt.Sprintf("%s %d is older than %d", e.What, e.Seen, e.Have)
 }
 
-// ConflictError reports a signed document that has the number of an accepted one
-// and another digest.
+// ConflictError reports a signed document with the number of an accepted one but
+// a different digest.
 type ConflictError struct {
 	What   string
 	Number uint64
-	// Have is the digest accepted, and Seen the document's.
+	// Have is the accepted digest, and Seen the rejected document's.
 	Have, Seen bundle.Digest
 }
 
@@ -34,8 +34,8 @@
 	return fmt.Sprintf("%s %d is signed as %s and as %s", e.What, e.Number, e.Have.Short(), e.Seen.Short())
 }
 
-// refuse records that something was refused.
-func (l *Ledger) refuse(from Source, err error) { l.act(Refused{From: from, Err: err}) }
+// refuse emits a Refused action.
+func (l *Ledger) refuse(from Source, err error) { l.emit(Refused{From: from, Err: err}) }
 
 // apply implements Event.
 func (e Garbled) apply(l *Ledger) {
@@ -45,7 +45,7 @@
 
 // apply implements Event.
 func (e HeadSeen) apply(l *Ledger) {
-	l.gave(e.From, DocumentHead)
+	l.clearGarbled(e.From, DocumentHead)
 	ref := e.Head.Ref()
 	if l.known(ref) {
 		l.parts.addHolder(e.From)
@@ -64,17 +64,17 @@
 	}
 	if conflict {
 		l.refuse(e.From, &ConflictError{What: "version", Number: ref.Version, Have: other.Digest, Seen: ref.Digest})
-		l.split(other, ref)
+		l.alarmSplit(other, ref)
 		return
 	}
 	l.next, l.nextRef = e.Head, ref
 	l.parts.addHolder(e.From)
 	l.parts.stale = true
 	l.parts.since = l.now
-	l.act(Announce{Summary: l.Summary()})
+	l.emit(Announce{Summary: l.Summary()})
 }
 
-// refs lists the bundles that the ledger knows to be signed.
+// refs lists the bundles whose signatures the ledger has verified.
 func (l *Ledger) refs() []bundle.Ref {
 	refs := []bundle.Ref{l.inForceRef, l.nextRef}
 	if l.roll != nil {
@@ -92,8 +92,8 @@
 	return false
 }
 
-// conflicting returns a known bundle with the same version as ref and another
-// digest.
+// conflicting returns a known bundle with the same version as ref but a
+// different digest.
 func (l *Ledger) conflicting(ref bundle.Ref) (bundle.Ref, bool) {
 	for _, r := range l.refs() {
 		if r.Version == ref.Version && r.Digest != ref.Digest && !r.IsZero() {
@@ -111,20 +111,20 @@
 	return newest
 }
 
-// split raises the alarm for two signed bundles of one version.
-func (l *Ledger) split(have, seen bundle.Ref) {
-	if l.on(guardConflict) {
+// alarmSplit raises AlarmSplitVersion for two signed bundles with one version.
+func (l *Ledger) alarmSplit(have, seen bundle.Ref) {
+	if l.enabled(guardConflict) {
 		l.alarm(Alarm{Type: AlarmSplitVersion, Ref: have, Other: seen})
 	}
 }
 
 // apply implements Event.
-func (e RollSeen) apply(l *Ledger) { l.takeRoll(e.From, e.Roll) }
+func (e RollSeen) apply(l *Ledger) { l.processRoll(e.From, e.Roll) }
 
-// takeRoll accepts or refuses a roll. It reports false only for a roll that may
-// be newer than the ledger's and cannot be verified.
-func (l *Ledger) takeRoll(from Source, s *bundle.SignedRoll) bool {
-	l.gave(from, DocumentRoll)
+// processRoll accepts or rejects a roll. It returns false only if the roll cannot
+// be verified but may be newer than the ledger's.
+func (l *Ledger) processRoll(from Source, s *bundle.SignedRoll) bool {
+	l.clearGarbled(from, DocumentRoll)
 	if l.roll != nil && l.rollDigest == s.Roll.Digest() {
 		l.parts.addHolder(from)
 		return true
@@ -145,50 +145,53 @@
 	return true
 }
 
-// refusedStale refuses a roll that is older than the current one. It may still
-// show that a version was signed twice.
+// refusedStale rejects a roll that is older than the current one, and reports
+// whether it did. Such a roll may still reveal two signed bundles with one
+// version, so it is checked for conflicts.
 func (l *Ledger) refusedStale(from Source, s *bundle.SignedRoll) bool {
-	if l.roll == nil || s.Roll.Sequence >= l.roll.Roll.Sequence || !l.on(guardOrder) {
+	if l.roll == nil || s.Roll.Sequence >= l.roll.Roll.Sequence || !l.enabled(guardOrder) {
 		return false
 	}
 	l.refuse(from, &StaleError{What: "roll", Have: l.roll.Roll.Sequence, Seen: s.Roll.Sequence})
-	if l.clashes(s) && l.verifyRoll(s) == nil {
+	if l.conflicts(s) && l.verifyRoll(s) == nil {
 		l.reportSplits(s)
 	}
 	return true
 }
 
-// clashes reports whether a bundle of the roll clashes with a known one.
-func (l *Ledger) clashes(s *bundle.SignedRoll) bool {
+// conflicts reports whether the roll's target or base conflicts with a known bundle.
+func (l *Ledger) conflicts(s *bundle.SignedRoll) bool {
 	_, target := l.conflicting(s.Roll.Target)
 	_, base := l.conflicting(s.Roll.Base)
 	return target || base
 }
 
-// verifyRoll verifies the roll's target and its own signatures.
+// verifyRoll verifies the signatures of the roll and of its target.
 func (l *Ledger) verifyRoll(s *bundle.SignedRoll) error {
 	trusted := l.approvers
-	if !l.on(guardManifest) {
+	if !l.enabled(guardManifest) {
 		trusted = s.Target.Manifest.Approvers
 	}
-	if !l.on(guardRoll) {
+	if !l.enabled(guardRoll) {
 		return l.checker.head(&s.Target, trusted)
 	}
 	return l.checker.roll(s, trusted)
 }
 
-// reportSplits raises alarms for bundles of the roll that clash with known ones.
+// reportSplits raises alarms for bundles of the roll that conflict with known
+// ones.
 func (l *Ledger) reportSplits(s *bundle.SignedRoll) {
 	for _, ref := range []bundle.Ref{s.Roll.Target, s.Roll.Base} {
 		if other, conflict := l.conflicting(ref); conflict {
-			l.split(other, ref)
+			l.alarmSplit(other, ref)
 		}
 	}
 }
 
-// refusedOrder refuses a signed roll that may not follow the current one.
+// refusedOrder rejects a signed roll that may not follow the current one, and
+// reports whether it did.
 func (l *Ledger) refusedOrder(from Source, s *bundle.SignedRoll) bool {
-	if l.roll == nil || !l.on(guardOrder) {
+	if l.roll == nil || !l.enabled(guardOrder) {
 		return false
 	}
 	current := &l.roll.Roll
@@ -216,8 +219,8 @@
 	l.clearAlarms(func(a Alarm) bool {
 		return a.Type == AlarmNothingRolled || (a.Number != 0 && a.Number < s.Roll.Sequence && a.Type != AlarmFloorAbove)
 	})
-	l.parts.restart(l.now, from)
-	l.act(Announce{Summary: l.Summary()})
+	l.parts.reset(l.now, from)
+	l.emit(Announce{Summary: l.Summary()})
 }
 
 // apply implements Event.
@@ -226,14 +229,15 @@
 	switch {
 	case e.Summary.RollSequence > mine.RollSequence,
 		e.Summary.RollSequence == mine.RollSequence && e.Summary.RollDigest != mine.RollDigest:
-		l.act(FetchRoll{From: e.From})
+		l.emit(FetchRoll{From: e.From})
 	case e.Summary.RollDigest == mine.RollDigest && e.Summary.Whole:
-		if l.parts.addWhole(e.From) {
-			// Fetch from it now, whoever was asked before.
-			l.parts.fetchedAt, l.parts.tries = time.Time{}, 0
+		if l.parts.addCompletePeer(e.From) {
+			// Fetch from this peer immediately, even if a fetch from another source
+			// is pending.
+			l.parts.fetchedAt, l.parts.fetches = time.Time{}, 0
 		}
 	}
 	if e.Summary.Newest.Version > mine.Newest.Version {
-		l.act(FetchHead{From: e.From})
+		l.emit(FetchHead{From: e.From})
 	}
 }
--- a/bundle/ledger/model_test.go
+++ b/bundle/ledger/model_test.go
@@ -10,105 +10,111 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// The model runs real ledgers under every interleaving of what can happen to
-// them: stale, fresh, repeated and lost reads of the platform and of peers,
-// forged documents, restarts, timeouts, and operators who publish step by step.
-// Loss needs no step of its own: what is lost is a step not taken.
+// The model runs real ledgers under every interleaving of the events that can
+// reach them: stale, fresh, repeated and lost reads of the platform and of peers,
+// forged documents, restarts, timeouts, and operators who publish one document at
+// a time. Message loss needs no step of its own: it is covered by the
+// interleavings in which the step is not taken.
 
-// scenario bounds one model.
+// scenario holds the parameters of one model.
 type scenario struct {
 	name string
-	// rolls are the documents that operators publish, in order.
+	// rolls are the rolls that operators publish, in order.
 	rolls []*bundle.SignedRoll
-	// forged are documents that an attacker may show to anyone at any time.
+	// forged are rolls that an attacker may send to any instance at any time.
 	forged []*bundle.SignedRoll
 	zones  []ident.Zone
-	// settings changes the settings of an instance's life.
-	settings func(s *Settings, life int)
-	// preload is given to each life at its start, if there is one.
+	// settings modifies the settings of an incarnation with the given number.
+	settings func(s *Settings, number int)
+	// preload is the preloaded roll of each incarnation, nil if none.
 	preload *bundle.SignedRoll
-	// cut lists the instances that can reach neither the platform nor a peer.
+	// cut lists the instances that are partitioned from the platform and all
+	// peers.
 	cut []int
 	// fencing adds an upstream that checks fencing numbers, to the first
 	// instance's zone.
 	fencing bool
-	// delayed lets a peer's answers arrive late and twice.
+	// delayed allows the answers of peers to arrive late and more than once.
 	delayed bool
-	// published is how many rolls are published at the start.
+	// published is the number of rolls published at the start.
 	published int
-	// restarts bounds how often instances are replaced, all together.
+	// restarts bounds the total number of instance replacements.
 	restarts int
-	// warm starts every instance ready, with the first roll.
-	warm bool
-	// stuck says that instances need not converge: the operators' last version
-	// does not heal their split.
-	stuck bool
-	// signedTwice says that an approver signed two bundles of one version.
+	// startReady makes every instance start ready, with the first roll.
+	startReady bool
+	// mayDiverge is set if instances need not converge, because the operators' last
+	// version does not resolve their split.
+	mayDiverge bool
+	// signedTwice is set if an approver signed two bundles of one version.
 	signedTwice bool
 }
 
-// life is one instance's life in the model, with what the checks remember.
-type life struct {
+// incarnation is one run of an instance's process in the model, from its start to its
+// replacement, with the history that the checks need.
+type incarnation struct {
 	ledger *Ledger
 	now    time.Time
 	number int
-	// owed holds, for each other instance that was ready when this life began
-	// and has been up since, the sequence of the roll it knew.
-	owed []uint64
-	// abandoned lists versions that this life was told are abandoned while they
-	// were not in force on it.
+	// peersFloor holds, for each other instance that was ready when this
+	// incarnation started and has not been replaced since, the sequence of the
+	// roll it had then.
+	peersFloor []uint64
+	// abandoned lists the versions that this incarnation learned are abandoned
+	// before they were in force on it.
 	abandoned []uint64
-	// fenceOwed is the fencing number that the upstream had seen at the start.
-	fenceOwed uint64
-	// heard holds the answers of peers on their way to this life.
-	heard []*FloorReport
-	late  bool
+	// fenceFloor is the upstream's highest fencing number when this incarnation
+	// started.
+	fenceFloor uint64
+	// inFlight holds the reports of peers that are in flight to this incarnation.
+	inFlight []*FloorReport
+	timedOut bool
 }
 
-// world is one state of the model.
-type world struct {
-	lives     []*life
-	published int
-	restarts  int
-	fence     uint64
+// modelState is one state of the model: that of all instances, the platform and
+// the upstream.
+type modelState struct {
+	incarnations []*incarnation
+	published    int
+	restarts     int
+	fence        uint64
 }
 
-// model makes worlds of a scenario, with one guard removed.
+// model generates the states of a scenario, with one guard disabled.
 type model struct {
 	scenario
-	removed guard
-	// only is the one promise to check, all if empty.
-	only    promise
+	disabledGuard guard
+	// only is the single invariant to check; all are checked if it is empty.
+	only    invariant
 	checker checker
 }
 
-func (m *model) start() *world {
-	w := &world{published: m.published, restarts: m.restarts}
+func (m *model) start() *modelState {
+	w := &modelState{published: m.published, restarts: m.restarts}
 	for i := range m.zones {
-		w.lives = append(w.lives, nil)
-		w.lives[i] = m.birth(w, i, 0)
+		w.incarnations = append(w.incarnations, nil)
+		w.incarnations[i] = m.startIncarnation(w, i, 0)
 	}
-	if m.warm {
-		m.warmUp(w)
+	if m.startReady {
+		m.makeAllReady(w)
 	}
 	return w
 }
 
-// warmUp lets every instance read the first roll and hear every peer, twice: at
-// first no peer is ready.
-func (m *model) warmUp(w *world) {
+// makeAllReady makes every instance read the first roll and the report of every
+// peer. It does so twice, since no peer is ready the first time.
+func (m *model) makeAllReady(w *modelState) {
 	for range 2 {
-		for _, v := range w.lives {
+		for _, v := range w.incarnations {
 			v.ledger.Step(v.now, FloorReport{From: platform, Roll: m.rolls[0]})
-			for _, other := range w.lives {
+			for _, other := range w.incarnations {
 				v.ledger.Step(v.now, other.ledger.Report())
 			}
 		}
 	}
 }
 
-// birth starts a life of an instance.
-func (m *model) birth(w *world, i, number int) *life {
+// startIncarnation starts a new incarnation of instance i.
+func (m *model) startIncarnation(w *modelState, i, number int) *incarnation {
 	s := testSettings(ident.InstanceID(fmt.Sprintf("entry-%d", i)), m.zones[i])
 	s.PauseGap = time.Hour
 	if m.settings != nil {
@@ -118,13 +124,13 @@
 	if err != nil {
 		panic(err)
 	}
-	l.removed, l.checker = m.removed, m.checker
-	v := &life{ledger: l, now: epoch, number: number, fenceOwed: w.fence}
-	v.heard = make([]*FloorReport, len(m.zones))
-	v.owed = make([]uint64, len(m.zones))
-	for j, other := range w.lives {
+	l.disabledGuard, l.checker = m.disabledGuard, m.checker
+	v := &incarnation{ledger: l, now: epoch, number: number, fenceFloor: w.fence}
+	v.inFlight = make([]*FloorReport, len(m.zones))
+	v.peersFloor = make([]uint64, len(m.zones))
+	for j, other := range w.incarnations {
 		if other != nil && j != i && other.ledger.Status() == StatusReady {
-			v.owed[j] = other.ledger.roll.Roll.Sequence
+			v.peersFloor[j] = other.ledger.roll.Roll.Sequence
 		}
 	}
 	if m.preload != nil {
@@ -151,119 +157,122 @@
 	return sources
 }
 
-// next lists what can happen in a world.
-func (m *model) next(w *world) []modelcheck.Step[*world] {
-	var steps []modelcheck.Step[*world]
-	if w.published == len(m.rolls) && !m.stuck && (m.only == "" || m.only == converges) {
+// next lists the transitions from a state.
+func (m *model) next(w *modelState) []modelcheck.Step[*modelState] {
+	var steps []modelcheck.Step[*modelState]
+	if w.published == len(m.rolls) && !m.mayDiverge && (m.only == "" || m.only == converges) {
 		if i, ok := m.converged(w); !ok {
-			steps = append(steps, modelcheck.Step[*world]{Name: "all is read", Broken: &brokenPromise{promise: converges, instance: i}})
+			steps = append(steps, modelcheck.Step[*modelState]{Name: "everything is published and read", Violation: &violation{invariant: converges, instance: i}})
 		}
 	}
 	if w.published < len(m.rolls) {
 		c := *w
 		c.published++
-		steps = append(steps, modelcheck.Step[*world]{Name: fmt.Sprintf("publish %s", rollName(m.rolls[w.published])), State: &c})
+		steps = append(steps, modelcheck.Step[*modelState]{Name: fmt.Sprintf("publish %s", rollName(m.rolls[w.published])), State: &c})
 	}
-	for i := range w.lives {
+	for i := range w.incarnations {
 		steps = append(steps, m.reads(w, i)...)
 		steps = append(steps, m.faults(w, i)...)
 	}
 	return steps
 }
 
-// reads lists the reads that an instance can do.
-func (m *model) reads(w *world, i int) []modelcheck.Step[*world] {
-	var steps []modelcheck.Step[*world]
+// reads lists the transitions in which an instance receives a document or report.
+func (m *model) reads(w *modelState, i int) []modelcheck.Step[*modelState] {
+	var steps []modelcheck.Step[*modelState]
 	if !m.isCut(i) {
 		steps = append(steps, m.event(w, i, "reads nothing from the platform", FloorReport{From: platform}))
 		for _, r := range m.rolls[:w.published] {
 			name := "reads from the platform " + rollName(r)
 			steps = append(steps, m.event(w, i, name, FloorReport{From: platform, Roll: r}))
 		}
-		for j := range w.lives {
+		for j := range w.incarnations {
 			if j != i && !m.isCut(j) {
 				steps = append(steps, m.peerReads(w, i, j)...)
 			}
 		}
 	}
 	if m.hasFencing(i) {
-		name := fmt.Sprintf("hears fencing number %d", w.fence)
+		name := fmt.Sprintf("receives fencing number %d", w.fence)
 		steps = append(steps, m.event(w, i, name, FloorReport{From: engine, Fence: w.fence}))
 	}
 	for _, r := range m.forged {
-		steps = append(steps, m.event(w, i, "is shown forged "+rollName(r), RollSeen{From: peer("thief"), Roll: r}))
+		steps = append(steps, m.event(w, i, "receives forged "+rollName(r), RollSeen{From: peer("thief"), Roll: r}))
 	}
 	return steps
 }
 
-// peerReads lists how instance i can hear from j: at once, or late and twice.
-func (m *model) peerReads(w *world, i, j int) []modelcheck.Step[*world] {
-	report := w.lives[j].ledger.Report()
+// peerReads lists the transitions in which instance i receives the report of j:
+// immediately, or with delayed set late and more than once.
+func (m *model) peerReads(w *modelState, i, j int) []modelcheck.Step[*modelState] {
+	report := w.incarnations[j].ledger.Report()
 	if !m.delayed {
-		return []modelcheck.Step[*world]{m.event(w, i, fmt.Sprintf("hears from entry-%d", j), report)}
+		return []modelcheck.Step[*modelState]{m.event(w, i, fmt.Sprintf("receives the report of entry-%d", j), report)}
 	}
 	asked := w.clone(i)
-	asked.lives[i].heard[j] = &report
-	steps := []modelcheck.Step[*world]{{Name: fmt.Sprintf("entry-%d answers entry-%d", j, i), State: asked}}
-	if late := w.lives[i].heard[j]; late != nil {
-		steps = append(steps, m.event(w, i, fmt.Sprintf("gets the answer of entry-%d", j), *late))
+	asked.incarnations[i].inFlight[j] = &report
+	steps := []modelcheck.Step[*modelState]{{Name: fmt.Sprintf("entry-%d sends its report to entry-%d", j, i), State: asked}}
+	if late := w.incarnations[i].inFlight[j]; late != nil {
+		steps = append(steps, m.event(w, i, fmt.Sprintf("receives the delayed report of entry-%d", j), *late))
 	}
 	return steps
 }
 
-// faults lists the restarts and timeouts of an instance.
-func (m *model) faults(w *world, i int) []modelcheck.Step[*world] {
-	var steps []modelcheck.Step[*world]
-	v := w.lives[i]
-	if len(m.cut) > 0 && !v.late && v.ledger.Status() == StatusStarting {
+// faults lists the timeouts and replacements of an instance.
+func (m *model) faults(w *modelState, i int) []modelcheck.Step[*modelState] {
+	var steps []modelcheck.Step[*modelState]
+	v := w.incarnations[i]
+	if len(m.cut) > 0 && !v.timedOut && v.ledger.Status() == StatusStarting {
 		c := w.clone(i)
-		c.lives[i].late = true
-		c.lives[i].now = v.now.Add(v.ledger.settings.StartTimeout)
-		steps = append(steps, m.stepped(w, c, i, "waits for its timeout", Tick{}))
+		c.incarnations[i].timedOut = true
+		c.incarnations[i].now = v.now.Add(v.ledger.settings.StartTimeout)
+		steps = append(steps, m.applyEvent(w, c, i, "reaches its timeout", Tick{}))
 	}
 	if w.restarts > 0 {
-		steps = append(steps, modelcheck.Step[*world]{Name: fmt.Sprintf("entry-%d is replaced", i), State: m.replaced(w, i)})
+		steps = append(steps, modelcheck.Step[*modelState]{Name: fmt.Sprintf("entry-%d is replaced", i), State: m.replaced(w, i)})
 	}
 	return steps
 }
 
-// replaced starts a new life of instance i. Nobody is owed what it knew.
-func (m *model) replaced(w *world, i int) *world {
+// replaced starts a new incarnation of instance i. The others are no longer
+// required to know what the previous one knew.
+func (m *model) replaced(w *modelState, i int) *modelState {
 	c := *w
 	c.restarts--
-	c.lives = slices.Clone(w.lives)
-	for j, other := range w.lives {
-		if other.owed[i] != 0 {
+	c.incarnations = slices.Clone(w.incarnations)
+	for j, other := range w.incarnations {
+		if other.peersFloor[i] != 0 {
 			o := *other
-			o.owed = slices.Clone(other.owed)
-			o.owed[i] = 0
-			c.lives[j] = &o
+			o.peersFloor = slices.Clone(other.peersFloor)
+			o.peersFloor[i] = 0
+			c.incarnations[j] = &o
 		}
 	}
-	c.lives[i] = m.birth(&c, i, w.lives[i].number+1)
+	c.incarnations[i] = m.startIncarnation(&c, i, w.incarnations[i].number+1)
 	return &c
 }
 
-func (m *model) event(w *world, i int, name string, e Event) modelcheck.Step[*world] {
-	return m.stepped(w, w.clone(i), i, name, e)
+func (m *model) event(w *modelState, i int, name string, e Event) modelcheck.Step[*modelState] {
+	return m.applyEvent(w, w.clone(i), i, name, e)
 }
 
-// stepped gives an event to a life of w, which is a copy of old that may be
-// changed, and checks every promise.
-func (m *model) stepped(old, w *world, i int, name string, e Event) modelcheck.Step[*world] {
-	v, before := w.lives[i], old.lives[i].ledger
-	m.remember(v, e)
+// applyEvent applies an event to instance i of w, a copy of old that it may modify,
+// and checks every invariant.
+func (m *model) applyEvent(old, w *modelState, i int, name string, e Event) modelcheck.Step[*modelState] {
+	v, before := w.incarnations[i], old.incarnations[i].ledger
+	m.recordAbandoned(v, e)
 	actions := v.ledger.Step(v.now, e)
-	broken := m.check(w, i, before, e, actions)
+	violated := m.check(w, i, before, e, actions)
 	if ref, _, ok := v.ledger.InForce(); ok && v.ledger.Status() == StatusReady && m.hasFencing(i) {
-		// A ready instance gives its orders at once.
+		// A ready instance gives its orders immediately, which raises the
+		// upstream's fencing number.
 		w.fence = max(w.fence, ref.Version)
 	}
-	return modelcheck.Step[*world]{Name: fmt.Sprintf("entry-%d %s", i, name), State: w, Broken: broken}
+	return modelcheck.Step[*modelState]{Name: fmt.Sprintf("entry-%d %s", i, name), State: w, Violation: violated}
 }
 
-// remember notes an abandoned version that the life is told of.
-func (m *model) remember(v *life, e Event) {
+// recordAbandoned records an abandoned version that the incarnation learns of.
+func (m *model) recordAbandoned(v *incarnation, e Event) {
 	r := rollOf(e)
 	if r == nil || r.Roll.Stage != bundle.StageAbandoned || m.checker.roll(r, v.ledger.approvers) != nil {
 		return
--- a/configservice/client.go
+++ b/configservice/client.go
@@ -15,7 +15,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// MaxValue is the largest value of the configuration service, in bytes.
+// MaxValue is the maximum size of a value in the configuration service, in bytes.
 const MaxValue = 1 << 20
 
 // Headers of the platform's protocol.
@@ -30,7 +30,7 @@
 
 // Value is the value of a key.
 type Value struct {
-	// Index is that of the key's last change. It rises with each write.
+	// Index is the index of the key's last change. It increases with each write.
 	Index uint64
 	Bytes []byte
 }
@@ -41,10 +41,10 @@
 	// *RateLimitedError, *TooLargeError, *ProtocolError and *StaleError.
 	Get(ctx context.Context, key string) (Value, error)
 	// Watch delivers the values of a key whose index is above since, until ctx
-	// ends; then it closes the channel.
+	// is done; then it closes the channel.
 	Watch(ctx context.Context, key string, since uint64) <-chan Event
-	// Forget makes indexes of a key that are lower than one seen acceptable
-	// again: the platform may have been set up anew.
+	// Forget discards the highest index seen of a key, so that lower ones are
+	// accepted again: the platform may have been reinstalled.
 	Forget(key string)
 	// Stats returns the counts so far.
 	Stats() Stats
@@ -60,12 +60,12 @@
 
 // Options configure a Client. Zero fields take their defaults.
 type Options struct {
-	// URLs are the addresses of the service, tried in turn: the next one when
-	// one is unavailable.
+	// URLs are the addresses of the service. When one is unavailable, later
+	// requests go to the next.
 	URLs []string
-	// Reader names this instance to the service.
+	// Reader identifies this instance to the service.
 	Reader ident.InstanceID
-	// Timeout bounds one read, on top of the wait of a watch.
+	// Timeout bounds one read; a poll of a watch is bounded by Timeout plus Wait.
 	Timeout time.Duration
 	// Wait is how long one poll of a watch waits for a newer value.
 	Wait time.Duration
@@ -82,14 +82,14 @@
 	timeout time.Duration
 	wait    time.Duration
 	http    *http.Client
-	counts  counts
+	counts  counters
 
 	mu   sync.Mutex
-	seen map[string]sighting
+	seen map[string]seenIndex
 }
 
-// sighting is the highest index seen of a key.
-type sighting struct {
+// seenIndex is the highest index seen of a key, and when it was first seen.
+type seenIndex struct {
 	index uint64
 	at    time.Time
 }
@@ -115,7 +115,7 @@
 		timeout: o.Timeout,
 		wait:    o.Wait,
 		http:    &http.Client{Transport: o.Transport, CheckRedirect: noRedirect},
-		seen:    map[string]sighting{},
+		seen:    map[string]seenIndex{},
 	}, nil
 }
 
@@ -135,7 +135,7 @@
 	return urls, nil
 }
 
-// newTransport returns a transport for a few long connections.
+// newTransport returns a transport for a small number of long-lived connections.
 func newTransport(timeout time.Duration) *http.Transport {
 	const idleConnections = 4
 	return &http.Transport{
@@ -143,12 +143,12 @@
 		TLSHandshakeTimeout: timeout,
 		MaxIdleConnsPerHost: idleConnections,
 		IdleConnTimeout:     time.Minute,
-		// A value counts by its size on the wire.
+		// MaxValue and Stats.Bytes apply to the size on the wire.
 		DisableCompression: true,
 	}
 }
 
-// noRedirect keeps the client at the addresses of its settings.
+// noRedirect restricts the client to its configured addresses.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Close closes idle connections.
@@ -175,48 +175,48 @@
 // Stats implements Reader.
 func (c *Client) Stats() Stats { return c.counts.read() }
 
-// poll is the query of one poll of a watch.
-type poll struct {
+// pollQuery holds the query parameters of one poll of a watch.
+type pollQuery struct {
 	index uint64
 	wait  time.Duration
 }
 
-// reading is the answer to a read.
-type reading struct {
+// readResult is the result of a read.
+type readResult struct {
 	value Value
-	// unchanged is true if there is no newer value.
+	// unchanged is set if there is no newer value.
 	unchanged bool
 }
 
-// read makes one request and counts it.
-func (c *Client) read(ctx context.Context, key string, p *poll) (reading, error) {
+// read sends one request and counts it and its outcome.
+func (c *Client) read(ctx context.Context, key string, p *pollQuery) (readResult, error) {
 	c.counts.calls.Add(1)
 	at := c.current.Load()
-	r, err := c.try(ctx, at, key, p)
-	var down *UnavailableError
-	if errors.As(err, &down) {
-		c.next(at)
+	r, err := c.send(ctx, at, key, p)
+	var unavailable *UnavailableError
+	if errors.As(err, &unavailable) {
+		c.switchAddress(at)
 	}
-	return c.counted(r, err)
+	return c.countOutcome(r, err)
 }
 
-// try makes one request to the address of the given number.
-func (c *Client) try(ctx context.Context, at uint32, key string, p *poll) (reading, error) {
-	req, err := c.request(ctx, at, key, p)
+// send sends one request to the address with the given number.
+func (c *Client) send(ctx context.Context, at uint32, key string, p *pollQuery) (readResult, error) {
+	req, err := c.newRequest(ctx, at, key, p)
 	if err != nil {
-		return reading{}, &ProtocolError{Key: key, Detail: "bad key"}
+		return readResult{}, &ProtocolError{Key: key, Detail: "bad key"}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return reading{}, &UnavailableError{Key: key, Err: err}
+		return readResult{}, &UnavailableError{Key: key, Err: err}
 	}
-	// The body was read to its end or is given up.
+	// The body has been read to its end, or the connection is abandoned.
 	defer resp.Body.Close()
-	return c.answer(key, resp)
+	return c.readResponse(key, resp)
 }
 
-// request builds the request for a key.
-func (c *Client) request(ctx context.Context, at uint32, key string, p *poll) (*http.Request, error) {
+// newRequest builds the request for a key.
+func (c *Client) newRequest(ctx context.Context, at uint32, key string, p *pollQuery) (*http.Request, error) {
 	u := c.urls[int(at)%len(c.urls)].JoinPath(pathKeys, key)
 	if p != nil {
 		q := url.Values{}
@@ -232,12 +232,12 @@
 	return req, nil
 }
 
-// counted counts the outcome of a call, which it returns.
-func (c *Client) counted(r reading, err error) (reading, error) {
+// countOutcome counts the outcome of a call and returns it unchanged.
+func (c *Client) countOutcome(r readResult, err error) (readResult, error) {
 	switch {
 	case err != nil:
 		c.counts.failure(err)
-		return reading{}, err
+		return readResult{}, err
 	case r.unchanged:
 		c.counts.unchanged.Add(1)
 	default:
@@ -246,55 +246,57 @@
 	return r, nil
 }
 
-// next moves on from an address that is unavailable, unless another read did.
-func (c *Client) next(at uint32) { c.current.CompareAndSwap(at, at+1) }
+// switchAddress switches from an unavailable address to the next one, unless a
+// concurrent read has already done so.
+func (c *Client) switchAddress(at uint32) { c.current.CompareAndSwap(at, at+1) }
 
-// answer reads a response.
-func (c *Client) answer(key string, resp *http.Response) (reading, error) {
+// readResponse converts a response to a result or an error.
+func (c *Client) readResponse(key string, resp *http.Response) (readResult, error) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		return c.value(key, resp)
+		return c.readValue(key, resp)
 	case resp.StatusCode == http.StatusNotModified:
-		return reading{unchanged: true}, c.checkUnchanged(key, resp)
+		return readResult{unchanged: true}, c.checkUnchanged(key, resp)
 	case resp.StatusCode == http.StatusNotFound:
-		return reading{}, &NotFoundError{Key: key}
+		return readResult{}, &NotFoundError{Key: key}
 	case resp.StatusCode == http.StatusTooManyRequests:
-		return reading{}, &RateLimitedError{Key: key, RetryAfter: retryAfter(resp.Header)}
+		return readResult{}, &RateLimitedError{Key: key, RetryAfter: retryAfter(resp.Header)}
 	case resp.StatusCode >= http.StatusInternalServerError:
-		return reading{}, &UnavailableError{Key: key, Status: resp.StatusCode}
+		return readResult{}, &UnavailableError{Key: key, Status: resp.StatusCode}
 	default:
-		return reading{}, &ProtocolError{Key: key, Detail: "status " + resp.Status}
+		return readResult{}, &ProtocolError{Key: key, Detail: "status " + resp.Status}
 	}
 }
 
-// value reads the body of a 200.
-func (c *Client) value(key string, resp *http.Response) (reading, error) {
+// readValue reads the body of a 200 response.
+func (c *Client) readValue(key string, resp *http.Response) (readResult, error) {
 	index, ok := readIndex(resp.Header)
 	if !ok {
-		return reading{}, &ProtocolError{Key: key, Detail: "no " + headerIndex}
+		return readResult{}, &ProtocolError{Key: key, Detail: "no " + headerIndex}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxValue+1))
 	c.counts.bytes.Add(uint64(len(body)))
 	switch {
 	case err != nil:
-		return reading{}, &UnavailableError{Key: key, Err: err}
+		return readResult{}, &UnavailableError{Key: key, Err: err}
 	case len(body) > MaxValue:
-		return reading{}, &TooLargeError{Key: key, Limit: MaxValue}
+		return readResult{}, &TooLargeError{Key: key, Limit: MaxValue}
 	}
 	v := Value{Index: index, Bytes: body}
 	if err := c.checkFresh(key, v); err != nil {
-		return reading{}, err
+		return readResult{}, err
 	}
-	return reading{value: v}, nil
+	return readResult{value: v}, nil
 }
 
-// readIndex reads the index header.
+// readIndex parses the index header.
 func readIndex(h http.Header) (uint64, bool) {
 	index, err := strconv.ParseUint(h.Get(headerIndex), 10, 64)
 	return index, err == nil
 }
 
-// retryAfter reads when to come back, between 1 s and 1 minute.
+// retryAfter parses the Retry-After header. The result is between 1 s and
+// 1 minute.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get(headerRetryAfter))
 	if err != nil || seconds < 1 {
--- a/configservice/stats.go
+++ b/configservice/stats.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Stats counts a Reader's calls by what came of them. Each call, a poll of a
-// watch as well, counts against the platform's rate.
+// Stats counts a Reader's calls by outcome. Each call, including each poll of a
+// watch, counts against the platform's rate limit.
 type Stats struct {
 	Calls       uint64
 	Values      uint64
@@ -12,19 +12,19 @@
 	RateLimited uint64
 	Unavailable uint64
 	Stale       uint64
-	// Faulty counts answers that were too large or not of the protocol.
+	// Faulty counts responses that were too large or violated the protocol.
 	Faulty uint64
-	// Bytes is the size of all bodies read.
+	// Bytes is the total size of the response bodies read.
 	Bytes uint64
 }
 
-// counts holds a client's counters.
-type counts struct {
+// counters holds a client's counters.
+type counters struct {
 	calls, values, unchanged, notFound, rateLimited, unavailable, stale, faulty, bytes atomic.Uint64
 }
 
-// read returns the counts so far.
-func (c *counts) read() Stats {
+// read returns the current values of the counters.
+func (c *counters) read() Stats {
 	return Stats{
 		Calls:       c.calls.Load(),
 		Values:      c.values.Load(),
@@ -39,7 +39,7 @@
 }
 
 // failure counts a failed call.
-func (c *counts) failure(err error) {
+func (c *counters) failure(err error) {
 	switch err.(type) {
 	case *NotFoundError:
 		c.notFound.Add(1)
