--- a/bundle/approvers.go
+++ b/bundle/approvers.go
@@ -25,30 +25,32 @@
 	return unmarshalHex(k[:], "public key", text)
 }
 
-// Approver is one person or system that may sign bundles and rolls.
+// Approver is a person or system whose key may sign bundles and rolls.
 type Approver struct {
-	// Name is for people; it has the form that ident.ValidName wants.
+	// Name identifies the approver to operators; ident.ValidName must accept it.
 	Name string    `json:"name" yaml:"name"`
 	Key  PublicKey `json:"key" yaml:"key"`
 }
 
-// Approvers is the set of keys whose quorum signs. Bundles replace it: the
-// version that names a new set is signed by a quorum of the old and of the new.
+// Approvers is the set of keys of which a quorum must sign each document. A
+// bundle version can replace the set; it must then carry signatures of a quorum
+// of the old set and of a quorum of the new set.
 type Approvers struct {
-	// Epoch numbers the sets of one deployment from 1, rising by 1.
+	// Epoch numbers the approver sets of a deployment. It starts at 1 and
+	// increases by 1 with each new set.
 	Epoch uint64 `json:"epoch" yaml:"epoch"`
-	// Quorum is how many of Keys must sign: more than half, so that any two
-	// quorums have an approver in common.
+	// Quorum is the number of approvers that must sign. It is more than half
+	// of Keys, so that any two quorums share at least one approver.
 	Quorum int `json:"quorum" yaml:"quorum"`
 	// Keys is sorted by name.
 	Keys []Approver `json:"keys" yaml:"keys"`
 }
 
-// ApproversError reports an approver set that cannot be used.
+// ApproversError reports an invalid approver set.
 type ApproversError struct {
-	// Epoch is the set's.
+	// Epoch is the epoch of the invalid set.
 	Epoch uint64
-	// Reason says what is wrong with it.
+	// Reason says why the set is invalid.
 	Reason string
 }
 
@@ -57,8 +59,8 @@
 	return fmt.Sprintf("approvers of epoch %d: %s", e.Epoch, e.Reason)
 }
 
-// Check checks the set: an epoch, a majority quorum, and valid names and keys
-// in order, none twice. It returns an *ApproversError.
+// Check validates the set: a non-zero epoch, a majority quorum, valid names in
+// sorted order, and no duplicate names or keys. It returns an *ApproversError.
 func (a Approvers) Check() error {
 	bad := func(format string, args ...any) error {
 		return &ApproversError{Epoch: a.Epoch, Reason: fmt.Sprintf(format, args...)}
@@ -99,14 +101,14 @@
 // Digest returns the digest of the set.
 func (a Approvers) Digest() Digest { return DigestOf(encode(a)) }
 
-// SameKeys reports whether both sets have the same keys, names and quorum,
-// whatever their epochs.
+// SameKeys reports whether both sets have the same keys, names and quorum. It
+// ignores their epochs.
 func (a Approvers) SameKeys(b Approvers) bool {
 	a.Epoch, b.Epoch = 0, 0
 	return bytes.Equal(encode(a.Sorted()), encode(b.Sorted()))
 }
 
-// name returns the name of the approver with a key.
+// name returns the name of the approver that has the given key.
 func (a Approvers) name(key PublicKey) (string, bool) {
 	for _, k := range a.Keys {
 		if k.Key == key {
--- a/bundle/assemble.go
+++ b/bundle/assemble.go
@@ -7,10 +7,11 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// maxParts bounds the parts that one bundle may have.
+// maxParts bounds the number of parts that one walk of a bundle visits.
 const maxParts = 16 << 10
 
-// PartError reports a part that is not what its bundle needs in its place.
+// PartError reports a part that is malformed or does not fit the place where
+// its bundle refers to it.
 type PartError struct {
 	Section SectionName
 	Digest  Digest
@@ -25,42 +26,45 @@
 // Unwrap returns the cause.
 func (e *PartError) Unwrap() error { return e.Err }
 
-// MissingPartsError reports parts that are not there. There may be more below
-// them.
+// MissingPartsError reports parts that the source does not have. Parts below a
+// missing one are not known yet and are not listed.
 type MissingPartsError struct{ Digests []Digest }
 
 // Error implements error.
 func (e *MissingPartsError) Error() string {
-	return fmt.Sprintf("%d parts are missing, the first is %s", len(e.Digests), e.Digests[0])
+	return fmt.Sprintf("%d parts are missing; first missing part: %s", len(e.Digests), e.Digests[0])
 }
 
-// treeWalk visits a bundle's parts from the sections' roots down.
+// treeWalk traverses the parts of a bundle, from the root of each section down
+// to its leaves.
 type treeWalk struct {
 	source  PartSource
 	memo    *Memo
 	missing []Digest
-	// wanted holds every part seen, present or missing.
+	// wanted holds the digest of every part reached, present or missing.
 	wanted map[Digest]bool
-	// visits and bytes bound the walk.
+	// visits and bytes count the visited parts and their size. Limits on both
+	// bound the work of the walk.
 	visits, bytes int
 }
 
-// MissingParts lists the parts of a bundle that source lacks, as far as they are
-// known: the parts below a missing one show once it is there. It returns a
-// *PartError for a part that is there but malformed.
+// MissingParts lists the parts of a bundle that source does not have. The parts
+// below a missing part are found only once that part is present, so callers
+// repeat the call until the list is empty. It returns a *PartError for a part
+// that is present but malformed.
 func MissingParts(m *Manifest, source PartSource) ([]Digest, error) {
 	return (*Memo)(nil).MissingParts(m, source)
 }
 
-// Wanted lists every part of a bundle that is known from the parts that source
-// has, present or missing.
+// Wanted lists every part of a bundle that can be reached through the parts that
+// source has, whether the part itself is present or missing.
 func Wanted(m *Manifest, source PartSource) ([]Digest, error) {
 	return (*Memo)(nil).Wanted(m, source)
 }
 
-// Assemble decodes and checks a bundle's content. It returns a
+// Assemble decodes and validates the content of a bundle. It returns a
 // *MissingPartsError, a *PartError, or a *FindingsError for content that fails
-// its checks.
+// validation.
 func Assemble(m *Manifest, source PartSource) (*config.Content, error) {
 	return (*Memo)(nil).Assemble(m, source)
 }
@@ -75,9 +79,9 @@
 	return w, nil
 }
 
-// walk visits the part with a digest and those below it. Its level must be that
-// of the part above less one; -1 allows any. The entries of leaves are added to
-// c, unless it is nil.
+// walk visits the part with the given digest and, recursively, its children. The
+// part must be at the given level, which is one below that of its parent; -1
+// accepts any level. Unless c is nil, the entries of leaves are added to it.
 func (w *treeWalk) walk(section SectionName, d Digest, level int, c *config.Content) error {
 	b, ok := w.source.Part(d)
 	if !ok {
@@ -103,8 +107,9 @@
 	return nil
 }
 
-// form returns a part's form and charges it to the walk's bounds. One part may
-// stand in several places, so that few parts could describe very much content.
+// form returns the level and children of a part and counts the part towards the
+// limits of the walk. A part may be referenced from several places and is counted
+// each time; otherwise a few parts could expand to an unbounded amount of content.
 func (w *treeWalk) form(d Digest, b []byte, level int) (form, error) {
 	w.visits++
 	w.bytes += len(b)
@@ -116,12 +121,13 @@
 	}
 	f, err := w.memo.form(d, b)
 	if err == nil && level >= 0 && f.level != level {
-		err = &StructureError{What: "part", Reason: fmt.Sprintf("level %d where %d belongs", f.level, level)}
+		err = &StructureError{What: "part", Reason: fmt.Sprintf("level is %d, must be %d", f.level, level)}
 	}
 	return f, err
 }
 
-// sectionReader returns the function that adds one entry of a section to c.
+// sectionReader returns a function that decodes one entry of the named section
+// into c.
 func sectionReader(c *config.Content, name SectionName) func(json.RawMessage) error {
 	switch name {
 	case SectionDeployment:
@@ -140,7 +146,7 @@
 		return func(b json.RawMessage) error { return decodeStrict(b, &c.Policy) }
 	}
 	return func(json.RawMessage) error {
-		return &StructureError{What: "content", Reason: fmt.Sprintf("no section %q", name)}
+		return &StructureError{What: "content", Reason: fmt.Sprintf("unknown section %q", name)}
 	}
 }
 
--- a/bundle/build.go
+++ b/bundle/build.go
@@ -7,23 +7,25 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Draft is what a new bundle is built from.
+// Draft is the input from which Build makes a new bundle.
 type Draft struct {
-	// Previous is the bundle before, nil for the first.
+	// Previous is the head of the preceding version, nil for the first version.
 	Previous *Head
-	// Supersedes names further signed manifests of Previous's version.
+	// Supersedes lists the digests of other signed manifests that have the same
+	// version as Previous.
 	Supersedes []Digest
 	Content    *config.Content
-	// Approvers is the set that signs the next version. Its epoch is set by
-	// Build: that of Previous where the keys are the same, one more otherwise.
+	// Approvers is the set that signs the next version. Build sets its epoch:
+	// that of Previous if the keys are unchanged, one more otherwise.
 	Approvers Approvers
-	// Note says for people what the version changes.
+	// Note describes for operators what the version changes.
 	Note string
 }
 
-// Build makes the next bundle: its head, not yet signed, and its parts. The same
-// draft always gives the same bytes. It returns a *FindingsError for content
-// that fails its checks, an *ApproversError, a *SizeError or a *StructureError.
+// Build builds a bundle from a draft: its head, not yet signed, and its parts.
+// The output is deterministic: the same draft gives the same bytes. It returns a
+// *FindingsError for content that fails validation, an *ApproversError, a
+// *SizeError or a *StructureError.
 func Build(d Draft) (*Head, *PartSet, error) {
 	if err := Check(d.Content).Err(); err != nil {
 		return nil, nil, err
@@ -51,7 +53,8 @@
 	return h, parts, nil
 }
 
-// succeed fills in what follows from the bundle before.
+// succeed sets the fields that derive from the preceding bundle: version,
+// previous reference, signers, approver epoch and rotations.
 func (h *Head) succeed(previous *Head) {
 	m := &h.Manifest
 	if previous == nil {
@@ -70,7 +73,7 @@
 	h.Rotations = previous.nextRotations()
 }
 
-// checkBuilt checks that what was built stays within the limits.
+// checkBuilt checks that a built bundle is well formed and within the limits.
 func checkBuilt(h *Head, parts *PartSet) error {
 	if err := h.check(); err != nil {
 		return err
@@ -78,14 +81,15 @@
 	if size := parts.Bytes(); size > MaxContentBytes {
 		return &SizeError{What: "bytes of content", Size: size, Limit: MaxContentBytes}
 	}
-	// Leave room for the signatures that are still to come.
+	// The head is not signed yet; the other half of the limit is left for the
+	// signatures.
 	if size := len(h.Encode()); size > MaxValueBytes/2 {
 		return &SizeError{What: "bytes of the head", Size: size, Limit: MaxValueBytes / 2}
 	}
 	return nil
 }
 
-// sectionItems lists one section's entries with their keys.
+// sectionItems returns the entries of a section, each with its key and its JSON.
 func sectionItems(c *config.Content, name SectionName) ([]item, error) {
 	switch name {
 	case SectionDeployment:
@@ -103,7 +107,7 @@
 	case SectionPolicy:
 		return items([]config.Policy{c.Policy}, func(config.Policy) string { return string(SectionPolicy) })
 	}
-	return nil, &StructureError{What: "content", Reason: fmt.Sprintf("no section %q", name)}
+	return nil, &StructureError{What: "content", Reason: fmt.Sprintf("unknown section %q", name)}
 }
 
 func items[T any](entries []T, key func(T) string) ([]item, error) {
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -11,15 +11,15 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Bounds of a bundle's content. They leave room above the sizes that
-// docs/CAPACITY.md plans for, and keep a decoder's work bounded.
+// Limits on the content of a bundle. They are above the sizes that
+// docs/CAPACITY.md plans for, and they bound the work of a decoder.
 const (
 	maxKinds      = 256
 	maxModels     = 256
 	maxServices   = 256
 	maxWorkspaces = 20_000
 	maxUpstreams  = 10_000
-	// maxPerEntry bounds the lists inside one entry.
+	// maxPerEntry bounds the length of a list inside an entry.
 	maxPerEntry = 256
 
 	maxTokens   = 16 << 20
@@ -30,12 +30,13 @@
 	maxVersion  = 63
 )
 
-// Check checks content as a whole: names, references, bounds, and limits that
-// must hold together. Its findings carry paths but no positions.
+// Check validates content as a whole: names, references, ranges, and consistency
+// between values. Its findings carry paths but no positions.
 //
-// Composing the paths of thousands of entries costs several times what the
-// checks do, and good content needs none: only a look that found something is
-// followed by one that says where.
+// Formatting the paths of thousands of entries costs several times as much as the
+// checks themselves, and valid content needs no paths. Check therefore runs a
+// first pass without paths, and a second pass with paths only if the first one
+// reported findings.
 func Check(c *config.Content) Findings {
 	quick := &checker{content: c, pathless: true}
 	quick.all()
@@ -60,10 +61,11 @@
 	k.sums()
 }
 
-// checker holds the content, its entries by name, and what was found.
+// checker validates one content. It holds indexes of the content's entries by
+// name, and the findings so far.
 type checker struct {
 	content *config.Content
-	// pathless leaves findings' paths empty.
+	// pathless leaves the paths of findings empty; see Check.
 	pathless bool
 	models   map[string]config.Model
 	services map[string]config.Service
@@ -81,7 +83,8 @@
 	}
 }
 
-// at returns the path of a list's entry, and of a field in it.
+// at returns the path of entry i of a list, followed by field, which is empty or
+// starts with a dot.
 func (k *checker) at(list string, i int, field string) string {
 	if k.pathless {
 		return ""
@@ -93,7 +96,7 @@
 	k.findings = append(k.findings, Finding{Path: path, Rule: rule, Wrong: wrong, Right: right})
 }
 
-// name checks one name.
+// name checks that a name is present and valid.
 func (k *checker) name(path, name string) {
 	switch {
 	case name == "":
@@ -103,8 +106,8 @@
 	}
 }
 
-// names checks the names of a list's entries: each valid, none twice, and not
-// more entries than limit.
+// names checks the names of the entries of a list: each name is valid and unique,
+// and the list has at most limit entries.
 func (k *checker) names(list, field string, limit int, names []string) {
 	if len(names) > limit {
 		k.add(list, RuleSize, fmt.Sprintf("the list has %d entries", len(names)), fmt.Sprintf("at most %d", limit))
@@ -121,7 +124,7 @@
 	}
 }
 
-// reference checks that a name is one of those declared.
+// reference checks that name is a key of declared.
 func reference[T any](k *checker, path, what, name string, declared map[string]T) {
 	if _, ok := declared[name]; ok {
 		return
@@ -129,16 +132,17 @@
 	k.add(path, RuleReference, fmt.Sprintf("no %s is named %q", what, clip(name)), "declared: "+sortedKeys(declared))
 }
 
-// between checks that a number is from low to high.
+// between checks that n is in the range from low to high, both inclusive.
 func between[N cmp.Ordered](k *checker, path string, n, low, high N) {
-	// NaN compares false with everything, so the test is for being inside.
+	// NaN compares false with every number, so the condition tests that n is
+	// inside the range; a test for being outside would accept NaN.
 	if n >= low && n <= high {
 		return
 	}
 	k.add(path, RuleRange, fmt.Sprintf("%v is out of bounds", n), fmt.Sprintf("from %v to %v", low, high))
 }
 
-// positive checks a number that must be above 0.
+// positive checks that n is above 0 and at most high.
 func positive[N cmp.Ordered](k *checker, path string, n, high N) {
 	var zero N
 	if n > zero && n <= high {
@@ -147,7 +151,7 @@
 	k.add(path, RuleRange, fmt.Sprintf("%v is out of bounds", n), fmt.Sprintf("above %v, at most %v", zero, high))
 }
 
-// sortedKeys lists a map's keys for a finding.
+// sortedKeys formats the keys of a map for a finding: sorted, and at most 20.
 func sortedKeys[T any](m map[string]T) string {
 	if len(m) == 0 {
 		return "none"
@@ -164,7 +168,7 @@
 	return strings.Join(keys, ", ")
 }
 
-// clip shortens text that a finding repeats.
+// clip truncates a value from the source that a message quotes.
 func clip(s string) string {
 	if len(s) > maxDescribed {
 		return s[:maxDescribed] + "..."
--- a/bundle/checklists.go
+++ b/bundle/checklists.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// unusedInService reports model targets on a kind that calls a plain service.
+// unusedInService reports fields that apply only to model requests on a kind that
+// calls a plain service.
 func (k *checker) unusedInService(path string, kind config.Kind) {
 	const right = "leave it out of a kind that calls a service"
 	if kind.FirstOutput != 0 {
@@ -94,7 +95,7 @@
 	k.modelNames(path+".models", w.Models)
 }
 
-// modelNames checks a list of references to models.
+// modelNames checks a list of model names: valid, unique, and declared.
 func (k *checker) modelNames(path string, models []string) {
 	k.names(path, "", maxPerEntry, models)
 	for i, m := range models {
@@ -114,7 +115,7 @@
 	k.names("upstreams", ".id", maxUpstreams, names)
 }
 
-// versionPattern is what an upstream's ordered version may look like.
+// versionPattern matches the valid versions of an upstream.
 var versionPattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._-]*[A-Za-z0-9])?$`)
 
 func (k *checker) upstream(path string, u config.Upstream) {
@@ -133,9 +134,9 @@
 	}
 }
 
-// engine checks a model engine. Figures of the other role are allowed beside
-// its own, so that turning a prefill engine into a decode engine is a change of
-// one word; they are checked for being no less than 0.
+// engine checks a model engine. Capacity figures of the other role are optional
+// and may be present, so that only the role has to be edited to turn a prefill
+// engine into a decode engine. They must not be negative.
 func (k *checker) engine(path string, u config.Upstream) {
 	if len(u.Models) == 0 {
 		k.add(path+".models", RuleMissing, "the engine has no model", "list at least one")
@@ -159,7 +160,8 @@
 	between(k, path+".decode_step_per_request", u.DecodeStepPerRequest, 0, maxDuration)
 }
 
-// serviceUpstream checks a plain service process, which has no engine figures.
+// serviceUpstream checks an upstream that runs a plain service. Such an upstream
+// has no models and no engine capacity figures.
 func (k *checker) serviceUpstream(path string, u config.Upstream) {
 	if u.Service == "" {
 		k.add(path+".service", RuleMissing, "there is no service", "name the one it runs")
--- a/bundle/checkpolicy.go
+++ b/bundle/checkpolicy.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// Namespaces of the decision plug-ins that a policy names.
+// Namespaces of the decision plug-ins that a policy refers to.
 const (
 	slotsNamespace     = "slots"
 	orderNamespace     = "order"
@@ -17,10 +17,10 @@
 	scorerNamespace    = "scorer"
 )
 
-// maxAttempts bounds a policy's attempts for one request.
+// maxAttempts is the upper limit for a policy's attempts per request.
 const maxAttempts = 100
 
-// pluginName is the form of the part of a plug-in ID after its namespace.
+// pluginName matches the part of a plug-in ID that follows the namespace.
 var pluginName = regexp.MustCompile(`^[a-z][a-z0-9_]{0,62}$`)
 
 func (k *checker) policy() {
@@ -40,8 +40,9 @@
 	positive(k, "policy.transfer_stall", p.TransferStall, maxDuration)
 }
 
-// plugin checks the form of a plug-in ID. Whether a binary links the plug-in is
-// the binary's to say when it loads the policy.
+// plugin checks the syntax and namespace of a plug-in ID. It can't check whether
+// the plug-in exists: which plug-ins are linked differs between binaries, and each
+// binary checks that when it loads the policy.
 func (k *checker) plugin(path, namespace string, id plugin.ID) {
 	right := fmt.Sprintf("use %q followed by a plug-in's name", namespace+".")
 	switch {
@@ -52,7 +53,7 @@
 	}
 }
 
-// plugins checks a list of plug-in IDs of one namespace.
+// plugins checks a list of plug-in IDs that must all be in one namespace.
 func (k *checker) plugins(list, namespace string, ids []plugin.ID) {
 	first := map[plugin.ID]bool{}
 	for i, id := range ids {
@@ -63,8 +64,8 @@
 	k.pluginCount(list, len(ids))
 }
 
-// regions checks that each region has a name of its own and that no zone lies in
-// two.
+// regions checks that region names are valid and unique, and that each zone
+// belongs to at most one region.
 func (k *checker) regions() {
 	names := map[ident.Region]bool{}
 	zones := map[ident.Zone]bool{}
@@ -94,7 +95,8 @@
 	k.pluginCount("policy.scorers", len(k.content.Policy.Scorers))
 }
 
-// once reports a name that is listed a second time.
+// once reports an ID that occurs more than once in a list. The map first holds
+// the IDs seen so far.
 func once[T ~string](k *checker, path string, id T, first map[T]bool) {
 	if first[id] && id != "" {
 		k.add(path, RuleDuplicate, fmt.Sprintf("%q is listed twice", clip(string(id))), "list it once")
--- a/bundle/checksums.go
+++ b/bundle/checksums.go
@@ -7,9 +7,10 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// sums checks values that must hold together: deadlines against targets,
-// engines against models, limits against their own parts, and that every model,
-// service and route is served by something.
+// sums checks that values are consistent with each other: deadlines with latency
+// targets, engine memory with model contexts, and rate limits with bursts. It also
+// checks that some upstream serves every model and service, and that every route
+// has a target.
 func (k *checker) sums() {
 	k.targetSums()
 	k.contextSums()
@@ -18,8 +19,9 @@
 	k.routes()
 }
 
-// targetSums checks that a request that meets its targets meets its deadline,
-// and that some engine can hold the pace with a single request.
+// targetSums checks that a request that meets its latency targets also meets its
+// deadline, and that at least one decode engine is fast enough for the pace when
+// it runs a single request.
 func (k *checker) targetSums() {
 	fastest, found := k.fastestStep()
 	for i, kind := range k.content.Kinds {
@@ -38,7 +40,8 @@
 	}
 }
 
-// saturatedProduct multiplies a count by a duration without overflowing.
+// saturatedProduct multiplies a count by a duration without overflow. Negative
+// durations count as 0, and a duration above maxDuration gives maxDuration.
 func saturatedProduct(count, d time.Duration) time.Duration {
 	if count > 0 && d > maxDuration {
 		return maxDuration
@@ -46,7 +49,8 @@
 	return count * max(d, 0)
 }
 
-// fastestStep returns the shortest decode step of any decode engine.
+// fastestStep returns the shortest decode step of all decode engines, and whether
+// there is one.
 func (k *checker) fastestStep() (time.Duration, bool) {
 	var fastest time.Duration
 	found := false
@@ -58,9 +62,9 @@
 	return fastest, found
 }
 
-// contextSums checks that each engine's memory holds one request of the largest
-// size that each of its models allows: a request that fits no engine would wait
-// for its deadline and never run.
+// contextSums checks that the KV memory of each engine can hold one request with
+// the maximum context of each of its models. A request that fits no engine would
+// wait until its deadline without running.
 func (k *checker) contextSums() {
 	for i, u := range k.content.Upstreams {
 		if u.Role == config.RoleService || u.Pieces <= 0 {
@@ -80,7 +84,8 @@
 	k.outputSums()
 }
 
-// outputSums checks that a kind's default output fits some model's context.
+// outputSums checks that the default output of each kind is smaller than the
+// largest context of any model, so that there is room for a prompt.
 func (k *checker) outputSums() {
 	largest := 0
 	for _, m := range k.content.Models {
@@ -93,7 +98,8 @@
 	}
 }
 
-// workspaceSums checks that a workspace's rate and burst go together.
+// workspaceSums checks that each workspace sets both a rate and a burst, or
+// neither.
 func (k *checker) workspaceSums() {
 	for i, w := range k.content.Workspaces {
 		path := k.at("workspaces", i, ".burst")
@@ -106,8 +112,8 @@
 	}
 }
 
-// coverage checks that each model has engines of both roles and each service an
-// upstream.
+// coverage checks that each model has at least one prefill and one decode engine,
+// and each service at least one upstream.
 func (k *checker) coverage() {
 	prefill, decode, service := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, u := range k.content.Upstreams {
@@ -136,7 +142,8 @@
 	}
 }
 
-// routes checks that what a kind's route leads to is declared.
+// routes checks that at least one model or service is declared for the route of
+// each kind.
 func (k *checker) routes() {
 	for i, kind := range k.content.Kinds {
 		path := k.at("kinds", i, ".route")
--- a/bundle/codec.go
+++ b/bundle/codec.go
@@ -8,27 +8,27 @@
 	"io"
 )
 
-// Size limits, in bytes. The platform's values hold a megabyte.
+// Size limits, in bytes. A value on the platform can hold one megabyte.
 const (
 	// MaxValueBytes bounds one value that operators publish on the platform.
 	MaxValueBytes = 1_000_000
 	// MaxPartBytes bounds one part.
 	MaxPartBytes = 256 << 10
-	// MaxContentBytes bounds all parts of one bundle together.
+	// MaxContentBytes bounds the total size of the parts of one bundle.
 	MaxContentBytes = 8 << 20
-	// maxEntryBytes bounds one list entry inside a part.
+	// maxEntryBytes bounds one entry inside a part.
 	maxEntryBytes = 128 << 10
 )
 
-// Limits on the number of things in a document.
+// Limits on the number of elements in a document, and on the length of a note.
 const (
-	// MaxApprovers bounds an approver set.
+	// MaxApprovers bounds the number of keys in an approver set.
 	MaxApprovers = 32
 	// MaxSignatures bounds the signatures on one document.
 	MaxSignatures = 2 * MaxApprovers
-	// MaxRotations bounds the rotations a head carries.
+	// MaxRotations bounds the rotations that a head carries.
 	MaxRotations = 32
-	// MaxSupersedes bounds the further digests that a manifest supersedes.
+	// MaxSupersedes bounds the digests that a manifest lists as superseded.
 	MaxSupersedes = 8
 	// MaxZones bounds the zones of a roll.
 	MaxZones = 64
@@ -36,16 +36,16 @@
 	MaxNoteBytes = 500
 )
 
-// Format is the version of the documents' form. An instance refuses a document
-// of a form that it does not know.
+// Format is the version of the document format. An instance rejects documents of
+// any other format.
 const Format = 1
 
 // DecodeError reports bytes that are not a document of the expected kind:
 // truncated, malformed, not in canonical form, or beyond a limit.
 type DecodeError struct {
-	// What names the kind of document.
+	// What is the type of document.
 	What string
-	// Err says why.
+	// Err is the cause.
 	Err error
 }
 
@@ -55,11 +55,11 @@
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// SizeError reports something larger than allowed.
+// SizeError reports a size or count above its limit.
 type SizeError struct {
-	// What names the thing measured.
+	// What says what is counted, including the unit.
 	What string
-	// Size and Limit are in bytes or entries, as What says.
+	// Size and Limit are in the unit that What names, such as bytes or entries.
 	Size, Limit int
 }
 
@@ -68,38 +68,39 @@
 	return fmt.Sprintf("%s: %d, at most %d", e.What, e.Size, e.Limit)
 }
 
-// CanonicalError reports a document that is not in the one form that the
-// encoder writes: other spacing, order, spelling of a key, or data after it.
+// CanonicalError reports a document that differs from the output of the encoder:
+// in whitespace, in the order of fields, in the spelling of a key, or by trailing
+// data.
 type CanonicalError struct{}
 
 // Error implements error.
 func (*CanonicalError) Error() string { return "not in canonical form" }
 
-// FormatError reports a document of another form than this program knows.
+// FormatError reports a document whose format version is not supported.
 type FormatError struct {
 	What string
-	// Format is the document's, Known this program's.
+	// Format is the version of the document, and Known the supported version.
 	Format, Known int
 }
 
 // Error implements error.
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("%s: format %d, this program knows %d", e.What, e.Format, e.Known)
+	return fmt.Sprintf("%s: format %d is not supported, supported is %d", e.What, e.Format, e.Known)
 }
 
-// StructureError reports a document whose parts do not fit together.
+// StructureError reports a document whose fields are invalid or inconsistent.
 type StructureError struct {
 	What string
-	// Reason says which parts, and how.
+	// Reason says which fields, and why.
 	Reason string
 }
 
 // Error implements error.
 func (e *StructureError) Error() string { return e.What + ": " + e.Reason }
 
-// encode writes the canonical form of a value: JSON in the order of the
-// struct's fields, without spacing. The types of this package cannot fail to
-// encode.
+// encode returns the canonical form of a value: JSON with fields in the order of
+// the struct and without whitespace. Encoding a type of this package cannot fail,
+// so encode panics on an error.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -108,11 +109,12 @@
 	return b
 }
 
-// checked is a document that can check its own structure.
+// checked is a document that can validate its own structure.
 type checked interface{ check() error }
 
-// decodeDocument decodes one canonical document of at most MaxValueBytes into v.
-// Re-encoding must give the same bytes, so that a digest has one text.
+// decodeDocument decodes a document of at most MaxValueBytes into v and validates
+// it. Encoding v again must give the same bytes, so that each value has exactly
+// one encoding and therefore one digest.
 func decodeDocument(what string, b []byte, v checked) error {
 	if len(b) > MaxValueBytes {
 		return &DecodeError{What: what, Err: &SizeError{What: "bytes", Size: len(b), Limit: MaxValueBytes}}
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// decodeStrict decodes one JSON value, refusing unknown fields and data after it.
+// decodeStrict decodes one JSON value. It rejects unknown fields and trailing data.
 func decodeStrict(b []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -9,17 +9,18 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Change is one field that differs between two contents. Entries of lists are
-// matched by name, so that moving one is no change but for kinds, the first of
-// which is the default.
+// Change is a field that differs between two contents. List entries are matched
+// by name, so moving an entry is not a change. The order of kinds is compared
+// separately, because the first kind is the default.
 type Change struct {
-	// Path names the field, for example "workspaces[estates].weight".
+	// Path identifies the field, for example "workspaces[estates].weight".
 	Path string
-	// Before and After are the values as text; empty where there is none.
+	// Before and After are the formatted values, empty if the field is absent.
 	Before, After string
 }
 
-// String renders the change as a line that begins with "+", "-" or "~".
+// String formats the change as a line that starts with "+" for an added, "-" for
+// a removed and "~" for a changed field.
 func (c Change) String() string {
 	switch {
 	case c.Before == "":
@@ -31,8 +32,8 @@
 	}
 }
 
-// Diff lists what changes from one content to another: first what is changed or
-// removed, in the order of before, then what is new.
+// Diff returns the changes from one content to another: first the changed and
+// removed fields, in the order of before, then the added fields.
 func Diff(before, after *config.Content) []Change {
 	a, b := flatten(before), flatten(after)
 	was, is := a.byPath(), b.byPath()
@@ -50,10 +51,10 @@
 	return changes
 }
 
-// field is one leaf of a content with its value as text.
+// field is a scalar, or a list of scalars, of a content with its formatted value.
 type field struct{ path, value string }
 
-// flattener lists the leaves of a content that are not zero.
+// flattener collects the non-zero fields of a content by reflection.
 type flattener struct{ fields []field }
 
 func flatten(c *config.Content) *flattener {
@@ -93,7 +94,7 @@
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
 		for i := range v.Len() {
 			entry := v.Index(i)
-			// The first field of every entry is its name.
+			// The first field of each entry type is its name.
 			name := fmt.Sprint(entry.Field(0).Interface())
 			f.structure(fmt.Sprintf("%s[%s]", path, name), entry)
 		}
--- a/bundle/digest.go
+++ b/bundle/digest.go
@@ -12,16 +12,16 @@
 // DigestOf returns the digest of b.
 func DigestOf(b []byte) Digest { return sha256.Sum256(b) }
 
-// IsZero reports whether d is the zero Digest, which stands for "none".
+// IsZero reports whether d is the zero Digest, which means "none".
 func (d Digest) IsZero() bool { return d == Digest{} }
 
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// shortDigest is how many hexadecimal digits Short keeps.
+// shortDigest is the number of hexadecimal digits that Short returns.
 const shortDigest = 12
 
-// Short returns the first digits of the digest, for messages.
+// Short returns the first 12 hexadecimal digits of the digest, for messages.
 func (d Digest) Short() string { return d.String()[:shortDigest] }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -31,7 +31,7 @@
 // unless the text is 64 hexadecimal digits.
 func (d *Digest) UnmarshalText(text []byte) error { return unmarshalHex(d[:], "digest", text) }
 
-// ParseDigest decodes the form that String writes.
+// ParseDigest parses the output of String.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	err := d.UnmarshalText([]byte(s))
@@ -40,9 +40,9 @@
 
 // HexError reports text that is not the hexadecimal form of a value.
 type HexError struct {
-	// What names the kind of value.
+	// What is the type of value.
 	What string
-	// Length is the length of the text, and Want that of the value's form.
+	// Length is the length of the text, and Want the expected length.
 	Length, Want int
 }
 
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// Ref names one bundle: its version and its manifest's digest. The zero Ref
-// stands for "none".
+// Ref identifies a bundle by its version and the digest of its manifest. The zero
+// Ref means "none".
 type Ref struct {
 	Version uint64 `json:"version"`
 	Digest  Digest `json:"digest"`
@@ -72,7 +72,8 @@
 // IsZero reports whether r is the zero Ref.
 func (r Ref) IsZero() bool { return r == Ref{} }
 
-// String renders the reference as "version digest", the digest shortened.
+// String formats the reference as "version (digest)" with a shortened digest, or
+// as "none".
 func (r Ref) String() string {
 	if r.IsZero() {
 		return "none"
--- a/bundle/doc.go
+++ b/bundle/doc.go
@@ -1,10 +1,11 @@
-// Package bundle reads, checks, builds, signs and verifies configuration
-// bundles. A bundle is one version of what operators declare: its content, as
-// content-addressed parts; a manifest that names the parts, the version before
-// and the approvers; and the approvers' signatures. A roll document says on
-// which instances a version comes into force.
+// Package bundle parses, validates, builds, signs and verifies configuration
+// bundles. A bundle is one version of the declared configuration. It consists of
+// the content, stored as content-addressed parts; a manifest, which refers to the
+// parts, to the previous version and to the approvers; and signatures of the
+// approvers. A roll is a signed document that says on which instances a version
+// comes into force.
 //
-// The package does no I/O and reads no clock. Package ledger decides by it
-// which version is in force on one instance; wardspoolctl makes the documents.
-// docs/design/bundles.md gives the reasons.
+// The package does no I/O and reads no clock. Package ledger uses it to decide
+// which version is in force on an instance, and wardspoolctl to create the
+// documents. The design is described in docs/design/bundles.md.
 package bundle
--- a/bundle/finding.go
+++ b/bundle/finding.go
@@ -5,53 +5,56 @@
 	"strings"
 )
 
-// Rule names the check that a Finding comes from.
+// Rule identifies the check that reported a Finding.
 type Rule string
 
 // The rules.
 const (
-	// RuleSyntax is broken YAML, or YAML that bundles do not use.
+	// RuleSyntax is invalid YAML, or a YAML feature that bundles do not allow.
 	RuleSyntax Rule = "syntax"
-	// RuleSize is a source that is larger or deeper than allowed.
+	// RuleSize is a source or list that is larger or more deeply nested than
+	// allowed.
 	RuleSize Rule = "size"
-	// RuleUnknownField is a key that the schema does not have.
+	// RuleUnknownField is a key that is not in the schema.
 	RuleUnknownField Rule = "unknown-field"
-	// RuleDuplicateKey is a key given twice in one mapping.
+	// RuleDuplicateKey is a key that occurs twice in a mapping.
 	RuleDuplicateKey Rule = "duplicate-key"
 	// RuleType is a value of the wrong type.
 	RuleType Rule = "type"
-	// RuleName is a name that ident.ValidName refuses.
+	// RuleName is a malformed name or version.
 	RuleName Rule = "name"
-	// RuleDuplicate is a name given to two entries of one list.
+	// RuleDuplicate is a name that occurs more than once in a list.
 	RuleDuplicate Rule = "duplicate"
-	// RuleReference is a name that no entry has.
+	// RuleReference is a reference to a name that is not declared.
 	RuleReference Rule = "reference"
-	// RuleMissing is a value that must be given.
+	// RuleMissing is a required value that is absent.
 	RuleMissing Rule = "missing"
-	// RuleMisplaced is a value that does not belong where it is given.
+	// RuleMisplaced is a value that is not allowed in its place.
 	RuleMisplaced Rule = "misplaced"
-	// RuleRange is a number or duration outside its bounds.
+	// RuleRange is a number or duration out of range.
 	RuleRange Rule = "range"
-	// RuleSum is a set of values that cannot hold together.
+	// RuleSum is a set of values that are valid alone but inconsistent with
+	// each other.
 	RuleSum Rule = "sum"
-	// RulePlugin is a malformed plug-in ID or one of the wrong namespace.
+	// RulePlugin is a malformed plug-in ID or one in the wrong namespace.
 	RulePlugin Rule = "plugin"
 )
 
-// Finding is one fault in a bundle's content.
+// Finding is an error in the content of a bundle.
 type Finding struct {
-	// File is the source file; empty for content that came as parts.
+	// File is the source file, empty for content that was assembled from parts.
 	File string
-	// Line and Column count from 1; 0 where the position is not known.
+	// Line and Column are 1-based; both are 0 if the position is not known.
 	Line, Column int
-	// Path is the field at fault, for example "upstreams[3].models[0]".
+	// Path is the invalid field, for example "upstreams[3].models[0]".
 	Path string
 	Rule Rule
-	// Wrong says what is wrong, and Right what would be right.
+	// Wrong describes the error, and Right what is expected or how to fix it.
 	Wrong, Right string
 }
 
-// String renders the finding as "file:line:column: path: wrong; right [rule]".
+// String formats the finding as "file:line:column: path: wrong; right [rule]". The
+// position is left out if there is no file, and the path if it is empty.
 func (f Finding) String() string {
 	var b strings.Builder
 	if f.File != "" {
@@ -64,7 +67,7 @@
 	return b.String()
 }
 
-// Findings lists every fault found, in the order of the source.
+// Findings is a list of findings. ParseSource sorts it by position in the source.
 type Findings []Finding
 
 // Err returns the findings as a *FindingsError, or nil if there are none.
@@ -75,10 +78,10 @@
 	return &FindingsError{Findings: f}
 }
 
-// FindingsError reports content that failed its checks.
+// FindingsError reports content that failed validation.
 type FindingsError struct{ Findings Findings }
 
-// Error implements error. It holds one line per finding.
+// Error implements error. The text has one line per finding.
 func (e *FindingsError) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, f := range e.Findings {
--- a/bundle/fixture_test.go
+++ b/bundle/fixture_test.go
@@ -11,13 +11,14 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// testKey returns the same private key for the same name on every run.
+// testKey returns a private key that is derived from a name and therefore the same
+// on every run.
 func testKey(name string) ed25519.PrivateKey {
 	seed := DigestOf([]byte("test key " + name))
 	return ed25519.NewKeyFromSeed(seed[:])
 }
 
-// testApprovers returns a set of the named approvers.
+// testApprovers returns an approver set with the test keys of the given names.
 func testApprovers(epoch uint64, quorum int, names ...string) Approvers {
 	a := Approvers{Epoch: epoch, Quorum: quorum}
 	for _, name := range names {
@@ -33,7 +34,8 @@
 	newSet = testApprovers(2, 2, "dan", "eve", "fay")
 )
 
-// testBuild builds a bundle from a draft and signs it by the named approvers.
+// testBuild builds a bundle from a draft and signs it with the keys of the named
+// approvers. The content defaults to that of the coastline example.
 func testBuild(t testing.TB, d Draft, signers ...string) (*Head, *PartSet) {
 	t.Helper()
 	if d.Content == nil {
@@ -47,8 +49,8 @@
 	return h, parts
 }
 
-// largeContent returns content of the size that the users plan for: 3,400
-// workspaces and 600 upstreams.
+// largeContent returns the coastline example with 3,400 workspaces and 600
+// upstreams added, which is the size that the users plan for.
 func largeContent(t testing.TB) *config.Content {
 	t.Helper()
 	c := readExample(t, "coastline")
--- a/bundle/fuzz_test.go
+++ b/bundle/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// FuzzParseSource checks that any source gives content or findings, never both
-// or neither, and that content it accepts builds and comes back.
+// FuzzParseSource checks that every source gives either content or findings, and
+// that a bundle can be built and assembled from accepted content.
 func FuzzParseSource(f *testing.F) {
 	for _, name := range []string{"../examples/coastline/bundle.yaml", "../examples/lagos/bundle.yaml", "testdata/faulty.yaml"} {
 		b, err := os.ReadFile(name)
@@ -34,8 +34,8 @@
 	})
 }
 
-// FuzzDecodeHead checks that a head that decodes encodes to the same bytes, and
-// that nothing but the real signers' head verifies.
+// FuzzDecodeHead checks that a decoded head encodes to the same bytes, and that
+// only a manifest signed by the genuine approvers verifies.
 func FuzzDecodeHead(f *testing.F) {
 	v1, _ := testBuild(f, Draft{Approvers: oldSet}, "ada", "ben")
 	v2, _ := testBuild(f, Draft{Previous: v1, Approvers: newSet, Note: "rotation"}, "ada", "ben", "dan", "eve")
@@ -54,12 +54,13 @@
 		}
 		assert.DeepEqual(t, h.Encode(), b)
 		if Verify(h, oldSet) == nil {
-			assert.Assert(t, genuine[h.Manifest.Digest()], "a forged manifest verified")
+			assert.Assert(t, genuine[h.Manifest.Digest()], "a forged manifest was accepted")
 		}
 	})
 }
 
-// FuzzDecodeRoll checks the same of rolls.
+// FuzzDecodeRoll checks that a decoded roll encodes to the same bytes, and that
+// only a roll signed by the genuine approvers verifies.
 func FuzzDecodeRoll(f *testing.F) {
 	v1, _ := testBuild(f, Draft{Approvers: oldSet}, "ada", "ben")
 	v2, _ := testBuild(f, Draft{Previous: v1, Approvers: oldSet}, "ada", "ben")
@@ -80,13 +81,13 @@
 		}
 		assert.DeepEqual(t, s.Encode(), b)
 		if VerifyRoll(s, oldSet) == nil {
-			assert.Assert(t, genuine[s.Roll.Digest()], "a forged roll verified")
+			assert.Assert(t, genuine[s.Roll.Digest()], "a forged roll was accepted")
 		}
 	})
 }
 
-// FuzzPart checks that any bytes in place of a part are refused or read with
-// bounded work.
+// FuzzPart checks that arbitrary bytes in place of the root of every section are
+// rejected with a bounded amount of work.
 func FuzzPart(f *testing.F) {
 	h, parts := testBuild(f, Draft{Approvers: oldSet})
 	for _, d := range parts.Digests() {
@@ -102,7 +103,7 @@
 			m.Sections[i].Root = have.put(b)
 		}
 		if _, err := Assemble(&m, have); err == nil {
-			t.Fatal("one part served as every section")
+			t.Fatal("Assemble accepted the same part as the root of every section")
 		}
 	})
 }
--- a/bundle/head.go
+++ b/bundle/head.go
@@ -11,26 +11,26 @@
 	Signatures []Signature `json:"signatures"`
 }
 
-// Head is the document that publishes a bundle: its signed manifest and the
-// signed manifests that replaced approver sets before it. An instance that
-// trusts the approvers of any version since the oldest rotation listed can
-// verify it without the versions between.
+// Head is the document that publishes a bundle. It holds the signed manifest of
+// the bundle and the earlier signed manifests that replaced the approver set. An
+// instance that trusts the approvers of any version since the oldest listed
+// rotation can verify the head without the versions in between.
 type Head struct {
 	Signed
-	// Rotations is in order of version.
+	// Rotations is sorted by version.
 	Rotations []Signed `json:"rotations,omitempty"`
 }
 
 // Ref returns the version and digest of the head's manifest.
 func (h *Head) Ref() Ref { return h.Manifest.Ref() }
 
-// UntrustedError reports a manifest that no chain of rotations joins to the
-// approvers that an instance trusts.
+// UntrustedError reports a manifest whose approvers are not linked by a chain of
+// rotations to the approvers that an instance trusts.
 type UntrustedError struct {
-	// Version is the manifest's.
+	// Version is the version of the manifest.
 	Version uint64
-	// TrustedEpoch is the epoch of the approvers that the instance trusts, and
-	// Epoch that of the set the manifest names.
+	// TrustedEpoch is the epoch of the trusted approvers, and Epoch that of the
+	// approvers in the manifest.
 	TrustedEpoch, Epoch uint64
 }
 
@@ -42,7 +42,7 @@
 // Encode returns the head's canonical form.
 func (h *Head) Encode() []byte { return encode(h) }
 
-// DecodeHead decodes what Head.Encode wrote. It checks structure and limits and
+// DecodeHead decodes the output of Head.Encode. It checks structure and limits and
 // returns a *DecodeError; it does not verify signatures.
 func DecodeHead(b []byte) (*Head, error) {
 	var h Head
@@ -52,8 +52,8 @@
 	return &h, nil
 }
 
-// AddSignature adds a signature to the head's manifest, in place of an earlier
-// one by the same key.
+// AddSignature adds a signature to the manifest of the head. It replaces an earlier
+// signature by the same key.
 func (h *Head) AddSignature(s Signature) { h.Signatures = addSignature(h.Signatures, s) }
 
 // Tally counts the signatures on the head's manifest against an approver set.
@@ -61,14 +61,14 @@
 	return tally(a, purposeManifest, h.Manifest.Digest(), h.Signatures)
 }
 
-// Verify verifies that the head descends from approvers that are trusted: it
-// walks the rotations from the trusted set to the head's, each signed by the
-// quorum of the set before and of its own, and then verifies the head itself.
-// It returns an *UntrustedError or *TooFewSignaturesError.
+// Verify verifies that a chain of rotations leads from the trusted approvers to
+// the head. Each rotation must be signed by a quorum of the approvers before it and
+// by a quorum of the approvers that it introduces. Verify then verifies the head
+// itself. It returns an *UntrustedError or *TooFewSignaturesError.
 //
-// Where the head's manifest itself established the trusted set, its signature by
-// that set's quorum suffices: an instance whose settings already hold the new
-// approvers knows nothing of the old.
+// If the manifest of the head is the one that introduced the trusted set, a quorum
+// of that set is sufficient: an instance that already has the new approvers in its
+// settings does not know the old ones.
 func Verify(h *Head, trusted Approvers) error {
 	set := trusted
 	for i := range h.Rotations {
@@ -84,7 +84,8 @@
 	return verifyStep(&h.Signed, set)
 }
 
-// verifyStep verifies one manifest by the approvers trusted before it.
+// verifyStep verifies one manifest of the chain, given the approvers that are
+// trusted before it.
 func verifyStep(s *Signed, trusted Approvers) error {
 	m := &s.Manifest
 	digest := m.Digest()
@@ -102,7 +103,8 @@
 	return quorum(what, m.Approvers, purposeManifest, digest, s.Signatures)
 }
 
-// nextRotations returns the rotations that the head after h must carry.
+// nextRotations returns the rotations that the head of the next version carries:
+// the last MaxRotations up to and including h.
 func (h *Head) nextRotations() []Signed {
 	if !h.Manifest.Rotates() {
 		return h.Rotations
@@ -141,13 +143,13 @@
 	}
 	switch {
 	case !r.Manifest.Rotates():
-		return bad("the manifest keeps its approvers")
+		return bad("the manifest does not replace the approvers")
 	case r.Manifest.Version >= next.Version:
-		return bad("rotations must rise to the head's version")
+		return bad("the version must be lower than that of the next manifest in the chain")
 	case next.Signers != r.Manifest.Approvers.Digest():
-		return bad("the next manifest in the chain is signed by other approvers")
+		return bad("the next manifest in the chain names other approvers as its signers")
 	case !next.Follows(r.Manifest.Ref()):
-		return bad("the next version follows another manifest")
+		return bad("the next version names another manifest as its previous one")
 	}
 	return nil
 }
--- a/bundle/manifest.go
+++ b/bundle/manifest.go
@@ -6,7 +6,7 @@
 	"unicode/utf8"
 )
 
-// SectionName names a top-level part of a bundle's content.
+// SectionName identifies a top-level section of the content of a bundle.
 type SectionName string
 
 // The sections, in the order in which a manifest lists them.
@@ -26,32 +26,33 @@
 	SectionWorkspaces, SectionUpstreams, SectionPolicy,
 }
 
-// Section points at one section's parts.
+// Section refers to the parts of one section.
 type Section struct {
 	Name SectionName `json:"name"`
-	// Root is the digest of the topmost part.
+	// Root is the digest of the root of the section's tree of parts.
 	Root Digest `json:"root"`
 }
 
-// Manifest is what approvers sign: one version of a bundle without its parts.
+// Manifest describes one version of a bundle. It is the document that approvers
+// sign, and refers to the parts by digest.
 type Manifest struct {
 	Format int `json:"format"`
-	// Version rises by one with each manifest.
+	// Version starts at 1 and increases by one with each manifest.
 	Version uint64 `json:"version"`
-	// Previous is the manifest before, zero for the first.
+	// Previous refers to the preceding manifest; it is zero for version 1.
 	Previous Ref `json:"previous"`
-	// Supersedes names further signed manifests of the version before, where
-	// two came to exist. An instance on which one of them is in force accepts
-	// this version as if it were Previous.
+	// Supersedes lists the digests of other signed manifests of the preceding
+	// version, in case several were signed by mistake. An instance on which one
+	// of them is in force accepts this version as if it had Previous in force.
 	Supersedes []Digest `json:"supersedes,omitempty"`
 	// Signers is the digest of the approver set whose quorum must sign.
 	Signers Digest `json:"signers"`
-	// Approvers is the set that signs the next version. Where it is not the
-	// set of Signers, its quorum must sign this version too.
+	// Approvers is the set that signs the next version. If it differs from the
+	// set of Signers, its quorum must sign this version as well.
 	Approvers Approvers `json:"approvers"`
-	// Note says for people what the version changes.
+	// Note describes for operators what the version changes.
 	Note string `json:"note,omitempty"`
-	// Sections lists the content's sections, in fixed order.
+	// Sections lists all sections of the content, in the order of sectionOrder.
 	Sections []Section `json:"sections"`
 }
 
@@ -64,8 +65,9 @@
 // Rotates reports whether the manifest replaces the approver set.
 func (m *Manifest) Rotates() bool { return m.Signers != m.Approvers.Digest() }
 
-// Follows reports whether the manifest may come directly after the one that ref
-// names. Versions further apart are not checked: the signatures alone join them.
+// Follows reports whether the manifest is a valid successor of the one that ref
+// refers to. It checks adjacent versions only. Versions further apart carry no
+// reference to each other, and only their signatures link them.
 func (m *Manifest) Follows(ref Ref) bool {
 	if ref.Version+1 != m.Version {
 		return true
@@ -81,13 +83,13 @@
 	return false
 }
 
-// Sign signs a manifest. The caller sees to it that one approver signs one
-// manifest of a version only.
+// Sign signs a manifest. The caller must ensure that an approver signs at most one
+// manifest for each version.
 func Sign(key ed25519.PrivateKey, m *Manifest) Signature {
 	return sign(key, purposeManifest, m.Digest())
 }
 
-// check checks the manifest's structure, not its signatures.
+// check validates the structure of the manifest. It does not verify signatures.
 func (m *Manifest) check() error {
 	bad := func(format string, args ...any) error {
 		return &StructureError{What: fmt.Sprintf("manifest of version %d", m.Version), Reason: fmt.Sprintf(format, args...)}
@@ -96,17 +98,17 @@
 	case m.Format != Format:
 		return &FormatError{What: "manifest", Format: m.Format, Known: Format}
 	case m.Version == 0:
-		return bad("versions count from 1")
+		return bad("the version must be at least 1")
 	case m.Version == 1 && !m.Previous.IsZero():
-		return bad("the first version has none before it")
+		return bad("version 1 must not name a previous version")
 	case m.Version > 1 && (m.Previous.Version != m.Version-1 || m.Previous.Digest.IsZero()):
-		return bad("previous must name version %d, names %s", m.Version-1, m.Previous)
+		return bad("previous must be version %d, but is %s", m.Version-1, m.Previous)
 	case len(m.Supersedes) > MaxSupersedes:
 		return &SizeError{What: "superseded manifests", Size: len(m.Supersedes), Limit: MaxSupersedes}
 	case len(m.Note) > MaxNoteBytes || !utf8.ValidString(m.Note):
 		return bad("the note must be UTF-8 of at most %d bytes", MaxNoteBytes)
 	case m.Version == 1 && m.Rotates():
-		return bad("the first version is signed by the approvers it names")
+		return bad("version 1 must be signed by the approvers that it names")
 	}
 	if err := m.checkSections(); err != nil {
 		return err
@@ -116,7 +118,7 @@
 
 func (m *Manifest) checkSections() error {
 	if len(m.Sections) != len(sectionOrder) {
-		return &StructureError{What: "manifest", Reason: fmt.Sprintf("%d sections, not %d", len(m.Sections), len(sectionOrder))}
+		return &StructureError{What: "manifest", Reason: fmt.Sprintf("%d sections, must be %d", len(m.Sections), len(sectionOrder))}
 	}
 	for i, s := range m.Sections {
 		if s.Name != sectionOrder[i] {
--- a/bundle/memo.go
+++ b/bundle/memo.go
@@ -6,42 +6,43 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Memo remembers what decoding parts gave, by digest, so that a bundle of which
-// few parts changed costs the decoding of these few. It may be used with any
-// sources that give a digest's own bytes only, as PartSet does. The nil Memo
-// remembers nothing: it is the plain walk that the tests compare with.
+// Memo caches decoded parts by digest, so that for a new bundle version only the
+// changed parts have to be decoded. It does not verify digests: every source that
+// it is used with must return bytes that match the requested digest, as PartSet
+// does. A nil Memo is valid and caches nothing; tests compare against it.
 //
-// Contents assembled by one Memo share memory: callers must not change them. A
-// Memo is not safe for concurrent use.
+// Contents assembled by the same Memo share memory and must not be modified. A Memo
+// is not safe for concurrent use.
 type Memo struct {
 	forms  map[Digest]form
 	leaves map[leafKey]*config.Content
 }
 
-// form is what a walk needs to know of a decoded part.
+// form holds the structure of a decoded part, as far as a walk needs it.
 type form struct {
 	level    int
 	children []Digest
 }
 
-// leafKey names a leaf in a section: the same bytes could stand in two.
+// leafKey identifies a leaf within a section. Two sections may contain a leaf with
+// the same bytes, which decode to entries of different types.
 type leafKey struct {
 	section SectionName
 	digest  Digest
 }
 
-// NewMemo returns a Memo that knows nothing yet.
+// NewMemo returns an empty Memo.
 func NewMemo() *Memo {
 	return &Memo{forms: map[Digest]form{}, leaves: map[leafKey]*config.Content{}}
 }
 
-// MissingParts is the function MissingParts, without decoding a part twice.
+// MissingParts is like the function MissingParts, but decodes each part only once.
 func (m *Memo) MissingParts(f *Manifest, source PartSource) ([]Digest, error) {
 	w, err := walkParts(f, source, m)
 	return w.missing, err
 }
 
-// Wanted is the function Wanted, without decoding a part twice.
+// Wanted is like the function Wanted, but decodes each part only once.
 func (m *Memo) Wanted(f *Manifest, source PartSource) ([]Digest, error) {
 	w, err := walkParts(f, source, m)
 	list := make([]Digest, 0, len(w.wanted))
@@ -51,8 +52,8 @@
 	return list, err
 }
 
-// Assemble is the function Assemble, without decoding a leaf twice. The content
-// must not be changed.
+// Assemble is like the function Assemble, but decodes each leaf of a list section
+// only once. The returned content must not be modified.
 func (m *Memo) Assemble(f *Manifest, source PartSource) (*config.Content, error) {
 	if missing, err := m.MissingParts(f, source); err != nil {
 		return nil, err
@@ -72,7 +73,7 @@
 	return &c, nil
 }
 
-// Keep forgets every part that keep does not hold.
+// Keep evicts every part for which keep returns false.
 func (m *Memo) Keep(keep func(Digest) bool) {
 	if m == nil {
 		return
@@ -81,7 +82,7 @@
 	maps.DeleteFunc(m.leaves, func(k leafKey, _ *config.Content) bool { return !keep(k.digest) })
 }
 
-// form decodes a part unless its form is known.
+// form returns the structure of a part, and decodes the part if it is not cached.
 func (m *Memo) form(d Digest, b []byte) (form, error) {
 	if m != nil {
 		if f, ok := m.forms[d]; ok {
@@ -99,7 +100,7 @@
 	return f, nil
 }
 
-// addLeaf adds a leaf's entries to c.
+// addLeaf adds the entries of a leaf to c. It decodes the leaf if it is not cached.
 func (m *Memo) addLeaf(c *config.Content, section SectionName, d Digest, b []byte) error {
 	if m == nil || !section.list() {
 		return readLeaf(c, section, b)
@@ -121,11 +122,12 @@
 	return nil
 }
 
-// list reports whether the section is a list, to which each leaf adds entries of
-// its own. Entries of the others are read one over the other.
+// list reports whether the section is a list, to which each leaf appends entries.
+// Each of the other sections is a single value that every entry decodes into, so
+// their leaves cannot be cached separately.
 func (n SectionName) list() bool { return n != SectionDeployment && n != SectionPolicy }
 
-// readLeaf decodes a leaf's entries into c.
+// readLeaf decodes the entries of a leaf into c.
 func readLeaf(c *config.Content, section SectionName, b []byte) error {
 	n, err := decodeNode(b)
 	if err != nil {
--- a/bundle/memo_test.go
+++ b/bundle/memo_test.go
@@ -14,7 +14,8 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// sameError asserts that both are nil, or of one text and kind.
+// sameError asserts that both errors are nil, or that they have the same text and
+// both or neither are a *PartError or a *SizeError.
 func sameError(t assert.TestingT, got, want error) {
 	assert.Equal(t, fmt.Sprint(got), fmt.Sprint(want))
 	var part *PartError
@@ -23,7 +24,8 @@
 	assert.Equal(t, errors.As(got, &size), errors.As(want, &size))
 }
 
-// sameWalks asserts that a Memo gives what the plain walk gives.
+// sameWalks asserts that a Memo gives the same results as the functions without a
+// cache.
 func sameWalks(t assert.TestingT, memo *Memo, m *Manifest, have *PartSet) {
 	missing, err := memo.MissingParts(m, have)
 	plainMissing, plainErr := MissingParts(m, have)
@@ -42,7 +44,8 @@
 	sameError(t, err, plainErr)
 }
 
-// mediumContent has enough entries for sections of several leaves.
+// mediumContent returns content with enough entries for sections to have several
+// leaves.
 func mediumContent(t testing.TB) *config.Content {
 	c := largeContent(t)
 	c.Workspaces = c.Workspaces[:200]
@@ -50,8 +53,9 @@
 	return c
 }
 
-// A Memo that saw any sequence of versions, with parts that come and go, some
-// malformed or in the wrong place, gives what the plain walk gives.
+// For any sequence of versions, with parts that are lost, evicted, malformed or in
+// the wrong place, a Memo must give the same results as decoding without a cache.
+// A stale or wrongly keyed cache entry would make them differ.
 func TestMemoIsThePlainWalk(t *testing.T) {
 	start := mediumContent(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -89,7 +93,8 @@
 	})
 }
 
-// disturb sometimes puts a part where it does not belong, or a malformed one.
+// disturb sometimes replaces the root of a section by a part that is malformed or
+// belongs elsewhere.
 func disturb(t *rapid.T, m *Manifest, parts *PartSet) {
 	i := rapid.IntRange(0, len(m.Sections)-1).Draw(t, "section")
 	m.Sections = slices.Clone(m.Sections)
@@ -111,7 +116,8 @@
 	}
 }
 
-// The look without paths finds something wherever the look with paths does.
+// The first pass of Check, which leaves out paths, must report findings whenever
+// the pass with paths does; otherwise Check would accept invalid content.
 func TestQuickLookFindsWhatTheWholeFinds(t *testing.T) {
 	start := mediumContent(t)
 	names := rapid.SampledFrom([]string{"", "hall", "Bad Name", "franchise-0001", "manifest-reader", "nobody"})
@@ -142,8 +148,8 @@
 	})
 }
 
-// changed gives a reader a bundle of the planned size, again and again with one
-// workspace that differs.
+// changed measures assemble on versions of a bundle of the planned size, which
+// differ from each other in one workspace.
 func changed(b *testing.B, assemble func(*Manifest, PartSource) error) {
 	const versions = 10
 	have := &PartSet{}
@@ -167,8 +173,8 @@
 	}
 }
 
-// BenchmarkAssemble measures assembling and checking 3,405 workspaces and 612
-// upstreams of which one workspace changed: by the plain walk, and by a Memo.
+// BenchmarkAssemble measures assembling and validating a bundle of 3,405 workspaces
+// and 612 upstreams in which one workspace changed, with and without a Memo.
 func BenchmarkAssemble(b *testing.B) {
 	b.Run("plain", func(b *testing.B) {
 		changed(b, func(m *Manifest, s PartSource) error { _, err := Assemble(m, s); return err })
@@ -179,7 +185,8 @@
 	})
 }
 
-// BenchmarkMissingParts measures finding out that nothing is missing.
+// BenchmarkMissingParts measures MissingParts when no part is missing, with and
+// without a Memo.
 func BenchmarkMissingParts(b *testing.B) {
 	b.Run("plain", func(b *testing.B) {
 		changed(b, func(m *Manifest, s PartSource) error { _, err := MissingParts(m, s); return err })
--- a/bundle/part.go
+++ b/bundle/part.go
@@ -7,15 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is one content-addressed piece of a bundle.
+// Part is a content-addressed chunk of a bundle.
 type Part struct {
 	// Digest is the digest of Bytes.
 	Digest Digest
 	Bytes  []byte
 }
 
-// node is the form of a part: a leaf holds entries of a section, and an index
-// the digests of the parts one level below.
+// node is the decoded form of a part. A leaf holds entries of a section; an index
+// node holds the digests of parts one level below.
 type node struct {
 	// Level is 0 for a leaf.
 	Level    int               `json:"level"`
@@ -23,12 +23,12 @@
 	Children []Digest          `json:"children,omitempty"`
 }
 
-// maxLevel bounds how deep a section's parts may nest.
+// maxLevel is the highest level that a part of a section may have.
 const maxLevel = 6
 
-// Bounds of the chunker, in bytes: a part is closed at the first boundary entry
-// after its minimum, and at its maximum at the latest. docs/design/bundles.md
-// has the measurement behind them.
+// Part sizes of the content-defined chunking, in bytes. A part ends at the first
+// boundary item at or above the minimum, and at the maximum at the latest. The
+// measurements behind these values are in docs/design/bundles.md.
 const (
 	leafMinimum  = 2 << 10
 	leafMaximum  = 16 << 10
@@ -36,21 +36,22 @@
 	indexMaximum = 8 << 10
 )
 
-// One entry in leafSpacing, and one child in indexSpacing, is a boundary.
+// On average, one in leafSpacing entries of a section and one in indexSpacing
+// children is a boundary item.
 const (
 	leafSpacing  = 8
 	indexSpacing = 16
 )
 
-// item is an entry or child on its way into a part. Boundaries depend on keys
-// alone, so that a change inside an entry moves none of them.
+// item is an entry or child that is to be stored in a part. Boundary items are
+// selected by key only, so that a change inside an entry doesn't move boundaries.
 type item struct {
 	key  string
 	json json.RawMessage
 }
 
-// chunk cuts items into runs. Each run but the last ends with a boundary item or
-// is full.
+// chunk splits items into runs, one for each part. Every run except the last ends
+// with a boundary item or has reached the maximum size.
 func chunk(level int, items []item) [][]item {
 	minimum, maximum, spacing := leafMinimum, leafMaximum, uint64(leafSpacing)
 	if level > 0 {
@@ -72,14 +73,14 @@
 	return runs
 }
 
-// boundaryHash hashes a key differently on each level: the last key of a leaf is
-// a boundary there, and must not therefore be one above.
+// boundaryHash hashes a key together with the level. Without the level, the last
+// key of a leaf, which is usually a boundary, would be one in the index above too.
 func boundaryHash(level int, key string) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%d %s", level, key))
 }
 
-// buildTree cuts a section's items into parts, adds them to set and returns the
-// digest of the topmost.
+// buildTree splits the items of a section into parts, adds the parts to set and
+// returns the digest of the root.
 func buildTree(items []item, set *PartSet) (Digest, error) {
 	for _, it := range items {
 		if len(it.json) > maxEntryBytes {
@@ -109,7 +110,7 @@
 			continue
 		}
 		var d Digest
-		// The item was encoded from a digest by buildTree.
+		// The error is ignored: buildTree encoded the item from a digest.
 		_ = json.Unmarshal(it.json, &d)
 		n.Children = append(n.Children, d)
 	}
@@ -123,7 +124,7 @@
 	return run[len(run)-1].key
 }
 
-// decodeNode decodes a part and checks its form.
+// decodeNode decodes a part and validates its structure.
 func decodeNode(b []byte) (node, error) {
 	var n node
 	if len(b) > MaxPartBytes {
@@ -136,9 +137,9 @@
 	case n.Level < 0 || n.Level > maxLevel:
 		return n, &SizeError{What: "level of a part", Size: n.Level, Limit: maxLevel}
 	case n.Level == 0 && len(n.Children) > 0:
-		return n, &StructureError{What: "part", Reason: "a leaf with children"}
+		return n, &StructureError{What: "part", Reason: "a leaf must not have children"}
 	case n.Level > 0 && (len(n.Entries) > 0 || len(n.Children) == 0):
-		return n, &StructureError{What: "part", Reason: "an index with entries, or without children"}
+		return n, &StructureError{What: "part", Reason: "an index must have children and no entries"}
 	}
 	return n, nil
 }
--- a/bundle/part_test.go
+++ b/bundle/part_test.go
@@ -30,7 +30,8 @@
 	assert.DeepEqual(t, a.Encode(), b.Encode())
 }
 
-// newBytes counts the bytes of the parts in after that before lacks.
+// newBytes returns the number and total size of the parts in after that are not in
+// before.
 func newBytes(before, after *PartSet) (parts, bytes int) {
 	for _, d := range after.Digests() {
 		if _, have := before.Part(d); !have {
@@ -42,12 +43,14 @@
 	return parts, bytes
 }
 
-// A small change to a bundle of about a megabyte moves a few KB only.
+// A small change to a bundle of about one megabyte must change only a few KB of
+// parts, because instances transfer every changed part. This fails if chunk
+// boundaries move with the content of entries.
 func TestSmallChangeMovesLittle(t *testing.T) {
 	const few = 32 << 10
 	before := largeContent(t)
 	h, parts := testBuild(t, Draft{Content: before, Approvers: oldSet})
-	t.Logf("whole: %d parts, %d bytes, head %d bytes", parts.Len(), parts.Bytes(), len(h.Encode()))
+	t.Logf("first version: %d parts, %d bytes, head %d bytes", parts.Len(), parts.Bytes(), len(h.Encode()))
 	changes := []struct {
 		name   string
 		change func(*config.Content)
@@ -68,7 +71,7 @@
 			next, after := testBuild(t, Draft{Previous: h, Content: c, Approvers: oldSet}, "ada", "ben")
 			count, bytes := newBytes(parts, after)
 			total := bytes + len(next.Encode())
-			t.Logf("%d new parts, %d bytes; with the head %d", count, bytes, total)
+			t.Logf("%d new parts, %d bytes; %d bytes including the head", count, bytes, total)
 			assert.Assert(t, total <= few)
 		})
 	}
@@ -91,7 +94,7 @@
 		}
 	}
 	assert.DeepEqual(t, have.Digests(), all.Digests())
-	assert.Assert(t, rounds <= 4, "%d rounds", rounds)
+	assert.Assert(t, rounds <= 4, "found all parts after %d rounds, want at most 4", rounds)
 }
 
 func TestAssembleRefuses(t *testing.T) {
--- a/bundle/partset.go
+++ b/bundle/partset.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// PartSource gives parts by digest.
+// PartSource looks up parts by digest.
 type PartSource interface {
-	// Part returns a part's bytes, and whether the source has it.
+	// Part returns the bytes of a part, and whether the source has the part.
 	Part(Digest) ([]byte, bool)
 }
 
-// PartSet holds parts by digest. The zero value is an empty set, ready for use.
+// PartSet is a set of parts by digest. The zero value is an empty set, ready for
+// use.
 type PartSet struct{ parts map[Digest][]byte }
 
-// PartDigestError reports a part whose bytes do not have its digest: it was
-// truncated, damaged or forged on its way.
+// PartDigestError reports a part whose bytes do not match its digest: it was
+// truncated, corrupted or forged in transit.
 type PartDigestError struct{ Want, Have Digest }
 
 // Error implements error.
@@ -24,8 +25,8 @@
 	return fmt.Sprintf("part %s: the bytes have digest %s", e.Want.Short(), e.Have.Short())
 }
 
-// Add adds a part. It returns a *PartDigestError or *SizeError, and adds
-// nothing, if the part is not what its digest says or too large.
+// Add adds a part. If the part does not match its digest or is too large, it adds
+// nothing and returns a *PartDigestError or *SizeError.
 func (s *PartSet) Add(p Part) error {
 	if len(p.Bytes) > MaxPartBytes {
 		return &SizeError{What: "bytes in a part", Size: len(p.Bytes), Limit: MaxPartBytes}
@@ -55,7 +56,7 @@
 // Len returns the number of parts.
 func (s *PartSet) Len() int { return len(s.parts) }
 
-// Bytes returns the size of all parts together.
+// Bytes returns the total size of the parts.
 func (s *PartSet) Bytes() int {
 	total := 0
 	for _, b := range s.parts {
@@ -64,15 +65,16 @@
 	return total
 }
 
-// Digests lists the parts' digests in order.
+// Digests returns the digests of the parts in sorted order.
 func (s *PartSet) Digests() []Digest {
 	return slices.SortedFunc(maps.Keys(s.parts), func(a, b Digest) int { return slices.Compare(a[:], b[:]) })
 }
 
-// Keep drops every part that keep does not hold.
+// Keep removes every part for which keep returns false.
 func (s *PartSet) Keep(keep func(Digest) bool) {
 	maps.DeleteFunc(s.parts, func(d Digest, _ []byte) bool { return !keep(d) })
 }
 
-// Clone returns a copy of the set. Parts' bytes are shared; they never change.
+// Clone returns a copy of the set. The copy shares the bytes of the parts, which
+// are never modified.
 func (s *PartSet) Clone() *PartSet { return &PartSet{parts: maps.Clone(s.parts)} }
--- a/bundle/roll.go
+++ b/bundle/roll.go
@@ -10,54 +10,56 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Stage is how far a roll has come.
+// Stage is the stage of a roll.
 type Stage string
 
 // The stages.
 const (
-	// StageCanary puts the target in force on a part of the instances.
+	// StageCanary puts the target in force on a subset of the instances.
 	StageCanary Stage = "canary"
-	// StageAll puts the target in force everywhere. It is final: from then on
-	// the target is the floor of every instance.
+	// StageAll puts the target in force on every instance. It is final: from
+	// then on, the target is the lowest version that an instance may run.
 	StageAll Stage = "all"
-	// StageAbandoned stops a canary. It is final: the target comes into force
-	// on no further instance, and where it is in force it stays until a higher
-	// version. Undoing is a new version.
+	// StageAbandoned stops a canary. It is final: the target does not come into
+	// force on any further instance, but stays in force where it already is,
+	// until a higher version replaces it. A rollback is a new version.
 	StageAbandoned Stage = "abandoned"
 )
 
-// FullShare is the share, in thousandths, that covers every instance.
+// FullShare is the share that covers every instance. Shares are in thousandths.
 const FullShare = 1000
 
-// Roll says on which instances which bundle is in force. Rolls are signed like
-// manifests and numbered on their own.
+// Roll says which bundle is in force on which instances. Rolls are signed like
+// manifests and have their own sequence numbers.
 type Roll struct {
 	Format int `json:"format"`
-	// Sequence rises with each roll document, whatever its target.
+	// Sequence increases with each roll, also when the target changes.
 	Sequence uint64 `json:"sequence"`
-	// Base is in force where Target does not reach: the last version that was
-	// rolled to all. It is zero while there was none.
+	// Base is in force on the instances that the roll does not cover. It is the
+	// last version that was rolled out to all instances, zero if there is none.
 	Base Ref `json:"base"`
-	// Target is the version being rolled.
+	// Target is the version that is being rolled out.
 	Target Ref   `json:"target"`
 	Stage  Stage `json:"stage"`
 	// Zones limits a canary to these zones; empty means every zone.
 	Zones []ident.Zone `json:"zones,omitempty"`
-	// Share limits a canary to so many thousandths of the instances in Zones.
+	// Share limits a canary to this share, in thousandths, of the instances in
+	// Zones.
 	Share int `json:"share,omitempty"`
 }
 
-// SignedRoll is the document that publishes a roll. It carries the heads that it
-// names, so that one read tells an instance all but the parts.
+// SignedRoll is the document that publishes a roll. It includes the heads that the
+// roll refers to, so that an instance needs only one read for everything except
+// the parts.
 type SignedRoll struct {
 	Roll       Roll        `json:"roll"`
 	Signatures []Signature `json:"signatures"`
 	Target     Head        `json:"target"`
-	// Base is the head of Roll.Base, nil where that is zero.
+	// Base is the head of Roll.Base, nil if Roll.Base is zero.
 	Base *Head `json:"base,omitempty"`
 }
 
-// Covers reports whether the target comes into force on an instance.
+// Covers reports whether the roll puts the target in force on an instance.
 func (r *Roll) Covers(instance ident.InstanceID, zone ident.Zone) bool {
 	switch r.Stage {
 	case StageAll:
@@ -78,8 +80,9 @@
 	return len(r.Zones) == 0
 }
 
-// instanceShare places an instance at 0 to FullShare-1. The place depends on the
-// target too, so that not the same instances take every canary; it does not
+// instanceShare maps an instance to a position from 0 to FullShare-1. A canary
+// covers the instances whose position is below its share. The position depends on
+// the target, so that different versions start on different instances. It does not
 // depend on the share, so that widening a canary only adds instances.
 func instanceShare(target Ref, instance ident.InstanceID) int {
 	b := binary.BigEndian.AppendUint64(nil, target.Version)
@@ -95,7 +98,8 @@
 	return r.Base
 }
 
-// Baseline returns the last version that is rolled to all, as of this roll.
+// Baseline returns the last version that was rolled out to all instances, as of
+// this roll.
 func (r *Roll) Baseline() Ref {
 	if r.Stage == StageAll {
 		return r.Target
@@ -103,23 +107,24 @@
 	return r.Base
 }
 
-// Final reports whether the roll ends the roll of its target.
+// Final reports whether the stage is final: no later roll of the same target is
+// allowed.
 func (r *Roll) Final() bool { return r.Stage == StageAll || r.Stage == StageAbandoned }
 
 // Digest returns the digest of the roll's canonical form.
 func (r *Roll) Digest() Digest { return DigestOf(encode(r)) }
 
-// SignRoll signs a roll. The caller sees to it that one approver signs one roll
-// of a sequence number only.
+// SignRoll signs a roll. The caller must ensure that an approver signs at most one
+// roll for each sequence number.
 func SignRoll(key ed25519.PrivateKey, r *Roll) Signature {
 	return sign(key, purposeRoll, r.Digest())
 }
 
-// RollOrderError reports a roll that may not come after the one before it.
+// RollOrderError reports a roll that is not a valid successor of another one.
 type RollOrderError struct {
-	// Before and After are the sequence numbers.
+	// Before and After are the sequence numbers of the two rolls.
 	Before, After uint64
-	// Reason says which rule forbids it.
+	// Reason says which rule is violated.
 	Reason string
 }
 
@@ -128,10 +133,9 @@
 	return fmt.Sprintf("roll %d may not follow roll %d: %s", e.After, e.Before, e.Reason)
 }
 
-// CheckOrder checks that next may come after r: its sequence is higher, its
-// target no lower, its base no lower than what r rolled to all, and it does not
-// reopen a target that was rolled to all or abandoned. It returns a
-// *RollOrderError.
+// CheckOrder checks that next is a valid successor of r: its sequence number is
+// higher, its target is not older, its base is not older than the baseline of r,
+// and its target has another version if r is final. It returns a *RollOrderError.
 func (r *Roll) CheckOrder(next *Roll) error {
 	bad := func(format string, args ...any) error {
 		return &RollOrderError{Before: r.Sequence, After: next.Sequence, Reason: fmt.Sprintf(format, args...)}
@@ -149,7 +153,7 @@
 	return nil
 }
 
-// check checks the roll's structure, not its signatures.
+// check validates the structure of the roll. It does not verify signatures.
 func (r *Roll) check() error {
 	bad := func(format string, args ...any) error {
 		return &StructureError{What: fmt.Sprintf("roll %d", r.Sequence), Reason: fmt.Sprintf(format, args...)}
@@ -158,7 +162,7 @@
 	case r.Format != Format:
 		return &FormatError{What: "roll", Format: r.Format, Known: Format}
 	case r.Sequence == 0:
-		return bad("sequence numbers count from 1")
+		return bad("the sequence number must be at least 1")
 	case r.Target.Version == 0:
 		return bad("there is no target")
 	case r.Base.Version >= r.Target.Version:
@@ -174,7 +178,7 @@
 func (r *Roll) checkStage(bad func(string, ...any) error) error {
 	for i, z := range r.Zones {
 		if !ident.ValidName(string(z)) || (i > 0 && r.Zones[i-1] >= z) {
-			return bad("zones must be valid names, sorted, none twice")
+			return bad("zones must be valid names, sorted and unique")
 		}
 	}
 	switch r.Stage {
@@ -184,10 +188,10 @@
 		}
 	case StageAll, StageAbandoned:
 		if len(r.Zones) > 0 || r.Share != 0 {
-			return bad("stage %q takes no zones and no share", r.Stage)
+			return bad("stage %q must not have zones or a share", r.Stage)
 		}
 	default:
-		return bad("there is no stage %q", clip(string(r.Stage)))
+		return bad("unknown stage %q", clip(string(r.Stage)))
 	}
 	return nil
 }
--- a/bundle/roll_test.go
+++ b/bundle/roll_test.go
@@ -33,14 +33,14 @@
 	assert.NilError(t, VerifyRoll(testRoll(t, all, heads[0], nil, "ada", "ben"), oldSet))
 	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[0], nil, "ada"), oldSet), &few))
 
-	// The version that rotates is rolled by the approvers it names: those it
-	// replaces may be the reason for it.
+	// A roll of the version that replaces the approvers must be signed by the new
+	// approvers: distrust of the old ones may be the reason for the rotation.
 	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[1], heads[0], "ada", "ben"), oldSet), &few))
 	rotating := testRoll(t, all, heads[1], heads[0], "dan", "eve")
 	assert.NilError(t, VerifyRoll(rotating, oldSet))
 	assert.NilError(t, VerifyRoll(rotating, newSet))
 
-	// A signature on a manifest is none on a roll.
+	// A signature on a manifest must not be valid for a roll.
 	forged := testRoll(t, all, heads[0], nil)
 	forged.Signatures = heads[0].Signatures
 	assert.Assert(t, errors.As(VerifyRoll(forged, oldSet), &few))
@@ -118,8 +118,8 @@
 	}
 }
 
-// Widening a canary's share only adds instances, and the share comes out about
-// right over many instances.
+// Widening the share of a canary must only add instances, and the fraction of
+// instances covered must be close to the share.
 func TestShareOnlyGrows(t *testing.T) {
 	target := Ref{Version: 9}
 	covered := 0
@@ -135,7 +135,7 @@
 				covered++
 			}
 		}
-		assert.Assert(t, before, "a full share covers everyone")
+		assert.Assert(t, before, "a full share must cover every instance")
 	}
-	assert.Assert(t, covered > 150 && covered < 250, "covered %d of 2000 at a share of 100", covered)
+	assert.Assert(t, covered > 150 && covered < 250, "covered %d of 2000 instances at a share of 100, want 151 to 249", covered)
 }
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -20,14 +20,15 @@
 	return unmarshalHex(v[:], "signature", text)
 }
 
-// Signature is one approver's signature on a manifest or roll.
+// Signature is the signature of an approver on a manifest or roll.
 type Signature struct {
 	Key   PublicKey      `json:"key"`
 	Value SignatureValue `json:"value"`
 }
 
-// purpose separates what is signed, so that a signature on a document of one
-// kind is none on another.
+// purpose is the domain separator of a signature. It is signed together with the
+// digest, so that a signature on a document of one type is not valid for another
+// type.
 type purpose string
 
 const (
@@ -35,7 +36,7 @@
 	purposeRoll     purpose = "wardspool roll 1\n"
 )
 
-// message is what an approver's key signs.
+// message returns the bytes that an approver signs.
 func message(p purpose, d Digest) []byte { return append([]byte(p), d[:]...) }
 
 func sign(key ed25519.PrivateKey, p purpose, d Digest) Signature {
@@ -45,39 +46,41 @@
 	return s
 }
 
-// addSignature adds a signature, in place of an earlier one by the same key.
+// addSignature returns a copy of list with s added, replacing an earlier signature
+// by the same key.
 func addSignature(list []Signature, s Signature) []Signature {
 	list = slices.DeleteFunc(slices.Clone(list), func(old Signature) bool { return old.Key == s.Key })
 	return append(list, s)
 }
 
-// RejectReason says why a signature did not count.
+// RejectReason says why a signature was not counted.
 type RejectReason string
 
 // The reasons.
 const (
-	// RejectUnknownKey is a key outside the approver set.
+	// RejectUnknownKey is a signature by a key that is not in the approver set.
 	RejectUnknownKey RejectReason = "unknown key"
 	// RejectBadSignature is a signature that does not match the document.
 	RejectBadSignature RejectReason = "bad signature"
-	// RejectDuplicate is a second signature by one key.
+	// RejectDuplicate is a further signature by the same key.
 	RejectDuplicate RejectReason = "signed already"
 )
 
-// Rejected is a signature that did not count.
+// Rejected is a signature that was not counted.
 type Rejected struct {
 	Key    PublicKey
 	Reason RejectReason
 }
 
-// TooFewSignaturesError reports a document that no quorum signed.
+// TooFewSignaturesError reports a document without signatures of a quorum.
 type TooFewSignaturesError struct {
-	// What names the document, and Epoch the approver set asked.
+	// What identifies the document, and Epoch the approver set.
 	What  string
 	Epoch uint64
-	// Valid counts the approvers that signed; Quorum is how many must.
+	// Valid is the number of approvers that signed, and Quorum the number that
+	// must sign.
 	Valid, Quorum int
-	// Rejected lists the signatures that did not count.
+	// Rejected lists the signatures that were not counted.
 	Rejected []Rejected
 }
 
@@ -90,15 +93,17 @@
 	return text
 }
 
-// Tally is how a document's signatures count against an approver set.
+// Tally is the result of counting the signatures on a document against an approver
+// set.
 type Tally struct {
-	// Signed names the approvers whose signatures count, in document order.
+	// Signed lists the names of the approvers whose signatures are valid, in the
+	// order of the signatures in the document.
 	Signed   []string
 	Rejected []Rejected
 }
 
-// tally counts signatures. Each approver counts once. Signatures that do not
-// count are listed but do no harm: whoever relays a document could add them.
+// tally counts signatures, each approver once. Invalid signatures are listed but
+// do not invalidate the document, because anyone who relays it could add some.
 func tally(a Approvers, p purpose, d Digest, signatures []Signature) Tally {
 	var t Tally
 	counted := map[PublicKey]bool{}
@@ -119,7 +124,7 @@
 	return t
 }
 
-// quorum returns a *TooFewSignaturesError unless a quorum of a signed.
+// quorum returns a *TooFewSignaturesError unless a quorum of a signed the digest.
 func quorum(what string, a Approvers, p purpose, d Digest, signatures []Signature) error {
 	t := tally(a, p, d, signatures)
 	if len(t.Signed) >= a.Quorum {
--- a/bundle/signedroll.go
+++ b/bundle/signedroll.go
@@ -4,10 +4,10 @@
 	"fmt"
 )
 
-// Encode returns the signed roll's canonical form.
+// Encode returns the canonical form of the signed roll.
 func (s *SignedRoll) Encode() []byte { return encode(s) }
 
-// DecodeRoll decodes what SignedRoll.Encode wrote. It checks structure and
+// DecodeRoll decodes the output of SignedRoll.Encode. It checks structure and
 // limits and returns a *DecodeError; it does not verify signatures.
 func DecodeRoll(b []byte) (*SignedRoll, error) {
 	var s SignedRoll
@@ -17,7 +17,7 @@
 	return &s, nil
 }
 
-// Head returns the head of the bundle that ref names, if the roll carries it.
+// Head returns the head of the bundle that ref refers to, if the roll includes it.
 func (s *SignedRoll) Head(ref Ref) (*Head, bool) {
 	switch {
 	case ref.IsZero():
@@ -30,8 +30,8 @@
 	return nil, false
 }
 
-// AddSignature adds a signature to the roll, in place of an earlier one by the
-// same key.
+// AddSignature adds a signature to the roll. It replaces an earlier signature by
+// the same key.
 func (s *SignedRoll) AddSignature(sig Signature) {
 	s.Signatures = addSignature(s.Signatures, sig)
 }
@@ -41,10 +41,11 @@
 	return tally(a, purposeRoll, s.Roll.Digest(), s.Signatures)
 }
 
-// VerifyRoll verifies a signed roll: its target descends from the trusted
-// approvers, and a quorum of the approvers that the target names signed the
-// roll. The base is vouched for by the roll's signatures; its own may be those
-// of approvers that this instance never knew.
+// VerifyRoll verifies a signed roll: a chain of rotations leads from the trusted
+// approvers to its target, and a quorum of the approvers that the target names
+// signed the roll. The signatures of the base are not verified, because they may be
+// from approvers that this instance never knew. The signatures on the roll cover
+// the digest of the base.
 func VerifyRoll(s *SignedRoll, trusted Approvers) error {
 	if err := Verify(&s.Target, trusted); err != nil {
 		return err
@@ -53,8 +54,8 @@
 	return quorum(what, s.Target.Manifest.Approvers, purposeRoll, s.Roll.Digest(), s.Signatures)
 }
 
-// check checks structure and limits, and that the heads are those that the roll
-// names.
+// check checks structure and limits, and that the heads match the references in
+// the roll.
 func (s *SignedRoll) check() error {
 	if err := s.Roll.check(); err != nil {
 		return err
@@ -69,10 +70,10 @@
 		return &StructureError{What: fmt.Sprintf("roll %d", s.Roll.Sequence), Reason: reason}
 	}
 	if s.Target.Ref() != s.Roll.Target {
-		return bad("the head of the target is another")
+		return bad("the head of the target does not match the target reference")
 	}
 	if s.Roll.Base.IsZero() != (s.Base == nil) {
-		return bad("the base and its head must be there together")
+		return bad("the base and its head must be both present or both absent")
 	}
 	if s.Base == nil {
 		return nil
@@ -81,7 +82,7 @@
 		return err
 	}
 	if s.Base.Ref() != s.Roll.Base {
-		return bad("the head of the base is another")
+		return bad("the head of the base does not match the base reference")
 	}
 	return nil
 }
--- a/bundle/source.go
+++ b/bundle/source.go
@@ -17,17 +17,17 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// MaxSourceBytes bounds a YAML source file.
+// MaxSourceBytes is the maximum size of a YAML source file.
 const MaxSourceBytes = 4 << 20
 
-// maxSourceDepth bounds how deep a source may nest, in brackets and block
-// indicators. The schema needs seven; the parser recurses, so the depth is
-// bounded before it runs.
+// maxSourceDepth is the maximum nesting depth of a source, in brackets and block
+// indicators. The schema needs seven levels. The YAML parser is recursive, so the
+// depth is checked before it runs.
 const maxSourceDepth = 32
 
-// ParseSource reads a bundle's YAML source and checks it as a whole. It returns
-// every fault it finds, with the position of each; the content is nil if there
-// is one. The name is used in findings only.
+// ParseSource parses and validates the YAML source of a bundle. It returns all
+// findings with their positions, sorted; the content is nil if there are any. The
+// name is used only in findings.
 func ParseSource(name string, b []byte) (*config.Content, Findings) {
 	w := &walker{positions: map[string]position{}}
 	content := w.read(b)
@@ -41,7 +41,7 @@
 	return content, nil
 }
 
-// read decodes the source. It returns nil if there is no tree to walk.
+// read decodes the source. It returns nil if the source can't be parsed.
 func (w *walker) read(b []byte) *config.Content {
 	if len(b) > MaxSourceBytes {
 		w.add("", RuleSize, fmt.Sprintf("the source has %d bytes", len(b)), fmt.Sprintf("at most %d", MaxSourceBytes))
@@ -57,7 +57,7 @@
 	return &content
 }
 
-// parse returns the root of the source's only document.
+// parse returns the root of the YAML document. A source must contain exactly one.
 func (w *walker) parse(b []byte) (ast.Node, bool) {
 	tokens := lexer.Tokenize(string(b))
 	if at, deep := tooDeep(tokens); deep {
@@ -78,7 +78,7 @@
 	return docs[0].Body, true
 }
 
-// addSyntax reports what the YAML parser said.
+// addSyntax adds a finding for an error of the YAML parser.
 func (w *walker) addSyntax(err error) {
 	wrong := err.Error()
 	var located yaml.Error
@@ -89,9 +89,10 @@
 	w.add("", RuleSyntax, "not YAML: "+wrong, "see examples/ for the form")
 }
 
-// tooDeep reports whether the source nests deeper than maxSourceDepth, and
-// where. Flow brackets nest until closed; block sequences nest by their dashes
-// and block mappings by the columns of their keys.
+// tooDeep reports whether the nesting depth of the source exceeds maxSourceDepth,
+// and the position where it does. Flow collections nest by their brackets, block
+// sequences by the columns of their dashes, and block mappings by those of their
+// keys.
 func tooDeep(tokens token.Tokens) (position, bool) {
 	flow := 0
 	var columns []int
@@ -111,8 +112,8 @@
 	return position{}, false
 }
 
-// pushColumn adds an indicator's column to the stack of open blocks, closing
-// those that stood at or right of it.
+// pushColumn pushes the column of an indicator on the stack of open blocks, after
+// removing the blocks at the same column or to the right of it.
 func pushColumn(columns []int, column int) []int {
 	for len(columns) > 0 && columns[len(columns)-1] >= column {
 		columns = columns[:len(columns)-1]
@@ -120,7 +121,7 @@
 	return append(columns, column)
 }
 
-// position is a place in the source, counted from 1.
+// position is a 1-based position in the source.
 type position struct{ line, column int }
 
 func tokenPosition(t *token.Token) position {
@@ -130,8 +131,9 @@
 	return position{line: t.Position.Line, column: t.Position.Column}
 }
 
-// addChecks adds the faults that Check found, except at fields that are already
-// reported: a value that could not be read is not also out of range.
+// addChecks adds the findings of Check, except for fields that already have one
+// and fields inside them: a value that could not be decoded must not be reported as
+// out of range as well.
 func (w *walker) addChecks(found Findings) {
 	reported := map[string]bool{}
 	for _, f := range w.findings {
@@ -144,7 +146,7 @@
 	}
 }
 
-// underReported reports whether path or a field that holds it is in reported.
+// underReported reports whether path or one of its parents is in reported.
 func underReported(reported map[string]bool, path string) bool {
 	for path != "" && !reported[path] {
 		path = parentPath(path)
@@ -152,7 +154,7 @@
 	return reported[path]
 }
 
-// parentPath drops the last field or index of a path.
+// parentPath removes the last field or index from a path.
 func parentPath(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
@@ -161,7 +163,7 @@
 	return path[:i]
 }
 
-// locate fills in where each finding is and sorts them by position.
+// locate sets the file and position of each finding and sorts them by position.
 func (w *walker) locate(file string) {
 	for i := range w.findings {
 		f := &w.findings[i]
@@ -176,7 +178,7 @@
 	})
 }
 
-// nearest returns the position of path, or of the nearest field that holds it.
+// nearest returns the position of path, or of its nearest parent with a position.
 func (w *walker) nearest(path string) position {
 	for {
 		if at, ok := w.positions[path]; ok {
--- a/bundle/source_test.go
+++ b/bundle/source_test.go
@@ -21,7 +21,7 @@
 	return content
 }
 
-// The examples have the sizes that their users run today.
+// The examples must have the sizes of the deployments in production.
 func TestExamples(t *testing.T) {
 	for _, deployment := range []string{"coastline", "lagos"} {
 		t.Run(deployment, func(t *testing.T) {
@@ -44,7 +44,8 @@
 	}
 }
 
-// faulty.golden holds every finding for a source with faults of each kind.
+// faulty.golden contains all findings for a source that violates every rule except
+// RuleSize.
 func TestFaultySource(t *testing.T) {
 	b, err := os.ReadFile("testdata/faulty.yaml")
 	assert.NilError(t, err)
@@ -54,7 +55,7 @@
 	seen := map[Rule]bool{}
 	for _, f := range findings {
 		seen[f.Rule] = true
-		assert.Assert(t, f.Line > 0 && f.Column > 0, "%s has no position", f)
+		assert.Assert(t, f.Line > 0 && f.Column > 0, "finding %s has no position", f)
 	}
 	for _, rule := range []Rule{
 		RuleSyntax, RuleUnknownField, RuleDuplicateKey, RuleType, RuleName, RuleDuplicate,
--- a/bundle/verify_test.go
+++ b/bundle/verify_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// chain builds versions 1 to 4: version 2 hands over from oldSet to newSet.
+// chain builds versions 1 to 4. Version 2 replaces oldSet by newSet.
 func chain(t *testing.T) []*Head {
 	v1, _ := testBuild(t, Draft{Approvers: oldSet}, "ada", "ben")
 	v2, _ := testBuild(t, Draft{Previous: v1, Approvers: newSet}, "ada", "cyd", "dan", "eve")
@@ -19,13 +19,13 @@
 func TestVerifyWalksRotations(t *testing.T) {
 	heads := chain(t)
 	for _, h := range heads {
-		assert.NilError(t, Verify(h, oldSet), "version %d by the old set", h.Manifest.Version)
+		assert.NilError(t, Verify(h, oldSet), "verifying version %d against the old approvers", h.Manifest.Version)
 	}
 	for _, h := range heads[1:] {
-		assert.NilError(t, Verify(h, newSet), "version %d by the new set", h.Manifest.Version)
+		assert.NilError(t, Verify(h, newSet), "verifying version %d against the new approvers", h.Manifest.Version)
 	}
 	var untrusted *UntrustedError
-	assert.Assert(t, errors.As(Verify(heads[0], newSet), &untrusted), "an old version is not the new set's")
+	assert.Assert(t, errors.As(Verify(heads[0], newSet), &untrusted), "a version older than the rotation must not verify against the new approvers")
 	other := testApprovers(1, 1, "mal")
 	assert.Assert(t, errors.As(Verify(heads[3], other), &untrusted))
 }
@@ -79,15 +79,16 @@
 	}
 }
 
-// An unknown or spoilt signature beside a quorum does no harm: whoever relays a
-// document could add one.
+// An unknown or invalid signature must not invalidate a document that a quorum
+// signed, because anyone who relays the document could add one.
 func TestVerifyIgnoresFurtherSignatures(t *testing.T) {
 	h, _ := testBuild(t, Draft{Approvers: oldSet}, "mal", "ada", "ben", "cyd")
 	h.Signatures[3].Value[0] ^= 1
 	assert.NilError(t, Verify(h, oldSet))
 }
 
-// Skipping a rotation must fail: it is the only proof of the new approvers.
+// A head without one of its rotations must not verify: the rotation is the only
+// proof that the new approvers are legitimate.
 func TestVerifyNeedsEveryRotation(t *testing.T) {
 	heads := chain(t)
 	third := testApprovers(3, 1, "gus")
@@ -110,7 +111,7 @@
 	assert.Assert(t, v2.Manifest.Follows(v1.Ref()))
 	assert.Assert(t, !v2.Manifest.Follows(v1b.Ref()))
 	assert.Assert(t, healing.Manifest.Follows(v1b.Ref()))
-	assert.Assert(t, v3.Manifest.Follows(v1b.Ref()), "versions further apart are not checked")
+	assert.Assert(t, v3.Manifest.Follows(v1b.Ref()), "Follows must not check versions further apart")
 }
 
 func TestApproversCheck(t *testing.T) {
@@ -135,6 +136,6 @@
 	twice := testApprovers(1, 2, "ada", "ben")
 	twice.Keys[1].Key = twice.Keys[0].Key
 	var bad *ApproversError
-	assert.Assert(t, errors.As(twice.Check(), &bad), "one key under two names could sign alone")
+	assert.Assert(t, errors.As(twice.Check(), &bad), "a key listed under two names could reach the quorum alone")
 	assert.NilError(t, oldSet.Check())
 }
--- a/bundle/walk.go
+++ b/bundle/walk.go
@@ -12,9 +12,9 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// walker decodes a YAML tree into the typed content. The YAML library's own
-// decoder stops at its first error; the walker goes on, so that an operator
-// sees every fault at once, and remembers where each field stands.
+// walker decodes a YAML tree into the typed content. Unlike the decoder of the YAML
+// library, which stops at the first error, it continues, so that an operator sees
+// all errors at once. It also records the position of each field.
 type walker struct {
 	positions map[string]position
 	findings  Findings
@@ -26,7 +26,9 @@
 	w.findings = append(w.findings, Finding{Path: path, Rule: rule, Wrong: wrong, Right: right})
 }
 
-// addAt adds a finding at a node that has no field path of its own.
+// addAt adds a finding at the position of a node. Unknown and duplicate keys need
+// it: the path of an unknown key has no recorded position, and that of a duplicate
+// key has the position of the first occurrence.
 func (w *walker) addAt(n ast.Node, path string, rule Rule, wrong, right string) {
 	at := tokenPosition(n.GetToken())
 	w.findings = append(w.findings, Finding{
@@ -34,7 +36,7 @@
 	})
 }
 
-// value decodes one node into the field at path.
+// value decodes a node into the field at path.
 func (w *walker) value(path string, n ast.Node, into reflect.Value) {
 	if _, seen := w.positions[path]; !seen {
 		w.positions[path] = tokenPosition(n.GetToken())
@@ -52,8 +54,10 @@
 	}
 }
 
-// refusedNode reports nodes that bundles do not use: what is signed must read
-// the same to a person as to a program.
+// refusedNode reports whether a node is of a type that bundles do not allow, and
+// adds a finding for it. Anchors, aliases, tags and directives are not allowed
+// because a person who reads the source must see the same content as the program
+// that signs it. Null values are reported as missing.
 func (w *walker) refusedNode(path string, n ast.Node) bool {
 	const right = "write the value out"
 	switch n.Type() {
@@ -185,10 +189,10 @@
 	}
 }
 
-// maxDescribed bounds how much of a source value a finding repeats, in bytes.
+// maxDescribed is the maximum length, in bytes, of a value quoted in a message.
 const maxDescribed = 40
 
-// describe names a node's type and value for a finding.
+// describe formats the type and value of a node for a finding.
 func describe(n ast.Node) string {
 	if s, ok := n.(ast.ScalarNode); ok {
 		text := fmt.Sprint(s.GetValue())
@@ -200,7 +204,7 @@
 	return "a " + strings.ToLower(n.Type().String())
 }
 
-// keyText returns the text of a mapping's key.
+// keyText returns the text of a mapping key.
 func keyText(key ast.MapKeyNode) string {
 	if s, ok := key.(*ast.StringNode); ok {
 		return s.Value
@@ -208,7 +212,7 @@
 	return strings.TrimSpace(key.String())
 }
 
-// fieldByKey returns the field of a struct that a YAML key names.
+// fieldByKey returns the struct field for a YAML key.
 func fieldByKey(v reflect.Value, key string) (reflect.Value, bool) {
 	for i := range v.NumField() {
 		if yamlKey(v.Type().Field(i)) == key {
@@ -223,7 +227,7 @@
 	return name
 }
 
-// knownKeys lists a struct's YAML keys, sorted.
+// knownKeys returns the YAML keys of a struct type, sorted and joined by commas.
 func knownKeys(t reflect.Type) string {
 	keys := make([]string, t.NumField())
 	for i := range keys {
