--- a/bundle/approvers.go
+++ b/bundle/approvers.go
@@ -78,7 +78,7 @@
 	keys := map[PublicKey]string{}
 	for i, k := range a.Keys {
 		if !ident.ValidName(k.Name) {
-			return bad("name %q is not valid", clip(k.Name))
+			return bad("name %q is not valid", truncate(k.Name))
 		}
 		if i > 0 && a.Keys[i-1].Name >= k.Name {
 			return bad("names must be sorted and differ: %q", k.Name)
--- a/bundle/assemble.go
+++ b/bundle/assemble.go
@@ -41,8 +41,8 @@
 	source  PartSource
 	memo    *Memo
 	missing []Digest
-	// wanted holds the digest of every part reached, present or missing.
-	wanted map[Digest]bool
+	// referenced holds the digest of every part reached, present or missing.
+	referenced map[Digest]bool
 	// visits and bytes count the visited parts and their size. Limits on both
 	// bound the work of the walk.
 	visits, bytes int
@@ -70,7 +70,7 @@
 }
 
 func walkParts(m *Manifest, source PartSource, memo *Memo) (*treeWalk, error) {
-	w := &treeWalk{source: source, memo: memo, wanted: map[Digest]bool{}}
+	w := &treeWalk{source: source, memo: memo, referenced: map[Digest]bool{}}
 	for _, s := range m.Sections {
 		if err := w.walk(s.Name, s.Root, -1, nil); err != nil {
 			return w, err
@@ -85,14 +85,14 @@
 func (w *treeWalk) walk(section SectionName, d Digest, level int, c *config.Content) error {
 	b, ok := w.source.Part(d)
 	if !ok {
-		if !w.wanted[d] {
+		if !w.referenced[d] {
 			w.missing = append(w.missing, d)
 		}
-		w.wanted[d] = true
+		w.referenced[d] = true
 		return nil
 	}
-	w.wanted[d] = true
-	f, err := w.form(d, b, level)
+	w.referenced[d] = true
+	f, err := w.partInfo(d, b, level)
 	if err == nil && f.level == 0 && c != nil {
 		err = w.memo.addLeaf(c, section, d, b)
 	}
@@ -107,28 +107,29 @@
 	return nil
 }
 
-// form returns the level and children of a part and counts the part towards the
-// limits of the walk. A part may be referenced from several places and is counted
-// each time; otherwise a few parts could expand to an unbounded amount of content.
-func (w *treeWalk) form(d Digest, b []byte, level int) (form, error) {
+// partInfo returns the level and children of a part and counts the part towards
+// the limits of the walk. A part may be referenced from several places and is
+// counted each time; otherwise a few parts could expand to an unbounded amount of
+// content.
+func (w *treeWalk) partInfo(d Digest, b []byte, level int) (partInfo, error) {
 	w.visits++
 	w.bytes += len(b)
 	if w.visits > maxParts {
-		return form{}, &SizeError{What: "parts", Size: w.visits, Limit: maxParts}
+		return partInfo{}, &SizeError{What: "parts", Size: w.visits, Limit: maxParts}
 	}
 	if w.bytes > MaxContentBytes {
-		return form{}, &SizeError{What: "bytes of content", Size: w.bytes, Limit: MaxContentBytes}
+		return partInfo{}, &SizeError{What: "bytes of content", Size: w.bytes, Limit: MaxContentBytes}
 	}
-	f, err := w.memo.form(d, b)
+	f, err := w.memo.partInfo(d, b)
 	if err == nil && level >= 0 && f.level != level {
 		err = &StructureError{What: "part", Reason: fmt.Sprintf("level is %d, must be %d", f.level, level)}
 	}
 	return f, err
 }
 
-// sectionReader returns a function that decodes one entry of the named section
-// into c.
-func sectionReader(c *config.Content, name SectionName) func(json.RawMessage) error {
+// entryDecoder returns a function that decodes one entry of the named section into
+// c.
+func entryDecoder(c *config.Content, name SectionName) func(json.RawMessage) error {
 	switch name {
 	case SectionDeployment:
 		return func(b json.RawMessage) error { return decodeStrict(b, &c.Deployment) }
--- a/bundle/build.go
+++ b/bundle/build.go
@@ -34,7 +34,7 @@
 		Format: Format, Version: 1, Supersedes: d.Supersedes, Note: d.Note,
 		Approvers: d.Approvers.Sorted(),
 	}}}
-	h.succeed(d.Previous)
+	h.setPrevious(d.Previous)
 	parts := &PartSet{}
 	for _, name := range sectionOrder {
 		items, err := sectionItems(d.Content, name)
@@ -53,9 +53,9 @@
 	return h, parts, nil
 }
 
-// succeed sets the fields that derive from the preceding bundle: version,
+// setPrevious sets the fields that derive from the preceding bundle: version,
 // previous reference, signers, approver epoch and rotations.
-func (h *Head) succeed(previous *Head) {
+func (h *Head) setPrevious(previous *Head) {
 	m := &h.Manifest
 	if previous == nil {
 		m.Approvers.Epoch = max(m.Approvers.Epoch, 1)
@@ -93,29 +93,29 @@
 func sectionItems(c *config.Content, name SectionName) ([]item, error) {
 	switch name {
 	case SectionDeployment:
-		return items([]string{c.Deployment}, func(s string) string { return s })
+		return encodeItems([]string{c.Deployment}, func(s string) string { return s })
 	case SectionKinds:
-		return items(c.Kinds, func(k config.Kind) string { return k.Name })
+		return encodeItems(c.Kinds, func(k config.Kind) string { return k.Name })
 	case SectionModels:
-		return items(c.Models, func(m config.Model) string { return m.Name })
+		return encodeItems(c.Models, func(m config.Model) string { return m.Name })
 	case SectionServices:
-		return items(c.Services, func(s config.Service) string { return s.Name })
+		return encodeItems(c.Services, func(s config.Service) string { return s.Name })
 	case SectionWorkspaces:
-		return items(c.Workspaces, func(w config.Workspace) string { return string(w.Name) })
+		return encodeItems(c.Workspaces, func(w config.Workspace) string { return string(w.Name) })
 	case SectionUpstreams:
-		return items(c.Upstreams, func(u config.Upstream) string { return string(u.ID) })
+		return encodeItems(c.Upstreams, func(u config.Upstream) string { return string(u.ID) })
 	case SectionPolicy:
-		return items([]config.Policy{c.Policy}, func(config.Policy) string { return string(SectionPolicy) })
+		return encodeItems([]config.Policy{c.Policy}, func(config.Policy) string { return string(SectionPolicy) })
 	}
 	return nil, &StructureError{What: "content", Reason: fmt.Sprintf("unknown section %q", name)}
 }
 
-func items[T any](entries []T, key func(T) string) ([]item, error) {
+func encodeItems[T any](entries []T, key func(T) string) ([]item, error) {
 	list := make([]item, len(entries))
 	for i, e := range entries {
 		b, err := json.Marshal(e)
 		if err != nil {
-			return nil, &StructureError{What: "entry " + clip(key(e)), Reason: err.Error()}
+			return nil, &StructureError{What: "entry " + truncate(key(e)), Reason: err.Error()}
 		}
 		list[i] = item{key: key(e), json: b}
 	}
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -38,41 +38,41 @@
 // first pass without paths, and a second pass with paths only if the first one
 // reported findings.
 func Check(c *config.Content) Findings {
-	quick := &checker{content: c, pathless: true}
-	quick.all()
-	if len(quick.findings) == 0 {
+	firstPass := &checker{content: c, omitPaths: true}
+	firstPass.checkAll()
+	if len(firstPass.findings) == 0 {
 		return nil
 	}
 	k := &checker{content: c}
-	k.all()
+	k.checkAll()
 	return k.findings
 }
 
-// all runs every check.
-func (k *checker) all() {
-	k.index()
-	k.name("deployment", k.content.Deployment)
-	k.kinds()
-	k.modelList()
-	k.serviceList()
-	k.workspaces()
-	k.upstreams()
-	k.policy()
-	k.sums()
+// checkAll runs every check.
+func (k *checker) checkAll() {
+	k.indexEntries()
+	k.checkName("deployment", k.content.Deployment)
+	k.checkKinds()
+	k.checkModels()
+	k.checkServices()
+	k.checkWorkspaces()
+	k.checkUpstreams()
+	k.checkPolicy()
+	k.checkConsistency()
 }
 
 // checker validates one content. It holds indexes of the content's entries by
 // name, and the findings so far.
 type checker struct {
 	content *config.Content
-	// pathless leaves the paths of findings empty; see Check.
-	pathless bool
-	models   map[string]config.Model
-	services map[string]config.Service
-	findings Findings
+	// omitPaths leaves the paths of findings empty; see Check.
+	omitPaths bool
+	models    map[string]config.Model
+	services  map[string]config.Service
+	findings  Findings
 }
 
-func (k *checker) index() {
+func (k *checker) indexEntries() {
 	k.models = map[string]config.Model{}
 	for _, m := range k.content.Models {
 		k.models[m.Name] = m
@@ -83,57 +83,57 @@
 	}
 }
 
-// at returns the path of entry i of a list, followed by field, which is empty or
-// starts with a dot.
-func (k *checker) at(list string, i int, field string) string {
-	if k.pathless {
+// entryPath returns the path of entry i of a list, followed by field, which is
+// empty or starts with a dot.
+func (k *checker) entryPath(list string, i int, field string) string {
+	if k.omitPaths {
 		return ""
 	}
 	return fmt.Sprintf("%s[%d]%s", list, i, field)
 }
 
-func (k *checker) add(path string, rule Rule, wrong, right string) {
-	k.findings = append(k.findings, Finding{Path: path, Rule: rule, Wrong: wrong, Right: right})
+func (k *checker) add(path string, rule Rule, problem, advice string) {
+	k.findings = append(k.findings, Finding{Path: path, Rule: rule, Problem: problem, Advice: advice})
 }
 
-// name checks that a name is present and valid.
-func (k *checker) name(path, name string) {
+// checkName checks that a name is present and valid.
+func (k *checker) checkName(path, name string) {
 	switch {
 	case name == "":
 		k.add(path, RuleMissing, "there is no name", "give one of lower-case letters, digits and inner hyphens")
 	case !ident.ValidName(name):
-		k.add(path, RuleName, fmt.Sprintf("%q is not a valid name", clip(name)), "use lower-case letters, digits and inner hyphens, at most 63 bytes")
+		k.add(path, RuleName, fmt.Sprintf("%q is not a valid name", truncate(name)), "use lower-case letters, digits and inner hyphens, at most 63 bytes")
 	}
 }
 
-// names checks the names of the entries of a list: each name is valid and unique,
-// and the list has at most limit entries.
-func (k *checker) names(list, field string, limit int, names []string) {
+// checkNames checks the names of the entries of a list: each name is valid and
+// unique, and the list has at most limit entries.
+func (k *checker) checkNames(list, field string, limit int, names []string) {
 	if len(names) > limit {
 		k.add(list, RuleSize, fmt.Sprintf("the list has %d entries", len(names)), fmt.Sprintf("at most %d", limit))
 	}
 	first := make(map[string]int, len(names))
 	for i, name := range names {
-		path := k.at(list, i, field)
-		k.name(path, name)
+		path := k.entryPath(list, i, field)
+		k.checkName(path, name)
 		if j, taken := first[name]; taken && name != "" {
-			k.add(path, RuleDuplicate, fmt.Sprintf("%q is the name of entry %d already", clip(name), j), "give each entry a name of its own")
+			k.add(path, RuleDuplicate, fmt.Sprintf("%q is the name of entry %d already", truncate(name), j), "give each entry a name of its own")
 			continue
 		}
 		first[name] = i
 	}
 }
 
-// reference checks that name is a key of declared.
-func reference[T any](k *checker, path, what, name string, declared map[string]T) {
+// checkReference checks that name is a key of declared.
+func checkReference[T any](k *checker, path, what, name string, declared map[string]T) {
 	if _, ok := declared[name]; ok {
 		return
 	}
-	k.add(path, RuleReference, fmt.Sprintf("no %s is named %q", what, clip(name)), "declared: "+sortedKeys(declared))
+	k.add(path, RuleReference, fmt.Sprintf("no %s is named %q", what, truncate(name)), "declared: "+sortedKeys(declared))
 }
 
-// between checks that n is in the range from low to high, both inclusive.
-func between[N cmp.Ordered](k *checker, path string, n, low, high N) {
+// checkRange checks that n is in the range from low to high, both inclusive.
+func checkRange[N cmp.Ordered](k *checker, path string, n, low, high N) {
 	// NaN compares false with every number, so the condition tests that n is
 	// inside the range; a test for being outside would accept NaN.
 	if n >= low && n <= high {
@@ -142,8 +142,8 @@
 	k.add(path, RuleRange, fmt.Sprintf("%v is out of bounds", n), fmt.Sprintf("from %v to %v", low, high))
 }
 
-// positive checks that n is above 0 and at most high.
-func positive[N cmp.Ordered](k *checker, path string, n, high N) {
+// checkPositive checks that n is above 0 and at most high.
+func checkPositive[N cmp.Ordered](k *checker, path string, n, high N) {
 	var zero N
 	if n > zero && n <= high {
 		return
@@ -158,7 +158,7 @@
 	}
 	keys := make([]string, 0, len(m))
 	for key := range m {
-		keys = append(keys, clip(key))
+		keys = append(keys, truncate(key))
 	}
 	slices.Sort(keys)
 	const most = 20
@@ -168,10 +168,10 @@
 	return strings.Join(keys, ", ")
 }
 
-// clip truncates a value from the source that a message quotes.
-func clip(s string) string {
-	if len(s) > maxDescribed {
-		return s[:maxDescribed] + "..."
+// truncate shortens a value from the source that a message quotes.
+func truncate(s string) string {
+	if len(s) > maxQuotedBytes {
+		return s[:maxQuotedBytes] + "..."
 	}
 	return s
 }
--- a/bundle/codec.go
+++ b/bundle/codec.go
@@ -109,13 +109,13 @@
 	return b
 }
 
-// checked is a document that can validate its own structure.
-type checked interface{ check() error }
+// document is implemented by documents that can validate their own structure.
+type document interface{ check() error }
 
 // decodeDocument decodes a document of at most MaxValueBytes into v and validates
 // it. Encoding v again must give the same bytes, so that each value has exactly
 // one encoding and therefore one digest.
-func decodeDocument(what string, b []byte, v checked) error {
+func decodeDocument(what string, b []byte, v document) error {
 	if len(b) > MaxValueBytes {
 		return &DecodeError{What: what, Err: &SizeError{What: "bytes", Size: len(b), Limit: MaxValueBytes}}
 	}
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -36,15 +36,15 @@
 // removed fields, in the order of before, then the added fields.
 func Diff(before, after *config.Content) []Change {
 	a, b := flatten(before), flatten(after)
-	was, is := a.byPath(), b.byPath()
+	oldValues, newValues := a.byPath(), b.byPath()
 	var changes []Change
 	for _, f := range a.fields {
-		if is[f.path] != f.value {
-			changes = append(changes, Change{Path: f.path, Before: f.value, After: is[f.path]})
+		if newValues[f.path] != f.value {
+			changes = append(changes, Change{Path: f.path, Before: f.value, After: newValues[f.path]})
 		}
 	}
 	for _, f := range b.fields {
-		if _, there := was[f.path]; !there {
+		if _, ok := oldValues[f.path]; !ok {
 			changes = append(changes, Change{Path: f.path, After: f.value})
 		}
 	}
@@ -59,12 +59,12 @@
 
 func flatten(c *config.Content) *flattener {
 	f := &flattener{}
-	f.structure("", reflect.ValueOf(*c))
+	f.addStruct("", reflect.ValueOf(*c))
 	names := make([]string, len(c.Kinds))
 	for i, k := range c.Kinds {
 		names[i] = k.Name
 	}
-	f.add("order of kinds", strings.Join(names, ", "))
+	f.addField("order of kinds", strings.Join(names, ", "))
 	return f
 }
 
@@ -76,44 +76,44 @@
 	return m
 }
 
-func (f *flattener) add(path, value string) {
+func (f *flattener) addField(path, value string) {
 	f.fields = append(f.fields, field{path: path, value: value})
 }
 
-func (f *flattener) structure(path string, v reflect.Value) {
+func (f *flattener) addStruct(path string, v reflect.Value) {
 	for i := range v.NumField() {
-		f.value(joinPath(path, yamlKey(v.Type().Field(i))), v.Field(i))
+		f.addValue(joinPath(path, yamlKey(v.Type().Field(i))), v.Field(i))
 	}
 }
 
-func (f *flattener) value(path string, v reflect.Value) {
+func (f *flattener) addValue(path string, v reflect.Value) {
 	switch {
 	case v.IsZero():
 	case v.Kind() == reflect.Struct:
-		f.structure(path, v)
+		f.addStruct(path, v)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
 		for i := range v.Len() {
 			entry := v.Index(i)
 			// The first field of each entry type is its name.
 			name := fmt.Sprint(entry.Field(0).Interface())
-			f.structure(fmt.Sprintf("%s[%s]", path, name), entry)
+			f.addStruct(fmt.Sprintf("%s[%s]", path, name), entry)
 		}
 	case v.Kind() == reflect.Slice:
-		f.add(path, joinValues(v))
+		f.addField(path, joinValues(v))
 	default:
-		f.add(path, text(v))
+		f.addField(path, formatValue(v))
 	}
 }
 
 func joinValues(v reflect.Value) string {
 	values := make([]string, v.Len())
 	for i := range values {
-		values[i] = text(v.Index(i))
+		values[i] = formatValue(v.Index(i))
 	}
 	return strings.Join(values, ", ")
 }
 
-func text(v reflect.Value) string {
+func formatValue(v reflect.Value) string {
 	if d, ok := v.Interface().(time.Duration); ok {
 		return d.String()
 	}
--- a/bundle/digest.go
+++ b/bundle/digest.go
@@ -18,11 +18,11 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// shortDigest is the number of hexadecimal digits that Short returns.
-const shortDigest = 12
+// shortDigestLength is the number of hexadecimal digits that Short returns.
+const shortDigestLength = 12
 
 // Short returns the first 12 hexadecimal digits of the digest, for messages.
-func (d Digest) Short() string { return d.String()[:shortDigest] }
+func (d Digest) Short() string { return d.String()[:shortDigestLength] }
 
 // MarshalText implements encoding.TextMarshaler.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
--- a/bundle/finding.go
+++ b/bundle/finding.go
@@ -33,9 +33,9 @@
 	RuleMisplaced Rule = "misplaced"
 	// RuleRange is a number or duration out of range.
 	RuleRange Rule = "range"
-	// RuleSum is a set of values that are valid alone but inconsistent with
-	// each other.
-	RuleSum Rule = "sum"
+	// RuleInconsistent is a set of values that are valid alone but inconsistent
+	// with each other.
+	RuleInconsistent Rule = "sum"
 	// RulePlugin is a malformed plug-in ID or one in the wrong namespace.
 	RulePlugin Rule = "plugin"
 )
@@ -49,12 +49,12 @@
 	// Path is the invalid field, for example "upstreams[3].models[0]".
 	Path string
 	Rule Rule
-	// Wrong describes the error, and Right what is expected or how to fix it.
-	Wrong, Right string
+	// Problem describes the error, and Advice what is expected or how to fix it.
+	Problem, Advice string
 }
 
-// String formats the finding as "file:line:column: path: wrong; right [rule]". The
-// position is left out if there is no file, and the path if it is empty.
+// String formats the finding as "file:line:column: path: problem; advice [rule]".
+// The position is left out if there is no file, and the path if it is empty.
 func (f Finding) String() string {
 	var b strings.Builder
 	if f.File != "" {
@@ -63,7 +63,7 @@
 	if f.Path != "" {
 		b.WriteString(f.Path + ": ")
 	}
-	fmt.Fprintf(&b, "%s; %s [%s]", f.Wrong, f.Right, f.Rule)
+	fmt.Fprintf(&b, "%s; %s [%s]", f.Problem, f.Advice, f.Rule)
 	return b.String()
 }
 
--- a/bundle/head.go
+++ b/bundle/head.go
@@ -58,7 +58,7 @@
 
 // Tally counts the signatures on the head's manifest against an approver set.
 func (h *Head) Tally(a Approvers) Tally {
-	return tally(a, purposeManifest, h.Manifest.Digest(), h.Signatures)
+	return countSignatures(a, purposeManifest, h.Manifest.Digest(), h.Signatures)
 }
 
 // Verify verifies that a chain of rotations leads from the trusted approvers to
@@ -93,14 +93,14 @@
 	before, after := trusted.Digest(), m.Approvers.Digest()
 	switch {
 	case after == before:
-		return quorum(what, trusted, purposeManifest, digest, s.Signatures)
+		return requireQuorum(what, trusted, purposeManifest, digest, s.Signatures)
 	case m.Signers != before || m.Approvers.Epoch != trusted.Epoch+1:
 		return &UntrustedError{Version: m.Version, TrustedEpoch: trusted.Epoch, Epoch: m.Approvers.Epoch}
 	}
-	if err := quorum(what, trusted, purposeManifest, digest, s.Signatures); err != nil {
+	if err := requireQuorum(what, trusted, purposeManifest, digest, s.Signatures); err != nil {
 		return err
 	}
-	return quorum(what, m.Approvers, purposeManifest, digest, s.Signatures)
+	return requireQuorum(what, m.Approvers, purposeManifest, digest, s.Signatures)
 }
 
 // nextRotations returns the rotations that the head of the next version carries:
--- a/bundle/memo.go
+++ b/bundle/memo.go
@@ -14,12 +14,12 @@
 // Contents assembled by the same Memo share memory and must not be modified. A Memo
 // is not safe for concurrent use.
 type Memo struct {
-	forms  map[Digest]form
+	infos  map[Digest]partInfo
 	leaves map[leafKey]*config.Content
 }
 
-// form holds the structure of a decoded part, as far as a walk needs it.
-type form struct {
+// partInfo holds the structure of a decoded part, as far as a walk needs it.
+type partInfo struct {
 	level    int
 	children []Digest
 }
@@ -33,7 +33,7 @@
 
 // NewMemo returns an empty Memo.
 func NewMemo() *Memo {
-	return &Memo{forms: map[Digest]form{}, leaves: map[leafKey]*config.Content{}}
+	return &Memo{infos: map[Digest]partInfo{}, leaves: map[leafKey]*config.Content{}}
 }
 
 // MissingParts is like the function MissingParts, but decodes each part only once.
@@ -45,8 +45,8 @@
 // Wanted is like the function Wanted, but decodes each part only once.
 func (m *Memo) Wanted(f *Manifest, source PartSource) ([]Digest, error) {
 	w, err := walkParts(f, source, m)
-	list := make([]Digest, 0, len(w.wanted))
-	for d := range w.wanted {
+	list := make([]Digest, 0, len(w.referenced))
+	for d := range w.referenced {
 		list = append(list, d)
 	}
 	return list, err
@@ -61,7 +61,7 @@
 		return nil, &MissingPartsError{Digests: missing}
 	}
 	var c config.Content
-	w := &treeWalk{source: source, memo: m, wanted: map[Digest]bool{}}
+	w := &treeWalk{source: source, memo: m, referenced: map[Digest]bool{}}
 	for _, s := range f.Sections {
 		if err := w.walk(s.Name, s.Root, -1, &c); err != nil {
 			return nil, err
@@ -78,38 +78,39 @@
 	if m == nil {
 		return
 	}
-	maps.DeleteFunc(m.forms, func(d Digest, _ form) bool { return !keep(d) })
+	maps.DeleteFunc(m.infos, func(d Digest, _ partInfo) bool { return !keep(d) })
 	maps.DeleteFunc(m.leaves, func(k leafKey, _ *config.Content) bool { return !keep(k.digest) })
 }
 
-// form returns the structure of a part, and decodes the part if it is not cached.
-func (m *Memo) form(d Digest, b []byte) (form, error) {
+// partInfo returns the structure of a part. It decodes the part if it is not
+// cached.
+func (m *Memo) partInfo(d Digest, b []byte) (partInfo, error) {
 	if m != nil {
-		if f, ok := m.forms[d]; ok {
+		if f, ok := m.infos[d]; ok {
 			return f, nil
 		}
 	}
 	n, err := decodeNode(b)
 	if err != nil {
-		return form{}, err
+		return partInfo{}, err
 	}
-	f := form{level: n.Level, children: n.Children}
+	f := partInfo{level: n.Level, children: n.Children}
 	if m != nil {
-		m.forms[d] = f
+		m.infos[d] = f
 	}
 	return f, nil
 }
 
 // addLeaf adds the entries of a leaf to c. It decodes the leaf if it is not cached.
 func (m *Memo) addLeaf(c *config.Content, section SectionName, d Digest, b []byte) error {
-	if m == nil || !section.list() {
-		return readLeaf(c, section, b)
+	if m == nil || !section.isList() {
+		return decodeLeaf(c, section, b)
 	}
 	key := leafKey{section: section, digest: d}
 	leaf, known := m.leaves[key]
 	if !known {
 		leaf = new(config.Content)
-		if err := readLeaf(leaf, section, b); err != nil {
+		if err := decodeLeaf(leaf, section, b); err != nil {
 			return err
 		}
 		m.leaves[key] = leaf
@@ -122,20 +123,20 @@
 	return nil
 }
 
-// list reports whether the section is a list, to which each leaf appends entries.
+// isList reports whether the section is a list, to which each leaf appends entries.
 // Each of the other sections is a single value that every entry decodes into, so
 // their leaves cannot be cached separately.
-func (n SectionName) list() bool { return n != SectionDeployment && n != SectionPolicy }
+func (n SectionName) isList() bool { return n != SectionDeployment && n != SectionPolicy }
 
-// readLeaf decodes the entries of a leaf into c.
-func readLeaf(c *config.Content, section SectionName, b []byte) error {
+// decodeLeaf decodes the entries of a leaf into c.
+func decodeLeaf(c *config.Content, section SectionName, b []byte) error {
 	n, err := decodeNode(b)
 	if err != nil {
 		return err
 	}
-	each := sectionReader(c, section)
+	decodeEntry := entryDecoder(c, section)
 	for _, entry := range n.Entries {
-		if err := each(entry); err != nil {
+		if err := decodeEntry(entry); err != nil {
 			return err
 		}
 	}
--- a/bundle/memo_test.go
+++ b/bundle/memo_test.go
@@ -14,9 +14,9 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// sameError asserts that both errors are nil, or that they have the same text and
-// both or neither are a *PartError or a *SizeError.
-func sameError(t assert.TestingT, got, want error) {
+// assertSameError asserts that both errors are nil, or that they have the same text
+// and both or neither are a *PartError or a *SizeError.
+func assertSameError(t assert.TestingT, got, want error) {
 	assert.Equal(t, fmt.Sprint(got), fmt.Sprint(want))
 	var part *PartError
 	var size *SizeError
@@ -24,24 +24,24 @@
 	assert.Equal(t, errors.As(got, &size), errors.As(want, &size))
 }
 
-// sameWalks asserts that a Memo gives the same results as the functions without a
-// cache.
-func sameWalks(t assert.TestingT, memo *Memo, m *Manifest, have *PartSet) {
+// assertSameResults asserts that a Memo gives the same results as the functions
+// without a cache.
+func assertSameResults(t assert.TestingT, memo *Memo, m *Manifest, have *PartSet) {
 	missing, err := memo.MissingParts(m, have)
 	plainMissing, plainErr := MissingParts(m, have)
 	assert.DeepEqual(t, missing, plainMissing)
-	sameError(t, err, plainErr)
+	assertSameError(t, err, plainErr)
 	wanted, err := memo.Wanted(m, have)
 	plainWanted, plainErr := Wanted(m, have)
 	byBytes := func(a, b Digest) int { return slices.Compare(a[:], b[:]) }
 	slices.SortFunc(wanted, byBytes)
 	slices.SortFunc(plainWanted, byBytes)
 	assert.DeepEqual(t, wanted, plainWanted)
-	sameError(t, err, plainErr)
+	assertSameError(t, err, plainErr)
 	content, err := memo.Assemble(m, have)
 	plainContent, plainErr := Assemble(m, have)
 	assert.DeepEqual(t, content, plainContent)
-	sameError(t, err, plainErr)
+	assertSameError(t, err, plainErr)
 }
 
 // mediumContent returns content with enough entries for sections to have several
@@ -72,30 +72,30 @@
 			h, parts, err := Build(Draft{Content: &c, Approvers: oldSet})
 			assert.NilError(t, err)
 			m := h.Manifest
-			disturb(t, &m, parts)
+			injectFault(t, &m, parts)
 			for _, d := range parts.Digests() {
 				if b, _ := parts.Part(d); rapid.IntRange(0, 60).Draw(t, "lost") > 0 {
 					have.put(b)
 				}
 			}
-			sameWalks(t, memo, &m, have)
+			assertSameResults(t, memo, &m, have)
 			for _, d := range parts.Digests() {
 				b, _ := parts.Part(d)
 				have.put(b)
 			}
-			sameWalks(t, memo, &m, have)
+			assertSameResults(t, memo, &m, have)
 			some := rapid.IntRange(0, 255).Draw(t, "kept")
 			keep := func(d Digest) bool { return int(d[0]) >= some }
 			have.Keep(keep)
 			memo.Keep(keep)
-			sameWalks(t, memo, &m, have)
+			assertSameResults(t, memo, &m, have)
 		}
 	})
 }
 
-// disturb sometimes replaces the root of a section by a part that is malformed or
-// belongs elsewhere.
-func disturb(t *rapid.T, m *Manifest, parts *PartSet) {
+// injectFault sometimes replaces the root of a section by a part that is malformed
+// or belongs elsewhere.
+func injectFault(t *rapid.T, m *Manifest, parts *PartSet) {
 	i := rapid.IntRange(0, len(m.Sections)-1).Draw(t, "section")
 	m.Sections = slices.Clone(m.Sections)
 	all := parts.Digests()
@@ -142,15 +142,15 @@
 		case 6:
 			c.Policy.Regions = []config.Region{{Name: "r", Zones: []ident.Zone{ident.Zone(names.Draw(t, "zone"))}}}
 		}
-		whole := &checker{content: &c}
-		whole.all()
-		assert.DeepEqual(t, Check(&c), whole.findings)
+		withPaths := &checker{content: &c}
+		withPaths.checkAll()
+		assert.DeepEqual(t, Check(&c), withPaths.findings)
 	})
 }
 
-// changed measures assemble on versions of a bundle of the planned size, which
-// differ from each other in one workspace.
-func changed(b *testing.B, assemble func(*Manifest, PartSource) error) {
+// benchmarkVersions measures assemble on versions of a bundle of the planned size,
+// which differ from each other in one workspace.
+func benchmarkVersions(b *testing.B, assemble func(*Manifest, PartSource) error) {
 	const versions = 10
 	have := &PartSet{}
 	manifests := make([]*Manifest, versions)
@@ -177,11 +177,11 @@
 // and 612 upstreams in which one workspace changed, with and without a Memo.
 func BenchmarkAssemble(b *testing.B) {
 	b.Run("plain", func(b *testing.B) {
-		changed(b, func(m *Manifest, s PartSource) error { _, err := Assemble(m, s); return err })
+		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := Assemble(m, s); return err })
 	})
 	b.Run("memo", func(b *testing.B) {
 		memo := NewMemo()
-		changed(b, func(m *Manifest, s PartSource) error { _, err := memo.Assemble(m, s); return err })
+		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := memo.Assemble(m, s); return err })
 	})
 }
 
@@ -189,10 +189,10 @@
 // without a Memo.
 func BenchmarkMissingParts(b *testing.B) {
 	b.Run("plain", func(b *testing.B) {
-		changed(b, func(m *Manifest, s PartSource) error { _, err := MissingParts(m, s); return err })
+		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := MissingParts(m, s); return err })
 	})
 	b.Run("memo", func(b *testing.B) {
 		memo := NewMemo()
-		changed(b, func(m *Manifest, s PartSource) error { _, err := memo.MissingParts(m, s); return err })
+		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := memo.MissingParts(m, s); return err })
 	})
 }
--- a/bundle/part.go
+++ b/bundle/part.go
@@ -36,11 +36,11 @@
 	indexMaximum = 8 << 10
 )
 
-// On average, one in leafSpacing entries of a section and one in indexSpacing
-// children is a boundary item.
+// On average, one in leafBoundaryInterval entries of a section and one in
+// indexBoundaryInterval children is a boundary item.
 const (
-	leafSpacing  = 8
-	indexSpacing = 16
+	leafBoundaryInterval  = 8
+	indexBoundaryInterval = 16
 )
 
 // item is an entry or child that is to be stored in a part. Boundary items are
@@ -53,15 +53,15 @@
 // chunk splits items into runs, one for each part. Every run except the last ends
 // with a boundary item or has reached the maximum size.
 func chunk(level int, items []item) [][]item {
-	minimum, maximum, spacing := leafMinimum, leafMaximum, uint64(leafSpacing)
+	minimum, maximum, interval := leafMinimum, leafMaximum, uint64(leafBoundaryInterval)
 	if level > 0 {
-		minimum, maximum, spacing = indexMinimum, indexMaximum, indexSpacing
+		minimum, maximum, interval = indexMinimum, indexMaximum, indexBoundaryInterval
 	}
 	var runs [][]item
 	start, size := 0, 0
 	for i, it := range items {
 		size += len(it.json)
-		boundary := size >= minimum && boundaryHash(level, it.key)%spacing == 0
+		boundary := size >= minimum && boundaryHash(level, it.key)%interval == 0
 		if boundary || size >= maximum {
 			runs = append(runs, items[start:i+1])
 			start, size = i+1, 0
@@ -84,20 +84,20 @@
 func buildTree(items []item, set *PartSet) (Digest, error) {
 	for _, it := range items {
 		if len(it.json) > maxEntryBytes {
-			return Digest{}, &SizeError{What: "bytes in entry " + clip(it.key), Size: len(it.json), Limit: maxEntryBytes}
+			return Digest{}, &SizeError{What: "bytes in entry " + truncate(it.key), Size: len(it.json), Limit: maxEntryBytes}
 		}
 	}
 	for level := 0; level <= maxLevel; level++ {
-		var above []item
+		var parents []item
 		var last Digest
 		for _, run := range chunk(level, items) {
 			last = set.put(encode(newNode(level, run)))
-			above = append(above, item{key: lastKey(run), json: encode(last)})
+			parents = append(parents, item{key: lastKey(run), json: encode(last)})
 		}
-		if len(above) == 1 {
+		if len(parents) == 1 {
 			return last, nil
 		}
-		items = above
+		items = parents
 	}
 	return Digest{}, &SizeError{What: "levels of parts", Size: maxLevel + 2, Limit: maxLevel + 1}
 }
--- a/bundle/part_test.go
+++ b/bundle/part_test.go
@@ -47,7 +47,7 @@
 // parts, because instances transfer every changed part. This fails if chunk
 // boundaries move with the content of entries.
 func TestSmallChangeMovesLittle(t *testing.T) {
-	const few = 32 << 10
+	const maxChangedBytes = 32 << 10
 	before := largeContent(t)
 	h, parts := testBuild(t, Draft{Content: before, Approvers: oldSet})
 	t.Logf("first version: %d parts, %d bytes, head %d bytes", parts.Len(), parts.Bytes(), len(h.Encode()))
@@ -72,7 +72,7 @@
 			count, bytes := newBytes(parts, after)
 			total := bytes + len(next.Encode())
 			t.Logf("%d new parts, %d bytes; %d bytes including the head", count, bytes, total)
-			assert.Assert(t, total <= few)
+			assert.Assert(t, total <= maxChangedBytes)
 		})
 	}
 }
--- a/bundle/regions_test.go
+++ b/bundle/regions_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := &checker{content: &config.Content{Policy: config.Policy{Regions: c.regions}}}
-			k.regions()
+			k.checkRegions()
 			var got []string
 			for _, f := range k.findings {
 				got = append(got, f.Path+" "+string(f.Rule))
--- a/bundle/roll.go
+++ b/bundle/roll.go
@@ -65,7 +65,7 @@
 	case StageAll:
 		return true
 	case StageCanary:
-		return r.inZones(zone) && instanceShare(r.Target, instance) < r.Share
+		return r.inZones(zone) && instancePosition(r.Target, instance) < r.Share
 	default:
 		return false
 	}
@@ -80,11 +80,11 @@
 	return len(r.Zones) == 0
 }
 
-// instanceShare maps an instance to a position from 0 to FullShare-1. A canary
+// instancePosition maps an instance to a position from 0 to FullShare-1. A canary
 // covers the instances whose position is below its share. The position depends on
 // the target, so that different versions start on different instances. It does not
 // depend on the share, so that widening a canary only adds instances.
-func instanceShare(target Ref, instance ident.InstanceID) int {
+func instancePosition(target Ref, instance ident.InstanceID) int {
 	b := binary.BigEndian.AppendUint64(nil, target.Version)
 	b = append(b, instance...)
 	return int(xxhash.Sum64(b) % FullShare)
@@ -191,7 +191,7 @@
 			return bad("stage %q must not have zones or a share", r.Stage)
 		}
 	default:
-		return bad("unknown stage %q", clip(string(r.Stage)))
+		return bad("unknown stage %q", truncate(string(r.Stage)))
 	}
 	return nil
 }
--- a/bundle/roll_test.go
+++ b/bundle/roll_test.go
@@ -27,15 +27,15 @@
 }
 
 func TestVerifyRoll(t *testing.T) {
-	heads := chain(t)
+	heads := rotationChain(t)
 	all := Roll{Sequence: 1, Stage: StageAll}
-	var few *TooFewSignaturesError
+	var tooFew *TooFewSignaturesError
 	assert.NilError(t, VerifyRoll(testRoll(t, all, heads[0], nil, "ada", "ben"), oldSet))
-	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[0], nil, "ada"), oldSet), &few))
+	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[0], nil, "ada"), oldSet), &tooFew))
 
 	// A roll of the version that replaces the approvers must be signed by the new
 	// approvers: distrust of the old ones may be the reason for the rotation.
-	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[1], heads[0], "ada", "ben"), oldSet), &few))
+	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[1], heads[0], "ada", "ben"), oldSet), &tooFew))
 	rotating := testRoll(t, all, heads[1], heads[0], "dan", "eve")
 	assert.NilError(t, VerifyRoll(rotating, oldSet))
 	assert.NilError(t, VerifyRoll(rotating, newSet))
@@ -43,11 +43,11 @@
 	// A signature on a manifest must not be valid for a roll.
 	forged := testRoll(t, all, heads[0], nil)
 	forged.Signatures = heads[0].Signatures
-	assert.Assert(t, errors.As(VerifyRoll(forged, oldSet), &few))
+	assert.Assert(t, errors.As(VerifyRoll(forged, oldSet), &tooFew))
 }
 
 func TestRollStructure(t *testing.T) {
-	heads := chain(t)
+	heads := rotationChain(t)
 	good := func() *SignedRoll {
 		return testRoll(t, Roll{Sequence: 3, Stage: StageCanary, Share: 100, Zones: []ident.Zone{"hall-a"}}, heads[1], heads[0])
 	}
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -102,9 +102,10 @@
 	Rejected []Rejected
 }
 
-// tally counts signatures, each approver once. Invalid signatures are listed but
-// do not invalidate the document, because anyone who relays it could add some.
-func tally(a Approvers, p purpose, d Digest, signatures []Signature) Tally {
+// countSignatures counts the valid signatures, each approver once. Invalid ones are
+// listed but do not invalidate the document, because anyone who relays it could add
+// some.
+func countSignatures(a Approvers, p purpose, d Digest, signatures []Signature) Tally {
 	var t Tally
 	counted := map[PublicKey]bool{}
 	for _, s := range signatures {
@@ -124,9 +125,10 @@
 	return t
 }
 
-// quorum returns a *TooFewSignaturesError unless a quorum of a signed the digest.
-func quorum(what string, a Approvers, p purpose, d Digest, signatures []Signature) error {
-	t := tally(a, p, d, signatures)
+// requireQuorum returns a *TooFewSignaturesError unless a quorum of a signed the
+// digest.
+func requireQuorum(what string, a Approvers, p purpose, d Digest, signatures []Signature) error {
+	t := countSignatures(a, p, d, signatures)
 	if len(t.Signed) >= a.Quorum {
 		return nil
 	}
--- a/bundle/signedroll.go
+++ b/bundle/signedroll.go
@@ -38,7 +38,7 @@
 
 // Tally counts the signatures on the roll against an approver set.
 func (s *SignedRoll) Tally(a Approvers) Tally {
-	return tally(a, purposeRoll, s.Roll.Digest(), s.Signatures)
+	return countSignatures(a, purposeRoll, s.Roll.Digest(), s.Signatures)
 }
 
 // VerifyRoll verifies a signed roll: a chain of rotations leads from the trusted
@@ -51,7 +51,7 @@
 		return err
 	}
 	what := fmt.Sprintf("roll %d", s.Roll.Sequence)
-	return quorum(what, s.Target.Manifest.Approvers, purposeRoll, s.Roll.Digest(), s.Signatures)
+	return requireQuorum(what, s.Target.Manifest.Approvers, purposeRoll, s.Roll.Digest(), s.Signatures)
 }
 
 // check checks structure and limits, and that the heads match the references in
--- a/bundle/source.go
+++ b/bundle/source.go
@@ -29,71 +29,71 @@
 // findings with their positions, sorted; the content is nil if there are any. The
 // name is used only in findings.
 func ParseSource(name string, b []byte) (*config.Content, Findings) {
-	w := &walker{positions: map[string]position{}}
-	content := w.read(b)
+	dec := &sourceDecoder{positions: map[string]position{}}
+	content := dec.decode(b)
 	if content != nil {
-		w.addChecks(Check(content))
+		dec.addChecks(Check(content))
 	}
-	w.locate(name)
-	if len(w.findings) > 0 {
-		return nil, w.findings
+	dec.setPositions(name)
+	if len(dec.findings) > 0 {
+		return nil, dec.findings
 	}
 	return content, nil
 }
 
-// read decodes the source. It returns nil if the source can't be parsed.
-func (w *walker) read(b []byte) *config.Content {
+// decode decodes the source. It returns nil if the source can't be parsed.
+func (dec *sourceDecoder) decode(b []byte) *config.Content {
 	if len(b) > MaxSourceBytes {
-		w.add("", RuleSize, fmt.Sprintf("the source has %d bytes", len(b)), fmt.Sprintf("at most %d", MaxSourceBytes))
+		dec.add("", RuleSize, fmt.Sprintf("the source has %d bytes", len(b)), fmt.Sprintf("at most %d", MaxSourceBytes))
 		return nil
 	}
-	root, ok := w.parse(b)
+	root, ok := dec.parse(b)
 	if !ok {
 		return nil
 	}
-	w.positions[""] = position{line: 1, column: 1}
+	dec.positions[""] = position{line: 1, column: 1}
 	var content config.Content
-	w.value("", root, reflect.ValueOf(&content).Elem())
+	dec.decodeValue("", root, reflect.ValueOf(&content).Elem())
 	return &content
 }
 
 // parse returns the root of the YAML document. A source must contain exactly one.
-func (w *walker) parse(b []byte) (ast.Node, bool) {
+func (dec *sourceDecoder) parse(b []byte) (ast.Node, bool) {
 	tokens := lexer.Tokenize(string(b))
-	if at, deep := tooDeep(tokens); deep {
-		w.positions[""] = at
-		w.add("", RuleSize, "the source nests too deep", fmt.Sprintf("at most %d levels", maxSourceDepth))
+	if at, deep := exceedsDepth(tokens); deep {
+		dec.positions[""] = at
+		dec.add("", RuleSize, "the source nests too deep", fmt.Sprintf("at most %d levels", maxSourceDepth))
 		return nil, false
 	}
 	file, err := parser.Parse(tokens, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		w.addSyntax(err)
+		dec.addSyntax(err)
 		return nil, false
 	}
 	docs := slices.DeleteFunc(file.Docs, func(d *ast.DocumentNode) bool { return d.Body == nil })
 	if len(docs) != 1 {
-		w.add("", RuleSyntax, fmt.Sprintf("the source holds %d YAML documents", len(docs)), "one bundle is one document")
+		dec.add("", RuleSyntax, fmt.Sprintf("the source holds %d YAML documents", len(docs)), "one bundle is one document")
 		return nil, false
 	}
 	return docs[0].Body, true
 }
 
 // addSyntax adds a finding for an error of the YAML parser.
-func (w *walker) addSyntax(err error) {
-	wrong := err.Error()
+func (dec *sourceDecoder) addSyntax(err error) {
+	problem := err.Error()
 	var located yaml.Error
 	if errors.As(err, &located) {
-		wrong = located.GetMessage()
-		w.positions[""] = tokenPosition(located.GetToken())
+		problem = located.GetMessage()
+		dec.positions[""] = tokenPosition(located.GetToken())
 	}
-	w.add("", RuleSyntax, "not YAML: "+wrong, "see examples/ for the form")
+	dec.add("", RuleSyntax, "not YAML: "+problem, "see examples/ for the form")
 }
 
-// tooDeep reports whether the nesting depth of the source exceeds maxSourceDepth,
-// and the position where it does. Flow collections nest by their brackets, block
-// sequences by the columns of their dashes, and block mappings by those of their
-// keys.
-func tooDeep(tokens token.Tokens) (position, bool) {
+// exceedsDepth reports whether the nesting depth of the source exceeds
+// maxSourceDepth, and the position where it does. Flow collections nest by their
+// brackets, block sequences by the columns of their dashes, and block mappings by
+// those of their keys.
+func exceedsDepth(tokens token.Tokens) (position, bool) {
 	flow := 0
 	var columns []int
 	for _, t := range tokens {
@@ -134,20 +134,20 @@
 // addChecks adds the findings of Check, except for fields that already have one
 // and fields inside them: a value that could not be decoded must not be reported as
 // out of range as well.
-func (w *walker) addChecks(found Findings) {
+func (dec *sourceDecoder) addChecks(found Findings) {
 	reported := map[string]bool{}
-	for _, f := range w.findings {
+	for _, f := range dec.findings {
 		reported[f.Path] = true
 	}
 	for _, f := range found {
-		if !underReported(reported, f.Path) {
-			w.findings = append(w.findings, f)
+		if !isReported(reported, f.Path) {
+			dec.findings = append(dec.findings, f)
 		}
 	}
 }
 
-// underReported reports whether path or one of its parents is in reported.
-func underReported(reported map[string]bool, path string) bool {
+// isReported reports whether path or one of its parents is in reported.
+func isReported(reported map[string]bool, path string) bool {
 	for path != "" && !reported[path] {
 		path = parentPath(path)
 	}
@@ -163,25 +163,27 @@
 	return path[:i]
 }
 
-// locate sets the file and position of each finding and sorts them by position.
-func (w *walker) locate(file string) {
-	for i := range w.findings {
-		f := &w.findings[i]
+// setPositions sets the file and position of each finding, and sorts the findings
+// by position.
+func (dec *sourceDecoder) setPositions(file string) {
+	for i := range dec.findings {
+		f := &dec.findings[i]
 		f.File = file
 		if f.Line == 0 {
-			at := w.nearest(f.Path)
+			at := dec.nearestPosition(f.Path)
 			f.Line, f.Column = at.line, at.column
 		}
 	}
-	slices.SortStableFunc(w.findings, func(a, b Finding) int {
+	slices.SortStableFunc(dec.findings, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
 }
 
-// nearest returns the position of path, or of its nearest parent with a position.
-func (w *walker) nearest(path string) position {
+// nearestPosition returns the position of path, or of its nearest parent with a
+// position.
+func (dec *sourceDecoder) nearestPosition(path string) position {
 	for {
-		if at, ok := w.positions[path]; ok {
+		if at, ok := dec.positions[path]; ok {
 			return at
 		}
 		if path == "" {
--- a/bundle/source_test.go
+++ b/bundle/source_test.go
@@ -59,7 +59,7 @@
 	}
 	for _, rule := range []Rule{
 		RuleSyntax, RuleUnknownField, RuleDuplicateKey, RuleType, RuleName, RuleDuplicate,
-		RuleReference, RuleMissing, RuleMisplaced, RuleRange, RuleSum, RulePlugin,
+		RuleReference, RuleMissing, RuleMisplaced, RuleRange, RuleInconsistent, RulePlugin,
 	} {
 		assert.Assert(t, seen[rule], "no finding of rule %s", rule)
 	}
--- a/bundle/verify_test.go
+++ b/bundle/verify_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// chain builds versions 1 to 4. Version 2 replaces oldSet by newSet.
-func chain(t *testing.T) []*Head {
+// rotationChain builds versions 1 to 4. Version 2 replaces oldSet by newSet.
+func rotationChain(t *testing.T) []*Head {
 	v1, _ := testBuild(t, Draft{Approvers: oldSet}, "ada", "ben")
 	v2, _ := testBuild(t, Draft{Previous: v1, Approvers: newSet}, "ada", "cyd", "dan", "eve")
 	v3, _ := testBuild(t, Draft{Previous: v2, Approvers: newSet}, "dan", "fay")
@@ -17,7 +17,7 @@
 }
 
 func TestVerifyWalksRotations(t *testing.T) {
-	heads := chain(t)
+	heads := rotationChain(t)
 	for _, h := range heads {
 		assert.NilError(t, Verify(h, oldSet), "verifying version %d against the old approvers", h.Manifest.Version)
 	}
@@ -68,11 +68,11 @@
 			if tc.change != nil {
 				tc.change(h)
 			}
-			var few *TooFewSignaturesError
-			assert.Assert(t, errors.As(Verify(h, oldSet), &few))
-			assert.Equal(t, few.Valid, tc.valid)
-			assert.Equal(t, len(few.Rejected), len(tc.rejected))
-			for i, r := range few.Rejected {
+			var tooFew *TooFewSignaturesError
+			assert.Assert(t, errors.As(Verify(h, oldSet), &tooFew))
+			assert.Equal(t, tooFew.Valid, tc.valid)
+			assert.Equal(t, len(tooFew.Rejected), len(tc.rejected))
+			for i, r := range tooFew.Rejected {
 				assert.Equal(t, r.Reason, tc.rejected[i])
 			}
 		})
@@ -90,7 +90,7 @@
 // A head without one of its rotations must not verify: the rotation is the only
 // proof that the new approvers are legitimate.
 func TestVerifyNeedsEveryRotation(t *testing.T) {
-	heads := chain(t)
+	heads := rotationChain(t)
 	third := testApprovers(3, 1, "gus")
 	v5, _ := testBuild(t, Draft{Previous: heads[3], Approvers: third}, "dan", "eve", "gus")
 	v6, _ := testBuild(t, Draft{Previous: v5, Approvers: third}, "gus")
@@ -106,11 +106,11 @@
 	v1, _ := testBuild(t, Draft{Approvers: oldSet})
 	v1b, _ := testBuild(t, Draft{Approvers: oldSet, Note: "another"})
 	v2, _ := testBuild(t, Draft{Previous: v1, Approvers: oldSet})
-	healing, _ := testBuild(t, Draft{Previous: v1, Supersedes: []Digest{v1b.Manifest.Digest()}, Approvers: oldSet})
+	superseding, _ := testBuild(t, Draft{Previous: v1, Supersedes: []Digest{v1b.Manifest.Digest()}, Approvers: oldSet})
 	v3, _ := testBuild(t, Draft{Previous: v2, Approvers: oldSet})
 	assert.Assert(t, v2.Manifest.Follows(v1.Ref()))
 	assert.Assert(t, !v2.Manifest.Follows(v1b.Ref()))
-	assert.Assert(t, healing.Manifest.Follows(v1b.Ref()))
+	assert.Assert(t, superseding.Manifest.Follows(v1b.Ref()))
 	assert.Assert(t, v3.Manifest.Follows(v1b.Ref()), "Follows must not check versions further apart")
 }
 
--- a/bundle/walk.go
+++ b/bundle/walk.go
@@ -12,71 +12,71 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// walker decodes a YAML tree into the typed content. Unlike the decoder of the YAML
-// library, which stops at the first error, it continues, so that an operator sees
-// all errors at once. It also records the position of each field.
-type walker struct {
+// sourceDecoder decodes a YAML tree into the typed content. Unlike the decoder of
+// the YAML library, which stops at the first error, it continues, so that an
+// operator sees all errors at once. It also records the position of each field.
+type sourceDecoder struct {
 	positions map[string]position
 	findings  Findings
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-func (w *walker) add(path string, rule Rule, wrong, right string) {
-	w.findings = append(w.findings, Finding{Path: path, Rule: rule, Wrong: wrong, Right: right})
+func (dec *sourceDecoder) add(path string, rule Rule, problem, advice string) {
+	dec.findings = append(dec.findings, Finding{Path: path, Rule: rule, Problem: problem, Advice: advice})
 }
 
 // addAt adds a finding at the position of a node. Unknown and duplicate keys need
 // it: the path of an unknown key has no recorded position, and that of a duplicate
 // key has the position of the first occurrence.
-func (w *walker) addAt(n ast.Node, path string, rule Rule, wrong, right string) {
+func (dec *sourceDecoder) addAt(n ast.Node, path string, rule Rule, problem, advice string) {
 	at := tokenPosition(n.GetToken())
-	w.findings = append(w.findings, Finding{
-		Line: at.line, Column: at.column, Path: path, Rule: rule, Wrong: wrong, Right: right,
+	dec.findings = append(dec.findings, Finding{
+		Line: at.line, Column: at.column, Path: path, Rule: rule, Problem: problem, Advice: advice,
 	})
 }
 
-// value decodes a node into the field at path.
-func (w *walker) value(path string, n ast.Node, into reflect.Value) {
-	if _, seen := w.positions[path]; !seen {
-		w.positions[path] = tokenPosition(n.GetToken())
+// decodeValue decodes a node into the field at path.
+func (dec *sourceDecoder) decodeValue(path string, n ast.Node, into reflect.Value) {
+	if _, seen := dec.positions[path]; !seen {
+		dec.positions[path] = tokenPosition(n.GetToken())
 	}
-	if w.refusedNode(path, n) {
+	if dec.rejectNode(path, n) {
 		return
 	}
 	switch {
 	case into.Kind() == reflect.Struct:
-		w.mapping(path, n, into)
+		dec.decodeMapping(path, n, into)
 	case into.Kind() == reflect.Slice:
-		w.sequence(path, n, into)
+		dec.decodeSequence(path, n, into)
 	default:
-		w.scalar(path, n, into)
+		dec.decodeScalar(path, n, into)
 	}
 }
 
-// refusedNode reports whether a node is of a type that bundles do not allow, and
+// rejectNode reports whether a node is of a type that bundles do not allow, and
 // adds a finding for it. Anchors, aliases, tags and directives are not allowed
 // because a person who reads the source must see the same content as the program
 // that signs it. Null values are reported as missing.
-func (w *walker) refusedNode(path string, n ast.Node) bool {
-	const right = "write the value out"
+func (dec *sourceDecoder) rejectNode(path string, n ast.Node) bool {
+	const advice = "write the value out"
 	switch n.Type() {
 	case ast.AnchorType, ast.AliasType, ast.MergeKeyType:
-		w.add(path, RuleSyntax, "anchors and aliases are not used in bundles", right)
+		dec.add(path, RuleSyntax, "anchors and aliases are not used in bundles", advice)
 	case ast.TagType, ast.DirectiveType:
-		w.add(path, RuleSyntax, "tags and directives are not used in bundles", right)
+		dec.add(path, RuleSyntax, "tags and directives are not used in bundles", advice)
 	case ast.NullType:
-		w.add(path, RuleMissing, "there is no value", "give one or leave the key out")
+		dec.add(path, RuleMissing, "there is no value", "give one or leave the key out")
 	default:
 		return false
 	}
 	return true
 }
 
-func (w *walker) mapping(path string, n ast.Node, into reflect.Value) {
+func (dec *sourceDecoder) decodeMapping(path string, n ast.Node, into reflect.Value) {
 	m, ok := n.(ast.MapNode)
 	if !ok {
-		w.add(path, RuleType, "found "+describe(n), "a mapping with the keys "+knownKeys(into.Type()))
+		dec.add(path, RuleType, "found "+describeNode(n), "a mapping with the keys "+knownKeys(into.Type()))
 		return
 	}
 	seen := map[string]bool{}
@@ -87,78 +87,78 @@
 		field, known := fieldByKey(into, name)
 		switch {
 		case !known:
-			w.addAt(key, at, RuleUnknownField, fmt.Sprintf("there is no key %q here", name), "the keys are "+knownKeys(into.Type()))
+			dec.addAt(key, at, RuleUnknownField, fmt.Sprintf("there is no key %q here", name), "the keys are "+knownKeys(into.Type()))
 		case seen[name]:
-			w.addAt(key, at, RuleDuplicateKey, fmt.Sprintf("the key %q is given twice", name), "keep one of them")
+			dec.addAt(key, at, RuleDuplicateKey, fmt.Sprintf("the key %q is given twice", name), "keep one of them")
 		default:
-			w.positions[at] = tokenPosition(key.GetToken())
-			w.value(at, it.Value(), field)
+			dec.positions[at] = tokenPosition(key.GetToken())
+			dec.decodeValue(at, it.Value(), field)
 		}
 		seen[name] = true
 	}
 }
 
-func (w *walker) sequence(path string, n ast.Node, into reflect.Value) {
+func (dec *sourceDecoder) decodeSequence(path string, n ast.Node, into reflect.Value) {
 	s, ok := n.(*ast.SequenceNode)
 	if !ok {
-		w.add(path, RuleType, "found "+describe(n), "a list")
+		dec.add(path, RuleType, "found "+describeNode(n), "a list")
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(s.Values), len(s.Values)))
 	for i, v := range s.Values {
-		w.value(fmt.Sprintf("%s[%d]", path, i), v, into.Index(i))
+		dec.decodeValue(fmt.Sprintf("%s[%d]", path, i), v, into.Index(i))
 	}
 }
 
-func (w *walker) scalar(path string, n ast.Node, into reflect.Value) {
+func (dec *sourceDecoder) decodeScalar(path string, n ast.Node, into reflect.Value) {
 	if into.Type() == durationType {
-		w.duration(path, n, into)
+		dec.decodeDuration(path, n, into)
 		return
 	}
 	switch into.Kind() {
 	case reflect.String:
-		w.text(path, n, into)
+		dec.decodeText(path, n, into)
 	case reflect.Bool:
 		if b, ok := n.(*ast.BoolNode); ok {
 			into.SetBool(b.Value)
 			return
 		}
-		w.add(path, RuleType, "found "+describe(n), "true or false")
+		dec.add(path, RuleType, "found "+describeNode(n), "true or false")
 	case reflect.Int, reflect.Int64:
-		w.integer(path, n, into)
+		dec.decodeInteger(path, n, into)
 	case reflect.Float64:
-		w.float(path, n, into)
+		dec.decodeFloat(path, n, into)
 	}
 }
 
-func (w *walker) text(path string, n ast.Node, into reflect.Value) {
+func (dec *sourceDecoder) decodeText(path string, n ast.Node, into reflect.Value) {
 	s, ok := n.(*ast.StringNode)
 	if !ok {
-		w.add(path, RuleType, "found "+describe(n), "text; put it in quotes if it looks like a number")
+		dec.add(path, RuleType, "found "+describeNode(n), "text; put it in quotes if it looks like a number")
 		return
 	}
 	into.SetString(s.Value)
 }
 
-func (w *walker) duration(path string, n ast.Node, into reflect.Value) {
-	const right = `a duration with its unit, such as "250ms" or "3s"`
+func (dec *sourceDecoder) decodeDuration(path string, n ast.Node, into reflect.Value) {
+	const advice = `a duration with its unit, such as "250ms" or "3s"`
 	s, ok := n.(*ast.StringNode)
 	if !ok {
-		w.add(path, RuleType, "found "+describe(n), right)
+		dec.add(path, RuleType, "found "+describeNode(n), advice)
 		return
 	}
 	d, err := time.ParseDuration(s.Value)
 	if err != nil {
-		w.add(path, RuleType, fmt.Sprintf("%q is no duration", s.Value), right)
+		dec.add(path, RuleType, fmt.Sprintf("%q is no duration", s.Value), advice)
 		return
 	}
 	into.SetInt(int64(d))
 }
 
-func (w *walker) integer(path string, n ast.Node, into reflect.Value) {
+func (dec *sourceDecoder) decodeInteger(path string, n ast.Node, into reflect.Value) {
 	i, ok := n.(*ast.IntegerNode)
 	if !ok {
-		w.add(path, RuleType, "found "+describe(n), "a whole number")
+		dec.add(path, RuleType, "found "+describeNode(n), "a whole number")
 		return
 	}
 	switch v := i.Value.(type) {
@@ -166,38 +166,38 @@
 		into.SetInt(v)
 	case uint64:
 		if v > math.MaxInt64 {
-			w.add(path, RuleRange, "the number is too large", "at most 9223372036854775807")
+			dec.add(path, RuleRange, "the number is too large", "at most 9223372036854775807")
 			return
 		}
 		into.SetInt(int64(v))
 	}
 }
 
-func (w *walker) float(path string, n ast.Node, into reflect.Value) {
+func (dec *sourceDecoder) decodeFloat(path string, n ast.Node, into reflect.Value) {
 	switch v := n.(type) {
 	case *ast.FloatNode:
 		into.SetFloat(v.Value)
 	case *ast.IntegerNode:
 		f, err := strconv.ParseFloat(fmt.Sprint(v.Value), 64)
 		if err != nil {
-			w.add(path, RuleType, "found "+describe(n), "a finite number")
+			dec.add(path, RuleType, "found "+describeNode(n), "a finite number")
 			return
 		}
 		into.SetFloat(f)
 	default:
-		w.add(path, RuleType, "found "+describe(n), "a finite number")
+		dec.add(path, RuleType, "found "+describeNode(n), "a finite number")
 	}
 }
 
-// maxDescribed is the maximum length, in bytes, of a value quoted in a message.
-const maxDescribed = 40
+// maxQuotedBytes is the maximum length, in bytes, of a value quoted in a message.
+const maxQuotedBytes = 40
 
-// describe formats the type and value of a node for a finding.
-func describe(n ast.Node) string {
+// describeNode formats the type and value of a node for a finding.
+func describeNode(n ast.Node) string {
 	if s, ok := n.(ast.ScalarNode); ok {
 		text := fmt.Sprint(s.GetValue())
-		if len(text) > maxDescribed {
-			text = text[:maxDescribed] + "..."
+		if len(text) > maxQuotedBytes {
+			text = text[:maxQuotedBytes] + "..."
 		}
 		return fmt.Sprintf("the %s %q", strings.ToLower(n.Type().String()), text)
 	}
