--- a/bundle/build.go
+++ b/bundle/build.go
@@ -7,23 +7,25 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Draft is what a new bundle is built from.
+// Draft is the input from which Build makes a new bundle.
 type Draft struct {
-	// Previous is the bundle before, nil for the first.
+	// Previous is the head of the preceding version, nil for the first version.
 	Previous *Head
-	// Supersedes names further signed manifests of Previous's version.
+	// Supersedes lists the digests of other signed manifests that have the same
+	// version as Previous.
 	Supersedes []Digest
 	Content    *config.Content
-	// Approvers is the set that signs the next version. Its epoch is set by
-	// Build: that of Previous where the keys are the same, one more otherwise.
+	// Approvers is the set that signs the next version. Build sets its epoch:
+	// that of Previous if the keys are unchanged, one more otherwise.
 	Approvers Approvers
-	// Note says for people what the version changes.
+	// Note describes for operators what the version changes.
 	Note string
 }
 
-// Build makes the next bundle: its head, not yet signed, and its parts. The same
-// draft always gives the same bytes. It returns a *FindingsError for content
-// that fails its checks, an *ApproversError, a *SizeError or a *StructureError.
+// Build builds a bundle from a draft: its head, not yet signed, and its parts.
+// The output is deterministic: the same draft gives the same bytes. It returns a
+// *FindingsError for content that fails validation, an *ApproversError, a
+// *SizeError or a *StructureError.
 func Build(d Draft) (*Head, *PartSet, error) {
 	if err := Check(d.Content).Err(); err != nil {
 		return nil, nil, err
@@ -32,7 +34,7 @@
 		Format: Format, Version: 1, Supersedes: d.Supersedes, Note: d.Note,
 		Approvers: d.Approvers.Sorted(),
 	}}}
-	h.succeed(d.Previous)
+	h.setPrevious(d.Previous)
 	parts := &PartSet{}
 	for _, name := range sectionOrder {
 		items, err := sectionItems(d.Content, name)
@@ -51,8 +53,9 @@
 	return h, parts, nil
 }
 
-// succeed fills in what follows from the bundle before.
-func (h *Head) succeed(previous *Head) {
+// setPrevious sets the fields that derive from the preceding bundle: version,
+// previous reference, signers, approver epoch and rotations.
+func (h *Head) setPrevious(previous *Head) {
 	m := &h.Manifest
 	if previous == nil {
 		m.Approvers.Epoch = max(m.Approvers.Epoch, 1)
@@ -70,7 +73,7 @@
 	h.Rotations = previous.nextRotations()
 }
 
-// checkBuilt checks that what was built stays within the limits.
+// checkBuilt checks that a built bundle is well formed and within the limits.
 func checkBuilt(h *Head, parts *PartSet) error {
 	if err := h.check(); err != nil {
 		return err
@@ -78,40 +81,41 @@
 	if size := parts.Bytes(); size > MaxContentBytes {
 		return &SizeError{What: "bytes of content", Size: size, Limit: MaxContentBytes}
 	}
-	// Leave room for the signatures that are still to come.
+	// The head is not signed yet; the other half of the limit is left for the
+	// signatures.
 	if size := len(h.Encode()); size > MaxValueBytes/2 {
 		return &SizeError{What: "bytes of the head", Size: size, Limit: MaxValueBytes / 2}
 	}
 	return nil
 }
 
-// sectionItems lists one section's entries with their keys.
+// sectionItems returns the entries of a section, each with its key and its JSON.
 func sectionItems(c *config.Content, name SectionName) ([]item, error) {
 	switch name {
 	case SectionDeployment:
-		return items([]string{c.Deployment}, func(s string) string { return s })
+		return encodeItems([]string{c.Deployment}, func(s string) string { return s })
 	case SectionKinds:
-		return items(c.Kinds, func(k config.Kind) string { return k.Name })
+		return encodeItems(c.Kinds, func(k config.Kind) string { return k.Name })
 	case SectionModels:
-		return items(c.Models, func(m config.Model) string { return m.Name })
+		return encodeItems(c.Models, func(m config.Model) string { return m.Name })
 	case SectionServices:
-		return items(c.Services, func(s config.Service) string { return s.Name })
+		return encodeItems(c.Services, func(s config.Service) string { return s.Name })
 	case SectionWorkspaces:
-		return items(c.Workspaces, func(w config.Workspace) string { return string(w.Name) })
+		return encodeItems(c.Workspaces, func(w config.Workspace) string { return string(w.Name) })
 	case SectionUpstreams:
-		return items(c.Upstreams, func(u config.Upstream) string { return string(u.ID) })
+		return encodeItems(c.Upstreams, func(u config.Upstream) string { return string(u.ID) })
 	case SectionPolicy:
-		return items([]config.Policy{c.Policy}, func(config.Policy) string { return string(SectionPolicy) })
+		return encodeItems([]config.Policy{c.Policy}, func(config.Policy) string { return string(SectionPolicy) })
 	}
-	return nil, &StructureError{What: "content", Reason: fmt.Sprintf("no section %q", name)}
+	return nil, &StructureError{What: "content", Reason: fmt.Sprintf("unknown section %q", name)}
 }
 
-func items[T any](entries []T, key func(T) string) ([]item, error) {
+func encodeItems[T any](entries []T, key func(T) string) ([]item, error) {
 	list := make([]item, len(entries))
 	for i, e := range entries {
 		b, err := json.Marshal(e)
 		if err != nil {
-			return nil, &StructureError{What: "entry " + clip(key(e)), Reason: err.Error()}
+			return nil, &StructureError{What: "entry " + truncate(key(e)), Reason: err.Error()}
 		}
 		list[i] = item{key: key(e), json: b}
 	}
