--- a/leftover/engine.go
+++ b/leftover/engine.go
@@ -8,37 +8,38 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// engine is what the planner knows of one engine that it watches.
+// engine is the planner's state of one engine that it watches.
 type engine struct {
 	id          ident.UpstreamID
 	incarnation ident.Incarnation
 	rank        int
 	nextRead    time.Time
-	// interval is the present time between reads; it grows after failed ones.
+	// interval is the current time between reads; it grows after failed reads.
 	interval time.Duration
-	// finds are the leftovers that the engine holds, by their encoded IDs.
+	// finds holds the leftovers on the engine, keyed by their encoded attempt
+	// IDs.
 	finds map[string]*find
 }
 
-// find is a leftover that an engine holds.
+// find is a leftover: an attempt that an engine holds and that is to be released.
 type find struct {
 	attempt ident.AttemptID
 	reason  Reason
 	since   time.Time
-	// nextTry is when to order its release again; the zero time until the first
+	// nextTry is when to repeat the release order. It is zero until the first
 	// order.
 	nextTry time.Time
 	wait    time.Duration
 }
 
-// readBy makes the next read no later than at.
+// readBy moves the next read forward to at if it is scheduled later.
 func (g *engine) readBy(at time.Time) {
 	if at.Before(g.nextRead) {
 		g.nextRead = at
 	}
 }
 
-// nextWake returns when the engine needs attention next.
+// nextWake returns the time of the engine's next read or repeated order.
 func (g *engine) nextWake() time.Time {
 	at := g.nextRead
 	for _, f := range g.finds {
@@ -49,7 +50,7 @@
 	return at
 }
 
-// watchable reports whether the upstream is an engine that can be asked.
+// watchable reports whether the upstream is an engine whose list can be read.
 func watchable(u *kernel.Upstream) bool {
 	isEngine := u.Spec.Role == config.RolePrefill || u.Spec.Role == config.RoleDecode
 	return isEngine && u.Liveness != kernel.Dead
--- a/leftover/findings.go
+++ b/leftover/findings.go
@@ -8,8 +8,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Held takes an engine's list of held attempts and returns the releases to
-// order at once.
+// Held processes an engine's list of held attempts and returns the releases to
+// order now.
 func (p *Planner) Held(now time.Time, id ident.UpstreamID, attempts []string) []Release {
 	g := p.engines[id]
 	if g == nil || !p.evidence.usable() {
@@ -34,11 +34,11 @@
 	return p.first(now, g)
 }
 
-// note judges one held attempt.
+// note evaluates one held attempt and records it if it is a leftover.
 func (p *Planner) note(g *engine, text string) {
 	a, ours := parse(text)
 	if _, known := g.finds[text]; known || !ours {
-		return // each reason stays true
+		return // a reason, once true, stays true
 	}
 	if reason := p.evidence.Judge(a); reason != "" {
 		g.finds[text] = &find{attempt: a, reason: reason, since: p.evidence.Now, wait: p.settings.Retry}
@@ -49,7 +49,9 @@
 	}
 }
 
-// first orders the releases that have not been ordered and whose turn it is.
+// first returns the first release orders of leftovers that this watcher may
+// release by now. A watcher of rank n waits n times TakeOver, so that usually
+// only the first one orders a release.
 func (p *Planner) first(now time.Time, g *engine) []Release {
 	turn := time.Duration(g.rank) * p.settings.TakeOver
 	return p.order(now, g, func(f *find) bool {
@@ -57,14 +59,16 @@
 	})
 }
 
-// retries orders the releases that were not acknowledged in time.
+// retries returns repeated orders for releases that were not acknowledged in
+// time.
 func (p *Planner) retries(now time.Time, g *engine) []Release {
 	return p.order(now, g, func(f *find) bool {
 		return !f.nextTry.IsZero() && !now.Before(f.nextTry)
 	})
 }
 
-// order orders the release of the finds that are due, in a certain order.
+// order returns release orders for the finds that are due, sorted by attempt ID
+// to make the result deterministic.
 func (p *Planner) order(now time.Time, g *engine, due func(*find) bool) []Release {
 	var out []Release
 	for _, f := range g.finds {
@@ -81,15 +85,15 @@
 	return out
 }
 
-// Released reports that an engine holds nothing more for the attempt.
+// Released reports that the engine no longer holds anything for the attempt.
 func (p *Planner) Released(id ident.UpstreamID, a ident.AttemptID) {
 	if g := p.engines[id]; g != nil {
 		delete(g.finds, a.String())
 	}
 }
 
-// ReadFailed reports that an engine's list could not be read. The next read is
-// put off, the longer the more reads have failed.
+// ReadFailed reports that an engine's list could not be read. The time to the
+// next read doubles with each failure, up to QuietBackup.
 func (p *Planner) ReadFailed(now time.Time, id ident.UpstreamID) {
 	g := p.engines[id]
 	if g == nil {
--- a/leftover/fleet_test.go
+++ b/leftover/fleet_test.go
@@ -15,8 +15,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// TestMain makes the random tests the same on every run; flags of the command
-// line still prevail.
+// TestMain fixes the seed of the property tests, so that every run is the same.
+// Command line flags take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": "1", "rapid.checks": "200", "rapid.steps": "150",
@@ -30,11 +30,11 @@
 
 const (
 	fleetSize = 3
-	waits     = 30 * time.Second // how long callers wait
+	waits     = 30 * time.Second // callers' timeout
 	maxSkew   = 900 * time.Millisecond
 )
 
-// process is one entry instance and its agent.
+// process is a simulated entry instance with its agent.
 type process struct {
 	self     kernel.Self
 	planner  *Planner
@@ -45,8 +45,8 @@
 	inFlight []uint64
 }
 
-// fleet simulates a zone with one engine. Its views are late, but never call
-// dead what runs.
+// fleet simulates a zone with one engine. Views may be stale, but never report a
+// running instance as dead.
 type fleet struct {
 	t         *rapid.T
 	now       time.Time
@@ -74,12 +74,12 @@
 func (f *fleet) running() *process {
 	p := f.processes[f.draw(fleetSize)]
 	if !p.up || p.frozen {
-		f.t.Skip("does not run")
+		f.t.Skip("the instance is down or frozen")
 	}
 	return p
 }
 
-// look adds a view of the present state.
+// look appends a view of the current state.
 func (f *fleet) look() {
 	v := &kernel.View{Trusted: true, Upstreams: []kernel.Upstream{engineOf("d1", "hall-a")}}
 	for _, p := range f.processes {
@@ -108,7 +108,8 @@
 	}] = true
 }
 
-// end ends an entry's oldest attempt; its cancel may be lost.
+// end ends the oldest attempt of an instance. The engine keeps holding it, as if
+// the cancellation had been lost.
 func (f *fleet) end() {
 	p := f.running()
 	if len(p.inFlight) > 0 {
@@ -133,7 +134,7 @@
 
 func (f *fleet) thaw() { f.processes[f.draw(fleetSize)].frozen = false }
 
-// poll lets an agent look at a view, read the engine and release.
+// poll makes an agent take a view, read the engine and order releases.
 func (f *fleet) poll() { f.agent(f.running()) }
 
 func (f *fleet) agent(p *process) {
@@ -155,7 +156,7 @@
 	}
 }
 
-// release carries orders out, some of them lost.
+// release executes release orders; some are lost unless the fleet is calm.
 func (f *fleet) release(p *process, rs []Release) {
 	for _, r := range rs {
 		if f.wanted(r.Attempt) {
@@ -168,7 +169,7 @@
 	}
 }
 
-// wanted reports whether a caller may still wait for the attempt.
+// wanted reports whether a caller may still be waiting for the attempt.
 func (f *fleet) wanted(a ident.AttemptID) bool {
 	for _, p := range f.processes {
 		if p.self.Instance == a.Instance {
@@ -181,7 +182,7 @@
 
 func (f *fleet) wait() { f.now = f.now.Add(time.Duration(f.draw(5000)) * time.Millisecond) }
 
-// settle ends all calls and lets what still runs go on undisturbed.
+// settle ends all calls and lets the running instances work without faults.
 func (f *fleet) settle() {
 	f.calm = true
 	for _, p := range f.processes {
--- a/leftover/judge.go
+++ b/leftover/judge.go
@@ -8,34 +8,36 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Reason says why an attempt is released.
+// Reason is why an attempt is released.
 type Reason string
 
-// The reasons.
+// Reasons for releasing an attempt.
 const (
-	// OwnerDead: its owner is known not to run any more.
+	// OwnerDead means that the owner is known to be dead.
 	OwnerDead Reason = "owner_dead"
-	// OwnerReplaced: its owner's instance lives on in a later incarnation.
+	// OwnerReplaced means that the owner's instance has restarted as a later
+	// incarnation.
 	OwnerReplaced Reason = "owner_replaced"
-	// DeadlinePassed: its caller has stopped waiting, whoever its owner is.
+	// DeadlinePassed means that the caller has stopped waiting, whatever the
+	// state of the owner.
 	DeadlinePassed Reason = "deadline_passed"
-	// Abandoned: this instance's own entry started it and does not know it any
-	// more.
+	// Abandoned means that this instance's own entry started the attempt and no
+	// longer has it in flight.
 	Abandoned Reason = "abandoned"
 )
 
-// InFlight is what an entry's kernel has in flight at one moment.
+// InFlight is a snapshot of the attempts that an entry's kernel has in flight.
 type InFlight struct {
 	Incarnation ident.Incarnation
-	// Newest is the highest sequence used for an attempt so far. Attempts with a
-	// higher one were started after the moment.
+	// Newest is the highest sequence number used so far. Attempts with a higher
+	// one were started after the snapshot.
 	Newest uint64
-	// Sequences lists the attempts that have not ended, reservations and those
-	// being cancelled included, in rising order.
+	// Sequences lists the attempts that have not ended, in ascending order. It
+	// includes reservations and attempts that are being cancelled.
 	Sequences []uint64
 }
 
-// abandoned reports whether the entry has ended the attempt.
+// abandoned reports whether the entry started the attempt and has ended it.
 func (f *InFlight) abandoned(a ident.AttemptID) bool {
 	if f == nil || f.Incarnation != a.Incarnation || a.Sequence > f.Newest {
 		return false
@@ -44,17 +46,18 @@
 	return !known
 }
 
-// Evidence is what attempts are judged by.
+// Evidence is the state against which attempts are judged.
 type Evidence struct {
 	Now    time.Time
 	Margin time.Duration
 	Self   kernel.Self
 	View   *kernel.View
-	// InFlight is of the instance's own entry, nil while it is not known.
+	// InFlight is the snapshot of the instance's own entry, nil if not known.
 	InFlight *InFlight
 }
 
-// Judge returns why the attempt may be released, empty if it may not.
+// Judge returns the reason for which the attempt may be released, or "" if it
+// must be kept.
 func (e *Evidence) Judge(a ident.AttemptID) Reason {
 	owner := e.owner(a.Instance)
 	switch {
@@ -71,10 +74,11 @@
 	}
 }
 
-// expiry returns when the attempt may be released whoever owns it.
+// expiry returns the time after which the attempt may be released whatever the
+// state of its owner.
 func (e *Evidence) expiry(a ident.AttemptID) time.Time { return a.Deadline.Add(e.Margin) }
 
-// owner returns what is believed of an instance, nil if it is not known.
+// owner returns the known state of an instance, or nil if there is none.
 func (e *Evidence) owner(id ident.InstanceID) *kernel.Instance {
 	for i := range e.View.Instances {
 		if e.View.Instances[i].ID == id {
@@ -87,23 +91,23 @@
 	return nil
 }
 
-// usable reports whether orders may rest on the evidence: not after a pause
-// before the view was refreshed, and not at an instance that another process
-// has replaced.
+// usable reports whether orders may be based on the evidence. They may not after
+// a pause until the view has been refreshed, nor at an instance that another
+// process has replaced.
 func (e *Evidence) usable() bool {
 	self := e.owner(e.Self.Instance)
 	return e.View.Trusted && self.Incarnation <= e.Self.Incarnation
 }
 
-// cares reports whether the attempt's owner looks after it by itself, so that
-// nothing is gained by watching for its deadline.
+// cares reports whether the attempt's owner is running and ends the attempt
+// itself, so that the planner need not schedule a read for its deadline.
 func (e *Evidence) cares(a ident.AttemptID) bool {
 	owner := e.owner(a.Instance)
 	return owner != nil && a.Incarnation == owner.Incarnation && owner.Liveness <= kernel.Leaving
 }
 
-// parse reads an attempt ID as an engine lists it. It returns false for IDs
-// that are not wardspool's: others use the engines too.
+// parse parses an attempt ID from an engine's list. It returns false for IDs that
+// wardspool did not create: the engines may also serve others.
 func parse(id string) (ident.AttemptID, bool) {
 	a, err := ident.ParseAttemptID(id)
 	return a, err == nil && a.String() == id
--- a/leftover/judge_test.go
+++ b/leftover/judge_test.go
@@ -32,25 +32,25 @@
 		inFlight *InFlight
 		want     Reason
 	}{
-		"live":                            {attempt("live", 10, 1), soon, nil, ""},
-		"live, at deadline and margin":    {attempt("live", 10, 1), late - time.Millisecond, nil, ""},
-		"live, past deadline and margin":  {attempt("live", 10, 1), late, nil, DeadlinePassed},
-		"leaving":                         {attempt("leaving", 10, 1), soon, nil, ""},
-		"unreachable, maybe frozen":       {attempt("unreachable", 10, 1), soon, nil, ""},
-		"unreachable, past the deadline":  {attempt("unreachable", 10, 1), late, nil, DeadlinePassed},
-		"dead":                            {attempt("dead", 10, 1), soon, nil, OwnerDead},
-		"dead, but a later life":          {attempt("dead", 11, 1), soon, nil, ""},
-		"replaced":                        {attempt("live", 9, 1), soon, nil, OwnerReplaced},
-		"a life the view does not know":   {attempt("live", 11, 1), soon, nil, ""},
-		"not listed":                      {attempt("other", 10, 1), soon, nil, ""},
-		"not listed, past the deadline":   {attempt("other", 10, 1), late, nil, DeadlinePassed},
-		"own, nothing told":               {attempt("self", 100, 1), soon, nil, ""},
-		"own, in flight":                  {attempt("self", 100, 5), soon, inFlight, ""},
-		"own, ended":                      {attempt("self", 100, 4), soon, inFlight, Abandoned},
-		"own, started after the snapshot": {attempt("self", 100, 8), soon, inFlight, ""},
-		"own, earlier life":               {attempt("self", 99, 5), soon, inFlight, OwnerReplaced},
-		"own, later life":                 {attempt("self", 101, 4), soon, inFlight, ""},
-		"another's, same sequence":        {attempt("live", 100, 4), soon, inFlight, ""},
+		"live":                              {attempt("live", 10, 1), soon, nil, ""},
+		"live, at deadline and margin":      {attempt("live", 10, 1), late - time.Millisecond, nil, ""},
+		"live, past deadline and margin":    {attempt("live", 10, 1), late, nil, DeadlinePassed},
+		"leaving":                           {attempt("leaving", 10, 1), soon, nil, ""},
+		"unreachable, maybe frozen":         {attempt("unreachable", 10, 1), soon, nil, ""},
+		"unreachable, past the deadline":    {attempt("unreachable", 10, 1), late, nil, DeadlinePassed},
+		"dead":                              {attempt("dead", 10, 1), soon, nil, OwnerDead},
+		"dead, later incarnation":           {attempt("dead", 11, 1), soon, nil, ""},
+		"replaced":                          {attempt("live", 9, 1), soon, nil, OwnerReplaced},
+		"incarnation newer than the view's": {attempt("live", 11, 1), soon, nil, ""},
+		"not listed":                        {attempt("other", 10, 1), soon, nil, ""},
+		"not listed, past the deadline":     {attempt("other", 10, 1), late, nil, DeadlinePassed},
+		"own, no snapshot":                  {attempt("self", 100, 1), soon, nil, ""},
+		"own, in flight":                    {attempt("self", 100, 5), soon, inFlight, ""},
+		"own, ended":                        {attempt("self", 100, 4), soon, inFlight, Abandoned},
+		"own, started after the snapshot":   {attempt("self", 100, 8), soon, inFlight, ""},
+		"own, earlier incarnation":          {attempt("self", 99, 5), soon, inFlight, OwnerReplaced},
+		"own, later incarnation":            {attempt("self", 101, 4), soon, inFlight, ""},
+		"other instance, same sequence":     {attempt("live", 100, 4), soon, inFlight, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := Evidence{
@@ -73,7 +73,7 @@
 		"cmpl-8f14e45f":        false,
 		"dead.a.1":             false,
 		"DEAD.a.1.miok7k00":    false,
-		"dead.A.1.miok7k00":    false, // ours are written in lower case
+		"dead.A.1.miok7k00":    false, // attempt IDs are encoded in lower case
 		"dead.0a.1.miok7k00":   false,
 		"dead.a.1.miok7k00.xx": false,
 	} {
--- a/leftover/planner.go
+++ b/leftover/planner.go
@@ -12,12 +12,12 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Read asks for an engine's list of held attempts. Report it to Planner.Held or
-// Planner.ReadFailed.
+// Read is a request to read an engine's list of held attempts. The outcome is
+// reported to Planner.Held or Planner.ReadFailed.
 type Read struct{ Upstream ident.UpstreamID }
 
-// Release asks an engine to release an attempt. Report an acknowledgement to
-// Planner.Released; failures need no report.
+// Release is an order to an engine to release an attempt. An acknowledgement is
+// reported to Planner.Released; failures need not be reported.
 type Release struct {
 	Upstream ident.UpstreamID
 	Attempt  ident.AttemptID
@@ -26,25 +26,26 @@
 	Held time.Duration
 }
 
-// Plan is what to do now.
+// Plan is the set of reads and releases to carry out now.
 type Plan struct {
 	Reads    []Read
 	Releases []Release
 }
 
-// Planner decides for one instance which engines to read and what to release.
-// It must be used from one goroutine at a time.
+// Planner decides which engines one instance reads and which attempts it
+// releases. It is not safe for concurrent use.
 type Planner struct {
 	settings Settings
 	evidence Evidence
 	engines  map[ident.UpstreamID]*engine
 	ranks    *assign.Table
-	// lives are the incarnations not known to have ended, to notice deaths.
+	// lives holds the last known running incarnation of each instance. It is
+	// compared with each new view to detect instances that ended.
 	lives      map[ident.InstanceID]ident.Incarnation
 	alertUntil time.Time
 }
 
-// NewPlanner returns a planner that knows nothing yet.
+// NewPlanner returns a planner without a view.
 func NewPlanner(s Settings) *Planner {
 	return &Planner{
 		settings: s,
@@ -55,10 +56,11 @@
 	}
 }
 
-// SetInFlight replaces what the own entry has in flight; nil if not known.
+// SetInFlight replaces the snapshot of the own entry's attempts in flight; nil
+// means that it is not known.
 func (p *Planner) SetInFlight(f *InFlight) { p.evidence.InFlight = f }
 
-// SetView replaces the view. self has the incarnation of the own entry.
+// SetView replaces the view. self carries the incarnation of the own entry.
 func (p *Planner) SetView(now time.Time, self kernel.Self, v *kernel.View) {
 	p.evidence.Self, p.evidence.View = self, v
 	p.assign(now)
@@ -67,7 +69,7 @@
 	}
 }
 
-// alert has all engines read soon and often for a while.
+// alert shortens the interval of all reads for the duration AlertFor.
 func (p *Planner) alert(now time.Time) {
 	p.alertUntil = now.Add(p.settings.AlertFor)
 	for _, g := range p.engines {
@@ -76,7 +78,8 @@
 	}
 }
 
-// noticeDeaths reports whether an instance's life ended since the last view.
+// noticeDeaths reports whether an incarnation of an instance has ended since the
+// last view.
 func (p *Planner) noticeDeaths() bool {
 	ended := false
 	lives := make(map[ident.InstanceID]ident.Incarnation, len(p.lives))
@@ -93,7 +96,7 @@
 	return ended
 }
 
-// assign takes on the engines that this instance watches now and drops others.
+// assign adds the engines that this instance now watches and removes all others.
 func (p *Planner) assign(now time.Time) {
 	p.ranks.Update(p.evidence.Self, p.evidence.View)
 	seen := make(map[ident.UpstreamID]struct{})
@@ -114,11 +117,11 @@
 	}
 }
 
-// watch takes on an engine or updates it.
+// watch adds an engine or updates its rank.
 func (p *Planner) watch(now time.Time, u *kernel.Upstream, rank int) {
 	g := p.engines[u.ID]
 	if g == nil || g.incarnation != u.Incarnation {
-		// An engine that restarted holds nothing of what it held before.
+		// A restarted engine no longer holds any earlier attempt.
 		interval := p.quiet(rank)
 		g = &engine{
 			id:          u.ID,
@@ -132,7 +135,7 @@
 	g.rank = rank
 }
 
-// quiet returns the time between reads while nothing is to be found.
+// quiet returns the interval between reads while no leftovers are expected.
 func (p *Planner) quiet(rank int) time.Duration {
 	if rank == 0 {
 		return p.settings.Quiet
@@ -140,16 +143,16 @@
 	return p.settings.QuietBackup
 }
 
-// spread returns a time within the interval that differs from engine to engine,
-// so that reads don't come in bursts.
+// spread returns an offset within the interval that is derived from the engine's
+// ID, so that reads of different engines don't coincide.
 func spread(id ident.UpstreamID, interval time.Duration) time.Duration {
 	const steps = 1 << 10
 	return time.Duration(xxhash.Sum64String(string(id))%steps) * interval / steps
 }
 
-// Tick returns the reads and repeated releases that are due. There are none
-// while the view is not trusted or another process has replaced this one. Call
-// it when NextWake says.
+// Tick returns the reads and repeated releases that are due. It returns none
+// while the view is not trusted or after another process has replaced this one.
+// It is to be called at the time that NextWake returns.
 func (p *Planner) Tick(now time.Time) Plan {
 	var plan Plan
 	if !p.evidence.usable() {
@@ -165,7 +168,7 @@
 	return plan
 }
 
-// sorted returns the engines by ID, to make the order of a plan certain.
+// sorted returns the engines in order of their IDs, to make plans deterministic.
 func (p *Planner) sorted() []*engine {
 	out := make([]*engine, 0, len(p.engines))
 	for _, g := range p.engines {
@@ -175,8 +178,8 @@
 	return out
 }
 
-// NextWake returns when Tick has something to do, false if it has nothing to do
-// before the next view.
+// NextWake returns the time at which Tick has work to do, or false if there is
+// none before the next view.
 func (p *Planner) NextWake() (time.Time, bool) {
 	var first time.Time
 	if !p.evidence.usable() {
--- a/leftover/planner_test.go
+++ b/leftover/planner_test.go
@@ -17,7 +17,8 @@
 	return kernel.Upstream{ID: id, Zone: z, Liveness: kernel.Live, Incarnation: 1, Spec: config.Upstream{Role: config.RoleDecode}}
 }
 
-// scene is two instances of a zone, one owner elsewhere and one engine.
+// scene returns a view of two instances and one engine in a zone and an owner in
+// another zone.
 func scene(owner kernel.Liveness) *kernel.View {
 	elsewhere := instance("owner", 10, owner)
 	elsewhere.Zone = "hall-b"
@@ -28,8 +29,8 @@
 	}
 }
 
-// byRank returns the planners of the scene's two instances, the one that
-// releases first, and their identities.
+// byRank returns planners for the two instances of the view and their identities,
+// in the order of their ranks: the first one releases first.
 func byRank(v *kernel.View) ([]*Planner, []kernel.Self) {
 	var planners []*Planner
 	var selves []kernel.Self
@@ -59,7 +60,7 @@
 	assert.Equal(t, len(planners[1].Held(at, "d1", held)), 0)
 	assert.Equal(t, len(planners[1].Held(at.Add(4*time.Second), "d1", held)), 0)
 	late := planners[1].Held(at.Add(5*time.Second), "d1", held)
-	assert.Equal(t, len(late), 1, "the second takes over")
+	assert.Equal(t, len(late), 1, "the second watcher did not take over after TakeOver")
 	assert.Equal(t, late[0].Held, 5*time.Second)
 }
 
@@ -80,7 +81,7 @@
 	assert.Equal(t, len(p.Tick(testStart.Add(time.Hour)).Releases), 0)
 
 	p.Held(testStart, "d1", []string{lost.String()})
-	p.Held(testStart, "d1", nil) // gone by itself
+	p.Held(testStart, "d1", nil) // the engine no longer lists it
 	assert.Equal(t, len(p.Tick(testStart.Add(time.Hour)).Releases), 0)
 }
 
@@ -91,7 +92,7 @@
 	p.Tick(at)
 	assert.Equal(t, len(p.Held(at, "d1", held)), 0)
 	wake, _ := p.NextWake()
-	assert.Equal(t, wake, testStart.Add(32*time.Second+time.Millisecond), "it is read again when its time is up")
+	assert.Equal(t, wake, testStart.Add(32*time.Second+time.Millisecond), "no read is scheduled for the end of deadline and margin")
 	assert.Equal(t, p.Held(wake, "d1", held)[0].Reason, DeadlinePassed)
 }
 
@@ -138,10 +139,10 @@
 		one, two kernel.Liveness
 		want     bool
 	}{
-		"the zone has instances":    {kernel.Live, kernel.Live, false},
-		"one is left":               {kernel.Unreachable, kernel.Suspect, false},
-		"none is left":              {kernel.Dead, kernel.Unreachable, true},
-		"all that are left are off": {kernel.Leaving, kernel.Leaving, true},
+		"all instances of the zone are live": {kernel.Live, kernel.Live, false},
+		"one instance is suspect":            {kernel.Unreachable, kernel.Suspect, false},
+		"none is live":                       {kernel.Dead, kernel.Unreachable, true},
+		"all are leaving":                    {kernel.Leaving, kernel.Leaving, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v.Instances = []kernel.Instance{instance("one", 1, c.one), instance("two", 1, c.two)}
@@ -168,7 +169,7 @@
 	assert.Equal(t, wake.Sub(at), 20*time.Second)
 }
 
-// fleetView is a fleet of six zones.
+// fleetView returns a view of a fleet with six zones.
 func fleetView(instances, upstreams int) *kernel.View {
 	v := &kernel.View{Trusted: true}
 	zone := func(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%6)) }
@@ -183,8 +184,8 @@
 	return v
 }
 
-// TestCost counts the reads of ten quiet minutes; docs/design/leftovers.md
-// quotes its log.
+// TestCost counts the reads within ten minutes without leftovers.
+// docs/design/leftovers.md quotes its log.
 func TestCost(t *testing.T) {
 	const quiet = 10 * time.Minute
 	for _, size := range [][2]int{{8, 9}, {68, 100}, {410, 600}} {
--- a/leftover/settings.go
+++ b/leftover/settings.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Settings of a planner. All are positive.
+// Settings are the parameters of a planner. All must be positive.
 type Settings struct {
-	// Margin is the time beyond an attempt's deadline after which it is released
-	// whoever owns it. It must exceed the difference between any two instances'
-	// wall clocks.
+	// Margin is added to an attempt's deadline; after that the attempt is
+	// released whatever the state of its owner. It must exceed the difference
+	// between the wall clocks of any two instances.
 	Margin time.Duration
-	// Watchers is how many instances read one engine's list: the first of them
-	// releases, each further one only what is still held TakeOver later.
+	// Watchers is the number of instances that read each engine's list. The first
+	// one releases at once; each further one releases what is still held after
+	// another TakeOver.
 	Watchers int
 	TakeOver time.Duration
-	// Quiet is the time between reads of a list while nothing is to be found;
-	// for the further watchers it is QuietBackup.
+	// Quiet is the interval between reads by the first watcher while no leftovers
+	// are expected; QuietBackup is that of the further watchers.
 	Quiet       time.Duration
 	QuietBackup time.Duration
-	// Alert is the time between reads while there is something to be found: for
-	// AlertFor after an instance died, and while leftovers are held.
+	// Alert is the interval between reads while leftovers are expected: for
+	// AlertFor after an instance died, and while any are held.
 	Alert    time.Duration
 	AlertFor time.Duration
-	// Retry is the time after which an order that was not acknowledged is given
-	// again; it doubles up to RetryMax.
+	// Retry is the time after which an unacknowledged order is repeated. It
+	// doubles with each repetition, up to RetryMax.
 	Retry    time.Duration
 	RetryMax time.Duration
 }
 
-// DefaultSettings returns settings for which docs/design/leftovers.md gives the
-// cost.
+// DefaultSettings returns the settings whose cost docs/design/leftovers.md gives.
 func DefaultSettings() Settings {
 	return Settings{
 		Margin:      2 * time.Second,
--- a/orders/currency.go
+++ b/orders/currency.go
@@ -7,31 +7,32 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// claim is a bundle version that somebody said to be in force.
+// claim is a report of the bundle version that is in force at its sender.
 type claim struct {
 	version uint64
 	at      time.Time
 }
 
-// currency judges whether the bundle in force here is the newest one, from what
-// peers, the platform and engines say. It can err only where most of a zone's
-// instances are behind together, as in a zone that is cut off.
+// currency decides whether the bundle in force on this instance is the newest
+// one, from the reports of peers, the platform and engines. It can be wrong only
+// if most instances of a zone have the same stale bundle, as in a zone that is
+// partitioned from the rest.
 type currency struct {
-	// within is how long what was said counts.
+	// within is the time for which a report is valid.
 	within  time.Duration
 	version uint64
-	// highest is the highest version that anybody spoke of. It never expires.
+	// highest is the highest version in any report. It never expires.
 	highest uint64
-	// others are the other instances of the zone that may run.
+	// others lists the other instances of the zone that are not known to be dead.
 	others   []ident.InstanceID
 	peers    map[ident.InstanceID]claim
 	platform claim
 }
 
-// heard takes note of a version, whoever spoke of it.
+// heard records a version that was reported by any source.
 func (c *currency) heard(version uint64) { c.highest = max(c.highest, version) }
 
-// peer takes in what a peer said to be in force there.
+// peer records a peer's report of the version in force there.
 func (c *currency) peer(id ident.InstanceID, said claim) {
 	c.heard(said.version)
 	if said.at.After(c.peers[id].at) {
@@ -39,22 +40,22 @@
 	}
 }
 
-// fromPlatform takes in what the platform said to be published.
+// fromPlatform records the platform's report of the published version.
 func (c *currency) fromPlatform(said claim) {
 	c.heard(said.version)
 	c.platform = said
 }
 
-// forget drops all confirmations, but not the highest version heard of.
+// forget discards all reports, but keeps the highest version.
 func (c *currency) forget() {
 	c.peers = make(map[ident.InstanceID]claim)
 	c.platform = claim{}
 }
 
-// confirmed returns until when the bundle in force here counts as the newest.
-// More than half of the zone's instances, this one included, must have said so.
-// The platform's data may be stale, so that it serves only an instance that has
-// no peer to ask.
+// confirmed returns the time until which the bundle in force here is confirmed to
+// be the newest. More than half of the zone's instances, including this one, must
+// have it in force. The platform's data may be stale, so its report counts only
+// if the instance has no peer in its zone.
 func (c *currency) confirmed(now time.Time) (until time.Time, ok bool) {
 	if c.version == 0 || c.highest > c.version {
 		return time.Time{}, false
@@ -68,7 +69,7 @@
 			expiries = append(expiries, at)
 		}
 	}
-	// More than half of len(others)+1, less this instance itself.
+	// More than half of len(others)+1, not counting this instance.
 	needed := (len(c.others) + 1) / 2
 	if len(expiries) < needed {
 		return time.Time{}, false
@@ -77,8 +78,8 @@
 	return expiries[needed-1], true
 }
 
-// expiry returns until when what was said confirms the version in force here,
-// false if it does not.
+// expiry returns the time until which a report confirms the version in force
+// here, or false if it does not confirm it.
 func (c *currency) expiry(now time.Time, said claim) (time.Time, bool) {
 	at := said.at.Add(c.within)
 	return at, said.version == c.version && now.Before(at)
--- a/orders/decide.go
+++ b/orders/decide.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Observe takes in an engine's state and returns what follows from it. Orders
-// are given here only, so that each rests on what was just read.
+// Observe processes an engine's state and returns the resulting decision. Orders
+// are given only here, so that each is based on a state that was just read.
 func (p *Planner) Observe(now time.Time, id ident.UpstreamID, o Observation) Decision {
 	spec := p.specs[id]
 	if spec == nil {
@@ -22,7 +22,7 @@
 	return Decision{}
 }
 
-// decide decides on an engine that this instance orders.
+// decide returns the decision for an engine that this instance orders.
 func (p *Planner) decide(now time.Time, g *engine, o *Observation, matches bool) Decision {
 	p.currency.heard(o.Highest)
 	if o.Highest > Fence(p.version) {
@@ -44,7 +44,8 @@
 	return p.order(now, g, o)
 }
 
-// oldBundle deals with an engine that has had an order of a newer bundle.
+// oldBundle handles an engine that has received an order of a newer bundle
+// version.
 func (p *Planner) oldBundle(now time.Time, g *engine, o *Observation, s Step) Decision {
 	return Decision{
 		Hint:   &FloorHint{Upstream: g.id, Version: o.Highest},
@@ -52,9 +53,10 @@
 	}
 }
 
-// fence orders what the engine runs already, for the fencing number: engines that
-// check it are the zone's memory of the versions that were in force, which a
-// starting instance asks. Nothing is loaded for it, so it waits for no turn.
+// fence repeats the placement that the engine already runs, to raise the fencing
+// number that it stores. A starting instance reads these numbers from the engines
+// of its zone to learn which bundle versions have been in force. The order causes
+// no load, so it does not wait for its turn.
 func (p *Planner) fence(now time.Time, g *engine, o *Observation) Decision {
 	g.since, g.waitsFor = time.Time{}, ""
 	d := p.order(now, g, o)
@@ -63,7 +65,7 @@
 	return d
 }
 
-// matches deals with an engine that runs what is wanted.
+// matches handles an engine that runs the desired placement.
 func (p *Planner) matches(now time.Time, g *engine, o *Observation) Decision {
 	g.since, g.waitsFor = time.Time{}, ""
 	g.inForce, g.incarnation = true, o.Incarnation
@@ -73,7 +75,8 @@
 	return d
 }
 
-// holdReason returns why no order is to be given now, empty if one is.
+// holdReason returns the reason to hold an order back, or "" if it may be given
+// now.
 func (p *Planner) holdReason(now time.Time, g *engine, o *Observation) Reason {
 	g.waitsFor = ""
 	if o.Loading != nil && o.Loading.Equal(g.want) {
@@ -87,7 +90,7 @@
 		return ReasonTurn
 	}
 	if g.checks {
-		return "" // the engine itself refuses what is old
+		return "" // the engine itself refuses stale orders
 	}
 	if !p.view.Trusted {
 		return ReasonView
@@ -98,9 +101,9 @@
 	return ""
 }
 
-// before returns the engine that must have loaded before this one may, empty if
-// there is none. Each engine waits for the one Loads places before it, so that
-// no more than Loads of a zone load at once.
+// before returns the engine that must finish loading before this one may start,
+// or "" if there is none. Each engine waits for the one that is Loads places
+// ahead of it, so that at most Loads engines of a zone load at once.
 func (p *Planner) before(g *engine) ident.UpstreamID {
 	turns := p.turns[g.zone]
 	place, _ := slices.BinarySearch(turns, g.id)
@@ -110,8 +113,8 @@
 	return turns[place-p.settings.Loads]
 }
 
-// order gives an order. It is read back after a while and, if need be, given
-// again, ever more rarely.
+// order gives an order. The engine is read again after g.pause and the order is
+// repeated if it had no effect; the pause doubles each time, up to Steady.
 func (p *Planner) order(now time.Time, g *engine, o *Observation) Decision {
 	reason := ReasonBundle
 	switch {
@@ -126,12 +129,12 @@
 	}
 	g.nextRead = now.Add(g.pause)
 	g.pause = min(2*g.pause, p.settings.Steady)
-	g.step = "" // an order is recorded each time
+	g.step = "" // every order is recorded, also a repeated one
 	return Decision{Order: order, Record: p.note(now, g, o, StepOrdered, reason)}
 }
 
-// Refused reports that an engine refused an order because it has had one with
-// the fence highest.
+// Refused reports that an engine refused an order because it has seen the fencing
+// number highest.
 func (p *Planner) Refused(now time.Time, id ident.UpstreamID, highest uint64) Decision {
 	g := p.engines[id]
 	p.currency.heard(highest)
@@ -142,7 +145,8 @@
 	return p.oldBundle(now, g, &Observation{Highest: highest}, StepRefused)
 }
 
-// note returns the record of a decision, nil if it is the same as the last.
+// note returns the record of a decision, or nil if step and reason are the same
+// as in the last record.
 func (p *Planner) note(now time.Time, g *engine, o *Observation, s Step, r Reason) *Record {
 	if g.step == s && g.reason == r {
 		return nil
--- a/orders/engine.go
+++ b/orders/engine.go
@@ -6,72 +6,76 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// engine is what the planner knows of an engine that this instance orders.
+// engine is the planner's state of an engine that this instance orders.
 type engine struct {
 	id   ident.UpstreamID
 	zone ident.Zone
 	want Placement
-	// checks says that it refuses orders with an old fence.
+	// checks is set if the engine refuses orders with an older fencing number.
 	checks   bool
 	nextRead time.Time
-	// since is when it was first seen to differ, zero while it does not.
+	// since is when the engine was first seen to differ from want; zero while it
+	// matches.
 	since time.Time
-	// inForce says that it ran what this bundle version wants, as the life that
-	// incarnation names.
+	// inForce is set once the engine has run this version's placement;
+	// incarnation is the engine's incarnation at that time.
 	inForce     bool
 	incarnation ident.Incarnation
-	// pause is the time from the next order to the read after it.
+	// pause is the time between the next order and the read that follows it.
 	pause time.Duration
-	// waitsFor is the engine whose turn is before this one's, empty if none.
+	// waitsFor is the engine that must load before this one, empty if there is
+	// none.
 	waitsFor ident.UpstreamID
 	// step and reason are those of the last record.
 	step   Step
 	reason Reason
 }
 
-// reset begins anew, for another bundle version or placement.
+// reset discards the engine's progress; the engine is read again at once.
 func (g *engine) reset(now time.Time, recheck time.Duration) {
 	*g = engine{id: g.id, zone: g.zone, want: g.want, checks: g.checks, nextRead: now, pause: recheck}
 }
 
-// readBy makes the next read no later than at.
+// readBy moves the next read forward to at if it is scheduled later.
 func (g *engine) readBy(at time.Time) {
 	if at.Before(g.nextRead) {
 		g.nextRead = at
 	}
 }
 
-// Observation is an engine's state, read at one moment.
+// Observation is the state of an engine at the time of a read.
 type Observation struct {
 	Incarnation ident.Incarnation
 	Placement   Placement
-	// Loading is what it is changing to, nil if it is not.
+	// Loading is the placement that is being loaded, nil if there is none.
 	Loading *Placement
-	// Highest is the highest fencing number it has seen, 0 if it keeps none.
+	// Highest is the highest fencing number that the engine has seen, 0 if it
+	// stores none.
 	Highest uint64
-	// Running counts the requests that it holds.
+	// Running is the number of requests on the engine.
 	Running int
 }
 
-// Order is an order to give to an engine.
+// Order is a placement order to an engine.
 type Order struct {
 	Upstream  ident.UpstreamID
 	Fence     uint64
 	Placement Placement
-	// NotAfter is the last time at which to send the order, zero if there is
-	// none. Compare it with the clock right before sending: a paused process
-	// must not wake up and send it.
+	// NotAfter is the last time at which the order may be sent, zero if there is
+	// no limit. It must be compared with the clock immediately before sending, so
+	// that a process does not send a stale order after a pause.
 	NotAfter time.Time
 }
 
-// FloorHint says that an engine has had an order of a newer bundle version than
-// the one in force here. It proves nothing: the version is to be looked for.
+// FloorHint reports that an engine has received an order of a bundle version that
+// is newer than the one in force here. It does not prove that the version exists;
+// it is a reason to look for it.
 type FloorHint struct {
 	Upstream ident.UpstreamID
 	Version  uint64
 }
 
-// Decision is what follows from an observation. Each part may be nil.
+// Decision is the result of an observation. Each field may be nil.
 type Decision struct {
 	Order  *Order
 	Hint   *FloorHint
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -11,11 +11,10 @@
 
 var testStart = time.UnixMilli(1764684000000)
 
-// loadTime is how long a fake engine takes to carry out an order.
+// loadTime is the time that a fake engine takes to load a placement.
 const loadTime = 10 * time.Second
 
-// fakeEngine carries out orders as an engine that checks fencing numbers or one
-// that ignores them.
+// fakeEngine simulates an engine that checks fencing numbers or ignores them.
 type fakeEngine struct {
 	state   Observation
 	checks  bool
@@ -23,7 +22,8 @@
 	changed int
 }
 
-// take carries an order out, or returns the fence by which it is refused.
+// take executes an order. If the order is refused, it returns the engine's higher
+// fencing number, otherwise 0.
 func (e *fakeEngine) take(now time.Time, o Order) (refused uint64) {
 	if e.checks && o.Fence < e.state.Highest {
 		return e.state.Highest
@@ -42,25 +42,25 @@
 	return 0
 }
 
-// step puts a loaded placement in force.
+// step completes a load whose time has passed.
 func (e *fakeEngine) step(now time.Time) {
 	if e.state.Loading != nil && !now.Before(e.until) {
 		e.state.Placement, e.state.Loading = *e.state.Loading, nil
 	}
 }
 
-// agent is one instance's planner with its own bundle version.
+// agent is an instance's planner with the bundle version in force there.
 type agent struct {
 	self    kernel.Self
 	planner *Planner
 	version uint64
 	paused  bool
 	cut     bool
-	// unsent is an order that a pause caught on its way out.
+	// unsent is an order that was about to be sent when the agent was paused.
 	unsent *Order
 }
 
-// zone simulates the agents and engines of one availability zone.
+// zone simulates the agents and engines of an availability zone.
 type zone struct {
 	now     time.Time
 	view    *kernel.View
@@ -68,14 +68,14 @@
 	engines map[ident.UpstreamID]*fakeEngine
 	records []Record
 	hints   int
-	// loadingMost is the most engines that loaded at once.
+	// loadingMost is the highest number of engines that loaded at the same time.
 	loadingMost int
 }
 
 func engineID(i int) ident.UpstreamID { return ident.UpstreamID(fmt.Sprintf("d%d", i)) }
 
-// bundleOf wants the model of that version on all engines, of which those with
-// odd numbers ignore fences if mixed.
+// bundleOf returns a bundle that declares the model of the version on all
+// engines. checks says which of them check fencing numbers.
 func bundleOf(version uint64, engines int, checks func(i int) bool) *config.Content {
 	c := &config.Content{}
 	for i := range engines {
@@ -111,14 +111,15 @@
 	return NewPlacement(config.RoleDecode, []string{fmt.Sprint("model-", version)}, nil, "1")
 }
 
-// adopt puts a bundle version in force at an agent.
+// adopt puts a bundle version in force at an agent, unless it has a newer one.
 func (z *zone) adopt(a *agent, version uint64) {
 	a.version = max(a.version, version)
 	checks := func(i int) bool { return z.engines[engineID(i)].checks }
 	a.planner.SetBundle(z.now, a.version, bundleOf(a.version, len(z.engines), checks))
 }
 
-// run lets time pass, with gossip and planning every second.
+// run advances the time, with an exchange of versions and a planning step every
+// second.
 func (z *zone) run(d time.Duration) {
 	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(time.Second) {
 		loading := 0
@@ -136,7 +137,7 @@
 	}
 }
 
-// gossip tells an agent what its peers have in force.
+// gossip reports to an agent the versions that its reachable peers have in force.
 func (z *zone) gossip(a *agent) {
 	for _, b := range z.agents {
 		if a != b && !a.paused && !b.paused && !a.cut && !b.cut {
@@ -145,7 +146,7 @@
 	}
 }
 
-// act carries an agent's plan out.
+// act executes an agent's plan.
 func (z *zone) act(a *agent) {
 	if a.paused {
 		return
@@ -174,7 +175,7 @@
 	}
 }
 
-// wake ends an agent's pause. An order that was on its way out goes out now.
+// wake ends an agent's pause and sends the order that was delayed by it.
 func (z *zone) wake(a *agent) {
 	a.paused = false
 	if a.unsent != nil {
@@ -184,7 +185,7 @@
 	a.planner.Paused(z.now)
 }
 
-// count returns how many records have the step and reason.
+// count returns the number of records with the step and reason.
 func (z *zone) count(s Step, r Reason) int {
 	n := 0
 	for _, rec := range z.records {
@@ -202,5 +203,5 @@
 			return a
 		}
 	}
-	panic("nobody orders the engine")
+	panic("no agent has rank 0 for the engine")
 }
--- a/orders/fence_test.go
+++ b/orders/fence_test.go
@@ -6,9 +6,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFenceIsTheZonesMemory: each engine that checks fencing numbers is told of each
-// version, also of one that changes nothing for it, and loads nothing for that; one
-// that restarted is told again; one that ignores them is not.
+// TestFenceIsTheZonesMemory checks that each engine that checks fencing numbers
+// is given every version's number, even if the version does not change its
+// placement, and again after a restart. Such an order causes no load. Engines
+// that ignore fencing numbers don't get it.
 func TestFenceIsTheZonesMemory(t *testing.T) {
 	z := newZone(1, 2, mixed)
 	z.all(1)
--- a/orders/placement.go
+++ b/orders/placement.go
@@ -6,7 +6,8 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Placement is what an engine runs. Models and Adapters are sorted.
+// Placement is the role, models, adapters and version that an engine runs. Models
+// and Adapters are sorted.
 type Placement struct {
 	Role     config.Role `json:"role"`
 	Models   []string    `json:"models"`
@@ -14,12 +15,13 @@
 	Version  string      `json:"version"`
 }
 
-// Desired returns what the bundle wants of an upstream.
+// Desired returns the placement that the bundle declares for an upstream.
 func Desired(u *config.Upstream) Placement {
 	return NewPlacement(u.Role, u.Models, u.Adapters, u.Version)
 }
 
-// NewPlacement returns a placement with sorted copies of the lists.
+// NewPlacement returns a placement with sorted copies of the lists, without
+// duplicates.
 func NewPlacement(role config.Role, models, adapters []string, version string) Placement {
 	return Placement{Role: role, Models: sorted(models), Adapters: sorted(adapters), Version: version}
 }
@@ -38,5 +40,5 @@
 }
 
 // Fence returns the fencing number of the orders of a bundle version. A version
-// gives an upstream one order, so that its number is enough.
+// gives each upstream a single order, so the version number itself is sufficient.
 func Fence(version uint64) uint64 { return version }
--- a/orders/planner.go
+++ b/orders/planner.go
@@ -12,8 +12,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Planner decides for one instance which engines to read and what to order. It
-// must be used from one goroutine at a time.
+// Planner decides which engines one instance reads and which orders it gives. It
+// is not safe for concurrent use.
 type Planner struct {
 	settings Settings
 	self     kernel.Self
@@ -26,11 +26,12 @@
 	engines  map[ident.UpstreamID]*engine
 	// turns lists the engines of each zone in the order in which they load.
 	turns map[ident.Zone][]ident.UpstreamID
-	// settled are the engines seen to run what this version wants.
+	// settled holds whether an engine was last seen to run this version's
+	// placement.
 	settled map[ident.UpstreamID]bool
 }
 
-// NewPlanner returns a planner that knows no bundle and orders nothing.
+// NewPlanner returns a planner without a bundle. It gives no orders.
 func NewPlanner(s Settings) *Planner {
 	p := &Planner{
 		settings: s,
@@ -44,7 +45,7 @@
 	return p
 }
 
-// SetBundle takes in the bundle in force. Older versions are ignored.
+// SetBundle replaces the bundle in force. Older versions are ignored.
 func (p *Planner) SetBundle(now time.Time, version uint64, c *config.Content) {
 	if version <= p.version {
 		return
@@ -60,7 +61,7 @@
 	p.assign(now)
 }
 
-// longestDeadline returns the longest time that a caller waits by default.
+// longestDeadline returns the longest default deadline of any kind of request.
 func longestDeadline(c *config.Content) time.Duration {
 	longest := api.DefaultDeadline
 	for i := range c.Kinds {
@@ -82,20 +83,20 @@
 	p.assign(now)
 }
 
-// PeerInForce reports the bundle version that a peer said at the given time to
-// be in force there.
+// PeerInForce reports the bundle version that a peer had in force at the given
+// time.
 func (p *Planner) PeerInForce(at time.Time, id ident.InstanceID, version uint64) {
 	p.currency.peer(id, claim{version: version, at: at})
 }
 
 // PlatformHead reports the bundle version that the platform gave at the given
-// time as the newest one that is rolled out here.
+// time as the newest one rolled out here.
 func (p *Planner) PlatformHead(at time.Time, version uint64) {
 	p.currency.fromPlatform(claim{version: version, at: at})
 }
 
-// Paused reports that the process did not run for a while. What was confirmed
-// and read before counts no more.
+// Paused reports that the process was paused. Reports and states from before the
+// pause no longer count.
 func (p *Planner) Paused(now time.Time) {
 	p.currency.forget()
 	clear(p.settled)
@@ -104,7 +105,7 @@
 	}
 }
 
-// assign takes on the engines that this instance orders now and drops others.
+// assign adds the engines that this instance now orders and removes all others.
 func (p *Planner) assign(now time.Time) {
 	p.ranks.Update(p.self, p.view)
 	p.turns = make(map[ident.Zone][]ident.UpstreamID)
@@ -126,13 +127,14 @@
 	p.engines = mine
 }
 
-// orderable reports whether the upstream is an engine that can be given orders:
-// one that the bundle names and that is there to stay.
+// orderable reports whether the upstream is an engine that may be given orders:
+// one that the bundle names and that is neither leaving nor unreachable nor dead.
 func orderable(u *kernel.Upstream, spec *config.Upstream) bool {
 	return spec != nil && spec.Role != config.RoleService && u.Liveness <= kernel.Suspect
 }
 
-// take returns what is known of an engine that this instance orders.
+// take returns the state of an engine that this instance orders and creates it if
+// needed.
 func (p *Planner) take(now time.Time, u *kernel.Upstream, spec *config.Upstream) *engine {
 	if g := p.engines[u.ID]; g != nil {
 		return g
@@ -142,8 +144,9 @@
 	return g
 }
 
-// Tick returns the engines whose state is to be read now. Report each to Observe;
-// failures need no report. Call it when NextWake says.
+// Tick returns the engines whose state is to be read now. Each state is passed to
+// Observe; failures need not be reported. Tick is to be called at the time that
+// NextWake returns.
 func (p *Planner) Tick(now time.Time) []ident.UpstreamID {
 	var reads []ident.UpstreamID
 	for _, g := range p.engines {
@@ -168,7 +171,8 @@
 	return p.settings.Recheck
 }
 
-// NextWake returns when Tick has something to do, false if it never has.
+// NextWake returns the time at which Tick has work to do, or false if there is no
+// engine to read.
 func (p *Planner) NextWake() (time.Time, bool) {
 	var first time.Time
 	for _, g := range p.engines {
--- a/orders/planner_test.go
+++ b/orders/planner_test.go
@@ -16,8 +16,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// TestMain makes the random tests the same on every run; flags of the command
-// line still prevail.
+// TestMain fixes the seed of the property tests, so that every run is the same.
+// Command line flags take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": "1", "rapid.checks": "200", "rapid.steps": "60",
@@ -38,7 +38,8 @@
 	}
 }
 
-// others lets all but one agent take that one as unreachable and adopt a bundle.
+// others gives all agents but one a view in which that one is unreachable, and a
+// bundle.
 func (z *zone) others(a *agent, version uint64) {
 	without := *z.view
 	without.Instances = slices.Clone(z.view.Instances)
@@ -74,7 +75,7 @@
 	assert.Equal(t, z.count(StepInForce, ReasonMatches), 10)
 	before := len(z.records)
 	z.run(10 * time.Minute)
-	assert.Equal(t, len(z.records), before, "nothing is logged while nothing happens")
+	assert.Equal(t, len(z.records), before, "records were written although nothing changed")
 }
 
 func TestOldBundleIsRefusedByTheFence(t *testing.T) {
@@ -87,7 +88,7 @@
 	assert.Equal(t, z.count(StepHeld, ReasonOldBundle), 1)
 	assert.Assert(t, z.hints > 0)
 	assert.Equal(t, z.engines["d0"].changed, 0)
-	// The newer order came between the read and the order.
+	// The engine received the newer order between the read and this order.
 	d := a.planner.Refused(z.now, "d0", 3)
 	assert.DeepEqual(t, *d.Hint, FloorHint{Upstream: "d0", Version: 3})
 	assert.Equal(t, d.Record.Step, StepRefused)
@@ -113,8 +114,9 @@
 	checkAll(t, z, 2)
 }
 
-// TestPausedInstanceWakes lets a pause catch an order on its way out. It is sent
-// after a newer bundle was carried out.
+// TestPausedInstanceWakes guards against a stale order that takes effect. A pause
+// delays the order; it is sent after a newer bundle was loaded. An engine that
+// checks fencing numbers refuses it, one that ignores them is corrected.
 func TestPausedInstanceWakes(t *testing.T) {
 	for name, checks := range map[string]func(int) bool{"checking": checking, "ignoring": ignoring} {
 		t.Run(name, func(t *testing.T) {
@@ -162,12 +164,12 @@
 		seen  Observation
 		order bool
 	}{
-		"another model":                    {Observation{Placement: old}, true},
-		"as wanted, this version's fence":  {Observation{Placement: modelOf(1), Highest: 1}, false},
-		"as wanted, no fence":              {Observation{Placement: modelOf(1)}, true},
-		"as wanted, loading something old": {Observation{Placement: modelOf(1), Loading: &old}, true},
-		"as wanted, newer fence":           {Observation{Placement: modelOf(1), Highest: 2}, false},
-		"another model, newer fence":       {Observation{Placement: old, Highest: 2}, false},
+		"another model": {Observation{Placement: old}, true},
+		"desired placement, this version's fence": {Observation{Placement: modelOf(1), Highest: 1}, false},
+		"desired placement, no fence":             {Observation{Placement: modelOf(1)}, true},
+		"desired placement, loading an older one": {Observation{Placement: modelOf(1), Loading: &old}, true},
+		"desired placement, newer fence":          {Observation{Placement: modelOf(1), Highest: 2}, false},
+		"another model, newer fence":              {Observation{Placement: old, Highest: 2}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			z := newZone(1, 2, mixed)
@@ -175,7 +177,8 @@
 			p := z.agents[0].planner
 			p.PlatformHead(z.now, 1)
 			assert.Equal(t, p.Observe(z.now, "d0", c.seen).Order != nil, c.order)
-			// What one engine has heard of holds for those that keep no fence.
+			// A newer version reported by one engine also stops orders to engines
+			// that store no fencing number.
 			other := p.Observe(z.now, "d1", Observation{Placement: old})
 			assert.Equal(t, other.Order != nil, c.seen.Highest <= 1)
 		})
@@ -194,7 +197,7 @@
 	z.gossip(a)
 	a.planner.Paused(z.now)
 	d = a.planner.Observe(z.now, "d0", z.engines["d0"].state)
-	assert.Assert(t, d.Order == nil, "what was confirmed before a pause counts no more")
+	assert.Assert(t, d.Order == nil, "confirmations from before a pause still count")
 }
 
 func TestConfirmation(t *testing.T) {
@@ -204,18 +207,18 @@
 		platform uint64
 		want     bool
 	}{
-		"all say so":                   {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{7, 7}, 0, true},
-		"most say so":                  {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{7, 0}, 0, true},
-		"half say so":                  {[]kernel.Liveness{kernel.Live, kernel.Live, kernel.Live}, []uint64{7, 0, 0}, 0, false},
-		"one knows better":             {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{7, 8}, 0, false},
-		"cut off from the only peer":   {[]kernel.Liveness{kernel.Unreachable}, []uint64{0}, 7, false},
-		"the only peer is dead":        {[]kernel.Liveness{kernel.Dead}, []uint64{0}, 7, true},
-		"alone":                        {nil, nil, 7, true},
-		"alone, platform is behind":    {nil, nil, 6, false},
-		"alone, platform knows better": {nil, nil, 8, false},
-		"alone, platform is down":      {nil, nil, 0, false},
-		"platform alone does not do":   {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{0, 0}, 7, false},
-		"platform knows better":        {[]kernel.Liveness{kernel.Live}, []uint64{7}, 8, false},
+		"all peers report it":                     {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{7, 7}, 0, true},
+		"most instances have it":                  {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{7, 0}, 0, true},
+		"half of the instances have it":           {[]kernel.Liveness{kernel.Live, kernel.Live, kernel.Live}, []uint64{7, 0, 0}, 0, false},
+		"one peer reports a newer version":        {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{7, 8}, 0, false},
+		"the only peer is unreachable":            {[]kernel.Liveness{kernel.Unreachable}, []uint64{0}, 7, false},
+		"the only peer is dead":                   {[]kernel.Liveness{kernel.Dead}, []uint64{0}, 7, true},
+		"alone":                                   {nil, nil, 7, true},
+		"alone, platform is behind":               {nil, nil, 6, false},
+		"alone, platform reports a newer version": {nil, nil, 8, false},
+		"alone, no report from the platform":      {nil, nil, 0, false},
+		"only the platform reports it":            {[]kernel.Liveness{kernel.Live, kernel.Live}, []uint64{0, 0}, 7, false},
+		"platform reports a newer version":        {[]kernel.Liveness{kernel.Live}, []uint64{7}, 8, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := NewPlanner(DefaultSettings())
@@ -231,7 +234,7 @@
 			_, ok := p.currency.confirmed(testStart.Add(4 * time.Second))
 			assert.Equal(t, ok, c.want)
 			_, ok = p.currency.confirmed(testStart.Add(5 * time.Second))
-			assert.Assert(t, !ok, "what was said counts for a while only")
+			assert.Assert(t, !ok, "reports still count after they expired")
 		})
 	}
 }
@@ -257,7 +260,8 @@
 	e.state.Running = 0
 	z.run(5 * time.Second)
 	assert.Equal(t, e.changed, 1)
-	// Work of instances that are behind may never end.
+	// Requests from instances with an older bundle may never end, so the wait is
+	// limited.
 	z.run(time.Minute)
 	e.state.Placement.Role, e.state.Running = config.RolePrefill, 3
 	z.run(50 * time.Second)
@@ -299,7 +303,7 @@
 	for after := time.Duration(0); after < 2*time.Minute; after += time.Second {
 		now := z.now.Add(after)
 		for _, id := range p.Tick(now) {
-			if d := p.Observe(now, id, z.engines[id].state); d.Order != nil { // and it is lost
+			if d := p.Observe(now, id, z.engines[id].state); d.Order != nil { // the order is lost
 				given = append(given, after/time.Second)
 			}
 		}
@@ -311,7 +315,7 @@
 	z := newZone(1, 4, checking)
 	z.view.Upstreams[0].Liveness = kernel.Leaving
 	z.view.Upstreams[1].Liveness = kernel.Unreachable
-	z.view.Upstreams[2].Zone = "hall-b" // nobody is there
+	z.view.Upstreams[2].Zone = "hall-b" // the zone has no instance
 	z.all(1)
 	z.agents[0].planner.SetView(z.now, z.agents[0].self, z.view)
 	assert.DeepEqual(t, z.agents[0].planner.Tick(z.now), []ident.UpstreamID{"d3"})
@@ -321,10 +325,11 @@
 	p.SetBundle(z.now, 2, service)
 	assert.Equal(t, len(p.Tick(z.now)), 0)
 	p.SetBundle(z.now, 1, bundleOf(1, 4, checking))
-	assert.Equal(t, len(p.Tick(z.now)), 0, "an older version is ignored")
+	assert.Equal(t, len(p.Tick(z.now)), 0, "an older bundle version was taken")
 }
 
-// TestAnyInstanceGivesTheSameOrder compares the orders of all instances.
+// TestAnyInstanceGivesTheSameOrder checks that the order depends on neither the
+// instance nor the order in which the bundle lists models.
 func TestAnyInstanceGivesTheSameOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOf(rapid.SampledFrom([]string{"a", "b", "c"}))
@@ -348,9 +353,10 @@
 	})
 }
 
-// TestZone plays random histories of instances with different bundles that pause
-// and are cut off. A checking engine never goes back; in the end all engines run
-// what the newest bundle wants.
+// TestZone runs random sequences in which instances have different bundles, are
+// paused and are partitioned from their peers. A checking engine must never load
+// an older placement; at the end all engines must run the newest bundle's
+// placement.
 func TestZone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := newZone(3, 4, mixed)
@@ -377,7 +383,7 @@
 			"": func(t *rapid.T) {
 				for id, e := range z.engines {
 					if l := e.state.Loading; e.checks && l != nil {
-						assert.Assert(t, l.Equal(modelOf(e.state.Highest)), "%s goes back", id)
+						assert.Assert(t, l.Equal(modelOf(e.state.Highest)), "%s loads an older placement", id)
 					}
 				}
 			},
--- a/orders/record.go
+++ b/orders/record.go
@@ -6,68 +6,76 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Step says what became of an order.
+// Step is the stage of an order.
 type Step string
 
-// The steps.
+// Stages of an order.
 const (
-	// StepOrdered: the order is given.
+	// StepOrdered means that the order is given.
 	StepOrdered Step = "ordered"
-	// StepHeld: the order is due and held back.
+	// StepHeld means that the order is due but held back.
 	StepHeld Step = "held"
-	// StepInForce: the engine runs what the bundle wants.
+	// StepInForce means that the engine runs the desired placement.
 	StepInForce Step = "in_force"
-	// StepRefused: the engine refused the order.
+	// StepRefused means that the engine refused the order.
 	StepRefused Step = "refused"
 )
 
-// Reason says why. The list is closed.
+// Reason is why a step was taken. Its values are the constants below.
 type Reason string
 
-// The reasons.
+// Reasons for a step.
 const (
-	// ReasonBundle: the engine does not run yet what this version wants.
+	// ReasonBundle means that the engine has not yet run this version's
+	// placement.
 	ReasonBundle Reason = "bundle"
-	// ReasonCorrected: it did, and runs something else now.
+	// ReasonCorrected means that it ran this version's placement, but no longer
+	// does.
 	ReasonCorrected Reason = "corrected"
-	// ReasonRestarted: it did, and has restarted.
+	// ReasonRestarted means that it ran this version's placement and has since
+	// restarted.
 	ReasonRestarted Reason = "engine_restarted"
-	// ReasonLoading: the order is being carried out.
+	// ReasonLoading means that the engine is loading the placement.
 	ReasonLoading Reason = "loading"
-	// ReasonDraining: its role changes, and requests still run in the old one.
+	// ReasonDraining means that the engine's role changes and requests are still
+	// running in the old role.
 	ReasonDraining Reason = "draining"
-	// ReasonTurn: another engine of the zone loads first.
+	// ReasonTurn means that another engine of the zone must load first.
 	ReasonTurn Reason = "not_its_turn"
-	// ReasonView: the view of the fleet is not trusted.
+	// ReasonView means that the view of the fleet is not trusted.
 	ReasonView Reason = "view_not_trusted"
-	// ReasonUnconfirmed: it does not check fencing numbers, and the bundle is not
-	// confirmed to be the newest.
+	// ReasonUnconfirmed means that the engine does not check fencing numbers and
+	// the bundle is not confirmed to be the newest.
 	ReasonUnconfirmed Reason = "bundle_not_confirmed"
-	// ReasonOldBundle: it has had an order of a newer bundle version.
+	// ReasonOldBundle means that the engine has received an order of a newer
+	// bundle version.
 	ReasonOldBundle Reason = "newer_fence_seen"
-	// ReasonFence: it runs what is wanted and checks fencing numbers, and has not
-	// had this version's.
+	// ReasonFence means that the engine runs the desired placement and checks
+	// fencing numbers, but has not yet received this version's number.
 	ReasonFence Reason = "fence"
-	// ReasonMatches: it runs what is wanted.
+	// ReasonMatches means that the engine runs the desired placement.
 	ReasonMatches Reason = "matches"
 )
 
-// Record is one placement decision. It becomes one log line. Decisions to hold
-// back are recorded when their reason changes.
+// Record is a placement decision. It is written as one log line. Decisions to
+// hold an order back are recorded only when their reason changes.
 type Record struct {
 	Time     time.Time        `json:"time"`
 	Upstream ident.UpstreamID `json:"upstream"`
 	Step     Step             `json:"step"`
 	Reason   Reason           `json:"reason"`
-	// Bundle is the bundle version in force here, and the order's fence.
+	// Bundle is the bundle version in force here; it is also the order's fencing
+	// number.
 	Bundle uint64 `json:"bundle_version"`
-	// Want is what the bundle wants, Seen what the engine ran.
+	// Want is the placement that the bundle declares, Seen the one that the
+	// engine ran.
 	Want Placement `json:"want"`
 	Seen Placement `json:"seen"`
 	// Highest is the highest fencing number that the engine has seen.
 	Highest uint64 `json:"highest_fence"`
-	// Running counts the requests that the engine held.
+	// Running is the number of requests on the engine.
 	Running int `json:"running"`
-	// Waited is the time since the difference was first seen here.
+	// Waited is the time since this instance first saw the engine differ from
+	// Want.
 	Waited time.Duration `json:"waited"`
 }
--- a/orders/settings.go
+++ b/orders/settings.go
@@ -2,26 +2,29 @@
 
 import "time"
 
-// Settings of a planner. All are positive.
+// Settings are the parameters of a planner. All must be positive.
 type Settings struct {
-	// Loads is how many engines of a zone may load at once; the weight store is
-	// rate-limited.
+	// Loads is the number of engines of a zone that may load at once. It is
+	// limited because the weight store is rate-limited.
 	Loads int
-	// TurnLimit is how long an engine waits for the one before it.
+	// TurnLimit is the longest time that an engine waits for the one ahead of it
+	// to load.
 	TurnLimit time.Duration
-	// Steady is the time between reads of an engine that runs what is wanted,
-	// Recheck that of others; it doubles with each order given, up to Steady.
+	// Steady is the interval between reads of an engine that runs the desired
+	// placement. Recheck is that of all other engines; after each order it
+	// doubles, up to Steady.
 	Steady  time.Duration
 	Recheck time.Duration
-	// Confirm is how long a peer's word counts that the bundle is current.
+	// Confirm is how long a report that the bundle is the newest remains valid.
 	Confirm time.Duration
-	// DrainMargin is added to the longest deadline of a kind of request: after
-	// that time nobody waits for work that was sent under an older bundle.
+	// DrainMargin is added to the longest deadline of any kind of request. After
+	// that time no caller waits for requests that were sent under an older
+	// bundle.
 	DrainMargin time.Duration
 }
 
-// DefaultSettings returns settings for a bundle that is in force everywhere
-// within 16 s.
+// DefaultSettings returns settings for a bundle that comes into force on all
+// instances within 16 s.
 func DefaultSettings() Settings {
 	return Settings{
 		Loads:       2,
--- a/ticket/answers.go
+++ b/ticket/answers.go
@@ -1,14 +1,14 @@
 package ticket
 
-// answers bounds the bytes of all kept answers.
+// answers limits the total size of the answers that are kept for replay.
 type answers struct {
 	limit int
 	bytes int
 	kept  fifo[*entry]
 }
 
-// add counts an ended call's answer and drops the oldest ones while there are
-// too many bytes.
+// add adds the answer of an ended call and drops the oldest answers while the
+// total size exceeds the limit.
 func (a *answers) add(en *entry) {
 	if len(en.result.Body) == 0 {
 		return
@@ -21,13 +21,13 @@
 	}
 }
 
-// remove drops a ticket's answer, if there is one.
+// remove drops the answer of a ticket, if there is one.
 func (a *answers) remove(en *entry) {
 	a.bytes -= en.drop()
 	a.trim()
 }
 
-// trim shortens the list by the dropped answers at its front.
+// trim removes dropped answers from the front of the queue.
 func (a *answers) trim() {
 	for {
 		oldest, ok := a.kept.first()
--- a/ticket/choose.go
+++ b/ticket/choose.go
@@ -2,32 +2,32 @@
 
 import "github.com/wardspool/wardspool/api"
 
-// Path is how a call is kept from running twice.
+// Path is the method by which a call is kept from running twice.
 type Path int
 
-// The paths.
+// Paths of a call.
 const (
-	// PathTicket: route the call by its ticket.
+	// PathTicket means that the call is routed by its ticket.
 	PathTicket Path = iota + 1
-	// PathRepeatable: a second run is harmless; there is nothing to do.
+	// PathRepeatable means that a second run is harmless, so nothing is done.
 	PathRepeatable
-	// PathDeduplicated: the upstream itself runs the call's idempotency key at
-	// most once; run it here and pass the key on.
+	// PathDeduplicated means that the upstream itself runs each idempotency key
+	// at most once. The call runs here, and its key is passed on.
 	PathDeduplicated
-	// PathOnce: run the call here and dispatch it at most once. A retry of the
-	// caller is a call of its own.
+	// PathOnce means that the call runs here and is dispatched at most once. A
+	// retry by the caller is a separate call.
 	PathOnce
-	// PathTicketRequired: run nothing and answer with RequiredProblem and a
-	// fresh ticket.
+	// PathTicketRequired means that nothing runs. The answer is RequiredProblem
+	// with a new ticket.
 	PathTicketRequired
 )
 
-// Traits are what the choice of path depends on.
+// Traits are the properties of a call that determine its path.
 type Traits struct {
-	// Repeatable is the request's or its kind's declaration.
+	// Repeatable is set if the request or its kind is declared repeatable.
 	Repeatable bool
-	// Ticket and Key say whether the request carries a ticket and an
-	// idempotency key.
+	// Ticket and Key are set if the request carries a ticket and an idempotency
+	// key.
 	Ticket, Key bool
 	// Deduplicates is the service's declaration, config.Service.Deduplicates.
 	Deduplicates bool
@@ -51,8 +51,8 @@
 	}
 }
 
-// RequiredProblem is the answer on PathTicketRequired. The response should
-// carry a fresh ticket in the header api.HeaderTicket.
+// RequiredProblem returns the answer for PathTicketRequired. The answer should
+// carry a new ticket in the header api.HeaderTicket.
 func RequiredProblem() *api.Problem {
 	return api.NewProblem(api.ProblemTicketRequired, api.NotRun,
 		"a call that is not repeatable needs a ticket if it carries an Idempotency-Key or its kind requires one; repeat it with the one in "+api.HeaderTicket)
--- a/ticket/codec.go
+++ b/ticket/codec.go
@@ -11,7 +11,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Bounds of the text form.
+// Parameters of the text form.
 const (
 	// formatVersion is the first part of every ticket.
 	formatVersion = "1"
@@ -27,27 +27,28 @@
 	minSecret = 32
 )
 
-// codeContext separates ticket authentication from other uses of a secret.
+// codeContext is prepended to the payload for domain separation: a code made with
+// the same secret for another purpose is not valid for a ticket.
 const codeContext = "wardspool ticket\x00"
 
 // Key is a secret shared by all instances.
 type Key struct {
-	// ID is a valid name (ident.ValidName). It travels in the ticket.
+	// ID is a valid name (ident.ValidName). It is part of the ticket's text.
 	ID string
 	// Secret is at least 32 bytes.
 	Secret []byte
 }
 
-// Codec converts tickets from and to their authenticated text form. It must
-// not be changed and may be used from several goroutines.
+// Codec converts tickets to and from their authenticated text form. It is
+// immutable and safe for concurrent use.
 type Codec struct {
 	keys []Key
 }
 
-// NewCodec returns a codec that seals with the first key and accepts all. To
-// rotate: add the new key as the last on every instance, then make it the
-// first, and drop the old one once its last ticket has expired.
-// It returns a *KeyError if the keys are unusable.
+// NewCodec returns a codec that seals with the first key and accepts all of them.
+// To rotate keys, add the new key at the end on every instance, then move it to
+// the front, and remove the old key once its last ticket has expired. It returns
+// a *KeyError if the keys are unusable.
 func NewCodec(keys ...Key) (*Codec, error) {
 	if len(keys) == 0 {
 		return nil, &KeyError{Fault: KeyFaultNone}
@@ -62,7 +63,7 @@
 	return c, nil
 }
 
-// faultOf returns why the key can't be added, empty if it can.
+// faultOf returns why the key can't be added, or "" if it can.
 func (c *Codec) faultOf(k Key) KeyFault {
 	switch {
 	case !ident.ValidName(k.ID):
@@ -76,7 +77,7 @@
 	}
 }
 
-// find returns the key with the ID, nil if there is none.
+// find returns the key with the ID, or nil if there is none.
 func (c *Codec) find(id string) *Key {
 	for i := range c.keys {
 		if c.keys[i].ID == id {
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// Seal returns the ticket's text: parts joined by dots, safe in URLs and
-// header fields, the last an HMAC over the others.
+// Seal returns the text form of the ticket: parts joined by dots, which are safe
+// in URLs and header fields. The last part is an HMAC over the others.
 func (c *Codec) Seal(t Ticket) string {
 	key := &c.keys[0]
 	payload := strings.Join([]string{
@@ -103,7 +104,7 @@
 	return payload + "." + key.code(payload)
 }
 
-// code returns the payload's authentication code in its text form.
+// code returns the encoded authentication code of the payload.
 func (k *Key) code(payload string) string {
 	mac := hmac.New(sha256.New, k.Secret)
 	mac.Write([]byte(codeContext))
@@ -111,8 +112,8 @@
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:codeSize])
 }
 
-// Open returns the ticket that Seal wrote.
-// Errors are *SyntaxError, *UnknownKeyError and *ForgedError.
+// Open parses and authenticates a text that Seal returned. Errors are
+// *SyntaxError, *UnknownKeyError and *ForgedError.
 func (c *Codec) Open(text string) (Ticket, error) {
 	payload, err := c.authenticate(text)
 	if err != nil {
@@ -121,8 +122,7 @@
 	return parsePayload(payload)
 }
 
-// authenticate returns the text without its authentication code, once that is
-// known to be right.
+// authenticate checks the authentication code and returns the text without it.
 func (c *Codec) authenticate(text string) (string, error) {
 	if len(text) > maxLength {
 		return "", &SyntaxError{Part: "length"}
@@ -139,14 +139,15 @@
 		return "", &UnknownKeyError{ID: parts[1]}
 	}
 	payload, code := text[:strings.LastIndexByte(text, '.')], parts[payloadParts]
-	// The text forms are compared because a decoder takes several for one code.
+	// The text forms are compared because the decoder accepts several texts for
+	// the same code.
 	if !hmac.Equal([]byte(code), []byte(key.code(payload))) {
 		return "", &ForgedError{KeyID: key.ID}
 	}
 	return payload, nil
 }
 
-// parsePayload reads the parts of an authenticated payload.
+// parsePayload parses an authenticated payload.
 func parsePayload(payload string) (Ticket, error) {
 	parts := strings.Split(payload, ".")
 	if !ident.ValidName(parts[2]) {
@@ -169,10 +170,10 @@
 	return t, nil
 }
 
-// numberReader reads numbers and keeps the first error.
+// numberReader parses numbers and keeps the first error.
 type numberReader struct{ err error }
 
-// unsigned reads an unsigned number.
+// unsigned parses an unsigned number.
 func (r *numberReader) unsigned(part, text string) uint64 {
 	n, err := strconv.ParseUint(text, numberBase, 64)
 	if err != nil && r.err == nil {
@@ -181,7 +182,7 @@
 	return n
 }
 
-// milliseconds reads a time in Unix milliseconds.
+// milliseconds parses a time in Unix milliseconds.
 func (r *numberReader) milliseconds(part, text string) time.Time {
 	n, err := strconv.ParseInt(text, numberBase, 64)
 	if err != nil && r.err == nil {
--- a/ticket/codec_test.go
+++ b/ticket/codec_test.go
@@ -52,7 +52,7 @@
 		changed := []byte(text)
 		changed[i] ^= 1
 		_, err := c.Open(string(changed))
-		assert.Assert(t, err != nil, "byte %d", i)
+		assert.Assert(t, err != nil, "the ticket opened although byte %d was changed", i)
 	}
 }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-// FuzzOpen feeds the decoder text from anywhere, and the parser behind the
-// authentication code text that a holder of the key could have signed.
+// FuzzOpen passes arbitrary text to Open. It also passes text directly to
+// parsePayload, as a holder of the key could have signed it.
 func FuzzOpen(f *testing.F) {
 	c, err := NewCodec(testKey("a1"))
 	assert.NilError(f, err)
@@ -126,13 +126,13 @@
 	f.Add("1.a1.x.0.0.0.0.0.AAAAAAAAAAAAAAAAAAAAAA")
 	f.Fuzz(func(t *testing.T, text string) {
 		if got, err := c.Open(text); err == nil && c.Seal(got) != text {
-			t.Fatalf("%q opened as another ticket", text)
+			t.Fatalf("%q opened as a ticket that is sealed differently", text)
 		}
 		if strings.Count(text, ".") != payloadParts-1 {
 			return
 		}
 		if got, err := parsePayload(text); err == nil && !ident.ValidName(string(got.Executor.Instance)) {
-			t.Fatalf("%q gave the instance %q", text, got.Executor.Instance)
+			t.Fatalf("%q parsed to the invalid instance name %q", text, got.Executor.Instance)
 		}
 	})
 }
--- a/ticket/digest.go
+++ b/ticket/digest.go
@@ -7,11 +7,12 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Digest identifies what a call asks for. A ticket is bound to the digest of
-// the first call that it is presented with.
+// Digest identifies the content of a call. A ticket is bound to the digest of the
+// first call that it is presented with.
 type Digest [sha256.Size]byte
 
-// Call is what a digest covers. A retry must repeat all of it.
+// Call is the part of a call that its digest covers. A retry must repeat all of
+// it.
 type Call struct {
 	Method    string
 	Path      string
@@ -20,8 +21,8 @@
 	Body      []byte
 }
 
-// Digest returns the call's digest. It covers the workspace, so that nobody
-// is given the answer to another customer's call.
+// Digest returns the call's digest. It covers the workspace, so that no caller
+// gets the answer to another customer's call.
 func (c *Call) Digest() Digest {
 	h := sha256.New()
 	var length [8]byte
@@ -32,7 +33,7 @@
 		[]byte(c.Kind),
 		c.Body,
 	} {
-		// The length keeps "ab"+"c" apart from "a"+"bc".
+		// The length prefix distinguishes "ab"+"c" from "a"+"bc".
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		h.Write(length[:])
 		h.Write(part)
--- a/ticket/entry.go
+++ b/ticket/entry.go
@@ -7,50 +7,52 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// State is how far a ticket has been used.
+// State is the state of a ticket at its executor.
 type State string
 
-// The states. A ticket only ever moves down this list, and never from
-// StateDone to StateVoid.
+// States of a ticket. A state only ever changes to a later one in this list, and
+// never from StateDone to StateVoid.
 const (
-	// StateFresh: issued and not used.
+	// StateFresh means that the ticket is issued and unused.
 	StateFresh State = "fresh"
-	// StateRunning: its call is running.
+	// StateRunning means that the ticket's call is running.
 	StateRunning State = "running"
-	// StateDone: its call has ended.
+	// StateDone means that the ticket's call has ended.
 	StateDone State = "done"
-	// StateVoid: no call ran with it and none ever will.
+	// StateVoid means that no call has run with the ticket and none ever will.
 	StateVoid State = "void"
-	// StateForgotten: not in memory, so that nothing runs with it.
+	// StateForgotten means that the ticket is no longer in memory, so that
+	// nothing runs with it.
 	StateForgotten State = "forgotten"
 )
 
-// entry is an executor's memory of one ticket.
+// entry is the executor's state of one ticket.
 type entry struct {
 	state     State
 	workspace ident.Workspace
 	expires   time.Time
-	// digest is of the call that the ticket is bound to, from StateRunning on.
+	// digest is that of the call to which the ticket is bound. It is set from
+	// StateRunning on.
 	digest Digest
-	// waiters counts the presentations that wait for the running call.
+	// waiters is the number of presentations that wait for the running call.
 	waiters int
-	// late says that the call ends after the ticket's expiry.
+	// late is set if the call ends after the ticket's expiry.
 	late bool
 	// result is set in StateDone; its body is nil if answerDropped.
 	result        Result
 	answerDropped bool
-	// cause is set in StateVoid.
+	// cause is why the ticket is void. It is set in StateVoid.
 	cause api.ProblemType
 }
 
-// void makes sure that the ticket, which is fresh, is never used.
+// void marks a fresh ticket as never to be used.
 func (en *entry) void(cause api.ProblemType) {
 	en.state = StateVoid
 	en.cause = cause
 }
 
-// drop forgets the answer, but not that the call ran, and returns the number
-// of bytes released.
+// drop discards the answer, but not the fact that the call ran, and returns the
+// number of bytes released.
 func (en *entry) drop() int {
 	n := len(en.result.Body)
 	en.result.Body = nil
--- a/ticket/errors.go
+++ b/ticket/errors.go
@@ -6,10 +6,10 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// KeyFault says what is wrong with a codec's keys.
+// KeyFault is the reason why a codec's keys are unusable.
 type KeyFault string
 
-// The key faults.
+// Faults of a codec's keys.
 const (
 	KeyFaultNone      KeyFault = "no key given"
 	KeyFaultID        KeyFault = "the ID is not a valid name"
@@ -19,7 +19,7 @@
 
 // KeyError reports unusable keys.
 type KeyError struct {
-	// ID names the key, empty for KeyFaultNone.
+	// ID names the key. It is empty for KeyFaultNone.
 	ID    string
 	Fault KeyFault
 }
@@ -29,16 +29,17 @@
 	return fmt.Sprintf("ticket key %q: %s", e.ID, e.Fault)
 }
 
-// SyntaxError reports text that is not a ticket.
+// SyntaxError reports a text that is not in the format of a ticket.
 type SyntaxError struct {
-	// Part names the part at fault.
+	// Part names the malformed part.
 	Part string
 }
 
 // Error implements error.
 func (e *SyntaxError) Error() string { return "ticket: bad " + e.Part }
 
-// UnknownKeyError reports a ticket sealed with a key that is not accepted.
+// UnknownKeyError reports a ticket that was sealed with a key that is not
+// accepted.
 type UnknownKeyError struct{ ID string }
 
 // Error implements error.
@@ -65,9 +66,9 @@
 	return fmt.Sprintf("ticket %d: finished while %s", e.Sequence, e.State)
 }
 
-// InvalidProblem is the answer to a call whose ticket Codec.Open rejects. Its
-// outcome is unknown: the text may be a damaged copy of a ticket that ran, or
-// sealed under a key that is not accepted any more.
+// InvalidProblem returns the answer to a call whose ticket Codec.Open rejects.
+// Its outcome is unknown: the text may be a damaged copy of a ticket that was
+// used, or sealed with a key that is no longer accepted.
 func InvalidProblem(err error) *api.Problem {
 	return api.NewProblem(api.ProblemTicketInvalid, api.Unknown, err.Error())
 }
--- a/ticket/executor.go
+++ b/ticket/executor.go
@@ -7,27 +7,28 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Limits bound an executor's memory. All are positive.
+// Limits bound an executor's memory. All must be positive.
 type Limits struct {
-	// Tickets is how many tickets are remembered at once, used or not. When
-	// they are, none is issued: a used one is never forgotten early.
+	// Tickets is the number of tickets that are kept at once, used or not. When
+	// it is reached, no ticket is issued: a used ticket is never forgotten early.
 	Tickets int
-	// TicketsPerWorkspace bounds one workspace's part of Tickets, so that none
-	// can keep the others from getting tickets.
+	// TicketsPerWorkspace is the number of tickets of one workspace, so that no
+	// workspace can keep others from getting tickets.
 	TicketsPerWorkspace int
-	// AnswerBytes is the largest answer that is kept for a replay.
+	// AnswerBytes is the size of the largest answer that is kept for replay.
 	AnswerBytes int
-	// HeldBytes bounds all kept answers together; the oldest go first.
+	// HeldBytes is the total size of the kept answers. The oldest are dropped
+	// first.
 	HeldBytes int
 	// Lifetime is the time from issue to expiry.
 	Lifetime time.Duration
-	// Retention is how long a ticket is remembered after its expiry or the end
-	// of its call, whichever is later.
+	// Retention is how long a ticket is kept after its expiry or the end of its
+	// call, whichever is later.
 	Retention time.Duration
 }
 
-// DefaultLimits returns limits for a small instance: 436 tickets a second
-// without end, and at most 32 MiB of answers.
+// DefaultLimits returns limits for a small instance: a sustained rate of 436
+// tickets a second, and at most 32 MiB of answers.
 func DefaultLimits() Limits {
 	return Limits{
 		Tickets:             1 << 16,
@@ -39,11 +40,11 @@
 	}
 }
 
-// Executor issues the tickets of one life of an instance and decides on the
-// calls presented with them. Times should carry a monotonic clock reading, as
-// those of time.Now do, so that a wall-clock step does not lengthen the life
-// of tickets; whether a call runs twice never depends on a clock.
-// An Executor must be used from one goroutine at a time.
+// Executor issues the tickets of one process of an instance and decides on the
+// calls presented with them. Times should have a monotonic clock reading, as
+// those of time.Now have, so that a step of the wall clock does not extend the
+// lifetime of tickets. Whether a call runs twice never depends on a clock. An
+// Executor is not safe for concurrent use.
 type Executor struct {
 	life     Life
 	limits   Limits
@@ -51,13 +52,15 @@
 	stopping bool
 	entries  map[uint64]*entry
 	held     map[ident.Workspace]int
-	// issued lists all tickets by expiry, late those whose call ended after it.
+	// issued lists all tickets by expiry; late lists those whose call ended after
+	// their expiry.
 	issued  schedule
 	late    schedule
 	answers answers
 }
 
-// NewExecutor returns the executor of a new life, which has issued nothing.
+// NewExecutor returns the executor of a newly started process, without any
+// tickets.
 func NewExecutor(life Life, limits Limits) *Executor {
 	return &Executor{
 		life:    life,
@@ -71,8 +74,9 @@
 // Life returns the life that the executor's tickets name.
 func (e *Executor) Life() Life { return e.life }
 
-// Issue returns a new ticket, or why there is none. Memory for its whole life
-// is set aside here, so that using it never fails for want of room.
+// Issue returns a new ticket, or the reason why there is none. The memory for the
+// ticket's whole lifetime is reserved here, so that its use never fails for lack
+// of memory.
 func (e *Executor) Issue(now time.Time, w ident.Workspace) (Ticket, *api.Problem) {
 	if e.stopping {
 		return Ticket{}, api.NewProblem(api.ProblemStopping, api.NotRun, "no tickets: the instance is stopping")
@@ -94,7 +98,7 @@
 	return t, nil
 }
 
-// fullProblem returns why the workspace can't have a ticket, nil if it can.
+// fullProblem returns why the workspace can't get a ticket, or nil if it can.
 func (e *Executor) fullProblem(now time.Time, w ident.Workspace) *api.Problem {
 	var detail string
 	switch {
@@ -112,7 +116,7 @@
 	return p
 }
 
-// toMilliseconds cuts a time to the resolution of a ticket.
+// toMilliseconds truncates a time to the resolution of tickets.
 func toMilliseconds(t time.Time) time.Time { return time.UnixMilli(t.UnixMilli()) }
 
 // Present decides on a call that carries the ticket.
@@ -122,7 +126,7 @@
 	}
 	en := e.entries[t.Sequence]
 	if en == nil {
-		// It may have been used before it was forgotten.
+		// The ticket may have been used before it was forgotten.
 		return refuse(api.ProblemTicketExpired, api.Unknown, "the ticket expired too long ago to know whether it was used")
 	}
 	if en.state == StateFresh {
@@ -141,8 +145,8 @@
 	}
 }
 
-// voidIfDue makes a fresh ticket void if it must not be used any more. The
-// caller is about to be told "not-run", so this must last.
+// voidIfDue voids a fresh ticket if it must no longer be used. The caller is
+// about to be told "not-run", so the change must be permanent.
 func (e *Executor) voidIfDue(now time.Time, en *entry) {
 	switch {
 	case !now.Before(en.expires):
@@ -155,8 +159,8 @@
 // presentAgain decides on a call whose ticket is in use or was used.
 func (en *entry) presentAgain(d Digest) Verdict {
 	if en.digest != d {
-		// The ticket is bound to the other call for good, so this one did not
-		// run with it and never will.
+		// The ticket stays bound to the other call, so this call has not run with
+		// it and never will.
 		return refuse(api.ProblemTicketReused, api.NotRun, "the ticket was used for a different call")
 	}
 	if en.state == StateRunning {
@@ -169,9 +173,9 @@
 	return Verdict{Action: Replay, Result: &en.result}
 }
 
-// Leave reports that a presentation which was told to run or join no longer
-// waits, and returns how many still do. The running call's caller is gone
-// only when none does.
+// Leave reports that a presentation that was told to run or join no longer waits,
+// and returns the number of those that still do. The running call has no caller
+// left only if it returns 0.
 func (e *Executor) Leave(t Ticket) int {
 	en := e.find(t)
 	if en == nil || en.state != StateRunning {
@@ -181,10 +185,10 @@
 	return en.waiters
 }
 
-// Finish records the end of a call that Present said to run. Whatever the
-// outcome, the ticket is used up: a caller that was told "not-run" must not
-// see a delayed duplicate of its call run later.
-// It returns a *NotRunningError if the call is not running.
+// Finish records the end of a call that Present told to run. The ticket is used
+// up whatever the outcome: after a caller was told "not-run", a delayed duplicate
+// of its call must not run. It returns a *NotRunningError if the call is not
+// running.
 func (e *Executor) Finish(now time.Time, t Ticket, r Result) error {
 	en := e.find(t)
 	if en == nil || en.state != StateRunning {
@@ -206,7 +210,7 @@
 	return nil
 }
 
-// find returns the memory of the ticket, nil if there is none.
+// find returns the entry of the ticket, or nil if there is none.
 func (e *Executor) find(t Ticket) *entry {
 	if t.Executor != e.life {
 		return nil
@@ -214,7 +218,7 @@
 	return e.entries[t.Sequence]
 }
 
-// stateOf returns the state of an entry that may be missing.
+// stateOf returns the state of an entry, which may be nil.
 func stateOf(en *entry) State {
 	if en == nil {
 		return StateForgotten
--- a/ticket/executor_test.go
+++ b/ticket/executor_test.go
@@ -121,7 +121,7 @@
 	assert.Equal(t, p.Outcome, api.NotRun)
 	assert.Equal(t, p.RetryAfterMS, (70 * time.Second).Milliseconds())
 	_, p = e.Issue(testStart, "v")
-	assert.Assert(t, p == nil, "another workspace still gets one")
+	assert.Assert(t, p == nil, "another workspace did not get a ticket")
 	_, p = e.Issue(testStart, "u")
 	assert.Equal(t, p.Type, api.ProblemOverloaded)
 }
@@ -144,7 +144,7 @@
 	late := testStart.Add(time.Hour)
 	assert.Equal(t, e.Sweep(late), 0)
 	assert.Equal(t, e.Present(late, tk, orderOne).Action, Join)
-	// The wall clock was set back meanwhile.
+	// The wall clock was set back in the meantime.
 	assert.NilError(t, e.Finish(testStart, tk, answerOf("late")))
 	next, ok := e.NextSweep()
 	assert.Assert(t, ok)
@@ -157,7 +157,7 @@
 
 func TestSweepAfterTheClockWasSetBack(t *testing.T) {
 	e := NewExecutor(lifeA, testLimits())
-	issue(t, e, testStart.Add(time.Hour)) // its release holds up the next one's
+	issue(t, e, testStart.Add(time.Hour)) // its later release time delays the next ticket's release
 	tk := issue(t, e, testStart)
 	e.Present(testStart, tk, orderOne)
 	late := testStart.Add(61 * time.Second)
@@ -194,10 +194,10 @@
 func TestTicketsOfOtherLivesNeverRun(t *testing.T) {
 	tk := issue(t, NewExecutor(lifeA, testLimits()), testStart)
 	for name, life := range map[string]Life{
-		"restarted":             {Instance: "a", Incarnation: 11, Nonce: 2},
-		"same incarnation":      {Instance: "a", Incarnation: 10, Nonce: 2},
-		"replaced, not noticed": {Instance: "a", Incarnation: 9, Nonce: 2},
-		"another instance":      {Instance: "b", Incarnation: 10, Nonce: 1},
+		"restarted":                 {Instance: "a", Incarnation: 11, Nonce: 2},
+		"same incarnation":          {Instance: "a", Incarnation: 10, Nonce: 2},
+		"replaced, not noticed yet": {Instance: "a", Incarnation: 9, Nonce: 2},
+		"another instance":          {Instance: "b", Incarnation: 10, Nonce: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := NewExecutor(life, testLimits())
@@ -219,17 +219,17 @@
 		want  Destination
 		retry bool
 	}{
-		"own":                   {lifeA, nil, Here, false},
-		"restarted here":        {Life{"a", 11, 2}, view(11, kernel.Live), Nowhere, false},
-		"replaced, not noticed": {Life{"a", 9, 2}, view(9, kernel.Live), Nowhere, true},
-		"live":                  {other, view(10, kernel.Live), Forward, false},
-		"old view":              {other, view(9, kernel.Dead), Forward, false},
-		"unreachable":           {other, view(10, kernel.Unreachable), Forward, false},
-		"leaving":               {other, view(10, kernel.Leaving), Forward, false},
-		"dead":                  {other, view(10, kernel.Dead), Nowhere, false},
-		"next life":             {other, view(11, kernel.Live), Nowhere, false},
-		"not listed":            {other, &kernel.View{}, Nowhere, true},
-		"no view":               {other, nil, Nowhere, true},
+		"own":                           {lifeA, nil, Here, false},
+		"restarted here":                {Life{"a", 11, 2}, view(11, kernel.Live), Nowhere, false},
+		"replaced, not noticed yet":     {Life{"a", 9, 2}, view(9, kernel.Live), Nowhere, true},
+		"live":                          {other, view(10, kernel.Live), Forward, false},
+		"view has an older incarnation": {other, view(9, kernel.Dead), Forward, false},
+		"unreachable":                   {other, view(10, kernel.Unreachable), Forward, false},
+		"leaving":                       {other, view(10, kernel.Leaving), Forward, false},
+		"dead":                          {other, view(10, kernel.Dead), Nowhere, false},
+		"later incarnation":             {other, view(11, kernel.Live), Nowhere, false},
+		"not listed":                    {other, &kernel.View{}, Nowhere, true},
+		"no view":                       {other, nil, Nowhere, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := Route(tk, c.self, c.view)
@@ -271,8 +271,8 @@
 	assert.Equal(t, p.Type, api.ProblemTooLarge)
 }
 
-// BenchmarkCycle is a ticket's whole life: issue, seal, open, present, finish
-// and sweep, with 10,000 others remembered.
+// BenchmarkCycle measures a ticket's lifetime: issue, seal, open, present, finish
+// and sweep, with 10,000 other tickets in memory.
 func BenchmarkCycle(b *testing.B) {
 	limits := DefaultLimits()
 	limits.TicketsPerWorkspace = limits.Tickets
--- a/ticket/exhaustive_test.go
+++ b/ticket/exhaustive_test.go
@@ -8,15 +8,16 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// machine drives executors of one instance with one ticket and checks after
-// every step what must always hold.
+// machine drives the executors of one instance with one ticket and checks the
+// invariants after every step.
 type machine struct {
 	exec   *Executor
 	ticket Ticket
 	now    time.Time
-	// running is the call that runs, in this life or one that ended.
+	// running is the call that is running at the upstream, started by the current
+	// executor or an earlier one.
 	running *Digest
-	// ran is the call that ran, or may have, and can't be taken back.
+	// ran holds the calls that ran or may have run.
 	ran    map[Digest]bool
 	runs   int
 	notRun map[Digest]bool
@@ -32,7 +33,7 @@
 	return m
 }
 
-// operations are the steps that the search puts in every order.
+// operations are the steps that the search combines in every order.
 var operations = []struct {
 	name string
 	do   func(m *machine)
@@ -56,10 +57,10 @@
 		m.runs++
 		m.running = &d
 	case Join:
-		m.check(m.running != nil && *m.running == d, "joined another call")
+		m.check(m.running != nil && *m.running == d, "joined a different call")
 	case Replay:
 		m.told(d, v.Result.Outcome)
-		m.check(string(v.Result.Body) == fmt.Sprint(d), "another call's answer")
+		m.check(string(v.Result.Body) == fmt.Sprint(d), "replayed the answer of a different call")
 	case Refuse:
 		m.told(d, v.Problem.Outcome)
 	}
@@ -79,14 +80,14 @@
 	d := *m.running
 	m.running = nil
 	if o == api.NotRun {
-		m.runs-- // the upstream attested it
+		m.runs-- // the upstream reported that it did not run
 		m.notRun[d] = true
 	} else {
 		m.ran[d] = true
 	}
 	if m.exec.Life() == lifeA {
 		err := m.exec.Finish(m.now, m.ticket, Result{Outcome: o, Body: fmt.Append(nil, d)})
-		m.check(err == nil, "a running call's ticket was forgotten")
+		m.check(err == nil, "finish failed: the ticket of a running call was forgotten")
 	}
 }
 
@@ -95,8 +96,9 @@
 	m.exec.Stop()
 }
 
-// restart begins a life with the same incarnation, which issues a ticket with
-// the same sequence. What ran in the old one may still end at the upstream.
+// restart starts a new executor with the same incarnation, which issues a ticket
+// with the same sequence number. A call that the old one started may still end at
+// the upstream.
 func (m *machine) restart() {
 	next := m.exec.Life()
 	next.Nonce++
@@ -113,12 +115,12 @@
 func (m *machine) invariants() {
 	m.check(m.runs <= 1, "ran twice")
 	for d := range m.notRun {
-		m.check(!m.ran[d], "told not-run, but ran")
-		m.check(m.running == nil || *m.running != d, "told not-run, but runs")
+		m.check(!m.ran[d], "answered not-run, but the call ran")
+		m.check(m.running == nil || *m.running != d, "answered not-run, but the call is running")
 	}
 }
 
-// TestExhaustive tries every sequence of operations up to a length.
+// TestExhaustive tries every sequence of operations up to a fixed length.
 func TestExhaustive(t *testing.T) {
 	const length = 6
 	path := make([]int, length)
@@ -136,8 +138,9 @@
 	t.Logf("%d sequences of %d operations", count, length)
 }
 
-// try carries out a sequence up to the first operation that has nothing to do
-// or breaks an invariant. It returns how many it used, and the fault.
+// try executes a sequence up to the first operation that has no effect or breaks
+// an invariant. It returns the number of operations executed and the broken
+// invariant.
 func try(path []int) (used int, fault string) {
 	m := newMachine()
 	for i, op := range path {
@@ -150,7 +153,7 @@
 	return len(path), ""
 }
 
-// advance steps path to the next sequence that differs within the first used
+// advance changes path to the next sequence that differs within the first used
 // operations. It returns false after the last one.
 func advance(path []int, used int) bool {
 	clear(path[used:])
--- a/ticket/fifo.go
+++ b/ticket/fifo.go
@@ -9,7 +9,7 @@
 // push adds an item at the end.
 func (q *fifo[T]) push(item T) { q.items = append(q.items, item) }
 
-// first returns the oldest item, false if there is none.
+// first returns the oldest item, or false if there is none.
 func (q *fifo[T]) first() (T, bool) {
 	if q.head == len(q.items) {
 		var none T
@@ -18,13 +18,13 @@
 	return q.items[q.head], true
 }
 
-// pop removes the oldest item, which must exist.
+// pop removes the oldest item. The queue must not be empty.
 func (q *fifo[T]) pop() {
 	var none T
-	q.items[q.head] = none // let the collector have what it points to
+	q.items[q.head] = none // allow garbage collection of what it points to
 	q.head++
-	// Moving the rest only when it is the smaller half makes a pop cost
-	// constant time on average.
+	// The rest is moved only if it is no larger than the free part, which makes
+	// the amortized cost of pop constant.
 	if 2*q.head >= len(q.items) {
 		n := copy(q.items, q.items[q.head:])
 		clear(q.items[n:])
--- a/ticket/fleet_test.go
+++ b/ticket/fleet_test.go
@@ -24,7 +24,7 @@
 	frozenSince time.Time
 }
 
-// message is a presentation under way, to an entry instance or, forwarded, to
+// message is a presentation in transit, to an entry instance or, if forwarded, to
 // the executor.
 type message struct {
 	at        int
@@ -32,14 +32,14 @@
 	forwarded bool
 }
 
-// call is one body presented with one ticket.
+// call is a body that is presented with a ticket.
 type call struct {
 	ticket Ticket
 	digest Digest
 }
 
 // fleet simulates entry instances as their drivers run them. Messages may be
-// delayed, lost and duplicated, and views are as old as can be.
+// delayed, lost and duplicated, and views may be arbitrarily stale.
 type fleet struct {
 	t        *rapid.T
 	now      time.Time
@@ -48,7 +48,8 @@
 	messages []message
 	tickets  []Ticket
 	running  []call
-	// runs counts runs that happened or may have, by ticket and by call.
+	// runs and callRuns count the runs that happened or may have happened, by
+	// ticket and by call.
 	runs      map[Ticket]int
 	callRuns  map[call]int
 	toldUnrun map[call]bool
@@ -77,11 +78,11 @@
 	return rapid.IntRange(0, n-1).Draw(f.t, what)
 }
 
-// drawNode draws an instance that runs.
+// drawNode draws a running instance.
 func (f *fleet) drawNode() int {
 	i := f.draw(fleetSize, "node")
 	if f.nodes[i].frozen || f.nodes[i].down {
-		f.t.Skip("the instance does not run")
+		f.t.Skip("the instance is down or frozen")
 	}
 	return i
 }
@@ -99,7 +100,7 @@
 	f.messages = append(f.messages, message{at: f.draw(fleetSize, "at"), call: call{tk, d}})
 }
 
-// deliver hands a message over; a duplicate of it may stay under way.
+// deliver delivers a message; a duplicate of it may remain in transit.
 func (f *fleet) deliver() {
 	k := f.draw(len(f.messages), "message")
 	m := f.messages[k]
@@ -138,7 +139,7 @@
 	}
 }
 
-// view returns a view that may be wrong in every point.
+// view returns a view in which any instance may be missing or have a wrong state.
 func (f *fleet) view() *kernel.View {
 	v := &kernel.View{}
 	for i := range f.nodes {
@@ -185,7 +186,7 @@
 	}
 }
 
-// finish ends a running call, at its executor if that still lives.
+// finish ends a running call and reports it to its executor if that still runs.
 func (f *fleet) finish() {
 	k := f.draw(len(f.running), "running")
 	c := f.running[k]
@@ -210,11 +211,12 @@
 	}
 }
 
-// restart begins a new life, whose incarnation may be that of the last one.
+// restart starts a new executor, whose incarnation may equal that of the last
+// one.
 func (f *fleet) restart() {
 	n := f.nodes[f.draw(fleetSize, "node")]
 	if !n.down && f.draw(3, "at once") > 0 {
-		f.t.Skip("it runs")
+		f.t.Skip("the instance is not down")
 	}
 	life := n.exec.Life()
 	life.Nonce++
@@ -258,12 +260,13 @@
 		assert.Assert(t, n <= 1, "ticket %v ran %d times", tk, n)
 	}
 	for c := range f.toldUnrun {
-		assert.Equal(t, f.callRuns[c], 0, "told not-run, but ran: %v", c.ticket)
+		assert.Equal(t, f.callRuns[c], 0, "answered not-run, but the call ran: %v", c.ticket)
 	}
 }
 
-// TestFleet lets callers retry anywhere while instances die, freeze, restart
-// and are cut off and clocks jump.
+// TestFleet checks that no call runs twice and no call that ran is reported as
+// not-run, while callers retry at any instance, instances die, freeze, restart
+// and are partitioned, and clocks jump.
 func TestFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
--- a/ticket/main_test.go
+++ b/ticket/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain makes the random tests the same on every run. Flags of the command
-// line, such as -rapid.seed=0 -rapid.checks=100000, still prevail.
+// TestMain fixes the seed of the property tests, so that every run is the same.
+// Command line flags such as -rapid.seed=0 -rapid.checks=100000 take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": "1", "rapid.checks": "500", "rapid.steps": "200",
--- a/ticket/route.go
+++ b/ticket/route.go
@@ -8,25 +8,26 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// retryElsewhere is when a caller may try again to reach an executor that
-// could not be reached.
+// retryElsewhere is the delay after which a caller may retry a call whose
+// executor could not be reached.
 const retryElsewhere = 2 * time.Second
 
-// Destination says where a call that carries a ticket goes.
+// Destination is where a call that carries a ticket is sent.
 type Destination int
 
-// The destinations.
+// Destinations of a call.
 const (
-	// Here: this life of this instance is the executor; call Executor.Present.
+	// Here means that this process is the executor; the call goes to
+	// Executor.Present.
 	Here Destination = iota + 1
-	// Forward: send the call to Decision.To, which presents it to its own
-	// executor and forwards it no further.
+	// Forward means that the call is sent to Decision.To, which presents it to
+	// its own executor and does not forward it again.
 	Forward
-	// Nowhere: answer with Decision.Problem; nothing runs.
+	// Nowhere means that the answer is Decision.Problem and nothing runs.
 	Nowhere
 )
 
-// Decision says where a call goes.
+// Decision is the result of Route.
 type Decision struct {
 	Destination Destination
 	// To is set for Forward.
@@ -35,8 +36,8 @@
 	Problem *api.Problem
 }
 
-// Route decides where a call goes that arrived here with a ticket. An old view
-// does no harm: only the executor itself can run the call.
+// Route decides where a call with a ticket is sent that arrived at this instance.
+// A stale view does no harm: only the executor itself can run the call.
 func Route(t Ticket, self Life, v *kernel.View) Decision {
 	if t.Executor == self {
 		return Decision{Destination: Here}
@@ -51,28 +52,30 @@
 	case in.Incarnation > t.Executor.Incarnation, isDead(in, t):
 		return Decision{Destination: Nowhere, Problem: GoneProblem()}
 	default:
-		// Also when it is believed unreachable: that may be over by now, and
-		// the executor alone can give a better answer than "unknown".
+		// This includes instances that are believed to be unreachable: they may
+		// be reachable again, and only the executor can give a better answer than
+		// "unknown".
 		return Decision{Destination: Forward, To: in.ID}
 	}
 }
 
-// isDead reports whether the ticket's own life of the instance is over.
+// isDead reports whether the ticket's incarnation of the instance is dead.
 func isDead(in *kernel.Instance, t Ticket) bool {
 	return in.Liveness == kernel.Dead && in.Incarnation == t.Executor.Incarnation
 }
 
-// foreignProblem is the answer of a life to a ticket of another one.
+// foreignProblem returns the answer of one life to a ticket of another.
 func foreignProblem(t Ticket, self Life) *api.Problem {
 	if t.Executor.Instance == self.Instance && t.Executor.Incarnation <= self.Incarnation {
 		return GoneProblem()
 	}
-	// The call was sent to the wrong instance, or to a life that has been
-	// replaced and does not know it yet.
+	// The call was sent to the wrong instance, or to a process that has been
+	// replaced and has not noticed it yet.
 	return UnreachableProblem()
 }
 
-// findInstance finds an instance of the view, nil if there is none.
+// findInstance returns the instance with the ID from the view, or nil if there is
+// none.
 func findInstance(v *kernel.View, id ident.InstanceID) *kernel.Instance {
 	if v == nil {
 		return nil
@@ -85,25 +88,26 @@
 	return nil
 }
 
-// GoneProblem is the answer when the executor's life is over, so that nothing
-// ever runs with the ticket any more. A retry can't help.
+// GoneProblem returns the answer if the executor has ended, so that nothing will
+// ever run with the ticket. A retry can't help.
 func GoneProblem() *api.Problem {
 	return api.NewProblem(api.ProblemExecutorGone, api.Unknown,
 		"the instance that issued the ticket has ended; the call may have run before, and will not run any more")
 }
 
-// UnreachableProblem is the answer when the executor could not be reached or
-// did not answer. It is not "not-run" even when no byte was sent: an earlier
-// presentation may have run. A retry with the same ticket is safe.
+// UnreachableProblem returns the answer if the executor could not be reached or
+// did not respond. The outcome is not "not-run", even if no byte was sent,
+// because an earlier presentation may have run. A retry with the same ticket is
+// safe.
 func UnreachableProblem() *api.Problem {
 	p := api.NewProblem(api.ProblemExecutorGone, api.Unknown,
 		"the instance that issued the ticket can't be reached; retry with the same ticket")
 	return p.RetryAfter(retryElsewhere)
 }
 
-// RefusedElsewhere changes the outcome of a refusal that is given without
-// asking the executor, such as "body too large" at an entry instance, to
-// unknown: the call may have been presented before and have run.
+// RefusedElsewhere sets the outcome of a refusal to unknown. It is for refusals
+// that are given without asking the executor, such as "body too large" at an
+// entry instance: the call may have been presented before and have run.
 func RefusedElsewhere(p *api.Problem) *api.Problem {
 	p.Outcome = api.Unknown
 	return p
--- a/ticket/sweep.go
+++ b/ticket/sweep.go
@@ -6,25 +6,26 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// release says when a ticket may be forgotten.
+// release is the time at which a ticket may be forgotten.
 type release struct {
 	at       time.Time
 	sequence uint64
 }
 
-// Sweep forgets the tickets whose retention is over and returns how many. A
-// running call's ticket is never forgotten. Call it when NextSweep says.
+// Sweep forgets the tickets whose retention is over and returns their number. The
+// ticket of a running call is never forgotten. Sweep is to be called at the time
+// that NextSweep returns.
 func (e *Executor) Sweep(now time.Time) int {
 	return e.sweepExpired(now) + e.sweepLate(now)
 }
 
-// sweepExpired forgets tickets by their expiry, but for those whose call ends
+// sweepExpired forgets tickets by their expiry, except those whose call ends
 // later.
 func (e *Executor) sweepExpired(now time.Time) int {
 	return e.issued.sweep(now, func(r release) bool {
 		en := e.entries[r.sequence]
 		if en == nil {
-			return false // by sweepLate, after the clock was set back
+			return false // sweepLate has forgotten it, after the clock was set back
 		}
 		if en.state == StateRunning {
 			en.late = true
@@ -45,7 +46,7 @@
 	})
 }
 
-// forget drops a ticket from memory. Nothing can run with it any more.
+// forget removes a ticket from memory. After that nothing can run with it.
 func (e *Executor) forget(sequence uint64, en *entry) {
 	e.answers.remove(en)
 	delete(e.entries, sequence)
@@ -55,7 +56,8 @@
 	}
 }
 
-// NextSweep returns when Sweep next has something to do, false if never.
+// NextSweep returns the time at which Sweep has work to do, or false if there are
+// no tickets.
 func (e *Executor) NextSweep() (time.Time, bool) {
 	issued, ok := e.issued.first()
 	late, okLate := e.late.first()
@@ -69,11 +71,11 @@
 	}
 }
 
-// schedule lists releases, the earliest first.
+// schedule is a queue of releases, normally in the order of their times.
 type schedule struct{ fifo[release] }
 
-// sweep takes the due releases off the list and returns how many of them
-// forget carried out.
+// sweep removes the releases that are due and returns the number of those for
+// which forget returned true.
 func (s *schedule) sweep(now time.Time, forget func(release) bool) int {
 	count := 0
 	for {
@@ -88,10 +90,9 @@
 	}
 }
 
-// Paused reports that the process did not run for a while. Its clocks may not
-// have counted the pause, so that fresh tickets which would have expired
-// within it are taken as expired: a call must not start long after its caller
-// gave the ticket up.
+// Paused reports that the process was paused for the duration gap. Its clocks may
+// not have counted the pause, so fresh tickets that would have expired within it
+// are voided: a call must not start long after its caller gave up on the ticket.
 func (e *Executor) Paused(now time.Time, gap time.Duration) {
 	for _, en := range e.entries {
 		if en.state == StateFresh && !now.Add(gap).Before(en.expires) {
@@ -100,19 +101,19 @@
 	}
 }
 
-// Stop begins a graceful shutdown: no ticket is issued and no call starts any
-// more; running ones go on, and results stay available.
+// Stop begins a graceful shutdown. No ticket is issued and no call starts from
+// then on; running calls continue, and results stay available.
 func (e *Executor) Stop() { e.stopping = true }
 
-// Stats counts what an executor holds.
+// Stats are the counts of what an executor keeps.
 type Stats struct {
-	// Tickets counts the remembered tickets.
+	// Tickets is the number of tickets in memory.
 	Tickets int
-	// AnswerBytes is the size of the kept answers.
+	// AnswerBytes is the total size of the kept answers.
 	AnswerBytes int
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (e *Executor) Stats() Stats {
 	return Stats{Tickets: len(e.entries), AnswerBytes: e.answers.bytes}
 }
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -6,24 +6,24 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Life identifies one life of one instance.
+// Life identifies one process of an instance, from its start to its end.
 type Life struct {
 	Instance    ident.InstanceID
 	Incarnation ident.Incarnation
-	// Nonce is drawn at random when the process starts. It tells two lives
-	// apart whose incarnations are equal, as after a wall-clock step back.
+	// Nonce is drawn at random when the process starts. It distinguishes
+	// processes with equal incarnations, as after a backward step of the wall
+	// clock.
 	Nonce uint64
 }
 
-// Ticket permits one run of one call.
+// Ticket is the permission to run one call once.
 type Ticket struct {
-	// Executor is the only life of the only instance that may run the call.
+	// Executor is the only process that may run the call.
 	Executor Life
-	// Sequence numbers the tickets of a life.
+	// Sequence is the number of the ticket among those of its executor.
 	Sequence uint64
-	// Issued and Expires are in whole milliseconds, on the executor's wall
-	// clock. They are for the caller's information: the executor judges expiry
-	// by its own memory.
+	// Issued and Expires are in whole milliseconds of the executor's wall clock.
+	// They only inform the caller: the executor judges expiry by its own memory.
 	Issued  time.Time
 	Expires time.Time
 }
--- a/ticket/verdict.go
+++ b/ticket/verdict.go
@@ -2,18 +2,20 @@
 
 import "github.com/wardspool/wardspool/api"
 
-// Action is what an executor does with a call presented to it.
+// Action is what an executor does with a call that is presented to it.
 type Action int
 
-// The actions.
+// Actions of an executor.
 const (
-	// Run: run the call, then report its end with Executor.Finish.
+	// Run means that the call is to be run and its end reported to
+	// Executor.Finish.
 	Run Action = iota + 1
-	// Join: the call is running for another presentation; wait for its result.
+	// Join means that the call is already running for another presentation, whose
+	// result is to be awaited.
 	Join
-	// Replay: the call has run; answer with Verdict.Result.
+	// Replay means that the call has run and the answer is Verdict.Result.
 	Replay
-	// Refuse: answer with Verdict.Problem.
+	// Refuse means that the answer is Verdict.Problem.
 	Refuse
 )
 
@@ -33,25 +35,27 @@
 	}
 }
 
-// Verdict is an executor's decision on a call presented to it.
+// Verdict is an executor's decision on a call that is presented to it.
 type Verdict struct {
 	Action Action
-	// Result is set for Replay. It must not be changed.
+	// Result is set for Replay. It must not be modified.
 	Result *Result
 	// Problem is set for Refuse.
 	Problem *api.Problem
 }
 
-// Result is the final answer to a call, as it is given to each presentation.
+// Result is the final answer to a call. It is given to every presentation of the
+// call.
 type Result struct {
 	Outcome api.Outcome
-	// BundleVersion is the version the call was decided under, 0 if unknown.
+	// BundleVersion is the bundle version under which the call was decided, 0 if
+	// unknown.
 	BundleVersion uint64
 	// Status and ContentType are those of the HTTP response.
 	Status      int
 	ContentType string
-	// Body is the whole response body. The executor keeps it; it must not be
-	// changed.
+	// Body is the whole body of the HTTP response. The executor keeps a reference
+	// to it, so it must not be modified.
 	Body []byte
 }
 
