--- a/leftover/engine.go
+++ b/leftover/engine.go
@@ -16,24 +16,24 @@
 	nextRead    time.Time
 	// interval is the current time between reads; it grows after failed reads.
 	interval time.Duration
-	// finds holds the leftovers on the engine, keyed by their encoded attempt
+	// leftovers holds the leftovers on the engine, keyed by their encoded attempt
 	// IDs.
-	finds map[string]*find
+	leftovers map[string]*leftover
 }
 
-// find is a leftover: an attempt that an engine holds and that is to be released.
-type find struct {
-	attempt ident.AttemptID
-	reason  Reason
-	since   time.Time
-	// nextTry is when to repeat the release order. It is zero until the first
+// leftover is an attempt that an engine holds and that is to be released.
+type leftover struct {
+	attempt   ident.AttemptID
+	reason    Reason
+	firstSeen time.Time
+	// nextOrder is when to repeat the release order. It is zero until the first
 	// order.
-	nextTry time.Time
-	wait    time.Duration
+	nextOrder  time.Time
+	retryDelay time.Duration
 }
 
-// readBy moves the next read forward to at if it is scheduled later.
-func (g *engine) readBy(at time.Time) {
+// readNoLaterThan moves the next read forward to at if it is scheduled later.
+func (g *engine) readNoLaterThan(at time.Time) {
 	if at.Before(g.nextRead) {
 		g.nextRead = at
 	}
@@ -42,9 +42,9 @@
 // nextWake returns the time of the engine's next read or repeated order.
 func (g *engine) nextWake() time.Time {
 	at := g.nextRead
-	for _, f := range g.finds {
-		if !f.nextTry.IsZero() && f.nextTry.Before(at) {
-			at = f.nextTry
+	for _, f := range g.leftovers {
+		if !f.nextOrder.IsZero() && f.nextOrder.Before(at) {
+			at = f.nextOrder
 		}
 	}
 	return at
--- a/leftover/fleet_test.go
+++ b/leftover/fleet_test.go
@@ -29,9 +29,9 @@
 }
 
 const (
-	fleetSize = 3
-	waits     = 30 * time.Second // callers' timeout
-	maxSkew   = 900 * time.Millisecond
+	fleetSize     = 3
+	callerTimeout = 30 * time.Second
+	maxSkew       = 900 * time.Millisecond
 )
 
 // process is a simulated entry instance with its agent.
@@ -40,7 +40,7 @@
 	planner  *Planner
 	skew     time.Duration
 	up       bool
-	frozen   bool
+	paused   bool
 	sequence uint64
 	inFlight []uint64
 }
@@ -53,7 +53,7 @@
 	processes []*process
 	held      map[ident.AttemptID]bool
 	views     []*kernel.View
-	calm      bool
+	faultFree bool
 }
 
 func newFleet(t *rapid.T) *fleet {
@@ -65,7 +65,7 @@
 			up:   true, planner: NewPlanner(DefaultSettings()),
 		})
 	}
-	f.look()
+	f.recordView()
 	return f
 }
 
@@ -73,25 +73,25 @@
 
 func (f *fleet) running() *process {
 	p := f.processes[f.draw(fleetSize)]
-	if !p.up || p.frozen {
-		f.t.Skip("the instance is down or frozen")
+	if !p.up || p.paused {
+		f.t.Skip("the instance is down or paused")
 	}
 	return p
 }
 
-// look appends a view of the current state.
-func (f *fleet) look() {
+// recordView appends a view of the current state.
+func (f *fleet) recordView() {
 	v := &kernel.View{Trusted: true, Upstreams: []kernel.Upstream{engineOf("d1", "hall-a")}}
 	for _, p := range f.processes {
-		life := kernel.Live
+		liveness := kernel.Live
 		switch {
 		case !p.up:
-			life = kernel.Dead
-		case p.frozen:
-			life = kernel.Unreachable
+			liveness = kernel.Dead
+		case p.paused:
+			liveness = kernel.Unreachable
 		}
 		v.Instances = append(v.Instances, kernel.Instance{
-			ID: p.self.Instance, Zone: "hall-a", Incarnation: p.self.Incarnation, Liveness: life,
+			ID: p.self.Instance, Zone: "hall-a", Incarnation: p.self.Incarnation, Liveness: liveness,
 		})
 	}
 	f.views = append(f.views, v)
@@ -102,15 +102,15 @@
 	p.sequence++
 	p.inFlight = append(p.inFlight, p.sequence)
 	// Attempt IDs have whole milliseconds.
-	deadline := time.UnixMilli(f.now.Add(p.skew + waits).UnixMilli())
+	deadline := time.UnixMilli(f.now.Add(p.skew + callerTimeout).UnixMilli())
 	f.held[ident.AttemptID{
 		Instance: p.self.Instance, Incarnation: p.self.Incarnation, Sequence: p.sequence, Deadline: deadline,
 	}] = true
 }
 
-// end ends the oldest attempt of an instance. The engine keeps holding it, as if
-// the cancellation had been lost.
-func (f *fleet) end() {
+// endOldest ends the oldest attempt of an instance. The engine keeps holding it,
+// as if the cancellation had been lost.
+func (f *fleet) endOldest() {
 	p := f.running()
 	if len(p.inFlight) > 0 {
 		p.inFlight = p.inFlight[1:]
@@ -119,7 +119,7 @@
 
 func (f *fleet) kill() {
 	p := f.processes[f.draw(fleetSize)]
-	p.up, p.frozen, p.inFlight = false, false, nil
+	p.up, p.paused, p.inFlight = false, false, nil
 }
 
 func (f *fleet) restart() {
@@ -130,17 +130,17 @@
 	}
 }
 
-func (f *fleet) freeze() { f.running().frozen = true }
+func (f *fleet) pause() { f.running().paused = true }
 
-func (f *fleet) thaw() { f.processes[f.draw(fleetSize)].frozen = false }
+func (f *fleet) resume() { f.processes[f.draw(fleetSize)].paused = false }
 
 // poll makes an agent take a view, read the engine and order releases.
-func (f *fleet) poll() { f.agent(f.running()) }
+func (f *fleet) poll() { f.stepAgent(f.running()) }
 
-func (f *fleet) agent(p *process) {
+func (f *fleet) stepAgent(p *process) {
 	now := f.now.Add(p.skew)
 	view := f.views[len(f.views)-1]
-	if !f.calm {
+	if !f.faultFree {
 		view = f.views[max(0, len(f.views)-1-f.draw(3))]
 	}
 	p.planner.SetView(now, p.self, view)
@@ -156,25 +156,25 @@
 	}
 }
 
-// release executes release orders; some are lost unless the fleet is calm.
+// release executes release orders; some are lost unless the fleet is fault-free.
 func (f *fleet) release(p *process, rs []Release) {
 	for _, r := range rs {
-		if f.wanted(r.Attempt) {
+		if f.callerWaiting(r.Attempt) {
 			f.t.Fatalf("%s released %s (%s) while its caller waits", p.self.Instance, r.Attempt, r.Reason)
 		}
-		if f.calm || f.draw(3) > 0 {
+		if f.faultFree || f.draw(3) > 0 {
 			delete(f.held, r.Attempt)
 			p.planner.Released(r.Upstream, r.Attempt)
 		}
 	}
 }
 
-// wanted reports whether a caller may still be waiting for the attempt.
-func (f *fleet) wanted(a ident.AttemptID) bool {
+// callerWaiting reports whether a caller may still be waiting for the attempt.
+func (f *fleet) callerWaiting(a ident.AttemptID) bool {
 	for _, p := range f.processes {
 		if p.self.Instance == a.Instance {
-			mine := p.up && p.self.Incarnation == a.Incarnation && slices.Contains(p.inFlight, a.Sequence)
-			return mine && f.now.Add(p.skew).Before(a.Deadline)
+			inFlight := p.up && p.self.Incarnation == a.Incarnation && slices.Contains(p.inFlight, a.Sequence)
+			return inFlight && f.now.Add(p.skew).Before(a.Deadline)
 		}
 	}
 	return false
@@ -184,15 +184,15 @@
 
 // settle ends all calls and lets the running instances work without faults.
 func (f *fleet) settle() {
-	f.calm = true
+	f.faultFree = true
 	for _, p := range f.processes {
 		p.inFlight = nil
 	}
-	f.look()
-	for end := f.now.Add(waits + time.Minute); f.now.Before(end); f.now = f.now.Add(250 * time.Millisecond) {
+	f.recordView()
+	for end := f.now.Add(callerTimeout + time.Minute); f.now.Before(end); f.now = f.now.Add(250 * time.Millisecond) {
 		for _, p := range f.processes {
-			if p.up && !p.frozen {
-				f.agent(p)
+			if p.up && !p.paused {
+				f.stepAgent(p)
 			}
 		}
 	}
@@ -208,17 +208,17 @@
 			}
 		}
 		add("start", 6, f.start)
-		add("end", 2, f.end)
+		add("end", 2, f.endOldest)
 		add("poll", 12, f.poll)
 		add("wait", 6, f.wait)
-		add("look", 4, f.look)
+		add("look", 4, f.recordView)
 		add("kill", 1, f.kill)
 		add("restart", 1, f.restart)
-		add("freeze", 1, f.freeze)
-		add("thaw", 1, f.thaw)
+		add("freeze", 1, f.pause)
+		add("thaw", 1, f.resume)
 		t.Repeat(steps)
 		f.t = t
-		f.processes[0].up, f.processes[0].frozen = true, false
+		f.processes[0].up, f.processes[0].paused = true, false
 		f.settle()
 		assert.Equal(t, len(f.held), 0, "still held: %v", f.held)
 	})
--- a/leftover/judge.go
+++ b/leftover/judge.go
@@ -99,9 +99,9 @@
 	return e.View.Trusted && self.Incarnation <= e.Self.Incarnation
 }
 
-// cares reports whether the attempt's owner is running and ends the attempt
-// itself, so that the planner need not schedule a read for its deadline.
-func (e *Evidence) cares(a ident.AttemptID) bool {
+// ownerRunning reports whether the attempt's owner is running and ends the
+// attempt itself, so that the planner need not schedule a read for its deadline.
+func (e *Evidence) ownerRunning(a ident.AttemptID) bool {
 	owner := e.owner(a.Instance)
 	return owner != nil && a.Incarnation == owner.Incarnation && owner.Liveness <= kernel.Leaving
 }
--- a/leftover/judge_test.go
+++ b/leftover/judge_test.go
@@ -66,9 +66,9 @@
 }
 
 func TestParseLeavesForeignIDsAlone(t *testing.T) {
-	ours := attempt("dead", 10, 1)
+	encoded := attempt("dead", 10, 1)
 	for text, want := range map[string]bool{
-		ours.String():          true,
+		encoded.String():       true,
 		"":                     false,
 		"cmpl-8f14e45f":        false,
 		"dead.a.1":             false,
--- a/leftover/planner.go
+++ b/leftover/planner.go
@@ -39,20 +39,20 @@
 	evidence Evidence
 	engines  map[ident.UpstreamID]*engine
 	ranks    *assign.Table
-	// lives holds the last known running incarnation of each instance. It is
-	// compared with each new view to detect instances that ended.
-	lives      map[ident.InstanceID]ident.Incarnation
-	alertUntil time.Time
+	// incarnations holds the last known running incarnation of each instance. It
+	// is compared with each new view to detect instances that ended.
+	incarnations map[ident.InstanceID]ident.Incarnation
+	activeUntil  time.Time
 }
 
 // NewPlanner returns a planner without a view.
 func NewPlanner(s Settings) *Planner {
 	return &Planner{
-		settings: s,
-		evidence: Evidence{Margin: s.Margin, View: &kernel.View{}},
-		engines:  make(map[ident.UpstreamID]*engine),
-		ranks:    assign.NewTable(s.Watchers, true),
-		lives:    make(map[ident.InstanceID]ident.Incarnation),
+		settings:     s,
+		evidence:     Evidence{Margin: s.Margin, View: &kernel.View{}},
+		engines:      make(map[ident.UpstreamID]*engine),
+		ranks:        assign.NewTable(s.Watchers, true),
+		incarnations: make(map[ident.InstanceID]ident.Incarnation),
 	}
 }
 
@@ -64,35 +64,36 @@
 func (p *Planner) SetView(now time.Time, self kernel.Self, v *kernel.View) {
 	p.evidence.Self, p.evidence.View = self, v
 	p.assign(now)
-	if p.noticeDeaths() {
-		p.alert(now)
+	if p.detectEndedIncarnations() {
+		p.shortenIntervals(now)
 	}
 }
 
-// alert shortens the interval of all reads for the duration AlertFor.
-func (p *Planner) alert(now time.Time) {
-	p.alertUntil = now.Add(p.settings.AlertFor)
+// shortenIntervals shortens the interval of all reads for the duration
+// ActiveDuration.
+func (p *Planner) shortenIntervals(now time.Time) {
+	p.activeUntil = now.Add(p.settings.ActiveDuration)
 	for _, g := range p.engines {
-		g.interval = p.settings.Alert
-		g.readBy(now.Add(spread(g.id, p.settings.Alert)))
+		g.interval = p.settings.ActiveInterval
+		g.readNoLaterThan(now.Add(readOffset(g.id, p.settings.ActiveInterval)))
 	}
 }
 
-// noticeDeaths reports whether an incarnation of an instance has ended since the
-// last view.
-func (p *Planner) noticeDeaths() bool {
+// detectEndedIncarnations reports whether an incarnation of an instance has ended
+// since the last view.
+func (p *Planner) detectEndedIncarnations() bool {
 	ended := false
-	lives := make(map[ident.InstanceID]ident.Incarnation, len(p.lives))
+	incarnations := make(map[ident.InstanceID]ident.Incarnation, len(p.incarnations))
 	for _, in := range p.evidence.View.Instances {
-		last, known := p.lives[in.ID]
+		last, known := p.incarnations[in.ID]
 		if known && (in.Liveness == kernel.Dead || last < in.Incarnation) {
 			ended = true
 		}
 		if in.Liveness != kernel.Dead {
-			lives[in.ID] = in.Incarnation
+			incarnations[in.ID] = in.Incarnation
 		}
 	}
-	p.lives = lives
+	p.incarnations = incarnations
 	return ended
 }
 
@@ -111,7 +112,7 @@
 		}
 	}
 	for id := range p.engines {
-		if _, still := seen[id]; !still {
+		if _, watched := seen[id]; !watched {
 			delete(p.engines, id)
 		}
 	}
@@ -122,30 +123,31 @@
 	g := p.engines[u.ID]
 	if g == nil || g.incarnation != u.Incarnation {
 		// A restarted engine no longer holds any earlier attempt.
-		interval := p.quiet(rank)
+		interval := p.idleInterval(rank)
 		g = &engine{
 			id:          u.ID,
 			incarnation: u.Incarnation,
-			nextRead:    now.Add(spread(u.ID, interval)),
+			nextRead:    now.Add(readOffset(u.ID, interval)),
 			interval:    interval,
-			finds:       make(map[string]*find),
+			leftovers:   make(map[string]*leftover),
 		}
 		p.engines[u.ID] = g
 	}
 	g.rank = rank
 }
 
-// quiet returns the interval between reads while no leftovers are expected.
-func (p *Planner) quiet(rank int) time.Duration {
+// idleInterval returns the interval between reads while no leftovers are
+// expected.
+func (p *Planner) idleInterval(rank int) time.Duration {
 	if rank == 0 {
-		return p.settings.Quiet
+		return p.settings.IdleInterval
 	}
-	return p.settings.QuietBackup
+	return p.settings.BackupIdleInterval
 }
 
-// spread returns an offset within the interval that is derived from the engine's
-// ID, so that reads of different engines don't coincide.
-func spread(id ident.UpstreamID, interval time.Duration) time.Duration {
+// readOffset returns an offset within the interval that is derived from the
+// engine's ID, so that reads of different engines don't coincide.
+func readOffset(id ident.UpstreamID, interval time.Duration) time.Duration {
 	const steps = 1 << 10
 	return time.Duration(xxhash.Sum64String(string(id))%steps) * interval / steps
 }
@@ -163,7 +165,7 @@
 			g.nextRead = now.Add(g.interval)
 			plan.Reads = append(plan.Reads, Read{Upstream: g.id})
 		}
-		plan.Releases = append(plan.Releases, p.retries(now, g)...)
+		plan.Releases = append(plan.Releases, p.repeatedReleases(now, g)...)
 	}
 	return plan
 }
--- a/leftover/planner_test.go
+++ b/leftover/planner_test.go
@@ -17,9 +17,9 @@
 	return kernel.Upstream{ID: id, Zone: z, Liveness: kernel.Live, Incarnation: 1, Spec: config.Upstream{Role: config.RoleDecode}}
 }
 
-// scene returns a view of two instances and one engine in a zone and an owner in
-// another zone.
-func scene(owner kernel.Liveness) *kernel.View {
+// testView returns a view of two instances and one engine in a zone and an owner
+// in another zone.
+func testView(owner kernel.Liveness) *kernel.View {
 	elsewhere := instance("owner", 10, owner)
 	elsewhere.Zone = "hall-b"
 	return &kernel.View{
@@ -29,9 +29,9 @@
 	}
 }
 
-// byRank returns planners for the two instances of the view and their identities,
-// in the order of their ranks: the first one releases first.
-func byRank(v *kernel.View) ([]*Planner, []kernel.Self) {
+// plannersByRank returns planners for the two instances of the view and their
+// identities, in the order of their ranks: the first one releases first.
+func plannersByRank(v *kernel.View) ([]*Planner, []kernel.Self) {
 	var planners []*Planner
 	var selves []kernel.Self
 	for _, id := range rendezvous.Top("d1", []ident.InstanceID{"one", "two"}, 2) {
@@ -44,18 +44,18 @@
 }
 
 func TestDeathIsNoticedAndLeftoverReleasedByOne(t *testing.T) {
-	planners, selves := byRank(scene(kernel.Live))
-	lost := attempt("owner", 10, 1)
-	held := []string{lost.String(), attempt("one", 1, 1).String(), "cmpl-foreign"}
+	planners, selves := plannersByRank(testView(kernel.Live))
+	orphan := attempt("owner", 10, 1)
+	held := []string{orphan.String(), attempt("one", 1, 1).String(), "cmpl-foreign"}
 	for i, p := range planners {
 		assert.Equal(t, len(p.Held(testStart, "d1", held)), 0)
-		p.SetView(testStart, selves[i], scene(kernel.Dead))
+		p.SetView(testStart, selves[i], testView(kernel.Dead))
 		wake, ok := p.NextWake()
-		assert.Assert(t, ok && wake.Sub(testStart) <= p.settings.Alert, "%v", wake.Sub(testStart))
+		assert.Assert(t, ok && wake.Sub(testStart) <= p.settings.ActiveInterval, "%v", wake.Sub(testStart))
 		assert.DeepEqual(t, p.Tick(wake), Plan{Reads: []Read{{"d1"}}})
 	}
 	at := testStart.Add(time.Second)
-	want := []Release{{Upstream: "d1", Attempt: lost, Reason: OwnerDead}}
+	want := []Release{{Upstream: "d1", Attempt: orphan, Reason: OwnerDead}}
 	assert.DeepEqual(t, planners[0].Held(at, "d1", held), want)
 	assert.Equal(t, len(planners[1].Held(at, "d1", held)), 0)
 	assert.Equal(t, len(planners[1].Held(at.Add(4*time.Second), "d1", held)), 0)
@@ -65,9 +65,9 @@
 }
 
 func TestReleaseIsRepeatedUntilAcknowledged(t *testing.T) {
-	planners, _ := byRank(scene(kernel.Dead))
-	p, lost := planners[0], attempt("owner", 10, 1)
-	assert.Equal(t, len(p.Held(testStart, "d1", []string{lost.String()})), 1)
+	planners, _ := plannersByRank(testView(kernel.Dead))
+	p, orphan := planners[0], attempt("owner", 10, 1)
+	assert.Equal(t, len(p.Held(testStart, "d1", []string{orphan.String()})), 1)
 	var given []time.Duration
 	for after := time.Duration(0); after < 20*time.Second; after += 100 * time.Millisecond {
 		for range p.Tick(testStart.Add(after)).Releases {
@@ -77,16 +77,16 @@
 	assert.DeepEqual(t, given, []time.Duration{
 		500 * time.Millisecond, 1500 * time.Millisecond, 3500 * time.Millisecond, 7500 * time.Millisecond, 15500 * time.Millisecond,
 	})
-	p.Released("d1", lost)
+	p.Released("d1", orphan)
 	assert.Equal(t, len(p.Tick(testStart.Add(time.Hour)).Releases), 0)
 
-	p.Held(testStart, "d1", []string{lost.String()})
+	p.Held(testStart, "d1", []string{orphan.String()})
 	p.Held(testStart, "d1", nil) // the engine no longer lists it
 	assert.Equal(t, len(p.Tick(testStart.Add(time.Hour)).Releases), 0)
 }
 
 func TestUnreachableOwnerKeepsItsAttemptsUntilTheirDeadline(t *testing.T) {
-	planners, _ := byRank(scene(kernel.Unreachable))
+	planners, _ := plannersByRank(testView(kernel.Unreachable))
 	p, held := planners[0], []string{attempt("owner", 10, 1).String()}
 	at := testStart.Add(28 * time.Second)
 	p.Tick(at)
@@ -97,12 +97,12 @@
 }
 
 func TestNothingIsOrderedFromAViewThatIsNotTrusted(t *testing.T) {
-	planners, selves := byRank(scene(kernel.Dead))
+	planners, selves := plannersByRank(testView(kernel.Dead))
 	p, held := planners[0], []string{attempt("owner", 10, 1).String()}
 	p.Held(testStart, "d1", held)
-	old := scene(kernel.Dead)
+	old := testView(kernel.Dead)
 	old.Trusted = false
-	replaced := scene(kernel.Dead)
+	replaced := testView(kernel.Dead)
 	replaced.Instances = append(replaced.Instances[:0:0], instance(selves[0].Instance, 2, kernel.Live))
 	for _, v := range []*kernel.View{old, replaced} {
 		p.SetView(testStart, selves[0], v)
@@ -114,8 +114,8 @@
 }
 
 func TestEngineThatRestartedOrWentIsForgotten(t *testing.T) {
-	v := scene(kernel.Dead)
-	planners, selves := byRank(v)
+	v := testView(kernel.Dead)
+	planners, selves := plannersByRank(v)
 	p, held := planners[0], []string{attempt("owner", 10, 1).String()}
 	for _, change := range []func(u *kernel.Upstream){
 		func(u *kernel.Upstream) { u.Incarnation++ },
@@ -124,7 +124,7 @@
 	} {
 		p.SetView(testStart, selves[0], v)
 		assert.Equal(t, len(p.Held(testStart, "d1", held)), 1)
-		changed := scene(kernel.Dead)
+		changed := testView(kernel.Dead)
 		change(&changed.Upstreams[0])
 		p.SetView(testStart, selves[0], changed)
 		assert.Equal(t, len(p.Tick(testStart.Add(9*time.Second)).Releases), 0)
@@ -134,7 +134,7 @@
 
 func TestWatchersOfAZone(t *testing.T) {
 	far := kernel.Self{Instance: "far", Incarnation: 1, Zone: "hall-b"}
-	v := scene(kernel.Live)
+	v := testView(kernel.Live)
 	for name, c := range map[string]struct {
 		one, two kernel.Liveness
 		want     bool
@@ -154,7 +154,7 @@
 }
 
 func TestReadsBackOffAndComeBack(t *testing.T) {
-	planners, _ := byRank(scene(kernel.Live))
+	planners, _ := plannersByRank(testView(kernel.Live))
 	p := planners[0]
 	at := testStart
 	for _, want := range []time.Duration{40, 60, 60} {
--- a/leftover/settings.go
+++ b/leftover/settings.go
@@ -13,31 +13,31 @@
 	// another TakeOver.
 	Watchers int
 	TakeOver time.Duration
-	// Quiet is the interval between reads by the first watcher while no leftovers
-	// are expected; QuietBackup is that of the further watchers.
-	Quiet       time.Duration
-	QuietBackup time.Duration
-	// Alert is the interval between reads while leftovers are expected: for
-	// AlertFor after an instance died, and while any are held.
-	Alert    time.Duration
-	AlertFor time.Duration
-	// Retry is the time after which an unacknowledged order is repeated. It
-	// doubles with each repetition, up to RetryMax.
-	Retry    time.Duration
-	RetryMax time.Duration
+	// IdleInterval is the interval between reads by the first watcher while no
+	// leftovers are expected; BackupIdleInterval is that of the further watchers.
+	IdleInterval       time.Duration
+	BackupIdleInterval time.Duration
+	// ActiveInterval is the interval between reads while leftovers are expected:
+	// for ActiveDuration after an instance died, and while any are held.
+	ActiveInterval time.Duration
+	ActiveDuration time.Duration
+	// RetryInterval is the time after which an unacknowledged order is repeated.
+	// It doubles with each repetition, up to RetryMax.
+	RetryInterval time.Duration
+	RetryMax      time.Duration
 }
 
 // DefaultSettings returns the settings whose cost docs/design/leftovers.md gives.
 func DefaultSettings() Settings {
 	return Settings{
-		Margin:      2 * time.Second,
-		Watchers:    2,
-		TakeOver:    5 * time.Second,
-		Quiet:       20 * time.Second,
-		QuietBackup: 60 * time.Second,
-		Alert:       2 * time.Second,
-		AlertFor:    4 * time.Second,
-		Retry:       500 * time.Millisecond,
-		RetryMax:    8 * time.Second,
+		Margin:             2 * time.Second,
+		Watchers:           2,
+		TakeOver:           5 * time.Second,
+		IdleInterval:       20 * time.Second,
+		BackupIdleInterval: 60 * time.Second,
+		ActiveInterval:     2 * time.Second,
+		ActiveDuration:     4 * time.Second,
+		RetryInterval:      500 * time.Millisecond,
+		RetryMax:           8 * time.Second,
 	}
 }
--- a/orders/engine.go
+++ b/orders/engine.go
@@ -8,21 +8,21 @@
 
 // engine is the planner's state of an engine that this instance orders.
 type engine struct {
-	id   ident.UpstreamID
-	zone ident.Zone
-	want Placement
-	// checks is set if the engine refuses orders with an older fencing number.
-	checks   bool
-	nextRead time.Time
-	// since is when the engine was first seen to differ from want; zero while it
-	// matches.
-	since time.Time
+	id      ident.UpstreamID
+	zone    ident.Zone
+	desired Placement
+	// checksFencing is set if the engine refuses orders with an older fencing number.
+	checksFencing bool
+	nextRead      time.Time
+	// differsSince is when the engine was first seen to differ from desired; zero
+	// while it matches.
+	differsSince time.Time
 	// inForce is set once the engine has run this version's placement;
 	// incarnation is the engine's incarnation at that time.
 	inForce     bool
 	incarnation ident.Incarnation
-	// pause is the time between the next order and the read that follows it.
-	pause time.Duration
+	// rereadDelay is the time between the next order and the read that follows it.
+	rereadDelay time.Duration
 	// waitsFor is the engine that must load before this one, empty if there is
 	// none.
 	waitsFor ident.UpstreamID
@@ -33,11 +33,11 @@
 
 // reset discards the engine's progress; the engine is read again at once.
 func (g *engine) reset(now time.Time, recheck time.Duration) {
-	*g = engine{id: g.id, zone: g.zone, want: g.want, checks: g.checks, nextRead: now, pause: recheck}
+	*g = engine{id: g.id, zone: g.zone, desired: g.desired, checksFencing: g.checksFencing, nextRead: now, rereadDelay: recheck}
 }
 
-// readBy moves the next read forward to at if it is scheduled later.
-func (g *engine) readBy(at time.Time) {
+// readNoLaterThan moves the next read forward to at if it is scheduled later.
+func (g *engine) readNoLaterThan(at time.Time) {
 	if at.Before(g.nextRead) {
 		g.nextRead = at
 	}
@@ -67,10 +67,10 @@
 	NotAfter time.Time
 }
 
-// FloorHint reports that an engine has received an order of a bundle version that
-// is newer than the one in force here. It does not prove that the version exists;
-// it is a reason to look for it.
-type FloorHint struct {
+// NewerVersionHint reports that an engine has received an order of a bundle
+// version that is newer than the one in force here. It does not prove that the
+// version exists; it is a reason to look for it.
+type NewerVersionHint struct {
 	Upstream ident.UpstreamID
 	Version  uint64
 }
@@ -78,6 +78,6 @@
 // Decision is the result of an observation. Each field may be nil.
 type Decision struct {
 	Order  *Order
-	Hint   *FloorHint
+	Hint   *NewerVersionHint
 	Record *Record
 }
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -11,24 +11,24 @@
 
 var testStart = time.UnixMilli(1764684000000)
 
-// loadTime is the time that a fake engine takes to load a placement.
-const loadTime = 10 * time.Second
+// loadDuration is the time that a fake engine takes to load a placement.
+const loadDuration = 10 * time.Second
 
 // fakeEngine simulates an engine that checks fencing numbers or ignores them.
 type fakeEngine struct {
-	state   Observation
-	checks  bool
-	until   time.Time
-	changed int
+	state         Observation
+	checksFencing bool
+	loadedAt      time.Time
+	loads         int
 }
 
-// take executes an order. If the order is refused, it returns the engine's higher
-// fencing number, otherwise 0.
-func (e *fakeEngine) take(now time.Time, o Order) (refused uint64) {
-	if e.checks && o.Fence < e.state.Highest {
+// execute executes an order. If the order is refused, it returns the engine's
+// higher fencing number, otherwise 0.
+func (e *fakeEngine) execute(now time.Time, o Order) (refused uint64) {
+	if e.checksFencing && o.Fence < e.state.Highest {
 		return e.state.Highest
 	}
-	if e.checks {
+	if e.checksFencing {
 		e.state.Highest = max(e.state.Highest, o.Fence)
 	}
 	target := e.state.Placement
@@ -36,15 +36,15 @@
 		target = *e.state.Loading
 	}
 	if !target.Equal(o.Placement) {
-		e.state.Loading, e.until = &o.Placement, now.Add(loadTime)
-		e.changed++
+		e.state.Loading, e.loadedAt = &o.Placement, now.Add(loadDuration)
+		e.loads++
 	}
 	return 0
 }
 
-// step completes a load whose time has passed.
-func (e *fakeEngine) step(now time.Time) {
-	if e.state.Loading != nil && !now.Before(e.until) {
+// finishLoad completes a load whose time has passed.
+func (e *fakeEngine) finishLoad(now time.Time) {
+	if e.state.Loading != nil && !now.Before(e.loadedAt) {
 		e.state.Placement, e.state.Loading = *e.state.Loading, nil
 	}
 }
@@ -56,8 +56,8 @@
 	version uint64
 	paused  bool
 	cut     bool
-	// unsent is an order that was about to be sent when the agent was paused.
-	unsent *Order
+	// delayedOrder is an order that was about to be sent when the agent was paused.
+	delayedOrder *Order
 }
 
 // zone simulates the agents and engines of an availability zone.
@@ -68,29 +68,29 @@
 	engines map[ident.UpstreamID]*fakeEngine
 	records []Record
 	hints   int
-	// loadingMost is the highest number of engines that loaded at the same time.
-	loadingMost int
+	// maxLoading is the highest number of engines that loaded at the same time.
+	maxLoading int
 }
 
 func engineID(i int) ident.UpstreamID { return ident.UpstreamID(fmt.Sprintf("d%d", i)) }
 
 // bundleOf returns a bundle that declares the model of the version on all
-// engines. checks says which of them check fencing numbers.
-func bundleOf(version uint64, engines int, checks func(i int) bool) *config.Content {
+// engines. checksFencing says which of them check fencing numbers.
+func bundleOf(version uint64, engines int, checksFencing func(i int) bool) *config.Content {
 	c := &config.Content{}
 	for i := range engines {
 		c.Upstreams = append(c.Upstreams, config.Upstream{
 			ID: engineID(i), Role: config.RoleDecode, Models: []string{fmt.Sprint("model-", version)}, Version: "1",
-			ChecksFencing: checks(i),
+			ChecksFencing: checksFencing(i),
 		})
 	}
 	return c
 }
 
-func newZone(agents, engines int, checks func(i int) bool) *zone {
+func newZone(agents, engines int, checksFencing func(i int) bool) *zone {
 	z := &zone{now: testStart, view: &kernel.View{Trusted: true}, engines: map[ident.UpstreamID]*fakeEngine{}}
 	for i := range engines {
-		e := &fakeEngine{checks: checks(i), state: Observation{Incarnation: 1, Placement: modelOf(0)}}
+		e := &fakeEngine{checksFencing: checksFencing(i), state: Observation{Incarnation: 1, Placement: modelOf(0)}}
 		z.engines[engineID(i)] = e
 		z.view.Upstreams = append(z.view.Upstreams, kernel.Upstream{ID: engineID(i), Zone: "hall-a", Liveness: kernel.Live})
 	}
@@ -114,8 +114,8 @@
 // adopt puts a bundle version in force at an agent, unless it has a newer one.
 func (z *zone) adopt(a *agent, version uint64) {
 	a.version = max(a.version, version)
-	checks := func(i int) bool { return z.engines[engineID(i)].checks }
-	a.planner.SetBundle(z.now, a.version, bundleOf(a.version, len(z.engines), checks))
+	checksFencing := func(i int) bool { return z.engines[engineID(i)].checksFencing }
+	a.planner.SetBundle(z.now, a.version, bundleOf(a.version, len(z.engines), checksFencing))
 }
 
 // run advances the time, with an exchange of versions and a planning step every
@@ -124,21 +124,22 @@
 	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(time.Second) {
 		loading := 0
 		for _, e := range z.engines {
-			e.step(z.now)
+			e.finishLoad(z.now)
 			if e.state.Loading != nil {
 				loading++
 			}
 		}
-		z.loadingMost = max(z.loadingMost, loading)
+		z.maxLoading = max(z.maxLoading, loading)
 		for _, a := range z.agents {
-			z.gossip(a)
+			z.exchangeVersions(a)
 			z.act(a)
 		}
 	}
 }
 
-// gossip reports to an agent the versions that its reachable peers have in force.
-func (z *zone) gossip(a *agent) {
+// exchangeVersions reports to an agent the versions that its reachable peers have
+// in force.
+func (z *zone) exchangeVersions(a *agent) {
 	for _, b := range z.agents {
 		if a != b && !a.paused && !b.paused && !a.cut && !b.cut {
 			a.planner.PeerInForce(z.now, b.self.Instance, b.version)
@@ -153,14 +154,14 @@
 	}
 	for _, id := range a.planner.Tick(z.now) {
 		d := a.planner.Observe(z.now, id, z.engines[id].state)
-		z.note(d)
+		z.record(d)
 		if d.Order != nil {
 			z.send(a, *d.Order)
 		}
 	}
 }
 
-func (z *zone) note(d Decision) {
+func (z *zone) record(d Decision) {
 	if d.Record != nil {
 		z.records = append(z.records, *d.Record)
 	}
@@ -170,17 +171,17 @@
 }
 
 func (z *zone) send(a *agent, o Order) {
-	if refused := z.engines[o.Upstream].take(z.now, o); refused > 0 {
-		z.note(a.planner.Refused(z.now, o.Upstream, refused))
+	if refused := z.engines[o.Upstream].execute(z.now, o); refused > 0 {
+		z.record(a.planner.Refused(z.now, o.Upstream, refused))
 	}
 }
 
-// wake ends an agent's pause and sends the order that was delayed by it.
-func (z *zone) wake(a *agent) {
+// resume ends an agent's pause and sends the order that was delayed by it.
+func (z *zone) resume(a *agent) {
 	a.paused = false
-	if a.unsent != nil {
-		z.send(a, *a.unsent)
-		a.unsent = nil
+	if a.delayedOrder != nil {
+		z.send(a, *a.delayedOrder)
+		a.delayedOrder = nil
 	}
 	a.planner.Paused(z.now)
 }
@@ -196,8 +197,8 @@
 	return n
 }
 
-// orderer returns the agent that orders the zone's first engine.
-func (z *zone) orderer() *agent {
+// firstEngineAgent returns the agent that orders the zone's first engine.
+func (z *zone) firstEngineAgent() *agent {
 	for _, a := range z.agents {
 		if a.planner.ranks.Rank(&z.view.Upstreams[0]) == 0 {
 			return a
--- a/orders/fence_test.go
+++ b/orders/fence_test.go
@@ -12,7 +12,7 @@
 // that ignore fencing numbers don't get it.
 func TestFenceIsTheZonesMemory(t *testing.T) {
 	z := newZone(1, 2, mixed)
-	z.all(1)
+	z.adoptAll(1)
 	p := z.agents[0].planner
 	p.PlatformHead(z.now, 1)
 	seen := Observation{Placement: modelOf(1), Highest: 0}
--- a/orders/planner.go
+++ b/orders/planner.go
@@ -15,33 +15,33 @@
 // Planner decides which engines one instance reads and which orders it gives. It
 // is not safe for concurrent use.
 type Planner struct {
-	settings Settings
-	self     kernel.Self
-	view     *kernel.View
-	version  uint64
-	specs    map[ident.UpstreamID]*config.Upstream
-	drain    time.Duration
-	currency currency
-	ranks    *assign.Table
-	engines  map[ident.UpstreamID]*engine
-	// turns lists the engines of each zone in the order in which they load.
-	turns map[ident.Zone][]ident.UpstreamID
-	// settled holds whether an engine was last seen to run this version's
+	settings   Settings
+	self       kernel.Self
+	view       *kernel.View
+	version    uint64
+	specs      map[ident.UpstreamID]*config.Upstream
+	drainLimit time.Duration
+	freshness  freshness
+	ranks      *assign.Table
+	engines    map[ident.UpstreamID]*engine
+	// loadOrder lists the engines of each zone in the order in which they load.
+	loadOrder map[ident.Zone][]ident.UpstreamID
+	// matching holds whether an engine was last seen to run this version's
 	// placement.
-	settled map[ident.UpstreamID]bool
+	matching map[ident.UpstreamID]bool
 }
 
 // NewPlanner returns a planner without a bundle. It gives no orders.
 func NewPlanner(s Settings) *Planner {
 	p := &Planner{
-		settings: s,
-		view:     &kernel.View{},
-		currency: currency{within: s.Confirm},
-		ranks:    assign.NewTable(1, false),
-		engines:  make(map[ident.UpstreamID]*engine),
-		settled:  make(map[ident.UpstreamID]bool),
+		settings:  s,
+		view:      &kernel.View{},
+		freshness: freshness{reportTTL: s.ReportTTL},
+		ranks:     assign.NewTable(1, false),
+		engines:   make(map[ident.UpstreamID]*engine),
+		matching:  make(map[ident.UpstreamID]bool),
 	}
-	p.currency.forget()
+	p.freshness.clearReports()
 	return p
 }
 
@@ -50,13 +50,13 @@
 	if version <= p.version {
 		return
 	}
-	p.version, p.currency.version = version, version
+	p.version, p.freshness.version = version, version
 	p.specs = make(map[ident.UpstreamID]*config.Upstream, len(c.Upstreams))
 	for i := range c.Upstreams {
 		p.specs[c.Upstreams[i].ID] = &c.Upstreams[i]
 	}
-	p.drain = longestDeadline(c) + p.settings.DrainMargin
-	clear(p.settled)
+	p.drainLimit = longestDeadline(c) + p.settings.DrainMargin
+	clear(p.matching)
 	clear(p.engines)
 	p.assign(now)
 }
@@ -73,11 +73,11 @@
 // SetView replaces the view.
 func (p *Planner) SetView(now time.Time, self kernel.Self, v *kernel.View) {
 	p.self, p.view = self, v
-	p.currency.others = nil
+	p.freshness.peerIDs = nil
 	for i := range v.Instances {
 		in := &v.Instances[i]
 		if in.Zone == self.Zone && in.ID != self.Instance && in.Liveness != kernel.Dead {
-			p.currency.others = append(p.currency.others, in.ID)
+			p.freshness.peerIDs = append(p.freshness.peerIDs, in.ID)
 		}
 	}
 	p.assign(now)
@@ -86,45 +86,45 @@
 // PeerInForce reports the bundle version that a peer had in force at the given
 // time.
 func (p *Planner) PeerInForce(at time.Time, id ident.InstanceID, version uint64) {
-	p.currency.peer(id, claim{version: version, at: at})
+	p.freshness.addPeerReport(id, versionReport{version: version, at: at})
 }
 
 // PlatformHead reports the bundle version that the platform gave at the given
 // time as the newest one rolled out here.
 func (p *Planner) PlatformHead(at time.Time, version uint64) {
-	p.currency.fromPlatform(claim{version: version, at: at})
+	p.freshness.setPlatformReport(versionReport{version: version, at: at})
 }
 
 // Paused reports that the process was paused. Reports and states from before the
 // pause no longer count.
 func (p *Planner) Paused(now time.Time) {
-	p.currency.forget()
-	clear(p.settled)
+	p.freshness.clearReports()
+	clear(p.matching)
 	for _, g := range p.engines {
-		g.readBy(now)
+		g.readNoLaterThan(now)
 	}
 }
 
 // assign adds the engines that this instance now orders and removes all others.
 func (p *Planner) assign(now time.Time) {
 	p.ranks.Update(p.self, p.view)
-	p.turns = make(map[ident.Zone][]ident.UpstreamID)
-	mine := make(map[ident.UpstreamID]*engine)
+	p.loadOrder = make(map[ident.Zone][]ident.UpstreamID)
+	assigned := make(map[ident.UpstreamID]*engine)
 	for i := range p.view.Upstreams {
 		u := &p.view.Upstreams[i]
 		spec := p.specs[u.ID]
 		if !orderable(u, spec) {
 			continue
 		}
-		p.turns[u.Zone] = append(p.turns[u.Zone], u.ID)
+		p.loadOrder[u.Zone] = append(p.loadOrder[u.Zone], u.ID)
 		if p.ranks.Rank(u) == 0 {
-			mine[u.ID] = p.take(now, u, spec)
+			assigned[u.ID] = p.engineFor(now, u, spec)
 		}
 	}
-	for _, ids := range p.turns {
+	for _, ids := range p.loadOrder {
 		slices.Sort(ids)
 	}
-	p.engines = mine
+	p.engines = assigned
 }
 
 // orderable reports whether the upstream is an engine that may be given orders:
@@ -133,14 +133,14 @@
 	return spec != nil && spec.Role != config.RoleService && u.Liveness <= kernel.Suspect
 }
 
-// take returns the state of an engine that this instance orders and creates it if
-// needed.
-func (p *Planner) take(now time.Time, u *kernel.Upstream, spec *config.Upstream) *engine {
+// engineFor returns the state of an engine that this instance orders and creates
+// it if needed.
+func (p *Planner) engineFor(now time.Time, u *kernel.Upstream, spec *config.Upstream) *engine {
 	if g := p.engines[u.ID]; g != nil {
 		return g
 	}
-	g := &engine{id: u.ID, zone: u.Zone, want: Desired(spec), checks: spec.ChecksFencing}
-	g.reset(now, p.settings.Recheck)
+	g := &engine{id: u.ID, zone: u.Zone, desired: Desired(spec), checksFencing: spec.ChecksFencing}
+	g.reset(now, p.settings.RecheckInterval)
 	return g
 }
 
@@ -165,10 +165,10 @@
 
 // interval returns the time between reads of the engine.
 func (p *Planner) interval(g *engine) time.Duration {
-	if g.step == StepInForce || g.reason == ReasonOldBundle {
-		return p.settings.Steady
+	if g.step == StepInForce || g.reason == ReasonNewerFence {
+		return p.settings.SteadyInterval
 	}
-	return p.settings.Recheck
+	return p.settings.RecheckInterval
 }
 
 // NextWake returns the time at which Tick has work to do, or false if there is no
--- a/orders/planner_test.go
+++ b/orders/planner_test.go
@@ -29,18 +29,18 @@
 	os.Exit(m.Run())
 }
 
-func checking(int) bool { return true }
-func ignoring(int) bool { return false }
-func mixed(i int) bool  { return i%2 == 0 }
-func (z *zone) all(v uint64) {
+func checkFencing(int) bool  { return true }
+func ignoreFencing(int) bool { return false }
+func mixed(i int) bool       { return i%2 == 0 }
+func (z *zone) adoptAll(v uint64) {
 	for _, a := range z.agents {
 		z.adopt(a, v)
 	}
 }
 
-// others gives all agents but one a view in which that one is unreachable, and a
-// bundle.
-func (z *zone) others(a *agent, version uint64) {
+// adoptOnOthers gives all agents but one a view in which that one is unreachable,
+// and a bundle.
+func (z *zone) adoptOnOthers(a *agent, version uint64) {
 	without := *z.view
 	without.Instances = slices.Clone(z.view.Instances)
 	for i, b := range z.agents {
@@ -56,7 +56,7 @@
 	}
 }
 
-func checkAll(t assert.TestingT, z *zone, version uint64) {
+func checkPlacements(t assert.TestingT, z *zone, version uint64) {
 	for id, e := range z.engines {
 		assert.Assert(t, e.state.Loading == nil && e.state.Placement.Equal(modelOf(version)), "%s: %+v", id, e.state)
 	}
@@ -64,12 +64,12 @@
 
 func TestBundleIsCarriedOutAFewAtATime(t *testing.T) {
 	z := newZone(3, 10, mixed)
-	z.all(1)
+	z.adoptAll(1)
 	z.run(2 * time.Minute)
-	checkAll(t, z, 1)
-	assert.Equal(t, z.loadingMost, DefaultSettings().Loads)
+	checkPlacements(t, z, 1)
+	assert.Equal(t, z.maxLoading, DefaultSettings().MaxLoads)
 	for id, e := range z.engines {
-		assert.Equal(t, e.changed, 1, string(id))
+		assert.Equal(t, e.loads, 1, string(id))
 	}
 	assert.Equal(t, z.count(StepOrdered, ReasonBundle), 10)
 	assert.Equal(t, z.count(StepInForce, ReasonMatches), 10)
@@ -79,59 +79,59 @@
 }
 
 func TestOldBundleIsRefusedByTheFence(t *testing.T) {
-	z := newZone(2, 1, checking)
-	a := z.orderer()
+	z := newZone(2, 1, checkFencing)
+	a := z.firstEngineAgent()
 	z.adopt(a, 1)
 	z.engines["d0"].state.Highest = 2
 	z.engines["d0"].state.Placement = modelOf(2)
 	z.run(time.Minute)
-	assert.Equal(t, z.count(StepHeld, ReasonOldBundle), 1)
+	assert.Equal(t, z.count(StepHeld, ReasonNewerFence), 1)
 	assert.Assert(t, z.hints > 0)
-	assert.Equal(t, z.engines["d0"].changed, 0)
+	assert.Equal(t, z.engines["d0"].loads, 0)
 	// The engine received the newer order between the read and this order.
 	d := a.planner.Refused(z.now, "d0", 3)
-	assert.DeepEqual(t, *d.Hint, FloorHint{Upstream: "d0", Version: 3})
+	assert.DeepEqual(t, *d.Hint, NewerVersionHint{Upstream: "d0", Version: 3})
 	assert.Equal(t, d.Record.Step, StepRefused)
 	z.adopt(a, 3)
 	z.run(time.Minute)
-	checkAll(t, z, 3)
+	checkPlacements(t, z, 3)
 }
 
 func TestOldBundleIsNotOrderedWhereFencesAreIgnored(t *testing.T) {
-	z := newZone(3, 1, ignoring)
-	a := z.orderer()
-	z.all(1)
+	z := newZone(3, 1, ignoreFencing)
+	a := z.firstEngineAgent()
+	z.adoptAll(1)
 	for _, b := range z.agents {
 		if b != a {
 			z.adopt(b, 2)
 		}
 	}
 	z.run(time.Minute)
-	checkAll(t, z, 0)
+	checkPlacements(t, z, 0)
 	assert.Equal(t, z.count(StepHeld, ReasonUnconfirmed), 1)
 	z.adopt(a, 2)
 	z.run(time.Minute)
-	checkAll(t, z, 2)
+	checkPlacements(t, z, 2)
 }
 
 // TestPausedInstanceWakes guards against a stale order that takes effect. A pause
 // delays the order; it is sent after a newer bundle was loaded. An engine that
 // checks fencing numbers refuses it, one that ignores them is corrected.
 func TestPausedInstanceWakes(t *testing.T) {
-	for name, checks := range map[string]func(int) bool{"checking": checking, "ignoring": ignoring} {
+	for name, checksFencing := range map[string]func(int) bool{"checking": checkFencing, "ignoring": ignoreFencing} {
 		t.Run(name, func(t *testing.T) {
-			z := newZone(3, 1, checks)
-			z.all(1)
+			z := newZone(3, 1, checksFencing)
+			z.adoptAll(1)
 			z.run(time.Second)
-			a, order := z.orderer(), Order{Upstream: "d0", Fence: 1, Placement: modelOf(1)}
-			a.paused, a.unsent = true, &order
-			z.others(a, 2)
+			a, order := z.firstEngineAgent(), Order{Upstream: "d0", Fence: 1, Placement: modelOf(1)}
+			a.paused, a.delayedOrder = true, &order
+			z.adoptOnOthers(a, 2)
 			z.run(time.Minute)
-			checkAll(t, z, 2)
-			z.wake(a)
+			checkPlacements(t, z, 2)
+			z.resume(a)
 			z.run(2 * time.Minute)
-			checkAll(t, z, 2)
-			if checks(0) {
+			checkPlacements(t, z, 2)
+			if checksFencing(0) {
 				assert.Assert(t, z.hints > 0)
 			} else {
 				assert.Equal(t, z.count(StepOrdered, ReasonCorrected), 1)
@@ -141,21 +141,21 @@
 }
 
 func TestInstanceThatIsCutOffLeavesTheOthersAlone(t *testing.T) {
-	z := newZone(3, 1, ignoring)
-	z.all(1)
+	z := newZone(3, 1, ignoreFencing)
+	z.adoptAll(1)
 	z.run(time.Minute)
-	a := z.orderer()
+	a := z.firstEngineAgent()
 	a.cut = true
-	z.others(a, 2)
+	z.adoptOnOthers(a, 2)
 	z.run(time.Minute)
-	checkAll(t, z, 2)
-	assert.Equal(t, z.engines["d0"].changed, 2)
+	checkPlacements(t, z, 2)
+	assert.Equal(t, z.engines["d0"].loads, 2)
 	assert.Equal(t, z.count(StepHeld, ReasonUnconfirmed), 1)
 	a.cut = false
 	z.adopt(a, 2)
 	z.run(time.Minute)
-	checkAll(t, z, 2)
-	assert.Equal(t, z.engines["d0"].changed, 2)
+	checkPlacements(t, z, 2)
+	assert.Equal(t, z.engines["d0"].loads, 2)
 }
 
 func TestObserve(t *testing.T) {
@@ -173,7 +173,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			z := newZone(1, 2, mixed)
-			z.all(1)
+			z.adoptAll(1)
 			p := z.agents[0].planner
 			p.PlatformHead(z.now, 1)
 			assert.Equal(t, p.Observe(z.now, "d0", c.seen).Order != nil, c.order)
@@ -186,15 +186,15 @@
 }
 
 func TestOrdersExpireWhereFencesAreIgnored(t *testing.T) {
-	z := newZone(2, 1, ignoring)
-	z.all(1)
-	a := z.orderer()
-	z.gossip(a)
+	z := newZone(2, 1, ignoreFencing)
+	z.adoptAll(1)
+	a := z.firstEngineAgent()
+	z.exchangeVersions(a)
 	d := a.planner.Observe(z.now.Add(3*time.Second), "d0", z.engines["d0"].state)
 	assert.Equal(t, d.Order.NotAfter, z.now.Add(5*time.Second))
 	d = a.planner.Observe(z.now.Add(5*time.Second), "d0", z.engines["d0"].state)
 	assert.Assert(t, d.Order == nil)
-	z.gossip(a)
+	z.exchangeVersions(a)
 	a.planner.Paused(z.now)
 	d = a.planner.Observe(z.now, "d0", z.engines["d0"].state)
 	assert.Assert(t, d.Order == nil, "confirmations from before a pause still count")
@@ -202,8 +202,8 @@
 
 func TestConfirmation(t *testing.T) {
 	for name, c := range map[string]struct {
-		lives    []kernel.Liveness
-		said     []uint64
+		liveness []kernel.Liveness
+		versions []uint64
 		platform uint64
 		want     bool
 	}{
@@ -223,17 +223,17 @@
 		t.Run(name, func(t *testing.T) {
 			p := NewPlanner(DefaultSettings())
 			v := &kernel.View{Instances: []kernel.Instance{{ID: "far", Zone: "hall-b", Liveness: kernel.Live}}}
-			for i, l := range c.lives {
+			for i, l := range c.liveness {
 				id := ident.InstanceID(fmt.Sprint("n", i))
 				v.Instances = append(v.Instances, kernel.Instance{ID: id, Zone: "hall-a", Liveness: l})
-				p.PeerInForce(testStart, id, c.said[i])
+				p.PeerInForce(testStart, id, c.versions[i])
 			}
 			p.SetView(testStart, kernel.Self{Instance: "self", Zone: "hall-a"}, v)
 			p.SetBundle(testStart, 7, &config.Content{})
 			p.PlatformHead(testStart, c.platform)
-			_, ok := p.currency.confirmed(testStart.Add(4 * time.Second))
+			_, ok := p.freshness.confirmedUntil(testStart.Add(4 * time.Second))
 			assert.Equal(t, ok, c.want)
-			_, ok = p.currency.confirmed(testStart.Add(5 * time.Second))
+			_, ok = p.freshness.confirmedUntil(testStart.Add(5 * time.Second))
 			assert.Assert(t, !ok, "reports still count after they expired")
 		})
 	}
@@ -242,62 +242,62 @@
 func TestViewMustBeTrustedWhereFencesAreIgnored(t *testing.T) {
 	z := newZone(2, 2, mixed)
 	z.view.Trusted = false
-	z.all(1)
+	z.adoptAll(1)
 	z.run(time.Minute)
 	assert.DeepEqual(t, z.engines["d0"].state.Placement, modelOf(1))
 	assert.DeepEqual(t, z.engines["d1"].state.Placement, modelOf(0))
-	assert.Equal(t, z.count(StepHeld, ReasonView), 1)
+	assert.Equal(t, z.count(StepHeld, ReasonViewUntrusted), 1)
 }
 
 func TestRoleChangeWaitsForWorkThatRuns(t *testing.T) {
-	z := newZone(1, 1, checking)
+	z := newZone(1, 1, checkFencing)
 	e := z.engines["d0"]
 	e.state.Placement.Role, e.state.Running = config.RolePrefill, 3
-	z.all(1)
+	z.adoptAll(1)
 	z.run(20 * time.Second)
-	assert.Equal(t, e.changed, 0)
+	assert.Equal(t, e.loads, 0)
 	assert.Equal(t, z.count(StepHeld, ReasonDraining), 1)
 	e.state.Running = 0
 	z.run(5 * time.Second)
-	assert.Equal(t, e.changed, 1)
+	assert.Equal(t, e.loads, 1)
 	// Requests from instances with an older bundle may never end, so the wait is
 	// limited.
 	z.run(time.Minute)
 	e.state.Placement.Role, e.state.Running = config.RolePrefill, 3
 	z.run(50 * time.Second)
-	assert.Equal(t, e.changed, 1)
+	assert.Equal(t, e.loads, 1)
 	z.run(30 * time.Second)
-	assert.Equal(t, e.changed, 2)
+	assert.Equal(t, e.loads, 2)
 }
 
 func TestEngineThatRestartedIsOrderedAgain(t *testing.T) {
-	z := newZone(1, 1, checking)
-	z.all(1)
+	z := newZone(1, 1, checkFencing)
+	z.adoptAll(1)
 	z.run(time.Minute)
 	e := z.engines["d0"]
 	e.state = Observation{Incarnation: 2, Placement: modelOf(0)}
 	z.run(time.Minute)
-	checkAll(t, z, 1)
+	checkPlacements(t, z, 1)
 	assert.Equal(t, z.count(StepOrdered, ReasonRestarted), 1)
 }
 
 func TestEngineThatDoesNotLoadHoldsOthersUpForALimitedTime(t *testing.T) {
-	z := newZone(1, 3, checking)
-	z.engines["d0"].until = testStart.Add(1000 * time.Hour)
+	z := newZone(1, 3, checkFencing)
+	z.engines["d0"].loadedAt = testStart.Add(1000 * time.Hour)
 	z.engines["d0"].state.Loading = &Placement{}
 	stuck := modelOf(1)
 	z.engines["d0"].state.Loading = &stuck
-	z.all(1)
+	z.adoptAll(1)
 	z.run(time.Minute)
 	assert.DeepEqual(t, z.engines["d2"].state.Placement, modelOf(0))
-	assert.Equal(t, z.count(StepHeld, ReasonTurn), 1)
+	assert.Equal(t, z.count(StepHeld, ReasonNotItsTurn), 1)
 	z.run(5 * time.Minute)
 	assert.DeepEqual(t, z.engines["d2"].state.Placement, modelOf(1))
 }
 
 func TestOrdersAreRepeatedEverMoreRarely(t *testing.T) {
-	z := newZone(1, 1, checking)
-	z.all(1)
+	z := newZone(1, 1, checkFencing)
+	z.adoptAll(1)
 	p := z.agents[0].planner
 	var given []time.Duration
 	for after := time.Duration(0); after < 2*time.Minute; after += time.Second {
@@ -312,19 +312,19 @@
 }
 
 func TestWhatIsNotOrdered(t *testing.T) {
-	z := newZone(1, 4, checking)
+	z := newZone(1, 4, checkFencing)
 	z.view.Upstreams[0].Liveness = kernel.Leaving
 	z.view.Upstreams[1].Liveness = kernel.Unreachable
 	z.view.Upstreams[2].Zone = "hall-b" // the zone has no instance
-	z.all(1)
+	z.adoptAll(1)
 	z.agents[0].planner.SetView(z.now, z.agents[0].self, z.view)
 	assert.DeepEqual(t, z.agents[0].planner.Tick(z.now), []ident.UpstreamID{"d3"})
 	p := z.agents[0].planner
-	service := bundleOf(2, 4, checking)
+	service := bundleOf(2, 4, checkFencing)
 	service.Upstreams[3].Role = config.RoleService
 	p.SetBundle(z.now, 2, service)
 	assert.Equal(t, len(p.Tick(z.now)), 0)
-	p.SetBundle(z.now, 1, bundleOf(1, 4, checking))
+	p.SetBundle(z.now, 1, bundleOf(1, 4, checkFencing))
 	assert.Equal(t, len(p.Tick(z.now)), 0, "an older bundle version was taken")
 }
 
@@ -341,7 +341,7 @@
 		permuted.Models = rapid.Permutation(spec.Models).Draw(t, "order")
 		var given []Order
 		for i, s := range []config.Upstream{spec, permuted} {
-			z := newZone(1, 1, checking)
+			z := newZone(1, 1, checkFencing)
 			z.agents[0].self.Instance = ident.InstanceID(fmt.Sprint("x", i))
 			p := z.agents[0].planner
 			p.SetView(z.now, z.agents[0].self, &kernel.View{Upstreams: z.view.Upstreams})
@@ -361,7 +361,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		z := newZone(3, 4, mixed)
 		newest := uint64(1)
-		z.all(1)
+		z.adoptAll(1)
 		some := func() *agent { return z.agents[rapid.IntRange(0, 2).Draw(t, "agent")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(*rapid.T) { newest++; z.adopt(some(), newest) },
@@ -373,16 +373,16 @@
 			"pause": func(*rapid.T) {
 				a, id := some(), engineID(rapid.IntRange(0, 3).Draw(t, "engine"))
 				if !a.paused && a.planner.engines[id] != nil {
-					a.unsent = &Order{Upstream: id, Fence: a.version, Placement: modelOf(a.version)}
+					a.delayedOrder = &Order{Upstream: id, Fence: a.version, Placement: modelOf(a.version)}
 				}
 				a.paused = true
 			},
-			"wake": func(*rapid.T) { z.wake(some()) },
+			"wake": func(*rapid.T) { z.resume(some()) },
 			"cut":  func(*rapid.T) { a := some(); a.cut = !a.cut },
 			"run":  func(*rapid.T) { z.run(time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second) },
 			"": func(t *rapid.T) {
 				for id, e := range z.engines {
-					if l := e.state.Loading; e.checks && l != nil {
+					if l := e.state.Loading; e.checksFencing && l != nil {
 						assert.Assert(t, l.Equal(modelOf(e.state.Highest)), "%s loads an older placement", id)
 					}
 				}
@@ -390,10 +390,10 @@
 		})
 		for _, a := range z.agents {
 			a.cut = false
-			z.wake(a)
+			z.resume(a)
 			z.adopt(a, newest)
 		}
 		z.run(6 * time.Minute)
-		checkAll(t, z, newest)
+		checkPlacements(t, z, newest)
 	})
 }
--- a/orders/record.go
+++ b/orders/record.go
@@ -40,16 +40,16 @@
 	// ReasonDraining means that the engine's role changes and requests are still
 	// running in the old role.
 	ReasonDraining Reason = "draining"
-	// ReasonTurn means that another engine of the zone must load first.
-	ReasonTurn Reason = "not_its_turn"
-	// ReasonView means that the view of the fleet is not trusted.
-	ReasonView Reason = "view_not_trusted"
+	// ReasonNotItsTurn means that another engine of the zone must load first.
+	ReasonNotItsTurn Reason = "not_its_turn"
+	// ReasonViewUntrusted means that the view of the fleet is not trusted.
+	ReasonViewUntrusted Reason = "view_not_trusted"
 	// ReasonUnconfirmed means that the engine does not check fencing numbers and
 	// the bundle is not confirmed to be the newest.
 	ReasonUnconfirmed Reason = "bundle_not_confirmed"
-	// ReasonOldBundle means that the engine has received an order of a newer
+	// ReasonNewerFence means that the engine has received an order of a newer
 	// bundle version.
-	ReasonOldBundle Reason = "newer_fence_seen"
+	ReasonNewerFence Reason = "newer_fence_seen"
 	// ReasonFence means that the engine runs the desired placement and checks
 	// fencing numbers, but has not yet received this version's number.
 	ReasonFence Reason = "fence"
--- a/ticket/answers.go
+++ b/ticket/answers.go
@@ -4,7 +4,7 @@
 type answers struct {
 	limit int
 	bytes int
-	kept  fifo[*entry]
+	queue fifo[*entry]
 }
 
 // add adds the answer of an ended call and drops the oldest answers while the
@@ -14,26 +14,26 @@
 		return
 	}
 	a.bytes += len(en.result.Body)
-	a.kept.push(en)
+	a.queue.push(en)
 	for a.bytes > a.limit {
-		oldest, _ := a.kept.first()
+		oldest, _ := a.queue.first()
 		a.remove(oldest)
 	}
 }
 
 // remove drops the answer of a ticket, if there is one.
 func (a *answers) remove(en *entry) {
-	a.bytes -= en.drop()
+	a.bytes -= en.dropAnswer()
 	a.trim()
 }
 
 // trim removes dropped answers from the front of the queue.
 func (a *answers) trim() {
 	for {
-		oldest, ok := a.kept.first()
+		oldest, ok := a.queue.first()
 		if !ok || !oldest.answerDropped {
 			return
 		}
-		a.kept.pop()
+		a.queue.pop()
 	}
 }
--- a/ticket/codec.go
+++ b/ticket/codec.go
@@ -19,17 +19,17 @@
 	numberBase = 36
 	// payloadParts is the number of parts before the authentication code.
 	payloadParts = 8
-	// codeSize is the size of the truncated HMAC-SHA256, in bytes.
-	codeSize = 16
+	// macSize is the size of the truncated HMAC-SHA256, in bytes.
+	macSize = 16
 	// maxLength bounds a ticket's text, in bytes.
 	maxLength = 256
 	// minSecret is the size of the shortest accepted secret, in bytes.
 	minSecret = 32
 )
 
-// codeContext is prepended to the payload for domain separation: a code made with
+// macContext is prepended to the payload for domain separation: a code made with
 // the same secret for another purpose is not valid for a ticket.
-const codeContext = "wardspool ticket\x00"
+const macContext = "wardspool ticket\x00"
 
 // Key is a secret shared by all instances.
 type Key struct {
@@ -101,15 +101,15 @@
 		strconv.FormatInt(t.Issued.UnixMilli(), numberBase),
 		strconv.FormatInt(t.Expires.UnixMilli(), numberBase),
 	}, ".")
-	return payload + "." + key.code(payload)
+	return payload + "." + key.mac(payload)
 }
 
-// code returns the encoded authentication code of the payload.
-func (k *Key) code(payload string) string {
+// mac returns the encoded authentication code of the payload.
+func (k *Key) mac(payload string) string {
 	mac := hmac.New(sha256.New, k.Secret)
-	mac.Write([]byte(codeContext))
+	mac.Write([]byte(macContext))
 	mac.Write([]byte(payload))
-	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:codeSize])
+	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:macSize])
 }
 
 // Open parses and authenticates a text that Seal returned. Errors are
@@ -141,7 +141,7 @@
 	payload, code := text[:strings.LastIndexByte(text, '.')], parts[payloadParts]
 	// The text forms are compared because the decoder accepts several texts for
 	// the same code.
-	if !hmac.Equal([]byte(code), []byte(key.code(payload))) {
+	if !hmac.Equal([]byte(code), []byte(key.mac(payload))) {
 		return "", &ForgedError{KeyID: key.ID}
 	}
 	return payload, nil
--- a/ticket/entry.go
+++ b/ticket/entry.go
@@ -36,8 +36,8 @@
 	digest Digest
 	// waiters is the number of presentations that wait for the running call.
 	waiters int
-	// late is set if the call ends after the ticket's expiry.
-	late bool
+	// endsAfterExpiry is set if the call ends after the ticket's expiry.
+	endsAfterExpiry bool
 	// result is set in StateDone; its body is nil if answerDropped.
 	result        Result
 	answerDropped bool
@@ -51,9 +51,9 @@
 	en.cause = cause
 }
 
-// drop discards the answer, but not the fact that the call ran, and returns the
-// number of bytes released.
-func (en *entry) drop() int {
+// dropAnswer discards the answer, but not the fact that the call ran, and returns
+// the number of bytes released.
+func (en *entry) dropAnswer() int {
 	n := len(en.result.Body)
 	en.result.Body = nil
 	en.answerDropped = true
--- a/ticket/executor.go
+++ b/ticket/executor.go
@@ -17,9 +17,9 @@
 	TicketsPerWorkspace int
 	// AnswerBytes is the size of the largest answer that is kept for replay.
 	AnswerBytes int
-	// HeldBytes is the total size of the kept answers. The oldest are dropped
-	// first.
-	HeldBytes int
+	// TotalAnswerBytes is the total size of the kept answers. The oldest are
+	// dropped first.
+	TotalAnswerBytes int
 	// Lifetime is the time from issue to expiry.
 	Lifetime time.Duration
 	// Retention is how long a ticket is kept after its expiry or the end of its
@@ -34,7 +34,7 @@
 		Tickets:             1 << 16,
 		TicketsPerWorkspace: 1 << 14,
 		AnswerBytes:         64 << 10,
-		HeldBytes:           32 << 20,
+		TotalAnswerBytes:    32 << 20,
 		Lifetime:            2 * time.Minute,
 		Retention:           30 * time.Second,
 	}
@@ -46,28 +46,28 @@
 // lifetime of tickets. Whether a call runs twice never depends on a clock. An
 // Executor is not safe for concurrent use.
 type Executor struct {
-	life     Life
-	limits   Limits
-	next     uint64
-	stopping bool
-	entries  map[uint64]*entry
-	held     map[ident.Workspace]int
-	// issued lists all tickets by expiry; late lists those whose call ended after
-	// their expiry.
-	issued  schedule
-	late    schedule
-	answers answers
+	life             Life
+	limits           Limits
+	nextSequence     uint64
+	stopping         bool
+	entries          map[uint64]*entry
+	workspaceTickets map[ident.Workspace]int
+	// byExpiry lists all tickets by expiry; afterExpiry lists those whose call
+	// ended after their expiry.
+	byExpiry    retentionQueue
+	afterExpiry retentionQueue
+	answers     answers
 }
 
 // NewExecutor returns the executor of a newly started process, without any
 // tickets.
 func NewExecutor(life Life, limits Limits) *Executor {
 	return &Executor{
-		life:    life,
-		limits:  limits,
-		entries: make(map[uint64]*entry),
-		held:    make(map[ident.Workspace]int),
-		answers: answers{limit: limits.HeldBytes},
+		life:             life,
+		limits:           limits,
+		entries:          make(map[uint64]*entry),
+		workspaceTickets: make(map[ident.Workspace]int),
+		answers:          answers{limit: limits.TotalAnswerBytes},
 	}
 }
 
@@ -81,30 +81,30 @@
 	if e.stopping {
 		return Ticket{}, api.NewProblem(api.ProblemStopping, api.NotRun, "no tickets: the instance is stopping")
 	}
-	if p := e.fullProblem(now, w); p != nil {
+	if p := e.capacityProblem(now, w); p != nil {
 		return Ticket{}, p
 	}
 	expires := now.Add(e.limits.Lifetime)
 	t := Ticket{
 		Executor: e.life,
-		Sequence: e.next,
+		Sequence: e.nextSequence,
 		Issued:   toMilliseconds(now),
 		Expires:  toMilliseconds(expires),
 	}
-	e.entries[e.next] = &entry{state: StateFresh, workspace: w, expires: expires}
-	e.issued.push(release{at: expires.Add(e.limits.Retention), sequence: e.next})
-	e.held[w]++
-	e.next++
+	e.entries[e.nextSequence] = &entry{state: StateFresh, workspace: w, expires: expires}
+	e.byExpiry.push(retentionEnd{at: expires.Add(e.limits.Retention), sequence: e.nextSequence})
+	e.workspaceTickets[w]++
+	e.nextSequence++
 	return t, nil
 }
 
-// fullProblem returns why the workspace can't get a ticket, or nil if it can.
-func (e *Executor) fullProblem(now time.Time, w ident.Workspace) *api.Problem {
+// capacityProblem returns why the workspace can't get a ticket, or nil if it can.
+func (e *Executor) capacityProblem(now time.Time, w ident.Workspace) *api.Problem {
 	var detail string
 	switch {
 	case len(e.entries) >= e.limits.Tickets:
 		detail = "no tickets: the instance remembers as many as it can"
-	case e.held[w] >= e.limits.TicketsPerWorkspace:
+	case e.workspaceTickets[w] >= e.limits.TicketsPerWorkspace:
 		detail = "no tickets: the workspace has as many as it may"
 	default:
 		return nil
@@ -122,7 +122,7 @@
 // Present decides on a call that carries the ticket.
 func (e *Executor) Present(now time.Time, t Ticket, d Digest) Verdict {
 	if t.Executor != e.life {
-		return Verdict{Action: Refuse, Problem: foreignProblem(t, e.life)}
+		return Verdict{Action: Refuse, Problem: otherExecutorProblem(t, e.life)}
 	}
 	en := e.entries[t.Sequence]
 	if en == nil {
@@ -130,7 +130,7 @@
 		return refuse(api.ProblemTicketExpired, api.Unknown, "the ticket expired too long ago to know whether it was used")
 	}
 	if en.state == StateFresh {
-		e.voidIfDue(now, en)
+		e.voidIfUnusable(now, en)
 	}
 	switch en.state {
 	case StateFresh:
@@ -145,9 +145,9 @@
 	}
 }
 
-// voidIfDue voids a fresh ticket if it must no longer be used. The caller is
+// voidIfUnusable voids a fresh ticket if it must no longer be used. The caller is
 // about to be told "not-run", so the change must be permanent.
-func (e *Executor) voidIfDue(now time.Time, en *entry) {
+func (e *Executor) voidIfUnusable(now time.Time, en *entry) {
 	switch {
 	case !now.Before(en.expires):
 		en.void(api.ProblemTicketExpired)
@@ -200,12 +200,12 @@
 		en.result.Outcome = api.Unknown
 	}
 	if len(r.Body) > e.limits.AnswerBytes {
-		en.drop()
+		en.dropAnswer()
 	}
 	e.answers.add(en)
-	if en.late || now.After(en.expires) {
-		en.late = true
-		e.late.push(release{at: now.Add(e.limits.Retention), sequence: t.Sequence})
+	if en.endsAfterExpiry || now.After(en.expires) {
+		en.endsAfterExpiry = true
+		e.afterExpiry.push(retentionEnd{at: now.Add(e.limits.Retention), sequence: t.Sequence})
 	}
 	return nil
 }
--- a/ticket/executor_test.go
+++ b/ticket/executor_test.go
@@ -15,13 +15,13 @@
 var (
 	testStart = time.UnixMilli(1764684000000)
 	lifeA     = Life{Instance: "a", Incarnation: 10, Nonce: 1}
-	orderOne  = (&Call{Body: []byte("one")}).Digest()
-	orderTwo  = (&Call{Body: []byte("two")}).Digest()
+	digestOne = (&Call{Body: []byte("one")}).Digest()
+	digestTwo = (&Call{Body: []byte("two")}).Digest()
 )
 
 func testLimits() Limits {
 	return Limits{
-		Tickets: 4, TicketsPerWorkspace: 3, AnswerBytes: 10, HeldBytes: 15,
+		Tickets: 4, TicketsPerWorkspace: 3, AnswerBytes: 10, TotalAnswerBytes: 15,
 		Lifetime: time.Minute, Retention: 10 * time.Second,
 	}
 }
@@ -47,15 +47,15 @@
 func TestPresentRunsOnceThenJoinsThenReplays(t *testing.T) {
 	e := NewExecutor(lifeA, testLimits())
 	tk := issue(t, e, testStart)
-	assert.Equal(t, e.Present(testStart, tk, orderOne).Action, Run)
-	assert.Equal(t, e.Present(testStart, tk, orderOne).Action, Join)
-	checkRefused(t, e.Present(testStart, tk, orderTwo), api.ProblemTicketReused, api.NotRun)
+	assert.Equal(t, e.Present(testStart, tk, digestOne).Action, Run)
+	assert.Equal(t, e.Present(testStart, tk, digestOne).Action, Join)
+	checkRefused(t, e.Present(testStart, tk, digestTwo), api.ProblemTicketReused, api.NotRun)
 	assert.Equal(t, e.Leave(tk), 1)
 	assert.NilError(t, e.Finish(testStart, tk, answerOf("done")))
-	v := e.Present(testStart, tk, orderOne)
+	v := e.Present(testStart, tk, digestOne)
 	assert.Equal(t, v.Action, Replay)
 	assert.DeepEqual(t, *v.Result, answerOf("done"))
-	checkRefused(t, e.Present(testStart, tk, orderTwo), api.ProblemTicketReused, api.NotRun)
+	checkRefused(t, e.Present(testStart, tk, digestTwo), api.ProblemTicketReused, api.NotRun)
 	var notRunning *NotRunningError
 	assert.Assert(t, errors.As(e.Finish(testStart, tk, answerOf("again")), &notRunning))
 }
@@ -63,19 +63,19 @@
 func TestLeaveCountsToTheLastWaiter(t *testing.T) {
 	e := NewExecutor(lifeA, testLimits())
 	tk := issue(t, e, testStart)
-	e.Present(testStart, tk, orderOne)
-	e.Present(testStart, tk, orderOne)
+	e.Present(testStart, tk, digestOne)
+	e.Present(testStart, tk, digestOne)
 	assert.Equal(t, e.Leave(tk), 1)
 	assert.Equal(t, e.Leave(tk), 0)
-	assert.Equal(t, e.Present(testStart, tk, orderOne).Action, Join)
+	assert.Equal(t, e.Present(testStart, tk, digestOne).Action, Join)
 }
 
 func TestNotRunResultUsesTheTicketUp(t *testing.T) {
 	e := NewExecutor(lifeA, testLimits())
 	tk := issue(t, e, testStart)
-	e.Present(testStart, tk, orderOne)
+	e.Present(testStart, tk, digestOne)
 	assert.NilError(t, e.Finish(testStart, tk, Result{Outcome: api.NotRun}))
-	v := e.Present(testStart, tk, orderOne)
+	v := e.Present(testStart, tk, digestOne)
 	assert.Equal(t, v.Action, Replay)
 	assert.Equal(t, v.Result.Outcome, api.NotRun)
 }
@@ -83,9 +83,9 @@
 func TestFinishWithoutOutcomeIsUnknown(t *testing.T) {
 	e := NewExecutor(lifeA, testLimits())
 	tk := issue(t, e, testStart)
-	e.Present(testStart, tk, orderOne)
+	e.Present(testStart, tk, digestOne)
 	assert.NilError(t, e.Finish(testStart, tk, Result{}))
-	assert.Equal(t, e.Present(testStart, tk, orderOne).Result.Outcome, api.Unknown)
+	assert.Equal(t, e.Present(testStart, tk, digestOne).Result.Outcome, api.Unknown)
 }
 
 func TestAnswersAreBounded(t *testing.T) {
@@ -93,28 +93,28 @@
 	var tks []Ticket
 	for _, body := range []string{"ten bytes.", "five.", "eleven bytes"} {
 		tk := issue(t, e, testStart)
-		e.Present(testStart, tk, orderOne)
+		e.Present(testStart, tk, digestOne)
 		assert.NilError(t, e.Finish(testStart, tk, answerOf(body)))
 		tks = append(tks, tk)
 	}
 	assert.Equal(t, e.Stats().AnswerBytes, 15)
-	checkRefused(t, e.Present(testStart, tks[2], orderOne), api.ProblemTicketReused, api.Complete)
+	checkRefused(t, e.Present(testStart, tks[2], digestOne), api.ProblemTicketReused, api.Complete)
 	four, p := e.Issue(testStart, "v")
 	assert.Assert(t, p == nil)
-	e.Present(testStart, four, orderOne)
+	e.Present(testStart, four, digestOne)
 	assert.NilError(t, e.Finish(testStart, four, answerOf("1")))
-	checkRefused(t, e.Present(testStart, tks[0], orderOne), api.ProblemTicketReused, api.Complete)
-	assert.Equal(t, e.Present(testStart, tks[1], orderOne).Action, Replay)
+	checkRefused(t, e.Present(testStart, tks[0], digestOne), api.ProblemTicketReused, api.Complete)
+	assert.Equal(t, e.Present(testStart, tks[1], digestOne).Action, Replay)
 	assert.Equal(t, e.Stats().AnswerBytes, 6)
 	e.Sweep(testStart.Add(time.Hour))
 	assert.Equal(t, e.Stats(), Stats{})
-	assert.Equal(t, len(e.answers.kept.items), 0)
+	assert.Equal(t, len(e.answers.queue.items), 0)
 }
 
 func TestIssueRefusesRatherThanForget(t *testing.T) {
 	e := NewExecutor(lifeA, testLimits())
 	for range 3 {
-		e.Present(testStart, issue(t, e, testStart), orderOne)
+		e.Present(testStart, issue(t, e, testStart), digestOne)
 	}
 	_, p := e.Issue(testStart, "w")
 	assert.Equal(t, p.Type, api.ProblemOverloaded)
@@ -130,26 +130,26 @@
 	e := NewExecutor(lifeA, testLimits())
 	tk := issue(t, e, testStart)
 	expired := testStart.Add(time.Minute)
-	checkRefused(t, e.Present(expired, tk, orderOne), api.ProblemTicketExpired, api.NotRun)
-	checkRefused(t, e.Present(testStart, tk, orderOne), api.ProblemTicketExpired, api.NotRun)
+	checkRefused(t, e.Present(expired, tk, digestOne), api.ProblemTicketExpired, api.NotRun)
+	checkRefused(t, e.Present(testStart, tk, digestOne), api.ProblemTicketExpired, api.NotRun)
 	assert.Equal(t, e.Sweep(expired.Add(9*time.Second)), 0)
 	assert.Equal(t, e.Sweep(expired.Add(10*time.Second)), 1)
-	checkRefused(t, e.Present(testStart, tk, orderOne), api.ProblemTicketExpired, api.Unknown)
+	checkRefused(t, e.Present(testStart, tk, digestOne), api.ProblemTicketExpired, api.Unknown)
 }
 
 func TestSweepKeepsRunningAndLateCalls(t *testing.T) {
 	e := NewExecutor(lifeA, testLimits())
 	tk := issue(t, e, testStart)
-	e.Present(testStart, tk, orderOne)
+	e.Present(testStart, tk, digestOne)
 	late := testStart.Add(time.Hour)
 	assert.Equal(t, e.Sweep(late), 0)
-	assert.Equal(t, e.Present(late, tk, orderOne).Action, Join)
+	assert.Equal(t, e.Present(late, tk, digestOne).Action, Join)
 	// The wall clock was set back in the meantime.
 	assert.NilError(t, e.Finish(testStart, tk, answerOf("late")))
 	next, ok := e.NextSweep()
 	assert.Assert(t, ok)
 	assert.Equal(t, next, testStart.Add(10*time.Second))
-	assert.Equal(t, e.Present(testStart, tk, orderOne).Action, Replay)
+	assert.Equal(t, e.Present(testStart, tk, digestOne).Action, Replay)
 	assert.Equal(t, e.Sweep(next), 1)
 	_, ok = e.NextSweep()
 	assert.Assert(t, !ok)
@@ -159,7 +159,7 @@
 	e := NewExecutor(lifeA, testLimits())
 	issue(t, e, testStart.Add(time.Hour)) // its later release time delays the next ticket's release
 	tk := issue(t, e, testStart)
-	e.Present(testStart, tk, orderOne)
+	e.Present(testStart, tk, digestOne)
 	late := testStart.Add(61 * time.Second)
 	assert.NilError(t, e.Finish(late, tk, answerOf("late")))
 	assert.Equal(t, e.Sweep(late.Add(10*time.Second)), 1)
@@ -171,24 +171,24 @@
 	near := issue(t, e, testStart)
 	used := issue(t, e, testStart)
 	far := issue(t, e, testStart.Add(30*time.Second))
-	e.Present(testStart, used, orderOne)
+	e.Present(testStart, used, digestOne)
 	now := testStart.Add(31 * time.Second)
 	e.Paused(now, 30*time.Second)
-	checkRefused(t, e.Present(now, near, orderOne), api.ProblemTicketExpired, api.NotRun)
-	assert.Equal(t, e.Present(now, used, orderOne).Action, Join)
-	assert.Equal(t, e.Present(now, far, orderOne).Action, Run)
+	checkRefused(t, e.Present(now, near, digestOne), api.ProblemTicketExpired, api.NotRun)
+	assert.Equal(t, e.Present(now, used, digestOne).Action, Join)
+	assert.Equal(t, e.Present(now, far, digestOne).Action, Run)
 }
 
 func TestStopStartsNothing(t *testing.T) {
 	e := NewExecutor(lifeA, testLimits())
 	used, fresh := issue(t, e, testStart), issue(t, e, testStart)
-	e.Present(testStart, used, orderOne)
+	e.Present(testStart, used, digestOne)
 	e.Stop()
 	_, p := e.Issue(testStart, "w")
 	assert.Equal(t, p.Type, api.ProblemStopping)
-	checkRefused(t, e.Present(testStart, fresh, orderOne), api.ProblemStopping, api.NotRun)
+	checkRefused(t, e.Present(testStart, fresh, digestOne), api.ProblemStopping, api.NotRun)
 	assert.NilError(t, e.Finish(testStart, used, answerOf("done")))
-	assert.Equal(t, e.Present(testStart, used, orderOne).Action, Replay)
+	assert.Equal(t, e.Present(testStart, used, digestOne).Action, Replay)
 }
 
 func TestTicketsOfOtherLivesNeverRun(t *testing.T) {
@@ -202,7 +202,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := NewExecutor(life, testLimits())
 			issue(t, e, testStart) // has the same sequence
-			checkRefused(t, e.Present(testStart, tk, orderOne), api.ProblemExecutorGone, api.Unknown)
+			checkRefused(t, e.Present(testStart, tk, digestOne), api.ProblemExecutorGone, api.Unknown)
 		})
 	}
 }
@@ -220,16 +220,16 @@
 		retry bool
 	}{
 		"own":                           {lifeA, nil, Here, false},
-		"restarted here":                {Life{"a", 11, 2}, view(11, kernel.Live), Nowhere, false},
-		"replaced, not noticed yet":     {Life{"a", 9, 2}, view(9, kernel.Live), Nowhere, true},
+		"restarted here":                {Life{"a", 11, 2}, view(11, kernel.Live), Reject, false},
+		"replaced, not noticed yet":     {Life{"a", 9, 2}, view(9, kernel.Live), Reject, true},
 		"live":                          {other, view(10, kernel.Live), Forward, false},
 		"view has an older incarnation": {other, view(9, kernel.Dead), Forward, false},
 		"unreachable":                   {other, view(10, kernel.Unreachable), Forward, false},
 		"leaving":                       {other, view(10, kernel.Leaving), Forward, false},
-		"dead":                          {other, view(10, kernel.Dead), Nowhere, false},
-		"later incarnation":             {other, view(11, kernel.Live), Nowhere, false},
-		"not listed":                    {other, &kernel.View{}, Nowhere, true},
-		"no view":                       {other, nil, Nowhere, true},
+		"dead":                          {other, view(10, kernel.Dead), Reject, false},
+		"later incarnation":             {other, view(11, kernel.Live), Reject, false},
+		"not listed":                    {other, &kernel.View{}, Reject, true},
+		"no view":                       {other, nil, Reject, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := Route(tk, c.self, c.view)
@@ -237,7 +237,7 @@
 			if c.want == Forward {
 				assert.Equal(t, string(got.To), "a")
 			}
-			if c.want == Nowhere {
+			if c.want == Reject {
 				assert.Equal(t, got.Problem.Outcome, api.Unknown)
 				assert.Equal(t, got.Problem.RetryAfterMS > 0, c.retry)
 			}
@@ -284,7 +284,7 @@
 		e.Sweep(now)
 		tk, _ := e.Issue(now, "w")
 		tk, err := c.Open(c.Seal(tk))
-		if err != nil || e.Present(now, tk, orderOne).Action != Run {
+		if err != nil || e.Present(now, tk, digestOne).Action != Run {
 			b.Fatal("did not run")
 		}
 		if err := e.Finish(now, tk, Result{Outcome: api.Complete}); err != nil {
--- a/ticket/exhaustive_test.go
+++ b/ticket/exhaustive_test.go
@@ -8,26 +8,26 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// machine drives the executors of one instance with one ticket and checks the
-// invariants after every step.
-type machine struct {
+// executorModel drives the executors of one instance with one ticket and checks
+// the invariants after every step.
+type executorModel struct {
 	exec   *Executor
 	ticket Ticket
 	now    time.Time
 	// running is the call that is running at the upstream, started by the current
 	// executor or an earlier one.
 	running *Digest
-	// ran holds the calls that ran or may have run.
-	ran    map[Digest]bool
-	runs   int
-	notRun map[Digest]bool
-	fault  string
-	// idle is true when the last operation had nothing to do.
-	idle bool
+	// mayHaveRun holds the calls that ran or may have run.
+	mayHaveRun map[Digest]bool
+	runs       int
+	notRun     map[Digest]bool
+	violation  string
+	// noEffect is true when the last operation had no effect.
+	noEffect bool
 }
 
-func newMachine() *machine {
-	m := &machine{now: testStart, ran: map[Digest]bool{}, notRun: map[Digest]bool{}}
+func newExecutorModel() *executorModel {
+	m := &executorModel{now: testStart, mayHaveRun: map[Digest]bool{}, notRun: map[Digest]bool{}}
 	m.exec = NewExecutor(lifeA, testLimits())
 	m.ticket, _ = m.exec.Issue(m.now, "w")
 	return m
@@ -36,21 +36,21 @@
 // operations are the steps that the search combines in every order.
 var operations = []struct {
 	name string
-	do   func(m *machine)
+	do   func(m *executorModel)
 }{
-	{"present one", func(m *machine) { m.present(orderOne) }},
-	{"present two", func(m *machine) { m.present(orderTwo) }},
-	{"finish complete", func(m *machine) { m.finish(api.Complete) }},
-	{"finish not-run", func(m *machine) { m.finish(api.NotRun) }},
-	{"expire", func(m *machine) { m.now = m.now.Add(testLimits().Lifetime) }},
-	{"clock back", func(m *machine) { m.now = m.now.Add(-testLimits().Lifetime) }},
-	{"pause", func(m *machine) { m.exec.Paused(m.now, testLimits().Lifetime) }},
-	{"sweep", func(m *machine) { m.exec.Sweep(m.now.Add(testLimits().Retention)) }},
-	{"stop", (*machine).stop},
-	{"restart", (*machine).restart},
+	{"present one", func(m *executorModel) { m.present(digestOne) }},
+	{"present two", func(m *executorModel) { m.present(digestTwo) }},
+	{"finish complete", func(m *executorModel) { m.finish(api.Complete) }},
+	{"finish not-run", func(m *executorModel) { m.finish(api.NotRun) }},
+	{"expire", func(m *executorModel) { m.now = m.now.Add(testLimits().Lifetime) }},
+	{"clock back", func(m *executorModel) { m.now = m.now.Add(-testLimits().Lifetime) }},
+	{"pause", func(m *executorModel) { m.exec.Paused(m.now, testLimits().Lifetime) }},
+	{"sweep", func(m *executorModel) { m.exec.Sweep(m.now.Add(testLimits().Retention)) }},
+	{"stop", (*executorModel).stop},
+	{"restart", (*executorModel).restart},
 }
 
-func (m *machine) present(d Digest) {
+func (m *executorModel) present(d Digest) {
 	v := m.exec.Present(m.now, m.ticket, d)
 	switch v.Action {
 	case Run:
@@ -59,22 +59,22 @@
 	case Join:
 		m.check(m.running != nil && *m.running == d, "joined a different call")
 	case Replay:
-		m.told(d, v.Result.Outcome)
+		m.recordOutcome(d, v.Result.Outcome)
 		m.check(string(v.Result.Body) == fmt.Sprint(d), "replayed the answer of a different call")
 	case Refuse:
-		m.told(d, v.Problem.Outcome)
+		m.recordOutcome(d, v.Problem.Outcome)
 	}
 }
 
-func (m *machine) told(d Digest, o api.Outcome) {
+func (m *executorModel) recordOutcome(d Digest, o api.Outcome) {
 	if o == api.NotRun {
 		m.notRun[d] = true
 	}
 }
 
-func (m *machine) finish(o api.Outcome) {
+func (m *executorModel) finish(o api.Outcome) {
 	if m.running == nil {
-		m.idle = true
+		m.noEffect = true
 		return
 	}
 	d := *m.running
@@ -83,7 +83,7 @@
 		m.runs-- // the upstream reported that it did not run
 		m.notRun[d] = true
 	} else {
-		m.ran[d] = true
+		m.mayHaveRun[d] = true
 	}
 	if m.exec.Life() == lifeA {
 		err := m.exec.Finish(m.now, m.ticket, Result{Outcome: o, Body: fmt.Append(nil, d)})
@@ -91,31 +91,31 @@
 	}
 }
 
-func (m *machine) stop() {
-	m.idle = m.exec.stopping
+func (m *executorModel) stop() {
+	m.noEffect = m.exec.stopping
 	m.exec.Stop()
 }
 
 // restart starts a new executor with the same incarnation, which issues a ticket
 // with the same sequence number. A call that the old one started may still end at
 // the upstream.
-func (m *machine) restart() {
+func (m *executorModel) restart() {
 	next := m.exec.Life()
 	next.Nonce++
 	m.exec = NewExecutor(next, testLimits())
 	m.exec.Issue(m.now, "w")
 }
 
-func (m *machine) check(ok bool, fault string) {
-	if !ok && m.fault == "" {
-		m.fault = fault
+func (m *executorModel) check(ok bool, violation string) {
+	if !ok && m.violation == "" {
+		m.violation = violation
 	}
 }
 
-func (m *machine) invariants() {
+func (m *executorModel) invariants() {
 	m.check(m.runs <= 1, "ran twice")
 	for d := range m.notRun {
-		m.check(!m.ran[d], "answered not-run, but the call ran")
+		m.check(!m.mayHaveRun[d], "answered not-run, but the call ran")
 		m.check(m.running == nil || *m.running != d, "answered not-run, but the call is running")
 	}
 }
@@ -126,9 +126,9 @@
 	path := make([]int, length)
 	count := 0
 	for {
-		used, fault := try(path)
-		if fault != "" {
-			t.Fatalf("%s after %s", fault, names(path[:used]))
+		used, violation := runSequence(path)
+		if violation != "" {
+			t.Fatalf("%s after %s", violation, operationNames(path[:used]))
 		}
 		count++
 		if !advance(path, used) {
@@ -138,16 +138,16 @@
 	t.Logf("%d sequences of %d operations", count, length)
 }
 
-// try executes a sequence up to the first operation that has no effect or breaks
-// an invariant. It returns the number of operations executed and the broken
-// invariant.
-func try(path []int) (used int, fault string) {
-	m := newMachine()
+// runSequence executes a sequence up to the first operation that has no effect or
+// breaks an invariant. It returns the number of operations executed and the
+// broken invariant.
+func runSequence(path []int) (used int, violation string) {
+	m := newExecutorModel()
 	for i, op := range path {
 		operations[op].do(m)
 		m.invariants()
-		if m.idle || m.fault != "" {
-			return i + 1, m.fault
+		if m.noEffect || m.violation != "" {
+			return i + 1, m.violation
 		}
 	}
 	return len(path), ""
@@ -167,7 +167,7 @@
 	return false
 }
 
-func names(path []int) []string {
+func operationNames(path []int) []string {
 	var out []string
 	for _, op := range path {
 		out = append(out, operations[op].name)
--- a/ticket/fleet_test.go
+++ b/ticket/fleet_test.go
@@ -19,9 +19,9 @@
 type node struct {
 	exec        *Executor
 	skew        time.Duration
-	frozen      bool
+	paused      bool
 	down        bool
-	frozenSince time.Time
+	pausedSince time.Time
 }
 
 // message is a presentation in transit, to an entry instance or, if forwarded, to
@@ -50,9 +50,9 @@
 	running  []call
 	// runs and callRuns count the runs that happened or may have happened, by
 	// ticket and by call.
-	runs      map[Ticket]int
-	callRuns  map[call]int
-	toldUnrun map[call]bool
+	runs       map[Ticket]int
+	callRuns   map[call]int
+	toldNotRun map[call]bool
 }
 
 func instanceID(i int) ident.InstanceID { return ident.InstanceID(fmt.Sprintf("n%d", i)) }
@@ -60,7 +60,7 @@
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{
 		t: t, now: testStart, cut: map[[2]int]bool{},
-		runs: map[Ticket]int{}, callRuns: map[call]int{}, toldUnrun: map[call]bool{},
+		runs: map[Ticket]int{}, callRuns: map[call]int{}, toldNotRun: map[call]bool{},
 	}
 	for i := range fleetSize {
 		life := Life{Instance: instanceID(i), Incarnation: 1}
@@ -78,17 +78,17 @@
 	return rapid.IntRange(0, n-1).Draw(f.t, what)
 }
 
-// drawNode draws a running instance.
-func (f *fleet) drawNode() int {
+// drawRunning draws a running instance.
+func (f *fleet) drawRunning() int {
 	i := f.draw(fleetSize, "node")
-	if f.nodes[i].frozen || f.nodes[i].down {
-		f.t.Skip("the instance is down or frozen")
+	if f.nodes[i].paused || f.nodes[i].down {
+		f.t.Skip("the instance is down or paused")
 	}
 	return i
 }
 
 func (f *fleet) issue() {
-	i := f.drawNode()
+	i := f.drawRunning()
 	if tk, p := f.nodes[i].exec.Issue(f.clock(i), "w"); p == nil {
 		f.tickets = append(f.tickets, tk)
 	}
@@ -96,7 +96,7 @@
 
 func (f *fleet) present() {
 	tk := f.tickets[f.draw(len(f.tickets), "ticket")]
-	d := []Digest{orderOne, orderTwo}[f.draw(2, "body")]
+	d := []Digest{digestOne, digestTwo}[f.draw(2, "body")]
 	f.messages = append(f.messages, message{at: f.draw(fleetSize, "at"), call: call{tk, d}})
 }
 
@@ -105,14 +105,14 @@
 	k := f.draw(len(f.messages), "message")
 	m := f.messages[k]
 	n := f.nodes[m.at]
-	if n.frozen {
-		f.t.Skip("the instance is frozen")
+	if n.paused {
+		f.t.Skip("the instance is paused")
 	}
 	if f.draw(4, "duplicate") > 0 {
 		f.messages = append(f.messages[:k], f.messages[k+1:]...)
 	}
 	if n.down {
-		f.tell(m.call, UnreachableProblem().Outcome)
+		f.recordOutcome(m.call, UnreachableProblem().Outcome)
 		return
 	}
 	if m.forwarded {
@@ -127,12 +127,12 @@
 	switch d.Destination {
 	case Here:
 		f.presentAt(m.at, m.call)
-	case Nowhere:
-		f.tell(m.call, d.Problem.Outcome)
+	case Reject:
+		f.recordOutcome(m.call, d.Problem.Outcome)
 	case Forward:
 		to := f.nodeOf(d.To)
 		if f.cut[[2]int{m.at, to}] {
-			f.tell(m.call, UnreachableProblem().Outcome)
+			f.recordOutcome(m.call, UnreachableProblem().Outcome)
 			return
 		}
 		f.messages = append(f.messages, message{at: to, call: m.call, forwarded: true})
@@ -174,15 +174,15 @@
 		f.callRuns[c]++
 	case Replay:
 		assert.Equal(f.t, string(v.Result.Body), fmt.Sprint(c.digest[0]))
-		f.tell(c, v.Result.Outcome)
+		f.recordOutcome(c, v.Result.Outcome)
 	case Refuse:
-		f.tell(c, v.Problem.Outcome)
+		f.recordOutcome(c, v.Problem.Outcome)
 	}
 }
 
-func (f *fleet) tell(c call, o api.Outcome) {
+func (f *fleet) recordOutcome(c call, o api.Outcome) {
 	if o == api.NotRun {
-		f.toldUnrun[c] = true
+		f.toldNotRun[c] = true
 	}
 }
 
@@ -199,7 +199,7 @@
 	if o == api.NotRun {
 		f.runs[c.ticket]--
 		f.callRuns[c]--
-		f.tell(c, o)
+		f.recordOutcome(c, o)
 	}
 	r := Result{Outcome: o, Body: fmt.Append(nil, c.digest[0])}
 	assert.NilError(f.t, f.nodes[i].exec.Finish(f.clock(i), c.ticket, r))
@@ -224,19 +224,19 @@
 	*n = node{exec: NewExecutor(life, testLimits()), skew: n.skew}
 }
 
-func (f *fleet) freeze() {
-	n := f.nodes[f.drawNode()]
-	n.frozen, n.frozenSince = true, f.now
+func (f *fleet) pause() {
+	n := f.nodes[f.drawRunning()]
+	n.paused, n.pausedSince = true, f.now
 }
 
-func (f *fleet) thaw() {
+func (f *fleet) resume() {
 	i := f.draw(fleetSize, "node")
 	n := f.nodes[i]
-	if !n.frozen {
-		f.t.Skip("not frozen")
+	if !n.paused {
+		f.t.Skip("the instance is not paused")
 	}
-	n.frozen = false
-	n.exec.Paused(f.clock(i), f.now.Sub(n.frozenSince))
+	n.paused = false
+	n.exec.Paused(f.clock(i), f.now.Sub(n.pausedSince))
 }
 
 func (f *fleet) wait() { f.now = f.now.Add(time.Duration(f.draw(30, "seconds")) * time.Second) }
@@ -246,7 +246,7 @@
 }
 
 func (f *fleet) sweep() {
-	i := f.drawNode()
+	i := f.drawRunning()
 	f.nodes[i].exec.Sweep(f.clock(i))
 }
 
@@ -259,14 +259,14 @@
 	for tk, n := range f.runs {
 		assert.Assert(t, n <= 1, "ticket %v ran %d times", tk, n)
 	}
-	for c := range f.toldUnrun {
+	for c := range f.toldNotRun {
 		assert.Equal(t, f.callRuns[c], 0, "answered not-run, but the call ran: %v", c.ticket)
 	}
 }
 
 // TestFleet checks that no call runs twice and no call that ran is reported as
-// not-run, while callers retry at any instance, instances die, freeze, restart
-// and are partitioned, and clocks jump.
+// not-run, while callers retry at any instance, instances die, pause, restart and
+// are partitioned, and clocks jump.
 func TestFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
@@ -282,8 +282,8 @@
 		add("finish", 3, f.finish)
 		add("restart", 1, f.restart)
 		add("kill", 1, f.kill)
-		add("freeze", 1, f.freeze)
-		add("thaw", 2, f.thaw)
+		add("freeze", 1, f.pause)
+		add("thaw", 2, f.resume)
 		add("wait", 1, f.wait)
 		add("step clock", 1, f.stepClock)
 		add("sweep", 1, f.sweep)
--- a/ticket/route.go
+++ b/ticket/route.go
@@ -8,9 +8,9 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// retryElsewhere is the delay after which a caller may retry a call whose
+// unreachableRetryAfter is the delay after which a caller may retry a call whose
 // executor could not be reached.
-const retryElsewhere = 2 * time.Second
+const unreachableRetryAfter = 2 * time.Second
 
 // Destination is where a call that carries a ticket is sent.
 type Destination int
@@ -23,8 +23,8 @@
 	// Forward means that the call is sent to Decision.To, which presents it to
 	// its own executor and does not forward it again.
 	Forward
-	// Nowhere means that the answer is Decision.Problem and nothing runs.
-	Nowhere
+	// Reject means that the answer is Decision.Problem and nothing runs.
+	Reject
 )
 
 // Decision is the result of Route.
@@ -43,14 +43,14 @@
 		return Decision{Destination: Here}
 	}
 	if t.Executor.Instance == self.Instance {
-		return Decision{Destination: Nowhere, Problem: foreignProblem(t, self)}
+		return Decision{Destination: Reject, Problem: otherExecutorProblem(t, self)}
 	}
 	in := findInstance(v, t.Executor.Instance)
 	switch {
 	case in == nil:
-		return Decision{Destination: Nowhere, Problem: UnreachableProblem()}
-	case in.Incarnation > t.Executor.Incarnation, isDead(in, t):
-		return Decision{Destination: Nowhere, Problem: GoneProblem()}
+		return Decision{Destination: Reject, Problem: UnreachableProblem()}
+	case in.Incarnation > t.Executor.Incarnation, executorDead(in, t):
+		return Decision{Destination: Reject, Problem: GoneProblem()}
 	default:
 		// This includes instances that are believed to be unreachable: they may
 		// be reachable again, and only the executor can give a better answer than
@@ -59,13 +59,13 @@
 	}
 }
 
-// isDead reports whether the ticket's incarnation of the instance is dead.
-func isDead(in *kernel.Instance, t Ticket) bool {
+// executorDead reports whether the ticket's incarnation of the instance is dead.
+func executorDead(in *kernel.Instance, t Ticket) bool {
 	return in.Liveness == kernel.Dead && in.Incarnation == t.Executor.Incarnation
 }
 
-// foreignProblem returns the answer of one life to a ticket of another.
-func foreignProblem(t Ticket, self Life) *api.Problem {
+// otherExecutorProblem returns the answer of one life to a ticket of another.
+func otherExecutorProblem(t Ticket, self Life) *api.Problem {
 	if t.Executor.Instance == self.Instance && t.Executor.Incarnation <= self.Incarnation {
 		return GoneProblem()
 	}
@@ -102,7 +102,7 @@
 func UnreachableProblem() *api.Problem {
 	p := api.NewProblem(api.ProblemExecutorGone, api.Unknown,
 		"the instance that issued the ticket can't be reached; retry with the same ticket")
-	return p.RetryAfter(retryElsewhere)
+	return p.RetryAfter(unreachableRetryAfter)
 }
 
 // RefusedElsewhere sets the outcome of a refusal to unknown. It is for refusals
--- a/ticket/sweep.go
+++ b/ticket/sweep.go
@@ -6,8 +6,8 @@
 	"github.com/wardspool/wardspool/api"
 )
 
-// release is the time at which a ticket may be forgotten.
-type release struct {
+// retentionEnd is the time at which a ticket may be forgotten.
+type retentionEnd struct {
 	at       time.Time
 	sequence uint64
 }
@@ -22,15 +22,15 @@
 // sweepExpired forgets tickets by their expiry, except those whose call ends
 // later.
 func (e *Executor) sweepExpired(now time.Time) int {
-	return e.issued.sweep(now, func(r release) bool {
+	return e.byExpiry.sweep(now, func(r retentionEnd) bool {
 		en := e.entries[r.sequence]
 		if en == nil {
 			return false // sweepLate has forgotten it, after the clock was set back
 		}
 		if en.state == StateRunning {
-			en.late = true
+			en.endsAfterExpiry = true
 		}
-		if en.late {
+		if en.endsAfterExpiry {
 			return false
 		}
 		e.forget(r.sequence, en)
@@ -40,7 +40,7 @@
 
 // sweepLate forgets tickets whose call ended after their expiry.
 func (e *Executor) sweepLate(now time.Time) int {
-	return e.late.sweep(now, func(r release) bool {
+	return e.afterExpiry.sweep(now, func(r retentionEnd) bool {
 		e.forget(r.sequence, e.entries[r.sequence])
 		return true
 	})
@@ -50,17 +50,17 @@
 func (e *Executor) forget(sequence uint64, en *entry) {
 	e.answers.remove(en)
 	delete(e.entries, sequence)
-	e.held[en.workspace]--
-	if e.held[en.workspace] == 0 {
-		delete(e.held, en.workspace)
+	e.workspaceTickets[en.workspace]--
+	if e.workspaceTickets[en.workspace] == 0 {
+		delete(e.workspaceTickets, en.workspace)
 	}
 }
 
 // NextSweep returns the time at which Sweep has work to do, or false if there are
 // no tickets.
 func (e *Executor) NextSweep() (time.Time, bool) {
-	issued, ok := e.issued.first()
-	late, okLate := e.late.first()
+	issued, ok := e.byExpiry.first()
+	late, okLate := e.afterExpiry.first()
 	switch {
 	case !ok:
 		return late.at, okLate
@@ -71,12 +71,13 @@
 	}
 }
 
-// schedule is a queue of releases, normally in the order of their times.
-type schedule struct{ fifo[release] }
+// retentionQueue is a queue of retention ends, normally in the order of their
+// times.
+type retentionQueue struct{ fifo[retentionEnd] }
 
-// sweep removes the releases that are due and returns the number of those for
+// sweep removes the tickets that are due and returns the number of those for
 // which forget returned true.
-func (s *schedule) sweep(now time.Time, forget func(release) bool) int {
+func (s *retentionQueue) sweep(now time.Time, forget func(retentionEnd) bool) int {
 	count := 0
 	for {
 		r, ok := s.first()
