--- a/leftover/engine.go
+++ b/leftover/engine.go
@@ -8,48 +8,49 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// engine is what the planner knows of one engine that it watches.
+// engine is the planner's state of one engine that it watches.
 type engine struct {
 	id          ident.UpstreamID
 	incarnation ident.Incarnation
 	rank        int
 	nextRead    time.Time
-	// interval is the present time between reads; it grows after failed ones.
+	// interval is the current time between reads; it grows after failed reads.
 	interval time.Duration
-	// finds are the leftovers that the engine holds, by their encoded IDs.
-	finds map[string]*find
+	// leftovers holds the leftovers on the engine, keyed by their encoded attempt
+	// IDs.
+	leftovers map[string]*leftover
 }
 
-// find is a leftover that an engine holds.
-type find struct {
-	attempt ident.AttemptID
-	reason  Reason
-	since   time.Time
-	// nextTry is when to order its release again; the zero time until the first
+// leftover is an attempt that an engine holds and that is to be released.
+type leftover struct {
+	attempt   ident.AttemptID
+	reason    Reason
+	firstSeen time.Time
+	// nextOrder is when to repeat the release order. It is zero until the first
 	// order.
-	nextTry time.Time
-	wait    time.Duration
+	nextOrder  time.Time
+	retryDelay time.Duration
 }
 
-// readBy makes the next read no later than at.
-func (g *engine) readBy(at time.Time) {
+// readNoLaterThan moves the next read forward to at if it is scheduled later.
+func (g *engine) readNoLaterThan(at time.Time) {
 	if at.Before(g.nextRead) {
 		g.nextRead = at
 	}
 }
 
-// nextWake returns when the engine needs attention next.
+// nextWake returns the time of the engine's next read or repeated order.
 func (g *engine) nextWake() time.Time {
 	at := g.nextRead
-	for _, f := range g.finds {
-		if !f.nextTry.IsZero() && f.nextTry.Before(at) {
-			at = f.nextTry
+	for _, f := range g.leftovers {
+		if !f.nextOrder.IsZero() && f.nextOrder.Before(at) {
+			at = f.nextOrder
 		}
 	}
 	return at
 }
 
-// watchable reports whether the upstream is an engine that can be asked.
+// watchable reports whether the upstream is an engine whose list can be read.
 func watchable(u *kernel.Upstream) bool {
 	isEngine := u.Spec.Role == config.RolePrefill || u.Spec.Role == config.RoleDecode
 	return isEngine && u.Liveness != kernel.Dead
