--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -1,7 +1,7 @@
-// Package adapter defines how an entry instance speaks to its upstreams.
-// Engines and plain services are reached through plug-ins in the namespaces
-// "engine" and "service"; package adapter/roundtrip gives them an HTTP client
-// that knows whether a failed request can have run.
+// Package adapter defines the interfaces through which an entry instance calls
+// its upstreams. Engines and plain services are called through plug-ins in the
+// namespaces "engine" and "service"; package adapter/roundtrip provides them with
+// an HTTP client whose errors tell whether a failed request may have executed.
 package adapter
 
 import (
@@ -15,36 +15,36 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// Target is where one attempt of one request goes.
+// Target identifies one attempt of a request and the upstream it is sent to.
 type Target struct {
 	Attempt  ident.AttemptID
 	Request  ident.RequestID
 	Upstream ident.UpstreamID
 	// Address is the upstream's "IP:port".
 	Address string
-	// Observe receives the load that the upstream reports in-band. It may be
-	// nil, must not block and may be called from any goroutine.
+	// Observe receives the load that the upstream reports in its responses. It
+	// may be nil, must not block and may be called from any goroutine.
 	Observe func(Observation)
 }
 
-// Report calls Observe, if there is one.
+// Report passes o to Observe, unless Observe is nil.
 func (t *Target) Report(o Observation) {
 	if t.Observe != nil {
 		t.Observe(o)
 	}
 }
 
-// Observation is what an upstream said of itself in a response.
+// Observation is the state that an upstream reported about itself in a response.
 type Observation struct {
 	Load kernel.Load
-	// Draining says that the upstream takes no new work.
+	// Draining is set if the upstream accepts no new work.
 	Draining bool
 }
 
-// Endpoint says which of the OpenAI-compatible requests a caller made.
+// Endpoint identifies the OpenAI-compatible endpoint that a caller requested.
 type Endpoint int
 
-// The endpoints.
+// The supported endpoints.
 const (
 	// Completions is POST /v1/completions.
 	Completions Endpoint = iota + 1
@@ -52,26 +52,26 @@
 	Chat
 )
 
-// Field is one top-level member of a caller's JSON body, kept as it came.
+// Field is one top-level member of a caller's JSON body, as received.
 type Field struct {
 	Name string
 	Raw  json.RawMessage
 }
 
-// ModelRequest is a caller's request to a model, the same for all attempts. It
-// must not be changed.
+// ModelRequest is a caller's request to a model. All attempts share it, so it
+// must not be modified.
 type ModelRequest struct {
 	Endpoint Endpoint
 	Model    string
-	// MaxTokens is the length that the output may reach, in tokens.
+	// MaxTokens is the maximum length of the output, in tokens.
 	MaxTokens int
 	Priority  int
-	// Fields are the caller's other members, such as "prompt" or "temperature",
-	// without those that the engine adapter sets.
+	// Fields holds the caller's other members, such as "prompt" or
+	// "temperature", except those that the engine adapter sets itself.
 	Fields []Field
 }
 
-// PrefillCall asks a prefill engine for a prompt's KV cache.
+// PrefillCall makes a prefill engine compute a prompt's KV cache.
 type PrefillCall struct {
 	Target
 	Model *ModelRequest
@@ -79,15 +79,17 @@
 	ContinueFrom int
 }
 
-// Prefilled is a prefill's result.
+// Prefilled is the result of a prefill.
 type Prefilled struct {
 	// Params are the transfer parameters for the decode engine.
 	Params []byte
-	// CachedTokens is how much of the prompt the engine reused.
+	// CachedTokens is the number of prompt tokens that the engine reused from its
+	// cache.
 	CachedTokens int
 }
 
-// DecodeCall asks a decode engine for the output from token ContinueFrom on.
+// DecodeCall makes a decode engine generate the output from token ContinueFrom
+// on.
 type DecodeCall struct {
 	Target
 	Model *ModelRequest
@@ -96,35 +98,36 @@
 	ContinueFrom int
 }
 
-// ReattachCall reads on in a decode attempt's stream.
+// ReattachCall resumes reading the output stream of a running or finished decode
+// attempt.
 type ReattachCall struct {
 	Target
 	Endpoint Endpoint
-	// Offset is the first token wanted.
+	// Offset is the first token to deliver.
 	Offset int
 }
 
 // Chunk is one output token.
 type Chunk struct {
-	// Offset counts the tokens of the whole answer from 0.
+	// Offset is the token's index in the whole answer, from 0.
 	Offset int
 	// Text is the token's text.
 	Text string
-	// Choices is the chunk's "choices" member, in JSON, as the engine wrote it.
+	// Choices is the chunk's "choices" member, the JSON as the engine sent it.
 	Choices string
-	// FinishReason is set on the output's last token.
+	// FinishReason is set on the last token of the output.
 	FinishReason string
 }
 
-// Sink takes the tokens of a decode attempt, in the order in which they come.
+// Sink receives the tokens of a decode attempt in order of arrival.
 type Sink interface {
-	// Token takes one token. An error ends the attempt.
+	// Token handles one token. An error ends the attempt.
 	Token(c Chunk) error
 }
 
-// Decoded describes an output that came whole.
+// Decoded describes a complete output.
 type Decoded struct {
-	// Tokens is the length of the answer over all attempts.
+	// Tokens is the length of the answer, summed over all attempts.
 	Tokens int
 	// FinishReason is why the output ended, for example "stop".
 	FinishReason string
@@ -132,15 +135,15 @@
 	Usage json.RawMessage
 }
 
-// Engine speaks to model engines. Failed calls return a *CallError. All
-// methods end early when their context does.
+// Engine calls model engines. Failed calls return a *CallError. All methods
+// return early when their context ends.
 type Engine interface {
 	plugin.Plugin
 	Prefill(ctx context.Context, c *PrefillCall) (Prefilled, error)
 	Decode(ctx context.Context, c *DecodeCall, sink Sink) (Decoded, error)
 	Reattach(ctx context.Context, c *ReattachCall, sink Sink) (Decoded, error)
-	// Cancel makes the engine stop the attempt and release what it holds for
-	// it. It returns nil when the engine holds nothing more.
+	// Cancel makes the engine stop the attempt and release its resources. It
+	// returns nil once the engine holds no resources for the attempt.
 	Cancel(ctx context.Context, t *Target) error
 }
 
@@ -148,21 +151,20 @@
 type ServiceCall struct {
 	Target
 	Method string
-	// Path is the escaped path at the service, with its leading slash and its
-	// query.
+	// Path is the escaped request path, with leading slash and query.
 	Path string
 	// Header holds the caller's end-to-end headers.
 	Header http.Header
 	Body   []byte
-	// IdempotencyKey is passed on if it is not empty.
+	// IdempotencyKey is sent to the service if it is not empty.
 	IdempotencyKey string
-	// Timeout bounds the call; 0 leaves it to the context.
+	// Timeout limits the duration of the call; 0 means that only the context does.
 	Timeout time.Duration
-	// ResponseLimit bounds the answer's body, in bytes.
+	// ResponseLimit is the maximum size of the response body, in bytes.
 	ResponseLimit int64
 }
 
-// ServiceAnswer is a plain service's whole answer.
+// ServiceAnswer is the complete response of a plain service.
 type ServiceAnswer struct {
 	Status int
 	// Header holds the service's end-to-end headers.
@@ -170,7 +172,7 @@
 	Body   []byte
 }
 
-// Service speaks to plain services. Failed calls return a *CallError.
+// Service calls plain services. Failed calls return a *CallError.
 type Service interface {
 	plugin.Plugin
 	Call(ctx context.Context, c *ServiceCall) (*ServiceAnswer, error)
--- a/adapter/errors.go
+++ b/adapter/errors.go
@@ -8,13 +8,15 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// CallError reports a failed attempt and what is known about whether it ran.
+// CallError reports a failed attempt, with the evidence of whether the upstream
+// may have executed it.
 type CallError struct {
 	Evidence kernel.Evidence
 	Code     kernel.FailureCode
-	// RetryAfter is the upstream's own hint, 0 if none.
+	// RetryAfter is the delay that the upstream requested before a retry, 0 if
+	// none.
 	RetryAfter time.Duration
-	// Status is the upstream's HTTP status, 0 if it gave none.
+	// Status is the HTTP status of the upstream's response, 0 if there was none.
 	Status int
 	// Err is the cause.
 	Err error
@@ -32,7 +34,7 @@
 func (e *CallError) Unwrap() error { return e.Err }
 
 // AsCallError returns the *CallError in err's chain. An error without one is
-// taken for a broken attempt that may have run.
+// treated as a broken attempt that may have been executed.
 func AsCallError(err error) *CallError {
 	var c *CallError
 	if errors.As(err, &c) {
@@ -41,7 +43,8 @@
 	return &CallError{Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Err: err}
 }
 
-// UpstreamError is what an upstream said when it refused or failed.
+// UpstreamError is the error that an upstream returned when it refused a request
+// or failed.
 type UpstreamError struct {
 	Code    string
 	Message string
@@ -50,9 +53,9 @@
 // Error implements error.
 func (e *UpstreamError) Error() string { return e.Code + ": " + e.Message }
 
-// ProtocolError reports a response that does not follow the protocol.
+// ProtocolError reports a response that violates the protocol.
 type ProtocolError struct {
-	// Part names what was wrong.
+	// Part names the invalid part of the response.
 	Part string
 	// Err is the decoder's error, nil if there is none.
 	Err error
@@ -69,7 +72,7 @@
 // Unwrap returns the decoder's error.
 func (e *ProtocolError) Unwrap() error { return e.Err }
 
-// TooLargeError reports a response beyond its limit.
+// TooLargeError reports a response that exceeds its size limit.
 type TooLargeError struct{ Limit int64 }
 
 // Error implements error.
--- a/adapter/roundtrip/body.go
+++ b/adapter/roundtrip/body.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// answerBody is a response's body. At its end its connection becomes idle, or
-// is closed.
+// answerBody is a response's body. At its end, the connection is returned to the
+// idle pool or closed.
 type answerBody struct {
 	ctx      context.Context
 	conn     *conn
@@ -28,20 +28,20 @@
 		return n, err
 	}
 	if err != nil && b.ctx.Err() != nil {
-		// The connection was closed because of it.
+		// The read failed because the end of the context closed the connection.
 		err = b.ctx.Err()
 	}
 	return n, err
 }
 
-// Close implements io.Closer. A body that was not read to its end costs the
-// connection.
+// Close implements io.Closer. If the body was not read to its end, the
+// connection is closed, as the rest of the body would precede the next response.
 func (b *answerBody) Close() error {
 	b.end(b.reusable && b.body == http.NoBody)
 	return nil
 }
 
-// end gives the connection up, once.
+// end releases the connection. Further calls have no effect.
 func (b *answerBody) end(reusable bool) {
 	if b.ended {
 		return
--- a/adapter/roundtrip/client.go
+++ b/adapter/roundtrip/client.go
@@ -2,11 +2,11 @@
 // request at most once, follows no redirect and uses no proxy, and its errors
 // say whether a byte of the request was written to a connection.
 //
-// It has net/http write requests and read responses, but not its Transport:
-// that repeats requests by itself when a kept-alive connection turns out to be
-// dead, and it keeps two goroutines and two buffers for each open connection,
-// while here the goroutine that wants the response reads it. An open stream
-// costs one goroutine and one buffer.
+// It uses net/http to encode requests and parse responses, but not
+// http.Transport: Transport retries requests by itself when a keep-alive
+// connection turns out to be dead, and it keeps two goroutines and two buffers
+// for each open connection. Here the calling goroutine reads the response, so
+// that an open stream takes one goroutine and one buffer.
 package roundtrip
 
 import (
@@ -21,13 +21,13 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Options are the settings of a Client. Zero fields take their defaults.
+// Options are the settings of a Client. Zero fields are set to their defaults.
 type Options struct {
-	// DialTimeout bounds a TCP connect.
+	// DialTimeout limits the duration of a TCP connect.
 	DialTimeout time.Duration
-	// IdlePerUpstream is how many idle connections to keep for each upstream.
+	// IdlePerUpstream is the maximum number of idle connections for each upstream.
 	IdlePerUpstream int
-	// IdleTimeout is how long an idle connection is kept.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout time.Duration
 	// BufferBytes is the size of each connection's read buffer.
 	BufferBytes int
@@ -41,10 +41,10 @@
 	DefaultBufferBytes     = 4 << 10
 )
 
-// maxResponseHeaderBytes bounds an upstream's response headers.
+// maxResponseHeaderBytes limits the size of an upstream's response headers.
 const maxResponseHeaderBytes = 64 << 10
 
-// withDefaults replaces zero fields.
+// withDefaults returns a copy of o in which zero fields have their defaults.
 func (o Options) withDefaults() Options {
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = DefaultDialTimeout
@@ -82,22 +82,23 @@
 	}
 }
 
-// Close drops the idle connections, and from now on each one at the end of its
-// request.
+// Close closes the idle connections. Connections in use are closed at the end of
+// their request.
 func (c *Client) Close() { c.idle.close() }
 
 // Do sends a request whose body is r, of length bytes. A failure before the
-// response's headers is an *adapter.CallError with exact evidence; after them
-// the request counts as sent. The caller closes the response's body. When the
-// request's context ends, reads from the body fail with its error.
+// response headers were read is returned as an *adapter.CallError, whose evidence
+// tells whether any byte was sent; after that, the request counts as sent. The
+// caller must close the response's body. When the request's context ends, reads
+// from the body fail with the context's error.
 func (c *Client) Do(req *http.Request, r io.Reader, length int64) (*http.Response, error) {
 	return c.DoMatching(req, r, length, nil, 0)
 }
 
-// DoMatching does as Do, for upstreams that may send an answer twice, the second
-// time late, where the answer to the next request is expected: up to strays
-// responses that own rejects are read to their end and dropped. A nil own takes
-// the first.
+// DoMatching is like Do, for upstreams that may send a response twice, the second
+// copy arriving where the response to the next request is expected. Up to strays
+// responses for which own returns false are read to their end and discarded. If
+// own is nil, the first response is accepted.
 func (c *Client) DoMatching(req *http.Request, r io.Reader, length int64, own func(*http.Response) bool, strays int) (*http.Response, error) {
 	ctx := req.Context()
 	setBody(req, r, length)
@@ -116,8 +117,9 @@
 	return resp, nil
 }
 
-// Reach opens a connection to an address and closes it. Its error is an
-// *adapter.CallError: nothing was sent.
+// Reach opens a connection to an address and closes it, to check that the address
+// accepts connections. Its error is an *adapter.CallError with the evidence that
+// nothing was sent.
 func (c *Client) Reach(ctx context.Context, addr string) error {
 	conn, err := c.dial(ctx, addr)
 	if err != nil {
@@ -126,7 +128,7 @@
 	return conn.Close()
 }
 
-// setBody gives a request its body.
+// setBody sets the body of a request and its length.
 func setBody(req *http.Request, r io.Reader, length int64) {
 	req.GetBody = nil
 	req.ContentLength = length
@@ -136,7 +138,7 @@
 	}
 }
 
-// connect returns an idle connection that still stands, or a new one.
+// connect returns an idle connection that is still usable, or a new one.
 func (c *Client) connect(ctx context.Context, addr string) (*conn, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -151,11 +153,11 @@
 	return newConn(raw, addr, c.idle, c.buffer), nil
 }
 
-// failure classifies an error before the response's headers. sent says whether
-// a byte of the request went out.
+// failure classifies an error that occurred before the response headers were
+// read. sent tells whether any byte of the request was written.
 func failure(ctx context.Context, sent bool, err error) *adapter.CallError {
 	if ctx.Err() != nil {
-		// The connection was closed because of it.
+		// The error follows from closing the connection at the context's end.
 		err = ctx.Err()
 	}
 	e := &adapter.CallError{Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Err: err}
--- a/adapter/roundtrip/conn.go
+++ b/adapter/roundtrip/conn.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// conn is a connection to an upstream. One request at a time uses it.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net   net.Conn
 	addr  string
 	idle  *idlePool
 	since time.Time
-	// limited bounds what is read of the response's head.
+	// limited limits the number of bytes read for the response head.
 	limited io.LimitedReader
 	buf     *bufio.Reader
 
-	// ending is closed when the request's writer has ended; sent and writeErr
-	// are final then.
+	// ending is closed when the goroutine that writes the request has finished.
+	// From then on, sent and writeErr don't change.
 	ending   chan struct{}
 	sent     bool
 	writeErr error
-	// stop ends the watch over the request's context and reports whether the
-	// context did not end before.
+	// stop unregisters the function that closes the connection at the end of the
+	// request's context. It returns false if the context ended before.
 	stop func() bool
 }
 
@@ -39,13 +39,13 @@
 	return c
 }
 
-// exchange sends a request and reads the head of its response. The request is
-// written in a goroutine of its own, which ends with the request's last byte,
-// since an upstream may answer before it has read all.
+// exchange sends a request and reads the head of its response. A separate
+// goroutine writes the request, since an upstream may respond before it has read
+// all of it; the goroutine ends after the last byte of the request.
 func (c *conn) exchange(ctx context.Context, req *http.Request, m matching) (*http.Response, error) {
 	c.ending = make(chan struct{})
 	c.sent, c.writeErr = false, nil
-	// Closing the connection wakes whoever reads or writes.
+	// Closing the connection unblocks pending reads and writes.
 	c.stop = context.AfterFunc(ctx, func() { _ = c.net.Close() })
 	go c.write(req)
 	resp, err := c.readOwn(asked(req), m)
@@ -56,9 +56,10 @@
 	return resp, nil
 }
 
-// asked returns what is needed of a request to read its response, nil for most.
-// The response refers to it, so that the memory of the request that was sent
-// would be held as long as a stream is open.
+// asked returns the request to pass to http.ReadResponse: one with only the
+// method for HEAD, nil (which means GET) for all others. The response keeps a
+// reference to it; passing the original would keep the request's memory in use as
+// long as a stream is open.
 func asked(req *http.Request) *http.Request {
 	if req.Method != http.MethodHead {
 		return nil
@@ -66,10 +67,12 @@
 	return &http.Request{Method: req.Method}
 }
 
-// writers are buffers for writing requests, which take no longer than that.
+// writers pools the write buffers, which are needed only while a request is being
+// written.
 var writers = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 
-// write writes a request.
+// write writes a request to the connection and records the outcome in sent and
+// writeErr.
 func (c *conn) write(req *http.Request) {
 	defer close(c.ending)
 	w := writers.Get().(*bufio.Writer)
@@ -83,12 +86,12 @@
 	c.afterWrite()
 }
 
-// answerGrace is how long to wait for the answer of an upstream that stopped
-// reading the request.
+// answerGrace is how long to wait for the response of an upstream that closed its
+// end before it had read the whole request.
 const answerGrace = 100 * time.Millisecond
 
-// afterWrite wakes the reader when the request broke off: at once if none of it
-// went out.
+// afterWrite unblocks the reader of the response if writing the request failed:
+// at once if no byte was sent, else after answerGrace.
 func (c *conn) afterWrite() {
 	switch {
 	case c.writeErr == nil:
@@ -99,7 +102,7 @@
 	}
 }
 
-// noting writes to a connection and notes whether a byte went out.
+// noting writes to a connection and records in conn.sent that a byte was sent.
 type noting struct{ c *conn }
 
 // Write implements io.Writer.
@@ -111,25 +114,27 @@
 	return count, err
 }
 
-// matching tells a request's own response from late second ones to earlier
-// requests.
+// matching distinguishes the response to a request from late duplicate responses
+// to earlier requests.
 type matching struct {
-	// own is nil to take any response.
+	// own reports whether a response belongs to the request; nil accepts any
+	// response.
 	own func(*http.Response) bool
-	// strays is how many other responses are skipped.
+	// strays is the maximum number of other responses to skip.
 	strays int
 }
 
-// StrayError reports a connection that brought only responses to other requests.
+// StrayError reports a connection that delivered only responses to other
+// requests.
 type StrayError struct{}
 
 // Error implements error.
 func (*StrayError) Error() string { return "the response belongs to another request" }
 
-// maxStrayBytes bounds the body of a response that is skipped.
+// maxStrayBytes limits how much of a skipped response's body is read.
 const maxStrayBytes = 1 << 20
 
-// readOwn reads the head of the request's own response.
+// readOwn reads the head of the response that m accepts and skips the others.
 func (c *conn) readOwn(req *http.Request, m matching) (*http.Response, error) {
 	for skipped := 0; ; skipped++ {
 		resp, err := c.readHead(req)
@@ -148,10 +153,10 @@
 	}
 }
 
-// maxInterim is how many interim responses (status 1xx) are skipped.
+// maxInterim is the maximum number of interim responses (status 1xx) to skip.
 const maxInterim = 5
 
-// readHead reads the response's head and skips interim responses.
+// readHead reads the head of a final response and skips interim responses.
 func (c *conn) readHead(req *http.Request) (*http.Response, error) {
 	c.limited.N = maxResponseHeaderBytes
 	defer func() { c.limited.N = math.MaxInt64 }()
@@ -166,12 +171,14 @@
 	}
 }
 
-// isInterim reports whether another response follows the one with this status.
+// isInterim reports whether a response with this status is followed by another
+// one to the same request.
 func isInterim(status int) bool {
 	return status >= 100 && status < 200 && status != http.StatusSwitchingProtocols
 }
 
-// cut names the end of a response inside its head.
+// cut converts io.EOF, which here means a truncated response, to
+// io.ErrUnexpectedEOF.
 func cut(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -179,9 +186,9 @@
 	return err
 }
 
-// abandon closes the connection and reports whether a byte of its request went
-// out, and what broke the request off, nil if it went out whole. Nothing goes
-// out afterwards.
+// abandon closes the connection and waits for the writer to finish, so that no
+// byte is sent afterwards. It reports whether any byte of the request was sent,
+// and the error that interrupted writing, nil if the request was sent in full.
 func (c *conn) abandon() (sent bool, writeErr error) {
 	c.stop()
 	_ = c.net.Close()
@@ -189,7 +196,8 @@
 	return c.sent, c.writeErr
 }
 
-// release ends a request whose response was read to its end.
+// release returns the connection to the idle pool at the end of a request, or
+// closes it if it can't carry another one.
 func (c *conn) release(reusable bool) {
 	if !reusable || !c.written() || !c.stop() || c.buf.Buffered() > 0 {
 		c.abandon()
@@ -198,11 +206,13 @@
 	c.idle.put(c)
 }
 
-// writeGrace is how long to wait, after the response, for the request's writer
-// to end. It is about to, unless the upstream does not read the request.
+// writeGrace is how long to wait, after the response, for the goroutine that
+// writes the request. It is about to finish, unless the upstream does not read
+// the request.
 const writeGrace = 50 * time.Millisecond
 
-// written reports whether the whole request was written.
+// written reports whether the whole request was written, waiting up to
+// writeGrace for it.
 func (c *conn) written() bool {
 	select {
 	case <-c.ending:
--- a/adapter/roundtrip/conn_test.go
+++ b/adapter/roundtrip/conn_test.go
@@ -18,7 +18,7 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// half is a connection whose writes fail after some bytes.
+// half is a connection whose writes fail after a number of bytes.
 type half struct {
 	net.Conn
 	left int
@@ -34,11 +34,11 @@
 	return n, err
 }
 
-// SyscallConn lets the pool look at the connection.
+// SyscallConn implements syscall.Conn, which the idle pool needs for its check.
 func (h *half) SyscallConn() (syscall.RawConn, error) { return h.Conn.(syscall.Conn).SyscallConn() }
 
-// TestEvidenceOfBrokenWrites: an attempt is proven unsent only if no byte went
-// out, on a new connection as on one that was used before.
+// TestEvidenceOfBrokenWrites checks that a failed request is reported as not sent
+// only if no byte was written, on a new connection and on a reused one.
 func TestEvidenceOfBrokenWrites(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		for left, want := range map[int]kernel.Evidence{0: kernel.NotSent, 1: kernel.Ambiguous, 150: kernel.Ambiguous} {
@@ -57,15 +57,15 @@
 				assert.NilError(t, send(t, c, t.Context(), "POST", s.address, body))
 				h.left = left
 			}
-			assert.Equal(t, evidence(t, send(t, c, t.Context(), "POST", s.address, body)), want, "used %v, %d bytes", used, left)
+			assert.Equal(t, evidence(t, send(t, c, t.Context(), "POST", s.address, body)), want, "reused connection %v, write fails after %d bytes", used, left)
 			c.Close()
 			assert.Equal(t, s.accepted(t), int64(1))
 		}
 	}
 }
 
-// TestEndedIdleConnectionIsNotUsed: the upstream closed the connection after
-// its answer, before the next request, which goes out on a new one.
+// TestEndedIdleConnectionIsNotUsed checks that, if the upstream closes the
+// connection after its response, the next request is sent on a new one.
 func TestEndedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	s := serve(t, func(_ int64, c net.Conn) bool {
@@ -83,6 +83,8 @@
 	assert.Equal(t, s.conns.Load(), int64(2))
 }
 
+// TestConnectionsAreKept checks that a connection is reused after responses of
+// each form whose end is known.
 func TestConnectionsAreKept(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -105,6 +107,9 @@
 	}
 }
 
+// TestConnectionsAreNotKept checks that a connection is closed if the response's
+// headers or HTTP version require it, and if bytes follow the response, as the
+// next request would take them for its response.
 func TestConnectionsAreNotKept(t *testing.T) {
 	for name, answer := range map[string]string{
 		"close":     "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
@@ -127,8 +132,8 @@
 	}
 }
 
-// TestHeadHasNoBody: the length in the answer to HEAD is that of a body which
-// does not come.
+// TestHeadHasNoBody checks that the response to HEAD is read without a body,
+// though it carries a Content-Length.
 func TestHeadHasNoBody(t *testing.T) {
 	s := serve(t, func(_ int64, c net.Conn) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
@@ -142,7 +147,8 @@
 	assert.Equal(t, s.conns.Load(), int64(1))
 }
 
-// TestUnreadBodyCostsTheConnection closes a body before its end.
+// TestUnreadBodyCostsTheConnection checks that closing a body before its end
+// closes the connection.
 func TestUnreadBodyCostsTheConnection(t *testing.T) {
 	s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
 	c := New(Options{})
@@ -158,8 +164,8 @@
 	assert.Equal(t, s.conns.Load(), int64(2))
 }
 
-// TestBodyEndsWithItsContext: a stream that says no more ends when nobody wants
-// it, with the context's error.
+// TestBodyEndsWithItsContext checks that reading a stream on which nothing arrives
+// fails with the context's error once the context is cancelled.
 func TestBodyEndsWithItsContext(t *testing.T) {
 	s := serve(t, func(_ int64, c net.Conn) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
@@ -181,8 +187,8 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// TestAnswerBeforeTheRequestIsRead has an upstream answer at the head of a body
-// that it never reads.
+// TestAnswerBeforeTheRequestIsRead checks that a response is returned though the
+// upstream never reads the request's body, and that the connection is not reused.
 func TestAnswerBeforeTheRequestIsRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -217,8 +223,9 @@
 	assert.Equal(t, evidence(t, send(t, c, t.Context(), "POST", s.address, []byte("x"))), kernel.Ambiguous)
 }
 
-// TestIdleConnectionsEndInASuspension: the sweep's timer stood still with the machine, and the
-// upstream has closed its end long ago, which may not have arrived.
+// TestIdleConnectionsEndInASuspension checks that a connection past its idle timeout is not used
+// after the machine was suspended. The timer did not run meanwhile, and the FIN of an upstream that
+// has closed its end may not have arrived.
 func TestIdleConnectionsEndInASuspension(t *testing.T) {
 	machine := testclock.Use(t)
 	s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
@@ -247,5 +254,5 @@
 	assert.Equal(t, len(c.idle.conns), 0)
 	c.idle.put(late[0])
 	c.idle.put(newConn(late[0].net, s.address, c.idle, 16))
-	assert.Equal(t, len(c.idle.conns[s.address]), 1, "IdlePerUpstream bounds them")
+	assert.Equal(t, len(c.idle.conns[s.address]), 1, "more idle connections than IdlePerUpstream")
 }
--- a/adapter/roundtrip/header.go
+++ b/adapter/roundtrip/header.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// hopByHop lists the headers that concern one connection only, and those that
-// the client sets itself.
+// hopByHop lists the hop-by-hop headers, which apply to a single connection, and
+// the headers that the client sets itself.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect",
 }
 
-// EndToEnd returns a copy of the headers that may be passed on from one connection
-// to another.
+// EndToEnd returns a copy of h with only the end-to-end headers, which a proxy may
+// forward.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
--- a/adapter/roundtrip/idle.go
+++ b/adapter/roundtrip/idle.go
@@ -7,16 +7,17 @@
 	"github.com/wardspool/wardspool/internal/clock"
 )
 
-// idlePool keeps connections between requests.
+// idlePool holds the connections that no request uses.
 type idlePool struct {
 	limit   int
 	timeout time.Duration
 
 	mu     sync.Mutex
 	closed bool
-	// conns holds the idle connections by address, the latest used last.
+	// conns holds the idle connections by address, the most recently used last.
 	conns map[string][]*conn
-	// sweep closes those that were idle too long; nil while none is idle.
+	// sweep closes connections whose idle timeout has passed; nil while none is
+	// idle.
 	sweep *time.Timer
 }
 
@@ -24,8 +25,9 @@
 	return &idlePool{limit: limit, timeout: timeout, conns: map[string][]*conn{}}
 }
 
-// take returns an idle connection that still stands, nil if there is none. The sweep comes
-// late after a suspension of the machine, and the upstream's closing may not have arrived.
+// take removes and returns a usable idle connection, nil if there is none. It checks the idle
+// timeout too: after the machine was suspended, the timer fires late, and the FIN of an upstream
+// that closed the connection meanwhile may not have arrived.
 func (p *idlePool) take(addr string) *conn {
 	for {
 		c := p.pop(addr)
@@ -36,7 +38,8 @@
 	}
 }
 
-// pop takes out the connection of an address that was used last.
+// pop removes and returns the most recently used connection to an address, nil if
+// there is none.
 func (p *idlePool) pop(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,7 +54,7 @@
 	return c
 }
 
-// keep sets what is left of an address's connections. The caller holds mu.
+// keep sets the idle connections to an address. The caller holds mu.
 func (p *idlePool) keep(addr string, list []*conn) {
 	if len(list) == 0 {
 		delete(p.conns, addr)
@@ -60,13 +63,15 @@
 	p.conns[addr] = list
 }
 
-// put keeps a connection, or closes it when there are enough.
+// put adds a connection, or closes it if the address has the maximum already or
+// the pool is closed.
 func (p *idlePool) put(c *conn) {
 	if !p.add(c) {
 		_ = c.net.Close()
 	}
 }
 
+// add adds a connection and reports whether there was room for it.
 func (p *idlePool) add(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,22 +87,22 @@
 	return true
 }
 
-// expire closes connections that were idle too long.
+// expire closes the connections whose idle timeout has passed.
 func (p *idlePool) expire() {
 	for _, c := range p.overdue(clock.Now()) {
 		_ = c.net.Close()
 	}
 }
 
-// overdue takes out the connections that were idle too long and sets the timer
-// for those that stay.
+// overdue removes and returns the connections whose idle timeout has passed, and
+// sets the timer for the remaining ones.
 func (p *idlePool) overdue(now time.Time) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*conn
 	next := time.Duration(0)
 	for addr, list := range p.conns {
-		// The longest idle ones come first.
+		// Connections that have been idle longest come first.
 		n := 0
 		for n < len(list) && now.Sub(list[n].since) >= p.timeout {
 			n++
@@ -119,7 +124,7 @@
 	return out
 }
 
-// close closes all idle connections and keeps none from now on.
+// close closes all idle connections, and the pool accepts no more.
 func (p *idlePool) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/adapter/roundtrip/roundtrip_test.go
+++ b/adapter/roundtrip/roundtrip_test.go
@@ -20,16 +20,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// server is a listener whose connections a test serves by hand.
+// server is a listener whose responses a test writes byte by byte.
 type server struct {
 	address string
 	conns   atomic.Int64
-	// requests counts whole requests that arrived.
+	// requests counts the requests that were received in full.
 	requests atomic.Int64
 }
 
-// serve answers each request of each connection by the given function, which
-// returns false to close the connection.
+// serve starts a server that calls answer for each request. The connection is
+// closed if answer returns false.
 func serve(t *testing.T, answer func(n int64, c net.Conn) bool) *server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,9 +54,9 @@
 	return s
 }
 
-// accepted returns how many connections were made before the call. The listener
-// takes connections in their order, so that one more shows, when it is served,
-// that all before it were counted.
+// accepted returns the number of connections opened before the call. It opens one
+// more: the listener accepts connections in order, so that all earlier ones have
+// been counted once this one is served.
 func (s *server) accepted(t *testing.T) int64 {
 	t.Helper()
 	c, err := net.Dial("tcp", s.address)
@@ -90,7 +90,7 @@
 	return err == nil
 }
 
-// send sends a request and returns the error.
+// send sends a request, reads the response to its end and returns the error of Do.
 func send(t *testing.T, c *Client, ctx context.Context, method, address string, body []byte) error {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+"/", nil)
@@ -112,8 +112,9 @@
 	return e.Evidence
 }
 
-// TestDeadKeptAliveConnection is the case in which net/http's Transport sends a
-// request again by itself: a kept-alive connection takes the request and closes.
+// TestDeadKeptAliveConnection checks that a request is not retried if a keep-alive
+// connection is closed after it received the request. http.Transport retries in
+// this case.
 func TestDeadKeptAliveConnection(t *testing.T) {
 	for _, method := range []string{"GET", "PUT", "POST", "DELETE"} {
 		for _, body := range []string{"", "text"} {
@@ -124,7 +125,7 @@
 				assert.NilError(t, send(t, c, t.Context(), method, s.address, []byte(body)))
 				err := send(t, c, t.Context(), method, s.address, []byte(body))
 				assert.Equal(t, evidence(t, err), kernel.Ambiguous)
-				assert.Equal(t, s.requests.Load(), int64(2), "the request was sent again")
+				assert.Equal(t, s.requests.Load(), int64(2), "the request was retried")
 				assert.Equal(t, s.conns.Load(), int64(1))
 			})
 		}
--- a/adapter/roundtrip/silence.go
+++ b/adapter/roundtrip/silence.go
@@ -7,17 +7,17 @@
 )
 
 // silenceTimeout is how long sent bytes may stay unacknowledged before the kernel
-// ends a connection. Without it a connection whose peer lost power or sits behind
-// a partition hangs for many minutes. Lost packets are sent again within 200 ms,
-// several times in this span.
+// closes a connection. Without it, a connection whose peer lost power or is behind
+// a network partition hangs for many minutes. Lost packets are retransmitted
+// within 200 ms, so several retransmissions fit into this time.
 const silenceTimeout = 3 * time.Second
 
-// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package
-// syscall lacks.
+// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package
+// syscall does not define.
 const tcpUserTimeout = 0x12
 
-// keepAlive finds connections that fell silent while nothing was being sent, such
-// as a stream's.
+// keepAlive detects dead peers of connections on which nothing is being sent, such
+// as those that receive a stream.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     silenceTimeout,
@@ -25,7 +25,7 @@
 	Count:    3,
 }
 
-// setUserTimeout sets the silence timeout on a new socket.
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
--- a/adapter/roundtrip/stands.go
+++ b/adapter/roundtrip/stands.go
@@ -5,10 +5,10 @@
 	"syscall"
 )
 
-// stands reports whether an idle connection can take a request: nothing may
-// have arrived on it, neither bytes nor its end. It does not wait. An upstream
-// that closes the connection later than this loses the request, as with any
-// kept-alive connection.
+// stands reports whether an idle connection can carry a request: neither data nor
+// end of file may have arrived on it. It does not block. If the upstream closes
+// the connection after this check, the request is lost, as on any keep-alive
+// connection.
 func (c *conn) stands() bool {
 	s, ok := c.net.(syscall.Conn)
 	if !ok {
--- a/cmd/wardspool-agent/main.go
+++ b/cmd/wardspool-agent/main.go
@@ -1,5 +1,6 @@
-// Command wardspool-agent is the process beside each entry instance: it watches
-// the platform, relays bundles, keeps the membership and feeds the entry.
+// Command wardspool-agent runs beside each entry instance: it watches the
+// platform, relays bundles to its peers, maintains the membership and sends the
+// current state to the entry.
 package main
 
 import (
@@ -13,14 +14,14 @@
 	"github.com/wardspool/wardspool/process"
 )
 
-// version is set by the build.
+// version is set at build time.
 var version = "devel"
 
-// processors is how many threads run Go code at once. The agent needs a hundredth
-// of one; more would only have the collector wake them all.
+// processors is the value of GOMAXPROCS. The agent uses about a hundredth of one
+// CPU; with a higher value, each garbage collection would wake more threads.
 const processors = 2
 
-// description opens the help text.
+// description is the first part of the help text.
 const description = `The agent beside an entry instance of wardspool: it reads signed bundles and
 lists from the platform or from its peers, feeds the entry, exchanges heartbeats,
 releases what dead instances left behind on engines, and gives placement orders.
@@ -46,10 +47,10 @@
 	}.Main()
 }
 
-// newAgent makes the agent and bounds what its process takes.
+// newAgent returns the agent and sets the CPU and memory limits of its process.
 func newAgent(s *agent.Settings, log *slog.Logger) (process.Service, error) {
 	runtime.GOMAXPROCS(processors)
-	// The collector works harder near the limit; it is no hard bound.
+	// This is a soft limit: near it, garbage is collected more often.
 	debug.SetMemoryLimit(int64(s.Memory))
 	return agent.New(s, agent.Options{Log: log, Version: version})
 }
--- a/cmd/wardspool-entry/main.go
+++ b/cmd/wardspool-entry/main.go
@@ -1,5 +1,5 @@
-// Command wardspool-entry is an entry instance: it takes callers' requests,
-// decides where each goes and carries it there.
+// Command wardspool-entry is an entry instance: it accepts callers' requests,
+// chooses upstreams for each and forwards it to them.
 package main
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/wardspool/wardspool/process"
 )
 
-// version is set by the build.
+// version is set at build time.
 var version = "devel"
 
-// exitCutOff: the shutdown cut off requests in flight.
+// exitCutOff is the exit code of a shutdown that aborted requests in flight.
 const exitCutOff process.ExitCode = 3
 
-// description opens the help text.
+// description is the first part of the help text.
 const description = `An entry instance of wardspool: it takes callers' requests over HTTP, chooses a
 prefill and a decode engine or a plain service for each, and answers with the
 whole answer or with a problem that says whether the request ran.
@@ -45,7 +45,8 @@
 	}.Main()
 }
 
-// exitCode tells a shutdown that cut requests off from other failures.
+// exitCode returns the exit code for an error of the service: exitCutOff if the
+// shutdown aborted requests.
 func exitCode(err error) process.ExitCode {
 	if cut := (*entry.StopError)(nil); errors.As(err, &cut) {
 		return exitCutOff
--- a/cmd/wardspool-gateway/main.go
+++ b/cmd/wardspool-gateway/main.go
@@ -1,5 +1,4 @@
-// Command wardspool-gateway is the gateway's process at each instance of a
-// deployment.
+// Command wardspool-gateway runs the gateway of one instance of a deployment.
 package main
 
 import (
@@ -7,7 +6,7 @@
 	_ "github.com/wardspool/wardspool/platform" // deployment.platform
 )
 
-// version is set by the build.
+// version is set at build time.
 var version = "devel"
 
 func main() { program.New(version).Main() }
--- a/cmd/wardspool-load/experiment.go
+++ b/cmd/wardspool-load/experiment.go
@@ -15,7 +15,8 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// experimentCmd runs the matrix, a quick part of it or one cell.
+// experimentCmd is the subcommand "experiment". It runs the full matrix of cells,
+// a quick subset of it, or the cells that the flags select.
 type experimentCmd struct {
 	Out      string   `help:"Directory of the CSV files and plots." default:"out"`
 	Examples string   `help:"Directory of the deployments: a folder each with bundle.yaml and workload.yaml." default:"examples"`
@@ -68,8 +69,8 @@
 	return nil
 }
 
-// PartialError reports that the time was up before all cells had run; the
-// results of those that ran are written.
+// PartialError reports that the time budget was used up before all cells had run.
+// The results of the cells that ran are written.
 type PartialError struct{ Ran, Cells int }
 
 // Error implements error.
@@ -77,7 +78,7 @@
 	return fmt.Sprintf("partial: %d of %d cells ran before the time was up", e.Ran, e.Cells)
 }
 
-// deployments loads the examples.
+// deployments loads the deployments that --only names.
 func (c *experimentCmd) deployments() ([]*experiment.Deployment, error) {
 	var list []*experiment.Deployment
 	for _, name := range c.Only {
@@ -90,7 +91,7 @@
 	return list, nil
 }
 
-// loadDeployment reads one folder.
+// loadDeployment reads a deployment from its directory.
 func loadDeployment(dir string) (*experiment.Deployment, error) {
 	path := filepath.Join(dir, "bundle.yaml")
 	source, err := os.ReadFile(path)
@@ -120,7 +121,7 @@
 	return spec, oops.In("workload").With("file", path).Wrap(err)
 }
 
-// cells chooses what to run.
+// cells returns the cells to run.
 func (c *experimentCmd) cells(deployments []*experiment.Deployment) []experiment.Cell {
 	chosen := len(c.Policy)+len(c.Load)+len(c.Fault) > 0
 	var cells []experiment.Cell
@@ -143,7 +144,8 @@
 	return cells
 }
 
-// chosenCells crosses what the flags name.
+// chosenCells returns a cell for each combination of the values that the flags
+// select.
 func (c *experimentCmd) chosenCells(deployments []*experiment.Deployment) []experiment.Cell {
 	policies := orDefault(c.Policy, []string{string(experiment.PolicyCurrent)})
 	loads := orDefault(c.Load, []float64{1.0})
@@ -165,7 +167,7 @@
 	return cells
 }
 
-// orDefault returns list, or what stands for an empty one.
+// orDefault returns list, or otherwise if list is empty.
 func orDefault[T any](list, otherwise []T) []T {
 	if len(list) == 0 {
 		return otherwise
@@ -173,6 +175,7 @@
 	return list
 }
 
+// printCapacity prints the capacity of each deployment and what it follows from.
 func printCapacity(deployments []*experiment.Deployment) {
 	for _, d := range deployments {
 		k := d.Capacity()
@@ -182,10 +185,12 @@
 	}
 }
 
-// progressEvery is the number of cells between two progress lines.
+// progressEvery is the number of cells from one progress line to the next.
 const progressEvery = 25
 
-// progress prints violations at once and a line now and then.
+// progress prints the violations of a cell, and a progress line every
+// progressEvery cells. Those of the naive policy are left out: it retries requests
+// that may have run, so it is expected to violate the guarantees.
 func (c *experimentCmd) progress(done, total int, started time.Time, r *experiment.Result) {
 	if len(r.Violations) > 0 && r.Cell.Policy != experiment.PolicyNaive {
 		fmt.Printf("broken: %s %s load %.1f fault %s seed %d instances %d: %v; first: %s\n",
@@ -197,7 +202,7 @@
 	}
 }
 
-// trace runs one cell with a trace.
+// trace runs the first cell and writes its trace to a file.
 func (c *experimentCmd) trace(cells []experiment.Cell, deployments []*experiment.Deployment) error {
 	f, err := os.Create(c.Trace)
 	if err != nil {
@@ -221,7 +226,8 @@
 	return nil
 }
 
-// print writes the table of means to standard output.
+// print writes the table of means to standard output; with --quick, it has
+// further columns.
 func (c *experimentCmd) print(results []*experiment.Result) error {
 	list := experiment.Summarize(results)
 	table, err := experiment.Table(list)
@@ -240,7 +246,8 @@
 	return table.WriteText(os.Stdout)
 }
 
-// write prints the table and writes the files of a full run.
+// write prints the table and, without --quick, writes the CSV files, the plots and
+// the digest.
 func (c *experimentCmd) write(results []*experiment.Result) error {
 	if err := c.print(results); err != nil || c.Quick {
 		return err
@@ -268,7 +275,7 @@
 	return experiment.SavePlots(filepath.Join(c.Out, "experiment"), list, surges)
 }
 
-// writeDigest writes the tables of docs/measurements.md.
+// writeDigest writes the Markdown tables for docs/measurements.md.
 func (c *experimentCmd) writeDigest(list []*experiment.Summary, surges []*experiment.Timeline) error {
 	f, err := os.Create(filepath.Join(c.Out, "experiment.md"))
 	if err != nil {
--- a/cmd/wardspool-load/main.go
+++ b/cmd/wardspool-load/main.go
@@ -1,6 +1,6 @@
-// Command wardspool-load offers load to wardspool and measures what comes of
-// it: over HTTP against running processes, or in virtual time against the
-// decision kernel alone.
+// Command wardspool-load generates load and measures the results: over HTTP
+// against running processes, or in virtual time against the decision kernel
+// alone.
 package main
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/wardspool/wardspool/process"
 )
 
-// version is set by the build.
+// version is set at build time.
 var version = "devel"
 
-// description opens the help text.
+// description is the first part of the help text.
 const description = `Load generator and experiments.
 
   wardspool-load run --workload examples/coastline/workload.yaml \
--- a/cmd/wardspool-load/main_test.go
+++ b/cmd/wardspool-load/main_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/load/referee"
 )
 
-// parse runs a command line's subcommand.
+// parse parses a command line and runs its subcommand.
 func parse(t *testing.T, args ...string) error {
 	t.Helper()
 	var c cli
@@ -26,6 +26,8 @@
 	return ctx.Run()
 }
 
+// TestExperimentWritesItsFiles checks that the CSV files, the digest and the plots
+// are written, with a row for each cell.
 func TestExperimentWritesItsFiles(t *testing.T) {
 	out := t.TempDir()
 	assert.NilError(t, parse(t, "experiment", "--examples", filepath.Join("..", "..", "examples"), "--out", out,
@@ -43,6 +45,8 @@
 	assert.Equal(t, len(strings.Split(strings.TrimSpace(string(data)), "\n")), 5)
 }
 
+// TestExperimentSaysWhatItLeftOut checks that a run that exhausts its time budget
+// is reported as partial.
 func TestExperimentSaysWhatItLeftOut(t *testing.T) {
 	err := parse(t, "experiment", "--examples", filepath.Join("..", "..", "examples"), "--quick", "--budget", "1ns")
 	var partial *PartialError
@@ -50,6 +54,7 @@
 	assert.Equal(t, partial.Ran, 0)
 }
 
+// TestBrokenPromisesAreErrors checks that the error counts the violations.
 func TestBrokenPromisesAreErrors(t *testing.T) {
 	err := &BrokenPromiseError{Verdict: &referee.Verdict{Duplicates: []string{"r1"}}}
 	assert.ErrorContains(t, err, "1 duplicates")
--- a/cmd/wardspool-load/overhead.go
+++ b/cmd/wardspool-load/overhead.go
@@ -13,7 +13,8 @@
 	"github.com/wardspool/wardspool/load/overhead"
 )
 
-// overheadCmd compares wardspool with direct calls.
+// overheadCmd is the subcommand "overhead". It compares requests through an entry
+// instance with direct calls of the engines.
 type overheadCmd struct {
 	Target    string        `help:"Address of the entry instance." required:"" placeholder:"IP:PORT"`
 	Prefill   string        `help:"Address of the instance's only prefill engine for the model." required:"" placeholder:"IP:PORT"`
--- a/cmd/wardspool-load/plugins.go
+++ b/cmd/wardspool-load/plugins.go
@@ -1,6 +1,6 @@
 package main
 
-// The decision plug-ins that the experiment can use.
+// The imports register the decision plug-ins that experiments can use.
 import (
 	_ "github.com/wardspool/wardspool/plugins/slots/probe"
 	_ "github.com/wardspool/wardspool/plugins/slots/shares"
--- a/cmd/wardspool-load/run.go
+++ b/cmd/wardspool-load/run.go
@@ -15,7 +15,8 @@
 	"github.com/wardspool/wardspool/load/runner"
 )
 
-// runCmd offers a workload over HTTP.
+// runCmd is the subcommand "run". It sends a workload over HTTP and checks the
+// answers.
 type runCmd struct {
 	Workload string        `help:"Workload file." required:"" placeholder:"FILE"`
 	Targets  []string      `help:"Addresses of the entry instances." required:"" placeholder:"IP:PORT"`
@@ -28,14 +29,14 @@
 	Quiesce  time.Duration `help:"How long the engines may take to release everything after the last answer." default:"10s"`
 }
 
-// BrokenPromiseError reports that the stand-ins contradict what callers were
-// told, or that an answer was wrong.
+// BrokenPromiseError reports violated guarantees: the reports of the stand-ins
+// contradict the outcomes that callers were told, or an answer was wrong.
 type BrokenPromiseError struct{ Verdict *referee.Verdict }
 
 // Error implements error.
 func (e *BrokenPromiseError) Error() string {
 	v := e.Verdict
-	return fmt.Sprintf("promises broken: %d duplicates, %d false not-run, %d never ran, %d wrong answers, %d attempts leaked",
+	return fmt.Sprintf("guarantees violated: %d duplicates, %d false not-run, %d never ran, %d wrong answers, %d attempts leaked",
 		len(v.Duplicates), len(v.FalseNotRun), len(v.NeverRan), len(v.Wrong), v.Leaked.Attempts)
 }
 
@@ -72,9 +73,9 @@
 	return c.judge(records)
 }
 
-// judge compares the records with what the stand-ins report.
+// judge checks the records against the reports of the stand-ins.
 func (c *runCmd) judge(records []runner.Record) error {
-	// Judged even after an interrupt, so without the command's context.
+	// The command's context is not used, so that an interrupted run is checked too.
 	ctx, cancel := context.WithTimeout(context.Background(), c.Quiesce+time.Minute)
 	defer cancel()
 	reports, err := referee.FetchQuiet(ctx, c.Judge, c.Quiesce)
--- a/cmd/wardspool-standin/engine.go
+++ b/cmd/wardspool-standin/engine.go
@@ -33,7 +33,7 @@
 	JudgeCap      int           `default:"200000" help:"Correlation IDs that the judge keeps records of."`
 }
 
-// perfFlags are the parameters of the performance model.
+// perfFlags holds the flags that set the parameters of the performance model.
 type perfFlags struct {
 	Slots                  int           `default:"20" help:"Requests that a decode engine holds at once."`
 	Pieces                 int           `default:"200" help:"KV memory, in pieces."`
@@ -48,7 +48,7 @@
 	CachePieces            int           `default:"100" help:"Capacity of the prefix cache, in pieces."`
 }
 
-// Help is shown by "engine --help".
+// Help returns the text that "engine --help" adds.
 func (engineCmd) Help() string {
 	return `A prefill engine computes prompts and keeps each result for --kv-lifetime; a
 decode engine pulls the result over the prefill engine's link and streams the
@@ -60,7 +60,7 @@
 and POST /control/crash plays a killed process whose judge survives.`
 }
 
-// Run serves the engine until ctx is done.
+// Run serves the engine's HTTP API until ctx is done.
 func (c *engineCmd) Run(ctx context.Context, log *slog.Logger) error {
 	if err := c.Perf.params().Validate(); err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return serve(ctx, log.With("standin", "engine", "id", c.ID), l, e.Handler())
 }
 
-// params returns the flags as parameters of the model.
+// params converts the flags to the parameters of the performance model.
 func (f perfFlags) params() perf.Params {
 	return perf.Params{
 		Slots:                  f.Slots,
--- a/cmd/wardspool-standin/main.go
+++ b/cmd/wardspool-standin/main.go
@@ -1,6 +1,7 @@
-// Command wardspool-standin plays the outside systems on a bench: a model
-// engine, a plain service or the platform's configuration service, each as one
-// process. It counts what really happened and so judges the router.
+// Command wardspool-standin simulates the external systems for tests and
+// measurements: a model engine, a plain service or the platform's configuration
+// service, each as one process. It records which requests were executed, to check
+// the router's outcomes against.
 package main
 
 import (
@@ -12,10 +13,10 @@
 	"github.com/wardspool/wardspool/process"
 )
 
-// version is set by the build.
+// version is set at build time.
 var version = "devel"
 
-// description opens the help text.
+// description is the first part of the help text.
 const description = `Stand-ins for the systems around wardspool, for tests, demos and measurements.
 
 Each subcommand serves HTTP on --listen until SIGINT or SIGTERM, and writes the
--- a/cmd/wardspool-standin/main_test.go
+++ b/cmd/wardspool-standin/main_test.go
@@ -18,7 +18,8 @@
 	"github.com/wardspool/wardspool/standin/platform"
 )
 
-// TestDefaults shows that the flags' defaults are those of the model.
+// TestDefaults checks that the defaults of the flags equal those of the performance
+// model.
 func TestDefaults(t *testing.T) {
 	var c cli
 	parser, err := kong.New(&c, kong.Vars{"version": "v"})
@@ -29,6 +30,8 @@
 	assert.DeepEqual(t, c.Engine.Models, []string{"m", "n"})
 }
 
+// TestSeed checks that a file becomes a key, and that a file larger than
+// platform.MaxValue is refused.
 func TestSeed(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.MkdirAll(filepath.Join(dir, "bundle", "parts"), 0o700))
@@ -45,7 +48,8 @@
 	assert.ErrorContains(t, seed(p, dir), "exceeds")
 }
 
-// TestServeStops serves a request and then stops when the context is done.
+// TestServeStops checks that serve answers a request and returns nil once its
+// context is done.
 func TestServeStops(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,6 +67,7 @@
 	assert.NilError(t, <-done)
 }
 
+// TestBadFlags checks that invalid parameters and an invalid address are reported.
 func TestBadFlags(t *testing.T) {
 	c := engineCmd{Listen: "127.0.0.1:0", ID: "e", Models: []string{"m"}}
 	assert.ErrorContains(t, c.Run(t.Context(), slog.New(slog.DiscardHandler)), "slots")
--- a/cmd/wardspool-standin/platform.go
+++ b/cmd/wardspool-standin/platform.go
@@ -19,7 +19,7 @@
 	SeedDir string `type:"existingdir" help:"Folder whose files are the first keys; a file's path in it is its key."`
 }
 
-// Help is shown by "platform --help".
+// Help returns the text that "platform --help" adds.
 func (platformCmd) Help() string {
 	return `Readers use GET /v1/keys/KEY?index=N&wait=10s. The bench writes, as operators do
 with the platform's own tools, by PUT and DELETE /control/keys/KEY:
@@ -28,7 +28,7 @@
   curl -X PUT -d '{"mode":"down"}' http://127.0.0.1:7000/control/mode`
 }
 
-// Run serves the platform until ctx is done.
+// Run serves the platform's HTTP API until ctx is done.
 func (c *platformCmd) Run(ctx context.Context, log *slog.Logger) error {
 	p := platform.New(platform.Config{Rate: c.Rate})
 	defer p.Close()
@@ -44,7 +44,8 @@
 	return serve(ctx, log.With("standin", "platform"), l, p.Handler())
 }
 
-// seed writes the files of a folder as keys, in the order of their paths.
+// seed stores each file below dir under its relative path as key, in lexical order
+// of the paths.
 func seed(p *platform.Platform, dir string) error {
 	return filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -52,14 +53,14 @@
 		}
 		value, err := os.ReadFile(path)
 		if err != nil {
-			return oops.With("file", path).Wrapf(err, "reading a seed")
+			return oops.With("file", path).Wrapf(err, "reading seed file")
 		}
 		if len(value) > platform.MaxValue {
 			return oops.With("file", path).Errorf("a seed exceeds %d bytes", platform.MaxValue)
 		}
 		key, err := filepath.Rel(dir, path)
 		if err != nil {
-			return oops.With("file", path).Wrapf(err, "naming a seed")
+			return oops.With("file", path).Wrapf(err, "deriving the key of a seed file")
 		}
 		p.Put(filepath.ToSlash(key), value)
 		return nil
--- a/cmd/wardspool-standin/serve.go
+++ b/cmd/wardspool-standin/serve.go
@@ -11,15 +11,15 @@
 	"github.com/samber/oops"
 )
 
-// Bounds of serving.
+// Timeouts of the HTTP server.
 const (
-	// headerTimeout bounds how long a client may take to send a request's head.
+	// headerTimeout limits the time to read a request's headers.
 	headerTimeout = 10 * time.Second
-	// shutdownTimeout bounds how long requests in flight may take at the end.
+	// shutdownTimeout is how long requests in flight may still run at shutdown.
 	shutdownTimeout = time.Second
 )
 
-// listen opens the address that a stand-in serves on.
+// listen opens the TCP listener of a stand-in.
 func listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -28,8 +28,8 @@
 	return l, nil
 }
 
-// serve answers HTTP on l until ctx is done. Requests that are still in flight
-// a little later are cut off.
+// serve serves HTTP on l until ctx is done. Requests that are still in flight
+// after shutdownTimeout are aborted.
 func serve(ctx context.Context, log *slog.Logger, l net.Listener, h http.Handler) error {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	log.Info("listening", "address", l.Addr().String())
--- a/cmd/wardspool-standin/service.go
+++ b/cmd/wardspool-standin/service.go
@@ -22,7 +22,7 @@
 	JudgeCap      int           `default:"200000" help:"Correlation IDs, and keys, that the judge keeps."`
 }
 
-// Help is shown by "service --help".
+// Help returns the text that "service --help" adds.
 func (serviceCmd) Help() string {
 	return `Takes any method and path but /judge, /control/ and /healthz. A run goes on if
 its caller leaves, and is counted when it begins. Failures are set by
@@ -30,7 +30,7 @@
   curl -X PUT -d '{"die_after_run":true}' http://127.0.0.1:7301/control/faults`
 }
 
-// Run serves the service until ctx is done.
+// Run serves the service's HTTP API until ctx is done.
 func (c *serviceCmd) Run(ctx context.Context, log *slog.Logger) error {
 	l, err := listen(c.Listen)
 	if err != nil {
--- a/cmd/wardspoolctl/bundle.go
+++ b/cmd/wardspoolctl/bundle.go
@@ -14,7 +14,7 @@
 	Sources []string `arg:"" help:"YAML sources; - for the standard input."`
 }
 
-// Help is shown by "bundle lint --help".
+// Help returns the text that "bundle lint --help" adds.
 func (bundleLintCmd) Help() string {
 	return `Checks sources as a whole and prints every fault with its place, its field, what
 is wrong and what would be right:
@@ -24,7 +24,7 @@
 Exit codes: 0 no fault, 1 faults, 2 wrong usage.`
 }
 
-// Run checks the sources.
+// Run checks the sources and prints the findings.
 func (c *bundleLintCmd) Run(s streams) error {
 	var all bundle.Findings
 	for _, name := range c.Sources {
@@ -44,7 +44,7 @@
 	After  string `arg:"" help:"Source, draft or packed folder."`
 }
 
-// Help is shown by "bundle diff --help".
+// Help returns the text that "bundle diff --help" adds.
 func (bundleDiffCmd) Help() string {
 	return `Shows what changes from one bundle to another, field by field. Entries are
 matched by name. An approver compares what is in force with what is to be signed:
@@ -54,7 +54,7 @@
 Exit codes: 0 both were read, 1 one has faults, 2 wrong usage.`
 }
 
-// Run prints the changes.
+// Run prints the differences between the two bundles.
 func (c *bundleDiffCmd) Run(s streams) error {
 	before, err := readContent(s, c.Before)
 	if err != nil {
@@ -84,7 +84,7 @@
 	Draft      string   `arg:"" help:"Folder to write; it must not exist."`
 }
 
-// Help is shown by "bundle new --help".
+// Help returns the text that "bundle new --help" adds.
 func (bundleNewCmd) Help() string {
 	return `Builds the next version and writes its draft: head.json, to be signed, and the
 parts.
@@ -98,7 +98,7 @@
 Exit codes: 0 built, 1 faults or refused, 2 wrong usage.`
 }
 
-// Run builds the draft.
+// Run builds the next version and writes its draft.
 func (c *bundleNewCmd) Run(s streams) error {
 	draft, err := c.draft(s)
 	if err != nil {
@@ -122,7 +122,8 @@
 	return nil
 }
 
-// draft reads what the bundle is built from.
+// draft reads the source, the previous head and the approvers that the bundle is
+// built from.
 func (c *bundleNewCmd) draft(s streams) (bundle.Draft, error) {
 	d := bundle.Draft{Note: c.Note}
 	var err error
@@ -157,7 +158,7 @@
 	Draft string `arg:"" help:"The draft's folder."`
 }
 
-// Help is shown by "bundle sign --help".
+// Help returns the text that "bundle sign --help" adds.
 func (bundleSignCmd) Help() string {
 	return `Adds a signature to a draft's head.json. Look at what you sign first:
 
@@ -170,7 +171,7 @@
 Exit codes: 0 signed, 1 refused, 2 wrong usage.`
 }
 
-// Run signs the draft.
+// Run checks the draft and adds a signature to it.
 func (c *bundleSignCmd) Run(s streams) error {
 	h, parts, err := readBundle(s, c.Draft)
 	if err != nil {
@@ -198,7 +199,7 @@
 	Bundle    string `arg:"" help:"Draft or packed folder."`
 }
 
-// Help is shown by "bundle verify --help".
+// Help returns the text that "bundle verify --help" adds.
 func (bundleVerifyCmd) Help() string {
 	return `Verifies a bundle as an instance does that trusts the given approvers: signatures
 of a quorum, through every replacement of approvers; every part; the content.
@@ -208,7 +209,7 @@
 Exit codes: 0 an instance would accept it, 1 it would not, 2 wrong usage.`
 }
 
-// Run verifies the bundle.
+// Run verifies the bundle, and that it follows the previous one if given.
 func (c *bundleVerifyCmd) Run(s streams) error {
 	h, _, err := verifiedBundle(s, c.Bundle, c.Approvers)
 	if err != nil {
@@ -228,7 +229,8 @@
 	return nil
 }
 
-// verifiedBundle reads a bundle and verifies all of it. It joins the errors.
+// verifiedBundle reads a bundle and verifies its signatures, parts and content. It
+// returns all errors found, joined.
 func verifiedBundle(s streams, dir, approvers string) (*bundle.Head, *bundle.PartSet, error) {
 	trusted, err := readApprovers(s, approvers)
 	if err != nil {
@@ -249,7 +251,7 @@
 	Out       string `arg:"" help:"Folder to write; its files are named as the platform's keys."`
 }
 
-// Help is shown by "bundle pack --help".
+// Help returns the text that "bundle pack --help" adds.
 func (bundlePackCmd) Help() string {
 	return `Verifies a draft and writes the values to publish, one file for each key of the
 platform:
@@ -266,7 +268,7 @@
 Exit codes: 0 written, 1 refused, 2 wrong usage.`
 }
 
-// Run writes the values.
+// Run verifies the draft and writes the values to publish.
 func (c *bundlePackCmd) Run(s streams) error {
 	h, parts, err := verifiedBundle(s, c.Draft, c.Approvers)
 	if err != nil {
--- a/cmd/wardspoolctl/documents_test.go
+++ b/cmd/wardspoolctl/documents_test.go
@@ -17,13 +17,14 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// shell runs commands in a temporary folder and writes down what they print.
+// shell runs commands in a temporary directory and records their output.
 type shell struct {
 	t    *testing.T
 	text strings.Builder
 }
 
-// newShell makes a folder with the example's source and the keys of approvers.
+// newShell changes to a temporary directory with an example's bundle source, a
+// faulty source and the keys of six approvers.
 func newShell(t *testing.T) *shell {
 	source, err := os.ReadFile("../../examples/coastline/bundle.yaml")
 	assert.NilError(t, err)
@@ -45,7 +46,7 @@
 	assert.NilError(t, os.WriteFile(name, []byte(text), secretMode))
 }
 
-// edit replaces text in a file.
+// edit replaces the first occurrence of a text in a file.
 func (s *shell) edit(name, old, new string) {
 	s.t.Helper()
 	b, err := os.ReadFile(name)
@@ -55,7 +56,8 @@
 	fmt.Fprintf(&s.text, "# %s: %q becomes %q\n", name, old, new)
 }
 
-// run runs one command; "> file" at its end redirects what it prints.
+// run runs one command and records it with its output and exit code. A trailing
+// " > file" redirects standard output to a file.
 func (s *shell) run(line string) {
 	s.t.Helper()
 	command, file, redirected := strings.Cut(line, " > ")
@@ -73,7 +75,8 @@
 	}
 }
 
-// Sessions of commands as operators type them; testdata holds what they print.
+// TestCommandSessions compares the output of command sequences, as operators type
+// them, with the golden files in testdata.
 func TestCommandSessions(t *testing.T) {
 	sessions := []struct {
 		name string
@@ -99,12 +102,12 @@
 	}
 }
 
-// three makes a set of three approvers of whom two must sign.
+// three creates a set of three approvers with a quorum of two.
 func (s *shell) three() {
 	s.run("key approvers --quorum 2 cyd.key ada.key ben.key > approvers.yaml")
 }
 
-// signed builds, signs and packs a draft.
+// signed builds a draft, signs it with the given keys and packs it.
 func (s *shell) signed(build, draft string, signers ...string) {
 	s.t.Helper()
 	s.run("bundle new " + build + " bundle.yaml " + draft)
@@ -114,7 +117,7 @@
 	s.run("bundle pack --approvers approvers.yaml " + draft + " publish")
 }
 
-// rolled makes, signs and packs a roll.
+// rolled creates a roll, signs it with the given keys and packs it.
 func (s *shell) rolled(file, arguments string, signers ...string) {
 	s.t.Helper()
 	s.run("roll new " + arguments + " -o " + file)
@@ -124,6 +127,8 @@
 	s.run("roll pack --approvers approvers.yaml " + file + " publish")
 }
 
+// firstBundle goes from keys to the first bundle and roll. The values to publish
+// must be smaller than the platform's limit.
 func firstBundle(s *shell) {
 	s.run("key public ada.key")
 	s.three()
@@ -141,6 +146,8 @@
 	}
 }
 
+// canarySession rolls a version to a canary in steps, abandons it, and rolls a
+// version with the old content.
 func canarySession(s *shell) {
 	s.three()
 	s.signed("--approvers approvers.yaml", "draft-1", "ada", "ben")
@@ -161,6 +168,7 @@
 	s.run("roll pack --approvers approvers.yaml roll-3.json publish")
 }
 
+// rotationSession replaces the approvers, which needs a quorum of both sets.
 func rotationSession(s *shell) {
 	s.three()
 	s.signed("--approvers approvers.yaml", "draft-1", "ada", "ben")
@@ -183,7 +191,8 @@
 	s.run("bundle verify --approvers next.yaml draft-1")
 }
 
-// twoVersions is what the split-version alarm asks for.
+// twoVersions resolves two different bundles of one version, as the split-version
+// alarm tells operators to: the next version supersedes both.
 func twoVersions(s *shell) {
 	s.three()
 	s.signed("--approvers approvers.yaml", "draft-1", "ada", "ben")
@@ -206,11 +215,14 @@
 	s.run("bundle verify --approvers approvers.yaml --previous draft-2b draft-3b")
 }
 
+// lintSession checks a faulty source and one that does not exist.
 func lintSession(s *shell) {
 	s.run("bundle lint faulty.yaml bundle.yaml")
 	s.run("bundle lint nowhere.yaml")
 }
 
+// refusedSession runs commands that must be refused, such as signing with an
+// unknown key or packing without a quorum.
 func refusedSession(s *shell) {
 	s.run("key new Ada")
 	s.run("key approvers --quorum 1 ada.key ben.key cyd.key")
@@ -239,6 +251,7 @@
 	s.run("bundle verify --approvers approvers.yaml draft-1")
 }
 
+// usageSession runs invalid command lines.
 func usageSession(s *shell) {
 	s.run("")
 	s.run("bundle")
@@ -248,6 +261,7 @@
 	s.run("roll now")
 }
 
+// helpSession prints the help texts.
 func helpSession(s *shell) {
 	for _, command := range []string{
 		"", "key", "key new", "key public", "key approvers", "bundle", "bundle lint", "bundle diff", "bundle new",
@@ -257,6 +271,8 @@
 	}
 }
 
+// TestKeyNewMakesAKeyThatSigns checks that a new key file is readable, that its
+// halves match, and that two keys of one name differ.
 func TestKeyNewMakesAKeyThatSigns(t *testing.T) {
 	s := newShell(t)
 	s.run("key new zoe > zoe.key")
--- a/cmd/wardspoolctl/explain.go
+++ b/cmd/wardspoolctl/explain.go
@@ -14,7 +14,7 @@
 	JSON bool `name:"json" help:"Print JSON in place of a table."`
 }
 
-// Help is shown by "explain --help".
+// Help returns the text that "explain --help" adds.
 func (explainCmd) Help() string {
 	return `Asks running entry instances live why a request went where it did, why it
 waited and why it was refused. Each line is one decision:
@@ -32,7 +32,7 @@
 	exitUnreached = 2
 )
 
-// Run asks the instances and prints what they know.
+// Run queries the instances for the decisions on a request and prints them.
 func (c *explainCmd) Run(ctx context.Context) error {
 	pool, err := c.pool()
 	if err != nil {
--- a/cmd/wardspoolctl/files.go
+++ b/cmd/wardspoolctl/files.go
@@ -14,30 +14,32 @@
 	"github.com/wardspool/wardspool/configservice"
 )
 
-// standardStream names the standard input or output in place of a file.
+// standardStream stands for standard input or output in place of a file name.
 const standardStream = "-"
 
-// Modes of the files that commands write. Keys are for their owner only.
+// Permissions of files and directories that commands create. Key files are
+// readable by their owner only.
 const (
 	fileMode   = 0o644
 	secretMode = 0o600
 	folderMode = 0o755
 )
 
-// Names in a draft's folder.
+// Names of a draft's files.
 const (
 	draftHead  = "head.json"
 	draftParts = "parts"
 )
 
-// maxInput bounds what commands read from one file.
+// maxInput limits how much is read from one file. One byte more than the maximum
+// size of a source lets larger ones be detected.
 const maxInput = bundle.MaxSourceBytes + 1
 
-// readInput reads a file, or the standard input for "-".
+// readInput reads a file, or standard input for "-".
 func readInput(s streams, name string) ([]byte, error) {
 	if name == standardStream {
 		b, err := io.ReadAll(io.LimitReader(s.In, maxInput))
-		return b, oops.Wrapf(err, "read the standard input")
+		return b, oops.Wrapf(err, "read standard input")
 	}
 	f, err := os.Open(name)
 	if err != nil {
@@ -48,22 +50,25 @@
 	return b, oops.Wrapf(err, "read a file")
 }
 
-// writeOutput writes a file and its folders, or to the standard output for "-".
+// writeOutput writes a file and creates its directory, or writes to standard output
+// for "-".
 func writeOutput(s streams, name string, b []byte) error {
 	if name == standardStream {
 		_, err := s.Out.Write(b)
-		return oops.Wrapf(err, "write the standard output")
+		return oops.Wrapf(err, "write standard output")
 	}
 	if err := os.MkdirAll(filepath.Dir(name), folderMode); err != nil {
-		return oops.Wrapf(err, "make a folder")
+		return oops.Wrapf(err, "create a directory")
 	}
 	return oops.Wrapf(os.WriteFile(name, b, fileMode), "write a file")
 }
 
-// folder is a draft's or a packed bundle's folder: where its head and parts are.
+// folder holds the paths of a bundle's head and parts, in a draft's or a packed
+// bundle's directory.
 type folder struct{ head, parts string }
 
-// openFolder finds out which kind of folder dir is.
+// openFolder returns the paths in dir: those of a draft if it has a draft's head,
+// else those of a packed bundle.
 func openFolder(dir string) folder {
 	draft := folder{head: filepath.Join(dir, draftHead), parts: filepath.Join(dir, draftParts)}
 	if _, err := os.Stat(draft.head); err == nil {
@@ -72,7 +77,8 @@
 	return packedFolder(dir)
 }
 
-// packedFolder is a folder with the platform's keys as files.
+// packedFolder returns the paths in the directory of a packed bundle, whose files
+// are named after the platform's keys.
 func packedFolder(dir string) folder {
 	return folder{
 		head:  filepath.Join(dir, filepath.FromSlash(configservice.KeyBundleHead)),
@@ -80,7 +86,7 @@
 	}
 }
 
-// readHead reads a head from a file, a draft or a packed folder.
+// readHead reads a head from a file, a draft or a packed bundle.
 func readHead(s streams, name string) (*bundle.Head, error) {
 	if info, err := os.Stat(name); err == nil && info.IsDir() {
 		name = openFolder(name).head
@@ -92,8 +98,8 @@
 	return bundle.DecodeHead(b)
 }
 
-// readSignedHead reads a head that a quorum of the approvers it names has signed.
-// What is built on it or rolls it carries these signatures along.
+// readSignedHead reads a head and checks that a quorum of the approvers it names
+// has signed it. Later bundles and rolls include these signatures.
 func readSignedHead(s streams, name string) (*bundle.Head, error) {
 	h, err := readHead(s, name)
 	if err != nil {
@@ -106,12 +112,12 @@
 	return h, nil
 }
 
-// readParts reads all parts of a folder. A file that is no part, or has another
-// digest than its name, is refused.
+// readParts reads all parts. It returns an error for a file whose name is not a
+// digest or differs from the digest of its content.
 func (f folder) readParts() (*bundle.PartSet, error) {
 	entries, err := os.ReadDir(f.parts)
 	if err != nil {
-		return nil, oops.Wrapf(err, "read the parts")
+		return nil, oops.Wrapf(err, "read the directory of parts")
 	}
 	set := &bundle.PartSet{}
 	for _, e := range entries {
@@ -130,7 +136,7 @@
 	return set, nil
 }
 
-// write writes a head and parts.
+// write writes the parts, then the head.
 func (f folder) write(s streams, h *bundle.Head, parts *bundle.PartSet) error {
 	for _, d := range parts.Digests() {
 		b, _ := parts.Part(d)
@@ -141,8 +147,7 @@
 	return writeOutput(s, f.head, h.Encode())
 }
 
-// readContent reads a bundle's content from a source, a draft or a packed
-// folder.
+// readContent reads a bundle's content from a source, a draft or a packed bundle.
 func readContent(s streams, name string) (*config.Content, error) {
 	if info, err := os.Stat(name); err == nil && info.IsDir() {
 		h, parts, err := readBundle(s, name)
@@ -159,7 +164,7 @@
 	return content, findings.Err()
 }
 
-// readBundle reads a draft or a packed folder.
+// readBundle reads the head and the parts of a draft or a packed bundle.
 func readBundle(s streams, dir string) (*bundle.Head, *bundle.PartSet, error) {
 	h, err := readHead(s, dir)
 	if err != nil {
@@ -169,18 +174,19 @@
 	return h, parts, err
 }
 
-// refusedError reports that a command refused to do something.
+// refusedError reports why a command was refused.
 type refusedError struct{ Reason string }
 
 // Error implements error.
 func (e *refusedError) Error() string { return e.Reason }
 
+// refusef returns a refusedError with a formatted reason.
 func refusef(format string, args ...any) error {
 	return &refusedError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// printFindings prints the findings of an error, one a line, and returns an
-// error for the exit code alone; other errors are returned as they are.
+// printFindings prints the findings in an error, one per line, and returns an error
+// with their number. Other errors are returned unchanged.
 func printFindings(s streams, err error) error {
 	var bad *bundle.FindingsError
 	if !errors.As(err, &bad) {
--- a/cmd/wardspoolctl/fleet.go
+++ b/cmd/wardspoolctl/fleet.go
@@ -20,7 +20,7 @@
 	JSON    bool          `name:"json" help:"Print one JSON object a look in place of tables."`
 }
 
-// Help is shown by "fleet --help".
+// Help returns the text that "fleet --help" adds.
 func (fleetCmd) Help() string {
 	return `Shows, for each agent asked: the bundle version in force on it and on its entry,
 the newest roll it knows, alarms with the step to take, whom it sees and whom it
@@ -40,7 +40,7 @@
 	exitNoAnswers = 2
 )
 
-// Run looks once, or until the user stops it.
+// Run queries the agents once or, with --watch, until the user interrupts it.
 func (c *fleetCmd) Run(ctx context.Context) error {
 	pool, err := c.pool()
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// look takes one look and prints it.
+// look queries all agents once and prints the result.
 func (c *fleetCmd) look(ctx context.Context, pool *peer.Pool) (*console.Fleet, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -74,7 +74,7 @@
 	return f, printAnswer(f, c.JSON)
 }
 
-// fleetExit turns what was seen into the exit code.
+// fleetExit returns the error that sets the exit code for a result.
 func fleetExit(f *console.Fleet) error {
 	if len(f.Unreached) > 0 {
 		return &askExit{Code: exitNoAnswers}
--- a/cmd/wardspoolctl/groups.go
+++ b/cmd/wardspoolctl/groups.go
@@ -1,13 +1,13 @@
 package main
 
-// documentCommands work on files of the operator's machine.
+// documentCommands are the commands that process files on the operator's machine.
 type documentCommands struct {
 	Key    keyGroup    `cmd:"" help:"Make approvers' keys and sets."`
 	Bundle bundleGroup `cmd:"" help:"Make, check, sign and pack bundles."`
 	Roll   rollGroup   `cmd:"" help:"Say on which instances a bundle comes into force."`
 }
 
-// instanceCommands ask running instances.
+// instanceCommands are the commands that query running instances.
 type instanceCommands struct {
 	Fleet      fleetCmd      `cmd:"" help:"Show which bundle is in force on each instance, and alarms."`
 	Watch      watchCmd      `cmd:"" help:"Show what each bundle version does, live."`
@@ -16,14 +16,14 @@
 	Quarantine quarantineCmd `cmd:"" help:"Show the requests that are kept from upstreams because they crash them."`
 }
 
-// keyGroup is the commands of "key".
+// keyGroup holds the subcommands of "key".
 type keyGroup struct {
 	New       keyNewCmd       `cmd:"" help:"Make an approver's key."`
 	Public    keyPublicCmd    `cmd:"" help:"Print the public half of a key."`
 	Approvers keyApproversCmd `cmd:"" help:"Make or print a set of approvers."`
 }
 
-// bundleGroup is the commands of "bundle".
+// bundleGroup holds the subcommands of "bundle".
 type bundleGroup struct {
 	Lint   bundleLintCmd   `cmd:"" help:"Check bundle sources."`
 	Diff   bundleDiffCmd   `cmd:"" help:"Show what changes between two bundles."`
@@ -33,7 +33,7 @@
 	Pack   bundlePackCmd   `cmd:"" help:"Write the values to publish."`
 }
 
-// rollGroup is the commands of "roll".
+// rollGroup holds the subcommands of "roll".
 type rollGroup struct {
 	New    rollNewCmd    `cmd:"" help:"Make the next roll."`
 	Sign   rollSignCmd   `cmd:"" help:"Sign a roll."`
--- a/cmd/wardspoolctl/instances.go
+++ b/cmd/wardspoolctl/instances.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// instanceArgs name the gateway instances that a command asks.
+// instanceArgs are the flags of commands that query gateway instances.
 type instanceArgs struct {
 	Instances []string      `required:"" placeholder:"IP:PORT" help:"Metrics addresses of the gateway instances to ask (listen.metrics in their settings), separated by commas."`
 	Timeout   time.Duration `default:"3s" help:"How long to wait for answers."`
 	JSON      bool          `name:"json" help:"Print JSON in place of a table."`
 }
 
-// finish prints an answer. Instances that gave none decide the exit code.
+// finish prints an answer. It returns an askExit if any instance did not respond.
 func (i *instanceArgs) finish(a answer, unreached []string) error {
 	if err := printAnswer(a, i.JSON); err != nil {
 		return err
@@ -27,15 +27,15 @@
 	return nil
 }
 
-// writeUnreached names the instances that gave no answer.
+// writeUnreached lists the instances that did not respond, with the reasons.
 func writeUnreached(w io.Writer, unreached []string) {
 	for _, u := range unreached {
 		fmt.Fprintf(w, "no answer: %s\n", u)
 	}
 }
 
-// askInstances asks all instances for what they show at a path, and returns those that gave
-// no answer, with the reasons.
+// askInstances gets the JSON document at path from all instances and passes each to take. It
+// returns the instances that did not respond, with the reasons.
 func askInstances[T any](ctx context.Context, args *instanceArgs, path string, take func(T)) (unreached []string) {
 	ctx, cancel := context.WithTimeout(ctx, args.Timeout)
 	defer cancel()
@@ -50,7 +50,7 @@
 	return unreached
 }
 
-// askInstance asks a gateway instance for what it shows at a path of its metrics address.
+// askInstance gets the JSON document at path from a gateway instance's metrics address.
 func askInstance[T any](ctx context.Context, address, path string) (answer T, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return answer, err
 }
 
-// answerStatusError reports an answer of an instance that shows nothing.
+// answerStatusError reports a response with a status other than 200.
 type answerStatusError struct{ Status int }
 
 // Error implements error.
--- a/cmd/wardspoolctl/key.go
+++ b/cmd/wardspoolctl/key.go
@@ -14,8 +14,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// keyFile is an approver's key as written to a file. Private is empty in the
-// public half.
+// keyFile is the content of an approver's key file. Private is empty in files that
+// hold only the public key.
 type keyFile struct {
 	Name    string `yaml:"name"`
 	Public  string `yaml:"public"`
@@ -31,12 +31,12 @@
 // Error implements error.
 func (e *keyError) Error() string { return fmt.Sprintf("key %s: %s", e.File, e.Reason) }
 
-// decodeStrictYAML decodes YAML, refusing unknown and repeated keys.
+// decodeStrictYAML decodes YAML and rejects unknown and duplicate keys.
 func decodeStrictYAML(b []byte, v any) error {
 	return yaml.NewDecoder(bytes.NewReader(b), yaml.DisallowUnknownField()).Decode(v)
 }
 
-// readKey reads a key file and checks its public half.
+// readKey reads a key file and checks its name and public key.
 func readKey(s streams, name string) (keyFile, bundle.PublicKey, error) {
 	var k keyFile
 	var public bundle.PublicKey
@@ -56,7 +56,8 @@
 	return k, public, nil
 }
 
-// readPrivateKey reads the key file of someone who signs.
+// readPrivateKey reads a key file with a private key and checks that the public key
+// belongs to it.
 func readPrivateKey(s streams, name string) (keyFile, ed25519.PrivateKey, error) {
 	k, public, err := readKey(s, name)
 	if err != nil {
@@ -78,7 +79,7 @@
 	Name string `arg:"" help:"The approver's name, of lower-case letters, digits and inner hyphens."`
 }
 
-// Help is shown by "key new --help".
+// Help returns the text that "key new --help" adds.
 func (keyNewCmd) Help() string {
 	return `Writes a new key to the standard output. Keep the file to yourself; give others
 what "key public" prints of it.
@@ -86,13 +87,13 @@
   (umask 077; wardspoolctl key new ada > ada.key)`
 }
 
-// Run makes a key.
+// Run generates a key and prints it.
 func (c *keyNewCmd) Run(s streams) error {
 	if !ident.ValidName(c.Name) {
 		return refusef("%q is not a valid name: use lower-case letters, digits and inner hyphens", c.Name)
 	}
 	seed := make([]byte, ed25519.SeedSize)
-	// Read never fails: crypto/rand ends the process instead.
+	// Read never returns an error: crypto/rand terminates the process instead.
 	_, _ = rand.Read(seed)
 	public := ed25519.NewKeyFromSeed(seed).Public().(ed25519.PublicKey)
 	return writeYAML(s, keyFile{Name: c.Name, Public: hex.EncodeToString(public), Private: hex.EncodeToString(seed)})
@@ -103,14 +104,14 @@
 	File string `arg:"" help:"Key file; - for the standard input."`
 }
 
-// Help is shown by "key public --help".
+// Help returns the text that "key public --help" adds.
 func (keyPublicCmd) Help() string {
 	return `Prints the half of a key that others may have:
 
   wardspoolctl key public ada.key > ada.pub`
 }
 
-// Run prints the public half.
+// Run prints the public key.
 func (c *keyPublicCmd) Run(s streams) error {
 	k, _, err := readKey(s, c.File)
 	if err != nil {
@@ -120,6 +121,7 @@
 	return writeYAML(s, k)
 }
 
+// writeYAML prints v as YAML.
 func writeYAML(s streams, v any) error {
 	b, err := yaml.Marshal(v)
 	if err != nil {
@@ -135,7 +137,7 @@
 	Keys   []string `arg:"" optional:"" help:"Key files, with or without their private halves."`
 }
 
-// Help is shown by "key approvers --help".
+// Help returns the text that "key approvers --help" adds.
 func (keyApproversCmd) Help() string {
 	return `Prints a set of approvers, as "bundle new" and the settings of instances take it:
 
@@ -148,7 +150,7 @@
 groups can each sign a bundle of one version.`
 }
 
-// Run prints a set.
+// Run prints a set of approvers.
 func (c *keyApproversCmd) Run(s streams) error {
 	set := bundle.Approvers{Epoch: 1, Quorum: c.Quorum}
 	if c.Of != "" {
--- a/cmd/wardspoolctl/limits.go
+++ b/cmd/wardspoolctl/limits.go
@@ -16,7 +16,7 @@
 	instanceArgs `embed:""`
 }
 
-// Help is shown by "limits --help".
+// Help returns the text that "limits --help" adds.
 func (limitsCmd) Help() string {
 	return `Shows the limit of each workspace, and since the instances asked have started: what their
 callers were granted of it, refused, and gave back for requests that did not run, all in the
@@ -29,25 +29,26 @@
 Exit codes: 0, or 2 if an instance gave no answer.`
 }
 
-// limitRow is a workspace's limit over the instances that were asked.
+// limitRow is a workspace's limit, with its use summed over the instances queried. Accounts is the
+// number of them that hold an account, and Level the sum of these accounts' levels.
 type limitRow struct {
 	limit.Status
 	Accounts int `json:"accounts"`
 }
 
-// limitsAnswer is what the instances said.
+// limitsAnswer is the combined result of all instances.
 type limitsAnswer struct {
 	Workspaces []limitRow `json:"workspaces"`
 	Unreached  []string   `json:"unreached"`
 }
 
-// Run asks the instances and prints what they say.
+// Run queries the instances and prints the combined result.
 func (c *limitsCmd) Run(ctx context.Context) error {
 	a := c.collect(ctx)
 	return c.finish(a, a.Unreached)
 }
 
-// collect asks the instances and adds up what they say.
+// collect queries the instances and adds up their figures.
 func (c *limitsCmd) collect(ctx context.Context) *limitsAnswer {
 	a := &limitsAnswer{Workspaces: []limitRow{}}
 	rows := map[string]*limitRow{}
@@ -68,7 +69,7 @@
 	return a
 }
 
-// add adds what one instance says.
+// add adds the figures of one instance.
 func (r *limitRow) add(s limit.Status) {
 	r.Granted += s.Granted
 	r.Refused += s.Refused
--- a/cmd/wardspoolctl/limits_test.go
+++ b/cmd/wardspoolctl/limits_test.go
@@ -16,7 +16,7 @@
 	"github.com/wardspool/wardspool/gateway/routing"
 )
 
-// limiting serves what an instance says of limits.
+// limiting starts a server that returns the given limits and returns its address.
 func limiting(t *testing.T, said ...limit.Status) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/limits")
@@ -26,8 +26,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// TestLimitsOfAFleet: use is added up over instances, levels over the accounts they keep, and
-// the workspace that was refused most comes first.
+// TestLimitsOfAFleet checks that use is summed over all instances and levels over those that hold
+// the account, and that the workspace with most refusals comes first.
 func TestLimitsOfAFleet(t *testing.T) {
 	a := limit.Status{Workspace: "a", Rate: 100, Burst: 50, Unit: routing.Tokens, Use: limit.Use{Granted: 10, Refused: 1}, Owns: true, Level: 20}
 	b := limit.Status{Workspace: "b", Rate: 7, Unit: routing.Requests, Use: limit.Use{Granted: 3, Refused: 9, Returned: 2}}
@@ -45,7 +45,7 @@
 	assert.Equal(t, text.String(), want)
 }
 
-// TestLimitsNameWhoDidNotAnswer and end with their exit code.
+// TestLimitsNameWhoDidNotAnswer checks that the exit code tells that an instance did not respond.
 func TestLimitsNameWhoDidNotAnswer(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
--- a/cmd/wardspoolctl/main.go
+++ b/cmd/wardspoolctl/main.go
@@ -1,7 +1,7 @@
-// Command wardspoolctl is the operators' tool: it makes, checks, signs and packs
-// bundles and rolls on an operator's machine, and asks running instances what
-// they do. It writes nothing to the platform; operators publish what it packs
-// with the platform's own tools.
+// Command wardspoolctl is the operators' command-line tool: it creates, checks,
+// signs and packs bundles and rolls on an operator's machine, and queries the
+// state of running instances. It writes nothing to the platform; operators publish
+// the packed files with the platform's own tools.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// program is the command line. Each group of commands has a file of its own.
+// program defines the command line. Each group of commands has its own file.
 type program struct {
 	documentCommands
 	instanceCommands
--- a/cmd/wardspoolctl/quarantine.go
+++ b/cmd/wardspoolctl/quarantine.go
@@ -19,7 +19,7 @@
 	instanceArgs `embed:""`
 }
 
-// Help is shown by "quarantine --help".
+// Help returns the text that "quarantine --help" adds.
 func (quarantineCmd) Help() string {
 	return `Shows the requests, by their content, that are kept from upstreams because upstreams
 crashed under them, or are tried one at a time: how many crashed, under how many of them
@@ -31,26 +31,27 @@
 Exit codes: 0, or 2 if an instance gave no answer.`
 }
 
-// heldContent is a content and how many instances know of it.
+// heldContent is the status of a content and the number of instances that reported it.
 type heldContent struct {
 	quarantine.ContentStatus
 	KnownBy int `json:"known_by"`
 }
 
-// heldAnswer is what the instances said.
+// heldAnswer is the combined result of all instances.
 type heldAnswer struct {
 	Contents  []heldContent `json:"contents"`
 	Asked     int           `json:"asked"`
 	Unreached []string      `json:"unreached"`
 }
 
-// Run asks the instances and prints what they say.
+// Run queries the instances and prints the combined result.
 func (c *quarantineCmd) Run(ctx context.Context) error {
 	a := c.collect(ctx)
 	return c.finish(a, a.Unreached)
 }
 
-// collect asks the instances. Of a content, what the instance says counts that knows most.
+// collect queries the instances. For each content, it takes the status of the instance that counted
+// most crashes.
 func (c *quarantineCmd) collect(ctx context.Context) *heldAnswer {
 	a := &heldAnswer{Asked: len(c.Instances), Contents: []heldContent{}}
 	known := map[string]*heldContent{}
@@ -73,7 +74,7 @@
 	return a
 }
 
-// knownBy returns how many instances know of a content, which may be nil.
+// knownBy returns the number of instances that reported a content, 0 if k is nil.
 func knownBy(k *heldContent) int {
 	if k == nil {
 		return 0
@@ -96,7 +97,7 @@
 	return w.Flush()
 }
 
-// joined lists upstreams.
+// joined returns the upstream IDs separated by spaces.
 func joined(ids []ident.UpstreamID) string {
 	var names []string
 	for _, id := range ids {
--- a/cmd/wardspoolctl/quarantine_test.go
+++ b/cmd/wardspoolctl/quarantine_test.go
@@ -16,7 +16,7 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// holding serves what an instance holds.
+// holding starts a server that returns the given contents and returns its address.
 func holding(t *testing.T, held ...quarantine.ContentStatus) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/quarantine")
@@ -26,7 +26,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// TestQuarantineOfAFleet: a content is shown once, by whoever knows most of it.
+// TestQuarantineOfAFleet checks that a content is listed once, with the status of the instance that
+// counted most crashes.
 func TestQuarantineOfAFleet(t *testing.T) {
 	known := quarantine.ContentStatus{Content: "ab", Standing: "quarantined", Crashes: 2, Early: 2, RemainingSeconds: 90, Upstreams: []ident.UpstreamID{"i-1", "i-2"}}
 	less := quarantine.ContentStatus{Content: "ab", Standing: "suspect", Crashes: 1, Early: 1, Upstreams: []ident.UpstreamID{"i-1"}}
@@ -42,7 +43,8 @@
 	assert.Equal(t, text.String(), want)
 }
 
-// TestQuarantineNamesWhoDidNotAnswer and ends with their exit code.
+// TestQuarantineNamesWhoDidNotAnswer checks that an instance that did not respond is listed with the
+// reason and sets the exit code.
 func TestQuarantineNamesWhoDidNotAnswer(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
--- a/cmd/wardspoolctl/record.go
+++ b/cmd/wardspoolctl/record.go
@@ -14,15 +14,16 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// signingRecord is a file that lists what an approver signed, one document a
-// line: kind, number and digest. An approver who signs two documents of one
-// number can split the fleet, so a second one is refused.
+// signingRecord is a file that lists the documents an approver has signed, one per
+// line: kind, number and digest. If an approver signed two different documents of
+// one number, instances could apply different ones, so the second is refused.
 type signingRecord struct{ file string }
 
-// recordSuffix follows the name of the key file in the name of its record.
+// recordSuffix is appended to the key file's name to form the record's name.
 const recordSuffix = ".signed"
 
-// newSigningRecord returns the record at file, or beside the key if empty.
+// newSigningRecord returns the record in file or, if file is empty, the one beside
+// the key file.
 func newSigningRecord(file, key string) (signingRecord, error) {
 	if file == "" && key == standardStream {
 		return signingRecord{}, refusef("a key from the standard input needs --record")
@@ -33,13 +34,14 @@
 	return signingRecord{file: file}, nil
 }
 
-// signFlags say which key signs, and where it is noted what it signed.
+// signFlags are the flags that name the signing key and its record.
 type signFlags struct {
 	Key    string `required:"" help:"Key file; - for the standard input." placeholder:"FILE"`
 	Record string `help:"File that lists what the key signed; beside the key file if not given." placeholder:"FILE"`
 }
 
-// unlock returns the key for one document, once the document stands in the record.
+// unlock adds a document to the signing record and returns the key to sign it with.
+// It fails if the record refuses the document.
 func (f signFlags) unlock(s streams, kind string, number uint64, digest bundle.Digest) (keyFile, ed25519.PrivateKey, error) {
 	k, private, err := readPrivateKey(s, f.Key)
 	if err != nil {
@@ -55,8 +57,8 @@
 	return k, private, nil
 }
 
-// add notes a document. It refuses one whose number was signed with another
-// digest.
+// add appends a document to the record, unless it is listed already. It refuses a
+// document if another digest is listed under its kind and number.
 func (r signingRecord) add(kind string, number uint64, digest bundle.Digest) error {
 	prefix := fmt.Sprintf("%s %d ", kind, number)
 	b, err := os.ReadFile(r.file)
--- a/cmd/wardspoolctl/roll.go
+++ b/cmd/wardspoolctl/roll.go
@@ -21,7 +21,7 @@
 	Out      string   `short:"o" help:"File to write." default:"-" placeholder:"FILE"`
 }
 
-// Help is shown by "roll new --help".
+// Help returns the text that "roll new --help" adds.
 func (rollNewCmd) Help() string {
 	return `Makes the next roll, to be signed. A version is best tried on a few instances,
 then on a zone, then everywhere:
@@ -43,13 +43,13 @@
 Exit codes: 0 made, 1 refused, 2 wrong usage.`
 }
 
-// Run makes the roll.
+// Run creates the roll and writes it.
 func (c *rollNewCmd) Run(s streams) error {
 	r, err := c.roll(s)
 	if err != nil {
 		return err
 	}
-	// Decoding checks the structure, as an instance will.
+	// Decoding applies the checks of structure that instances apply.
 	b := r.Encode()
 	if _, err := bundle.DecodeRoll(b); err != nil {
 		return err
@@ -57,6 +57,7 @@
 	return writeOutput(s, c.Out, b)
 }
 
+// roll builds the roll that the flags describe.
 func (c *rollNewCmd) roll(s streams) (*bundle.SignedRoll, error) {
 	r := &bundle.SignedRoll{Roll: bundle.Roll{Format: bundle.Format, Sequence: 1, Stage: bundle.Stage(c.Stage)}}
 	var previous *bundle.SignedRoll
@@ -85,7 +86,8 @@
 	return r, previous.Roll.CheckOrder(&r.Roll)
 }
 
-// setTarget fills in the bundle to roll.
+// setTarget sets the target of a roll to the bundle of --target, or keeps that of
+// the previous roll.
 func (c *rollNewCmd) setTarget(s streams, r *bundle.SignedRoll, first bool) error {
 	if c.Target == "" && first {
 		return refusef("the first roll needs --target")
@@ -101,6 +103,7 @@
 	return nil
 }
 
+// sortedZones returns the zones sorted and without duplicates.
 func sortedZones(names []string) []ident.Zone {
 	zones := make([]ident.Zone, len(names))
 	for i, name := range names {
@@ -110,6 +113,7 @@
 	return slices.Compact(zones)
 }
 
+// readRoll reads a roll from a file, or from standard input for "-".
 func readRoll(s streams, name string) (*bundle.SignedRoll, error) {
 	b, err := readInput(s, name)
 	if err != nil {
@@ -124,7 +128,7 @@
 	Roll string `arg:"" help:"The roll's file."`
 }
 
-// Help is shown by "roll sign --help".
+// Help returns the text that "roll sign --help" adds.
 func (rollSignCmd) Help() string {
 	return `Adds a signature to a roll. The approvers that the target names sign it:
 
@@ -136,7 +140,7 @@
 Exit codes: 0 signed, 1 refused, 2 wrong usage.`
 }
 
-// Run signs the roll.
+// Run adds a signature to the roll.
 func (c *rollSignCmd) Run(s streams) error {
 	r, err := readRoll(s, c.Roll)
 	if err != nil {
@@ -161,7 +165,7 @@
 	Roll      string `arg:"" help:"The roll's file; - for the standard input."`
 }
 
-// Help is shown by "roll verify --help".
+// Help returns the text that "roll verify --help" adds.
 func (rollVerifyCmd) Help() string {
 	return `Verifies a roll as an instance does that trusts the given approvers, and says on
 which instances what will be in force:
@@ -171,7 +175,7 @@
 Exit codes: 0 an instance would accept it, 1 it would not, 2 wrong usage.`
 }
 
-// Run verifies the roll.
+// Run verifies the roll, and that it may follow the previous one if given.
 func (c *rollVerifyCmd) Run(s streams) error {
 	r, err := verifiedRoll(s, c.Roll, c.Approvers)
 	if err != nil {
@@ -191,7 +195,7 @@
 	return nil
 }
 
-// describeRoll says on which instances what will be in force.
+// describeRoll describes which version each instance will have in force.
 func describeRoll(r *bundle.Roll) string {
 	switch r.Stage {
 	case bundle.StageAll:
@@ -210,6 +214,7 @@
 	return fmt.Sprintf("version %s on %d of 1000 instances of %s; new ones elsewhere take %s", r.Target, r.Share, where, r.Base)
 }
 
+// verifiedRoll reads a roll and verifies it against the trusted approvers.
 func verifiedRoll(s streams, name, approvers string) (*bundle.SignedRoll, error) {
 	trusted, err := readApprovers(s, approvers)
 	if err != nil {
@@ -229,7 +234,7 @@
 	Out       string `arg:"" help:"Folder to write; its files are named as the platform's keys."`
 }
 
-// Help is shown by "roll pack --help".
+// Help returns the text that "roll pack --help" adds.
 func (rollPackCmd) Help() string {
 	return `Verifies a roll and writes the value to publish:
 
@@ -243,7 +248,7 @@
 Exit codes: 0 written, 1 refused, 2 wrong usage.`
 }
 
-// Run writes the value.
+// Run verifies the roll and writes the value to publish.
 func (c *rollPackCmd) Run(s streams) error {
 	r, err := verifiedRoll(s, c.Roll, c.Approvers)
 	if err != nil {
@@ -265,8 +270,8 @@
 	return nil
 }
 
-// checkParts refuses a roll whose target's parts are not in the folder: it would
-// be published by halves.
+// checkParts refuses a roll if parts of its target are missing from the directory,
+// as instances could not fetch the bundle.
 func (c *rollPackCmd) checkParts(s streams, r *bundle.SignedRoll) error {
 	parts, err := packedFolder(c.Out).readParts()
 	if err != nil {
--- a/cmd/wardspoolctl/run.go
+++ b/cmd/wardspoolctl/run.go
@@ -10,13 +10,12 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes that all commands share. Commands that ask instances have further
-// ones, which their help names.
+// Exit codes of all commands. Commands that query instances have additional ones,
+// listed in their help.
 const (
-	// exitRefused means that something was checked and refused, or could not be
-	// read.
+	// exitRefused means that an input was refused or could not be read.
 	exitRefused = 1
-	// exitUsage means that the command line is wrong.
+	// exitUsage means that the command line is invalid.
 	exitUsage = 2
 )
 
@@ -26,6 +25,7 @@
 	Out, Err io.Writer
 }
 
+// description is the first part of the help text.
 const description = `Make, check, sign, roll and pack wardspool's configuration bundles, and ask
 running instances what they do.
 
@@ -44,10 +44,11 @@
 Exit codes: 0 done, 1 findings or refused, 2 wrong usage; commands that ask
 instances have their own. docs/operators/bundles.md is the long form.`
 
-// exited carries the exit code of --help and --version out of the parser.
+// exited is the value of the panic that ends the parser after --help or --version;
+// kong expects its exit function not to return.
 type exited struct{ code int }
 
-// run runs the program and returns its exit code.
+// run parses the command line, runs the command and returns the exit code.
 func run(ctx context.Context, args []string, s streams) (code int) {
 	defer func() {
 		if e, ok := recover().(exited); ok {
@@ -76,7 +77,7 @@
 	return finish(command.Run(), s)
 }
 
-// finish reports a command's error and returns the exit code.
+// finish prints a command's error and returns the exit code.
 func finish(err error, s streams) int {
 	var silent *askExit
 	var coded kong.ExitCoder
@@ -93,7 +94,7 @@
 	return exitRefused
 }
 
-// version returns the version that the build recorded.
+// version returns the module version in the build information.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/wardspoolctl/tls.go
+++ b/cmd/wardspoolctl/tls.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// operatorFlags say as whom to ask, and with which certificate.
+// operatorFlags are the flags for the operator's identity and certificate.
 type operatorFlags struct {
 	As   string `default:"ops-1" help:"Operator's identity, one of operators.names in the settings of those asked. With TLS the certificate must name it."`
 	Cert string `placeholder:"FILE" help:"Operator's certificate, in PEM. Needed where the settings of those asked have a tls section, with --key and --ca."`
@@ -16,11 +16,11 @@
 	CA   string `placeholder:"FILE" name:"ca" help:"Authorities that sign the instances' certificates, in PEM."`
 }
 
-// operatorZone is the zone that operators' tools name in their hello. It is no
-// zone of the fleet.
+// operatorZone is the zone that operators' tools send in their hello message. No
+// instance is in this zone.
 const operatorZone ident.Zone = "operators"
 
-// filesError reports operator's files that can't be used.
+// filesError reports that the operator's certificate files can't be used.
 type filesError struct{ Err error }
 
 // Error implements error.
@@ -29,13 +29,13 @@
 // Unwrap returns the cause.
 func (e *filesError) Unwrap() error { return e.Err }
 
-// ExitCode tells kong the program's exit code: 1 would say that something was
-// asked and answered.
+// ExitCode implements kong.ExitCoder. Code 1 would mean that instances were queried
+// and responded.
 func (*filesError) ExitCode() int { return exitUsage }
 
-// pool returns connections made under the operator's identity. The instances
-// decide whom they believe; the tool was told their addresses. Errors are
-// *filesError.
+// pool returns a connection pool with the operator's identity. It accepts any peer
+// identity, since the operator gave the addresses; the instances decide which
+// operators they accept. Errors are of type *filesError.
 func (f *operatorFlags) pool() (*peer.Pool, error) {
 	c := peer.Config{
 		Self: peer.Identity{
--- a/cmd/wardspoolctl/tls_test.go
+++ b/cmd/wardspoolctl/tls_test.go
@@ -15,14 +15,15 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// nobody knows no request.
+// nobody returns empty replies.
 type nobody struct{}
 
 func (nobody) Explain(ident.RequestID) peering.ExplainReply { return peering.ExplainReply{} }
 func (nobody) Stats() peering.StatsReply                    { return peering.StatsReply{} }
 
-// TestCertificateFlags asks an instance that has TLS: without the flags, and
-// with a certificate of another name, it is not reached.
+// TestCertificateFlags checks that an instance with TLS can be queried with the
+// operator's certificate only, not without a certificate or with one of another
+// name, and that a missing file is a usage error.
 func TestCertificateFlags(t *testing.T) {
 	a := testcert.NewAuthority(t)
 	files, err := tlsconf.New(a.Files("entry-1"), tlsconf.Options{})
--- a/cmd/wardspoolctl/watch.go
+++ b/cmd/wardspoolctl/watch.go
@@ -17,7 +17,7 @@
 	JSON  bool          `name:"json" help:"Print one JSON object a look in place of a table."`
 }
 
-// Help is shown by "watch --help".
+// Help returns the text that "watch --help" adds.
 func (watchCmd) Help() string {
 	return `Shows what each bundle version does on the instances asked, live: goodput (whole
 answers within the kind's targets for first output and pace), wasted prefill,
@@ -31,10 +31,11 @@
 last look.`
 }
 
-// clearScreen moves to the top of the terminal and clears it.
+// clearScreen is the escape sequence that moves the cursor to the top left corner
+// and clears the terminal.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// Run looks until the count is reached or the user stops it.
+// Run queries the instances until the count is reached or the user interrupts it.
 func (c *watchCmd) Run(ctx context.Context) error {
 	pool, err := c.pool()
 	if err != nil {
@@ -58,7 +59,7 @@
 	}
 }
 
-// look takes one look and prints it.
+// look queries all instances once and prints the result.
 func (c *watchCmd) look(ctx context.Context, w *console.Watcher) (console.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -69,7 +70,8 @@
 	return s, printAnswer(&s, c.JSON)
 }
 
-// lastLook turns missing answers into the exit code.
+// lastLook returns the error that sets the exit code if an instance did not
+// respond.
 func lastLook(s console.Snapshot) error {
 	if len(s.Unreached) > 0 {
 		return &askExit{Code: exitUnreached}
