--- a/adapter/roundtrip/body.go
+++ b/adapter/roundtrip/body.go
@@ -7,9 +7,9 @@
 	"net/http"
 )
 
-// answerBody is a response's body. At its end, the connection is returned to the
-// idle pool or closed.
-type answerBody struct {
+// responseBody is a response's body. At its end, the connection is returned to
+// the idle pool or closed.
+type responseBody struct {
 	ctx      context.Context
 	conn     *conn
 	body     io.ReadCloser
@@ -18,7 +18,7 @@
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
 	}
@@ -36,13 +36,13 @@
 
 // Close implements io.Closer. If the body was not read to its end, the
 // connection is closed, as the rest of the body would precede the next response.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	b.end(b.reusable && b.body == http.NoBody)
 	return nil
 }
 
 // end releases the connection. Further calls have no effect.
-func (b *answerBody) end(reusable bool) {
+func (b *responseBody) end(reusable bool) {
 	if b.ended {
 		return
 	}
--- a/adapter/roundtrip/client.go
+++ b/adapter/roundtrip/client.go
@@ -96,17 +96,17 @@
 }
 
 // DoMatching is like Do, for upstreams that may send a response twice, the second
-// copy arriving where the response to the next request is expected. Up to strays
-// responses for which own returns false are read to their end and discarded. If
-// own is nil, the first response is accepted.
-func (c *Client) DoMatching(req *http.Request, r io.Reader, length int64, own func(*http.Response) bool, strays int) (*http.Response, error) {
+// copy arriving where the response to the next request is expected. Up to
+// maxSkipped responses for which accepts returns false are read to their end and
+// discarded. If accepts is nil, the first response is accepted.
+func (c *Client) DoMatching(req *http.Request, r io.Reader, length int64, accepts func(*http.Response) bool, maxSkipped int) (*http.Response, error) {
 	ctx := req.Context()
 	setBody(req, r, length)
 	nc, err := c.connect(ctx, req.URL.Host)
 	if err != nil {
 		return nil, failure(ctx, false, err)
 	}
-	resp, err := nc.exchange(ctx, req, matching{own, strays})
+	resp, err := nc.exchange(ctx, req, responseFilter{accepts, maxSkipped})
 	if err != nil {
 		sent, writeErr := nc.abandon()
 		if writeErr != nil {
--- a/adapter/roundtrip/conn.go
+++ b/adapter/roundtrip/conn.go
@@ -14,19 +14,19 @@
 
 // conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
-	net   net.Conn
-	addr  string
-	idle  *idlePool
-	since time.Time
+	net       net.Conn
+	addr      string
+	idle      *idlePool
+	idleSince time.Time
 	// limited limits the number of bytes read for the response head.
 	limited io.LimitedReader
 	buf     *bufio.Reader
 
-	// ending is closed when the goroutine that writes the request has finished.
+	// writeDone is closed when the goroutine that writes the request has finished.
 	// From then on, sent and writeErr don't change.
-	ending   chan struct{}
-	sent     bool
-	writeErr error
+	writeDone chan struct{}
+	sent      bool
+	writeErr  error
 	// stop unregisters the function that closes the connection at the end of the
 	// request's context. It returns false if the context ended before.
 	stop func() bool
@@ -42,71 +42,71 @@
 // exchange sends a request and reads the head of its response. A separate
 // goroutine writes the request, since an upstream may respond before it has read
 // all of it; the goroutine ends after the last byte of the request.
-func (c *conn) exchange(ctx context.Context, req *http.Request, m matching) (*http.Response, error) {
-	c.ending = make(chan struct{})
+func (c *conn) exchange(ctx context.Context, req *http.Request, m responseFilter) (*http.Response, error) {
+	c.writeDone = make(chan struct{})
 	c.sent, c.writeErr = false, nil
 	// Closing the connection unblocks pending reads and writes.
 	c.stop = context.AfterFunc(ctx, func() { _ = c.net.Close() })
 	go c.write(req)
-	resp, err := c.readOwn(asked(req), m)
+	resp, err := c.readMatchingResponse(responseRequest(req), m)
 	if err != nil {
 		return nil, err
 	}
-	resp.Body = &answerBody{ctx: ctx, conn: c, body: resp.Body, reusable: !resp.Close}
+	resp.Body = &responseBody{ctx: ctx, conn: c, body: resp.Body, reusable: !resp.Close}
 	return resp, nil
 }
 
-// asked returns the request to pass to http.ReadResponse: one with only the
-// method for HEAD, nil (which means GET) for all others. The response keeps a
+// responseRequest returns the request to pass to http.ReadResponse: one with only
+// the method for HEAD, nil (which means GET) for all others. The response keeps a
 // reference to it; passing the original would keep the request's memory in use as
 // long as a stream is open.
-func asked(req *http.Request) *http.Request {
+func responseRequest(req *http.Request) *http.Request {
 	if req.Method != http.MethodHead {
 		return nil
 	}
 	return &http.Request{Method: req.Method}
 }
 
-// writers pools the write buffers, which are needed only while a request is being
-// written.
-var writers = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
+// writerPool holds unused write buffers, which a connection needs only while it
+// writes a request.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 
 // write writes a request to the connection and records the outcome in sent and
 // writeErr.
 func (c *conn) write(req *http.Request) {
-	defer close(c.ending)
-	w := writers.Get().(*bufio.Writer)
-	w.Reset(noting{c})
+	defer close(c.writeDone)
+	w := writerPool.Get().(*bufio.Writer)
+	w.Reset(sendRecorder{c})
 	c.writeErr = req.Write(w)
 	if c.writeErr == nil {
 		c.writeErr = w.Flush()
 	}
 	w.Reset(nil)
-	writers.Put(w)
+	writerPool.Put(w)
 	c.afterWrite()
 }
 
-// answerGrace is how long to wait for the response of an upstream that closed its
-// end before it had read the whole request.
-const answerGrace = 100 * time.Millisecond
+// earlyResponseTimeout is how long to wait for the response of an upstream that
+// closed its end before it had read the whole request.
+const earlyResponseTimeout = 100 * time.Millisecond
 
 // afterWrite unblocks the reader of the response if writing the request failed:
-// at once if no byte was sent, else after answerGrace.
+// at once if no byte was sent, else after earlyResponseTimeout.
 func (c *conn) afterWrite() {
 	switch {
 	case c.writeErr == nil:
 	case c.sent:
-		_ = c.net.SetReadDeadline(time.Now().Add(answerGrace))
+		_ = c.net.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 	default:
 		_ = c.net.Close()
 	}
 }
 
-// noting writes to a connection and records in conn.sent that a byte was sent.
-type noting struct{ c *conn }
+// sendRecorder writes to a connection and records in conn.sent that a byte was sent.
+type sendRecorder struct{ c *conn }
 
 // Write implements io.Writer.
-func (n noting) Write(p []byte) (int, error) {
+func (n sendRecorder) Write(p []byte) (int, error) {
 	count, err := n.c.net.Write(p)
 	if count > 0 {
 		n.c.sent = true
@@ -114,41 +114,42 @@
 	return count, err
 }
 
-// matching distinguishes the response to a request from late duplicate responses
+// responseFilter distinguishes the response to a request from late duplicate responses
 // to earlier requests.
-type matching struct {
-	// own reports whether a response belongs to the request; nil accepts any
+type responseFilter struct {
+	// accepts reports whether a response belongs to the request; nil accepts any
 	// response.
-	own func(*http.Response) bool
-	// strays is the maximum number of other responses to skip.
-	strays int
+	accepts func(*http.Response) bool
+	// maxSkipped is the maximum number of other responses to skip.
+	maxSkipped int
 }
 
-// StrayError reports a connection that delivered only responses to other
-// requests.
-type StrayError struct{}
+// MismatchedResponseError reports a connection that delivered only responses to
+// other requests.
+type MismatchedResponseError struct{}
 
 // Error implements error.
-func (*StrayError) Error() string { return "the response belongs to another request" }
+func (*MismatchedResponseError) Error() string { return "the response belongs to another request" }
 
-// maxStrayBytes limits how much of a skipped response's body is read.
-const maxStrayBytes = 1 << 20
+// maxSkippedBytes limits how much of a skipped response's body is read.
+const maxSkippedBytes = 1 << 20
 
-// readOwn reads the head of the response that m accepts and skips the others.
-func (c *conn) readOwn(req *http.Request, m matching) (*http.Response, error) {
+// readMatchingResponse reads the head of the response that m accepts and skips
+// the others.
+func (c *conn) readMatchingResponse(req *http.Request, m responseFilter) (*http.Response, error) {
 	for skipped := 0; ; skipped++ {
 		resp, err := c.readHead(req)
 		if err != nil {
 			return nil, err
 		}
-		if m.own == nil || m.own(resp) {
+		if m.accepts == nil || m.accepts(resp) {
 			return resp, nil
 		}
-		if skipped >= m.strays || resp.Close {
-			return nil, &StrayError{}
+		if skipped >= m.maxSkipped || resp.Close {
+			return nil, &MismatchedResponseError{}
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBytes)); err != nil {
-			return nil, cut(err)
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes)); err != nil {
+			return nil, unexpectedEOF(err)
 		}
 	}
 }
@@ -163,7 +164,7 @@
 	for interim := 0; ; interim++ {
 		resp, err := http.ReadResponse(c.buf, req)
 		if err != nil {
-			return nil, cut(err)
+			return nil, unexpectedEOF(err)
 		}
 		if !isInterim(resp.StatusCode) || interim == maxInterim {
 			return resp, nil
@@ -177,9 +178,9 @@
 	return status >= 100 && status < 200 && status != http.StatusSwitchingProtocols
 }
 
-// cut converts io.EOF, which here means a truncated response, to
+// unexpectedEOF converts io.EOF, which here means a truncated response, to
 // io.ErrUnexpectedEOF.
-func cut(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -192,39 +193,39 @@
 func (c *conn) abandon() (sent bool, writeErr error) {
 	c.stop()
 	_ = c.net.Close()
-	<-c.ending
+	<-c.writeDone
 	return c.sent, c.writeErr
 }
 
 // release returns the connection to the idle pool at the end of a request, or
 // closes it if it can't carry another one.
 func (c *conn) release(reusable bool) {
-	if !reusable || !c.written() || !c.stop() || c.buf.Buffered() > 0 {
+	if !reusable || !c.writeCompleted() || !c.stop() || c.buf.Buffered() > 0 {
 		c.abandon()
 		return
 	}
 	c.idle.put(c)
 }
 
-// writeGrace is how long to wait, after the response, for the goroutine that
-// writes the request. It is about to finish, unless the upstream does not read
-// the request.
-const writeGrace = 50 * time.Millisecond
+// writeCompletionTimeout is how long to wait, after the response, for the
+// goroutine that writes the request. It is about to finish, unless the upstream
+// does not read the request.
+const writeCompletionTimeout = 50 * time.Millisecond
 
-// written reports whether the whole request was written, waiting up to
-// writeGrace for it.
-func (c *conn) written() bool {
+// writeCompleted reports whether the whole request was written. It waits up to
+// writeCompletionTimeout.
+func (c *conn) writeCompleted() bool {
 	select {
-	case <-c.ending:
+	case <-c.writeDone:
 		return c.writeErr == nil
 	default:
 	}
-	late := time.NewTimer(writeGrace)
-	defer late.Stop()
+	timer := time.NewTimer(writeCompletionTimeout)
+	defer timer.Stop()
 	select {
-	case <-c.ending:
+	case <-c.writeDone:
 		return c.writeErr == nil
-	case <-late.C:
+	case <-timer.C:
 		return false
 	}
 }
--- a/adapter/roundtrip/conn_test.go
+++ b/adapter/roundtrip/conn_test.go
@@ -18,15 +18,15 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// half is a connection whose writes fail after a number of bytes.
-type half struct {
+// failingConn is a connection whose writes fail after a number of bytes.
+type failingConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
-func (h *half) Write(p []byte) (int, error) {
-	n := min(len(p), h.left)
-	h.left -= n
+func (h *failingConn) Write(p []byte) (int, error) {
+	n := min(len(p), h.remaining)
+	h.remaining -= n
 	if n < len(p) {
 		return n, io.ErrClosedPipe
 	}
@@ -35,27 +35,29 @@
 }
 
 // SyscallConn implements syscall.Conn, which the idle pool needs for its check.
-func (h *half) SyscallConn() (syscall.RawConn, error) { return h.Conn.(syscall.Conn).SyscallConn() }
+func (h *failingConn) SyscallConn() (syscall.RawConn, error) {
+	return h.Conn.(syscall.Conn).SyscallConn()
+}
 
 // TestEvidenceOfBrokenWrites checks that a failed request is reported as not sent
 // only if no byte was written, on a new connection and on a reused one.
 func TestEvidenceOfBrokenWrites(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		for left, want := range map[int]kernel.Evidence{0: kernel.NotSent, 1: kernel.Ambiguous, 150: kernel.Ambiguous} {
-			s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
+			s := serve(t, func(_ int64, c net.Conn) bool { return respondOK(c) })
 			c := New(Options{})
-			plain := c.dial
-			h := &half{left: left}
+			dial := c.dial
+			h := &failingConn{remaining: left}
 			c.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				var err error
-				h.Conn, err = plain(ctx, addr)
+				h.Conn, err = dial(ctx, addr)
 				return h, err
 			}
 			body := []byte(strings.Repeat("x", 64<<10))
 			if used {
-				h.left = 1 << 20
+				h.remaining = 1 << 20
 				assert.NilError(t, send(t, c, t.Context(), "POST", s.address, body))
-				h.left = left
+				h.remaining = left
 			}
 			assert.Equal(t, evidence(t, send(t, c, t.Context(), "POST", s.address, body)), want, "reused connection %v, write fails after %d bytes", used, left)
 			c.Close()
@@ -69,7 +71,7 @@
 func TestEndedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	s := serve(t, func(_ int64, c net.Conn) bool {
-		ok(c)
+		respondOK(c)
 		_ = c.Close()
 		closed <- struct{}{}
 		return false
@@ -150,7 +152,7 @@
 // TestUnreadBodyCostsTheConnection checks that closing a body before its end
 // closes the connection.
 func TestUnreadBodyCostsTheConnection(t *testing.T) {
-	s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
+	s := serve(t, func(_ int64, c net.Conn) bool { return respondOK(c) })
 	c := New(Options{})
 	defer c.Close()
 	for range 2 {
@@ -193,9 +195,9 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
-	enough, done := make(chan struct{}), make(chan struct{})
+	release, done := make(chan struct{}), make(chan struct{})
 	defer func() { <-done }()
-	defer close(enough)
+	defer close(release)
 	go func() {
 		defer close(done)
 		nc, err := l.Accept()
@@ -203,9 +205,9 @@
 			return
 		}
 		defer nc.Close()
-		ok(nc)
+		respondOK(nc)
 		_, _ = io.ReadFull(nc, make([]byte, 100))
-		<-enough
+		<-release
 	}()
 	c := New(Options{})
 	defer c.Close()
@@ -228,7 +230,7 @@
 // has closed its end may not have arrived.
 func TestIdleConnectionsEndInASuspension(t *testing.T) {
 	machine := testclock.Use(t)
-	s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
+	s := serve(t, func(_ int64, c net.Conn) bool { return respondOK(c) })
 	c := New(Options{IdleTimeout: time.Hour})
 	defer c.Close()
 	assert.NilError(t, send(t, c, t.Context(), "POST", s.address, []byte("x")))
@@ -243,16 +245,16 @@
 }
 
 func TestIdleConnectionsEnd(t *testing.T) {
-	s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
+	s := serve(t, func(_ int64, c net.Conn) bool { return respondOK(c) })
 	c := New(Options{IdleTimeout: time.Hour, IdlePerUpstream: 1})
 	defer c.Close()
 	assert.NilError(t, send(t, c, t.Context(), "POST", s.address, []byte("x")))
 	assert.Equal(t, len(c.idle.conns[s.address]), 1)
-	assert.Equal(t, len(c.idle.overdue(time.Now().Add(59*time.Minute))), 0)
-	late := c.idle.overdue(time.Now().Add(time.Hour))
-	assert.Equal(t, len(late), 1)
+	assert.Equal(t, len(c.idle.takeExpired(time.Now().Add(59*time.Minute))), 0)
+	expired := c.idle.takeExpired(time.Now().Add(time.Hour))
+	assert.Equal(t, len(expired), 1)
 	assert.Equal(t, len(c.idle.conns), 0)
-	c.idle.put(late[0])
-	c.idle.put(newConn(late[0].net, s.address, c.idle, 16))
+	c.idle.put(expired[0])
+	c.idle.put(newConn(expired[0].net, s.address, c.idle, 16))
 	assert.Equal(t, len(c.idle.conns[s.address]), 1, "more idle connections than IdlePerUpstream")
 }
--- a/adapter/roundtrip/idle.go
+++ b/adapter/roundtrip/idle.go
@@ -16,9 +16,9 @@
 	closed bool
 	// conns holds the idle connections by address, the most recently used last.
 	conns map[string][]*conn
-	// sweep closes connections whose idle timeout has passed; nil while none is
-	// idle.
-	sweep *time.Timer
+	// expiryTimer closes connections whose idle timeout has passed; nil while none
+	// is idle.
+	expiryTimer *time.Timer
 }
 
 func newIdlePool(limit int, timeout time.Duration) *idlePool {
@@ -31,7 +31,7 @@
 func (p *idlePool) take(addr string) *conn {
 	for {
 		c := p.pop(addr)
-		if c == nil || clock.Since(c.since) < p.timeout && c.stands() {
+		if c == nil || clock.Since(c.idleSince) < p.timeout && c.usable() {
 			return c
 		}
 		_ = c.net.Close()
@@ -50,12 +50,12 @@
 	last := len(list) - 1
 	c := list[last]
 	list[last] = nil
-	p.keep(addr, list[:last])
+	p.setConns(addr, list[:last])
 	return c
 }
 
-// keep sets the idle connections to an address. The caller holds mu.
-func (p *idlePool) keep(addr string, list []*conn) {
+// setConns sets the idle connections to an address. The caller holds mu.
+func (p *idlePool) setConns(addr string, list []*conn) {
 	if len(list) == 0 {
 		delete(p.conns, addr)
 		return
@@ -79,24 +79,24 @@
 	if p.closed || len(list) >= p.limit {
 		return false
 	}
-	c.since = clock.Now()
+	c.idleSince = clock.Now()
 	p.conns[c.addr] = append(list, c)
-	if p.sweep == nil {
-		p.sweep = time.AfterFunc(p.timeout, p.expire)
+	if p.expiryTimer == nil {
+		p.expiryTimer = time.AfterFunc(p.timeout, p.expire)
 	}
 	return true
 }
 
 // expire closes the connections whose idle timeout has passed.
 func (p *idlePool) expire() {
-	for _, c := range p.overdue(clock.Now()) {
+	for _, c := range p.takeExpired(clock.Now()) {
 		_ = c.net.Close()
 	}
 }
 
-// overdue removes and returns the connections whose idle timeout has passed, and
-// sets the timer for the remaining ones.
-func (p *idlePool) overdue(now time.Time) []*conn {
+// takeExpired removes and returns the connections whose idle timeout has passed,
+// and sets the timer for the remaining ones.
+func (p *idlePool) takeExpired(now time.Time) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*conn
@@ -104,22 +104,22 @@
 	for addr, list := range p.conns {
 		// Connections that have been idle longest come first.
 		n := 0
-		for n < len(list) && now.Sub(list[n].since) >= p.timeout {
+		for n < len(list) && now.Sub(list[n].idleSince) >= p.timeout {
 			n++
 		}
 		out = append(out, list[:n]...)
 		list = list[n:]
 		if len(list) > 0 {
-			left := p.timeout - now.Sub(list[0].since)
+			left := p.timeout - now.Sub(list[0].idleSince)
 			if next == 0 || left < next {
 				next = left
 			}
 		}
-		p.keep(addr, list)
+		p.setConns(addr, list)
 	}
-	p.sweep = nil
+	p.expiryTimer = nil
 	if next > 0 && !p.closed {
-		p.sweep = time.AfterFunc(next, p.expire)
+		p.expiryTimer = time.AfterFunc(next, p.expire)
 	}
 	return out
 }
@@ -130,8 +130,8 @@
 	p.closed = true
 	conns := p.conns
 	p.conns = map[string][]*conn{}
-	if p.sweep != nil {
-		p.sweep.Stop()
+	if p.expiryTimer != nil {
+		p.expiryTimer.Stop()
 	}
 	p.mu.Unlock()
 	for _, list := range conns {
--- a/adapter/roundtrip/roundtrip_test.go
+++ b/adapter/roundtrip/roundtrip_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func ok(c net.Conn) bool {
+func respondOK(c net.Conn) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	return err == nil
 }
@@ -119,7 +119,7 @@
 	for _, method := range []string{"GET", "PUT", "POST", "DELETE"} {
 		for _, body := range []string{"", "text"} {
 			t.Run(method+" "+body, func(t *testing.T) {
-				s := serve(t, func(n int64, c net.Conn) bool { return n == 1 && ok(c) })
+				s := serve(t, func(n int64, c net.Conn) bool { return n == 1 && respondOK(c) })
 				c := New(Options{})
 				defer c.Close()
 				assert.NilError(t, send(t, c, t.Context(), method, s.address, []byte(body)))
--- a/adapter/roundtrip/stands.go
+++ b/adapter/roundtrip/stands.go
@@ -5,11 +5,11 @@
 	"syscall"
 )
 
-// stands reports whether an idle connection can carry a request: neither data nor
+// usable reports whether an idle connection can carry a request: neither data nor
 // end of file may have arrived on it. It does not block. If the upstream closes
 // the connection after this check, the request is lost, as on any keep-alive
 // connection.
-func (c *conn) stands() bool {
+func (c *conn) usable() bool {
 	s, ok := c.net.(syscall.Conn)
 	if !ok {
 		return false
@@ -18,12 +18,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		noData = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
--- a/cmd/wardspool-agent/main.go
+++ b/cmd/wardspool-agent/main.go
@@ -17,9 +17,9 @@
 // version is set at build time.
 var version = "devel"
 
-// processors is the value of GOMAXPROCS. The agent uses about a hundredth of one
+// maxProcs is the value of GOMAXPROCS. The agent uses about a hundredth of one
 // CPU; with a higher value, each garbage collection would wake more threads.
-const processors = 2
+const maxProcs = 2
 
 // description is the first part of the help text.
 const description = `The agent beside an entry instance of wardspool: it reads signed bundles and
@@ -49,7 +49,7 @@
 
 // newAgent returns the agent and sets the CPU and memory limits of its process.
 func newAgent(s *agent.Settings, log *slog.Logger) (process.Service, error) {
-	runtime.GOMAXPROCS(processors)
+	runtime.GOMAXPROCS(maxProcs)
 	// This is a soft limit: near it, garbage is collected more often.
 	debug.SetMemoryLimit(int64(s.Memory))
 	return agent.New(s, agent.Options{Log: log, Version: version})
--- a/cmd/wardspool-entry/main.go
+++ b/cmd/wardspool-entry/main.go
@@ -15,8 +15,9 @@
 // version is set at build time.
 var version = "devel"
 
-// exitCutOff is the exit code of a shutdown that aborted requests in flight.
-const exitCutOff process.ExitCode = 3
+// exitRequestsAborted is the exit code of a shutdown that aborted requests in
+// flight.
+const exitRequestsAborted process.ExitCode = 3
 
 // description is the first part of the help text.
 const description = `An entry instance of wardspool: it takes callers' requests over HTTP, chooses a
@@ -45,11 +46,11 @@
 	}.Main()
 }
 
-// exitCode returns the exit code for an error of the service: exitCutOff if the
-// shutdown aborted requests.
+// exitCode returns the exit code for an error of the service:
+// exitRequestsAborted if the shutdown aborted requests.
 func exitCode(err error) process.ExitCode {
-	if cut := (*entry.StopError)(nil); errors.As(err, &cut) {
-		return exitCutOff
+	if stopErr := (*entry.StopError)(nil); errors.As(err, &stopErr) {
+		return exitRequestsAborted
 	}
 	return process.ExitFailed
 }
--- a/cmd/wardspool-load/experiment.go
+++ b/cmd/wardspool-load/experiment.go
@@ -25,17 +25,17 @@
 	Quick    bool     `help:"One seed, loads 0.8, 1.0 and 1.5, no faults, nothing written."`
 	Only     []string `help:"Deployments to run." default:"coastline,lagos"`
 
-	Policy []string      `help:"Run these policies only: naive, current, ideal, v1, slots.lease and so on." placeholder:"NAME"`
-	Load   []float64     `help:"Run these loads only, as shares of capacity." placeholder:"SHARE"`
-	Fault  []string      `help:"Run these faults only; none is no fault." placeholder:"NAME"`
-	Seed   uint64        `help:"First seed." default:"1"`
-	Length time.Duration `help:"Measured time of each cell, in virtual time." placeholder:"DURATION"`
-	Warmup time.Duration `help:"Time before the measured one, in virtual time." default:"10s"`
-	Lag    time.Duration `help:"Age of load reports on arrival." default:"500ms" name:"load-lag"`
-	Jitter time.Duration `help:"Most that is added to a message's delay, at random." placeholder:"DURATION"`
-	Count  int           `help:"Number of entry instances, with --policy, --load or --fault." default:"8" name:"instances"`
-	Budget time.Duration `help:"Begin no more cells after this time; what is left out is said." default:"9m30s"`
-	Trace  string        `help:"Write every event and action of the only cell chosen to this file." placeholder:"FILE"`
+	Policy    []string      `help:"Run these policies only: naive, current, ideal, v1, slots.lease and so on." placeholder:"NAME"`
+	Load      []float64     `help:"Run these loads only, as shares of capacity." placeholder:"SHARE"`
+	Fault     []string      `help:"Run these faults only; none is no fault." placeholder:"NAME"`
+	Seed      uint64        `help:"First seed." default:"1"`
+	Length    time.Duration `help:"Measured time of each cell, in virtual time." placeholder:"DURATION"`
+	Warmup    time.Duration `help:"Time before the measured one, in virtual time." default:"10s"`
+	LoadLag   time.Duration `help:"Age of load reports on arrival." default:"500ms" name:"load-lag"`
+	Jitter    time.Duration `help:"Most that is added to a message's delay, at random." placeholder:"DURATION"`
+	Instances int           `help:"Number of entry instances, with --policy, --load or --fault." default:"8" name:"instances"`
+	Budget    time.Duration `help:"Begin no more cells after this time; what is left out is said." default:"9m30s"`
+	Trace     string        `help:"Write every event and action of the only cell chosen to this file." placeholder:"FILE"`
 }
 
 // Run implements the subcommand.
@@ -127,7 +127,7 @@
 	var cells []experiment.Cell
 	switch {
 	case chosen:
-		cells = c.chosenCells(deployments)
+		cells = c.selectedCells(deployments)
 	case c.Quick:
 		cells = experiment.QuickCells(deployments)
 	default:
@@ -136,7 +136,7 @@
 	for i := range cells {
 		cells[i].Warmup = c.Warmup
 		cells[i].Jitter = c.Jitter
-		cells[i].LoadLag = c.Lag
+		cells[i].LoadLag = c.LoadLag
 		if c.Length > 0 {
 			cells[i].Duration = c.Length
 		}
@@ -144,9 +144,9 @@
 	return cells
 }
 
-// chosenCells returns a cell for each combination of the values that the flags
+// selectedCells returns a cell for each combination of the values that the flags
 // select.
-func (c *experimentCmd) chosenCells(deployments []*experiment.Deployment) []experiment.Cell {
+func (c *experimentCmd) selectedCells(deployments []*experiment.Deployment) []experiment.Cell {
 	policies := orDefault(c.Policy, []string{string(experiment.PolicyCurrent)})
 	loads := orDefault(c.Load, []float64{1.0})
 	faults := orDefault(c.Fault, []string{string(experiment.FaultNone)})
@@ -157,7 +157,7 @@
 				for _, f := range faults {
 					for n := range c.Seeds {
 						cell := experiment.NewCell(d, experiment.PolicyName(p), load, experiment.Fault(f), c.Seed+uint64(n))
-						cell.Instances = c.Count
+						cell.Instances = c.Instances
 						cells = append(cells, cell)
 					}
 				}
--- a/cmd/wardspool-load/main_test.go
+++ b/cmd/wardspool-load/main_test.go
@@ -56,6 +56,6 @@
 
 // TestBrokenPromisesAreErrors checks that the error counts the violations.
 func TestBrokenPromisesAreErrors(t *testing.T) {
-	err := &BrokenPromiseError{Verdict: &referee.Verdict{Duplicates: []string{"r1"}}}
+	err := &GuaranteeError{Verdict: &referee.Verdict{Duplicates: []string{"r1"}}}
 	assert.ErrorContains(t, err, "1 duplicates")
 }
--- a/cmd/wardspool-load/run.go
+++ b/cmd/wardspool-load/run.go
@@ -29,12 +29,12 @@
 	Quiesce  time.Duration `help:"How long the engines may take to release everything after the last answer." default:"10s"`
 }
 
-// BrokenPromiseError reports violated guarantees: the reports of the stand-ins
+// GuaranteeError reports violated guarantees: the reports of the stand-ins
 // contradict the outcomes that callers were told, or an answer was wrong.
-type BrokenPromiseError struct{ Verdict *referee.Verdict }
+type GuaranteeError struct{ Verdict *referee.Verdict }
 
 // Error implements error.
-func (e *BrokenPromiseError) Error() string {
+func (e *GuaranteeError) Error() string {
 	v := e.Verdict
 	return fmt.Sprintf("guarantees violated: %d duplicates, %d false not-run, %d never ran, %d wrong answers, %d attempts leaked",
 		len(v.Duplicates), len(v.FalseNotRun), len(v.NeverRan), len(v.Wrong), v.Leaked.Attempts)
@@ -94,7 +94,7 @@
 		return oops.In("judge").Wrap(err)
 	}
 	if v.Broken() {
-		return &BrokenPromiseError{Verdict: v}
+		return &GuaranteeError{Verdict: v}
 	}
 	return nil
 }
--- a/cmd/wardspool-standin/serve.go
+++ b/cmd/wardspool-standin/serve.go
@@ -41,9 +41,9 @@
 	case <-ctx.Done():
 	}
 	log.Info("stopping")
-	bounded, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	err := server.Shutdown(bounded)
+	err := server.Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return server.Close()
 	}
--- a/cmd/wardspoolctl/bundle.go
+++ b/cmd/wardspoolctl/bundle.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	f := folder{head: c.Draft + "/" + draftHead, parts: c.Draft + "/" + draftParts}
+	f := bundlePaths{head: c.Draft + "/" + draftHead, parts: c.Draft + "/" + draftParts}
 	if err := f.write(s, h, parts); err != nil {
 		return err
 	}
@@ -180,12 +180,12 @@
 	if _, err := bundle.Assemble(&h.Manifest, parts); err != nil {
 		return printFindings(s, err)
 	}
-	k, private, err := c.unlock(s, "bundle", h.Manifest.Version, h.Manifest.Digest())
+	k, private, err := c.signingKey(s, "bundle", h.Manifest.Version, h.Manifest.Digest())
 	if err != nil {
 		return err
 	}
 	h.AddSignature(bundle.Sign(private, &h.Manifest))
-	if err := writeOutput(s, openFolder(c.Draft).head, h.Encode()); err != nil {
+	if err := writeOutput(s, findBundlePaths(c.Draft).head, h.Encode()); err != nil {
 		return err
 	}
 	fmt.Fprintf(s.Out, "version %d signed by %s, %d signatures now\n", h.Manifest.Version, k.Name, len(h.Signatures))
@@ -274,7 +274,7 @@
 	if err != nil {
 		return printFindings(s, err)
 	}
-	f := packedFolder(c.Out)
+	f := packedBundlePaths(c.Out)
 	before, err := f.readParts()
 	if err != nil {
 		before = &bundle.PartSet{}
--- a/cmd/wardspoolctl/documents_test.go
+++ b/cmd/wardspoolctl/documents_test.go
@@ -17,15 +17,15 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// shell runs commands in a temporary directory and records their output.
-type shell struct {
+// session runs commands in a temporary directory and records their output.
+type session struct {
 	t    *testing.T
 	text strings.Builder
 }
 
-// newShell changes to a temporary directory with an example's bundle source, a
+// newSession changes to a temporary directory with an example's bundle source, a
 // faulty source and the keys of six approvers.
-func newShell(t *testing.T) *shell {
+func newSession(t *testing.T) *session {
 	source, err := os.ReadFile("../../examples/coastline/bundle.yaml")
 	assert.NilError(t, err)
 	faulty, err := os.ReadFile("../../bundle/testdata/faulty.yaml")
@@ -38,7 +38,7 @@
 		public := ed25519.NewKeyFromSeed(seed[:]).Public().(ed25519.PublicKey)
 		write(t, name+".key", fmt.Sprintf("name: %s\npublic: %s\nprivate: %s\n", name, hex.EncodeToString(public), seed))
 	}
-	return &shell{t: t}
+	return &session{t: t}
 }
 
 func write(t *testing.T, name, text string) {
@@ -47,7 +47,7 @@
 }
 
 // edit replaces the first occurrence of a text in a file.
-func (s *shell) edit(name, old, new string) {
+func (s *session) edit(name, old, new string) {
 	s.t.Helper()
 	b, err := os.ReadFile(name)
 	assert.NilError(s.t, err)
@@ -58,7 +58,7 @@
 
 // run runs one command and records it with its output and exit code. A trailing
 // " > file" redirects standard output to a file.
-func (s *shell) run(line string) {
+func (s *session) run(line string) {
 	s.t.Helper()
 	command, file, redirected := strings.Cut(line, " > ")
 	var out, errs bytes.Buffer
@@ -80,12 +80,12 @@
 func TestCommandSessions(t *testing.T) {
 	sessions := []struct {
 		name string
-		run  func(*shell)
+		run  func(*session)
 	}{
-		{"first-bundle", firstBundle},
+		{"first-bundle", firstBundleSession},
 		{"canary", canarySession},
 		{"rotation", rotationSession},
-		{"two-versions", twoVersions},
+		{"two-versions", twoVersionsSession},
 		{"lint", lintSession},
 		{"refused", refusedSession},
 		{"usage", usageSession},
@@ -95,20 +95,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			file, err := filepath.Abs(golden.Path(tc.name + ".golden"))
 			assert.NilError(t, err)
-			s := newShell(t)
+			s := newSession(t)
 			tc.run(s)
 			golden.Assert(t, s.text.String(), file)
 		})
 	}
 }
 
-// three creates a set of three approvers with a quorum of two.
-func (s *shell) three() {
+// createApprovers writes a set of three approvers with a quorum of two.
+func (s *session) createApprovers() {
 	s.run("key approvers --quorum 2 cyd.key ada.key ben.key > approvers.yaml")
 }
 
-// signed builds a draft, signs it with the given keys and packs it.
-func (s *shell) signed(build, draft string, signers ...string) {
+// packSignedBundle builds a draft, signs it with the given keys and packs it.
+func (s *session) packSignedBundle(build, draft string, signers ...string) {
 	s.t.Helper()
 	s.run("bundle new " + build + " bundle.yaml " + draft)
 	for _, name := range signers {
@@ -117,8 +117,8 @@
 	s.run("bundle pack --approvers approvers.yaml " + draft + " publish")
 }
 
-// rolled creates a roll, signs it with the given keys and packs it.
-func (s *shell) rolled(file, arguments string, signers ...string) {
+// packSignedRoll creates a roll, signs it with the given keys and packs it.
+func (s *session) packSignedRoll(file, arguments string, signers ...string) {
 	s.t.Helper()
 	s.run("roll new " + arguments + " -o " + file)
 	for _, name := range signers {
@@ -127,17 +127,17 @@
 	s.run("roll pack --approvers approvers.yaml " + file + " publish")
 }
 
-// firstBundle goes from keys to the first bundle and roll. The values to publish
-// must be smaller than the platform's limit.
-func firstBundle(s *shell) {
+// firstBundleSession goes from keys to the first bundle and roll. The values to
+// publish must be smaller than the platform's limit.
+func firstBundleSession(s *session) {
 	s.run("key public ada.key")
-	s.three()
+	s.createApprovers()
 	s.run("key approvers --quorum 2 ada.key ben.key cyd.key")
 	s.run("bundle lint bundle.yaml")
-	s.signed("--approvers approvers.yaml --note first", "draft-1", "ada", "ben")
+	s.packSignedBundle("--approvers approvers.yaml --note first", "draft-1", "ada", "ben")
 	s.run("bundle verify --approvers approvers.yaml draft-1")
 	s.run("bundle verify --approvers approvers.yaml publish")
-	s.rolled("roll-1.json", "--target draft-1 --stage all", "ada", "cyd")
+	s.packSignedRoll("roll-1.json", "--target draft-1 --stage all", "ada", "cyd")
 	s.run("roll verify --approvers approvers.yaml publish/roll/current")
 	for _, key := range []string{"bundle/head", "roll/current"} {
 		info, err := os.Stat("publish/" + key)
@@ -148,30 +148,30 @@
 
 // canarySession rolls a version to a canary in steps, abandons it, and rolls a
 // version with the old content.
-func canarySession(s *shell) {
-	s.three()
-	s.signed("--approvers approvers.yaml", "draft-1", "ada", "ben")
-	s.rolled("roll-1.json", "--target draft-1 --stage all", "ada", "ben")
+func canarySession(s *session) {
+	s.createApprovers()
+	s.packSignedBundle("--approvers approvers.yaml", "draft-1", "ada", "ben")
+	s.packSignedRoll("roll-1.json", "--target draft-1 --stage all", "ada", "ben")
 	s.edit("bundle.yaml", "queue_limit: 512", "queue_limit: 256")
 	s.edit("bundle.yaml", "  - name: head-office\n    weight: 2\n", "")
 	s.run("bundle diff publish bundle.yaml")
-	s.signed("--previous draft-1", "draft-2", "ben", "cyd")
+	s.packSignedBundle("--previous draft-1", "draft-2", "ben", "cyd")
 	s.run("bundle verify --approvers approvers.yaml --previous draft-1 draft-2")
-	s.rolled("roll-2.json", "--previous roll-1.json --target draft-2 --stage canary --zones hall-b,hall-a --share 100", "ben", "cyd")
-	s.rolled("roll-3.json", "--previous roll-2.json --stage canary --zones hall-a", "ben", "cyd")
+	s.packSignedRoll("roll-2.json", "--previous roll-1.json --target draft-2 --stage canary --zones hall-b,hall-a --share 100", "ben", "cyd")
+	s.packSignedRoll("roll-3.json", "--previous roll-2.json --stage canary --zones hall-a", "ben", "cyd")
 	s.run("roll verify --approvers approvers.yaml --previous roll-2.json roll-3.json")
-	s.rolled("roll-4.json", "--previous roll-3.json --stage abandoned", "ben", "cyd")
+	s.packSignedRoll("roll-4.json", "--previous roll-3.json --stage abandoned", "ben", "cyd")
 	s.run("roll new --previous roll-4.json --stage all")
 	s.edit("bundle.yaml", "queue_limit: 256", "queue_limit: 512")
-	s.signed("--previous draft-2", "draft-3", "ada", "cyd")
-	s.rolled("roll-5.json", "--previous roll-4.json --target draft-3 --stage all", "ada", "cyd")
+	s.packSignedBundle("--previous draft-2", "draft-3", "ada", "cyd")
+	s.packSignedRoll("roll-5.json", "--previous roll-4.json --target draft-3 --stage all", "ada", "cyd")
 	s.run("roll pack --approvers approvers.yaml roll-3.json publish")
 }
 
 // rotationSession replaces the approvers, which needs a quorum of both sets.
-func rotationSession(s *shell) {
-	s.three()
-	s.signed("--approvers approvers.yaml", "draft-1", "ada", "ben")
+func rotationSession(s *session) {
+	s.createApprovers()
+	s.packSignedBundle("--approvers approvers.yaml", "draft-1", "ada", "ben")
 	s.run("key approvers --quorum 2 dan.key eve.key > next.yaml")
 	s.run("bundle new --previous draft-1 --approvers next.yaml bundle.yaml draft-2")
 	s.run("bundle sign --key ada.key draft-2")
@@ -180,7 +180,7 @@
 	s.run("bundle sign --key dan.key draft-2")
 	s.run("bundle sign --key eve.key draft-2")
 	s.run("bundle pack --approvers approvers.yaml draft-2 publish")
-	s.rolled("roll-1.json", "--target draft-2 --stage all", "dan", "eve")
+	s.packSignedRoll("roll-1.json", "--target draft-2 --stage all", "dan", "eve")
 	s.run("key approvers --of draft-2")
 	s.run("bundle new --previous draft-2 bundle.yaml draft-3")
 	s.run("bundle sign --key dan.key draft-3")
@@ -191,11 +191,11 @@
 	s.run("bundle verify --approvers next.yaml draft-1")
 }
 
-// twoVersions resolves two different bundles of one version, as the split-version
-// alarm tells operators to: the next version supersedes both.
-func twoVersions(s *shell) {
-	s.three()
-	s.signed("--approvers approvers.yaml", "draft-1", "ada", "ben")
+// twoVersionsSession resolves two different bundles of one version, as the
+// split-version alarm tells operators to: the next version supersedes both.
+func twoVersionsSession(s *session) {
+	s.createApprovers()
+	s.packSignedBundle("--approvers approvers.yaml", "draft-1", "ada", "ben")
 	s.run("bundle new --previous draft-1 bundle.yaml draft-2")
 	s.run("bundle sign --key ada.key draft-2")
 	s.run("bundle new --previous draft-2 bundle.yaml draft-3")
@@ -216,18 +216,18 @@
 }
 
 // lintSession checks a faulty source and one that does not exist.
-func lintSession(s *shell) {
+func lintSession(s *session) {
 	s.run("bundle lint faulty.yaml bundle.yaml")
 	s.run("bundle lint nowhere.yaml")
 }
 
 // refusedSession runs commands that must be refused, such as signing with an
 // unknown key or packing without a quorum.
-func refusedSession(s *shell) {
+func refusedSession(s *session) {
 	s.run("key new Ada")
 	s.run("key approvers --quorum 1 ada.key ben.key cyd.key")
 	s.run("key public ada.key > ada.pub")
-	s.three()
+	s.createApprovers()
 	s.run("bundle new bundle.yaml draft-0")
 	s.run("bundle new --approvers approvers.yaml bundle.yaml draft-1")
 	s.run("bundle new --approvers approvers.yaml bundle.yaml draft-1")
@@ -252,7 +252,7 @@
 }
 
 // usageSession runs invalid command lines.
-func usageSession(s *shell) {
+func usageSession(s *session) {
 	s.run("")
 	s.run("bundle")
 	s.run("bundle lint")
@@ -262,7 +262,7 @@
 }
 
 // helpSession prints the help texts.
-func helpSession(s *shell) {
+func helpSession(s *session) {
 	for _, command := range []string{
 		"", "key", "key new", "key public", "key approvers", "bundle", "bundle lint", "bundle diff", "bundle new",
 		"bundle sign", "bundle verify", "bundle pack", "roll", "roll new", "roll sign", "roll verify", "roll pack",
@@ -274,7 +274,7 @@
 // TestKeyNewMakesAKeyThatSigns checks that a new key file is readable, that its
 // halves match, and that two keys of one name differ.
 func TestKeyNewMakesAKeyThatSigns(t *testing.T) {
-	s := newShell(t)
+	s := newSession(t)
 	s.run("key new zoe > zoe.key")
 	s.run("key new zoe > other.key")
 	k, private, err := readPrivateKey(streams{}, "zoe.key")
--- a/cmd/wardspoolctl/explain.go
+++ b/cmd/wardspoolctl/explain.go
@@ -10,7 +10,7 @@
 // explainCmd is the subcommand "explain".
 type explainCmd struct {
 	Request string `arg:"" help:"Request ID, as in the answer's X-Request-Id header."`
-	askFlags
+	queryFlags
 	JSON bool `name:"json" help:"Print JSON in place of a table."`
 }
 
@@ -28,8 +28,8 @@
 
 // Exit codes of explain.
 const (
-	exitNotFound  = 1
-	exitUnreached = 2
+	exitNotFound    = 1
+	exitUnreachable = 2
 )
 
 // Run queries the instances for the decisions on a request and prints them.
@@ -42,15 +42,15 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	e := console.Explain(ctx, pool, c.Instances, ident.RequestID(c.Request))
-	if err := printAnswer(&e, c.JSON); err != nil {
+	if err := printReport(&e, c.JSON); err != nil {
 		return err
 	}
 	switch {
 	case len(e.Found) > 0:
 		return nil
 	case len(e.Unreached) > 0:
-		return &askExit{Code: exitUnreached}
+		return &exitCodeError{Code: exitUnreachable}
 	default:
-		return &askExit{Code: exitNotFound}
+		return &exitCodeError{Code: exitNotFound}
 	}
 }
--- a/cmd/wardspoolctl/files.go
+++ b/cmd/wardspoolctl/files.go
@@ -22,7 +22,7 @@
 const (
 	fileMode   = 0o644
 	secretMode = 0o600
-	folderMode = 0o755
+	dirMode    = 0o755
 )
 
 // Names of a draft's files.
@@ -31,14 +31,14 @@
 	draftParts = "parts"
 )
 
-// maxInput limits how much is read from one file. One byte more than the maximum
-// size of a source lets larger ones be detected.
-const maxInput = bundle.MaxSourceBytes + 1
+// maxInputBytes limits how much is read from one file. It is one byte more than the
+// maximum size of a source, so that larger ones are detected.
+const maxInputBytes = bundle.MaxSourceBytes + 1
 
 // readInput reads a file, or standard input for "-".
 func readInput(s streams, name string) ([]byte, error) {
 	if name == standardStream {
-		b, err := io.ReadAll(io.LimitReader(s.In, maxInput))
+		b, err := io.ReadAll(io.LimitReader(s.In, maxInputBytes))
 		return b, oops.Wrapf(err, "read standard input")
 	}
 	f, err := os.Open(name)
@@ -46,7 +46,7 @@
 		return nil, oops.Wrapf(err, "read a file")
 	}
 	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, maxInput))
+	b, err := io.ReadAll(io.LimitReader(f, maxInputBytes))
 	return b, oops.Wrapf(err, "read a file")
 }
 
@@ -57,30 +57,30 @@
 		_, err := s.Out.Write(b)
 		return oops.Wrapf(err, "write standard output")
 	}
-	if err := os.MkdirAll(filepath.Dir(name), folderMode); err != nil {
+	if err := os.MkdirAll(filepath.Dir(name), dirMode); err != nil {
 		return oops.Wrapf(err, "create a directory")
 	}
 	return oops.Wrapf(os.WriteFile(name, b, fileMode), "write a file")
 }
 
-// folder holds the paths of a bundle's head and parts, in a draft's or a packed
+// bundlePaths holds the paths of a bundle's head and parts, in a draft's or a packed
 // bundle's directory.
-type folder struct{ head, parts string }
+type bundlePaths struct{ head, parts string }
 
-// openFolder returns the paths in dir: those of a draft if it has a draft's head,
-// else those of a packed bundle.
-func openFolder(dir string) folder {
-	draft := folder{head: filepath.Join(dir, draftHead), parts: filepath.Join(dir, draftParts)}
+// findBundlePaths returns the paths in dir: those of a draft if it has a draft's
+// head, else those of a packed bundle.
+func findBundlePaths(dir string) bundlePaths {
+	draft := bundlePaths{head: filepath.Join(dir, draftHead), parts: filepath.Join(dir, draftParts)}
 	if _, err := os.Stat(draft.head); err == nil {
 		return draft
 	}
-	return packedFolder(dir)
+	return packedBundlePaths(dir)
 }
 
-// packedFolder returns the paths in the directory of a packed bundle, whose files
-// are named after the platform's keys.
-func packedFolder(dir string) folder {
-	return folder{
+// packedBundlePaths returns the paths in the directory of a packed bundle, whose
+// files are named after the platform's keys.
+func packedBundlePaths(dir string) bundlePaths {
+	return bundlePaths{
 		head:  filepath.Join(dir, filepath.FromSlash(configservice.KeyBundleHead)),
 		parts: filepath.Join(dir, filepath.FromSlash(configservice.KeyBundleParts)),
 	}
@@ -89,7 +89,7 @@
 // readHead reads a head from a file, a draft or a packed bundle.
 func readHead(s streams, name string) (*bundle.Head, error) {
 	if info, err := os.Stat(name); err == nil && info.IsDir() {
-		name = openFolder(name).head
+		name = findBundlePaths(name).head
 	}
 	b, err := readInput(s, name)
 	if err != nil {
@@ -114,7 +114,7 @@
 
 // readParts reads all parts. It returns an error for a file whose name is not a
 // digest or differs from the digest of its content.
-func (f folder) readParts() (*bundle.PartSet, error) {
+func (f bundlePaths) readParts() (*bundle.PartSet, error) {
 	entries, err := os.ReadDir(f.parts)
 	if err != nil {
 		return nil, oops.Wrapf(err, "read the directory of parts")
@@ -137,7 +137,7 @@
 }
 
 // write writes the parts, then the head.
-func (f folder) write(s streams, h *bundle.Head, parts *bundle.PartSet) error {
+func (f bundlePaths) write(s streams, h *bundle.Head, parts *bundle.PartSet) error {
 	for _, d := range parts.Digests() {
 		b, _ := parts.Part(d)
 		if err := writeOutput(s, filepath.Join(f.parts, d.String()), b); err != nil {
@@ -170,7 +170,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	parts, err := openFolder(dir).readParts()
+	parts, err := findBundlePaths(dir).readParts()
 	return h, parts, err
 }
 
--- a/cmd/wardspoolctl/fleet.go
+++ b/cmd/wardspoolctl/fleet.go
@@ -48,7 +48,7 @@
 	}
 	defer pool.Close()
 	for {
-		f, err := c.look(ctx, pool)
+		f, err := c.poll(ctx, pool)
 		if err != nil {
 			return err
 		}
@@ -63,25 +63,25 @@
 	}
 }
 
-// look queries all agents once and prints the result.
-func (c *fleetCmd) look(ctx context.Context, pool *peer.Pool) (*console.Fleet, error) {
+// poll queries all agents once and prints the result.
+func (c *fleetCmd) poll(ctx context.Context, pool *peer.Pool) (*console.Fleet, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	f := console.Look(ctx, pool, c.Agents)
 	if c.Watch && !c.JSON {
 		fmt.Fprint(os.Stdout, clearScreen)
 	}
-	return f, printAnswer(f, c.JSON)
+	return f, printReport(f, c.JSON)
 }
 
 // fleetExit returns the error that sets the exit code for a result.
 func fleetExit(f *console.Fleet) error {
 	if len(f.Unreached) > 0 {
-		return &askExit{Code: exitNoAnswers}
+		return &exitCodeError{Code: exitNoAnswers}
 	}
 	for _, s := range f.Agents {
 		if len(s.Alarms) > 0 {
-			return &askExit{Code: exitAlarm}
+			return &exitCodeError{Code: exitAlarm}
 		}
 	}
 	return nil
--- a/cmd/wardspoolctl/limits.go
+++ b/cmd/wardspoolctl/limits.go
@@ -13,7 +13,7 @@
 
 // limitsCmd is the subcommand "limits".
 type limitsCmd struct {
-	instanceArgs `embed:""`
+	instanceFlags `embed:""`
 }
 
 // Help returns the text that "limits --help" adds.
@@ -36,24 +36,24 @@
 	Accounts int `json:"accounts"`
 }
 
-// limitsAnswer is the combined result of all instances.
-type limitsAnswer struct {
-	Workspaces []limitRow `json:"workspaces"`
-	Unreached  []string   `json:"unreached"`
+// limitsReport is the combined result of all instances.
+type limitsReport struct {
+	Workspaces  []limitRow `json:"workspaces"`
+	Unreachable []string   `json:"unreached"`
 }
 
 // Run queries the instances and prints the combined result.
 func (c *limitsCmd) Run(ctx context.Context) error {
 	a := c.collect(ctx)
-	return c.finish(a, a.Unreached)
+	return c.print(a, a.Unreachable)
 }
 
 // collect queries the instances and adds up their figures.
-func (c *limitsCmd) collect(ctx context.Context) *limitsAnswer {
-	a := &limitsAnswer{Workspaces: []limitRow{}}
+func (c *limitsCmd) collect(ctx context.Context) *limitsReport {
+	a := &limitsReport{Workspaces: []limitRow{}}
 	rows := map[string]*limitRow{}
-	a.Unreached = askInstances(ctx, &c.instanceArgs, "/limits", func(said []limit.Status) {
-		for _, s := range said {
+	a.Unreachable = queryInstances(ctx, &c.instanceFlags, "/limits", func(statuses []limit.Status) {
+		for _, s := range statuses {
 			if rows[s.Workspace] == nil {
 				rows[s.Workspace] = &limitRow{Status: limit.Status{Workspace: s.Workspace, Rate: s.Rate, Burst: s.Burst, Unit: s.Unit}}
 			}
@@ -80,14 +80,14 @@
 	}
 }
 
-// Write implements answer.
-func (a *limitsAnswer) Write(out io.Writer) error {
+// Write implements report.
+func (a *limitsReport) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WORKSPACE\tUNIT\tRATE/S\tBURST\tLEFT\tACCOUNTS\tGRANTED\tREFUSED\tRETURNED")
 	for _, r := range a.Workspaces {
 		fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%d\t%.0f\t%.0f\t%.0f\n",
 			r.Workspace, r.Unit, r.Rate, r.Burst, r.Level, r.Accounts, r.Granted, r.Refused, r.Returned)
 	}
-	writeUnreached(w, a.Unreached)
+	writeUnreachable(w, a.Unreachable)
 	return w.Flush()
 }
--- a/cmd/wardspoolctl/limits_test.go
+++ b/cmd/wardspoolctl/limits_test.go
@@ -16,11 +16,11 @@
 	"github.com/wardspool/wardspool/gateway/routing"
 )
 
-// limiting starts a server that returns the given limits and returns its address.
-func limiting(t *testing.T, said ...limit.Status) string {
+// serveLimits starts a server that returns the given limits and returns its address.
+func serveLimits(t *testing.T, statuses ...limit.Status) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/limits")
-		assert.Check(t, json.NewEncoder(w).Encode(said))
+		assert.Check(t, json.NewEncoder(w).Encode(statuses))
 	}))
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
@@ -33,9 +33,9 @@
 	b := limit.Status{Workspace: "b", Rate: 7, Unit: routing.Requests, Use: limit.Use{Granted: 3, Refused: 9, Returned: 2}}
 	more := a
 	more.Owns, more.Level = false, 99
-	c := limitsCmd{instanceArgs{Instances: []string{limiting(t, a, b), limiting(t, more, b), limiting(t, a)}, Timeout: time.Minute}}
+	c := limitsCmd{instanceFlags{Instances: []string{serveLimits(t, a, b), serveLimits(t, more, b), serveLimits(t, a)}, Timeout: time.Minute}}
 	got := c.collect(t.Context())
-	got.Unreached = []string{"x: gone"}
+	got.Unreachable = []string{"x: gone"}
 	var text bytes.Buffer
 	assert.NilError(t, got.Write(&text))
 	want := "WORKSPACE  UNIT      RATE/S  BURST  LEFT  ACCOUNTS  GRANTED  REFUSED  RETURNED\n" +
@@ -49,8 +49,8 @@
 func TestLimitsNameWhoDidNotAnswer(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
-	c := limitsCmd{instanceArgs{Instances: []string{strings.TrimPrefix(s.URL, "http://")}, Timeout: time.Minute, JSON: true}}
-	var exit *askExit
+	c := limitsCmd{instanceFlags{Instances: []string{strings.TrimPrefix(s.URL, "http://")}, Timeout: time.Minute, JSON: true}}
+	var exit *exitCodeError
 	assert.Assert(t, errors.As(c.Run(t.Context()), &exit))
-	assert.Equal(t, exit.Code, exitUnreached)
+	assert.Equal(t, exit.Code, exitUnreachable)
 }
--- a/cmd/wardspoolctl/quarantine.go
+++ b/cmd/wardspoolctl/quarantine.go
@@ -16,7 +16,7 @@
 
 // quarantineCmd is the subcommand "quarantine".
 type quarantineCmd struct {
-	instanceArgs `embed:""`
+	instanceFlags `embed:""`
 }
 
 // Help returns the text that "quarantine --help" adds.
@@ -31,35 +31,35 @@
 Exit codes: 0, or 2 if an instance gave no answer.`
 }
 
-// heldContent is the status of a content and the number of instances that reported it.
-type heldContent struct {
+// quarantinedContent is the status of a content and the number of instances that reported it.
+type quarantinedContent struct {
 	quarantine.ContentStatus
 	KnownBy int `json:"known_by"`
 }
 
-// heldAnswer is the combined result of all instances.
-type heldAnswer struct {
-	Contents  []heldContent `json:"contents"`
-	Asked     int           `json:"asked"`
-	Unreached []string      `json:"unreached"`
+// quarantineReport is the combined result of all instances.
+type quarantineReport struct {
+	Contents    []quarantinedContent `json:"contents"`
+	Asked       int                  `json:"asked"`
+	Unreachable []string             `json:"unreached"`
 }
 
 // Run queries the instances and prints the combined result.
 func (c *quarantineCmd) Run(ctx context.Context) error {
 	a := c.collect(ctx)
-	return c.finish(a, a.Unreached)
+	return c.print(a, a.Unreachable)
 }
 
 // collect queries the instances. For each content, it takes the status of the instance that counted
 // most crashes.
-func (c *quarantineCmd) collect(ctx context.Context) *heldAnswer {
-	a := &heldAnswer{Asked: len(c.Instances), Contents: []heldContent{}}
-	known := map[string]*heldContent{}
-	a.Unreached = askInstances(ctx, &c.instanceArgs, "/quarantine", func(held []quarantine.ContentStatus) {
-		for _, h := range held {
+func (c *quarantineCmd) collect(ctx context.Context) *quarantineReport {
+	a := &quarantineReport{Asked: len(c.Instances), Contents: []quarantinedContent{}}
+	known := map[string]*quarantinedContent{}
+	a.Unreachable = queryInstances(ctx, &c.instanceFlags, "/quarantine", func(contents []quarantine.ContentStatus) {
+		for _, h := range contents {
 			k := known[h.Content]
 			if k == nil || h.Crashes > k.Crashes {
-				k = &heldContent{ContentStatus: h, KnownBy: knownBy(k)}
+				k = &quarantinedContent{ContentStatus: h, KnownBy: knownBy(k)}
 				known[h.Content] = k
 			}
 			k.KnownBy++
@@ -68,22 +68,22 @@
 	for _, k := range known {
 		a.Contents = append(a.Contents, *k)
 	}
-	slices.SortFunc(a.Contents, func(x, y heldContent) int {
+	slices.SortFunc(a.Contents, func(x, y quarantinedContent) int {
 		return cmp.Or(cmp.Compare(y.Crashes, x.Crashes), cmp.Compare(x.Content, y.Content))
 	})
 	return a
 }
 
 // knownBy returns the number of instances that reported a content, 0 if k is nil.
-func knownBy(k *heldContent) int {
+func knownBy(k *quarantinedContent) int {
 	if k == nil {
 		return 0
 	}
 	return k.KnownBy
 }
 
-// Write implements answer.
-func (a *heldAnswer) Write(out io.Writer) error {
+// Write implements report.
+func (a *quarantineReport) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTENT\tSTANDING\tCRASHES\tEARLY\tLEFT\tKNOWN BY\tUPSTREAMS")
 	for _, c := range a.Contents {
@@ -91,14 +91,14 @@
 		if c.RemainingSeconds > 0 {
 			left = time.Duration(c.RemainingSeconds * float64(time.Second)).Round(time.Second).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d of %d\t%s\n", c.Content, c.Standing, c.Crashes, c.Early, left, c.KnownBy, a.Asked, joined(c.Upstreams))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d of %d\t%s\n", c.Content, c.Standing, c.Crashes, c.Early, left, c.KnownBy, a.Asked, joinIDs(c.Upstreams))
 	}
-	writeUnreached(w, a.Unreached)
+	writeUnreachable(w, a.Unreachable)
 	return w.Flush()
 }
 
-// joined returns the upstream IDs separated by spaces.
-func joined(ids []ident.UpstreamID) string {
+// joinIDs returns the upstream IDs separated by spaces.
+func joinIDs(ids []ident.UpstreamID) string {
 	var names []string
 	for _, id := range ids {
 		names = append(names, string(id))
--- a/cmd/wardspoolctl/quarantine_test.go
+++ b/cmd/wardspoolctl/quarantine_test.go
@@ -16,11 +16,11 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// holding starts a server that returns the given contents and returns its address.
-func holding(t *testing.T, held ...quarantine.ContentStatus) string {
+// serveQuarantine starts a server that returns the given contents and returns its address.
+func serveQuarantine(t *testing.T, contents ...quarantine.ContentStatus) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/quarantine")
-		assert.Check(t, json.NewEncoder(w).Encode(held))
+		assert.Check(t, json.NewEncoder(w).Encode(contents))
 	}))
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
@@ -31,8 +31,8 @@
 func TestQuarantineOfAFleet(t *testing.T) {
 	known := quarantine.ContentStatus{Content: "ab", Standing: "quarantined", Crashes: 2, Early: 2, RemainingSeconds: 90, Upstreams: []ident.UpstreamID{"i-1", "i-2"}}
 	less := quarantine.ContentStatus{Content: "ab", Standing: "suspect", Crashes: 1, Early: 1, Upstreams: []ident.UpstreamID{"i-1"}}
-	c := quarantineCmd{instanceArgs{Instances: []string{holding(t, less), holding(t, known), holding(t)}, Timeout: time.Minute}}
-	a := &heldAnswer{Asked: 3, Contents: []heldContent{{ContentStatus: known, KnownBy: 2}}, Unreached: []string{"x: gone"}}
+	c := quarantineCmd{instanceFlags{Instances: []string{serveQuarantine(t, less), serveQuarantine(t, known), serveQuarantine(t)}, Timeout: time.Minute}}
+	a := &quarantineReport{Asked: 3, Contents: []quarantinedContent{{ContentStatus: known, KnownBy: 2}}, Unreachable: []string{"x: gone"}}
 	got := c.collect(t.Context())
 	assert.DeepEqual(t, got.Contents, a.Contents)
 	var text bytes.Buffer
@@ -48,11 +48,11 @@
 func TestQuarantineNamesWhoDidNotAnswer(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
-	c := quarantineCmd{instanceArgs{Instances: []string{strings.TrimPrefix(s.URL, "http://")}, Timeout: time.Minute, JSON: true}}
+	c := quarantineCmd{instanceFlags{Instances: []string{strings.TrimPrefix(s.URL, "http://")}, Timeout: time.Minute, JSON: true}}
 	got := c.collect(t.Context())
-	assert.Equal(t, len(got.Unreached), 1)
-	assert.Assert(t, strings.Contains(got.Unreached[0], "status 404"))
-	var exit *askExit
+	assert.Equal(t, len(got.Unreachable), 1)
+	assert.Assert(t, strings.Contains(got.Unreachable[0], "status 404"))
+	var exit *exitCodeError
 	assert.Assert(t, errors.As(c.Run(t.Context()), &exit))
-	assert.Equal(t, exit.Code, exitUnreached)
+	assert.Equal(t, exit.Code, exitUnreachable)
 }
--- a/cmd/wardspoolctl/record.go
+++ b/cmd/wardspoolctl/record.go
@@ -40,9 +40,9 @@
 	Record string `help:"File that lists what the key signed; beside the key file if not given." placeholder:"FILE"`
 }
 
-// unlock adds a document to the signing record and returns the key to sign it with.
+// signingKey adds a document to the signing record and returns the key to sign it with.
 // It fails if the record refuses the document.
-func (f signFlags) unlock(s streams, kind string, number uint64, digest bundle.Digest) (keyFile, ed25519.PrivateKey, error) {
+func (f signFlags) signingKey(s streams, kind string, number uint64, digest bundle.Digest) (keyFile, ed25519.PrivateKey, error) {
 	k, private, err := readPrivateKey(s, f.Key)
 	if err != nil {
 		return k, nil, err
--- a/cmd/wardspoolctl/roll.go
+++ b/cmd/wardspoolctl/roll.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		return err
 	}
-	k, private, err := c.unlock(s, "roll", r.Roll.Sequence, r.Roll.Digest())
+	k, private, err := c.signingKey(s, "roll", r.Roll.Sequence, r.Roll.Digest())
 	if err != nil {
 		return err
 	}
@@ -273,7 +273,7 @@
 // checkParts refuses a roll if parts of its target are missing from the directory,
 // as instances could not fetch the bundle.
 func (c *rollPackCmd) checkParts(s streams, r *bundle.SignedRoll) error {
-	parts, err := packedFolder(c.Out).readParts()
+	parts, err := packedBundlePaths(c.Out).readParts()
 	if err != nil {
 		return refusef("%s has no parts: pack the bundle into it first", c.Out)
 	}
--- a/cmd/wardspoolctl/run.go
+++ b/cmd/wardspoolctl/run.go
@@ -44,14 +44,14 @@
 Exit codes: 0 done, 1 findings or refused, 2 wrong usage; commands that ask
 instances have their own. docs/operators/bundles.md is the long form.`
 
-// exited is the value of the panic that ends the parser after --help or --version;
+// parserExit is the value of the panic that ends the parser after --help or --version;
 // kong expects its exit function not to return.
-type exited struct{ code int }
+type parserExit struct{ code int }
 
 // run parses the command line, runs the command and returns the exit code.
 func run(ctx context.Context, args []string, s streams) (code int) {
 	defer func() {
-		if e, ok := recover().(exited); ok {
+		if e, ok := recover().(parserExit); ok {
 			code = e.code
 		}
 	}()
@@ -61,7 +61,7 @@
 		kong.Description(description),
 		kong.Vars{"version": version()},
 		kong.Writers(s.Out, s.Err),
-		kong.Exit(func(code int) { panic(exited{code: code}) }),
+		kong.Exit(func(code int) { panic(parserExit{code: code}) }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
 		kong.BindTo(ctx, (*context.Context)(nil)),
 		kong.Bind(s),
@@ -74,12 +74,12 @@
 		fmt.Fprintf(s.Err, "wardspoolctl: %v; see wardspoolctl --help\n", err)
 		return exitUsage
 	}
-	return finish(command.Run(), s)
+	return reportError(command.Run(), s)
 }
 
-// finish prints a command's error and returns the exit code.
-func finish(err error, s streams) int {
-	var silent *askExit
+// reportError prints a command's error and returns the exit code.
+func reportError(err error, s streams) int {
+	var silent *exitCodeError
 	var coded kong.ExitCoder
 	switch {
 	case err == nil:
--- a/cmd/wardspoolctl/tls.go
+++ b/cmd/wardspoolctl/tls.go
@@ -20,22 +20,23 @@
 // instance is in this zone.
 const operatorZone ident.Zone = "operators"
 
-// filesError reports that the operator's certificate files can't be used.
-type filesError struct{ Err error }
+// certificateError reports that the operator's certificate files can't be used.
+type certificateError struct{ Err error }
 
 // Error implements error.
-func (e *filesError) Error() string { return e.Err.Error() }
+func (e *certificateError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *filesError) Unwrap() error { return e.Err }
+func (e *certificateError) Unwrap() error { return e.Err }
 
 // ExitCode implements kong.ExitCoder. Code 1 would mean that instances were queried
 // and responded.
-func (*filesError) ExitCode() int { return exitUsage }
+func (*certificateError) ExitCode() int { return exitUsage }
 
 // pool returns a connection pool with the operator's identity. It accepts any peer
 // identity, since the operator gave the addresses; the instances decide which
-// operators they accept. Errors are of type *filesError.
+// operators they accept. Errors are of type
+// *certificateError.
 func (f *operatorFlags) pool() (*peer.Pool, error) {
 	c := peer.Config{
 		Self: peer.Identity{
@@ -49,7 +50,7 @@
 	if files.Enabled() {
 		r, err := tlsconf.New(files, tlsconf.Options{})
 		if err != nil {
-			return nil, &filesError{err}
+			return nil, &certificateError{err}
 		}
 		c.TLS = r
 	}
--- a/cmd/wardspoolctl/tls_test.go
+++ b/cmd/wardspoolctl/tls_test.go
@@ -15,11 +15,11 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// nobody returns empty replies.
-type nobody struct{}
+// emptyBackend returns empty replies.
+type emptyBackend struct{}
 
-func (nobody) Explain(ident.RequestID) peering.ExplainReply { return peering.ExplainReply{} }
-func (nobody) Stats() peering.StatsReply                    { return peering.StatsReply{} }
+func (emptyBackend) Explain(ident.RequestID) peering.ExplainReply { return peering.ExplainReply{} }
+func (emptyBackend) Stats() peering.StatsReply                    { return peering.StatsReply{} }
 
 // TestCertificateFlags checks that an instance with TLS can be queried with the
 // operator's certificate only, not without a certificate or with one of another
@@ -33,7 +33,7 @@
 		Allow: func(id peer.Identity) bool { return id.Instance == "ops-1" },
 		TLS:   files,
 	})
-	peering.HandleOperators(srv, nobody{})
+	peering.HandleOperators(srv, emptyBackend{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	served := make(chan error, 1)
@@ -53,8 +53,8 @@
 		return []string{"--cert", f.Cert, "--key", f.Key, "--ca", f.CA}
 	}
 	assert.Equal(t, explain(with("ops-1")...), exitNotFound)
-	assert.Equal(t, explain(with("ops-2")...), exitUnreached)
-	assert.Equal(t, explain(), exitUnreached)
+	assert.Equal(t, explain(with("ops-2")...), exitUnreachable)
+	assert.Equal(t, explain(), exitUnreachable)
 	broken := with("ops-1")
 	broken[1] = "nonesuch.pem"
 	assert.Equal(t, explain(broken...), exitUsage)
--- a/cmd/wardspoolctl/watch.go
+++ b/cmd/wardspoolctl/watch.go
@@ -11,7 +11,7 @@
 
 // watchCmd is the subcommand "watch".
 type watchCmd struct {
-	askFlags
+	queryFlags
 	Every time.Duration `default:"2s" help:"Time between two looks."`
 	Count int           `default:"0" help:"Looks to take; 0 is without end."`
 	JSON  bool          `name:"json" help:"Print one JSON object a look in place of a table."`
@@ -44,12 +44,12 @@
 	defer pool.Close()
 	w := console.NewWatcher(pool, c.Instances)
 	for n := 1; ; n++ {
-		s, err := c.look(ctx, w)
+		s, err := c.poll(ctx, w)
 		if err != nil {
 			return err
 		}
 		if n == c.Count || ctx.Err() != nil {
-			return lastLook(s)
+			return watchExit(s)
 		}
 		select {
 		case <-time.After(c.Every):
@@ -59,22 +59,22 @@
 	}
 }
 
-// look queries all instances once and prints the result.
-func (c *watchCmd) look(ctx context.Context, w *console.Watcher) (console.Snapshot, error) {
+// poll queries all instances once and prints the result.
+func (c *watchCmd) poll(ctx context.Context, w *console.Watcher) (console.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	s := w.Look(ctx, time.Now())
 	if !c.JSON && c.Count != 1 {
 		fmt.Fprint(os.Stdout, clearScreen)
 	}
-	return s, printAnswer(&s, c.JSON)
+	return s, printReport(&s, c.JSON)
 }
 
-// lastLook returns the error that sets the exit code if an instance did not
+// watchExit returns the error that sets the exit code if an instance did not
 // respond.
-func lastLook(s console.Snapshot) error {
+func watchExit(s console.Snapshot) error {
 	if len(s.Unreached) > 0 {
-		return &askExit{Code: exitUnreached}
+		return &exitCodeError{Code: exitUnreachable}
 	}
 	return nil
 }
