--- a/cmd/wardspoolctl/files.go
+++ b/cmd/wardspoolctl/files.go
@@ -117,7 +117,7 @@
 func (f bundlePaths) readParts() (*bundle.PartSet, error) {
 	entries, err := os.ReadDir(f.parts)
 	if err != nil {
-		return nil, oops.Wrapf(err, "read the directory of parts")
+		return nil, oops.Wrapf(err, "read the parts")
 	}
 	set := &bundle.PartSet{}
 	for _, e := range entries {
