--- a/adapter/roundtrip/body.go
+++ b/adapter/roundtrip/body.go
@@ -7,9 +7,9 @@
 	"net/http"
 )
 
-// answerBody is a response's body. At its end its connection becomes idle, or
-// is closed.
-type answerBody struct {
+// responseBody is a response's body. At its end, the connection is returned to
+// the idle pool or closed.
+type responseBody struct {
 	ctx      context.Context
 	conn     *conn
 	body     io.ReadCloser
@@ -18,7 +18,7 @@
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
 	}
@@ -28,21 +28,21 @@
 		return n, err
 	}
 	if err != nil && b.ctx.Err() != nil {
-		// The connection was closed because of it.
+		// The read failed because the end of the context closed the connection.
 		err = b.ctx.Err()
 	}
 	return n, err
 }
 
-// Close implements io.Closer. A body that was not read to its end costs the
-// connection.
-func (b *answerBody) Close() error {
+// Close implements io.Closer. If the body was not read to its end, the
+// connection is closed, as the rest of the body would precede the next response.
+func (b *responseBody) Close() error {
 	b.end(b.reusable && b.body == http.NoBody)
 	return nil
 }
 
-// end gives the connection up, once.
-func (b *answerBody) end(reusable bool) {
+// end releases the connection. Further calls have no effect.
+func (b *responseBody) end(reusable bool) {
 	if b.ended {
 		return
 	}
--- a/cmd/wardspoolctl/documents_test.go
+++ b/cmd/wardspoolctl/documents_test.go
@@ -17,14 +17,15 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// shell runs commands in a temporary folder and writes down what they print.
-type shell struct {
+// session runs commands in a temporary directory and records their output.
+type session struct {
 	t    *testing.T
 	text strings.Builder
 }
 
-// newShell makes a folder with the example's source and the keys of approvers.
-func newShell(t *testing.T) *shell {
+// newSession changes to a temporary directory with an example's bundle source, a
+// faulty source and the keys of six approvers.
+func newSession(t *testing.T) *session {
 	source, err := os.ReadFile("../../examples/coastline/bundle.yaml")
 	assert.NilError(t, err)
 	faulty, err := os.ReadFile("../../bundle/testdata/faulty.yaml")
@@ -37,7 +38,7 @@
 		public := ed25519.NewKeyFromSeed(seed[:]).Public().(ed25519.PublicKey)
 		write(t, name+".key", fmt.Sprintf("name: %s\npublic: %s\nprivate: %s\n", name, hex.EncodeToString(public), seed))
 	}
-	return &shell{t: t}
+	return &session{t: t}
 }
 
 func write(t *testing.T, name, text string) {
@@ -45,8 +46,8 @@
 	assert.NilError(t, os.WriteFile(name, []byte(text), secretMode))
 }
 
-// edit replaces text in a file.
-func (s *shell) edit(name, old, new string) {
+// edit replaces the first occurrence of a text in a file.
+func (s *session) edit(name, old, new string) {
 	s.t.Helper()
 	b, err := os.ReadFile(name)
 	assert.NilError(s.t, err)
@@ -55,8 +56,9 @@
 	fmt.Fprintf(&s.text, "# %s: %q becomes %q\n", name, old, new)
 }
 
-// run runs one command; "> file" at its end redirects what it prints.
-func (s *shell) run(line string) {
+// run runs one command and records it with its output and exit code. A trailing
+// " > file" redirects standard output to a file.
+func (s *session) run(line string) {
 	s.t.Helper()
 	command, file, redirected := strings.Cut(line, " > ")
 	var out, errs bytes.Buffer
@@ -73,16 +75,17 @@
 	}
 }
 
-// Sessions of commands as operators type them; testdata holds what they print.
+// TestCommandSessions compares the output of command sequences, as operators type
+// them, with the golden files in testdata.
 func TestCommandSessions(t *testing.T) {
 	sessions := []struct {
 		name string
-		run  func(*shell)
+		run  func(*session)
 	}{
-		{"first-bundle", firstBundle},
+		{"first-bundle", firstBundleSession},
 		{"canary", canarySession},
 		{"rotation", rotationSession},
-		{"two-versions", twoVersions},
+		{"two-versions", twoVersionsSession},
 		{"lint", lintSession},
 		{"refused", refusedSession},
 		{"usage", usageSession},
@@ -92,20 +95,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			file, err := filepath.Abs(golden.Path(tc.name + ".golden"))
 			assert.NilError(t, err)
-			s := newShell(t)
+			s := newSession(t)
 			tc.run(s)
 			golden.Assert(t, s.text.String(), file)
 		})
 	}
 }
 
-// three makes a set of three approvers of whom two must sign.
-func (s *shell) three() {
+// createApprovers writes a set of three approvers with a quorum of two.
+func (s *session) createApprovers() {
 	s.run("key approvers --quorum 2 cyd.key ada.key ben.key > approvers.yaml")
 }
 
-// signed builds, signs and packs a draft.
-func (s *shell) signed(build, draft string, signers ...string) {
+// packSignedBundle builds a draft, signs it with the given keys and packs it.
+func (s *session) packSignedBundle(build, draft string, signers ...string) {
 	s.t.Helper()
 	s.run("bundle new " + build + " bundle.yaml " + draft)
 	for _, name := range signers {
@@ -114,8 +117,8 @@
 	s.run("bundle pack --approvers approvers.yaml " + draft + " publish")
 }
 
-// rolled makes, signs and packs a roll.
-func (s *shell) rolled(file, arguments string, signers ...string) {
+// packSignedRoll creates a roll, signs it with the given keys and packs it.
+func (s *session) packSignedRoll(file, arguments string, signers ...string) {
 	s.t.Helper()
 	s.run("roll new " + arguments + " -o " + file)
 	for _, name := range signers {
@@ -124,15 +127,17 @@
 	s.run("roll pack --approvers approvers.yaml " + file + " publish")
 }
 
-func firstBundle(s *shell) {
+// firstBundleSession goes from keys to the first bundle and roll. The values to
+// publish must be smaller than the platform's limit.
+func firstBundleSession(s *session) {
 	s.run("key public ada.key")
-	s.three()
+	s.createApprovers()
 	s.run("key approvers --quorum 2 ada.key ben.key cyd.key")
 	s.run("bundle lint bundle.yaml")
-	s.signed("--approvers approvers.yaml --note first", "draft-1", "ada", "ben")
+	s.packSignedBundle("--approvers approvers.yaml --note first", "draft-1", "ada", "ben")
 	s.run("bundle verify --approvers approvers.yaml draft-1")
 	s.run("bundle verify --approvers approvers.yaml publish")
-	s.rolled("roll-1.json", "--target draft-1 --stage all", "ada", "cyd")
+	s.packSignedRoll("roll-1.json", "--target draft-1 --stage all", "ada", "cyd")
 	s.run("roll verify --approvers approvers.yaml publish/roll/current")
 	for _, key := range []string{"bundle/head", "roll/current"} {
 		info, err := os.Stat("publish/" + key)
@@ -141,29 +146,32 @@
 	}
 }
 
-func canarySession(s *shell) {
-	s.three()
-	s.signed("--approvers approvers.yaml", "draft-1", "ada", "ben")
-	s.rolled("roll-1.json", "--target draft-1 --stage all", "ada", "ben")
+// canarySession rolls a version to a canary in steps, abandons it, and rolls a
+// version with the old content.
+func canarySession(s *session) {
+	s.createApprovers()
+	s.packSignedBundle("--approvers approvers.yaml", "draft-1", "ada", "ben")
+	s.packSignedRoll("roll-1.json", "--target draft-1 --stage all", "ada", "ben")
 	s.edit("bundle.yaml", "queue_limit: 512", "queue_limit: 256")
 	s.edit("bundle.yaml", "  - name: head-office\n    weight: 2\n", "")
 	s.run("bundle diff publish bundle.yaml")
-	s.signed("--previous draft-1", "draft-2", "ben", "cyd")
+	s.packSignedBundle("--previous draft-1", "draft-2", "ben", "cyd")
 	s.run("bundle verify --approvers approvers.yaml --previous draft-1 draft-2")
-	s.rolled("roll-2.json", "--previous roll-1.json --target draft-2 --stage canary --zones hall-b,hall-a --share 100", "ben", "cyd")
-	s.rolled("roll-3.json", "--previous roll-2.json --stage canary --zones hall-a", "ben", "cyd")
+	s.packSignedRoll("roll-2.json", "--previous roll-1.json --target draft-2 --stage canary --zones hall-b,hall-a --share 100", "ben", "cyd")
+	s.packSignedRoll("roll-3.json", "--previous roll-2.json --stage canary --zones hall-a", "ben", "cyd")
 	s.run("roll verify --approvers approvers.yaml --previous roll-2.json roll-3.json")
-	s.rolled("roll-4.json", "--previous roll-3.json --stage abandoned", "ben", "cyd")
+	s.packSignedRoll("roll-4.json", "--previous roll-3.json --stage abandoned", "ben", "cyd")
 	s.run("roll new --previous roll-4.json --stage all")
 	s.edit("bundle.yaml", "queue_limit: 256", "queue_limit: 512")
-	s.signed("--previous draft-2", "draft-3", "ada", "cyd")
-	s.rolled("roll-5.json", "--previous roll-4.json --target draft-3 --stage all", "ada", "cyd")
+	s.packSignedBundle("--previous draft-2", "draft-3", "ada", "cyd")
+	s.packSignedRoll("roll-5.json", "--previous roll-4.json --target draft-3 --stage all", "ada", "cyd")
 	s.run("roll pack --approvers approvers.yaml roll-3.json publish")
 }
 
-func rotationSession(s *shell) {
-	s.three()
-	s.signed("--approvers approvers.yaml", "draft-1", "ada", "ben")
+// rotationSession replaces the approvers, which needs a quorum of both sets.
+func rotationSession(s *session) {
+	s.createApprovers()
+	s.packSignedBundle("--approvers approvers.yaml", "draft-1", "ada", "ben")
 	s.run("key approvers --quorum 2 dan.key eve.key > next.yaml")
 	s.run("bundle new --previous draft-1 --approvers next.yaml bundle.yaml draft-2")
 	s.run("bundle sign --key ada.key draft-2")
@@ -172,7 +180,7 @@
 	s.run("bundle sign --key dan.key draft-2")
 	s.run("bundle sign --key eve.key draft-2")
 	s.run("bundle pack --approvers approvers.yaml draft-2 publish")
-	s.rolled("roll-1.json", "--target draft-2 --stage all", "dan", "eve")
+	s.packSignedRoll("roll-1.json", "--target draft-2 --stage all", "dan", "eve")
 	s.run("key approvers --of draft-2")
 	s.run("bundle new --previous draft-2 bundle.yaml draft-3")
 	s.run("bundle sign --key dan.key draft-3")
@@ -183,10 +191,11 @@
 	s.run("bundle verify --approvers next.yaml draft-1")
 }
 
-// twoVersions is what the split-version alarm asks for.
-func twoVersions(s *shell) {
-	s.three()
-	s.signed("--approvers approvers.yaml", "draft-1", "ada", "ben")
+// twoVersionsSession resolves two different bundles of one version, as the
+// split-version alarm tells operators to: the next version supersedes both.
+func twoVersionsSession(s *session) {
+	s.createApprovers()
+	s.packSignedBundle("--approvers approvers.yaml", "draft-1", "ada", "ben")
 	s.run("bundle new --previous draft-1 bundle.yaml draft-2")
 	s.run("bundle sign --key ada.key draft-2")
 	s.run("bundle new --previous draft-2 bundle.yaml draft-3")
@@ -206,16 +215,19 @@
 	s.run("bundle verify --approvers approvers.yaml --previous draft-2b draft-3b")
 }
 
-func lintSession(s *shell) {
+// lintSession checks a faulty source and one that does not exist.
+func lintSession(s *session) {
 	s.run("bundle lint faulty.yaml bundle.yaml")
 	s.run("bundle lint nowhere.yaml")
 }
 
-func refusedSession(s *shell) {
+// refusedSession runs commands that must be refused, such as signing with an
+// unknown key or packing without a quorum.
+func refusedSession(s *session) {
 	s.run("key new Ada")
 	s.run("key approvers --quorum 1 ada.key ben.key cyd.key")
 	s.run("key public ada.key > ada.pub")
-	s.three()
+	s.createApprovers()
 	s.run("bundle new bundle.yaml draft-0")
 	s.run("bundle new --approvers approvers.yaml bundle.yaml draft-1")
 	s.run("bundle new --approvers approvers.yaml bundle.yaml draft-1")
@@ -239,7 +251,8 @@
 	s.run("bundle verify --approvers approvers.yaml draft-1")
 }
 
-func usageSession(s *shell) {
+// usageSession runs invalid command lines.
+func usageSession(s *session) {
 	s.run("")
 	s.run("bundle")
 	s.run("bundle lint")
@@ -248,7 +261,8 @@
 	s.run("roll now")
 }
 
-func helpSession(s *shell) {
+// helpSession prints the help texts.
+func helpSession(s *session) {
 	for _, command := range []string{
 		"", "key", "key new", "key public", "key approvers", "bundle", "bundle lint", "bundle diff", "bundle new",
 		"bundle sign", "bundle verify", "bundle pack", "roll", "roll new", "roll sign", "roll verify", "roll pack",
@@ -257,8 +271,10 @@
 	}
 }
 
+// TestKeyNewMakesAKeyThatSigns checks that a new key file is readable, that its
+// halves match, and that two keys of one name differ.
 func TestKeyNewMakesAKeyThatSigns(t *testing.T) {
-	s := newShell(t)
+	s := newSession(t)
 	s.run("key new zoe > zoe.key")
 	s.run("key new zoe > other.key")
 	k, private, err := readPrivateKey(streams{}, "zoe.key")
--- a/cmd/wardspoolctl/watch.go
+++ b/cmd/wardspoolctl/watch.go
@@ -11,13 +11,13 @@
 
 // watchCmd is the subcommand "watch".
 type watchCmd struct {
-	askFlags
+	queryFlags
 	Every time.Duration `default:"2s" help:"Time between two looks."`
 	Count int           `default:"0" help:"Looks to take; 0 is without end."`
 	JSON  bool          `name:"json" help:"Print one JSON object a look in place of a table."`
 }
 
-// Help is shown by "watch --help".
+// Help returns the text that "watch --help" adds.
 func (watchCmd) Help() string {
 	return `Shows what each bundle version does on the instances asked, live: goodput (whole
 answers within the kind's targets for first output and pace), wasted prefill,
@@ -31,10 +31,11 @@
 last look.`
 }
 
-// clearScreen moves to the top of the terminal and clears it.
+// clearScreen is the escape sequence that moves the cursor to the top left corner
+// and clears the terminal.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// Run looks until the count is reached or the user stops it.
+// Run queries the instances until the count is reached or the user interrupts it.
 func (c *watchCmd) Run(ctx context.Context) error {
 	pool, err := c.pool()
 	if err != nil {
@@ -43,12 +44,12 @@
 	defer pool.Close()
 	w := console.NewWatcher(pool, c.Instances)
 	for n := 1; ; n++ {
-		s, err := c.look(ctx, w)
+		s, err := c.poll(ctx, w)
 		if err != nil {
 			return err
 		}
 		if n == c.Count || ctx.Err() != nil {
-			return lastLook(s)
+			return watchExit(s)
 		}
 		select {
 		case <-time.After(c.Every):
@@ -58,21 +59,22 @@
 	}
 }
 
-// look takes one look and prints it.
-func (c *watchCmd) look(ctx context.Context, w *console.Watcher) (console.Snapshot, error) {
+// poll queries all instances once and prints the result.
+func (c *watchCmd) poll(ctx context.Context, w *console.Watcher) (console.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	s := w.Look(ctx, time.Now())
 	if !c.JSON && c.Count != 1 {
 		fmt.Fprint(os.Stdout, clearScreen)
 	}
-	return s, printAnswer(&s, c.JSON)
+	return s, printReport(&s, c.JSON)
 }
 
-// lastLook turns missing answers into the exit code.
-func lastLook(s console.Snapshot) error {
+// watchExit returns the error that sets the exit code if an instance did not
+// respond.
+func watchExit(s console.Snapshot) error {
 	if len(s.Unreached) > 0 {
-		return &askExit{Code: exitUnreached}
+		return &exitCodeError{Code: exitUnreachable}
 	}
 	return nil
 }
