--- a/api/problem.go
+++ b/api/problem.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// ProblemType is the "type" member of a problem document, from a closed list.
+// ProblemType is the "type" member of a problem document. The constants below
+// are all of its values.
 type ProblemType string
 
-// Problem types. Each is explained in docs/callers.md under the same name.
+// Problem types. docs/callers.md explains each one under the same name.
 const (
 	ProblemMalformed        ProblemType = "urn:wardspool:problem:malformed-request"
 	ProblemTooLarge         ProblemType = "urn:wardspool:problem:body-too-large"
@@ -39,7 +40,7 @@
 	ProblemInternal         ProblemType = "urn:wardspool:problem:internal"
 )
 
-// problemStatus gives the HTTP status of each problem type.
+// problemStatus maps each problem type to its HTTP status.
 var problemStatus = map[ProblemType]int{
 	ProblemMalformed:        http.StatusBadRequest,
 	ProblemTooLarge:         http.StatusRequestEntityTooLarge,
@@ -66,7 +67,8 @@
 	ProblemInternal:         http.StatusInternalServerError,
 }
 
-// Status returns the HTTP status that goes with the problem type.
+// Status returns the HTTP status of the problem type, 500 if the type is not
+// known.
 func (t ProblemType) Status() int {
 	if s, ok := problemStatus[t]; ok {
 		return s
@@ -74,37 +76,38 @@
 	return http.StatusInternalServerError
 }
 
-// Problem is a failed request's final answer: an RFC 9457 problem document
+// Problem is the final answer to a failed request: an RFC 9457 problem document
 // with wardspool's extension members. It is also the error type that carries
-// such an answer inside the program.
+// such an answer within the process.
 type Problem struct {
 	Type   ProblemType `json:"type"`
 	Title  string      `json:"title"`
 	Status int         `json:"status"`
 	Detail string      `json:"detail,omitempty"`
-	// Outcome says whether the request ran.
+	// Outcome states whether the request ran.
 	Outcome Outcome `json:"outcome"`
-	// RequestID names the request.
+	// RequestID is the value of HeaderRequestID.
 	RequestID string `json:"request_id,omitempty"`
-	// RetryAfterMS is when to come back, in milliseconds; 0 means that a
-	// retry cannot help.
+	// RetryAfterMS is the delay before a retry, in milliseconds; 0 means that
+	// a retry cannot succeed.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 	// BundleVersion is the bundle version in force, 0 if none.
 	BundleVersion uint64 `json:"bundle_version,omitempty"`
-	// OpenAI repeats the problem in the form of OpenAI's API, so that its client
-	// libraries recognise it, also inside a stream. It is set on answers to
-	// callers only.
+	// OpenAI repeats the problem in the error format of OpenAI's API, so that
+	// OpenAI client libraries recognise it, also inside a stream. It is set only
+	// on answers to callers.
 	OpenAI *OpenAIError `json:"error,omitempty"`
 }
 
-// OpenAIError is the error member of OpenAI's API.
+// OpenAIError is the error object of OpenAI's API.
 type OpenAIError struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 }
 
-// WithOpenAI fills in the OpenAI member and returns p.
+// WithOpenAI sets the OpenAI member and returns p. The message is the detail,
+// or the title if there is no detail.
 func (p *Problem) WithOpenAI() *Problem {
 	message := p.Detail
 	if message == "" {
@@ -130,7 +133,7 @@
 	return fmt.Sprintf("%s (%s): %s", p.Type, p.Outcome, p.Detail)
 }
 
-// RetryAfter sets when to come back and returns p.
+// RetryAfter sets the delay before a retry and returns p.
 func (p *Problem) RetryAfter(d time.Duration) *Problem {
 	p.RetryAfterMS = d.Milliseconds()
 	return p
@@ -139,8 +142,8 @@
 // ProblemContentType is the media type of a problem document.
 const ProblemContentType = "application/problem+json"
 
-// Write sends the problem as the whole response. The Retry-After header is in
-// whole seconds, rounded up.
+// Write writes the problem as a complete HTTP response: headers, status and
+// body. The Retry-After header is in whole seconds, rounded up.
 func (p *Problem) Write(w http.ResponseWriter) error {
 	h := w.Header()
 	h.Set("Content-Type", ProblemContentType)
--- a/ident/ident.go
+++ b/ident/ident.go
@@ -9,27 +9,29 @@
 	"time"
 )
 
-// InstanceID names one entry instance of the system, as written in its settings.
+// InstanceID is the name of an entry instance, as configured in its settings.
 type InstanceID string
 
-// Zone names an availability zone, for example "hall-a".
+// Zone is the name of an availability zone, for example "hall-a".
 type Zone string
 
-// Region names a group of availability zones, for example "bc-lower".
+// Region is the name of a group of availability zones, for example "bc-lower".
 type Region string
 
-// UpstreamID names one back end: a model engine or a plain service process.
+// UpstreamID is the name of one back end: a model engine or a plain service
+// process.
 type UpstreamID string
 
-// Workspace names the customer on whose behalf a request is made.
+// Workspace is the name of the customer on whose behalf a request is made.
 type Workspace string
 
-// RequestID names one caller's request. It is unique per request.
+// RequestID identifies a caller's request. It is unique per request.
 type RequestID string
 
-// Incarnation numbers the lives of one instance or upstream. A restarted
-// process has a higher incarnation than the one it replaces; it is taken from
-// the wall clock in milliseconds at start, since instances keep nothing on disk.
+// Incarnation identifies one run of an instance or upstream. A restarted
+// process has a higher incarnation than the one it replaces. The value is the
+// wall-clock time of the start in milliseconds, since instances store nothing
+// on disk from which a counter could be continued.
 type Incarnation uint64
 
 // NewIncarnation returns the incarnation of a process started at the given time.
@@ -37,7 +39,7 @@
 	return Incarnation(start.UnixMilli())
 }
 
-// maxNameLength bounds every configured name, in bytes.
+// maxNameLength is the maximum length of a configured name, in bytes.
 const maxNameLength = 63
 
 // ValidName reports whether s may be used as an instance, zone, region,
@@ -55,28 +57,30 @@
 	return true
 }
 
-// nameByte reports whether a name may have a byte inside.
+// nameByte reports whether b may occur in a name; ValidName restricts hyphens
+// to inner positions.
 func nameByte(b byte) bool {
 	return b >= 'a' && b <= 'z' || b >= '0' && b <= '9' || b == '-'
 }
 
-// AttemptID names one attempt to run a request, or a stage of it, on an
-// upstream. It carries its owner's incarnation and the request's deadline, so
-// that a peer that finds it on an engine can tell whether it is still wanted.
+// AttemptID identifies one attempt to run a request, or a stage of it, on an
+// upstream. It contains its owner's incarnation and the request's deadline, so
+// that a peer that finds the attempt on an engine can tell whether it is still
+// needed.
 type AttemptID struct {
 	Instance    InstanceID
 	Incarnation Incarnation
 	Sequence    uint64
-	// Deadline is the time after which no caller waits for the attempt.
-	// It has millisecond resolution.
+	// Deadline is the time after which no caller waits for the attempt, with
+	// millisecond resolution.
 	Deadline time.Time
 }
 
 // attemptParts is the number of dot-separated parts of an encoded AttemptID.
 const attemptParts = 4
 
-// String encodes the attempt as "instance.incarnation.sequence.deadline", the
-// numbers in base 36 and the deadline in Unix milliseconds.
+// String encodes the attempt ID as "instance.incarnation.sequence.deadline".
+// The numbers are in base 36; the deadline is in Unix milliseconds.
 func (a AttemptID) String() string {
 	return strings.Join([]string{
 		string(a.Instance),
@@ -89,11 +93,12 @@
 // IsZero reports whether a is the zero AttemptID.
 func (a AttemptID) IsZero() bool { return a.Instance == "" }
 
-// AttemptSyntaxError reports text that is not an encoded AttemptID.
+// AttemptSyntaxError reports a string that is not an encoded AttemptID.
 type AttemptSyntaxError struct {
-	// Text is the text that could not be parsed.
+	// Text is the string that could not be parsed.
 	Text string
-	// Part names the part at fault.
+	// Part names the invalid part: "instance", "incarnation", "sequence" or
+	// "deadline", or "shape" if the number of parts is wrong.
 	Part string
 }
 
@@ -102,7 +107,7 @@
 	return fmt.Sprintf("attempt ID %q: bad %s", e.Text, e.Part)
 }
 
-// ParseAttemptID decodes the form that AttemptID.String writes.
+// ParseAttemptID parses the encoding that AttemptID.String returns.
 // It returns an *AttemptSyntaxError if s is malformed.
 func ParseAttemptID(s string) (AttemptID, error) {
 	parts := strings.Split(s, ".")
--- a/ident/ident_test.go
+++ b/ident/ident_test.go
@@ -11,7 +11,8 @@
 	_ "github.com/wardspool/wardspool/internal/testseed"
 )
 
-// The byte loop takes what the pattern of a name takes.
+// TestValidName checks that ValidName accepts the same strings as the regular
+// expression that specifies a name.
 func TestValidName(t *testing.T) {
 	pattern := regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 	plain := func(s string) bool { return len(s) <= maxNameLength && pattern.MatchString(s) }
--- a/logs/bounded.go
+++ b/logs/bounded.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// boundedLines is how many lines wait for a slow reader before further ones
-	// are dropped; at 300 bytes a line they take 0.6 MB.
+	// boundedLines is the number of lines that are queued for a slow target
+	// before further ones are dropped; at 300 bytes per line they use 0.6 MB.
 	boundedLines = 2048
-	// closeTimeout bounds how long the end of a program waits for its log.
+	// closeTimeout is the maximum time that Close delays the exit of a program
+	// to flush its log.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// Bounded is a writer that never blocks: lines that its target does not take in
-// time are dropped and counted, and a line says how many. It is safe for
-// concurrent use.
+// Bounded is a non-blocking writer with a bounded queue. When the target is too
+// slow and the queue is full, lines are dropped; their number is logged once the
+// target accepts lines again. It is safe for concurrent use.
 type Bounded struct {
 	target  io.Writer
 	lines   chan []byte
@@ -27,14 +28,16 @@
 	once    sync.Once
 }
 
-// NewBounded returns a bounded writer to a target.
+// NewBounded returns a bounded writer to a target and starts its goroutine,
+// which Close ends.
 func NewBounded(target io.Writer) *Bounded {
 	b := &Bounded{target: target, lines: make(chan []byte, boundedLines), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
-// Write implements io.Writer. It keeps a copy of the line.
+// Write implements io.Writer. It queues a copy of the line, or drops the line if
+// the queue is full.
 func (b *Bounded) Write(line []byte) (int, error) {
 	kept := append([]byte(nil), line...)
 	select {
@@ -45,10 +48,10 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far and not reported yet.
+// Dropped returns the number of dropped lines that have not been logged yet.
 func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
 
-// run writes lines until Close.
+// run writes queued lines to the target until Close queues a nil line.
 func (b *Bounded) run() {
 	defer close(b.done)
 	for line := range b.lines {
@@ -64,7 +67,8 @@
 	}
 }
 
-// put writes one line; a target that fails has it counted as dropped.
+// put writes one line to the target. A line that fails to be written counts as
+// dropped.
 func (b *Bounded) put(line []byte) bool {
 	if _, err := b.target.Write(line); err != nil {
 		b.dropped.Add(1)
@@ -73,7 +77,7 @@
 	return true
 }
 
-// Close waits a short time for the lines that are still on their way.
+// Close waits for the queued lines to be written, at most for closeTimeout.
 func (b *Bounded) Close() {
 	b.once.Do(func() {
 		timer := time.NewTimer(closeTimeout)
--- a/logs/bounded_test.go
+++ b/logs/bounded_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// gate is a target that takes nothing until it is opened.
+// gate is a writer that blocks until it is opened.
 type gate struct {
 	open chan struct{}
 	mu   sync.Mutex
@@ -23,8 +23,8 @@
 	return g.got.Write(p)
 }
 
-// TestFullPipeDropsLinesNotTime: with a reader that takes nothing, writing returns
-// at once, and later a line says how many lines are missing.
+// TestFullPipeDropsLinesNotTime checks that writing doesn't block while the target
+// does, and that the number of dropped lines is logged afterwards.
 func TestFullPipeDropsLinesNotTime(t *testing.T) {
 	g := &gate{open: make(chan struct{})}
 	b := NewBounded(g)
@@ -43,6 +43,8 @@
 	assert.Assert(t, strings.Contains(g.got.String(), "log lines dropped"))
 }
 
+// TestClosedByAFullPipe checks that Close returns while the target blocks and the
+// queue is full.
 func TestClosedByAFullPipe(t *testing.T) {
 	g := &gate{open: make(chan struct{})}
 	b := NewBounded(g)
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs sets up the structured logs of wardspool's programs.
+// Package logs configures structured logging for wardspool's programs.
 package logs
 
 import (
@@ -7,12 +7,12 @@
 	"log/slog"
 )
 
-// Format is how log lines are written.
+// Format is the output format of the log.
 type Format string
 
-// The formats.
+// Supported formats.
 const (
-	// JSON writes one JSON object a line.
+	// JSON writes one JSON object per line.
 	JSON Format = "json"
 	// Text writes key=value pairs.
 	Text Format = "text"
@@ -26,7 +26,7 @@
 	Format Format `yaml:"format"`
 }
 
-// OptionError reports a log setting that is not one of its values.
+// OptionError reports a log setting with an unsupported value.
 type OptionError struct {
 	// Field is "level" or "format".
 	Field string
@@ -36,8 +36,8 @@
 // Error implements error.
 func (e *OptionError) Error() string { return fmt.Sprintf("log %s %q is not known", e.Field, e.Value) }
 
-// New returns a logger that writes to w. Empty options mean level info and
-// format json. The error is an *OptionError.
+// New returns a logger that writes to w. The default level is info and the
+// default format is json. The error is an *OptionError.
 func New(w io.Writer, o Options) (*slog.Logger, error) {
 	level := slog.LevelInfo
 	if o.Level != "" {
@@ -56,7 +56,8 @@
 	}
 }
 
-// ErrorText is an error as the value of a log line's field, empty for none.
+// ErrorText returns the message of an error for use as a log attribute, or an
+// empty string if err is nil.
 func ErrorText(err error) string {
 	if err == nil {
 		return ""
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -10,6 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestText checks the text format of each metric type, including escaped labels
+// and cumulative buckets, and that closing a scope ends its goroutine.
 func TestText(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	r := NewReporter()
--- a/metrics/render.go
+++ b/metrics/render.go
@@ -4,17 +4,18 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Render returns metrics in the text format that fill gives when it is asked,
-// for programs that keep their counts elsewhere. Counters must be given their
-// totals. An error of tally's is that of a reporter and cannot occur.
+// Render returns the metrics that fill reports, in the Prometheus text format. It
+// is for programs that store their counts elsewhere: fill is called once and must
+// add each counter's total. Errors from tally are ignored: they are those of the
+// reporter, which has none.
 func Render(prefix string, fill func(tally.Scope)) string {
 	r := NewReporter()
 	scope, closer := newScope(r, prefix, never)
 	fill(scope)
-	// Closing a scope has it report.
+	// Closing a scope makes it report its values.
 	_ = closer.Close()
 	return r.Text()
 }
 
-// never is the interval of a scope that reports only when it is closed.
+// never is the reporting interval of a scope that reports only when it is closed.
 const never = 0
--- a/metrics/reporter.go
+++ b/metrics/reporter.go
@@ -1,6 +1,6 @@
-// Package metrics renders tally's metrics in the Prometheus text format.
-// tally's own Prometheus reporter would bring in the whole client library; the
-// text format is a few lines.
+// Package metrics serves tally metrics in the Prometheus text format. tally's
+// own Prometheus reporter is not used because it depends on the whole Prometheus
+// client library, while the text format takes a few lines.
 package metrics
 
 import (
@@ -17,16 +17,17 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Interval is how often a scope should report: values are at most this old.
+// Interval is the reporting interval of a scope, and so the maximum age of
+// served values.
 const Interval = time.Second
 
-// separator joins the parts of a metric's name.
+// separator joins the parts of a metric name.
 const separator = "_"
 
 // ContentType is the media type of the text format.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// kind is a metric's type in the text format.
+// kind is the type of a metric in the text format.
 type kind string
 
 const (
@@ -36,24 +37,26 @@
 	kindHistogram kind = "histogram"
 )
 
-// series is one metric with one set of labels.
+// series is the time series of one metric and one set of labels.
 type series struct {
 	labels string
-	value  float64
-	// count is for summaries and histograms.
+	// value is the value of a counter or gauge, and the sum of a summary or
+	// histogram.
+	value float64
+	// count is the number of samples of a summary or histogram.
 	count int64
-	// buckets counts samples by upper bound, for histograms.
+	// buckets holds the number of samples of a histogram by upper bound.
 	buckets map[float64]int64
 }
 
-// family is all series of one metric.
+// family holds all time series of one metric.
 type family struct {
 	kind   kind
 	series map[string]*series
 }
 
-// Reporter is a tally.StatsReporter that keeps the values and serves them over
-// HTTP. It is safe for concurrent use.
+// Reporter is a tally.StatsReporter that stores the reported values and serves
+// them over HTTP. It is safe for concurrent use.
 type Reporter struct {
 	mu       sync.Mutex
 	families map[string]*family
@@ -64,13 +67,13 @@
 // NewReporter returns an empty reporter.
 func NewReporter() *Reporter { return &Reporter{families: map[string]*family{}} }
 
-// NewScope returns a root scope for a program that reports to r. Close it to
-// end its goroutine.
+// NewScope returns a root scope that reports to r every Interval. Closing it
+// stops its goroutine.
 func NewScope(r *Reporter, prefix string) (tally.Scope, io.Closer) {
 	return newScope(r, prefix, Interval)
 }
 
-// newScope returns a root scope that reports at an interval.
+// newScope returns a root scope that reports at the given interval.
 func newScope(r *Reporter, prefix string, interval time.Duration) (tally.Scope, io.Closer) {
 	return tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 prefix,
@@ -80,7 +83,8 @@
 	}, interval)
 }
 
-// at returns a series. The caller holds mu.
+// at returns the series with the given name and tags, and creates it if
+// necessary. The caller must hold mu.
 func (r *Reporter) at(name string, tags map[string]string, k kind) *series {
 	f := r.families[name]
 	if f == nil {
@@ -96,7 +100,7 @@
 	return s
 }
 
-// render returns tags as `a="x",b="y"`.
+// render formats tags as Prometheus labels, `a="x",b="y"`, sorted by name.
 func render(tags map[string]string) string {
 	parts := make([]string, 0, len(tags))
 	for _, name := range slices.Sorted(maps.Keys(tags)) {
@@ -138,8 +142,8 @@
 	r.sample(name, tags, lower.Seconds(), upper.Seconds(), samples)
 }
 
-// sample counts samples of a bucket. The sum is taken from the buckets' lower
-// bounds, since tally does not report it.
+// sample adds samples to a histogram bucket. tally does not report the sum of
+// the samples, so each counts with its bucket's lower bound, at least 0.
 func (r *Reporter) sample(name string, tags map[string]string, lower, upper float64, samples int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,7 +162,7 @@
 // Flush implements tally.StatsReporter.
 func (r *Reporter) Flush() {}
 
-// capabilities says that the reporter takes values and tags.
+// capabilities declares that the reporter supports reporting and tagging.
 type capabilities struct{}
 
 // Reporting implements tally.Capabilities.
@@ -167,15 +171,15 @@
 // Tagging implements tally.Capabilities.
 func (capabilities) Tagging() bool { return true }
 
-// ServeHTTP writes all metrics.
+// ServeHTTP implements http.Handler. It writes all metrics.
 func (r *Reporter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", ContentType)
-	// A reader that left is no concern of ours.
+	// The write error of a client that has disconnected is ignored.
 	_, _ = io.WriteString(w, r.Text())
 }
 
-// Text returns all metrics in the text format, sorted, with some of the Go
-// runtime's own.
+// Text returns all metrics in the Prometheus text format, sorted by name and
+// labels. They include some metrics of the Go runtime.
 func (r *Reporter) Text() string {
 	r.readRuntime()
 	r.mu.Lock()
@@ -191,7 +195,7 @@
 	return b.String()
 }
 
-// write writes the lines of one series.
+// write writes the lines of one series in the text format.
 func (s *series) write(b *strings.Builder, name string, k kind) {
 	switch k {
 	case kindHistogram:
@@ -205,7 +209,8 @@
 	}
 }
 
-// writeBuckets writes cumulative buckets.
+// writeBuckets writes the buckets of a histogram with cumulative counts, as the
+// text format requires, and the +Inf bucket.
 func (s *series) writeBuckets(b *strings.Builder, name string) {
 	total := int64(0)
 	for _, bound := range slices.Sorted(maps.Keys(s.buckets)) {
@@ -215,7 +220,7 @@
 	line(b, name+"_bucket", join(s.labels, `le="+Inf"`), float64(s.count))
 }
 
-// join joins labels with one more.
+// join appends a label to formatted labels.
 func join(labels, further string) string {
 	if labels == "" {
 		return further
@@ -223,6 +228,7 @@
 	return labels + "," + further
 }
 
+// line writes one sample line.
 func line(b *strings.Builder, name, labels string, value float64) {
 	b.WriteString(name)
 	if labels != "" {
@@ -231,4 +237,5 @@
 	b.WriteString(" " + number(value) + "\n")
 }
 
+// number formats a value in the shortest form that parses back to it.
 func number(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
--- a/metrics/runtime.go
+++ b/metrics/runtime.go
@@ -2,7 +2,8 @@
 
 import "runtime/metrics"
 
-// gauges are the Go runtime's own metrics that are served, and their names.
+// gauges lists the metrics of the Go runtime that are exported: the exported
+// name and the name in runtime/metrics.
 var gauges = []struct{ name, source string }{
 	{"go_goroutines", "/sched/goroutines:goroutines"},
 	{"go_heap_objects_bytes", "/memory/classes/heap/objects:bytes"},
@@ -13,7 +14,7 @@
 	{"go_gc_cycles", "/gc/cycles/total:gc-cycles"},
 }
 
-// readRuntime sets the gauges of the Go runtime.
+// readRuntime updates the gauges of the Go runtime.
 func (r *Reporter) readRuntime() {
 	samples := make([]metrics.Sample, len(gauges))
 	for i, g := range gauges {
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -1,7 +1,7 @@
-// Package plugin is the registry through which plug-ins make themselves known.
-// A plug-in calls Register in its init function under a namespaced ID such as
-// "scorer.first_output"; a binary selects plug-ins by blank import, and a
-// settings file names the ones to use and their settings.
+// Package plugin is the plug-in registry. A plug-in calls Register in its init
+// function with a namespaced ID such as "scorer.first_output". A binary includes
+// plug-ins by blank import; a settings file selects the ones to use and
+// configures them.
 package plugin
 
 import (
@@ -11,11 +11,12 @@
 	"sync"
 )
 
-// ID is a namespaced plug-in name: a namespace and a name joined by a dot,
-// for example "slots.lease".
+// ID identifies a plug-in: a namespace and a name joined by a dot, for example
+// "slots.lease".
 type ID string
 
-// Namespace returns the part of the ID before its last dot.
+// Namespace returns the part of the ID before its last dot, empty if it has no
+// dot.
 func (id ID) Namespace() string {
 	i := strings.LastIndexByte(string(id), '.')
 	if i < 0 {
@@ -29,17 +30,18 @@
 	return string(id)[strings.LastIndexByte(string(id), '.')+1:]
 }
 
-// Plugin is implemented by every plug-in. Its settings are its exported fields,
-// decoded from YAML before any life-cycle method is called.
+// Plugin is implemented by every plug-in. The settings of a plug-in are its
+// exported fields, which are decoded from YAML before any life-cycle method is
+// called.
 type Plugin interface {
-	// PluginInfo describes the plug-in.
+	// PluginInfo returns the plug-in's ID and constructor.
 	PluginInfo() Info
 }
 
-// Info describes a plug-in to the registry.
+// Info is a plug-in's entry in the registry.
 type Info struct {
 	ID ID
-	// New returns a new, empty instance of the plug-in, as a pointer.
+	// New returns a pointer to a new plug-in without settings.
 	New func() Plugin
 }
 
@@ -56,10 +58,10 @@
 // Validate.
 type Cleaner interface{ Cleanup() error }
 
-// UnknownError reports an ID that no linked plug-in has.
+// UnknownError reports an ID that is not registered in this binary.
 type UnknownError struct {
 	ID ID
-	// Known lists the registered IDs of the same namespace, sorted.
+	// Known lists the registered IDs in the same namespace, sorted.
 	Known []ID
 }
 
@@ -68,7 +70,7 @@
 	return fmt.Sprintf("no plug-in %q; linked in this namespace: %v", e.ID, e.Known)
 }
 
-// LifecycleError reports a plug-in that failed in one stage of its life cycle.
+// LifecycleError reports an error of a plug-in's life-cycle method.
 type LifecycleError struct {
 	ID ID
 	// Stage is "provision", "validate" or "cleanup".
@@ -81,7 +83,7 @@
 	return fmt.Sprintf("plug-in %s: %s: %v", e.ID, e.Stage, e.Err)
 }
 
-// Unwrap returns the plug-in's own error.
+// Unwrap returns the error that the plug-in returned.
 func (e *LifecycleError) Unwrap() error { return e.Err }
 
 var (
@@ -89,9 +91,9 @@
 	registry = map[ID]Info{}
 )
 
-// Register adds a plug-in to the registry. It is meant for init functions and
-// panics when the ID lacks a namespace, lacks a constructor or is taken: each
-// is a fault of the build, not of the settings.
+// Register adds a plug-in to the registry. It is meant for init functions. It
+// panics if the ID has no namespace or is already registered, or if there is no
+// constructor, since these are programming errors and not errors in settings.
 func Register(p Plugin) {
 	info := p.PluginInfo()
 	if info.ID.Namespace() == "" || info.ID.Name() == "" {
@@ -108,7 +110,7 @@
 	registry[info.ID] = info
 }
 
-// InNamespace lists the registered IDs of a namespace, sorted.
+// InNamespace returns the registered IDs in a namespace, sorted.
 func InNamespace(namespace string) []ID {
 	mu.RLock()
 	defer mu.RUnlock()
@@ -122,8 +124,8 @@
 	return ids
 }
 
-// Load makes the plug-in with the given ID, lets decode fill in its settings,
-// provisions it and validates it. A nil decode leaves the settings empty.
+// Load creates the plug-in with the given ID, decodes its settings with decode,
+// then provisions and validates it. If decode is nil, the settings stay empty.
 // Errors are *UnknownError, *LifecycleError, or what decode returned.
 func Load(id ID, decode func(into any) error) (Plugin, error) {
 	mu.RLock()
@@ -139,14 +141,14 @@
 		}
 	}
 	if err := start(id, p); err != nil {
-		// The first failure is the one to report; Cleanup is best effort here.
+		// The original error is returned; a failure of Cleanup is ignored.
 		_ = Unload(id, p)
 		return nil, err
 	}
 	return p, nil
 }
 
-// start runs Provision and Validate, in that order, where p has them.
+// start calls Provision and then Validate, as far as p implements them.
 func start(id ID, p Plugin) error {
 	if pr, ok := p.(Provisioner); ok {
 		if err := pr.Provision(); err != nil {
@@ -161,7 +163,8 @@
 	return nil
 }
 
-// Unload runs the plug-in's Cleanup, if it has one.
+// Unload calls the plug-in's Cleanup, if it has one. The error is a
+// *LifecycleError.
 func Unload(id ID, p Plugin) error {
 	c, ok := p.(Cleaner)
 	if !ok {
--- a/process/commands.go
+++ b/process/commands.go
@@ -9,18 +9,18 @@
 	"github.com/alecthomas/kong"
 )
 
-// Commands is a program made of subcommands, whose Run methods may take a
-// context.Context that ends with SIGINT or SIGTERM.
+// Commands is a program with subcommands. Their Run methods may take a
+// context.Context, which is cancelled on SIGINT or SIGTERM.
 type Commands struct {
-	// Name and Description open the help text.
+	// Name and Description are shown at the top of the help text.
 	Name, Description string
 	// Version is printed by --version.
 	Version string
 }
 
-// Main reads the command line into grammar, a pointer to kong's struct of
-// subcommands, runs the one that was named with further values, and exits with 1 if
-// it failed.
+// Main parses the command line into grammar, a pointer to a kong struct of
+// subcommands, and runs the selected subcommand. Values are passed to its Run
+// method. If it fails, the process exits with code 1.
 func (p Commands) Main(grammar any, values ...any) {
 	parsed := kong.Parse(grammar,
 		kong.Name(p.Name),
--- a/process/process.go
+++ b/process/process.go
@@ -1,5 +1,6 @@
-// Package process is the start of the programs that serve: command line, settings,
-// logs, signals and exit codes. A main package gives it a Program.
+// Package process contains the main function of wardspool's servers and command
+// line tools: command line, settings, logs, signals and exit codes. A main package
+// defines a Program, or Commands for a tool with subcommands.
 package process
 
 import (
@@ -17,54 +18,58 @@
 	"github.com/wardspool/wardspool/settings"
 )
 
-// ExitCode is what a program ends with.
+// ExitCode is the exit code of a process.
 type ExitCode int
 
-// The exit codes that all programs share.
+// Exit codes that all programs share.
 const (
-	// ExitOK: stopped, or the settings are good.
+	// ExitOK means that the program stopped normally or, with --check, that the
+	// settings are valid.
 	ExitOK ExitCode = 0
-	// ExitFailed: a listener or the service failed; with --check, the settings are
-	// at fault.
+	// ExitFailed means that a listener or the service failed or, with --check, that
+	// the settings are invalid.
 	ExitFailed ExitCode = 1
-	// ExitSettings: the settings are at fault.
+	// ExitSettings means that the program didn't start because its settings are
+	// invalid.
 	ExitSettings ExitCode = 2
 )
 
-// Service is what a program runs.
+// Service is the server that a program runs.
 type Service interface {
-	// Listen opens the addresses.
+	// Listen opens the listening sockets.
 	Listen() error
-	// Serve runs until ctx ends and then stops; its error says what failed.
+	// Serve serves until ctx is cancelled, then shuts down. The error states what
+	// failed.
 	Serve(ctx context.Context) error
 }
 
-// Program is a program with settings of type S.
+// Program is a server program with settings of type S.
 type Program[S any] struct {
-	// Name and Description open the help text.
+	// Name and Description are shown at the top of the help text.
 	Name, Description string
 	// Version is printed by --version.
 	Version string
-	// Log returns the options of the log.
+	// Log returns the log options from the settings.
 	Log func(*S) logs.Options
-	// Output takes the log; nil for standard error, on which it may block. A given
-	// one never blocks the program: lines are dropped and counted instead.
+	// Output receives the log. If it is nil, the log goes to standard error, and
+	// writing may block the program. Writing to Output never blocks: if it is too
+	// slow, lines are dropped and counted.
 	Output io.Writer
-	// New makes the service.
+	// New creates the service.
 	New func(*S, *slog.Logger) (Service, error)
-	// Failed returns the exit code for an error of the service; nil for ExitFailed
-	// always.
+	// Failed returns the exit code for an error of the service. If it is nil, the
+	// exit code is ExitFailed.
 	Failed func(error) ExitCode
 }
 
-// commandLine is what all programs take.
+// commandLine defines the flags of a Program.
 type commandLine struct {
 	Settings string           `required:"" placeholder:"FILE" help:"Settings file, in YAML."`
 	Check    bool             `help:"Check the settings, print what is wrong and exit."`
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// Main reads the command line, runs the program and exits.
+// Main parses the command line, runs the program and exits the process.
 func (p Program[S]) Main() {
 	hangups := watchHangups()
 	var c commandLine
@@ -82,7 +87,7 @@
 	os.Exit(int(p.run(ctx, c.Settings, hangups, os.Stderr)))
 }
 
-// check says on out what is wrong with a settings file.
+// check validates a settings file and prints the result to out.
 func (p Program[S]) check(file string, out io.Writer) ExitCode {
 	if _, err := settings.Load[S](file); err != nil {
 		fmt.Fprintln(out, err)
@@ -92,8 +97,8 @@
 	return ExitOK
 }
 
-// run serves until ctx ends, and reads the settings again at each hangup; errs takes faults of
-// the settings, and the log.
+// run serves until ctx is cancelled and reloads the settings on each value from hangups. Errors
+// in the initial settings are printed to errs, as is the log if p.Output is nil.
 func (p Program[S]) run(ctx context.Context, file string, hangups <-chan os.Signal, errs io.Writer) ExitCode {
 	data, s, err := settings.Read[S](file)
 	if err != nil {
@@ -119,7 +124,7 @@
 	return ExitOK
 }
 
-// serve makes and runs the service.
+// serve creates and runs the service, and reloads its settings if it is a Reloader.
 func (p Program[S]) serve(ctx context.Context, watch reloading, s *S, log *slog.Logger) error {
 	service, err := p.New(s, log)
 	if err != nil {
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -15,13 +15,13 @@
 	"github.com/wardspool/wardspool/logs"
 )
 
-// sample is the settings of the program under test.
+// sample is the settings type of the program under test.
 type sample struct {
 	Name string       `yaml:"name"`
 	Log  logs.Options `yaml:"log"`
 }
 
-// service is a Service with prepared errors.
+// service is a Service whose methods return the given errors.
 type service struct{ listen, serve error }
 
 func (s service) Listen() error               { return s.listen }
@@ -32,6 +32,7 @@
 	errCut    = errors.New("cut off")
 )
 
+// program returns a program that runs s; New fails with made.
 func program(s service, made error) Program[sample] {
 	return Program[sample]{
 		Log: func(s *sample) logs.Options { return s.Log },
@@ -39,7 +40,7 @@
 	}
 }
 
-// file writes a settings file.
+// file writes a settings file and returns its path.
 func file(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s.yaml")
@@ -47,6 +48,7 @@
 	return path
 }
 
+// TestRun checks the exit code and the output for each way in which a program ends.
 func TestRun(t *testing.T) {
 	withCode := program(service{serve: errCut}, nil)
 	withCode.Failed = func(error) ExitCode { return 3 }
@@ -71,6 +73,7 @@
 	}
 }
 
+// TestCheck checks the exit code and the output of --check.
 func TestCheck(t *testing.T) {
 	var out bytes.Buffer
 	good := file(t, "name: n")
--- a/process/reload.go
+++ b/process/reload.go
@@ -12,30 +12,32 @@
 	"github.com/wardspool/wardspool/settings"
 )
 
-// reloadInterval is the time between two looks at the settings file, which may
-// change without a signal.
+// reloadInterval is how often the settings file is checked for changes that are not
+// announced by SIGHUP.
 const reloadInterval = time.Second
 
-// Reloader is a Service that takes in changed settings while it runs.
+// Reloader is a Service that can apply changed settings while it runs.
 type Reloader[S any] interface{ Reload(s *S) }
 
-// watchHangups returns the SIGHUPs from now on. It must come first: until then, and for programs
-// that don't watch at all, the signal ends the process, and with it all answers under way.
+// watchHangups returns a channel that receives SIGHUP from now on. It must be called first in
+// Main: before that, and in programs that never call it, SIGHUP terminates the process and aborts
+// all answers in progress.
 func watchHangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// reloading is what is watched for changed settings.
+// reloading holds the sources of settings changes: the settings file and SIGHUP.
 type reloading struct {
 	file string
-	// last is the content that is in force.
+	// last is the file content that the running service was started with.
 	last    []byte
 	hangups <-chan os.Signal
 }
 
-// keepReloading reads the settings file again on SIGHUP and when it changes, until ctx ends.
+// keepReloading reloads the settings file on SIGHUP and when its content changes, until ctx is
+// cancelled.
 func keepReloading[S any](ctx context.Context, watch reloading, r Reloader[S], log *slog.Logger) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -53,11 +55,13 @@
 	}
 }
 
-// reload reads the file, has changed settings taken in, and returns its content.
+// reload reads the settings file and applies the settings if its content differs from last. It
+// returns the content that was read, also if it is invalid, so that the same error is logged only
+// once. If the file can't be read, it returns last.
 func reload[S any](file string, last []byte, signalled bool, r Reloader[S], log *slog.Logger) []byte {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		log.Warn("settings not read", "file", file, "error", err)
+		log.Warn("settings file could not be read, keeping the current settings", "file", file, "error", err)
 		return last
 	}
 	if bytes.Equal(data, last) {
--- a/process/reload_test.go
+++ b/process/reload_test.go
@@ -14,13 +14,13 @@
 	"github.com/wardspool/wardspool/logs"
 )
 
-// reloads records the settings that it is given.
+// reloads is a Reloader that records the names in the settings it receives.
 type reloads struct{ names []string }
 
 func (r *reloads) Reload(s *sample) { r.names = append(r.names, s.Name) }
 
-// TestReload: changed settings are taken in, unchanged ones aren't, and settings at
-// fault leave those in force.
+// TestReload checks that changed settings are applied, that unchanged ones are not, and
+// that invalid settings leave the current ones in effect.
 func TestReload(t *testing.T) {
 	path := file(t, "name: one")
 	var out bytes.Buffer
@@ -38,7 +38,7 @@
 	assert.Assert(t, bytes.Contains(out.Bytes(), []byte("those in force stay")))
 }
 
-// reloadable is a Service that says when it was given changed settings.
+// reloadable is a Reloader that sends the name in the settings it receives to a channel.
 type reloadable struct {
 	service
 	reloaded chan string
@@ -51,12 +51,10 @@
 
 func (r reloadable) Reload(s *sample) { r.reloaded <- s.Name }
 
-// TestHangupDuringTheStart neither ends the process nor is lost:
-//
-// A change of the settings beside a start ended the process, or was never taken in. Cause: the signal
-// was watched once the service listened, and what the file held then counted as being in force. Found
-// by looking at changes that overlap, not in operation; without the watch the signal ends this test's
-// process.
+// TestHangupDuringTheStart guards against a settings change during start-up that terminated the
+// process or was never applied. SIGHUP used to be handled only once the service was listening, and
+// the content of the file at that time counted as applied. The fault was found by reviewing
+// overlapping changes, not in operation. Without the handler, SIGHUP terminates the test process.
 func TestHangupDuringTheStart(t *testing.T) {
 	path := file(t, "name: one")
 	r := reloadable{reloaded: make(chan string, 1)}
--- a/report/doc.go
+++ b/report/doc.go
@@ -1,4 +1,3 @@
-// Package report turns measurements into aligned text tables, CSV files, plots
-// and latency histograms. It is shared by the load generator and the
-// experiment.
+// Package report formats measurements as text tables, CSV files, plots and
+// latency histograms. The load generator and the experiment use it.
 package report
--- a/report/format.go
+++ b/report/format.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Share formats n of total as a fraction with four decimals, "0.0000" if total
-// is 0.
+// Share formats n/total with four decimals, or "0.0000" if total is 0.
 func Share(n, total float64) string {
 	if total == 0 {
 		return Fixed(0, shareDecimals)
@@ -14,10 +13,10 @@
 	return Fixed(n/total, shareDecimals)
 }
 
-// shareDecimals is the precision of fractions.
+// shareDecimals is the number of decimals of a share.
 const shareDecimals = 4
 
-// Fixed formats a number with the given decimals.
+// Fixed formats a number with a fixed number of decimals.
 func Fixed(v float64, decimals int) string {
 	return strconv.FormatFloat(v, 'f', decimals, 64)
 }
--- a/report/hist.go
+++ b/report/hist.go
@@ -6,16 +6,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds and precision of the histograms.
+// Range of the histograms, in nanoseconds, and their precision in significant
+// digits.
 const (
 	histLowest  = int64(time.Microsecond)
 	histHighest = int64(10 * time.Minute)
 	histDigits  = 3
 )
 
-// Hist is a histogram of durations from a microsecond to ten minutes with three
-// significant digits. Longer durations count as ten minutes. It is not safe for
-// concurrent use.
+// Hist is a histogram of durations from 1 µs to 10 min with three significant
+// digits. Longer durations are recorded as 10 min. It is not safe for concurrent
+// use.
 type Hist struct{ h *hdrhistogram.Histogram }
 
 // NewHist returns an empty histogram.
@@ -23,17 +24,17 @@
 	return &Hist{h: hdrhistogram.New(histLowest, histHighest, histDigits)}
 }
 
-// Record counts one duration.
+// Record adds one duration.
 func (h *Hist) Record(d time.Duration) {
-	// The value is within bounds, so that recording cannot fail.
+	// RecordValue fails only for values above histHighest.
 	_ = h.h.RecordValue(min(max(int64(d), 0), histHighest))
 }
 
 // Count returns the number of durations recorded.
 func (h *Hist) Count() int64 { return h.h.TotalCount() }
 
-// Quantile returns the duration below which the given percentage, 0 to 100, of
-// those recorded lie; it is 0 for an empty histogram.
+// Quantile returns the given percentile, 0 to 100, of the recorded durations. It
+// is 0 for an empty histogram.
 func (h *Hist) Quantile(percent float64) time.Duration {
 	if h.h.TotalCount() == 0 {
 		return 0
@@ -41,7 +42,7 @@
 	return time.Duration(h.h.ValueAtQuantile(percent))
 }
 
-// Mean returns the mean of the durations recorded, 0 if there are none.
+// Mean returns the mean of the recorded durations, 0 if there are none.
 func (h *Hist) Mean() time.Duration {
 	if h.h.TotalCount() == 0 {
 		return 0
@@ -49,5 +50,5 @@
 	return time.Duration(h.h.Mean())
 }
 
-// Merge adds the durations of other.
+// Merge adds the durations recorded in other.
 func (h *Hist) Merge(other *Hist) { h.h.Merge(other.h) }
--- a/report/plot.go
+++ b/report/plot.go
@@ -13,10 +13,11 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// headroom is the free part above the highest point.
+// headroom is the free space above the highest point, as a fraction of its
+// value.
 const headroom = 0.25
 
-// Point is one point of a line.
+// Point is a point of a line.
 type Point struct{ X, Y float64 }
 
 // Line is a named series of points.
@@ -25,24 +26,25 @@
 	Points []Point
 }
 
-// Panel is one diagram with its lines.
+// Panel is one line chart of an image.
 type Panel struct {
 	Title  string
 	XLabel string
 	YLabel string
 	Lines  []Line
-	// LegendLeft puts the legend at the left end instead of the right one.
+	// LegendLeft places the legend at the top left instead of the top right.
 	LegendLeft bool
 }
 
-// Size of one panel in an image.
+// Size of a panel in an image.
 const (
 	panelWidth  = 14 * vg.Centimeter
 	panelHeight = 9 * vg.Centimeter
 )
 
-// SavePanels draws panels in a grid of the given number of columns and writes
-// base.svg and base.png. Errors are those of the plot library or package os.
+// SavePanels draws panels in a grid with the given number of columns and writes
+// base.svg and base.png. It creates their directory if necessary. Errors are those
+// of the plot library or package os.
 func SavePanels(base string, columns int, panels []Panel) error {
 	if err := os.MkdirAll(filepath.Dir(base), dirMode); err != nil {
 		return err
@@ -64,7 +66,8 @@
 	return save(base+".png", vgimg.PngCanvas{Canvas: img})
 }
 
-// buildPlots turns panels into rows of plots; a missing last one is nil.
+// buildPlots converts panels to rows of plots. Unused cells of the last row are
+// nil.
 func buildPlots(columns int, panels []Panel) ([][]*plot.Plot, error) {
 	rows := (len(panels) + columns - 1) / columns
 	grid := make([][]*plot.Plot, rows)
@@ -81,7 +84,7 @@
 	return grid, nil
 }
 
-// buildPlot turns one panel into a plot.
+// buildPlot converts a panel to a plot.
 func buildPlot(panel Panel) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = panel.Title
@@ -104,14 +107,14 @@
 		p.Add(l, s)
 		p.Legend.Add(line.Name, l, s)
 	}
-	// The axis starts at 0, so that shares can be compared by eye; the room
-	// above is for the legend.
+	// The axis starts at 0 so that values can be compared visually; the headroom
+	// is for the legend.
 	p.Y.Min = 0
 	p.Y.Max *= 1 + headroom
 	return p, nil
 }
 
-// drawPlots draws the grid onto a canvas.
+// drawPlots draws a grid of plots on a canvas.
 func drawPlots(plots [][]*plot.Plot, canvas draw.Canvas) {
 	tiles := draw.Tiles{
 		Rows: len(plots), Cols: len(plots[0]),
@@ -128,7 +131,7 @@
 	}
 }
 
-// save writes an image to a file.
+// save writes an image to a file; it returns the error of Close as well.
 func save(path string, image vg.CanvasWriterTo) (err error) {
 	f, err := os.Create(path)
 	if err != nil {
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -11,6 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestTable checks the text, Markdown and CSV output, and that a row with the
+// wrong number of cells is rejected.
 func TestTable(t *testing.T) {
 	table := NewTable("name", "n")
 	assert.NilError(t, table.Add("short", "1"))
@@ -33,6 +35,8 @@
 	assert.Equal(t, string(got), "name,n\nshort,1\nmuch longer,20\n")
 }
 
+// TestHist checks the percentiles, including those of an empty histogram and of
+// a duration beyond the range.
 func TestHist(t *testing.T) {
 	h := NewHist()
 	assert.Equal(t, h.Quantile(99), time.Duration(0))
@@ -46,6 +50,7 @@
 	assert.Assert(t, h.Quantile(100) >= 9*time.Minute)
 }
 
+// TestSavePanels draws a grid whose last row is not full.
 func TestSavePanels(t *testing.T) {
 	base := filepath.Join(t.TempDir(), "plot")
 	panel := Panel{Title: "a", XLabel: "x", YLabel: "y", Lines: []Line{
--- a/report/table.go
+++ b/report/table.go
@@ -10,19 +10,19 @@
 	"text/tabwriter"
 )
 
-// cellPadding is the number of blanks between two columns of a text table.
+// cellPadding is the number of spaces between two columns of a text table.
 const cellPadding = 2
 
-// Table is rows of text under a header. Every row has as many cells as the
-// header.
+// Table is a table of text cells with a header. Every row has as many cells as
+// the header.
 type Table struct {
 	Header []string
 	Rows   [][]string
 }
 
-// RowError reports a row whose cells don't fit the header.
+// RowError reports a row whose number of cells differs from the header's.
 type RowError struct {
-	// Cells is what the row has, Columns what the header asks for.
+	// Cells is the number of cells in the row, Columns that in the header.
 	Cells, Columns int
 }
 
@@ -31,10 +31,11 @@
 	return fmt.Sprintf("row of %d cells in a table of %d columns", e.Cells, e.Columns)
 }
 
-// NewTable returns an empty table.
+// NewTable returns an empty table with the given header.
 func NewTable(header ...string) *Table { return &Table{Header: header} }
 
-// Add appends a row. It returns a *RowError if the cells don't fit the header.
+// Add appends a row. It returns a *RowError if the number of cells differs from
+// the header's.
 func (t *Table) Add(cells ...string) error {
 	if len(cells) != len(t.Header) {
 		return &RowError{Cells: len(cells), Columns: len(t.Header)}
@@ -43,7 +44,8 @@
 	return nil
 }
 
-// WriteText writes the table with aligned columns. Errors are the writer's.
+// WriteText writes the table as text with aligned columns. Errors are the
+// writer's.
 func (t *Table) WriteText(w io.Writer) error {
 	tab := tabwriter.NewWriter(w, 0, 0, cellPadding, ' ', 0)
 	for _, row := range append([][]string{t.Header}, t.Rows...) {
@@ -63,7 +65,7 @@
 	return out.WriteAll(t.Rows)
 }
 
-// WriteMarkdown writes the table in Markdown. Errors are the writer's.
+// WriteMarkdown writes the table as a Markdown table. Errors are the writer's.
 func (t *Table) WriteMarkdown(w io.Writer) error {
 	rule := make([]string, len(t.Header))
 	for i := range rule {
@@ -77,8 +79,8 @@
 	return nil
 }
 
-// SaveCSV writes the table to a file, whose directory it makes if need be.
-// Errors are those of package os.
+// SaveCSV writes the table to a CSV file and creates its directory if
+// necessary. Errors are those of package os.
 func (t *Table) SaveCSV(path string) (err error) {
 	if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
 		return err
@@ -95,5 +97,5 @@
 	return t.WriteCSV(f)
 }
 
-// dirMode is the mode of directories made for results.
+// dirMode is the mode of directories created for results.
 const dirMode = 0o755
--- a/settings/common/check.go
+++ b/settings/common/check.go
@@ -1,6 +1,6 @@
-// Package common holds what the settings of entries and agents have in common: the
-// operators' part, and checks of names, addresses, certificates and logs. Each check
-// reports its findings to a settings.Report.
+// Package common contains settings that entries and agents share: the operators
+// section, and checks of names, addresses, certificates and log options. Each check
+// adds its findings to a settings.Report.
 package common
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// Advice of the findings.
+// Advice texts of the findings.
 const (
 	adviceName      = "use lower-case letters, digits and inner hyphens, at most 63"
 	adviceAddress   = `give an IP number and a port, for example "127.0.0.1:9200"`
@@ -25,19 +25,19 @@
 	adviceLog       = "level is debug, info, warn or error; format is json or text"
 )
 
-// missing is what is wrong with a field that must be given.
+// missing is the finding for a required field that is not set.
 const missing = "is missing"
 
-// Presence says whether a field must be given.
+// Presence states whether a field must be set.
 type Presence bool
 
-// The values of Presence.
+// Values of Presence.
 const (
 	Required Presence = true
 	Optional Presence = false
 )
 
-// CheckName checks a name of an instance, a zone, a region or the like.
+// CheckName checks a name, such as that of an instance, zone or region.
 func CheckName[T ~string](r *settings.Report, field string, name T, p Presence) {
 	switch {
 	case name == "" && p == Required:
@@ -47,7 +47,7 @@
 	}
 }
 
-// CheckAddress checks an "IP:port".
+// CheckAddress checks an address of the form "IP:port".
 func CheckAddress(r *settings.Report, field, address string, p Presence) {
 	switch {
 	case address == "" && p == Required:
@@ -57,8 +57,8 @@
 	}
 }
 
-// CheckLoopback checks an "IP:port" of the machine's own; advice says which one to
-// use.
+// CheckLoopback checks a loopback address of the form "IP:port". advice is the advice
+// text of the finding for another address.
 func CheckLoopback(r *settings.Report, field, address string, p Presence, advice string) {
 	CheckAddress(r, field, address, p)
 	if validAddress(address) && !loopback(address) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// validAddress reports whether s is "IP:port".
+// validAddress reports whether s has the form "IP:port".
 func validAddress(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil || net.ParseIP(host) == nil {
@@ -76,22 +76,23 @@
 	return err == nil
 }
 
-// loopback reports whether s is a loopback "IP:port".
+// loopback reports whether s has the form "IP:port" with a loopback IP.
 func loopback(s string) bool {
 	host, _, err := net.SplitHostPort(s)
 	ip := net.ParseIP(host)
 	return err == nil && ip != nil && ip.IsLoopback()
 }
 
-// Operators are the settings that concern operators' tools.
+// Operators is the section "operators": the settings for operators' tools.
 type Operators struct {
-	// Listen is where operators' calls are taken; empty means none.
+	// Listen is the address for connections from operators' tools; if it is
+	// empty, none are accepted.
 	Listen string `yaml:"listen"`
-	// Names lists the identities that operators may use.
+	// Names lists the identities that may connect as operators.
 	Names []ident.InstanceID `yaml:"names"`
 }
 
-// Check checks the settings, which stand under "operators".
+// Check checks the section.
 func (o Operators) Check(r *settings.Report) {
 	CheckAddress(r, "operators.listen", o.Listen, Optional)
 	for i, name := range o.Names {
@@ -102,8 +103,9 @@
 	}
 }
 
-// CheckPeerTLS reads the files for connections to other instances, which stand under
-// "tls". No files are no fault; without authorities nobody could be believed.
+// CheckPeerTLS checks the section "tls", the certificate files for connections to other
+// instances, by reading them. The section may be empty. Otherwise it needs a CA file,
+// since without one no peer could be authenticated.
 func CheckPeerTLS(r *settings.Report, s tlsconf.Settings) {
 	CheckFiles(r, "tls", s)
 	if s.Enabled() && s.CA == "" {
@@ -111,7 +113,7 @@
 	}
 }
 
-// CheckFiles reads the certificate files under a field, if there are any.
+// CheckFiles checks the certificate files of a section by reading them, if it names any.
 func CheckFiles(r *settings.Report, field string, s tlsconf.Settings) {
 	if !s.Enabled() {
 		return
@@ -126,7 +128,7 @@
 	}
 }
 
-// CheckLog checks the options of the log, which stand under "log".
+// CheckLog checks the section "log".
 func CheckLog(r *settings.Report, o logs.Options) {
 	if _, err := logs.New(nil, o); err != nil {
 		r.Add("log", err.Error(), adviceLog)
--- a/settings/duration.go
+++ b/settings/duration.go
@@ -8,17 +8,17 @@
 	"github.com/goccy/go-yaml"
 )
 
-// DurationError reports a time that is not written as one.
+// DurationError reports a value that is not a duration.
 type DurationError struct{ Text string }
 
 // Error implements error.
 func (e *DurationError) Error() string { return fmt.Sprintf("%q is not a time", e.Text) }
 
-// adviceDuration shows what a time looks like.
+// adviceDuration is the advice text for an invalid duration.
 const adviceDuration = "give a number and a unit, for example 500ms, 2s or 5m"
 
-// options make decoding strict. Times need a unit: a bare number would be taken
-// for nanoseconds.
+// options returns the options for strict decoding. Durations must have a unit,
+// since a bare number would be read as nanoseconds.
 func options() []yaml.DecodeOption {
 	return []yaml.DecodeOption{
 		yaml.Strict(),
--- a/settings/finding.go
+++ b/settings/finding.go
@@ -1,6 +1,7 @@
-// Package settings reads the YAML settings files of wardspool's programs. The
-// reading is strict: an unknown key, a value of the wrong type and a key given
-// twice are faults. Each fault is a Finding that says where it is and what to do.
+// Package settings loads the YAML settings files of wardspool's programs.
+// Decoding is strict: unknown keys, values of the wrong type and duplicate keys
+// are errors. Each error is a Finding with its position in the file and advice on
+// how to correct it.
 package settings
 
 import (
@@ -8,19 +9,19 @@
 	"strings"
 )
 
-// Finding is one fault in a settings file.
+// Finding is an error in a settings file.
 type Finding struct {
 	File string
 	// Line and Column count from 1.
 	Line, Column int
-	// Field is the path of the field at fault, for example "limits.body_bytes";
-	// empty for the file as a whole.
+	// Field is the path of the invalid field, for example "limits.body_bytes". It
+	// is empty if the finding concerns the whole file.
 	Field string
-	// Wrong says what is wrong, and Advice what would be right.
+	// Wrong describes the error, Advice how to correct it.
 	Wrong, Advice string
 }
 
-// String renders the finding as "file:line:column: field: wrong; advice".
+// String formats the finding as "file:line:column: field: wrong; advice".
 func (f Finding) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d:%d: ", f.File, f.Line, f.Column)
@@ -34,10 +35,10 @@
 	return b.String()
 }
 
-// InvalidError reports a settings file with faults.
+// InvalidError reports an invalid settings file.
 type InvalidError struct{ Findings []Finding }
 
-// Error implements error. It holds one line per finding.
+// Error implements error. The message has one line per finding.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, f := range e.Findings {
--- a/settings/load.go
+++ b/settings/load.go
@@ -17,12 +17,12 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes is the maximum size of a settings file.
 const maxFileBytes = 1 << 20
 
-// Checker is implemented by settings that check themselves after decoding.
+// Checker is implemented by settings that are validated after decoding.
 type Checker interface {
-	// CheckSettings reports each fault to r.
+	// CheckSettings adds each error to r.
 	CheckSettings(r *Report)
 }
 
@@ -30,13 +30,14 @@
 // called before decoding.
 type Defaulter interface{ SetDefaults() }
 
-// Load reads a settings file into a T. Errors are *ReadError and *InvalidError.
+// Load reads, decodes and checks a settings file. Errors are *ReadError and
+// *InvalidError.
 func Load[T any](file string) (*T, error) {
 	_, s, err := Read[T](file)
 	return s, err
 }
 
-// Read is Load that returns the file's content too.
+// Read is like Load but also returns the content of the file.
 func Read[T any](file string) ([]byte, *T, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -46,12 +47,13 @@
 	return data, s, err
 }
 
-// TooLargeError reports a settings file beyond its limit.
+// TooLargeError reports a settings file that exceeds the size limit.
 type TooLargeError struct{ Limit int }
 
 // Error implements error.
 func (*TooLargeError) Error() string { return "file is too large" }
 
+// readFile reads a file of at most maxFileBytes.
 func readFile(file string) ([]byte, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -65,7 +67,7 @@
 	return data, err
 }
 
-// Parse decodes and checks settings; the file's name is used in findings only.
+// Parse decodes and checks settings. The file name is used only in findings.
 // The error is an *InvalidError.
 func Parse[T any](file string, data []byte) (*T, error) {
 	r := &Report{file: file}
@@ -84,14 +86,17 @@
 	return into, nil
 }
 
-// Report collects the findings of one file.
+// Report collects the findings for one file.
 type Report struct {
-	file     string
+	file string
+	// places holds the positions of the fields in the file.
 	places   places
 	findings []Finding
 }
 
-// Add reports a fault of the field at a path such as "static.upstreams[2].id".
+// Add adds a finding for the field at a path such as "static.upstreams[2].id". If
+// the file doesn't contain the field, the position is that of the innermost parent
+// that it contains.
 func (r *Report) Add(field, wrong, advice string) {
 	at := r.places.nearest(field)
 	r.findings = append(r.findings, Finding{
@@ -100,11 +105,11 @@
 	})
 }
 
-// adviceReference is for faults that the decoder finds.
+// adviceReference is the advice text for errors of the decoder.
 const adviceReference = "see docs/settings.md"
 
-// AddError reports an error that decoding a part of the file gave; field is
-// where the part begins.
+// AddError adds a finding for an error from decoding a part of the file. field is
+// the path of that part.
 func (r *Report) AddError(field string, err error) {
 	var duration *DurationError
 	var located yaml.Error
@@ -124,7 +129,8 @@
 	}
 }
 
-// addAt reports a fault at a position.
+// addAt adds a finding at a position. Its field is the one at that position, or the
+// given one if there is none.
 func (r *Report) addAt(field string, at *token.Position, wrong string) {
 	if found := r.places.at(at.Line, at.Column); found != "" {
 		field = found
@@ -135,7 +141,7 @@
 	})
 }
 
-// kindName names what a field of a type takes.
+// kindName describes the values that a field of a type accepts.
 func kindName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64,
@@ -154,7 +160,8 @@
 	}
 }
 
-// decode fills in the settings. It reports false after a fault.
+// decode decodes data into the settings. After an error, which it adds to the
+// findings, it returns false.
 func (r *Report) decode(data []byte, into any) bool {
 	tokens := lexer.Tokenize(string(data))
 	if !r.plain(tokens) {
@@ -181,8 +188,9 @@
 	return true
 }
 
-// plain reports whether the file keeps to the part of YAML that settings use.
-// The library panics on some uses of the rest.
+// plain reports whether the file uses only the supported subset of YAML, and adds a
+// finding if not. Tags, anchors, aliases and merge keys are not supported, as the
+// YAML library panics on some uses of them.
 func (r *Report) plain(tokens token.Tokens) bool {
 	for _, t := range tokens {
 		switch t.Type {
@@ -194,14 +202,14 @@
 	return true
 }
 
-// UnreadableError reports a file on which the YAML library panicked.
+// UnreadableError reports a file that made the YAML library panic.
 type UnreadableError struct{ Panic string }
 
 // Error implements error.
 func (e *UnreadableError) Error() string { return "the YAML library cannot read this: " + e.Panic }
 
-// decodeGuarded decodes a file, whose content is body. A settings file must not crash a program,
-// whatever is in it.
+// decodeGuarded decodes a file, whose parsed content is body. It converts a panic of the YAML
+// library to an error, since no settings file, whatever its content, may crash a program.
 func decodeGuarded(data []byte, body ast.Node, into any) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -212,7 +220,7 @@
 	return placed(err, body, into)
 }
 
-// sorted returns the findings in the order of the file.
+// sorted returns the findings in order of their positions.
 func (r *Report) sorted() []Finding {
 	slices.SortStableFunc(r.findings, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
--- a/settings/places.go
+++ b/settings/places.go
@@ -7,19 +7,19 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// place is a field and where its key, or its item of a list, stands.
+// place is the position of a field's key, or of a list item, in the file.
 type place struct {
 	path string
 	// line and column count from 1.
 	line, column int
-	// value is the field's value, if that is a scalar.
+	// value is the value of the field if it is a scalar.
 	value string
 }
 
-// places lists the fields of a file in its order.
+// places lists the positions of all fields in the order of the file.
 type places []place
 
-// walk notes the fields of a node and of all nodes below.
+// walk adds the fields of a node and of all its descendants.
 func (p *places) walk(path string, n ast.Node) {
 	switch n := n.(type) {
 	case *ast.MappingNode:
@@ -37,7 +37,7 @@
 	}
 }
 
-// walkValue notes one key and what it holds.
+// walkValue adds a key and the fields of its value.
 func (p *places) walkValue(path string, v *ast.MappingValueNode) {
 	below := v.Key.GetToken().Value
 	if path != "" {
@@ -47,7 +47,7 @@
 	p.walk(below, v.Value)
 }
 
-// note adds a field whose key stands at a node.
+// note adds a field; its position is that of the node key.
 func (p *places) note(path string, key, value ast.Node) {
 	t := key.GetToken()
 	if t == nil || t.Position == nil {
@@ -60,7 +60,8 @@
 	*p = append(*p, at)
 }
 
-// nearest returns the place of a field, or of the nearest one that holds it.
+// nearest returns the position of a field or, if the file doesn't contain it, of its
+// innermost parent that the file contains. The default is the start of the file.
 func (p places) nearest(path string) place {
 	for path != "" {
 		for _, at := range p {
@@ -73,8 +74,8 @@
 	return place{line: 1, column: 1}
 }
 
-// at returns the path of the last field that stands on a line, at or before a
-// column.
+// at returns the path of the last field on a line that starts at or before a column,
+// empty if there is none.
 func (p places) at(line, column int) string {
 	found := ""
 	for _, at := range p {
@@ -85,8 +86,8 @@
 	return found
 }
 
-// holding returns the path of the first field below a path that has a value,
-// or the path itself if there is none.
+// holding returns the path of the first field with the given value whose path has
+// the prefix path, or path itself if there is none.
 func (p places) holding(path, value string) string {
 	for _, at := range p {
 		if at.value == value && strings.HasPrefix(at.path, path) {
@@ -96,7 +97,7 @@
 	return path
 }
 
-// parent drops the last field or index of a path.
+// parent returns a path without its last field name or index.
 func parent(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
--- a/settings/section.go
+++ b/settings/section.go
@@ -5,8 +5,8 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Section is a part of a settings file that is decoded later, when its type is
-// known: the settings of a plug-in.
+// Section is a part of a settings file that is decoded later, once its type is
+// known, such as the settings of a plug-in.
 type Section struct{ node ast.Node }
 
 // UnmarshalYAML implements yaml.NodeUnmarshaler.
@@ -15,7 +15,7 @@
 	return nil
 }
 
-// Decode decodes the section, strictly. An empty section decodes to nothing.
+// Decode strictly decodes the section. An empty section leaves into unchanged.
 func (s Section) Decode(into any) error {
 	if s.node == nil || s.node.Type() == ast.NullType {
 		return nil
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// sample is a settings type with all that the loader knows.
+// sample is a settings type that uses every feature of the loader.
 type sample struct {
 	Name  string             `yaml:"name"`
 	Wait  time.Duration      `yaml:"wait"`
@@ -40,6 +40,7 @@
 	}
 }
 
+// TestGood checks that valid settings are decoded and defaults applied.
 func TestGood(t *testing.T) {
 	s, err := Parse[sample]("f.yaml", []byte("name: n\ninner: {count: 3}\nparts:\n  p: {count: 4}\n"))
 	assert.NilError(t, err)
@@ -51,6 +52,8 @@
 	assert.NilError(t, s.Parts["none"].Decode(&part))
 }
 
+// TestFindings checks the position, field and text of the findings for each kind of
+// error.
 func TestFindings(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"empty", "", "f.yaml:1:1: the file is empty; see docs/settings.md"},
@@ -73,6 +76,7 @@
 	}
 }
 
+// TestLoad loads a file, and checks the errors for missing and too large ones.
 func TestLoad(t *testing.T) {
 	_, err := Load[sample](filepath.Join(t.TempDir(), "none.yaml"))
 	var unread *ReadError
@@ -91,7 +95,8 @@
 	assert.Assert(t, errors.As(err, &large))
 }
 
-// FuzzParse feeds files of any shape.
+// FuzzParse checks that Parse neither panics nor returns an error other than
+// *InvalidError, whatever the file contains.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("name: n\nwait: 2s\nlist: [{count: 1}]\nparts: {p: {count: 2}}\n"))
 	f.Add([]byte("&a [*a, *a]"))
--- a/settings/text.go
+++ b/settings/text.go
@@ -11,10 +11,10 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// TextError reports a value that its type's UnmarshalText refuses. The YAML library
-// passes such an error on without its place.
+// TextError reports a value that the UnmarshalText method of its type rejects. It adds
+// the path of the field, as the YAML library returns such an error without a position.
 type TextError struct {
-	// Path is the field's, from where decoding began.
+	// Path is the path of the field, relative to the decoded node.
 	Path string
 	Err  error
 }
@@ -22,11 +22,12 @@
 // Error implements error.
 func (e *TextError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what UnmarshalText gave.
+// Unwrap returns the error of UnmarshalText.
 func (e *TextError) Unwrap() error { return e.Err }
 
-// placed finds the field of an error that decoding a node into a value gave. It
-// returns a *TextError, or the error as it is if it has a place or none is found.
+// placed adds the field to an error from decoding a node into a value. It returns a
+// *TextError, or the error unchanged if it has a position already, is a *DurationError
+// (which AddError locates by its value) or no field is found.
 func placed(err error, n ast.Node, into any) error {
 	var located yaml.Error
 	var duration *DurationError
@@ -39,11 +40,11 @@
 	return err
 }
 
-// textUnmarshaler is the interface of types that read themselves from text.
+// textUnmarshaler is the type of encoding.TextUnmarshaler.
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-// textFault returns the first fault of a text in a node that is decoded into a type,
-// nil if there is none.
+// textFault returns the first error of UnmarshalText in a node that is decoded into a
+// type, nil if there is none.
 func textFault(path string, n ast.Node, t reflect.Type) *TextError {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// scalarFault tries a text on its type.
+// scalarFault calls UnmarshalText of the type, if it has the method, with a scalar.
 func scalarFault(path string, n ast.ScalarNode, t reflect.Type) *TextError {
 	if n.Type() == ast.NullType || !reflect.PointerTo(t).Implements(textUnmarshaler) {
 		return nil
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// valueFault looks below one key of a mapping.
+// valueFault is textFault for the value of a mapping's key.
 func valueFault(path string, v *ast.MappingValueNode, t reflect.Type) *TextError {
 	key := v.Key.GetToken().Value
 	below, ok := memberType(t, key)
@@ -88,7 +89,7 @@
 	return textFault(joined(path, key), v.Value, below)
 }
 
-// itemFault looks below the items of a list.
+// itemFault is textFault for the items of a list.
 func itemFault(path string, n *ast.SequenceNode, t reflect.Type) *TextError {
 	if t.Kind() != reflect.Slice && t.Kind() != reflect.Array {
 		return nil
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// memberType returns the type of what a struct or a map holds under a key.
+// memberType returns the type of the value that a struct or map has for a key.
 func memberType(t reflect.Type, key string) (reflect.Type, bool) {
 	switch t.Kind() {
 	case reflect.Map:
@@ -118,7 +119,7 @@
 	return nil, false
 }
 
-// joined returns the path of a field below another.
+// joined appends a field name, path or index to a path.
 func joined(path, field string) string {
 	if path == "" || field == "" || strings.HasPrefix(field, "[") {
 		return path + field
--- a/settings/text_test.go
+++ b/settings/text_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// colour is a type that reads itself from text.
+// colour implements encoding.TextUnmarshaler.
 type colour string
 
-// colourError reports a text that is no colour.
+// colourError reports a text that is not a colour.
 type colourError struct{ text string }
 
 func (e *colourError) Error() string { return fmt.Sprintf("%q is not a colour", e.text) }
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// painted has such a type wherever one can be.
+// painted uses colour in every position that settings support.
 type painted struct {
 	Wall   colour             `yaml:"wall"`
 	Door   *colour            `yaml:"door"`
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestTextFault: what a type's own UnmarshalText refuses is reported where it
-// stands, with the field.
+// TestTextFault checks that a value that UnmarshalText rejects is reported with its
+// position and field.
 func TestTextFault(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"field", "wall: red\ndoor: blue\n", `f.yaml:2:1: door: "blue" is not a colour`},
--- a/tlsconf/doc.go
+++ b/tlsconf/doc.go
@@ -1,7 +1,7 @@
-// Package tlsconf reads the TLS keys and certificates that operators provide as
-// files and reads them again when they change, without a restart. When new files
-// are broken the ones in force stay, and the error names the file.
+// Package tlsconf loads TLS keys and certificates from files and reloads them
+// without a restart when the files change. If new files are invalid, the current
+// certificates stay in use and the error names the file.
 //
-// A Reloader gives the settings for connections between the system's processes
-// (it implements peer.TLS) and for callers' HTTPS.
+// A Reloader provides the TLS configuration for connections between instances (it
+// implements peer.TLS) and for callers' HTTPS.
 package tlsconf
--- a/tlsconf/errors.go
+++ b/tlsconf/errors.go
@@ -5,35 +5,39 @@
 	"time"
 )
 
-// Problem says what is wrong with a file.
+// Problem describes why a file can't be used.
 type Problem string
 
-// The problems.
+// Values of Problem.
 const (
-	// Unreadable files don't exist, are not permitted or are too large.
+	// Unreadable means that the file doesn't exist, can't be read or is too large.
 	Unreadable Problem = "unreadable"
-	// Malformed files hold no PEM of the kind that is expected.
+	// Malformed means that the file does not contain valid PEM data of the
+	// expected type.
 	Malformed Problem = "malformed"
-	// Mismatched keys don't belong to the certificate.
+	// Mismatched means that the key doesn't belong to the certificate.
 	Mismatched Problem = "key does not match the certificate"
-	// Expired certificates are over, NotYetValid ones begin later.
+	// Expired means that the certificate's validity period has ended, NotYetValid
+	// that it has not started.
 	Expired     Problem = "expired"
 	NotYetValid Problem = "not valid yet"
-	// Untrusted certificates are not signed by an authority of the CA file.
+	// Untrusted means that the certificate is not signed by an authority in the CA
+	// file.
 	Untrusted Problem = "not signed by an authority of the CA file"
-	// Missing files are needed and not named.
+	// Missing means that a required file is not named in the settings.
 	Missing Problem = "not named in the settings"
 )
 
 // FileError reports a file that can't be used.
 type FileError struct {
-	// Field is the settings' field, "certificate", "key" or "ca".
+	// Field is the field of the settings: "certificate", "key" or "ca".
 	Field string
 	File  string
 	Problem
-	// At is the time that an expired or not yet valid certificate names.
+	// At is the end of validity of an expired certificate, or the start of
+	// validity of one that is not valid yet.
 	At time.Time
-	// Err is the cause, if there is one.
+	// Err is the underlying error, nil if there is none.
 	Err error
 }
 
@@ -49,21 +53,22 @@
 	return text
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// TooLargeError reports a file beyond the limit. A *FileError wraps it.
+// TooLargeError reports a file that exceeds the size limit. It is wrapped in a
+// *FileError.
 type TooLargeError struct{ Limit int }
 
 // Error implements error.
 func (e *TooLargeError) Error() string { return fmt.Sprintf("larger than %d bytes", e.Limit) }
 
-// ChainError reports a peer's certificate that is not signed by an authority of
-// the CA file, or that may not be used for the connection.
+// ChainError reports a peer certificate that is not signed by an authority in the
+// CA file or is not valid for the connection.
 type ChainError struct{ Err error }
 
 // Error implements error.
 func (e *ChainError) Error() string { return "tls: peer's certificate: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the verification error.
 func (e *ChainError) Unwrap() error { return e.Err }
--- a/tlsconf/files.go
+++ b/tlsconf/files.go
@@ -9,31 +9,32 @@
 	"time"
 )
 
-// maxFileBytes bounds each file.
+// maxFileBytes is the maximum size of each file.
 const maxFileBytes = 1 << 20
 
-// Settings name the files, in PEM form.
+// Settings holds the paths of the files, which are in PEM format.
 type Settings struct {
-	// Cert is the certificate, followed by those of intermediate authorities.
+	// Cert is the file with the certificate, followed by any intermediate
+	// certificates.
 	Cert string `yaml:"certificate" json:"certificate"`
-	// Key is the certificate's private key.
+	// Key is the file with the certificate's private key.
 	Key string `yaml:"key" json:"key"`
-	// CA holds the authorities that sign peers' certificates. Callers' HTTPS
-	// needs none.
+	// CA is the file with the certificates of the authorities that sign peer
+	// certificates. Callers' HTTPS doesn't need it.
 	CA string `yaml:"ca" json:"ca"`
 }
 
 // Enabled reports whether the settings name any file.
 func (s Settings) Enabled() bool { return s.Cert != "" || s.Key != "" || s.CA != "" }
 
-// material is what the files hold.
+// material is the loaded content of the files.
 type material struct {
 	cert tls.Certificate
-	// authorities is nil without a CA file.
+	// authorities is nil if there is no CA file.
 	authorities *x509.CertPool
 }
 
-// load reads and checks the files. The error is a *FileError.
+// load reads and validates the files. The error is a *FileError.
 func load(s Settings, now time.Time) (*material, error) {
 	certPEM, err := read("certificate", s.Cert)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return m, m.checkChain(s, now)
 }
 
-// read reads one file.
+// read reads a PEM file. The error is a *FileError.
 func read(field, name string) ([]byte, error) {
 	if name == "" {
 		return nil, &FileError{Field: field, Problem: Missing}
@@ -79,7 +80,7 @@
 	return data, nil
 }
 
-// readFile reads a file of bounded size.
+// readFile reads a file of at most maxFileBytes.
 func readFile(name string) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -93,7 +94,8 @@
 	return data, err
 }
 
-// pair makes the certificate of its two files, and tells which one is at fault.
+// pair parses the certificate and its key. The error is a *FileError that names the
+// invalid one of the two files.
 func pair(s Settings, certPEM, keyPEM []byte) (tls.Certificate, error) {
 	cert, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err == nil {
@@ -109,7 +111,8 @@
 	return tls.Certificate{}, &FileError{Field: "key", File: s.Key, Problem: Mismatched, Err: err}
 }
 
-// holdsKey reports whether a PEM block is a private key of a known form.
+// holdsKey reports whether the first PEM block is a private key in PKCS #8, SEC 1 or
+// PKCS #1 form.
 func holdsKey(keyPEM []byte) bool {
 	block, _ := pem.Decode(keyPEM)
 	if _, err := x509.ParsePKCS8PrivateKey(block.Bytes); err == nil {
@@ -122,7 +125,7 @@
 	return err == nil
 }
 
-// checkTime refuses a certificate that is not in force.
+// checkTime returns a *FileError if the certificate has expired or is not valid yet.
 func checkTime(s Settings, leaf *x509.Certificate, now time.Time) error {
 	switch {
 	case now.After(leaf.NotAfter):
@@ -134,8 +137,8 @@
 	}
 }
 
-// checkChain refuses a certificate that the peers, who have the same CA file,
-// would refuse.
+// checkChain verifies the certificate against the CA file, as peers do, which have
+// the same CA file. The error is a *FileError.
 func (m *material) checkChain(s Settings, now time.Time) error {
 	certs := []*x509.Certificate{m.cert.Leaf}
 	for _, der := range m.cert.Certificate[1:] {
@@ -151,8 +154,8 @@
 	return nil
 }
 
-// verify checks the chain of a certificate, whatever name it carries. It may be
-// for servers or for clients: each instance is both.
+// verify verifies a certificate chain but not the name in the certificate. Server
+// and client certificates are accepted, since each instance is both.
 func verify(certs []*x509.Certificate, authorities *x509.CertPool, now time.Time) error {
 	inter := x509.NewCertPool()
 	for _, c := range certs[1:] {
--- a/tlsconf/peer_test.go
+++ b/tlsconf/peer_test.go
@@ -15,14 +15,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// process is one side of a connection between peers.
+// process is one endpoint of a connection between peers.
 type process struct {
 	id    ident.InstanceID
 	files *files
 	tls   *Reloader
 }
 
-// newProcess returns an instance whose certificate carries the given name.
+// newProcess returns an instance whose certificate is issued for the given name.
 func newProcess(t *testing.T, a *authority, id ident.InstanceID, name string) *process {
 	f := newFiles(t, a, name)
 	r, err := New(f.Settings, Options{})
@@ -30,7 +30,7 @@
 	return &process{id: id, files: f, tls: r}
 }
 
-// config returns the process's peer configuration.
+// config returns a peer configuration that allows every identity.
 func (p *process) config() peer.Config {
 	return peer.Config{
 		Self:  peer.Identity{Instance: p.id, Incarnation: 1, Zone: "hall-a"},
@@ -39,7 +39,8 @@
 	}
 }
 
-// serve answers calls until the test ends.
+// serve runs a server until the test ends and returns its address. Its method "who"
+// returns the instance ID of the client.
 func (p *process) serve(t *testing.T) string {
 	srv := peer.NewServer(p.config())
 	peer.Handle(srv, "who", func(_ context.Context, from peer.Identity, _ struct{}) (ident.InstanceID, error) {
@@ -56,13 +57,16 @@
 	return l.Addr().String()
 }
 
-// call asks the peer at an address who called.
+// call calls the method "who" of the peer at an address.
 func (p *process) call(t *testing.T, addr string) (ident.InstanceID, error) {
 	pool := peer.NewPool(p.config())
 	defer pool.Close()
 	return peer.Call[ident.InstanceID](t.Context(), pool, addr, "who", struct{}{})
 }
 
+// TestPeersKnowEachOtherByCertificate checks that a server accepts a client with a
+// matching certificate, and rejects one that claims another instance ID, has a
+// certificate of another authority or doesn't use TLS.
 func TestPeersKnowEachOtherByCertificate(t *testing.T) {
 	a, stranger := newAuthority(t), newAuthority(t)
 	server := newProcess(t, a, "entry-a1", "entry-a1")
@@ -91,8 +95,9 @@
 	assert.Equal(t, peer.DeliveryOf(err), peer.NotSent)
 }
 
-// TestClientRefusesAServerOfAnotherName lets a server claim an instance ID that
-// its certificate does not carry.
+// TestClientRefusesAServerOfAnotherName checks that a client rejects a server that
+// claims an instance ID other than that in its certificate, or whose certificate is
+// of another authority.
 func TestClientRefusesAServerOfAnotherName(t *testing.T) {
 	a, stranger := newAuthority(t), newAuthority(t)
 	client := newProcess(t, a, "entry-a2", "entry-a2")
@@ -102,8 +107,8 @@
 	assert.Assert(t, errors.As(err, new(*ChainError)), "%v", err)
 }
 
-// TestNewAuthorityTakesEffect replaces the authority of a running server: new
-// connections are judged by it.
+// TestNewAuthorityTakesEffect replaces the CA file of a running server and checks
+// that new connections are verified against it.
 func TestNewAuthorityTakesEffect(t *testing.T) {
 	a, next := newAuthority(t), newAuthority(t)
 	server := newProcess(t, a, "entry-a1", "entry-a1")
--- a/tlsconf/reloader.go
+++ b/tlsconf/reloader.go
@@ -10,21 +10,23 @@
 	"time"
 )
 
-// DefaultInterval is how often a Reloader looks whether the files changed.
+// DefaultInterval is the default of Options.Interval.
 const DefaultInterval = 10 * time.Second
 
-// Options adjust a Reloader. Zero fields take their defaults.
+// Options configures a Reloader. Fields with zero values use their defaults.
 type Options struct {
-	// Interval is how often to look whether the files changed.
+	// Interval is how often Run checks the files for changes.
 	Interval time.Duration
-	// Log receives reloads and failures. Nil discards them.
+	// Log is the logger for reloads and failures. If it is nil, they are not
+	// logged.
 	Log *slog.Logger
-	// Now is the clock that certificates are checked by; nil is time.Now.
+	// Now is the clock for checking the validity of certificates; the default is
+	// time.Now.
 	Now func() time.Time
 }
 
-// Reloader holds the keys and certificates in force. It is safe for concurrent
-// use.
+// Reloader holds the current keys and certificates and reloads them from their
+// files. It is safe for concurrent use.
 type Reloader struct {
 	settings Settings
 	interval time.Duration
@@ -33,25 +35,24 @@
 
 	mu      sync.Mutex
 	current *material
-	// seen describes the files that are in force, failed those of the last
-	// failure.
+	// seen is the state of the files at the last successful load, failed that at
+	// the last failure since.
 	seen   fingerprint
 	failed fingerprint
 	status Status
 }
 
-// Status says what is in force.
+// Status is the state of a Reloader.
 type Status struct {
-	// NotAfter is when the certificate in force expires.
+	// NotAfter is the expiry time of the current certificate.
 	NotAfter time.Time
-	// Loads counts the times that files came into force.
+	// Loads is the number of successful loads.
 	Loads int
-	// Err is why the files on disk are not in force, nil if they are. It is a
-	// *FileError.
+	// Err is the error of the last load, a *FileError, or nil if it succeeded.
 	Err error
 }
 
-// New reads the files. The error is a *FileError.
+// New returns a Reloader with the files loaded. The error is a *FileError.
 func New(s Settings, o Options) (*Reloader, error) {
 	r := &Reloader{settings: s, interval: o.Interval, log: o.Log, now: o.Now}
 	if r.interval <= 0 {
@@ -66,17 +67,17 @@
 	return r, r.Reload()
 }
 
-// fingerprint tells whether files changed.
+// fingerprint is the state of the three files, compared to detect changes.
 type fingerprint [3]fileStamp
 
-// fileStamp is what a file's directory entry says.
+// fileStamp is the modification time and size of a file.
 type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-// look describes the files on disk. A file that can't be looked at has the zero
-// stamp; reading it will say why.
+// look returns the current state of the files. A file that can't be examined has the
+// zero stamp; reading it returns the error.
 func (s Settings) look() fingerprint {
 	var f fingerprint
 	for i, name := range []string{s.Cert, s.Key, s.CA} {
@@ -87,7 +88,7 @@
 	return f
 }
 
-// Run looks for changes until ctx ends.
+// Run calls Check at each interval until ctx is cancelled.
 func (r *Reloader) Run(ctx context.Context) {
 	t := time.NewTicker(r.interval)
 	defer t.Stop()
@@ -101,17 +102,18 @@
 	}
 }
 
-// Check reads the files again if they changed since they came into force. Files
-// that failed are tried again each time: a certificate and its key may be written
-// one after the other. The outcome is in Status.
+// Check reloads the files if they changed since the last successful load. After a
+// failure it tries again each time, even if the files didn't change since, as a
+// certificate and its key may be written one after the other. Status returns the
+// result.
 func (r *Reloader) Check() {
 	if r.changed() {
-		// Reload logs the error and keeps it for Status.
+		// Reload logs the error and stores it in the status.
 		_ = r.Reload()
 	}
 }
 
-// changed reports whether the files differ from those in force.
+// changed reports whether the files changed since the last successful load.
 func (r *Reloader) changed() bool {
 	now := r.settings.look()
 	r.mu.Lock()
@@ -119,10 +121,12 @@
 	return now != r.seen
 }
 
-// Reload reads the files again, as on SIGHUP. When they are broken, those in
-// force stay and the error, a *FileError, says which file is at fault.
+// Reload reloads the files unconditionally, as on SIGHUP. If they are invalid, the
+// current certificates stay in use and the error, a *FileError, names the invalid
+// file.
 func (r *Reloader) Reload() error {
-	// Looked at first: a change while reading is then seen as one.
+	// The state is taken before reading, so that changed detects a change that is
+	// made while the files are read.
 	look := r.settings.look()
 	m, err := load(r.settings, r.now())
 	r.mu.Lock()
@@ -137,7 +141,8 @@
 	return nil
 }
 
-// fail notes a failure, and logs it once for the same files. The caller holds mu.
+// fail records a failed load. It logs the error once for the same state of the
+// files. The caller must hold mu.
 func (r *Reloader) fail(look fingerprint, err error) {
 	if r.status.Err == nil || look != r.failed {
 		r.log.Error("tls files not in force, the ones before stay", "error", err)
@@ -146,23 +151,23 @@
 	r.status.Err = err
 }
 
-// Status returns what is in force.
+// Status returns the current status.
 func (r *Reloader) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.status
 }
 
-// inForce returns the keys and certificates in force.
+// inForce returns the current keys and certificates.
 func (r *Reloader) inForce() *material {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current
 }
 
-// ServerConfig implements peer.TLS: the settings for one accepted connection of
-// a peer, which must show a certificate of an authority of the CA file. Without a
-// CA file no peer is accepted.
+// ServerConfig implements peer.TLS. It returns the configuration for one connection
+// accepted from a peer, which must present a certificate signed by an authority in
+// the CA file. Without a CA file, all peers are rejected.
 func (r *Reloader) ServerConfig() *tls.Config {
 	m := r.inForce()
 	return &tls.Config{
@@ -174,21 +179,23 @@
 	}
 }
 
-// ClientConfig implements peer.TLS: the settings for one dialled connection to a
-// peer. The chain is verified here, the name by package peer, which knows it only
-// from the hello.
+// ClientConfig implements peer.TLS. It returns the configuration for one connection
+// dialled to a peer. It verifies the certificate chain; package peer verifies the
+// name, which is known only from the peer's hello.
 func (r *Reloader) ClientConfig() *tls.Config {
 	m := r.inForce()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{m.cert},
-		// The standard check needs a name; VerifyConnection does it without.
+		// The standard verification requires a server name; VerifyConnection
+		// verifies the chain without one.
 		InsecureSkipVerify: true,
 		VerifyConnection:   r.verifier(m),
 	}
 }
 
-// verifier checks the chain of a peer's certificate.
+// verifier returns a function that verifies the certificate chain of a peer. Its
+// error is a *ChainError.
 func (r *Reloader) verifier(m *material) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		authorities := m.authorities
@@ -202,8 +209,8 @@
 	}
 }
 
-// CallerConfig returns the settings for callers' HTTPS. It may be used for the
-// life of a listener: each connection gets the certificate then in force.
+// CallerConfig returns the configuration for callers' HTTPS. A listener may use it
+// permanently: each connection gets the certificate that is current at that time.
 func (r *Reloader) CallerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
--- a/tlsconf/tlsconf_test.go
+++ b/tlsconf/tlsconf_test.go
@@ -25,14 +25,14 @@
 	"github.com/wardspool/wardspool/internal/bubble"
 )
 
-// authority signs certificates for the tests.
+// authority is a certificate authority for the tests.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// newAuthority returns a certificate authority.
+// newAuthority returns an authority whose own certificate is valid for 48 hours.
 func newAuthority(t *testing.T) *authority {
 	a := &authority{t: t}
 	template := &x509.Certificate{
@@ -48,14 +48,14 @@
 	return a
 }
 
-// newKey returns a private key.
+// newKey generates a private key.
 func newKey(t *testing.T) *ecdsa.PrivateKey {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
 	return key
 }
 
-// issue returns a certificate and its key for a name, in PEM form.
+// issue returns a certificate for a name and its key, in PEM format.
 func (a *authority) issue(name string, from, until time.Time) (cert, key []byte) {
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
@@ -70,24 +70,24 @@
 	return pemBlock("CERTIFICATE", der), pemBlock("PRIVATE KEY", keyDER)
 }
 
-// today issues a certificate that is in force.
+// today issues a certificate that is currently valid.
 func (a *authority) today(name string) (cert, key []byte) {
 	return a.issue(name, time.Now().Add(-time.Hour), time.Now().Add(24*time.Hour))
 }
 
-// pemBlock encodes one block.
+// pemBlock encodes one PEM block.
 func pemBlock(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// files are the three files of one test.
+// files holds the three files of a test.
 type files struct {
 	t *testing.T
 	Settings
 	writes int
 }
 
-// newFiles writes the files of an instance whose certificate is in force.
+// newFiles writes the files of an instance with a currently valid certificate.
 func newFiles(t *testing.T, a *authority, name string) *files {
 	dir := t.TempDir()
 	f := &files{t: t, Settings: Settings{
@@ -98,13 +98,14 @@
 	return f
 }
 
-// renew writes the certificate and the key.
+// renew replaces the certificate and its key.
 func (f *files) renew(cert, key []byte) {
 	f.write(f.Cert, cert)
 	f.write(f.Key, key)
 }
 
-// write writes one file; each write has a modification time of its own.
+// write writes one file and gives it a later modification time than the writes
+// before, so that each write is detected as a change.
 func (f *files) write(name string, data []byte) {
 	f.t.Helper()
 	assert.NilError(f.t, os.WriteFile(name, data, 0o600))
@@ -113,6 +114,8 @@
 	assert.NilError(f.t, os.Chtimes(name, at, at))
 }
 
+// TestBrokenFilesAreNamed checks that the error for invalid files names the field and
+// the problem, and that the current certificates stay in use.
 func TestBrokenFilesAreNamed(t *testing.T) {
 	a, stranger := newAuthority(t), newAuthority(t)
 	now := time.Now()
@@ -151,7 +154,7 @@
 			assert.Assert(t, errors.As(err, &fe), "%v", err)
 			assert.Equal(t, fe.Field, tt.field, "%v", err)
 			assert.Equal(t, fe.Problem, tt.problem, "%v", err)
-			// What was in force stays.
+			// The certificates loaded before stay in use.
 			assert.Equal(t, r.Status().NotAfter, before)
 			assert.Equal(t, r.Status().Err, err)
 			assert.Equal(t, len(r.ServerConfig().Certificates), 1)
@@ -161,17 +164,19 @@
 	}
 }
 
+// TestChangedFilesComeIntoForce checks that unchanged files are not reloaded, that a
+// new certificate without its key is rejected, and that the new pair is loaded.
 func TestChangedFilesComeIntoForce(t *testing.T) {
 	a := newAuthority(t)
 	f := newFiles(t, a, "entry-a1")
 	r, err := New(f.Settings, Options{})
 	assert.NilError(t, err)
 	r.Check()
-	assert.Equal(t, r.Status().Loads, 1, "unchanged files were read again")
+	assert.Equal(t, r.Status().Loads, 1, "unchanged files were reloaded")
 	cert, key := a.today("entry-a1")
 	f.write(f.Cert, cert)
 	r.Check()
-	assert.Assert(t, errors.As(r.Status().Err, new(*FileError)), "half of a pair came into force")
+	assert.Assert(t, errors.As(r.Status().Err, new(*FileError)), "a certificate was loaded without its key")
 	f.write(f.Key, key)
 	r.Check()
 	assert.NilError(t, r.Status().Err)
@@ -180,11 +185,13 @@
 	assert.DeepEqual(t, r.ServerConfig().Certificates[0].Certificate[0], block.Bytes)
 }
 
+// TestRunLooksForChanges checks that Run reloads changed files after DefaultInterval.
 func TestRunLooksForChanges(t *testing.T) {
 	a := newAuthority(t)
 	f := newFiles(t, a, "entry-a1")
 	bubble.Test(t, func(t *testing.T) {
-		// The bubble's clock is not the one that the certificates were made by.
+		// The synthetic clock of the bubble differs from the real one, by which the
+		// authority's certificate was issued.
 		now := a.cert.NotBefore.Add(2 * time.Hour)
 		r, err := New(f.Settings, Options{Now: func() time.Time { return now }})
 		assert.NilError(t, err)
@@ -203,8 +210,8 @@
 	})
 }
 
-// TestCallersGetTheCertificateInForce replaces the certificate of a running
-// HTTPS server.
+// TestCallersGetTheCertificateInForce replaces the certificate of a running HTTPS
+// server and checks that a new connection gets the new one.
 func TestCallersGetTheCertificateInForce(t *testing.T) {
 	a := newAuthority(t)
 	f := newFiles(t, a, "entry-a1")
