--- a/ident/ident.go
+++ b/ident/ident.go
@@ -50,16 +50,16 @@
 		return false
 	}
 	for i := range len(s) {
-		if !nameByte(s[i]) {
+		if !isNameByte(s[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// nameByte reports whether b may occur in a name; ValidName restricts hyphens
+// isNameByte reports whether b may occur in a name; ValidName restricts hyphens
 // to inner positions.
-func nameByte(b byte) bool {
+func isNameByte(b byte) bool {
 	return b >= 'a' && b <= 'z' || b >= '0' && b <= '9' || b == '-'
 }
 
--- a/logs/bounded_test.go
+++ b/logs/bounded_test.go
@@ -9,26 +9,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// gate is a writer that blocks until it is opened.
-type gate struct {
-	open chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+// blockingWriter is a writer that blocks until it is opened.
+type blockingWriter struct {
+	open    chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockingWriter) Write(p []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.got.Write(p)
+	return g.written.Write(p)
 }
 
 // TestFullPipeDropsLinesNotTime checks that writing doesn't block while the target
 // does, and that the number of dropped lines is logged afterwards.
 func TestFullPipeDropsLinesNotTime(t *testing.T) {
-	g := &gate{open: make(chan struct{})}
-	b := NewBounded(g)
-	for range boundedLines + 100 {
+	g := &blockingWriter{open: make(chan struct{})}
+	b := NewNonBlockingWriter(g)
+	for range maxQueuedLines + 100 {
 		n, err := b.Write([]byte("line\n"))
 		assert.NilError(t, err)
 		assert.Equal(t, n, 5)
@@ -39,16 +39,16 @@
 	b.Close()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	assert.Equal(t, int64(strings.Count(g.got.String(), "line\n")), boundedLines+100-dropped)
-	assert.Assert(t, strings.Contains(g.got.String(), "log lines dropped"))
+	assert.Equal(t, int64(strings.Count(g.written.String(), "line\n")), maxQueuedLines+100-dropped)
+	assert.Assert(t, strings.Contains(g.written.String(), "log lines dropped"))
 }
 
 // TestClosedByAFullPipe checks that Close returns while the target blocks and the
 // queue is full.
 func TestClosedByAFullPipe(t *testing.T) {
-	g := &gate{open: make(chan struct{})}
-	b := NewBounded(g)
-	for range boundedLines + 2 {
+	g := &blockingWriter{open: make(chan struct{})}
+	b := NewNonBlockingWriter(g)
+	for range maxQueuedLines + 2 {
 		_, _ = b.Write([]byte("line\n"))
 	}
 	b.Close()
--- a/metrics/render.go
+++ b/metrics/render.go
@@ -10,12 +10,13 @@
 // reporter, which has none.
 func Render(prefix string, fill func(tally.Scope)) string {
 	r := NewReporter()
-	scope, closer := newScope(r, prefix, never)
+	scope, closer := newScope(r, prefix, onlyOnClose)
 	fill(scope)
 	// Closing a scope makes it report its values.
 	_ = closer.Close()
 	return r.Text()
 }
 
-// never is the reporting interval of a scope that reports only when it is closed.
-const never = 0
+// onlyOnClose is the reporting interval of a scope that reports only when it is
+// closed.
+const onlyOnClose = 0
--- a/metrics/reporter.go
+++ b/metrics/reporter.go
@@ -83,15 +83,15 @@
 	}, interval)
 }
 
-// at returns the series with the given name and tags, and creates it if
+// getOrCreate returns the series with the given name and tags, and creates it if
 // necessary. The caller must hold mu.
-func (r *Reporter) at(name string, tags map[string]string, k kind) *series {
+func (r *Reporter) getOrCreate(name string, tags map[string]string, k kind) *series {
 	f := r.families[name]
 	if f == nil {
 		f = &family{kind: k, series: map[string]*series{}}
 		r.families[name] = f
 	}
-	labels := render(tags)
+	labels := formatLabels(tags)
 	s := f.series[labels]
 	if s == nil {
 		s = &series{labels: labels}
@@ -100,8 +100,8 @@
 	return s
 }
 
-// render formats tags as Prometheus labels, `a="x",b="y"`, sorted by name.
-func render(tags map[string]string) string {
+// formatLabels formats tags as Prometheus labels, `a="x",b="y"`, sorted by name.
+func formatLabels(tags map[string]string) string {
 	parts := make([]string, 0, len(tags))
 	for _, name := range slices.Sorted(maps.Keys(tags)) {
 		parts = append(parts, name+"="+strconv.Quote(tags[name]))
@@ -113,41 +113,41 @@
 func (r *Reporter) ReportCounter(name string, tags map[string]string, value int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at(name, tags, kindCounter).value += float64(value)
+	r.getOrCreate(name, tags, kindCounter).value += float64(value)
 }
 
 // ReportGauge implements tally.StatsReporter.
 func (r *Reporter) ReportGauge(name string, tags map[string]string, value float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at(name, tags, kindGauge).value = value
+	r.getOrCreate(name, tags, kindGauge).value = value
 }
 
 // ReportTimer implements tally.StatsReporter.
 func (r *Reporter) ReportTimer(name string, tags map[string]string, interval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.at(name, tags, kindSummary)
+	s := r.getOrCreate(name, tags, kindSummary)
 	s.value += interval.Seconds()
 	s.count++
 }
 
 // ReportHistogramValueSamples implements tally.StatsReporter.
 func (r *Reporter) ReportHistogramValueSamples(name string, tags map[string]string, _ tally.Buckets, lower, upper float64, samples int64) {
-	r.sample(name, tags, lower, upper, samples)
+	r.addSamples(name, tags, lower, upper, samples)
 }
 
 // ReportHistogramDurationSamples implements tally.StatsReporter.
 func (r *Reporter) ReportHistogramDurationSamples(name string, tags map[string]string, _ tally.Buckets, lower, upper time.Duration, samples int64) {
-	r.sample(name, tags, lower.Seconds(), upper.Seconds(), samples)
+	r.addSamples(name, tags, lower.Seconds(), upper.Seconds(), samples)
 }
 
-// sample adds samples to a histogram bucket. tally does not report the sum of
+// addSamples adds samples to a histogram bucket. tally does not report the sum of
 // the samples, so each counts with its bucket's lower bound, at least 0.
-func (r *Reporter) sample(name string, tags map[string]string, lower, upper float64, samples int64) {
+func (r *Reporter) addSamples(name string, tags map[string]string, lower, upper float64, samples int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.at(name, tags, kindHistogram)
+	s := r.getOrCreate(name, tags, kindHistogram)
 	if s.buckets == nil {
 		s.buckets = map[float64]int64{}
 	}
@@ -181,7 +181,7 @@
 // Text returns all metrics in the Prometheus text format, sorted by name and
 // labels. They include some metrics of the Go runtime.
 func (r *Reporter) Text() string {
-	r.readRuntime()
+	r.updateRuntimeGauges()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var b strings.Builder
@@ -202,10 +202,10 @@
 		s.writeBuckets(b, name)
 		fallthrough
 	case kindSummary:
-		line(b, name+"_sum", s.labels, s.value)
-		line(b, name+"_count", s.labels, float64(s.count))
+		writeSample(b, name+"_sum", s.labels, s.value)
+		writeSample(b, name+"_count", s.labels, float64(s.count))
 	default:
-		line(b, name, s.labels, s.value)
+		writeSample(b, name, s.labels, s.value)
 	}
 }
 
@@ -215,27 +215,27 @@
 	total := int64(0)
 	for _, bound := range slices.Sorted(maps.Keys(s.buckets)) {
 		total += s.buckets[bound]
-		line(b, name+"_bucket", join(s.labels, "le="+strconv.Quote(number(bound))), float64(total))
+		writeSample(b, name+"_bucket", appendLabel(s.labels, "le="+strconv.Quote(formatValue(bound))), float64(total))
 	}
-	line(b, name+"_bucket", join(s.labels, `le="+Inf"`), float64(s.count))
+	writeSample(b, name+"_bucket", appendLabel(s.labels, `le="+Inf"`), float64(s.count))
 }
 
-// join appends a label to formatted labels.
-func join(labels, further string) string {
+// appendLabel appends a label to formatted labels.
+func appendLabel(labels, further string) string {
 	if labels == "" {
 		return further
 	}
 	return labels + "," + further
 }
 
-// line writes one sample line.
-func line(b *strings.Builder, name, labels string, value float64) {
+// writeSample writes one sample line.
+func writeSample(b *strings.Builder, name, labels string, value float64) {
 	b.WriteString(name)
 	if labels != "" {
 		b.WriteString("{" + labels + "}")
 	}
-	b.WriteString(" " + number(value) + "\n")
+	b.WriteString(" " + formatValue(value) + "\n")
 }
 
-// number formats a value in the shortest form that parses back to it.
-func number(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
+// formatValue formats a value in the shortest form that parses back to it.
+func formatValue(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
--- a/plugin/plugin.go
+++ b/plugin/plugin.go
@@ -140,7 +140,7 @@
 			return nil, err
 		}
 	}
-	if err := start(id, p); err != nil {
+	if err := initialize(id, p); err != nil {
 		// The original error is returned; a failure of Cleanup is ignored.
 		_ = Unload(id, p)
 		return nil, err
@@ -148,8 +148,8 @@
 	return p, nil
 }
 
-// start calls Provision and then Validate, as far as p implements them.
-func start(id ID, p Plugin) error {
+// initialize calls Provision and then Validate, as far as p implements them.
+func initialize(id ID, p Plugin) error {
 	if pr, ok := p.(Provisioner); ok {
 		if err := pr.Provision(); err != nil {
 			return &LifecycleError{ID: id, Stage: "provision", Err: err}
--- a/process/process.go
+++ b/process/process.go
@@ -98,26 +98,26 @@
 }
 
 // run serves until ctx is cancelled and reloads the settings on each value from hangups. Errors
-// in the initial settings are printed to errs, as is the log if p.Output is nil.
-func (p Program[S]) run(ctx context.Context, file string, hangups <-chan os.Signal, errs io.Writer) ExitCode {
+// in the initial settings are printed to errOut, as is the log if p.Output is nil.
+func (p Program[S]) run(ctx context.Context, file string, hangups <-chan os.Signal, errOut io.Writer) ExitCode {
 	data, s, err := settings.Read[S](file)
 	if err != nil {
-		fmt.Fprintln(errs, err)
+		fmt.Fprintln(errOut, err)
 		return ExitSettings
 	}
-	to := errs
+	logOutput := errOut
 	if p.Output != nil {
-		bounded := logs.NewBounded(p.Output)
-		defer bounded.Close()
-		to = bounded
+		writer := logs.NewNonBlockingWriter(p.Output)
+		defer writer.Close()
+		logOutput = writer
 	}
-	log, err := logs.New(to, p.Log(s))
+	log, err := logs.New(logOutput, p.Log(s))
 	if err != nil {
-		fmt.Fprintln(errs, err)
+		fmt.Fprintln(errOut, err)
 		return ExitSettings
 	}
-	watch := reloading{file: file, last: data, hangups: hangups}
-	if err := p.serve(ctx, watch, s, log); err != nil {
+	source := settingsSource{file: file, last: data, hangups: hangups}
+	if err := p.serve(ctx, source, s, log); err != nil {
 		log.Error("stopped", "error", err)
 		return p.exitCode(err)
 	}
@@ -125,7 +125,7 @@
 }
 
 // serve creates and runs the service, and reloads its settings if it is a Reloader.
-func (p Program[S]) serve(ctx context.Context, watch reloading, s *S, log *slog.Logger) error {
+func (p Program[S]) serve(ctx context.Context, source settingsSource, s *S, log *slog.Logger) error {
 	service, err := p.New(s, log)
 	if err != nil {
 		return err
@@ -136,7 +136,7 @@
 	if r, ok := service.(Reloader[S]); ok {
 		ctx, stop := context.WithCancel(ctx)
 		defer stop()
-		go keepReloading(ctx, watch, r, log)
+		go watchSettings(ctx, source, r, log)
 	}
 	return service.Serve(ctx)
 }
--- a/process/reload.go
+++ b/process/reload.go
@@ -28,30 +28,30 @@
 	return hangups
 }
 
-// reloading holds the sources of settings changes: the settings file and SIGHUP.
-type reloading struct {
+// settingsSource holds the sources of settings changes: the settings file and SIGHUP.
+type settingsSource struct {
 	file string
 	// last is the file content that the running service was started with.
 	last    []byte
 	hangups <-chan os.Signal
 }
 
-// keepReloading reloads the settings file on SIGHUP and when its content changes, until ctx is
+// watchSettings reloads the settings file on SIGHUP and when its content changes, until ctx is
 // cancelled.
-func keepReloading[S any](ctx context.Context, watch reloading, r Reloader[S], log *slog.Logger) {
+func watchSettings[S any](ctx context.Context, source settingsSource, r Reloader[S], log *slog.Logger) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	last := watch.last
+	last := source.last
 	for {
 		signalled := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-watch.hangups:
+		case <-source.hangups:
 			signalled = true
 		case <-ticker.C:
 		}
-		last = reload(watch.file, last, signalled, r, log)
+		last = reload(source.file, last, signalled, r, log)
 	}
 }
 
--- a/report/plot.go
+++ b/report/plot.go
@@ -13,9 +13,9 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// headroom is the free space above the highest point, as a fraction of its
+// legendHeadroom is the free space above the highest point, as a fraction of its
 // value.
-const headroom = 0.25
+const legendHeadroom = 0.25
 
 // Point is a point of a line.
 type Point struct{ X, Y float64 }
@@ -110,7 +110,7 @@
 	// The axis starts at 0 so that values can be compared visually; the headroom
 	// is for the legend.
 	p.Y.Min = 0
-	p.Y.Max *= 1 + headroom
+	p.Y.Max *= 1 + legendHeadroom
 	return p, nil
 }
 
--- a/report/table.go
+++ b/report/table.go
@@ -67,11 +67,11 @@
 
 // WriteMarkdown writes the table as a Markdown table. Errors are the writer's.
 func (t *Table) WriteMarkdown(w io.Writer) error {
-	rule := make([]string, len(t.Header))
-	for i := range rule {
-		rule[i] = "---"
+	separator := make([]string, len(t.Header))
+	for i := range separator {
+		separator[i] = "---"
 	}
-	for _, row := range append([][]string{t.Header, rule}, t.Rows...) {
+	for _, row := range append([][]string{t.Header, separator}, t.Rows...) {
 		if _, err := fmt.Fprintf(w, "| %s |\n", strings.Join(row, " | ")); err != nil {
 			return err
 		}
--- a/settings/common/check.go
+++ b/settings/common/check.go
@@ -61,7 +61,7 @@
 // text of the finding for another address.
 func CheckLoopback(r *settings.Report, field, address string, p Presence, advice string) {
 	CheckAddress(r, field, address, p)
-	if validAddress(address) && !loopback(address) {
+	if validAddress(address) && !isLoopback(address) {
 		r.Add(field, "is not a loopback address", advice)
 	}
 }
@@ -76,8 +76,8 @@
 	return err == nil
 }
 
-// loopback reports whether s has the form "IP:port" with a loopback IP.
-func loopback(s string) bool {
+// isLoopback reports whether s has the form "IP:port" with a loopback IP.
+func isLoopback(s string) bool {
 	host, _, err := net.SplitHostPort(s)
 	ip := net.ParseIP(host)
 	return err == nil && ip != nil && ip.IsLoopback()
--- a/settings/duration.go
+++ b/settings/duration.go
@@ -17,9 +17,9 @@
 // adviceDuration is the advice text for an invalid duration.
 const adviceDuration = "give a number and a unit, for example 500ms, 2s or 5m"
 
-// options returns the options for strict decoding. Durations must have a unit,
+// decodeOptions returns the options for strict decoding. Durations must have a unit,
 // since a bare number would be read as nanoseconds.
-func options() []yaml.DecodeOption {
+func decodeOptions() []yaml.DecodeOption {
 	return []yaml.DecodeOption{
 		yaml.Strict(),
 		yaml.CustomUnmarshaler(func(into *time.Duration, text []byte) error {
--- a/settings/load.go
+++ b/settings/load.go
@@ -89,16 +89,16 @@
 // Report collects the findings for one file.
 type Report struct {
 	file string
-	// places holds the positions of the fields in the file.
-	places   places
-	findings []Finding
+	// positions holds the positions of the fields in the file.
+	positions fieldPositions
+	findings  []Finding
 }
 
 // Add adds a finding for the field at a path such as "static.upstreams[2].id". If
 // the file doesn't contain the field, the position is that of the innermost parent
 // that it contains.
 func (r *Report) Add(field, wrong, advice string) {
-	at := r.places.nearest(field)
+	at := r.positions.nearest(field)
 	r.findings = append(r.findings, Finding{
 		File: r.file, Line: at.line, Column: at.column,
 		Field: field, Wrong: wrong, Advice: advice,
@@ -117,11 +117,11 @@
 	var text *TextError
 	switch {
 	case errors.As(err, &text):
-		r.Add(joined(field, text.Path), text.Error(), adviceReference)
+		r.Add(joinPath(field, text.Path), text.Error(), adviceReference)
 	case errors.As(err, &duration):
-		r.Add(r.places.holding(field, duration.Text), duration.Error(), adviceDuration)
+		r.Add(r.positions.fieldWithValue(field, duration.Text), duration.Error(), adviceDuration)
 	case errors.As(err, &mistyped) && mistyped.Token != nil:
-		r.addAt(field, mistyped.Token.Position, fmt.Sprintf("%q is not %s", mistyped.Token.Value, kindName(mistyped.DstType)))
+		r.addAt(field, mistyped.Token.Position, fmt.Sprintf("%q is not %s", mistyped.Token.Value, describeType(mistyped.DstType)))
 	case errors.As(err, &located) && located.GetToken() != nil:
 		r.addAt(field, located.GetToken().Position, located.GetMessage())
 	default:
@@ -132,7 +132,7 @@
 // addAt adds a finding at a position. Its field is the one at that position, or the
 // given one if there is none.
 func (r *Report) addAt(field string, at *token.Position, wrong string) {
-	if found := r.places.at(at.Line, at.Column); found != "" {
+	if found := r.positions.fieldAt(at.Line, at.Column); found != "" {
 		field = found
 	}
 	r.findings = append(r.findings, Finding{
@@ -141,8 +141,8 @@
 	})
 }
 
-// kindName describes the values that a field of a type accepts.
-func kindName(t reflect.Type) string {
+// describeType describes the values that a field of a type accepts.
+func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64,
 		reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
@@ -164,7 +164,7 @@
 // findings, it returns false.
 func (r *Report) decode(data []byte, into any) bool {
 	tokens := lexer.Tokenize(string(data))
-	if !r.plain(tokens) {
+	if !r.supportedSyntax(tokens) {
 		return false
 	}
 	file, err := parser.Parse(tokens, 0)
@@ -180,18 +180,18 @@
 		r.Add("", "the file is empty", adviceReference)
 		return false
 	}
-	r.places.walk("", body)
-	if err := decodeGuarded(data, body, into); err != nil {
+	r.positions.walk("", body)
+	if err := decodeRecovering(data, body, into); err != nil {
 		r.AddError("", err)
 		return false
 	}
 	return true
 }
 
-// plain reports whether the file uses only the supported subset of YAML, and adds a
+// supportedSyntax reports whether the file uses only the supported subset of YAML, and adds a
 // finding if not. Tags, anchors, aliases and merge keys are not supported, as the
 // YAML library panics on some uses of them.
-func (r *Report) plain(tokens token.Tokens) bool {
+func (r *Report) supportedSyntax(tokens token.Tokens) bool {
 	for _, t := range tokens {
 		switch t.Type {
 		case token.TagType, token.AnchorType, token.AliasType, token.MergeKeyType:
@@ -202,22 +202,22 @@
 	return true
 }
 
-// UnreadableError reports a file that made the YAML library panic.
-type UnreadableError struct{ Panic string }
+// YAMLPanicError reports a file that made the YAML library panic.
+type YAMLPanicError struct{ Panic string }
 
 // Error implements error.
-func (e *UnreadableError) Error() string { return "the YAML library cannot read this: " + e.Panic }
+func (e *YAMLPanicError) Error() string { return "the YAML library cannot read this: " + e.Panic }
 
-// decodeGuarded decodes a file, whose parsed content is body. It converts a panic of the YAML
+// decodeRecovering decodes a file, whose parsed content is body. It converts a panic of the YAML
 // library to an error, since no settings file, whatever its content, may crash a program.
-func decodeGuarded(data []byte, body ast.Node, into any) (err error) {
+func decodeRecovering(data []byte, body ast.Node, into any) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = &UnreadableError{Panic: fmt.Sprint(p)}
+			err = &YAMLPanicError{Panic: fmt.Sprint(p)}
 		}
 	}()
-	err = yaml.NewDecoder(bytes.NewReader(data), options()...).Decode(into)
-	return placed(err, body, into)
+	err = yaml.NewDecoder(bytes.NewReader(data), decodeOptions()...).Decode(into)
+	return locateTextError(err, body, into)
 }
 
 // sorted returns the findings in order of their positions.
--- a/settings/places.go
+++ b/settings/places.go
@@ -7,8 +7,8 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// place is the position of a field's key, or of a list item, in the file.
-type place struct {
+// fieldPosition is the position of a field's key, or of a list item, in the file.
+type fieldPosition struct {
 	path string
 	// line and column count from 1.
 	line, column int
@@ -16,11 +16,11 @@
 	value string
 }
 
-// places lists the positions of all fields in the order of the file.
-type places []place
+// fieldPositions lists the positions of all fields in the order of the file.
+type fieldPositions []fieldPosition
 
 // walk adds the fields of a node and of all its descendants.
-func (p *places) walk(path string, n ast.Node) {
+func (p *fieldPositions) walk(path string, n ast.Node) {
 	switch n := n.(type) {
 	case *ast.MappingNode:
 		for _, v := range n.Values {
@@ -30,30 +30,30 @@
 		p.walkValue(path, n)
 	case *ast.SequenceNode:
 		for i, v := range n.Values {
-			below := fmt.Sprintf("%s[%d]", path, i)
-			p.note(below, v, v)
-			p.walk(below, v)
+			childPath := fmt.Sprintf("%s[%d]", path, i)
+			p.add(childPath, v, v)
+			p.walk(childPath, v)
 		}
 	}
 }
 
 // walkValue adds a key and the fields of its value.
-func (p *places) walkValue(path string, v *ast.MappingValueNode) {
-	below := v.Key.GetToken().Value
+func (p *fieldPositions) walkValue(path string, v *ast.MappingValueNode) {
+	childPath := v.Key.GetToken().Value
 	if path != "" {
-		below = path + "." + below
+		childPath = path + "." + childPath
 	}
-	p.note(below, v.Key, v.Value)
-	p.walk(below, v.Value)
+	p.add(childPath, v.Key, v.Value)
+	p.walk(childPath, v.Value)
 }
 
-// note adds a field; its position is that of the node key.
-func (p *places) note(path string, key, value ast.Node) {
+// add adds a field; its position is that of the node key.
+func (p *fieldPositions) add(path string, key, value ast.Node) {
 	t := key.GetToken()
 	if t == nil || t.Position == nil {
 		return
 	}
-	at := place{path: path, line: t.Position.Line, column: t.Position.Column}
+	at := fieldPosition{path: path, line: t.Position.Line, column: t.Position.Column}
 	if scalar, ok := value.(ast.ScalarNode); ok {
 		at.value = fmt.Sprint(scalar.GetValue())
 	}
@@ -62,21 +62,21 @@
 
 // nearest returns the position of a field or, if the file doesn't contain it, of its
 // innermost parent that the file contains. The default is the start of the file.
-func (p places) nearest(path string) place {
+func (p fieldPositions) nearest(path string) fieldPosition {
 	for path != "" {
 		for _, at := range p {
 			if at.path == path {
 				return at
 			}
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
-	return place{line: 1, column: 1}
+	return fieldPosition{line: 1, column: 1}
 }
 
-// at returns the path of the last field on a line that starts at or before a column,
+// fieldAt returns the path of the last field on a line that starts at or before a column,
 // empty if there is none.
-func (p places) at(line, column int) string {
+func (p fieldPositions) fieldAt(line, column int) string {
 	found := ""
 	for _, at := range p {
 		if at.line == line && at.column <= column {
@@ -86,9 +86,9 @@
 	return found
 }
 
-// holding returns the path of the first field with the given value whose path has
+// fieldWithValue returns the path of the first field with the given value whose path has
 // the prefix path, or path itself if there is none.
-func (p places) holding(path, value string) string {
+func (p fieldPositions) fieldWithValue(path, value string) string {
 	for _, at := range p {
 		if at.value == value && strings.HasPrefix(at.path, path) {
 			return at.path
@@ -97,8 +97,8 @@
 	return path
 }
 
-// parent returns a path without its last field name or index.
-func parent(path string) string {
+// parentPath returns a path without its last field name or index.
+func parentPath(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
 		return ""
--- a/settings/section.go
+++ b/settings/section.go
@@ -20,5 +20,5 @@
 	if s.node == nil || s.node.Type() == ast.NullType {
 		return nil
 	}
-	return placed(yaml.NodeToValue(s.node, into, options()...), s.node, into)
+	return locateTextError(yaml.NodeToValue(s.node, into, decodeOptions()...), s.node, into)
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// sample is a settings type that uses every feature of the loader.
-type sample struct {
+// testSettings is a settings type that uses every feature of the loader.
+type testSettings struct {
 	Name  string             `yaml:"name"`
 	Wait  time.Duration      `yaml:"wait"`
 	Inner inner              `yaml:"inner"`
@@ -23,9 +23,9 @@
 	Count int `yaml:"count"`
 }
 
-func (s *sample) SetDefaults() { s.Wait = time.Second }
+func (s *testSettings) SetDefaults() { s.Wait = time.Second }
 
-func (s *sample) CheckSettings(r *Report) {
+func (s *testSettings) CheckSettings(r *Report) {
 	if s.Name == "" {
 		r.Add("name", "is missing", "give a name")
 	}
@@ -42,7 +42,7 @@
 
 // TestGood checks that valid settings are decoded and defaults applied.
 func TestGood(t *testing.T) {
-	s, err := Parse[sample]("f.yaml", []byte("name: n\ninner: {count: 3}\nparts:\n  p: {count: 4}\n"))
+	s, err := Parse[testSettings]("f.yaml", []byte("name: n\ninner: {count: 3}\nparts:\n  p: {count: 4}\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Wait, time.Second)
 	assert.Equal(t, s.Inner.Count, 3)
@@ -68,7 +68,7 @@
 		{"part", "name: n\nparts:\n  p:\n    cuont: 1\n", `f.yaml:4:5: parts.p.cuont: unknown field "cuont"; see docs/settings.md`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse[sample]("f.yaml", []byte(c.text))
+			_, err := Parse[testSettings]("f.yaml", []byte(c.text))
 			var invalid *InvalidError
 			assert.Assert(t, errors.As(err, &invalid), "%v", err)
 			assert.Equal(t, err.Error(), c.want)
@@ -78,19 +78,19 @@
 
 // TestLoad loads a file, and checks the errors for missing and too large ones.
 func TestLoad(t *testing.T) {
-	_, err := Load[sample](filepath.Join(t.TempDir(), "none.yaml"))
+	_, err := Load[testSettings](filepath.Join(t.TempDir(), "none.yaml"))
 	var unread *ReadError
 	assert.Assert(t, errors.As(err, &unread))
 	assert.ErrorIs(t, err, os.ErrNotExist)
 
 	file := filepath.Join(t.TempDir(), "s.yaml")
 	assert.NilError(t, os.WriteFile(file, []byte("name: n\n"), 0o600))
-	s, err := Load[sample](file)
+	s, err := Load[testSettings](file)
 	assert.NilError(t, err)
 	assert.Equal(t, s.Name, "n")
 
 	assert.NilError(t, os.WriteFile(file, make([]byte, maxFileBytes+1), 0o600))
-	_, err = Load[sample](file)
+	_, err = Load[testSettings](file)
 	var large *TooLargeError
 	assert.Assert(t, errors.As(err, &large))
 }
@@ -105,12 +105,12 @@
 		if len(data) > 1<<10 {
 			return
 		}
-		_, err := Parse[sample]("f.yaml", data)
+		_, err := Parse[testSettings]("f.yaml", data)
 		var invalid *InvalidError
 		if err != nil && !errors.As(err, &invalid) {
 			t.Fatalf("%T", err)
 		}
-		_, err = Parse[painted]("f.yaml", data)
+		_, err = Parse[colourSettings]("f.yaml", data)
 		if err != nil && !errors.As(err, &invalid) {
 			t.Fatalf("%T", err)
 		}
--- a/settings/text.go
+++ b/settings/text.go
@@ -25,16 +25,16 @@
 // Unwrap returns the error of UnmarshalText.
 func (e *TextError) Unwrap() error { return e.Err }
 
-// placed adds the field to an error from decoding a node into a value. It returns a
+// locateTextError adds the field to an error from decoding a node into a value. It returns a
 // *TextError, or the error unchanged if it has a position already, is a *DurationError
 // (which AddError locates by its value) or no field is found.
-func placed(err error, n ast.Node, into any) error {
+func locateTextError(err error, n ast.Node, into any) error {
 	var located yaml.Error
 	var duration *DurationError
 	if err == nil || errors.As(err, &located) || errors.As(err, &duration) {
 		return err
 	}
-	if found := textFault("", n, reflect.TypeOf(into)); found != nil {
+	if found := findTextError("", n, reflect.TypeOf(into)); found != nil {
 		return found
 	}
 	return err
@@ -43,32 +43,32 @@
 // textUnmarshaler is the type of encoding.TextUnmarshaler.
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-// textFault returns the first error of UnmarshalText in a node that is decoded into a
+// findTextError returns the first error of UnmarshalText in a node that is decoded into a
 // type, nil if there is none.
-func textFault(path string, n ast.Node, t reflect.Type) *TextError {
+func findTextError(path string, n ast.Node, t reflect.Type) *TextError {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	if scalar, ok := n.(ast.ScalarNode); ok {
-		return scalarFault(path, scalar, t)
+		return scalarTextError(path, scalar, t)
 	}
 	switch n := n.(type) {
 	case *ast.MappingNode:
 		for _, v := range n.Values {
-			if found := valueFault(path, v, t); found != nil {
+			if found := valueTextError(path, v, t); found != nil {
 				return found
 			}
 		}
 	case *ast.MappingValueNode:
-		return valueFault(path, n, t)
+		return valueTextError(path, n, t)
 	case *ast.SequenceNode:
-		return itemFault(path, n, t)
+		return itemTextError(path, n, t)
 	}
 	return nil
 }
 
-// scalarFault calls UnmarshalText of the type, if it has the method, with a scalar.
-func scalarFault(path string, n ast.ScalarNode, t reflect.Type) *TextError {
+// scalarTextError calls UnmarshalText of the type, if it has the method, with a scalar.
+func scalarTextError(path string, n ast.ScalarNode, t reflect.Type) *TextError {
 	if n.Type() == ast.NullType || !reflect.PointerTo(t).Implements(textUnmarshaler) {
 		return nil
 	}
@@ -79,23 +79,23 @@
 	return nil
 }
 
-// valueFault is textFault for the value of a mapping's key.
-func valueFault(path string, v *ast.MappingValueNode, t reflect.Type) *TextError {
+// valueTextError is findTextError for the value of a mapping's key.
+func valueTextError(path string, v *ast.MappingValueNode, t reflect.Type) *TextError {
 	key := v.Key.GetToken().Value
 	below, ok := memberType(t, key)
 	if !ok {
 		return nil
 	}
-	return textFault(joined(path, key), v.Value, below)
+	return findTextError(joinPath(path, key), v.Value, below)
 }
 
-// itemFault is textFault for the items of a list.
-func itemFault(path string, n *ast.SequenceNode, t reflect.Type) *TextError {
+// itemTextError is findTextError for the items of a list.
+func itemTextError(path string, n *ast.SequenceNode, t reflect.Type) *TextError {
 	if t.Kind() != reflect.Slice && t.Kind() != reflect.Array {
 		return nil
 	}
 	for i, v := range n.Values {
-		if found := textFault(fmt.Sprintf("%s[%d]", path, i), v, t.Elem()); found != nil {
+		if found := findTextError(fmt.Sprintf("%s[%d]", path, i), v, t.Elem()); found != nil {
 			return found
 		}
 	}
@@ -119,8 +119,8 @@
 	return nil, false
 }
 
-// joined appends a field name, path or index to a path.
-func joined(path, field string) string {
+// joinPath appends a field name, path or index to a path.
+func joinPath(path, field string) string {
 	if path == "" || field == "" || strings.HasPrefix(field, "[") {
 		return path + field
 	}
--- a/settings/text_test.go
+++ b/settings/text_test.go
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// painted uses colour in every position that settings support.
-type painted struct {
+// colourSettings uses colour in every position that settings support.
+type colourSettings struct {
 	Wall   colour             `yaml:"wall"`
 	Door   *colour            `yaml:"door"`
 	Rooms  []room             `yaml:"rooms"`
@@ -38,7 +38,7 @@
 	Floor colour `yaml:"floor"`
 }
 
-func (p *painted) CheckSettings(r *Report) {
+func (p *colourSettings) CheckSettings(r *Report) {
 	var part room
 	if err := p.Parts["p"].Decode(&part); err != nil {
 		r.AddError("parts.p", err)
@@ -57,7 +57,7 @@
 		{"part", "wall: red\nparts:\n  p:\n    floor: blue\n", `f.yaml:4:5: parts.p.floor: "blue" is not a colour`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse[painted]("f.yaml", []byte(c.text))
+			_, err := Parse[colourSettings]("f.yaml", []byte(c.text))
 			var invalid *InvalidError
 			assert.Assert(t, errors.As(err, &invalid), "%v", err)
 			assert.Equal(t, err.Error(), c.want+"; see docs/settings.md")
--- a/tlsconf/files.go
+++ b/tlsconf/files.go
@@ -27,34 +27,34 @@
 // Enabled reports whether the settings name any file.
 func (s Settings) Enabled() bool { return s.Cert != "" || s.Key != "" || s.CA != "" }
 
-// material is the loaded content of the files.
-type material struct {
+// credentials is the loaded content of the files.
+type credentials struct {
 	cert tls.Certificate
 	// authorities is nil if there is no CA file.
 	authorities *x509.CertPool
 }
 
 // load reads and validates the files. The error is a *FileError.
-func load(s Settings, now time.Time) (*material, error) {
-	certPEM, err := read("certificate", s.Cert)
+func load(s Settings, now time.Time) (*credentials, error) {
+	certPEM, err := readPEM("certificate", s.Cert)
 	if err != nil {
 		return nil, err
 	}
-	keyPEM, err := read("key", s.Key)
+	keyPEM, err := readPEM("key", s.Key)
 	if err != nil {
 		return nil, err
 	}
-	m := &material{}
-	if m.cert, err = pair(s, certPEM, keyPEM); err != nil {
+	m := &credentials{}
+	if m.cert, err = parseKeyPair(s, certPEM, keyPEM); err != nil {
 		return nil, err
 	}
-	if err := checkTime(s, m.cert.Leaf, now); err != nil {
+	if err := checkValidity(s, m.cert.Leaf, now); err != nil {
 		return nil, err
 	}
 	if s.CA == "" {
 		return m, nil
 	}
-	caPEM, err := read("ca", s.CA)
+	caPEM, err := readPEM("ca", s.CA)
 	if err != nil {
 		return nil, err
 	}
@@ -65,8 +65,8 @@
 	return m, m.checkChain(s, now)
 }
 
-// read reads a PEM file. The error is a *FileError.
-func read(field, name string) ([]byte, error) {
+// readPEM reads a PEM file. The error is a *FileError.
+func readPEM(field, name string) ([]byte, error) {
 	if name == "" {
 		return nil, &FileError{Field: field, Problem: Missing}
 	}
@@ -94,9 +94,9 @@
 	return data, err
 }
 
-// pair parses the certificate and its key. The error is a *FileError that names the
+// parseKeyPair parses the certificate and its key. The error is a *FileError that names the
 // invalid one of the two files.
-func pair(s Settings, certPEM, keyPEM []byte) (tls.Certificate, error) {
+func parseKeyPair(s Settings, certPEM, keyPEM []byte) (tls.Certificate, error) {
 	cert, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err == nil {
 		return cert, nil
@@ -105,15 +105,15 @@
 	if _, certErr := x509.ParseCertificate(block.Bytes); certErr != nil {
 		return tls.Certificate{}, &FileError{Field: "certificate", File: s.Cert, Problem: Malformed, Err: certErr}
 	}
-	if !holdsKey(keyPEM) {
+	if !isPrivateKey(keyPEM) {
 		return tls.Certificate{}, &FileError{Field: "key", File: s.Key, Problem: Malformed, Err: err}
 	}
 	return tls.Certificate{}, &FileError{Field: "key", File: s.Key, Problem: Mismatched, Err: err}
 }
 
-// holdsKey reports whether the first PEM block is a private key in PKCS #8, SEC 1 or
+// isPrivateKey reports whether the first PEM block is a private key in PKCS #8, SEC 1 or
 // PKCS #1 form.
-func holdsKey(keyPEM []byte) bool {
+func isPrivateKey(keyPEM []byte) bool {
 	block, _ := pem.Decode(keyPEM)
 	if _, err := x509.ParsePKCS8PrivateKey(block.Bytes); err == nil {
 		return true
@@ -125,8 +125,8 @@
 	return err == nil
 }
 
-// checkTime returns a *FileError if the certificate has expired or is not valid yet.
-func checkTime(s Settings, leaf *x509.Certificate, now time.Time) error {
+// checkValidity returns a *FileError if the certificate has expired or is not valid yet.
+func checkValidity(s Settings, leaf *x509.Certificate, now time.Time) error {
 	switch {
 	case now.After(leaf.NotAfter):
 		return &FileError{Field: "certificate", File: s.Cert, Problem: Expired, At: leaf.NotAfter}
@@ -139,7 +139,7 @@
 
 // checkChain verifies the certificate against the CA file, as peers do, which have
 // the same CA file. The error is a *FileError.
-func (m *material) checkChain(s Settings, now time.Time) error {
+func (m *credentials) checkChain(s Settings, now time.Time) error {
 	certs := []*x509.Certificate{m.cert.Leaf}
 	for _, der := range m.cert.Certificate[1:] {
 		c, err := x509.ParseCertificate(der)
@@ -157,13 +157,13 @@
 // verify verifies a certificate chain but not the name in the certificate. Server
 // and client certificates are accepted, since each instance is both.
 func verify(certs []*x509.Certificate, authorities *x509.CertPool, now time.Time) error {
-	inter := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range certs[1:] {
-		inter.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := certs[0].Verify(x509.VerifyOptions{
 		Roots:         authorities,
-		Intermediates: inter,
+		Intermediates: intermediates,
 		CurrentTime:   now,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	})
--- a/tlsconf/peer_test.go
+++ b/tlsconf/peer_test.go
@@ -15,23 +15,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// process is one endpoint of a connection between peers.
-type process struct {
+// testInstance is one endpoint of a connection between peers.
+type testInstance struct {
 	id    ident.InstanceID
-	files *files
+	files *testFiles
 	tls   *Reloader
 }
 
-// newProcess returns an instance whose certificate is issued for the given name.
-func newProcess(t *testing.T, a *authority, id ident.InstanceID, name string) *process {
+// newTestInstance returns an instance whose certificate is issued for the given name.
+func newTestInstance(t *testing.T, a *authority, id ident.InstanceID, name string) *testInstance {
 	f := newFiles(t, a, name)
 	r, err := New(f.Settings, Options{})
 	assert.NilError(t, err)
-	return &process{id: id, files: f, tls: r}
+	return &testInstance{id: id, files: f, tls: r}
 }
 
 // config returns a peer configuration that allows every identity.
-func (p *process) config() peer.Config {
+func (p *testInstance) config() peer.Config {
 	return peer.Config{
 		Self:  peer.Identity{Instance: p.id, Incarnation: 1, Zone: "hall-a"},
 		Allow: func(peer.Identity) bool { return true },
@@ -41,7 +41,7 @@
 
 // serve runs a server until the test ends and returns its address. Its method "who"
 // returns the instance ID of the client.
-func (p *process) serve(t *testing.T) string {
+func (p *testInstance) serve(t *testing.T) string {
 	srv := peer.NewServer(p.config())
 	peer.Handle(srv, "who", func(_ context.Context, from peer.Identity, _ struct{}) (ident.InstanceID, error) {
 		return from.Instance, nil
@@ -58,7 +58,7 @@
 }
 
 // call calls the method "who" of the peer at an address.
-func (p *process) call(t *testing.T, addr string) (ident.InstanceID, error) {
+func (p *testInstance) call(t *testing.T, addr string) (ident.InstanceID, error) {
 	pool := peer.NewPool(p.config())
 	defer pool.Close()
 	return peer.Call[ident.InstanceID](t.Context(), pool, addr, "who", struct{}{})
@@ -68,24 +68,24 @@
 // matching certificate, and rejects one that claims another instance ID, has a
 // certificate of another authority or doesn't use TLS.
 func TestPeersKnowEachOtherByCertificate(t *testing.T) {
-	a, stranger := newAuthority(t), newAuthority(t)
-	server := newProcess(t, a, "entry-a1", "entry-a1")
+	a, otherAuthority := newAuthority(t), newAuthority(t)
+	server := newTestInstance(t, a, "entry-a1", "entry-a1")
 	addr := server.serve(t)
-	who, err := newProcess(t, a, "entry-a2", "entry-a2").call(t, addr)
+	who, err := newTestInstance(t, a, "entry-a2", "entry-a2").call(t, addr)
 	assert.NilError(t, err)
 	assert.Equal(t, who, ident.InstanceID("entry-a2"))
 
-	_, err = newProcess(t, a, "entry-a2", "entry-a3").call(t, addr)
+	_, err = newTestInstance(t, a, "entry-a2", "entry-a3").call(t, addr)
 	var wrong *peer.IdentityError
 	assert.Assert(t, errors.As(err, &wrong), "%v", err)
 	assert.Equal(t, wrong.Claimed, ident.InstanceID("entry-a2"))
 	assert.Equal(t, peer.DeliveryOf(err), peer.NotSent)
 
-	_, err = newProcess(t, stranger, "entry-a2", "entry-a2").call(t, addr)
+	_, err = newTestInstance(t, otherAuthority, "entry-a2", "entry-a2").call(t, addr)
 	assert.Assert(t, err != nil)
 	assert.Equal(t, peer.DeliveryOf(err), peer.NotSent)
 
-	plain := newProcess(t, a, "entry-a2", "entry-a2")
+	plain := newTestInstance(t, a, "entry-a2", "entry-a2")
 	cfg := plain.config()
 	cfg.TLS = nil
 	pool := peer.NewPool(cfg)
@@ -99,11 +99,11 @@
 // claims an instance ID other than that in its certificate, or whose certificate is
 // of another authority.
 func TestClientRefusesAServerOfAnotherName(t *testing.T) {
-	a, stranger := newAuthority(t), newAuthority(t)
-	client := newProcess(t, a, "entry-a2", "entry-a2")
-	_, err := client.call(t, newProcess(t, a, "entry-a1", "entry-a9").serve(t))
+	a, otherAuthority := newAuthority(t), newAuthority(t)
+	client := newTestInstance(t, a, "entry-a2", "entry-a2")
+	_, err := client.call(t, newTestInstance(t, a, "entry-a1", "entry-a9").serve(t))
 	assert.Assert(t, errors.As(err, new(*peer.IdentityError)), "%v", err)
-	_, err = client.call(t, newProcess(t, stranger, "entry-a1", "entry-a1").serve(t))
+	_, err = client.call(t, newTestInstance(t, otherAuthority, "entry-a1", "entry-a1").serve(t))
 	assert.Assert(t, errors.As(err, new(*ChainError)), "%v", err)
 }
 
@@ -111,17 +111,17 @@
 // that new connections are verified against it.
 func TestNewAuthorityTakesEffect(t *testing.T) {
 	a, next := newAuthority(t), newAuthority(t)
-	server := newProcess(t, a, "entry-a1", "entry-a1")
+	server := newTestInstance(t, a, "entry-a1", "entry-a1")
 	addr := server.serve(t)
-	old := newProcess(t, a, "entry-a2", "entry-a2")
+	old := newTestInstance(t, a, "entry-a2", "entry-a2")
 	_, err := old.call(t, addr)
 	assert.NilError(t, err)
-	server.files.renew(next.today("entry-a1"))
+	server.files.replaceKeyPair(next.issueValid("entry-a1"))
 	server.files.write(server.files.CA, pemBlock("CERTIFICATE", next.cert.Raw))
 	server.tls.Check()
 	assert.NilError(t, server.tls.Status().Err)
 	_, err = old.call(t, addr)
 	assert.Assert(t, err != nil)
-	_, err = newProcess(t, next, "entry-a2", "entry-a2").call(t, addr)
+	_, err = newTestInstance(t, next, "entry-a2", "entry-a2").call(t, addr)
 	assert.NilError(t, err)
 }
--- a/tlsconf/reloader.go
+++ b/tlsconf/reloader.go
@@ -34,11 +34,11 @@
 	now      func() time.Time
 
 	mu      sync.Mutex
-	current *material
-	// seen is the state of the files at the last successful load, failed that at
+	current *credentials
+	// loaded is the state of the files at the last successful load, failed that at
 	// the last failure since.
-	seen   fingerprint
-	failed fingerprint
+	loaded fileStates
+	failed fileStates
 	status Status
 }
 
@@ -67,22 +67,22 @@
 	return r, r.Reload()
 }
 
-// fingerprint is the state of the three files, compared to detect changes.
-type fingerprint [3]fileStamp
+// fileStates is the state of the three files, compared to detect changes.
+type fileStates [3]fileState
 
-// fileStamp is the modification time and size of a file.
-type fileStamp struct {
+// fileState is the modification time and size of a file.
+type fileState struct {
 	modified time.Time
 	size     int64
 }
 
-// look returns the current state of the files. A file that can't be examined has the
+// stat returns the current state of the files. A file that can't be examined has the
 // zero stamp; reading it returns the error.
-func (s Settings) look() fingerprint {
-	var f fingerprint
+func (s Settings) stat() fileStates {
+	var f fileStates
 	for i, name := range []string{s.Cert, s.Key, s.CA} {
 		if info, err := os.Stat(name); err == nil {
-			f[i] = fileStamp{modified: info.ModTime(), size: info.Size()}
+			f[i] = fileState{modified: info.ModTime(), size: info.Size()}
 		}
 	}
 	return f
@@ -115,10 +115,10 @@
 
 // changed reports whether the files changed since the last successful load.
 func (r *Reloader) changed() bool {
-	now := r.settings.look()
+	now := r.settings.stat()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now != r.seen
+	return now != r.loaded
 }
 
 // Reload reloads the files unconditionally, as on SIGHUP. If they are invalid, the
@@ -127,27 +127,27 @@
 func (r *Reloader) Reload() error {
 	// The state is taken before reading, so that changed detects a change that is
 	// made while the files are read.
-	look := r.settings.look()
+	state := r.settings.stat()
 	m, err := load(r.settings, r.now())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.fail(look, err)
+		r.recordFailure(state, err)
 		return err
 	}
-	r.current, r.seen, r.failed = m, look, fingerprint{}
+	r.current, r.loaded, r.failed = m, state, fileStates{}
 	r.status = Status{NotAfter: m.cert.Leaf.NotAfter, Loads: r.status.Loads + 1}
 	r.log.Info("tls files in force", "cert", r.settings.Cert, "not_after", m.cert.Leaf.NotAfter)
 	return nil
 }
 
-// fail records a failed load. It logs the error once for the same state of the
+// recordFailure records a failed load. It logs the error once for the same state of the
 // files. The caller must hold mu.
-func (r *Reloader) fail(look fingerprint, err error) {
-	if r.status.Err == nil || look != r.failed {
+func (r *Reloader) recordFailure(state fileStates, err error) {
+	if r.status.Err == nil || state != r.failed {
 		r.log.Error("tls files not in force, the ones before stay", "error", err)
 	}
-	r.failed = look
+	r.failed = state
 	r.status.Err = err
 }
 
@@ -158,8 +158,8 @@
 	return r.status
 }
 
-// inForce returns the current keys and certificates.
-func (r *Reloader) inForce() *material {
+// currentCredentials returns the current keys and certificates.
+func (r *Reloader) currentCredentials() *credentials {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current
@@ -169,12 +169,12 @@
 // accepted from a peer, which must present a certificate signed by an authority in
 // the CA file. Without a CA file, all peers are rejected.
 func (r *Reloader) ServerConfig() *tls.Config {
-	m := r.inForce()
+	m := r.currentCredentials()
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		Certificates:           []tls.Certificate{m.cert},
 		ClientAuth:             tls.RequireAnyClientCert,
-		VerifyConnection:       r.verifier(m),
+		VerifyConnection:       r.peerVerifier(m),
 		SessionTicketsDisabled: true,
 	}
 }
@@ -183,20 +183,20 @@
 // dialled to a peer. It verifies the certificate chain; package peer verifies the
 // name, which is known only from the peer's hello.
 func (r *Reloader) ClientConfig() *tls.Config {
-	m := r.inForce()
+	m := r.currentCredentials()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{m.cert},
 		// The standard verification requires a server name; VerifyConnection
 		// verifies the chain without one.
 		InsecureSkipVerify: true,
-		VerifyConnection:   r.verifier(m),
+		VerifyConnection:   r.peerVerifier(m),
 	}
 }
 
-// verifier returns a function that verifies the certificate chain of a peer. Its
+// peerVerifier returns a function that verifies the certificate chain of a peer. Its
 // error is a *ChainError.
-func (r *Reloader) verifier(m *material) func(tls.ConnectionState) error {
+func (r *Reloader) peerVerifier(m *credentials) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		authorities := m.authorities
 		if authorities == nil {
@@ -216,7 +216,7 @@
 		MinVersion: tls.VersionTLS12,
 		NextProtos: []string{"h2", "http/1.1"},
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &r.inForce().cert, nil
+			return &r.currentCredentials().cert, nil
 		},
 	}
 }
--- a/tlsconf/tlsconf_test.go
+++ b/tlsconf/tlsconf_test.go
@@ -70,8 +70,8 @@
 	return pemBlock("CERTIFICATE", der), pemBlock("PRIVATE KEY", keyDER)
 }
 
-// today issues a certificate that is currently valid.
-func (a *authority) today(name string) (cert, key []byte) {
+// issueValid issues a certificate that is currently valid.
+func (a *authority) issueValid(name string) (cert, key []byte) {
 	return a.issue(name, time.Now().Add(-time.Hour), time.Now().Add(24*time.Hour))
 }
 
@@ -80,33 +80,33 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// files holds the three files of a test.
-type files struct {
+// testFiles holds the three files of a test.
+type testFiles struct {
 	t *testing.T
 	Settings
 	writes int
 }
 
 // newFiles writes the files of an instance with a currently valid certificate.
-func newFiles(t *testing.T, a *authority, name string) *files {
+func newFiles(t *testing.T, a *authority, name string) *testFiles {
 	dir := t.TempDir()
-	f := &files{t: t, Settings: Settings{
+	f := &testFiles{t: t, Settings: Settings{
 		Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem"),
 	}}
-	f.renew(a.today(name))
+	f.replaceKeyPair(a.issueValid(name))
 	f.write(f.CA, pemBlock("CERTIFICATE", a.cert.Raw))
 	return f
 }
 
-// renew replaces the certificate and its key.
-func (f *files) renew(cert, key []byte) {
+// replaceKeyPair replaces the certificate and its key.
+func (f *testFiles) replaceKeyPair(cert, key []byte) {
 	f.write(f.Cert, cert)
 	f.write(f.Key, key)
 }
 
 // write writes one file and gives it a later modification time than the writes
 // before, so that each write is detected as a change.
-func (f *files) write(name string, data []byte) {
+func (f *testFiles) write(name string, data []byte) {
 	f.t.Helper()
 	assert.NilError(f.t, os.WriteFile(name, data, 0o600))
 	f.writes++
@@ -117,29 +117,29 @@
 // TestBrokenFilesAreNamed checks that the error for invalid files names the field and
 // the problem, and that the current certificates stay in use.
 func TestBrokenFilesAreNamed(t *testing.T) {
-	a, stranger := newAuthority(t), newAuthority(t)
+	a, otherAuthority := newAuthority(t), newAuthority(t)
 	now := time.Now()
 	tests := []struct {
 		name    string
-		spoil   func(f *files)
+		corrupt func(f *testFiles)
 		field   string
 		problem Problem
 	}{
-		{"no certificate named", func(f *files) { f.Cert = "" }, "certificate", Missing},
-		{"no key named", func(f *files) { f.Key = "" }, "key", Missing},
-		{"certificate gone", func(f *files) { f.Cert += "x" }, "certificate", Unreadable},
-		{"CA gone", func(f *files) { f.CA += "x" }, "ca", Unreadable},
-		{"certificate is text", func(f *files) { f.write(f.Cert, []byte("hello")) }, "certificate", Malformed},
-		{"certificate is cut short", func(f *files) { f.write(f.Cert, pemBlock("CERTIFICATE", []byte{1, 2})) }, "certificate", Malformed},
-		{"key is text", func(f *files) { f.write(f.Key, []byte("hello")) }, "key", Malformed},
-		{"key is a certificate", func(f *files) { f.write(f.Key, pemBlock("CERTIFICATE", a.cert.Raw)) }, "key", Malformed},
-		{"CA is text", func(f *files) { f.write(f.CA, []byte("hello")) }, "ca", Malformed},
-		{"CA holds no certificate", func(f *files) { f.write(f.CA, pemBlock("CERTIFICATE", []byte{1})) }, "ca", Malformed},
-		{"file is huge", func(f *files) { f.write(f.CA, make([]byte, maxFileBytes+1)) }, "ca", Unreadable},
-		{"key of another certificate", func(f *files) { _, key := a.today("b"); f.write(f.Key, key) }, "key", Mismatched},
-		{"expired", func(f *files) { f.renew(a.issue("a", now.Add(-time.Hour), now.Add(-time.Minute))) }, "certificate", Expired},
-		{"not valid yet", func(f *files) { f.renew(a.issue("a", now.Add(time.Minute), now.Add(time.Hour))) }, "certificate", NotYetValid},
-		{"another authority", func(f *files) { f.renew(stranger.today("a")) }, "certificate", Untrusted},
+		{"no certificate named", func(f *testFiles) { f.Cert = "" }, "certificate", Missing},
+		{"no key named", func(f *testFiles) { f.Key = "" }, "key", Missing},
+		{"certificate gone", func(f *testFiles) { f.Cert += "x" }, "certificate", Unreadable},
+		{"CA gone", func(f *testFiles) { f.CA += "x" }, "ca", Unreadable},
+		{"certificate is text", func(f *testFiles) { f.write(f.Cert, []byte("hello")) }, "certificate", Malformed},
+		{"certificate is cut short", func(f *testFiles) { f.write(f.Cert, pemBlock("CERTIFICATE", []byte{1, 2})) }, "certificate", Malformed},
+		{"key is text", func(f *testFiles) { f.write(f.Key, []byte("hello")) }, "key", Malformed},
+		{"key is a certificate", func(f *testFiles) { f.write(f.Key, pemBlock("CERTIFICATE", a.cert.Raw)) }, "key", Malformed},
+		{"CA is text", func(f *testFiles) { f.write(f.CA, []byte("hello")) }, "ca", Malformed},
+		{"CA holds no certificate", func(f *testFiles) { f.write(f.CA, pemBlock("CERTIFICATE", []byte{1})) }, "ca", Malformed},
+		{"file is huge", func(f *testFiles) { f.write(f.CA, make([]byte, maxFileBytes+1)) }, "ca", Unreadable},
+		{"key of another certificate", func(f *testFiles) { _, key := a.issueValid("b"); f.write(f.Key, key) }, "key", Mismatched},
+		{"expired", func(f *testFiles) { f.replaceKeyPair(a.issue("a", now.Add(-time.Hour), now.Add(-time.Minute))) }, "certificate", Expired},
+		{"not valid yet", func(f *testFiles) { f.replaceKeyPair(a.issue("a", now.Add(time.Minute), now.Add(time.Hour))) }, "certificate", NotYetValid},
+		{"another authority", func(f *testFiles) { f.replaceKeyPair(otherAuthority.issueValid("a")) }, "certificate", Untrusted},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -147,7 +147,7 @@
 			r, err := New(f.Settings, Options{})
 			assert.NilError(t, err)
 			before := r.Status().NotAfter
-			tt.spoil(f)
+			tt.corrupt(f)
 			r.settings = f.Settings
 			err = r.Reload()
 			var fe *FileError
@@ -173,7 +173,7 @@
 	assert.NilError(t, err)
 	r.Check()
 	assert.Equal(t, r.Status().Loads, 1, "unchanged files were reloaded")
-	cert, key := a.today("entry-a1")
+	cert, key := a.issueValid("entry-a1")
 	f.write(f.Cert, cert)
 	r.Check()
 	assert.Assert(t, errors.As(r.Status().Err, new(*FileError)), "a certificate was loaded without its key")
@@ -201,7 +201,7 @@
 			r.Run(ctx)
 			close(done)
 		}()
-		f.renew(a.issue("entry-a1", now.Add(-time.Minute), now.Add(time.Hour)))
+		f.replaceKeyPair(a.issue("entry-a1", now.Add(-time.Minute), now.Add(time.Hour)))
 		time.Sleep(DefaultInterval + time.Second)
 		synctest.Wait()
 		assert.Equal(t, r.Status().Loads, 2)
@@ -233,7 +233,7 @@
 		return resp.TLS.PeerCertificates[0].SerialNumber
 	}
 	before := serial()
-	f.renew(a.today("entry-a1"))
+	f.replaceKeyPair(a.issueValid("entry-a1"))
 	assert.NilError(t, r.Reload())
 	assert.Assert(t, serial().Cmp(before) != 0)
 }
