--- a/settings/finding.go
+++ b/settings/finding.go
@@ -17,18 +17,18 @@
 	// Field is the path of the invalid field, for example "limits.body_bytes". It
 	// is empty if the finding concerns the whole file.
 	Field string
-	// Wrong describes the error, Advice how to correct it.
-	Wrong, Advice string
+	// Message describes the error, Advice how to correct it.
+	Message, Advice string
 }
 
-// String formats the finding as "file:line:column: field: wrong; advice".
+// String formats the finding as "file:line:column: field: message; advice".
 func (f Finding) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d:%d: ", f.File, f.Line, f.Column)
 	if f.Field != "" {
 		b.WriteString(f.Field + ": ")
 	}
-	b.WriteString(f.Wrong)
+	b.WriteString(f.Message)
 	if f.Advice != "" {
 		b.WriteString("; " + f.Advice)
 	}
--- a/settings/load.go
+++ b/settings/load.go
@@ -97,11 +97,11 @@
 // Add adds a finding for the field at a path such as "static.upstreams[2].id". If
 // the file doesn't contain the field, the position is that of the innermost parent
 // that it contains.
-func (r *Report) Add(field, wrong, advice string) {
+func (r *Report) Add(field, message, advice string) {
 	at := r.positions.nearest(field)
 	r.findings = append(r.findings, Finding{
 		File: r.file, Line: at.line, Column: at.column,
-		Field: field, Wrong: wrong, Advice: advice,
+		Field: field, Message: message, Advice: advice,
 	})
 }
 
@@ -131,13 +131,13 @@
 
 // addAt adds a finding at a position. Its field is the one at that position, or the
 // given one if there is none.
-func (r *Report) addAt(field string, at *token.Position, wrong string) {
+func (r *Report) addAt(field string, at *token.Position, message string) {
 	if found := r.positions.fieldAt(at.Line, at.Column); found != "" {
 		field = found
 	}
 	r.findings = append(r.findings, Finding{
 		File: r.file, Line: at.Line, Column: at.Column,
-		Field: field, Wrong: wrong, Advice: adviceReference,
+		Field: field, Message: message, Advice: adviceReference,
 	})
 }
 
