--- a/settings/load.go
+++ b/settings/load.go
@@ -17,12 +17,12 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes is the maximum size of a settings file.
 const maxFileBytes = 1 << 20
 
-// Checker is implemented by settings that check themselves after decoding.
+// Checker is implemented by settings that are validated after decoding.
 type Checker interface {
-	// CheckSettings reports each fault to r.
+	// CheckSettings adds each error to r.
 	CheckSettings(r *Report)
 }
 
@@ -30,13 +30,14 @@
 // called before decoding.
 type Defaulter interface{ SetDefaults() }
 
-// Load reads a settings file into a T. Errors are *ReadError and *InvalidError.
+// Load reads, decodes and checks a settings file. Errors are *ReadError and
+// *InvalidError.
 func Load[T any](file string) (*T, error) {
 	_, s, err := Read[T](file)
 	return s, err
 }
 
-// Read is Load that returns the file's content too.
+// Read is like Load but also returns the content of the file.
 func Read[T any](file string) ([]byte, *T, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -46,12 +47,13 @@
 	return data, s, err
 }
 
-// TooLargeError reports a settings file beyond its limit.
+// TooLargeError reports a settings file that exceeds the size limit.
 type TooLargeError struct{ Limit int }
 
 // Error implements error.
 func (*TooLargeError) Error() string { return "file is too large" }
 
+// readFile reads a file of at most maxFileBytes.
 func readFile(file string) ([]byte, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -65,7 +67,7 @@
 	return data, err
 }
 
-// Parse decodes and checks settings; the file's name is used in findings only.
+// Parse decodes and checks settings. The file name is used only in findings.
 // The error is an *InvalidError.
 func Parse[T any](file string, data []byte) (*T, error) {
 	r := &Report{file: file}
@@ -84,27 +86,30 @@
 	return into, nil
 }
 
-// Report collects the findings of one file.
+// Report collects the findings for one file.
 type Report struct {
-	file     string
-	places   places
-	findings []Finding
+	file string
+	// positions holds the positions of the fields in the file.
+	positions fieldPositions
+	findings  []Finding
 }
 
-// Add reports a fault of the field at a path such as "static.upstreams[2].id".
-func (r *Report) Add(field, wrong, advice string) {
-	at := r.places.nearest(field)
+// Add adds a finding for the field at a path such as "static.upstreams[2].id". If
+// the file doesn't contain the field, the position is that of the innermost parent
+// that it contains.
+func (r *Report) Add(field, message, advice string) {
+	at := r.positions.nearest(field)
 	r.findings = append(r.findings, Finding{
 		File: r.file, Line: at.line, Column: at.column,
-		Field: field, Wrong: wrong, Advice: advice,
+		Field: field, Message: message, Advice: advice,
 	})
 }
 
-// adviceReference is for faults that the decoder finds.
+// adviceReference is the advice text for errors of the decoder.
 const adviceReference = "see docs/settings.md"
 
-// AddError reports an error that decoding a part of the file gave; field is
-// where the part begins.
+// AddError adds a finding for an error from decoding a part of the file. field is
+// the path of that part.
 func (r *Report) AddError(field string, err error) {
 	var duration *DurationError
 	var located yaml.Error
@@ -112,11 +117,11 @@
 	var text *TextError
 	switch {
 	case errors.As(err, &text):
-		r.Add(joined(field, text.Path), text.Error(), adviceReference)
+		r.Add(joinPath(field, text.Path), text.Error(), adviceReference)
 	case errors.As(err, &duration):
-		r.Add(r.places.holding(field, duration.Text), duration.Error(), adviceDuration)
+		r.Add(r.positions.fieldWithValue(field, duration.Text), duration.Error(), adviceDuration)
 	case errors.As(err, &mistyped) && mistyped.Token != nil:
-		r.addAt(field, mistyped.Token.Position, fmt.Sprintf("%q is not %s", mistyped.Token.Value, kindName(mistyped.DstType)))
+		r.addAt(field, mistyped.Token.Position, fmt.Sprintf("%q is not %s", mistyped.Token.Value, describeType(mistyped.DstType)))
 	case errors.As(err, &located) && located.GetToken() != nil:
 		r.addAt(field, located.GetToken().Position, located.GetMessage())
 	default:
@@ -124,19 +129,20 @@
 	}
 }
 
-// addAt reports a fault at a position.
-func (r *Report) addAt(field string, at *token.Position, wrong string) {
-	if found := r.places.at(at.Line, at.Column); found != "" {
+// addAt adds a finding at a position. Its field is the one at that position, or the
+// given one if there is none.
+func (r *Report) addAt(field string, at *token.Position, message string) {
+	if found := r.positions.fieldAt(at.Line, at.Column); found != "" {
 		field = found
 	}
 	r.findings = append(r.findings, Finding{
 		File: r.file, Line: at.Line, Column: at.Column,
-		Field: field, Wrong: wrong, Advice: adviceReference,
+		Field: field, Message: message, Advice: adviceReference,
 	})
 }
 
-// kindName names what a field of a type takes.
-func kindName(t reflect.Type) string {
+// describeType describes the values that a field of a type accepts.
+func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64,
 		reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
@@ -154,10 +160,11 @@
 	}
 }
 
-// decode fills in the settings. It reports false after a fault.
+// decode decodes data into the settings. After an error, which it adds to the
+// findings, it returns false.
 func (r *Report) decode(data []byte, into any) bool {
 	tokens := lexer.Tokenize(string(data))
-	if !r.plain(tokens) {
+	if !r.supportedSyntax(tokens) {
 		return false
 	}
 	file, err := parser.Parse(tokens, 0)
@@ -173,17 +180,18 @@
 		r.Add("", "the file is empty", adviceReference)
 		return false
 	}
-	r.places.walk("", body)
-	if err := decodeGuarded(data, body, into); err != nil {
+	r.positions.walk("", body)
+	if err := decodeRecovering(data, body, into); err != nil {
 		r.AddError("", err)
 		return false
 	}
 	return true
 }
 
-// plain reports whether the file keeps to the part of YAML that settings use.
-// The library panics on some uses of the rest.
-func (r *Report) plain(tokens token.Tokens) bool {
+// supportedSyntax reports whether the file uses only the supported subset of YAML, and adds a
+// finding if not. Tags, anchors, aliases and merge keys are not supported, as the
+// YAML library panics on some uses of them.
+func (r *Report) supportedSyntax(tokens token.Tokens) bool {
 	for _, t := range tokens {
 		switch t.Type {
 		case token.TagType, token.AnchorType, token.AliasType, token.MergeKeyType:
@@ -194,25 +202,25 @@
 	return true
 }
 
-// UnreadableError reports a file on which the YAML library panicked.
-type UnreadableError struct{ Panic string }
+// YAMLPanicError reports a file that made the YAML library panic.
+type YAMLPanicError struct{ Panic string }
 
 // Error implements error.
-func (e *UnreadableError) Error() string { return "the YAML library cannot read this: " + e.Panic }
+func (e *YAMLPanicError) Error() string { return "the YAML library cannot read this: " + e.Panic }
 
-// decodeGuarded decodes a file, whose content is body. A settings file must not crash a program,
-// whatever is in it.
-func decodeGuarded(data []byte, body ast.Node, into any) (err error) {
+// decodeRecovering decodes a file, whose parsed content is body. It converts a panic of the YAML
+// library to an error, since no settings file, whatever its content, may crash a program.
+func decodeRecovering(data []byte, body ast.Node, into any) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = &UnreadableError{Panic: fmt.Sprint(p)}
+			err = &YAMLPanicError{Panic: fmt.Sprint(p)}
 		}
 	}()
-	err = yaml.NewDecoder(bytes.NewReader(data), options()...).Decode(into)
-	return placed(err, body, into)
+	err = yaml.NewDecoder(bytes.NewReader(data), decodeOptions()...).Decode(into)
+	return locateTextError(err, body, into)
 }
 
-// sorted returns the findings in the order of the file.
+// sorted returns the findings in order of their positions.
 func (r *Report) sorted() []Finding {
 	slices.SortStableFunc(r.findings, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
--- a/settings/text_test.go
+++ b/settings/text_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// colour is a type that reads itself from text.
+// colour implements encoding.TextUnmarshaler.
 type colour string
 
-// colourError reports a text that is no colour.
+// colourError reports a text that is not a colour.
 type colourError struct{ text string }
 
 func (e *colourError) Error() string { return fmt.Sprintf("%q is not a colour", e.text) }
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// painted has such a type wherever one can be.
-type painted struct {
+// colourSettings uses colour in every position that settings support.
+type colourSettings struct {
 	Wall   colour             `yaml:"wall"`
 	Door   *colour            `yaml:"door"`
 	Rooms  []room             `yaml:"rooms"`
@@ -38,15 +38,15 @@
 	Floor colour `yaml:"floor"`
 }
 
-func (p *painted) CheckSettings(r *Report) {
+func (p *colourSettings) CheckSettings(r *Report) {
 	var part room
 	if err := p.Parts["p"].Decode(&part); err != nil {
 		r.AddError("parts.p", err)
 	}
 }
 
-// TestTextFault: what a type's own UnmarshalText refuses is reported where it
-// stands, with the field.
+// TestTextFault checks that a value that UnmarshalText rejects is reported with its
+// position and field.
 func TestTextFault(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"field", "wall: red\ndoor: blue\n", `f.yaml:2:1: door: "blue" is not a colour`},
@@ -57,7 +57,7 @@
 		{"part", "wall: red\nparts:\n  p:\n    floor: blue\n", `f.yaml:4:5: parts.p.floor: "blue" is not a colour`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse[painted]("f.yaml", []byte(c.text))
+			_, err := Parse[colourSettings]("f.yaml", []byte(c.text))
 			var invalid *InvalidError
 			assert.Assert(t, errors.As(err, &invalid), "%v", err)
 			assert.Equal(t, err.Error(), c.want+"; see docs/settings.md")
