--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -79,8 +79,8 @@
 	ContinueFrom int
 }
 
-// Prefilled is the result of a prefill.
-type Prefilled struct {
+// PrefillResult is the result of a prefill.
+type PrefillResult struct {
 	// Params are the transfer parameters for the decode engine.
 	Params []byte
 	// CachedTokens is the number of prompt tokens that the engine reused from its
@@ -125,8 +125,8 @@
 	Token(c Chunk) error
 }
 
-// Decoded describes a complete output.
-type Decoded struct {
+// DecodeResult describes a complete output.
+type DecodeResult struct {
 	// Tokens is the length of the answer, summed over all attempts.
 	Tokens int
 	// FinishReason is why the output ended, for example "stop".
@@ -139,9 +139,9 @@
 // return early when their context ends.
 type Engine interface {
 	plugin.Plugin
-	Prefill(ctx context.Context, c *PrefillCall) (Prefilled, error)
-	Decode(ctx context.Context, c *DecodeCall, sink Sink) (Decoded, error)
-	Reattach(ctx context.Context, c *ReattachCall, sink Sink) (Decoded, error)
+	Prefill(ctx context.Context, c *PrefillCall) (PrefillResult, error)
+	Decode(ctx context.Context, c *DecodeCall, sink Sink) (DecodeResult, error)
+	Reattach(ctx context.Context, c *ReattachCall, sink Sink) (DecodeResult, error)
 	// Cancel makes the engine stop the attempt and release its resources. It
 	// returns nil once the engine holds no resources for the attempt.
 	Cancel(ctx context.Context, t *Target) error
@@ -164,8 +164,8 @@
 	ResponseLimit int64
 }
 
-// ServiceAnswer is the complete response of a plain service.
-type ServiceAnswer struct {
+// ServiceResponse is the complete response of a plain service.
+type ServiceResponse struct {
 	Status int
 	// Header holds the service's end-to-end headers.
 	Header http.Header
@@ -175,5 +175,5 @@
 // Service calls plain services. Failed calls return a *CallError.
 type Service interface {
 	plugin.Plugin
-	Call(ctx context.Context, c *ServiceCall) (*ServiceAnswer, error)
+	Call(ctx context.Context, c *ServiceCall) (*ServiceResponse, error)
 }
--- a/adapter/roundtrip/client.go
+++ b/adapter/roundtrip/client.go
@@ -117,10 +117,10 @@
 	return resp, nil
 }
 
-// Reach opens a connection to an address and closes it, to check that the address
+// CheckReachable opens a connection to an address and closes it, to check that the address
 // accepts connections. Its error is an *adapter.CallError with the evidence that
 // nothing was sent.
-func (c *Client) Reach(ctx context.Context, addr string) error {
+func (c *Client) CheckReachable(ctx context.Context, addr string) error {
 	conn, err := c.dial(ctx, addr)
 	if err != nil {
 		return failure(ctx, false, err)
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -146,7 +146,7 @@
 	}
 	l, err := ledger.New(ledger.Settings{
 		Instance: s.Instance, Zone: s.Zone,
-		Approvers: trusted, Isolated: s.Isolated, PauseGap: s.PauseAfter,
+		Approvers: trusted, Isolated: s.Isolated, PauseThreshold: s.PauseAfter,
 	}, now)
 	if err != nil {
 		return oops.In("agent").Wrapf(err, "parse the approvers")
--- a/agent/bundles.go
+++ b/agent/bundles.go
@@ -34,11 +34,11 @@
 // eventSource returns the source of an event, or the zero Source if it has none.
 func eventSource(e ledger.Event) ledger.Source {
 	switch e := e.(type) {
-	case ledger.RollSeen:
+	case ledger.RollReceived:
 		return e.From
-	case ledger.HeadSeen:
+	case ledger.HeadReceived:
 		return e.From
-	case ledger.PartsSeen:
+	case ledger.PartsReceived:
 		return e.From
 	case ledger.FloorReport:
 		return e.From
@@ -55,7 +55,7 @@
 	case ledger.Ready:
 		a.log.Info("ready", "bundle_version", act.InForce.Version, "unconfirmed", sourceNames(act.Unconfirmed))
 		a.feed.urgent = true
-	case ledger.AskFloor:
+	case ledger.QueryFloor:
 		a.queryFloor(act)
 	case ledger.FetchRoll:
 		a.fetchDocument(act.From, configservice.KeyRoll)
@@ -140,7 +140,7 @@
 	slices.SortFunc(sources, func(x, y ledger.Source) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Name, y.Name))
 	})
-	a.stepLedger(ledger.Roster{Sources: a.addFloorReporters(sources)})
+	a.stepLedger(ledger.SourceSet{Sources: a.addFloorReporters(sources)})
 }
 
 // addFloorReporters adds the peers that reported to a starting instance and have
@@ -178,7 +178,7 @@
 }
 
 // queryFloor queries a source for the floor.
-func (a *Agent) queryFloor(q ledger.AskFloor) {
+func (a *Agent) queryFloor(q ledger.QueryFloor) {
 	switch q.From.Kind {
 	case ledger.SourcePlatform:
 		a.queryPlatformFloor(q)
@@ -191,7 +191,7 @@
 
 // queryPlatformFloor reads the roll from the platform. A stale platform does not
 // know the floor.
-func (a *Agent) queryPlatformFloor(q ledger.AskFloor) {
+func (a *Agent) queryPlatformFloor(q ledger.QueryFloor) {
 	started := a.now
 	a.spawn(func(ctx context.Context) {
 		v, err := a.platformAdapter.Get(ctx, configservice.KeyRoll)
@@ -228,7 +228,7 @@
 }
 
 // queryFence queries an engine for the highest fencing number that it has seen.
-func (a *Agent) queryFence(q ledger.AskFloor) {
+func (a *Agent) queryFence(q ledger.QueryFloor) {
 	address := a.directory.upstreams[ident.UpstreamID(q.From.Name)].Address
 	a.spawn(func(ctx context.Context) {
 		s, err := a.engines.ReadOrders(ctx, address)
--- a/agent/console/fleet.go
+++ b/agent/console/fleet.go
@@ -19,20 +19,20 @@
 
 // Fleet holds the status of a set of agents at one time.
 type Fleet struct {
-	At        time.Time             `json:"at"`
-	Agents    []wire.Status         `json:"agents"`
-	Unreached []inquiry.Unreachable `json:"unreached,omitempty"`
+	At          time.Time             `json:"at"`
+	Agents      []wire.Status         `json:"agents"`
+	Unreachable []inquiry.Unreachable `json:"unreached,omitempty"`
 }
 
-// Look requests the status of the agents at the given operators' addresses, all
+// QueryFleet requests the status of the agents at the given operators' addresses, all
 // in parallel.
-func Look(ctx context.Context, pool *peer.Pool, addresses []string) *Fleet {
+func QueryFleet(ctx context.Context, pool *peer.Pool, addresses []string) *Fleet {
 	f := &Fleet{At: time.Now()}
-	f.Agents, f.Unreached = inquiry.CallAll[wire.Status](ctx, pool, addresses, wire.MethodStatus, wire.Empty{})
+	f.Agents, f.Unreachable = inquiry.CallAll[wire.Status](ctx, pool, addresses, wire.MethodStatus, wire.Empty{})
 	slices.SortFunc(f.Agents, func(a, b wire.Status) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Instance, b.Instance))
 	})
-	slices.SortFunc(f.Unreached, func(a, b inquiry.Unreachable) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(f.Unreachable, func(a, b inquiry.Unreachable) int { return cmp.Compare(a.Address, b.Address) })
 	return f
 }
 
@@ -78,7 +78,7 @@
 			fmt.Fprintf(t, "ALARM on %s: %s\n", f.Agents[i].Instance, a.Text)
 		}
 	}
-	inquiry.WriteUnreachable(t, f.Unreached)
+	inquiry.WriteUnreachable(t, f.Unreachable)
 	return t.Flush()
 }
 
--- a/agent/console/fleet_test.go
+++ b/agent/console/fleet_test.go
@@ -46,10 +46,10 @@
 			statusOf(0, func(s *wire.Status) {
 				s.Instance, s.Entry, s.Fleet = "a-9", wire.EntryStatus{}, wire.FleetStatus{}
 				s.Platform.LastResponseAgeMS = -1
-				s.Alarms = []wire.AlarmStatus{{Type: ledger.AlarmNothingRolled, Text: "nothing-rolled; step: publish"}}
+				s.Alarms = []wire.AlarmStatus{{Type: ledger.AlarmNoRoll, Text: "nothing-rolled; step: publish"}}
 			}),
 		},
-		Unreached: []inquiry.Unreachable{{Address: "127.0.0.1:1", Error: "refused"}},
+		Unreachable: []inquiry.Unreachable{{Address: "127.0.0.1:1", Error: "refused"}},
 	}
 	var b bytes.Buffer
 	assert.NilError(t, f.Write(&b))
@@ -90,12 +90,12 @@
 	assert.NilError(t, err)
 	assert.NilError(t, closed.Close())
 	pool := peer.NewPool(peer.Config{Self: peer.Identity{Instance: "ops-1", Incarnation: 1, Zone: "operators"}, Allow: all})
-	f := Look(t.Context(), pool, []string{l.Addr().String(), closed.Addr().String()})
+	f := QueryFleet(t.Context(), pool, []string{l.Addr().String(), closed.Addr().String()})
 	pool.Close()
 	assert.NilError(t, srv.Shutdown(t.Context()))
 	assert.NilError(t, <-done)
 	assert.Equal(t, len(f.Agents), 1)
 	assert.Equal(t, f.Agents[0].Bundle.Version, uint64(3))
-	assert.Equal(t, len(f.Unreached), 1)
+	assert.Equal(t, len(f.Unreachable), 1)
 	assert.DeepEqual(t, f.Versions(), []VersionCount{{Version: 3, Agents: 1}})
 }
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -209,7 +209,7 @@
 // the bundle in force. An entry that lacks a plug-in continues with the previous
 // version, so operators need an alarm.
 func (a *Agent) reportEntryDecision(r feed.Reply) {
-	e := ledger.EntryDecides{Version: r.BundleVersion}
+	e := ledger.EntryVersion{Version: r.BundleVersion}
 	if r.Rejected != nil {
 		e.Rejected, e.Err = r.Rejected.Version, &RejectedError{Reason: r.Rejected.Reason}
 	}
--- a/agent/heartbeats.go
+++ b/agent/heartbeats.go
@@ -206,7 +206,7 @@
 		a.orderPlanner.PeerInForce(started, from, hb.Version)
 	}
 	if hb.Revisions != nil {
-		a.stepLedger(ledger.Announced{From: peerSource(from), Summary: hb.Revisions.Summary()})
+		a.stepLedger(ledger.SummaryReceived{From: peerSource(from), Summary: hb.Revisions.Summary()})
 		a.fetchLists(from, hb.Revisions)
 	}
 	a.viewDirty = true
--- a/agent/parts.go
+++ b/agent/parts.go
@@ -206,7 +206,7 @@
 		return
 	}
 	a.relay.provider = from
-	a.stepLedger(ledger.PartsSeen{From: from, Parts: parts})
+	a.stepLedger(ledger.PartsReceived{From: from, Parts: parts})
 	close(a.relay.changed)
 	a.relay.changed = make(chan struct{})
 }
--- a/agent/rejected_test.go
+++ b/agent/rejected_test.go
@@ -25,7 +25,7 @@
 		a := nodes[0].status().Alarms[0]
 		assert.Equal(t, a.Type, ledger.AlarmEntryRejects)
 		assert.Assert(t, strings.Contains(a.Text, "order.of_tomorrow"), a.Text)
-		assert.Equal(t, a.Step, ledger.AlarmEntryRejects.Step())
+		assert.Equal(t, a.Step, ledger.AlarmEntryRejects.Remedy())
 		assert.Equal(t, nodes[0].version(), uint64(1))
 		assert.Equal(t, len(nodes[1].status().Alarms), 0)
 		old.set(func(r *feed.Reply) { r.Rejected, r.BundleVersion = nil, 1 })
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -92,7 +92,7 @@
 }
 
 // queryPeerFloor queries a peer for the floor.
-func (a *Agent) queryPeerFloor(q ledger.AskFloor) {
+func (a *Agent) queryPeerFloor(q ledger.QueryFloor) {
 	address := a.addressOf(q.From)
 	if address == "" {
 		a.stepLedger(ledger.Unreachable{From: q.From})
--- a/agent/source.go
+++ b/agent/source.go
@@ -93,7 +93,7 @@
 	}
 	live := a.zoneInstances()
 	for _, key := range watchedKeys {
-		reads := a.isFallbackReader(key) || configservice.Reads(a.self.Instance, key, a.self.Zone, live, a.settings.Platform.Readers)
+		reads := a.isFallbackReader(key) || configservice.IsElected(a.self.Instance, key, a.self.Zone, live, a.settings.Platform.Readers)
 		end, watching := a.platform.watches[key]
 		switch {
 		case reads && !watching:
@@ -230,10 +230,10 @@
 func (a *Agent) applyRoll(from ledger.Source, started time.Time, b []byte) {
 	roll, err := bundle.DecodeRoll(b)
 	if err != nil {
-		a.stepLedger(ledger.Garbled{From: from, Document: ledger.DocumentRoll, Err: err})
+		a.stepLedger(ledger.Undecodable{From: from, Document: ledger.DocumentRoll, Err: err})
 		return
 	}
-	a.stepLedger(ledger.RollSeen{From: from, Roll: roll})
+	a.stepLedger(ledger.RollReceived{From: from, Roll: roll})
 	if from == platformSource {
 		a.orderPlanner.PlatformHead(started, roll.Roll.Assigned(a.self.Instance, a.self.Zone).Version)
 	}
@@ -243,8 +243,8 @@
 func (a *Agent) applyHead(from ledger.Source, b []byte) {
 	head, err := bundle.DecodeHead(b)
 	if err != nil {
-		a.stepLedger(ledger.Garbled{From: from, Document: ledger.DocumentHead, Err: err})
+		a.stepLedger(ledger.Undecodable{From: from, Document: ledger.DocumentHead, Err: err})
 		return
 	}
-	a.stepLedger(ledger.HeadSeen{From: from, Head: head})
+	a.stepLedger(ledger.HeadReceived{From: from, Head: head})
 }
--- a/agent/status.go
+++ b/agent/status.go
@@ -66,7 +66,7 @@
 func (a *Agent) alarmStatus() []wire.AlarmStatus {
 	var out []wire.AlarmStatus
 	for _, al := range a.ledger.Alarms() {
-		out = append(out, wire.AlarmStatus{Type: al.Type, Text: al.String(), Step: al.Type.Step()})
+		out = append(out, wire.AlarmStatus{Type: al.Type, Text: al.String(), Step: al.Type.Remedy()})
 	}
 	return out
 }
--- a/api/problem.go
+++ b/api/problem.go
@@ -133,8 +133,8 @@
 	return fmt.Sprintf("%s (%s): %s", p.Type, p.Outcome, p.Detail)
 }
 
-// RetryAfter sets the delay before a retry and returns p.
-func (p *Problem) RetryAfter(d time.Duration) *Problem {
+// WithRetryAfter sets the delay before a retry and returns p.
+func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.RetryAfterMS = d.Milliseconds()
 	return p
 }
--- a/bundle/assemble.go
+++ b/bundle/assemble.go
@@ -39,7 +39,7 @@
 // to its leaves.
 type treeWalk struct {
 	source  PartSource
-	memo    *Memo
+	memo    *PartCache
 	missing []Digest
 	// referenced holds the digest of every part reached, present or missing.
 	referenced map[Digest]bool
@@ -53,23 +53,23 @@
 // repeat the call until the list is empty. It returns a *PartError for a part
 // that is present but malformed.
 func MissingParts(m *Manifest, source PartSource) ([]Digest, error) {
-	return (*Memo)(nil).MissingParts(m, source)
+	return (*PartCache)(nil).MissingParts(m, source)
 }
 
-// Wanted lists every part of a bundle that can be reached through the parts that
+// ReferencedParts lists every part of a bundle that can be reached through the parts that
 // source has, whether the part itself is present or missing.
-func Wanted(m *Manifest, source PartSource) ([]Digest, error) {
-	return (*Memo)(nil).Wanted(m, source)
+func ReferencedParts(m *Manifest, source PartSource) ([]Digest, error) {
+	return (*PartCache)(nil).ReferencedParts(m, source)
 }
 
 // Assemble decodes and validates the content of a bundle. It returns a
 // *MissingPartsError, a *PartError, or a *FindingsError for content that fails
 // validation.
 func Assemble(m *Manifest, source PartSource) (*config.Content, error) {
-	return (*Memo)(nil).Assemble(m, source)
+	return (*PartCache)(nil).Assemble(m, source)
 }
 
-func walkParts(m *Manifest, source PartSource, memo *Memo) (*treeWalk, error) {
+func walkParts(m *Manifest, source PartSource, memo *PartCache) (*treeWalk, error) {
 	w := &treeWalk{source: source, memo: memo, referenced: map[Digest]bool{}}
 	for _, s := range m.Sections {
 		if err := w.walk(s.Name, s.Root, -1, nil); err != nil {
--- a/bundle/ledger/action.go
+++ b/bundle/ledger/action.go
@@ -26,9 +26,9 @@
 	Unconfirmed []Source
 }
 
-// AskFloor requests a FloorReport from a source. The report must carry the same
+// QueryFloor requests a FloorReport from a source. The report must carry the same
 // Round.
-type AskFloor struct {
+type QueryFloor struct {
 	From  Source
 	Round uint64
 }
@@ -57,7 +57,7 @@
 
 func (InForce) isAction()    {}
 func (Ready) isAction()      {}
-func (AskFloor) isAction()   {}
+func (QueryFloor) isAction() {}
 func (FetchRoll) isAction()  {}
 func (FetchHead) isAction()  {}
 func (FetchParts) isAction() {}
--- a/bundle/ledger/alarm.go
+++ b/bundle/ledger/alarm.go
@@ -20,9 +20,9 @@
 	// AlarmUnverified reports a newer document that is not signed by a quorum of
 	// trusted approvers.
 	AlarmUnverified AlarmType = "unverified"
-	// AlarmGarbled reports bytes that do not decode as a document, or parts
+	// AlarmUndecodable reports bytes that do not decode as a document, or parts
 	// that do not match their digests.
-	AlarmGarbled AlarmType = "garbled"
+	AlarmUndecodable AlarmType = "garbled"
 	// AlarmRollOrder reports a signed roll that may not follow the current one.
 	AlarmRollOrder AlarmType = "roll-order"
 	// AlarmBrokenChain reports a version whose manifest does not name the bundle in
@@ -34,37 +34,37 @@
 	// AlarmEntryRejects reports a bundle in force that the instance's entry
 	// cannot run; the entry continues with the previous version.
 	AlarmEntryRejects AlarmType = "entry-rejects"
-	// AlarmHalfPublished reports a bundle named by a roll, parts of which no source
+	// AlarmIncompletelyPublished reports a bundle named by a roll, parts of which no source
 	// provides.
-	AlarmHalfPublished AlarmType = "half-published"
+	AlarmIncompletelyPublished AlarmType = "half-published"
 	// AlarmFloorAbove reports an upstream's fencing number that is higher than
 	// every bundle version that this starting instance could find.
 	AlarmFloorAbove AlarmType = "floor-above"
 	// AlarmIsolated reports that neither the platform nor a ready peer answers
 	// this starting instance.
 	AlarmIsolated AlarmType = "isolated"
-	// AlarmNothingRolled reports that this starting instance found no roll.
-	AlarmNothingRolled AlarmType = "nothing-rolled"
+	// AlarmNoRoll reports that this starting instance found no roll.
+	AlarmNoRoll AlarmType = "nothing-rolled"
 )
 
 // operatorSteps maps each alarm type to the action that operators take.
 var operatorSteps = map[AlarmType]string{
-	AlarmSplitVersion:   "find who signed both; build the next version with --supersedes for the digest that is not its previous, and roll it to all",
-	AlarmSplitRoll:      "find who signed both; sign and publish a roll with a higher sequence",
-	AlarmUnverified:     "verify the published document with wardspoolctl; if it is genuine, bring this instance's approvers up to date; if not, find who wrote it",
-	AlarmGarbled:        "publish the packed files again; if a peer sent it, replace that peer",
-	AlarmRollOrder:      "make the roll again from the one published last: wardspoolctl roll new --previous",
-	AlarmBrokenChain:    "build the next version with --supersedes for the digest in force here, and roll it to all",
-	AlarmInvalidContent: "bring the instances to the release that wrote the bundle, or roll a version that they accept",
-	AlarmEntryRejects:   "bring this instance's entry to a release that has the plug-in, or roll a version whose policy it can run",
-	AlarmHalfPublished:  "publish the missing bundle/parts values; wardspoolctl bundle pack writes them",
-	AlarmFloorAbove:     "restore this zone's way to the platform or to a peer, or start the instance with the newest bundle preloaded; if the upstream's number is wrong, roll a version that sets checks_fencing to false for it",
-	AlarmIsolated:       "restore this zone's way to the platform or to a peer; or let instances serve their preloaded bundle: isolated: serve-preload",
-	AlarmNothingRolled:  "publish a bundle and a roll; wardspoolctl pack commands write the values",
+	AlarmSplitVersion:          "find who signed both; build the next version with --supersedes for the digest that is not its previous, and roll it to all",
+	AlarmSplitRoll:             "find who signed both; sign and publish a roll with a higher sequence",
+	AlarmUnverified:            "verify the published document with wardspoolctl; if it is genuine, bring this instance's approvers up to date; if not, find who wrote it",
+	AlarmUndecodable:           "publish the packed files again; if a peer sent it, replace that peer",
+	AlarmRollOrder:             "make the roll again from the one published last: wardspoolctl roll new --previous",
+	AlarmBrokenChain:           "build the next version with --supersedes for the digest in force here, and roll it to all",
+	AlarmInvalidContent:        "bring the instances to the release that wrote the bundle, or roll a version that they accept",
+	AlarmEntryRejects:          "bring this instance's entry to a release that has the plug-in, or roll a version whose policy it can run",
+	AlarmIncompletelyPublished: "publish the missing bundle/parts values; wardspoolctl bundle pack writes them",
+	AlarmFloorAbove:            "restore this zone's way to the platform or to a peer, or start the instance with the newest bundle preloaded; if the upstream's number is wrong, roll a version that sets checks_fencing to false for it",
+	AlarmIsolated:              "restore this zone's way to the platform or to a peer; or let instances serve their preloaded bundle: isolated: serve-preload",
+	AlarmNoRoll:                "publish a bundle and a roll; wardspoolctl pack commands write the values",
 }
 
-// Step returns the action that operators take for an alarm of this type.
-func (t AlarmType) Step() string { return operatorSteps[t] }
+// Remedy returns the action that operators take for an alarm of this type.
+func (t AlarmType) Remedy() string { return operatorSteps[t] }
 
 // Alarm reports to operators a condition that the ledger cannot resolve itself.
 // Each alarm is raised once; Ledger.Alarms lists the active ones.
@@ -99,7 +99,7 @@
 	if a.Err != nil {
 		text += fmt.Sprintf(" (%v)", a.Err)
 	}
-	return text + "; step: " + a.Type.Step()
+	return text + "; step: " + a.Type.Remedy()
 }
 
 // maxAlarms bounds the active alarms above which no further unsigned ones are
@@ -108,7 +108,7 @@
 const maxAlarms = 64
 
 // unsigned reports whether an unsigned document can raise the alarm.
-func (t AlarmType) unsigned() bool { return t == AlarmGarbled || t == AlarmUnverified }
+func (t AlarmType) unsigned() bool { return t == AlarmUndecodable || t == AlarmUnverified }
 
 // alarm raises an alarm unless an equal one is active.
 func (l *Ledger) alarm(a Alarm) {
@@ -130,11 +130,11 @@
 // clearGarbled clears the AlarmGarbled of a source that has now sent a readable
 // document of the same kind.
 func (l *Ledger) clearGarbled(from Source, d Document) {
-	l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmGarbled && a.From == from && a.Document == d })
+	l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmUndecodable && a.From == from && a.Document == d })
 }
 
 // apply implements Event.
-func (e EntryDecides) apply(l *Ledger) {
+func (e EntryVersion) apply(l *Ledger) {
 	l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmEntryRejects && a.Ref.Version <= e.Version })
 	if e.Rejected > e.Version && e.Rejected == l.inForceRef.Version {
 		l.alarm(Alarm{Type: AlarmEntryRejects, Ref: l.inForceRef, Err: e.Err})
--- a/bundle/ledger/bench_test.go
+++ b/bundle/ledger/bench_test.go
@@ -79,7 +79,7 @@
 
 // applyChange puts a change into force by its head, parts and roll.
 func (s *session) applyChange(c change) {
-	s.step("head", HeadSeen{From: platform, Head: c.head})
+	s.step("head", HeadReceived{From: platform, Head: c.head})
 	s.supplyParts(platform)
 	s.step("roll", FloorReport{From: platform, Roll: c.roll})
 	s.supplyParts(platform)
--- a/bundle/ledger/documents.go
+++ b/bundle/ledger/documents.go
@@ -38,13 +38,13 @@
 func (l *Ledger) refuse(from Source, err error) { l.emit(Refused{From: from, Err: err}) }
 
 // apply implements Event.
-func (e Garbled) apply(l *Ledger) {
+func (e Undecodable) apply(l *Ledger) {
 	l.refuse(e.From, e.Err)
-	l.alarm(Alarm{Type: AlarmGarbled, From: e.From, Document: e.Document, Err: e.Err})
+	l.alarm(Alarm{Type: AlarmUndecodable, From: e.From, Document: e.Document, Err: e.Err})
 }
 
 // apply implements Event.
-func (e HeadSeen) apply(l *Ledger) {
+func (e HeadReceived) apply(l *Ledger) {
 	l.clearGarbled(e.From, DocumentHead)
 	ref := e.Head.Ref()
 	if l.known(ref) {
@@ -119,7 +119,7 @@
 }
 
 // apply implements Event.
-func (e RollSeen) apply(l *Ledger) { l.processRoll(e.From, e.Roll) }
+func (e RollReceived) apply(l *Ledger) { l.processRoll(e.From, e.Roll) }
 
 // processRoll accepts or rejects a roll. It returns false only if the roll cannot
 // be verified but may be newer than the ledger's.
@@ -217,20 +217,20 @@
 		l.next, l.nextRef = nil, bundle.Ref{}
 	}
 	l.clearAlarms(func(a Alarm) bool {
-		return a.Type == AlarmNothingRolled || (a.Number != 0 && a.Number < s.Roll.Sequence && a.Type != AlarmFloorAbove)
+		return a.Type == AlarmNoRoll || (a.Number != 0 && a.Number < s.Roll.Sequence && a.Type != AlarmFloorAbove)
 	})
 	l.parts.reset(l.now, from)
 	l.emit(Announce{Summary: l.Summary()})
 }
 
 // apply implements Event.
-func (e Announced) apply(l *Ledger) {
+func (e SummaryReceived) apply(l *Ledger) {
 	mine := l.Summary()
 	switch {
 	case e.Summary.RollSequence > mine.RollSequence,
 		e.Summary.RollSequence == mine.RollSequence && e.Summary.RollDigest != mine.RollDigest:
 		l.emit(FetchRoll{From: e.From})
-	case e.Summary.RollDigest == mine.RollDigest && e.Summary.Whole:
+	case e.Summary.RollDigest == mine.RollDigest && e.Summary.Complete:
 		if l.parts.addCompletePeer(e.From) {
 			// Fetch from this peer immediately, even if a fetch from another source
 			// is pending.
--- a/bundle/ledger/event.go
+++ b/bundle/ledger/event.go
@@ -37,26 +37,26 @@
 // modify them.
 type Event interface{ apply(*Ledger) }
 
-// HeadSeen reports a bundle head received from a source.
-type HeadSeen struct {
+// HeadReceived reports a bundle head received from a source.
+type HeadReceived struct {
 	From Source
 	Head *bundle.Head
 }
 
-// RollSeen reports a roll received from a source.
-type RollSeen struct {
+// RollReceived reports a roll received from a source.
+type RollReceived struct {
 	From Source
 	Roll *bundle.SignedRoll
 }
 
-// PartsSeen reports parts received from a source.
-type PartsSeen struct {
+// PartsReceived reports parts received from a source.
+type PartsReceived struct {
 	From  Source
 	Parts []bundle.Part
 }
 
-// Garbled reports bytes received from a source that could not be decoded.
-type Garbled struct {
+// Undecodable reports bytes received from a source that could not be decoded.
+type Undecodable struct {
 	From Source
 	// Document is the expected kind of document.
 	Document Document
@@ -73,11 +73,11 @@
 	DocumentPart Document = "part"
 )
 
-// Roster lists the sources that a starting instance must query for the floor;
+// SourceSet lists the sources that a starting instance must query for the floor;
 // answers of other sources are ignored. It replaces the previous roster. It
 // should list every live peer of the instance's own zone, a few of each other
 // zone, and the zone's upstreams that check fencing numbers.
-type Roster struct{ Sources []Source }
+type SourceSet struct{ Sources []Source }
 
 // FloorReport is a source's answer to AskFloor.
 type FloorReport struct {
@@ -99,17 +99,17 @@
 // Unreachable reports that a source did not answer. The ledger queries it again.
 type Unreachable struct{ From Source }
 
-// EntryDecides reports the version that the instance's entry makes its decisions
+// EntryVersion reports the version that the instance's entry makes its decisions
 // with, and a higher one that it cannot run, for example because its binary
 // lacks a plug-in. Zero means none.
-type EntryDecides struct {
+type EntryVersion struct {
 	Version, Rejected uint64
 	// Err is why the entry rejected the version.
 	Err error
 }
 
-// Announced reports a Summary received from a peer.
-type Announced struct {
+// SummaryReceived reports a Summary received from a peer.
+type SummaryReceived struct {
 	From    Source
 	Summary Summary
 }
--- a/bundle/ledger/floor.go
+++ b/bundle/ledger/floor.go
@@ -46,7 +46,7 @@
 	sources, round := l.rosterSources(), l.floor.round
 	l.floor = newFloorState(status, l.now)
 	l.floor.round = round + 1
-	Roster{Sources: sources}.apply(l)
+	SourceSet{Sources: sources}.apply(l)
 	l.parts.since = l.now
 }
 
@@ -61,7 +61,7 @@
 // apply implements Event. While the instance is starting, a peer that has
 // answered is kept even if the new roster omits it: the bundle that it had in
 // force is part of the floor.
-func (e Roster) apply(l *Ledger) {
+func (e SourceSet) apply(l *Ledger) {
 	answers := make([]answer, 0, len(e.Sources))
 	if l.floor.status == StatusStarting {
 		for _, a := range l.floor.answers {
@@ -123,7 +123,7 @@
 		due := a.askedAt.IsZero() || l.now.Sub(a.askedAt) >= l.settings.RetryInterval
 		if !a.answered && due {
 			a.askedAt = l.now
-			l.emit(AskFloor{From: a.source, Round: l.floor.round})
+			l.emit(QueryFloor{From: a.source, Round: l.floor.round})
 		}
 	}
 }
@@ -216,7 +216,7 @@
 		}
 	}
 	l.clearAlarms(func(a Alarm) bool {
-		return a.Type == AlarmIsolated || a.Type == AlarmFloorAbove || a.Type == AlarmNothingRolled
+		return a.Type == AlarmIsolated || a.Type == AlarmFloorAbove || a.Type == AlarmNoRoll
 	})
 	l.emit(Ready{InForce: l.inForceRef, Unconfirmed: unconfirmed})
 	l.emit(Announce{Summary: l.Summary()})
@@ -225,7 +225,7 @@
 // watchTimeouts raises the alarms for waits that exceed their timeouts.
 func (l *Ledger) watchTimeouts() {
 	if len(l.parts.incomplete) > 0 && l.now.Sub(l.parts.since) >= l.settings.PartsTimeout {
-		l.alarm(Alarm{Type: AlarmHalfPublished, Ref: l.parts.incomplete[0]})
+		l.alarm(Alarm{Type: AlarmIncompletelyPublished, Ref: l.parts.incomplete[0]})
 	}
 	if l.floor.status != StatusStarting || !l.timedOut() {
 		return
@@ -234,7 +234,7 @@
 	case fence > l.targetVersion():
 		l.alarm(Alarm{Type: AlarmFloorAbove, Number: fence})
 	case l.roll == nil && slices.ContainsFunc(l.floor.answers, func(a answer) bool { return a.answered }):
-		l.alarm(Alarm{Type: AlarmNothingRolled})
+		l.alarm(Alarm{Type: AlarmNoRoll})
 	case !l.hasAuthoritativeSource():
 		l.alarm(Alarm{Type: AlarmIsolated})
 	}
--- a/bundle/ledger/guard.go
+++ b/bundle/ledger/guard.go
@@ -52,11 +52,11 @@
 	missing  func(*bundle.Manifest, bundle.PartSource) ([]bundle.Digest, error)
 	assemble func(*bundle.Manifest, bundle.PartSource) (*config.Content, error)
 	// memo caches the work of missing and assemble.
-	memo *bundle.Memo
+	memo *bundle.PartCache
 }
 
 func newChecker() checker {
-	memo := bundle.NewMemo()
+	memo := bundle.NewPartCache()
 	return checker{
 		head: bundle.Verify, roll: bundle.VerifyRoll,
 		missing: memo.MissingParts, assemble: memo.Assemble, memo: memo,
--- a/bundle/ledger/ledger.go
+++ b/bundle/ledger/ledger.go
@@ -71,7 +71,7 @@
 // Step applies one event and returns the resulting actions. now must come from a
 // monotonic clock and not be before that of the previous call.
 func (l *Ledger) Step(now time.Time, e Event) []Action {
-	paused := now.Sub(l.now) >= l.settings.PauseGap
+	paused := now.Sub(l.now) >= l.settings.PauseThreshold
 	l.now = now
 	if paused {
 		l.recheck()
--- a/bundle/ledger/ledger_test.go
+++ b/bundle/ledger/ledger_test.go
@@ -24,9 +24,9 @@
 func started(t *testing.T, d *documents, s Settings, roster ...Source) *session {
 	t.Helper()
 	x := newSession(t, d.publisher, s, roster...)
-	x.step("preload", RollSeen{From: preload, Roll: d.first})
+	x.step("preload", RollReceived{From: preload, Roll: d.first})
 	for x.ledger.Missing() > 0 {
-		x.step("preload", PartsSeen{From: preload, Parts: d.publisher.partsFor(x.ledger.parts.missing)})
+		x.step("preload", PartsReceived{From: preload, Parts: d.publisher.partsFor(x.ledger.parts.missing)})
 	}
 	return x
 }
@@ -78,7 +78,7 @@
 		{name: "an upstream saw a higher version, serve the preload", roster: everyone, isolated: serve, timeout: true,
 			events: []Event{FloorReport{From: engine, Fence: 2}}, alarm: AlarmFloorAbove},
 		{name: "an upstream that left the roster does not count", roster: everyone, timeout: true, ready: true,
-			events: []Event{platform1, FloorReport{From: engine, Fence: 2}, Roster{Sources: noUpstream}}},
+			events: []Event{platform1, FloorReport{From: engine, Fence: 2}, SourceSet{Sources: noUpstream}}},
 		{name: "the assigned version's parts are missing", roster: noUpstream, timeout: true,
 			events: []Event{platform1, FloorReport{From: other, Ready: true, Roll: second}}},
 	}
@@ -97,7 +97,7 @@
 			if tc.alarm != "" {
 				alarms := s.ledger.Alarms()
 				assert.Equal(t, alarms[len(alarms)-1].Type, tc.alarm)
-				assert.Assert(t, tc.alarm.Step() != "")
+				assert.Assert(t, tc.alarm.Remedy() != "")
 			}
 		})
 	}
@@ -110,7 +110,7 @@
 func TestLimitNothingRemembers(t *testing.T) {
 	d := newDocuments(t)
 	first := ready(t, d)
-	first.step("roll 2", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
+	first.step("roll 2", RollReceived{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
 	first.supplyParts(platform)
 	assert.Equal(t, first.inForce(), uint64(2))
 	replacement := ready(t, d)
@@ -125,7 +125,7 @@
 	before := s.ledger.parts.have.Len()
 	junk := bundle.Part{Bytes: []byte("junk")}
 	junk.Digest = bundle.DigestOf(junk.Bytes)
-	s.step("junk", PartsSeen{From: peer("entry-9"), Parts: []bundle.Part{junk}})
+	s.step("junk", PartsReceived{From: peer("entry-9"), Parts: []bundle.Part{junk}})
 	assert.Equal(t, s.ledger.parts.have.Len(), before)
 }
 
@@ -135,7 +135,7 @@
 	s := ready(t, d)
 	head, base, sequence := d.v2, d.v1, uint64(2)
 	for queue := 300; queue < 310; queue++ {
-		s.step("roll", RollSeen{From: platform, Roll: d.publisher.all(sequence, head, base, "ada", "ben")})
+		s.step("roll", RollReceived{From: platform, Roll: d.publisher.all(sequence, head, base, "ada", "ben")})
 		s.supplyParts(platform)
 		base, sequence = head, sequence+1
 		head = d.publisher.build(base, queue, firstSet, "ada", "ben")
@@ -144,7 +144,7 @@
 	// and its base are kept.
 	wanted := map[bundle.Digest]bool{}
 	for _, h := range []*bundle.Head{&s.ledger.roll.Target, s.ledger.roll.Base} {
-		digests, err := bundle.Wanted(&h.Manifest, s.ledger.parts.have)
+		digests, err := bundle.ReferencedParts(&h.Manifest, s.ledger.parts.have)
 		assert.NilError(t, err)
 		for _, digest := range digests {
 			wanted[digest] = true
@@ -161,12 +161,12 @@
 	s.ledger.checker.assemble = func(*bundle.Manifest, bundle.PartSource) (*config.Content, error) {
 		return nil, &bundle.FindingsError{}
 	}
-	s.step("roll 2", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
+	s.step("roll 2", RollReceived{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
 	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(1))
 	assert.Equal(t, s.ledger.Alarms()[0].Type, AlarmInvalidContent)
 	s.ledger.checker = newChecker()
-	s.step("roll 3", RollSeen{From: platform, Roll: d.publisher.all(3, d.v3, d.v2, "ada", "ben")})
+	s.step("roll 3", RollReceived{From: platform, Roll: d.publisher.all(3, d.v3, d.v2, "ada", "ben")})
 	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(3))
 	assert.Equal(t, len(s.ledger.Alarms()), 0)
@@ -175,7 +175,7 @@
 func TestAlarmsAreBounded(t *testing.T) {
 	s := ready(t, newDocuments(t))
 	for i := range 2 * maxAlarms {
-		s.step("junk", Garbled{From: peer(time.Duration(i).String()), Err: &bundle.CanonicalError{}})
+		s.step("junk", Undecodable{From: peer(time.Duration(i).String()), Err: &bundle.CanonicalError{}})
 	}
 	assert.Equal(t, len(s.ledger.Alarms()), maxAlarms)
 }
--- a/bundle/ledger/model_test.go
+++ b/bundle/ledger/model_test.go
@@ -116,7 +116,7 @@
 // startIncarnation starts a new incarnation of instance i.
 func (m *model) startIncarnation(w *modelState, i, number int) *incarnation {
 	s := testSettings(ident.InstanceID(fmt.Sprintf("entry-%d", i)), m.zones[i])
-	s.PauseGap = time.Hour
+	s.PauseThreshold = time.Hour
 	if m.settings != nil {
 		m.settings(&s, number)
 	}
@@ -134,9 +134,9 @@
 		}
 	}
 	if m.preload != nil {
-		l.Step(v.now, RollSeen{From: preload, Roll: m.preload})
+		l.Step(v.now, RollReceived{From: preload, Roll: m.preload})
 	}
-	l.Step(v.now, Roster{Sources: m.roster(i)})
+	l.Step(v.now, SourceSet{Sources: m.roster(i)})
 	return v
 }
 
@@ -197,7 +197,7 @@
 		steps = append(steps, m.event(w, i, name, FloorReport{From: engine, Fence: w.fence}))
 	}
 	for _, r := range m.forged {
-		steps = append(steps, m.event(w, i, "receives forged "+rollName(r), RollSeen{From: peer("thief"), Roll: r}))
+		steps = append(steps, m.event(w, i, "receives forged "+rollName(r), RollReceived{From: peer("thief"), Roll: r}))
 	}
 	return steps
 }
@@ -285,7 +285,7 @@
 
 func rollOf(e Event) *bundle.SignedRoll {
 	switch e := e.(type) {
-	case RollSeen:
+	case RollReceived:
 		return e.Roll
 	case FloorReport:
 		return e.Roll
--- a/bundle/ledger/parts.go
+++ b/bundle/ledger/parts.go
@@ -117,7 +117,7 @@
 		l.addMissing(head)
 	}
 	if len(l.parts.missing) == 0 {
-		l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmHalfPublished })
+		l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmIncompletelyPublished })
 	}
 	if !before && l.targetComplete() {
 		l.emit(Announce{Summary: l.Summary()})
@@ -175,7 +175,7 @@
 
 // apply implements Event. Parts that are not missing are discarded, so that a
 // peer cannot exhaust the instance's memory.
-func (e PartsSeen) apply(l *Ledger) {
+func (e PartsReceived) apply(l *Ledger) {
 	progress := false
 	for added := true; added; {
 		added = false
@@ -186,7 +186,7 @@
 			}
 			if err := l.parts.have.Add(part); err != nil {
 				l.refuse(e.From, err)
-				l.alarm(Alarm{Type: AlarmGarbled, From: e.From, Document: DocumentPart, Err: err})
+				l.alarm(Alarm{Type: AlarmUndecodable, From: e.From, Document: DocumentPart, Err: err})
 				return
 			}
 			added, progress = true, true
@@ -211,12 +211,12 @@
 	for _, head := range heads {
 		// updateMissing has already reported malformed parts; keep the digests found
 		// before the error.
-		wanted, _ := l.checker.memo.Wanted(&head.Manifest, l.parts.have)
+		wanted, _ := l.checker.memo.ReferencedParts(&head.Manifest, l.parts.have)
 		for _, d := range wanted {
 			keep[d] = true
 		}
 	}
 	needed := func(d bundle.Digest) bool { return keep[d] }
-	l.parts.have.Keep(needed)
-	l.checker.memo.Keep(needed)
+	l.parts.have.Retain(needed)
+	l.checker.memo.Retain(needed)
 }
--- a/bundle/ledger/session_test.go
+++ b/bundle/ledger/session_test.go
@@ -28,7 +28,7 @@
 	l, err := New(settings, epoch)
 	assert.NilError(t, err)
 	s := &session{t: t, publisher: p, ledger: l, now: epoch}
-	s.step("the roster", Roster{Sources: roster})
+	s.step("the roster", SourceSet{Sources: roster})
 	return s
 }
 
@@ -48,7 +48,7 @@
 // supplyParts supplies the parts that the ledger fetches until none is missing.
 func (s *session) supplyParts(from Source) {
 	for s.ledger.Missing() > 0 {
-		s.step(fmt.Sprintf("%d parts from the %s", len(s.fetched), from), PartsSeen{From: from, Parts: s.publisher.partsFor(s.fetched)})
+		s.step(fmt.Sprintf("%d parts from the %s", len(s.fetched), from), PartsReceived{From: from, Parts: s.publisher.partsFor(s.fetched)})
 	}
 }
 
@@ -71,7 +71,7 @@
 		return fmt.Sprintf("in force: %s, before: %s, queue limit %d", a.Ref, a.From, a.Content.Policy.QueueLimit)
 	case Ready:
 		return fmt.Sprintf("ready with %s, unconfirmed: %v", a.InForce, a.Unconfirmed)
-	case AskFloor:
+	case QueryFloor:
 		return fmt.Sprintf("ask the %s for the floor, round %d", a.From, a.Round)
 	case FetchRoll:
 		return fmt.Sprintf("fetch the roll from the %s", a.From)
@@ -81,7 +81,7 @@
 		return fmt.Sprintf("fetch %d parts from the %s", len(a.Digests), a.From)
 	case Announce:
 		text := fmt.Sprintf("announce roll %d, newest %s, in force %s, %s", a.Summary.RollSequence, a.Summary.Newest, a.Summary.InForce, a.Summary.Status)
-		if a.Summary.Whole {
+		if a.Summary.Complete {
 			text += ", whole"
 		}
 		return text
@@ -131,16 +131,16 @@
 func wholeRoll(t *testing.T, d *documents) *session {
 	p := d.publisher
 	s := ready(t, d)
-	s.step("the platform has the head of version 2", HeadSeen{From: platform, Head: d.v2})
+	s.step("the platform has the head of version 2", HeadReceived{From: platform, Head: d.v2})
 	s.supplyParts(platform)
-	s.step("roll 2: canary in hall-b", RollSeen{From: platform, Roll: p.canary(2, d.v2, d.v1, "hall-b", "ada", "ben")})
+	s.step("roll 2: canary in hall-b", RollReceived{From: platform, Roll: p.canary(2, d.v2, d.v1, "hall-b", "ada", "ben")})
 	assert.Equal(t, s.inForce(), uint64(1))
 	third := p.all(3, d.v2, d.v1, "ada", "ben")
-	s.step("entry-2 announces roll 3", Announced{From: peer("entry-2"), Summary: Summary{RollSequence: 3, RollDigest: third.Roll.Digest()}})
-	s.step("roll 3: all", RollSeen{From: peer("entry-2"), Roll: third})
+	s.step("entry-2 announces roll 3", SummaryReceived{From: peer("entry-2"), Summary: Summary{RollSequence: 3, RollDigest: third.Roll.Digest()}})
+	s.step("roll 3: all", RollReceived{From: peer("entry-2"), Roll: third})
 	assert.Equal(t, s.inForce(), uint64(2))
 	abandon := p.roll(bundle.Roll{Sequence: 4, Stage: bundle.StageAbandoned}, d.v2, d.v1, "ada", "ben")
-	s.step("roll 4: version 2 abandoned, too late", RollSeen{From: platform, Roll: abandon})
+	s.step("roll 4: version 2 abandoned, too late", RollReceived{From: platform, Roll: abandon})
 	assert.Equal(t, s.inForce(), uint64(2))
 	return s
 }
@@ -148,21 +148,21 @@
 func refusals(t *testing.T, d *documents) *session {
 	s := ready(t, d)
 	for i, forged := range d.forgeries() {
-		s.step(fmt.Sprintf("forged roll %d", i), RollSeen{From: peer("entry-9"), Roll: forged})
+		s.step(fmt.Sprintf("forged roll %d", i), RollReceived{From: peer("entry-9"), Roll: forged})
 	}
 	forged := d.publisher.build(d.v1, 668, firstSet, "ada")
-	s.step("a head with one signature", HeadSeen{From: platform, Head: forged})
+	s.step("a head with one signature", HeadReceived{From: platform, Head: forged})
 	_, err := bundle.DecodeRoll(d.first.Encode()[:500])
-	s.step("a truncated roll", Garbled{From: platform, Err: err})
-	s.step("roll 2: all", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
+	s.step("a truncated roll", Undecodable{From: platform, Err: err})
+	s.step("roll 2: all", RollReceived{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
 	part := d.publisher.partsFor(s.fetched[:1])[0]
 	part.Bytes = part.Bytes[:len(part.Bytes)-1]
-	s.step("a truncated part", PartsSeen{From: platform, Parts: []bundle.Part{part}})
+	s.step("a truncated part", PartsReceived{From: platform, Parts: []bundle.Part{part}})
 	assert.Equal(t, s.inForce(), uint64(1))
 	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(2))
-	s.step("roll 1 again, from a stale read", RollSeen{From: platform, Roll: d.first})
-	s.step("the head of version 1 again", HeadSeen{From: platform, Head: d.v1})
+	s.step("roll 1 again, from a stale read", RollReceived{From: platform, Roll: d.first})
+	s.step("the head of version 1 again", HeadReceived{From: platform, Head: d.v1})
 	assert.Equal(t, s.inForce(), uint64(2))
 	return s
 }
@@ -172,12 +172,12 @@
 func relayed(t *testing.T, d *documents) *session {
 	r := d.publisher.all(2, d.v2, d.v1, "ada", "ben")
 	s := ready(t, d)
-	s.step("entry-2 gives roll 2", RollSeen{From: peer("entry-2"), Roll: r})
-	s.step("entry-2 gives no parts", PartsSeen{From: peer("entry-2")})
+	s.step("entry-2 gives roll 2", RollReceived{From: peer("entry-2"), Roll: r})
+	s.step("entry-2 gives no parts", PartsReceived{From: peer("entry-2")})
 	has := Summary{RollSequence: 2, RollDigest: r.Roll.Digest(), Newest: d.v2.Ref()}
-	s.step("entry-3 announces roll 2, without parts", Announced{From: peer("entry-3"), Summary: has})
-	has.Whole = true
-	s.step("entry-3 announces roll 2, whole", Announced{From: peer("entry-3"), Summary: has})
+	s.step("entry-3 announces roll 2, without parts", SummaryReceived{From: peer("entry-3"), Summary: has})
+	has.Complete = true
+	s.step("entry-3 announces roll 2, whole", SummaryReceived{From: peer("entry-3"), Summary: has})
 	s.supplyParts(peer("entry-3"))
 	assert.Equal(t, s.inForce(), uint64(2))
 	return s
@@ -185,7 +185,7 @@
 
 func halfPublished(t *testing.T, d *documents) *session {
 	s := ready(t, d)
-	s.step("roll 2: all, without its parts", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
+	s.step("roll 2: all, without its parts", RollReceived{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
 	s.wait(11 * time.Second)
 	assert.Equal(t, s.inForce(), uint64(1))
 	s.supplyParts(platform)
@@ -198,17 +198,17 @@
 	p := d.publisher
 	other := p.build(d.v1, 202, firstSet, "ben", "cyd")
 	s := ready(t, d)
-	s.step("roll 2: version 2", RollSeen{From: platform, Roll: p.all(2, d.v2, d.v1, "ada", "ben")})
+	s.step("roll 2: version 2", RollReceived{From: platform, Roll: p.all(2, d.v2, d.v1, "ada", "ben")})
 	s.supplyParts(platform)
-	s.step("roll 2: another version 2", RollSeen{From: platform, Roll: p.all(2, other, d.v1, "ben", "cyd")})
-	s.step("the head of the other", HeadSeen{From: platform, Head: other})
+	s.step("roll 2: another version 2", RollReceived{From: platform, Roll: p.all(2, other, d.v1, "ben", "cyd")})
+	s.step("the head of the other", HeadReceived{From: platform, Head: other})
 	assert.Equal(t, s.inForce(), uint64(2))
 	thirdOfOther := p.build(other, 103, firstSet, "ben", "cyd")
-	s.step("roll 3: version 3, which follows the other", RollSeen{From: platform, Roll: p.all(3, thirdOfOther, other, "ben", "cyd")})
+	s.step("roll 3: version 3, which follows the other", RollReceived{From: platform, Roll: p.all(3, thirdOfOther, other, "ben", "cyd")})
 	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(2))
 	healing := p.draft(bundle.Draft{Previous: thirdOfOther, Approvers: firstSet}, 104, "ada", "ben")
-	s.step("roll 4: version 4", RollSeen{From: platform, Roll: p.all(4, healing, thirdOfOther, "ada", "ben")})
+	s.step("roll 4: version 4", RollReceived{From: platform, Roll: p.all(4, healing, thirdOfOther, "ada", "ben")})
 	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(4))
 	assert.Equal(t, len(s.ledger.Alarms()), 0)
@@ -219,8 +219,8 @@
 	settings := testSettings("entry-1", "hall-a")
 	settings.Isolated = IsolatedServePreload
 	s := newSession(t, d.publisher, settings, platform, peer("entry-2"), engine)
-	s.step("roll 1 preloaded", RollSeen{From: preload, Roll: d.first})
-	s.step("its parts preloaded", PartsSeen{From: preload, Parts: d.publisher.partsFor(s.ledger.parts.missing)})
+	s.step("roll 1 preloaded", RollReceived{From: preload, Roll: d.first})
+	s.step("its parts preloaded", PartsReceived{From: preload, Parts: d.publisher.partsFor(s.ledger.parts.missing)})
 	s.step("no platform", Unreachable{From: platform})
 	s.step("entry-2 is starting too", FloorReport{From: peer("entry-2")})
 	s.step("an engine has seen number 2", FloorReport{From: engine, Fence: 2})
@@ -258,13 +258,13 @@
 		head = p.build(head, 100+version, secondSet, "dan", "eve")
 	}
 	r := p.all(12, head, nil, "eve", "fay")
-	s.step("roll 12: version 9, with no base", RollSeen{From: platform, Roll: r})
+	s.step("roll 12: version 9, with no base", RollReceived{From: platform, Roll: r})
 	r = p.all(13, head, d.v3, "eve", "fay")
-	s.step("roll 13: version 9", RollSeen{From: platform, Roll: r})
+	s.step("roll 13: version 9", RollReceived{From: platform, Roll: r})
 	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(9))
 	byOld := p.build(head, 110, firstSet, "ada", "ben", "cyd")
-	s.step("roll 14, by the approvers that were replaced", RollSeen{From: platform, Roll: p.all(14, byOld, head, "ada", "ben", "cyd")})
+	s.step("roll 14, by the approvers that were replaced", RollReceived{From: platform, Roll: p.all(14, byOld, head, "ada", "ben", "cyd")})
 	assert.Equal(t, s.inForce(), uint64(9))
 	return s
 }
@@ -282,7 +282,7 @@
 		if len(missing) == 0 {
 			break
 		}
-		s.step("parts of version 1 only", PartsSeen{From: peer("entry-2"), Parts: p.partsFor(missing)})
+		s.step("parts of version 1 only", PartsReceived{From: peer("entry-2"), Parts: p.partsFor(missing)})
 	}
 	s.step("the platform has roll 2", FloorReport{From: platform, Roll: canary})
 	s.wait(9 * time.Second)
--- a/bundle/ledger/settings.go
+++ b/bundle/ledger/settings.go
@@ -25,10 +25,10 @@
 
 // Defaults of Settings.
 const (
-	DefaultStartTimeout  = 5 * time.Second
-	DefaultRetryInterval = time.Second
-	DefaultPartsTimeout  = 10 * time.Second
-	DefaultPauseGap      = 3 * time.Second
+	DefaultStartTimeout   = 5 * time.Second
+	DefaultRetryInterval  = time.Second
+	DefaultPartsTimeout   = 10 * time.Second
+	DefaultPauseThreshold = 3 * time.Second
 )
 
 // Settings configure the ledger of one instance.
@@ -46,9 +46,9 @@
 	RetryInterval time.Duration
 	// PartsTimeout is how long parts may be missing before an alarm is raised.
 	PartsTimeout time.Duration
-	// PauseGap is the interval between two steps from which on the process is
+	// PauseThreshold is the interval between two steps from which on the process is
 	// taken to have been paused. The caller must call Step more often than that.
-	PauseGap time.Duration
+	PauseThreshold time.Duration
 }
 
 // withDefaults returns the settings with defaults for unset fields.
@@ -57,6 +57,6 @@
 	s.StartTimeout = cmp.Or(s.StartTimeout, DefaultStartTimeout)
 	s.RetryInterval = cmp.Or(s.RetryInterval, DefaultRetryInterval)
 	s.PartsTimeout = cmp.Or(s.PartsTimeout, DefaultPartsTimeout)
-	s.PauseGap = cmp.Or(s.PauseGap, DefaultPauseGap)
+	s.PauseThreshold = cmp.Or(s.PauseThreshold, DefaultPauseThreshold)
 	return s
 }
--- a/bundle/ledger/status.go
+++ b/bundle/ledger/status.go
@@ -16,8 +16,8 @@
 	// InForce is the bundle in force, zero if there is none.
 	InForce bundle.Ref `json:"in_force"`
 	Status  Status     `json:"status"`
-	// Whole is set if the instance has every part of the newest roll's target.
-	Whole bool `json:"whole"`
+	// Complete is set if the instance has every part of the newest roll's target.
+	Complete bool `json:"whole"`
 }
 
 // Summary returns the instance's summary.
@@ -26,7 +26,7 @@
 	if l.roll != nil {
 		s.RollSequence = l.roll.Roll.Sequence
 		s.RollDigest = l.rollDigest
-		s.Whole = l.targetComplete()
+		s.Complete = l.targetComplete()
 		if s.Newest.IsZero() {
 			s.Newest = l.roll.Roll.Target
 		}
--- a/bundle/memo.go
+++ b/bundle/memo.go
@@ -6,14 +6,14 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Memo caches decoded parts by digest, so that for a new bundle version only the
+// PartCache caches decoded parts by digest, so that for a new bundle version only the
 // changed parts have to be decoded. It does not verify digests: every source that
 // it is used with must return bytes that match the requested digest, as PartSet
-// does. A nil Memo is valid and caches nothing; tests compare against it.
+// does. A nil PartCache is valid and caches nothing; tests compare against it.
 //
-// Contents assembled by the same Memo share memory and must not be modified. A Memo
+// Contents assembled by the same PartCache share memory and must not be modified. A PartCache
 // is not safe for concurrent use.
-type Memo struct {
+type PartCache struct {
 	infos  map[Digest]partInfo
 	leaves map[leafKey]*config.Content
 }
@@ -31,19 +31,19 @@
 	digest  Digest
 }
 
-// NewMemo returns an empty Memo.
-func NewMemo() *Memo {
-	return &Memo{infos: map[Digest]partInfo{}, leaves: map[leafKey]*config.Content{}}
+// NewPartCache returns an empty Memo.
+func NewPartCache() *PartCache {
+	return &PartCache{infos: map[Digest]partInfo{}, leaves: map[leafKey]*config.Content{}}
 }
 
 // MissingParts is like the function MissingParts, but decodes each part only once.
-func (m *Memo) MissingParts(f *Manifest, source PartSource) ([]Digest, error) {
+func (m *PartCache) MissingParts(f *Manifest, source PartSource) ([]Digest, error) {
 	w, err := walkParts(f, source, m)
 	return w.missing, err
 }
 
-// Wanted is like the function Wanted, but decodes each part only once.
-func (m *Memo) Wanted(f *Manifest, source PartSource) ([]Digest, error) {
+// ReferencedParts is like the function ReferencedParts, but decodes each part only once.
+func (m *PartCache) ReferencedParts(f *Manifest, source PartSource) ([]Digest, error) {
 	w, err := walkParts(f, source, m)
 	list := make([]Digest, 0, len(w.referenced))
 	for d := range w.referenced {
@@ -54,7 +54,7 @@
 
 // Assemble is like the function Assemble, but decodes each leaf of a list section
 // only once. The returned content must not be modified.
-func (m *Memo) Assemble(f *Manifest, source PartSource) (*config.Content, error) {
+func (m *PartCache) Assemble(f *Manifest, source PartSource) (*config.Content, error) {
 	if missing, err := m.MissingParts(f, source); err != nil {
 		return nil, err
 	} else if len(missing) > 0 {
@@ -73,8 +73,8 @@
 	return &c, nil
 }
 
-// Keep evicts every part for which keep returns false.
-func (m *Memo) Keep(keep func(Digest) bool) {
+// Retain evicts every part for which keep returns false.
+func (m *PartCache) Retain(keep func(Digest) bool) {
 	if m == nil {
 		return
 	}
@@ -84,7 +84,7 @@
 
 // partInfo returns the structure of a part. It decodes the part if it is not
 // cached.
-func (m *Memo) partInfo(d Digest, b []byte) (partInfo, error) {
+func (m *PartCache) partInfo(d Digest, b []byte) (partInfo, error) {
 	if m != nil {
 		if f, ok := m.infos[d]; ok {
 			return f, nil
@@ -102,7 +102,7 @@
 }
 
 // addLeaf adds the entries of a leaf to c. It decodes the leaf if it is not cached.
-func (m *Memo) addLeaf(c *config.Content, section SectionName, d Digest, b []byte) error {
+func (m *PartCache) addLeaf(c *config.Content, section SectionName, d Digest, b []byte) error {
 	if m == nil || !section.isList() {
 		return decodeLeaf(c, section, b)
 	}
--- a/bundle/memo_test.go
+++ b/bundle/memo_test.go
@@ -26,13 +26,13 @@
 
 // assertSameResults asserts that a Memo gives the same results as the functions
 // without a cache.
-func assertSameResults(t assert.TestingT, memo *Memo, m *Manifest, have *PartSet) {
+func assertSameResults(t assert.TestingT, memo *PartCache, m *Manifest, have *PartSet) {
 	missing, err := memo.MissingParts(m, have)
 	plainMissing, plainErr := MissingParts(m, have)
 	assert.DeepEqual(t, missing, plainMissing)
 	assertSameError(t, err, plainErr)
-	wanted, err := memo.Wanted(m, have)
-	plainWanted, plainErr := Wanted(m, have)
+	wanted, err := memo.ReferencedParts(m, have)
+	plainWanted, plainErr := ReferencedParts(m, have)
 	byBytes := func(a, b Digest) int { return slices.Compare(a[:], b[:]) }
 	slices.SortFunc(wanted, byBytes)
 	slices.SortFunc(plainWanted, byBytes)
@@ -59,7 +59,7 @@
 func TestMemoIsThePlainWalk(t *testing.T) {
 	start := mediumContent(t)
 	rapid.Check(t, func(t *rapid.T) {
-		memo, have := NewMemo(), &PartSet{}
+		memo, have := NewPartCache(), &PartSet{}
 		c := *start
 		for range rapid.IntRange(1, 4).Draw(t, "versions") {
 			c.Workspaces = slices.Clone(c.Workspaces)
@@ -86,8 +86,8 @@
 			assertSameResults(t, memo, &m, have)
 			some := rapid.IntRange(0, 255).Draw(t, "kept")
 			keep := func(d Digest) bool { return int(d[0]) >= some }
-			have.Keep(keep)
-			memo.Keep(keep)
+			have.Retain(keep)
+			memo.Retain(keep)
 			assertSameResults(t, memo, &m, have)
 		}
 	})
@@ -180,7 +180,7 @@
 		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := Assemble(m, s); return err })
 	})
 	b.Run("memo", func(b *testing.B) {
-		memo := NewMemo()
+		memo := NewPartCache()
 		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := memo.Assemble(m, s); return err })
 	})
 }
@@ -192,7 +192,7 @@
 		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := MissingParts(m, s); return err })
 	})
 	b.Run("memo", func(b *testing.B) {
-		memo := NewMemo()
+		memo := NewPartCache()
 		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := memo.MissingParts(m, s); return err })
 	})
 }
--- a/bundle/part_test.go
+++ b/bundle/part_test.go
@@ -103,7 +103,7 @@
 
 	t.Run("missing part", func(t *testing.T) {
 		have := parts.Clone()
-		have.Keep(func(d Digest) bool { return d != root })
+		have.Retain(func(d Digest) bool { return d != root })
 		_, err := Assemble(&h.Manifest, have)
 		var missing *MissingPartsError
 		assert.Assert(t, errors.As(err, &missing))
--- a/bundle/partset.go
+++ b/bundle/partset.go
@@ -70,8 +70,8 @@
 	return slices.SortedFunc(maps.Keys(s.parts), func(a, b Digest) int { return slices.Compare(a[:], b[:]) })
 }
 
-// Keep removes every part for which keep returns false.
-func (s *PartSet) Keep(keep func(Digest) bool) {
+// Retain removes every part for which keep returns false.
+func (s *PartSet) Retain(keep func(Digest) bool) {
 	maps.DeleteFunc(s.parts, func(d Digest, _ []byte) bool { return !keep(d) })
 }
 
--- a/cmd/wardspool-agent/main.go
+++ b/cmd/wardspool-agent/main.go
@@ -42,8 +42,8 @@
 func main() {
 	process.Program[agent.Settings]{
 		Name: "wardspool-agent", Description: description, Version: version,
-		Log: func(s *agent.Settings) logs.Options { return s.Log },
-		New: newAgent,
+		LogOptions: func(s *agent.Settings) logs.Options { return s.Log },
+		New:        newAgent,
 	}.Main()
 }
 
--- a/cmd/wardspool-entry/main.go
+++ b/cmd/wardspool-entry/main.go
@@ -40,9 +40,9 @@
 func main() {
 	process.Program[entry.Settings]{
 		Name: "wardspool-entry", Description: description, Version: version,
-		Log:    func(s *entry.Settings) logs.Options { return s.Log },
-		New:    func(s *entry.Settings, log *slog.Logger) (process.Service, error) { return entry.New(s, log) },
-		Failed: exitCode,
+		LogOptions:  func(s *entry.Settings) logs.Options { return s.Log },
+		New:         func(s *entry.Settings, log *slog.Logger) (process.Service, error) { return entry.New(s, log) },
+		ExitCodeFor: exitCode,
 	}.Main()
 }
 
--- a/cmd/wardspoolctl/explain.go
+++ b/cmd/wardspoolctl/explain.go
@@ -48,7 +48,7 @@
 	switch {
 	case len(e.Found) > 0:
 		return nil
-	case len(e.Unreached) > 0:
+	case len(e.Unreachable) > 0:
 		return &exitCodeError{Code: exitUnreachable}
 	default:
 		return &exitCodeError{Code: exitNotFound}
--- a/cmd/wardspoolctl/fleet.go
+++ b/cmd/wardspoolctl/fleet.go
@@ -67,7 +67,7 @@
 func (c *fleetCmd) poll(ctx context.Context, pool *peer.Pool) (*console.Fleet, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	f := console.Look(ctx, pool, c.Agents)
+	f := console.QueryFleet(ctx, pool, c.Agents)
 	if c.Watch && !c.JSON {
 		fmt.Fprint(os.Stdout, clearScreen)
 	}
@@ -76,7 +76,7 @@
 
 // fleetExit returns the error that sets the exit code for a result.
 func fleetExit(f *console.Fleet) error {
-	if len(f.Unreached) > 0 {
+	if len(f.Unreachable) > 0 {
 		return &exitCodeError{Code: exitNoAnswers}
 	}
 	for _, s := range f.Agents {
--- a/cmd/wardspoolctl/watch.go
+++ b/cmd/wardspoolctl/watch.go
@@ -63,7 +63,7 @@
 func (c *watchCmd) poll(ctx context.Context, w *console.Watcher) (console.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	s := w.Look(ctx, time.Now())
+	s := w.Query(ctx, time.Now())
 	if !c.JSON && c.Count != 1 {
 		fmt.Fprint(os.Stdout, clearScreen)
 	}
@@ -73,7 +73,7 @@
 // watchExit returns the error that sets the exit code if an instance did not
 // respond.
 func watchExit(s console.Snapshot) error {
-	if len(s.Unreached) > 0 {
+	if len(s.Unreachable) > 0 {
 		return &exitCodeError{Code: exitUnreachable}
 	}
 	return nil
--- a/configservice/client_test.go
+++ b/configservice/client_test.go
@@ -158,7 +158,7 @@
 	assert.Equal(t, len(chosen), 2)
 	readers := 0
 	for _, id := range live {
-		if Reads(id, KeyInstances, "hall-a", live, 2) {
+		if IsElected(id, KeyInstances, "hall-a", live, 2) {
 			readers++
 		}
 	}
--- a/configservice/elect.go
+++ b/configservice/elect.go
@@ -16,7 +16,7 @@
 	return rendezvous.Top(key+"\x00"+string(zone), live, k)
 }
 
-// Reads reports whether self is one of the instances that Elect selects.
-func Reads(self ident.InstanceID, key string, zone ident.Zone, live []ident.InstanceID, k int) bool {
+// IsElected reports whether self is one of the instances that Elect selects.
+func IsElected(self ident.InstanceID, key string, zone ident.Zone, live []ident.InstanceID, k int) bool {
 	return slices.Contains(Elect(key, zone, live, k), self)
 }
--- a/configservice/stats.go
+++ b/configservice/stats.go
@@ -12,8 +12,8 @@
 	RateLimited uint64
 	Unavailable uint64
 	Stale       uint64
-	// Faulty counts responses that were too large or violated the protocol.
-	Faulty uint64
+	// Invalid counts responses that were too large or violated the protocol.
+	Invalid uint64
 	// Bytes is the total size of the response bodies read.
 	Bytes uint64
 }
@@ -33,7 +33,7 @@
 		RateLimited: c.rateLimited.Load(),
 		Unavailable: c.unavailable.Load(),
 		Stale:       c.stale.Load(),
-		Faulty:      c.faulty.Load(),
+		Invalid:     c.faulty.Load(),
 		Bytes:       c.bytes.Load(),
 	}
 }
--- a/e2e/status_test.go
+++ b/e2e/status_test.go
@@ -34,7 +34,7 @@
 	for _, in := range b.Instances {
 		addresses = append(addresses, in.AgentOperator)
 	}
-	return console.Look(ctx, pool, addresses)
+	return console.QueryFleet(ctx, pool, addresses)
 }
 
 // status returns what an instance's agent says, nil if it does not answer.
--- a/entry/console/explain.go
+++ b/entry/console/explain.go
@@ -23,9 +23,9 @@
 type Explanation struct {
 	Request ident.RequestID        `json:"request"`
 	Found   []peering.ExplainReply `json:"found"`
-	// Unreached lists instances that did not reply; the explanation lacks any
+	// Unreachable lists instances that did not reply; the explanation lacks any
 	// records that they have.
-	Unreached []inquiry.Unreachable `json:"unreached,omitempty"`
+	Unreachable []inquiry.Unreachable `json:"unreached,omitempty"`
 }
 
 // Explain requests the decision records of a request from the instances at the
@@ -34,7 +34,7 @@
 	out := Explanation{Request: id}
 	req := peering.ExplainRequest{Request: id}
 	replies, unreachable := inquiry.CallAll[peering.ExplainReply](ctx, pool, addresses, peering.MethodExplain, req)
-	out.Unreached = unreachable
+	out.Unreachable = unreachable
 	for _, r := range replies {
 		if len(r.Records) > 0 || len(r.Presentations) > 0 {
 			out.Found = append(out.Found, r)
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	inquiry.WriteUnreachable(w, e.Unreached)
+	inquiry.WriteUnreachable(w, e.Unreachable)
 	return nil
 }
 
--- a/entry/console/watch.go
+++ b/entry/console/watch.go
@@ -30,8 +30,8 @@
 	InForce  []InForce `json:"in_force"`
 	// Versions holds the statistics per bundle version since the start of the
 	// observed instances.
-	Versions  []stats.Version       `json:"versions"`
-	Unreached []inquiry.Unreachable `json:"unreached,omitempty"`
+	Versions    []stats.Version       `json:"versions"`
+	Unreachable []inquiry.Unreachable `json:"unreached,omitempty"`
 }
 
 // Watcher takes snapshots of a set of instances. It keeps the counts of processes
@@ -54,10 +54,10 @@
 	return &Watcher{pool: pool, addresses: addresses, latest: map[incarnationKey][]stats.Version{}}
 }
 
-// Look requests the statistics of all instances and returns their sum.
-func (w *Watcher) Look(ctx context.Context, now time.Time) Snapshot {
+// Query requests the statistics of all instances and returns their sum.
+func (w *Watcher) Query(ctx context.Context, now time.Time) Snapshot {
 	replies, unreachable := inquiry.CallAll[peering.StatsReply](ctx, w.pool, w.addresses, peering.MethodStats, peering.Empty{})
-	s := Snapshot{At: now, Unreached: unreachable}
+	s := Snapshot{At: now, Unreachable: unreachable}
 	inForce := map[uint64]int{}
 	for _, r := range replies {
 		s.InFlight += r.InFlight
@@ -98,7 +98,7 @@
 			fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%s\n", v.Version, r.Step, r.Reason, r.Count, Meaning(r.Reason))
 		}
 	}
-	inquiry.WriteUnreachable(t, s.Unreached)
+	inquiry.WriteUnreachable(t, s.Unreachable)
 	return t.Flush()
 }
 
--- a/entry/driver/actions.go
+++ b/entry/driver/actions.go
@@ -171,7 +171,7 @@
 }
 
 // checkComplete checks that the caller received every token of the output.
-func (a *attempt) checkComplete(got adapter.Decoded, err error) (kernel.Event, error) {
+func (a *attempt) checkComplete(got adapter.DecodeResult, err error) (kernel.Event, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/entry/driver/attempt.go
+++ b/entry/driver/attempt.go
@@ -36,8 +36,8 @@
 	prefillTokens int
 
 	// Results of the goroutine, set before it reports completion.
-	decoded adapter.Decoded
-	served  *adapter.ServiceAnswer
+	decoded adapter.DecodeResult
+	served  *adapter.ServiceResponse
 }
 
 // CancelledError is the cancellation cause of an attempt that the kernel
--- a/entry/driver/delivery.go
+++ b/entry/driver/delivery.go
@@ -122,10 +122,10 @@
 
 // finished returns the description of the complete answer. It reports false
 // until the last token was sent.
-func (d *delivery) finished() (adapter.Decoded, bool) {
+func (d *delivery) finished() (adapter.DecodeResult, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return adapter.Decoded{Tokens: d.next, FinishReason: d.finish}, d.finish != ""
+	return adapter.DecodeResult{Tokens: d.next, FinishReason: d.finish}, d.finish != ""
 }
 
 // offset returns the number of tokens sent to the caller.
--- a/entry/driver/driver_test.go
+++ b/entry/driver/driver_test.go
@@ -17,8 +17,8 @@
 
 func TestWholeAnswer(t *testing.T) {
 	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
-		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-			return adapter.Decoded{Tokens: 3, FinishReason: "stop"}, sendTokens(s, 0, 1, 2)
+		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
+			return adapter.DecodeResult{Tokens: 3, FinishReason: "stop"}, sendTokens(s, 0, 1, 2)
 		}
 		res := r.submit(t.Context())
 		assert.Equal(t, res.Outcome, api.Complete)
@@ -30,8 +30,8 @@
 
 func TestRepeatedTokensAreDropped(t *testing.T) {
 	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
-		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-			return adapter.Decoded{Tokens: 3}, sendTokens(s, 0, 0, 1, 0, 1, 2)
+		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
+			return adapter.DecodeResult{Tokens: 3}, sendTokens(s, 0, 0, 1, 0, 1, 2)
 		}
 		assert.Equal(t, r.submit(t.Context()).Outcome, api.Complete)
 		assert.Equal(t, r.out.text, "abc")
@@ -43,8 +43,8 @@
 	for name, offsets := range map[string][]int{"gap": {0, 1, 3}, "short": {0, 1}} {
 		t.Run(name, func(t *testing.T) {
 			withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
-				r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-					return adapter.Decoded{Tokens: 4}, sendTokens(s, offsets...)
+				r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
+					return adapter.DecodeResult{Tokens: 4}, sendTokens(s, offsets...)
 				}
 				assert.Equal(t, r.submit(t.Context()).Outcome, api.Unknown)
 				failed := eventsOf[kernel.AttemptFailed](r.kernel)
@@ -78,15 +78,15 @@
 		return nil
 	}
 	withDriver(t, decide, func(t *testing.T, r *testDriver) {
-		r.engine.decode = func(_ context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
+		r.engine.decode = func(_ context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
 			if c.Attempt == attemptID(2) {
-				return adapter.Decoded{Tokens: 3}, sendTokens(s, 1, 2)
+				return adapter.DecodeResult{Tokens: 3}, sendTokens(s, 1, 2)
 			}
 			err := sendTokens(s, 0)
 			assert.NilError(t, err)
 			// The engine notices the cancel only after a delay.
 			time.Sleep(time.Second)
-			return adapter.Decoded{Tokens: 4}, sendTokens(s, 1, 2, 3)
+			return adapter.DecodeResult{Tokens: 4}, sendTokens(s, 1, 2, 3)
 		}
 		go func() {
 			time.Sleep(500 * time.Millisecond)
@@ -105,13 +105,13 @@
 	for name, tokens := range map[string]int{"first": 0, "next": 2} {
 		t.Run(name, func(t *testing.T) {
 			withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
-				r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
+				r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
 					for i := range tokens {
 						assert.NilError(t, s.Token(token(i)))
 						time.Sleep(time.Second)
 					}
 					<-ctx.Done()
-					return adapter.Decoded{}, ctx.Err()
+					return adapter.DecodeResult{}, ctx.Err()
 				}
 				begin := time.Now()
 				assert.Equal(t, r.submit(t.Context()).Outcome, api.Unknown)
@@ -127,12 +127,12 @@
 
 func TestMissingEndMarkIsNoLoss(t *testing.T) {
 	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
-		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
+		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
 			assert.NilError(t, s.Token(token(0)))
 			last := token(1)
 			last.FinishReason = "stop"
 			assert.NilError(t, s.Token(last))
-			return adapter.Decoded{}, errors.ErrUnsupported
+			return adapter.DecodeResult{}, errors.ErrUnsupported
 		}
 		res := r.submit(t.Context())
 		assert.Equal(t, res.Outcome, api.Complete)
@@ -143,11 +143,11 @@
 func TestCallerGone(t *testing.T) {
 	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		ctx, leave := context.WithCancel(t.Context())
-		r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
+		r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
 			assert.NilError(t, s.Token(token(0)))
 			leave()
 			<-ctx.Done()
-			return adapter.Decoded{}, ctx.Err()
+			return adapter.DecodeResult{}, ctx.Err()
 		}
 		r.submit(ctx)
 		synctest.Wait()
@@ -160,8 +160,8 @@
 func TestUnreachableCallerIsGone(t *testing.T) {
 	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		r.out.err = errors.ErrUnsupported
-		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-			return adapter.Decoded{}, sendTokens(s, 0)
+		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
+			return adapter.DecodeResult{}, sendTokens(s, 0)
 		}
 		r.submit(t.Context())
 		assert.Equal(t, len(eventsOf[kernel.CallerGone](r.kernel)), 1)
@@ -172,10 +172,10 @@
 func TestCancelOfUnsentAttempt(t *testing.T) {
 	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
 		ctx, leave := context.WithCancel(t.Context())
-		r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, _ adapter.Sink) (adapter.Decoded, error) {
+		r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, _ adapter.Sink) (adapter.DecodeResult, error) {
 			leave()
 			<-ctx.Done()
-			return adapter.Decoded{}, &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: ctx.Err()}
+			return adapter.DecodeResult{}, &adapter.CallError{Evidence: kernel.NotSent, Code: kernel.FailureConnect, Err: ctx.Err()}
 		}
 		r.submit(ctx)
 		synctest.Wait()
@@ -186,9 +186,9 @@
 
 func TestDuplicateRequestID(t *testing.T) {
 	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
-		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
+		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
 			time.Sleep(time.Second)
-			return adapter.Decoded{Tokens: 1}, sendTokens(s, 0)
+			return adapter.DecodeResult{Tokens: 1}, sendTokens(s, 0)
 		}
 		first := make(chan Result)
 		go func() { first <- r.submit(t.Context()) }()
@@ -203,9 +203,9 @@
 
 func TestStopAnswersWhatIsLeft(t *testing.T) {
 	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
-		r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, _ adapter.Sink) (adapter.Decoded, error) {
+		r.engine.decode = func(ctx context.Context, _ *adapter.DecodeCall, _ adapter.Sink) (adapter.DecodeResult, error) {
 			<-ctx.Done()
-			return adapter.Decoded{}, ctx.Err()
+			return adapter.DecodeResult{}, ctx.Err()
 		}
 		got := make(chan Result)
 		go func() { got <- r.submit(t.Context()) }()
@@ -221,8 +221,8 @@
 // goroutine must not wait for it.
 func TestSlowCallerHoldsUpNoOther(t *testing.T) {
 	withDriver(t, decideDecode, func(t *testing.T, r *testDriver) {
-		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
-			return adapter.Decoded{Tokens: 2}, sendTokens(s, 0, 1)
+		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
+			return adapter.DecodeResult{Tokens: 2}, sendTokens(s, 0, 1)
 		}
 		taken := make(chan struct{})
 		slow := outputFunc(func(adapter.Chunk) error {
@@ -264,13 +264,13 @@
 func TestReattachWaits(t *testing.T) {
 	withDriver(t, decideReattach, func(t *testing.T, r *testDriver) {
 		begin := time.Now()
-		r.engine.decode = func(_ context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
+		r.engine.decode = func(_ context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
 			if c.ContinueFrom == 0 {
 				assert.NilError(t, s.Token(token(0)))
-				return adapter.Decoded{}, errors.ErrUnsupported
+				return adapter.DecodeResult{}, errors.ErrUnsupported
 			}
 			assert.Equal(t, time.Since(begin), time.Second)
-			return adapter.Decoded{Tokens: 2}, sendTokens(s, 1)
+			return adapter.DecodeResult{Tokens: 2}, sendTokens(s, 1)
 		}
 		assert.Equal(t, r.submit(t.Context()).Outcome, api.Complete)
 		assert.Equal(t, r.out.text, "ab")
@@ -282,10 +282,10 @@
 func TestCancelWhileReattachWaits(t *testing.T) {
 	withDriver(t, decideReattach, func(t *testing.T, r *testDriver) {
 		ctx, leave := context.WithCancel(t.Context())
-		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
+		r.engine.decode = func(_ context.Context, _ *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
 			assert.NilError(t, s.Token(token(0)))
 			time.AfterFunc(500*time.Millisecond, leave)
-			return adapter.Decoded{}, errors.ErrUnsupported
+			return adapter.DecodeResult{}, errors.ErrUnsupported
 		}
 		r.submit(ctx)
 		synctest.Wait()
--- a/entry/driver/exchange.go
+++ b/entry/driver/exchange.go
@@ -29,8 +29,8 @@
 	delivery delivery
 	// The remaining fields are owned by the driver's goroutine.
 	live         map[*attempt]struct{}
-	decoded      adapter.Decoded
-	served       *adapter.ServiceAnswer
+	decoded      adapter.DecodeResult
+	served       *adapter.ServiceResponse
 	prefillUsage prefillUsage
 }
 
@@ -43,8 +43,8 @@
 	BundleVersion uint64
 	// Decoded describes a complete model output, Service is the complete answer
 	// of a plain service.
-	Decoded adapter.Decoded
-	Service *adapter.ServiceAnswer
+	Decoded adapter.DecodeResult
+	Service *adapter.ServiceResponse
 }
 
 // Submit passes a request to the kernel and waits for its final answer. When
--- a/entry/driver/patience_test.go
+++ b/entry/driver/patience_test.go
@@ -26,9 +26,9 @@
 		return decideDecode(ev)
 	}
 	withDriver(t, decide, func(t *testing.T, r *testDriver) {
-		r.engine.prefill = func(ctx context.Context) (adapter.Prefilled, error) {
+		r.engine.prefill = func(ctx context.Context) (adapter.PrefillResult, error) {
 			<-ctx.Done()
-			return adapter.Prefilled{}, ctx.Err()
+			return adapter.PrefillResult{}, ctx.Err()
 		}
 		begin := time.Now()
 		assert.Equal(t, r.submit(t.Context()).Outcome, api.Unknown)
--- a/entry/driver/rig_test.go
+++ b/entry/driver/rig_test.go
@@ -62,8 +62,8 @@
 // fakeEngine is an engine whose calls are scripted by a test.
 type fakeEngine struct {
 	// prefill is optional.
-	prefill func(ctx context.Context) (adapter.Prefilled, error)
-	decode  func(ctx context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error)
+	prefill func(ctx context.Context) (adapter.PrefillResult, error)
+	decode  func(ctx context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error)
 
 	mu      sync.Mutex
 	cancels []ident.AttemptID
@@ -71,18 +71,18 @@
 
 func (*fakeEngine) PluginInfo() plugin.Info { return plugin.Info{} }
 
-func (e *fakeEngine) Prefill(ctx context.Context, _ *adapter.PrefillCall) (adapter.Prefilled, error) {
+func (e *fakeEngine) Prefill(ctx context.Context, _ *adapter.PrefillCall) (adapter.PrefillResult, error) {
 	if e.prefill != nil {
 		return e.prefill(ctx)
 	}
-	return adapter.Prefilled{}, nil
+	return adapter.PrefillResult{}, nil
 }
 
-func (e *fakeEngine) Decode(ctx context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.Decoded, error) {
+func (e *fakeEngine) Decode(ctx context.Context, c *adapter.DecodeCall, s adapter.Sink) (adapter.DecodeResult, error) {
 	return e.decode(ctx, c, s)
 }
 
-func (e *fakeEngine) Reattach(ctx context.Context, c *adapter.ReattachCall, s adapter.Sink) (adapter.Decoded, error) {
+func (e *fakeEngine) Reattach(ctx context.Context, c *adapter.ReattachCall, s adapter.Sink) (adapter.DecodeResult, error) {
 	return e.decode(ctx, &adapter.DecodeCall{Target: c.Target, ContinueFrom: c.Offset}, s)
 }
 
--- a/entry/front/answer.go
+++ b/entry/front/answer.go
@@ -80,7 +80,7 @@
 // answerUsage returns the usage of the complete answer. An engine that resumed
 // an answer counts the earlier output as part of the prompt, which is corrected
 // here.
-func answerUsage(ex *driver.Exchange, d adapter.Decoded) usage {
+func answerUsage(ex *driver.Exchange, d adapter.DecodeResult) usage {
 	u := usage{PromptTokens: ex.Request.PromptTokens}
 	var reported usage
 	if json.Unmarshal(d.Usage, &reported) == nil && reported.TotalTokens >= d.Tokens {
--- a/entry/front/answer_test.go
+++ b/entry/front/answer_test.go
@@ -101,7 +101,7 @@
 // counted those 30 tokens as part of the prompt.
 func TestUsageOfResumedAnswer(t *testing.T) {
 	ex := &driver.Exchange{Request: &kernel.Request{PromptTokens: 100}}
-	got := answerUsage(ex, adapter.Decoded{Tokens: 40, Usage: json.RawMessage(`{"prompt_tokens":130,"completion_tokens":10,"total_tokens":140}`)})
+	got := answerUsage(ex, adapter.DecodeResult{Tokens: 40, Usage: json.RawMessage(`{"prompt_tokens":130,"completion_tokens":10,"total_tokens":140}`)})
 	assert.DeepEqual(t, got, usage{PromptTokens: 100, CompletionTokens: 40, TotalTokens: 140})
 }
 
--- a/entry/front/call.go
+++ b/entry/front/call.go
@@ -101,7 +101,7 @@
 		problem = f.notReadyProblem()
 	}
 	if problem == nil && c.catalog == nil {
-		problem = api.NewProblem(api.ProblemNotReady, api.NotRun, string(NoBundle)).RetryAfter(retryAfterNotReady)
+		problem = api.NewProblem(api.ProblemNotReady, api.NotRun, string(NoBundle)).WithRetryAfter(retryAfterNotReady)
 	}
 	return c, problem
 }
@@ -110,7 +110,7 @@
 // carries a ticket may have run at another instance; only its executor knows.
 func (f *Front) fail(w http.ResponseWriter, c *call, p *api.Problem) {
 	if c.header.Get(api.HeaderTicket) != "" && !c.ticketed {
-		p = ticket.RefusedElsewhere(p)
+		p = ticket.WithUnknownOutcome(p)
 	}
 	if c.unread {
 		// Otherwise the server would read the rest of the body, as slowly as
@@ -159,7 +159,7 @@
 		f.fail(w, c, problem)
 		return
 	}
-	path := ticket.Choose(ticket.Traits{
+	path := ticket.ChoosePath(ticket.Traits{
 		Repeatable:   repeatable,
 		Ticket:       c.headers.Ticket != "",
 		Key:          c.headers.IdempotencyKey != "",
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -93,7 +93,7 @@
 func completeResult(_ context.Context, ex *driver.Exchange) driver.Result {
 	r := driver.Result{Outcome: api.Complete, BundleVersion: 4}
 	if ex.Service != nil {
-		r.Service = &adapter.ServiceAnswer{Status: http.StatusTeapot, Header: http.Header{"X-Own": {"1"}}, Body: []byte("tea")}
+		r.Service = &adapter.ServiceResponse{Status: http.StatusTeapot, Header: http.Header{"X-Own": {"1"}}, Body: []byte("tea")}
 		return r
 	}
 	for i, text := range []string{"one ", "two"} {
@@ -105,13 +105,13 @@
 			return failedResult()
 		}
 	}
-	r.Decoded = adapter.Decoded{Tokens: 2, FinishReason: "stop"}
+	r.Decoded = adapter.DecodeResult{Tokens: 2, FinishReason: "stop"}
 	return r
 }
 
 // failedResult is the result of a request that failed with an unknown outcome.
 func failedResult() driver.Result {
-	p := api.NewProblem(api.ProblemUpstreamFailed, api.Unknown, "it broke").RetryAfter(1500 * time.Millisecond)
+	p := api.NewProblem(api.ProblemUpstreamFailed, api.Unknown, "it broke").WithRetryAfter(1500 * time.Millisecond)
 	return driver.Result{Outcome: api.Unknown, Problem: p, BundleVersion: 4}
 }
 
--- a/entry/front/problem.go
+++ b/entry/front/problem.go
@@ -46,13 +46,13 @@
 	case IsReady, ShutdownPending:
 		return nil
 	case Stopping:
-		return api.NewProblem(api.ProblemStopping, api.NotRun, string(why)).RetryAfter(retryAfterOverload)
+		return api.NewProblem(api.ProblemStopping, api.NotRun, string(why)).WithRetryAfter(retryAfterOverload)
 	default:
-		return api.NewProblem(api.ProblemNotReady, api.NotRun, string(why)).RetryAfter(retryAfterNotReady)
+		return api.NewProblem(api.ProblemNotReady, api.NotRun, string(why)).WithRetryAfter(retryAfterNotReady)
 	}
 }
 
 // overloaded returns the problem for a limit that was reached.
 func overloaded(detail string) *api.Problem {
-	return api.NewProblem(api.ProblemOverloaded, api.NotRun, detail).RetryAfter(retryAfterOverload)
+	return api.NewProblem(api.ProblemOverloaded, api.NotRun, detail).WithRetryAfter(retryAfterOverload)
 }
--- a/entry/operate_test.go
+++ b/entry/operate_test.go
@@ -44,7 +44,7 @@
 
 	none := console.Explain(t.Context(), pool, []string{b.entry.OperatorAddress()}, "nonesuch")
 	assert.Equal(t, len(none.Found), 0)
-	assert.Equal(t, len(none.Unreached), 0)
+	assert.Equal(t, len(none.Unreachable), 0)
 }
 
 // TestOperatorsMustBeNamed checks that only operators listed in the settings are
@@ -52,8 +52,8 @@
 func TestOperatorsMustBeNamed(t *testing.T) {
 	b := newTestbed(t, nil)
 	e := console.Explain(t.Context(), operatorPool(t, "stranger"), []string{b.entry.OperatorAddress()}, "x")
-	assert.Equal(t, len(e.Unreached), 1)
-	assert.Assert(t, strings.Contains(e.Unreached[0].Error, "not allowed"), e.Unreached[0].Error)
+	assert.Equal(t, len(e.Unreachable), 1)
+	assert.Assert(t, strings.Contains(e.Unreachable[0].Error, "not allowed"), e.Unreachable[0].Error)
 }
 
 // TestWatch checks the counts by bundle version that operators' tools read.
@@ -65,7 +65,7 @@
 	b.do(http.MethodGet, "/services/desk/x", "")
 	b.do(http.MethodPost, "/v1/completions", `{"model":"none","prompt":"x"}`)
 	w := console.NewWatcher(operatorPool(t, "ops-1"), []string{b.entry.OperatorAddress()})
-	s := w.Look(t.Context(), time.Now())
+	s := w.Query(t.Context(), time.Now())
 	assert.Equal(t, len(s.Versions), 1)
 	v := s.Versions[0]
 	assert.Equal(t, v.Version, uint64(1))
@@ -91,11 +91,11 @@
 	b := newTestbed(t, nil)
 	b.do(http.MethodGet, "/services/desk/x", "")
 	w := console.NewWatcher(operatorPool(t, "ops-1"), []string{b.entry.OperatorAddress()})
-	before := w.Look(t.Context(), time.Now())
+	before := w.Query(t.Context(), time.Now())
 	b.shutDown()
-	after := w.Look(t.Context(), time.Now())
+	after := w.Query(t.Context(), time.Now())
 	assert.DeepEqual(t, after.Versions, before.Versions)
-	assert.Equal(t, len(after.Unreached), 1)
+	assert.Equal(t, len(after.Unreachable), 1)
 }
 
 // TestMetrics checks the metrics of a completed request.
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -48,7 +48,7 @@
 	limits := ticket.DefaultLimits()
 	limits.Lifetime = t.Lifetime
 	return tickets.New(tickets.Options{
-		Life: ticket.Life{
+		Life: ticket.Process{
 			Instance:    self.Instance,
 			Incarnation: self.Incarnation,
 			Nonce:       binary.LittleEndian.Uint64(nonce[:]),
--- a/entry/tickets/desk.go
+++ b/entry/tickets/desk.go
@@ -99,7 +99,7 @@
 
 // Options are the parameters of New.
 type Options struct {
-	Life    ticket.Life
+	Life    ticket.Process
 	Limits  ticket.Limits
 	Codec   *ticket.Codec
 	Forward Forwarder
@@ -156,7 +156,7 @@
 	}
 	c.Run = RunID(c.Ticket)
 	switch route := ticket.Route(t, d.life(), d.view(t)); route.Destination {
-	case ticket.Here:
+	case ticket.Local:
 		return d.present(ctx, t, c)
 	case ticket.Forward:
 		d.reportPresentation(t, c, journal.PresentationForwarded)
@@ -178,10 +178,10 @@
 	return d.present(ctx, t, c)
 }
 
-func (d *Dispatcher) life() ticket.Life {
+func (d *Dispatcher) life() ticket.Process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.executor.Life()
+	return d.executor.Process()
 }
 
 // view returns a view that tells ticket.Route whether the executor's address is
@@ -266,7 +266,7 @@
 	case <-ctx.Done():
 	}
 	d.mu.Lock()
-	left := d.executor.Leave(t)
+	left := d.executor.RemoveWaiter(t)
 	d.mu.Unlock()
 	if left == 0 {
 		j.cancel()
--- a/entry/tickets/desk_test.go
+++ b/entry/tickets/desk_test.go
@@ -39,7 +39,7 @@
 	codec, err := ticket.NewCodec(ticket.Key{ID: "k", Secret: bytes.Repeat([]byte("s"), 32)})
 	assert.NilError(t, err)
 	return New(Options{
-		Life:   ticket.Life{Instance: instance, Incarnation: 1, Nonce: 1},
+		Life:   ticket.Process{Instance: instance, Incarnation: 1, Nonce: 1},
 		Limits: ticket.DefaultLimits(), Codec: codec, Forward: f,
 		Log: slog.New(slog.DiscardHandler),
 	})
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -126,7 +126,7 @@
 			var method *peer.MethodError
 			assert.Equal(t, errors.As(err, &method), c.good, "%v", err)
 			e := console.Explain(t.Context(), tlsPool(t, "ops-1", operatorFiles), []string{b.entry.OperatorAddress()}, "x")
-			assert.Equal(t, len(e.Unreached) == 0, c.good, "%v", e.Unreached)
+			assert.Equal(t, len(e.Unreachable) == 0, c.good, "%v", e.Unreachable)
 		})
 	}
 }
--- a/gateway/program/program.go
+++ b/gateway/program/program.go
@@ -40,9 +40,9 @@
 func New(version string) process.Program[gateway.Settings] {
 	return process.Program[gateway.Settings]{
 		Name: "wardspool-gateway", Description: description, Version: version,
-		Log:    func(s *gateway.Settings) logs.Options { return s.Log },
-		Output: os.Stdout,
-		New:    newService,
+		LogOptions: func(s *gateway.Settings) logs.Options { return s.Log },
+		LogOutput:  os.Stdout,
+		New:        newService,
 	}
 }
 
--- a/kernel/finish.go
+++ b/kernel/finish.go
@@ -64,7 +64,7 @@
 	if c.mayHaveRun || c.started() || c.prefill != nil {
 		outcome = api.Unknown
 	}
-	problem := api.NewProblem(r.Problem, outcome, r.Detail).RetryAfter(r.RetryAfter)
+	problem := api.NewProblem(r.Problem, outcome, r.Detail).WithRetryAfter(r.RetryAfter)
 	problem.RequestID = string(c.request.ID)
 	problem.BundleVersion = k.catalog.version
 	k.finish(c, Answer{Request: c.request.ID, Outcome: outcome, Problem: problem},
--- a/load/client/fake_test.go
+++ b/load/client/fake_test.go
@@ -49,7 +49,7 @@
 
 func complete(w http.ResponseWriter, r *http.Request, m misbehaviour) {
 	if m == refuses {
-		_ = api.NewProblem(api.ProblemOverloaded, api.NotRun, "full").RetryAfter(1500).Write(w)
+		_ = api.NewProblem(api.ProblemOverloaded, api.NotRun, "full").WithRetryAfter(1500).Write(w)
 		return
 	}
 	var body completionBody
--- a/load/runner/runner_test.go
+++ b/load/runner/runner_test.go
@@ -56,7 +56,7 @@
 	}
 	if s.refused[id] < s.refuse {
 		s.refused[id]++
-		_ = api.NewProblem(api.ProblemOverloaded, api.NotRun, "").RetryAfter(10 * time.Millisecond).Write(w)
+		_ = api.NewProblem(api.ProblemOverloaded, api.NotRun, "").WithRetryAfter(10 * time.Millisecond).Write(w)
 		return
 	}
 	ticket := r.Header.Get(api.HeaderTicket)
--- a/plugins/engine/openai/engine.go
+++ b/plugins/engine/openai/engine.go
@@ -52,7 +52,7 @@
 }
 
 // Prefill implements adapter.Engine. The error is a *adapter.CallError.
-func (e *Engine) Prefill(ctx context.Context, c *adapter.PrefillCall) (adapter.Prefilled, error) {
+func (e *Engine) Prefill(ctx context.Context, c *adapter.PrefillCall) (adapter.PrefillResult, error) {
 	body, length, err := composeBody(&overrides{
 		Model: c.Model.Model,
 		// vLLM's prefill engines generate one token and discard it.
@@ -62,21 +62,21 @@
 		KVTransferParams: prefillParams,
 	}, c.Model.Fields)
 	if err != nil {
-		return adapter.Prefilled{}, unsentError(err)
+		return adapter.PrefillResult{}, unsentError(err)
 	}
 	resp, err := e.post(ctx, &c.Target, path(c.Model.Endpoint), body, length)
 	if err != nil {
-		return adapter.Prefilled{}, err
+		return adapter.PrefillResult{}, err
 	}
 	defer drain(resp.Body)
 	var a prefillResponse
 	if err := decodeJSON(resp.Body, &a); err != nil {
-		return adapter.Prefilled{}, err
+		return adapter.PrefillResult{}, err
 	}
 	if len(a.KVTransferParams) == 0 || bytes.Equal(a.KVTransferParams, []byte("null")) {
-		return adapter.Prefilled{}, brokenError(&adapter.ProtocolError{Part: "kv_transfer_params is missing"})
+		return adapter.PrefillResult{}, brokenError(&adapter.ProtocolError{Part: "kv_transfer_params is missing"})
 	}
-	out := adapter.Prefilled{Params: a.KVTransferParams}
+	out := adapter.PrefillResult{Params: a.KVTransferParams}
 	if a.Usage != nil && a.Usage.PromptTokensDetails != nil {
 		out.CachedTokens = a.Usage.PromptTokensDetails.CachedTokens
 	}
@@ -84,7 +84,7 @@
 }
 
 // Decode implements adapter.Engine.
-func (e *Engine) Decode(ctx context.Context, c *adapter.DecodeCall, sink adapter.Sink) (adapter.Decoded, error) {
+func (e *Engine) Decode(ctx context.Context, c *adapter.DecodeCall, sink adapter.Sink) (adapter.DecodeResult, error) {
 	body, length, err := composeBody(&overrides{
 		Model:            c.Model.Model,
 		MaxTokens:        c.Model.MaxTokens,
@@ -95,11 +95,11 @@
 		KVTransferParams: c.Params,
 	}, c.Model.Fields)
 	if err != nil {
-		return adapter.Decoded{}, unsentError(err)
+		return adapter.DecodeResult{}, unsentError(err)
 	}
 	resp, err := e.post(ctx, &c.Target, path(c.Model.Endpoint), body, length)
 	if err != nil {
-		return adapter.Decoded{}, err
+		return adapter.DecodeResult{}, err
 	}
 	defer resp.Body.Close()
 	resp.Header = nil // not used below; frees its memory while the stream is open
@@ -108,18 +108,18 @@
 
 // Reattach implements adapter.Engine. It reads the output of an attempt that was
 // sent before, from token c.Offset on.
-func (e *Engine) Reattach(ctx context.Context, c *adapter.ReattachCall, sink adapter.Sink) (adapter.Decoded, error) {
+func (e *Engine) Reattach(ctx context.Context, c *adapter.ReattachCall, sink adapter.Sink) (adapter.DecodeResult, error) {
 	attempt := c.Attempt.String()
 	req, err := e.request(ctx, http.MethodGet, &c.Target, pathStreams+url.PathEscape(attempt))
 	if err != nil {
-		return adapter.Decoded{}, unsentError(err)
+		return adapter.DecodeResult{}, unsentError(err)
 	}
 	if c.Offset > 0 {
 		req.Header.Set(headerLastEvent, attempt+":"+strconv.Itoa(c.Offset-1))
 	}
 	resp, err := e.do(req, &c.Target, http.NoBody, 0)
 	if err != nil {
-		return adapter.Decoded{}, ambiguousError(err)
+		return adapter.DecodeResult{}, ambiguousError(err)
 	}
 	defer resp.Body.Close()
 	resp.Header = nil // as in Decode
--- a/plugins/engine/openai/stream.go
+++ b/plugins/engine/openai/stream.go
@@ -30,19 +30,19 @@
 // readStream reads the output of an attempt, starting at token from, until its
 // end and passes the tokens to sink. The output is complete if a token had a
 // finish_reason and the stream ended with doneMark; anything else is an error.
-func readStream(body io.Reader, attempt string, from int, sink adapter.Sink) (adapter.Decoded, error) {
+func readStream(body io.Reader, attempt string, from int, sink adapter.Sink) (adapter.DecodeResult, error) {
 	s := &stream{attempt: attempt, sink: sink, next: from}
 	events := newEventReader(body)
 	for {
 		ev, err := events.next()
 		if err != nil {
-			return adapter.Decoded{}, brokenError(unexpectedEOF(err))
+			return adapter.DecodeResult{}, brokenError(unexpectedEOF(err))
 		}
 		if bytes.Equal(ev.data, doneMark) {
 			return s.result()
 		}
 		if err := s.handleEvent(ev); err != nil {
-			return adapter.Decoded{}, err
+			return adapter.DecodeResult{}, err
 		}
 	}
 }
@@ -58,11 +58,11 @@
 
 // result returns the result of a stream that has ended with doneMark, or an error
 // if no token had a finish_reason.
-func (s *stream) result() (adapter.Decoded, error) {
+func (s *stream) result() (adapter.DecodeResult, error) {
 	if s.finish == "" {
-		return adapter.Decoded{}, brokenError(&adapter.ProtocolError{Part: "[DONE] without a finish_reason"})
+		return adapter.DecodeResult{}, brokenError(&adapter.ProtocolError{Part: "[DONE] without a finish_reason"})
 	}
-	return adapter.Decoded{Tokens: s.next, FinishReason: s.finish, Usage: s.usage}, nil
+	return adapter.DecodeResult{Tokens: s.next, FinishReason: s.finish, Usage: s.usage}, nil
 }
 
 // handleEvent handles one event before doneMark. Events without an ID carry no
--- a/plugins/service/http/call.go
+++ b/plugins/service/http/call.go
@@ -25,7 +25,7 @@
 // Call implements adapter.Service. A response with a status from 200 to 499 is
 // the service's answer and is returned as it is; other statuses are failures. The
 // error is a *adapter.CallError.
-func (s *Service) Call(ctx context.Context, c *adapter.ServiceCall) (*adapter.ServiceAnswer, error) {
+func (s *Service) Call(ctx context.Context, c *adapter.ServiceCall) (*adapter.ServiceResponse, error) {
 	if c.Timeout > 0 {
 		bounded, cancel := context.WithTimeout(ctx, c.Timeout)
 		defer cancel()
@@ -53,7 +53,7 @@
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return nil, responseError(resp, body)
 	}
-	return &adapter.ServiceAnswer{
+	return &adapter.ServiceResponse{
 		Status: resp.StatusCode,
 		Header: roundtrip.EndToEnd(resp.Header),
 		Body:   body,
--- a/process/process.go
+++ b/process/process.go
@@ -49,17 +49,17 @@
 	Name, Description string
 	// Version is printed by --version.
 	Version string
-	// Log returns the log options from the settings.
-	Log func(*S) logs.Options
-	// Output receives the log. If it is nil, the log goes to standard error, and
-	// writing may block the program. Writing to Output never blocks: if it is too
+	// LogOptions returns the log options from the settings.
+	LogOptions func(*S) logs.Options
+	// LogOutput receives the log. If it is nil, the log goes to standard error, and
+	// writing may block the program. Writing to LogOutput never blocks: if it is too
 	// slow, lines are dropped and counted.
-	Output io.Writer
+	LogOutput io.Writer
 	// New creates the service.
 	New func(*S, *slog.Logger) (Service, error)
-	// Failed returns the exit code for an error of the service. If it is nil, the
+	// ExitCodeFor returns the exit code for an error of the service. If it is nil, the
 	// exit code is ExitFailed.
-	Failed func(error) ExitCode
+	ExitCodeFor func(error) ExitCode
 }
 
 // commandLine defines the flags of a Program.
@@ -106,12 +106,12 @@
 		return ExitSettings
 	}
 	logOutput := errOut
-	if p.Output != nil {
-		writer := logs.NewNonBlockingWriter(p.Output)
+	if p.LogOutput != nil {
+		writer := logs.NewNonBlockingWriter(p.LogOutput)
 		defer writer.Close()
 		logOutput = writer
 	}
-	log, err := logs.New(logOutput, p.Log(s))
+	log, err := logs.New(logOutput, p.LogOptions(s))
 	if err != nil {
 		fmt.Fprintln(errOut, err)
 		return ExitSettings
@@ -143,8 +143,8 @@
 
 // exitCode returns the exit code for an error of the service.
 func (p Program[S]) exitCode(err error) ExitCode {
-	if p.Failed == nil {
+	if p.ExitCodeFor == nil {
 		return ExitFailed
 	}
-	return p.Failed(err)
+	return p.ExitCodeFor(err)
 }
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -35,8 +35,8 @@
 // newProgram returns a program that runs s; New fails with newErr.
 func newProgram(s fakeService, newErr error) Program[testSettings] {
 	return Program[testSettings]{
-		Log: func(s *testSettings) logs.Options { return s.Log },
-		New: func(*testSettings, *slog.Logger) (Service, error) { return s, newErr },
+		LogOptions: func(s *testSettings) logs.Options { return s.Log },
+		New:        func(*testSettings, *slog.Logger) (Service, error) { return s, newErr },
 	}
 }
 
@@ -51,7 +51,7 @@
 // TestRun checks the exit code and the output for each way in which a program ends.
 func TestRun(t *testing.T) {
 	withCode := newProgram(fakeService{serve: errServe}, nil)
-	withCode.Failed = func(error) ExitCode { return 3 }
+	withCode.ExitCodeFor = func(error) ExitCode { return 3 }
 	for name, c := range map[string]struct {
 		program    Program[testSettings]
 		text, says string
--- a/process/reload_test.go
+++ b/process/reload_test.go
@@ -59,7 +59,7 @@
 	path := writeSettings(t, "name: one")
 	r := reloadableService{reloaded: make(chan string, 1)}
 	p := Program[testSettings]{
-		Log: func(s *testSettings) logs.Options { return s.Log },
+		LogOptions: func(s *testSettings) logs.Options { return s.Log },
 		New: func(*testSettings, *slog.Logger) (Service, error) {
 			assert.NilError(t, os.WriteFile(path, []byte("name: two"), 0o600))
 			return r, syscall.Kill(os.Getpid(), syscall.SIGHUP)
--- a/settings/finding.go
+++ b/settings/finding.go
@@ -17,8 +17,8 @@
 	// Field is the path of the invalid field, for example "limits.body_bytes". It
 	// is empty if the finding concerns the whole file.
 	Field string
-	// Message describes the error, Advice how to correct it.
-	Message, Advice string
+	// Problem describes the error, Advice how to correct it.
+	Problem, Advice string
 }
 
 // String formats the finding as "file:line:column: field: message; advice".
@@ -28,7 +28,7 @@
 	if f.Field != "" {
 		b.WriteString(f.Field + ": ")
 	}
-	b.WriteString(f.Message)
+	b.WriteString(f.Problem)
 	if f.Advice != "" {
 		b.WriteString("; " + f.Advice)
 	}
--- a/settings/load.go
+++ b/settings/load.go
@@ -101,7 +101,7 @@
 	at := r.positions.nearest(field)
 	r.findings = append(r.findings, Finding{
 		File: r.file, Line: at.line, Column: at.column,
-		Field: field, Message: message, Advice: advice,
+		Field: field, Problem: message, Advice: advice,
 	})
 }
 
@@ -137,7 +137,7 @@
 	}
 	r.findings = append(r.findings, Finding{
 		File: r.file, Line: at.Line, Column: at.Column,
-		Field: field, Message: message, Advice: adviceReference,
+		Field: field, Problem: message, Advice: adviceReference,
 	})
 }
 
--- a/ticket/choose.go
+++ b/ticket/choose.go
@@ -35,8 +35,8 @@
 	Required bool
 }
 
-// Choose returns the path of a call.
-func Choose(t Traits) Path {
+// ChoosePath returns the path of a call.
+func ChoosePath(t Traits) Path {
 	switch {
 	case t.Ticket:
 		return PathTicket
--- a/ticket/codec.go
+++ b/ticket/codec.go
@@ -155,7 +155,7 @@
 	}
 	r := numberReader{}
 	t := Ticket{
-		Executor: Life{
+		Executor: Process{
 			Instance:    ident.InstanceID(parts[2]),
 			Incarnation: ident.Incarnation(r.unsigned("incarnation", parts[3])),
 			Nonce:       r.unsigned("nonce", parts[4]),
--- a/ticket/codec_test.go
+++ b/ticket/codec_test.go
@@ -29,7 +29,7 @@
 
 func sampleTicket() Ticket {
 	return Ticket{
-		Executor: Life{Instance: "hall-a-1", Incarnation: 1764684000000, Nonce: 1<<64 - 1},
+		Executor: Process{Instance: "hall-a-1", Incarnation: 1764684000000, Nonce: 1<<64 - 1},
 		Sequence: 41,
 		Issued:   time.UnixMilli(1764684001234),
 		Expires:  time.UnixMilli(1764684121234),
--- a/ticket/executor.go
+++ b/ticket/executor.go
@@ -46,7 +46,7 @@
 // lifetime of tickets. Whether a call runs twice never depends on a clock. An
 // Executor is not safe for concurrent use.
 type Executor struct {
-	life             Life
+	life             Process
 	limits           Limits
 	nextSequence     uint64
 	stopping         bool
@@ -61,7 +61,7 @@
 
 // NewExecutor returns the executor of a newly started process, without any
 // tickets.
-func NewExecutor(life Life, limits Limits) *Executor {
+func NewExecutor(life Process, limits Limits) *Executor {
 	return &Executor{
 		life:             life,
 		limits:           limits,
@@ -71,8 +71,8 @@
 	}
 }
 
-// Life returns the life that the executor's tickets name.
-func (e *Executor) Life() Life { return e.life }
+// Process returns the life that the executor's tickets name.
+func (e *Executor) Process() Process { return e.life }
 
 // Issue returns a new ticket, or the reason why there is none. The memory for the
 // ticket's whole lifetime is reserved here, so that its use never fails for lack
@@ -111,7 +111,7 @@
 	}
 	p := api.NewProblem(api.ProblemOverloaded, api.NotRun, detail)
 	if at, ok := e.NextSweep(); ok {
-		p.RetryAfter(max(at.Sub(now), time.Second))
+		p.WithRetryAfter(max(at.Sub(now), time.Second))
 	}
 	return p
 }
@@ -173,10 +173,10 @@
 	return Verdict{Action: Replay, Result: &en.result}
 }
 
-// Leave reports that a presentation that was told to run or join no longer waits,
+// RemoveWaiter reports that a presentation that was told to run or join no longer waits,
 // and returns the number of those that still do. The running call has no caller
 // left only if it returns 0.
-func (e *Executor) Leave(t Ticket) int {
+func (e *Executor) RemoveWaiter(t Ticket) int {
 	en := e.find(t)
 	if en == nil || en.state != StateRunning {
 		return 0
--- a/ticket/executor_test.go
+++ b/ticket/executor_test.go
@@ -14,7 +14,7 @@
 
 var (
 	testStart = time.UnixMilli(1764684000000)
-	lifeA     = Life{Instance: "a", Incarnation: 10, Nonce: 1}
+	lifeA     = Process{Instance: "a", Incarnation: 10, Nonce: 1}
 	digestOne = (&Call{Body: []byte("one")}).Digest()
 	digestTwo = (&Call{Body: []byte("two")}).Digest()
 )
@@ -50,7 +50,7 @@
 	assert.Equal(t, e.Present(testStart, tk, digestOne).Action, Run)
 	assert.Equal(t, e.Present(testStart, tk, digestOne).Action, Join)
 	checkRefused(t, e.Present(testStart, tk, digestTwo), api.ProblemTicketReused, api.NotRun)
-	assert.Equal(t, e.Leave(tk), 1)
+	assert.Equal(t, e.RemoveWaiter(tk), 1)
 	assert.NilError(t, e.Finish(testStart, tk, answerOf("done")))
 	v := e.Present(testStart, tk, digestOne)
 	assert.Equal(t, v.Action, Replay)
@@ -65,8 +65,8 @@
 	tk := issue(t, e, testStart)
 	e.Present(testStart, tk, digestOne)
 	e.Present(testStart, tk, digestOne)
-	assert.Equal(t, e.Leave(tk), 1)
-	assert.Equal(t, e.Leave(tk), 0)
+	assert.Equal(t, e.RemoveWaiter(tk), 1)
+	assert.Equal(t, e.RemoveWaiter(tk), 0)
 	assert.Equal(t, e.Present(testStart, tk, digestOne).Action, Join)
 }
 
@@ -193,7 +193,7 @@
 
 func TestTicketsOfOtherLivesNeverRun(t *testing.T) {
 	tk := issue(t, NewExecutor(lifeA, testLimits()), testStart)
-	for name, life := range map[string]Life{
+	for name, life := range map[string]Process{
 		"restarted":                 {Instance: "a", Incarnation: 11, Nonce: 2},
 		"same incarnation":          {Instance: "a", Incarnation: 10, Nonce: 2},
 		"replaced, not noticed yet": {Instance: "a", Incarnation: 9, Nonce: 2},
@@ -209,19 +209,19 @@
 
 func TestRoute(t *testing.T) {
 	tk := Ticket{Executor: lifeA}
-	other := Life{Instance: "b", Incarnation: 1}
+	other := Process{Instance: "b", Incarnation: 1}
 	view := func(inc uint64, l kernel.Liveness) *kernel.View {
 		return &kernel.View{Instances: []kernel.Instance{{ID: "b"}, {ID: "a", Incarnation: ident.Incarnation(inc), Liveness: l}}}
 	}
 	for name, c := range map[string]struct {
-		self  Life
+		self  Process
 		view  *kernel.View
 		want  Destination
 		retry bool
 	}{
-		"own":                           {lifeA, nil, Here, false},
-		"restarted here":                {Life{"a", 11, 2}, view(11, kernel.Live), Reject, false},
-		"replaced, not noticed yet":     {Life{"a", 9, 2}, view(9, kernel.Live), Reject, true},
+		"own":                           {lifeA, nil, Local, false},
+		"restarted here":                {Process{"a", 11, 2}, view(11, kernel.Live), Reject, false},
+		"replaced, not noticed yet":     {Process{"a", 9, 2}, view(9, kernel.Live), Reject, true},
 		"live":                          {other, view(10, kernel.Live), Forward, false},
 		"view has an older incarnation": {other, view(9, kernel.Dead), Forward, false},
 		"unreachable":                   {other, view(10, kernel.Unreachable), Forward, false},
@@ -261,12 +261,12 @@
 		"required, deduplicated": {Traits{Required: true, Key: true, Deduplicates: true}, PathDeduplicated},
 		"required, repeatable":   {Traits{Required: true, Repeatable: true}, PathRepeatable},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, Choose(c.traits), c.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, ChoosePath(c.traits), c.want) })
 	}
 }
 
 func TestRefusedElsewhereIsUnknown(t *testing.T) {
-	p := RefusedElsewhere(api.NewProblem(api.ProblemTooLarge, api.NotRun, "too large"))
+	p := WithUnknownOutcome(api.NewProblem(api.ProblemTooLarge, api.NotRun, "too large"))
 	assert.Equal(t, p.Outcome, api.Unknown)
 	assert.Equal(t, p.Type, api.ProblemTooLarge)
 }
--- a/ticket/exhaustive_test.go
+++ b/ticket/exhaustive_test.go
@@ -85,7 +85,7 @@
 	} else {
 		m.mayHaveRun[d] = true
 	}
-	if m.exec.Life() == lifeA {
+	if m.exec.Process() == lifeA {
 		err := m.exec.Finish(m.now, m.ticket, Result{Outcome: o, Body: fmt.Append(nil, d)})
 		m.check(err == nil, "finish failed: the ticket of a running call was forgotten")
 	}
@@ -100,7 +100,7 @@
 // with the same sequence number. A call that the old one started may still end at
 // the upstream.
 func (m *executorModel) restart() {
-	next := m.exec.Life()
+	next := m.exec.Process()
 	next.Nonce++
 	m.exec = NewExecutor(next, testLimits())
 	m.exec.Issue(m.now, "w")
--- a/ticket/fleet_test.go
+++ b/ticket/fleet_test.go
@@ -63,7 +63,7 @@
 		runs: map[Ticket]int{}, callRuns: map[call]int{}, toldNotRun: map[call]bool{},
 	}
 	for i := range fleetSize {
-		life := Life{Instance: instanceID(i), Incarnation: 1}
+		life := Process{Instance: instanceID(i), Incarnation: 1}
 		f.nodes = append(f.nodes, &node{exec: NewExecutor(life, testLimits())})
 	}
 	return f
@@ -123,9 +123,9 @@
 }
 
 func (f *fleet) route(m message) {
-	d := Route(m.call.ticket, f.nodes[m.at].exec.Life(), f.view())
+	d := Route(m.call.ticket, f.nodes[m.at].exec.Process(), f.view())
 	switch d.Destination {
-	case Here:
+	case Local:
 		f.presentAt(m.at, m.call)
 	case Reject:
 		f.recordOutcome(m.call, d.Problem.Outcome)
@@ -192,7 +192,7 @@
 	c := f.running[k]
 	i := f.nodeOf(c.ticket.Executor.Instance)
 	f.running = append(f.running[:k], f.running[k+1:]...)
-	if n := f.nodes[i]; n.down || n.exec.Life() != c.ticket.Executor {
+	if n := f.nodes[i]; n.down || n.exec.Process() != c.ticket.Executor {
 		return
 	}
 	o := []api.Outcome{api.Complete, api.NotRun, api.Unknown}[f.draw(3, "outcome")]
@@ -218,7 +218,7 @@
 	if !n.down && f.draw(3, "at once") > 0 {
 		f.t.Skip("the instance is not down")
 	}
-	life := n.exec.Life()
+	life := n.exec.Process()
 	life.Nonce++
 	life.Incarnation += ident.Incarnation(f.draw(2, "step"))
 	*n = node{exec: NewExecutor(life, testLimits()), skew: n.skew}
--- a/ticket/route.go
+++ b/ticket/route.go
@@ -17,9 +17,9 @@
 
 // Destinations of a call.
 const (
-	// Here means that this process is the executor; the call goes to
+	// Local means that this process is the executor; the call goes to
 	// Executor.Present.
-	Here Destination = iota + 1
+	Local Destination = iota + 1
 	// Forward means that the call is sent to Decision.To, which presents it to
 	// its own executor and does not forward it again.
 	Forward
@@ -38,9 +38,9 @@
 
 // Route decides where a call with a ticket is sent that arrived at this instance.
 // A stale view does no harm: only the executor itself can run the call.
-func Route(t Ticket, self Life, v *kernel.View) Decision {
+func Route(t Ticket, self Process, v *kernel.View) Decision {
 	if t.Executor == self {
-		return Decision{Destination: Here}
+		return Decision{Destination: Local}
 	}
 	if t.Executor.Instance == self.Instance {
 		return Decision{Destination: Reject, Problem: otherExecutorProblem(t, self)}
@@ -65,7 +65,7 @@
 }
 
 // otherExecutorProblem returns the answer of one life to a ticket of another.
-func otherExecutorProblem(t Ticket, self Life) *api.Problem {
+func otherExecutorProblem(t Ticket, self Process) *api.Problem {
 	if t.Executor.Instance == self.Instance && t.Executor.Incarnation <= self.Incarnation {
 		return GoneProblem()
 	}
@@ -102,13 +102,13 @@
 func UnreachableProblem() *api.Problem {
 	p := api.NewProblem(api.ProblemExecutorGone, api.Unknown,
 		"the instance that issued the ticket can't be reached; retry with the same ticket")
-	return p.RetryAfter(unreachableRetryAfter)
+	return p.WithRetryAfter(unreachableRetryAfter)
 }
 
-// RefusedElsewhere sets the outcome of a refusal to unknown. It is for refusals
+// WithUnknownOutcome sets the outcome of a refusal to unknown. It is for refusals
 // that are given without asking the executor, such as "body too large" at an
 // entry instance: the call may have been presented before and have run.
-func RefusedElsewhere(p *api.Problem) *api.Problem {
+func WithUnknownOutcome(p *api.Problem) *api.Problem {
 	p.Outcome = api.Unknown
 	return p
 }
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -6,8 +6,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Life identifies one process of an instance, from its start to its end.
-type Life struct {
+// Process identifies one process of an instance, from its start to its end.
+type Process struct {
 	Instance    ident.InstanceID
 	Incarnation ident.Incarnation
 	// Nonce is drawn at random when the process starts. It distinguishes
@@ -19,7 +19,7 @@
 // Ticket is the permission to run one call once.
 type Ticket struct {
 	// Executor is the only process that may run the call.
-	Executor Life
+	Executor Process
 	// Sequence is the number of the ticket among those of its executor.
 	Sequence uint64
 	// Issued and Expires are in whole milliseconds of the executor's wall clock.
