--- a/internal/capacity/bed.go
+++ b/internal/capacity/bed.go
@@ -23,7 +23,7 @@
 	standin "github.com/wardspool/wardspool/standin/platform"
 )
 
-// bed is a fleet of agents and the stand-ins around them.
+// bed is a running test fleet: the agent processes and the stand-ins they talk to.
 type bed struct {
 	options   *options
 	dir       string
@@ -32,14 +32,14 @@
 	nodes     []*node
 	upstreams []configservice.Upstream
 	publisher *publisher
-	// simulation is nil without simulated instances.
+	// simulation is nil if no instances are simulated.
 	simulation *simulation
 	closers    []func()
-	// network is the second part of the instances' loopback IP numbers.
+	// network is the second octet of the instances' loopback addresses.
 	network int
 }
 
-// node is one instance: an agent's process and its entry's stand-in.
+// node is one instance: an agent process and the stand-in for its entry.
 type node struct {
 	id       ident.InstanceID
 	zone     ident.Zone
@@ -50,18 +50,18 @@
 	log      *os.File
 }
 
-// upstreamsPerAgent is that of the users' plans: 600 before 410.
+// upstreamsPerAgent is the planned ratio of upstreams to instances, about 600 to 410.
 const upstreamsPerAgent = 1.5
 
-// maxNetwork bounds bed.network.
+// maxNetwork is the largest value of bed.network.
 const maxNetwork = 250
 
-// ip returns the i-th instance's IP number. Each has one of its own, so that no
-// outgoing connection takes a port that an instance listens on.
+// ip returns the i-th instance's IP address. Each instance has its own address, so
+// that no outgoing connection occupies a port that an instance listens on.
 func (b *bed) ip(i int) string { return fmt.Sprintf("127.%d.%d.%d", b.network, i/200, i%200+1) }
 
-// newBed starts a fleet of n agents. The caller must close it, also after an
-// error.
+// newBed starts a fleet of n agents. The caller must close the bed even if an error
+// is returned.
 func newBed(o *options, n int) (*bed, error) {
 	b := &bed{options: o, platform: standin.New(standin.Config{}), network: 1 + rand.IntN(maxNetwork)}
 	b.closers = append(b.closers, b.platform.Close)
@@ -97,7 +97,7 @@
 	return b, nil
 }
 
-// close ends all processes and stand-ins.
+// close kills all agent processes and shuts down the stand-ins.
 func (b *bed) close() {
 	for _, x := range b.nodes {
 		x.kill()
@@ -107,17 +107,17 @@
 	}
 }
 
-// kill ends an agent.
+// kill kills the agent process and waits for it.
 func (x *node) kill() {
 	if x.process != nil {
-		// One that has ended already needs no signal.
+		// The error is ignored: the process may have exited already.
 		_ = x.process.Process.Kill()
 		_ = x.process.Wait()
 		_ = x.log.Close()
 	}
 }
 
-// serve serves HTTP on loopback.
+// serve serves h on a free loopback port and returns the listen address.
 func (b *bed) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -127,17 +127,17 @@
 	return l.Addr().String(), nil
 }
 
-// serveOn serves HTTP on a listener.
+// serveOn serves h on l until the bed is closed.
 func (b *bed) serveOn(l net.Listener, h http.Handler) {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = srv.Serve(l) }()
 	b.closers = append(b.closers, func() { _ = srv.Close() })
 }
 
-// zone returns the zone of the i-th process.
+// zone returns the zone of the i-th instance or engine, assigned round-robin.
 func (b *bed) zone(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%b.options.Zones+1)) }
 
-// startEngines starts stand-in engines: of each three, one for prefill.
+// startEngines starts n stand-in engines, one in three of them for prefill.
 func (b *bed) startEngines(n int) error {
 	for i := range n {
 		role := simRole(i / b.options.Zones)
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// simRole returns the role of the engine with a place in its zone.
+// simRole returns the role of the engine at the given position within its zone.
 func simRole(place int) config.Role {
 	if place%3 == 0 {
 		return config.RolePrefill
@@ -175,7 +175,7 @@
 	return config.RoleDecode
 }
 
-// addNodes makes the instances and lists them.
+// addNodes creates the instances and publishes the instance and upstream lists.
 func (b *bed) addNodes(n int) error {
 	var listed configservice.Instances
 	for i := range n {
@@ -205,7 +205,7 @@
 	return b.publisher.put(configservice.KeyUpstreams, configservice.Upstreams{Upstreams: b.upstreams})
 }
 
-// startAgent starts an instance's agent as a process.
+// startAgent writes an instance's settings file and starts its agent process.
 func (b *bed) startAgent(x *node) error {
 	file := filepath.Join(b.dir, string(x.id)+".yaml")
 	text := fmt.Sprintf(`
@@ -235,7 +235,8 @@
 	return nil
 }
 
-// entry stands in for an instance's entry: it takes what the agent feeds.
+// entry is a stand-in for an instance's entry. It accepts the updates that the agent
+// sends over the feed.
 type entry struct {
 	feed  string
 	peers string
@@ -243,15 +244,15 @@
 	mu          sync.Mutex
 	incarnation ident.Incarnation
 	version     uint64
-	// view is the number of the view sent last, base the digest of the bundle.
+	// view is the number of the latest view received, base the digest of the latest bundle.
 	view uint64
 	base string
-	// arrived is when each bundle version came.
+	// arrived holds the time at which each bundle version was received.
 	arrived map[uint64]time.Time
 	ready   bool
 }
 
-// startEntry starts an entry's stand-in.
+// startEntry starts the stand-in for an instance's entry.
 func (b *bed) startEntry(x *node) error {
 	e := x.entry
 	e.incarnation, e.arrived = ident.NewIncarnation(time.Now()), map[uint64]time.Time{}
@@ -279,7 +280,7 @@
 	return nil
 }
 
-// update takes an update.
+// update records an update and returns the reply to it.
 func (e *entry) update(u *feed.Update) feed.Reply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -297,7 +298,8 @@
 	return feed.Reply{Incarnation: e.incarnation, BundleVersion: e.version, View: e.view, Base: e.base}
 }
 
-// arrival returns when a version came, false if it has not.
+// arrival returns when a version was received. It returns false if it was not, or if
+// the agent has not reported ready.
 func (e *entry) arrival(version uint64) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/capacity/main.go
+++ b/internal/capacity/main.go
@@ -1,7 +1,7 @@
-// Command capacity measures what control costs an instance: it runs agents as
-// separate processes on loopback, with stand-ins for the platform, the engines
-// and the entries in this process, at several sizes, and fits slopes.
-// docs/CAPACITY.md is written from its table.
+// Command capacity measures the control-plane overhead per instance. It runs fleets
+// of several sizes: the agents as separate processes on loopback, with stand-ins for
+// the platform, the engines and the entries in this process. It then fits a line
+// through the measurements. docs/CAPACITY.md is written from its table.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// options are the command line.
+// options are the command line options.
 type options struct {
 	Agents     []int         `default:"3,12,24,48" help:"Numbers of agents to run, one after the other."`
 	Simulated  int           `help:"Further instances that are played in this process, so that the agents meet a larger fleet."`
@@ -32,7 +32,7 @@
 	Out        string        `default:"out/capacity.csv" help:"File for the table, as comma-separated values."`
 }
 
-// description opens the help text.
+// description is the first part of the help text.
 const description = `Measures the cost of control per instance: processor time, memory, bytes and
 platform calls at several numbers of agents, and the slopes between them.
 
@@ -52,10 +52,10 @@
 	}
 }
 
-// run measures all sizes and prints the tables.
+// run measures every fleet size, prints the tables and saves the CSV file.
 func run(ctx context.Context, o *options) error {
 	if o.Simulated > 0 {
-		// Simulated instances pass on no news.
+		// Simulated instances do not propagate changes.
 		o.Changes = 0
 	}
 	var rows []row
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -13,52 +13,52 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// operatorName is the identity under which agents are asked for their status.
+// operatorName is the peer identity used for status calls to the agents.
 const operatorName = "capacity"
 
-// Bounds of a measurement.
+// Timeouts and the polling interval of a measurement.
 const (
 	inForceLimit = 60 * time.Second
 	statusLimit  = 10 * time.Second
 	poll         = 5 * time.Millisecond
 )
 
-// row is what was measured at one size. Rates are means over the agents; times
-// are over all.
+// row holds the measurements for one fleet size. Unless noted otherwise, rates are
+// means over the agents and times are maxima over all agents.
 type row struct {
 	agents, simulated, zones, upstreams int
-	// load is the machine's load average in the last minute, at the end: others
-	// work on it too.
+	// load is the machine's one-minute load average at the end of the measurement;
+	// other processes on a shared machine disturb the results.
 	load float64
-	// cpuMean and cpuMax are in per cent of a core, rss in MB.
+	// cpuMean and cpuMax are in per cent of a core, rssMean and rssMax in MB.
 	cpuMean, cpuMax float64
 	rssMean, rssMax float64
-	// rssPeak is the highest of any agent since its start.
+	// rssPeak is the highest peak RSS of any agent since its start, in MB.
 	rssPeak float64
-	// Bytes a second, sent and received together.
+	// peers, engines, platform and feed are in bytes per second, sent plus received.
 	peers, engines, platform, feed float64
-	// bytesMax is that of the agent with the most, without its feed.
+	// bytesMax is the traffic of the busiest agent, excluding its feed.
 	bytesMax float64
-	// calls are the platform calls a second of all agents.
+	// calls is the number of platform calls per second, summed over all agents.
 	calls float64
-	// callsPeak are the most calls within a second, which is while all start.
+	// callsPeak is the most platform calls within one second, which occurs at start-up.
 	callsPeak int
-	// interval is that between two heartbeats of a pair, partners how many an
-	// agent has, both means.
+	// interval is the mean heartbeat interval of a pair of agents, partners the mean
+	// number of heartbeat partners of an agent.
 	interval time.Duration
 	partners float64
-	// inForce is the longest time from the roll to the last entry, changeBytes
-	// what one agent sent and received on average for one change.
+	// inForce is the longest time from publishing a roll until the last entry has the
+	// version, changeBytes the mean traffic of one agent for one change.
 	inForce     time.Duration
 	changeBytes float64
-	// changeCPU is the processor time of one agent for one change, on average.
+	// changeCPU is the mean processor time of one agent for one change.
 	changeCPU time.Duration
 }
 
-// bytes returns the control traffic of an average agent, per second.
+// bytes returns the mean control traffic of an agent, in bytes per second.
 func (r *row) bytes() float64 { return r.peers + r.engines + r.platform }
 
-// NotInForceError reports a version that did not come into force in time.
+// NotInForceError reports a version that did not come into force within inForceLimit.
 type NotInForceError struct {
 	Version uint64
 	Entries int
@@ -69,7 +69,7 @@
 	return fmt.Sprintf("version %d is not in force on %d entries after %v", e.Version, e.Entries, inForceLimit)
 }
 
-// measure runs one size.
+// measure runs a fleet of n agents and returns its measurements.
 func measure(ctx context.Context, o *options, n int) (row, error) {
 	b, err := newBed(o, n)
 	defer b.close()
@@ -108,7 +108,7 @@
 	return r, b.changes(ctx, pool, &r)
 }
 
-// rest waits.
+// rest waits for d, or returns the error of ctx if that ends first.
 func rest(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -118,8 +118,8 @@
 	}
 }
 
-// await waits until the version published last is on all entries and returns how
-// long after the given time that was.
+// await waits until all entries have the version published last. It returns the time
+// from since to the last arrival.
 func (b *bed) await(ctx context.Context, since time.Time) (time.Duration, error) {
 	version := b.publisher.version()
 	deadline := time.Now().Add(inForceLimit)
@@ -146,7 +146,7 @@
 	}
 }
 
-// statuses asks all agents.
+// statuses returns the status of every agent, in the order of b.nodes.
 func (b *bed) statuses(ctx context.Context, pool *peer.Pool) ([]wire.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusLimit)
 	defer cancel()
@@ -166,10 +166,10 @@
 	return float64(after.Process.UptimeMS-before.Process.UptimeMS) / 1000
 }
 
-// total adds up what was sent and received.
+// total returns the bytes sent plus the bytes received.
 func total(t wire.Traffic) float64 { return float64(t.Sent + t.Received) }
 
-// summary turns two rounds of statuses into rates.
+// summary computes rates from the agents' statuses before and after an interval.
 func summary(o *options, before, after []wire.Status) row {
 	r := row{agents: len(after), simulated: o.Simulated, zones: o.Zones}
 	n := float64(len(after))
@@ -197,7 +197,7 @@
 	return r
 }
 
-// loadAverage reads the machine's load average, 0 where there is none.
+// loadAverage returns the machine's one-minute load average, or 0 if it can't be read.
 func loadAverage() float64 {
 	b, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -211,11 +211,11 @@
 	return load
 }
 
-// settle is how long after a change its last bytes may come.
+// settle is the wait after a change for its remaining traffic to be counted.
 const settle = 3 * time.Second
 
-// changes rolls versions and measures how fast they are in force and what they
-// cost beyond what an agent costs anyway.
+// changes rolls out bundle versions. It measures how long they take to come into force
+// and their cost above the idle cost of an agent.
 func (b *bed) changes(ctx context.Context, pool *peer.Pool, r *row) error {
 	if b.options.Changes == 0 {
 		return nil
--- a/internal/capacity/publish.go
+++ b/internal/capacity/publish.go
@@ -15,10 +15,10 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// modelName is the model of the Coastline example, which all engines run.
+// modelName is the model of the Coastline example. All engines run it.
 const modelName = "manifest-reader"
 
-// publisher plays the operators: it builds, signs and publishes bundles.
+// publisher acts as the operators: it builds, signs and publishes bundles.
 type publisher struct {
 	bed       *bed
 	private   ed25519.PrivateKey
@@ -28,11 +28,11 @@
 	head      *bundle.Head
 	sequence  uint64
 	published map[bundle.Digest][]byte
-	// roll is the one published last.
+	// roll is the encoded roll published last.
 	roll []byte
 }
 
-// newPublisher makes a publisher with content of the size asked for.
+// newPublisher returns a publisher whose bundle content has the configured size.
 func newPublisher(b *bed) (*publisher, error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return p, err
 }
 
-// content returns the Coastline example with as many workspaces and upstreams as
-// asked for; the running ones come first.
+// content returns the Coastline example, extended to the configured number of
+// workspaces and upstreams. Running upstreams come first.
 func content(b *bed) (*config.Content, error) {
 	root, err := testbed.ModuleRoot()
 	if err != nil {
@@ -71,7 +71,7 @@
 	return c, nil
 }
 
-// declare adds the running engines and as many more as asked for.
+// declare adds the running engines, then more upstreams up to the configured number.
 func declare(c *config.Content, b *bed) {
 	sample := map[config.Role]config.Upstream{}
 	for _, u := range c.Upstreams {
@@ -89,7 +89,7 @@
 	}
 }
 
-// put publishes a value as JSON.
+// put publishes a value as a JSON document under key.
 func (p *publisher) put(key string, v any) error {
 	doc, err := json.Marshal(v)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// publish builds the next version, in which one workspace differs, publishes it
-// and rolls it to all.
+// publish builds and publishes the next version, which changes one workspace, and
+// rolls it out to all instances.
 func (p *publisher) publish() error {
 	p.content.Workspaces[len(p.content.Workspaces)-1].Burst++
 	h, parts, err := bundle.Build(bundle.Draft{Previous: p.head, Content: p.content, Approvers: p.approvers})
@@ -130,10 +130,10 @@
 	return nil
 }
 
-// givenBytes bounds the parts of one answer, as agents do.
+// givenBytes bounds the size of the parts in one reply, as agents do.
 const givenBytes = 128 << 10
 
-// give returns parts, as many as fit.
+// give returns the requested parts, as many as fit into one reply.
 func (p *publisher) give(r wire.PartsRequest) wire.Parts {
 	var out wire.Parts
 	size := 0
--- a/internal/capacity/simulated.go
+++ b/internal/capacity/simulated.go
@@ -15,40 +15,41 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// simulation plays further instances in this process, so that a few real agents
-// meet a fleet of full size: each simulated instance has a membership machine of
-// its own. They exchange heartbeats among themselves in memory, and with the real
-// agents over the network.
+// simulation runs simulated instances in this process, so that a few real agents
+// see a fleet of full size. Each simulated instance has its own membership machine.
+// Simulated instances exchange heartbeats with each other in memory, and with the
+// real agents over the network.
 type simulation struct {
 	bed *bed
 
 	mu    sync.Mutex
 	nodes map[ident.InstanceID]*simulated
 	order []*simulated
-	// real holds the agents' addresses of the real instances.
+	// real holds the agent addresses of the real instances.
 	real map[ident.InstanceID]string
 }
 
-// simulated is one such instance.
+// simulated is one simulated instance.
 type simulated struct {
 	id      ident.InstanceID
 	zone    ident.Zone
 	address string
 	machine *membership.Machine
 	pool    *peer.Pool
-	// marks are what the real ones said last. They are said back: a simulated
-	// instance never has news.
+	// marks holds the fingerprint that each real instance sent last. It is echoed in
+	// heartbeats to that instance, because a simulated instance never has a change to
+	// propagate.
 	marks map[ident.InstanceID]uint64
 }
 
-// Timing of the simulation.
+// Intervals and the call timeout of the simulation.
 const (
 	simTick   = 100 * time.Millisecond
 	simGather = 3 * time.Second
 	simCall   = 2 * time.Second
 )
 
-// addSimulated makes n simulated instances and lists them.
+// addSimulated starts n simulated instances and adds them to listed.
 func (b *bed) addSimulated(n int, listed *configservice.Instances) error {
 	b.simulation = &simulation{bed: b, nodes: map[ident.InstanceID]*simulated{}, real: map[ident.InstanceID]string{}}
 	for _, x := range b.nodes {
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// serve opens a simulated instance's address.
+// serve starts the peer server of a simulated instance.
 func (s *simulation) serve(x *simulated) error {
 	now := time.Now()
 	cfg := peer.Config{
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// handle registers what real agents call.
+// handle registers the methods that real agents call.
 func (s *simulation) handle(srv *peer.Server, x *simulated) {
 	peer.Handle(srv, wire.MethodHeartbeat, func(_ context.Context, from peer.Identity, hb wire.Heartbeat) (wire.Heartbeat, error) {
 		s.mu.Lock()
@@ -117,12 +118,12 @@
 	})
 }
 
-// wire adds what agents add to a heartbeat.
+// wire wraps a heartbeat in the fields that agents add to it.
 func (x *simulated) wire(to ident.InstanceID, hb membership.Heartbeat) wire.Heartbeat {
 	return wire.Heartbeat{Heartbeat: hb, Fingerprint: x.marks[to], Version: 1, PlatformAge: 1}
 }
 
-// begin gives the lists to all and starts their time.
+// begin applies the lists to all simulated instances and starts the simulation loop.
 func (s *simulation) begin(instances *configservice.Instances, upstreams []configservice.Upstream) {
 	now := time.Now()
 	var il []membership.ListedInstance
@@ -146,7 +147,7 @@
 	})
 }
 
-// run lets time pass for the simulated instances.
+// run drives the simulated instances until ctx ends.
 func (s *simulation) run(ctx context.Context) {
 	ticker := time.NewTicker(simTick)
 	defer ticker.Stop()
@@ -170,7 +171,7 @@
 	}
 }
 
-// gather lets each report the load of the upstreams that it gathers.
+// gather has each simulated instance report the load of the upstreams that it polls.
 func (s *simulation) gather(now time.Time) {
 	for _, x := range s.order {
 		for _, id := range x.machine.PolledUpstreams(now) {
@@ -179,7 +180,7 @@
 	}
 }
 
-// act does what is due at a simulated instance.
+// act performs the actions that are due at a simulated instance.
 func (s *simulation) act(ctx context.Context, now time.Time, x *simulated) {
 	for _, d := range x.machine.Due(now) {
 		address, isReal := s.real[d.To]
@@ -194,16 +195,16 @@
 	}
 }
 
-// exchange exchanges heartbeats in memory.
+// exchange exchanges heartbeats between two simulated instances in memory.
 func (s *simulation) exchange(now time.Time, x, to *simulated) {
 	answer, err := to.machine.Receive(now, x.id, x.machine.Heartbeat(now, to.id))
 	if err == nil {
-		// What a machine composes, another takes.
+		// The error is ignored: a machine accepts every heartbeat that another composes.
 		_ = x.machine.HeartbeatAnswered(now, now, to.id, answer)
 	}
 }
 
-// call exchanges heartbeats with a real agent.
+// call exchanges heartbeats with a real agent over the network.
 func (s *simulation) call(ctx context.Context, begun time.Time, x *simulated, to ident.InstanceID, address string, hb wire.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, simCall)
 	defer cancel()
@@ -219,13 +220,13 @@
 	_ = x.machine.HeartbeatAnswered(now, begun, to, answer.Heartbeat)
 }
 
-// simIncarnation is that of every simulated engine.
+// simIncarnation is the incarnation of every simulated engine.
 const simIncarnation ident.Incarnation = 1_796_000_000_000
 
-// simReportEvery is how often a simulated engine makes a report.
+// simReportEvery is the interval between the load reports of a simulated engine.
 const simReportEvery = 500 * time.Millisecond
 
-// simReport is the load report of every simulated engine at a time.
+// simReport returns the load report that every simulated engine gives at the time now.
 func simReport(now time.Time) membership.Report {
 	seq := uint32(now.UnixMilli() / simReportEvery.Milliseconds())
 	return membership.Report{
@@ -234,7 +235,7 @@
 	}
 }
 
-// simEngine answers as an engine, of which only the load changes.
+// simEngine returns a handler that responds as an engine of which only the load changes.
 func simEngine(place int) http.Handler {
 	orders := fmt.Sprintf(`{"incarnation":%d,"role":%q,"models":[%q],"adapters":null,"version":"1","highest":1,"checks_fencing":true}`,
 		simIncarnation, simRole(place), modelName)
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -7,17 +7,17 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// planned is the number of instances in the users' plans.
+// planned is the number of instances in the planned deployment.
 const planned = 410
 
-// column is one measure of a row.
+// column is one column of the table, computed from a row.
 type column struct {
 	name     string
 	value    func(*row) float64
 	decimals int
 }
 
-// columns are the measures that are printed and fitted.
+// columns are the measures printed in the table. All but the first are fitted.
 var columns = []column{
 	{"load average", func(r *row) float64 { return r.load }, 1},
 	{"cpu mean %", func(r *row) float64 { return r.cpuMean }, 3},
@@ -40,7 +40,7 @@
 	{"bytes per change", func(r *row) float64 { return r.changeBytes }, 0},
 }
 
-// table returns the rows as a table.
+// table formats the rows as a table.
 func table(rows []row) (*report.Table, error) {
 	header := []string{"agents", "simulated", "zones", "upstreams"}
 	for _, c := range columns {
@@ -60,17 +60,18 @@
 	return t, nil
 }
 
-// fit is a line through measured points.
+// fit is a least-squares line through measured points.
 type fit struct {
 	slope, intercept float64
-	// r2 is the share of the variance that the line explains.
+	// r2 is the coefficient of determination.
 	r2 float64
 }
 
-// at returns the line's value.
+// at returns the line's value at x.
 func (f fit) at(x float64) float64 { return f.intercept + f.slope*x }
 
-// fitLine fits a line by least squares.
+// fitLine fits a line by least squares. If all x are equal, the line is horizontal at
+// the mean of y.
 func fitLine(x, y []float64) fit {
 	n := float64(len(x))
 	var sx, sy, sxx, sxy, syy float64
@@ -93,7 +94,8 @@
 	return f
 }
 
-// fits returns the lines through the rows and their values at the planned size.
+// fits fits a line to each measure over the number of agents, and extrapolates it to
+// the planned fleet size.
 func fits(rows []row) (*report.Table, error) {
 	t := report.NewTable("measure", "slope per agent", "at 0", "R2", "line at 410")
 	x := make([]float64, len(rows))
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,11 +12,11 @@
 	"github.com/wardspool/wardspool/internal/testclock"
 )
 
-// checkEvery is a little more than the time after which the clocks are read again.
+// checkEvery is the package's interval between readings of the system clocks.
 const checkEvery = 20 * time.Millisecond
 
-// TestSuspensionCounts: ages, and what is left of deadlines, count the time for which the
-// machine was suspended.
+// TestSuspensionCounts checks that ages and the time left until deadlines include the time
+// for which the machine was suspended.
 func TestSuspensionCounts(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		c := testclock.Use(t)
@@ -35,8 +35,8 @@
 	})
 }
 
-// TestNoise: a thread that loses the processor between the readings shows no suspension,
-// nor does a clock that can't be read; and time never goes back.
+// TestNoise checks that neither a thread preempted between the two readings nor a clock
+// that can't be read counts as a suspension, and that time never goes back.
 func TestNoise(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		c := testclock.Use(t)
@@ -60,7 +60,8 @@
 	})
 }
 
-// TestSystemsClocksCanBeRead: on this machine, which was not suspended meanwhile.
+// TestSystemsClocksCanBeRead checks the system clocks of the machine that runs the test. It
+// assumes that the machine is not suspended meanwhile.
 func TestSystemsClocksCanBeRead(t *testing.T) {
 	before := clock.Now()
 	time.Sleep(2 * checkEvery)
@@ -69,14 +70,15 @@
 	assert.Assert(t, clock.Since(before) < time.Minute)
 }
 
-// BenchmarkNow: 90 ns, of which Go's own clock takes 74 (one core of the development
-// machine, a look at the system's clocks each 20 ms included).
+// BenchmarkNow measures Now, including a reading of the system clocks every 20 ms: 90 ns, of
+// which time.Now takes 74, on one core of the development machine.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		clock.Now()
 	}
 }
 
+// BenchmarkGoNow measures time.Now as the baseline for BenchmarkNow.
 func BenchmarkGoNow(b *testing.B) {
 	for b.Loop() {
 		_ = time.Now()
--- a/internal/mutate/main.go
+++ b/internal/mutate/main.go
@@ -1,6 +1,6 @@
-// Command mutate takes the project's safeguards out one at a time and checks
-// that a test then fails. It works on a copy of the module in a temporary
-// folder and prints one row for each mutation.
+// Command mutate is a mutation test of the project's safeguards: it removes them
+// one at a time and checks that a test then fails. It works on copies of the
+// module in temporary directories and prints one table row for each mutation.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// flags are the command line.
+// flags are the command line flags.
 type flags struct {
 	File    string `default:"internal/mutate/mutations.yaml" help:"List of mutations."`
 	Only    string `help:"Run only mutations whose name contains this text."`
@@ -34,7 +34,7 @@
 	}
 }
 
-// run tests all selected mutations and reports an error if one survived.
+// run tests all selected mutations and returns an error if one survived.
 func run(ctx context.Context, f flags) error {
 	all, err := loadMutations(f.File)
 	if err != nil {
--- a/internal/mutate/mutation.go
+++ b/internal/mutate/mutation.go
@@ -8,13 +8,13 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Mutation takes one safeguard out of the code.
+// Mutation is a source change that removes one safeguard.
 type Mutation struct {
-	// Name says what is taken out.
+	// Name describes the safeguard that is removed.
 	Name string `yaml:"name"`
-	// Promise is the promise that the safeguard serves.
+	// Promise is the guarantee that the safeguard upholds.
 	Promise string `yaml:"promise"`
-	// File is the source file, from the module's root.
+	// File is the path of the source file, relative to the module root.
 	File string `yaml:"file"`
 	// Find must occur exactly once in File; it is replaced by Replace.
 	Find    string `yaml:"find"`
@@ -22,7 +22,7 @@
 	// Package and Run select the test that must fail.
 	Package string `yaml:"package"`
 	Run     string `yaml:"run"`
-	// Args are further arguments of go test.
+	// Args are additional arguments of go test.
 	Args []string `yaml:"args"`
 }
 
@@ -38,7 +38,7 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// StaleError reports a mutation whose text no longer occurs exactly once.
+// StaleError reports a mutation whose Find text does not occur exactly once in its file.
 type StaleError struct {
 	Mutation string
 	File     string
@@ -47,17 +47,19 @@
 
 // Error implements error.
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("mutation %q: its text occurs %d times in %s, want 1", e.Mutation, e.Count, e.File)
+	return fmt.Sprintf("mutation %q: find text occurs %d times in %s, want 1", e.Mutation, e.Count, e.File)
 }
 
-// SurvivorError reports mutations that no test noticed.
+// SurvivorError reports mutations that were not detected: their test passed, or the
+// mutated code did not compile.
 type SurvivorError struct{ Names []string }
 
 // Error implements error.
 func (e *SurvivorError) Error() string {
-	return "not noticed by any test: " + strings.Join(e.Names, "; ")
+	return "mutations not detected by their tests: " + strings.Join(e.Names, "; ")
 }
 
+// loadMutations reads the list of mutations from a YAML file.
 func loadMutations(path string) ([]Mutation, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -70,6 +72,7 @@
 	return list, nil
 }
 
+// selectMutations returns the mutations whose name contains only.
 func selectMutations(all []Mutation, only string) []Mutation {
 	var out []Mutation
 	for _, m := range all {
@@ -80,7 +83,8 @@
 	return out
 }
 
-// part returns one of some equal parts of a list; the first is number 1.
+// part returns every parts-th mutation, starting with the number-th, which is counted
+// from 1. The parts together cover the list.
 func part(list []Mutation, number, parts int) []Mutation {
 	var out []Mutation
 	for i, m := range list {
--- a/internal/mutate/mutation_test.go
+++ b/internal/mutate/mutation_test.go
@@ -9,17 +9,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// root is the module's folder.
+// root is the path of the module root.
 const root = "../.."
 
-// TestListIsFresh checks that each safeguard of the list is still in the code,
-// once, that its replacement differs, and that no two have one name.
+// TestListIsFresh guards against mutations that no longer apply after the code has
+// changed. It checks that the text to replace occurs exactly once in its file, that the
+// replacement differs, and that names are unique.
 func TestListIsFresh(t *testing.T) {
 	list, err := loadMutations("mutations.yaml")
 	assert.NilError(t, err)
 	names := map[string]bool{}
 	for _, m := range list {
-		assert.Check(t, !names[m.Name], "two are called %q", m.Name)
+		assert.Check(t, !names[m.Name], "duplicate mutation name %q", m.Name)
 		names[m.Name] = true
 		source, err := os.ReadFile(filepath.Join(root, m.File))
 		assert.NilError(t, err)
@@ -32,7 +33,8 @@
 	}
 }
 
-// TestListIsTheOnlyOne checks that no package keeps a list that no one runs.
+// TestListIsTheOnlyOne checks that no other package has a list of mutations, which
+// would never be run.
 func TestListIsTheOnlyOne(t *testing.T) {
 	var found []string
 	err := filepath.WalkDir(root, func(path string, _ os.DirEntry, err error) error {
@@ -45,6 +47,7 @@
 	assert.DeepEqual(t, found, []string{root + "/internal/mutate/mutations.yaml"})
 }
 
+// TestPartsAddUp checks that the parts of a list together have its length.
 func TestPartsAddUp(t *testing.T) {
 	list := []Mutation{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}, {Name: "e"}}
 	total := 0
--- a/internal/mutate/run.go
+++ b/internal/mutate/run.go
@@ -11,19 +11,19 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Result is what became of one mutation.
+// Result is the result of testing one mutation.
 type Result struct {
 	Mutation Mutation
-	// Noticed is true when the test failed.
+	// Noticed is true if the test failed, that is, the mutation was detected.
 	Noticed bool
-	// Built is false when the mutated code did not compile, which proves
-	// nothing.
+	// Built is false if the mutated code did not compile; its failure does not count
+	// as a detection then.
 	Built bool
-	// Line is the first line of the failure.
+	// Line is the first line of the test output that describes the failure.
 	Line string
 }
 
-// testAll tests the mutations on a number of copies of the module.
+// testAll tests the mutations in parallel, with one copy of the module for each worker.
 func testAll(ctx context.Context, list []Mutation, workers int) ([]Result, error) {
 	results := make([]Result, len(list))
 	work := make(chan int)
@@ -45,11 +45,11 @@
 	return results, group.Wait()
 }
 
-// worker tests mutations on one copy of the module.
+// worker tests the mutations received from work on its own copy of the module.
 func worker(ctx context.Context, list []Mutation, work <-chan int, results []Result) error {
 	dir, err := os.MkdirTemp("", "wardspool-mutate-")
 	if err != nil {
-		return &FileError{Path: "temporary folder", Err: err}
+		return &FileError{Path: "temporary directory", Err: err}
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	if err := copyModule(ctx, dir); err != nil {
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// copyModule copies the files that git tracks or would track.
+// copyModule copies the files to dir that git tracks or that are untracked but not
+// ignored.
 func copyModule(ctx context.Context, dir string) error {
 	out, err := exec.CommandContext(ctx, "git", "ls-files", "-co", "--exclude-standard").Output()
 	if err != nil {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// testOne applies a mutation to the copy, runs its test and undoes it.
+// testOne applies a mutation to the copy in dir, runs its test and reverts it.
 func testOne(ctx context.Context, dir string, m Mutation) (Result, error) {
 	path := filepath.Join(dir, m.File)
 	original, err := os.ReadFile(path)
@@ -106,7 +107,8 @@
 		return Result{}, &FileError{Path: m.File, Err: err}
 	}
 	r := goTest(ctx, dir, m)
-	// What a random test saved of this failure must not help to find the next.
+	// Remove the failure cases that rapid saved: replaying them could detect the next
+	// mutation.
 	if err := os.RemoveAll(filepath.Join(dir, m.Package, "testdata", "rapid")); err != nil {
 		return Result{}, &FileError{Path: m.Package, Err: err}
 	}
@@ -116,6 +118,7 @@
 	return r, nil
 }
 
+// goTest runs the test of a mutation in dir.
 func goTest(ctx context.Context, dir string, m Mutation) Result {
 	args := append([]string{"test", "-count=1", "-timeout=60s", "-run", m.Run, m.Package}, m.Args...)
 	cmd := exec.CommandContext(ctx, "go", args...)
@@ -130,7 +133,8 @@
 	}
 }
 
-// failureLine picks the line of a test's output that says what failed.
+// failureLine returns the first line of a test's output that has a source position in a
+// test file.
 func failureLine(out string) string {
 	lines := strings.Split(out, "\n")
 	for i, l := range lines {
--- a/internal/mutate/table.go
+++ b/internal/mutate/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// pageHead opens the Markdown page that --write makes.
+// pageHead is the start of the Markdown page written by --write.
 const pageHead = `# Safeguards taken out
 
 Written by ` + "`make mutations`" + `. Each row takes one safeguard out of a copy of the
@@ -13,9 +13,10 @@
 
 `
 
-// maxCell bounds a cell's width, in bytes.
+// maxCell is the maximum length of a cell's text, in bytes.
 const maxCell = 110
 
+// markdown formats the results as a Markdown table.
 func markdown(results []Result) string {
 	var b strings.Builder
 	b.WriteString("| safeguard taken out | promise | test | result | first failure |\n|---|---|---|---|---|\n")
@@ -26,6 +27,7 @@
 	return b.String()
 }
 
+// cell escapes and truncates text for a table cell.
 func cell(s string) string {
 	s = strings.ReplaceAll(s, "|", "\\|")
 	if len(s) > maxCell {
@@ -34,6 +36,7 @@
 	return s
 }
 
+// verdict returns the text of the result column.
 func verdict(r Result) string {
 	switch {
 	case !r.Built:
@@ -45,7 +48,7 @@
 	}
 }
 
-// survivors returns a *SurvivorError if a mutation was not noticed.
+// survivors returns a *SurvivorError if a mutation was not detected.
 func survivors(results []Result) error {
 	var names []string
 	for _, r := range results {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause provides a sleep that ends early when a context does.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and returns true, or returns false as soon as ctx has ended.
+// For sleeps for d and returns true, or returns false as soon as ctx is done.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -1,5 +1,5 @@
-// Package testcert makes certificates for tests: an authority signs one, and
-// the files that settings name are written to a test's folder.
+// Package testcert creates TLS certificates for tests, signed by a test CA, and
+// writes them to the files that the settings name.
 package testcert
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// Authority signs certificates.
+// Authority is a test certificate authority.
 type Authority struct {
 	t    testing.TB
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority returns a new authority.
+// NewAuthority returns an authority with a new key and a self-signed certificate.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	a := &Authority{t: t, key: newKey(t)}
@@ -44,15 +44,15 @@
 	return a
 }
 
-// Pool returns the authority as a client's trusted one.
+// Pool returns a certificate pool that trusts the authority.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return pool
 }
 
-// Files writes a new certificate for a DNS name, its key and the authority to a
-// new folder.
+// Files writes a new certificate for a DNS name, its key and the authority's
+// certificate to a new temporary directory.
 func (a *Authority) Files(name string) tlsconf.Settings {
 	a.t.Helper()
 	dir := a.t.TempDir()
@@ -65,8 +65,8 @@
 	return s
 }
 
-// Write replaces the files by those of a new certificate. Their modification
-// time is later than that of the files before.
+// Write replaces the files with those of a new certificate. Their modification times
+// are 1 s later than those of the files they replace.
 func (a *Authority) Write(s tlsconf.Settings, name string) {
 	a.t.Helper()
 	key := newKey(a.t)
@@ -88,7 +88,7 @@
 	a.write(s.CA, "CERTIFICATE", a.cert.Raw)
 }
 
-// write writes one file.
+// write writes one PEM file.
 func (a *Authority) write(file, kind string, der []byte) {
 	a.t.Helper()
 	at := time.Now()
@@ -99,7 +99,7 @@
 	must(a.t, os.Chtimes(file, at, at))
 }
 
-// newKey returns a private key.
+// newKey returns a new private key.
 func newKey(t testing.TB) *ecdsa.PrivateKey {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -107,7 +107,7 @@
 	return key
 }
 
-// must ends the test on an error.
+// must fails the test immediately if err is not nil.
 func must(t testing.TB, err error) {
 	t.Helper()
 	if err != nil {
--- a/internal/testclock/testclock.go
+++ b/internal/testclock/testclock.go
@@ -1,4 +1,5 @@
-// Package testclock is a clock for tests that can be told that the machine was suspended.
+// Package testclock provides a process-wide clock for tests that simulates suspensions of
+// the machine.
 package testclock
 
 import (
@@ -9,34 +10,36 @@
 	"github.com/wardspool/wardspool/internal/clock"
 )
 
-// Clock is the clock of the process while a test runs. Go's own clock stands still in a
-// suspension: no time passes for it.
+// Clock replaces the process-wide clock during a test. A simulated suspension takes no time
+// of Go's clock, which stops during a real one as well.
 type Clock struct {
 	start     time.Time
 	suspended atomic.Int64
 	failing   atomic.Pointer[error]
 }
 
-// Use makes a clock that of the process until the test ends.
+// Use installs a new Clock as the process-wide clock until the test ends.
 func Use(t testing.TB) *Clock {
 	c := &Clock{start: time.Now()}
 	t.Cleanup(clock.Use(clock.New(c.steady, c.boot)))
 	return c
 }
 
-// Suspend has the machine be suspended for a time, less than none included.
+// Suspend simulates a suspension of the machine for d, which may be negative.
 func (c *Clock) Suspend(d time.Duration) { c.suspended.Add(int64(d)) }
 
-// Fail has the reading that counts suspensions fail, nil heals it.
+// Fail makes readings of the boot clock return err; nil ends the failure.
 func (c *Clock) Fail(err error) { c.failing.Store(&err) }
 
+// steady reads the clock that stops during suspensions.
 func (c *Clock) steady() (time.Duration, error) { return time.Since(c.start), nil }
 
+// boot reads the clock that includes suspensions.
 func (c *Clock) boot() (time.Duration, error) {
 	var err error
 	if p := c.failing.Load(); p != nil {
 		err = *p
 	}
-	// The two never start at the same value.
+	// The offset of an hour models that the two system clocks start at different values.
 	return time.Since(c.start) + time.Hour + time.Duration(c.suspended.Load()), err
 }
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,6 +1,6 @@
-// Package testseed gives the random tests of a package a fixed seed, so that
-// continuous integration comes to the same verdict every time. A test file
-// imports it for its side effect; -rapid.seed on the command line goes before.
+// Package testseed sets a fixed seed for a package's rapid tests, so that runs in
+// continuous integration are reproducible. A test file imports it for its side
+// effect. The -rapid.seed flag on the command line takes precedence.
 package testseed
 
 import (
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// Seed is the fixed seed.
+// Seed is the fixed seed of rapid tests.
 const Seed = "20261202"
 
-// registered keeps the import of rapid, whose initialisation defines the flag
-// that init sets.
+// registered references rapid, so that its package initialisation defines the flag
+// before init sets it.
 var registered = rapid.Check
 
 func init() {
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -1,19 +1,21 @@
-// Package tokenbucket holds a token bucket whose rate and size may change. It reads no clock.
+// Package tokenbucket implements a token bucket whose rate and size may change. The caller
+// passes in the time.
 package tokenbucket
 
 import "time"
 
-// Bucket is a token bucket. The zero value has not been filled yet.
+// Bucket is a token bucket. The zero value is a bucket that has not been filled yet.
 type Bucket struct {
-	// Tokens may be below 0, if more was taken than there was.
+	// Tokens is the number of tokens available. It is negative if more tokens were taken
+	// than were available.
 	Tokens float64
 	rate   float64
 	at     time.Time
 }
 
-// Fill lets time pass; most is what the bucket holds. The time since the last call counts at
-// the lower of the rates then and now, since the rate may have fallen at any time in between.
-// The first call gives the bucket its start.
+// Fill adds the tokens accrued since the last call, up to the bucket's size, most. The
+// elapsed time counts at the lower of the previous and the new rate, because the rate may
+// have fallen at any time in between. The first call sets the number of tokens to start.
 func (b *Bucket) Fill(now time.Time, rate, most, start float64) {
 	if b.at.IsZero() {
 		b.Tokens = start
@@ -26,8 +28,8 @@
 	b.at = now
 }
 
-// Filled reports whether the bucket was filled before.
+// Filled reports whether Fill was called before.
 func (b *Bucket) Filled() bool { return !b.at.IsZero() }
 
-// FilledAt returns when it was filled last.
+// FilledAt returns the time of the last call to Fill.
 func (b *Bucket) FilledAt() time.Time { return b.at }
--- a/internal/tokenbucket/tokenbucket_test.go
+++ b/internal/tokenbucket/tokenbucket_test.go
@@ -14,7 +14,7 @@
 	b.Fill(now, 10, 5, 1)
 	assert.Equal(t, b.Tokens, 1.0)
 	b.Fill(now.Add(100*time.Millisecond), 100, 5, 1)
-	assert.Equal(t, b.Tokens, 2.0, "the new rate counts from now on")
+	assert.Equal(t, b.Tokens, 2.0, "a raised rate must not apply to time already elapsed")
 	b.Fill(now.Add(110*time.Millisecond), 100, 5, 1)
 	assert.Equal(t, b.Tokens, 3.0)
 	b.Fill(now.Add(time.Second), 100, 5, 1)
@@ -22,6 +22,6 @@
 	b.Fill(now.Add(time.Second), 1, 2, 1)
 	assert.Equal(t, b.Tokens, 2.0)
 	b.Fill(now, 1, 2, 1)
-	assert.Equal(t, b.Tokens, 2.0, "time does not go back")
+	assert.Equal(t, b.Tokens, 2.0, "an earlier time must not change the tokens")
 	assert.Assert(t, b.Filled())
 }
--- a/standin/control/client.go
+++ b/standin/control/client.go
@@ -11,15 +11,15 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// Client drives one stand-in's bench-only interface.
+// Client calls the control interface of one stand-in.
 type Client struct {
 	// Address is the stand-in's IP:port.
 	Address string
-	// HTTP sends the requests; nil stands for http.DefaultClient.
+	// HTTP sends the requests. Default: http.DefaultClient.
 	HTTP *http.Client
 }
 
-// StatusError reports an answer other than success.
+// StatusError reports a response with a status of 300 or above.
 type StatusError struct {
 	Method string
 	Path   string
@@ -32,11 +32,11 @@
 	return fmt.Sprintf("%s %s: status %d: %s", e.Method, e.Path, e.Status, e.Body)
 }
 
-// maxErrorBody bounds how much of a failed answer a StatusError quotes.
+// maxErrorBody bounds how much of the response body a StatusError quotes, in bytes.
 const maxErrorBody = 1 << 10
 
-// Engine reads the report of a stand-in engine. The errors of all methods are
-// those of net/http, of encoding/json, or a *StatusError.
+// Engine reads the report of a stand-in engine. All methods return errors of net/http
+// or encoding/json, or a *StatusError.
 func (c Client) Engine(ctx context.Context) (judge.Engine, error) {
 	return get[judge.Engine](ctx, c, PathJudge)
 }
@@ -61,12 +61,12 @@
 	return c.sendJSON(ctx, http.MethodPut, PathFaults, f)
 }
 
-// Crash makes a stand-in engine or service behave like a killed process.
+// Crash makes a stand-in engine or service behave as if its process was killed.
 func (c Client) Crash(ctx context.Context, crash Crash) error {
 	return c.sendJSON(ctx, http.MethodPost, PathCrash, crash)
 }
 
-// SetMode changes how a stand-in platform behaves.
+// SetMode replaces the mode of a stand-in platform.
 func (c Client) SetMode(ctx context.Context, m PlatformMode) error {
 	return c.sendJSON(ctx, http.MethodPut, PathMode, m)
 }
@@ -81,14 +81,14 @@
 	return c.send(ctx, http.MethodDelete, PathKeys+key, nil, nil)
 }
 
-// get reads a JSON document.
+// get requests a JSON document and decodes it.
 func get[T any](ctx context.Context, c Client, path string) (T, error) {
 	var out T
 	err := c.send(ctx, http.MethodGet, path, nil, &out)
 	return out, err
 }
 
-// sendJSON sends a JSON document.
+// sendJSON sends a JSON document and discards the response body.
 func (c Client) sendJSON(ctx context.Context, method, path string, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -97,7 +97,8 @@
 	return c.send(ctx, method, path, body, nil)
 }
 
-// send makes one exchange and decodes the answer, unless into is nil.
+// send makes one request. It decodes the JSON response into into, or discards it if into is
+// nil.
 func (c Client) send(ctx context.Context, method, path string, body []byte, into any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, bytes.NewReader(body))
 	if err != nil {
@@ -113,7 +114,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		// What can be read of the body is good enough for the message.
+		// A read error is ignored: a partial body is sufficient for the message.
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 		return &StatusError{Method: method, Path: path, Status: resp.StatusCode, Body: string(text)}
 	}
--- a/standin/control/http.go
+++ b/standin/control/http.go
@@ -9,63 +9,63 @@
 // maxBody bounds the JSON documents that stand-ins read, in bytes.
 const maxBody = 16 << 20
 
-// ErrorBody is the JSON answer of a stand-in that refuses or fails, in the form
-// that OpenAI-compatible engines use.
+// ErrorBody is the JSON body of a stand-in's error response, in the format of
+// OpenAI-compatible engines.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
-	// Highest is the highest fencing number seen, for code "stale_fence".
+	// Highest is the highest fencing number seen; it is set for CodeStaleFence only.
 	Highest uint64 `json:"highest,omitempty"`
 }
 
-// ErrorDetail describes the failure.
+// ErrorDetail describes the error.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    Code   `json:"code"`
 }
 
-// Code is a failure's machine-readable name.
+// Code is a machine-readable error code.
 type Code string
 
-// The codes. Those of which Attested is true promise that nothing ran.
+// The codes. Those for which Attested returns true guarantee that nothing ran.
 const (
-	// CodeNotStarted: no capacity, or told to refuse.
+	// CodeNotStarted: no capacity, or refused because of an injected fault.
 	CodeNotStarted Code = "not_started"
-	// CodeModelNotFound: the engine doesn't have the model.
+	// CodeModelNotFound: the engine does not run the model.
 	CodeModelNotFound Code = "model_not_found"
-	// CodeDraining: the upstream leaves.
+	// CodeDraining: the upstream is draining.
 	CodeDraining Code = "draining"
-	// CodeWrongRole: a decode for a prefill engine or the other way round.
+	// CodeWrongRole: a decode request to a prefill engine, or vice versa.
 	CodeWrongRole Code = "wrong_role"
-	// CodeStaleFence: an older fencing number than one seen before.
+	// CodeStaleFence: the fencing number is lower than one seen before.
 	CodeStaleFence Code = "stale_fence"
-	// CodeInvalid: a malformed request.
+	// CodeInvalid: the request is malformed.
 	CodeInvalid Code = "invalid_request"
-	// CodeContextLength: the request can never fit the engine's memory.
+	// CodeContextLength: the request exceeds the engine's total KV memory.
 	CodeContextLength Code = "context_length_exceeded"
-	// CodeDuplicate: the attempt ID is known already; this call started nothing.
+	// CodeDuplicate: the attempt ID is in use already; this call started nothing.
 	CodeDuplicate Code = "duplicate_attempt"
-	// CodeAbortedEarly: the attempt's abort arrived before the attempt.
+	// CodeAbortedEarly: the abort of the attempt arrived before the attempt.
 	CodeAbortedEarly Code = "aborted_early"
-	// CodeAborted: the attempt was aborted after it had been taken in.
+	// CodeAborted: the attempt was aborted after it had been accepted.
 	CodeAborted Code = "aborted"
-	// CodeKVMissing: the prefill result is gone; no token was generated.
+	// CodeKVMissing: the prefill result no longer exists; no token was generated.
 	CodeKVMissing Code = "kv_missing"
 	// CodeTransferFailed: the prefill result couldn't be fetched; no token was
 	// generated.
 	CodeTransferFailed Code = "transfer_failed"
-	// CodeNotFound: no such attempt, stream or key.
+	// CodeNotFound: the attempt, stream or key does not exist.
 	CodeNotFound Code = "not_found"
-	// CodeUnavailable: the stand-in plays dead.
+	// CodeUnavailable: the stand-in simulates being down.
 	CodeUnavailable Code = "unavailable"
-	// CodeRateLimited: more calls than the platform allows.
+	// CodeRateLimited: the platform's call rate limit is exceeded.
 	CodeRateLimited Code = "rate_limited"
-	// CodeInternal: a failure after the work began.
+	// CodeInternal: the request failed after its work had begun.
 	CodeInternal Code = "internal"
 )
 
-// Attested reports whether the code promises that nothing of the request ran
-// on the upstream that sent it.
+// Attested reports whether the code guarantees that no part of the request ran on the
+// upstream that sent the code.
 func (c Code) Attested() bool {
 	switch c {
 	case CodeNotStarted, CodeModelNotFound, CodeDraining, CodeWrongRole,
@@ -76,13 +76,13 @@
 	}
 }
 
-// errorTypes gives the OpenAI error type of each status class.
+// OpenAI error types of the status classes 4xx and 5xx.
 const (
 	typeClient = "invalid_request_error"
 	typeServer = "server_error"
 )
 
-// NewError returns the body of a failure with the given status.
+// NewError returns the body of an error response with the given status.
 func NewError(status int, code Code, message string) ErrorBody {
 	kind := typeClient
 	if status >= http.StatusInternalServerError {
@@ -91,21 +91,21 @@
 	return ErrorBody{Error: ErrorDetail{Message: message, Type: kind, Code: code}}
 }
 
-// WriteJSON answers with a JSON document.
+// WriteJSON writes a JSON response.
 func WriteJSON[T any](w http.ResponseWriter, status int, v T) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A reader that has left is not the stand-in's concern.
+	// The error is ignored: the reader may have disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// WriteError answers with an ErrorBody.
+// WriteError writes an ErrorBody as the response.
 func WriteError(w http.ResponseWriter, status int, code Code, message string) {
 	WriteJSON(w, status, NewError(status, code, message))
 }
 
-// ReadJSON decodes the request's body into v. If that fails it answers 400 and
-// returns false.
+// ReadJSON decodes the request's body into v; an empty body leaves v as it is. If
+// decoding fails, it responds with status 400 and returns false.
 func ReadJSON[T any](w http.ResponseWriter, r *http.Request, v *T) bool {
 	body := http.MaxBytesReader(w, r.Body, maxBody)
 	if err := json.NewDecoder(body).Decode(v); err != nil && err != io.EOF {
@@ -115,5 +115,6 @@
 	return true
 }
 
-// Drop ends the exchange without an answer and closes the connection.
+// Drop aborts the handler without a response and closes the connection. It panics with
+// http.ErrAbortHandler.
 func Drop() { panic(http.ErrAbortHandler) }
--- a/standin/judge/index.go
+++ b/standin/judge/index.go
@@ -1,29 +1,29 @@
 package judge
 
-// Index finds what engines and services did for one request. Use it to check
-// what the system told its callers, for example that a request answered as not
-// run did not run.
+// Index looks up what engines and services ran for a request. Use it to check what the
+// system told its callers, for example that a request reported as not run did not run.
 type Index struct {
 	requests map[string]*Runs
 	keys     map[string]int
 }
 
-// Runs is what all engines and services together did for one correlation ID.
+// Runs sums up what all engines and services ran for one correlation ID.
 type Runs struct {
-	// Accepted counts attempts that engines took in.
+	// Accepted counts attempts that engines accepted.
 	Accepted int
-	// PrefillRuns, DecodeRuns and ServiceRuns count runs that began.
+	// PrefillRuns, DecodeRuns and ServiceRuns count runs that were started.
 	PrefillRuns int
 	DecodeRuns  int
 	ServiceRuns int
-	// Completed counts generations that reached their last token.
+	// Completed counts generations that produced their last token.
 	Completed int
 }
 
 // Ran reports whether any part of the request ran anywhere.
 func (r Runs) Ran() bool { return r.PrefillRuns+r.DecodeRuns+r.ServiceRuns > 0 }
 
-// NewIndex joins reports. Requests beyond a report's cap are missing from it.
+// NewIndex returns an index of the given reports. Requests beyond the cap of a report are
+// missing.
 func NewIndex(engines []Engine, services []Service) *Index {
 	x := &Index{requests: make(map[string]*Runs), keys: make(map[string]int)}
 	for _, e := range engines {
@@ -46,7 +46,7 @@
 	return x
 }
 
-// request returns the runs of a request to add to.
+// request returns the runs of a correlation ID, adding them if there are none yet.
 func (x *Index) request(id string) *Runs {
 	r, ok := x.requests[id]
 	if !ok {
@@ -56,7 +56,7 @@
 	return r
 }
 
-// Request returns what was done for a correlation ID; the zero Runs if nothing.
+// Request returns the runs of a correlation ID, or the zero Runs if nothing ran for it.
 func (x *Index) Request(id string) Runs {
 	if r, ok := x.requests[id]; ok {
 		return *r
@@ -64,5 +64,5 @@
 	return Runs{}
 }
 
-// KeyRuns returns how often services ran calls with an idempotency key.
+// KeyRuns returns the number of calls with an idempotency key that services ran.
 func (x *Index) KeyRuns(key string) int { return x.keys[key] }
--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -1,67 +1,67 @@
-// Package judge defines what the stand-ins report about what really ran, was
-// wasted and is still held. Tests and experiments judge the system by these
-// reports, not by its own counters.
+// Package judge defines the stand-ins' reports about what actually ran, was wasted and is
+// still held. Tests and experiments check the system against these reports instead of its
+// own counters.
 package judge
 
 import "github.com/wardspool/wardspool/ident"
 
-// Engine is the report of a stand-in engine. Its counters cover all lives of
-// the process since its start; a process that is really killed takes them away.
+// Engine is the report of a stand-in engine. Its counters are kept across simulated
+// crashes, but are lost when the process itself is killed.
 type Engine struct {
 	ID          ident.UpstreamID  `json:"id"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Totals      Totals            `json:"totals"`
 	Held        Held              `json:"held"`
-	// Requests has one record for each correlation ID, by its text.
+	// Requests has one record for each correlation ID, sorted by the ID.
 	Requests []Request `json:"requests"`
-	// Dropped counts correlation IDs beyond the cap, which are in the totals
-	// but have no record of their own.
+	// Dropped counts accepted attempts whose correlation IDs are beyond the cap. They
+	// are included in the totals but have no record.
 	Dropped int `json:"dropped"`
 }
 
-// Totals counts over all requests of an engine. Tokens of prompts include the
-// tokens of an answer that a resumed generation prefills again.
+// Totals are the counters over all requests of an engine. Prompt tokens include the output
+// tokens that a resumed generation prefills again.
 type Totals struct {
-	// Accepted counts attempts taken in; Refused counts attested refusals.
+	// Accepted counts accepted attempts, Refused counts attested refusals.
 	Accepted int `json:"accepted"`
 	Refused  int `json:"refused"`
-	// PrefillRuns and DecodeRuns count runs that began to compute.
+	// PrefillRuns and DecodeRuns count runs that started to compute.
 	PrefillRuns int `json:"prefill_runs"`
 	DecodeRuns  int `json:"decode_runs"`
-	// Completed counts generations that reached their last token.
+	// Completed counts generations that produced their last token.
 	Completed int `json:"completed"`
-	// PromptComputed and PromptCached count prompt tokens computed and taken
-	// from the prefix cache.
+	// PromptComputed and PromptCached count prompt tokens that were computed and that
+	// were found in the prefix cache.
 	PromptComputed int `json:"prompt_computed"`
 	PromptCached   int `json:"prompt_cached"`
 	// PromptWasted counts computed prompt tokens that no generation used.
 	PromptWasted int `json:"prompt_wasted"`
 	// Generated counts output tokens of decode runs.
 	Generated int `json:"generated"`
-	// Evicted counts prefill results that outlived the KV lifetime.
+	// Evicted counts prefill results evicted at the end of the KV lifetime.
 	Evicted int `json:"evicted"`
-	// Transferred counts prefill results handed to decode engines.
+	// Transferred counts prefill results transferred to decode engines.
 	Transferred int `json:"transferred"`
-	// Aborts counts abort calls that released something, AbortsUnknown those
-	// that met nothing to release.
+	// Aborts counts abort calls that released an attempt, AbortsUnknown those that
+	// found nothing to release.
 	Aborts        int `json:"aborts"`
 	AbortsUnknown int `json:"aborts_unknown"`
-	// AbortedEarly counts attempts refused because their abort came first.
+	// AbortedEarly counts attempts refused because their abort had arrived first.
 	AbortedEarly int `json:"aborted_early"`
-	// Failed counts accepted attempts that ended in a failure of the engine or
-	// of a transfer.
+	// Failed counts accepted attempts that failed because of the engine or a
+	// transfer.
 	Failed int `json:"failed"`
-	// Crashes counts lives that ended by order of the bench.
+	// Crashes counts simulated crashes.
 	Crashes int `json:"crashes"`
 }
 
-// Held is what an engine holds at the time of the report.
+// Held counts what an engine holds at the time of the report.
 type Held struct {
 	Attempts int `json:"attempts"`
 	Pieces   int `json:"pieces"`
 }
 
-// Request is what one engine did for one correlation ID.
+// Request records what one engine did for one correlation ID.
 type Request struct {
 	CorrelationID string `json:"correlation_id"`
 	Accepted      int    `json:"accepted"`
@@ -75,16 +75,16 @@
 	PromptComputed int `json:"prompt_computed"`
 	PromptCached   int `json:"prompt_cached"`
 	PromptWasted   int `json:"prompt_wasted"`
-	// LargestUsed is the most prompt tokens that one run computed and that
-	// were not wasted.
+	// LargestUsed is the largest number of prompt tokens that one run computed and
+	// that were not wasted.
 	LargestUsed int `json:"largest_used"`
 	Aborts      int `json:"aborts"`
 }
 
-// MaxRanges bounds the ranges kept of one request.
+// MaxRanges bounds the number of ranges recorded for one request.
 const MaxRanges = 8
 
-// Range is the tokens [From, To) of an answer.
+// Range is the half-open range [From, To) of a generation's output tokens.
 type Range struct {
 	From int `json:"from"`
 	To   int `json:"to"`
@@ -94,22 +94,23 @@
 type Service struct {
 	ID      ident.UpstreamID `json:"id"`
 	Service string           `json:"service"`
-	// Runs counts calls that ran, Refused attested refusals, Replayed calls
-	// answered from the stored answer of their idempotency key.
+	// Runs counts calls that ran, Refused counts attested refusals, and Replayed
+	// counts calls that got the stored response of their idempotency key.
 	Runs     int `json:"runs"`
 	Refused  int `json:"refused"`
 	Replayed int `json:"replayed"`
-	// Running counts the calls that run now.
+	// Running is the number of calls in progress.
 	Running int `json:"running"`
 	// ByCorrelation and ByKey count runs for each correlation ID and for each
 	// idempotency key.
 	ByCorrelation []Count `json:"by_correlation"`
 	ByKey         []Count `json:"by_key"`
-	// Dropped counts correlation IDs and keys beyond the cap.
+	// Dropped counts runs missing from ByCorrelation plus runs missing from ByKey because
+	// their IDs or keys are beyond the cap.
 	Dropped int `json:"dropped"`
 }
 
-// Count is a number for one name.
+// Count is the count for one name.
 type Count struct {
 	Name string `json:"name"`
 	N    int    `json:"n"`
@@ -117,13 +118,14 @@
 
 // Platform is the report of the stand-in platform.
 type Platform struct {
-	// Calls counts all reads, a watch as one; Limited counts those answered
-	// with 429, which Calls includes.
+	// Calls counts all reads, with a watch as one read. Limited counts the reads that
+	// got status 429; Calls includes them.
 	Calls   int `json:"calls"`
 	Limited int `json:"limited"`
-	// PeakPerSecond is the most calls within one second of the clock.
+	// PeakPerSecond is the largest number of calls within one second, in seconds
+	// counted from the first call.
 	PeakPerSecond int `json:"peak_per_second"`
-	// Waiting counts the watches that wait now.
+	// Waiting is the number of reads and watches in progress.
 	Waiting int `json:"waiting"`
 	// ByReader counts calls by reader.
 	ByReader []Reader `json:"by_reader"`
@@ -131,12 +133,12 @@
 	Dropped int `json:"dropped"`
 }
 
-// Reader is what one reader did at the platform.
+// Reader is the traffic of one reader of the platform.
 type Reader struct {
-	// Reader is the value of the X-Reader header.
+	// Reader is the value of the reader's X-Reader header.
 	Reader        string `json:"reader"`
 	Calls         int    `json:"calls"`
 	PeakPerSecond int    `json:"peak_per_second"`
-	// BytesSent counts the bytes of values sent to the reader.
+	// BytesSent is the total size of the values sent to the reader.
 	BytesSent int64 `json:"bytes_sent"`
 }
--- a/standin/judge/merge.go
+++ b/standin/judge/merge.go
@@ -2,36 +2,37 @@
 
 import "sort"
 
-// Summary is what several engines did together. It counts truly once nothing
-// runs any more; before, prompts whose generation has not begun count as waste.
+// Summary combines the reports of several engines. It is exact once nothing is running:
+// until then, prompts whose generation has not started count as wasted.
 type Summary struct {
 	// Requests counts correlation IDs, Completed those with a generation that
-	// reached its last token.
+	// produced its last token.
 	Requests  int `json:"requests"`
 	Completed int `json:"completed"`
-	// CompletedTwice counts correlation IDs of which more than one generation
-	// reached its last token.
+	// CompletedTwice counts correlation IDs with more than one generation that
+	// produced its last token.
 	CompletedTwice int `json:"completed_twice"`
-	// RepeatedTokens counts tokens generated again for the same request.
+	// RepeatedTokens counts tokens that were generated again for the same request.
 	RepeatedTokens int `json:"repeated_tokens"`
 	PromptComputed int `json:"prompt_computed"`
-	// PromptWasted counts computed prompt tokens thrown away: all that was
-	// computed for a request but for the one run of which the most was used.
-	// So it includes prompts computed again after a failure.
+	// PromptWasted counts discarded prompt tokens: all computed for a request minus
+	// those of the run of which the most were used. It therefore includes prompts
+	// that were computed again after a failure.
 	PromptWasted int `json:"prompt_wasted"`
-	// PromptAbandoned counts the used prompt tokens of requests that never
-	// completed; PromptWasted doesn't include them.
+	// PromptAbandoned counts the used prompt tokens of requests that did not complete.
+	// PromptWasted does not include them.
 	PromptAbandoned int `json:"prompt_abandoned"`
 	Generated       int `json:"generated"`
-	// HeldAttempts and HeldPieces are held now.
+	// HeldAttempts and HeldPieces count what the engines held at the time of their
+	// reports.
 	HeldAttempts int `json:"held_attempts"`
 	HeldPieces   int `json:"held_pieces"`
-	// Unrecorded counts attempts that the engines kept no record of; if it
-	// isn't 0, the counts above are too low.
+	// Unrecorded counts attempts for which the engines have no record. If it is not 0,
+	// the counts above are too low.
 	Unrecorded int `json:"unrecorded"`
 }
 
-// combined is what all engines did for one correlation ID.
+// combined combines the records of all engines for one correlation ID.
 type combined struct {
 	completed int
 	computed  int
@@ -39,7 +40,7 @@
 	ranges    []Range
 }
 
-// Merge joins the reports of several engines, by correlation ID.
+// Merge combines the reports of several engines by correlation ID.
 func Merge(reports []Engine) Summary {
 	var s Summary
 	byID := make(map[string]*combined)
@@ -63,7 +64,7 @@
 	return s
 }
 
-// add takes in what one engine did.
+// add adds the record of one engine.
 func (c *combined) add(r Request) {
 	c.completed += r.Completed
 	c.computed += r.PromptComputed
@@ -71,14 +72,14 @@
 	c.ranges = append(c.ranges, r.Ranges...)
 }
 
-// add takes in one request.
+// add adds one request to the summary.
 func (s *Summary) add(c *combined) {
 	generated, distinct := c.tokens()
 	s.Generated += generated
 	s.RepeatedTokens += generated - distinct
 	s.PromptComputed += c.computed
-	// Without the report of the engine that prefilled, less is known to have
-	// been computed than was used.
+	// If the report of the prefill engine is missing, the known computed tokens can
+	// be fewer than the used ones.
 	s.PromptWasted += max(c.computed-c.used, 0)
 	switch {
 	case c.completed == 0:
@@ -91,10 +92,10 @@
 	}
 }
 
-// tokens counts the tokens generated, and the distinct ones of them.
+// tokens returns the number of generated tokens and how many of them are distinct.
 func (c *combined) tokens() (generated, distinct int) {
 	sort.Slice(c.ranges, func(i, j int) bool { return c.ranges[i].From < c.ranges[j].From })
-	covered := 0 // tokens before this offset are counted
+	covered := 0 // tokens before this offset have been counted
 	for _, r := range c.ranges {
 		generated += r.To - r.From
 		distinct += max(r.To-max(r.From, covered), 0)
--- a/standin/perf/cache.go
+++ b/standin/perf/cache.go
@@ -6,15 +6,15 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// Cache is a prefix cache: a set of block hashes of bounded size from which the
-// least recently used is evicted first. It is not safe for concurrent use.
+// Cache models a prefix cache: a set of block hashes of bounded size with
+// least-recently-used eviction. It is not safe for concurrent use.
 type Cache struct {
 	capacity int
 	order    *list.List // of tokens.BlockHash, most recently used first
 	index    map[tokens.BlockHash]*list.Element
 }
 
-// NewCache returns an empty cache of the given capacity in blocks.
+// NewCache returns an empty cache with the given capacity in blocks.
 func NewCache(capacity int) *Cache {
 	return &Cache{
 		capacity: capacity,
@@ -23,10 +23,10 @@
 	}
 }
 
-// Len returns the number of blocks held.
+// Len returns the number of cached blocks.
 func (c *Cache) Len() int { return len(c.index) }
 
-// Hashes returns the blocks held, most recently used first.
+// Hashes returns the cached blocks, most recently used first.
 func (c *Cache) Hashes() []tokens.BlockHash {
 	out := make([]tokens.BlockHash, 0, len(c.index))
 	for e := c.order.Front(); e != nil; e = e.Next() {
@@ -35,7 +35,7 @@
 	return out
 }
 
-// Match returns how many leading blocks of a prompt are held, without marking
+// Match returns the number of leading blocks of a prompt that are cached. It does not mark
 // them as used.
 func (c *Cache) Match(prompt []tokens.BlockHash) int {
 	for i, h := range prompt {
@@ -46,13 +46,14 @@
 	return len(prompt)
 }
 
-// Insert marks a prompt's blocks as used, adds those not yet held, and evicts
-// what no longer fits. It returns the blocks added and the blocks evicted, each
-// in order. Of a prompt larger than the cache, the leading blocks are kept.
+// Insert marks the blocks of a prompt as used, adds those that are not cached, and evicts
+// blocks beyond the capacity. It returns the added blocks in prompt order and the evicted
+// blocks in order of eviction. Of a prompt larger than the cache, it inserts only the
+// leading blocks.
 func (c *Cache) Insert(prompt []tokens.BlockHash) (added, evicted []tokens.BlockHash) {
 	prompt = prompt[:min(len(prompt), c.capacity)]
-	// From the last to the first, so that the first block, which the most
-	// prompts share, ends up as the most recently used.
+	// Insert from last to first, so that the first block, which is shared by the most
+	// prompts, becomes the most recently used one.
 	for i := len(prompt) - 1; i >= 0; i-- {
 		h := prompt[i]
 		if e, ok := c.index[h]; ok {
@@ -71,7 +72,7 @@
 	return added, evicted
 }
 
-// evict drops the least recently used block and returns it.
+// evict removes and returns the least recently used block.
 func (c *Cache) evict() tokens.BlockHash {
 	last := c.order.Back()
 	h := last.Value.(tokens.BlockHash)
@@ -80,7 +81,7 @@
 	return h
 }
 
-// Clear drops all blocks.
+// Clear removes all blocks.
 func (c *Cache) Clear() {
 	c.order.Init()
 	clear(c.index)
--- a/standin/perf/link.go
+++ b/standin/perf/link.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// FlowID names a transfer over a Link.
+// FlowID identifies a transfer over a Link.
 type FlowID uint64
 
-// Link models a KV transfer link whose rate is shared equally by the transfers
-// in flight. Times are offsets from any fixed start and must not decrease. It
-// is not safe for concurrent use.
+// Link models a KV transfer link whose rate is shared equally by the transfers in flight.
+// Times are offsets from an arbitrary fixed start and must not decrease. A Link is not safe
+// for concurrent use.
 type Link struct {
 	rate  float64 // bytes per second; 0 is a stalled link
 	now   time.Duration
 	flows map[FlowID]float64 // remaining bytes
 }
 
-// doneBytes is the remainder below which a transfer counts as finished; it
-// absorbs the rounding of times to nanoseconds.
+// doneBytes is the remainder up to which a transfer counts as finished. It allows for the
+// rounding of times to nanoseconds.
 const doneBytes = 64
 
-// NewLink returns an idle link of the given rate in bytes per second.
+// NewLink returns an idle link with the given rate in bytes per second.
 func NewLink(rate float64) *Link {
 	return &Link{rate: rate, flows: make(map[FlowID]float64)}
 }
@@ -30,7 +30,7 @@
 // Len returns the number of transfers in flight.
 func (l *Link) Len() int { return len(l.flows) }
 
-// SetRate changes the rate from now on; 0 stalls every transfer.
+// SetRate changes the rate at the given time; 0 stalls all transfers.
 func (l *Link) SetRate(now time.Duration, rate float64) {
 	l.advance(now)
 	l.rate = rate
@@ -42,14 +42,14 @@
 	l.flows[id] = float64(bytes)
 }
 
-// Remove ends a transfer early. It does nothing if there is none.
+// Remove cancels a transfer. It does nothing if there is no such transfer.
 func (l *Link) Remove(now time.Duration, id FlowID) {
 	l.advance(now)
 	delete(l.flows, id)
 }
 
-// Finished removes and returns the transfers that are done at the given time,
-// in order of their IDs.
+// Finished removes and returns the transfers that have finished at the given time, sorted
+// by ID.
 func (l *Link) Finished(now time.Duration) []FlowID {
 	l.advance(now)
 	var done []FlowID
@@ -65,8 +65,8 @@
 	return done
 }
 
-// Next returns when the next transfer finishes if nothing changes. It returns
-// false if none will.
+// Next returns the time at which the next transfer finishes if nothing changes. It returns
+// false if there is no transfer or the link is stalled.
 func (l *Link) Next() (time.Duration, bool) {
 	if len(l.flows) == 0 || l.rate <= 0 {
 		return 0, false
@@ -79,10 +79,10 @@
 	return l.now + seconds(left), true
 }
 
-// advance moves the link's time forward. The caller asks for Finished whenever
-// Next has come, so no transfer finishes unseen within one advance by more
-// than the lateness of its timer; what such a transfer didn't use of its share
-// is lost to the others.
+// advance moves the link's time forward. The rate is not redistributed when a transfer
+// finishes during one advance: the unused rest of its share is lost. Because the user of the
+// Link calls Finished at the time of Next, the loss is limited to the delay of that call's
+// timer.
 func (l *Link) advance(now time.Duration) {
 	if now <= l.now {
 		return
--- a/standin/perf/perf.go
+++ b/standin/perf/perf.go
@@ -1,41 +1,41 @@
-// Package perf is the performance model of a stand-in model engine: how long
-// prefill, KV transfer and decode steps last and how much memory they take. It
-// does no I/O and reads no clock, so that a virtual-time experiment can use the
-// same model as the stand-in processes.
+// Package perf is the performance model of a stand-in model engine: the duration and memory
+// use of prefill, KV transfer and decode steps. It does no I/O and reads no clock, so that
+// experiments in virtual time can use the same model as the stand-in processes.
 package perf
 
 import "time"
 
-// Params describes one engine.
+// Params are the performance parameters of one engine.
 type Params struct {
-	// Slots is how many requests a decode engine holds at once.
+	// Slots is the number of requests that a decode engine can hold at once.
 	Slots int `json:"slots"`
-	// Pieces is the KV memory for requests, in pieces.
+	// Pieces is the size of the KV memory for requests, in pieces.
 	Pieces int `json:"pieces"`
 	// PieceTokens is the size of a piece, in tokens.
 	PieceTokens int `json:"piece_tokens"`
 	// PrefillTokensPerSecond is the rate at which prompt tokens are computed.
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second"`
-	// PrefillChunk bounds the prompt tokens computed in one step, so that a
-	// prefill on a decode engine doesn't stop its streams for long.
+	// PrefillChunk bounds the number of prompt tokens computed in one step, so that a
+	// prefill on a decode engine delays its streams only briefly.
 	PrefillChunk int `json:"prefill_chunk"`
 	// KVBytesPerToken is the size of the KV cache of one token, in bytes.
 	KVBytesPerToken int64 `json:"kv_bytes_per_token"`
 	// LinkBytesPerSecond is the rate of the engine's outgoing KV link.
 	LinkBytesPerSecond float64 `json:"link_bytes_per_second"`
-	// DecodeStep is the duration of a step that serves one request.
+	// DecodeStep is the duration of a decode step for one request.
 	DecodeStep time.Duration `json:"decode_step_ns"`
-	// DecodeStepPerRequest is added for each further request in the batch.
+	// DecodeStepPerRequest is added to a decode step for each additional request in
+	// the batch.
 	DecodeStepPerRequest time.Duration `json:"decode_step_per_request_ns"`
-	// KVLifetime is how long a prefill result is kept for its decode engine.
+	// KVLifetime is how long a prefill result is kept for transfer to its decode engine.
 	KVLifetime time.Duration `json:"kv_lifetime_ns"`
-	// CachePieces is the capacity of the prefix cache, in pieces. It is held
-	// apart from Pieces.
+	// CachePieces is the capacity of the prefix cache, in pieces. It is not part of
+	// Pieces.
 	CachePieces int `json:"cache_pieces"`
 }
 
-// Defaults returns the parameters of a usual engine: twenty slots, and a
-// prefill of one piece that costs about as much as seven decode steps.
+// Defaults returns the parameters of a typical engine: 20 slots, and a prefill of one piece
+// that takes about as long as seven decode steps.
 func Defaults() Params {
 	return Params{
 		Slots:                  20,
@@ -52,27 +52,27 @@
 	}
 }
 
-// PrefillDuration returns how long an idle engine computes the given number of
-// prompt tokens that its prefix cache doesn't hold.
+// PrefillDuration returns how long an idle engine takes to compute the given number of
+// prompt tokens that are not in its prefix cache.
 func (p Params) PrefillDuration(uncached int) time.Duration {
 	return seconds(float64(uncached) / p.PrefillTokensPerSecond)
 }
 
-// TransferBytes returns the size of the KV cache of a number of tokens.
+// TransferBytes returns the size of the KV cache of the given number of tokens.
 func (p Params) TransferBytes(tokens int) int64 {
 	return int64(tokens) * p.KVBytesPerToken
 }
 
-// TransferDuration returns how long the KV cache of a number of tokens takes
-// over the link while sharing it with others equally; sharing counts the
-// transfers in flight, this one included, and is at least 1.
+// TransferDuration returns how long it takes to transfer the KV cache of the given number of
+// tokens over a link that is shared equally. sharing is the number of transfers in flight,
+// including this one; values below 1 count as 1.
 func (p Params) TransferDuration(tokens, sharing int) time.Duration {
 	rate := p.LinkBytesPerSecond / float64(max(sharing, 1))
 	return seconds(float64(p.TransferBytes(tokens)) / rate)
 }
 
-// StepTime returns the duration of one decode step for a batch of the given
-// number of requests; it is 0 for an empty batch.
+// StepTime returns the duration of one decode step for a batch of the given number of
+// requests, 0 for an empty batch.
 func (p Params) StepTime(batch int) time.Duration {
 	if batch <= 0 {
 		return 0
@@ -80,19 +80,19 @@
 	return p.DecodeStep + time.Duration(batch-1)*p.DecodeStepPerRequest
 }
 
-// PiecesFor returns the number of pieces that hold a number of tokens.
+// PiecesFor returns the number of pieces needed to hold the given number of tokens.
 func (p Params) PiecesFor(tokens int) int {
 	return (tokens + p.PieceTokens - 1) / p.PieceTokens
 }
 
-// Uncached returns how many of a prompt's tokens must be computed when a
-// number of leading blocks is cached. At least the last token always is,
-// because the next token is predicted from it.
+// Uncached returns how many tokens of a prompt must be computed if the given number of
+// leading blocks is cached. It is at least 1: the last token is always computed, because the
+// next token is predicted from it.
 func (p Params) Uncached(promptTokens, cachedBlocks int) int {
 	return max(promptTokens-cachedBlocks*p.PieceTokens, 1)
 }
 
-// seconds converts seconds to a duration, rounding to a nanosecond.
+// seconds converts seconds to a duration, rounded to the nearest nanosecond.
 func seconds(s float64) time.Duration {
 	return time.Duration(s*float64(time.Second) + 0.5)
 }
--- a/standin/perf/perf_test.go
+++ b/standin/perf/perf_test.go
@@ -56,13 +56,13 @@
 	assert.Equal(t, c.Match(hashes{2}), 1)
 	assert.Equal(t, c.Match(hashes{9, 1}), 0)
 
-	// The last block of the longest unused prompt goes first.
+	// The last block of the least recently used prompt is evicted first.
 	added, evicted = c.Insert(hashes{1, 5, 6})
 	assert.DeepEqual(t, added, hashes{5, 6})
 	assert.DeepEqual(t, evicted, hashes{2})
 	assert.DeepEqual(t, c.Hashes(), hashes{1, 5, 6})
 
-	// A prompt larger than the cache keeps its head.
+	// Of a prompt larger than the cache, the leading blocks are kept.
 	_, evicted = c.Insert(hashes{7, 8, 9, 10})
 	assert.Equal(t, c.Match(hashes{7, 8, 9, 10}), 3)
 	assert.Equal(t, len(evicted), 3)
@@ -73,7 +73,7 @@
 }
 
 func TestLinkSharing(t *testing.T) {
-	const rate = 1e6 // bytes a second: 1 kB a millisecond
+	const rate = 1e6 // bytes per second: 1 kB per millisecond
 	ms := time.Millisecond
 	l := NewLink(rate)
 	_, ok := l.Next()
@@ -81,26 +81,27 @@
 	l.Add(0, 1, 100_000)
 	assertNext(t, l, 100*ms)
 
-	// At 50 ms the first has 50 kB left, the second 100 kB.
+	// At 50 ms, the first transfer has 50 kB left, the second one 100 kB.
 	l.Add(50*ms, 2, 100_000)
 	assertNext(t, l, 150*ms)
 	assert.Equal(t, len(l.Finished(149*ms)), 0)
 	assert.DeepEqual(t, l.Finished(150*ms), []FlowID{1})
 	assertNext(t, l, 200*ms)
 
-	// A stall keeps what was sent.
+	// A stall does not lose the bytes already sent.
 	l.SetRate(160*ms, 0)
 	_, ok = l.Next()
 	assert.Assert(t, !ok)
 	l.SetRate(time.Second, rate)
 	assertNext(t, l, time.Second+40*ms)
 	l.Add(time.Second, 3, 40_000)
-	l.Remove(time.Second+20*ms, 2) // 30 kB are left of the other
+	l.Remove(time.Second+20*ms, 2) // transfer 3 has 30 kB left
 	assertNext(t, l, time.Second+50*ms)
 	assert.DeepEqual(t, l.Finished(time.Second+50*ms), []FlowID{3})
 	assert.Equal(t, l.Len(), 0)
 }
 
+// assertNext checks the time at which the next transfer finishes, to the microsecond.
 func assertNext(t *testing.T, l *Link, want time.Duration) {
 	t.Helper()
 	got, ok := l.Next()
--- a/standin/perf/validate.go
+++ b/standin/perf/validate.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// ParamError reports a parameter with which the model makes no sense.
+// ParamError reports a parameter with an invalid value.
 type ParamError struct {
-	// Name is the parameter's name in JSON.
+	// Name is the JSON name of the parameter.
 	Name string
-	// Value is what it is set to.
+	// Value is the invalid value.
 	Value float64
 }
 
@@ -15,8 +15,8 @@
 	return fmt.Sprintf("performance model: %s can't be %g", e.Name, e.Value)
 }
 
-// Validate returns a *ParamError for the first parameter that must be positive
-// and isn't, or that must not be negative and is.
+// Validate returns a *ParamError for the first parameter that must be positive but is not,
+// or that must not be negative but is.
 func (p Params) Validate() error {
 	positive := []ParamError{
 		{"slots", float64(p.Slots)},
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -12,21 +12,21 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// Headers of the protocol.
+// HTTP headers of the protocol.
 const (
-	// HeaderIndex carries the index of the value answered.
+	// HeaderIndex is the index of the value in the response.
 	HeaderIndex = "X-Index"
-	// HeaderReader names the instance that reads.
+	// HeaderReader is the ID of the instance that reads.
 	HeaderReader = "X-Reader"
 )
 
-// MaxValue bounds a value, in bytes.
+// MaxValue is the maximum size of a value, in bytes.
 const MaxValue = 1 << 20
 
-// maxWait bounds how long a watch waits.
+// maxWait is the maximum time for which a watch waits.
 const maxWait = 60 * time.Second
 
-// pathKeys prefixes the keys that readers read.
+// pathKeys is the path of the listing and the path prefix of the keys.
 const pathKeys = "/v1/keys"
 
 // Entry is one key of a listing.
@@ -35,17 +35,17 @@
 	Index uint64 `json:"index"`
 }
 
-// Listing answers GET /v1/keys?prefix=PREFIX.
+// Listing is the response to GET /v1/keys?prefix=PREFIX.
 type Listing struct {
 	Keys []Entry `json:"keys"`
 }
 
-// Written answers the bench's writes.
+// Written is the response to a write by the test harness.
 type Written struct {
 	Index uint64 `json:"index"`
 }
 
-// Handler returns the platform's HTTP interface.
+// Handler returns the handler of the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(control.PathJudge, p.serveJudge).Methods(http.MethodGet)
@@ -57,7 +57,7 @@
 	return router
 }
 
-// servePut answers PUT /control/keys/{key}.
+// servePut handles PUT /control/keys/{key}.
 func (p *Platform) servePut(w http.ResponseWriter, r *http.Request) {
 	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxValue))
 	if err != nil {
@@ -67,12 +67,12 @@
 	control.WriteJSON(w, http.StatusOK, Written{Index: p.Put(mux.Vars(r)["key"], value)})
 }
 
-// serveDelete answers DELETE /control/keys/{key}.
+// serveDelete handles DELETE /control/keys/{key}.
 func (p *Platform) serveDelete(w http.ResponseWriter, r *http.Request) {
 	control.WriteJSON(w, http.StatusOK, Written{Index: p.Delete(mux.Vars(r)["key"])})
 }
 
-// serveMode answers GET and PUT /control/mode.
+// serveMode handles GET and PUT /control/mode.
 func (p *Platform) serveMode(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		var m control.PlatformMode
@@ -87,13 +87,13 @@
 	control.WriteJSON(w, http.StatusOK, p.Mode())
 }
 
-// serveJudge answers GET /judge.
+// serveJudge handles GET /judge.
 func (p *Platform) serveJudge(w http.ResponseWriter, _ *http.Request) {
 	control.WriteJSON(w, http.StatusOK, p.Judge())
 }
 
-// enter counts a reader's call and answers it if it is over the rate or the
-// platform is down; it returns false then.
+// enter counts a reader's call. If the platform is down or the rate limit is exceeded, it
+// sends the error response and returns false.
 func (p *Platform) enter(w http.ResponseWriter, r *http.Request) bool {
 	now := time.Now()
 	p.mu.Lock()
@@ -113,7 +113,7 @@
 	return true
 }
 
-// playDown gives the answer of a platform that is down.
+// playDown responds, or does not respond, as the platform does while it is down.
 func (p *Platform) playDown(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	by := p.mode.DownBy
@@ -134,7 +134,7 @@
 	}
 }
 
-// serveList answers GET /v1/keys?prefix=PREFIX.
+// serveList handles GET /v1/keys?prefix=PREFIX.
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
 	if !p.enter(w, r) {
 		return
--- a/standin/platform/meter.go
+++ b/standin/platform/meter.go
@@ -7,12 +7,11 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// maxReaders bounds the readers that are counted by name.
+// maxReaders bounds the number of readers that are counted by name.
 const maxReaders = 10_000
 
-// meter counts calls and limits their rate: within each second of the clock,
-// counted from the first call, calls beyond the rate are refused. It is guarded
-// by the platform's mutex.
+// meter counts calls and limits their rate: within each one-second window, counted from the
+// first call, calls beyond the rate are refused. It is guarded by the platform's mutex.
 type meter struct {
 	rate    int
 	origin  time.Time
@@ -30,14 +29,14 @@
 	window window
 }
 
-// window counts within the present second and keeps the peak of all seconds.
+// window counts the calls within the current second and keeps the peak of all seconds.
 type window struct {
 	second int64
 	n      int
 	peak   int
 }
 
-// add counts one in the given second and returns the count there.
+// add counts one call in the given second and returns the count of that second.
 func (w *window) add(second int64) int {
 	if second != w.second {
 		w.second = second
@@ -48,13 +47,13 @@
 	return w.n
 }
 
-// newMeter returns a meter that allows the given calls a second.
+// newMeter returns a meter that allows the given number of calls per second.
 func newMeter(rate int) *meter {
 	return &meter{rate: rate, readers: make(map[string]*reader)}
 }
 
-// call counts a call and reports whether it is within the rate; otherwise it
-// also returns when the next second begins.
+// call counts a call and reports whether it is within the rate. If not, it also returns the
+// time until the next second begins.
 func (m *meter) call(name string, now time.Time) (allowed bool, retryAfter time.Duration) {
 	if m.origin.IsZero() {
 		m.origin = now
@@ -80,7 +79,7 @@
 	}
 }
 
-// reader returns the counts of a reader, nil beyond the cap.
+// reader returns the counts of a reader, or nil if maxReaders is reached.
 func (m *meter) reader(name string) *reader {
 	r, ok := m.readers[name]
 	if ok {
@@ -95,7 +94,7 @@
 	return r
 }
 
-// report returns the counts, readers sorted by name.
+// report returns the counts, with the readers sorted by name.
 func (m *meter) report() judge.Platform {
 	out := judge.Platform{
 		Calls:         m.calls,
--- a/standin/platform/mode_test.go
+++ b/standin/platform/mode_test.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// setMode sets the mode as the bench does.
+// setMode sets the mode over the control interface.
 func setMode(t *testing.T, p *Platform, body string) {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -32,7 +32,7 @@
 		assert.Equal(t, get(p, "/v1/keys/k"), result{status: 200, index: "1", body: "v1"})
 		assert.Equal(t, get(p, "/v1/keys/new").status, 404)
 		assert.Equal(t, get(p, "/v1/keys?prefix=").body, `{"keys":[{"key":"k","index":1},{"key":"l","index":2}]}`)
-		// A reader that knows index 3 meets an older one.
+		// A reader that has index 3 is served a lower index.
 		assert.Equal(t, get(p, "/v1/keys/k?index=3&wait=1s"), result{status: 304, index: "1"})
 		time.AfterFunc(time.Second, func() { setMode(t, p, `{"mode":"up"}`) })
 		assert.Equal(t, get(p, "/v1/keys/k?index=1&wait=10s"), result{status: 200, index: "3", body: "v2"})
@@ -96,7 +96,7 @@
 	assert.Assert(t, down > 10 && down < 60, "down %d of 100", down)
 }
 
-// TestFlapEndsWatch shows that a watch ends when the platform goes down.
+// TestFlapEndsWatch checks that a pending watch ends when a flapping platform goes down.
 func TestFlapEndsWatch(t *testing.T) {
 	inPlatform(t, func(t *testing.T, p *Platform) {
 		p.Put("k", []byte("v"))
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform is a stand-in for the platform's configuration service,
-// which the system can only read and watch. It counts every call, limits their
-// rate, and can be down, stale or flapping or lag behind.
-// docs/protocols/platform.md describes the protocol.
+// Package platform is a stand-in for the platform's configuration service, which the system
+// can only read and watch. It counts calls and limits their rate, and can simulate a service
+// that is down, stale, flapping or lagging. docs/protocols/platform.md describes the
+// protocol.
 package platform
 
 import (
@@ -16,14 +16,14 @@
 
 // Config describes a stand-in platform.
 type Config struct {
-	// Rate bounds the calls a second over all readers. Default: DefaultRate.
+	// Rate is the limit of calls per second over all readers. Default: DefaultRate.
 	Rate int
 }
 
 // DefaultRate is the default of Config.Rate.
 const DefaultRate = 2000
 
-// Platform is a stand-in platform. Make it with New and serve its Handler.
+// Platform is a stand-in platform. Create it with New and serve its Handler.
 type Platform struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -32,14 +32,14 @@
 	store *store
 	meter *meter
 	mode  control.PlatformMode
-	// schedule is for control.ModeFlapping.
+	// schedule is set in control.ModeFlapping only.
 	schedule *schedule
-	// changed is closed and replaced with each write and change of mode.
+	// changed is closed and replaced on each write and each change of mode.
 	changed chan struct{}
 	waiting int
 }
 
-// New returns a stand-in platform with no keys. Close stops it.
+// New returns a stand-in platform without keys. The caller must Close it.
 func New(cfg Config) *Platform {
 	if cfg.Rate == 0 {
 		cfg.Rate = DefaultRate
@@ -54,7 +54,7 @@
 	return p
 }
 
-// Close ends all waiting watches.
+// Close ends all pending watches.
 func (p *Platform) Close() { p.cancel() }
 
 // Put writes a key and returns its index.
@@ -75,15 +75,14 @@
 	return index
 }
 
-// Mode returns how the platform behaves.
+// Mode returns the current mode.
 func (p *Platform) Mode() control.PlatformMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// SetMode changes how the platform behaves from now on. It returns a
-// *control.InvalidError if the mode is unknown.
+// SetMode replaces the mode. It returns a *control.InvalidError if m is not valid.
 func (p *Platform) SetMode(m control.PlatformMode) error {
 	if err := m.Validate(); err != nil {
 		return err
@@ -102,13 +101,14 @@
 	return nil
 }
 
-// announce wakes all waiting watches. The caller holds the mutex.
+// announce wakes all pending watches. The caller must hold the mutex.
 func (p *Platform) announce() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// view returns what a reader sees now. The caller holds the mutex.
+// view returns the view that readers have at the given time. The caller must hold the
+// mutex.
 func (p *Platform) view(now time.Time) view {
 	v := view{now: now, lag: p.lag}
 	if p.mode.Mode == control.ModeStale {
@@ -117,7 +117,7 @@
 	return v
 }
 
-// lag returns the lag of a key.
+// lag returns the visibility delay of a key. The caller must hold the mutex.
 func (p *Platform) lag(key string) time.Duration {
 	best := control.Lag{}
 	for _, l := range p.mode.Lags {
@@ -128,8 +128,8 @@
 	return time.Duration(best.LagMS) * time.Millisecond
 }
 
-// down reports whether the platform is down, and when that changes by itself
-// (zero if it doesn't). The caller holds the mutex.
+// down reports whether the platform is down, and when that changes by schedule (zero if it
+// does not). The caller must hold the mutex.
 func (p *Platform) down(now time.Time) (bool, time.Time) {
 	switch p.mode.Mode {
 	case control.ModeDown:
@@ -141,7 +141,7 @@
 	}
 }
 
-// Judge reports the calls that readers made.
+// Judge returns the report of the calls that readers made.
 func (p *Platform) Judge() judge.Platform {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -16,7 +16,7 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// result is how a read ended.
+// result is the result of a read.
 type result struct {
 	dropped bool
 	status  int
@@ -25,11 +25,12 @@
 	retry   string
 }
 
-// get reads a path as a named reader.
+// get reads a path as the reader "reader".
 func get(p *Platform, path string) result {
 	return getAs(context.Background(), p, "reader", path)
 }
 
+// getAs reads a path as the given reader. A handler that aborts counts as dropped.
 func getAs(ctx context.Context, p *Platform, reader, path string) (out result) {
 	req := httptest.NewRequestWithContext(ctx, http.MethodGet, path, nil)
 	req.Header.Set(HeaderReader, reader)
@@ -48,7 +49,7 @@
 	}
 }
 
-// inPlatform runs a test on a platform with a fake clock.
+// inPlatform runs a test on a platform with a fake clock and a limit of 5 calls per second.
 func inPlatform(t *testing.T, test func(t *testing.T, p *Platform)) {
 	bubble.Test(t, func(t *testing.T) {
 		p := New(Config{Rate: 5})
@@ -76,7 +77,7 @@
 	})
 }
 
-// TestLongPoll checks when a watch answers, and what, for writes after a time.
+// TestLongPoll checks when a watch returns and what, for a change 1 s after its start.
 func TestLongPoll(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/standin/platform/schedule.go
+++ b/standin/platform/schedule.go
@@ -7,16 +7,16 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// schedule is the seeded sequence of up and down phases of a flapping platform,
-// which begins up. Times must not decrease.
+// schedule is the seeded sequence of up and down phases of a flapping platform, starting
+// with an up phase. Times passed to it must not decrease.
 type schedule struct {
 	random           *rand.Rand
 	meanUp, meanDown time.Duration
 	down             bool
-	until            time.Time // the end of the present phase
+	until            time.Time // end of the current phase
 }
 
-// newSchedule returns the schedule that mode describes, starting now.
+// newSchedule returns the schedule with the mode's parameters, starting at now.
 func newSchedule(mode control.PlatformMode, now time.Time) *schedule {
 	s := &schedule{
 		random:   rand.New(rand.NewPCG(mode.Seed, mode.Seed)),
@@ -27,7 +27,7 @@
 	return s
 }
 
-// phase returns a mean length, or the default if none is given.
+// phase converts a mean phase duration; control.DefaultPhaseMS replaces a value of 0 or less.
 func phase(ms int64) time.Duration {
 	if ms <= 0 {
 		ms = control.DefaultPhaseMS
@@ -35,12 +35,12 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// draw returns the length of a phase: half to one and a half times the mean.
+// draw returns a random phase duration between 0.5 and 1.5 times the mean.
 func (s *schedule) draw(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(s.random.Int64N(int64(mean)))
 }
 
-// at reports whether the platform is down, and when that changes.
+// at reports whether the platform is down at the given time, and when that changes.
 func (s *schedule) at(now time.Time) (down bool, until time.Time) {
 	for !s.until.After(now) {
 		s.down = !s.down
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// maxHistoryBytes bounds the old versions kept of one key, in bytes; at least
-// the version in force and the one before it are always kept.
+// maxHistoryBytes bounds the total size of the versions kept of one key, in bytes. The latest
+// minVersions are kept regardless.
 const maxHistoryBytes = 8 << 20
 
-// minVersions is how many versions of a key are always kept.
+// minVersions is the number of versions of a key that are always kept: the latest one and the
+// one before it.
 const minVersions = 2
 
 // store holds the versions of all keys. It is guarded by the platform's mutex.
@@ -19,8 +20,8 @@
 	keys  map[string][]version
 }
 
-// version is a value that a key had from a time on, oldest first. A deleted key
-// has a version without a value.
+// version is the value of a key as of one write. The versions of a key are stored oldest
+// first. A deletion is a version without a value.
 type version struct {
 	index   uint64
 	written time.Time
@@ -28,20 +29,20 @@
 	deleted bool
 }
 
-// view says which versions a reader sees.
+// view determines which versions are visible to a reader.
 type view struct {
-	// now is the reader's time; versions written later than now less the
-	// key's lag aren't seen.
+	// now is the time of the read. Versions written later than now minus the key's lag
+	// are not visible.
 	now time.Time
 	lag func(key string) time.Duration
-	// maxIndex hides newer versions; 0 hides none.
+	// maxIndex hides versions with a higher index; 0 hides none.
 	maxIndex uint64
 }
 
 // newStore returns an empty store.
 func newStore() *store { return &store{keys: make(map[string][]version)} }
 
-// put writes a value and returns its index.
+// put writes a value and returns the index of the write.
 func (s *store) put(key string, value []byte, now time.Time) uint64 {
 	return s.write(key, version{value: value, written: now})
 }
@@ -51,7 +52,7 @@
 	return s.write(key, version{deleted: true, written: now})
 }
 
-// write adds a version to a key.
+// write adds a version to a key, removes versions beyond the limits, and returns the index.
 func (s *store) write(key string, v version) uint64 {
 	s.index++
 	v.index = s.index
@@ -68,9 +69,9 @@
 	return s.index
 }
 
-// get returns the version of a key that a view shows, and when the next one
-// becomes visible (zero if none will by time alone). A key that the view
-// doesn't show has index 0 and counts as deleted.
+// get returns the version of a key that is visible in a view, and when the next version
+// becomes visible because of the lag (zero if none does). If no version is visible, the
+// result has index 0 and is deleted.
 func (s *store) get(key string, v view) (seen version, next time.Time) {
 	seen.deleted = true
 	lag := v.lag(key)
@@ -87,7 +88,7 @@
 	return seen, time.Time{}
 }
 
-// list returns the keys with a prefix that a view shows, sorted.
+// list returns the keys with a prefix that are visible in a view, sorted.
 func (s *store) list(prefix string, v view) []Entry {
 	out := []Entry{}
 	for key := range s.keys {
--- a/standin/platform/watch.go
+++ b/standin/platform/watch.go
@@ -10,18 +10,18 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// watch is a read of one key that may wait for a newer value.
+// watch is a read of one key that optionally waits for a newer value.
 type watch struct {
 	key    string
 	reader string
-	// blocking is true if the reader gave an index: then the watch waits until
-	// the key's index is above it.
+	// blocking is true if the reader gave an index. The watch then waits until the key
+	// has a higher one.
 	blocking bool
 	index    uint64
 	wait     time.Duration
 }
 
-// readWatch reads the query of a read. It returns false if it is malformed.
+// readWatch parses the query of a read. It returns false if the query is malformed.
 func readWatch(r *http.Request) (watch, bool) {
 	out := watch{key: mux.Vars(r)["key"], reader: r.Header.Get(HeaderReader)}
 	query := r.URL.Query()
@@ -41,17 +41,18 @@
 	return out, true
 }
 
-// sight is what a watch sees at one time.
+// sight is the state of a key and the platform as a watch sees it at one time.
 type sight struct {
 	version version
 	down    bool
-	// next is when the sight may change by time alone, zero if it won't.
+	// next is when the state may change without a write or a change of mode, because of
+	// a lag or the flapping schedule; zero if it won't.
 	next time.Time
-	// changed is closed when something is written or the mode changes.
+	// changed is closed on the next write or change of mode.
 	changed chan struct{}
 }
 
-// look returns what a key's reader sees now.
+// look returns the current state of a key for a reader.
 func (p *Platform) look(key string) sight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +68,7 @@
 	return s
 }
 
-// serveGet answers GET /v1/keys/{key}.
+// serveGet handles GET /v1/keys/{key}.
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
 	if !p.enter(w, r) {
 		return
@@ -91,8 +92,8 @@
 	}
 }
 
-// await waits until the watch has something to tell, or its time is over. It
-// returns false if the reader has left or the platform is closed.
+// await waits until the key has a newer value, the platform is down, or the watch has timed
+// out. It returns false if the reader has disconnected or the platform is closed.
 func (p *Platform) await(r *http.Request, q watch) (sight, bool) {
 	deadline := time.NewTimer(q.wait)
 	defer deadline.Stop()
@@ -120,7 +121,7 @@
 	}
 }
 
-// untilOr returns the time until t, or otherwise if t is zero.
+// untilOr returns the time until t, or the value of otherwise if t is zero.
 func untilOr(t time.Time, otherwise time.Duration) time.Duration {
 	if t.IsZero() {
 		return otherwise
@@ -128,14 +129,14 @@
 	return time.Until(t)
 }
 
-// count adds to the number of reads and watches being served.
+// count adds n to the number of reads and watches in progress.
 func (p *Platform) count(n int) {
 	p.mu.Lock()
 	p.waiting += n
 	p.mu.Unlock()
 }
 
-// answer sends a value, or 404 if the key has none.
+// answer sends the value of a version, or status 404 if it has none.
 func (p *Platform) answer(w http.ResponseWriter, q watch, v version) {
 	if v.index > 0 {
 		w.Header().Set(HeaderIndex, strconv.FormatUint(v.index, 10))
@@ -149,6 +150,6 @@
 	p.mu.Unlock()
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(v.value)))
-	// A reader that has left is not the stand-in's concern.
+	// The error is ignored: the reader may have disconnected.
 	_, _ = w.Write(v.value)
 }
--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -10,36 +10,36 @@
 
 // Request headers.
 const (
-	// HeaderAttempt carries the attempt ID.
+	// HeaderAttempt is the attempt ID.
 	HeaderAttempt = "X-Request-Id"
-	// HeaderCorrelation carries the request ID, the same for all attempts.
+	// HeaderCorrelation is the request ID, which all attempts of a request share.
 	HeaderCorrelation = "X-Correlation-Id"
-	// HeaderKey carries the caller's idempotency key.
+	// HeaderKey is the caller's idempotency key.
 	HeaderKey = "Idempotency-Key"
-	// HeaderFence carries the fencing token, a decimal number.
+	// HeaderFence is the fencing token, a decimal number.
 	HeaderFence = "X-Fencing-Token"
 )
 
-// maxBody bounds the body of a call, in bytes.
+// maxBody is the maximum size of the body of a call, in bytes.
 const maxBody = 1 << 20
 
-// Answer is the JSON answer to a call that ran.
+// Answer is the JSON response to a call that ran.
 type Answer struct {
 	Service string `json:"service"`
-	// RunNumber counts the runs of this upstream, from 1.
+	// RunNumber is the number of the run on this upstream, counted from 1.
 	RunNumber int    `json:"run_number"`
 	Method    string `json:"method"`
 	Path      string `json:"path"`
-	// Echo is the body of the call.
+	// Echo repeats the body of the call.
 	Echo string `json:"echo"`
-	// AttemptID and CorrelationID repeat the call's headers.
+	// AttemptID and CorrelationID repeat the headers of the call.
 	AttemptID     string `json:"attempt_id"`
 	CorrelationID string `json:"correlation_id"`
-	// Replayed is true for the stored answer to a repeated idempotency key.
+	// Replayed is true if this is the stored response to a repeated idempotency key.
 	Replayed bool `json:"replayed"`
 }
 
-// call is one call, read from its request.
+// call is a call, parsed from its HTTP request.
 type call struct {
 	attempt, correlation, key string
 	method, path, body        string
@@ -47,7 +47,7 @@
 	fenced                    bool
 }
 
-// refusal is an attested refusal.
+// refusal is an error response that guarantees that the call did not run.
 type refusal struct {
 	status  int
 	code    control.Code
@@ -58,14 +58,14 @@
 // Error implements error.
 func (r *refusal) Error() string { return string(r.code) + ": " + r.message }
 
-// write answers with the refusal.
+// write sends the refusal as the response.
 func (r *refusal) write(w http.ResponseWriter) {
 	body := control.NewError(r.status, r.code, r.message)
 	body.Highest = r.highest
 	control.WriteJSON(w, r.status, body)
 }
 
-// readCall reads a call. It returns a refusal if the call is malformed.
+// readCall parses a call. It returns a refusal if the call is malformed.
 func readCall(w http.ResponseWriter, r *http.Request) (call, *refusal) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
--- a/standin/service/counts.go
+++ b/standin/service/counts.go
@@ -6,19 +6,19 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// counts counts by name, for a bounded number of names.
+// counts keeps one counter for each name, for a bounded number of names.
 type counts struct {
 	cap     int
 	byName  map[string]int
-	dropped int // counts for names beyond the cap
+	dropped int // number of counts for names beyond the cap
 }
 
-// newCounts returns empty counts for up to limit names.
+// newCounts returns empty counts for at most limit names.
 func newCounts(limit int) counts {
 	return counts{cap: limit, byName: make(map[string]int)}
 }
 
-// add counts one for a name; the empty name isn't counted.
+// add increments the count of a name. The empty name is not counted.
 func (c *counts) add(name string) {
 	if name == "" {
 		return
--- a/standin/service/http.go
+++ b/standin/service/http.go
@@ -9,10 +9,11 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// pathHealth is the only path beside the bench's that isn't a call.
+// pathHealth is the health check. It is the only path, apart from those of the test harness,
+// that is not a call.
 const pathHealth = "/healthz"
 
-// Handler returns the service's HTTP interface.
+// Handler returns the handler of the service's HTTP interface.
 func (s *Service) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(control.PathJudge, s.serveJudge).Methods(http.MethodGet)
@@ -23,7 +24,7 @@
 	return router
 }
 
-// serveHealth answers GET /healthz.
+// serveHealth handles GET /healthz.
 func (s *Service) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	dead := s.connected.Err() != nil
@@ -34,12 +35,12 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveJudge answers GET /judge.
+// serveJudge handles GET /judge.
 func (s *Service) serveJudge(w http.ResponseWriter, _ *http.Request) {
 	control.WriteJSON(w, http.StatusOK, s.Judge())
 }
 
-// serveFaults answers GET and PUT /control/faults.
+// serveFaults handles GET and PUT /control/faults.
 func (s *Service) serveFaults(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		var f control.ServiceFaults
@@ -54,7 +55,7 @@
 	control.WriteJSON(w, http.StatusOK, f)
 }
 
-// serveCrash answers POST /control/crash.
+// serveCrash handles POST /control/crash.
 func (s *Service) serveCrash(w http.ResponseWriter, r *http.Request) {
 	var c control.Crash
 	if !control.ReadJSON(w, r, &c) {
--- a/standin/service/run.go
+++ b/standin/service/run.go
@@ -7,33 +7,33 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// plan is what the service does with a call.
+// plan is the decision what to do with a call.
 type plan struct {
 	// die closes the connection without running the call.
 	die     bool
 	refusal *refusal
-	// first is the stored answer to the call's idempotency key, which may
-	// still be on its way.
+	// first is the stored response to the call's idempotency key. Its run may still be
+	// in progress.
 	first *stored
-	// run is the run that the call starts.
+	// run is the run that the call started.
 	run *run
 }
 
-// run is one run of a call.
+// run is the execution of one call.
 type run struct {
 	call   call
 	number int
 	delay  time.Duration
 	fails  bool
-	// dies closes the connection in place of answering.
+	// dies closes the connection after the run instead of responding.
 	dies bool
-	// keep is where the answer is stored, nil if it isn't.
+	// keep receives the response for later calls; nil if it is not stored.
 	keep *stored
-	// over is done when the service crashes.
+	// over is closed when the service crashes.
 	over <-chan struct{}
 }
 
-// serveCall runs a call, unless it is refused or answered from the store.
+// serveCall runs a call, unless it is refused or has a stored response.
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	c, bad := readCall(w, r)
 	if bad != nil {
@@ -53,7 +53,8 @@
 	}
 }
 
-// decide returns what to do with a call, and counts a run as begun.
+// decide returns what to do with a call. If the call is to run, its run is counted as
+// started.
 func (s *Service) decide(c call) plan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +74,7 @@
 	return plan{run: s.begin(c)}
 }
 
-// refusal returns why the service won't run a call, nil if it will.
+// refusal returns the reason why the service refuses a call, or nil if it accepts it.
 func (s *Service) refusal(c call) *refusal {
 	unavailable := http.StatusServiceUnavailable
 	switch {
@@ -97,7 +98,7 @@
 	}
 }
 
-// begin counts a run and returns it.
+// begin returns a new run of a call and counts it.
 func (s *Service) begin(c call) *run {
 	s.runs++
 	s.running++
@@ -119,7 +120,8 @@
 	return out
 }
 
-// execute takes a run's time and answers. The run goes on if its caller leaves.
+// execute waits for the duration of a run and responds. The run continues if its caller
+// disconnects.
 func (s *Service) execute(w http.ResponseWriter, r *run) {
 	timer := time.NewTimer(r.delay)
 	defer timer.Stop()
@@ -156,7 +158,7 @@
 	}
 }
 
-// answer returns the answer to the run's call.
+// answer returns the status and the response to the run's call.
 func (r *run) answer(service string) (int, Answer) {
 	status := http.StatusOK
 	if r.fails {
@@ -173,7 +175,7 @@
 	}
 }
 
-// replay answers with the stored answer, when it is there.
+// replay waits for the stored response and sends it.
 func (s *Service) replay(w http.ResponseWriter, r *http.Request, first *stored) {
 	s.mu.Lock()
 	over := s.connected.Done()
@@ -190,7 +192,7 @@
 	write(w, first.status, answer)
 }
 
-// write sends an answer, or the error that a failed run answers.
+// write sends the response of a run, or an error response if the run failed.
 func write(w http.ResponseWriter, status int, answer Answer) {
 	if status != http.StatusOK {
 		control.WriteError(w, status, control.CodeInternal, "the call ran and failed")
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a stand-in plain service: it takes any call, waits for a
-// while and answers what it was asked, and counts how often each call really
-// ran. docs/protocols/service.md describes the protocol.
+// Package service is a stand-in plain service. It accepts any call, waits for a configured
+// delay, echoes the call, and counts how often each call actually ran.
+// docs/protocols/service.md describes the protocol.
 package service
 
 import (
@@ -19,27 +19,29 @@
 	ID ident.UpstreamID
 	// Service is the name of the service that the upstream runs.
 	Service string
-	// Delay is how long a call runs.
+	// Delay is the duration of a call.
 	Delay time.Duration
-	// Concurrency bounds the calls that run at once; 0 is no limit.
+	// Concurrency is the maximum number of concurrent calls; 0 means no limit.
 	Concurrency int
-	// Deduplicates makes the service run each idempotency key once and answer
-	// later calls with the stored answer.
+	// Deduplicates makes the service run each idempotency key once and send the stored
+	// response to later calls with the key.
 	Deduplicates bool
-	// ChecksFencing makes the service refuse a call whose fencing token is
-	// lower than the highest that it has seen.
+	// ChecksFencing makes the service refuse calls whose fencing token is lower than
+	// the highest one seen.
 	ChecksFencing bool
-	// Seed chooses the calls that fail by control.ServiceFaults.ErrorRate.
+	// Seed is the random seed that selects the calls that fail because of
+	// control.ServiceFaults.ErrorRate.
 	Seed uint64
-	// JudgeCap bounds the correlation IDs, and as many keys, that the judge
-	// and the store of answers keep. Default: DefaultJudgeCap.
+	// JudgeCap bounds, separately, the number of correlation IDs in the report, of
+	// idempotency keys in the report, and of stored responses. Default:
+	// DefaultJudgeCap.
 	JudgeCap int
 }
 
 // DefaultJudgeCap is the default of Config.JudgeCap.
 const DefaultJudgeCap = 200_000
 
-// Service is one stand-in service. Make it with New and serve its Handler.
+// Service is a stand-in service. Create it with New and serve its Handler.
 type Service struct {
 	cfg    Config
 	ctx    context.Context
@@ -52,24 +54,25 @@
 	running int
 	refused int
 	replays int
-	highest uint64 // fencing token
-	// byCorrelation and byKey count runs.
+	highest uint64 // highest fencing token seen
+	// byCorrelation and byKey count runs by correlation ID and by idempotency key.
 	byCorrelation counts
 	byKey         counts
 	answers       map[string]*stored // by idempotency key
-	// connected is done while the service plays dead.
+	// connected is done while the service is down because of a simulated crash.
 	connected  context.Context
 	disconnect context.CancelFunc
 }
 
-// stored is the answer to an idempotency key; done is closed when it is there.
+// stored is the response to an idempotency key. done is closed when status and answer are
+// set.
 type stored struct {
 	done   chan struct{}
 	status int
 	answer Answer
 }
 
-// New returns a stand-in service. Close stops it.
+// New returns a stand-in service. The caller must Close it.
 func New(cfg Config) *Service {
 	if cfg.JudgeCap == 0 {
 		cfg.JudgeCap = DefaultJudgeCap
@@ -86,10 +89,10 @@
 	return s
 }
 
-// Close ends the calls being served without an answer.
+// Close ends the calls in progress without a response.
 func (s *Service) Close() { s.cancel() }
 
-// Judge reports what the service really did.
+// Judge returns the report of what the service actually ran.
 func (s *Service) Judge() judge.Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,16 +109,16 @@
 	}
 }
 
-// SetFaults replaces the faults that the service shows.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(f control.ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Crash closes every connection without an answer and forgets the stored
-// answers and fencing tokens, like a process that is killed; the judge's
-// counters stay. Calls are taken again when the time is over.
+// Crash simulates a killed process: it closes every connection without a response and
+// discards the stored responses and the highest fencing token. The counters of the report
+// are kept. The service accepts calls again after the time down.
 func (s *Service) Crash(down time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +128,7 @@
 	time.AfterFunc(down, s.comeBack)
 }
 
-// comeBack ends the time for which a crashed service is away.
+// comeBack makes a crashed service accept calls again.
 func (s *Service) comeBack() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -17,7 +17,7 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// result is how a call ended.
+// result is the result of a call.
 type result struct {
 	dropped bool
 	status  int
@@ -25,7 +25,8 @@
 	failure control.ErrorBody
 }
 
-// do makes a call; header is pairs of names and values.
+// do makes a call. header is a list of alternating names and values. A handler that aborts
+// counts as dropped.
 func do(t *testing.T, s *Service, body string, header ...string) (out result) {
 	t.Helper()
 	req := httptest.NewRequest(http.MethodPost, "/lookup", strings.NewReader(body))
@@ -48,7 +49,7 @@
 	return out
 }
 
-// inService runs a test on a service with a fake clock.
+// inService runs a test on a service with a fake clock and a delay of 20 ms per call.
 func inService(t *testing.T, cfg Config, test func(t *testing.T, s *Service)) {
 	cfg.Service, cfg.Delay = "billing", 20*time.Millisecond
 	bubble.Test(t, func(t *testing.T) {
