--- a/internal/capacity/bed.go
+++ b/internal/capacity/bed.go
@@ -23,8 +23,8 @@
 	standin "github.com/wardspool/wardspool/standin/platform"
 )
 
-// bed is a running test fleet: the agent processes and the stand-ins they talk to.
-type bed struct {
+// fleet is a running test fleet: the agent processes and the stand-ins they talk to.
+type fleet struct {
 	options   *options
 	dir       string
 	platform  *standin.Platform
@@ -34,20 +34,20 @@
 	publisher *publisher
 	// simulation is nil if no instances are simulated.
 	simulation *simulation
-	closers    []func()
+	cleanups   []func()
 	// network is the second octet of the instances' loopback addresses.
 	network int
 }
 
 // node is one instance: an agent process and the stand-in for its entry.
 type node struct {
-	id       ident.InstanceID
-	zone     ident.Zone
-	peers    string
-	operator string
-	entry    *entry
-	process  *exec.Cmd
-	log      *os.File
+	id              ident.InstanceID
+	zone            ident.Zone
+	peerAddress     string
+	operatorAddress string
+	entry           *entry
+	process         *exec.Cmd
+	log             *os.File
 }
 
 // upstreamsPerAgent is the planned ratio of upstreams to instances, about 600 to 410.
@@ -58,19 +58,19 @@
 
 // ip returns the i-th instance's IP address. Each instance has its own address, so
 // that no outgoing connection occupies a port that an instance listens on.
-func (b *bed) ip(i int) string { return fmt.Sprintf("127.%d.%d.%d", b.network, i/200, i%200+1) }
+func (b *fleet) ip(i int) string { return fmt.Sprintf("127.%d.%d.%d", b.network, i/200, i%200+1) }
 
-// newBed starts a fleet of n agents. The caller must close the bed even if an error
-// is returned.
-func newBed(o *options, n int) (*bed, error) {
-	b := &bed{options: o, platform: standin.New(standin.Config{}), network: 1 + rand.IntN(maxNetwork)}
-	b.closers = append(b.closers, b.platform.Close)
+// newFleet starts a fleet of n agents. The caller must close the fleet even if an
+// error is returned.
+func newFleet(o *options, n int) (*fleet, error) {
+	b := &fleet{options: o, platform: standin.New(standin.Config{}), network: 1 + rand.IntN(maxNetwork)}
+	b.cleanups = append(b.cleanups, b.platform.Close)
 	var err error
 	if b.dir, err = os.MkdirTemp("", "wardspool-capacity-"); err != nil {
 		return b, err
 	}
 	if !o.Keep {
-		b.closers = append(b.closers, func() { _ = os.RemoveAll(b.dir) })
+		b.cleanups = append(b.cleanups, func() { _ = os.RemoveAll(b.dir) })
 	}
 	address, err := b.serve(b.platform.Handler())
 	if err != nil {
@@ -98,12 +98,12 @@
 }
 
 // close kills all agent processes and shuts down the stand-ins.
-func (b *bed) close() {
+func (b *fleet) close() {
 	for _, x := range b.nodes {
 		x.kill()
 	}
-	for i := len(b.closers) - 1; i >= 0; i-- {
-		b.closers[i]()
+	for i := len(b.cleanups) - 1; i >= 0; i-- {
+		b.cleanups[i]()
 	}
 }
 
@@ -118,7 +118,7 @@
 }
 
 // serve serves h on a free loopback port and returns the listen address.
-func (b *bed) serve(h http.Handler) (string, error) {
+func (b *fleet) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -128,17 +128,19 @@
 }
 
 // serveOn serves h on l until the bed is closed.
-func (b *bed) serveOn(l net.Listener, h http.Handler) {
+func (b *fleet) serveOn(l net.Listener, h http.Handler) {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = srv.Serve(l) }()
-	b.closers = append(b.closers, func() { _ = srv.Close() })
+	b.cleanups = append(b.cleanups, func() { _ = srv.Close() })
 }
 
 // zone returns the zone of the i-th instance or engine, assigned round-robin.
-func (b *bed) zone(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%b.options.Zones+1)) }
+func (b *fleet) zone(i int) ident.Zone {
+	return ident.Zone(fmt.Sprintf("zone-%d", i%b.options.Zones+1))
+}
 
 // startEngines starts n stand-in engines, one in three of them for prefill.
-func (b *bed) startEngines(n int) error {
+func (b *fleet) startEngines(n int) error {
 	for i := range n {
 		role := simRole(i / b.options.Zones)
 		id := ident.UpstreamID(fmt.Sprintf("runner-%03d", i))
@@ -161,28 +163,28 @@
 			ID: id, Role: role, Models: []string{modelName}, Version: "1", Address: l.Addr().String(),
 			ChecksFencing: true, LoadLag: 500 * time.Millisecond, Perf: perf.Defaults(),
 		})
-		b.closers = append(b.closers, e.Close)
+		b.cleanups = append(b.cleanups, e.Close)
 		b.serveOn(l, e.Handler())
 	}
 	return nil
 }
 
 // simRole returns the role of the engine at the given position within its zone.
-func simRole(place int) config.Role {
-	if place%3 == 0 {
+func simRole(position int) config.Role {
+	if position%3 == 0 {
 		return config.RolePrefill
 	}
 	return config.RoleDecode
 }
 
 // addNodes creates the instances and publishes the instance and upstream lists.
-func (b *bed) addNodes(n int) error {
+func (b *fleet) addNodes(n int) error {
 	var listed configservice.Instances
 	for i := range n {
 		x := &node{
 			id: ident.InstanceID(fmt.Sprintf("entry-%03d", i)), zone: b.zone(i),
-			peers: b.ip(i) + ":9101", operator: b.ip(i) + ":9301",
-			entry: &entry{peers: b.ip(i) + ":9100", feed: b.ip(i) + ":9200"},
+			peerAddress: b.ip(i) + ":9101", operatorAddress: b.ip(i) + ":9301",
+			entry: &entry{peerAddress: b.ip(i) + ":9100", feedAddress: b.ip(i) + ":9200"},
 		}
 		b.nodes = append(b.nodes, x)
 		if err := b.startEntry(x); err != nil {
@@ -190,14 +192,14 @@
 		}
 		listed.Instances = append(listed.Instances, configservice.Instance{
 			ID: x.id, Zone: x.zone, Region: "region-1", State: configservice.StateLive,
-			PeerAddress: x.entry.peers, AgentAddress: x.peers, CallerAddress: x.entry.peers,
+			PeerAddress: x.entry.peerAddress, AgentAddress: x.peerAddress, CallerAddress: x.entry.peerAddress,
 		})
 	}
 	if b.options.Simulated > 0 {
 		if err := b.addSimulated(b.options.Simulated, &listed); err != nil {
 			return err
 		}
-		b.simulation.begin(&listed, b.upstreams)
+		b.simulation.start(&listed, b.upstreams)
 	}
 	if err := b.publisher.put(configservice.KeyInstances, listed); err != nil {
 		return err
@@ -206,7 +208,7 @@
 }
 
 // startAgent writes an instance's settings file and starts its agent process.
-func (b *bed) startAgent(x *node) error {
+func (b *fleet) startAgent(x *node) error {
 	file := filepath.Join(b.dir, string(x.id)+".yaml")
 	text := fmt.Sprintf(`
 instance: %s
@@ -217,7 +219,7 @@
 platform: {urls: ["%s"]}
 log: {level: %s}
 approvers: {epoch: 1, quorum: 1, keys: [{name: ada, key: %s}]}
-`, x.id, x.zone, x.entry.feed, x.peers, x.operator, operatorName, b.url, b.options.Log, b.publisher.key)
+`, x.id, x.zone, x.entry.feedAddress, x.peerAddress, x.operatorAddress, operatorName, b.url, b.options.Log, b.publisher.publicKey)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -238,30 +240,30 @@
 // entry is a stand-in for an instance's entry. It accepts the updates that the agent
 // sends over the feed.
 type entry struct {
-	feed  string
-	peers string
+	feedAddress string
+	peerAddress string
 
 	mu          sync.Mutex
 	incarnation ident.Incarnation
 	version     uint64
 	// view is the number of the latest view received, base the digest of the latest bundle.
-	view uint64
-	base string
-	// arrived holds the time at which each bundle version was received.
-	arrived map[uint64]time.Time
-	ready   bool
+	view         uint64
+	bundleDigest string
+	// receivedAt holds the time at which each bundle version was received.
+	receivedAt map[uint64]time.Time
+	ready      bool
 }
 
 // startEntry starts the stand-in for an instance's entry.
-func (b *bed) startEntry(x *node) error {
+func (b *fleet) startEntry(x *node) error {
 	e := x.entry
-	e.incarnation, e.arrived = ident.NewIncarnation(time.Now()), map[uint64]time.Time{}
+	e.incarnation, e.receivedAt = ident.NewIncarnation(time.Now()), map[uint64]time.Time{}
 	cfg := peer.Config{
 		Self:   peer.Identity{Instance: x.id, Incarnation: e.incarnation, Zone: x.zone},
 		Allow:  func(peer.Identity) bool { return true },
 		Limits: peer.Limits{Frame: 32 << 20},
 	}
-	for _, address := range []string{e.feed, e.peers} {
+	for _, address := range []string{e.feedAddress, e.peerAddress} {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			return err
@@ -271,7 +273,7 @@
 			return e.update(&u), nil
 		})
 		go func() { _ = srv.Serve(l) }()
-		b.closers = append(b.closers, func() {
+		b.cleanups = append(b.cleanups, func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			_ = srv.Shutdown(ctx)
@@ -289,13 +291,13 @@
 		e.view = u.View.Number
 	}
 	if u.Bundle != nil {
-		e.base = u.Bundle.Digest
+		e.bundleDigest = u.Bundle.Digest
 	}
 	if u.Bundle != nil && u.Bundle.Version > e.version {
 		e.version = u.Bundle.Version
-		e.arrived[e.version] = time.Now()
+		e.receivedAt[e.version] = time.Now()
 	}
-	return feed.Reply{Incarnation: e.incarnation, BundleVersion: e.version, View: e.view, Base: e.base}
+	return feed.Reply{Incarnation: e.incarnation, BundleVersion: e.version, View: e.view, Base: e.bundleDigest}
 }
 
 // arrival returns when a version was received. It returns false if it was not, or if
@@ -303,6 +305,6 @@
 func (e *entry) arrival(version uint64) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at, ok := e.arrived[version]
+	at, ok := e.receivedAt[version]
 	return at, ok && e.ready
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -18,18 +18,18 @@
 
 // Timeouts and the polling interval of a measurement.
 const (
-	inForceLimit = 60 * time.Second
-	statusLimit  = 10 * time.Second
-	poll         = 5 * time.Millisecond
+	inForceTimeout = 60 * time.Second
+	statusTimeout  = 10 * time.Second
+	pollInterval   = 5 * time.Millisecond
 )
 
 // row holds the measurements for one fleet size. Unless noted otherwise, rates are
 // means over the agents and times are maxima over all agents.
 type row struct {
 	agents, simulated, zones, upstreams int
-	// load is the machine's one-minute load average at the end of the measurement;
+	// loadAverage is the machine's one-minute load average at the end of the measurement;
 	// other processes on a shared machine disturb the results.
-	load float64
+	loadAverage float64
 	// cpuMean and cpuMax are in per cent of a core, rssMean and rssMax in MB.
 	cpuMean, cpuMax float64
 	rssMean, rssMax float64
@@ -39,14 +39,14 @@
 	peers, engines, platform, feed float64
 	// bytesMax is the traffic of the busiest agent, excluding its feed.
 	bytesMax float64
-	// calls is the number of platform calls per second, summed over all agents.
-	calls float64
-	// callsPeak is the most platform calls within one second, which occurs at start-up.
-	callsPeak int
-	// interval is the mean heartbeat interval of a pair of agents, partners the mean
-	// number of heartbeat partners of an agent.
-	interval time.Duration
-	partners float64
+	// platformCalls is the number of platform calls per second, summed over all agents.
+	platformCalls float64
+	// platformCallsPeak is the most platform calls within one second, which occurs at start-up.
+	platformCallsPeak int
+	// heartbeatInterval is the mean heartbeat interval of a pair of agents, partners
+	// the mean number of heartbeat partners of an agent.
+	heartbeatInterval time.Duration
+	partners          float64
 	// inForce is the longest time from publishing a roll until the last entry has the
 	// version, changeBytes the mean traffic of one agent for one change.
 	inForce     time.Duration
@@ -66,12 +66,12 @@
 
 // Error implements error.
 func (e *NotInForceError) Error() string {
-	return fmt.Sprintf("version %d is not in force on %d entries after %v", e.Version, e.Entries, inForceLimit)
+	return fmt.Sprintf("version %d is not in force on %d entries after %v", e.Version, e.Entries, inForceTimeout)
 }
 
 // measure runs a fleet of n agents and returns its measurements.
 func measure(ctx context.Context, o *options, n int) (row, error) {
-	b, err := newBed(o, n)
+	b, err := newFleet(o, n)
 	defer b.close()
 	if err != nil {
 		return row{}, err
@@ -82,10 +82,10 @@
 		Limits: peer.Limits{Frame: 16 << 20},
 	})
 	defer pool.Close()
-	if _, err := b.await(ctx, time.Now()); err != nil {
+	if _, err := b.awaitInForce(ctx, time.Now()); err != nil {
 		return row{}, err
 	}
-	if err := rest(ctx, o.Warmup); err != nil {
+	if err := sleep(ctx, o.Warmup); err != nil {
 		return row{}, err
 	}
 	before, err := b.statuses(ctx, pool)
@@ -93,7 +93,7 @@
 		return row{}, err
 	}
 	calls := b.platform.Judge().Calls
-	if err := rest(ctx, o.Duration); err != nil {
+	if err := sleep(ctx, o.Duration); err != nil {
 		return row{}, err
 	}
 	after, err := b.statuses(ctx, pool)
@@ -102,14 +102,14 @@
 	}
 	r := summary(o, before, after)
 	r.upstreams = len(b.upstreams)
-	r.load = loadAverage()
-	r.callsPeak = b.platform.Judge().PeakPerSecond
-	r.calls = float64(b.platform.Judge().Calls-calls) / seconds(before[0], after[0])
-	return r, b.changes(ctx, pool, &r)
+	r.loadAverage = loadAverage()
+	r.platformCallsPeak = b.platform.Judge().PeakPerSecond
+	r.platformCalls = float64(b.platform.Judge().Calls-calls) / elapsedSeconds(before[0], after[0])
+	return r, b.measureChanges(ctx, pool, &r)
 }
 
-// rest waits for d, or returns the error of ctx if that ends first.
-func rest(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or returns the error of ctx if that ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -118,11 +118,11 @@
 	}
 }
 
-// await waits until all entries have the version published last. It returns the time
+// awaitInForce waits until all entries have the version published last. It returns the time
 // from since to the last arrival.
-func (b *bed) await(ctx context.Context, since time.Time) (time.Duration, error) {
+func (b *fleet) awaitInForce(ctx context.Context, since time.Time) (time.Duration, error) {
 	version := b.publisher.version()
-	deadline := time.Now().Add(inForceLimit)
+	deadline := time.Now().Add(inForceTimeout)
 	for {
 		missing, last := 0, since
 		for _, x := range b.nodes {
@@ -140,19 +140,19 @@
 		if time.Now().After(deadline) {
 			return 0, &NotInForceError{Version: version, Entries: missing}
 		}
-		if err := rest(ctx, poll); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return 0, err
 		}
 	}
 }
 
 // statuses returns the status of every agent, in the order of b.nodes.
-func (b *bed) statuses(ctx context.Context, pool *peer.Pool) ([]wire.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, statusLimit)
+func (b *fleet) statuses(ctx context.Context, pool *peer.Pool) ([]wire.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	out := make([]wire.Status, len(b.nodes))
 	for i, x := range b.nodes {
-		s, err := peer.Call[wire.Status](ctx, pool, x.operator, wire.MethodStatus, wire.Empty{})
+		s, err := peer.Call[wire.Status](ctx, pool, x.operatorAddress, wire.MethodStatus, wire.Empty{})
 		if err != nil {
 			return nil, err
 		}
@@ -161,13 +161,13 @@
 	return out, nil
 }
 
-// seconds returns the time between two statuses of an agent.
-func seconds(before, after wire.Status) float64 {
+// elapsedSeconds returns the time between two statuses of an agent.
+func elapsedSeconds(before, after wire.Status) float64 {
 	return float64(after.Process.UptimeMS-before.Process.UptimeMS) / 1000
 }
 
-// total returns the bytes sent plus the bytes received.
-func total(t wire.Traffic) float64 { return float64(t.Sent + t.Received) }
+// totalBytes returns the bytes sent plus the bytes received.
+func totalBytes(t wire.Traffic) float64 { return float64(t.Sent + t.Received) }
 
 // summary computes rates from the agents' statuses before and after an interval.
 func summary(o *options, before, after []wire.Status) row {
@@ -175,7 +175,7 @@
 	n := float64(len(after))
 	for i := range after {
 		a, z := &before[i], &after[i]
-		s := seconds(*a, *z)
+		s := elapsedSeconds(*a, *z)
 		cpu := float64(z.Process.CPUMS-a.Process.CPUMS) / 10 / s
 		r.cpuMean += cpu / n
 		r.cpuMax = max(r.cpuMax, cpu)
@@ -183,15 +183,15 @@
 		r.rssMean += rss / n
 		r.rssMax = max(r.rssMax, rss)
 		r.rssPeak = max(r.rssPeak, float64(z.Process.PeakRSSBytes)/(1<<20))
-		peers := (total(z.Traffic.Peers) - total(a.Traffic.Peers)) / s
-		engines := (total(z.Traffic.Upstreams) - total(a.Traffic.Upstreams)) / s
-		platform := (total(z.Traffic.Platform) - total(a.Traffic.Platform)) / s
+		peers := (totalBytes(z.Traffic.Peers) - totalBytes(a.Traffic.Peers)) / s
+		engines := (totalBytes(z.Traffic.Upstreams) - totalBytes(a.Traffic.Upstreams)) / s
+		platform := (totalBytes(z.Traffic.Platform) - totalBytes(a.Traffic.Platform)) / s
 		r.peers += peers / n
 		r.engines += engines / n
 		r.platform += platform / n
 		r.bytesMax = max(r.bytesMax, peers+engines+platform)
-		r.feed += (total(z.Traffic.Entry) - total(a.Traffic.Entry)) / s / n
-		r.interval += time.Duration(z.Fleet.IntervalMS) * time.Millisecond / time.Duration(n)
+		r.feed += (totalBytes(z.Traffic.Entry) - totalBytes(a.Traffic.Entry)) / s / n
+		r.heartbeatInterval += time.Duration(z.Fleet.IntervalMS) * time.Millisecond / time.Duration(n)
 		r.partners += float64(z.Fleet.Partners) / n
 	}
 	return r
@@ -211,12 +211,12 @@
 	return load
 }
 
-// settle is the wait after a change for its remaining traffic to be counted.
-const settle = 3 * time.Second
+// settleTime is the wait after a change for its remaining traffic to be counted.
+const settleTime = 3 * time.Second
 
-// changes rolls out bundle versions. It measures how long they take to come into force
-// and their cost above the idle cost of an agent.
-func (b *bed) changes(ctx context.Context, pool *peer.Pool, r *row) error {
+// measureChanges rolls out bundle versions. It measures how long they take to come into
+// force and their cost above the idle cost of an agent.
+func (b *fleet) measureChanges(ctx context.Context, pool *peer.Pool, r *row) error {
 	if b.options.Changes == 0 {
 		return nil
 	}
@@ -229,12 +229,12 @@
 		if err := b.publisher.publish(); err != nil {
 			return err
 		}
-		took, err := b.await(ctx, since)
+		took, err := b.awaitInForce(ctx, since)
 		if err != nil {
 			return err
 		}
 		r.inForce = max(r.inForce, took)
-		if err := rest(ctx, settle); err != nil {
+		if err := sleep(ctx, settleTime); err != nil {
 			return err
 		}
 	}
@@ -244,8 +244,8 @@
 	}
 	c := summary(b.options, before, after)
 	r.rssPeak = c.rssPeak
-	extra := (c.cpuMean - r.cpuMean) / 100 * seconds(before[0], after[0]) / float64(b.options.Changes)
+	extra := (c.cpuMean - r.cpuMean) / 100 * elapsedSeconds(before[0], after[0]) / float64(b.options.Changes)
 	r.changeCPU = time.Duration(extra * float64(time.Second))
-	r.changeBytes = (c.bytes() - r.bytes()) * seconds(before[0], after[0]) / float64(b.options.Changes)
+	r.changeBytes = (c.bytes() - r.bytes()) * elapsedSeconds(before[0], after[0]) / float64(b.options.Changes)
 	return nil
 }
--- a/internal/capacity/publish.go
+++ b/internal/capacity/publish.go
@@ -20,34 +20,34 @@
 
 // publisher acts as the operators: it builds, signs and publishes bundles.
 type publisher struct {
-	bed       *bed
-	private   ed25519.PrivateKey
-	key       bundle.PublicKey
-	approvers bundle.Approvers
-	content   *config.Content
-	head      *bundle.Head
-	sequence  uint64
-	published map[bundle.Digest][]byte
+	fleet      *fleet
+	privateKey ed25519.PrivateKey
+	publicKey  bundle.PublicKey
+	approvers  bundle.Approvers
+	content    *config.Content
+	head       *bundle.Head
+	sequence   uint64
+	published  map[bundle.Digest][]byte
 	// roll is the encoded roll published last.
 	roll []byte
 }
 
 // newPublisher returns a publisher whose bundle content has the configured size.
-func newPublisher(b *bed) (*publisher, error) {
+func newPublisher(b *fleet) (*publisher, error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
 		return nil, err
 	}
-	p := &publisher{bed: b, private: private, published: map[bundle.Digest][]byte{}}
-	copy(p.key[:], public)
-	p.approvers = bundle.Approvers{Epoch: 1, Quorum: 1, Keys: []bundle.Approver{{Name: "ada", Key: p.key}}}
-	p.content, err = content(b)
+	p := &publisher{fleet: b, privateKey: private, published: map[bundle.Digest][]byte{}}
+	copy(p.publicKey[:], public)
+	p.approvers = bundle.Approvers{Epoch: 1, Quorum: 1, Keys: []bundle.Approver{{Name: "ada", Key: p.publicKey}}}
+	p.content, err = exampleContent(b)
 	return p, err
 }
 
-// content returns the Coastline example, extended to the configured number of
+// exampleContent returns the Coastline example, extended to the configured number of
 // workspaces and upstreams. Running upstreams come first.
-func content(b *bed) (*config.Content, error) {
+func exampleContent(b *fleet) (*config.Content, error) {
 	root, err := testbed.ModuleRoot()
 	if err != nil {
 		return nil, err
@@ -67,12 +67,12 @@
 			RatePerSecond: 20, Burst: 40, Concurrency: 100, Models: []string{modelName},
 		})
 	}
-	declare(c, b)
+	addUpstreams(c, b)
 	return c, nil
 }
 
-// declare adds the running engines, then more upstreams up to the configured number.
-func declare(c *config.Content, b *bed) {
+// addUpstreams adds the running engines, then more upstreams up to the configured number.
+func addUpstreams(c *config.Content, b *fleet) {
 	sample := map[config.Role]config.Upstream{}
 	for _, u := range c.Upstreams {
 		sample[u.Role] = u
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	p.bed.platform.Put(key, doc)
+	p.fleet.platform.Put(key, doc)
 	return nil
 }
 
@@ -107,14 +107,14 @@
 	if err != nil {
 		return err
 	}
-	h.AddSignature(bundle.Sign(p.private, &h.Manifest))
+	h.AddSignature(bundle.Sign(p.privateKey, &h.Manifest))
 	for _, d := range parts.Digests() {
 		if b, _ := parts.Part(d); p.published[d] == nil {
-			p.bed.platform.Put(configservice.KeyBundleParts+d.String(), b)
+			p.fleet.platform.Put(configservice.KeyBundleParts+d.String(), b)
 			p.published[d] = b
 		}
 	}
-	p.bed.platform.Put(configservice.KeyBundleHead, h.Encode())
+	p.fleet.platform.Put(configservice.KeyBundleHead, h.Encode())
 	p.sequence++
 	r := &bundle.SignedRoll{
 		Roll:   bundle.Roll{Format: bundle.Format, Sequence: p.sequence, Target: h.Ref(), Stage: bundle.StageAll},
@@ -123,23 +123,23 @@
 	if p.head != nil {
 		r.Roll.Base = p.head.Ref()
 	}
-	r.AddSignature(bundle.SignRoll(p.private, &r.Roll))
+	r.AddSignature(bundle.SignRoll(p.privateKey, &r.Roll))
 	p.roll = r.Encode()
-	p.bed.platform.Put(configservice.KeyRoll, p.roll)
+	p.fleet.platform.Put(configservice.KeyRoll, p.roll)
 	p.head = h
 	return nil
 }
 
-// givenBytes bounds the size of the parts in one reply, as agents do.
-const givenBytes = 128 << 10
+// maxPartsBytes bounds the size of the parts in one reply, as agents do.
+const maxPartsBytes = 128 << 10
 
-// give returns the requested parts, as many as fit into one reply.
-func (p *publisher) give(r wire.PartsRequest) wire.Parts {
+// partsReply returns the requested parts, as many as fit into one reply.
+func (p *publisher) partsReply(r wire.PartsRequest) wire.Parts {
 	var out wire.Parts
 	size := 0
 	for _, d := range r.Digests {
 		b := p.published[d]
-		if size += len(b); b == nil || size > givenBytes && len(out.Parts) > 0 {
+		if size += len(b); b == nil || size > maxPartsBytes && len(out.Parts) > 0 {
 			break
 		}
 		out.Parts = append(out.Parts, wire.Part{Digest: d, Bytes: b})
--- a/internal/capacity/simulated.go
+++ b/internal/capacity/simulated.go
@@ -20,46 +20,46 @@
 // Simulated instances exchange heartbeats with each other in memory, and with the
 // real agents over the network.
 type simulation struct {
-	bed *bed
+	fleet *fleet
 
-	mu    sync.Mutex
-	nodes map[ident.InstanceID]*simulated
-	order []*simulated
-	// real holds the agent addresses of the real instances.
-	real map[ident.InstanceID]string
+	mu        sync.Mutex
+	instances map[ident.InstanceID]*simulatedInstance
+	order     []*simulatedInstance
+	// realAddresses holds the agent addresses of the real instances.
+	realAddresses map[ident.InstanceID]string
 }
 
-// simulated is one simulated instance.
-type simulated struct {
+// simulatedInstance is one simulated instance.
+type simulatedInstance struct {
 	id      ident.InstanceID
 	zone    ident.Zone
 	address string
 	machine *membership.Machine
 	pool    *peer.Pool
-	// marks holds the fingerprint that each real instance sent last. It is echoed in
+	// fingerprints holds the fingerprint that each real instance sent last. It is echoed in
 	// heartbeats to that instance, because a simulated instance never has a change to
 	// propagate.
-	marks map[ident.InstanceID]uint64
+	fingerprints map[ident.InstanceID]uint64
 }
 
 // Intervals and the call timeout of the simulation.
 const (
-	simTick   = 100 * time.Millisecond
-	simGather = 3 * time.Second
-	simCall   = 2 * time.Second
+	simTick         = 100 * time.Millisecond
+	simPollInterval = 3 * time.Second
+	simCallTimeout  = 2 * time.Second
 )
 
 // addSimulated starts n simulated instances and adds them to listed.
-func (b *bed) addSimulated(n int, listed *configservice.Instances) error {
-	b.simulation = &simulation{bed: b, nodes: map[ident.InstanceID]*simulated{}, real: map[ident.InstanceID]string{}}
+func (b *fleet) addSimulated(n int, listed *configservice.Instances) error {
+	b.simulation = &simulation{fleet: b, instances: map[ident.InstanceID]*simulatedInstance{}, realAddresses: map[ident.InstanceID]string{}}
 	for _, x := range b.nodes {
-		b.simulation.real[x.id] = x.peers
+		b.simulation.realAddresses[x.id] = x.peerAddress
 	}
 	for i := range n {
-		place := len(b.nodes) + i
-		s := &simulated{
-			id: ident.InstanceID(fmt.Sprintf("entry-%03d", place)), zone: b.zone(place),
-			address: b.ip(place) + ":9101", marks: map[ident.InstanceID]uint64{},
+		position := len(b.nodes) + i
+		s := &simulatedInstance{
+			id: ident.InstanceID(fmt.Sprintf("entry-%03d", position)), zone: b.zone(position),
+			address: b.ip(position) + ":9101", fingerprints: map[ident.InstanceID]uint64{},
 		}
 		if err := b.simulation.serve(s); err != nil {
 			return err
@@ -73,7 +73,7 @@
 }
 
 // serve starts the peer server of a simulated instance.
-func (s *simulation) serve(x *simulated) error {
+func (s *simulation) serve(x *simulatedInstance) error {
 	now := time.Now()
 	cfg := peer.Config{
 		Self:  peer.Identity{Instance: x.id, Incarnation: ident.NewIncarnation(now), Zone: x.zone},
@@ -89,42 +89,42 @@
 	srv := peer.NewServer(cfg)
 	s.handle(srv, x)
 	go func() { _ = srv.Serve(l) }()
-	s.bed.closers = append(s.bed.closers, func() {
+	s.fleet.cleanups = append(s.fleet.cleanups, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_ = srv.Shutdown(ctx)
 		x.pool.Close()
 	})
-	s.nodes[x.id] = x
+	s.instances[x.id] = x
 	s.order = append(s.order, x)
 	return nil
 }
 
 // handle registers the methods that real agents call.
-func (s *simulation) handle(srv *peer.Server, x *simulated) {
+func (s *simulation) handle(srv *peer.Server, x *simulatedInstance) {
 	peer.Handle(srv, wire.MethodHeartbeat, func(_ context.Context, from peer.Identity, hb wire.Heartbeat) (wire.Heartbeat, error) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		answer, err := x.machine.Receive(time.Now(), from.Instance, hb.Heartbeat)
-		x.marks[from.Instance] = hb.Fingerprint
-		return x.wire(from.Instance, answer), err
+		x.fingerprints[from.Instance] = hb.Fingerprint
+		return x.wrapHeartbeat(from.Instance, answer), err
 	})
 	peer.Handle(srv, wire.MethodFloor, func(context.Context, peer.Identity, wire.Empty) (wire.Floor, error) {
-		p := s.bed.publisher
+		p := s.fleet.publisher
 		return wire.Floor{Ready: true, InForce: p.head.Ref(), Roll: p.roll}, nil
 	})
 	peer.Handle(srv, wire.MethodParts, func(_ context.Context, _ peer.Identity, r wire.PartsRequest) (wire.Parts, error) {
-		return s.bed.publisher.give(r), nil
+		return s.fleet.publisher.partsReply(r), nil
 	})
 }
 
-// wire wraps a heartbeat in the fields that agents add to it.
-func (x *simulated) wire(to ident.InstanceID, hb membership.Heartbeat) wire.Heartbeat {
-	return wire.Heartbeat{Heartbeat: hb, Fingerprint: x.marks[to], Version: 1, PlatformAge: 1}
+// wrapHeartbeat wraps a heartbeat in the fields that agents add to it.
+func (x *simulatedInstance) wrapHeartbeat(to ident.InstanceID, hb membership.Heartbeat) wire.Heartbeat {
+	return wire.Heartbeat{Heartbeat: hb, Fingerprint: x.fingerprints[to], Version: 1, PlatformAge: 1}
 }
 
-// begin applies the lists to all simulated instances and starts the simulation loop.
-func (s *simulation) begin(instances *configservice.Instances, upstreams []configservice.Upstream) {
+// start applies the lists to all simulated instances and starts the simulation loop.
+func (s *simulation) start(instances *configservice.Instances, upstreams []configservice.Upstream) {
 	now := time.Now()
 	var il []membership.ListedInstance
 	for _, i := range instances.Instances {
@@ -141,7 +141,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { s.run(ctx) })
-	s.bed.closers = append(s.bed.closers, func() {
+	s.fleet.cleanups = append(s.fleet.cleanups, func() {
 		end()
 		running.Wait()
 	})
@@ -151,7 +151,7 @@
 func (s *simulation) run(ctx context.Context) {
 	ticker := time.NewTicker(simTick)
 	defer ticker.Stop()
-	var gathered time.Time
+	var lastPoll time.Time
 	for {
 		select {
 		case <-ticker.C:
@@ -160,19 +160,19 @@
 		}
 		now := time.Now()
 		s.mu.Lock()
-		if now.Sub(gathered) >= simGather {
-			gathered = now
-			s.gather(now)
+		if now.Sub(lastPoll) >= simPollInterval {
+			lastPoll = now
+			s.reportLoads(now)
 		}
 		for _, x := range s.order {
-			s.act(ctx, now, x)
+			s.performDue(ctx, now, x)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// gather has each simulated instance report the load of the upstreams that it polls.
-func (s *simulation) gather(now time.Time) {
+// reportLoads has each simulated instance report the load of the upstreams that it polls.
+func (s *simulation) reportLoads(now time.Time) {
 	for _, x := range s.order {
 		for _, id := range x.machine.PolledUpstreams(now) {
 			x.machine.UpstreamReport(now, now, id, simReport(now))
@@ -180,23 +180,23 @@
 	}
 }
 
-// act performs the actions that are due at a simulated instance.
-func (s *simulation) act(ctx context.Context, now time.Time, x *simulated) {
+// performDue performs the actions that are due at a simulated instance.
+func (s *simulation) performDue(ctx context.Context, now time.Time, x *simulatedInstance) {
 	for _, d := range x.machine.Due(now) {
-		address, isReal := s.real[d.To]
+		address, isReal := s.realAddresses[d.To]
 		switch {
 		case d.Kind == membership.DueProbe:
 			x.machine.PeerAnswered(now, now, d.To)
 		case isReal:
-			go s.call(ctx, now, x, d.To, address, x.wire(d.To, x.machine.Heartbeat(now, d.To)))
+			go s.call(ctx, now, x, d.To, address, x.wrapHeartbeat(d.To, x.machine.Heartbeat(now, d.To)))
 		default:
-			s.exchange(now, x, s.nodes[d.To])
+			s.exchange(now, x, s.instances[d.To])
 		}
 	}
 }
 
 // exchange exchanges heartbeats between two simulated instances in memory.
-func (s *simulation) exchange(now time.Time, x, to *simulated) {
+func (s *simulation) exchange(now time.Time, x, to *simulatedInstance) {
 	answer, err := to.machine.Receive(now, x.id, x.machine.Heartbeat(now, to.id))
 	if err == nil {
 		// The error is ignored: a machine accepts every heartbeat that another composes.
@@ -205,8 +205,8 @@
 }
 
 // call exchanges heartbeats with a real agent over the network.
-func (s *simulation) call(ctx context.Context, begun time.Time, x *simulated, to ident.InstanceID, address string, hb wire.Heartbeat) {
-	ctx, cancel := context.WithTimeout(ctx, simCall)
+func (s *simulation) call(ctx context.Context, begun time.Time, x *simulatedInstance, to ident.InstanceID, address string, hb wire.Heartbeat) {
+	ctx, cancel := context.WithTimeout(ctx, simCallTimeout)
 	defer cancel()
 	answer, err := peer.Call[wire.Heartbeat](ctx, x.pool, address, wire.MethodHeartbeat, hb)
 	s.mu.Lock()
@@ -216,19 +216,19 @@
 		x.machine.PeerFailed(now, begun, to, membership.ProcessAgent, membership.FailTimeout)
 		return
 	}
-	x.marks[to] = answer.Fingerprint
+	x.fingerprints[to] = answer.Fingerprint
 	_ = x.machine.HeartbeatAnswered(now, begun, to, answer.Heartbeat)
 }
 
 // simIncarnation is the incarnation of every simulated engine.
 const simIncarnation ident.Incarnation = 1_796_000_000_000
 
-// simReportEvery is the interval between the load reports of a simulated engine.
-const simReportEvery = 500 * time.Millisecond
+// simReportInterval is the interval between the load reports of a simulated engine.
+const simReportInterval = 500 * time.Millisecond
 
 // simReport returns the load report that every simulated engine gives at the time now.
 func simReport(now time.Time) membership.Report {
-	seq := uint32(now.UnixMilli() / simReportEvery.Milliseconds())
+	seq := uint32(now.UnixMilli() / simReportInterval.Milliseconds())
 	return membership.Report{
 		Incarnation: simIncarnation, Sequence: seq,
 		Running: int(seq % 20), Slots: 20, PiecesUsed: int(seq % 200), QueuedTokens: int(seq%8) * 2000,
@@ -236,9 +236,9 @@
 }
 
 // simEngine returns a handler that responds as an engine of which only the load changes.
-func simEngine(place int) http.Handler {
+func simEngine(position int) http.Handler {
 	orders := fmt.Sprintf(`{"incarnation":%d,"role":%q,"models":[%q],"adapters":null,"version":"1","highest":1,"checks_fencing":true}`,
-		simIncarnation, simRole(place), modelName)
+		simIncarnation, simRole(position), modelName)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		l := simReport(time.Now())
 		w.Header().Set("endpoint-load-metrics", fmt.Sprintf(`JSON {"named_metrics":{"kv_cache_usage_perc":0.5,`+
@@ -250,9 +250,9 @@
 		case "/load":
 			fmt.Fprintf(w, `{"seq":%d,"at_ms":%d,"incarnation":%d,"role":%q,"models":[%q],"running":%d,"waiting":0,"slots":20,`+
 				`"waiting_tokens":%d,"pieces_used":%d,"pieces_total":200,"draining":false}`,
-				l.Sequence-1, time.Now().UnixMilli(), simIncarnation, simRole(place), modelName, l.Running, l.QueuedTokens, l.PiecesUsed)
+				l.Sequence-1, time.Now().UnixMilli(), simIncarnation, simRole(position), modelName, l.Running, l.QueuedTokens, l.PiecesUsed)
 		case "/v1/requests":
-			fmt.Fprintf(w, `{"incarnation":%d,"role":%q,"requests":[]}`, simIncarnation, simRole(place))
+			fmt.Fprintf(w, `{"incarnation":%d,"role":%q,"requests":[]}`, simIncarnation, simRole(position))
 		default:
 			fmt.Fprint(w, orders)
 		}
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// planned is the number of instances in the planned deployment.
-const planned = 410
+// plannedInstances is the number of instances in the planned deployment.
+const plannedInstances = 410
 
 // column is one column of the table, computed from a row.
 type column struct {
@@ -19,7 +19,7 @@
 
 // columns are the measures printed in the table. All but the first are fitted.
 var columns = []column{
-	{"load average", func(r *row) float64 { return r.load }, 1},
+	{"load average", func(r *row) float64 { return r.loadAverage }, 1},
 	{"cpu mean %", func(r *row) float64 { return r.cpuMean }, 3},
 	{"cpu max %", func(r *row) float64 { return r.cpuMax }, 3},
 	{"rss mean MB", func(r *row) float64 { return r.rssMean }, 1},
@@ -31,10 +31,10 @@
 	{"control B/s mean", func(r *row) float64 { return r.bytes() }, 0},
 	{"control B/s max", func(r *row) float64 { return r.bytesMax }, 0},
 	{"feed B/s (loopback)", func(r *row) float64 { return r.feed }, 0},
-	{"platform calls/s, all", func(r *row) float64 { return r.calls }, 2},
-	{"platform calls, busiest second", func(r *row) float64 { return float64(r.callsPeak) }, 0},
+	{"platform calls/s, all", func(r *row) float64 { return r.platformCalls }, 2},
+	{"platform calls, busiest second", func(r *row) float64 { return float64(r.platformCallsPeak) }, 0},
 	{"partners", func(r *row) float64 { return r.partners }, 1},
-	{"heartbeat interval s", func(r *row) float64 { return r.interval.Seconds() }, 2},
+	{"heartbeat interval s", func(r *row) float64 { return r.heartbeatInterval.Seconds() }, 2},
 	{"in force ms, slowest", func(r *row) float64 { return float64(r.inForce) / float64(time.Millisecond) }, 0},
 	{"cpu ms per change", func(r *row) float64 { return float64(r.changeCPU) / float64(time.Millisecond) }, 0},
 	{"bytes per change", func(r *row) float64 { return r.changeBytes }, 0},
@@ -109,7 +109,7 @@
 		}
 		f := fitLine(x, y)
 		err := t.Add(c.name, report.Fixed(f.slope, 4), report.Fixed(f.intercept, 2),
-			report.Fixed(f.r2, 3), report.Fixed(f.at(planned), 2))
+			report.Fixed(f.r2, 3), report.Fixed(f.at(plannedInstances), 2))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// checkEvery is the minimum interval between readings of the system clocks. A reading
+	// checkInterval is the minimum interval between readings of the system clocks. A reading
 	// takes two system calls, and requests read the time some thousand times a second.
-	checkEvery = 20 * time.Millisecond
-	// leastSuspension is the minimum growth of the difference between the clocks that
+	checkInterval = 20 * time.Millisecond
+	// minSuspension is the minimum growth of the difference between the clocks that
 	// counts as a suspension. A thread may be preempted for some 10 ms between the two
 	// readings.
-	leastSuspension = 100 * time.Millisecond
+	minSuspension = 100 * time.Millisecond
 )
 
 // Reading reads a system clock.
@@ -33,62 +33,62 @@
 // Clock adds the time for which the machine was suspended to Go's clock. It is safe for
 // concurrent use.
 type Clock struct {
-	steady, boot Reading
-	started      time.Time
-	// base is the difference between the clocks when the Clock was created.
-	base time.Duration
+	monotonic, boottime Reading
+	started             time.Time
+	// initialDifference is the difference between the clocks when the Clock was created.
+	initialDifference time.Duration
 	// mu is held while the system clocks are read.
 	mu sync.Mutex
 	// suspended is the total suspended time, in ns: the growth of the difference since
-	// then. checked is the time of the last check, in ns since started.
-	suspended, checked atomic.Int64
+	// then. lastCheck is the time of the last check, in ns since started.
+	suspended, lastCheck atomic.Int64
 }
 
-// New returns a clock that is based on steady, which stops during a suspension, and boot,
-// which does not. A failed reading counts as no suspension.
-func New(steady, boot Reading) *Clock {
-	c := &Clock{steady: steady, boot: boot, started: time.Now()}
-	c.base, _ = c.difference()
-	c.checked.Store(-int64(checkEvery))
+// New returns a clock that is based on monotonic, which stops during a suspension, and
+// boottime, which does not. A failed reading counts as no suspension.
+func New(monotonic, boottime Reading) *Clock {
+	c := &Clock{monotonic: monotonic, boottime: boottime, started: time.Now()}
+	c.initialDifference, _ = c.difference()
+	c.lastCheck.Store(-int64(checkInterval))
 	return c
 }
 
-// difference returns the boot reading minus the steady reading. It returns false if
+// difference returns the boottime reading minus the monotonic reading. It returns false if
 // either can't be read.
 func (c *Clock) difference() (time.Duration, bool) {
-	steady, err := c.steady()
+	monotonic, err := c.monotonic()
 	if err != nil {
 		return 0, false
 	}
-	boot, err := c.boot()
-	return boot - steady, err == nil
+	boottime, err := c.boottime()
+	return boottime - monotonic, err == nil
 }
 
 // Now returns the current time, including suspensions.
 func (c *Clock) Now() time.Time {
 	now := time.Now()
-	c.check(now)
+	c.checkIfDue(now)
 	return now.Add(time.Duration(c.suspended.Load()))
 }
 
-// check calls Check unless the last check was less than checkEvery ago.
-func (c *Clock) check(now time.Time) {
+// checkIfDue calls Check unless the last one was less than checkInterval ago.
+func (c *Clock) checkIfDue(now time.Time) {
 	at := int64(now.Sub(c.started))
-	last := c.checked.Load()
-	if at-last >= int64(checkEvery) && c.checked.CompareAndSwap(last, at) {
+	last := c.lastCheck.Load()
+	if at-last >= int64(checkInterval) && c.lastCheck.CompareAndSwap(last, at) {
 		c.Check()
 	}
 }
 
-// Check reads the system clocks and records a suspension, regardless of checkEvery. Call
+// Check reads the system clocks and records a suspension, regardless of checkInterval. Call
 // it before actions that must not rely on data from before a suspension, and not more
 // often than once per request: it takes two system calls.
 func (c *Clock) Check() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	difference, ok := c.difference()
-	grown := difference - c.base - time.Duration(c.suspended.Load())
-	if ok && grown >= leastSuspension {
+	grown := difference - c.initialDifference - time.Duration(c.suspended.Load())
+	if ok && grown >= minSuspension {
 		c.suspended.Add(int64(grown))
 	}
 }
@@ -97,8 +97,8 @@
 // was created.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// reading returns a Reading of the system clock with the given ID.
-func reading(id int32) Reading {
+// systemClock returns a Reading of the system clock with the given ID.
+func systemClock(id int32) Reading {
 	return func() (time.Duration, error) {
 		var t unix.Timespec
 		err := unix.ClockGettime(id, &t)
@@ -109,7 +109,7 @@
 // current is the process-wide clock.
 var current atomic.Pointer[Clock]
 
-func init() { current.Store(New(reading(unix.CLOCK_MONOTONIC), reading(unix.CLOCK_BOOTTIME))) }
+func init() { current.Store(New(systemClock(unix.CLOCK_MONOTONIC), systemClock(unix.CLOCK_BOOTTIME))) }
 
 // Use replaces the process-wide clock in tests. It returns a function that restores the
 // previous clock.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,8 +12,8 @@
 	"github.com/wardspool/wardspool/internal/testclock"
 )
 
-// checkEvery is the package's interval between readings of the system clocks.
-const checkEvery = 20 * time.Millisecond
+// checkInterval is the package's interval between readings of the system clocks.
+const checkInterval = 20 * time.Millisecond
 
 // TestSuspensionCounts checks that ages and the time left until deadlines include the time
 // for which the machine was suspended.
@@ -25,13 +25,13 @@
 		time.Sleep(time.Second)
 		assert.Equal(t, clock.Since(before), time.Second)
 		c.Suspend(5 * time.Second)
-		time.Sleep(checkEvery)
-		assert.Equal(t, clock.Since(before), 6*time.Second+checkEvery)
-		assert.Equal(t, clock.Until(deadline), 4*time.Second-checkEvery)
+		time.Sleep(checkInterval)
+		assert.Equal(t, clock.Since(before), 6*time.Second+checkInterval)
+		assert.Equal(t, clock.Until(deadline), 4*time.Second-checkInterval)
 		assert.Equal(t, clock.Suspended(), 5*time.Second)
 		c.Suspend(3 * time.Second)
 		clock.Check()
-		assert.Equal(t, clock.Since(before), 9*time.Second+checkEvery)
+		assert.Equal(t, clock.Since(before), 9*time.Second+checkInterval)
 	})
 }
 
@@ -51,7 +51,7 @@
 		} {
 			c.Suspend(r.by)
 			c.Fail(r.err)
-			time.Sleep(checkEvery)
+			time.Sleep(checkInterval)
 			now := clock.Now()
 			assert.Equal(t, clock.Suspended(), r.want)
 			assert.Assert(t, now.After(last))
@@ -64,9 +64,9 @@
 // assumes that the machine is not suspended meanwhile.
 func TestSystemsClocksCanBeRead(t *testing.T) {
 	before := clock.Now()
-	time.Sleep(2 * checkEvery)
+	time.Sleep(2 * checkInterval)
 	clock.Check()
-	assert.Assert(t, clock.Since(before) >= 2*checkEvery)
+	assert.Assert(t, clock.Since(before) >= 2*checkInterval)
 	assert.Assert(t, clock.Since(before) < time.Minute)
 }
 
--- a/internal/mutate/main.go
+++ b/internal/mutate/main.go
@@ -48,7 +48,7 @@
 	table := markdown(results)
 	fmt.Print(table)
 	if f.Write != "" {
-		if err := os.WriteFile(filepath.Clean(f.Write), []byte(pageHead+table), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Clean(f.Write), []byte(pageHeader+table), 0o644); err != nil {
 			return &FileError{Path: f.Write, Err: err}
 		}
 	}
--- a/internal/mutate/run.go
+++ b/internal/mutate/run.go
@@ -14,13 +14,13 @@
 // Result is the result of testing one mutation.
 type Result struct {
 	Mutation Mutation
-	// Noticed is true if the test failed, that is, the mutation was detected.
-	Noticed bool
+	// Detected is true if the test failed, that is, the mutation was detected.
+	Detected bool
 	// Built is false if the mutated code did not compile; its failure does not count
 	// as a detection then.
 	Built bool
-	// Line is the first line of the test output that describes the failure.
-	Line string
+	// FailureLine is the first line of the test output that describes the failure.
+	FailureLine string
 }
 
 // testAll tests the mutations in parallel, with one copy of the module for each worker.
@@ -126,10 +126,10 @@
 	out, err := cmd.CombinedOutput()
 	text := string(out)
 	return Result{
-		Mutation: m,
-		Noticed:  err != nil,
-		Built:    !strings.Contains(text, "[build failed]") && !strings.Contains(text, "[setup failed]"),
-		Line:     failureLine(text),
+		Mutation:    m,
+		Detected:    err != nil,
+		Built:       !strings.Contains(text, "[build failed]") && !strings.Contains(text, "[setup failed]"),
+		FailureLine: failureLine(text),
 	}
 }
 
--- a/internal/mutate/table.go
+++ b/internal/mutate/table.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// pageHead is the start of the Markdown page written by --write.
-const pageHead = `# Safeguards taken out
+// pageHeader is the start of the Markdown page written by --write.
+const pageHeader = `# Safeguards taken out
 
 Written by ` + "`make mutations`" + `. Each row takes one safeguard out of a copy of the
 code; "noticed" means that the named test then fails.
@@ -22,7 +22,7 @@
 	b.WriteString("| safeguard taken out | promise | test | result | first failure |\n|---|---|---|---|---|\n")
 	for _, r := range results {
 		fmt.Fprintf(&b, "| %s | %s | %s %s | %s | %s |\n", r.Mutation.Name, r.Mutation.Promise,
-			r.Mutation.Package, cell(r.Mutation.Run), verdict(r), cell(r.Line))
+			r.Mutation.Package, cell(r.Mutation.Run), verdict(r), cell(r.FailureLine))
 	}
 	return b.String()
 }
@@ -41,7 +41,7 @@
 	switch {
 	case !r.Built:
 		return "not built"
-	case r.Noticed:
+	case r.Detected:
 		return "noticed"
 	default:
 		return "SURVIVED"
@@ -52,7 +52,7 @@
 func survivors(results []Result) error {
 	var names []string
 	for _, r := range results {
-		if !r.Noticed || !r.Built {
+		if !r.Detected || !r.Built {
 			names = append(names, r.Mutation.Name)
 		}
 	}
--- a/standin/judge/merge.go
+++ b/standin/judge/merge.go
@@ -32,8 +32,8 @@
 	Unrecorded int `json:"unrecorded"`
 }
 
-// combined combines the records of all engines for one correlation ID.
-type combined struct {
+// combinedRecord combines the records of all engines for one correlation ID.
+type combinedRecord struct {
 	completed int
 	computed  int
 	used      int
@@ -43,7 +43,7 @@
 // Merge combines the reports of several engines by correlation ID.
 func Merge(reports []Engine) Summary {
 	var s Summary
-	byID := make(map[string]*combined)
+	byID := make(map[string]*combinedRecord)
 	for _, e := range reports {
 		s.HeldAttempts += e.Held.Attempts
 		s.HeldPieces += e.Held.Pieces
@@ -51,7 +51,7 @@
 		for _, r := range e.Requests {
 			c := byID[r.CorrelationID]
 			if c == nil {
-				c = &combined{}
+				c = &combinedRecord{}
 				byID[r.CorrelationID] = c
 			}
 			c.add(r)
@@ -65,7 +65,7 @@
 }
 
 // add adds the record of one engine.
-func (c *combined) add(r Request) {
+func (c *combinedRecord) add(r Request) {
 	c.completed += r.Completed
 	c.computed += r.PromptComputed
 	c.used = max(c.used, r.LargestUsed)
@@ -73,7 +73,7 @@
 }
 
 // add adds one request to the summary.
-func (s *Summary) add(c *combined) {
+func (s *Summary) add(c *combinedRecord) {
 	generated, distinct := c.tokens()
 	s.Generated += generated
 	s.RepeatedTokens += generated - distinct
@@ -93,7 +93,7 @@
 }
 
 // tokens returns the number of generated tokens and how many of them are distinct.
-func (c *combined) tokens() (generated, distinct int) {
+func (c *combinedRecord) tokens() (generated, distinct int) {
 	sort.Slice(c.ranges, func(i, j int) bool { return c.ranges[i].From < c.ranges[j].From })
 	covered := 0 // tokens before this offset have been counted
 	for _, r := range c.ranges {
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -29,19 +29,19 @@
 // pathKeys is the path of the listing and the path prefix of the keys.
 const pathKeys = "/v1/keys"
 
-// Entry is one key of a listing.
-type Entry struct {
+// ListedKey is one key of a listing.
+type ListedKey struct {
 	Key   string `json:"key"`
 	Index uint64 `json:"index"`
 }
 
-// Listing is the response to GET /v1/keys?prefix=PREFIX.
-type Listing struct {
-	Keys []Entry `json:"keys"`
+// ListResponse is the response to GET /v1/keys?prefix=PREFIX.
+type ListResponse struct {
+	Keys []ListedKey `json:"keys"`
 }
 
-// Written is the response to a write by the test harness.
-type Written struct {
+// WriteResponse is the response to a write by the test harness.
+type WriteResponse struct {
 	Index uint64 `json:"index"`
 }
 
@@ -64,12 +64,12 @@
 		control.WriteError(w, http.StatusRequestEntityTooLarge, control.CodeInvalid, err.Error())
 		return
 	}
-	control.WriteJSON(w, http.StatusOK, Written{Index: p.Put(mux.Vars(r)["key"], value)})
+	control.WriteJSON(w, http.StatusOK, WriteResponse{Index: p.Put(mux.Vars(r)["key"], value)})
 }
 
 // serveDelete handles DELETE /control/keys/{key}.
 func (p *Platform) serveDelete(w http.ResponseWriter, r *http.Request) {
-	control.WriteJSON(w, http.StatusOK, Written{Index: p.Delete(mux.Vars(r)["key"])})
+	control.WriteJSON(w, http.StatusOK, WriteResponse{Index: p.Delete(mux.Vars(r)["key"])})
 }
 
 // serveMode handles GET and PUT /control/mode.
@@ -92,16 +92,16 @@
 	control.WriteJSON(w, http.StatusOK, p.Judge())
 }
 
-// enter counts a reader's call. If the platform is down or the rate limit is exceeded, it
+// admit counts a reader's call. If the platform is down or the rate limit is exceeded, it
 // sends the error response and returns false.
-func (p *Platform) enter(w http.ResponseWriter, r *http.Request) bool {
+func (p *Platform) admit(w http.ResponseWriter, r *http.Request) bool {
 	now := time.Now()
 	p.mu.Lock()
 	allowed, retryAfter := p.meter.call(r.Header.Get(HeaderReader), now)
 	down, _ := p.down(now)
 	p.mu.Unlock()
 	if down {
-		p.playDown(w, r)
+		p.serveDown(w, r)
 		return false
 	}
 	if !allowed {
@@ -113,8 +113,8 @@
 	return true
 }
 
-// playDown responds, or does not respond, as the platform does while it is down.
-func (p *Platform) playDown(w http.ResponseWriter, r *http.Request) {
+// serveDown responds, or does not respond, as the platform does while it is down.
+func (p *Platform) serveDown(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	by := p.mode.DownBy
 	changed := p.changed
@@ -136,11 +136,11 @@
 
 // serveList handles GET /v1/keys?prefix=PREFIX.
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
-	if !p.enter(w, r) {
+	if !p.admit(w, r) {
 		return
 	}
 	p.mu.Lock()
-	out := Listing{Keys: p.store.list(r.URL.Query().Get("prefix"), p.view(time.Now()))}
+	out := ListResponse{Keys: p.store.list(r.URL.Query().Get("prefix"), p.view(time.Now()))}
 	p.mu.Unlock()
 	control.WriteJSON(w, http.StatusOK, out)
 }
--- a/standin/platform/meter.go
+++ b/standin/platform/meter.go
@@ -72,8 +72,8 @@
 	return false, time.Duration(second+1)*time.Second - passed
 }
 
-// sent counts the bytes of a value sent to a reader.
-func (m *meter) sent(name string, n int) {
+// addBytes counts the bytes of a value sent to a reader.
+func (m *meter) addBytes(name string, n int) {
 	if r := m.readers[name]; r != nil {
 		r.bytes += int64(n)
 	}
--- a/standin/platform/mode_test.go
+++ b/standin/platform/mode_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestStale(t *testing.T) {
-	inPlatform(t, func(t *testing.T, p *Platform) {
+	withPlatform(t, func(t *testing.T, p *Platform) {
 		p.Put("k", []byte("v1"))
 		p.Put("l", []byte("w1"))
 		p.Put("k", []byte("v2"))
@@ -40,7 +40,7 @@
 }
 
 func TestStaleFromNow(t *testing.T) {
-	inPlatform(t, func(t *testing.T, p *Platform) {
+	withPlatform(t, func(t *testing.T, p *Platform) {
 		p.Put("k", []byte("v1"))
 		setMode(t, p, `{"mode":"stale"}`)
 		p.Put("k", []byte("v2"))
@@ -49,7 +49,7 @@
 }
 
 func TestDown(t *testing.T) {
-	inPlatform(t, func(t *testing.T, p *Platform) {
+	withPlatform(t, func(t *testing.T, p *Platform) {
 		p.Put("k", []byte("v"))
 		setMode(t, p, `{"mode":"down"}`)
 		assert.Equal(t, get(p, "/v1/keys/k").status, http.StatusServiceUnavailable)
@@ -63,7 +63,7 @@
 }
 
 func TestLags(t *testing.T) {
-	inPlatform(t, func(t *testing.T, p *Platform) {
+	withPlatform(t, func(t *testing.T, p *Platform) {
 		setMode(t, p, `{"mode":"up","lags":[{"prefix":"","lag_ms":100},{"prefix":"ups","lag_ms":3000}]}`)
 		p.Put("upstreams", []byte("u"))
 		p.Put("instances", []byte("i"))
@@ -98,7 +98,7 @@
 
 // TestFlapEndsWatch checks that a pending watch ends when a flapping platform goes down.
 func TestFlapEndsWatch(t *testing.T) {
-	inPlatform(t, func(t *testing.T, p *Platform) {
+	withPlatform(t, func(t *testing.T, p *Platform) {
 		p.Put("k", []byte("v"))
 		setMode(t, p, `{"mode":"flapping","seed":3,"down_by":"close"}`)
 		start := time.Now()
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -62,7 +62,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	index := p.store.put(key, value, time.Now())
-	p.announce()
+	p.notifyWatchers()
 	return index
 }
 
@@ -71,7 +71,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	index := p.store.remove(key, time.Now())
-	p.announce()
+	p.notifyWatchers()
 	return index
 }
 
@@ -97,12 +97,12 @@
 		p.schedule = newSchedule(m, time.Now())
 	}
 	p.mode = m
-	p.announce()
+	p.notifyWatchers()
 	return nil
 }
 
-// announce wakes all pending watches. The caller must hold the mutex.
-func (p *Platform) announce() {
+// notifyWatchers wakes all pending watches. The caller must hold the mutex.
+func (p *Platform) notifyWatchers() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -18,11 +18,11 @@
 
 // result is the result of a read.
 type result struct {
-	dropped bool
-	status  int
-	index   string
-	body    string
-	retry   string
+	dropped    bool
+	status     int
+	index      string
+	body       string
+	retryAfter string
 }
 
 // get reads a path as the reader "reader".
@@ -42,15 +42,15 @@
 	}()
 	p.Handler().ServeHTTP(w, req)
 	return result{
-		status: w.Code,
-		index:  w.Header().Get(HeaderIndex),
-		body:   strings.TrimSpace(w.Body.String()),
-		retry:  w.Header().Get("Retry-After"),
+		status:     w.Code,
+		index:      w.Header().Get(HeaderIndex),
+		body:       strings.TrimSpace(w.Body.String()),
+		retryAfter: w.Header().Get("Retry-After"),
 	}
 }
 
-// inPlatform runs a test on a platform with a fake clock and a limit of 5 calls per second.
-func inPlatform(t *testing.T, test func(t *testing.T, p *Platform)) {
+// withPlatform runs a test on a platform with a fake clock and a limit of 5 calls per second.
+func withPlatform(t *testing.T, test func(t *testing.T, p *Platform)) {
 	bubble.Test(t, func(t *testing.T) {
 		p := New(Config{Rate: 5})
 		defer p.Close()
@@ -59,7 +59,7 @@
 }
 
 func TestReadAndList(t *testing.T) {
-	inPlatform(t, func(t *testing.T, p *Platform) {
+	withPlatform(t, func(t *testing.T, p *Platform) {
 		p.Put("bundle/head", []byte("h"))
 		p.Put("bundle/parts/ab", []byte("part"))
 		p.Put("roll/current", []byte("r"))
@@ -103,7 +103,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			inPlatform(t, func(t *testing.T, p *Platform) {
+			withPlatform(t, func(t *testing.T, p *Platform) {
 				p.Put("k", []byte("v1"))
 				if tt.change != nil {
 					time.AfterFunc(time.Second, func() { tt.change(p) })
@@ -119,7 +119,7 @@
 }
 
 func TestRemovedKeyWakesWatch(t *testing.T) {
-	inPlatform(t, func(t *testing.T, p *Platform) {
+	withPlatform(t, func(t *testing.T, p *Platform) {
 		p.Put("k", []byte("v"))
 		time.AfterFunc(time.Second, func() { p.Delete("k") })
 		got := get(p, "/v1/keys/k?index=1&wait=10s")
@@ -129,7 +129,7 @@
 }
 
 func TestReaderLeaves(t *testing.T) {
-	inPlatform(t, func(t *testing.T, p *Platform) {
+	withPlatform(t, func(t *testing.T, p *Platform) {
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(time.Second, cancel)
 		assert.Assert(t, getAs(ctx, p, "a", "/v1/keys/k?index=0&wait=10s").dropped)
@@ -138,7 +138,7 @@
 }
 
 func TestRateLimit(t *testing.T) {
-	inPlatform(t, func(t *testing.T, p *Platform) {
+	withPlatform(t, func(t *testing.T, p *Platform) {
 		p.Put("k", []byte("abc"))
 		for range 5 {
 			assert.Equal(t, get(p, "/v1/keys/k").status, 200)
@@ -147,7 +147,7 @@
 		for _, reader := range []string{"a", "b"} {
 			limited := getAs(t.Context(), p, reader, "/v1/keys/k")
 			assert.Equal(t, limited.status, http.StatusTooManyRequests)
-			assert.Equal(t, limited.retry, "1")
+			assert.Equal(t, limited.retryAfter, "1")
 		}
 		time.Sleep(500 * time.Millisecond)
 		assert.Equal(t, get(p, "/v1/keys/k").status, 200)
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -89,14 +89,14 @@
 }
 
 // list returns the keys with a prefix that are visible in a view, sorted.
-func (s *store) list(prefix string, v view) []Entry {
-	out := []Entry{}
+func (s *store) list(prefix string, v view) []ListedKey {
+	out := []ListedKey{}
 	for key := range s.keys {
 		if !strings.HasPrefix(key, prefix) {
 			continue
 		}
 		if seen, _ := s.get(key, v); !seen.deleted {
-			out = append(out, Entry{Key: key, Index: seen.index})
+			out = append(out, ListedKey{Key: key, Index: seen.index})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
--- a/standin/platform/watch.go
+++ b/standin/platform/watch.go
@@ -21,8 +21,8 @@
 	wait     time.Duration
 }
 
-// readWatch parses the query of a read. It returns false if the query is malformed.
-func readWatch(r *http.Request) (watch, bool) {
+// parseWatch parses the query of a read. It returns false if the query is malformed.
+func parseWatch(r *http.Request) (watch, bool) {
 	out := watch{key: mux.Vars(r)["key"], reader: r.Header.Get(HeaderReader)}
 	query := r.URL.Query()
 	var err error
@@ -41,8 +41,8 @@
 	return out, true
 }
 
-// sight is the state of a key and the platform as a watch sees it at one time.
-type sight struct {
+// observation is the state of a key and the platform as a watch sees it at one time.
+type observation struct {
 	version version
 	down    bool
 	// next is when the state may change without a write or a change of mode, because of
@@ -52,17 +52,17 @@
 	changed chan struct{}
 }
 
-// look returns the current state of a key for a reader.
-func (p *Platform) look(key string) sight {
+// observe returns the current state of a key for a reader.
+func (p *Platform) observe(key string) observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	var s sight
-	var flaps time.Time
-	s.down, flaps = p.down(now)
+	var s observation
+	var flapTime time.Time
+	s.down, flapTime = p.down(now)
 	s.version, s.next = p.store.get(key, p.view(now))
-	if s.next.IsZero() || !flaps.IsZero() && flaps.Before(s.next) {
-		s.next = flaps
+	if s.next.IsZero() || !flapTime.IsZero() && flapTime.Before(s.next) {
+		s.next = flapTime
 	}
 	s.changed = p.changed
 	return s
@@ -70,10 +70,10 @@
 
 // serveGet handles GET /v1/keys/{key}.
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
-	if !p.enter(w, r) {
+	if !p.admit(w, r) {
 		return
 	}
-	q, ok := readWatch(r)
+	q, ok := parseWatch(r)
 	if !ok {
 		control.WriteError(w, http.StatusBadRequest, control.CodeInvalid, "index must be a number and wait a duration")
 		return
@@ -83,41 +83,41 @@
 	case !ok:
 		control.Drop()
 	case s.down:
-		p.playDown(w, r)
+		p.serveDown(w, r)
 	case q.blocking && s.version.index <= q.index && s.version.index > 0:
 		w.Header().Set(HeaderIndex, strconv.FormatUint(s.version.index, 10))
 		w.WriteHeader(http.StatusNotModified)
 	default:
-		p.answer(w, q, s.version)
+		p.writeValue(w, q, s.version)
 	}
 }
 
 // await waits until the key has a newer value, the platform is down, or the watch has timed
 // out. It returns false if the reader has disconnected or the platform is closed.
-func (p *Platform) await(r *http.Request, q watch) (sight, bool) {
+func (p *Platform) await(r *http.Request, q watch) (observation, bool) {
 	deadline := time.NewTimer(q.wait)
 	defer deadline.Stop()
-	p.count(1)
-	defer p.count(-1)
+	p.addWaiting(1)
+	defer p.addWaiting(-1)
 	for {
-		s := p.look(q.key)
+		s := p.observe(q.key)
 		if !q.blocking || s.down || s.version.index > q.index || q.wait <= 0 {
 			return s, true
 		}
-		turn := time.NewTimer(untilOr(s.next, maxWait))
+		wake := time.NewTimer(untilOr(s.next, maxWait))
 		select {
 		case <-s.changed:
-		case <-turn.C:
+		case <-wake.C:
 		case <-deadline.C:
 			q.wait = 0
 		case <-r.Context().Done():
-			turn.Stop()
-			return sight{}, false
+			wake.Stop()
+			return observation{}, false
 		case <-p.ctx.Done():
-			turn.Stop()
-			return sight{}, false
+			wake.Stop()
+			return observation{}, false
 		}
-		turn.Stop()
+		wake.Stop()
 	}
 }
 
@@ -129,15 +129,15 @@
 	return time.Until(t)
 }
 
-// count adds n to the number of reads and watches in progress.
-func (p *Platform) count(n int) {
+// addWaiting adds n to the number of reads and watches in progress.
+func (p *Platform) addWaiting(n int) {
 	p.mu.Lock()
 	p.waiting += n
 	p.mu.Unlock()
 }
 
-// answer sends the value of a version, or status 404 if it has none.
-func (p *Platform) answer(w http.ResponseWriter, q watch, v version) {
+// writeValue sends the value of a version, or status 404 if it has none.
+func (p *Platform) writeValue(w http.ResponseWriter, q watch, v version) {
 	if v.index > 0 {
 		w.Header().Set(HeaderIndex, strconv.FormatUint(v.index, 10))
 	}
@@ -146,7 +146,7 @@
 		return
 	}
 	p.mu.Lock()
-	p.meter.sent(q.reader, len(v.value))
+	p.meter.addBytes(q.reader, len(v.value))
 	p.mu.Unlock()
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(v.value)))
--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -65,8 +65,8 @@
 	control.WriteJSON(w, r.status, body)
 }
 
-// readCall parses a call. It returns a refusal if the call is malformed.
-func readCall(w http.ResponseWriter, r *http.Request) (call, *refusal) {
+// parseCall parses a call. It returns a refusal if the call is malformed.
+func parseCall(w http.ResponseWriter, r *http.Request) (call, *refusal) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		return call{}, &refusal{status: http.StatusBadRequest, code: control.CodeInvalid, message: err.Error()}
--- a/standin/service/run.go
+++ b/standin/service/run.go
@@ -7,14 +7,14 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// plan is the decision what to do with a call.
-type plan struct {
-	// die closes the connection without running the call.
-	die     bool
-	refusal *refusal
-	// first is the stored response to the call's idempotency key. Its run may still be
+// decision is how the service handles a call.
+type decision struct {
+	// closeConnection closes the connection without running the call.
+	closeConnection bool
+	refusal         *refusal
+	// stored is the stored response to the call's idempotency key. Its run may still be
 	// in progress.
-	first *stored
+	stored *storedAnswer
 	// run is the run that the call started.
 	run *run
 }
@@ -25,29 +25,29 @@
 	number int
 	delay  time.Duration
 	fails  bool
-	// dies closes the connection after the run instead of responding.
-	dies bool
-	// keep receives the response for later calls; nil if it is not stored.
-	keep *stored
-	// over is closed when the service crashes.
-	over <-chan struct{}
+	// closesConnection closes the connection after the run instead of responding.
+	closesConnection bool
+	// store receives the response for later calls; nil if it is not stored.
+	store *storedAnswer
+	// crashed is closed when the service crashes.
+	crashed <-chan struct{}
 }
 
 // serveCall runs a call, unless it is refused or has a stored response.
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	c, bad := readCall(w, r)
+	c, bad := parseCall(w, r)
 	if bad != nil {
 		bad.write(w)
 		return
 	}
 	p := s.decide(c)
 	switch {
-	case p.die:
+	case p.closeConnection:
 		control.Drop()
 	case p.refusal != nil:
 		p.refusal.write(w)
-	case p.first != nil:
-		s.replay(w, r, p.first)
+	case p.stored != nil:
+		s.replay(w, r, p.stored)
 	default:
 		s.execute(w, p.run)
 	}
@@ -55,27 +55,27 @@
 
 // decide returns what to do with a call. If the call is to run, its run is counted as
 // started.
-func (s *Service) decide(c call) plan {
+func (s *Service) decide(c call) decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.DieBeforeRun || s.connected.Err() != nil {
-		return plan{die: true}
+		return decision{closeConnection: true}
 	}
 	if s.cfg.Deduplicates && c.key != "" {
 		if first := s.answers[c.key]; first != nil {
 			s.replays++
-			return plan{first: first}
+			return decision{stored: first}
 		}
 	}
-	if bad := s.refusal(c); bad != nil {
+	if bad := s.checkRefusal(c); bad != nil {
 		s.refused++
-		return plan{refusal: bad}
+		return decision{refusal: bad}
 	}
-	return plan{run: s.begin(c)}
+	return decision{run: s.startRun(c)}
 }
 
-// refusal returns the reason why the service refuses a call, or nil if it accepts it.
-func (s *Service) refusal(c call) *refusal {
+// checkRefusal returns the reason why the service refuses a call, or nil if it accepts it.
+func (s *Service) checkRefusal(c call) *refusal {
 	unavailable := http.StatusServiceUnavailable
 	switch {
 	case s.faults.Draining:
@@ -98,24 +98,24 @@
 	}
 }
 
-// begin returns a new run of a call and counts it.
-func (s *Service) begin(c call) *run {
+// startRun returns a new run of a call and counts it.
+func (s *Service) startRun(c call) *run {
 	s.runs++
 	s.running++
 	s.byCorrelation.add(c.correlation)
 	s.byKey.add(c.key)
 	s.highest = max(s.highest, c.fence)
 	out := &run{
-		call:   c,
-		number: s.runs,
-		delay:  s.cfg.Delay + time.Duration(s.faults.DelayMS)*time.Millisecond,
-		fails:  s.faults.ErrorRate > 0 && s.random.Float64() < s.faults.ErrorRate,
-		dies:   s.faults.DieAfterRun,
-		over:   s.connected.Done(),
+		call:             c,
+		number:           s.runs,
+		delay:            s.cfg.Delay + time.Duration(s.faults.DelayMS)*time.Millisecond,
+		fails:            s.faults.ErrorRate > 0 && s.random.Float64() < s.faults.ErrorRate,
+		closesConnection: s.faults.DieAfterRun,
+		crashed:          s.connected.Done(),
 	}
 	if s.cfg.Deduplicates && c.key != "" {
-		out.keep = &stored{done: make(chan struct{})}
-		s.answers[c.key] = out.keep
+		out.store = &storedAnswer{done: make(chan struct{})}
+		s.answers[c.key] = out.store
 	}
 	return out
 }
@@ -127,9 +127,9 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-r.over:
+	case <-r.crashed:
 	}
-	crashed := isDone(r.over)
+	crashed := isClosed(r.crashed)
 	s.mu.Lock()
 	s.running--
 	s.mu.Unlock()
@@ -137,19 +137,19 @@
 		control.Drop()
 	}
 	status, answer := r.answer(s.cfg.Service)
-	if r.keep != nil {
-		r.keep.status = status
-		r.keep.answer = answer
-		close(r.keep.done)
+	if r.store != nil {
+		r.store.status = status
+		r.store.answer = answer
+		close(r.store.done)
 	}
-	if r.dies {
+	if r.closesConnection {
 		control.Drop()
 	}
 	write(w, status, answer)
 }
 
-// isDone reports whether a channel is closed.
-func isDone(c <-chan struct{}) bool {
+// isClosed reports whether a channel is closed.
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -176,13 +176,13 @@
 }
 
 // replay waits for the stored response and sends it.
-func (s *Service) replay(w http.ResponseWriter, r *http.Request, first *stored) {
+func (s *Service) replay(w http.ResponseWriter, r *http.Request, first *storedAnswer) {
 	s.mu.Lock()
-	over := s.connected.Done()
+	crashed := s.connected.Done()
 	s.mu.Unlock()
 	select {
 	case <-first.done:
-	case <-over:
+	case <-crashed:
 		control.Drop()
 	case <-r.Context().Done():
 		return
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -58,15 +58,15 @@
 	// byCorrelation and byKey count runs by correlation ID and by idempotency key.
 	byCorrelation counts
 	byKey         counts
-	answers       map[string]*stored // by idempotency key
+	answers       map[string]*storedAnswer // by idempotency key
 	// connected is done while the service is down because of a simulated crash.
 	connected  context.Context
 	disconnect context.CancelFunc
 }
 
-// stored is the response to an idempotency key. done is closed when status and answer are
+// storedAnswer is the response to an idempotency key. done is closed when status and answer are
 // set.
-type stored struct {
+type storedAnswer struct {
 	done   chan struct{}
 	status int
 	answer Answer
@@ -82,7 +82,7 @@
 		random:        rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 		byCorrelation: newCounts(cfg.JudgeCap),
 		byKey:         newCounts(cfg.JudgeCap),
-		answers:       make(map[string]*stored),
+		answers:       make(map[string]*storedAnswer),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.connected, s.disconnect = context.WithCancel(s.ctx)
@@ -123,13 +123,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.disconnect()
-	s.answers = make(map[string]*stored)
+	s.answers = make(map[string]*storedAnswer)
 	s.highest = 0
-	time.AfterFunc(down, s.comeBack)
+	time.AfterFunc(down, s.restart)
 }
 
-// comeBack makes a crashed service accept calls again.
-func (s *Service) comeBack() {
+// restart makes a crashed service accept calls again.
+func (s *Service) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.connected.Err() != nil {
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -49,8 +49,8 @@
 	return out
 }
 
-// inService runs a test on a service with a fake clock and a delay of 20 ms per call.
-func inService(t *testing.T, cfg Config, test func(t *testing.T, s *Service)) {
+// withService runs a test on a service with a fake clock and a delay of 20 ms per call.
+func withService(t *testing.T, cfg Config, test func(t *testing.T, s *Service)) {
 	cfg.Service, cfg.Delay = "billing", 20*time.Millisecond
 	bubble.Test(t, func(t *testing.T) {
 		s := New(cfg)
@@ -60,7 +60,7 @@
 }
 
 func TestCall(t *testing.T) {
-	inService(t, Config{}, func(t *testing.T, s *Service) {
+	withService(t, Config{}, func(t *testing.T, s *Service) {
 		start := time.Now()
 		got := do(t, s, "x", HeaderAttempt, "a1", HeaderCorrelation, "r1", HeaderKey, "k1")
 		assert.Equal(t, time.Since(start), 20*time.Millisecond)
@@ -77,7 +77,7 @@
 }
 
 func TestDeduplicates(t *testing.T) {
-	inService(t, Config{Deduplicates: true}, func(t *testing.T, s *Service) {
+	withService(t, Config{Deduplicates: true}, func(t *testing.T, s *Service) {
 		results := make(chan result, 3)
 		for range 3 {
 			go func() { results <- do(t, s, "x", HeaderKey, "k1") }()
@@ -97,7 +97,7 @@
 }
 
 func TestConcurrency(t *testing.T) {
-	inService(t, Config{Concurrency: 1}, func(t *testing.T, s *Service) {
+	withService(t, Config{Concurrency: 1}, func(t *testing.T, s *Service) {
 		done := make(chan result)
 		go func() { done <- do(t, s, "x") }()
 		synctest.Wait()
@@ -112,7 +112,7 @@
 
 func TestFencing(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		inService(t, Config{ChecksFencing: checks}, func(t *testing.T, s *Service) {
+		withService(t, Config{ChecksFencing: checks}, func(t *testing.T, s *Service) {
 			assert.Equal(t, do(t, s, "x", HeaderFence, "7").status, http.StatusOK)
 			old := do(t, s, "x", HeaderFence, "6")
 			if checks {
@@ -146,7 +146,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			inService(t, Config{}, func(t *testing.T, s *Service) {
+			withService(t, Config{}, func(t *testing.T, s *Service) {
 				s.SetFaults(tt.faults)
 				got := do(t, s, "x")
 				assert.Equal(t, got.dropped, tt.dropped)
@@ -160,7 +160,7 @@
 
 func TestErrorRateIsSeeded(t *testing.T) {
 	failures := func(seed uint64) (n string) {
-		inService(t, Config{Seed: seed}, func(t *testing.T, s *Service) {
+		withService(t, Config{Seed: seed}, func(t *testing.T, s *Service) {
 			s.SetFaults(control.ServiceFaults{ErrorRate: 0.5, DelayMS: 30})
 			start := time.Now()
 			for range 20 {
@@ -175,7 +175,7 @@
 }
 
 func TestCrash(t *testing.T) {
-	inService(t, Config{Deduplicates: true}, func(t *testing.T, s *Service) {
+	withService(t, Config{Deduplicates: true}, func(t *testing.T, s *Service) {
 		do(t, s, "x", HeaderKey, "k1")
 		done := make(chan result)
 		go func() { done <- do(t, s, "x", HeaderKey, "k2") }()
@@ -194,7 +194,7 @@
 }
 
 func TestJudgeIsBounded(t *testing.T) {
-	inService(t, Config{JudgeCap: 1}, func(t *testing.T, s *Service) {
+	withService(t, Config{JudgeCap: 1}, func(t *testing.T, s *Service) {
 		do(t, s, "x", HeaderCorrelation, "r1")
 		do(t, s, "x", HeaderCorrelation, "r2")
 		report := s.Judge()
