--- a/internal/capacity/bed.go
+++ b/internal/capacity/bed.go
@@ -23,8 +23,8 @@
 	standin "github.com/wardspool/wardspool/standin/platform"
 )
 
-// bed is a fleet of agents and the stand-ins around them.
-type bed struct {
+// fleet is a running test fleet: the agent processes and the stand-ins they talk to.
+type fleet struct {
 	options   *options
 	dir       string
 	platform  *standin.Platform
@@ -32,45 +32,45 @@
 	nodes     []*node
 	upstreams []configservice.Upstream
 	publisher *publisher
-	// simulation is nil without simulated instances.
+	// simulation is nil if no instances are simulated.
 	simulation *simulation
-	closers    []func()
-	// network is the second part of the instances' loopback IP numbers.
+	cleanups   []func()
+	// network is the second octet of the instances' loopback addresses.
 	network int
 }
 
-// node is one instance: an agent's process and its entry's stand-in.
+// node is one instance: an agent process and the stand-in for its entry.
 type node struct {
-	id       ident.InstanceID
-	zone     ident.Zone
-	peers    string
-	operator string
-	entry    *entry
-	process  *exec.Cmd
-	log      *os.File
+	id              ident.InstanceID
+	zone            ident.Zone
+	peerAddress     string
+	operatorAddress string
+	entry           *entry
+	process         *exec.Cmd
+	log             *os.File
 }
 
-// upstreamsPerAgent is that of the users' plans: 600 before 410.
+// upstreamsPerAgent is the planned ratio of upstreams to instances, about 600 to 410.
 const upstreamsPerAgent = 1.5
 
-// maxNetwork bounds bed.network.
+// maxNetwork is the largest value of bed.network.
 const maxNetwork = 250
 
-// ip returns the i-th instance's IP number. Each has one of its own, so that no
-// outgoing connection takes a port that an instance listens on.
-func (b *bed) ip(i int) string { return fmt.Sprintf("127.%d.%d.%d", b.network, i/200, i%200+1) }
+// ip returns the i-th instance's IP address. Each instance has its own address, so
+// that no outgoing connection occupies a port that an instance listens on.
+func (b *fleet) ip(i int) string { return fmt.Sprintf("127.%d.%d.%d", b.network, i/200, i%200+1) }
 
-// newBed starts a fleet of n agents. The caller must close it, also after an
-// error.
-func newBed(o *options, n int) (*bed, error) {
-	b := &bed{options: o, platform: standin.New(standin.Config{}), network: 1 + rand.IntN(maxNetwork)}
-	b.closers = append(b.closers, b.platform.Close)
+// newFleet starts a fleet of n agents. The caller must close the fleet even if an
+// error is returned.
+func newFleet(o *options, n int) (*fleet, error) {
+	b := &fleet{options: o, platform: standin.New(standin.Config{}), network: 1 + rand.IntN(maxNetwork)}
+	b.cleanups = append(b.cleanups, b.platform.Close)
 	var err error
 	if b.dir, err = os.MkdirTemp("", "wardspool-capacity-"); err != nil {
 		return b, err
 	}
 	if !o.Keep {
-		b.closers = append(b.closers, func() { _ = os.RemoveAll(b.dir) })
+		b.cleanups = append(b.cleanups, func() { _ = os.RemoveAll(b.dir) })
 	}
 	address, err := b.serve(b.platform.Handler())
 	if err != nil {
@@ -97,28 +97,28 @@
 	return b, nil
 }
 
-// close ends all processes and stand-ins.
-func (b *bed) close() {
+// close kills all agent processes and shuts down the stand-ins.
+func (b *fleet) close() {
 	for _, x := range b.nodes {
 		x.kill()
 	}
-	for i := len(b.closers) - 1; i >= 0; i-- {
-		b.closers[i]()
+	for i := len(b.cleanups) - 1; i >= 0; i-- {
+		b.cleanups[i]()
 	}
 }
 
-// kill ends an agent.
+// kill kills the agent process and waits for it.
 func (x *node) kill() {
 	if x.process != nil {
-		// One that has ended already needs no signal.
+		// The error is ignored: the process may have exited already.
 		_ = x.process.Process.Kill()
 		_ = x.process.Wait()
 		_ = x.log.Close()
 	}
 }
 
-// serve serves HTTP on loopback.
-func (b *bed) serve(h http.Handler) (string, error) {
+// serve serves h on a free loopback port and returns the listen address.
+func (b *fleet) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -127,18 +127,20 @@
 	return l.Addr().String(), nil
 }
 
-// serveOn serves HTTP on a listener.
-func (b *bed) serveOn(l net.Listener, h http.Handler) {
+// serveOn serves h on l until the bed is closed.
+func (b *fleet) serveOn(l net.Listener, h http.Handler) {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = srv.Serve(l) }()
-	b.closers = append(b.closers, func() { _ = srv.Close() })
+	b.cleanups = append(b.cleanups, func() { _ = srv.Close() })
 }
 
-// zone returns the zone of the i-th process.
-func (b *bed) zone(i int) ident.Zone { return ident.Zone(fmt.Sprintf("zone-%d", i%b.options.Zones+1)) }
+// zone returns the zone of the i-th instance or engine, assigned round-robin.
+func (b *fleet) zone(i int) ident.Zone {
+	return ident.Zone(fmt.Sprintf("zone-%d", i%b.options.Zones+1))
+}
 
-// startEngines starts stand-in engines: of each three, one for prefill.
-func (b *bed) startEngines(n int) error {
+// startEngines starts n stand-in engines, one in three of them for prefill.
+func (b *fleet) startEngines(n int) error {
 	for i := range n {
 		role := simRole(i / b.options.Zones)
 		id := ident.UpstreamID(fmt.Sprintf("runner-%03d", i))
@@ -161,28 +163,28 @@
 			ID: id, Role: role, Models: []string{modelName}, Version: "1", Address: l.Addr().String(),
 			ChecksFencing: true, LoadLag: 500 * time.Millisecond, Perf: perf.Defaults(),
 		})
-		b.closers = append(b.closers, e.Close)
+		b.cleanups = append(b.cleanups, e.Close)
 		b.serveOn(l, e.Handler())
 	}
 	return nil
 }
 
-// simRole returns the role of the engine with a place in its zone.
-func simRole(place int) config.Role {
-	if place%3 == 0 {
+// simRole returns the role of the engine at the given position within its zone.
+func simRole(position int) config.Role {
+	if position%3 == 0 {
 		return config.RolePrefill
 	}
 	return config.RoleDecode
 }
 
-// addNodes makes the instances and lists them.
-func (b *bed) addNodes(n int) error {
+// addNodes creates the instances and publishes the instance and upstream lists.
+func (b *fleet) addNodes(n int) error {
 	var listed configservice.Instances
 	for i := range n {
 		x := &node{
 			id: ident.InstanceID(fmt.Sprintf("entry-%03d", i)), zone: b.zone(i),
-			peers: b.ip(i) + ":9101", operator: b.ip(i) + ":9301",
-			entry: &entry{peers: b.ip(i) + ":9100", feed: b.ip(i) + ":9200"},
+			peerAddress: b.ip(i) + ":9101", operatorAddress: b.ip(i) + ":9301",
+			entry: &entry{peerAddress: b.ip(i) + ":9100", feedAddress: b.ip(i) + ":9200"},
 		}
 		b.nodes = append(b.nodes, x)
 		if err := b.startEntry(x); err != nil {
@@ -190,14 +192,14 @@
 		}
 		listed.Instances = append(listed.Instances, configservice.Instance{
 			ID: x.id, Zone: x.zone, Region: "region-1", State: configservice.StateLive,
-			PeerAddress: x.entry.peers, AgentAddress: x.peers, CallerAddress: x.entry.peers,
+			PeerAddress: x.entry.peerAddress, AgentAddress: x.peerAddress, CallerAddress: x.entry.peerAddress,
 		})
 	}
 	if b.options.Simulated > 0 {
 		if err := b.addSimulated(b.options.Simulated, &listed); err != nil {
 			return err
 		}
-		b.simulation.begin(&listed, b.upstreams)
+		b.simulation.start(&listed, b.upstreams)
 	}
 	if err := b.publisher.put(configservice.KeyInstances, listed); err != nil {
 		return err
@@ -205,8 +207,8 @@
 	return b.publisher.put(configservice.KeyUpstreams, configservice.Upstreams{Upstreams: b.upstreams})
 }
 
-// startAgent starts an instance's agent as a process.
-func (b *bed) startAgent(x *node) error {
+// startAgent writes an instance's settings file and starts its agent process.
+func (b *fleet) startAgent(x *node) error {
 	file := filepath.Join(b.dir, string(x.id)+".yaml")
 	text := fmt.Sprintf(`
 instance: %s
@@ -217,7 +219,7 @@
 platform: {urls: ["%s"]}
 log: {level: %s}
 approvers: {epoch: 1, quorum: 1, keys: [{name: ada, key: %s}]}
-`, x.id, x.zone, x.entry.feed, x.peers, x.operator, operatorName, b.url, b.options.Log, b.publisher.key)
+`, x.id, x.zone, x.entry.feedAddress, x.peerAddress, x.operatorAddress, operatorName, b.url, b.options.Log, b.publisher.publicKey)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -235,32 +237,33 @@
 	return nil
 }
 
-// entry stands in for an instance's entry: it takes what the agent feeds.
+// entry is a stand-in for an instance's entry. It accepts the updates that the agent
+// sends over the feed.
 type entry struct {
-	feed  string
-	peers string
+	feedAddress string
+	peerAddress string
 
 	mu          sync.Mutex
 	incarnation ident.Incarnation
 	version     uint64
-	// view is the number of the view sent last, base the digest of the bundle.
-	view uint64
-	base string
-	// arrived is when each bundle version came.
-	arrived map[uint64]time.Time
-	ready   bool
+	// view is the number of the latest view received, base the digest of the latest bundle.
+	view         uint64
+	bundleDigest string
+	// receivedAt holds the time at which each bundle version was received.
+	receivedAt map[uint64]time.Time
+	ready      bool
 }
 
-// startEntry starts an entry's stand-in.
-func (b *bed) startEntry(x *node) error {
+// startEntry starts the stand-in for an instance's entry.
+func (b *fleet) startEntry(x *node) error {
 	e := x.entry
-	e.incarnation, e.arrived = ident.NewIncarnation(time.Now()), map[uint64]time.Time{}
+	e.incarnation, e.receivedAt = ident.NewIncarnation(time.Now()), map[uint64]time.Time{}
 	cfg := peer.Config{
 		Self:   peer.Identity{Instance: x.id, Incarnation: e.incarnation, Zone: x.zone},
 		Allow:  func(peer.Identity) bool { return true },
 		Limits: peer.Limits{Frame: 32 << 20},
 	}
-	for _, address := range []string{e.feed, e.peers} {
+	for _, address := range []string{e.feedAddress, e.peerAddress} {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			return err
@@ -270,7 +273,7 @@
 			return e.update(&u), nil
 		})
 		go func() { _ = srv.Serve(l) }()
-		b.closers = append(b.closers, func() {
+		b.cleanups = append(b.cleanups, func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			_ = srv.Shutdown(ctx)
@@ -279,7 +282,7 @@
 	return nil
 }
 
-// update takes an update.
+// update records an update and returns the reply to it.
 func (e *entry) update(u *feed.Update) feed.Reply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -288,19 +291,20 @@
 		e.view = u.View.Number
 	}
 	if u.Bundle != nil {
-		e.base = u.Bundle.Digest
+		e.bundleDigest = u.Bundle.Digest
 	}
 	if u.Bundle != nil && u.Bundle.Version > e.version {
 		e.version = u.Bundle.Version
-		e.arrived[e.version] = time.Now()
+		e.receivedAt[e.version] = time.Now()
 	}
-	return feed.Reply{Incarnation: e.incarnation, BundleVersion: e.version, View: e.view, Base: e.base}
+	return feed.Reply{Incarnation: e.incarnation, BundleVersion: e.version, View: e.view, Base: e.bundleDigest}
 }
 
-// arrival returns when a version came, false if it has not.
+// arrival returns when a version was received. It returns false if it was not, or if
+// the agent has not reported ready.
 func (e *entry) arrival(version uint64) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at, ok := e.arrived[version]
+	at, ok := e.receivedAt[version]
 	return at, ok && e.ready
 }
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -7,19 +7,19 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// planned is the number of instances in the users' plans.
-const planned = 410
+// plannedInstances is the number of instances in the planned deployment.
+const plannedInstances = 410
 
-// column is one measure of a row.
+// column is one column of the table, computed from a row.
 type column struct {
 	name     string
 	value    func(*row) float64
 	decimals int
 }
 
-// columns are the measures that are printed and fitted.
+// columns are the measures printed in the table. All but the first are fitted.
 var columns = []column{
-	{"load average", func(r *row) float64 { return r.load }, 1},
+	{"load average", func(r *row) float64 { return r.loadAverage }, 1},
 	{"cpu mean %", func(r *row) float64 { return r.cpuMean }, 3},
 	{"cpu max %", func(r *row) float64 { return r.cpuMax }, 3},
 	{"rss mean MB", func(r *row) float64 { return r.rssMean }, 1},
@@ -31,16 +31,16 @@
 	{"control B/s mean", func(r *row) float64 { return r.bytes() }, 0},
 	{"control B/s max", func(r *row) float64 { return r.bytesMax }, 0},
 	{"feed B/s (loopback)", func(r *row) float64 { return r.feed }, 0},
-	{"platform calls/s, all", func(r *row) float64 { return r.calls }, 2},
-	{"platform calls, busiest second", func(r *row) float64 { return float64(r.callsPeak) }, 0},
+	{"platform calls/s, all", func(r *row) float64 { return r.platformCalls }, 2},
+	{"platform calls, busiest second", func(r *row) float64 { return float64(r.platformCallsPeak) }, 0},
 	{"partners", func(r *row) float64 { return r.partners }, 1},
-	{"heartbeat interval s", func(r *row) float64 { return r.interval.Seconds() }, 2},
+	{"heartbeat interval s", func(r *row) float64 { return r.heartbeatInterval.Seconds() }, 2},
 	{"in force ms, slowest", func(r *row) float64 { return float64(r.inForce) / float64(time.Millisecond) }, 0},
 	{"cpu ms per change", func(r *row) float64 { return float64(r.changeCPU) / float64(time.Millisecond) }, 0},
 	{"bytes per change", func(r *row) float64 { return r.changeBytes }, 0},
 }
 
-// table returns the rows as a table.
+// table formats the rows as a table.
 func table(rows []row) (*report.Table, error) {
 	header := []string{"agents", "simulated", "zones", "upstreams"}
 	for _, c := range columns {
@@ -60,17 +60,18 @@
 	return t, nil
 }
 
-// fit is a line through measured points.
+// fit is a least-squares line through measured points.
 type fit struct {
 	slope, intercept float64
-	// r2 is the share of the variance that the line explains.
+	// r2 is the coefficient of determination.
 	r2 float64
 }
 
-// at returns the line's value.
+// at returns the line's value at x.
 func (f fit) at(x float64) float64 { return f.intercept + f.slope*x }
 
-// fitLine fits a line by least squares.
+// fitLine fits a line by least squares. If all x are equal, the line is horizontal at
+// the mean of y.
 func fitLine(x, y []float64) fit {
 	n := float64(len(x))
 	var sx, sy, sxx, sxy, syy float64
@@ -93,7 +94,8 @@
 	return f
 }
 
-// fits returns the lines through the rows and their values at the planned size.
+// fits fits a line to each measure over the number of agents, and extrapolates it to
+// the planned fleet size.
 func fits(rows []row) (*report.Table, error) {
 	t := report.NewTable("measure", "slope per agent", "at 0", "R2", "line at 410")
 	x := make([]float64, len(rows))
@@ -107,7 +109,7 @@
 		}
 		f := fitLine(x, y)
 		err := t.Add(c.name, report.Fixed(f.slope, 4), report.Fixed(f.intercept, 2),
-			report.Fixed(f.r2, 3), report.Fixed(f.at(planned), 2))
+			report.Fixed(f.r2, 3), report.Fixed(f.at(plannedInstances), 2))
 		if err != nil {
 			return nil, err
 		}
