--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -1,6 +1,6 @@
-// Package answer defines the text that stand-in engines generate. Every token
-// is a function of the prompt and of its offset alone, so that a caller can
-// check that it got the whole answer to its own request, also when the
+// Package answer defines the text that stand-in engines generate. Each token
+// depends only on the prompt and on the token's offset, so that a caller can
+// check that it got the complete answer to its own request, even if the
 // generation was resumed on another engine.
 package answer
 
@@ -12,22 +12,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// checkBits is how many bits of the hash a token shows, as four hex digits.
+// checkBits is the number of hash bits in a token, written as four hex digits.
 const checkBits = 16
 
-// Prompt is the hash of a prompt, from which its answer follows.
+// Prompt is the hash of a prompt. It determines the answer.
 type Prompt uint64
 
-// Of returns the Prompt of a prompt's text. The text of a chat is
-// tokens.FlattenChat of its messages.
+// Of returns the Prompt of a prompt's text. For a chat, the text is the result
+// of tokens.FlattenChat for its messages.
 func Of(prompt string) Prompt { return Prompt(xxhash.Sum64String(prompt)) }
 
-// Token returns the token at an offset, counted from 0: "t<offset>-<4 hex> ".
+// Token returns the token at a zero-based offset: "t<offset>-<4 hex digits> ".
 func (p Prompt) Token(offset int) string {
 	return string(p.AppendToken(nil, offset))
 }
 
-// AppendToken appends the token at an offset to b.
+// AppendToken appends the token at an offset to b and returns the result.
 func (p Prompt) AppendToken(b []byte, offset int) []byte {
 	const digits = "0123456789abcdef"
 	check := mix(uint64(p)+uint64(offset)*goldenRatio) >> (64 - checkBits)
@@ -50,7 +50,7 @@
 	return x ^ x>>31
 }
 
-// Expected returns the whole answer of n tokens to a prompt.
+// Expected returns the complete answer of n tokens to a prompt.
 func Expected(prompt string, n int) string {
 	p := Of(prompt)
 	var b []byte
@@ -60,13 +60,14 @@
 	return string(b)
 }
 
-// MismatchError reports an answer that is not the whole answer to its prompt.
+// MismatchError reports an answer that differs from the complete answer to its
+// prompt.
 type MismatchError struct {
-	// Offset is the first token that is wrong or missing.
+	// Offset is the offset of the first token that is wrong, missing or surplus.
 	Offset int
-	// Want is the token expected there; empty if the answer is too long.
+	// Want is the token expected at Offset; empty if the answer is too long.
 	Want string
-	// Got is what stands there, cut to the length of a token.
+	// Got is the text found at Offset, truncated to the length of a token.
 	Got string
 }
 
@@ -75,8 +76,8 @@
 	return fmt.Sprintf("answer differs at token %d: want %q, got %q", e.Offset, e.Want, e.Got)
 }
 
-// Check reports whether got is the whole answer of n tokens to prompt. It
-// returns nil or a *MismatchError.
+// Check returns nil if got is the complete answer of n tokens to prompt, else a
+// *MismatchError.
 func Check(prompt, got string, n int) error {
 	p := Of(prompt)
 	for i := range n {
--- a/standin/answer/answer_test.go
+++ b/standin/answer/answer_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestTokenIsStable pins the rule, on which callers in other programs rely.
+// TestTokenIsStable pins the token format, which programs outside this module
+// also rely on.
 func TestTokenIsStable(t *testing.T) {
 	assert.Equal(t, Expected("hello world", 4), "t0-0914 t1-3d0d t2-bf37 t3-5189 ")
 }
--- a/standin/engine/abort.go
+++ b/standin/engine/abort.go
@@ -7,24 +7,25 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// Bounds of the memory of aborts that came before their attempts.
+// Limits on the record of aborts that arrived before their attempts.
 const (
 	maxTombstones     = 100_000
 	tombstoneLifetime = 2 * time.Minute
 )
 
-// tombstones remembers the attempts that were aborted before they arrived.
+// tombstones records the IDs of attempts that were aborted before they arrived.
 type tombstones struct {
 	until map[string]time.Time
-	order []string // oldest first; may name some that are gone
+	order []string // oldest first; may contain IDs that are no longer in until
 }
 
-// newTombstones returns an empty memory.
+// newTombstones returns an empty record.
 func newTombstones() *tombstones {
 	return &tombstones{until: make(map[string]time.Time)}
 }
 
-// add remembers an attempt ID and drops what is too old or too much.
+// add records an attempt ID and drops entries that have expired or exceed
+// maxTombstones, oldest first.
 func (t *tombstones) add(id string, now time.Time) {
 	if _, known := t.until[id]; !known {
 		t.order = append(t.order, id)
@@ -41,14 +42,14 @@
 	}
 }
 
-// take reports whether an attempt ID was aborted before. It stays remembered,
-// because the same attempt may arrive twice.
+// take reports whether an attempt ID was aborted before it arrived. The entry
+// is kept, because the same attempt may arrive twice.
 func (t *tombstones) take(id string, now time.Time) bool {
 	until, known := t.until[id]
 	return known && until.After(now)
 }
 
-// serveAbort answers POST /abort_request.
+// serveAbort handles POST /abort_request.
 func (e *Engine) serveAbort(w http.ResponseWriter, r *http.Request) {
 	var req AbortRequest
 	if !control.ReadJSON(w, r, &req) {
@@ -61,8 +62,9 @@
 	control.WriteJSON(w, http.StatusOK, AbortResponse{Released: e.abort(req.RID)})
 }
 
-// abort releases an attempt, in whichever stage it is, and reports whether
-// there was something to release. An unknown attempt is refused if it arrives.
+// abort releases an attempt in any stage and reports whether there was
+// something to release. An unknown ID is recorded, so that its attempt is
+// refused if it arrives later.
 func (e *Engine) abort(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/abort_test.go
+++ b/standin/engine/abort_test.go
@@ -32,8 +32,8 @@
 	})
 }
 
-// TestAbortInEachStage aborts an attempt after a time at which it is in the
-// stage, and asserts that nothing is held and what was computed is waste.
+// TestAbortInEachStage aborts an attempt in a given stage and asserts that the
+// engine holds nothing afterwards and counts the computed tokens as waste.
 func TestAbortInEachStage(t *testing.T) {
 	tests := []struct {
 		stage  Stage
@@ -87,7 +87,7 @@
 				}
 				assertAborted(t, b, side, "a1", stage)
 				b.held(decodeA, 0, 0)
-				time.Sleep(time.Second) // the sender's result expires by itself
+				time.Sleep(time.Second) // until the prefill result has expired
 				synctest.Wait()
 				b.held(prefillA, 0, 0)
 				assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptWasted, 40)
@@ -115,8 +115,8 @@
 	})
 }
 
-// assertAborted aborts an attempt in a stage, twice, and asserts that its
-// engine holds nothing afterwards.
+// assertAborted asserts that an attempt is in a stage, aborts it twice and
+// asserts that its engine holds nothing afterwards.
 func assertAborted(t *testing.T, b *bench, engine, attempt string, stage Stage) {
 	t.Helper()
 	synctest.Wait()
@@ -145,9 +145,9 @@
 	})
 }
 
-// TestNothingHeldAtQuiescence runs random requests, aborts and faults, and
-// asserts that the engines hold nothing in the end and that the accounts of
-// computed prompt tokens add up.
+// TestNothingHeldAtQuiescence runs random requests, aborts and faults. It
+// asserts that the engines hold nothing once all work is over, and that the
+// counts of computed and wasted prompt tokens are consistent.
 func TestNothingHeldAtQuiescence(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -168,9 +168,10 @@
 	}
 }
 
-// assertAccounts asserts that nothing is held and that every computed prompt
-// token was either used or counted as waste, once. Each request of the test has
-// one prefill, so that both ways of counting must agree.
+// assertAccounts asserts that nothing is held and that each computed prompt
+// token was either used or counted as waste exactly once. Since each request of
+// the test has one prefill, the totals of the engines and the merged summary
+// must agree.
 func assertAccounts(t *testing.T, b *bench) {
 	t.Helper()
 	var reports []judge.Engine
@@ -188,7 +189,7 @@
 	assert.Equal(t, both.CompletedTwice, 0)
 }
 
-// disturb does one random thing.
+// disturb starts a random request, or injects a random abort or fault.
 func disturb(b *bench, random *rand.Rand, i int) {
 	id := strconv.Itoa(i)
 	prefill := []string{prefillA, prefillB}[random.IntN(2)]
@@ -213,7 +214,7 @@
 	}
 }
 
-// pair runs a prefill and its decode, whatever comes of them.
+// pair runs a prefill and its decode; either may fail.
 func pair(b *bench, prefill, decode, id, prompt string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
--- a/standin/engine/admit.go
+++ b/standin/engine/admit.go
@@ -15,17 +15,17 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// defaultMaxTokens is the length of an answer whose request doesn't say.
+// defaultMaxTokens is the answer length, in tokens, if the request sets none.
 const defaultMaxTokens = 16
 
-// maxAnswer bounds the length of an answer, in tokens.
+// maxAnswer is the maximum length of an answer, in tokens.
 const maxAnswer = 1 << 20
 
-// maxIDLength bounds attempt and correlation IDs, in bytes.
+// maxIDLength is the maximum length of attempt and correlation IDs, in bytes.
 const maxIDLength = 256
 
-// newAttempt makes an attempt of a request. It returns a failure if the request
-// is malformed. It needs no lock: it reads nothing that changes.
+// newAttempt creates an attempt from a request, or returns a failure if the
+// request is malformed. It needs no lock, because it reads only immutable state.
 func (e *Engine) newAttempt(r *http.Request, req CompletionRequest, prompt string) (*attempt, *failure) {
 	a := &attempt{
 		id:          r.Header.Get(HeaderAttempt),
@@ -57,7 +57,7 @@
 	return a, nil
 }
 
-// check returns a failure if the attempt's fields make no sense.
+// check returns a failure if the attempt's fields are invalid.
 func (a *attempt) check() *failure {
 	switch {
 	case len(a.id) > maxIDLength || len(a.correlation) > maxIDLength:
@@ -78,12 +78,13 @@
 	return &failure{http.StatusBadRequest, control.CodeInvalid, fmt.Sprintf(format, args...)}
 }
 
-// notStarted returns the attested refusal for want of capacity.
+// notStarted returns an attested refusal: the attempt did not run, for example
+// for lack of capacity.
 func notStarted(message string) *failure {
 	return &failure{http.StatusServiceUnavailable, control.CodeNotStarted, message}
 }
 
-// admit takes an attempt in, or returns why not.
+// admit accepts an attempt, or returns the reason for refusing it.
 func (e *Engine) admit(a *attempt) *failure {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// name gives an attempt that came without IDs some of its own.
+// name assigns IDs to an attempt that came without them.
 func (e *Engine) name(a *attempt) {
 	if a.id == "" {
 		a.id = "anonymous-" + strconv.FormatUint(a.order, 10)
@@ -121,7 +122,8 @@
 	}
 }
 
-// refusal returns why the engine won't take the attempt, nil if it will.
+// refusal returns the reason for refusing an attempt, or nil if the engine
+// accepts it.
 func (e *Engine) refusal(a *attempt) *failure {
 	l := e.life
 	switch {
@@ -144,7 +146,8 @@
 	}
 }
 
-// capacityRefusal returns a failure if the engine has no room for the attempt.
+// capacityRefusal returns a failure if the engine has no free queue place, slot
+// or KV memory for the attempt.
 func (e *Engine) capacityRefusal(a *attempt) *failure {
 	l, p := e.life, e.cfg.Perf
 	if p.PiecesFor(a.wholeTokens()) > p.Pieces {
@@ -165,7 +168,7 @@
 	return nil
 }
 
-// wholeTokens is the number of tokens that the attempt's KV may grow to.
+// wholeTokens returns the maximum size of the attempt's KV, in tokens.
 func (a *attempt) wholeTokens() int {
 	if a.prefillOnly {
 		return a.promptTokens
@@ -173,22 +176,22 @@
 	return a.promptTokens + a.to - a.from
 }
 
-// takeSlot reserves a slot and the memory of the whole generation, so that no
-// running generation ever has to make room for another.
+// takeSlot reserves a slot and the KV memory of the complete generation, so
+// that a running generation is never preempted.
 func (e *Engine) takeSlot(a *attempt) {
 	a.slot = true
 	e.life.slotsUsed++
 	e.reserve(a, e.cfg.Perf.PiecesFor(a.wholeTokens()))
 }
 
-// enqueue makes the attempt wait for its prefill.
+// enqueue adds the attempt to the prefill queue.
 func (e *Engine) enqueue(a *attempt) {
 	a.stage = StageQueued
 	e.life.queue.push(a)
 	e.poke()
 }
 
-// startFetch begins to pull the attempt's KV cache.
+// startFetch starts pulling the attempt's KV cache from its prefill engine.
 func (e *Engine) startFetch(a *attempt) {
 	a.stage = StageReceiving
 	ctx, cancel := context.WithCancel(e.ctx)
--- a/standin/engine/admit_test.go
+++ b/standin/engine/admit_test.go
@@ -109,7 +109,7 @@
 func TestDuplicateAttempt(t *testing.T) {
 	inBench(t, nil, func(t *testing.T, b *bench) {
 		a := decodeAsk(decodeA, "a1", "r1", words("p", 10), 5, nil)
-		for range 2 { // while it runs and when it is over
+		for range 2 { // first while the attempt runs, then after its end
 			b.begin(a)
 			time.Sleep(time.Second)
 			resp := b.post(b.t.Context(), a)
--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -9,29 +9,30 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// Stage is how far an attempt has come.
+// Stage is the processing stage of an attempt.
 type Stage string
 
-// The stages.
+// Stages of an attempt.
 const (
-	// StageQueued waits for its prefill.
+	// StageQueued means that the attempt waits in the prefill queue.
 	StageQueued Stage = "queued"
-	// StagePrefill is being prefilled.
+	// StagePrefill means that the prompt is being computed.
 	StagePrefill Stage = "prefill"
-	// StageHeld is a prefill result that waits for its decode engine.
+	// StageHeld means that a prefill result waits for a decode engine to pull it.
 	StageHeld Stage = "held"
-	// StageSending is a prefill result on its way to a decode engine.
+	// StageSending means that a prefill result is being sent to a decode engine.
 	StageSending Stage = "sending"
-	// StageReceiving waits for a prefill result from another engine.
+	// StageReceiving means that a prefill result is being pulled from another
+	// engine.
 	StageReceiving Stage = "receiving"
-	// StageDecode generates.
+	// StageDecode means that the answer is being generated.
 	StageDecode Stage = "decode"
-	// StageEnded holds nothing any more.
+	// StageEnded means that the attempt is over and holds no resources.
 	StageEnded Stage = "ended"
 )
 
-// attempt is one prefill or decode that the engine has taken in. All fields
-// but the first group are guarded by the engine's mutex.
+// attempt is a prefill or decode that the engine has accepted. The engine's
+// mutex guards all fields after the first group, which doesn't change.
 type attempt struct {
 	id, correlation string
 	form            format
@@ -41,28 +42,29 @@
 	prefillOnly     bool
 	since           time.Time
 	prompt          answer.Prompt
-	promptTokens    int // with the continued part of the answer
+	promptTokens    int // including the part of the answer generated before
 	hashes          []tokens.BlockHash
-	from, to        int // the tokens to generate
+	from, to        int // offsets [from, to) of the tokens to generate
 	pull            *KVTransferParams
-	// ready is closed when the prefill result is there, the generation begins,
-	// or the attempt has ended before.
+	// ready is closed when the prefill result is available, when the generation
+	// starts, or when the attempt ends before either.
 	ready chan struct{}
 
 	stage  Stage
 	pieces int
 	slot   bool
-	// cached, computed and left count the prompt tokens of a prefill here.
+	// cached, computed and left count prompt tokens of a prefill on this engine:
+	// found in the prefix cache, computed so far and still to compute.
 	cached, computed, left int
-	// inherited counts the prompt tokens that another engine computed for it.
+	// inherited counts the prompt tokens that the prefill engine computed.
 	inherited int
-	// used is true once a token came of the prompt's KV.
+	// used is true once a token has been generated from the prompt's KV.
 	used     bool
-	next     int // the next token to generate
+	next     int // offset of the next token to generate
 	blockIDs []int64
 	expires  time.Time // of a prefill result
 	timer    *time.Timer
-	cancel   func() // ends a pull
+	cancel   func() // cancels a pull
 	failure  *failure
 	endedAt  time.Time
 	reader   *reader
@@ -74,7 +76,7 @@
 // finished reports whether the generation reached its last token.
 func (a *attempt) finished() bool { return !a.prefillOnly && a.next >= a.to }
 
-// failure is why an attempt ended early or was refused.
+// failure is the reason why an attempt ended early or was refused.
 type failure struct {
 	status  int
 	code    control.Code
@@ -84,12 +86,12 @@
 // Error implements error.
 func (f *failure) Error() string { return string(f.code) + ": " + f.message }
 
-// write answers with the failure.
+// write sends the failure as the response.
 func (f *failure) write(w http.ResponseWriter) {
 	control.WriteError(w, f.status, f.code, f.message)
 }
 
-// The ways in which an accepted attempt ends early.
+// Failures with which an accepted attempt ends early.
 var (
 	failureAborted  = failure{http.StatusConflict, control.CodeAborted, "the attempt was aborted"}
 	failureCrashed  = failure{http.StatusInternalServerError, control.CodeInternal, "the engine stopped"}
@@ -99,8 +101,8 @@
 	failureTransfer = failure{http.StatusBadGateway, control.CodeTransferFailed, "the KV cache couldn't be fetched"}
 )
 
-// end ends an attempt and releases what it holds. A nil failure is success.
-// The caller holds the mutex. Ending an ended attempt changes nothing.
+// end ends an attempt and releases its resources. A nil failure means success.
+// The caller holds the mutex. Calling end again has no effect.
 func (e *Engine) end(a *attempt, f *failure) {
 	if !a.running() {
 		return
@@ -121,7 +123,8 @@
 	e.poke()
 }
 
-// release gives back the attempt's memory, slot, timer and transfer.
+// release frees the attempt's KV memory and slot, stops its timer and transfer,
+// and removes it from the queue.
 func (e *Engine) release(a *attempt) {
 	e.life.piecesUsed -= a.pieces
 	a.pieces = 0
@@ -148,7 +151,7 @@
 	}
 }
 
-// forget drops the attempts that ended longer ago than the retention.
+// forget removes the attempts that ended at least Config.Retention ago.
 func (e *Engine) forget(now time.Time) {
 	l := e.life
 	n := 0
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// maxCatchUp is how far the step loop may lag behind its timetable and still
-// catch up; after a longer pause it goes on from the present.
+// maxCatchUp is the maximum lag behind schedule that the step loop makes up
+// for. After a longer pause, it reschedules from the current time.
 const maxCatchUp = 50 * time.Millisecond
 
-// step is one step of the engine.
+// step is one step of the engine: a token for each generation in batch, and
+// chunks of prefills.
 type step struct {
 	batch    []*attempt
 	prefills []chunk
 	duration time.Duration
 }
 
-// chunk is prompt tokens of one prefill that are computed in a step.
+// chunk is the part of one prefill that is computed in a step.
 type chunk struct {
 	a      *attempt
 	tokens int
 }
 
-// runSteps runs the engine's steps until the engine is closed.
+// runSteps plans and applies steps until the engine is closed.
 func (e *Engine) runSteps() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -35,8 +36,8 @@
 			due = time.Now()
 			continue
 		}
-		// Counting from the planned end of the last step keeps the lateness
-		// of timers from adding up.
+		// Scheduling from the planned end of the last step prevents timer
+		// delays from accumulating.
 		if now := time.Now(); now.Sub(due) > maxCatchUp {
 			due = now
 		}
@@ -51,7 +52,7 @@
 	}
 }
 
-// plan returns the next step; it returns false if there is nothing to do.
+// plan returns the next step, or false if there is no work.
 func (e *Engine) plan() (step, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -72,7 +73,7 @@
 	return s, true
 }
 
-// keepRunning drops the ended attempts from batch, in place.
+// keepRunning removes the ended attempts from batch in place.
 func keepRunning(batch []*attempt) []*attempt {
 	kept := batch[:0]
 	for _, a := range batch {
@@ -84,9 +85,10 @@
 	return kept
 }
 
-// planPrefills returns the prefills of the next step, within the chunk size.
-// Beside generations, which make a step long, several short prompts share it;
-// otherwise each has steps of its own and is ready as soon as it is computed.
+// planPrefills returns the prefill chunks of the next step, up to PrefillChunk
+// tokens in total. If the step also runs generations, which make it long,
+// several short prompts share it. Otherwise a step computes only one prompt, so
+// that each prompt is ready as soon as it is computed.
 func (e *Engine) planPrefills(shared bool) []chunk {
 	var out []chunk
 	for budget := e.cfg.Perf.PrefillChunk; budget > 0; {
@@ -107,9 +109,9 @@
 	return out
 }
 
-// nextPrefill returns the prefill to compute, starting the next one from the
-// queue if its memory is free. Of two with one priority, the earlier one goes
-// first, and nobody overtakes one that waits for memory.
+// nextPrefill returns the current prefill. If there is none, it starts the head
+// of the queue if enough memory is free. Prefills of equal priority start in
+// order of arrival, and no prefill overtakes one that waits for memory.
 func (e *Engine) nextPrefill() *attempt {
 	l := e.life
 	if l.current != nil {
@@ -131,7 +133,7 @@
 	return a
 }
 
-// startPrefill makes a the prefill that is being computed.
+// startPrefill makes a the current prefill.
 func (e *Engine) startPrefill(a *attempt) {
 	matched := e.life.cache.Match(a.hashes)
 	a.left = e.cfg.Perf.Uncached(a.promptTokens, matched)
@@ -142,13 +144,13 @@
 	e.ledger.prefillStarted(a)
 }
 
-// reserve takes memory for an attempt.
+// reserve reserves KV memory for an attempt, in pieces.
 func (e *Engine) reserve(a *attempt, pieces int) {
 	a.pieces = pieces
 	e.life.piecesUsed += pieces
 }
 
-// apply carries out what happens at the end of a step.
+// apply applies the results of a step at its end.
 func (e *Engine) apply(s step) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -179,8 +181,8 @@
 	}
 }
 
-// computed adds computed tokens to a prefill. Those of a prefill that has ended
-// meanwhile were computed in vain.
+// computed adds computed tokens to a prefill. If the attempt has ended in the
+// meantime, the ledger counts them as waste.
 func (e *Engine) computed(a *attempt, n int) {
 	e.ledger.computed(a, n)
 	if !a.running() {
@@ -200,7 +202,7 @@
 	e.join(a)
 }
 
-// join adds an attempt to the running generations.
+// join adds an attempt to the running generations from the next step on.
 func (e *Engine) join(a *attempt) {
 	a.stage = StageDecode
 	e.life.joining = append(e.life.joining, a)
--- a/standin/engine/bench_test.go
+++ b/standin/engine/bench_test.go
@@ -20,7 +20,7 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// Names of the engines of a bench.
+// IDs of the engines of a bench.
 const (
 	prefillA = "pf-a"
 	prefillB = "pf-b"
@@ -28,15 +28,17 @@
 	decodeB  = "dc-b"
 )
 
-// bench is two prefill and two decode engines that reach each other in process.
+// bench is a test bed of two prefill and two decode engines that are connected
+// in process.
 type bench struct {
 	t       *testing.T
 	engines map[string]*Engine
 	client  *http.Client
 }
 
-// testPerf are round numbers: 10 tokens a piece, 1 ms a prefill token, 1 ms of
-// transfer a token, and steps of 10 ms plus 1 ms for each further request.
+// testPerf returns parameters with round numbers: 10 tokens per piece, 1 ms per
+// prefill token, 1 ms per transferred token, and decode steps of 10 ms plus 1 ms
+// for each further request.
 func testPerf() perf.Params {
 	return perf.Params{
 		Slots:                  2,
@@ -53,7 +55,8 @@
 	}
 }
 
-// inBench runs a test in a bubble with a fake clock.
+// inBench runs a test with a new bench in a synctest bubble, which has a fake
+// clock.
 func inBench(t *testing.T, change func(*Config), test func(t *testing.T, b *bench)) {
 	bubble.Test(t, func(t *testing.T) {
 		b := newBench(t, change)
@@ -96,7 +99,7 @@
 	header                       http.Header
 }
 
-// send sends a request and returns the response, nil if the connection closed.
+// send sends a request and returns the response, or nil if the request failed.
 func (b *bench) send(ctx context.Context, method, host, path string, header http.Header, body any) *http.Response {
 	b.t.Helper()
 	text, err := json.Marshal(body)
@@ -113,7 +116,7 @@
 	return resp
 }
 
-// post asks an engine for a completion.
+// post sends a completion request to an engine.
 func (b *bench) post(ctx context.Context, a ask) *http.Response {
 	b.t.Helper()
 	if a.path == "" {
@@ -130,7 +133,7 @@
 	return b.send(ctx, http.MethodPost, a.engine, a.path, a.header, a.body)
 }
 
-// drain reads a response to its end, whatever it is.
+// drain reads a response to its end and closes it; resp may be nil.
 func (b *bench) drain(resp *http.Response) {
 	if resp != nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
@@ -138,12 +141,12 @@
 	}
 }
 
-// begin asks an engine for a completion without waiting for it.
+// begin sends a completion request without waiting for the response.
 func (b *bench) begin(a ask) {
 	go func() { b.drain(b.post(b.t.Context(), a)) }()
 }
 
-// read decodes a JSON response with the given status and closes it.
+// read asserts the status of a JSON response, decodes and closes it.
 func read[T any](t *testing.T, resp *http.Response, status int) T {
 	t.Helper()
 	assert.Assert(t, resp != nil, "connection closed")
@@ -182,7 +185,7 @@
 	return read[AbortResponse](b.t, resp, http.StatusOK).Released
 }
 
-// held asserts what an engine holds.
+// held asserts the number of attempts and of pieces that an engine holds.
 func (b *bench) held(engine string, attempts, pieces int) {
 	b.t.Helper()
 	report := b.engines[engine].Judge()
@@ -193,7 +196,7 @@
 // event is one server-sent event.
 type event struct{ id, data string }
 
-// nextEvent reads one event; it returns false at the end of the stream.
+// nextEvent reads the next event, or returns false at the end of the stream.
 func nextEvent(r *bufio.Reader) (event, bool) {
 	var out event
 	for {
@@ -212,7 +215,7 @@
 	}
 }
 
-// streamed is what a stream gave.
+// streamed is the content received from a stream.
 type streamed struct {
 	text  string
 	last  string // ID of the last event with one
@@ -221,7 +224,7 @@
 	code  control.Code
 }
 
-// collect reads a stream up to its end, or up to limit tokens if positive.
+// collect reads a stream to its end, or up to limit tokens if limit is positive.
 func collect(t *testing.T, resp *http.Response, limit int) streamed {
 	t.Helper()
 	assert.Assert(t, resp != nil, "connection closed")
@@ -243,7 +246,7 @@
 	return out
 }
 
-// add takes in one event and returns how many tokens it had.
+// add adds an event to the content and returns its number of tokens.
 func (s *streamed) add(t *testing.T, e event) int {
 	t.Helper()
 	var failed control.ErrorBody
@@ -270,7 +273,7 @@
 	return len(c.Choices)
 }
 
-// words makes a prompt of n tokens that begins with the given word.
+// words returns a prompt of n tokens that starts with the given word.
 func words(first string, n int) string {
 	return first + strings.Repeat(" w", n-1)
 }
--- a/standin/engine/cacheevents.go
+++ b/standin/engine/cacheevents.go
@@ -10,41 +10,41 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// Bounds of the cache event interface.
+// Limits of the cache event endpoint.
 const (
-	// maxBatches bounds the batches kept for readers.
+	// maxBatches is the maximum number of batches kept for readers.
 	maxBatches = 4096
-	// maxWait bounds how long a reader may wait.
+	// maxWait is the maximum duration of a long poll.
 	maxWait = 60 * time.Second
 )
 
-// lossy decides which batches of events are lost.
+// lossy selects at random the event batches that are never published.
 type lossy struct {
 	random *rand.Rand
 	share  float64
 }
 
-// newLossy returns a decider that loses the given share of batches.
+// newLossy returns a lossy that drops the given share of batches, 0 to 1.
 func newLossy(seed uint64, share float64) *lossy {
 	return &lossy{random: rand.New(rand.NewPCG(seed, seed)), share: share}
 }
 
-// next reports whether the next batch is lost.
+// next reports whether the next batch is dropped.
 func (l *lossy) next() bool { return l.share > 0 && l.random.Float64() < l.share }
 
-// eventLog keeps the cache events of one life. It is guarded by the engine's
-// mutex.
+// eventLog stores the cache events of one incarnation. The engine's mutex
+// guards it.
 type eventLog struct {
 	delay time.Duration
 	lossy *lossy
-	// seq numbers the batches, also the lost ones.
+	// seq is the number of the latest batch. Dropped batches are numbered too.
 	seq     uint64
 	batches []pendingBatch
-	changed chan struct{} // closed and replaced when there is a new batch
+	changed chan struct{} // closed and replaced when a batch is added
 	closed  bool
 }
 
-// pendingBatch is a batch that readers may see from a time on.
+// pendingBatch is a batch with the time of its publication.
 type pendingBatch struct {
 	CacheBatch
 	visible time.Time
@@ -56,7 +56,7 @@
 	return &eventLog{delay: delay, lossy: lossy, changed: make(chan struct{})}
 }
 
-// add logs the events of one change.
+// add appends the events of one cache change as a batch.
 func (l *eventLog) add(events []CacheEvent) {
 	if len(events) == 0 || l.closed {
 		return
@@ -75,7 +75,7 @@
 	l.changed = make(chan struct{})
 }
 
-// close wakes all readers for good.
+// close wakes all waiting readers. Later changes are not logged.
 func (l *eventLog) close() {
 	if !l.closed {
 		l.closed = true
@@ -83,8 +83,9 @@
 	}
 }
 
-// read returns the published batches after a number, the last published
-// number, and when the next batch is to be published (zero if none is waiting).
+// read returns the published batches after a sequence number, the last
+// published sequence number, and the publication time of the next batch (zero
+// if none is pending).
 func (l *eventLog) read(after uint64, now time.Time) (batches []CacheBatch, last uint64, next time.Time) {
 	batches = []CacheBatch{}
 	last = l.seq - uint64(len(l.batches))
@@ -100,7 +101,7 @@
 	return batches, last, time.Time{}
 }
 
-// storeBlocks puts an attempt's blocks into the prefix cache and logs it.
+// storeBlocks adds an attempt's blocks to the prefix cache and logs the change.
 func (e *Engine) storeBlocks(a *attempt) {
 	added, evicted := e.life.cache.Insert(a.hashes)
 	var events []CacheEvent
@@ -118,7 +119,7 @@
 	e.life.events.add(events)
 }
 
-// parentOf returns the block before h in a prompt, nil if h is the first.
+// parentOf returns the block before h in a prompt, or nil if h is the first.
 func parentOf(h tokens.BlockHash, prompt []tokens.BlockHash) *tokens.BlockHash {
 	for i := 1; i < len(prompt); i++ {
 		if prompt[i] == h {
@@ -128,13 +129,14 @@
 	return nil
 }
 
-// clearCache empties the prefix cache and logs it.
+// clearCache empties the prefix cache and logs the change.
 func (e *Engine) clearCache() {
 	e.life.cache.Clear()
 	e.life.events.add([]CacheEvent{{Type: AllBlocksCleared}})
 }
 
-// serveCacheEvents answers GET /v1/cache_events?after=SEQ&wait=DURATION.
+// serveCacheEvents handles GET /v1/cache_events?after=SEQ&wait=DURATION as a
+// long poll.
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, wait, ok := eventQuery(r)
 	if !ok {
@@ -171,7 +173,8 @@
 	return time.Until(t)
 }
 
-// eventQuery reads the query of a request for cache events.
+// eventQuery parses the query of a request for cache events; ok is false if it
+// is malformed.
 func eventQuery(r *http.Request) (after uint64, wait time.Duration, ok bool) {
 	query := r.URL.Query()
 	var err error
@@ -188,7 +191,8 @@
 	return after, min(wait, maxWait), true
 }
 
-// cacheEvents reads the log; changed is closed when it grows.
+// cacheEvents reads the event log. The channel changed is closed when a batch
+// is added.
 func (e *Engine) cacheEvents(after uint64) (out CacheEventsResponse, next time.Time, changed chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -196,13 +200,13 @@
 	out.Incarnation = e.life.incarnation
 	out.Batches, out.LastSeq, next = log.read(after, time.Now())
 	if after > out.LastSeq && after <= log.seq {
-		// The reader has a snapshot that is ahead of what is published.
+		// The reader has a snapshot that is ahead of the published batches.
 		out.LastSeq = after
 	}
 	return out, next, log.changed
 }
 
-// serveCacheBlocks answers GET /v1/cache_blocks.
+// serveCacheBlocks handles GET /v1/cache_blocks.
 func (e *Engine) serveCacheBlocks(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	out := CacheBlocksResponse{
--- a/standin/engine/cacheevents_test.go
+++ b/standin/engine/cacheevents_test.go
@@ -13,7 +13,7 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// events reads the cache events after a number.
+// events reads the cache events after a sequence number.
 func (b *bench) events(engine string, after uint64, wait time.Duration) CacheEventsResponse {
 	b.t.Helper()
 	path := fmt.Sprintf("/v1/cache_events?after=%d&wait=%s", after, wait)
@@ -41,7 +41,7 @@
 			{Type: BlockStored, BlockHashes: stored, BlockSize: 10},
 		})
 
-		// The cache holds six blocks, so two of the first prompt go.
+		// The cache holds six blocks, so two blocks of the first prompt are evicted.
 		b.prefill(prefillA, "a2", "r2", q)
 		got = b.events(prefillA, got.LastSeq, 10*time.Second)
 		assert.DeepEqual(t, got.Batches[0].Events, []CacheEvent{
@@ -49,7 +49,7 @@
 			{Type: BlockRemoved, BlockHashes: []tokens.BlockHash{stored[3], stored[2]}},
 		})
 
-		// The lost tail of the first prompt is stored again, after its parent.
+		// The evicted blocks of the first prompt are stored again, after their parent.
 		b.prefill(prefillA, "a3", "r3", p)
 		got = b.events(prefillA, got.LastSeq, 10*time.Second)
 		assert.Equal(t, *got.Batches[0].Events[0].ParentBlockHash, stored[1])
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestLostBatchesLeaveGaps replays events with losses and asserts that a reader
-// who reads a snapshot at each gap knows the cache in the end.
+// TestLostBatchesLeaveGaps drops some event batches and asserts that a reader
+// that reads a snapshot at each gap ends up with the contents of the cache.
 func TestLostBatchesLeaveGaps(t *testing.T) {
 	lose := func(c *Config) { c.CacheLoss, c.Seed = 0.4, 7 }
 	inBench(t, lose, func(t *testing.T, b *bench) {
@@ -134,8 +134,9 @@
 	})
 }
 
-// TestReaderAheadOfPublication goes on from a snapshot that holds a change not
-// yet published: that is no reason to read it again.
+// TestReaderAheadOfPublication polls for events after a snapshot that includes
+// an unpublished change. The engine must wait for newer batches and not report
+// a gap, which would make the reader read the snapshot again.
 func TestReaderAheadOfPublication(t *testing.T) {
 	inBench(t, nil, func(t *testing.T, b *bench) {
 		b.prefill(prefillA, "a1", "r1", words("p", 40))
@@ -161,8 +162,8 @@
 	})
 }
 
-// TestDecodeEngineCachesPulledBlocks shows that a resumed generation finds the
-// blocks that were pulled before.
+// TestDecodeEngineCachesPulledBlocks checks that a decode engine stores pulled
+// blocks in its prefix cache, where a later generation finds them.
 func TestDecodeEngineCachesPulledBlocks(t *testing.T) {
 	inBench(t, func(c *Config) { c.Perf = testPerf(); c.Perf.CachePieces = 10 }, func(t *testing.T, b *bench) {
 		prompt := words("p", 40)
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// format is the shape of an answer: of a completion or of a chat.
+// format is the response format: completion or chat completion.
 type format int
 
 const (
@@ -25,7 +25,7 @@
 	roleAssistant    = "assistant"
 )
 
-// serveCompletion answers POST /v1/completions.
+// serveCompletion handles POST /v1/completions.
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var req CompletionRequest
 	if control.ReadJSON(w, r, &req) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// serveChat answers POST /v1/chat/completions.
+// serveChat handles POST /v1/chat/completions.
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	var req CompletionRequest
 	if control.ReadJSON(w, r, &req) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// serveModel takes in a request for the model and answers it. The request goes
-// on if its caller leaves.
+// serveModel admits a request for the model and answers it. If the caller
+// disconnects, the attempt continues.
 func (e *Engine) serveModel(w http.ResponseWriter, r *http.Request, req CompletionRequest, prompt string, form format) {
 	a, f := e.newAttempt(r, req, prompt)
 	if f == nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// answerPrefill answers a prefill with the parameters of its KV transfer.
+// answerPrefill answers a prefill request with its KV-transfer parameters.
 func (e *Engine) answerPrefill(w http.ResponseWriter, a *attempt) {
 	e.mu.Lock()
 	failed := a.failure
@@ -83,7 +83,7 @@
 	control.WriteJSON(w, http.StatusOK, out)
 }
 
-// answerWhole waits for the end of a generation and answers with all of it.
+// answerWhole waits for the end of a generation and sends its complete text.
 func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, a *attempt) {
 	rd := e.attach(a)
 	defer e.detach(a, rd)
@@ -116,7 +116,7 @@
 	return b.String()
 }
 
-// response returns a whole answer with the given text of n tokens.
+// response returns a complete answer with the given text of n tokens.
 func (a *attempt) response(text string, n int) CompletionResponse {
 	out := CompletionResponse{
 		ID:      a.id,
@@ -137,7 +137,7 @@
 	return out
 }
 
-// usage counts the prompt and n tokens of the answer.
+// usage returns the token counts of the prompt and n tokens of the answer.
 func (a *attempt) usage(n int) *Usage {
 	return &Usage{
 		PromptTokens:        a.promptTokens,
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -11,40 +11,45 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// Config describes one stand-in engine.
+// Config configures a stand-in engine.
 type Config struct {
 	ID   ident.UpstreamID
 	Role config.Role
-	// Models lists the models loaded at start, Adapters their adapters.
+	// Models lists the models loaded at start, Adapters the adapters loaded
+	// with them.
 	Models   []string
 	Adapters []string
-	// Version names the version of the models loaded at start.
+	// Version is the version of the models loaded at start.
 	Version string
-	// Address is what KV-transfer parameters name as this engine, as IP:port.
+	// Address is the address of this engine in KV-transfer parameters, as
+	// IP:port.
 	Address string
 	Perf    perf.Params
-	// QueueLimit bounds the prefills that wait; more are refused.
+	// QueueLimit is the maximum number of waiting prefills; more are refused.
+	// Default: DefaultQueueLimit.
 	QueueLimit int
-	// LoadLag is the age of the report that GET /load answers.
+	// LoadLag is the age of the load report that GET /load returns.
 	LoadLag time.Duration
-	// CacheDelay is how late cache events are published.
+	// CacheDelay is the delay between a cache change and its publication.
 	CacheDelay time.Duration
-	// CacheLoss is the share of batches of cache events, 0 to 1, that are
-	// never published, chosen by Seed.
+	// CacheLoss is the share of cache event batches, 0 to 1, that are never
+	// published. Seed seeds their random selection.
 	CacheLoss float64
 	Seed      uint64
-	// LoadWeights is how long it takes to carry out an order that changes
+	// LoadWeights is the time that it takes to apply an order that changes
 	// models, adapters, version or role.
 	LoadWeights time.Duration
-	// ChecksFencing makes the engine refuse orders with an old fence.
+	// ChecksFencing makes the engine refuse orders with a fencing number lower
+	// than the highest one seen.
 	ChecksFencing bool
-	// Retention is how long a finished stream can still be resumed and its
-	// attempt ID is remembered. Default: DefaultRetention.
+	// Retention is the time after the end of an attempt for which its stream
+	// can be resumed and its ID counts as a duplicate. Default:
+	// DefaultRetention.
 	Retention time.Duration
-	// JudgeCap bounds the correlation IDs that the judge keeps records of.
-	// Default: DefaultJudgeCap.
+	// JudgeCap is the maximum number of correlation IDs with a record in the
+	// judge's report. Default: DefaultJudgeCap.
 	JudgeCap int
-	// Client fetches KV from other engines. Default: a client of its own.
+	// Client pulls KV caches from other engines. Default: a new client.
 	Client *http.Client
 }
 
@@ -58,7 +63,7 @@
 	DefaultLoadTime   = 2 * time.Second
 )
 
-// withDefaults fills in what must not be zero.
+// withDefaults replaces the zero values of fields that have a default.
 func (c Config) withDefaults() Config {
 	if c.Perf == (perf.Params{}) {
 		c.Perf = perf.Defaults()
@@ -81,8 +86,8 @@
 	return c
 }
 
-// hostPort splits the address for the KV-transfer parameters; an address
-// without a port gives port 0.
+// hostPort splits the address into host and port for the KV-transfer
+// parameters. If the address has no valid port, the port is 0.
 func (c Config) hostPort() (string, int) {
 	host, port, err := net.SplitHostPort(c.Address)
 	if err != nil {
--- a/standin/engine/doc.go
+++ b/standin/engine/doc.go
@@ -1,12 +1,14 @@
-// Package engine is a stand-in model engine: it speaks the OpenAI-compatible
-// format with vLLM-style KV-transfer parameters and takes the time that the
-// performance model in package perf says, but computes nothing. It counts what
-// really ran, was wasted and is still held, and so judges the router.
+// Package engine implements a stand-in model engine for tests and experiments.
+// It serves the OpenAI-compatible API with vLLM-style KV-transfer parameters and
+// simulates timing with the performance model of package perf, but runs no
+// model. It counts the work that really ran, the work that was wasted and the
+// resources still held, so that the router can be checked independently of its
+// own counters.
 //
-// One goroutine, the loop in batch.go, runs all steps of an engine: each step
-// adds a token to every running generation and computes a chunk of one waiting
-// prefill, and lasts as long as the model says. The rest happens in the
-// handlers of HTTP requests, under one mutex.
+// One goroutine, the loop in batch.go, runs all steps of an engine. Each step
+// adds a token to every running generation and computes a chunk of prefill; its
+// duration comes from the performance model. HTTP handlers, timers and KV pulls
+// do the rest, under the same mutex as the loop.
 //
 // docs/protocols/engine.md describes the protocol.
 package engine
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -11,10 +11,10 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// Engine is one stand-in engine. Make it with New and serve its Handler.
+// Engine is a stand-in engine. Create it with New and serve its Handler.
 type Engine struct {
 	cfg Config
-	// started is the origin of the link's time offsets.
+	// started is the time from which the link's time offsets count.
 	started time.Time
 	wake    chan struct{}
 	ctx     context.Context
@@ -25,28 +25,29 @@
 	life   *life
 	faults control.EngineFaults
 	ledger *ledger
-	// down is true while the engine plays a killed process.
+	// down is true between a simulated crash and the restart.
 	down bool
-	// connected is done while connections are dropped.
+	// connected is cancelled while connections are dropped.
 	connected  context.Context
 	disconnect context.CancelFunc
 	cacheLoss  *lossy
 }
 
-// life is everything that a killed process loses.
+// life is the state of one incarnation, which is lost in a crash.
 type life struct {
 	incarnation ident.Incarnation
 	attempts    map[string]*attempt
-	// ended lists the attempts that are over but still remembered, oldest first.
+	// ended lists the ended attempts that are still retained, oldest first.
 	ended      []*attempt
 	tombstones *tombstones
 
 	queue prefillQueue
-	// current is the prefill that goes on in the next step, nil if none.
+	// current is the prefill that continues in the next step, nil if none.
 	current *attempt
-	// prefilling counts the attempts in StagePrefill.
+	// prefilling is the number of attempts in StagePrefill.
 	prefilling int
-	// batch lists the running generations; joining those of the next step.
+	// batch lists the running generations, joining those that start with the
+	// next step.
 	batch   []*attempt
 	joining []*attempt
 
@@ -54,7 +55,7 @@
 	piecesUsed int
 	nextBlock  int64
 	nextOrder  uint64
-	// results finds prefill results by their first block.
+	// results maps the ID of the first block to its prefill result.
 	results map[int64]*attempt
 
 	cache     *perf.Cache
@@ -64,7 +65,7 @@
 	placement placement
 }
 
-// New starts a stand-in engine. Close stops it.
+// New starts a stand-in engine. Call Close to stop it.
 func New(cfg Config) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
@@ -82,8 +83,8 @@
 	return e
 }
 
-// newLife returns the state of a process that has just started. Its
-// incarnation is higher than previous.
+// newLife returns the state of a new incarnation, with a number higher than
+// previous.
 func (e *Engine) newLife(previous ident.Incarnation) *life {
 	l := &life{
 		incarnation: max(ident.NewIncarnation(time.Now()), previous+1),
@@ -104,8 +105,8 @@
 	return l
 }
 
-// Close stops the engine's work and waits for its goroutines. Requests being
-// served end without an answer.
+// Close stops the engine and waits for its goroutines. Connections of requests
+// in progress are dropped.
 func (e *Engine) Close() {
 	e.stop()
 	e.mu.Lock()
@@ -115,7 +116,7 @@
 	e.cfg.Client.CloseIdleConnections()
 }
 
-// endLife ends all attempts and timers of the present life.
+// endLife ends all attempts and stops all timers of the current incarnation.
 func (e *Engine) endLife() {
 	for _, a := range e.life.attempts {
 		e.end(a, &failureCrashed)
@@ -125,7 +126,7 @@
 	e.life.placement.close()
 }
 
-// poke makes the step loop look for work.
+// poke wakes the step loop.
 func (e *Engine) poke() {
 	select {
 	case e.wake <- struct{}{}:
@@ -133,5 +134,5 @@
 	}
 }
 
-// role returns the role in force. The caller holds the mutex.
+// role returns the current role. The caller holds the mutex.
 func (e *Engine) role() config.Role { return e.life.placement.role }
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// serveFaults answers GET and PUT /control/faults.
+// serveFaults handles GET and PUT /control/faults.
 func (e *Engine) serveFaults(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		var f control.EngineFaults
@@ -23,7 +23,7 @@
 	control.WriteJSON(w, http.StatusOK, f)
 }
 
-// SetFaults replaces the faults that the engine shows.
+// SetFaults replaces the set of injected faults.
 func (e *Engine) SetFaults(f control.EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -32,7 +32,8 @@
 	e.updateConnected()
 }
 
-// updateConnected drops or admits connections as the faults say.
+// updateConnected drops connections if the engine is down or the injected
+// faults require it, and otherwise serves them again.
 func (e *Engine) updateConnected() {
 	if e.down || e.faults.DropConnections {
 		e.disconnect()
@@ -43,8 +44,8 @@
 	}
 }
 
-// BreakConnections drops every connection there is at this moment, as a link
-// that breaks for an instant. Connections made afterwards are served.
+// BreakConnections drops all current connections, like a momentary link
+// failure. Later requests are served.
 func (e *Engine) BreakConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,7 +53,7 @@
 	e.updateConnected()
 }
 
-// serveCrash answers POST /control/crash.
+// serveCrash handles POST /control/crash.
 func (e *Engine) serveCrash(w http.ResponseWriter, r *http.Request) {
 	var c control.Crash
 	if !control.ReadJSON(w, r, &c) {
@@ -62,8 +63,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Crash loses all state but the judge's counters, and drops every connection
-// until the time is over. Then the engine is back as a new incarnation.
+// Crash simulates a crash: it discards all state except the judge's counters
+// and drops all connections for the given duration. Afterwards the engine
+// serves again as a new incarnation.
 func (e *Engine) Crash(down time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,7 +77,7 @@
 	time.AfterFunc(down, e.comeBack)
 }
 
-// comeBack ends the time for which a crashed engine is away.
+// comeBack ends the downtime after a crash.
 func (e *Engine) comeBack() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/faults_test.go
+++ b/standin/engine/faults_test.go
@@ -71,7 +71,7 @@
 		assert.Assert(t, after.Incarnation > before.Incarnation)
 		assert.Equal(t, after.Totals.PromptComputed, 40)
 		assert.Equal(t, after.Totals.PromptWasted, 40)
-		b.prefill(prefillA, "a1", "r1", words("p", 40)) // the ID is new to this life
+		b.prefill(prefillA, "a1", "r1", words("p", 40)) // the ID is unknown to the new incarnation
 		assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptComputed, 80)
 	})
 }
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -10,7 +10,7 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// Handler returns the engine's HTTP interface.
+// Handler returns the HTTP handler for all endpoints of the engine.
 func (e *Engine) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(control.PathJudge, e.serveJudge).Methods(http.MethodGet)
@@ -34,8 +34,8 @@
 	return router
 }
 
-// withConnection ends the exchange without an answer once connections are
-// dropped.
+// withConnection closes the connection without a response while connections are
+// dropped, and cancels the request if that begins while it is served.
 func (e *Engine) withConnection(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
@@ -54,15 +54,15 @@
 	})
 }
 
-// withLoadHeader adds the ORCA load report to the response, made at the time
-// the response begins.
+// withLoadHeader adds an ORCA load report to each response. The report is made
+// when the response header is written.
 func (e *Engine) withLoadHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(&loadWriter{ResponseWriter: w, engine: e}, r)
 	})
 }
 
-// loadWriter adds the load header when the response's head is written.
+// loadWriter adds the load header when the response header is written.
 type loadWriter struct {
 	http.ResponseWriter
 	engine *Engine
@@ -81,7 +81,7 @@
 	return w.ResponseWriter.Write(b)
 }
 
-// addLoad sets the header, once.
+// addLoad sets the load header on the first call.
 func (w *loadWriter) addLoad() {
 	if w.wrote {
 		return
@@ -93,20 +93,20 @@
 	}
 }
 
-// Unwrap serves http.ResponseController.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (w *loadWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// serveHealth answers GET /healthz.
+// serveHealth handles GET /healthz.
 func (e *Engine) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveRequests answers GET /v1/requests.
+// serveRequests handles GET /v1/requests.
 func (e *Engine) serveRequests(w http.ResponseWriter, _ *http.Request) {
 	control.WriteJSON(w, http.StatusOK, e.requests())
 }
 
-// requests lists the attempts held, in order of arrival.
+// requests lists the attempts that have not ended, in order of arrival.
 func (e *Engine) requests() RequestsResponse {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/inproc_test.go
+++ b/standin/engine/inproc_test.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// inproc is an http.RoundTripper that calls handlers directly, by host, so that
-// whole sessions run without sockets inside a synctest bubble.
+// inproc is an http.RoundTripper that calls the handler of a host directly, so
+// that complete sessions run inside a synctest bubble without sockets.
 type inproc struct{ byHost map[string]http.Handler }
 
 // RoundTrip implements http.RoundTripper.
@@ -52,12 +52,12 @@
 	}, nil
 }
 
-// refusedError reports a host that nobody serves.
+// refusedError reports a host that has no handler.
 type refusedError struct{ host string }
 
 func (e *refusedError) Error() string { return "connection refused: " + e.host }
 
-// inprocBody ends the handler's context when the reader closes it.
+// inprocBody is a response body that cancels the handler's context on Close.
 type inprocBody struct {
 	*io.PipeReader
 	cancel func()
@@ -68,7 +68,8 @@
 	return b.PipeReader.Close()
 }
 
-// inprocWriter hands the handler's output to the reader.
+// inprocWriter is a ResponseWriter that pipes the handler's output to the reader
+// of the response.
 type inprocWriter struct {
 	header  http.Header
 	sent    http.Header
@@ -99,7 +100,7 @@
 
 func (w *inprocWriter) Flush() {}
 
-// abort ends the exchange like a closed connection.
+// abort ends the response as a closed connection does.
 func (w *inprocWriter) abort() {
 	w.once.Do(func() {
 		w.aborted = true
--- a/standin/engine/judge.go
+++ b/standin/engine/judge.go
@@ -9,8 +9,8 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// serveJudge answers GET /judge. With ?correlation=ID it reports that request
-// alone, with ?summary=1 none.
+// serveJudge handles GET /judge. With ?correlation=ID the report includes only
+// that request's record, with a non-empty ?summary no records.
 func (e *Engine) serveJudge(w http.ResponseWriter, r *http.Request) {
 	report := e.Judge()
 	query := r.URL.Query()
@@ -25,7 +25,8 @@
 	control.WriteJSON(w, http.StatusOK, report)
 }
 
-// Judge reports what the engine really did and what it holds now.
+// Judge reports the work that the engine really did and the resources that it
+// holds now.
 func (e *Engine) Judge() judge.Engine {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -53,7 +54,8 @@
 	return out
 }
 
-// report returns the records with what the running generations did so far.
+// report returns the records, including the tokens that the given running
+// attempts have generated so far.
 func (l *ledger) report(running []*attempt) []judge.Request {
 	soFar := make(map[string][]judge.Range)
 	for _, a := range running {
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -13,18 +13,19 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// pathPull is where an engine asks another for a prefill result.
+// pathPull is the endpoint from which an engine pulls a prefill result of
+// another.
 const pathPull = "/v1/kv/pull"
 
-// incarnationBase is the base in which incarnations are written in engine IDs.
+// incarnationBase is the number base of incarnations in engine IDs.
 const incarnationBase = 36
 
-// engineID names this life of the engine in KV-transfer parameters.
+// engineID identifies this incarnation of the engine in KV-transfer parameters.
 func (e *Engine) engineID() string {
 	return string(e.cfg.ID) + "@" + strconv.FormatUint(uint64(e.life.incarnation), incarnationBase)
 }
 
-// hold keeps a finished prefill for its decode engine until its lifetime ends.
+// hold keeps a prefill result for a decode engine until Perf.KVLifetime ends.
 func (e *Engine) hold(a *attempt) {
 	l := e.life
 	for range a.pieces {
@@ -38,7 +39,7 @@
 	close(a.ready)
 }
 
-// evict drops a prefill result that outlived its lifetime.
+// evict ends a prefill whose result was not pulled within its lifetime.
 func (e *Engine) evict(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -47,7 +48,8 @@
 	}
 }
 
-// transferParams are the parameters that a decode engine needs to fetch a.
+// transferParams returns the parameters with which a decode engine pulls the
+// prefill result of a.
 func (e *Engine) transferParams(a *attempt) *KVTransferParams {
 	host, port := e.cfg.hostPort()
 	return &KVTransferParams{
@@ -60,7 +62,8 @@
 	}
 }
 
-// servePull answers POST /v1/kv/pull when the prefill result has been sent.
+// servePull handles POST /v1/kv/pull. It responds when the transfer of the
+// prefill result has ended.
 func (e *Engine) servePull(w http.ResponseWriter, r *http.Request) {
 	var req PullRequest
 	if !control.ReadJSON(w, r, &req) {
@@ -86,8 +89,8 @@
 	control.WriteJSON(w, http.StatusOK, answer)
 }
 
-// startPull starts the transfer that req asks for; it returns nil if the
-// prefill result is gone or on its way already.
+// startPull starts the transfer requested by req. It returns a nil flow if the
+// prefill result no longer exists or is already being sent.
 func (e *Engine) startPull(req PullRequest) (*flow, PullResponse) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,7 +109,7 @@
 	}
 }
 
-// fetch pulls the KV cache of a decode attempt and starts its generation.
+// fetch pulls the KV cache of a decode attempt, then starts the generation.
 func (e *Engine) fetch(ctx context.Context, a *attempt) {
 	got, f := e.callPull(ctx, a.pull)
 	e.mu.Lock()
@@ -116,8 +119,8 @@
 		return
 	}
 	if !a.running() {
-		// Aborted just when the transfer was done: the ledger has closed the
-		// attempt, so the waste is added here.
+		// The attempt was aborted as the transfer completed. The ledger has
+		// already accounted for its end, so the waste is counted here.
 		e.ledger.wasted(a, got.ComputedTokens)
 		return
 	}
@@ -127,7 +130,7 @@
 	e.join(a)
 }
 
-// callPull sends a pull to the engine that params name.
+// callPull sends a pull request to the engine named by params.
 func (e *Engine) callPull(ctx context.Context, params *KVTransferParams) (PullResponse, *failure) {
 	body, err := json.Marshal(PullRequest{
 		RemoteEngineID:  params.RemoteEngineID,
@@ -142,7 +145,8 @@
 	if err != nil {
 		return PullResponse{}, &failureTransfer
 	}
-	// A pull must not be sent twice on a new connection.
+	// Without GetBody, the transport can't resend the request on a new
+	// connection; a pull must not be sent twice.
 	req.GetBody = nil
 	resp, err := e.cfg.Client.Do(req)
 	if err != nil {
--- a/standin/engine/kv_test.go
+++ b/standin/engine/kv_test.go
@@ -11,8 +11,8 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// TestPulledOnce sends one prefill result to two decode engines: the second
-// gets nothing, also while the first transfer is under way.
+// TestPulledOnce pulls a prefill result from two decode engines. The second
+// pull fails, both during and after the first transfer.
 func TestPulledOnce(t *testing.T) {
 	inBench(t, nil, func(t *testing.T, b *bench) {
 		prompt := words("p", 40)
@@ -28,15 +28,16 @@
 			resp := b.post(b.t.Context(), decodeAsk(decodeB, "", "r1", prompt, 5, kv))
 			assert.Equal(t, read[control.ErrorBody](t, resp, http.StatusConflict).Error.Code, control.CodeKVMissing)
 		}
-		// The second didn't take any of the link either.
+		// The second pull used no bandwidth of the link either.
 		assert.Equal(t, <-whole, 40*time.Millisecond+5*10*time.Millisecond)
 		assert.Equal(t, b.engines[decodeA].Judge().Totals.Completed, 1)
 		assert.Equal(t, b.engines[decodeB].Judge().Totals.DecodeRuns, 0)
 	})
 }
 
-// TestBlocksOfAnotherLife asks a restarted engine for a result of its former
-// life, whose blocks have the numbers of another prompt's by now.
+// TestBlocksOfAnotherLife pulls a prefill result of a former incarnation from a
+// restarted engine, in which the same block IDs belong to another prompt. The
+// pull must fail.
 func TestBlocksOfAnotherLife(t *testing.T) {
 	inBench(t, nil, func(t *testing.T, b *bench) {
 		old := b.prefill(prefillA, "a1", "r1", words("p", 40))
@@ -60,9 +61,9 @@
 	})
 }
 
-// TestAbortAsTransferEnds ends an attempt after the KV cache has left its
-// prefill engine and before the decode engine has taken it in: the prompt's
-// tokens are waste then, counted by the decode engine.
+// TestAbortAsTransferEnds covers an attempt that ends after the prefill engine
+// has sent the KV cache and before the decode engine has processed the response.
+// The decode engine must count the prompt's tokens as waste.
 func TestAbortAsTransferEnds(t *testing.T) {
 	inBench(t, nil, func(t *testing.T, b *bench) {
 		params := b.prefill(prefillA, "a1", "r1", words("p", 40))
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -8,22 +8,22 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// Sampling of load reports.
+// Parameters of load report sampling.
 const (
-	// samplesPerLag is how many reports are made within the lag.
+	// samplesPerLag is the number of reports made within the lag.
 	samplesPerLag = 5
-	// minSampleInterval bounds the cost of sampling.
+	// minSampleInterval limits the cost of sampling if the lag is short.
 	minSampleInterval = 20 * time.Millisecond
 )
 
-// loadHistory is the load reports younger than the lag, and one that is older,
-// in order. seq counts all reports ever made.
+// loadHistory holds the load reports younger than the lag and the latest one
+// that is at least as old as the lag, oldest first. seq counts all reports made.
 type loadHistory struct {
 	seq     uint64
 	reports []LoadReport
 }
 
-// sampleLoads makes load reports until the engine is closed.
+// sampleLoads samples the load periodically until the engine is closed.
 func (e *Engine) sampleLoads() {
 	ticker := time.NewTicker(max(e.cfg.LoadLag/samplesPerLag, minSampleInterval))
 	defer ticker.Stop()
@@ -37,7 +37,7 @@
 	}
 }
 
-// sampleLoad adds a load report to the history.
+// sampleLoad adds a load report to the history and drops outdated ones.
 func (e *Engine) sampleLoad() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// loadReport makes a report of the present load.
+// loadReport returns a report of the current load. The caller holds the mutex.
 func (e *Engine) loadReport() LoadReport {
 	l := e.life
 	l.loads.seq++
@@ -69,8 +69,8 @@
 	}
 }
 
-// runningCount is the number of attempts with a slot, or on a prefill engine
-// of those being computed.
+// runningCount returns the number of attempts with a slot; on a prefill engine,
+// the number of prefills being computed.
 func (e *Engine) runningCount() int {
 	if e.role() == config.RolePrefill {
 		return e.life.prefilling
@@ -78,13 +78,13 @@
 	return e.life.slotsUsed
 }
 
-// serveLoad answers GET /load with a report as old as the lag. The first
-// reports of a life are younger, for want of older ones.
+// serveLoad handles GET /load. The report is as old as the lag, or younger if
+// the incarnation is younger than the lag.
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	control.WriteJSON(w, http.StatusOK, e.laggingLoad())
 }
 
-// laggingLoad returns the report to publish now.
+// laggingLoad returns the load report that GET /load returns now.
 func (e *Engine) laggingLoad() LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,7 +102,7 @@
 	return out
 }
 
-// loadMetrics returns the fresh values for the ORCA header.
+// loadMetrics returns the current values for the ORCA header.
 func (e *Engine) loadMetrics() LoadMetrics {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/loopback_test.go
+++ b/standin/engine/loopback_test.go
@@ -17,7 +17,7 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// serve runs an engine on a loopback port until the test ends.
+// serve runs an engine on a loopback port until the end of the test.
 func serve(t *testing.T, id string, role config.Role) (*Engine, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,10 +34,10 @@
 	return e, server.URL
 }
 
-// TestOpenAIClient reads a prefill and a streamed chat over sockets with a
-// well-known client, and the KV cache goes over a socket too.
+// TestOpenAIClient runs a prefill and a streamed chat with the openai-go client
+// over sockets. The KV cache is transferred over a socket too.
 func TestOpenAIClient(t *testing.T) {
-	// Registered first, so that it runs after the servers are closed.
+	// Registered first, so that it runs last, after the servers are closed.
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	_, prefillURL := serve(t, "pf", config.RolePrefill)
 	decode, decodeURL := serve(t, "dc", config.RoleDecode)
@@ -73,10 +73,10 @@
 	}
 	assert.NilError(t, stream.Err())
 	assert.NilError(t, answer.Check(prompt, text, 5))
-	assert.Equal(t, decode.Judge().Totals.PromptComputed, 0) // it came over the link
+	assert.Equal(t, decode.Judge().Totals.PromptComputed, 0) // the KV was transferred
 }
 
-// rawJSON is JSON that is sent as it is.
+// rawJSON is JSON text that is marshaled verbatim.
 type rawJSON string
 
 // MarshalJSON implements json.Marshaler.
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -10,11 +10,11 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// maxHistory bounds the orders that GET /v1/orders lists.
+// maxHistory is the maximum number of orders that GET /v1/orders lists.
 const maxHistory = 64
 
-// placement is what the engine runs and the orders that made it so. It is
-// guarded by the engine's mutex.
+// placement is the engine's role, models, adapters and version, with the orders
+// that set them. The engine's mutex guards it.
 type placement struct {
 	role     config.Role
 	models   []string
@@ -22,15 +22,16 @@
 	version  string
 
 	highest uint64
-	// loading is the order that is being carried out, nil if none.
+	// loading is the order that is being applied, nil if none.
 	loading *Order
 	timer   *time.Timer
 	applied int
 	history []AppliedOrder
 }
 
-// servedModels returns the models for which work is taken: while an order is
-// carried out, those that stay.
+// servedModels returns the models for which the engine accepts requests. While
+// an order is being applied, these are the models that it keeps; there are none
+// if it changes the role or the version.
 func (p *placement) servedModels() []string {
 	if p.loading == nil {
 		return p.models
@@ -43,7 +44,8 @@
 	})
 }
 
-// target returns the order that describes what is in force or on its way.
+// target returns the order being applied or, if there is none, an order that
+// describes the current placement.
 func (p *placement) target() Order {
 	if p.loading != nil {
 		return *p.loading
@@ -51,20 +53,21 @@
 	return Order{Role: p.role, Models: p.models, Adapters: p.adapters, Version: p.version}
 }
 
-// sameContent reports whether two orders ask for the same.
+// sameContent reports whether two orders specify the same placement. It ignores
+// the fencing numbers.
 func (o Order) sameContent(other Order) bool {
 	return o.Role == other.Role && o.Version == other.Version &&
 		slices.Equal(o.Models, other.Models) && slices.Equal(o.Adapters, other.Adapters)
 }
 
-// close stops the order being carried out.
+// close stops the timer of the order being applied.
 func (p *placement) close() {
 	if p.timer != nil {
 		p.timer.Stop()
 	}
 }
 
-// servePostOrder answers POST /v1/orders.
+// servePostOrder handles POST /v1/orders.
 func (e *Engine) servePostOrder(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if !control.ReadJSON(w, r, &order) {
@@ -90,7 +93,8 @@
 	control.WriteJSON(w, http.StatusOK, out)
 }
 
-// take begins to carry out an order.
+// take records an order and starts applying it, unless it specifies the
+// placement that is current or being applied.
 func (e *Engine) take(order Order) {
 	p := &e.life.placement
 	changed := !order.sameContent(p.target())
@@ -108,8 +112,9 @@
 	p.timer = time.AfterFunc(e.cfg.LoadWeights, func() { e.loaded(&order) })
 }
 
-// loaded puts an order in force, unless another has taken its place. Running
-// generations go on; the prefix cache is of no more use.
+// loaded makes an order's placement current, unless a later order has replaced
+// it. Running generations continue. The prefix cache is cleared, because its
+// blocks belong to the former placement.
 func (e *Engine) loaded(order *Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -123,7 +128,7 @@
 	e.poke()
 }
 
-// serveGetOrders answers GET /v1/orders.
+// serveGetOrders handles GET /v1/orders.
 func (e *Engine) serveGetOrders(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	out := e.orders()
@@ -131,7 +136,7 @@
 	control.WriteJSON(w, http.StatusOK, out)
 }
 
-// orders describes the placement.
+// orders returns the placement and the latest orders.
 func (e *Engine) orders() OrdersResponse {
 	p := &e.life.placement
 	return OrdersResponse{
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -12,13 +12,13 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// order gives an engine an order.
+// order sends an order to an engine.
 func (b *bench) order(engine string, o Order) *http.Response {
 	b.t.Helper()
 	return b.send(b.t.Context(), http.MethodPost, engine, "/v1/orders", nil, o)
 }
 
-// orders reads an engine's placement.
+// orders reads an engine's placement and orders.
 func (b *bench) orders(engine string) OrdersResponse {
 	b.t.Helper()
 	return read[OrdersResponse](b.t, b.send(b.t.Context(), http.MethodGet, engine, "/v1/orders", nil, nil), 200)
@@ -66,19 +66,20 @@
 		}
 		read[OrdersResponse](t, b.order(decodeA, decodeOrder(1, "m", "n")), 200)
 		assert.Assert(t, b.orders(decodeA).Loading != nil)
-		assert.Equal(t, code("a1", "m"), control.Code("")) // it stays
+		assert.Equal(t, code("a1", "m"), control.Code("")) // m stays loaded
 		assert.Equal(t, code("a2", "n"), control.CodeModelNotFound)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		assert.Equal(t, code("a3", "n"), control.Code(""))
 
-		// The same order again changes nothing.
+		// An order with the same content changes nothing.
 		got := read[OrdersResponse](t, b.order(decodeA, decodeOrder(2, "m", "n")), 200)
 		assert.Assert(t, got.Loading == nil)
 		assert.Equal(t, got.Applied, 2)
 		assert.Equal(t, got.History[1].Changed, false)
 
-		// A change of role serves nothing until it is done; what runs goes on.
+		// A change of role refuses new requests until it is applied; running
+		// generations continue.
 		role := Order{Fence: 3, Role: config.RolePrefill, Models: []string{"m"}, Version: "v1"}
 		read[OrdersResponse](t, b.order(decodeA, role), 200)
 		assert.Equal(t, code("a4", "m"), control.CodeModelNotFound)
@@ -115,8 +116,8 @@
 	})
 }
 
-// TestOrderBack gives an order and then, before it is done, one that asks for
-// what is in force.
+// TestOrderBack sends an order and then, before it is applied, one for the
+// current placement. The first order must not take effect.
 func TestOrderBack(t *testing.T) {
 	inBench(t, nil, func(t *testing.T, b *bench) {
 		b.drain(b.order(decodeA, decodeOrder(1, "n")))
--- a/standin/engine/queue.go
+++ b/standin/engine/queue.go
@@ -2,11 +2,11 @@
 
 import "container/heap"
 
-// prefillQueue orders the waiting prefills: lower priority numbers first, then
-// in order of arrival.
+// prefillQueue holds the waiting prefills, ordered by priority number (lowest
+// first), then by arrival.
 type prefillQueue struct {
 	items  queueItems
-	tokens int // prompt tokens of all items
+	tokens int // total prompt tokens of all items
 }
 
 // len returns the number of waiting prefills.
@@ -18,7 +18,7 @@
 	q.tokens += a.promptTokens
 }
 
-// head returns the attempt to run next, nil if there is none.
+// head returns the attempt to run next, or nil if the queue is empty.
 func (q *prefillQueue) head() *attempt {
 	if len(q.items) == 0 {
 		return nil
@@ -26,7 +26,7 @@
 	return q.items[0]
 }
 
-// remove takes an attempt out; it does nothing if the attempt isn't in.
+// remove removes an attempt from the queue, if it is queued.
 func (q *prefillQueue) remove(a *attempt) {
 	for i, other := range q.items {
 		if other == a {
--- a/standin/engine/resume_test.go
+++ b/standin/engine/resume_test.go
@@ -13,7 +13,7 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// resume goes on with a stream after an event.
+// resume resumes a stream after an event.
 func (b *bench) resume(engine, attempt, lastEvent string) *http.Response {
 	b.t.Helper()
 	header := http.Header{}
@@ -33,7 +33,7 @@
 		assert.Assert(t, second.whole)
 		assert.NilError(t, answer.Check(prompt, first.text+second.text, 20))
 
-		// Also when it is over, and from the start.
+		// Resuming also works after the end of the generation and from the start.
 		again := collect(t, b.resume(decodeA, "a1", ""), 0)
 		assert.Assert(t, again.whole)
 		assert.NilError(t, answer.Check(prompt, again.text, 20))
@@ -43,7 +43,7 @@
 		assert.Equal(t, b.engines[decodeA].Judge().Totals.Generated, 20)
 
 		time.Sleep(DefaultRetention)
-		b.drain(b.post(b.t.Context(), decodeAsk(decodeA, "a2", "r2", prompt, 1, nil))) // lets it forget
+		b.drain(b.post(b.t.Context(), decodeAsk(decodeA, "a2", "r2", prompt, 1, nil))) // admission drops expired attempts
 		read[control.ErrorBody](t, b.resume(decodeA, "a1", ""), http.StatusNotFound)
 	})
 }
@@ -75,8 +75,9 @@
 	})
 }
 
-// TestContinueElsewhere loses an engine in mid-answer and goes on with another,
-// by itself or with the KV of a new prefill.
+// TestContinueElsewhere crashes an engine in the middle of an answer and
+// continues the generation on another engine, which prefills the prompt itself
+// or pulls the KV of a new prefill.
 func TestContinueElsewhere(t *testing.T) {
 	for name, withPrefill := range map[string]bool{"alone": false, "with prefill": true} {
 		t.Run(name, func(t *testing.T) {
--- a/standin/engine/session_test.go
+++ b/standin/engine/session_test.go
@@ -67,8 +67,8 @@
 		go func() { done <- collect(t, one, 0) }()
 		assert.Assert(t, collect(t, two, 0).whole)
 		assert.Assert(t, (<-done).whole)
-		// The first begins at 10 ms. The second has its KV at 22 ms and joins the
-		// step that begins at 30 ms. Eight steps are shared; each has two alone.
+		// The first starts at 10 ms. The second has its KV at 22 ms and joins the
+		// step that starts at 30 ms. They share eight steps, and each runs two alone.
 		assert.Equal(t, time.Since(start), 30*time.Millisecond+8*11*time.Millisecond+2*10*time.Millisecond)
 	})
 }
@@ -160,7 +160,7 @@
 		}()
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		b.held(prefillA, 1, 4) // on its way, so it doesn't expire
+		b.held(prefillA, 1, 4) // being sent, so it doesn't expire
 		b.held(decodeA, 1, 5)
 		b.engines[prefillA].SetFaults(control.EngineFaults{})
 		got := <-done
@@ -168,20 +168,21 @@
 	})
 }
 
-// TestShortPromptsShareAStep starts one generation and then four short prompts
-// with prefills of their own: they fit one step's chunk of five tokens.
+// TestShortPromptsShareAStep starts a generation and then four short prompts
+// that are prefilled on the same engine. They fit into the prefill chunk of one
+// step, which is five tokens.
 func TestShortPromptsShareAStep(t *testing.T) {
 	slots := func(c *Config) { c.Perf.Slots = 5 }
 	inBench(t, slots, func(t *testing.T, b *bench) {
 		b.begin(decodeAsk(decodeA, "a0", "r0", words("p", 5), 20, nil))
-		time.Sleep(6 * time.Millisecond) // in the first step of the generation
+		time.Sleep(6 * time.Millisecond) // during the first step of the generation
 		for _, id := range []string{"a1", "a2", "a3", "a4"} {
 			b.begin(decodeAsk(decodeA, id, id, words(id, 1), 5, nil))
 		}
-		time.Sleep(9 * time.Millisecond) // at 15 ms the next step begins
+		time.Sleep(9 * time.Millisecond) // the next step starts at 15 ms
 		synctest.Wait()
 		assert.Equal(t, b.engines[decodeA].Judge().Totals.PrefillRuns, 5)
-		time.Sleep(14 * time.Millisecond) // a step and four prompt tokens
+		time.Sleep(14 * time.Millisecond) // duration of a step and four prompt tokens
 		synctest.Wait()
 		assert.Equal(t, b.engines[decodeA].Judge().Totals.DecodeRuns, 5)
 	})
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -11,15 +11,15 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// reader is the one connection that reads an attempt's answer.
+// reader is the single connection that reads an attempt's answer.
 type reader struct {
-	// changed has a token when there may be news.
+	// changed signals that the attempt's progress may have changed.
 	changed chan struct{}
-	// replaced is closed when another reader takes over.
+	// replaced is closed when another reader replaces this one.
 	replaced chan struct{}
 }
 
-// poke tells the reader that there may be news.
+// poke signals the reader that the attempt's progress may have changed.
 func (rd *reader) poke() {
 	select {
 	case rd.changed <- struct{}{}:
@@ -27,14 +27,14 @@
 	}
 }
 
-// progress is how far an attempt's generation has come.
+// progress is a snapshot of an attempt's progress.
 type progress struct {
-	next    int // tokens before this offset are generated
+	next    int // offset of the next token to generate
 	over    bool
-	failure *failure // why it ended early, nil otherwise
+	failure *failure // reason for an early end, nil otherwise
 }
 
-// attach makes a new reader the attempt's only one.
+// attach adds a reader to the attempt and replaces the previous one, if any.
 func (e *Engine) attach(a *attempt) *reader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,7 +45,7 @@
 	return a.reader
 }
 
-// detach drops the reader unless another has taken over.
+// detach removes the reader, unless another one has replaced it.
 func (e *Engine) detach(a *attempt, rd *reader) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,15 +54,15 @@
 	}
 }
 
-// progress returns how far a's generation has come.
+// progress returns a snapshot of a's progress.
 func (e *Engine) progress(a *attempt) progress {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return progress{next: a.next, over: !a.running(), failure: a.failure}
 }
 
-// serveResume answers GET /v1/streams/{attempt}: it goes on with a stream after
-// the event named by Last-Event-ID, or from its start.
+// serveResume handles GET /v1/streams/{attempt}: it resumes a stream after the
+// event named by Last-Event-ID, or from the start if there is none.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	id := mux.Vars(r)["attempt"]
 	e.mu.Lock()
@@ -85,8 +85,9 @@
 	e.stream(w, r, a, from)
 }
 
-// resumeOffset returns the offset after the event with the given ID, and false
-// if the attempt has no such event. An empty ID stands for none received.
+// resumeOffset returns the token offset after the event with the given ID, or
+// false if the attempt has no such event. An empty ID means that no event was
+// received.
 func (a *attempt) resumeOffset(event string) (int, bool) {
 	if event == "" {
 		return a.from, true
@@ -99,8 +100,8 @@
 	return n + 1, true
 }
 
-// stream sends the tokens from an offset on as server-sent events, as they are
-// generated.
+// stream sends the tokens from an offset on as server-sent events while they
+// are generated.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, a *attempt, from int) {
 	rd := e.attach(a)
 	defer e.detach(a, rd)
@@ -138,16 +139,16 @@
 	w       http.ResponseWriter
 	control *http.ResponseController
 	a       *attempt
-	// head and tail enclose the token in the JSON of a chunk; lastTail is the
-	// tail of the last one.
+	// head and tail are the JSON of a chunk before and after its token; lastTail
+	// is the tail of the last chunk.
 	head, tail, lastTail string
 	buf                  []byte
 }
 
-// tokenMark stands for the token in the JSON from which head and tail are cut.
+// tokenMark is the placeholder for the token in the JSON template of a chunk.
 const tokenMark = "@"
 
-// newEventStream sends the head of the response.
+// newEventStream writes the response header and returns the stream.
 func newEventStream(w http.ResponseWriter, a *attempt) *eventStream {
 	s := &eventStream{w: w, control: http.NewResponseController(w), a: a}
 	s.head, s.tail = splitAtToken(a.chunk(nil))
@@ -160,17 +161,17 @@
 	return s
 }
 
-// splitAtToken cuts the JSON of a chunk at its token. The ID and the model are
-// marshaled in it too and may hold the mark, so the last one counts: the token
-// comes after them.
+// splitAtToken splits the JSON of a chunk at the token's placeholder. It uses
+// the last occurrence, because the ID and the model come before the token and
+// may contain the placeholder too.
 func splitAtToken(chunk CompletionResponse) (head, tail string) {
-	// A chunk has no member that can fail to marshal.
+	// A chunk has no field that can fail to marshal.
 	text, _ := json.Marshal(chunk)
 	at := strings.LastIndex(string(text), tokenMark)
 	return string(text[:at]), string(text[at+len(tokenMark):])
 }
 
-// chunk returns one chunk of the streamed answer, with tokenMark as its token.
+// chunk returns a chunk of the streamed answer with tokenMark as its token.
 func (a *attempt) chunk(finish *string) CompletionResponse {
 	out := CompletionResponse{ID: a.id, Created: a.since.Unix(), Model: a.model}
 	choice := Choice{FinishReason: finish}
@@ -186,7 +187,7 @@
 	return out
 }
 
-// token adds the event of one token to the buffer.
+// token appends the event of one token to the buffer.
 func (s *eventStream) token(offset int) {
 	tail := s.tail
 	if offset == s.a.to-1 {
@@ -203,7 +204,7 @@
 	s.buf = append(s.buf, "\n\n"...)
 }
 
-// flush sends what is in the buffer.
+// flush sends the buffer.
 func (s *eventStream) flush() error {
 	if _, err := s.w.Write(s.buf); err != nil {
 		return err
@@ -212,8 +213,8 @@
 	return s.control.Flush()
 }
 
-// finish ends the stream: a whole answer by its usage and the end mark, an
-// aborted one by an error event, and one that failed by a closed connection.
+// finish ends the stream. A complete answer ends with its usage and [DONE], an
+// aborted one with an error event, and a failed one with a closed connection.
 func (s *eventStream) finish(p progress) {
 	switch {
 	case p.failure == nil:
@@ -229,15 +230,16 @@
 	case p.failure == &failureAborted:
 		s.data(control.NewError(p.failure.status, p.failure.code, p.failure.message))
 	default:
-		// What was generated is sent first, as by an engine that dies.
+		// Send the generated tokens first, as an engine does that fails later.
 		_ = s.flush()
 		control.Drop()
 	}
-	// A reader that has left is not the engine's concern.
+	// Ignore the error: the reader has disconnected, which doesn't affect the
+	// attempt.
 	_ = s.flush()
 }
 
-// data adds an event without an ID to the buffer.
+// data appends an event without an ID to the buffer.
 func (s *eventStream) data(v any) {
 	text, _ := json.Marshal(v)
 	s.buf = append(s.buf, "data: "...)
--- a/standin/engine/transfer.go
+++ b/standin/engine/transfer.go
@@ -6,8 +6,8 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// transfers carries prefill results out of the engine over its link. It is
-// guarded by the engine's mutex.
+// transfers simulates the transfers of prefill results from this engine over
+// its network link. The engine's mutex guards it.
 type transfers struct {
 	engine *Engine
 	life   *life
@@ -17,16 +17,17 @@
 	flows  map[perf.FlowID]*flow
 }
 
-// flow is one transfer in flight.
+// flow is a transfer in progress.
 type flow struct {
 	id perf.FlowID
 	a  *attempt
-	// done is closed at the end; sent then tells whether all was sent.
+	// done is closed at the end of the transfer; sent is then true if all bytes
+	// were sent.
 	done chan struct{}
 	sent bool
 }
 
-// newTransfers returns the transfers of a new life.
+// newTransfers returns an empty set of transfers for a new incarnation.
 func newTransfers(e *Engine, l *life) *transfers {
 	t := &transfers{
 		engine: e,
@@ -39,7 +40,7 @@
 	return t
 }
 
-// linkRate returns the link's present rate, in bytes per second.
+// linkRate returns the link's current rate, in bytes per second.
 func (e *Engine) linkRate() float64 {
 	if e.faults.StallTransfers {
 		return 0
@@ -47,10 +48,11 @@
 	return e.cfg.Perf.LinkBytesPerSecond
 }
 
-// now returns the link's time.
+// now returns the current time as the link's time offset.
 func (t *transfers) now() time.Duration { return time.Since(t.engine.started) }
 
-// start begins to send a held prefill result, which can't expire meanwhile.
+// start begins to send a held prefill result. The result doesn't expire during
+// the transfer.
 func (t *transfers) start(a *attempt) *flow {
 	a.stage = StageSending
 	a.timer.Stop()
@@ -62,8 +64,8 @@
 	return f
 }
 
-// giveUp ends a transfer whose receiver has left. The result is held again for
-// what remains of its lifetime.
+// giveUp cancels a transfer whose receiver has disconnected. The result is held
+// again for the rest of its lifetime.
 func (t *transfers) giveUp(f *flow) {
 	if t.flows[f.id] != f {
 		return
@@ -77,7 +79,7 @@
 	f.a.timer.Reset(max(time.Until(f.a.expires), 0))
 }
 
-// cancel ends the transfer of an attempt, if there is one.
+// cancel cancels the transfer of an attempt, if there is one.
 func (t *transfers) cancel(a *attempt) {
 	for _, f := range t.flows {
 		if f.a == a {
@@ -88,7 +90,7 @@
 	}
 }
 
-// drop takes a transfer out and tells its waiter.
+// drop removes a transfer and closes its done channel.
 func (t *transfers) drop(f *flow, sent bool) {
 	t.link.Remove(t.now(), f.id)
 	delete(t.flows, f.id)
@@ -96,13 +98,14 @@
 	close(f.done)
 }
 
-// setRate follows a change of the link's rate.
+// setRate changes the link's rate, in bytes per second.
 func (t *transfers) setRate(rate float64) {
 	t.link.SetRate(t.now(), rate)
 	t.settle()
 }
 
-// settle completes the transfers that are done and sets the timer for the next.
+// settle completes the transfers that have sent all bytes and sets the timer
+// for the next completion.
 func (t *transfers) settle() {
 	for _, id := range t.link.Finished(t.now()) {
 		f := t.flows[id]
@@ -118,7 +121,7 @@
 	t.timer.Reset(max(next-t.now(), 0))
 }
 
-// onTimer runs when the next transfer should be done.
+// onTimer runs at the expected completion of the next transfer.
 func (t *transfers) onTimer() {
 	t.engine.mu.Lock()
 	defer t.engine.mu.Unlock()
@@ -127,5 +130,5 @@
 	}
 }
 
-// close stops the timer. All transfers have been cancelled before.
+// close stops the timer. The caller has cancelled all transfers before.
 func (t *transfers) close() { t.timer.Stop() }
--- a/standin/engine/wire.go
+++ b/standin/engine/wire.go
@@ -10,41 +10,43 @@
 const (
 	// HeaderAttempt carries the attempt ID.
 	HeaderAttempt = "X-Request-Id"
-	// HeaderCorrelation carries the request ID, the same for all attempts.
+	// HeaderCorrelation carries the request ID, which all attempts of a request
+	// share.
 	HeaderCorrelation = "X-Correlation-Id"
-	// HeaderLastEvent carries the ID of the last stream event received.
+	// HeaderLastEvent carries the ID of the last event received of a stream.
 	HeaderLastEvent = "Last-Event-ID"
-	// HeaderLoad is the ORCA load report on every response.
+	// HeaderLoad carries the ORCA load report in every response.
 	HeaderLoad = "endpoint-load-metrics"
 )
 
-// CompletionRequest is the body of POST /v1/completions and of
-// POST /v1/chat/completions; the first takes Prompt, the second Messages.
+// CompletionRequest is the body of POST /v1/completions, which reads Prompt,
+// and of POST /v1/chat/completions, which reads Messages.
 type CompletionRequest struct {
 	Model    string           `json:"model"`
 	Prompt   string           `json:"prompt,omitempty"`
 	Messages []tokens.Message `json:"messages,omitempty"`
-	// MaxTokens is the length of the whole answer, in tokens.
+	// MaxTokens is the length of the complete answer, in tokens.
 	MaxTokens           int  `json:"max_tokens,omitempty"`
 	MaxCompletionTokens int  `json:"max_completion_tokens,omitempty"`
 	Stream              bool `json:"stream,omitempty"`
-	// Priority orders waiting prefills; lower runs earlier.
+	// Priority orders the prefill queue; lower numbers run earlier.
 	Priority         int               `json:"priority,omitempty"`
 	KVTransferParams *KVTransferParams `json:"kv_transfer_params,omitempty"`
 	// ContinueFrom is an extension: the first ContinueFrom tokens of the
-	// answer are known already; they are prefilled with the prompt, and the
-	// generation goes on with the next one.
+	// answer are already known. They are prefilled with the prompt, and the
+	// generation continues with the next token.
 	ContinueFrom int `json:"continue_from,omitempty"`
 }
 
-// KVTransferParams are vLLM's published parameters of a KV transfer.
+// KVTransferParams holds vLLM's published parameters of a KV transfer.
 type KVTransferParams struct {
 	DoRemoteDecode  bool   `json:"do_remote_decode"`
 	DoRemotePrefill bool   `json:"do_remote_prefill"`
 	RemoteEngineID  string `json:"remote_engine_id,omitempty"`
 	RemoteRequestID string `json:"remote_request_id,omitempty"`
-	// RemoteBlockIDs name the KV blocks; they are unique in one life of an
-	// engine, so that the first of them finds the prefill result.
+	// RemoteBlockIDs identify the KV blocks. They are unique within an
+	// incarnation of an engine, so that the first one identifies the prefill
+	// result.
 	RemoteBlockIDs []int64 `json:"remote_block_ids,omitempty"`
 	RemoteHost     string  `json:"remote_host,omitempty"`
 	RemotePort     int     `json:"remote_port,omitempty"`
@@ -58,12 +60,12 @@
 	PromptTokensDetails *UsageDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// UsageDetails tells how much of a prompt came from the prefix cache.
+// UsageDetails counts the prompt tokens found in the prefix cache.
 type UsageDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// CompletionResponse is a whole completion, or one chunk of a streamed one.
+// CompletionResponse is a complete answer, or one chunk of a streamed one.
 type CompletionResponse struct {
 	ID               string            `json:"id"`
 	Object           string            `json:"object"`
@@ -74,8 +76,8 @@
 	KVTransferParams *KVTransferParams `json:"kv_transfer_params,omitempty"`
 }
 
-// Choice is the only choice of a completion. Text is for completions, Message
-// for whole chats and Delta for streamed ones.
+// Choice is the only choice of a completion. Completions use Text, chats use
+// Message and streamed chats use Delta.
 type Choice struct {
 	Index        int             `json:"index"`
 	Text         *string         `json:"text,omitempty"`
@@ -84,7 +86,7 @@
 	FinishReason *string         `json:"finish_reason"`
 }
 
-// Delta is what one chunk adds to a streamed chat message.
+// Delta is the part that one chunk adds to a streamed chat message.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
@@ -96,56 +98,59 @@
 	RID string `json:"rid"`
 }
 
-// AbortResponse answers POST /abort_request.
+// AbortResponse is the response to POST /abort_request.
 type AbortResponse struct {
 	// Released is true if this call released something.
 	Released bool `json:"released"`
 }
 
-// PullRequest is the body of POST /v1/kv/pull, which one engine sends another.
+// PullRequest is the body of POST /v1/kv/pull, which a decode engine sends to a
+// prefill engine.
 type PullRequest struct {
 	RemoteEngineID  string  `json:"remote_engine_id"`
 	RemoteRequestID string  `json:"remote_request_id"`
 	RemoteBlockIDs  []int64 `json:"remote_block_ids"`
 }
 
-// PullResponse answers POST /v1/kv/pull when the transfer is done.
+// PullResponse is the response to POST /v1/kv/pull after a complete transfer.
 type PullResponse struct {
 	PromptTokens int `json:"prompt_tokens"`
-	// ComputedTokens and CachedTokens tell how the prompt's KV came about.
+	// ComputedTokens and CachedTokens count the prompt tokens that the prefill
+	// computed and that it found in the prefix cache.
 	ComputedTokens int   `json:"computed_tokens"`
 	CachedTokens   int   `json:"cached_tokens"`
 	Bytes          int64 `json:"bytes"`
 }
 
-// HeldRequest is one attempt that the engine holds.
+// HeldRequest is an attempt that has not ended.
 type HeldRequest struct {
 	ID            string `json:"id"`
 	CorrelationID string `json:"correlation_id"`
 	Stage         Stage  `json:"stage"`
 	// Pieces is the KV memory held, in pieces.
 	Pieces int `json:"pieces"`
-	// SinceMS is when the attempt was taken in, in Unix milliseconds.
+	// SinceMS is the arrival time of the attempt, in Unix milliseconds.
 	SinceMS int64 `json:"since_ms"`
 }
 
-// RequestsResponse answers GET /v1/requests.
+// RequestsResponse is the response to GET /v1/requests.
 type RequestsResponse struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Role        config.Role       `json:"role"`
 	Requests    []HeldRequest     `json:"requests"`
 }
 
-// LoadReport answers GET /load. It is as old as the engine's configured lag.
+// LoadReport is the response to GET /load. It is as old as Config.LoadLag.
 type LoadReport struct {
-	// Seq rises with each report made.
+	// Seq increases with each report made.
 	Seq uint64 `json:"seq"`
-	// AtMS is when the report was made, in Unix milliseconds.
+	// AtMS is the time of the report, in Unix milliseconds.
 	AtMS        int64             `json:"at_ms"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Role        config.Role       `json:"role"`
 	Models      []string          `json:"models"`
-	// Running counts attempts with a slot, Waiting those in the prefill queue.
+	// Running counts attempts with a slot (on a prefill engine, prefills being
+	// computed), Waiting those in the prefill queue.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	Slots   int `json:"slots"`
@@ -156,13 +161,13 @@
 	Draining      bool `json:"draining"`
 }
 
-// LoadMetrics is the JSON form of the ORCA load header, of which the values
-// are always fresh.
+// LoadMetrics is the JSON form of the ORCA load header. Its values are always
+// current.
 type LoadMetrics struct {
 	NamedMetrics NamedMetrics `json:"named_metrics"`
 }
 
-// NamedMetrics are the metrics of the ORCA load header. The first three have
+// NamedMetrics holds the metrics of the ORCA load header. The first three have
 // vLLM's names.
 type NamedMetrics struct {
 	KVCacheUsage    float64 `json:"kv_cache_usage_perc"`
@@ -172,7 +177,7 @@
 	WaitingTokens   int     `json:"waiting_tokens"`
 	PiecesUsed      int     `json:"pieces_used"`
 	PiecesTotal     int     `json:"pieces_total"`
-	// Draining is 1 while the engine leaves, otherwise 0.
+	// Draining is 1 while the engine is draining, otherwise 0.
 	Draining    int               `json:"draining"`
 	Seq         uint64            `json:"seq"`
 	AtMS        int64             `json:"at_ms"`
@@ -189,19 +194,20 @@
 	Version  string      `json:"version"`
 }
 
-// AppliedOrder is an order that the engine took.
+// AppliedOrder is an order that the engine accepted.
 type AppliedOrder struct {
 	Order
-	// AtMS is when it was taken, in Unix milliseconds.
+	// AtMS is the time of acceptance, in Unix milliseconds.
 	AtMS int64 `json:"at_ms"`
-	// Changed is false if it only repeated what was in force or on its way.
+	// Changed is false if the order only repeated the placement that was
+	// current or being applied.
 	Changed bool `json:"changed"`
 }
 
-// OrdersResponse answers GET and POST /v1/orders.
+// OrdersResponse is the response to GET and POST /v1/orders.
 type OrdersResponse struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
-	// Role, Models, Adapters and Version are in force now.
+	// Role, Models, Adapters and Version describe the current placement.
 	Role     config.Role `json:"role"`
 	Models   []string    `json:"models"`
 	Adapters []string    `json:"adapters"`
@@ -209,24 +215,25 @@
 	// Highest is the highest fencing number seen.
 	Highest       uint64 `json:"highest"`
 	ChecksFencing bool   `json:"checks_fencing"`
-	// Loading is the order on its way, nil if none.
+	// Loading is the order being applied, nil if none.
 	Loading *Order `json:"loading,omitempty"`
-	// Applied counts all orders taken; History lists the latest, oldest first.
+	// Applied counts all accepted orders; History lists the latest ones, oldest
+	// first.
 	Applied int            `json:"applied"`
 	History []AppliedOrder `json:"history"`
 }
 
-// CacheEventType is vLLM's name of a cache event.
+// CacheEventType is the type of a cache event, by vLLM's name.
 type CacheEventType string
 
-// The cache events.
+// Types of cache events.
 const (
 	BlockStored      CacheEventType = "BlockStored"
 	BlockRemoved     CacheEventType = "BlockRemoved"
 	AllBlocksCleared CacheEventType = "AllBlocksCleared"
 )
 
-// CacheEvent is one change of the prefix cache.
+// CacheEvent is a change of the prefix cache.
 type CacheEvent struct {
 	Type        CacheEventType     `json:"type"`
 	BlockHashes []tokens.BlockHash `json:"block_hashes,omitempty"`
@@ -236,26 +243,27 @@
 	BlockSize int `json:"block_size,omitempty"`
 }
 
-// CacheBatch is the cache events of one change, under one sequence number. A
-// missing number is a gap: the reader reads GET /v1/cache_blocks.
+// CacheBatch holds the cache events of one change under one sequence number. If
+// a number is missing, batches were lost and the reader must read the snapshot
+// at GET /v1/cache_blocks.
 type CacheBatch struct {
 	Seq uint64 `json:"seq"`
-	// AtMS is when the change happened, in Unix milliseconds.
+	// AtMS is the time of the change, in Unix milliseconds.
 	AtMS   int64        `json:"at_ms"`
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheEventsResponse answers GET /v1/cache_events.
+// CacheEventsResponse is the response to GET /v1/cache_events.
 type CacheEventsResponse struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
-	// LastSeq is the sequence number of the last published batch. A reader
-	// ahead of it has met a new incarnation.
+	// LastSeq is the sequence number of the last published batch. If it is lower
+	// than the reader's, the engine has a new incarnation.
 	LastSeq uint64       `json:"last_seq"`
 	Batches []CacheBatch `json:"batches"`
 }
 
-// CacheBlocksResponse answers GET /v1/cache_blocks: the blocks held after the
-// change with number Seq, published or not.
+// CacheBlocksResponse is the response to GET /v1/cache_blocks: the cached
+// blocks after the change with number Seq, whether published or not.
 type CacheBlocksResponse struct {
 	Incarnation ident.Incarnation  `json:"incarnation"`
 	Seq         uint64             `json:"seq"`
