--- a/standin/engine/abort.go
+++ b/standin/engine/abort.go
@@ -15,37 +15,37 @@
 
 // tombstones records the IDs of attempts that were aborted before they arrived.
 type tombstones struct {
-	until map[string]time.Time
-	order []string // oldest first; may contain IDs that are no longer in until
+	expiresAt map[string]time.Time
+	order     []string // oldest first; may contain IDs that are no longer in until
 }
 
 // newTombstones returns an empty record.
 func newTombstones() *tombstones {
-	return &tombstones{until: make(map[string]time.Time)}
+	return &tombstones{expiresAt: make(map[string]time.Time)}
 }
 
 // add records an attempt ID and drops entries that have expired or exceed
 // maxTombstones, oldest first.
 func (t *tombstones) add(id string, now time.Time) {
-	if _, known := t.until[id]; !known {
+	if _, known := t.expiresAt[id]; !known {
 		t.order = append(t.order, id)
 	}
-	t.until[id] = now.Add(tombstoneLifetime)
+	t.expiresAt[id] = now.Add(tombstoneLifetime)
 	for len(t.order) > 0 {
 		oldest := t.order[0]
-		until, known := t.until[oldest]
+		until, known := t.expiresAt[oldest]
 		if known && until.After(now) && len(t.order) <= maxTombstones {
 			return
 		}
-		delete(t.until, oldest)
+		delete(t.expiresAt, oldest)
 		t.order = t.order[1:]
 	}
 }
 
-// take reports whether an attempt ID was aborted before it arrived. The entry
-// is kept, because the same attempt may arrive twice.
-func (t *tombstones) take(id string, now time.Time) bool {
-	until, known := t.until[id]
+// contains reports whether an attempt ID was aborted before it arrived. The
+// entry is kept, because the same attempt may arrive twice.
+func (t *tombstones) contains(id string, now time.Time) bool {
+	until, known := t.expiresAt[id]
 	return known && until.After(now)
 }
 
@@ -68,12 +68,12 @@
 func (e *Engine) abort(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	a := e.life.attempts[id]
+	a := e.state.attempts[id]
 	if a == nil {
-		e.life.tombstones.add(id, time.Now())
+		e.state.tombstones.add(id, time.Now())
 	}
 	if a == nil || !a.running() {
-		e.ledger.abortMissed()
+		e.ledger.abortUnknown()
 		return false
 	}
 	e.ledger.aborted(a)
--- a/standin/engine/abort_test.go
+++ b/standin/engine/abort_test.go
@@ -17,12 +17,12 @@
 )
 
 func TestAbortBeforeArrival(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
 		assert.Equal(t, b.abort(prefillA, "a1"), false)
 		assert.Equal(t, b.abort(prefillA, "a1"), false)
 		for range 2 {
-			resp := b.post(b.t.Context(), prefillAsk(prefillA, "a1", "r1", words("p", 10)))
-			got := read[control.ErrorBody](t, resp, http.StatusConflict)
+			resp := b.post(b.t.Context(), prefillRequest(prefillA, "a1", "r1", makePrompt("p", 10)))
+			got := readJSON[control.ErrorBody](t, resp, http.StatusConflict)
 			assert.Equal(t, got.Error.Code, control.CodeAbortedEarly)
 			assert.Assert(t, got.Error.Code.Attested())
 		}
@@ -46,8 +46,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(string(tt.stage), func(t *testing.T) {
-			inBench(t, nil, func(t *testing.T, b *bench) {
-				b.begin(prefillAsk(prefillA, "a1", "r1", words("p", 40)))
+			withTestBed(t, nil, func(t *testing.T, b *testBed) {
+				b.postAsync(prefillRequest(prefillA, "a1", "r1", makePrompt("p", 40)))
 				time.Sleep(tt.after)
 				assertAborted(t, b, tt.engine, "a1", tt.stage)
 				assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptWasted, tt.wasted)
@@ -57,16 +57,16 @@
 }
 
 func TestAbortQueued(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		b.begin(prefillAsk(prefillA, "a1", "r1", words("p", 40)))
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		b.postAsync(prefillRequest(prefillA, "a1", "r1", makePrompt("p", 40)))
 		synctest.Wait()
 		refused := make(chan control.ErrorBody)
 		go func() {
-			resp := b.post(b.t.Context(), prefillAsk(prefillA, "a2", "r2", words("q", 40)))
-			refused <- read[control.ErrorBody](t, resp, http.StatusConflict)
+			resp := b.post(b.t.Context(), prefillRequest(prefillA, "a2", "r2", makePrompt("q", 40)))
+			refused <- readJSON[control.ErrorBody](t, resp, http.StatusConflict)
 		}()
 		synctest.Wait()
-		assert.Equal(t, b.engines[prefillA].requests().Requests[1].Stage, StageQueued)
+		assert.Equal(t, b.engines[prefillA].heldRequests().Requests[1].Stage, StageQueued)
 		assert.Assert(t, b.abort(prefillA, "a2"))
 		assert.Equal(t, (<-refused).Error.Code, control.CodeAborted)
 		time.Sleep(2 * time.Second)
@@ -77,19 +77,19 @@
 func TestAbortDuringTransfer(t *testing.T) {
 	for _, side := range []string{prefillA, decodeA} {
 		t.Run(side, func(t *testing.T) {
-			inBench(t, nil, func(t *testing.T, b *bench) {
-				kv := b.prefill(prefillA, "a1", "r1", words("p", 40))
-				b.begin(decodeAsk(decodeA, "a1", "r1", words("p", 40), 5, kv))
+			withTestBed(t, nil, func(t *testing.T, b *testBed) {
+				kv := b.prefill(prefillA, "a1", "r1", makePrompt("p", 40))
+				b.postAsync(decodeRequest(decodeA, "a1", "r1", makePrompt("p", 40), 5, kv))
 				time.Sleep(20 * time.Millisecond)
 				stage := StageSending
 				if side == decodeA {
 					stage = StageReceiving
 				}
 				assertAborted(t, b, side, "a1", stage)
-				b.held(decodeA, 0, 0)
+				b.assertHeld(decodeA, 0, 0)
 				time.Sleep(time.Second) // until the prefill result has expired
 				synctest.Wait()
-				b.held(prefillA, 0, 0)
+				b.assertHeld(prefillA, 0, 0)
 				assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptWasted, 40)
 				assert.Equal(t, b.engines[decodeA].Judge().Totals.DecodeRuns, 0)
 			})
@@ -98,16 +98,16 @@
 }
 
 func TestAbortWhileGenerating(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		prompt := words("p", 40)
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		prompt := makePrompt("p", 40)
 		kv := b.prefill(prefillA, "a1", "r1", prompt)
-		resp := b.post(b.t.Context(), decodeAsk(decodeA, "a2", "r1", prompt, 50, kv))
-		done := make(chan streamed)
-		go func() { done <- collect(t, resp, 0) }()
+		resp := b.post(b.t.Context(), decodeRequest(decodeA, "a2", "r1", prompt, 50, kv))
+		done := make(chan streamResult)
+		go func() { done <- readStream(t, resp, 0) }()
 		time.Sleep(35 * time.Millisecond)
 		assertAborted(t, b, decodeA, "a2", StageDecode)
 		got := <-done
-		assert.Equal(t, got.whole, false)
+		assert.Equal(t, got.complete, false)
 		assert.Equal(t, got.code, control.CodeAborted)
 		assert.NilError(t, answer.Check(prompt, got.text, 3))
 		time.Sleep(time.Second)
@@ -117,27 +117,27 @@
 
 // assertAborted asserts that an attempt is in a stage, aborts it twice and
 // asserts that its engine holds nothing afterwards.
-func assertAborted(t *testing.T, b *bench, engine, attempt string, stage Stage) {
+func assertAborted(t *testing.T, b *testBed, engine, attempt string, stage Stage) {
 	t.Helper()
 	synctest.Wait()
-	held := b.engines[engine].requests().Requests
+	held := b.engines[engine].heldRequests().Requests
 	assert.Equal(t, len(held), 1)
 	assert.Equal(t, held[0].Stage, stage)
 	assert.Assert(t, b.abort(engine, attempt))
 	assert.Equal(t, b.abort(engine, attempt), false)
 	synctest.Wait()
-	b.held(engine, 0, 0)
+	b.assertHeld(engine, 0, 0)
 	time.Sleep(10 * time.Millisecond)
 	synctest.Wait()
-	b.held(engine, 0, 0)
+	b.assertHeld(engine, 0, 0)
 }
 
 func TestDisconnectDoesNotAbort(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		prompt := words("p", 10)
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		prompt := makePrompt("p", 10)
 		ctx, cancel := context.WithCancel(b.t.Context())
-		resp := b.post(ctx, decodeAsk(decodeA, "a1", "r1", prompt, 20, nil))
-		assert.Assert(t, collect(t, resp, 3).text != "")
+		resp := b.post(ctx, decodeRequest(decodeA, "a1", "r1", prompt, 20, nil))
+		assert.Assert(t, readStream(t, resp, 3).text != "")
 		cancel()
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -151,10 +151,10 @@
 func TestNothingHeldAtQuiescence(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			inBench(t, nil, func(t *testing.T, b *bench) {
+			withTestBed(t, nil, func(t *testing.T, b *testBed) {
 				random := rand.New(rand.NewPCG(seed, seed))
 				for i := range 60 {
-					disturb(b, random, i)
+					randomAction(b, random, i)
 					time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 				}
 				for _, e := range b.engines {
@@ -162,35 +162,35 @@
 				}
 				time.Sleep(time.Minute)
 				synctest.Wait()
-				assertAccounts(t, b)
+				assertConsistentCounts(t, b)
 			})
 		})
 	}
 }
 
-// assertAccounts asserts that nothing is held and that each computed prompt
-// token was either used or counted as waste exactly once. Since each request of
-// the test has one prefill, the totals of the engines and the merged summary
-// must agree.
-func assertAccounts(t *testing.T, b *bench) {
+// assertConsistentCounts asserts that nothing is held and that each computed
+// prompt token was either used or counted as waste exactly once. Since each
+// request of the test has one prefill, the totals of the engines and the merged
+// summary must agree.
+func assertConsistentCounts(t *testing.T, b *testBed) {
 	t.Helper()
 	var reports []judge.Engine
 	wasted, computed := 0, 0
 	for id, e := range b.engines {
-		b.held(id, 0, 0)
+		b.assertHeld(id, 0, 0)
 		report := e.Judge()
 		reports = append(reports, report)
 		wasted += report.Totals.PromptWasted
 		computed += report.Totals.PromptComputed
 	}
-	both := judge.Merge(reports)
-	assert.Equal(t, both.PromptComputed, computed)
-	assert.Equal(t, both.PromptWasted, wasted)
-	assert.Equal(t, both.CompletedTwice, 0)
+	summary := judge.Merge(reports)
+	assert.Equal(t, summary.PromptComputed, computed)
+	assert.Equal(t, summary.PromptWasted, wasted)
+	assert.Equal(t, summary.CompletedTwice, 0)
 }
 
-// disturb starts a random request, or injects a random abort or fault.
-func disturb(b *bench, random *rand.Rand, i int) {
+// randomAction starts a random request, or injects a random abort or fault.
+func randomAction(b *testBed, random *rand.Rand, i int) {
 	id := strconv.Itoa(i)
 	prefill := []string{prefillA, prefillB}[random.IntN(2)]
 	decode := []string{decodeA, decodeB}[random.IntN(2)]
@@ -209,21 +209,21 @@
 	case 4:
 		b.engines[decode].SetFaults(control.EngineFaults{FailAfterTokens: random.IntN(4)})
 	default:
-		prompt := words(id, 1+random.IntN(60))
-		go pair(b, prefill, decode, id, prompt)
+		prompt := makePrompt(id, 1+random.IntN(60))
+		go prefillThenDecode(b, prefill, decode, id, prompt)
 	}
 }
 
-// pair runs a prefill and its decode; either may fail.
-func pair(b *bench, prefill, decode, id, prompt string) {
+// prefillThenDecode runs a prefill and its decode; either may fail.
+func prefillThenDecode(b *testBed, prefill, decode, id, prompt string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	resp := b.post(ctx, prefillAsk(prefill, id, id, prompt))
+	resp := b.post(ctx, prefillRequest(prefill, id, id, prompt))
 	if resp == nil || resp.StatusCode != http.StatusOK {
 		b.drain(resp)
 		return
 	}
-	kv := read[CompletionResponse](b.t, resp, http.StatusOK).KVTransferParams
-	resp = b.post(ctx, decodeAsk(decode, id, id, prompt, 20, kv))
+	kv := readJSON[CompletionResponse](b.t, resp, http.StatusOK).KVTransferParams
+	resp = b.post(ctx, decodeRequest(decode, id, id, prompt, 20, kv))
 	b.drain(resp)
 }
--- a/standin/engine/admit.go
+++ b/standin/engine/admit.go
@@ -18,8 +18,8 @@
 // defaultMaxTokens is the answer length, in tokens, if the request sets none.
 const defaultMaxTokens = 16
 
-// maxAnswer is the maximum length of an answer, in tokens.
-const maxAnswer = 1 << 20
+// maxAnswerTokens is the maximum length of an answer, in tokens.
+const maxAnswerTokens = 1 << 20
 
 // maxIDLength is the maximum length of attempt and correlation IDs, in bytes.
 const maxIDLength = 256
@@ -32,7 +32,7 @@
 		correlation: r.Header.Get(HeaderCorrelation),
 		model:       req.Model,
 		priority:    req.Priority,
-		since:       time.Now(),
+		receivedAt:  time.Now(),
 		prompt:      answer.Of(prompt),
 		from:        req.ContinueFrom,
 		next:        req.ContinueFrom,
@@ -42,10 +42,10 @@
 	if p := req.KVTransferParams; p != nil {
 		a.prefillOnly = p.DoRemoteDecode
 		if p.DoRemotePrefill {
-			a.pull = p
+			a.pullParams = p
 		}
 	}
-	if f := a.check(); f != nil {
+	if f := a.validate(); f != nil {
 		return nil, f
 	}
 	text := prompt
@@ -57,16 +57,16 @@
 	return a, nil
 }
 
-// check returns a failure if the attempt's fields are invalid.
-func (a *attempt) check() *failure {
+// validate returns a failure if the attempt's fields are invalid.
+func (a *attempt) validate() *failure {
 	switch {
 	case len(a.id) > maxIDLength || len(a.correlation) > maxIDLength:
 		return invalid("an ID is longer than %d bytes", maxIDLength)
-	case a.to < 0 || a.to > maxAnswer || a.from < 0 || a.from > maxAnswer:
-		return invalid("max_tokens and continue_from must be within 0 and %d", maxAnswer)
+	case a.to < 0 || a.to > maxAnswerTokens || a.from < 0 || a.from > maxAnswerTokens:
+		return invalid("max_tokens and continue_from must be within 0 and %d", maxAnswerTokens)
 	case !a.prefillOnly && a.from >= a.to:
 		return invalid("continue_from %d leaves nothing of max_tokens %d", a.from, a.to)
-	case a.prefillOnly && a.pull != nil:
+	case a.prefillOnly && a.pullParams != nil:
 		return invalid("do_remote_decode and do_remote_prefill exclude each other")
 	default:
 		return nil
@@ -88,34 +88,34 @@
 func (e *Engine) admit(a *attempt) *failure {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forget(a.since)
+	e.dropExpired(a.receivedAt)
 	if f := e.refusal(a); f != nil {
 		e.ledger.refused(f)
 		return f
 	}
-	l := e.life
-	l.nextOrder++
-	a.order = l.nextOrder
-	e.name(a)
-	l.attempts[a.id] = a
+	state := e.state
+	state.arrivals++
+	a.arrival = state.arrivals
+	e.assignIDs(a)
+	state.attempts[a.id] = a
 	e.ledger.accepted(a)
 	switch {
 	case a.prefillOnly:
 		e.enqueue(a)
-	case a.pull != nil:
-		e.takeSlot(a)
-		e.startFetch(a)
+	case a.pullParams != nil:
+		e.reserveSlot(a)
+		e.startPull(a)
 	default:
-		e.takeSlot(a)
+		e.reserveSlot(a)
 		e.enqueue(a)
 	}
 	return nil
 }
 
-// name assigns IDs to an attempt that came without them.
-func (e *Engine) name(a *attempt) {
+// assignIDs assigns IDs to an attempt that came without them.
+func (e *Engine) assignIDs(a *attempt) {
 	if a.id == "" {
-		a.id = "anonymous-" + strconv.FormatUint(a.order, 10)
+		a.id = "anonymous-" + strconv.FormatUint(a.arrival, 10)
 	}
 	if a.correlation == "" {
 		a.correlation = a.id
@@ -125,19 +125,19 @@
 // refusal returns the reason for refusing an attempt, or nil if the engine
 // accepts it.
 func (e *Engine) refusal(a *attempt) *failure {
-	l := e.life
+	state := e.state
 	switch {
 	case e.ctx.Err() != nil:
 		return notStarted("the engine is closed")
-	case l.tombstones.take(a.id, a.since):
+	case state.tombstones.contains(a.id, a.receivedAt):
 		return &failure{http.StatusConflict, control.CodeAbortedEarly, "the attempt was aborted before it arrived"}
-	case l.attempts[a.id] != nil:
+	case state.attempts[a.id] != nil:
 		return &failure{http.StatusConflict, control.CodeDuplicate, "the attempt ID is known already"}
 	case e.faults.Draining:
 		return &failure{http.StatusServiceUnavailable, control.CodeDraining, "the engine is leaving"}
 	case e.faults.Refuse:
 		return notStarted("the engine was told to refuse")
-	case !slices.Contains(l.placement.servedModels(), a.model):
+	case !slices.Contains(state.placement.servedModels(), a.model):
 		return &failure{http.StatusNotFound, control.CodeModelNotFound, fmt.Sprintf("the model %q is not loaded", a.model)}
 	case a.prefillOnly != (e.role() == config.RolePrefill):
 		return &failure{http.StatusServiceUnavailable, control.CodeWrongRole, "the engine's role is " + string(e.role())}
@@ -149,52 +149,52 @@
 // capacityRefusal returns a failure if the engine has no free queue place, slot
 // or KV memory for the attempt.
 func (e *Engine) capacityRefusal(a *attempt) *failure {
-	l, p := e.life, e.cfg.Perf
-	if p.PiecesFor(a.wholeTokens()) > p.Pieces {
+	state, p := e.state, e.cfg.Perf
+	if p.PiecesFor(a.maxKVTokens()) > p.Pieces {
 		return &failure{http.StatusBadRequest, control.CodeContextLength, "the request exceeds the engine's memory"}
 	}
 	if a.prefillOnly {
-		if l.queue.len() >= e.cfg.QueueLimit {
+		if state.queue.len() >= e.cfg.QueueLimit {
 			return notStarted("the prefill queue is full")
 		}
 		return nil
 	}
-	if l.slotsUsed >= p.Slots {
+	if state.slotsUsed >= p.Slots {
 		return notStarted("no free slot")
 	}
-	if l.piecesUsed+p.PiecesFor(a.wholeTokens()) > p.Pieces {
+	if state.piecesUsed+p.PiecesFor(a.maxKVTokens()) > p.Pieces {
 		return notStarted("no free memory")
 	}
 	return nil
 }
 
-// wholeTokens returns the maximum size of the attempt's KV, in tokens.
-func (a *attempt) wholeTokens() int {
+// maxKVTokens returns the maximum size of the attempt's KV, in tokens.
+func (a *attempt) maxKVTokens() int {
 	if a.prefillOnly {
 		return a.promptTokens
 	}
 	return a.promptTokens + a.to - a.from
 }
 
-// takeSlot reserves a slot and the KV memory of the complete generation, so
+// reserveSlot reserves a slot and the KV memory of the complete generation, so
 // that a running generation is never preempted.
-func (e *Engine) takeSlot(a *attempt) {
-	a.slot = true
-	e.life.slotsUsed++
-	e.reserve(a, e.cfg.Perf.PiecesFor(a.wholeTokens()))
+func (e *Engine) reserveSlot(a *attempt) {
+	a.hasSlot = true
+	e.state.slotsUsed++
+	e.reservePieces(a, e.cfg.Perf.PiecesFor(a.maxKVTokens()))
 }
 
 // enqueue adds the attempt to the prefill queue.
 func (e *Engine) enqueue(a *attempt) {
 	a.stage = StageQueued
-	e.life.queue.push(a)
-	e.poke()
+	e.state.queue.push(a)
+	e.wakeLoop()
 }
 
-// startFetch starts pulling the attempt's KV cache from its prefill engine.
-func (e *Engine) startFetch(a *attempt) {
+// startPull starts pulling the attempt's KV cache from its prefill engine.
+func (e *Engine) startPull(a *attempt) {
 	a.stage = StageReceiving
 	ctx, cancel := context.WithCancel(e.ctx)
-	a.cancel = cancel
-	e.workers.Go(func() { e.fetch(ctx, a) })
+	a.cancelPull = cancel
+	e.workers.Go(func() { e.pullKV(ctx, a) })
 }
--- a/standin/engine/attempt.go
+++ b/standin/engine/attempt.go
@@ -35,39 +35,39 @@
 // mutex guards all fields after the first group, which doesn't change.
 type attempt struct {
 	id, correlation string
-	form            format
+	format          format
 	model           string
 	priority        int
-	order           uint64 // of arrival
+	arrival         uint64 // number in the order of arrival
 	prefillOnly     bool
-	since           time.Time
+	receivedAt      time.Time
 	prompt          answer.Prompt
 	promptTokens    int // including the part of the answer generated before
 	hashes          []tokens.BlockHash
 	from, to        int // offsets [from, to) of the tokens to generate
-	pull            *KVTransferParams
+	pullParams      *KVTransferParams
 	// ready is closed when the prefill result is available, when the generation
 	// starts, or when the attempt ends before either.
 	ready chan struct{}
 
-	stage  Stage
-	pieces int
-	slot   bool
-	// cached, computed and left count prompt tokens of a prefill on this engine:
-	// found in the prefix cache, computed so far and still to compute.
-	cached, computed, left int
-	// inherited counts the prompt tokens that the prefill engine computed.
-	inherited int
-	// used is true once a token has been generated from the prompt's KV.
-	used     bool
-	next     int // offset of the next token to generate
-	blockIDs []int64
-	expires  time.Time // of a prefill result
-	timer    *time.Timer
-	cancel   func() // cancels a pull
-	failure  *failure
-	endedAt  time.Time
-	reader   *reader
+	stage   Stage
+	pieces  int
+	hasSlot bool
+	// cached, computed and remaining count prompt tokens of a prefill on this
+	// engine: found in the prefix cache, computed so far and still to compute.
+	cached, computed, remaining int
+	// remoteComputed counts the prompt tokens that the prefill engine computed.
+	remoteComputed int
+	// kvUsed is true once a token has been generated from the prompt's KV.
+	kvUsed     bool
+	next       int // offset of the next token to generate
+	blockIDs   []int64
+	expiresAt  time.Time // of a prefill result
+	timer      *time.Timer
+	cancelPull func() // cancels a pull
+	failure    *failure
+	endedAt    time.Time
+	reader     *reader
 }
 
 // running reports whether the attempt has not ended.
@@ -94,7 +94,7 @@
 // Failures with which an accepted attempt ends early.
 var (
 	failureAborted  = failure{http.StatusConflict, control.CodeAborted, "the attempt was aborted"}
-	failureCrashed  = failure{http.StatusInternalServerError, control.CodeInternal, "the engine stopped"}
+	failureStopped  = failure{http.StatusInternalServerError, control.CodeInternal, "the engine stopped"}
 	failureInjected = failure{http.StatusInternalServerError, control.CodeInternal, "the generation failed"}
 	failureEvicted  = failure{http.StatusGone, control.CodeKVMissing, "the prefill result outlived its lifetime"}
 	failureNoKV     = failure{http.StatusConflict, control.CodeKVMissing, "the prefill engine no longer has the KV cache"}
@@ -107,7 +107,7 @@
 	if !a.running() {
 		return
 	}
-	e.ledger.end(a, f)
+	e.ledger.ended(a, f)
 	wasReady := a.stage == StageDecode || a.stage == StageHeld || a.stage == StageSending
 	e.release(a)
 	a.stage = StageEnded
@@ -117,47 +117,47 @@
 		close(a.ready)
 	}
 	if a.reader != nil {
-		a.reader.poke()
+		a.reader.notify()
 	}
-	e.life.ended = append(e.life.ended, a)
-	e.poke()
+	e.state.ended = append(e.state.ended, a)
+	e.wakeLoop()
 }
 
 // release frees the attempt's KV memory and slot, stops its timer and transfer,
 // and removes it from the queue.
 func (e *Engine) release(a *attempt) {
-	e.life.piecesUsed -= a.pieces
+	e.state.piecesUsed -= a.pieces
 	a.pieces = 0
-	if a.slot {
-		e.life.slotsUsed--
-		a.slot = false
+	if a.hasSlot {
+		e.state.slotsUsed--
+		a.hasSlot = false
 	}
 	if a.timer != nil {
 		a.timer.Stop()
 	}
-	if a.cancel != nil {
-		a.cancel()
+	if a.cancelPull != nil {
+		a.cancelPull()
 	}
 	if len(a.blockIDs) > 0 {
-		delete(e.life.results, a.blockIDs[0])
-		e.life.transfers.cancel(a)
+		delete(e.state.resultsByBlock, a.blockIDs[0])
+		e.state.transfers.cancel(a)
 	}
-	e.life.queue.remove(a)
+	e.state.queue.remove(a)
 	if a.stage == StagePrefill {
-		e.life.prefilling--
+		e.state.prefilling--
 	}
-	if e.life.current == a {
-		e.life.current = nil
+	if e.state.currentPrefill == a {
+		e.state.currentPrefill = nil
 	}
 }
 
-// forget removes the attempts that ended at least Config.Retention ago.
-func (e *Engine) forget(now time.Time) {
-	l := e.life
+// dropExpired removes the attempts that ended at least Config.Retention ago.
+func (e *Engine) dropExpired(now time.Time) {
+	state := e.state
 	n := 0
-	for n < len(l.ended) && now.Sub(l.ended[n].endedAt) >= e.cfg.Retention {
-		delete(l.attempts, l.ended[n].id)
+	for n < len(state.ended) && now.Sub(state.ended[n].endedAt) >= e.cfg.Retention {
+		delete(state.attempts, state.ended[n].id)
 		n++
 	}
-	l.ended = l.ended[n:]
+	state.ended = state.ended[n:]
 }
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// maxCatchUp is the maximum lag behind schedule that the step loop makes up
+// maxStepLag is the maximum lag behind schedule that the step loop makes up
 // for. After a longer pause, it reschedules from the current time.
-const maxCatchUp = 50 * time.Millisecond
+const maxStepLag = 50 * time.Millisecond
 
 // step is one step of the engine: a token for each generation in batch, and
 // chunks of prefills.
 type step struct {
 	batch    []*attempt
-	prefills []chunk
+	prefills []prefillChunk
 	duration time.Duration
 }
 
-// chunk is the part of one prefill that is computed in a step.
-type chunk struct {
-	a      *attempt
-	tokens int
+// prefillChunk is the part of one prefill that is computed in a step.
+type prefillChunk struct {
+	attempt *attempt
+	tokens  int
 }
 
 // runSteps plans and applies steps until the engine is closed.
@@ -38,7 +38,7 @@
 		}
 		// Scheduling from the planned end of the last step prevents timer
 		// delays from accumulating.
-		if now := time.Now(); now.Sub(due) > maxCatchUp {
+		if now := time.Now(); now.Sub(due) > maxStepLag {
 			due = now
 		}
 		due = due.Add(s.duration)
@@ -56,10 +56,10 @@
 func (e *Engine) plan() (step, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.life
-	l.batch = keepRunning(append(l.batch, l.joining...))
-	l.joining = l.joining[:0]
-	s := step{batch: l.batch, prefills: e.planPrefills(len(l.batch) > 0)}
+	state := e.state
+	state.batch = keepRunning(append(state.batch, state.joining...))
+	state.joining = state.joining[:0]
+	s := step{batch: state.batch, prefills: e.planPrefills(len(state.batch) > 0)}
 	if len(s.batch) == 0 && len(s.prefills) == 0 {
 		return step{}, false
 	}
@@ -89,18 +89,18 @@
 // tokens in total. If the step also runs generations, which make it long,
 // several short prompts share it. Otherwise a step computes only one prompt, so
 // that each prompt is ready as soon as it is computed.
-func (e *Engine) planPrefills(shared bool) []chunk {
-	var out []chunk
+func (e *Engine) planPrefills(shared bool) []prefillChunk {
+	var out []prefillChunk
 	for budget := e.cfg.Perf.PrefillChunk; budget > 0; {
 		a := e.nextPrefill()
 		if a == nil {
 			break
 		}
-		n := min(a.left, budget)
+		n := min(a.remaining, budget)
 		budget -= n
-		out = append(out, chunk{a: a, tokens: n})
-		if n == a.left {
-			e.life.current = nil
+		out = append(out, prefillChunk{attempt: a, tokens: n})
+		if n == a.remaining {
+			e.state.currentPrefill = nil
 		}
 		if !shared {
 			break
@@ -113,21 +113,21 @@
 // of the queue if enough memory is free. Prefills of equal priority start in
 // order of arrival, and no prefill overtakes one that waits for memory.
 func (e *Engine) nextPrefill() *attempt {
-	l := e.life
-	if l.current != nil {
-		return l.current
+	state := e.state
+	if state.currentPrefill != nil {
+		return state.currentPrefill
 	}
-	a := l.queue.head()
+	a := state.queue.head()
 	if a == nil {
 		return nil
 	}
 	need := e.cfg.Perf.PiecesFor(a.promptTokens)
-	if a.prefillOnly && l.piecesUsed+need > e.cfg.Perf.Pieces {
+	if a.prefillOnly && state.piecesUsed+need > e.cfg.Perf.Pieces {
 		return nil
 	}
-	l.queue.remove(a)
+	state.queue.remove(a)
 	if a.prefillOnly {
-		e.reserve(a, need)
+		e.reservePieces(a, need)
 	}
 	e.startPrefill(a)
 	return a
@@ -135,19 +135,19 @@
 
 // startPrefill makes a the current prefill.
 func (e *Engine) startPrefill(a *attempt) {
-	matched := e.life.cache.Match(a.hashes)
-	a.left = e.cfg.Perf.Uncached(a.promptTokens, matched)
-	a.cached = a.promptTokens - a.left
+	matched := e.state.cache.Match(a.hashes)
+	a.remaining = e.cfg.Perf.Uncached(a.promptTokens, matched)
+	a.cached = a.promptTokens - a.remaining
 	a.stage = StagePrefill
-	e.life.current = a
-	e.life.prefilling++
+	e.state.currentPrefill = a
+	e.state.prefilling++
 	e.ledger.prefillStarted(a)
 }
 
-// reserve reserves KV memory for an attempt, in pieces.
-func (e *Engine) reserve(a *attempt, pieces int) {
+// reservePieces reserves KV memory for an attempt, in pieces.
+func (e *Engine) reservePieces(a *attempt, pieces int) {
 	a.pieces = pieces
-	e.life.piecesUsed += pieces
+	e.state.piecesUsed += pieces
 }
 
 // apply applies the results of a step at its end.
@@ -156,16 +156,16 @@
 	defer e.mu.Unlock()
 	for _, a := range s.batch {
 		if a.running() {
-			e.generate(a)
+			e.addToken(a)
 		}
 	}
 	for _, c := range s.prefills {
-		e.computed(c.a, c.tokens)
+		e.finishChunk(c.attempt, c.tokens)
 	}
 }
 
-// generate adds a token to a running generation.
-func (e *Engine) generate(a *attempt) {
+// addToken adds a token to a running generation.
+func (e *Engine) addToken(a *attempt) {
 	a.next++
 	e.ledger.generated(a)
 	if limit := e.faults.FailAfterTokens; limit > 0 && a.next-a.from >= limit && !a.finished() {
@@ -177,36 +177,36 @@
 		return
 	}
 	if a.reader != nil {
-		a.reader.poke()
+		a.reader.notify()
 	}
 }
 
-// computed adds computed tokens to a prefill. If the attempt has ended in the
-// meantime, the ledger counts them as waste.
-func (e *Engine) computed(a *attempt, n int) {
+// finishChunk adds computed tokens to a prefill. If the attempt has ended in
+// the meantime, the ledger counts them as waste.
+func (e *Engine) finishChunk(a *attempt, n int) {
 	e.ledger.computed(a, n)
 	if !a.running() {
 		return
 	}
 	a.computed += n
-	a.left -= n
-	if a.left > 0 {
+	a.remaining -= n
+	if a.remaining > 0 {
 		return
 	}
-	e.life.prefilling--
+	e.state.prefilling--
 	e.storeBlocks(a)
 	if a.prefillOnly {
-		e.hold(a)
+		e.holdResult(a)
 		return
 	}
-	e.join(a)
+	e.startDecode(a)
 }
 
-// join adds an attempt to the running generations from the next step on.
-func (e *Engine) join(a *attempt) {
+// startDecode adds an attempt to the running generations, from the next step on.
+func (e *Engine) startDecode(a *attempt) {
 	a.stage = StageDecode
-	e.life.joining = append(e.life.joining, a)
+	e.state.joining = append(e.state.joining, a)
 	e.ledger.decodeStarted(a)
 	close(a.ready)
-	e.poke()
+	e.wakeLoop()
 }
--- a/standin/engine/bench_test.go
+++ b/standin/engine/bench_test.go
@@ -20,7 +20,7 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// IDs of the engines of a bench.
+// IDs of the engines of a testBed.
 const (
 	prefillA = "pf-a"
 	prefillB = "pf-b"
@@ -28,9 +28,9 @@
 	decodeB  = "dc-b"
 )
 
-// bench is a test bed of two prefill and two decode engines that are connected
-// in process.
-type bench struct {
+// testBed holds two prefill and two decode engines that are connected in
+// process.
+type testBed struct {
 	t       *testing.T
 	engines map[string]*Engine
 	client  *http.Client
@@ -55,11 +55,11 @@
 	}
 }
 
-// inBench runs a test with a new bench in a synctest bubble, which has a fake
-// clock.
-func inBench(t *testing.T, change func(*Config), test func(t *testing.T, b *bench)) {
+// withTestBed runs a test with a new testBed in a synctest bubble, which has a
+// fake clock.
+func withTestBed(t *testing.T, change func(*Config), test func(t *testing.T, b *testBed)) {
 	bubble.Test(t, func(t *testing.T) {
-		b := newBench(t, change)
+		b := newTestBed(t, change)
 		defer func() {
 			for _, e := range b.engines {
 				e.Close()
@@ -69,9 +69,9 @@
 	})
 }
 
-func newBench(t *testing.T, change func(*Config)) *bench {
+func newTestBed(t *testing.T, change func(*Config)) *testBed {
 	transport := &inproc{byHost: map[string]http.Handler{}}
-	b := &bench{t: t, engines: map[string]*Engine{}, client: &http.Client{Transport: transport}}
+	b := &testBed{t: t, engines: map[string]*Engine{}, client: &http.Client{Transport: transport}}
 	for _, id := range []string{prefillA, prefillB, decodeA, decodeB} {
 		cfg := Config{
 			ID: ident.UpstreamID(id), Role: config.RoleDecode, Models: []string{"m"}, Version: "v1",
@@ -91,8 +91,8 @@
 	return b
 }
 
-// ask is a request to an engine.
-type ask struct {
+// testRequest is a completion request to an engine.
+type testRequest struct {
 	engine, attempt, correlation string
 	path                         string // default: /v1/completions
 	body                         CompletionRequest
@@ -100,7 +100,7 @@
 }
 
 // send sends a request and returns the response, or nil if the request failed.
-func (b *bench) send(ctx context.Context, method, host, path string, header http.Header, body any) *http.Response {
+func (b *testBed) send(ctx context.Context, method, host, path string, header http.Header, body any) *http.Response {
 	b.t.Helper()
 	text, err := json.Marshal(body)
 	assert.NilError(b.t, err)
@@ -117,7 +117,7 @@
 }
 
 // post sends a completion request to an engine.
-func (b *bench) post(ctx context.Context, a ask) *http.Response {
+func (b *testBed) post(ctx context.Context, a testRequest) *http.Response {
 	b.t.Helper()
 	if a.path == "" {
 		a.path = "/v1/completions"
@@ -134,20 +134,20 @@
 }
 
 // drain reads a response to its end and closes it; resp may be nil.
-func (b *bench) drain(resp *http.Response) {
+func (b *testBed) drain(resp *http.Response) {
 	if resp != nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
 }
 
-// begin sends a completion request without waiting for the response.
-func (b *bench) begin(a ask) {
+// postAsync sends a completion request without waiting for the response.
+func (b *testBed) postAsync(a testRequest) {
 	go func() { b.drain(b.post(b.t.Context(), a)) }()
 }
 
-// read asserts the status of a JSON response, decodes and closes it.
-func read[T any](t *testing.T, resp *http.Response, status int) T {
+// readJSON asserts the status of a JSON response, decodes and closes it.
+func readJSON[T any](t *testing.T, resp *http.Response, status int) T {
 	t.Helper()
 	assert.Assert(t, resp != nil, "connection closed")
 	defer func() { _ = resp.Body.Close() }()
@@ -160,33 +160,33 @@
 }
 
 // prefill runs a prefill and returns its KV-transfer parameters.
-func (b *bench) prefill(engine, attempt, correlation, prompt string) *KVTransferParams {
+func (b *testBed) prefill(engine, attempt, correlation, prompt string) *KVTransferParams {
 	b.t.Helper()
-	resp := b.post(b.t.Context(), prefillAsk(engine, attempt, correlation, prompt))
-	return read[CompletionResponse](b.t, resp, http.StatusOK).KVTransferParams
+	resp := b.post(b.t.Context(), prefillRequest(engine, attempt, correlation, prompt))
+	return readJSON[CompletionResponse](b.t, resp, http.StatusOK).KVTransferParams
 }
 
-func prefillAsk(engine, attempt, correlation, prompt string) ask {
-	return ask{engine: engine, attempt: attempt, correlation: correlation, body: CompletionRequest{
+func prefillRequest(engine, attempt, correlation, prompt string) testRequest {
+	return testRequest{engine: engine, attempt: attempt, correlation: correlation, body: CompletionRequest{
 		Prompt: prompt, MaxTokens: 1, KVTransferParams: &KVTransferParams{DoRemoteDecode: true},
 	}}
 }
 
-func decodeAsk(engine, attempt, correlation, prompt string, n int, kv *KVTransferParams) ask {
-	return ask{engine: engine, attempt: attempt, correlation: correlation, body: CompletionRequest{
+func decodeRequest(engine, attempt, correlation, prompt string, n int, kv *KVTransferParams) testRequest {
+	return testRequest{engine: engine, attempt: attempt, correlation: correlation, body: CompletionRequest{
 		Prompt: prompt, MaxTokens: n, Stream: true, KVTransferParams: kv,
 	}}
 }
 
 // abort aborts an attempt and returns whether something was released.
-func (b *bench) abort(engine, attempt string) bool {
+func (b *testBed) abort(engine, attempt string) bool {
 	b.t.Helper()
 	resp := b.send(b.t.Context(), http.MethodPost, engine, "/abort_request", nil, AbortRequest{RID: attempt})
-	return read[AbortResponse](b.t, resp, http.StatusOK).Released
+	return readJSON[AbortResponse](b.t, resp, http.StatusOK).Released
 }
 
-// held asserts the number of attempts and of pieces that an engine holds.
-func (b *bench) held(engine string, attempts, pieces int) {
+// assertHeld asserts the numbers of attempts and pieces that an engine holds.
+func (b *testBed) assertHeld(engine string, attempts, pieces int) {
 	b.t.Helper()
 	report := b.engines[engine].Judge()
 	assert.Equal(b.t, report.Held.Attempts, attempts, engine)
@@ -215,22 +215,23 @@
 	}
 }
 
-// streamed is the content received from a stream.
-type streamed struct {
-	text  string
-	last  string // ID of the last event with one
-	whole bool
-	usage *Usage
-	code  control.Code
+// streamResult is the content received from a stream.
+type streamResult struct {
+	text        string
+	lastEventID string // of the last event with an ID
+	complete    bool
+	usage       *Usage
+	code        control.Code
 }
 
-// collect reads a stream to its end, or up to limit tokens if limit is positive.
-func collect(t *testing.T, resp *http.Response, limit int) streamed {
+// readStream reads a stream to its end, or up to limit tokens if limit is
+// positive.
+func readStream(t *testing.T, resp *http.Response, limit int) streamResult {
 	t.Helper()
 	assert.Assert(t, resp != nil, "connection closed")
 	defer func() { _ = resp.Body.Close() }()
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
-	var out streamed
+	var out streamResult
 	r := bufio.NewReader(resp.Body)
 	for n := 0; limit == 0 || n < limit; {
 		e, ok := nextEvent(r)
@@ -238,7 +239,7 @@
 			return out
 		}
 		if e.data == "[DONE]" {
-			out.whole = true
+			out.complete = true
 			return out
 		}
 		n += out.add(t, e)
@@ -247,7 +248,7 @@
 }
 
 // add adds an event to the content and returns its number of tokens.
-func (s *streamed) add(t *testing.T, e event) int {
+func (s *streamResult) add(t *testing.T, e event) int {
 	t.Helper()
 	var failed control.ErrorBody
 	assert.NilError(t, json.Unmarshal([]byte(e.data), &failed))
@@ -268,12 +269,12 @@
 		}
 	}
 	if e.id != "" {
-		s.last = e.id
+		s.lastEventID = e.id
 	}
 	return len(c.Choices)
 }
 
-// words returns a prompt of n tokens that starts with the given word.
-func words(first string, n int) string {
+// makePrompt returns a prompt of n tokens that starts with the given word.
+func makePrompt(first string, n int) string {
 	return first + strings.Repeat(" w", n-1)
 }
--- a/standin/engine/cacheevents.go
+++ b/standin/engine/cacheevents.go
@@ -18,25 +18,25 @@
 	maxWait = 60 * time.Second
 )
 
-// lossy selects at random the event batches that are never published.
-type lossy struct {
+// batchDropper selects at random the event batches that are never published.
+type batchDropper struct {
 	random *rand.Rand
 	share  float64
 }
 
-// newLossy returns a lossy that drops the given share of batches, 0 to 1.
-func newLossy(seed uint64, share float64) *lossy {
-	return &lossy{random: rand.New(rand.NewPCG(seed, seed)), share: share}
+// newBatchDropper returns a batchDropper for a share of batches, 0 to 1.
+func newBatchDropper(seed uint64, share float64) *batchDropper {
+	return &batchDropper{random: rand.New(rand.NewPCG(seed, seed)), share: share}
 }
 
 // next reports whether the next batch is dropped.
-func (l *lossy) next() bool { return l.share > 0 && l.random.Float64() < l.share }
+func (l *batchDropper) next() bool { return l.share > 0 && l.random.Float64() < l.share }
 
 // eventLog stores the cache events of one incarnation. The engine's mutex
 // guards it.
 type eventLog struct {
-	delay time.Duration
-	lossy *lossy
+	delay   time.Duration
+	dropper *batchDropper
 	// seq is the number of the latest batch. Dropped batches are numbered too.
 	seq     uint64
 	batches []pendingBatch
@@ -47,13 +47,13 @@
 // pendingBatch is a batch with the time of its publication.
 type pendingBatch struct {
 	CacheBatch
-	visible time.Time
-	lost    bool
+	publishAt time.Time
+	dropped   bool
 }
 
 // newEventLog returns an empty log.
-func newEventLog(delay time.Duration, lossy *lossy) *eventLog {
-	return &eventLog{delay: delay, lossy: lossy, changed: make(chan struct{})}
+func newEventLog(delay time.Duration, dropper *batchDropper) *eventLog {
+	return &eventLog{delay: delay, dropper: dropper, changed: make(chan struct{})}
 }
 
 // add appends the events of one cache change as a batch.
@@ -65,8 +65,8 @@
 	l.seq++
 	l.batches = append(l.batches, pendingBatch{
 		CacheBatch: CacheBatch{Seq: l.seq, AtMS: now.UnixMilli(), Events: events},
-		visible:    now.Add(l.delay),
-		lost:       l.lossy.next(),
+		publishAt:  now.Add(l.delay),
+		dropped:    l.dropper.next(),
 	})
 	if len(l.batches) > maxBatches {
 		l.batches = l.batches[len(l.batches)-maxBatches:]
@@ -90,11 +90,11 @@
 	batches = []CacheBatch{}
 	last = l.seq - uint64(len(l.batches))
 	for _, b := range l.batches {
-		if b.visible.After(now) {
-			return batches, last, b.visible
+		if b.publishAt.After(now) {
+			return batches, last, b.publishAt
 		}
 		last = b.Seq
-		if b.Seq > after && !b.lost {
+		if b.Seq > after && !b.dropped {
 			batches = append(batches, b.CacheBatch)
 		}
 	}
@@ -103,7 +103,7 @@
 
 // storeBlocks adds an attempt's blocks to the prefix cache and logs the change.
 func (e *Engine) storeBlocks(a *attempt) {
-	added, evicted := e.life.cache.Insert(a.hashes)
+	added, evicted := e.state.cache.Insert(a.hashes)
 	var events []CacheEvent
 	if len(added) > 0 {
 		events = append(events, CacheEvent{
@@ -116,7 +116,7 @@
 	if len(evicted) > 0 {
 		events = append(events, CacheEvent{Type: BlockRemoved, BlockHashes: evicted})
 	}
-	e.life.events.add(events)
+	e.state.events.add(events)
 }
 
 // parentOf returns the block before h in a prompt, or nil if h is the first.
@@ -131,8 +131,8 @@
 
 // clearCache empties the prefix cache and logs the change.
 func (e *Engine) clearCache() {
-	e.life.cache.Clear()
-	e.life.events.add([]CacheEvent{{Type: AllBlocksCleared}})
+	e.state.cache.Clear()
+	e.state.events.add([]CacheEvent{{Type: AllBlocksCleared}})
 }
 
 // serveCacheEvents handles GET /v1/cache_events?after=SEQ&wait=DURATION as a
@@ -196,8 +196,8 @@
 func (e *Engine) cacheEvents(after uint64) (out CacheEventsResponse, next time.Time, changed chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	log := e.life.events
-	out.Incarnation = e.life.incarnation
+	log := e.state.events
+	out.Incarnation = e.state.incarnation
 	out.Batches, out.LastSeq, next = log.read(after, time.Now())
 	if after > out.LastSeq && after <= log.seq {
 		// The reader has a snapshot that is ahead of the published batches.
@@ -210,10 +210,10 @@
 func (e *Engine) serveCacheBlocks(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	out := CacheBlocksResponse{
-		Incarnation: e.life.incarnation,
-		Seq:         e.life.events.seq,
+		Incarnation: e.state.incarnation,
+		Seq:         e.state.events.seq,
 		BlockSize:   e.cfg.Perf.PieceTokens,
-		Hashes:      e.life.cache.Hashes(),
+		Hashes:      e.state.cache.Hashes(),
 	}
 	e.mu.Unlock()
 	control.WriteJSON(w, http.StatusOK, out)
--- a/standin/engine/cacheevents_test.go
+++ b/standin/engine/cacheevents_test.go
@@ -14,21 +14,21 @@
 )
 
 // events reads the cache events after a sequence number.
-func (b *bench) events(engine string, after uint64, wait time.Duration) CacheEventsResponse {
+func (b *testBed) events(engine string, after uint64, wait time.Duration) CacheEventsResponse {
 	b.t.Helper()
 	path := fmt.Sprintf("/v1/cache_events?after=%d&wait=%s", after, wait)
-	return read[CacheEventsResponse](b.t, b.send(b.t.Context(), http.MethodGet, engine, path, nil, nil), 200)
+	return readJSON[CacheEventsResponse](b.t, b.send(b.t.Context(), http.MethodGet, engine, path, nil, nil), 200)
 }
 
 // blocks reads the snapshot of the prefix cache.
-func (b *bench) blocks(engine string) CacheBlocksResponse {
+func (b *testBed) blocks(engine string) CacheBlocksResponse {
 	b.t.Helper()
-	return read[CacheBlocksResponse](b.t, b.send(b.t.Context(), http.MethodGet, engine, "/v1/cache_blocks", nil, nil), 200)
+	return readJSON[CacheBlocksResponse](b.t, b.send(b.t.Context(), http.MethodGet, engine, "/v1/cache_blocks", nil, nil), 200)
 }
 
 func TestCacheEvents(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		p, q := words("p", 40), words("q", 40)
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		p, q := makePrompt("p", 40), makePrompt("q", 40)
 		b.prefill(prefillA, "a1", "r1", p)
 		assert.Equal(t, b.blocks(prefillA).Seq, uint64(1))
 		assert.Equal(t, b.events(prefillA, 0, 0).LastSeq, uint64(0)) // not yet published
@@ -58,7 +58,7 @@
 }
 
 func TestCacheEventsWaitEnds(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
 		start := time.Now()
 		got := b.events(prefillA, 0, 10*time.Second)
 		assert.Equal(t, time.Since(start), 10*time.Second)
@@ -70,25 +70,25 @@
 // that reads a snapshot at each gap ends up with the contents of the cache.
 func TestLostBatchesLeaveGaps(t *testing.T) {
 	lose := func(c *Config) { c.CacheLoss, c.Seed = 0.4, 7 }
-	inBench(t, lose, func(t *testing.T, b *bench) {
+	withTestBed(t, lose, func(t *testing.T, b *testBed) {
 		known := map[tokens.BlockHash]bool{}
 		var seq uint64
 		gaps := 0
 		for i := range 30 {
 			id := fmt.Sprint(i)
-			b.prefill(prefillA, id, id, words(fmt.Sprint("p", i%5), 10+i%3*10))
+			b.prefill(prefillA, id, id, makePrompt(fmt.Sprint("p", i%5), 10+i%3*10))
 			time.Sleep(time.Second)
 			got := b.events(prefillA, seq, 0)
 			next := seq
 			for _, batch := range got.Batches {
 				gaps += int(batch.Seq - next - 1)
 				next = batch.Seq
-				follow(known, batch.Events)
+				applyEvents(known, batch.Events)
 			}
 			if got.LastSeq != seq+uint64(len(got.Batches)) {
 				snapshot := b.blocks(prefillA)
 				clear(known)
-				follow(known, []CacheEvent{{Type: BlockStored, BlockHashes: snapshot.Hashes}})
+				applyEvents(known, []CacheEvent{{Type: BlockStored, BlockHashes: snapshot.Hashes}})
 				seq = snapshot.Seq
 				gaps++
 				continue
@@ -104,8 +104,8 @@
 	})
 }
 
-// follow applies events to a reader's view of the cache.
-func follow(known map[tokens.BlockHash]bool, events []CacheEvent) {
+// applyEvents applies events to a reader's view of the cache.
+func applyEvents(known map[tokens.BlockHash]bool, events []CacheEvent) {
 	for _, e := range events {
 		for _, h := range e.BlockHashes {
 			if e.Type == BlockStored {
@@ -121,8 +121,8 @@
 }
 
 func TestReaderMeetsNewIncarnation(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		b.prefill(prefillA, "a1", "r1", words("p", 40))
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		b.prefill(prefillA, "a1", "r1", makePrompt("p", 40))
 		before := b.events(prefillA, 0, 10*time.Second)
 		b.engines[prefillA].Crash(0)
 		time.Sleep(time.Millisecond)
@@ -138,10 +138,10 @@
 // an unpublished change. The engine must wait for newer batches and not report
 // a gap, which would make the reader read the snapshot again.
 func TestReaderAheadOfPublication(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		b.prefill(prefillA, "a1", "r1", words("p", 40))
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		b.prefill(prefillA, "a1", "r1", makePrompt("p", 40))
 		seq := b.blocks(prefillA).Seq
-		time.AfterFunc(time.Second, func() { b.prefill(prefillA, "a2", "r2", words("q", 10)) })
+		time.AfterFunc(time.Second, func() { b.prefill(prefillA, "a2", "r2", makePrompt("q", 10)) })
 		start := time.Now()
 		got := b.events(prefillA, seq, 10*time.Second)
 		assert.Equal(t, time.Since(start), time.Second+10*time.Millisecond+200*time.Millisecond)
@@ -151,7 +151,7 @@
 
 func TestLogIsBounded(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		l := newEventLog(0, newLossy(0, 0))
+		l := newEventLog(0, newBatchDropper(0, 0))
 		for range maxBatches + 10 {
 			l.add([]CacheEvent{{Type: AllBlocksCleared}})
 		}
@@ -165,12 +165,12 @@
 // TestDecodeEngineCachesPulledBlocks checks that a decode engine stores pulled
 // blocks in its prefix cache, where a later generation finds them.
 func TestDecodeEngineCachesPulledBlocks(t *testing.T) {
-	inBench(t, func(c *Config) { c.Perf = testPerf(); c.Perf.CachePieces = 10 }, func(t *testing.T, b *bench) {
-		prompt := words("p", 40)
+	withTestBed(t, func(c *Config) { c.Perf = testPerf(); c.Perf.CachePieces = 10 }, func(t *testing.T, b *testBed) {
+		prompt := makePrompt("p", 40)
 		kv := b.prefill(prefillA, "a1", "r1", prompt)
-		collect(t, b.post(b.t.Context(), decodeAsk(decodeA, "a2", "r1", prompt, 5, kv)), 0)
+		readStream(t, b.post(b.t.Context(), decodeRequest(decodeA, "a2", "r1", prompt, 5, kv)), 0)
 		assert.Equal(t, testPerf().PiecesFor(40), len(b.blocks(decodeA).Hashes))
-		got := collect(t, b.post(b.t.Context(), decodeAsk(decodeA, "a3", "r2", prompt, 5, nil)), 0)
+		got := readStream(t, b.post(b.t.Context(), decodeRequest(decodeA, "a3", "r2", prompt, 5, nil)), 0)
 		assert.Equal(t, got.usage.PromptTokensDetails.CachedTokens, 39)
 	})
 }
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -29,7 +29,7 @@
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var req CompletionRequest
 	if control.ReadJSON(w, r, &req) {
-		e.serveModel(w, r, req, req.Prompt, formatCompletion)
+		e.serveInference(w, r, req, req.Prompt, formatCompletion)
 	}
 }
 
@@ -37,16 +37,16 @@
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	var req CompletionRequest
 	if control.ReadJSON(w, r, &req) {
-		e.serveModel(w, r, req, tokens.FlattenChat(req.Messages), formatChat)
+		e.serveInference(w, r, req, tokens.FlattenChat(req.Messages), formatChat)
 	}
 }
 
-// serveModel admits a request for the model and answers it. If the caller
+// serveInference admits a request for the model and answers it. If the caller
 // disconnects, the attempt continues.
-func (e *Engine) serveModel(w http.ResponseWriter, r *http.Request, req CompletionRequest, prompt string, form format) {
+func (e *Engine) serveInference(w http.ResponseWriter, r *http.Request, req CompletionRequest, prompt string, form format) {
 	a, f := e.newAttempt(r, req, prompt)
 	if f == nil {
-		a.form = form
+		a.format = form
 		f = e.admit(a)
 	}
 	if f != nil {
@@ -62,9 +62,9 @@
 	case a.prefillOnly:
 		e.answerPrefill(w, a)
 	case req.Stream:
-		e.stream(w, r, a, a.from)
+		e.streamAnswer(w, r, a, a.from)
 	default:
-		e.answerWhole(w, r, a)
+		e.answerUnstreamed(w, r, a)
 	}
 }
 
@@ -83,13 +83,14 @@
 	control.WriteJSON(w, http.StatusOK, out)
 }
 
-// answerWhole waits for the end of a generation and sends its complete text.
-func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, a *attempt) {
+// answerUnstreamed waits for the end of a generation and sends its complete
+// text.
+func (e *Engine) answerUnstreamed(w http.ResponseWriter, r *http.Request, a *attempt) {
 	rd := e.attach(a)
 	defer e.detach(a, rd)
 	for {
 		p := e.progress(a)
-		if p.over {
+		if p.ended {
 			if p.failure != nil {
 				p.failure.write(w)
 				return
@@ -121,13 +122,13 @@
 	out := CompletionResponse{
 		ID:      a.id,
 		Object:  objectCompletion,
-		Created: a.since.Unix(),
+		Created: a.receivedAt.Unix(),
 		Model:   a.model,
 		Usage:   a.usage(n),
 	}
 	finish := finishLength
 	choice := Choice{FinishReason: &finish}
-	if a.form == formatChat {
+	if a.format == formatChat {
 		out.Object = objectChat
 		choice.Message = &tokens.Message{Role: roleAssistant, Content: text}
 	} else {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -22,19 +22,19 @@
 	workers sync.WaitGroup
 
 	mu     sync.Mutex
-	life   *life
+	state  *engineState
 	faults control.EngineFaults
 	ledger *ledger
 	// down is true between a simulated crash and the restart.
 	down bool
 	// connected is cancelled while connections are dropped.
-	connected  context.Context
-	disconnect context.CancelFunc
-	cacheLoss  *lossy
+	connected    context.Context
+	disconnect   context.CancelFunc
+	batchDropper *batchDropper
 }
 
-// life is the state of one incarnation, which is lost in a crash.
-type life struct {
+// engineState is the state of one incarnation, which is lost in a crash.
+type engineState struct {
 	incarnation ident.Incarnation
 	attempts    map[string]*attempt
 	// ended lists the ended attempts that are still retained, oldest first.
@@ -42,8 +42,8 @@
 	tombstones *tombstones
 
 	queue prefillQueue
-	// current is the prefill that continues in the next step, nil if none.
-	current *attempt
+	// currentPrefill is the prefill that continues in the next step, nil if none.
+	currentPrefill *attempt
 	// prefilling is the number of attempts in StagePrefill.
 	prefilling int
 	// batch lists the running generations, joining those that start with the
@@ -54,9 +54,9 @@
 	slotsUsed  int
 	piecesUsed int
 	nextBlock  int64
-	nextOrder  uint64
-	// results maps the ID of the first block to its prefill result.
-	results map[int64]*attempt
+	arrivals   uint64
+	// resultsByBlock maps the ID of the first block to its prefill result.
+	resultsByBlock map[int64]*attempt
 
 	cache     *perf.Cache
 	events    *eventLog
@@ -69,40 +69,40 @@
 func New(cfg Config) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
-		cfg:       cfg,
-		started:   time.Now(),
-		wake:      make(chan struct{}, 1),
-		ledger:    newLedger(cfg.JudgeCap),
-		cacheLoss: newLossy(cfg.Seed, cfg.CacheLoss),
+		cfg:          cfg,
+		started:      time.Now(),
+		wake:         make(chan struct{}, 1),
+		ledger:       newLedger(cfg.JudgeCap),
+		batchDropper: newBatchDropper(cfg.Seed, cfg.CacheLoss),
 	}
 	e.ctx, e.stop = context.WithCancel(context.Background())
 	e.connected, e.disconnect = context.WithCancel(e.ctx)
-	e.life = e.newLife(0)
+	e.state = e.newState(0)
 	e.workers.Go(e.runSteps)
 	e.workers.Go(e.sampleLoads)
 	return e
 }
 
-// newLife returns the state of a new incarnation, with a number higher than
+// newState returns the state of a new incarnation, with a number higher than
 // previous.
-func (e *Engine) newLife(previous ident.Incarnation) *life {
-	l := &life{
-		incarnation: max(ident.NewIncarnation(time.Now()), previous+1),
-		attempts:    make(map[string]*attempt),
-		tombstones:  newTombstones(),
-		results:     make(map[int64]*attempt),
-		nextBlock:   1,
-		cache:       perf.NewCache(e.cfg.Perf.CachePieces),
-		events:      newEventLog(e.cfg.CacheDelay, e.cacheLoss),
+func (e *Engine) newState(previous ident.Incarnation) *engineState {
+	state := &engineState{
+		incarnation:    max(ident.NewIncarnation(time.Now()), previous+1),
+		attempts:       make(map[string]*attempt),
+		tombstones:     newTombstones(),
+		resultsByBlock: make(map[int64]*attempt),
+		nextBlock:      1,
+		cache:          perf.NewCache(e.cfg.Perf.CachePieces),
+		events:         newEventLog(e.cfg.CacheDelay, e.batchDropper),
 	}
-	l.transfers = newTransfers(e, l)
-	l.placement = placement{
+	state.transfers = newTransfers(e, state)
+	state.placement = placement{
 		role:     e.cfg.Role,
 		models:   e.cfg.Models,
 		adapters: e.cfg.Adapters,
 		version:  e.cfg.Version,
 	}
-	return l
+	return state
 }
 
 // Close stops the engine and waits for its goroutines. Connections of requests
@@ -110,24 +110,24 @@
 func (e *Engine) Close() {
 	e.stop()
 	e.mu.Lock()
-	e.endLife()
+	e.closeState()
 	e.mu.Unlock()
 	e.workers.Wait()
 	e.cfg.Client.CloseIdleConnections()
 }
 
-// endLife ends all attempts and stops all timers of the current incarnation.
-func (e *Engine) endLife() {
-	for _, a := range e.life.attempts {
-		e.end(a, &failureCrashed)
+// closeState ends all attempts and stops all timers of the current incarnation.
+func (e *Engine) closeState() {
+	for _, a := range e.state.attempts {
+		e.end(a, &failureStopped)
 	}
-	e.life.transfers.close()
-	e.life.events.close()
-	e.life.placement.close()
+	e.state.transfers.close()
+	e.state.events.close()
+	e.state.placement.close()
 }
 
-// poke wakes the step loop.
-func (e *Engine) poke() {
+// wakeLoop wakes the step loop.
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -135,4 +135,4 @@
 }
 
 // role returns the current role. The caller holds the mutex.
-func (e *Engine) role() config.Role { return e.life.placement.role }
+func (e *Engine) role() config.Role { return e.state.placement.role }
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -28,7 +28,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
-	e.life.transfers.setRate(e.linkRate())
+	e.state.transfers.setRate(e.linkRate())
 	e.updateConnected()
 }
 
@@ -71,14 +71,14 @@
 	defer e.mu.Unlock()
 	e.down = true
 	e.updateConnected()
-	e.endLife()
-	e.life = e.newLife(e.life.incarnation)
+	e.closeState()
+	e.state = e.newState(e.state.incarnation)
 	e.ledger.totals.Crashes++
-	time.AfterFunc(down, e.comeBack)
+	time.AfterFunc(down, e.restart)
 }
 
-// comeBack ends the downtime after a crash.
-func (e *Engine) comeBack() {
+// restart serves connections again after the downtime of a crash.
+func (e *Engine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = false
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -103,25 +103,25 @@
 
 // serveRequests handles GET /v1/requests.
 func (e *Engine) serveRequests(w http.ResponseWriter, _ *http.Request) {
-	control.WriteJSON(w, http.StatusOK, e.requests())
+	control.WriteJSON(w, http.StatusOK, e.heldRequests())
 }
 
-// requests lists the attempts that have not ended, in order of arrival.
-func (e *Engine) requests() RequestsResponse {
+// heldRequests lists the attempts that have not ended, in order of arrival.
+func (e *Engine) heldRequests() RequestsResponse {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := RequestsResponse{
-		Incarnation: e.life.incarnation,
+		Incarnation: e.state.incarnation,
 		Role:        e.role(),
 		Requests:    []HeldRequest{},
 	}
-	for _, a := range e.held() {
+	for _, a := range e.activeAttempts() {
 		out.Requests = append(out.Requests, HeldRequest{
 			ID:            a.id,
 			CorrelationID: a.correlation,
 			Stage:         a.stage,
 			Pieces:        a.pieces,
-			SinceMS:       a.since.UnixMilli(),
+			SinceMS:       a.receivedAt.UnixMilli(),
 		})
 	}
 	return out
--- a/standin/engine/inproc_test.go
+++ b/standin/engine/inproc_test.go
@@ -19,7 +19,7 @@
 	}
 	ctx, cancel := context.WithCancel(req.Context())
 	body, pipe := io.Pipe()
-	w := &inprocWriter{header: http.Header{}, pipe: pipe, head: make(chan struct{})}
+	w := &inprocWriter{header: http.Header{}, pipe: pipe, headerWritten: make(chan struct{})}
 	inner := req.Clone(ctx)
 	if inner.Body == nil {
 		inner.Body = http.NoBody
@@ -37,7 +37,7 @@
 		_ = pipe.Close()
 	}()
 	select {
-	case <-w.head:
+	case <-w.headerWritten:
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
 	}
@@ -71,13 +71,13 @@
 // inprocWriter is a ResponseWriter that pipes the handler's output to the reader
 // of the response.
 type inprocWriter struct {
-	header  http.Header
-	sent    http.Header
-	status  int
-	pipe    *io.PipeWriter
-	once    sync.Once
-	head    chan struct{}
-	aborted bool
+	header        http.Header
+	sent          http.Header
+	status        int
+	pipe          *io.PipeWriter
+	once          sync.Once
+	headerWritten chan struct{}
+	aborted       bool
 }
 
 func (w *inprocWriter) Header() http.Header { return w.header }
@@ -86,7 +86,7 @@
 	w.once.Do(func() {
 		w.status = status
 		w.sent = w.header.Clone()
-		close(w.head)
+		close(w.headerWritten)
 	})
 }
 
@@ -104,7 +104,7 @@
 func (w *inprocWriter) abort() {
 	w.once.Do(func() {
 		w.aborted = true
-		close(w.head)
+		close(w.headerWritten)
 	})
 	_ = w.pipe.CloseWithError(io.ErrUnexpectedEOF)
 }
--- a/standin/engine/judge.go
+++ b/standin/engine/judge.go
@@ -30,27 +30,27 @@
 func (e *Engine) Judge() judge.Engine {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	held := e.held()
+	held := e.activeAttempts()
 	report := judge.Engine{
 		ID:          e.cfg.ID,
-		Incarnation: e.life.incarnation,
+		Incarnation: e.state.incarnation,
 		Totals:      e.ledger.totals,
-		Held:        judge.Held{Attempts: len(held), Pieces: e.life.piecesUsed},
+		Held:        judge.Held{Attempts: len(held), Pieces: e.state.piecesUsed},
 		Requests:    e.ledger.report(held),
-		Dropped:     e.ledger.overflow,
+		Dropped:     e.ledger.unrecorded,
 	}
 	return report
 }
 
-// held returns the attempts that have not ended, in order of arrival.
-func (e *Engine) held() []*attempt {
+// activeAttempts returns the attempts that have not ended, in order of arrival.
+func (e *Engine) activeAttempts() []*attempt {
 	var out []*attempt
-	for _, a := range e.life.attempts {
+	for _, a := range e.state.attempts {
 		if a.running() {
 			out = append(out, a)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].order < out[j].order })
+	sort.Slice(out, func(i, j int) bool { return out[i].arrival < out[j].arrival })
 	return out
 }
 
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -22,25 +22,26 @@
 
 // engineID identifies this incarnation of the engine in KV-transfer parameters.
 func (e *Engine) engineID() string {
-	return string(e.cfg.ID) + "@" + strconv.FormatUint(uint64(e.life.incarnation), incarnationBase)
+	return string(e.cfg.ID) + "@" + strconv.FormatUint(uint64(e.state.incarnation), incarnationBase)
 }
 
-// hold keeps a prefill result for a decode engine until Perf.KVLifetime ends.
-func (e *Engine) hold(a *attempt) {
-	l := e.life
+// holdResult keeps a prefill result for a decode engine until Perf.KVLifetime
+// ends.
+func (e *Engine) holdResult(a *attempt) {
+	state := e.state
 	for range a.pieces {
-		a.blockIDs = append(a.blockIDs, l.nextBlock)
-		l.nextBlock++
+		a.blockIDs = append(a.blockIDs, state.nextBlock)
+		state.nextBlock++
 	}
-	l.results[a.blockIDs[0]] = a
+	state.resultsByBlock[a.blockIDs[0]] = a
 	a.stage = StageHeld
-	a.expires = time.Now().Add(e.cfg.Perf.KVLifetime)
-	a.timer = time.AfterFunc(e.cfg.Perf.KVLifetime, func() { e.evict(a) })
+	a.expiresAt = time.Now().Add(e.cfg.Perf.KVLifetime)
+	a.timer = time.AfterFunc(e.cfg.Perf.KVLifetime, func() { e.evictResult(a) })
 	close(a.ready)
 }
 
-// evict ends a prefill whose result was not pulled within its lifetime.
-func (e *Engine) evict(a *attempt) {
+// evictResult ends a prefill whose result was not pulled within its lifetime.
+func (e *Engine) evictResult(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if a.stage == StageHeld {
@@ -69,7 +70,7 @@
 	if !control.ReadJSON(w, r, &req) {
 		return
 	}
-	f, answer := e.startPull(req)
+	f, answer := e.startTransfer(req)
 	if f == nil {
 		failureNoKV.write(w)
 		return
@@ -78,7 +79,7 @@
 	case <-f.done:
 	case <-r.Context().Done():
 		e.mu.Lock()
-		e.life.transfers.giveUp(f)
+		e.state.transfers.cancelAndHold(f)
 		e.mu.Unlock()
 		return
 	}
@@ -89,19 +90,19 @@
 	control.WriteJSON(w, http.StatusOK, answer)
 }
 
-// startPull starts the transfer requested by req. It returns a nil flow if the
-// prefill result no longer exists or is already being sent.
-func (e *Engine) startPull(req PullRequest) (*flow, PullResponse) {
+// startTransfer starts the transfer requested by req. It returns a nil flow if
+// the prefill result no longer exists or is already being sent.
+func (e *Engine) startTransfer(req PullRequest) (*flow, PullResponse) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(req.RemoteBlockIDs) == 0 || req.RemoteEngineID != e.engineID() {
 		return nil, PullResponse{}
 	}
-	a := e.life.results[req.RemoteBlockIDs[0]]
+	a := e.state.resultsByBlock[req.RemoteBlockIDs[0]]
 	if a == nil || a.stage != StageHeld {
 		return nil, PullResponse{}
 	}
-	return e.life.transfers.start(a), PullResponse{
+	return e.state.transfers.start(a), PullResponse{
 		PromptTokens:   a.promptTokens,
 		ComputedTokens: a.computed,
 		CachedTokens:   a.cached,
@@ -109,9 +110,9 @@
 	}
 }
 
-// fetch pulls the KV cache of a decode attempt, then starts the generation.
-func (e *Engine) fetch(ctx context.Context, a *attempt) {
-	got, f := e.callPull(ctx, a.pull)
+// pullKV pulls the KV cache of a decode attempt, then starts the generation.
+func (e *Engine) pullKV(ctx context.Context, a *attempt) {
+	got, f := e.sendPullRequest(ctx, a.pullParams)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if f != nil {
@@ -124,14 +125,14 @@
 		e.ledger.wasted(a, got.ComputedTokens)
 		return
 	}
-	a.inherited = got.ComputedTokens
+	a.remoteComputed = got.ComputedTokens
 	a.cached = got.CachedTokens
 	e.storeBlocks(a)
-	e.join(a)
+	e.startDecode(a)
 }
 
-// callPull sends a pull request to the engine named by params.
-func (e *Engine) callPull(ctx context.Context, params *KVTransferParams) (PullResponse, *failure) {
+// sendPullRequest sends a pull request to the engine named by params.
+func (e *Engine) sendPullRequest(ctx context.Context, params *KVTransferParams) (PullResponse, *failure) {
 	body, err := json.Marshal(PullRequest{
 		RemoteEngineID:  params.RemoteEngineID,
 		RemoteRequestID: params.RemoteRequestID,
--- a/standin/engine/kv_test.go
+++ b/standin/engine/kv_test.go
@@ -14,22 +14,22 @@
 // TestPulledOnce pulls a prefill result from two decode engines. The second
 // pull fails, both during and after the first transfer.
 func TestPulledOnce(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		prompt := words("p", 40)
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		prompt := makePrompt("p", 40)
 		kv := b.prefill(prefillA, "a1", "r1", prompt)
 		start := time.Now()
-		whole := make(chan time.Duration, 1)
+		elapsed := make(chan time.Duration, 1)
 		go func() {
-			collect(t, b.post(b.t.Context(), decodeAsk(decodeA, "a2", "r1", prompt, 5, kv)), 0)
-			whole <- time.Since(start)
+			readStream(t, b.post(b.t.Context(), decodeRequest(decodeA, "a2", "r1", prompt, 5, kv)), 0)
+			elapsed <- time.Since(start)
 		}()
 		for range 2 {
 			time.Sleep(20*time.Millisecond + time.Microsecond)
-			resp := b.post(b.t.Context(), decodeAsk(decodeB, "", "r1", prompt, 5, kv))
-			assert.Equal(t, read[control.ErrorBody](t, resp, http.StatusConflict).Error.Code, control.CodeKVMissing)
+			resp := b.post(b.t.Context(), decodeRequest(decodeB, "", "r1", prompt, 5, kv))
+			assert.Equal(t, readJSON[control.ErrorBody](t, resp, http.StatusConflict).Error.Code, control.CodeKVMissing)
 		}
 		// The second pull used no bandwidth of the link either.
-		assert.Equal(t, <-whole, 40*time.Millisecond+5*10*time.Millisecond)
+		assert.Equal(t, <-elapsed, 40*time.Millisecond+5*10*time.Millisecond)
 		assert.Equal(t, b.engines[decodeA].Judge().Totals.Completed, 1)
 		assert.Equal(t, b.engines[decodeB].Judge().Totals.DecodeRuns, 0)
 	})
@@ -39,25 +39,25 @@
 // restarted engine, in which the same block IDs belong to another prompt. The
 // pull must fail.
 func TestBlocksOfAnotherLife(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		old := b.prefill(prefillA, "a1", "r1", words("p", 40))
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		old := b.prefill(prefillA, "a1", "r1", makePrompt("p", 40))
 		b.engines[prefillA].Crash(0)
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
-		fresh := b.prefill(prefillA, "a2", "r2", words("q", 40))
+		fresh := b.prefill(prefillA, "a2", "r2", makePrompt("q", 40))
 		assert.DeepEqual(t, fresh.RemoteBlockIDs, old.RemoteBlockIDs)
-		resp := b.post(b.t.Context(), decodeAsk(decodeA, "a3", "r1", words("p", 40), 5, old))
-		assert.Equal(t, read[control.ErrorBody](t, resp, http.StatusConflict).Error.Code, control.CodeKVMissing)
+		resp := b.post(b.t.Context(), decodeRequest(decodeA, "a3", "r1", makePrompt("p", 40), 5, old))
+		assert.Equal(t, readJSON[control.ErrorBody](t, resp, http.StatusConflict).Error.Code, control.CodeKVMissing)
 	})
 }
 
 func TestPrefillEngineGone(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		kv := b.prefill(prefillA, "a1", "r1", words("p", 40))
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		kv := b.prefill(prefillA, "a1", "r1", makePrompt("p", 40))
 		kv.RemoteHost = "nobody"
-		resp := b.post(b.t.Context(), decodeAsk(decodeA, "a2", "r1", words("p", 40), 5, kv))
-		assert.Equal(t, read[control.ErrorBody](t, resp, http.StatusBadGateway).Error.Code, control.CodeTransferFailed)
-		b.held(decodeA, 0, 0)
+		resp := b.post(b.t.Context(), decodeRequest(decodeA, "a2", "r1", makePrompt("p", 40), 5, kv))
+		assert.Equal(t, readJSON[control.ErrorBody](t, resp, http.StatusBadGateway).Error.Code, control.CodeTransferFailed)
+		b.assertHeld(decodeA, 0, 0)
 	})
 }
 
@@ -65,11 +65,11 @@
 // has sent the KV cache and before the decode engine has processed the response.
 // The decode engine must count the prompt's tokens as waste.
 func TestAbortAsTransferEnds(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		params := b.prefill(prefillA, "a1", "r1", words("p", 40))
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		params := b.prefill(prefillA, "a1", "r1", makePrompt("p", 40))
 		e := b.engines[decodeA]
-		a := &attempt{id: "a2", correlation: "r1", pull: params, stage: StageEnded, to: 5}
-		e.fetch(b.t.Context(), a)
+		a := &attempt{id: "a2", correlation: "r1", pullParams: params, stage: StageEnded, to: 5}
+		e.pullKV(b.t.Context(), a)
 		assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptWasted, 0)
 		assert.Equal(t, e.Judge().Totals.PromptWasted, 40)
 	})
--- a/standin/engine/ledger.go
+++ b/standin/engine/ledger.go
@@ -8,15 +8,15 @@
 // ledger counts the work that the engine really did, for the judge's report. The
 // engine's mutex guards it. Its counts survive simulated crashes.
 type ledger struct {
-	cap      int
-	totals   judge.Totals
-	requests map[string]*judge.Request
-	overflow int
+	limit      int
+	totals     judge.Totals
+	requests   map[string]*judge.Request
+	unrecorded int
 }
 
 // newLedger returns an empty ledger that keeps at most limit records.
 func newLedger(limit int) *ledger {
-	return &ledger{cap: limit, requests: make(map[string]*judge.Request)}
+	return &ledger{limit: limit, requests: make(map[string]*judge.Request)}
 }
 
 // record returns the record of a's request. Beyond the cap it returns a record
@@ -27,7 +27,7 @@
 		return r
 	}
 	r = &judge.Request{CorrelationID: a.correlation}
-	if len(l.requests) < l.cap {
+	if len(l.requests) < l.limit {
 		l.requests[a.correlation] = r
 	}
 	return r
@@ -35,8 +35,8 @@
 
 // accepted counts an accepted attempt.
 func (l *ledger) accepted(a *attempt) {
-	if _, ok := l.requests[a.correlation]; !ok && len(l.requests) >= l.cap {
-		l.overflow++
+	if _, ok := l.requests[a.correlation]; !ok && len(l.requests) >= l.limit {
+		l.unrecorded++
 	}
 	l.totals.Accepted++
 	l.record(a).Accepted++
@@ -88,12 +88,12 @@
 // computed prompt tokens as used.
 func (l *ledger) generated(a *attempt) {
 	l.totals.Generated++
-	if a.used {
+	if a.kvUsed {
 		return
 	}
-	a.used = true
+	a.kvUsed = true
 	r := l.record(a)
-	r.LargestUsed = max(r.LargestUsed, a.computed+a.inherited)
+	r.LargestUsed = max(r.LargestUsed, a.computed+a.remoteComputed)
 }
 
 // transferred counts a prefill result sent to a decode engine.
@@ -105,16 +105,16 @@
 	l.record(a).Aborts++
 }
 
-// abortMissed counts an abort that found nothing to release.
-func (l *ledger) abortMissed() { l.totals.AbortsUnknown++ }
+// abortUnknown counts an abort that found nothing to release.
+func (l *ledger) abortUnknown() { l.totals.AbortsUnknown++ }
 
-// end counts the outcome of an attempt at its end: waste, generated range, and
+// ended counts the outcome of an attempt at its end: waste, generated range, and
 // eviction, completion or failure.
-func (l *ledger) end(a *attempt, f *failure) {
+func (l *ledger) ended(a *attempt, f *failure) {
 	r := l.record(a)
 	handedOver := a.prefillOnly && f == nil
-	if !a.used && !handedOver {
-		l.wasted(a, a.computed+a.inherited)
+	if !a.kvUsed && !handedOver {
+		l.wasted(a, a.computed+a.remoteComputed)
 	}
 	if a.next > a.from {
 		l.addRange(r, judge.Range{From: a.from, To: a.next})
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -41,7 +41,7 @@
 func (e *Engine) sampleLoad() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h := &e.life.loads
+	h := &e.state.loads
 	h.reports = append(h.reports, e.loadReport())
 	limit := time.Now().Add(-e.cfg.LoadLag).UnixMilli()
 	for len(h.reports) > 1 && h.reports[1].AtMS <= limit {
@@ -51,44 +51,44 @@
 
 // loadReport returns a report of the current load. The caller holds the mutex.
 func (e *Engine) loadReport() LoadReport {
-	l := e.life
-	l.loads.seq++
+	state := e.state
+	state.loads.seq++
 	return LoadReport{
-		Seq:           l.loads.seq,
+		Seq:           state.loads.seq,
 		AtMS:          time.Now().UnixMilli(),
-		Incarnation:   l.incarnation,
+		Incarnation:   state.incarnation,
 		Role:          e.role(),
-		Models:        l.placement.servedModels(),
-		Running:       e.runningCount(),
-		Waiting:       l.queue.len(),
+		Models:        state.placement.servedModels(),
+		Running:       e.runningAttempts(),
+		Waiting:       state.queue.len(),
 		Slots:         e.cfg.Perf.Slots,
-		WaitingTokens: l.queue.tokens,
-		PiecesUsed:    l.piecesUsed,
+		WaitingTokens: state.queue.tokens,
+		PiecesUsed:    state.piecesUsed,
 		PiecesTotal:   e.cfg.Perf.Pieces,
 		Draining:      e.faults.Draining,
 	}
 }
 
-// runningCount returns the number of attempts with a slot; on a prefill engine,
-// the number of prefills being computed.
-func (e *Engine) runningCount() int {
+// runningAttempts returns the number of attempts with a slot; on a prefill
+// engine, the number of prefills being computed.
+func (e *Engine) runningAttempts() int {
 	if e.role() == config.RolePrefill {
-		return e.life.prefilling
+		return e.state.prefilling
 	}
-	return e.life.slotsUsed
+	return e.state.slotsUsed
 }
 
 // serveLoad handles GET /load. The report is as old as the lag, or younger if
 // the incarnation is younger than the lag.
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	control.WriteJSON(w, http.StatusOK, e.laggingLoad())
+	control.WriteJSON(w, http.StatusOK, e.delayedLoad())
 }
 
-// laggingLoad returns the load report that GET /load returns now.
-func (e *Engine) laggingLoad() LoadReport {
+// delayedLoad returns the load report that GET /load returns now.
+func (e *Engine) delayedLoad() LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h := &e.life.loads
+	h := &e.state.loads
 	if e.cfg.LoadLag <= 0 || len(h.reports) == 0 {
 		return e.loadReport()
 	}
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -53,9 +53,9 @@
 	return Order{Role: p.role, Models: p.models, Adapters: p.adapters, Version: p.version}
 }
 
-// sameContent reports whether two orders specify the same placement. It ignores
-// the fencing numbers.
-func (o Order) sameContent(other Order) bool {
+// samePlacement reports whether two orders specify the same placement. It
+// ignores the fencing numbers.
+func (o Order) samePlacement(other Order) bool {
 	return o.Role == other.Role && o.Version == other.Version &&
 		slices.Equal(o.Models, other.Models) && slices.Equal(o.Adapters, other.Adapters)
 }
@@ -78,7 +78,7 @@
 		return
 	}
 	e.mu.Lock()
-	p := &e.life.placement
+	p := &e.state.placement
 	if e.cfg.ChecksFencing && order.Fence < p.highest {
 		body := control.NewError(http.StatusConflict, control.CodeStaleFence,
 			fmt.Sprintf("fence %d is older than %d", order.Fence, p.highest))
@@ -87,17 +87,17 @@
 		control.WriteJSON(w, http.StatusConflict, body)
 		return
 	}
-	e.take(order)
-	out := e.orders()
+	e.acceptOrder(order)
+	out := e.ordersResponse()
 	e.mu.Unlock()
 	control.WriteJSON(w, http.StatusOK, out)
 }
 
-// take records an order and starts applying it, unless it specifies the
+// acceptOrder records an order and starts applying it, unless it specifies the
 // placement that is current or being applied.
-func (e *Engine) take(order Order) {
-	p := &e.life.placement
-	changed := !order.sameContent(p.target())
+func (e *Engine) acceptOrder(order Order) {
+	p := &e.state.placement
+	changed := !order.samePlacement(p.target())
 	p.highest = max(p.highest, order.Fence)
 	p.applied++
 	p.history = append(p.history, AppliedOrder{Order: order, AtMS: time.Now().UnixMilli(), Changed: changed})
@@ -109,38 +109,38 @@
 	}
 	p.close()
 	p.loading = &order
-	p.timer = time.AfterFunc(e.cfg.LoadWeights, func() { e.loaded(&order) })
+	p.timer = time.AfterFunc(e.cfg.LoadWeights, func() { e.applyOrder(&order) })
 }
 
-// loaded makes an order's placement current, unless a later order has replaced
-// it. Running generations continue. The prefix cache is cleared, because its
-// blocks belong to the former placement.
-func (e *Engine) loaded(order *Order) {
+// applyOrder makes an order's placement current, unless a later order has
+// replaced it. Running generations continue. The prefix cache is cleared,
+// because its blocks belong to the former placement.
+func (e *Engine) applyOrder(order *Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p := &e.life.placement
+	p := &e.state.placement
 	if p.loading != order {
 		return
 	}
 	p.loading = nil
 	p.role, p.models, p.adapters, p.version = order.Role, order.Models, order.Adapters, order.Version
 	e.clearCache()
-	e.poke()
+	e.wakeLoop()
 }
 
 // serveGetOrders handles GET /v1/orders.
 func (e *Engine) serveGetOrders(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	out := e.orders()
+	out := e.ordersResponse()
 	e.mu.Unlock()
 	control.WriteJSON(w, http.StatusOK, out)
 }
 
-// orders returns the placement and the latest orders.
-func (e *Engine) orders() OrdersResponse {
-	p := &e.life.placement
+// ordersResponse returns the placement and the latest orders.
+func (e *Engine) ordersResponse() OrdersResponse {
+	p := &e.state.placement
 	return OrdersResponse{
-		Incarnation:   e.life.incarnation,
+		Incarnation:   e.state.incarnation,
 		Role:          p.role,
 		Models:        p.models,
 		Adapters:      p.adapters,
--- a/standin/engine/queue.go
+++ b/standin/engine/queue.go
@@ -46,7 +46,7 @@
 	if q[i].priority != q[j].priority {
 		return q[i].priority < q[j].priority
 	}
-	return q[i].order < q[j].order
+	return q[i].arrival < q[j].arrival
 }
 
 func (q queueItems) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
--- a/standin/engine/session_test.go
+++ b/standin/engine/session_test.go
@@ -15,58 +15,58 @@
 )
 
 func TestWholeSession(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		prompt := words("p", 40)
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		prompt := makePrompt("p", 40)
 		start := time.Now()
 		kv := b.prefill(prefillA, "a1", "r1", prompt)
 		assert.Equal(t, time.Since(start), 40*time.Millisecond)
 		assert.DeepEqual(t, kv.RemoteBlockIDs, []int64{1, 2, 3, 4})
-		b.held(prefillA, 1, 4)
+		b.assertHeld(prefillA, 1, 4)
 
 		start = time.Now()
-		got := collect(t, b.post(b.t.Context(), decodeAsk(decodeA, "a2", "r1", prompt, 5, kv)), 0)
+		got := readStream(t, b.post(b.t.Context(), decodeRequest(decodeA, "a2", "r1", prompt, 5, kv)), 0)
 		assert.Equal(t, time.Since(start), 40*time.Millisecond+5*10*time.Millisecond)
-		assert.Assert(t, got.whole)
+		assert.Assert(t, got.complete)
 		assert.NilError(t, answer.Check(prompt, got.text, 5))
-		assert.Equal(t, got.last, "a2:4")
+		assert.Equal(t, got.lastEventID, "a2:4")
 		assert.Equal(t, got.usage.TotalTokens, 45)
 
-		b.held(prefillA, 0, 0)
-		b.held(decodeA, 0, 0)
-		both := judge.Merge([]judge.Engine{b.engines[prefillA].Judge(), b.engines[decodeA].Judge()})
-		assert.DeepEqual(t, both, judge.Summary{
+		b.assertHeld(prefillA, 0, 0)
+		b.assertHeld(decodeA, 0, 0)
+		summary := judge.Merge([]judge.Engine{b.engines[prefillA].Judge(), b.engines[decodeA].Judge()})
+		assert.DeepEqual(t, summary, judge.Summary{
 			Requests: 1, Completed: 1, PromptComputed: 40, Generated: 5,
 		})
 	})
 }
 
 func TestChatAndWholeAnswer(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
 		messages := []tokens.Message{{Role: "user", Content: "how much"}}
 		prompt := tokens.FlattenChat(messages)
-		a := ask{engine: decodeA, attempt: "a1", path: "/v1/chat/completions",
+		a := testRequest{engine: decodeA, attempt: "a1", path: "/v1/chat/completions",
 			body: CompletionRequest{Messages: messages, MaxCompletionTokens: 3}}
-		whole := read[CompletionResponse](t, b.post(b.t.Context(), a), http.StatusOK)
-		assert.NilError(t, answer.Check(prompt, whole.Choices[0].Message.Content, 3))
-		assert.Equal(t, whole.Usage.PromptTokens, 3)
+		response := readJSON[CompletionResponse](t, b.post(b.t.Context(), a), http.StatusOK)
+		assert.NilError(t, answer.Check(prompt, response.Choices[0].Message.Content, 3))
+		assert.Equal(t, response.Usage.PromptTokens, 3)
 
 		a.attempt, a.body.Stream = "a2", true
-		got := collect(t, b.post(b.t.Context(), a), 0)
+		got := readStream(t, b.post(b.t.Context(), a), 0)
 		assert.NilError(t, answer.Check(prompt, got.text, 3))
 	})
 }
 
 func TestBatchSharesSteps(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		kv1 := b.prefill(prefillA, "a1", "r1", words("p", 10))
-		kv2 := b.prefill(prefillB, "a2", "r2", words("q", 12))
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		kv1 := b.prefill(prefillA, "a1", "r1", makePrompt("p", 10))
+		kv2 := b.prefill(prefillB, "a2", "r2", makePrompt("q", 12))
 		start := time.Now()
-		one := b.post(b.t.Context(), decodeAsk(decodeA, "d1", "r1", words("p", 10), 10, kv1))
-		two := b.post(b.t.Context(), decodeAsk(decodeA, "d2", "r2", words("q", 12), 10, kv2))
-		done := make(chan streamed, 1)
-		go func() { done <- collect(t, one, 0) }()
-		assert.Assert(t, collect(t, two, 0).whole)
-		assert.Assert(t, (<-done).whole)
+		one := b.post(b.t.Context(), decodeRequest(decodeA, "d1", "r1", makePrompt("p", 10), 10, kv1))
+		two := b.post(b.t.Context(), decodeRequest(decodeA, "d2", "r2", makePrompt("q", 12), 10, kv2))
+		done := make(chan streamResult, 1)
+		go func() { done <- readStream(t, one, 0) }()
+		assert.Assert(t, readStream(t, two, 0).complete)
+		assert.Assert(t, (<-done).complete)
 		// The first starts at 10 ms. The second has its KV at 22 ms and joins the
 		// step that starts at 30 ms. They share eight steps, and each runs two alone.
 		assert.Equal(t, time.Since(start), 30*time.Millisecond+8*11*time.Millisecond+2*10*time.Millisecond)
@@ -74,16 +74,16 @@
 }
 
 func TestPriorityOrder(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
 		order := make(chan string, 3)
 		for _, p := range []struct {
 			id       string
 			priority int
 		}{{"first", 5}, {"low", 9}, {"high", 1}} {
 			go func() {
-				a := prefillAsk(prefillA, p.id, p.id, words(p.id, 20))
+				a := prefillRequest(prefillA, p.id, p.id, makePrompt(p.id, 20))
 				a.body.Priority = p.priority
-				read[CompletionResponse](t, b.post(b.t.Context(), a), http.StatusOK)
+				readJSON[CompletionResponse](t, b.post(b.t.Context(), a), http.StatusOK)
 				order <- p.id
 			}()
 			synctest.Wait()
@@ -95,11 +95,11 @@
 }
 
 func TestPrefixCacheSavesPrefill(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		b.prefill(prefillA, "a1", "r1", words("p", 45))
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		b.prefill(prefillA, "a1", "r1", makePrompt("p", 45))
 		start := time.Now()
-		resp := b.post(b.t.Context(), prefillAsk(prefillA, "a2", "r2", words("p", 45)))
-		got := read[CompletionResponse](t, resp, http.StatusOK)
+		resp := b.post(b.t.Context(), prefillRequest(prefillA, "a2", "r2", makePrompt("p", 45)))
+		got := readJSON[CompletionResponse](t, resp, http.StatusOK)
 		assert.Equal(t, time.Since(start), 5*time.Millisecond)
 		assert.Equal(t, got.Usage.PromptTokensDetails.CachedTokens, 40)
 		totals := b.engines[prefillA].Judge().Totals
@@ -109,20 +109,20 @@
 }
 
 func TestEvictionAfterLifetime(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		prompt := words("p", 40)
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		prompt := makePrompt("p", 40)
 		kv := b.prefill(prefillA, "a1", "r1", prompt)
 		time.Sleep(900*time.Millisecond - time.Nanosecond)
 		synctest.Wait()
-		b.held(prefillA, 1, 4)
+		b.assertHeld(prefillA, 1, 4)
 		time.Sleep(time.Nanosecond)
 		synctest.Wait()
-		b.held(prefillA, 0, 0)
+		b.assertHeld(prefillA, 0, 0)
 
-		resp := b.post(b.t.Context(), decodeAsk(decodeA, "a2", "r1", prompt, 5, kv))
-		got := read[control.ErrorBody](t, resp, http.StatusConflict)
+		resp := b.post(b.t.Context(), decodeRequest(decodeA, "a2", "r1", prompt, 5, kv))
+		got := readJSON[control.ErrorBody](t, resp, http.StatusConflict)
 		assert.Equal(t, got.Error.Code, control.CodeKVMissing)
-		b.held(decodeA, 0, 0)
+		b.assertHeld(decodeA, 0, 0)
 		totals := b.engines[prefillA].Judge().Totals
 		assert.Equal(t, totals.Evicted, 1)
 		assert.Equal(t, totals.PromptWasted, 40)
@@ -131,17 +131,17 @@
 }
 
 func TestLinkIsShared(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		p, q := words("p", 40), words("q", 40)
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		p, q := makePrompt("p", 40), makePrompt("q", 40)
 		kvP := b.prefill(prefillA, "a1", "r1", p)
 		kvQ := b.prefill(prefillA, "a2", "r2", q)
 		start := time.Now()
 		done := make(chan time.Duration, 2)
-		for _, a := range []ask{decodeAsk(decodeA, "d1", "r1", p, 1, kvP), decodeAsk(decodeB, "d2", "r2", q, 1, kvQ)} {
+		for _, a := range []testRequest{decodeRequest(decodeA, "d1", "r1", p, 1, kvP), decodeRequest(decodeB, "d2", "r2", q, 1, kvQ)} {
 			go func() {
 				resp := b.post(b.t.Context(), a)
 				done <- time.Since(start)
-				collect(t, resp, 0)
+				readStream(t, resp, 0)
 			}()
 		}
 		assert.Equal(t, <-done, 80*time.Millisecond)
@@ -150,18 +150,18 @@
 }
 
 func TestStalledTransfer(t *testing.T) {
-	inBench(t, nil, func(t *testing.T, b *bench) {
-		prompt := words("p", 40)
+	withTestBed(t, nil, func(t *testing.T, b *testBed) {
+		prompt := makePrompt("p", 40)
 		kv := b.prefill(prefillA, "a1", "r1", prompt)
 		b.engines[prefillA].SetFaults(control.EngineFaults{StallTransfers: true})
-		done := make(chan streamed, 1)
+		done := make(chan streamResult, 1)
 		go func() {
-			done <- collect(t, b.post(b.t.Context(), decodeAsk(decodeA, "d1", "r1", prompt, 2, kv)), 0)
+			done <- readStream(t, b.post(b.t.Context(), decodeRequest(decodeA, "d1", "r1", prompt, 2, kv)), 0)
 		}()
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		b.held(prefillA, 1, 4) // being sent, so it doesn't expire
-		b.held(decodeA, 1, 5)
+		b.assertHeld(prefillA, 1, 4) // being sent, so it doesn't expire
+		b.assertHeld(decodeA, 1, 5)
 		b.engines[prefillA].SetFaults(control.EngineFaults{})
 		got := <-done
 		assert.NilError(t, answer.Check(prompt, got.text, 2))
@@ -173,11 +173,11 @@
 // step, which is five tokens.
 func TestShortPromptsShareAStep(t *testing.T) {
 	slots := func(c *Config) { c.Perf.Slots = 5 }
-	inBench(t, slots, func(t *testing.T, b *bench) {
-		b.begin(decodeAsk(decodeA, "a0", "r0", words("p", 5), 20, nil))
+	withTestBed(t, slots, func(t *testing.T, b *testBed) {
+		b.postAsync(decodeRequest(decodeA, "a0", "r0", makePrompt("p", 5), 20, nil))
 		time.Sleep(6 * time.Millisecond) // during the first step of the generation
 		for _, id := range []string{"a1", "a2", "a3", "a4"} {
-			b.begin(decodeAsk(decodeA, id, id, words(id, 1), 5, nil))
+			b.postAsync(decodeRequest(decodeA, id, id, makePrompt(id, 1), 5, nil))
 		}
 		time.Sleep(9 * time.Millisecond) // the next step starts at 15 ms
 		synctest.Wait()
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -19,8 +19,8 @@
 	replaced chan struct{}
 }
 
-// poke signals the reader that the attempt's progress may have changed.
-func (rd *reader) poke() {
+// notify signals the reader that the attempt's progress may have changed.
+func (rd *reader) notify() {
 	select {
 	case rd.changed <- struct{}{}:
 	default:
@@ -30,7 +30,7 @@
 // progress is a snapshot of an attempt's progress.
 type progress struct {
 	next    int // offset of the next token to generate
-	over    bool
+	ended   bool
 	failure *failure // reason for an early end, nil otherwise
 }
 
@@ -58,7 +58,7 @@
 func (e *Engine) progress(a *attempt) progress {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return progress{next: a.next, over: !a.running(), failure: a.failure}
+	return progress{next: a.next, ended: !a.running(), failure: a.failure}
 }
 
 // serveResume handles GET /v1/streams/{attempt}: it resumes a stream after the
@@ -66,7 +66,7 @@
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	id := mux.Vars(r)["attempt"]
 	e.mu.Lock()
-	a := e.life.attempts[id]
+	a := e.state.attempts[id]
 	e.mu.Unlock()
 	if a == nil || a.prefillOnly {
 		control.WriteError(w, http.StatusNotFound, control.CodeNotFound, "no such stream")
@@ -82,7 +82,7 @@
 	case <-r.Context().Done():
 		return
 	}
-	e.stream(w, r, a, from)
+	e.streamAnswer(w, r, a, from)
 }
 
 // resumeOffset returns the token offset after the event with the given ID, or
@@ -100,9 +100,9 @@
 	return n + 1, true
 }
 
-// stream sends the tokens from an offset on as server-sent events while they
-// are generated.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, a *attempt, from int) {
+// streamAnswer sends the tokens from an offset on as server-sent events while
+// they are generated.
+func (e *Engine) streamAnswer(w http.ResponseWriter, r *http.Request, a *attempt, from int) {
 	rd := e.attach(a)
 	defer e.detach(a, rd)
 	p := e.progress(a)
@@ -114,9 +114,9 @@
 	next := from
 	for {
 		for ; next < p.next; next++ {
-			s.token(next)
+			s.addToken(next)
 		}
-		if p.over {
+		if p.ended {
 			s.finish(p)
 			return
 		}
@@ -136,21 +136,21 @@
 
 // eventStream writes an answer as server-sent events.
 type eventStream struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	a       *attempt
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	attempt    *attempt
 	// head and tail are the JSON of a chunk before and after its token; lastTail
 	// is the tail of the last chunk.
 	head, tail, lastTail string
 	buf                  []byte
 }
 
-// tokenMark is the placeholder for the token in the JSON template of a chunk.
-const tokenMark = "@"
+// tokenPlaceholder stands for the token in the JSON template of a chunk.
+const tokenPlaceholder = "@"
 
 // newEventStream writes the response header and returns the stream.
 func newEventStream(w http.ResponseWriter, a *attempt) *eventStream {
-	s := &eventStream{w: w, control: http.NewResponseController(w), a: a}
+	s := &eventStream{w: w, controller: http.NewResponseController(w), attempt: a}
 	s.head, s.tail = splitAtToken(a.chunk(nil))
 	finish := finishLength
 	_, s.lastTail = splitAtToken(a.chunk(&finish))
@@ -167,39 +167,40 @@
 func splitAtToken(chunk CompletionResponse) (head, tail string) {
 	// A chunk has no field that can fail to marshal.
 	text, _ := json.Marshal(chunk)
-	at := strings.LastIndex(string(text), tokenMark)
-	return string(text[:at]), string(text[at+len(tokenMark):])
+	at := strings.LastIndex(string(text), tokenPlaceholder)
+	return string(text[:at]), string(text[at+len(tokenPlaceholder):])
 }
 
-// chunk returns a chunk of the streamed answer with tokenMark as its token.
+// chunk returns a chunk of the streamed answer with tokenPlaceholder as its
+// token.
 func (a *attempt) chunk(finish *string) CompletionResponse {
-	out := CompletionResponse{ID: a.id, Created: a.since.Unix(), Model: a.model}
+	out := CompletionResponse{ID: a.id, Created: a.receivedAt.Unix(), Model: a.model}
 	choice := Choice{FinishReason: finish}
-	if a.form == formatChat {
+	if a.format == formatChat {
 		out.Object = objectChunk
-		choice.Delta = &Delta{Role: roleAssistant, Content: tokenMark}
+		choice.Delta = &Delta{Role: roleAssistant, Content: tokenPlaceholder}
 	} else {
 		out.Object = objectCompletion
-		mark := tokenMark
-		choice.Text = &mark
+		text := tokenPlaceholder
+		choice.Text = &text
 	}
 	out.Choices = []Choice{choice}
 	return out
 }
 
-// token appends the event of one token to the buffer.
-func (s *eventStream) token(offset int) {
+// addToken appends the event of one token to the buffer.
+func (s *eventStream) addToken(offset int) {
 	tail := s.tail
-	if offset == s.a.to-1 {
+	if offset == s.attempt.to-1 {
 		tail = s.lastTail
 	}
 	s.buf = append(s.buf, "id: "...)
-	s.buf = append(s.buf, s.a.id...)
+	s.buf = append(s.buf, s.attempt.id...)
 	s.buf = append(s.buf, ':')
 	s.buf = strconv.AppendInt(s.buf, int64(offset), 10)
 	s.buf = append(s.buf, "\ndata: "...)
 	s.buf = append(s.buf, s.head...)
-	s.buf = s.a.prompt.AppendToken(s.buf, offset)
+	s.buf = s.attempt.prompt.AppendToken(s.buf, offset)
 	s.buf = append(s.buf, tail...)
 	s.buf = append(s.buf, "\n\n"...)
 }
@@ -210,7 +211,7 @@
 		return err
 	}
 	s.buf = s.buf[:0]
-	return s.control.Flush()
+	return s.controller.Flush()
 }
 
 // finish ends the stream. A complete answer ends with its usage and [DONE], an
@@ -218,17 +219,17 @@
 func (s *eventStream) finish(p progress) {
 	switch {
 	case p.failure == nil:
-		s.data(CompletionResponse{
-			ID:      s.a.id,
-			Object:  s.a.chunk(nil).Object,
-			Created: s.a.since.Unix(),
-			Model:   s.a.model,
+		s.addData(CompletionResponse{
+			ID:      s.attempt.id,
+			Object:  s.attempt.chunk(nil).Object,
+			Created: s.attempt.receivedAt.Unix(),
+			Model:   s.attempt.model,
 			Choices: []Choice{},
-			Usage:   s.a.usage(s.a.to - s.a.from),
+			Usage:   s.attempt.usage(s.attempt.to - s.attempt.from),
 		})
 		s.buf = append(s.buf, "data: [DONE]\n\n"...)
 	case p.failure == &failureAborted:
-		s.data(control.NewError(p.failure.status, p.failure.code, p.failure.message))
+		s.addData(control.NewError(p.failure.status, p.failure.code, p.failure.message))
 	default:
 		// Send the generated tokens first, as an engine does that fails later.
 		_ = s.flush()
@@ -239,8 +240,8 @@
 	_ = s.flush()
 }
 
-// data appends an event without an ID to the buffer.
-func (s *eventStream) data(v any) {
+// addData appends an event without an ID to the buffer.
+func (s *eventStream) addData(v any) {
 	text, _ := json.Marshal(v)
 	s.buf = append(s.buf, "data: "...)
 	s.buf = append(s.buf, text...)
--- a/standin/engine/transfer.go
+++ b/standin/engine/transfer.go
@@ -10,7 +10,7 @@
 // its network link. The engine's mutex guards it.
 type transfers struct {
 	engine *Engine
-	life   *life
+	state  *engineState
 	link   *perf.Link
 	timer  *time.Timer
 	nextID perf.FlowID
@@ -19,8 +19,8 @@
 
 // flow is a transfer in progress.
 type flow struct {
-	id perf.FlowID
-	a  *attempt
+	id      perf.FlowID
+	attempt *attempt
 	// done is closed at the end of the transfer; sent is then true if all bytes
 	// were sent.
 	done chan struct{}
@@ -28,10 +28,10 @@
 }
 
 // newTransfers returns an empty set of transfers for a new incarnation.
-func newTransfers(e *Engine, l *life) *transfers {
+func newTransfers(e *Engine, state *engineState) *transfers {
 	t := &transfers{
 		engine: e,
-		life:   l,
+		state:  state,
 		link:   perf.NewLink(e.linkRate()),
 		flows:  make(map[perf.FlowID]*flow),
 	}
@@ -57,41 +57,41 @@
 	a.stage = StageSending
 	a.timer.Stop()
 	t.nextID++
-	f := &flow{id: t.nextID, a: a, done: make(chan struct{})}
+	f := &flow{id: t.nextID, attempt: a, done: make(chan struct{})}
 	t.flows[f.id] = f
 	t.link.Add(t.now(), f.id, t.engine.cfg.Perf.TransferBytes(a.promptTokens))
-	t.settle()
+	t.completeFinished()
 	return f
 }
 
-// giveUp cancels a transfer whose receiver has disconnected. The result is held
-// again for the rest of its lifetime.
-func (t *transfers) giveUp(f *flow) {
+// cancelAndHold cancels a transfer whose receiver has disconnected. The result
+// is held again for the rest of its lifetime.
+func (t *transfers) cancelAndHold(f *flow) {
 	if t.flows[f.id] != f {
 		return
 	}
-	t.drop(f, false)
-	t.settle()
-	if f.a.stage != StageSending {
+	t.remove(f, false)
+	t.completeFinished()
+	if f.attempt.stage != StageSending {
 		return
 	}
-	f.a.stage = StageHeld
-	f.a.timer.Reset(max(time.Until(f.a.expires), 0))
+	f.attempt.stage = StageHeld
+	f.attempt.timer.Reset(max(time.Until(f.attempt.expiresAt), 0))
 }
 
 // cancel cancels the transfer of an attempt, if there is one.
 func (t *transfers) cancel(a *attempt) {
 	for _, f := range t.flows {
-		if f.a == a {
-			t.drop(f, false)
-			t.settle()
+		if f.attempt == a {
+			t.remove(f, false)
+			t.completeFinished()
 			return
 		}
 	}
 }
 
-// drop removes a transfer and closes its done channel.
-func (t *transfers) drop(f *flow, sent bool) {
+// remove removes a transfer and closes its done channel.
+func (t *transfers) remove(f *flow, sent bool) {
 	t.link.Remove(t.now(), f.id)
 	delete(t.flows, f.id)
 	f.sent = sent
@@ -101,17 +101,17 @@
 // setRate changes the link's rate, in bytes per second.
 func (t *transfers) setRate(rate float64) {
 	t.link.SetRate(t.now(), rate)
-	t.settle()
+	t.completeFinished()
 }
 
-// settle completes the transfers that have sent all bytes and sets the timer
-// for the next completion.
-func (t *transfers) settle() {
+// completeFinished completes the transfers that have sent all bytes and sets the
+// timer for the next completion.
+func (t *transfers) completeFinished() {
 	for _, id := range t.link.Finished(t.now()) {
 		f := t.flows[id]
-		t.drop(f, true)
+		t.remove(f, true)
 		t.engine.ledger.transferred()
-		t.engine.end(f.a, nil)
+		t.engine.end(f.attempt, nil)
 	}
 	next, ok := t.link.Next()
 	if !ok {
@@ -125,8 +125,8 @@
 func (t *transfers) onTimer() {
 	t.engine.mu.Lock()
 	defer t.engine.mu.Unlock()
-	if t.engine.life == t.life {
-		t.settle()
+	if t.engine.state == t.state {
+		t.completeFinished()
 	}
 }
 
