--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -11,10 +11,10 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// Engine is one stand-in engine. Make it with New and serve its Handler.
+// Engine is a stand-in engine. Create it with New and serve its Handler.
 type Engine struct {
 	cfg Config
-	// started is the origin of the link's time offsets.
+	// started is the time from which the link's time offsets count.
 	started time.Time
 	wake    chan struct{}
 	ctx     context.Context
@@ -22,40 +22,41 @@
 	workers sync.WaitGroup
 
 	mu     sync.Mutex
-	life   *life
+	state  *engineState
 	faults control.EngineFaults
 	ledger *ledger
-	// down is true while the engine plays a killed process.
+	// down is true between a simulated crash and the restart.
 	down bool
-	// connected is done while connections are dropped.
-	connected  context.Context
-	disconnect context.CancelFunc
-	cacheLoss  *lossy
+	// connected is cancelled while connections are dropped.
+	connected    context.Context
+	disconnect   context.CancelFunc
+	batchDropper *batchDropper
 }
 
-// life is everything that a killed process loses.
-type life struct {
+// engineState is the state of one incarnation, which is lost in a crash.
+type engineState struct {
 	incarnation ident.Incarnation
 	attempts    map[string]*attempt
-	// ended lists the attempts that are over but still remembered, oldest first.
+	// ended lists the ended attempts that are still retained, oldest first.
 	ended      []*attempt
 	tombstones *tombstones
 
 	queue prefillQueue
-	// current is the prefill that goes on in the next step, nil if none.
-	current *attempt
-	// prefilling counts the attempts in StagePrefill.
+	// currentPrefill is the prefill that continues in the next step, nil if none.
+	currentPrefill *attempt
+	// prefilling is the number of attempts in StagePrefill.
 	prefilling int
-	// batch lists the running generations; joining those of the next step.
+	// batch lists the running generations, joining those that start with the
+	// next step.
 	batch   []*attempt
 	joining []*attempt
 
 	slotsUsed  int
 	piecesUsed int
 	nextBlock  int64
-	nextOrder  uint64
-	// results finds prefill results by their first block.
-	results map[int64]*attempt
+	arrivals   uint64
+	// resultsByBlock maps the ID of the first block to its prefill result.
+	resultsByBlock map[int64]*attempt
 
 	cache     *perf.Cache
 	events    *eventLog
@@ -64,74 +65,74 @@
 	placement placement
 }
 
-// New starts a stand-in engine. Close stops it.
+// New starts a stand-in engine. Call Close to stop it.
 func New(cfg Config) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
-		cfg:       cfg,
-		started:   time.Now(),
-		wake:      make(chan struct{}, 1),
-		ledger:    newLedger(cfg.JudgeCap),
-		cacheLoss: newLossy(cfg.Seed, cfg.CacheLoss),
+		cfg:          cfg,
+		started:      time.Now(),
+		wake:         make(chan struct{}, 1),
+		ledger:       newLedger(cfg.JudgeCap),
+		batchDropper: newBatchDropper(cfg.Seed, cfg.CacheLoss),
 	}
 	e.ctx, e.stop = context.WithCancel(context.Background())
 	e.connected, e.disconnect = context.WithCancel(e.ctx)
-	e.life = e.newLife(0)
+	e.state = e.newState(0)
 	e.workers.Go(e.runSteps)
 	e.workers.Go(e.sampleLoads)
 	return e
 }
 
-// newLife returns the state of a process that has just started. Its
-// incarnation is higher than previous.
-func (e *Engine) newLife(previous ident.Incarnation) *life {
-	l := &life{
-		incarnation: max(ident.NewIncarnation(time.Now()), previous+1),
-		attempts:    make(map[string]*attempt),
-		tombstones:  newTombstones(),
-		results:     make(map[int64]*attempt),
-		nextBlock:   1,
-		cache:       perf.NewCache(e.cfg.Perf.CachePieces),
-		events:      newEventLog(e.cfg.CacheDelay, e.cacheLoss),
+// newState returns the state of a new incarnation, with a number higher than
+// previous.
+func (e *Engine) newState(previous ident.Incarnation) *engineState {
+	state := &engineState{
+		incarnation:    max(ident.NewIncarnation(time.Now()), previous+1),
+		attempts:       make(map[string]*attempt),
+		tombstones:     newTombstones(),
+		resultsByBlock: make(map[int64]*attempt),
+		nextBlock:      1,
+		cache:          perf.NewCache(e.cfg.Perf.CachePieces),
+		events:         newEventLog(e.cfg.CacheDelay, e.batchDropper),
 	}
-	l.transfers = newTransfers(e, l)
-	l.placement = placement{
+	state.transfers = newTransfers(e, state)
+	state.placement = placement{
 		role:     e.cfg.Role,
 		models:   e.cfg.Models,
 		adapters: e.cfg.Adapters,
 		version:  e.cfg.Version,
 	}
-	return l
+	return state
 }
 
-// Close stops the engine's work and waits for its goroutines. Requests being
-// served end without an answer.
+// Close stops the engine and waits for its goroutines. Connections of requests
+// in progress are dropped.
 func (e *Engine) Close() {
 	e.stop()
 	e.mu.Lock()
-	e.endLife()
+	e.closeState()
 	e.mu.Unlock()
 	e.workers.Wait()
 	e.cfg.Client.CloseIdleConnections()
 }
 
-// endLife ends all attempts and timers of the present life.
-func (e *Engine) endLife() {
-	for _, a := range e.life.attempts {
-		e.end(a, &failureCrashed)
+// closeState ends all attempts and stops all timers of the current incarnation.
+func (e *Engine) closeState() {
+	for _, a := range e.state.attempts {
+		e.end(a, &failureStopped)
 	}
-	e.life.transfers.close()
-	e.life.events.close()
-	e.life.placement.close()
+	e.state.transfers.close()
+	e.state.events.close()
+	e.state.placement.close()
 }
 
-// poke makes the step loop look for work.
-func (e *Engine) poke() {
+// wakeLoop wakes the step loop.
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// role returns the role in force. The caller holds the mutex.
-func (e *Engine) role() config.Role { return e.life.placement.role }
+// role returns the current role. The caller holds the mutex.
+func (e *Engine) role() config.Role { return e.state.placement.role }
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -13,33 +13,35 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// pathPull is where an engine asks another for a prefill result.
+// pathPull is the endpoint from which an engine pulls a prefill result of
+// another.
 const pathPull = "/v1/kv/pull"
 
-// incarnationBase is the base in which incarnations are written in engine IDs.
+// incarnationBase is the number base of incarnations in engine IDs.
 const incarnationBase = 36
 
-// engineID names this life of the engine in KV-transfer parameters.
+// engineID identifies this incarnation of the engine in KV-transfer parameters.
 func (e *Engine) engineID() string {
-	return string(e.cfg.ID) + "@" + strconv.FormatUint(uint64(e.life.incarnation), incarnationBase)
+	return string(e.cfg.ID) + "@" + strconv.FormatUint(uint64(e.state.incarnation), incarnationBase)
 }
 
-// hold keeps a finished prefill for its decode engine until its lifetime ends.
-func (e *Engine) hold(a *attempt) {
-	l := e.life
+// holdResult keeps a prefill result for a decode engine until Perf.KVLifetime
+// ends.
+func (e *Engine) holdResult(a *attempt) {
+	state := e.state
 	for range a.pieces {
-		a.blockIDs = append(a.blockIDs, l.nextBlock)
-		l.nextBlock++
+		a.blockIDs = append(a.blockIDs, state.nextBlock)
+		state.nextBlock++
 	}
-	l.results[a.blockIDs[0]] = a
+	state.resultsByBlock[a.blockIDs[0]] = a
 	a.stage = StageHeld
-	a.expires = time.Now().Add(e.cfg.Perf.KVLifetime)
-	a.timer = time.AfterFunc(e.cfg.Perf.KVLifetime, func() { e.evict(a) })
+	a.expiresAt = time.Now().Add(e.cfg.Perf.KVLifetime)
+	a.timer = time.AfterFunc(e.cfg.Perf.KVLifetime, func() { e.evictResult(a) })
 	close(a.ready)
 }
 
-// evict drops a prefill result that outlived its lifetime.
-func (e *Engine) evict(a *attempt) {
+// evictResult ends a prefill whose result was not pulled within its lifetime.
+func (e *Engine) evictResult(a *attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if a.stage == StageHeld {
@@ -47,7 +49,8 @@
 	}
 }
 
-// transferParams are the parameters that a decode engine needs to fetch a.
+// transferParams returns the parameters with which a decode engine pulls the
+// prefill result of a.
 func (e *Engine) transferParams(a *attempt) *KVTransferParams {
 	host, port := e.cfg.hostPort()
 	return &KVTransferParams{
@@ -60,13 +63,14 @@
 	}
 }
 
-// servePull answers POST /v1/kv/pull when the prefill result has been sent.
+// servePull handles POST /v1/kv/pull. It responds when the transfer of the
+// prefill result has ended.
 func (e *Engine) servePull(w http.ResponseWriter, r *http.Request) {
 	var req PullRequest
 	if !control.ReadJSON(w, r, &req) {
 		return
 	}
-	f, answer := e.startPull(req)
+	f, answer := e.startTransfer(req)
 	if f == nil {
 		failureNoKV.write(w)
 		return
@@ -75,7 +79,7 @@
 	case <-f.done:
 	case <-r.Context().Done():
 		e.mu.Lock()
-		e.life.transfers.giveUp(f)
+		e.state.transfers.cancelAndHold(f)
 		e.mu.Unlock()
 		return
 	}
@@ -86,19 +90,19 @@
 	control.WriteJSON(w, http.StatusOK, answer)
 }
 
-// startPull starts the transfer that req asks for; it returns nil if the
-// prefill result is gone or on its way already.
-func (e *Engine) startPull(req PullRequest) (*flow, PullResponse) {
+// startTransfer starts the transfer requested by req. It returns a nil flow if
+// the prefill result no longer exists or is already being sent.
+func (e *Engine) startTransfer(req PullRequest) (*flow, PullResponse) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(req.RemoteBlockIDs) == 0 || req.RemoteEngineID != e.engineID() {
 		return nil, PullResponse{}
 	}
-	a := e.life.results[req.RemoteBlockIDs[0]]
+	a := e.state.resultsByBlock[req.RemoteBlockIDs[0]]
 	if a == nil || a.stage != StageHeld {
 		return nil, PullResponse{}
 	}
-	return e.life.transfers.start(a), PullResponse{
+	return e.state.transfers.start(a), PullResponse{
 		PromptTokens:   a.promptTokens,
 		ComputedTokens: a.computed,
 		CachedTokens:   a.cached,
@@ -106,9 +110,9 @@
 	}
 }
 
-// fetch pulls the KV cache of a decode attempt and starts its generation.
-func (e *Engine) fetch(ctx context.Context, a *attempt) {
-	got, f := e.callPull(ctx, a.pull)
+// pullKV pulls the KV cache of a decode attempt, then starts the generation.
+func (e *Engine) pullKV(ctx context.Context, a *attempt) {
+	got, f := e.sendPullRequest(ctx, a.pullParams)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if f != nil {
@@ -116,19 +120,19 @@
 		return
 	}
 	if !a.running() {
-		// Aborted just when the transfer was done: the ledger has closed the
-		// attempt, so the waste is added here.
+		// The attempt was aborted as the transfer completed. The ledger has
+		// already accounted for its end, so the waste is counted here.
 		e.ledger.wasted(a, got.ComputedTokens)
 		return
 	}
-	a.inherited = got.ComputedTokens
+	a.remoteComputed = got.ComputedTokens
 	a.cached = got.CachedTokens
 	e.storeBlocks(a)
-	e.join(a)
+	e.startDecode(a)
 }
 
-// callPull sends a pull to the engine that params name.
-func (e *Engine) callPull(ctx context.Context, params *KVTransferParams) (PullResponse, *failure) {
+// sendPullRequest sends a pull request to the engine named by params.
+func (e *Engine) sendPullRequest(ctx context.Context, params *KVTransferParams) (PullResponse, *failure) {
 	body, err := json.Marshal(PullRequest{
 		RemoteEngineID:  params.RemoteEngineID,
 		RemoteRequestID: params.RemoteRequestID,
@@ -142,7 +146,8 @@
 	if err != nil {
 		return PullResponse{}, &failureTransfer
 	}
-	// A pull must not be sent twice on a new connection.
+	// Without GetBody, the transport can't resend the request on a new
+	// connection; a pull must not be sent twice.
 	req.GetBody = nil
 	resp, err := e.cfg.Client.Do(req)
 	if err != nil {
--- a/standin/engine/transfer.go
+++ b/standin/engine/transfer.go
@@ -6,31 +6,32 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// transfers carries prefill results out of the engine over its link. It is
-// guarded by the engine's mutex.
+// transfers simulates the transfers of prefill results from this engine over
+// its network link. The engine's mutex guards it.
 type transfers struct {
 	engine *Engine
-	life   *life
+	state  *engineState
 	link   *perf.Link
 	timer  *time.Timer
 	nextID perf.FlowID
 	flows  map[perf.FlowID]*flow
 }
 
-// flow is one transfer in flight.
+// flow is a transfer in progress.
 type flow struct {
-	id perf.FlowID
-	a  *attempt
-	// done is closed at the end; sent then tells whether all was sent.
+	id      perf.FlowID
+	attempt *attempt
+	// done is closed at the end of the transfer; sent is then true if all bytes
+	// were sent.
 	done chan struct{}
 	sent bool
 }
 
-// newTransfers returns the transfers of a new life.
-func newTransfers(e *Engine, l *life) *transfers {
+// newTransfers returns an empty set of transfers for a new incarnation.
+func newTransfers(e *Engine, state *engineState) *transfers {
 	t := &transfers{
 		engine: e,
-		life:   l,
+		state:  state,
 		link:   perf.NewLink(e.linkRate()),
 		flows:  make(map[perf.FlowID]*flow),
 	}
@@ -39,7 +40,7 @@
 	return t
 }
 
-// linkRate returns the link's present rate, in bytes per second.
+// linkRate returns the link's current rate, in bytes per second.
 func (e *Engine) linkRate() float64 {
 	if e.faults.StallTransfers {
 		return 0
@@ -47,68 +48,70 @@
 	return e.cfg.Perf.LinkBytesPerSecond
 }
 
-// now returns the link's time.
+// now returns the current time as the link's time offset.
 func (t *transfers) now() time.Duration { return time.Since(t.engine.started) }
 
-// start begins to send a held prefill result, which can't expire meanwhile.
+// start begins to send a held prefill result. The result doesn't expire during
+// the transfer.
 func (t *transfers) start(a *attempt) *flow {
 	a.stage = StageSending
 	a.timer.Stop()
 	t.nextID++
-	f := &flow{id: t.nextID, a: a, done: make(chan struct{})}
+	f := &flow{id: t.nextID, attempt: a, done: make(chan struct{})}
 	t.flows[f.id] = f
 	t.link.Add(t.now(), f.id, t.engine.cfg.Perf.TransferBytes(a.promptTokens))
-	t.settle()
+	t.completeFinished()
 	return f
 }
 
-// giveUp ends a transfer whose receiver has left. The result is held again for
-// what remains of its lifetime.
-func (t *transfers) giveUp(f *flow) {
+// cancelAndHold cancels a transfer whose receiver has disconnected. The result
+// is held again for the rest of its lifetime.
+func (t *transfers) cancelAndHold(f *flow) {
 	if t.flows[f.id] != f {
 		return
 	}
-	t.drop(f, false)
-	t.settle()
-	if f.a.stage != StageSending {
+	t.remove(f, false)
+	t.completeFinished()
+	if f.attempt.stage != StageSending {
 		return
 	}
-	f.a.stage = StageHeld
-	f.a.timer.Reset(max(time.Until(f.a.expires), 0))
+	f.attempt.stage = StageHeld
+	f.attempt.timer.Reset(max(time.Until(f.attempt.expiresAt), 0))
 }
 
-// cancel ends the transfer of an attempt, if there is one.
+// cancel cancels the transfer of an attempt, if there is one.
 func (t *transfers) cancel(a *attempt) {
 	for _, f := range t.flows {
-		if f.a == a {
-			t.drop(f, false)
-			t.settle()
+		if f.attempt == a {
+			t.remove(f, false)
+			t.completeFinished()
 			return
 		}
 	}
 }
 
-// drop takes a transfer out and tells its waiter.
-func (t *transfers) drop(f *flow, sent bool) {
+// remove removes a transfer and closes its done channel.
+func (t *transfers) remove(f *flow, sent bool) {
 	t.link.Remove(t.now(), f.id)
 	delete(t.flows, f.id)
 	f.sent = sent
 	close(f.done)
 }
 
-// setRate follows a change of the link's rate.
+// setRate changes the link's rate, in bytes per second.
 func (t *transfers) setRate(rate float64) {
 	t.link.SetRate(t.now(), rate)
-	t.settle()
+	t.completeFinished()
 }
 
-// settle completes the transfers that are done and sets the timer for the next.
-func (t *transfers) settle() {
+// completeFinished completes the transfers that have sent all bytes and sets the
+// timer for the next completion.
+func (t *transfers) completeFinished() {
 	for _, id := range t.link.Finished(t.now()) {
 		f := t.flows[id]
-		t.drop(f, true)
+		t.remove(f, true)
 		t.engine.ledger.transferred()
-		t.engine.end(f.a, nil)
+		t.engine.end(f.attempt, nil)
 	}
 	next, ok := t.link.Next()
 	if !ok {
@@ -118,14 +121,14 @@
 	t.timer.Reset(max(next-t.now(), 0))
 }
 
-// onTimer runs when the next transfer should be done.
+// onTimer runs at the expected completion of the next transfer.
 func (t *transfers) onTimer() {
 	t.engine.mu.Lock()
 	defer t.engine.mu.Unlock()
-	if t.engine.life == t.life {
-		t.settle()
+	if t.engine.state == t.state {
+		t.completeFinished()
 	}
 }
 
-// close stops the timer. All transfers have been cancelled before.
+// close stops the timer. The caller has cancelled all transfers before.
 func (t *transfers) close() { t.timer.Stop() }
