--- a/load/agreement/faults.go
+++ b/load/agreement/faults.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// Lengths of the faults, as in the experiment.
+// Durations of the injected faults, equal to those of the experiment.
 const (
 	downTime   = 8 * time.Second
 	freezeTime = 6 * time.Second
@@ -22,13 +22,14 @@
 	cutTime    = 10 * time.Second
 )
 
-// UnknownFaultError reports a fault that is not repeated over processes.
+// UnknownFaultError reports a fault that cannot be injected into processes.
 type UnknownFaultError struct{ Fault string }
 
 // Error implements error.
-func (e *UnknownFaultError) Error() string { return "no such fault over processes: " + e.Fault }
+func (e *UnknownFaultError) Error() string { return "unsupported process fault: " + e.Fault }
 
-// faults brings about the cell's faults at a third of its time.
+// faults injects the cell's faults one after another, each preceded by a wait of a
+// third of the cell's duration.
 func (b *bench) faults(ctx context.Context, fleet *testbed.Fleet, cell experiment.Cell) error {
 	for _, f := range strings.Split(string(cell.Fault), "+") {
 		if experiment.Fault(f) == experiment.FaultNone {
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// fault brings about one fault and its end.
+// fault injects one fault and ends it.
 func (b *bench) fault(ctx context.Context, fleet *testbed.Fleet, f experiment.Fault) error {
 	switch f {
 	case experiment.FaultDecodeKill:
@@ -68,7 +69,7 @@
 	}
 }
 
-// engine returns the first engine of a role.
+// engine returns a control client for the first engine of a role.
 func (b *bench) engine(fleet *testbed.Fleet, role config.Role) control.Client {
 	for _, u := range b.place.Content.Upstreams {
 		if u.Role == role {
@@ -78,7 +79,7 @@
 	return control.Client{}
 }
 
-// stall stops all transfers out of one prefill engine for a while.
+// stall stops all KV transfers out of one prefill engine for stallTime.
 func (b *bench) stall(ctx context.Context, fleet *testbed.Fleet) error {
 	engine := b.engine(fleet, config.RolePrefill)
 	if err := engine.SetEngineFaults(ctx, control.EngineFaults{StallTransfers: true}); err != nil {
@@ -88,7 +89,8 @@
 	return engine.SetEngineFaults(ctx, control.EngineFaults{})
 }
 
-// killInstance kills the instance on which the others depend most.
+// killInstance kills the dispatching instance, on which the others depend most,
+// and restarts it after downTime.
 func (b *bench) killInstance(ctx context.Context, fleet *testbed.Fleet) error {
 	victim := b.dispatcher(fleet)
 	if err := fleet.KillInstance(victim); err != nil {
@@ -100,7 +102,7 @@
 	return fleet.StartInstance(victim)
 }
 
-// freezeInstance stops both processes of that instance for a while.
+// freezeInstance stops both processes of the dispatching instance for freezeTime.
 func (b *bench) freezeInstance(ctx context.Context, fleet *testbed.Fleet) error {
 	victim := b.dispatcher(fleet)
 	for _, p := range []*testbed.Process{victim.Agent, victim.Entry} {
@@ -117,8 +119,9 @@
 	return nil
 }
 
-// dispatcher returns the instance that dispatches the first model, while all
-// live: the experiment's faults of instances strike it too.
+// dispatcher returns the instance that dispatches the first model while all
+// instances are live. The experiment injects its instance faults into the same
+// one.
 func (b *bench) dispatcher(fleet *testbed.Fleet) *testbed.Instance {
 	view := &kernel.View{Version: 1}
 	for _, in := range fleet.Instances {
--- a/load/agreement/main.go
+++ b/load/agreement/main.go
@@ -1,6 +1,6 @@
-// Command agreement runs a few cells of the experiment twice, in virtual time
-// and over real processes on loopback with the same arrivals, and shows both
-// results beside each other.
+// Command agreement runs selected cells of the experiment twice with the same
+// arrivals, once in virtual time and once over real processes on loopback, and
+// prints both results in one table.
 //
 //	make build && go run ./load/agreement --bin bin --out out
 package main
@@ -25,7 +25,7 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// cli is the command line.
+// cli holds the command-line flags.
 type cli struct {
 	Bin      string             `help:"Directory of the programs." default:"bin"`
 	Out      string             `help:"Directory of the CSV and of the processes' logs." default:"out"`
@@ -48,7 +48,7 @@
 	}
 }
 
-// run runs all cells and prints the table.
+// run executes all cells and prints the table.
 func (c *cli) run(ctx context.Context) error {
 	root, err := testbed.ModuleRoot()
 	if err != nil {
@@ -71,7 +71,7 @@
 		return oops.Wrap(err)
 	}
 	b := bench{cli: c, place: place, deployment: d, table: newTable()}
-	// What was measured before a failure is shown all the same.
+	// Rows measured before a failure are printed and saved as well.
 	runErr := b.all(ctx)
 	if err := b.table.WriteText(os.Stdout); err != nil {
 		return oops.Wrap(err)
@@ -82,7 +82,7 @@
 	return runErr
 }
 
-// bench is one run of the command.
+// bench holds the state of one run of the command.
 type bench struct {
 	*cli
 	place      *testbed.Deployment
@@ -90,7 +90,7 @@
 	table      *report.Table
 }
 
-// all runs each cell both ways.
+// all runs each cell in virtual time and over processes.
 func (b *bench) all(ctx context.Context) error {
 	for _, load := range b.Load {
 		for _, f := range b.Fault {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// both runs one cell in virtual time and over processes.
+// both runs one cell in virtual time and over processes and adds both rows.
 func (b *bench) both(ctx context.Context, cell experiment.Cell) error {
 	virtual, err := experiment.Run(cell, b.deployment)
 	if err != nil {
@@ -122,7 +122,7 @@
 	return oops.Wrap(b.table.Add(row...))
 }
 
-// Precision of the table.
+// shareDecimals is the number of decimals of shares in the table.
 const shareDecimals = 4
 
 func newTable() *report.Table {
@@ -130,8 +130,8 @@
 		"wasted_prefill_share", "first_output_p95_ms", "pace_p95_ms", "duplicates", "leaked", "other_broken")
 }
 
-// virtualRow shows the experiment's result. Its goodput counts from the first
-// sending, as the load generator's does.
+// virtualRow formats the experiment's result. Its goodput is measured from the
+// first attempt to send a request, as the load generator's is.
 func virtualRow(r *experiment.Result) []string {
 	m, offered := r.Models, float64(r.Models.Offered)
 	others := -r.Duplicates() - r.Leaks()
--- a/load/agreement/processes.go
+++ b/load/agreement/processes.go
@@ -19,7 +19,7 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// quiesce is how long the engines may take to release everything.
+// quiesce bounds the wait for the engines to release all resources.
 const quiesce = 15 * time.Second
 
 // processes runs one cell over real processes and returns its row.
@@ -57,7 +57,7 @@
 	return b.processRow(cell, records, referee.Judge(records, reports, true)), nil
 }
 
-// offer offers the cell's arrivals and brings its faults about.
+// offer generates the cell's arrivals and injects its faults meanwhile.
 func (b *bench) offer(ctx context.Context, fleet *testbed.Fleet, cell experiment.Cell) []runner.Record {
 	var faults sync.WaitGroup
 	defer faults.Wait()
@@ -74,7 +74,7 @@
 	})
 }
 
-// processRow shows what was measured over processes, model requests only.
+// processRow formats the result over processes, for model requests only.
 func (b *bench) processRow(cell experiment.Cell, records []runner.Record, v *referee.Verdict) []string {
 	var models []runner.Record
 	for _, r := range records {
--- a/load/overhead/overhead.go
+++ b/load/overhead/overhead.go
@@ -1,6 +1,6 @@
-// Package overhead measures what wardspool adds to a completion, by making the
-// same completions through an entry instance and directly at the engines, side by
-// side in one run, so that both meet the same load.
+// Package overhead measures the latency that wardspool adds to a completion. It
+// requests the same completions through an entry instance and directly from the
+// engines, concurrently in one run, so that both routes see the same load.
 package overhead
 
 import (
@@ -22,28 +22,28 @@
 type Options struct {
 	// Target is an entry instance; Prefill and Decode are the only engines that
 	// it has for the model. All are addresses, as IP:port. Direct completions
-	// draw their decode engine at random.
+	// choose their decode engine at random.
 	Target, Prefill string
 	Decode          []string
 	Model           string
 	Workspace       ident.Workspace
 	Kind            string
-	// PromptTokens is the length of all prompts, OutputTokens the mean one of the
-	// outputs, which have from half to one and a half times as many tokens.
+	// PromptTokens is the length of every prompt. OutputTokens is the mean output
+	// length; outputs have from half to one and a half times as many tokens.
 	PromptTokens, OutputTokens int
-	// Streams is the number of completions in flight at any time through the
-	// entry, Direct that of those made directly.
+	// Streams is the number of concurrent completions through the entry, Direct
+	// the number of concurrent completions sent directly to the engines.
 	Streams, Direct int
-	// MaxPause bounds the random pause before each completion; 0 is none.
+	// MaxPause bounds the random pause before each completion; 0 means no pause.
 	MaxPause time.Duration
-	// Warmup precedes Duration, the measured time. The streams begin at random
-	// times within it.
+	// Warmup precedes Duration, the measured time. Each stream starts at a random
+	// time within the warm-up.
 	Warmup, Duration time.Duration
 	Seed             uint64
 	RunID            string
 }
 
-// Route is one of the two ways to the engines.
+// Route is one of the two paths to the engines.
 type Route string
 
 // The routes.
@@ -52,7 +52,7 @@
 	RouteDirect    Route = "direct"
 )
 
-// Measure is what was measured on one route.
+// Measure holds the measurements of one route.
 type Measure struct {
 	Route  Route
 	Failed int
@@ -70,7 +70,7 @@
 // Result is the outcome of a run.
 type Result struct{ Wardspool, Direct *Measure }
 
-// bench is one run.
+// bench holds the state of one run.
 type bench struct {
 	opts   Options
 	client *client.Client
@@ -81,7 +81,7 @@
 	result Result
 }
 
-// Run makes completions until the time is up or the context ends.
+// Run requests completions until the duration has passed or the context is done.
 func Run(ctx context.Context, opts Options) *Result {
 	b := &bench{
 		opts:   opts,
@@ -105,15 +105,15 @@
 	return &b.result
 }
 
-// work makes one completion after the other on one route.
+// work requests completions one after another on one route.
 func (b *bench) work(ctx context.Context, n int, route Route) {
 	rng := rand.New(rand.NewPCG(b.opts.Seed, uint64(n)))
-	// Streams that begin together, and are of one length, go on to end and begin
-	// together: the entry would meet waves of arrivals instead of their mean rate.
+	// Streams of one length that start at the same time also end and restart at the
+	// same time: the entry would see bursts of arrivals instead of the mean rate.
 	stagger(ctx, rng, b.opts.Warmup)
 	for i := 0; ctx.Err() == nil; i++ {
 		id := b.opts.RunID + "-" + strconv.Itoa(n) + "-" + strconv.Itoa(i)
-		// The last word makes each prompt its own.
+		// The ID makes each prompt unique.
 		prompt := b.prompt + id
 		decode := b.opts.Decode[rng.IntN(len(b.opts.Decode))]
 		output := b.outputTokens(rng)
@@ -126,16 +126,16 @@
 	}
 }
 
-// DefaultMaxPause is the usual Options.MaxPause.
+// DefaultMaxPause is the default of Options.MaxPause.
 const DefaultMaxPause = 200 * time.Millisecond
 
-// outputTokens draws the length of an output.
+// outputTokens returns a random output length.
 func (b *bench) outputTokens(rng *rand.Rand) int {
 	mean := b.opts.OutputTokens
 	return max(1, mean-mean/2+rng.IntN(2*(mean/2)+1))
 }
 
-// stagger waits for a random time below a limit.
+// stagger waits for a random time below the limit.
 func stagger(ctx context.Context, rng *rand.Rand, limit time.Duration) {
 	if limit <= 0 {
 		return
@@ -143,7 +143,7 @@
 	pause.For(ctx, time.Duration(rng.Int64N(int64(limit))))
 }
 
-// complete makes one completion.
+// complete requests one completion on the given route.
 func (b *bench) complete(ctx context.Context, route Route, decode, id, prompt string, output int) *client.Result {
 	if route == RouteDirect {
 		return b.client.CompleteDirect(ctx, &client.Direct{
@@ -161,7 +161,7 @@
 	return b.client.Complete(ctx, call, call.Body())
 }
 
-// FailedError reports a completion that was not answered whole.
+// FailedError reports a completion without a complete answer.
 type FailedError struct{ Result *client.Result }
 
 // Error implements error.
@@ -172,7 +172,8 @@
 	return fmt.Sprintf("status %d, outcome %q: %v", e.Result.Status, e.Result.Outcome, e.Result.Err)
 }
 
-// record adds a completion that started after the warm-up.
+// record adds a completion to the route's measurements, unless it started during
+// the warm-up.
 func (b *bench) record(route Route, started time.Time, got *client.Result) {
 	if started.Before(b.from) {
 		return
@@ -196,8 +197,8 @@
 	}
 }
 
-// IncompleteError reports completions that failed, so that the figures are not to
-// be trusted.
+// IncompleteError reports that completions failed, which makes the measurements
+// unreliable.
 type IncompleteError struct {
 	Route  Route
 	Failed int
@@ -212,7 +213,7 @@
 // Unwrap returns the first failure.
 func (e *IncompleteError) Unwrap() error { return e.First }
 
-// Err returns an *IncompleteError if a completion failed.
+// Err returns an *IncompleteError if any completion failed.
 func (r *Result) Err() error {
 	for _, m := range []*Measure{r.Direct, r.Wardspool} {
 		if m.Failed > 0 {
@@ -228,7 +229,7 @@
 	p99    = 99
 )
 
-// Table shows both routes and what wardspool adds, in milliseconds.
+// Table lists both routes and their difference, in milliseconds.
 func (r *Result) Table() (*report.Table, error) {
 	t := report.NewTable("route", "completions", "failed", "first_p50_ms", "first_p99_ms",
 		"first_mean_ms", "pace_p50_ms", "pace_p99_ms", "pace_mean_ms")
@@ -249,7 +250,7 @@
 	return t, t.Add(added...)
 }
 
-// values lists a route's figures in the table's order.
+// values lists a route's statistics in the order of the table's columns.
 func (m *Measure) values() []time.Duration {
 	return []time.Duration{
 		m.First.Quantile(median), m.First.Quantile(p99), m.First.Mean(),
@@ -257,7 +258,7 @@
 	}
 }
 
-// precise formats milliseconds with three decimals.
+// precise formats a duration as milliseconds with three decimals.
 func precise(d time.Duration) string {
 	return report.Fixed(float64(d)/float64(time.Millisecond), 3)
 }
--- a/load/overhead/overhead_test.go
+++ b/load/overhead/overhead_test.go
@@ -16,7 +16,8 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// fastEngine starts a stand-in engine that takes hardly any time.
+// fastEngine starts a stand-in engine with negligible processing times and returns
+// its address.
 func fastEngine(t *testing.T, role config.Role) string {
 	t.Helper()
 	p := perf.Defaults()
--- a/load/overhead/rig/main.go
+++ b/load/overhead/rig/main.go
@@ -1,12 +1,12 @@
-// Command rig measures what one entry instance costs. It starts an entry with a
-// static fleet of stand-in engines as processes on loopback and makes the same
-// completions through the entry and directly, side by side:
+// Command rig measures the latency and resource use of one entry instance. It
+// starts an entry and a static fleet of stand-in engines as processes on loopback
+// and requests the same completions through the entry and directly, concurrently:
 //
 //	make build && go run ./load/overhead/rig --bin bin --out out
 //
-// The decode engines are many and small, as real ones are: each emits its own
-// batch, at its own phase. One engine that held all streams would emit a token
-// of each at the same instant, and the burst itself would be measured.
+// As in a real deployment there are many small decode engines, each of which emits
+// its own batch at its own phase. A single engine with all streams would emit a
+// token of each at the same instant, and the burst itself would be measured.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli is the command line.
+// cli holds the command-line flags.
 type cli struct {
 	Bin      string        `help:"Directory of the programs." default:"bin"`
 	Out      string        `help:"Directory of the CSV, the settings and the processes' logs." default:"out/overhead"`
@@ -40,8 +40,8 @@
 	Seed     uint64        `help:"Seed of the mix." default:"1"`
 }
 
-// gcPercent makes the load generator collect garbage seldom: its marking would
-// compete with the entry for cores and be taken for the entry's delay.
+// gcPercent makes the load generator's garbage collection rare: its mark phase would
+// compete with the entry for cores, and the delay would be attributed to the entry.
 const gcPercent = 800
 
 func main() {
--- a/load/overhead/rig/processes.go
+++ b/load/overhead/rig/processes.go
@@ -15,14 +15,14 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// model and kind are what the bundle declares.
+// model and kind are the names that the bundle declares.
 const (
 	model = "reader"
 	kind  = "review"
 )
 
-// Rates of the engines that are not to be felt: prefill and transfer take next
-// to no time, and memory is ample.
+// Engine rates high enough not to affect the result: prefill and transfer take
+// almost no time, and KV memory is ample.
 const (
 	prefillRate = 2_000_000
 	linkRate    = 5_000_000_000
@@ -31,9 +31,9 @@
 	pieces      = 100_000
 )
 
-// bundleHead is the bundle without its upstreams, with a place for the slot
-// policy. Its policy is that of the
-// example deployments, without what needs an agent or would refuse the load.
+// bundleHead is the bundle without its upstreams, with a format verb for the slot
+// policy. Its policy is that of the example deployments, without the parts that
+// need an agent or would refuse the load.
 const bundleHead = `deployment: overhead
 kinds:
   - {name: review, route: model, repeatable: true, deadline: 120s, first_output: 60s, pace: 1s, default_output_tokens: 50}
@@ -61,7 +61,7 @@
 upstreams:
 `
 
-// fleet is the processes of one run.
+// fleet holds the processes of one run.
 type fleet struct {
 	cli   *cli
 	dir   string
@@ -73,7 +73,7 @@
 	engines []*testbed.Process
 }
 
-// startFleet starts the engines and the entry, and waits until it is ready.
+// startFleet starts the engines and the entry and waits until the entry is ready.
 func startFleet(ctx context.Context, c *cli) (*fleet, error) {
 	dir, err := filepath.Abs(c.Out)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return f.startEntry(ctx, entry)
 }
 
-// choosePorts chooses all addresses and returns the entry's.
+// choosePorts allocates the addresses of all processes and returns the entry's.
 func (f *fleet) choosePorts() (entry string, err error) {
 	var all []string
 	for range f.cli.Engines + 2 {
@@ -123,7 +123,7 @@
 
 func decodeID(i int) string { return "dc-" + strconv.Itoa(i+1) }
 
-// startEngine starts a stand-in.
+// startEngine starts a stand-in engine.
 func (f *fleet) startEngine(id, address, role string) error {
 	p, err := testbed.StartWith(nil, id, address, f.dir, testbed.ProgramsIn(f.cli.Bin).Standin,
 		"engine", "--listen", address, "--id", id, "--role", role, "--model", model,
@@ -141,7 +141,8 @@
 	return nil
 }
 
-// startEntry writes its files and starts it.
+// startEntry writes the entry's bundle and settings files, starts it and waits
+// until it is ready.
 func (f *fleet) startEntry(ctx context.Context, address string) error {
 	bundle, settings := filepath.Join(f.dir, "bundle.yaml"), filepath.Join(f.dir, "entry.yaml")
 	if err := os.WriteFile(bundle, []byte(f.bundle()), 0o600); err != nil {
@@ -163,7 +164,7 @@
 	return f.awaitReady(ctx)
 }
 
-// bundle declares the engines.
+// bundle returns the bundle source, which declares the engines.
 func (f *fleet) bundle() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, bundleHead, f.cli.Policy)
@@ -176,7 +177,7 @@
 	return b.String()
 }
 
-// settings are the entry's.
+// settings returns the entry's settings file.
 func (f *fleet) settings(address, bundle string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "instance: entry-1\nzone: hall-a\ncallers: {listen: %q}\nstop: {grace: 1ms, timeout: 10s}\nstatic:\n  bundle: %q\n  upstreams:\n", address, bundle)
@@ -187,14 +188,14 @@
 	return b.String()
 }
 
-// Bounds of the start and the end.
+// Timeouts of start and stop, and the interval between readiness checks.
 const (
 	readyTimeout = 10 * time.Second
 	readyPoll    = 20 * time.Millisecond
 	stopTimeout  = 15 * time.Second
 )
 
-// NotReadyError reports an entry that did not get ready.
+// NotReadyError reports an entry that did not become ready in time.
 type NotReadyError struct{ Output string }
 
 // Error implements error.
@@ -217,8 +218,8 @@
 	return &NotReadyError{Output: f.entry.Output()}
 }
 
-// close ends all processes. The figures are taken, so that no one waits for the
-// engines.
+// close stops the entry and kills the engines. The measurements are complete by
+// then, so the engines need no orderly shutdown.
 func (f *fleet) close() {
 	if f.entry != nil {
 		_ = f.entry.Terminate()
--- a/load/overhead/rig/run.go
+++ b/load/overhead/rig/run.go
@@ -17,7 +17,7 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// run makes one run and prints its tables.
+// run performs one measurement and prints its tables.
 func (c *cli) run(ctx context.Context) error {
 	f, err := startFleet(ctx, c)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return oops.Wrap(result.Err())
 }
 
-// options returns the load of the run.
+// options returns the load parameters of the run.
 func (c *cli) options(f *fleet) overhead.Options {
 	o := overhead.Options{
 		Target: f.entry.Address, Prefill: f.prefill, Decode: f.decode,
@@ -61,20 +61,20 @@
 	return o
 }
 
-// span is what the entry used between two moments of a run.
+// span is the entry's resource use between two times of a run.
 type span struct {
 	from, to time.Time
 	cpu      time.Duration
-	// waited is how long its threads were ready to run and had no processor.
+	// waited is how long its threads were runnable without a processor.
 	waited time.Duration
 }
 
-// edge is how long after the warm-up and before the end the measuring begins and
-// ends, so that it sees only the steady state.
+// edge is the margin after the warm-up and before the end that the measurement
+// leaves out, so that it covers only the steady state.
 const edge = 500 * time.Millisecond
 
-// measure reads the entry's processor time over the measured time. Its span ends
-// early when the context does.
+// measure returns the entry's processor time over the measured time. The span ends
+// early when the context is done.
 func (f *fleet) measure(ctx context.Context) span {
 	pause.For(ctx, f.cli.Warmup+edge)
 	from, began, waited := time.Now(), f.processorTime(), f.waitedTime()
@@ -82,7 +82,7 @@
 	return span{from: from, to: time.Now(), cpu: f.processorTime() - began, waited: f.waitedTime() - waited}
 }
 
-// cost shows what the entry used.
+// cost formats the entry's resource use.
 func (c *cli) cost(f *fleet, s span, r *overhead.Result) *report.Table {
 	t := report.NewTable("requests_per_s", "entry_cores", "entry_ms_per_request", "entry_waited_share", "entry_rss_mb", "entry_peak_rss_mb")
 	rate := float64(r.Wardspool.First.Count()) / c.Duration.Seconds()
@@ -93,14 +93,15 @@
 	return t
 }
 
-// Fields of /proc/PID/stat after the program's name, and their unit.
+// Indexes of the fields of /proc/PID/stat, counted after the program's name, and
+// their unit.
 const (
 	statUser   = 11
 	statSystem = 12
 	clockTick  = 10 * time.Millisecond
 )
 
-// processorTime is the entry's so far, 0 if it cannot be read.
+// processorTime returns the entry's processor time so far, 0 if it cannot be read.
 func (f *fleet) processorTime() time.Duration {
 	text, err := os.ReadFile(f.proc("stat"))
 	if err != nil {
@@ -116,9 +117,9 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// waitedTime is how long the entry's threads waited for a processor so far: the
-// second field of each thread's schedstat, in nanoseconds. It shows how much of a
-// delay is the machine's, which had no processor free.
+// waitedTime returns how long the entry's threads have waited for a processor so
+// far: the sum of the second field of each thread's schedstat, in nanoseconds. It
+// shows how much of a delay is due to a lack of free processors on the machine.
 func (f *fleet) waitedTime() time.Duration {
 	files, _ := filepath.Glob(f.proc("task/*/schedstat"))
 	var sum time.Duration
@@ -135,7 +136,7 @@
 	return sum
 }
 
-// memory returns a line of /proc/PID/status in MB, empty if it cannot be read.
+// memory returns a field of /proc/PID/status in MB, empty if it cannot be read.
 func (f *fleet) memory(name string) string {
 	text, err := os.ReadFile(f.proc("status"))
 	if err != nil {
@@ -154,7 +155,7 @@
 	return filepath.Join("/proc", strconv.Itoa(f.entry.PID()), file)
 }
 
-// loadAverage returns the machine's of the last minute.
+// loadAverage returns the machine's load average over the last minute.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/load/runner/caller.go
+++ b/load/runner/caller.go
@@ -13,17 +13,18 @@
 	"github.com/wardspool/wardspool/load/workload"
 )
 
-// Waits of callers.
+// Waits and limits of callers.
 const (
-	// reconnectWait is the mean wait before another instance is tried.
+	// reconnectWait is the base delay before another instance is tried; jitter adds
+	// up to half of it.
 	reconnectWait = 50 * time.Millisecond
-	// patience is how long after its deadline a caller still takes an answer.
+	// patience is how long after its deadline a caller still accepts an answer.
 	patience = 2 * time.Second
-	// maxSendings bounds the sendings of one request, lost connections included.
+	// maxSendings bounds how often one request is sent, lost connections included.
 	maxSendings = 6
 )
 
-// caller is one request's caller.
+// caller sends one request, with retries.
 type caller struct {
 	runner  *runner
 	arrival *workload.Arrival
@@ -35,7 +36,7 @@
 	record Record
 }
 
-// run makes the request, again if need be, and returns its record.
+// run sends the request, retries it where allowed, and returns its record.
 func (c *caller) run(ctx context.Context) Record {
 	a := c.arrival
 	c.record = Record{
@@ -55,7 +56,7 @@
 	return c.record
 }
 
-// prepare makes what all sendings share.
+// prepare builds the parts of the call that all sendings share.
 func (c *caller) prepare() {
 	a := c.arrival
 	c.call = client.Completion{
@@ -74,7 +75,7 @@
 	}
 }
 
-// send makes the request once. It returns true if it should be sent again.
+// send sends the request once and reports whether it should be sent again.
 func (c *caller) send(ctx context.Context) bool {
 	left := time.Until(c.due.Add(c.arrival.Kind.Deadline))
 	if left <= 0 || ctx.Err() != nil {
@@ -95,7 +96,7 @@
 	return c.again(ctx, r)
 }
 
-// takeTicket makes sure that the caller has a ticket.
+// takeTicket obtains a ticket unless the caller has one, and reports whether it has.
 func (c *caller) takeTicket(ctx context.Context) bool {
 	if c.ticket != "" {
 		return true
@@ -111,7 +112,7 @@
 	return true
 }
 
-// exchange makes the call itself.
+// exchange performs the HTTP call and returns its result.
 func (c *caller) exchange(ctx context.Context) *client.Result {
 	if c.arrival.Kind.Model != "" {
 		return c.runner.client.Complete(ctx, &c.call, c.body)
@@ -126,7 +127,8 @@
 	return c.runner.client.CallService(ctx, &call)
 }
 
-// again decides whether a request is sent once more, and waits if so.
+// again reports whether the request is to be sent once more, after waiting for the
+// retry delay.
 func (c *caller) again(ctx context.Context, r *client.Result) bool {
 	if c.record.Sendings >= maxSendings {
 		return false
@@ -142,13 +144,13 @@
 	if !refused || !c.arrival.Retries || c.record.Refusals > c.runner.opts.Spec.Caller.MaxRetries {
 		return false
 	}
-	// A ticket is for one run; the refused one stays unused.
+	// A ticket is valid for one run; that of the refused sending stays unused.
 	c.ticket = ""
 	return c.pause(ctx, time.Duration(r.Problem.RetryAfterMS)*time.Millisecond)
 }
 
-// pause waits with some jitter; it returns false if the caller left meanwhile
-// or would come back too late.
+// pause waits for mean plus up to half of it as jitter. It returns false if the
+// caller left meanwhile or the wait would end after the deadline.
 func (c *caller) pause(ctx context.Context, mean time.Duration) bool {
 	wait := mean + rand.N(mean/2+1)
 	at := time.Now().Add(wait)
--- a/load/runner/output.go
+++ b/load/runner/output.go
@@ -11,12 +11,12 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// maxSaved bounds the records that are written to a file.
+// maxSaved bounds the number of records written to a file.
 const maxSaved = 100_000
 
-// SavedRecords is the content of the records' file.
+// SavedRecords is the content of the records file.
 type SavedRecords struct {
-	// Omitted counts the records beyond the bound of the file.
+	// Omitted counts the records beyond maxSaved, which are not written.
 	Omitted int      `json:"omitted"`
 	Records []Record `json:"records"`
 }
@@ -46,8 +46,9 @@
 // plotStep is the width of the plots' bins.
 const plotStep = time.Second
 
-// SavePlot draws what became of the requests by the second in which they were
-// due, and writes base.svg and base.png. Errors are those of report.SavePanels.
+// SavePlot plots offered load, goodput and time to first output by the second in
+// which requests were due, and writes base.svg and base.png. Errors are those of
+// report.SavePanels.
 func SavePlot(base string, spec *workload.Spec, records []Record, duration time.Duration) error {
 	kinds := map[string]*workload.Kind{}
 	for i := range spec.Kinds {
--- a/load/runner/record.go
+++ b/load/runner/record.go
@@ -9,7 +9,7 @@
 	"github.com/wardspool/wardspool/load/workload"
 )
 
-// Record is what came of one request, all its sendings together. Times are in
+// Record is the result of one request over all its sendings. Times are in
 // milliseconds from when the request was due.
 type Record struct {
 	ID         string  `json:"id"`
@@ -18,26 +18,28 @@
 	Repeatable bool    `json:"repeatable"`
 	Model      bool    `json:"model"`
 	DueMS      float64 `json:"due_ms"`
-	// Outcome and Status are the last answer's; Outcome is empty if none came.
+	// Outcome and Status are those of the last answer; Outcome is empty if there was
+	// none.
 	Outcome api.Outcome `json:"outcome"`
 	Status  int         `json:"status,omitempty"`
 	// Problem is the type of the last problem document.
 	Problem api.ProblemType `json:"problem,omitempty"`
-	// NotRun says that every answer was "not-run" and no sending was left
-	// without an answer.
+	// NotRun reports that every sending was answered "not-run" or could not be sent,
+	// and that there was at least one such answer.
 	NotRun bool `json:"not_run"`
-	// Sendings counts the sendings, Refusals those answered "not-run", Broken
-	// those that ended in a broken connection after they may have been sent.
+	// Sendings counts how often the request was sent, Refusals the sendings answered
+	// "not-run", Broken those whose connection broke after the request may have been
+	// sent.
 	Sendings int `json:"sendings"`
 	Refusals int `json:"refusals,omitempty"`
 	Broken   int `json:"broken,omitempty"`
-	// Unsent counts the sendings whose connection could not be made.
+	// Unsent counts the sendings whose connection could not be established.
 	Unsent         int `json:"unsent,omitempty"`
 	TicketFailures int `json:"ticket_failures,omitempty"`
-	// Cancelled says that the caller left of its own accord.
+	// Cancelled reports that the caller cancelled the request.
 	Cancelled bool `json:"cancelled,omitempty"`
-	// Wrong says that an answer was not the whole answer to this request, or
-	// broke the callers' protocol.
+	// Wrong reports an answer that was incomplete, belonged to another request or
+	// violated the callers' protocol.
 	Wrong   bool    `json:"wrong,omitempty"`
 	FirstMS float64 `json:"first_ms,omitempty"`
 	DoneMS  float64 `json:"done_ms,omitempty"`
@@ -49,7 +51,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// add takes over what came of a sending.
+// add updates the record with the result of a sending.
 func (r *Record) add(got *client.Result, due time.Time) {
 	r.Outcome, r.Status, r.Problem, r.Error = got.Outcome, got.Status, "", ""
 	if got.Problem != nil {
@@ -69,7 +71,7 @@
 	r.NotRun = r.Refusals > 0 && r.Refusals+r.Unsent == r.Sendings
 }
 
-// addError counts how a sending failed.
+// addError classifies and counts the error of a sending.
 func (r *Record) addError(got *client.Result) {
 	if got.Err == nil {
 		return
@@ -88,7 +90,8 @@
 	r.Unsent++
 }
 
-// Good reports whether the request was answered whole and within its targets.
+// Good reports whether the request was answered completely and within its latency
+// targets.
 func (r *Record) Good(k *workload.Kind) bool {
 	if r.Outcome != api.Complete || r.Wrong || r.Status/100 != 2 || r.Cancelled {
 		return false
--- a/load/runner/runner.go
+++ b/load/runner/runner.go
@@ -1,8 +1,8 @@
-// Package runner offers a workload to running instances over HTTP, open loop:
-// requests start when they are due, however the ones before fare, and all times
-// count from when a request was due. Its callers behave as callers of wardspool
-// should: they take tickets, honour Retry-After, and try another instance when
-// a connection breaks and that is safe.
+// Package runner offers a workload to running instances over HTTP as an open-loop
+// load generator: requests start when they are due, regardless of the progress of
+// earlier ones, and all times count from when a request was due. Its callers behave
+// as callers of wardspool should: they take tickets, honour Retry-After, and try
+// another instance when a connection breaks and a retry is safe.
 package runner
 
 import (
@@ -20,23 +20,22 @@
 // Options describes a run.
 type Options struct {
 	Spec *workload.Spec
-	// Targets are the instances' addresses, as IP:port. Requests are spread
-	// over them in turn, as the platform's balancer does.
+	// Targets are the instances' addresses, as IP:port. Requests are distributed
+	// over them round-robin, as the platform's load balancer does.
 	Targets []string
-	// Rate is in requests a second, over Duration.
+	// Rate is in requests per second, over Duration.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	// RunID starts every request ID.
+	// RunID is the prefix of every request ID.
 	RunID string
-	// Tickets says whether callers take tickets for calls that are not
-	// repeatable.
+	// Tickets makes callers take tickets for calls that are not repeatable.
 	Tickets bool
-	// Progress is called about once a second, nil for none.
+	// Progress, if not nil, is called about once per second.
 	Progress func(started, done int)
 }
 
-// runner is one run.
+// runner holds the state of one run.
 type runner struct {
 	opts   Options
 	client *client.Client
@@ -47,11 +46,11 @@
 	records       chan Record
 }
 
-// recordsBuffer decouples callers from the one who collects their records.
+// recordsBuffer decouples callers from the goroutine that collects their records.
 const recordsBuffer = 1024
 
-// Run offers the workload and returns a record of each request when all have
-// ended. It stops offering early when the context is done.
+// Run offers the workload and returns one record per request when all have ended.
+// It stops offering early when the context is done.
 func Run(ctx context.Context, opts Options) []Record {
 	r := &runner{
 		opts:    opts,
@@ -95,13 +94,13 @@
 	}
 }
 
-// target returns the next instance in turn.
+// target returns the next instance's address, round-robin.
 func (r *runner) target() string {
 	n := r.turn.Add(1) - 1
 	return r.opts.Targets[n%uint64(len(r.opts.Targets))]
 }
 
-// requestID names a request; all sendings of it have the same ID.
+// requestID returns the ID of a request, which all its sendings share.
 func (r *runner) requestID(a *workload.Arrival) string {
 	return r.opts.RunID + "-" + strconv.Itoa(a.Number)
 }
--- a/load/runner/runner_test.go
+++ b/load/runner/runner_test.go
@@ -28,15 +28,16 @@
 caller: {retry_share: 1, max_retries: 2}
 `
 
-// shop is an instance whose only service counts runs by request.
+// shop is a fake instance whose only service counts runs by request ID.
 type shop struct {
 	mu      sync.Mutex
 	runs    map[string]int
 	tickets map[string]bool
-	// refuse is how many calls of each request are refused first.
+	// refuse is how many sendings of each request are refused before one is accepted.
 	refuse  int
 	refused map[string]int
-	// dropAfterRun ends the first answer of each request with a broken connection.
+	// dropAfterRun breaks the connection after the first run of each request, before
+	// its answer is sent.
 	dropAfterRun bool
 	dropped      map[string]bool
 }
--- a/load/runner/summary.go
+++ b/load/runner/summary.go
@@ -10,17 +10,18 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// KindSummary sums up the requests of one kind.
+// KindSummary aggregates the requests of one kind.
 type KindSummary struct {
 	Kind string
-	// Offered counts requests, Good those answered whole and within their
-	// targets, Complete those answered whole.
+	// Offered counts requests, Complete those answered completely, Good those
+	// answered completely and within their latency targets.
 	Offered, Good, Complete int
-	// Refused counts those whose every answer was "not-run", Unknown those that
-	// ended in "unknown" or without an answer, Cancelled those whose caller
-	// left, Wrong those with an answer that was not theirs or not whole.
+	// Refused counts those that did not run: each sending was answered "not-run" or
+	// its connection could not be established. Unknown counts those that ended in
+	// "unknown" or without an answer, Cancelled those cancelled by their caller,
+	// Wrong those with an answer that belonged to another request or was incomplete.
 	Refused, Unknown, Cancelled, Wrong int
-	// Sendings counts all sendings.
+	// Sendings counts all sendings of these requests.
 	Sendings int
 	// First, Pace and Done are over complete answers.
 	First, Pace, Done *report.Hist
@@ -30,10 +31,10 @@
 	return &KindSummary{Kind: kind, First: report.NewHist(), Pace: report.NewHist(), Done: report.NewHist()}
 }
 
-// TotalKind is the name of the sum over all kinds.
+// TotalKind is the name of the summary over all kinds.
 const TotalKind = "total"
 
-// Summarize sums up records by kind, in alphabetical order, and in total, last.
+// Summarize aggregates records by kind, in alphabetical order, followed by the total.
 func Summarize(spec *workload.Spec, records []Record) []*KindSummary {
 	kinds := map[string]*workload.Kind{}
 	for i := range spec.Kinds {
@@ -101,8 +102,8 @@
 	p99    = 99
 )
 
-// Table shows summaries, one row each. Goodput is in requests a second over the
-// duration of the run and as a share of those offered.
+// Table lists summaries, one row each. Goodput is in requests per second over the
+// duration of the run and as a share of the offered requests.
 func Table(list []*KindSummary, duration time.Duration) (*report.Table, error) {
 	t := report.NewTable("kind", "offered", "goodput_per_s", "goodput_share", "complete", "refused", "unknown",
 		"cancelled", "wrong", "sendings", "first_p50_ms", "first_p95_ms", "first_p99_ms",
--- a/testbed/build.go
+++ b/testbed/build.go
@@ -15,8 +15,8 @@
 	Entry, Agent, Ctl, Standin, Load string
 }
 
-// Build compiles the programs from the module at root into dir. With race set
-// they are built with the race detector.
+// Build compiles the programs of the module at root into dir, with the race
+// detector if race is set.
 func Build(root, dir string, race bool) (Programs, error) {
 	args := []string{"build", "-o", dir + string(filepath.Separator)}
 	if race {
@@ -30,7 +30,7 @@
 	return ProgramsIn(dir), nil
 }
 
-// ProgramsIn names the binaries that an earlier Build left in dir.
+// ProgramsIn returns the paths of the binaries that an earlier Build wrote to dir.
 func ProgramsIn(dir string) Programs {
 	return Programs{
 		Entry:   filepath.Join(dir, "wardspool-entry"),
@@ -41,22 +41,24 @@
 	}
 }
 
-// Ports hands out free loopback ports. A port is free when it is handed out;
-// the process that uses it must start soon.
+// Ports allocates free loopback ports. A port is only known to be free at the time
+// of its allocation; the process that uses it must start soon.
 type Ports struct {
 	held []net.Listener
 }
 
-// reservations holds a listener at reservationHost for each port that this program has handed
-// out. While it is open, no other call, in this program or another on this machine, hands out
-// the port, even if the process that it is for has not bound it yet. The listeners stay open
-// until the program ends; the map keeps them from being garbage collected, which closes them.
+// reservations holds a listener at reservationHost for each port that this program has
+// allocated. While it is open, no other call, in this program or another on this machine,
+// allocates the port, even if the process that it is for has not bound it yet. The listeners
+// stay open until the program ends; the map keeps them from being garbage collected, which
+// would close them.
 var reservations sync.Map
 
-// reservationHost is a loopback address that no process of a test bed binds.
+// reservationHost is a loopback address that no process of a testbed binds.
 const reservationHost = "127.255.255.254"
 
-// reserve listens on the port at reservationHost. The error is the network's.
+// reserve reserves the port by listening on it at reservationHost. Errors are those of
+// net.Listen.
 func reserve(port int) error {
 	l, err := net.Listen("tcp", net.JoinHostPort(reservationHost, strconv.Itoa(port)))
 	if err != nil {
@@ -66,9 +68,9 @@
 	return nil
 }
 
-// Ports are taken from below the range from which Linux chooses the local ends
-// of connections: otherwise a connection could take the port of a process that
-// is not started yet, or is away for a while.
+// Ports are allocated below Linux's ephemeral port range: otherwise an outgoing
+// connection could take the port of a process that has not started yet or is
+// stopped for a while.
 const (
 	firstPort = 10_000
 	lastPort  = 32_000
@@ -96,7 +98,8 @@
 	return "", &ProcessError{Name: "port", Op: "start", Err: failed}
 }
 
-// Release makes the handed-out ports bindable for the processes.
+// Release closes the listeners on the allocated ports, so that the processes can bind them.
+// The reservations stay.
 func (p *Ports) Release() {
 	for _, l := range p.held {
 		_ = l.Close()
@@ -104,7 +107,7 @@
 	p.held = nil
 }
 
-// ModuleRoot finds the folder with go.mod, from the working directory upwards.
+// ModuleRoot returns the nearest directory with a go.mod, from the working directory upwards.
 func ModuleRoot() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
--- a/testbed/build_test.go
+++ b/testbed/build_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFleetsSideBySideShareNoPort, also while the processes of one have not bound theirs.
+// TestFleetsSideBySideShareNoPort checks that concurrent fleets are allocated distinct ports,
+// also while the processes of one have not bound theirs.
 func TestFleetsSideBySideShareNoPort(t *testing.T) {
 	const ports = 300
 	given := map[string]bool{}
@@ -23,7 +24,7 @@
 	}
 }
 
-// TestReleasedPortsStayReserved guards against two programs handing out the same port before a
+// TestReleasedPortsStayReserved guards against two programs allocating the same port before a
 // process has bound it.
 func TestReleasedPortsStayReserved(t *testing.T) {
 	var p Ports
--- a/testbed/demo/check.go
+++ b/testbed/demo/check.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// BrokenError reports that the judge found a promise broken.
+// BrokenError reports that the judge found a violated guarantee.
 type BrokenError struct {
 	Deployment string
 	Err        error
@@ -10,13 +10,13 @@
 
 // Error implements error.
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("%s: the judge found a promise broken: %v", e.Deployment, e.Err)
+	return fmt.Sprintf("%s: the judge found a violated guarantee: %v", e.Deployment, e.Err)
 }
 
-// Unwrap returns the load tool's failure.
+// Unwrap returns the load tool's error.
 func (e *BrokenError) Unwrap() error { return e.Err }
 
-// UnservedError reports that too few requests were answered.
+// UnservedError reports that too few requests were answered completely.
 type UnservedError struct {
 	Deployment        string
 	Complete, Offered int
@@ -27,11 +27,12 @@
 	return fmt.Sprintf("%s: only %d of %d requests were answered", e.Deployment, e.Complete, e.Offered)
 }
 
-// leastServedPercent is the share of requests that must be answered although
-// an instance and an engine die.
+// leastServedPercent is the share of requests that must be answered completely
+// although an instance and an engine are killed.
 const leastServedPercent = 80
 
-// checkServed returns an *UnservedError when too few requests were answered.
+// checkServed returns an *UnservedError if too few requests were answered
+// completely.
 func (r *exampleRun) checkServed() error {
 	all, err := r.records()
 	if err != nil {
--- a/testbed/demo/example.go
+++ b/testbed/demo/example.go
@@ -18,11 +18,11 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// offeredRate is the requests a second offered to a deployment: about 0.8 of
-// what the examples' engines can carry.
+// offeredRate is the load offered to each deployment, in requests per second: about
+// 0.8 of the capacity of the examples' engines.
 var offeredRate = map[string]string{"coastline": "20", "lagos": "17"}
 
-// exampleRun is the run of one deployment.
+// exampleRun holds the state of the run of one deployment.
 type exampleRun struct {
 	flags flags
 	name  string
@@ -33,7 +33,7 @@
 	report strings.Builder
 }
 
-// run runs the deployment.
+// run starts the deployment, offers traffic to it and checks the result.
 func (r *exampleRun) run(ctx context.Context) error {
 	root, err := testbed.ModuleRoot()
 	if err != nil {
@@ -65,7 +65,7 @@
 	return r.offerAndReport(ctx)
 }
 
-// offerAndReport runs the traffic and the faults and writes the report.
+// offerAndReport generates the traffic, injects the faults and writes the report.
 func (r *exampleRun) offerAndReport(ctx context.Context) error {
 	var faults sync.WaitGroup
 	if !r.flags.NoFaults {
@@ -94,8 +94,8 @@
 	return dir, os.MkdirAll(dir, 0o755)
 }
 
-// faults kills an instance and a decode engine while traffic runs, and brings
-// both back.
+// faults kills an instance and crashes a decode engine during the traffic, and
+// restarts the instance. The engine restarts by itself.
 func (r *exampleRun) faults(ctx context.Context) {
 	victim := r.fleet.Instances[len(r.fleet.Instances)-1]
 	engine := firstDecode(r.fleet.Deployment.Content)
@@ -116,7 +116,7 @@
 	r.note(r.fleet.StartInstance(victim))
 }
 
-// say prints progress at once.
+// say prints a progress message immediately.
 func (r *exampleRun) say(format string, args ...any) {
 	fmt.Printf("%-10s %s\n", r.name, fmt.Sprintf(format, args...))
 }
@@ -136,7 +136,7 @@
 	return ""
 }
 
-// offer runs the load tool, which is also the judge, and returns its table.
+// offer runs the load tool, which also judges the results, and returns its table.
 func (r *exampleRun) offer(ctx context.Context) (string, error) {
 	r.say("offering %s requests/s for %s", offeredRate[r.name], r.flags.Duration)
 	cmd := exec.CommandContext(ctx, filepath.Join(r.flags.Bin, "wardspool-load"), "run",
--- a/testbed/demo/explain.go
+++ b/testbed/demo/explain.go
@@ -11,7 +11,8 @@
 	"strings"
 )
 
-// record is what the load tool says of one request, as far as the demo uses it.
+// record is the load tool's record of one request, with the fields that the demo
+// uses.
 type record struct {
 	ID       string  `json:"id"`
 	Kind     string  `json:"kind"`
@@ -21,7 +22,7 @@
 	DoneMS   float64 `json:"done_ms"`
 }
 
-// records reads the load tool's list of requests.
+// records reads the load tool's records of all requests.
 func (r *exampleRun) records() ([]record, error) {
 	path := filepath.Join(r.dir, "requests.json")
 	b, err := os.ReadFile(path)
@@ -37,32 +38,33 @@
 	return file.Records, nil
 }
 
-// topic is a sort of request of which the demo explains one.
+// topic is a class of requests of which the demo explains one.
 type topic struct {
 	name    string
 	belongs func(record) bool
-	// mayBeLost: all of them may have been at the instance that was killed, whose
-	// decisions died with it.
+	// mayBeLost says that all of them may have been handled by the killed instance,
+	// whose record of decisions was lost with it.
 	mayBeLost bool
 }
 
-// topics are what is explained, in the report's order.
+// topics lists the explained classes in the order of the report.
 var topics = []topic{
 	{name: "model request", belongs: func(c record) bool { return c.Model && c.Outcome == "complete" && c.Sendings <= 1 }},
 	{name: "request that met trouble", belongs: troubled, mayBeLost: true},
 	{name: "service call", belongs: func(c record) bool { return !c.Model && c.Outcome == "complete" }},
 }
 
-// troubled reports whether a request met trouble.
+// troubled reports whether a request ended with another outcome than complete, or
+// is a model request that had to be sent more than once.
 func troubled(c record) bool {
 	return c.Outcome != "complete" && c.Outcome != "" || c.Model && c.Sendings > 1
 }
 
-// maxAsked bounds the requests of one topic that are asked for.
+// maxAsked bounds the number of requests of one topic that are looked up.
 const maxAsked = 30
 
-// UnexplainedError reports that no live instance knows any of the requests of a
-// topic, although they were answered.
+// UnexplainedError reports that no live instance has a record of any of the
+// requests of a topic, although they were answered.
 type UnexplainedError struct {
 	Topic string
 	Asked int
@@ -70,16 +72,16 @@
 
 // Error implements error.
 func (e *UnexplainedError) Error() string {
-	return fmt.Sprintf("explain: no live instance knows any of %d requests (%s)", e.Asked, e.Topic)
+	return fmt.Sprintf("explain: no live instance has a record of any of %d requests (%s)", e.Asked, e.Topic)
 }
 
-// asker asks the live instances why a request went as it did. It returns their
-// answer, and false if all answered and none knows the request.
+// asker queries the live instances for the decisions on a request. It returns their
+// answer, and false if all answered and none has a record of the request.
 type asker func(id string) (answer string, known bool, err error)
 
-// explained is the text on one topic: the first of its requests that a live instance
-// knows, and how many it passed over. The error is an *UnexplainedError or the
-// asker's.
+// explained returns the report text on one topic: the explanation of the first of
+// its requests of which a live instance has a record, and the number of requests
+// skipped before it. Errors are *UnexplainedError and those of the asker.
 func (t topic) explained(all []record, ask asker) (string, error) {
 	passed := 0
 	for _, c := range all {
@@ -108,7 +110,8 @@
 	}
 }
 
-// passedOver says how many requests came before that no live instance knows.
+// passedOver returns a note on the n requests that were skipped because no live
+// instance has a record of them.
 func passedOver(n int) string {
 	if n == 0 {
 		return ""
@@ -116,7 +119,7 @@
 	return fmt.Sprintf("(%d before it are known by no live instance any more)\n", n)
 }
 
-// explain adds to the report why three requests went as they did.
+// explain adds to the report an explanation of one request of each topic.
 func (r *exampleRun) explain(ctx context.Context) error {
 	all, err := r.records()
 	if err != nil {
@@ -133,11 +136,11 @@
 	return nil
 }
 
-// Exit codes of "wardspoolctl explain" when no instance knows the request.
+// Exit codes of "wardspoolctl explain" when no instance has a record of the request.
 const (
-	// notFound: all instances answered.
+	// notFound means that all instances answered.
 	notFound = 1
-	// unreached: some gave no answer; the text names them.
+	// unreached means that some instances gave no answer; the output names them.
 	unreached = 2
 )
 
@@ -155,8 +158,9 @@
 // Unwrap returns the cause.
 func (e *ExplainError) Unwrap() error { return e.Err }
 
-// ask asks the running instances with wardspoolctl. Where one gave no answer, the
-// text that says so is the answer: it goes into the report.
+// ask queries the running instances with wardspoolctl. If an instance gave no
+// answer, wardspoolctl's output, which says so, counts as the answer and goes into
+// the report.
 func (r *exampleRun) ask(ctx context.Context, id string) (string, bool, error) {
 	var operators []string
 	for _, in := range r.fleet.Instances {
--- a/testbed/demo/explain_test.go
+++ b/testbed/demo/explain_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// asking returns an asker to which only some requests are known, and counts.
+// asking returns an asker that knows only the given requests, and a counter of its
+// calls.
 func asking(known ...string) (asker, *int) {
 	asked := 0
 	return func(id string) (string, bool, error) {
@@ -23,7 +24,7 @@
 	}, &asked
 }
 
-// complete lists n model requests that were answered.
+// complete returns records of n model requests that were answered completely.
 func complete(n int) []record {
 	var out []record
 	for i := range n {
@@ -32,7 +33,8 @@
 	return out
 }
 
-// TestLostRequestIsPassedOver: the first two were the killed instance's.
+// TestLostRequestIsPassedOver checks that requests whose records were lost with the
+// killed instance, here the first two, are skipped.
 func TestLostRequestIsPassedOver(t *testing.T) {
 	ask, asked := asking("r2", "r3")
 	text, err := topics[0].explained(complete(5), ask)
@@ -42,7 +44,8 @@
 	assert.Assert(t, strings.Contains(text, "(2 before it are known by no live instance"), "%s", text)
 }
 
-// TestNothingKnownIsAFailure: not all that was answered can have been lost.
+// TestNothingKnownIsAFailure checks that it is an error if no record is found: the
+// records of all answered requests cannot have been lost with one instance.
 func TestNothingKnownIsAFailure(t *testing.T) {
 	ask, asked := asking()
 	_, err := topics[0].explained(complete(2*maxAsked), ask)
@@ -52,8 +55,8 @@
 	assert.Equal(t, *asked, maxAsked)
 }
 
-// TestTroubleMayBeLost: all that met trouble may have been at the killed instance,
-// which is said.
+// TestTroubleMayBeLost checks that missing records are reported and not an error
+// where all requests of a topic may have been handled by the killed instance.
 func TestTroubleMayBeLost(t *testing.T) {
 	ask, _ := asking()
 	all := append(complete(2), record{ID: "cut", Model: true, Outcome: "unknown", Sendings: 1})
@@ -70,7 +73,8 @@
 	assert.Equal(t, *asked, 0)
 }
 
-// TestAskersFailureIsPassedOn: wardspoolctl could not be run.
+// TestAskersFailureIsPassedOn checks that the asker's error is returned, for example
+// when wardspoolctl cannot be run.
 func TestAskersFailureIsPassedOn(t *testing.T) {
 	failure := errors.New("no such program")
 	_, err := topics[0].explained(complete(1), func(string) (string, bool, error) { return "", false, failure })
--- a/testbed/demo/main.go
+++ b/testbed/demo/main.go
@@ -1,7 +1,7 @@
 // Command demo runs both example deployments as separate processes on loopback,
-// sends them mixed traffic, kills an entry instance and a decode engine in the
-// middle, and prints what happened and why. It exits with 1 when a promise was
-// broken.
+// sends them mixed traffic, kills an entry instance and a decode engine meanwhile,
+// and prints the results with explanations of single requests. It exits with 1 when
+// a guarantee was violated.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// flags are the command line.
+// flags holds the command-line flags.
 type flags struct {
 	Examples []string      `default:"coastline,lagos" help:"Deployments to run, side by side."`
 	Duration time.Duration `default:"12s" help:"How long traffic is offered to each."`
@@ -38,8 +38,8 @@
 	}
 }
 
-// run runs the deployments side by side and prints their reports in turn; it
-// returns the first broken promise or failure.
+// run runs the deployments concurrently and prints their reports in order. It
+// returns the first violated guarantee or other error.
 func run(ctx context.Context, f flags) error {
 	ctx, cancel := context.WithTimeout(ctx, f.Limit)
 	defer cancel()
--- a/testbed/deployment.go
+++ b/testbed/deployment.go
@@ -11,20 +11,20 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Deployment is one of the standing examples.
+// Deployment is one of the predefined examples.
 type Deployment struct {
-	// Name is the folder below examples.
+	// Name is the name of the directory below examples.
 	Name   string
 	Region ident.Region
 	Zones  []ident.Zone
-	// Content is the example's bundle; Source is its file and Workload the
-	// workload file.
+	// Content is the example's bundle, Source the path of its file, and Workload the
+	// path of the workload file.
 	Content  *config.Content
 	Source   string
 	Workload string
 }
 
-// exampleZones are the availability zones of the standing examples.
+// exampleZones holds the region and the availability zones of each example.
 var exampleZones = map[string]struct {
 	region ident.Region
 	zones  []ident.Zone
@@ -33,13 +33,13 @@
 	"lagos":     {"lagos", []ident.Zone{"ikeja-hall", "lekki-hall", "apapa-hall"}},
 }
 
-// UnknownExampleError reports a name that is none of the standing examples.
+// UnknownExampleError reports a name that is not one of the predefined examples.
 type UnknownExampleError struct{ Name string }
 
 // Error implements error.
 func (e *UnknownExampleError) Error() string { return fmt.Sprintf("no example named %q", e.Name) }
 
-// LoadDeployment reads a standing example of the module at root. Errors are
+// LoadDeployment reads a predefined example of the module at root. Errors are
 // *UnknownExampleError, *os.PathError and *bundle.FindingsError.
 func LoadDeployment(root, name string) (*Deployment, error) {
 	place, ok := exampleZones[name]
@@ -65,8 +65,8 @@
 	return d, nil
 }
 
-// ZoneOf returns the zone of an upstream, by which its ID begins in the
-// examples; the first zone when it begins with none.
+// ZoneOf returns the zone of an upstream, which in the examples is the prefix of its
+// ID, or the first zone if the ID has no zone as its prefix.
 func (d *Deployment) ZoneOf(id ident.UpstreamID) ident.Zone {
 	for _, z := range d.Zones {
 		if strings.HasPrefix(string(id), string(z)+"-") {
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -12,33 +12,33 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Options describe a fleet to start.
+// Options describes a fleet to start.
 type Options struct {
 	Deployment *Deployment
 	Programs   Programs
-	// Dir holds settings and logs; it must exist.
+	// Dir is the directory for settings and logs; it must exist.
 	Dir string
 	// EntriesPerZone is the number of entry instances in each zone.
 	EntriesPerZone int
-	// Static runs the entries without agents and platform, on fixed settings.
+	// Static runs the entries on fixed settings, without agents and platform.
 	Static bool
-	// EngineArgs are further arguments of every stand-in engine.
+	// EngineArgs are additional arguments of every stand-in engine.
 	EngineArgs []string
-	// LogLevel is that of the system's processes; empty for the default.
+	// LogLevel is the log level of the entries and agents; empty for the default.
 	LogLevel string
-	// Relays has all traffic of the system's processes go through relays, by
-	// which zones can be cut off.
+	// Relays routes all traffic of the entries and agents through relays, which can
+	// cut zones off. Callers' traffic and KV transfers between engines bypass them.
 	Relays bool
-	// TLS, if set, has the system's processes and callers speak TLS.
+	// TLS, if set, makes the entries, agents and callers use TLS.
 	TLS *TLS
 }
 
-// Instance is one entry instance of the system: an entry and its agent.
+// Instance is one entry instance: an entry and its agent.
 type Instance struct {
 	ID   ident.InstanceID
 	Zone ident.Zone
-	// Callers, Peer, Feed and Operator are its entry's addresses, AgentPeer and
-	// AgentOperator its agent's.
+	// Callers, Peer, Feed and Operator are the addresses of the entry, AgentPeer and
+	// AgentOperator those of the agent.
 	Callers, Peer, Feed, Operator string
 	AgentPeer, AgentOperator      string
 	Entry                         *Process
@@ -61,18 +61,18 @@
 	dir      string
 	logDir   string
 	ports    Ports
-	// relays are by the address they lead to; zones holds the zone of each
-	// process by its ID.
+	// relays is keyed by target address, zones maps process IDs to the zones of the
+	// processes.
 	relays map[string]*relay
 	cuts   *cuts
 	zones  sync.Map
 }
 
-// StartTimeout bounds the wait for a fleet to be ready.
+// StartTimeout bounds the wait for each process to become ready.
 const StartTimeout = 20 * time.Second
 
-// StartFleet starts a deployment and waits until every entry is ready. The
-// caller must Close the fleet, also after an error.
+// StartFleet starts a deployment and waits until every entry is ready. The caller
+// must call Close on the returned fleet, also after an error.
 func StartFleet(ctx context.Context, o Options) (*Fleet, error) {
 	f := &Fleet{
 		Deployment: o.Deployment,
@@ -110,7 +110,7 @@
 	return f, nil
 }
 
-// layOutInstances names the instances and gives them addresses.
+// layOutInstances assigns IDs and addresses to the instances.
 func (f *Fleet) layOutInstances() error {
 	for n := range f.options.EntriesPerZone {
 		for _, zone := range f.Deployment.Zones {
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// relayInstance starts the relays to an instance's addresses for its peers.
+// relayInstance starts the relays to the peer addresses of an instance's entry and
+// agent.
 func (f *Fleet) relayInstance(in *Instance) error {
 	if err := f.relayTo(in.Peer, in.Zone); err != nil {
 		return err
@@ -143,7 +144,7 @@
 	return f.relayTo(in.AgentPeer, in.Zone)
 }
 
-// StartInstance starts, or restarts, an instance's processes.
+// StartInstance starts or restarts an instance's processes.
 func (f *Fleet) StartInstance(in *Instance) error {
 	if err := f.StartEntry(in); err != nil {
 		return err
@@ -154,7 +155,7 @@
 	return f.StartAgent(in)
 }
 
-// StartEntry starts, or restarts, an instance's entry.
+// StartEntry starts or restarts an instance's entry.
 func (f *Fleet) StartEntry(in *Instance) error {
 	path, err := f.write(string(in.ID)+".yaml", f.entrySettings(in))
 	if err != nil {
@@ -168,13 +169,13 @@
 	return nil
 }
 
-// write puts a settings file into the fleet's folder.
+// write writes a settings file to the fleet's directory and returns its path.
 func (f *Fleet) write(name, text string) (string, error) {
 	path := filepath.Join(f.dir, name)
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// WaitReady waits until an instance's entry takes requests.
+// WaitReady waits until an instance's entry accepts requests.
 func (f *Fleet) WaitReady(ctx context.Context, in *Instance) error {
 	return f.wait(ctx, in.Entry, f.callersHTTP(), f.callersURL(in)+"/readyz")
 }
@@ -190,7 +191,7 @@
 	return fmt.Sprintf("%s did not become ready:\n%s", e.Name, e.Output)
 }
 
-// pollInterval is how often a condition is looked at.
+// pollInterval is the interval between two checks of a condition.
 const pollInterval = 20 * time.Millisecond
 
 func (f *Fleet) waitHTTP(ctx context.Context, p *Process, url string) error {
@@ -228,7 +229,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// JudgeAddresses lists the upstream stand-ins, which know what really ran.
+// JudgeAddresses lists the addresses of the stand-in upstreams, which record what
+// actually ran.
 func (f *Fleet) JudgeAddresses() []string {
 	var list []string
 	for _, u := range f.Deployment.Content.Upstreams {
@@ -237,7 +239,8 @@
 	return list
 }
 
-// CallerAddresses lists where the instances take callers' requests.
+// CallerAddresses lists the addresses at which the instances accept callers'
+// requests.
 func (f *Fleet) CallerAddresses() []string {
 	var list []string
 	for _, in := range f.Instances {
@@ -246,7 +249,7 @@
 	return list
 }
 
-// Close ends every process of the fleet.
+// Close kills every process of the fleet and closes its relays.
 func (f *Fleet) Close() {
 	for _, p := range f.processes() {
 		_ = p.Kill()
@@ -277,7 +280,7 @@
 	return list
 }
 
-// KillInstance ends an instance's processes without warning.
+// KillInstance kills an instance's processes with SIGKILL.
 func (f *Fleet) KillInstance(in *Instance) error {
 	if err := in.Entry.Kill(); err != nil {
 		return err
@@ -288,5 +291,6 @@
 	return in.Agent.Kill()
 }
 
-// Dir is the folder with the fleet's settings and, in logs, its logs.
+// Dir returns the directory with the fleet's settings and, in its subdirectory
+// logs, the processes' logs.
 func (f *Fleet) Dir() string { return f.dir }
--- a/testbed/network.go
+++ b/testbed/network.go
@@ -15,7 +15,8 @@
 	return nil
 }
 
-// reach is the address by which the fleet's processes reach a process.
+// reach returns the address at which the fleet's processes connect to a process:
+// that of its relay, if it has one.
 func (f *Fleet) reach(address string) string {
 	if r, ok := f.relays[address]; ok {
 		return r.address()
@@ -23,21 +24,22 @@
 	return address
 }
 
-// note remembers in which zone a process runs.
+// note records the zone of a process.
 func (f *Fleet) note(p *Process, zone ident.Zone) { f.zones.Store(p.PID(), zone) }
 
-// Cut cuts two zones off from each other, PlatformZone for the platform: no
-// byte gets through, and nobody is told. The fleet must have been started with
-// Options.Relays. KV transfers between engines are not cut.
+// Cut creates a network partition between two zones, PlatformZone standing for the
+// platform: no byte gets through, and no connection reports an error. The fleet
+// must have been started with Options.Relays. KV transfers between engines are not
+// cut.
 func (f *Fleet) Cut(a, b ident.Zone) { f.cuts.set(a, b, true) }
 
-// Heal undoes Cut. What was held back arrives late.
+// Heal ends a partition made by Cut. Bytes held back meanwhile are then delivered.
 func (f *Fleet) Heal(a, b ident.Zone) { f.cuts.set(a, b, false) }
 
-// CutOff cuts a zone off from all others and from the platform.
+// CutOff partitions a zone from all other zones and from the platform.
 func (f *Fleet) CutOff(zone ident.Zone) { f.eachOther(zone, f.Cut) }
 
-// Rejoin undoes CutOff.
+// Rejoin ends the partition made by CutOff.
 func (f *Fleet) Rejoin(zone ident.Zone) { f.eachOther(zone, f.Heal) }
 
 func (f *Fleet) eachOther(zone ident.Zone, do func(a, b ident.Zone)) {
--- a/testbed/operators.go
+++ b/testbed/operators.go
@@ -11,10 +11,10 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// Operators sign and publish bundles, as a deployment's operators do with
+// Operators signs and publishes bundles, as a deployment's operators do with
 // wardspoolctl and the platform's own tools.
 type Operators struct {
-	// Platform is where they publish.
+	// Platform is the stand-in platform to which bundles are published.
 	Platform control.Client
 
 	key      ed25519.PrivateKey
@@ -23,8 +23,8 @@
 	sequence uint64
 }
 
-// NewOperators returns operators with a key of their own; seed makes it
-// repeatable.
+// NewOperators returns operators whose signing key is derived from seed, so that
+// it is reproducible.
 func NewOperators(platformAddress, seed string) *Operators {
 	digest := bundle.DigestOf([]byte(seed))
 	return &Operators{
@@ -33,14 +33,14 @@
 	}
 }
 
-// Approvers is the approver set that instances are to trust.
+// Approvers returns the approver set that instances are to trust.
 func (o *Operators) Approvers() bundle.Approvers {
 	var key bundle.PublicKey
 	copy(key[:], o.key.Public().(ed25519.PublicKey))
 	return bundle.Approvers{Epoch: 1, Quorum: 1, Keys: []bundle.Approver{{Name: "ada", Key: key}}}
 }
 
-// Version is the newest version that was published.
+// Version returns the newest published version, 0 if there is none.
 func (o *Operators) Version() uint64 {
 	if o.head == nil {
 		return 0
@@ -48,8 +48,8 @@
 	return o.head.Manifest.Version
 }
 
-// Publish builds, signs and publishes the next version. No instance takes it
-// into force before it is rolled.
+// Publish builds, signs and publishes the next version. No instance applies it
+// before it is rolled.
 func (o *Operators) Publish(ctx context.Context, c *config.Content) error {
 	head, parts, err := bundle.Build(bundle.Draft{Previous: o.head, Content: c, Approvers: o.Approvers()})
 	if err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// RollAll rolls the newest version to every instance.
+// RollAll rolls the newest version out to every instance.
 func (o *Operators) RollAll(ctx context.Context) error {
 	if err := o.roll(ctx, bundle.Roll{Stage: bundle.StageAll}); err != nil {
 		return err
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// RollZones rolls the newest version to some zones.
+// RollZones rolls the newest version out to the given zones.
 func (o *Operators) RollZones(ctx context.Context, zones ...ident.Zone) error {
 	return o.roll(ctx, bundle.Roll{Stage: bundle.StageCanary, Zones: zones, Share: bundle.FullShare})
 }
--- a/testbed/platform.go
+++ b/testbed/platform.go
@@ -8,8 +8,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// startPlatform starts the stand-in of the platform and publishes the lists and
-// the first bundle there.
+// startPlatform starts the stand-in platform, publishes the lists of instances and
+// upstreams and the first bundle to it, and rolls the bundle out to all instances.
 func (f *Fleet) startPlatform(ctx context.Context) error {
 	if f.options.Static {
 		return nil
@@ -39,8 +39,8 @@
 	return f.Operators.RollAll(ctx)
 }
 
-// PublishLists publishes the platform's lists of instances and upstreams. The
-// named ones are listed as leaving.
+// PublishLists publishes the platform's lists of instances and upstreams. Those
+// whose IDs are in leaving are listed in state "leaving".
 func (f *Fleet) PublishLists(ctx context.Context, leaving ...string) error {
 	gone := map[string]bool{}
 	for _, id := range leaving {
@@ -99,7 +99,7 @@
 	return configservice.StateLive
 }
 
-// StartAgent starts, or restarts, an instance's agent.
+// StartAgent starts or restarts an instance's agent.
 func (f *Fleet) StartAgent(in *Instance) error {
 	text, err := f.agentSettings(in)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// Instance finds an instance by ID, nil if there is none.
+// Instance returns the instance with the given ID, nil if there is none.
 func (f *Fleet) Instance(id ident.InstanceID) *Instance {
 	for _, in := range f.Instances {
 		if in.ID == id {
--- a/testbed/process.go
+++ b/testbed/process.go
@@ -1,6 +1,7 @@
 // Package testbed starts wardspool's programs and the stand-ins as separate
-// processes on loopback, and kills, freezes and stops them. It is bench tooling
-// for `make demo` and the end-to-end tests; no program of the system uses it.
+// processes on loopback, and kills, freezes and stops them. It is test tooling for
+// `make demo`, the end-to-end tests and measurements; the production programs do not
+// use it.
 package testbed
 
 import (
@@ -14,15 +15,15 @@
 	"time"
 )
 
-// ProcessError reports a process that could not be started or did not end as
-// it should.
+// ProcessError reports that a process could not be started or signalled, or that it
+// did not exit as expected.
 type ProcessError struct {
-	// Name is the process's name in the testbed.
+	// Name is the process's name within the testbed.
 	Name string
 	// Op is "start", "signal" or "exit".
 	Op  string
 	Err error
-	// Output is the end of what the process wrote.
+	// Output is the end of the process's output.
 	Output string
 }
 
@@ -36,9 +37,9 @@
 
 // Process is one running program.
 type Process struct {
-	// Name is unique in the testbed, for example "entry-hall-a-1".
+	// Name is unique in the testbed, for example "hall-a-entry-1".
 	Name string
-	// Address is where it serves its main protocol, "IP:port".
+	// Address is the address of its main protocol, "IP:port".
 	Address string
 
 	cmd    *exec.Cmd
@@ -50,12 +51,12 @@
 	frozen bool
 }
 
-// start runs a program with its output kept in memory and in a log file.
+// start runs a program and keeps its output in memory and in a log file.
 func start(name, address, logDir, program string, args ...string) (*Process, error) {
 	return StartWith(nil, name, address, logDir, program, args...)
 }
 
-// StartWith runs a program like those of a fleet, with further environment
+// StartWith runs a program like those of a fleet, with additional environment
 // variables ("NAME=value"). Errors are *ProcessError.
 func StartWith(env []string, name, address, logDir, program string, args ...string) (*Process, error) {
 	logFile, err := os.Create(filepath.Join(logDir, name+".log"))
@@ -68,7 +69,7 @@
 	out := &tee{file: logFile, tail: p.output}
 	p.cmd.Stdout = out
 	p.cmd.Stderr = out
-	// The processes must not outlive a testbed that is killed.
+	// The process must not outlive a testbed that is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		_ = logFile.Close()
@@ -90,10 +91,10 @@
 // PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Output returns the last lines that the process wrote.
+// Output returns the last lines of the process's output.
 func (p *Process) Output() string { return p.output.String() }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process has not exited.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -103,7 +104,7 @@
 	}
 }
 
-// Kill ends the process without warning (SIGKILL) and waits for its end.
+// Kill sends SIGKILL to the process, if it is running, and waits for its exit.
 func (p *Process) Kill() error {
 	if !p.Running() {
 		return nil
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// Freeze stops the process from running (SIGSTOP) until Thaw.
+// Freeze suspends the process (SIGSTOP) until Thaw.
 func (p *Process) Freeze() error {
 	p.mu.Lock()
 	p.frozen = true
@@ -123,7 +124,7 @@
 	return p.signal(syscall.SIGSTOP)
 }
 
-// Thaw lets a frozen process run on (SIGCONT).
+// Thaw resumes a frozen process (SIGCONT).
 func (p *Process) Thaw() error {
 	p.mu.Lock()
 	p.frozen = false
@@ -131,14 +132,15 @@
 	return p.signal(syscall.SIGCONT)
 }
 
-// Signal sends a signal that the program was built to take.
+// Signal sends a signal that the program handles.
 func (p *Process) Signal(s syscall.Signal) error { return p.signal(s) }
 
 // Terminate asks the process to shut down (SIGTERM).
 func (p *Process) Terminate() error { return p.signal(syscall.SIGTERM) }
 
-// WaitExit waits for the process to end and returns how it did: nil for exit
-// code 0. When it does not end in time, the error says so and it is killed.
+// WaitExit waits for the process to exit and returns nil if its exit code was 0,
+// otherwise a *ProcessError. A process that does not exit within the limit is
+// killed, and the error is os.ErrDeadlineExceeded.
 func (p *Process) WaitExit(limit time.Duration) error {
 	select {
 	case <-p.done:
@@ -161,10 +163,10 @@
 	return nil
 }
 
-// tailBytes is how much of a process's output is kept in memory.
+// tailBytes bounds how much of a process's output is kept in memory.
 const tailBytes = 16 << 10
 
-// tail keeps the end of what is written to it.
+// tail keeps the last tailBytes written to it.
 type tail struct {
 	mu  sync.Mutex
 	buf []byte
@@ -181,7 +183,7 @@
 	return len(b), nil
 }
 
-// String returns what is kept, from the first whole line on.
+// String returns the kept output, starting at the first whole line.
 func (t *tail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -194,7 +196,7 @@
 	return string(b)
 }
 
-// tee writes to a log file and to a tail.
+// tee duplicates writes to a log file and a tail.
 type tee struct {
 	file *os.File
 	tail *tail
--- a/testbed/relay.go
+++ b/testbed/relay.go
@@ -8,15 +8,15 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// PlatformZone stands for the place of the platform's configuration service,
-// for Fleet.Cut.
+// PlatformZone is the zone that stands for the platform's configuration service in
+// Fleet.Cut and Fleet.Heal.
 const PlatformZone ident.Zone = "platform"
 
-// cuts knows which zones cannot reach each other now.
+// cuts records which pairs of zones are currently partitioned from each other.
 type cuts struct {
 	mu  sync.Mutex
 	cut map[[2]ident.Zone]bool
-	// changed is closed and replaced when a cut is made or healed.
+	// changed is closed and replaced when a partition begins or ends.
 	changed chan struct{}
 }
 
@@ -24,7 +24,7 @@
 	return &cuts{cut: map[[2]ident.Zone]bool{}, changed: make(chan struct{})}
 }
 
-// set cuts two zones off from each other, or heals the cut.
+// set partitions two zones from each other, or ends the partition.
 func (c *cuts) set(a, b ident.Zone, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,8 +34,8 @@
 	c.changed = make(chan struct{})
 }
 
-// pass waits until nothing cuts the way between two zones. It returns false if
-// the relay was closed first.
+// pass waits until two zones are not partitioned from each other. It returns false
+// if the relay was closed first.
 func (c *cuts) pass(from, to ident.Zone, closed <-chan struct{}) bool {
 	for {
 		c.mu.Lock()
@@ -52,15 +52,15 @@
 	}
 }
 
-// relay passes the connections to one address on. While the way between the
-// zones of the two ends is cut it holds back all bytes, ends and new
-// connections, as a network does that loses every packet.
+// relay forwards TCP connections to one address. While the zones of the two
+// endpoints are partitioned, it holds back all bytes, connection ends and new
+// connections, like a network that drops every packet.
 type relay struct {
 	listener net.Listener
 	target   string
 	zone     ident.Zone
 	cuts     *cuts
-	// zoneOf tells the zone of the process at the other end of a connection.
+	// zoneOf returns the zone of the process at the other end of a connection.
 	zoneOf func(net.Conn) ident.Zone
 
 	closed chan struct{}
@@ -68,7 +68,7 @@
 	conns  map[net.Conn]struct{}
 }
 
-// startRelay starts a relay to a target in a zone, at an address of its own.
+// startRelay starts a relay to a target in a zone, listening on a free loopback port.
 func startRelay(target string, zone ident.Zone, c *cuts, zoneOf func(net.Conn) ident.Zone) (*relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,10 +82,10 @@
 	return r, nil
 }
 
-// address is where the relay listens.
+// address returns the address on which the relay listens.
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// close ends the relay and its connections.
+// close closes the relay's listener and all its connections.
 func (r *relay) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +96,8 @@
 	}
 }
 
-// keep notes a connection for close; it returns false once the relay is closed.
+// keep registers a connection, so that close closes it. If the relay is closed
+// already, it closes the connection and returns false.
 func (r *relay) keep(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// drop closes a connection.
+// drop unregisters and closes a connection.
 func (r *relay) drop(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +131,7 @@
 	}
 }
 
-// pass carries one connection.
+// pass forwards one connection until both directions have ended.
 func (r *relay) pass(caller net.Conn) {
 	defer r.drop(caller)
 	from := r.zoneOf(caller)
@@ -152,7 +153,8 @@
 	ways.Wait()
 }
 
-// refuse ends a connection to a target where nothing listens by a reset.
+// refuse makes Close end a connection with a TCP reset, for example if nothing
+// listens at the target.
 func refuse(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -162,7 +164,7 @@
 // copyBuffer is the size of a relay's buffers, in bytes.
 const copyBuffer = 32 << 10
 
-// copy carries bytes one way, and at last the end.
+// copy forwards the bytes of one direction and then its end.
 func (r *relay) copy(to, from net.Conn, zone ident.Zone) {
 	buffer := make([]byte, copyBuffer)
 	for {
@@ -184,7 +186,8 @@
 	}
 }
 
-// end passes the end of one way on: in order, or by a reset.
+// end forwards the end of one direction: a half-close after an orderly end, a reset
+// otherwise.
 func (r *relay) end(to net.Conn, err error) {
 	tcp, ok := to.(*net.TCPConn)
 	if ok && err == io.EOF {
--- a/testbed/rolltime/cpu.go
+++ b/testbed/rolltime/cpu.go
@@ -10,24 +10,24 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// clockTick is the unit of processor times in /proc, the same on all common Linux
-// machines.
+// clockTick is the unit of processor times in /proc, which is the same on all common
+// Linux platforms.
 const clockTick = 10 * time.Millisecond
 
-// Places of the user and system time in /proc/PID/stat, counted after the
-// command's closing bracket.
+// Indexes of the user and system time in /proc/PID/stat, counted after the closing
+// parenthesis of the command name.
 const (
 	userField   = 11
 	systemField = 12
 )
 
-// StatError reports a line of /proc that is not of the form known.
+// StatError reports a /proc/PID/stat whose format is not as expected.
 type StatError struct{ PID int }
 
 // Error implements error.
 func (e *StatError) Error() string { return fmt.Sprintf("process %d: processor time not found", e.PID) }
 
-// processorTime returns what a process has used so far.
+// processorTime returns the processor time that a process has used so far.
 func processorTime(p *testbed.Process) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
@@ -45,13 +45,14 @@
 	return time.Duration(user+system) * clockTick, nil
 }
 
-// usage is what the processes of a fleet have used, at a time.
+// usage is the processor time that a fleet's agents and entries have used at a point
+// in time.
 type usage struct {
 	at              time.Time
 	agents, entries time.Duration
 }
 
-// measure adds up what agents and entries have used so far.
+// measure sums the processor time of the agents and of the entries so far.
 func measure(fleet *testbed.Fleet) (usage, error) {
 	u := usage{at: time.Now()}
 	for _, in := range fleet.Instances {
@@ -69,8 +70,9 @@
 	return u, nil
 }
 
-// printUsage prints what one version costs an agent and an entry beyond what they
-// use in quiet, given usages before and after a quiet time and after the rolls.
+// printUsage prints the processor time that one version costs an agent and an entry
+// beyond their idle use, given the usages before and after an idle period and after
+// the rolls.
 func printUsage(quiet, begun, ended usage, instances, versions int) {
 	share := ended.at.Sub(begun.at).Seconds() / begun.at.Sub(quiet.at).Seconds()
 	extra := func(quiet, begun, ended time.Duration) time.Duration {
--- a/testbed/rolltime/main.go
+++ b/testbed/rolltime/main.go
@@ -1,7 +1,7 @@
-// Command rolltime measures how long a bundle version takes from its publishing
-// until it is in force on every entry instance. It runs a whole fleet of real
-// processes on loopback, publishes and rolls a number of versions and reads the
-// times from the entries' logs.
+// Command rolltime measures how long a bundle version takes from its publication
+// until it is in force on every entry instance. It runs a fleet of real processes on
+// loopback, publishes and rolls out a number of versions and reads the times from
+// the entries' logs.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// flags are the command line.
+// flags holds the command-line flags.
 type flags struct {
 	Example    string        `default:"coastline" help:"Deployment to run."`
 	Entries    int           `default:"8" help:"Entry instances in each of the three zones."`
@@ -42,7 +42,7 @@
 	}
 }
 
-// run starts the fleet, rolls the versions and prints the times.
+// run starts the fleet, rolls out the versions and prints the times.
 func run(ctx context.Context, f flags) error {
 	fleet, err := startFleet(ctx, f)
 	if fleet != nil {
@@ -74,7 +74,7 @@
 	return printTimes(fleet, published)
 }
 
-// fill adds workspaces to a content up to a number.
+// fill adds workspaces to a bundle's content until it has the given number.
 func fill(c *config.Content, workspaces int) {
 	for i := len(c.Workspaces); i < workspaces; i++ {
 		c.Workspaces = append(c.Workspaces, config.Workspace{
--- a/testbed/rolltime/roll.go
+++ b/testbed/rolltime/roll.go
@@ -14,7 +14,8 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// rollVersions publishes and rolls versions and returns when each was rolled.
+// rollVersions publishes and rolls out versions and returns the time at which each
+// was published.
 func rollVersions(ctx context.Context, fleet *testbed.Fleet, f flags) (map[uint64]time.Time, error) {
 	published := map[uint64]time.Time{}
 	for n := range f.Rolls {
@@ -35,7 +36,7 @@
 	return published, nil
 }
 
-// rest waits; it returns the context's error if that ended first.
+// rest waits for a duration; it returns the context's error if that is done first.
 func rest(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -45,15 +46,15 @@
 	}
 }
 
-// inForce is the entry's log line when a version comes into force.
+// inForce is the entry's log line about a version that has come into force.
 type inForce struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
 	Version uint64    `json:"bundle_version"`
 }
 
-// readLog lists when versions came into force on an instance, in the order of
-// its log.
+// readLog returns the log lines about versions that came into force on an instance,
+// in the order of its log.
 func readLog(dir string, id ident.InstanceID) ([]inForce, error) {
 	file, err := os.Open(filepath.Join(dir, "logs", string(id)+".log"))
 	if err != nil {
@@ -71,8 +72,9 @@
 	return list, lines.Err()
 }
 
-// printTimes prints, over all versions and instances, how long each took, and
-// counts versions that never arrived or went back.
+// printTimes prints quantiles, over all versions and instances, of the time from
+// publication until a version was in force, and the numbers of missing versions and
+// of reversions to an older version.
 func printTimes(fleet *testbed.Fleet, published map[uint64]time.Time) error {
 	var took []time.Duration
 	missing, reverted := 0, 0
--- a/testbed/settings.go
+++ b/testbed/settings.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// ticketSecret is the secret that all instances of a testbed share.
+// ticketSecret is the ticket secret shared by all instances of a testbed.
 var ticketSecret = base64.StdEncoding.EncodeToString([]byte("wardspool testbed ticket secret, 32+ bytes"))
 
 // OperatorName is the identity that operators' tools use on a testbed.
 const OperatorName = "ops-1"
 
-// entrySettings writes an entry's settings file.
+// entrySettings returns the text of an entry's settings file.
 func (f *Fleet) entrySettings(in *Instance) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "instance: %s\nzone: %s\nregion: %s\n", in.ID, in.Zone, f.Deployment.Region)
@@ -35,14 +35,14 @@
 	return b.String()
 }
 
-// writeLog writes the log level, if there is one to set.
+// writeLog writes the log level, if the options set one.
 func (f *Fleet) writeLog(b *strings.Builder) {
 	if f.options.LogLevel != "" {
 		fmt.Fprintf(b, "log: {level: %s}\n", f.options.LogLevel)
 	}
 }
 
-// writeStatic writes the settings that take the place of an agent.
+// writeStatic writes the settings that replace the agent in a static fleet.
 func (f *Fleet) writeStatic(b *strings.Builder) {
 	fmt.Fprintf(b, "static:\n  bundle: %q\n  upstreams:\n", f.Deployment.Source)
 	for _, u := range f.Deployment.Content.Upstreams {
@@ -50,7 +50,7 @@
 	}
 }
 
-// agentSettings writes an agent's settings file.
+// agentSettings returns the text of an agent's settings file.
 func (f *Fleet) agentSettings(in *Instance) (string, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "instance: %s\nzone: %s\nregion: %s\n", in.ID, in.Zone, f.Deployment.Region)
--- a/testbed/sockets.go
+++ b/testbed/sockets.go
@@ -13,13 +13,13 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// ownerWait bounds the search for the process at the end of a connection: a
-// process that has just started may not be noted yet.
+// ownerWait bounds the search for the process that opened a connection: a process
+// that has just started may not be registered yet.
 const ownerWait = 500 * time.Millisecond
 
-// zoneOf tells the zone of the process that opened a connection, "" if it is
-// none of the fleet's. It asks the kernel's table of sockets, so that nothing
-// of the protocols need be read.
+// zoneOf returns the zone of the process that opened a connection, "" if it does not
+// belong to the fleet. It looks the connection up in the kernel's socket table, so
+// that it need not parse any protocol.
 func (f *Fleet) zoneOf(c net.Conn) ident.Zone {
 	for deadline := time.Now().Add(ownerWait); ; time.Sleep(pollInterval) {
 		if inode, ok := socketInode(c.RemoteAddr(), c.LocalAddr()); ok {
@@ -33,7 +33,7 @@
 	}
 }
 
-// zoneOfSocket finds the process that holds a socket.
+// zoneOfSocket returns the zone of the process that has the socket open.
 func (f *Fleet) zoneOfSocket(inode string) (zone ident.Zone, found bool) {
 	link := "socket:[" + inode + "]"
 	f.zones.Range(func(pid, in any) bool {
@@ -45,7 +45,8 @@
 	return zone, found
 }
 
-// holdsFile reports whether a process of the fleet has a file open.
+// holdsFile reports whether a process has a file open, given the target of the
+// file's link in /proc/PID/fd.
 func holdsFile(pid int, link string) bool {
 	dir := filepath.Join("/proc", strconv.Itoa(pid), "fd")
 	files, err := os.ReadDir(dir)
@@ -60,14 +61,15 @@
 	return false
 }
 
-// Columns of /proc/net/tcp.
+// Column indexes of /proc/net/tcp.
 const (
 	columnLocal  = 1
 	columnRemote = 2
 	columnInode  = 9
 )
 
-// socketInode finds the socket with the given ends in the kernel's table.
+// socketInode returns the inode of the socket with the given endpoints from the
+// kernel's socket table.
 func socketInode(local, remote net.Addr) (inode string, found bool) {
 	table, err := os.Open("/proc/net/tcp")
 	if err != nil {
@@ -84,7 +86,7 @@
 	return "", false
 }
 
-// hexAddress writes an IPv4 address as the kernel's table does.
+// hexAddress formats an IPv4 address as in /proc/net/tcp.
 func hexAddress(a net.Addr) string {
 	tcp, ok := a.(*net.TCPAddr)
 	if !ok || tcp.IP.To4() == nil {
--- a/testbed/tls.go
+++ b/testbed/tls.go
@@ -10,17 +10,17 @@
 	"github.com/wardspool/wardspool/tlsconf"
 )
 
-// TLS names the files with which a fleet speaks TLS.
+// TLS holds the TLS configuration of a fleet.
 type TLS struct {
-	// Peers are each instance's files for the connections between the system's
-	// processes, Callers those for callers' HTTPS.
+	// Peers holds each instance's files for connections between entries and agents,
+	// Callers those for callers' HTTPS.
 	Peers   map[ident.InstanceID]tlsconf.Settings
 	Callers map[ident.InstanceID]tlsconf.Settings
-	// Client is how a caller's client trusts the instances.
+	// Client is the configuration with which a caller verifies the instances.
 	Client *tls.Config
 }
 
-// writeCallers writes the section for callers.
+// writeCallers writes the callers section of an entry's settings.
 func (f *Fleet) writeCallers(b *strings.Builder, in *Instance) {
 	fmt.Fprintf(b, "callers:\n  listen: %q\n", in.Callers)
 	if f.options.TLS != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// writeTLS writes the section for the connections between processes.
+// writeTLS writes the tls section, for connections between processes.
 func (f *Fleet) writeTLS(b *strings.Builder, in *Instance) {
 	if f.options.TLS != nil {
 		s := f.options.TLS.Peers[in.ID]
@@ -37,7 +37,7 @@
 	}
 }
 
-// callersURL is where callers reach an instance.
+// callersURL returns the base URL at which callers reach an instance.
 func (f *Fleet) callersURL(in *Instance) string {
 	if f.options.TLS != nil {
 		return "https://" + in.Callers
@@ -45,7 +45,7 @@
 	return "http://" + in.Callers
 }
 
-// callersHTTP returns a caller's client.
+// callersHTTP returns the HTTP client of a caller.
 func (f *Fleet) callersHTTP() *http.Client {
 	if f.options.TLS == nil {
 		return http.DefaultClient
--- a/testbed/upstreams.go
+++ b/testbed/upstreams.go
@@ -8,7 +8,8 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// startUpstreams starts a stand-in for every upstream that the bundle declares.
+// startUpstreams allocates addresses and starts a stand-in for every upstream that
+// the bundle declares.
 func (f *Fleet) startUpstreams() error {
 	for _, u := range f.Deployment.Content.Upstreams {
 		address, err := f.ports.Next()
@@ -29,7 +30,7 @@
 	return nil
 }
 
-// StartUpstream starts, or restarts, the stand-in of one upstream.
+// StartUpstream starts or restarts the stand-in of one upstream.
 func (f *Fleet) StartUpstream(id ident.UpstreamID) error {
 	for _, u := range f.Deployment.Content.Upstreams {
 		if u.ID != id {
@@ -49,14 +50,15 @@
 	return nil
 }
 
-// serviceTime is how long a stand-in service takes for a call.
+// serviceTime is the processing time of one call to a stand-in service.
 const serviceTime = 20 * time.Millisecond
 
 func serviceArgs(u config.Upstream) []string {
 	return []string{"service", "--service", u.Service, "--delay", serviceTime.String()}
 }
 
-// engineArgs gives a stand-in engine the rates that the bundle declares.
+// engineArgs returns the arguments that give a stand-in engine the properties
+// declared in the bundle.
 func (f *Fleet) engineArgs(u config.Upstream) []string {
 	args := []string{"engine", "--role", string(u.Role)}
 	for _, m := range u.Models {
@@ -82,7 +84,8 @@
 	return append(args, rateArgs(u)...)
 }
 
-// rateArgs passes on the rates that are declared for the engine's role.
+// rateArgs returns the arguments for the sizes and rates that the bundle declares
+// for an engine.
 func rateArgs(u config.Upstream) []string {
 	var args []string
 	if u.Slots > 0 {
