--- a/load/agreement/faults.go
+++ b/load/agreement/faults.go
@@ -28,9 +28,9 @@
 // Error implements error.
 func (e *UnknownFaultError) Error() string { return "unsupported process fault: " + e.Fault }
 
-// faults injects the cell's faults one after another, each preceded by a wait of a
-// third of the cell's duration.
-func (b *bench) faults(ctx context.Context, fleet *testbed.Fleet, cell experiment.Cell) error {
+// injectFaults injects the cell's faults one after another, each preceded by a wait
+// of a third of the cell's duration.
+func (b *comparison) injectFaults(ctx context.Context, fleet *testbed.Fleet, cell experiment.Cell) error {
 	for _, f := range strings.Split(string(cell.Fault), "+") {
 		if experiment.Fault(f) == experiment.FaultNone {
 			continue
@@ -38,28 +38,28 @@
 		if !pause.For(ctx, cell.Duration/3) {
 			return nil
 		}
-		if err := b.fault(ctx, fleet, experiment.Fault(f)); err != nil {
+		if err := b.injectFault(ctx, fleet, experiment.Fault(f)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// fault injects one fault and ends it.
-func (b *bench) fault(ctx context.Context, fleet *testbed.Fleet, f experiment.Fault) error {
+// injectFault injects one fault and ends it.
+func (b *comparison) injectFault(ctx context.Context, fleet *testbed.Fleet, f experiment.Fault) error {
 	switch f {
 	case experiment.FaultDecodeKill:
 		return b.engine(fleet, config.RoleDecode).Crash(ctx, control.Crash{DownMS: downTime.Milliseconds()})
 	case experiment.FaultPrefillKill:
 		return b.engine(fleet, config.RolePrefill).Crash(ctx, control.Crash{DownMS: downTime.Milliseconds()})
 	case experiment.FaultTransferStall:
-		return b.stall(ctx, fleet)
+		return b.stallTransfers(ctx, fleet)
 	case experiment.FaultInstanceKill:
 		return b.killInstance(ctx, fleet)
 	case experiment.FaultInstanceFreeze:
 		return b.freezeInstance(ctx, fleet)
 	case experiment.FaultZoneCut:
-		zone := b.place.Zones[0]
+		zone := b.example.Zones[0]
 		fleet.CutOff(zone)
 		pause.For(ctx, cutTime)
 		fleet.Rejoin(zone)
@@ -70,8 +70,8 @@
 }
 
 // engine returns a control client for the first engine of a role.
-func (b *bench) engine(fleet *testbed.Fleet, role config.Role) control.Client {
-	for _, u := range b.place.Content.Upstreams {
+func (b *comparison) engine(fleet *testbed.Fleet, role config.Role) control.Client {
+	for _, u := range b.example.Content.Upstreams {
 		if u.Role == role {
 			return control.Client{Address: fleet.Addresses[u.ID]}
 		}
@@ -79,8 +79,8 @@
 	return control.Client{}
 }
 
-// stall stops all KV transfers out of one prefill engine for stallTime.
-func (b *bench) stall(ctx context.Context, fleet *testbed.Fleet) error {
+// stallTransfers stops all KV transfers out of one prefill engine for stallTime.
+func (b *comparison) stallTransfers(ctx context.Context, fleet *testbed.Fleet) error {
 	engine := b.engine(fleet, config.RolePrefill)
 	if err := engine.SetEngineFaults(ctx, control.EngineFaults{StallTransfers: true}); err != nil {
 		return err
@@ -91,7 +91,7 @@
 
 // killInstance kills the dispatching instance, on which the others depend most,
 // and restarts it after downTime.
-func (b *bench) killInstance(ctx context.Context, fleet *testbed.Fleet) error {
+func (b *comparison) killInstance(ctx context.Context, fleet *testbed.Fleet) error {
 	victim := b.dispatcher(fleet)
 	if err := fleet.KillInstance(victim); err != nil {
 		return err
@@ -103,7 +103,7 @@
 }
 
 // freezeInstance stops both processes of the dispatching instance for freezeTime.
-func (b *bench) freezeInstance(ctx context.Context, fleet *testbed.Fleet) error {
+func (b *comparison) freezeInstance(ctx context.Context, fleet *testbed.Fleet) error {
 	victim := b.dispatcher(fleet)
 	for _, p := range []*testbed.Process{victim.Agent, victim.Entry} {
 		if err := p.Freeze(); err != nil {
@@ -122,7 +122,7 @@
 // dispatcher returns the instance that dispatches the first model while all
 // instances are live. The experiment injects its instance faults into the same
 // one.
-func (b *bench) dispatcher(fleet *testbed.Fleet) *testbed.Instance {
+func (b *comparison) dispatcher(fleet *testbed.Fleet) *testbed.Instance {
 	view := &kernel.View{Version: 1}
 	for _, in := range fleet.Instances {
 		view.Instances = append(view.Instances, kernel.Instance{ID: in.ID, Zone: in.Zone, Liveness: kernel.Live})
@@ -130,7 +130,7 @@
 	first := fleet.Instances[0]
 	var roster slotkit.Roster
 	roster.Update(view, kernel.Self{Instance: first.ID, Zone: first.Zone})
-	name := "model/" + b.place.Content.Models[0].Name
+	name := "model/" + b.example.Content.Models[0].Name
 	chosen := roster.Select(name, func(*kernel.Instance) bool { return true })
 	for _, in := range fleet.Instances {
 		if in.ID == chosen {
--- a/load/agreement/main.go
+++ b/load/agreement/main.go
@@ -70,9 +70,9 @@
 	if err != nil {
 		return oops.Wrap(err)
 	}
-	b := bench{cli: c, place: place, deployment: d, table: newTable()}
+	b := comparison{cli: c, example: place, deployment: d, table: newTable()}
 	// Rows measured before a failure are printed and saved as well.
-	runErr := b.all(ctx)
+	runErr := b.runCells(ctx)
 	if err := b.table.WriteText(os.Stdout); err != nil {
 		return oops.Wrap(err)
 	}
@@ -82,23 +82,23 @@
 	return runErr
 }
 
-// bench holds the state of one run of the command.
-type bench struct {
+// comparison holds the state of one run of the command.
+type comparison struct {
 	*cli
-	place      *testbed.Deployment
+	example    *testbed.Deployment
 	deployment *experiment.Deployment
 	table      *report.Table
 }
 
-// all runs each cell in virtual time and over processes.
-func (b *bench) all(ctx context.Context) error {
+// runCells runs each cell in virtual time and over processes.
+func (b *comparison) runCells(ctx context.Context) error {
 	for _, load := range b.Load {
 		for _, f := range b.Fault {
 			cell := experiment.NewCell(b.deployment, experiment.PolicyCurrent, load, f, b.Seed)
-			cell.Instances = b.PerZone * len(b.place.Zones)
+			cell.Instances = b.PerZone * len(b.example.Zones)
 			cell.Warmup, cell.Duration = 0, b.Duration
 			fmt.Fprintf(os.Stderr, "load %.1f, fault %s\n", load, f)
-			if err := b.both(ctx, cell); err != nil {
+			if err := b.runCell(ctx, cell); err != nil {
 				return err
 			}
 		}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// both runs one cell in virtual time and over processes and adds both rows.
-func (b *bench) both(ctx context.Context, cell experiment.Cell) error {
+// runCell runs one cell in virtual time and over processes and adds both rows.
+func (b *comparison) runCell(ctx context.Context, cell experiment.Cell) error {
 	virtual, err := experiment.Run(cell, b.deployment)
 	if err != nil {
 		return oops.Wrap(err)
@@ -115,7 +115,7 @@
 	if err := b.table.Add(virtualRow(virtual)...); err != nil {
 		return oops.Wrap(err)
 	}
-	row, err := b.processes(ctx, cell)
+	row, err := b.runProcesses(ctx, cell)
 	if err != nil {
 		return err
 	}
--- a/load/agreement/processes.go
+++ b/load/agreement/processes.go
@@ -19,11 +19,11 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// quiesce bounds the wait for the engines to release all resources.
-const quiesce = 15 * time.Second
+// releaseTimeout bounds the wait for the engines to release all resources.
+const releaseTimeout = 15 * time.Second
 
-// processes runs one cell over real processes and returns its row.
-func (b *bench) processes(ctx context.Context, cell experiment.Cell) ([]string, error) {
+// runProcesses runs one cell over real processes and returns its row.
+func (b *comparison) runProcesses(ctx context.Context, cell experiment.Cell) ([]string, error) {
 	name := fmt.Sprintf("agreement-%.1f-%s", cell.Load, cell.Fault)
 	dir, err := filepath.Abs(filepath.Join(b.Out, name))
 	if err != nil {
@@ -37,7 +37,7 @@
 		return nil, oops.Wrap(err)
 	}
 	fleet, err := testbed.StartFleet(ctx, testbed.Options{
-		Deployment: b.place, Programs: testbed.ProgramsIn(bin), Dir: dir,
+		Deployment: b.example, Programs: testbed.ProgramsIn(bin), Dir: dir,
 		EntriesPerZone: b.PerZone,
 		Relays:         strings.Contains(string(cell.Fault), string(experiment.FaultZoneCut)),
 	})
@@ -50,19 +50,19 @@
 	if err := runner.SaveRecords(filepath.Join(dir, "requests.json"), records); err != nil {
 		return nil, oops.Wrap(err)
 	}
-	reports, err := referee.FetchQuiet(ctx, fleet.JudgeAddresses(), quiesce)
+	reports, err := referee.FetchQuiet(ctx, fleet.JudgeAddresses(), releaseTimeout)
 	if err != nil {
 		return nil, oops.Wrap(err)
 	}
-	return b.processRow(cell, records, referee.Judge(records, reports, true)), nil
+	return b.processesRow(cell, records, referee.Judge(records, reports, true)), nil
 }
 
 // offer generates the cell's arrivals and injects its faults meanwhile.
-func (b *bench) offer(ctx context.Context, fleet *testbed.Fleet, cell experiment.Cell) []runner.Record {
+func (b *comparison) offer(ctx context.Context, fleet *testbed.Fleet, cell experiment.Cell) []runner.Record {
 	var faults sync.WaitGroup
 	defer faults.Wait()
 	faults.Go(func() {
-		if err := b.faults(ctx, fleet, cell); err != nil {
+		if err := b.injectFaults(ctx, fleet, cell); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 	})
@@ -74,8 +74,8 @@
 	})
 }
 
-// processRow formats the result over processes, for model requests only.
-func (b *bench) processRow(cell experiment.Cell, records []runner.Record, v *referee.Verdict) []string {
+// processesRow formats the result over processes, for model requests only.
+func (b *comparison) processesRow(cell experiment.Cell, records []runner.Record, v *referee.Verdict) []string {
 	var models []runner.Record
 	for _, r := range records {
 		if r.Model {
--- a/load/overhead/overhead.go
+++ b/load/overhead/overhead.go
@@ -52,8 +52,8 @@
 	RouteDirect    Route = "direct"
 )
 
-// Measure holds the measurements of one route.
-type Measure struct {
+// RouteStats holds the measurements of one route.
+type RouteStats struct {
 	Route  Route
 	Failed int
 	// FirstError is the first failure.
@@ -63,19 +63,19 @@
 	First, Pace *report.Hist
 }
 
-func newMeasure(r Route) *Measure {
-	return &Measure{Route: r, First: report.NewHist(), Pace: report.NewHist()}
+func newRouteStats(r Route) *RouteStats {
+	return &RouteStats{Route: r, First: report.NewHist(), Pace: report.NewHist()}
 }
 
 // Result is the outcome of a run.
-type Result struct{ Wardspool, Direct *Measure }
+type Result struct{ Wardspool, Direct *RouteStats }
 
-// bench holds the state of one run.
-type bench struct {
-	opts   Options
-	client *client.Client
-	from   time.Time
-	prompt string
+// benchmark holds the state of one run.
+type benchmark struct {
+	opts        Options
+	client      *client.Client
+	measureFrom time.Time
+	prompt      string
 
 	mu     sync.Mutex
 	result Result
@@ -83,15 +83,15 @@
 
 // Run requests completions until the duration has passed or the context is done.
 func Run(ctx context.Context, opts Options) *Result {
-	b := &bench{
-		opts:   opts,
-		client: client.New(),
-		from:   time.Now().Add(opts.Warmup),
-		prompt: strings.Repeat("w ", opts.PromptTokens-1),
-		result: Result{Wardspool: newMeasure(RouteWardspool), Direct: newMeasure(RouteDirect)},
+	b := &benchmark{
+		opts:        opts,
+		client:      client.New(),
+		measureFrom: time.Now().Add(opts.Warmup),
+		prompt:      strings.Repeat("w ", opts.PromptTokens-1),
+		result:      Result{Wardspool: newRouteStats(RouteWardspool), Direct: newRouteStats(RouteDirect)},
 	}
 	defer b.client.Close()
-	ctx, cancel := context.WithDeadline(ctx, b.from.Add(opts.Duration))
+	ctx, cancel := context.WithDeadline(ctx, b.measureFrom.Add(opts.Duration))
 	defer cancel()
 	var workers sync.WaitGroup
 	for n := range opts.Streams + opts.Direct {
@@ -99,25 +99,25 @@
 		if n >= opts.Streams {
 			route = RouteDirect
 		}
-		workers.Go(func() { b.work(ctx, n, route) })
+		workers.Go(func() { b.runStream(ctx, n, route) })
 	}
 	workers.Wait()
 	return &b.result
 }
 
-// work requests completions one after another on one route.
-func (b *bench) work(ctx context.Context, n int, route Route) {
+// runStream requests completions one after another on one route.
+func (b *benchmark) runStream(ctx context.Context, n int, route Route) {
 	rng := rand.New(rand.NewPCG(b.opts.Seed, uint64(n)))
 	// Streams of one length that start at the same time also end and restart at the
 	// same time: the entry would see bursts of arrivals instead of the mean rate.
-	stagger(ctx, rng, b.opts.Warmup)
+	randomPause(ctx, rng, b.opts.Warmup)
 	for i := 0; ctx.Err() == nil; i++ {
 		id := b.opts.RunID + "-" + strconv.Itoa(n) + "-" + strconv.Itoa(i)
 		// The ID makes each prompt unique.
 		prompt := b.prompt + id
 		decode := b.opts.Decode[rng.IntN(len(b.opts.Decode))]
 		output := b.outputTokens(rng)
-		stagger(ctx, rng, b.opts.MaxPause)
+		randomPause(ctx, rng, b.opts.MaxPause)
 		started := time.Now()
 		got := b.complete(ctx, route, decode, id, prompt, output)
 		if ctx.Err() == nil {
@@ -130,13 +130,13 @@
 const DefaultMaxPause = 200 * time.Millisecond
 
 // outputTokens returns a random output length.
-func (b *bench) outputTokens(rng *rand.Rand) int {
+func (b *benchmark) outputTokens(rng *rand.Rand) int {
 	mean := b.opts.OutputTokens
 	return max(1, mean-mean/2+rng.IntN(2*(mean/2)+1))
 }
 
-// stagger waits for a random time below the limit.
-func stagger(ctx context.Context, rng *rand.Rand, limit time.Duration) {
+// randomPause waits for a random time below the limit.
+func randomPause(ctx context.Context, rng *rand.Rand, limit time.Duration) {
 	if limit <= 0 {
 		return
 	}
@@ -144,7 +144,7 @@
 }
 
 // complete requests one completion on the given route.
-func (b *bench) complete(ctx context.Context, route Route, decode, id, prompt string, output int) *client.Result {
+func (b *benchmark) complete(ctx context.Context, route Route, decode, id, prompt string, output int) *client.Result {
 	if route == RouteDirect {
 		return b.client.CompleteDirect(ctx, &client.Direct{
 			Prefill: b.opts.Prefill, Decode: decode, Attempt: id,
@@ -174,8 +174,8 @@
 
 // record adds a completion to the route's measurements, unless it started during
 // the warm-up.
-func (b *bench) record(route Route, started time.Time, got *client.Result) {
-	if started.Before(b.from) {
+func (b *benchmark) record(route Route, started time.Time, got *client.Result) {
+	if started.Before(b.measureFrom) {
 		return
 	}
 	b.mu.Lock()
@@ -215,7 +215,7 @@
 
 // Err returns an *IncompleteError if any completion failed.
 func (r *Result) Err() error {
-	for _, m := range []*Measure{r.Direct, r.Wardspool} {
+	for _, m := range []*RouteStats{r.Direct, r.Wardspool} {
 		if m.Failed > 0 {
 			return &IncompleteError{Route: m.Route, Failed: m.Failed, First: m.FirstError}
 		}
@@ -233,10 +233,10 @@
 func (r *Result) Table() (*report.Table, error) {
 	t := report.NewTable("route", "completions", "failed", "first_p50_ms", "first_p99_ms",
 		"first_mean_ms", "pace_p50_ms", "pace_p99_ms", "pace_mean_ms")
-	for _, m := range []*Measure{r.Direct, r.Wardspool} {
+	for _, m := range []*RouteStats{r.Direct, r.Wardspool} {
 		row := []string{string(m.Route), strconv.FormatInt(m.First.Count(), 10), strconv.Itoa(m.Failed)}
 		for _, d := range m.values() {
-			row = append(row, precise(d))
+			row = append(row, formatMillis(d))
 		}
 		if err := t.Add(row...); err != nil {
 			return nil, err
@@ -245,20 +245,20 @@
 	added := []string{"added", "", ""}
 	direct := r.Direct.values()
 	for i, d := range r.Wardspool.values() {
-		added = append(added, precise(d-direct[i]))
+		added = append(added, formatMillis(d-direct[i]))
 	}
 	return t, t.Add(added...)
 }
 
 // values lists a route's statistics in the order of the table's columns.
-func (m *Measure) values() []time.Duration {
+func (m *RouteStats) values() []time.Duration {
 	return []time.Duration{
 		m.First.Quantile(median), m.First.Quantile(p99), m.First.Mean(),
 		m.Pace.Quantile(median), m.Pace.Quantile(p99), m.Pace.Mean(),
 	}
 }
 
-// precise formats a duration as milliseconds with three decimals.
-func precise(d time.Duration) string {
+// formatMillis formats a duration as milliseconds with three decimals.
+func formatMillis(d time.Duration) string {
 	return report.Fixed(float64(d)/float64(time.Millisecond), 3)
 }
--- a/load/overhead/rig/processes.go
+++ b/load/overhead/rig/processes.go
@@ -24,17 +24,17 @@
 // Engine rates high enough not to affect the result: prefill and transfer take
 // almost no time, and KV memory is ample.
 const (
-	prefillRate = 2_000_000
-	linkRate    = 5_000_000_000
-	kvBytes     = 1000
-	pieceTokens = 2000
-	pieces      = 100_000
+	prefillTokensPerSecond = 2_000_000
+	linkBytesPerSecond     = 5_000_000_000
+	kvBytesPerToken        = 1000
+	pieceTokens            = 2000
+	pieces                 = 100_000
 )
 
-// bundleHead is the bundle without its upstreams, with a format verb for the slot
-// policy. Its policy is that of the example deployments, without the parts that
-// need an agent or would refuse the load.
-const bundleHead = `deployment: overhead
+// bundleTemplate is the bundle without its upstreams, with a format verb for the
+// slot policy. Its policy is that of the example deployments, without the parts
+// that need an agent or would refuse the load.
+const bundleTemplate = `deployment: overhead
 kinds:
   - {name: review, route: model, repeatable: true, deadline: 120s, first_output: 60s, pace: 1s, default_output_tokens: 50}
 models:
@@ -91,7 +91,7 @@
 }
 
 func (f *fleet) start(ctx context.Context) error {
-	entry, err := f.choosePorts()
+	entry, err := f.allocatePorts()
 	if err != nil {
 		return err
 	}
@@ -107,8 +107,8 @@
 	return f.startEntry(ctx, entry)
 }
 
-// choosePorts allocates the addresses of all processes and returns the entry's.
-func (f *fleet) choosePorts() (entry string, err error) {
+// allocatePorts allocates the addresses of all processes and returns the entry's.
+func (f *fleet) allocatePorts() (entry string, err error) {
 	var all []string
 	for range f.cli.Engines + 2 {
 		address, err := f.ports.Next()
@@ -129,9 +129,9 @@
 		"engine", "--listen", address, "--id", id, "--role", role, "--model", model,
 		"--slots", strconv.Itoa(f.cli.Slots), "--pieces", strconv.Itoa(pieces),
 		"--piece-tokens", strconv.Itoa(pieceTokens),
-		"--prefill-tokens-per-second", strconv.Itoa(prefillRate),
-		"--kv-bytes-per-token", strconv.Itoa(kvBytes),
-		"--link-bytes-per-second", strconv.Itoa(linkRate),
+		"--prefill-tokens-per-second", strconv.Itoa(prefillTokensPerSecond),
+		"--kv-bytes-per-token", strconv.Itoa(kvBytesPerToken),
+		"--link-bytes-per-second", strconv.Itoa(linkBytesPerSecond),
 		"--decode-step", f.cli.Step.String(), "--decode-step-per-request", "0s",
 		"--queue-limit", strconv.Itoa(f.cli.Streams+f.cli.Direct), "--kv-lifetime", "5s", "--retention", "1s")
 	if err != nil {
@@ -167,12 +167,12 @@
 // bundle returns the bundle source, which declares the engines.
 func (f *fleet) bundle() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, bundleHead, f.cli.Policy)
+	fmt.Fprintf(&b, bundleTemplate, f.cli.Policy)
 	fmt.Fprintf(&b, "  - {id: pf-1, role: prefill, models: [%s], pieces: %d, prefill_tokens_per_second: %d, link_bytes_per_second: %d}\n",
-		model, pieces, prefillRate, linkRate)
+		model, pieces, prefillTokensPerSecond, linkBytesPerSecond)
 	for i := range f.decode {
 		fmt.Fprintf(&b, "  - {id: %s, role: decode, models: [%s], slots: %d, pieces: %d, link_bytes_per_second: %d, decode_step: %s, decode_step_per_request: 1us}\n",
-			decodeID(i), model, f.cli.Slots, pieces, linkRate, f.cli.Step)
+			decodeID(i), model, f.cli.Slots, pieces, linkBytesPerSecond, f.cli.Step)
 	}
 	return b.String()
 }
--- a/load/overhead/rig/run.go
+++ b/load/overhead/rig/run.go
@@ -25,8 +25,8 @@
 	}
 	defer f.close()
 	before := loadAverage()
-	used := make(chan span, 1)
-	go func() { used <- f.measure(ctx) }()
+	used := make(chan resourceUsage, 1)
+	go func() { used <- f.measureUsage(ctx) }()
 	result := overhead.Run(ctx, c.options(f))
 	table, err := result.Table()
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err := table.SaveCSV(filepath.Join(c.Out, "overhead.csv")); err != nil {
 		return oops.Wrap(err)
 	}
-	if err := c.cost(f, <-used, result).WriteText(os.Stdout); err != nil {
+	if err := c.usageTable(f, <-used, result).WriteText(os.Stdout); err != nil {
 		return oops.Wrap(err)
 	}
 	return oops.Wrap(result.Err())
@@ -61,34 +61,34 @@
 	return o
 }
 
-// span is the entry's resource use between two times of a run.
-type span struct {
+// resourceUsage is the entry's resource use between two times of a run.
+type resourceUsage struct {
 	from, to time.Time
 	cpu      time.Duration
-	// waited is how long its threads were runnable without a processor.
-	waited time.Duration
+	// runQueueWait is how long its threads were runnable without a processor.
+	runQueueWait time.Duration
 }
 
-// edge is the margin after the warm-up and before the end that the measurement
-// leaves out, so that it covers only the steady state.
-const edge = 500 * time.Millisecond
+// measureMargin is the time after the warm-up and before the end that the
+// measurement leaves out, so that it covers only the steady state.
+const measureMargin = 500 * time.Millisecond
 
-// measure returns the entry's processor time over the measured time. The span ends
+// measureUsage returns the entry's resource use over the measured time, which ends
 // early when the context is done.
-func (f *fleet) measure(ctx context.Context) span {
-	pause.For(ctx, f.cli.Warmup+edge)
-	from, began, waited := time.Now(), f.processorTime(), f.waitedTime()
-	pause.For(ctx, f.cli.Duration-2*edge)
-	return span{from: from, to: time.Now(), cpu: f.processorTime() - began, waited: f.waitedTime() - waited}
+func (f *fleet) measureUsage(ctx context.Context) resourceUsage {
+	pause.For(ctx, f.cli.Warmup+measureMargin)
+	from, began, waited := time.Now(), f.processorTime(), f.runQueueWait()
+	pause.For(ctx, f.cli.Duration-2*measureMargin)
+	return resourceUsage{from: from, to: time.Now(), cpu: f.processorTime() - began, runQueueWait: f.runQueueWait() - waited}
 }
 
-// cost formats the entry's resource use.
-func (c *cli) cost(f *fleet, s span, r *overhead.Result) *report.Table {
+// usageTable formats the entry's resource use.
+func (c *cli) usageTable(f *fleet, s resourceUsage, r *overhead.Result) *report.Table {
 	t := report.NewTable("requests_per_s", "entry_cores", "entry_ms_per_request", "entry_waited_share", "entry_rss_mb", "entry_peak_rss_mb")
 	rate := float64(r.Wardspool.First.Count()) / c.Duration.Seconds()
 	cores := s.cpu.Seconds() / s.to.Sub(s.from).Seconds()
 	_ = t.Add(report.Fixed(rate, 1), report.Fixed(cores, 3), report.Fixed(1000*cores/rate, 3),
-		report.Share(s.waited.Seconds(), s.waited.Seconds()+s.cpu.Seconds()),
+		report.Share(s.runQueueWait.Seconds(), s.runQueueWait.Seconds()+s.cpu.Seconds()),
 		f.memory("VmRSS:"), f.memory("VmHWM:"))
 	return t
 }
@@ -103,7 +103,7 @@
 
 // processorTime returns the entry's processor time so far, 0 if it cannot be read.
 func (f *fleet) processorTime() time.Duration {
-	text, err := os.ReadFile(f.proc("stat"))
+	text, err := os.ReadFile(f.procPath("stat"))
 	if err != nil {
 		return 0
 	}
@@ -117,11 +117,11 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// waitedTime returns how long the entry's threads have waited for a processor so
+// runQueueWait returns how long the entry's threads have waited for a processor so
 // far: the sum of the second field of each thread's schedstat, in nanoseconds. It
 // shows how much of a delay is due to a lack of free processors on the machine.
-func (f *fleet) waitedTime() time.Duration {
-	files, _ := filepath.Glob(f.proc("task/*/schedstat"))
+func (f *fleet) runQueueWait() time.Duration {
+	files, _ := filepath.Glob(f.procPath("task/*/schedstat"))
 	var sum time.Duration
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -138,7 +138,7 @@
 
 // memory returns a field of /proc/PID/status in MB, empty if it cannot be read.
 func (f *fleet) memory(name string) string {
-	text, err := os.ReadFile(f.proc("status"))
+	text, err := os.ReadFile(f.procPath("status"))
 	if err != nil {
 		return ""
 	}
@@ -151,7 +151,7 @@
 	return report.Fixed(float64(kb)/1024, 1)
 }
 
-func (f *fleet) proc(file string) string {
+func (f *fleet) procPath(file string) string {
 	return filepath.Join("/proc", strconv.Itoa(f.entry.PID()), file)
 }
 
--- a/load/runner/caller.go
+++ b/load/runner/caller.go
@@ -18,8 +18,8 @@
 	// reconnectWait is the base delay before another instance is tried; jitter adds
 	// up to half of it.
 	reconnectWait = 50 * time.Millisecond
-	// patience is how long after its deadline a caller still accepts an answer.
-	patience = 2 * time.Second
+	// answerGrace is how long after its deadline a caller still accepts an answer.
+	answerGrace = 2 * time.Second
 	// maxSendings bounds how often one request is sent, lost connections included.
 	maxSendings = 6
 )
@@ -44,7 +44,7 @@
 		DueMS: milliseconds(a.At), Repeatable: a.Kind.Repeatable, Model: a.Kind.Model != "",
 	}
 	c.prepare()
-	ctx, cancel := context.WithDeadline(ctx, c.due.Add(a.Kind.Deadline+patience))
+	ctx, cancel := context.WithDeadline(ctx, c.due.Add(a.Kind.Deadline+answerGrace))
 	defer cancel()
 	if a.CancelAfter > 0 {
 		leave := time.AfterFunc(time.Until(c.due.Add(a.CancelAfter)), cancel)
@@ -86,14 +86,14 @@
 	c.call.Ticket = ""
 	if !c.arrival.Kind.Repeatable && c.runner.opts.Tickets {
 		if !c.takeTicket(ctx) {
-			return c.pause(ctx, reconnectWait) && c.record.Sendings+c.record.TicketFailures < maxSendings
+			return c.waitWithJitter(ctx, reconnectWait) && c.record.Sendings+c.record.TicketFailures < maxSendings
 		}
 		c.call.Ticket = c.ticket
 	}
 	c.record.Sendings++
-	r := c.exchange(ctx)
+	r := c.roundTrip(ctx)
 	c.record.add(r, c.due)
-	return c.again(ctx, r)
+	return c.awaitRetry(ctx, r)
 }
 
 // takeTicket obtains a ticket unless the caller has one, and reports whether it has.
@@ -112,8 +112,8 @@
 	return true
 }
 
-// exchange performs the HTTP call and returns its result.
-func (c *caller) exchange(ctx context.Context) *client.Result {
+// roundTrip performs the HTTP call and returns its result.
+func (c *caller) roundTrip(ctx context.Context) *client.Result {
 	if c.arrival.Kind.Model != "" {
 		return c.runner.client.Complete(ctx, &c.call, c.body)
 	}
@@ -127,9 +127,9 @@
 	return c.runner.client.CallService(ctx, &call)
 }
 
-// again reports whether the request is to be sent once more, after waiting for the
-// retry delay.
-func (c *caller) again(ctx context.Context, r *client.Result) bool {
+// awaitRetry reports whether the request is to be sent once more, after waiting for
+// the retry delay.
+func (c *caller) awaitRetry(ctx context.Context, r *client.Result) bool {
 	if c.record.Sendings >= maxSendings {
 		return false
 	}
@@ -138,7 +138,7 @@
 		// With its ticket a request that is not repeatable still runs at most
 		// once, at the one instance that the ticket names.
 		safe := !conn.Sent || c.arrival.Kind.Repeatable || c.ticket != ""
-		return safe && c.pause(ctx, reconnectWait)
+		return safe && c.waitWithJitter(ctx, reconnectWait)
 	}
 	refused := r.Err == nil && r.Outcome == api.NotRun && r.Problem != nil && r.Problem.RetryAfterMS > 0
 	if !refused || !c.arrival.Retries || c.record.Refusals > c.runner.opts.Spec.Caller.MaxRetries {
@@ -146,12 +146,12 @@
 	}
 	// A ticket is valid for one run; that of the refused sending stays unused.
 	c.ticket = ""
-	return c.pause(ctx, time.Duration(r.Problem.RetryAfterMS)*time.Millisecond)
+	return c.waitWithJitter(ctx, time.Duration(r.Problem.RetryAfterMS)*time.Millisecond)
 }
 
-// pause waits for mean plus up to half of it as jitter. It returns false if the
-// caller left meanwhile or the wait would end after the deadline.
-func (c *caller) pause(ctx context.Context, mean time.Duration) bool {
+// waitWithJitter waits for mean plus up to half of it as jitter. It returns false if
+// the caller left meanwhile or the wait would end after the deadline.
+func (c *caller) waitWithJitter(ctx context.Context, mean time.Duration) bool {
 	wait := mean + rand.N(mean/2+1)
 	at := time.Now().Add(wait)
 	if at.After(c.due.Add(c.arrival.Kind.Deadline)) {
--- a/load/runner/output.go
+++ b/load/runner/output.go
@@ -11,22 +11,22 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// maxSaved bounds the number of records written to a file.
-const maxSaved = 100_000
+// maxSavedRecords bounds the number of records written to a file.
+const maxSavedRecords = 100_000
 
 // SavedRecords is the content of the records file.
 type SavedRecords struct {
-	// Omitted counts the records beyond maxSaved, which are not written.
+	// Omitted counts the records beyond maxSavedRecords, which are not written.
 	Omitted int      `json:"omitted"`
 	Records []Record `json:"records"`
 }
 
-// SaveRecords writes up to maxSaved records as JSON. Errors are those of
+// SaveRecords writes up to maxSavedRecords records as JSON. Errors are those of
 // package os or of the encoder.
 func SaveRecords(path string, records []Record) (err error) {
 	saved := SavedRecords{Records: records}
-	if len(records) > maxSaved {
-		saved = SavedRecords{Records: records[:maxSaved], Omitted: len(records) - maxSaved}
+	if len(records) > maxSavedRecords {
+		saved = SavedRecords{Records: records[:maxSavedRecords], Omitted: len(records) - maxSavedRecords}
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
@@ -43,8 +43,8 @@
 	return json.NewEncoder(f).Encode(saved)
 }
 
-// plotStep is the width of the plots' bins.
-const plotStep = time.Second
+// plotBinWidth is the width of the plots' bins.
+const plotBinWidth = time.Second
 
 // SavePlot plots offered load, goodput and time to first output by the second in
 // which requests were due, and writes base.svg and base.png. Errors are those of
@@ -54,12 +54,12 @@
 	for i := range spec.Kinds {
 		kinds[spec.Kinds[i].Name] = &spec.Kinds[i]
 	}
-	bins := int(duration/plotStep) + 1
+	bins := int(duration/plotBinWidth) + 1
 	offered, good := make([]float64, bins), make([]float64, bins)
 	first := make([]*report.Hist, bins)
 	for i := range records {
 		r := &records[i]
-		bin := min(int(fromMilliseconds(r.DueMS)/plotStep), bins-1)
+		bin := min(int(fromMilliseconds(r.DueMS)/plotBinWidth), bins-1)
 		offered[bin]++
 		if r.Good(kinds[r.Kind]) {
 			good[bin]++
--- a/load/runner/runner.go
+++ b/load/runner/runner.go
@@ -37,10 +37,10 @@
 
 // runner holds the state of one run.
 type runner struct {
-	opts   Options
-	client *client.Client
-	turn   atomic.Uint64
-	start  time.Time
+	opts          Options
+	client        *client.Client
+	targetCounter atomic.Uint64
+	start         time.Time
 
 	started, done atomic.Int64
 	records       chan Record
@@ -96,7 +96,7 @@
 
 // target returns the next instance's address, round-robin.
 func (r *runner) target() string {
-	n := r.turn.Add(1) - 1
+	n := r.targetCounter.Add(1) - 1
 	return r.opts.Targets[n%uint64(len(r.opts.Targets))]
 }
 
--- a/load/runner/runner_test.go
+++ b/load/runner/runner_test.go
@@ -20,7 +20,7 @@
 	"github.com/wardspool/wardspool/load/workload"
 )
 
-const orders = `
+const workloadYAML = `
 workspaces: [{name: w, share: 1}]
 kinds:
   - {name: order, share: 1, service: shop, repeatable: false, deadline: 5s}
@@ -28,25 +28,26 @@
 caller: {retry_share: 1, max_retries: 2}
 `
 
-// shop is a fake instance whose only service counts runs by request ID.
-type shop struct {
+// fakeInstance is an instance whose only service counts runs by request ID.
+type fakeInstance struct {
 	mu      sync.Mutex
 	runs    map[string]int
 	tickets map[string]bool
-	// refuse is how many sendings of each request are refused before one is accepted.
-	refuse  int
-	refused map[string]int
+	// refusalsPerRequest is how many sendings of each request are refused before one
+	// is accepted.
+	refusalsPerRequest int
+	refused            map[string]int
 	// dropAfterRun breaks the connection after the first run of each request, before
 	// its answer is sent.
 	dropAfterRun bool
 	dropped      map[string]bool
 }
 
-func newShop() *shop {
-	return &shop{runs: map[string]int{}, tickets: map[string]bool{}, refused: map[string]int{}, dropped: map[string]bool{}}
+func newFakeInstance() *fakeInstance {
+	return &fakeInstance{runs: map[string]int{}, tickets: map[string]bool{}, refused: map[string]int{}, dropped: map[string]bool{}}
 }
 
-func (s *shop) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeInstance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := r.Header.Get(api.HeaderRequestID)
@@ -55,7 +56,7 @@
 		_, _ = io.WriteString(w, `{"ticket":"`+id+`"}`)
 		return
 	}
-	if s.refused[id] < s.refuse {
+	if s.refused[id] < s.refusalsPerRequest {
 		s.refused[id]++
 		_ = api.NewProblem(api.ProblemOverloaded, api.NotRun, "").RetryAfter(10 * time.Millisecond).Write(w)
 		return
@@ -77,11 +78,11 @@
 	})
 }
 
-func run(t *testing.T, s *shop, more ...string) []Record {
+func runWorkload(t *testing.T, s *fakeInstance, more ...string) []Record {
 	t.Helper()
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
-	spec, err := workload.Parse([]byte(orders))
+	spec, err := workload.Parse([]byte(workloadYAML))
 	assert.NilError(t, err)
 	return Run(context.Background(), Options{
 		Spec: spec, Targets: append(more, strings.TrimPrefix(server.URL, "http://")),
@@ -90,8 +91,8 @@
 }
 
 func TestRunsEachRequestOnce(t *testing.T) {
-	s := newShop()
-	records := run(t, s)
+	s := newFakeInstance()
+	records := runWorkload(t, s)
 	assert.Assert(t, len(records) > 5)
 	for _, r := range records {
 		assert.Equal(t, r.Outcome, api.Complete, "%+v", r)
@@ -101,16 +102,16 @@
 }
 
 func TestComesBackAfterRefusals(t *testing.T) {
-	s := newShop()
-	s.refuse = 2
-	for _, r := range run(t, s) {
+	s := newFakeInstance()
+	s.refusalsPerRequest = 2
+	for _, r := range runWorkload(t, s) {
 		assert.Equal(t, r.Outcome, api.Complete, "%+v", r)
 		assert.Equal(t, r.Refusals, 2)
 		assert.Assert(t, !r.NotRun)
 	}
-	s = newShop()
-	s.refuse = 100
-	for _, r := range run(t, s) {
+	s = newFakeInstance()
+	s.refusalsPerRequest = 100
+	for _, r := range runWorkload(t, s) {
 		assert.Equal(t, r.Outcome, api.NotRun)
 		assert.Assert(t, r.NotRun)
 		assert.Equal(t, r.Sendings, 3)
@@ -118,9 +119,9 @@
 }
 
 func TestBrokenConnectionsDoNotDoubleOrders(t *testing.T) {
-	s := newShop()
+	s := newFakeInstance()
 	s.dropAfterRun = true
-	for _, r := range run(t, s) {
+	for _, r := range runWorkload(t, s) {
 		assert.Equal(t, r.Outcome, api.Complete, "%+v", r)
 		assert.Equal(t, r.Broken, 1)
 		if !r.Repeatable {
@@ -133,13 +134,13 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, l.Close())
-	for _, r := range run(t, newShop(), l.Addr().String()) {
+	for _, r := range runWorkload(t, newFakeInstance(), l.Addr().String()) {
 		assert.Equal(t, r.Outcome, api.Complete, "%+v", r)
 	}
 }
 
 func TestSummaryAndFiles(t *testing.T) {
-	spec, err := workload.Parse([]byte(orders))
+	spec, err := workload.Parse([]byte(workloadYAML))
 	assert.NilError(t, err)
 	records := []Record{
 		{ID: "1", Kind: "order", Outcome: api.Complete, Status: 200, FirstMS: 10, DoneMS: 20},
--- a/testbed/build.go
+++ b/testbed/build.go
@@ -44,7 +44,7 @@
 // Ports allocates free loopback ports. A port is only known to be free at the time
 // of its allocation; the process that uses it must start soon.
 type Ports struct {
-	held []net.Listener
+	listeners []net.Listener
 }
 
 // reservations holds a listener at reservationHost for each port that this program has
@@ -72,16 +72,16 @@
 // connection could take the port of a process that has not started yet or is
 // stopped for a while.
 const (
-	firstPort = 10_000
-	lastPort  = 32_000
-	portTries = 1000
+	firstPort       = 10_000
+	lastPort        = 32_000
+	maxPortAttempts = 1000
 )
 
 // Next returns a free "127.0.0.1:port" that no earlier call returned, in this program or in
 // another one that is still running.
 func (p *Ports) Next() (string, error) {
 	var failed error
-	for range portTries {
+	for range maxPortAttempts {
 		port := firstPort + rand.IntN(lastPort-firstPort)
 		if err := reserve(port); err != nil {
 			failed = err
@@ -92,7 +92,7 @@
 			failed = err
 			continue
 		}
-		p.held = append(p.held, l)
+		p.listeners = append(p.listeners, l)
 		return l.Addr().String(), nil
 	}
 	return "", &ProcessError{Name: "port", Op: "start", Err: failed}
@@ -101,10 +101,10 @@
 // Release closes the listeners on the allocated ports, so that the processes can bind them.
 // The reservations stay.
 func (p *Ports) Release() {
-	for _, l := range p.held {
+	for _, l := range p.listeners {
 		_ = l.Close()
 	}
-	p.held = nil
+	p.listeners = nil
 }
 
 // ModuleRoot returns the nearest directory with a go.mod, from the working directory upwards.
--- a/testbed/demo/example.go
+++ b/testbed/demo/example.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	if r.dir, err = freshDir(r.flags.Out, r.name); err != nil {
+	if r.dir, err = recreateDir(r.flags.Out, r.name); err != nil {
 		return err
 	}
 	bin, err := filepath.Abs(r.flags.Bin)
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	r.say("%d zones, %d upstreams, %d entry instances are ready", len(d.Zones), len(d.Content.Upstreams), len(r.fleet.Instances))
+	r.logProgress("%d zones, %d upstreams, %d entry instances are ready", len(d.Zones), len(d.Content.Upstreams), len(r.fleet.Instances))
 	return r.offerAndReport(ctx)
 }
 
@@ -78,12 +78,12 @@
 		return err
 	}
 	if loadErr != nil {
-		return &BrokenError{Deployment: r.name, Err: loadErr}
+		return &GuaranteeError{Deployment: r.name, Err: loadErr}
 	}
-	return r.checkServed()
+	return r.checkCompletion()
 }
 
-func freshDir(out, name string) (string, error) {
+func recreateDir(out, name string) (string, error) {
 	dir, err := filepath.Abs(filepath.Join(out, name))
 	if err != nil {
 		return "", err
@@ -98,36 +98,36 @@
 // restarts the instance. The engine restarts by itself.
 func (r *exampleRun) faults(ctx context.Context) {
 	victim := r.fleet.Instances[len(r.fleet.Instances)-1]
-	engine := firstDecode(r.fleet.Deployment.Content)
+	engine := firstDecodeEngine(r.fleet.Deployment.Content)
 	if !pause.For(ctx, r.flags.Duration/3) {
 		return
 	}
-	r.say("killing instance %s", victim.ID)
-	r.note(r.fleet.KillInstance(victim))
+	r.logProgress("killing instance %s", victim.ID)
+	r.logError(r.fleet.KillInstance(victim))
 	if !pause.For(ctx, r.flags.Duration/6) {
 		return
 	}
-	r.say("crashing decode engine %s", engine)
-	r.note(control.Client{Address: r.fleet.Addresses[engine]}.Crash(ctx, control.Crash{}))
+	r.logProgress("crashing decode engine %s", engine)
+	r.logError(control.Client{Address: r.fleet.Addresses[engine]}.Crash(ctx, control.Crash{}))
 	if !pause.For(ctx, r.flags.Duration/6) {
 		return
 	}
-	r.say("starting instance %s again", victim.ID)
-	r.note(r.fleet.StartInstance(victim))
+	r.logProgress("starting instance %s again", victim.ID)
+	r.logError(r.fleet.StartInstance(victim))
 }
 
-// say prints a progress message immediately.
-func (r *exampleRun) say(format string, args ...any) {
+// logProgress prints a progress message immediately.
+func (r *exampleRun) logProgress(format string, args ...any) {
 	fmt.Printf("%-10s %s\n", r.name, fmt.Sprintf(format, args...))
 }
 
-func (r *exampleRun) note(err error) {
+func (r *exampleRun) logError(err error) {
 	if err != nil {
-		r.say("%v", err)
+		r.logProgress("%v", err)
 	}
 }
 
-func firstDecode(c *config.Content) ident.UpstreamID {
+func firstDecodeEngine(c *config.Content) ident.UpstreamID {
 	for _, u := range c.Upstreams {
 		if u.Role == config.RoleDecode {
 			return u.ID
@@ -138,7 +138,7 @@
 
 // offer runs the load tool, which also judges the results, and returns its table.
 func (r *exampleRun) offer(ctx context.Context) (string, error) {
-	r.say("offering %s requests/s for %s", offeredRate[r.name], r.flags.Duration)
+	r.logProgress("offering %s requests/s for %s", offeredRate[r.name], r.flags.Duration)
 	cmd := exec.CommandContext(ctx, filepath.Join(r.flags.Bin, "wardspool-load"), "run",
 		"--workload", r.fleet.Deployment.Workload,
 		"--targets", strings.Join(r.fleet.CallerAddresses(), ","),
--- a/testbed/demo/explain.go
+++ b/testbed/demo/explain.go
@@ -38,96 +38,96 @@
 	return file.Records, nil
 }
 
-// topic is a class of requests of which the demo explains one.
-type topic struct {
+// requestClass is a class of requests of which the demo explains one.
+type requestClass struct {
 	name    string
-	belongs func(record) bool
-	// mayBeLost says that all of them may have been handled by the killed instance,
-	// whose record of decisions was lost with it.
-	mayBeLost bool
+	matches func(record) bool
+	// recordsMayBeLost reports that all of them may have been handled by the killed
+	// instance, whose record of decisions was lost with it.
+	recordsMayBeLost bool
 }
 
-// topics lists the explained classes in the order of the report.
-var topics = []topic{
-	{name: "model request", belongs: func(c record) bool { return c.Model && c.Outcome == "complete" && c.Sendings <= 1 }},
-	{name: "request that met trouble", belongs: troubled, mayBeLost: true},
-	{name: "service call", belongs: func(c record) bool { return !c.Model && c.Outcome == "complete" }},
+// requestClasses lists the explained classes in the order of the report.
+var requestClasses = []requestClass{
+	{name: "model request", matches: func(c record) bool { return c.Model && c.Outcome == "complete" && c.Sendings <= 1 }},
+	{name: "request that met trouble", matches: incompleteOrRetried, recordsMayBeLost: true},
+	{name: "service call", matches: func(c record) bool { return !c.Model && c.Outcome == "complete" }},
 }
 
-// troubled reports whether a request ended with another outcome than complete, or
-// is a model request that had to be sent more than once.
-func troubled(c record) bool {
+// incompleteOrRetried reports whether a request was answered with an outcome other
+// than complete, or is a model request that was sent more than once.
+func incompleteOrRetried(c record) bool {
 	return c.Outcome != "complete" && c.Outcome != "" || c.Model && c.Sendings > 1
 }
 
-// maxAsked bounds the number of requests of one topic that are looked up.
-const maxAsked = 30
+// maxLookups bounds the number of requests of one class that are looked up.
+const maxLookups = 30
 
 // UnexplainedError reports that no live instance has a record of any of the
-// requests of a topic, although they were answered.
+// requests of a class, although they were answered.
 type UnexplainedError struct {
-	Topic string
-	Asked int
+	Class   string
+	Lookups int
 }
 
 // Error implements error.
 func (e *UnexplainedError) Error() string {
-	return fmt.Sprintf("explain: no live instance has a record of any of %d requests (%s)", e.Asked, e.Topic)
+	return fmt.Sprintf("explain: no live instance has a record of any of %d requests (%s)", e.Lookups, e.Class)
 }
 
-// asker queries the live instances for the decisions on a request. It returns their
-// answer, and false if all answered and none has a record of the request.
-type asker func(id string) (answer string, known bool, err error)
+// lookupFunc queries the live instances for the decisions on a request. It returns
+// their answer, and false if all answered and none has a record of the request.
+type lookupFunc func(id string) (answer string, known bool, err error)
 
-// explained returns the report text on one topic: the explanation of the first of
-// its requests of which a live instance has a record, and the number of requests
-// skipped before it. Errors are *UnexplainedError and those of the asker.
-func (t topic) explained(all []record, ask asker) (string, error) {
-	passed := 0
+// explain returns the report text on one class: the explanation of the first of its
+// requests of which a live instance has a record, and the number of requests skipped
+// before it. Errors are *UnexplainedError and those of lookUp.
+func (class requestClass) explain(all []record, lookUp lookupFunc) (string, error) {
+	skipped := 0
 	for _, c := range all {
-		if passed == maxAsked {
+		if skipped == maxLookups {
 			break
 		}
-		if !t.belongs(c) {
+		if !class.matches(c) {
 			continue
 		}
-		answer, known, err := ask(c.ID)
+		answer, known, err := lookUp(c.ID)
 		if err != nil {
 			return "", err
 		}
 		if known {
-			return fmt.Sprintf("Why did the %s %s end as %q?\n%s%s\n", c.Kind, c.ID, c.Outcome, answer, passedOver(passed)), nil
+			return fmt.Sprintf("Why did the %s %s end as %q?\n%s%s\n", c.Kind, c.ID, c.Outcome, answer, skippedNote(skipped)), nil
 		}
-		passed++
+		skipped++
 	}
 	switch {
-	case passed == 0:
+	case skipped == 0:
 		return "", nil
-	case t.mayBeLost:
-		return fmt.Sprintf("No live instance knows the %d requests asked for (%s): an instance was killed, and what it knew with it.\n", passed, t.name), nil
+	case class.recordsMayBeLost:
+		return fmt.Sprintf("No live instance knows the %d requests asked for (%s): an instance was killed, and what it knew with it.\n", skipped, class.name), nil
 	default:
-		return "", &UnexplainedError{Topic: t.name, Asked: passed}
+		return "", &UnexplainedError{Class: class.name, Lookups: skipped}
 	}
 }
 
-// passedOver returns a note on the n requests that were skipped because no live
+// skippedNote returns a note on the n requests that were skipped because no live
 // instance has a record of them.
-func passedOver(n int) string {
+func skippedNote(n int) string {
 	if n == 0 {
 		return ""
 	}
 	return fmt.Sprintf("(%d before it are known by no live instance any more)\n", n)
 }
 
-// explain adds to the report an explanation of one request of each topic.
+// explain adds to the report an explanation of one request of each class.
 func (r *exampleRun) explain(ctx context.Context) error {
 	all, err := r.records()
 	if err != nil {
 		return err
 	}
-	for _, t := range topics {
-		t.mayBeLost = t.mayBeLost && !r.flags.NoFaults
-		text, err := t.explained(all, func(id string) (string, bool, error) { return r.ask(ctx, id) })
+	for _, class := range requestClasses {
+		class.recordsMayBeLost = class.recordsMayBeLost && !r.flags.NoFaults
+		text, err := class.explain(all, func(id string) (string, bool, error) { return r.lookUp(ctx, id) })
 		if err != nil {
 			return err
 		}
@@ -138,10 +138,10 @@
 
 // Exit codes of "wardspoolctl explain" when no instance has a record of the request.
 const (
-	// notFound means that all instances answered.
-	notFound = 1
-	// unreached means that some instances gave no answer; the output names them.
-	unreached = 2
+	// exitNotFound means that all instances answered.
+	exitNotFound = 1
+	// exitUnreachable means that some instances gave no answer; the output names them.
+	exitUnreachable = 2
 )
 
 // ExplainError reports that wardspoolctl failed.
@@ -158,10 +158,10 @@
 // Unwrap returns the cause.
 func (e *ExplainError) Unwrap() error { return e.Err }
 
-// ask queries the running instances with wardspoolctl. If an instance gave no
+// lookUp queries the running instances with wardspoolctl. If an instance gave no
 // answer, wardspoolctl's output, which says so, counts as the answer and goes into
 // the report.
-func (r *exampleRun) ask(ctx context.Context, id string) (string, bool, error) {
+func (r *exampleRun) lookUp(ctx context.Context, id string) (string, bool, error) {
 	var operators []string
 	for _, in := range r.fleet.Instances {
 		operators = append(operators, in.Operator)
@@ -175,9 +175,9 @@
 		code = exit.ExitCode()
 	}
 	switch {
-	case err == nil, code == unreached:
+	case err == nil, code == exitUnreachable:
 		return string(out), true, nil
-	case code == notFound:
+	case code == exitNotFound:
 		return string(out), false, nil
 	default:
 		return "", false, &ExplainError{Request: id, Output: string(out), Err: err}
--- a/testbed/deployment.go
+++ b/testbed/deployment.go
@@ -42,14 +42,14 @@
 // LoadDeployment reads a predefined example of the module at root. Errors are
 // *UnknownExampleError, *os.PathError and *bundle.FindingsError.
 func LoadDeployment(root, name string) (*Deployment, error) {
-	place, ok := exampleZones[name]
+	location, ok := exampleZones[name]
 	if !ok {
 		return nil, &UnknownExampleError{Name: name}
 	}
 	d := &Deployment{
 		Name:     name,
-		Region:   place.region,
-		Zones:    place.zones,
+		Region:   location.region,
+		Zones:    location.zones,
 		Source:   filepath.Join(root, "examples", name, "bundle.yaml"),
 		Workload: filepath.Join(root, "examples", name, "workload.yaml"),
 	}
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -91,7 +91,7 @@
 	if err := f.startUpstreams(); err != nil {
 		return f, err
 	}
-	if err := f.layOutInstances(); err != nil {
+	if err := f.assignInstances(); err != nil {
 		return f, err
 	}
 	if err := f.startPlatform(ctx); err != nil {
@@ -110,8 +110,8 @@
 	return f, nil
 }
 
-// layOutInstances assigns IDs and addresses to the instances.
-func (f *Fleet) layOutInstances() error {
+// assignInstances assigns IDs and addresses to the instances.
+func (f *Fleet) assignInstances() error {
 	for n := range f.options.EntriesPerZone {
 		for _, zone := range f.Deployment.Zones {
 			in := &Instance{
@@ -125,7 +125,7 @@
 				}
 				*address = next
 			}
-			if err := f.relayInstance(in); err != nil {
+			if err := f.relayInstancePeers(in); err != nil {
 				return err
 			}
 			f.Instances = append(f.Instances, in)
@@ -135,9 +135,9 @@
 	return nil
 }
 
-// relayInstance starts the relays to the peer addresses of an instance's entry and
+// relayInstancePeers starts the relays to the peer addresses of an instance's entry and
 // agent.
-func (f *Fleet) relayInstance(in *Instance) error {
+func (f *Fleet) relayInstancePeers(in *Instance) error {
 	if err := f.relayTo(in.Peer, in.Zone); err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 
 // StartEntry starts or restarts an instance's entry.
 func (f *Fleet) StartEntry(in *Instance) error {
-	path, err := f.write(string(in.ID)+".yaml", f.entrySettings(in))
+	path, err := f.writeSettings(string(in.ID)+".yaml", f.entrySettings(in))
 	if err != nil {
 		return err
 	}
@@ -165,19 +165,19 @@
 	if err != nil {
 		return err
 	}
-	f.note(in.Entry, in.Zone)
+	f.recordZone(in.Entry, in.Zone)
 	return nil
 }
 
-// write writes a settings file to the fleet's directory and returns its path.
-func (f *Fleet) write(name, text string) (string, error) {
+// writeSettings writes a settings file to the fleet's directory and returns its path.
+func (f *Fleet) writeSettings(name, text string) (string, error) {
 	path := filepath.Join(f.dir, name)
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
 // WaitReady waits until an instance's entry accepts requests.
 func (f *Fleet) WaitReady(ctx context.Context, in *Instance) error {
-	return f.wait(ctx, in.Entry, f.callersHTTP(), f.callersURL(in)+"/readyz")
+	return f.pollReady(ctx, in.Entry, f.callersHTTP(), f.callersURL(in)+"/readyz")
 }
 
 // NotReadyError reports a process that did not become ready in time.
@@ -195,10 +195,10 @@
 const pollInterval = 20 * time.Millisecond
 
 func (f *Fleet) waitHTTP(ctx context.Context, p *Process, url string) error {
-	return f.wait(ctx, p, http.DefaultClient, url)
+	return f.pollReady(ctx, p, http.DefaultClient, url)
 }
 
-func (f *Fleet) wait(ctx context.Context, p *Process, client *http.Client, url string) error {
+func (f *Fleet) pollReady(ctx context.Context, p *Process, client *http.Client, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, StartTimeout)
 	defer cancel()
 	for {
--- a/testbed/network.go
+++ b/testbed/network.go
@@ -15,17 +15,17 @@
 	return nil
 }
 
-// reach returns the address at which the fleet's processes connect to a process:
+// dialAddress returns the address at which the fleet's processes connect to a process:
 // that of its relay, if it has one.
-func (f *Fleet) reach(address string) string {
+func (f *Fleet) dialAddress(address string) string {
 	if r, ok := f.relays[address]; ok {
 		return r.address()
 	}
 	return address
 }
 
-// note records the zone of a process.
-func (f *Fleet) note(p *Process, zone ident.Zone) { f.zones.Store(p.PID(), zone) }
+// recordZone records the zone of a process.
+func (f *Fleet) recordZone(p *Process, zone ident.Zone) { f.zones.Store(p.PID(), zone) }
 
 // Cut creates a network partition between two zones, PlatformZone standing for the
 // platform: no byte gets through, and no connection reports an error. The fleet
@@ -37,12 +37,12 @@
 func (f *Fleet) Heal(a, b ident.Zone) { f.cuts.set(a, b, false) }
 
 // CutOff partitions a zone from all other zones and from the platform.
-func (f *Fleet) CutOff(zone ident.Zone) { f.eachOther(zone, f.Cut) }
+func (f *Fleet) CutOff(zone ident.Zone) { f.forOtherZones(zone, f.Cut) }
 
 // Rejoin ends the partition made by CutOff.
-func (f *Fleet) Rejoin(zone ident.Zone) { f.eachOther(zone, f.Heal) }
+func (f *Fleet) Rejoin(zone ident.Zone) { f.forOtherZones(zone, f.Heal) }
 
-func (f *Fleet) eachOther(zone ident.Zone, do func(a, b ident.Zone)) {
+func (f *Fleet) forOtherZones(zone ident.Zone, do func(a, b ident.Zone)) {
 	for _, other := range append([]ident.Zone{PlatformZone}, f.Deployment.Zones...) {
 		if other != zone {
 			do(zone, other)
--- a/testbed/platform.go
+++ b/testbed/platform.go
@@ -42,14 +42,14 @@
 // PublishLists publishes the platform's lists of instances and upstreams. Those
 // whose IDs are in leaving are listed in state "leaving".
 func (f *Fleet) PublishLists(ctx context.Context, leaving ...string) error {
-	gone := map[string]bool{}
+	leavingIDs := map[string]bool{}
 	for _, id := range leaving {
-		gone[id] = true
+		leavingIDs[id] = true
 	}
-	if err := f.putJSON(ctx, configservice.KeyInstances, f.instanceList(gone)); err != nil {
+	if err := f.putJSON(ctx, configservice.KeyInstances, f.instanceList(leavingIDs)); err != nil {
 		return err
 	}
-	return f.putJSON(ctx, configservice.KeyUpstreams, f.upstreamList(gone))
+	return f.putJSON(ctx, configservice.KeyUpstreams, f.upstreamList(leavingIDs))
 }
 
 func (f *Fleet) putJSON(ctx context.Context, key string, v any) error {
@@ -67,8 +67,8 @@
 			ID:            in.ID,
 			Zone:          in.Zone,
 			Region:        f.Deployment.Region,
-			PeerAddress:   f.reach(in.Peer),
-			AgentAddress:  f.reach(in.AgentPeer),
+			PeerAddress:   f.dialAddress(in.Peer),
+			AgentAddress:  f.dialAddress(in.AgentPeer),
 			CallerAddress: in.Callers,
 			State:         stateOf(leaving[string(in.ID)]),
 		})
@@ -82,7 +82,7 @@
 		list.Upstreams = append(list.Upstreams, configservice.Upstream{
 			ID:      u.ID,
 			Zone:    f.Deployment.ZoneOf(u.ID),
-			Address: f.reach(f.Addresses[u.ID]),
+			Address: f.dialAddress(f.Addresses[u.ID]),
 			Role:    u.Role,
 			Models:  u.Models,
 			Service: u.Service,
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	path, err := f.write(string(in.ID)+"-agent.yaml", text)
+	path, err := f.writeSettings(string(in.ID)+"-agent.yaml", text)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	f.note(in.Agent, in.Zone)
+	f.recordZone(in.Agent, in.Zone)
 	return nil
 }
 
--- a/testbed/relay.go
+++ b/testbed/relay.go
@@ -34,9 +34,9 @@
 	c.changed = make(chan struct{})
 }
 
-// pass waits until two zones are not partitioned from each other. It returns false
-// if the relay was closed first.
-func (c *cuts) pass(from, to ident.Zone, closed <-chan struct{}) bool {
+// waitConnected waits until two zones are not partitioned from each other. It
+// returns false if the relay was closed first.
+func (c *cuts) waitConnected(from, to ident.Zone, closed <-chan struct{}) bool {
 	for {
 		c.mu.Lock()
 		cut, changed := c.cut[[2]ident.Zone{from, to}], c.changed
@@ -96,9 +96,9 @@
 	}
 }
 
-// keep registers a connection, so that close closes it. If the relay is closed
+// register registers a connection, so that close closes it. If the relay is closed
 // already, it closes the connection and returns false.
-func (r *relay) keep(c net.Conn) bool {
+func (r *relay) register(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -111,8 +111,8 @@
 	}
 }
 
-// drop unregisters and closes a connection.
-func (r *relay) drop(c net.Conn) {
+// unregister unregisters and closes a connection.
+func (r *relay) unregister(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
@@ -125,37 +125,37 @@
 		if err != nil {
 			return
 		}
-		if r.keep(c) {
-			go r.pass(c)
+		if r.register(c) {
+			go r.forward(c)
 		}
 	}
 }
 
-// pass forwards one connection until both directions have ended.
-func (r *relay) pass(caller net.Conn) {
-	defer r.drop(caller)
+// forward forwards one connection until both directions have ended.
+func (r *relay) forward(caller net.Conn) {
+	defer r.unregister(caller)
 	from := r.zoneOf(caller)
-	if !r.cuts.pass(from, r.zone, r.closed) {
+	if !r.cuts.waitConnected(from, r.zone, r.closed) {
 		return
 	}
 	target, err := net.Dial("tcp", r.target)
 	if err != nil {
-		refuse(caller)
+		resetOnClose(caller)
 		return
 	}
-	if !r.keep(target) {
+	if !r.register(target) {
 		return
 	}
-	defer r.drop(target)
-	var ways sync.WaitGroup
-	ways.Go(func() { r.copy(target, caller, from) })
-	ways.Go(func() { r.copy(caller, target, from) })
-	ways.Wait()
+	defer r.unregister(target)
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copy(target, caller, from) })
+	directions.Go(func() { r.copy(caller, target, from) })
+	directions.Wait()
 }
 
-// refuse makes Close end a connection with a TCP reset, for example if nothing
+// resetOnClose makes Close end a connection with a TCP reset, for example if nothing
 // listens at the target.
-func refuse(c net.Conn) {
+func resetOnClose(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -169,31 +169,31 @@
 	buffer := make([]byte, copyBuffer)
 	for {
 		n, err := from.Read(buffer)
-		if !r.cuts.pass(zone, r.zone, r.closed) {
+		if !r.cuts.waitConnected(zone, r.zone, r.closed) {
 			return
 		}
 		if n > 0 {
 			if _, werr := to.Write(buffer[:n]); werr != nil {
-				refuse(from)
+				resetOnClose(from)
 				_ = from.Close()
 				return
 			}
 		}
 		if err != nil {
-			r.end(to, err)
+			r.forwardEnd(to, err)
 			return
 		}
 	}
 }
 
-// end forwards the end of one direction: a half-close after an orderly end, a reset
-// otherwise.
-func (r *relay) end(to net.Conn, err error) {
+// forwardEnd forwards the end of one direction: a half-close after an orderly end, a
+// reset otherwise.
+func (r *relay) forwardEnd(to net.Conn, err error) {
 	tcp, ok := to.(*net.TCPConn)
 	if ok && err == io.EOF {
 		_ = tcp.CloseWrite()
 		return
 	}
-	refuse(to)
+	resetOnClose(to)
 	_ = to.Close()
 }
--- a/testbed/rolltime/cpu.go
+++ b/testbed/rolltime/cpu.go
@@ -52,8 +52,8 @@
 	agents, entries time.Duration
 }
 
-// measure sums the processor time of the agents and of the entries so far.
-func measure(fleet *testbed.Fleet) (usage, error) {
+// measureUsage sums the processor time of the agents and of the entries so far.
+func measureUsage(fleet *testbed.Fleet) (usage, error) {
 	u := usage{at: time.Now()}
 	for _, in := range fleet.Instances {
 		agent, err := processorTime(in.Agent)
@@ -73,12 +73,12 @@
 // printUsage prints the processor time that one version costs an agent and an entry
 // beyond their idle use, given the usages before and after an idle period and after
 // the rolls.
-func printUsage(quiet, begun, ended usage, instances, versions int) {
-	share := ended.at.Sub(begun.at).Seconds() / begun.at.Sub(quiet.at).Seconds()
-	extra := func(quiet, begun, ended time.Duration) time.Duration {
-		rolls := ended - begun - time.Duration(share*float64(begun-quiet))
+func printUsage(idleStart, rollsStart, rollsEnd usage, instances, versions int) {
+	share := rollsEnd.at.Sub(rollsStart.at).Seconds() / rollsStart.at.Sub(idleStart.at).Seconds()
+	extra := func(idleStart, rollsStart, rollsEnd time.Duration) time.Duration {
+		rolls := rollsEnd - rollsStart - time.Duration(share*float64(rollsStart-idleStart))
 		return (rolls / time.Duration(instances*versions)).Round(time.Millisecond)
 	}
 	fmt.Printf("processor time of a version: agent %v, entry %v\n",
-		extra(quiet.agents, begun.agents, ended.agents), extra(quiet.entries, begun.entries, ended.entries))
+		extra(idleStart.agents, rollsStart.agents, rollsEnd.agents), extra(idleStart.entries, rollsStart.entries, rollsEnd.entries))
 }
--- a/testbed/rolltime/main.go
+++ b/testbed/rolltime/main.go
@@ -51,14 +51,14 @@
 	if err != nil {
 		return err
 	}
-	quiet, err := measure(fleet)
+	idleStart, err := measureUsage(fleet)
 	if err != nil {
 		return err
 	}
-	if err := rest(ctx, f.Quiet); err != nil {
+	if err := sleep(ctx, f.Quiet); err != nil {
 		return err
 	}
-	begun, err := measure(fleet)
+	rollsStart, err := measureUsage(fleet)
 	if err != nil {
 		return err
 	}
@@ -66,16 +66,16 @@
 	if err != nil {
 		return err
 	}
-	ended, err := measure(fleet)
+	rollsEnd, err := measureUsage(fleet)
 	if err != nil {
 		return err
 	}
-	printUsage(quiet, begun, ended, len(fleet.Instances), len(published))
+	printUsage(idleStart, rollsStart, rollsEnd, len(fleet.Instances), len(published))
 	return printTimes(fleet, published)
 }
 
-// fill adds workspaces to a bundle's content until it has the given number.
-func fill(c *config.Content, workspaces int) {
+// fillWorkspaces adds workspaces to a bundle's content until it has the given number.
+func fillWorkspaces(c *config.Content, workspaces int) {
 	for i := len(c.Workspaces); i < workspaces; i++ {
 		c.Workspaces = append(c.Workspaces, config.Workspace{
 			Name: ident.Workspace(fmt.Sprintf("filler-%04d", i)), Weight: 1, RatePerSecond: 20, Burst: 40, Concurrency: 100,
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	fill(d.Content, f.Workspaces)
+	fillWorkspaces(d.Content, f.Workspaces)
 	dir, err := filepath.Abs(f.Out)
 	if err != nil {
 		return nil, err
--- a/testbed/rolltime/roll.go
+++ b/testbed/rolltime/roll.go
@@ -29,15 +29,15 @@
 		if err := fleet.Operators.RollAll(ctx); err != nil {
 			return nil, err
 		}
-		if err := rest(ctx, f.Every); err != nil {
+		if err := sleep(ctx, f.Every); err != nil {
 			return nil, err
 		}
 	}
 	return published, nil
 }
 
-// rest waits for a duration; it returns the context's error if that is done first.
-func rest(ctx context.Context, d time.Duration) error {
+// sleep waits for a duration; it returns the context's error if that is done first.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -46,8 +46,8 @@
 	}
 }
 
-// inForce is the entry's log line about a version that has come into force.
-type inForce struct {
+// inForceLine is the entry's log line about a version that has come into force.
+type inForceLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
 	Version uint64    `json:"bundle_version"`
@@ -55,16 +55,16 @@
 
 // readLog returns the log lines about versions that came into force on an instance,
 // in the order of its log.
-func readLog(dir string, id ident.InstanceID) ([]inForce, error) {
+func readLog(dir string, id ident.InstanceID) ([]inForceLine, error) {
 	file, err := os.Open(filepath.Join(dir, "logs", string(id)+".log"))
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	var list []inForce
+	var list []inForceLine
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
-		var l inForce
+		var l inForceLine
 		if json.Unmarshal(lines.Bytes(), &l) == nil && l.Message == "bundle in force" {
 			list = append(list, l)
 		}
--- a/testbed/settings.go
+++ b/testbed/settings.go
@@ -26,7 +26,7 @@
 	fmt.Fprintf(&b, "peers:\n  listen: %q\n  known:\n", in.Peer)
 	for _, other := range f.Instances {
 		if other != in {
-			fmt.Fprintf(&b, "    - {instance: %s, address: %q}\n", other.ID, f.reach(other.Peer))
+			fmt.Fprintf(&b, "    - {instance: %s, address: %q}\n", other.ID, f.dialAddress(other.Peer))
 		}
 	}
 	if f.options.Static {
@@ -58,11 +58,11 @@
 	f.writeTLS(&b, in)
 	fmt.Fprintf(&b, "entry: {feed: %q}\n", in.Feed)
 	fmt.Fprintf(&b, "operators: {listen: %q, names: [%s]}\n", in.AgentOperator, OperatorName)
-	fmt.Fprintf(&b, "platform: {urls: [%q]}\n", "http://"+f.reach(f.Platform.Address))
+	fmt.Fprintf(&b, "platform: {urls: [%q]}\n", "http://"+f.dialAddress(f.Platform.Address))
 	fmt.Fprintf(&b, "peers:\n  listen: %q\n  seeds:\n", in.AgentPeer)
 	for _, other := range f.Instances {
 		if other != in {
-			fmt.Fprintf(&b, "    - {instance: %s, zone: %s, address: %q, entry: %q}\n", other.ID, other.Zone, f.reach(other.AgentPeer), f.reach(other.Peer))
+			fmt.Fprintf(&b, "    - {instance: %s, zone: %s, address: %q, entry: %q}\n", other.ID, other.Zone, f.dialAddress(other.AgentPeer), f.dialAddress(other.Peer))
 		}
 	}
 	approvers := f.Operators.Approvers()
--- a/testbed/sockets.go
+++ b/testbed/sockets.go
@@ -13,15 +13,15 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// ownerWait bounds the search for the process that opened a connection: a process
-// that has just started may not be registered yet.
-const ownerWait = 500 * time.Millisecond
+// zoneLookupTimeout bounds the search for the process that opened a connection: the
+// zone of a process that has just started may not be recorded yet.
+const zoneLookupTimeout = 500 * time.Millisecond
 
 // zoneOf returns the zone of the process that opened a connection, "" if it does not
 // belong to the fleet. It looks the connection up in the kernel's socket table, so
 // that it need not parse any protocol.
 func (f *Fleet) zoneOf(c net.Conn) ident.Zone {
-	for deadline := time.Now().Add(ownerWait); ; time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(zoneLookupTimeout); ; time.Sleep(pollInterval) {
 		if inode, ok := socketInode(c.RemoteAddr(), c.LocalAddr()); ok {
 			if zone, ok := f.zoneOfSocket(inode); ok {
 				return zone
@@ -37,7 +37,7 @@
 func (f *Fleet) zoneOfSocket(inode string) (zone ident.Zone, found bool) {
 	link := "socket:[" + inode + "]"
 	f.zones.Range(func(pid, in any) bool {
-		if holdsFile(pid.(int), link) {
+		if hasFileOpen(pid.(int), link) {
 			zone, found = in.(ident.Zone), true
 		}
 		return !found
@@ -45,9 +45,9 @@
 	return zone, found
 }
 
-// holdsFile reports whether a process has a file open, given the target of the
+// hasFileOpen reports whether a process has a file open, given the target of the
 // file's link in /proc/PID/fd.
-func holdsFile(pid int, link string) bool {
+func hasFileOpen(pid int, link string) bool {
 	dir := filepath.Join("/proc", strconv.Itoa(pid), "fd")
 	files, err := os.ReadDir(dir)
 	if err != nil {
