--- a/testbed/demo/example.go
+++ b/testbed/demo/example.go
@@ -18,11 +18,11 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// offeredRate is the requests a second offered to a deployment: about 0.8 of
-// what the examples' engines can carry.
+// offeredRate is the load offered to each deployment, in requests per second: about
+// 0.8 of the capacity of the examples' engines.
 var offeredRate = map[string]string{"coastline": "20", "lagos": "17"}
 
-// exampleRun is the run of one deployment.
+// exampleRun holds the state of the run of one deployment.
 type exampleRun struct {
 	flags flags
 	name  string
@@ -33,7 +33,7 @@
 	report strings.Builder
 }
 
-// run runs the deployment.
+// run starts the deployment, offers traffic to it and checks the result.
 func (r *exampleRun) run(ctx context.Context) error {
 	root, err := testbed.ModuleRoot()
 	if err != nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	if r.dir, err = freshDir(r.flags.Out, r.name); err != nil {
+	if r.dir, err = recreateDir(r.flags.Out, r.name); err != nil {
 		return err
 	}
 	bin, err := filepath.Abs(r.flags.Bin)
@@ -61,11 +61,11 @@
 	if err != nil {
 		return err
 	}
-	r.say("%d zones, %d upstreams, %d entry instances are ready", len(d.Zones), len(d.Content.Upstreams), len(r.fleet.Instances))
+	r.logProgress("%d zones, %d upstreams, %d entry instances are ready", len(d.Zones), len(d.Content.Upstreams), len(r.fleet.Instances))
 	return r.offerAndReport(ctx)
 }
 
-// offerAndReport runs the traffic and the faults and writes the report.
+// offerAndReport generates the traffic, injects the faults and writes the report.
 func (r *exampleRun) offerAndReport(ctx context.Context) error {
 	var faults sync.WaitGroup
 	if !r.flags.NoFaults {
@@ -78,12 +78,12 @@
 		return err
 	}
 	if loadErr != nil {
-		return &BrokenError{Deployment: r.name, Err: loadErr}
+		return &GuaranteeError{Deployment: r.name, Err: loadErr}
 	}
-	return r.checkServed()
+	return r.checkCompletion()
 }
 
-func freshDir(out, name string) (string, error) {
+func recreateDir(out, name string) (string, error) {
 	dir, err := filepath.Abs(filepath.Join(out, name))
 	if err != nil {
 		return "", err
@@ -94,40 +94,40 @@
 	return dir, os.MkdirAll(dir, 0o755)
 }
 
-// faults kills an instance and a decode engine while traffic runs, and brings
-// both back.
+// faults kills an instance and crashes a decode engine during the traffic, and
+// restarts the instance. The engine restarts by itself.
 func (r *exampleRun) faults(ctx context.Context) {
 	victim := r.fleet.Instances[len(r.fleet.Instances)-1]
-	engine := firstDecode(r.fleet.Deployment.Content)
+	engine := firstDecodeEngine(r.fleet.Deployment.Content)
 	if !pause.For(ctx, r.flags.Duration/3) {
 		return
 	}
-	r.say("killing instance %s", victim.ID)
-	r.note(r.fleet.KillInstance(victim))
+	r.logProgress("killing instance %s", victim.ID)
+	r.logError(r.fleet.KillInstance(victim))
 	if !pause.For(ctx, r.flags.Duration/6) {
 		return
 	}
-	r.say("crashing decode engine %s", engine)
-	r.note(control.Client{Address: r.fleet.Addresses[engine]}.Crash(ctx, control.Crash{}))
+	r.logProgress("crashing decode engine %s", engine)
+	r.logError(control.Client{Address: r.fleet.Addresses[engine]}.Crash(ctx, control.Crash{}))
 	if !pause.For(ctx, r.flags.Duration/6) {
 		return
 	}
-	r.say("starting instance %s again", victim.ID)
-	r.note(r.fleet.StartInstance(victim))
+	r.logProgress("starting instance %s again", victim.ID)
+	r.logError(r.fleet.StartInstance(victim))
 }
 
-// say prints progress at once.
-func (r *exampleRun) say(format string, args ...any) {
+// logProgress prints a progress message immediately.
+func (r *exampleRun) logProgress(format string, args ...any) {
 	fmt.Printf("%-10s %s\n", r.name, fmt.Sprintf(format, args...))
 }
 
-func (r *exampleRun) note(err error) {
+func (r *exampleRun) logError(err error) {
 	if err != nil {
-		r.say("%v", err)
+		r.logProgress("%v", err)
 	}
 }
 
-func firstDecode(c *config.Content) ident.UpstreamID {
+func firstDecodeEngine(c *config.Content) ident.UpstreamID {
 	for _, u := range c.Upstreams {
 		if u.Role == config.RoleDecode {
 			return u.ID
@@ -136,9 +136,9 @@
 	return ""
 }
 
-// offer runs the load tool, which is also the judge, and returns its table.
+// offer runs the load tool, which also judges the results, and returns its table.
 func (r *exampleRun) offer(ctx context.Context) (string, error) {
-	r.say("offering %s requests/s for %s", offeredRate[r.name], r.flags.Duration)
+	r.logProgress("offering %s requests/s for %s", offeredRate[r.name], r.flags.Duration)
 	cmd := exec.CommandContext(ctx, filepath.Join(r.flags.Bin, "wardspool-load"), "run",
 		"--workload", r.fleet.Deployment.Workload,
 		"--targets", strings.Join(r.fleet.CallerAddresses(), ","),
--- a/testbed/rolltime/roll.go
+++ b/testbed/rolltime/roll.go
@@ -14,7 +14,8 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// rollVersions publishes and rolls versions and returns when each was rolled.
+// rollVersions publishes and rolls out versions and returns the time at which each
+// was published.
 func rollVersions(ctx context.Context, fleet *testbed.Fleet, f flags) (map[uint64]time.Time, error) {
 	published := map[uint64]time.Time{}
 	for n := range f.Rolls {
@@ -28,15 +29,15 @@
 		if err := fleet.Operators.RollAll(ctx); err != nil {
 			return nil, err
 		}
-		if err := rest(ctx, f.Every); err != nil {
+		if err := sleep(ctx, f.Every); err != nil {
 			return nil, err
 		}
 	}
 	return published, nil
 }
 
-// rest waits; it returns the context's error if that ended first.
-func rest(ctx context.Context, d time.Duration) error {
+// sleep waits for a duration; it returns the context's error if that is done first.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -45,25 +46,25 @@
 	}
 }
 
-// inForce is the entry's log line when a version comes into force.
-type inForce struct {
+// inForceLine is the entry's log line about a version that has come into force.
+type inForceLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
 	Version uint64    `json:"bundle_version"`
 }
 
-// readLog lists when versions came into force on an instance, in the order of
-// its log.
-func readLog(dir string, id ident.InstanceID) ([]inForce, error) {
+// readLog returns the log lines about versions that came into force on an instance,
+// in the order of its log.
+func readLog(dir string, id ident.InstanceID) ([]inForceLine, error) {
 	file, err := os.Open(filepath.Join(dir, "logs", string(id)+".log"))
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	var list []inForce
+	var list []inForceLine
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
-		var l inForce
+		var l inForceLine
 		if json.Unmarshal(lines.Bytes(), &l) == nil && l.Message == "bundle in force" {
 			list = append(list, l)
 		}
@@ -71,8 +72,9 @@
 	return list, lines.Err()
 }
 
-// printTimes prints, over all versions and instances, how long each took, and
-// counts versions that never arrived or went back.
+// printTimes prints quantiles, over all versions and instances, of the time from
+// publication until a version was in force, and the numbers of missing versions and
+// of reversions to an older version.
 func printTimes(fleet *testbed.Fleet, published map[uint64]time.Time) error {
 	var took []time.Duration
 	missing, reverted := 0, 0
