--- a/e2e/agent_killed_test.go
+++ b/e2e/agent_killed_test.go
@@ -12,7 +12,7 @@
 	b := newBed(t)
 	var sent []*pending
 	for _, in := range b.Instances {
-		sent = append(sent, b.stream(review(in, 200, 600)), b.stream(triage(in, 200, 600)))
+		sent = append(sent, b.startStream(review(in, 200, 600)), b.startStream(triage(in, 200, 600)))
 	}
 	for _, in := range b.Instances {
 		assert.NilError(t, in.Agent.Kill())
@@ -22,10 +22,10 @@
 		assert.NilError(t, b.WaitReady(b.ctx, in))
 	}
 	for _, p := range sent {
-		b.whole(p)
+		b.requireComplete(p)
 	}
-	b.nothingHeld()
-	ran := b.ran()
+	b.awaitNothingHeld()
+	ran := b.runs()
 	for _, p := range sent {
 		assert.Equal(t, ran.Request(p.id).DecodeRuns, 1, p.id)
 	}
--- a/e2e/bed_test.go
+++ b/e2e/bed_test.go
@@ -33,8 +33,8 @@
 // Time limits. They are generous, so that a test reaches them only if the event
 // that it waits for does not happen at all.
 const (
-	// soon is the time limit for events that should take a few seconds.
-	soon = 30 * time.Second
+	// waitLimit is the time limit for events that should take a few seconds.
+	waitLimit = 30 * time.Second
 	// testLimit is the time limit of a whole test.
 	testLimit = 100 * time.Second
 )
@@ -112,8 +112,8 @@
 	return s
 }
 
-// in returns the instances of a zone.
-func (b *bed) in(zone ident.Zone) []*testbed.Instance {
+// instancesIn returns the instances of a zone.
+func (b *bed) instancesIn(zone ident.Zone) []*testbed.Instance {
 	var list []*testbed.Instance
 	for _, in := range b.Instances {
 		if in.Zone == zone {
@@ -134,8 +134,8 @@
 	return list
 }
 
-// callers returns the addresses at which instances serve callers.
-func callers(list []*testbed.Instance) []string {
+// callerAddresses returns the addresses at which instances serve callers.
+func callerAddresses(list []*testbed.Instance) []string {
 	var addresses []string
 	for _, in := range list {
 		addresses = append(addresses, in.Callers)
@@ -143,14 +143,14 @@
 	return addresses
 }
 
-// poll is the interval at which a condition is checked.
-const poll = 50 * time.Millisecond
+// pollInterval is the interval at which a condition is checked.
+const pollInterval = 50 * time.Millisecond
 
 // eventually waits until a condition holds. At the time limit it fails the test
 // with the reason of the last check.
 func (b *bed) eventually(what string, holds func() (ok bool, why string)) {
 	b.t.Helper()
-	deadline := time.Now().Add(soon)
+	deadline := time.Now().Add(waitLimit)
 	for {
 		ok, why := holds()
 		if ok {
@@ -159,7 +159,7 @@
 		if time.Now().After(deadline) || b.ctx.Err() != nil {
 			b.t.Fatalf("timed out waiting for %s: %s", what, why)
 		}
-		b.wait(poll)
+		b.wait(pollInterval)
 	}
 }
 
--- a/e2e/burst_test.go
+++ b/e2e/burst_test.go
@@ -14,11 +14,11 @@
 	const burst = 32
 	var sent []*pending
 	for i := range burst {
-		sent = append(sent, b.complete(review(b.Instances[i%len(b.Instances)], 200, 100)))
+		sent = append(sent, b.startCompletion(review(b.Instances[i%len(b.Instances)], 200, 100)))
 	}
 	refused, longest := 0, int64(0)
 	for _, p := range sent {
-		r := b.done(p)
+		r := b.await(p)
 		if r.Problem != nil {
 			refused++
 			longest = max(longest, r.Problem.RetryAfterMS)
@@ -27,5 +27,5 @@
 		assert.Assert(t, r.Complete(), "%s: %s", p.id, describe(r))
 	}
 	assert.Equal(t, refused, 0, "requests refused; the longest Retry-After is %d ms", longest)
-	b.nothingHeld()
+	b.awaitNothingHeld()
 }
--- a/e2e/calls_test.go
+++ b/e2e/calls_test.go
@@ -14,11 +14,11 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// numbers counts request IDs, which are unique over all tests of a run.
-var numbers atomic.Uint64
+// idCounter counts request IDs, which are unique over all tests of a run.
+var idCounter atomic.Uint64
 
-// newID returns a new request ID.
-func newID(kind string) string { return fmt.Sprintf("e2e-%s-%d", kind, numbers.Add(1)) }
+// newRequestID returns a new request ID.
+func newRequestID(kind string) string { return fmt.Sprintf("e2e-%s-%d", kind, idCounter.Add(1)) }
 
 // deadline is the default deadline of calls.
 const deadline = 120 * time.Second
@@ -31,21 +31,21 @@
 // testdata/bundle.yaml.
 const decodeStep = 10 * time.Millisecond
 
-// promptOf returns a prompt of the given number of words that is unique to a
+// uniquePrompt returns a prompt of the given number of words that is unique to a
 // request.
-func promptOf(id string, words int) string {
+func uniquePrompt(id string, words int) string {
 	return id + strings.Repeat(" word", words-1)
 }
 
 // completion returns a model request to an instance.
 func completion(in *testbed.Instance, kind string, repeatable bool, words, tokens int) *client.Completion {
-	id := newID(kind)
+	id := newRequestID(kind)
 	return &client.Completion{
 		Call: client.Call{
 			Target: in.Callers, RequestID: id, Kind: kind,
 			Repeatable: repeatable, Deadline: deadline,
 		},
-		Model: "reader", Prompt: promptOf(id, words), MaxTokens: tokens,
+		Model: "reader", Prompt: uniquePrompt(id, words), MaxTokens: tokens,
 	}
 }
 
@@ -65,7 +65,7 @@
 func lookup(in *testbed.Instance) *client.ServiceCall { return serviceCall(in, "lookup", true) }
 
 func serviceCall(in *testbed.Instance, kind string, repeatable bool) *client.ServiceCall {
-	id := newID(kind)
+	id := newRequestID(kind)
 	return &client.ServiceCall{
 		Call: client.Call{
 			Target: in.Callers, RequestID: id, Kind: kind,
@@ -75,10 +75,10 @@
 	}
 }
 
-// ticketed sets the ticket of an order, issued by the instance that is its
+// withTicket sets the ticket of an order, issued by the instance that is its
 // target. The idempotency key is the request ID; the stand-in services count the
 // order's runs by it.
-func (b *bed) ticketed(call *client.ServiceCall) *client.ServiceCall {
+func (b *bed) withTicket(call *client.ServiceCall) *client.ServiceCall {
 	b.t.Helper()
 	ticket, err := b.client.Ticket(b.ctx, call.Call)
 	assert.NilError(b.t, err)
@@ -90,46 +90,46 @@
 // pending is a call in progress.
 type pending struct {
 	id     string
-	leave  context.CancelFunc
+	cancel context.CancelFunc
 	result chan *client.Result
 }
 
-// complete starts a model request in the background.
-func (b *bed) complete(call *client.Completion) *pending {
-	return b.begin(call.RequestID, func(ctx context.Context) *client.Result {
+// startCompletion starts a model request in the background.
+func (b *bed) startCompletion(call *client.Completion) *pending {
+	return b.startCall(call.RequestID, func(ctx context.Context) *client.Result {
 		return b.client.Complete(ctx, call, call.Body())
 	})
 }
 
-// stream starts a model request in the background and waits until an engine
+// startStream starts a model request in the background and waits until an engine
 // decodes it.
-func (b *bed) stream(call *client.Completion) *pending {
+func (b *bed) startStream(call *client.Completion) *pending {
 	b.t.Helper()
-	p := b.complete(call)
-	b.generating(p.id)
+	p := b.startCompletion(call)
+	b.awaitDecode(p.id)
 	return p
 }
 
-// serve starts a service call in the background.
-func (b *bed) serve(call *client.ServiceCall) *pending {
-	return b.begin(call.RequestID, func(ctx context.Context) *client.Result {
+// startServiceCall starts a service call in the background.
+func (b *bed) startServiceCall(call *client.ServiceCall) *pending {
+	return b.startCall(call.RequestID, func(ctx context.Context) *client.Result {
 		return b.client.CallService(ctx, call)
 	})
 }
 
-func (b *bed) begin(id string, call func(context.Context) *client.Result) *pending {
+func (b *bed) startCall(id string, call func(context.Context) *client.Result) *pending {
 	ctx, leave := context.WithCancel(b.ctx)
-	p := &pending{id: id, leave: leave, result: make(chan *client.Result, 1)}
+	p := &pending{id: id, cancel: leave, result: make(chan *client.Result, 1)}
 	go func() { p.result <- call(ctx) }()
 	return p
 }
 
-// done waits for the end of a call and returns its result.
-func (b *bed) done(p *pending) *client.Result {
+// await waits for the end of a call and returns its result.
+func (b *bed) await(p *pending) *client.Result {
 	b.t.Helper()
 	select {
 	case r := <-p.result:
-		p.leave()
+		p.cancel()
 		return r
 	case <-time.After(answerLimit):
 	case <-b.ctx.Done():
@@ -138,11 +138,11 @@
 	return nil
 }
 
-// whole waits for the end of a call and fails the test unless its answer is
-// complete and correct.
-func (b *bed) whole(p *pending) {
+// requireComplete waits for the end of a call and fails the test unless its
+// answer is complete and correct.
+func (b *bed) requireComplete(p *pending) {
 	b.t.Helper()
-	r := b.done(p)
+	r := b.await(p)
 	assert.Assert(b.t, r.Complete(), "%s: %s", p.id, describe(r))
 }
 
@@ -152,8 +152,8 @@
 		r.Outcome, r.Status, r.Tokens, r.Problem, r.Err)
 }
 
-// lost reports whether the connection of a call was lost.
-func lost(r *client.Result) bool {
+// connectionLost reports whether the connection of a call was lost.
+func connectionLost(r *client.Result) bool {
 	var conn *client.ConnError
 	return errors.As(r.Err, &conn)
 }
--- a/e2e/ctl_test.go
+++ b/e2e/ctl_test.go
@@ -49,9 +49,9 @@
 	content := b.Deployment.Content
 	base := s.sign(bundle.Draft{Content: content})
 	one := s.sign(bundle.Draft{Previous: base.head, Content: content})
-	two := s.sign(bundle.Draft{Previous: base.head, Content: rivalOf(content)})
+	two := s.sign(bundle.Draft{Previous: base.head, Content: differingContent(content)})
 	s.publish(one, base.head, 2)
-	b.inForce(2, b.Instances...)
+	b.awaitVersion(2, b.Instances...)
 	s.publish(two, base.head, 3)
 	b.eventually("the alarm", func() (bool, string) {
 		f, code := b.fleetCommand()
@@ -67,7 +67,7 @@
 		Previous: one.head, Content: content, Supersedes: []bundle.Digest{two.head.Ref().Digest},
 	})
 	s.publish(next, one.head, 4)
-	b.inForce(3, b.Instances...)
+	b.awaitVersion(3, b.Instances...)
 	b.eventually("the end of the alarm", func() (bool, string) {
 		f, code := b.fleetCommand()
 		return code == 0, f.At.String()
--- a/e2e/engine_crash_test.go
+++ b/e2e/engine_crash_test.go
@@ -22,32 +22,32 @@
 // crashes during streams: repeatable requests resume on another engine from the
 // token reached, without repeating a token; the others end with outcome unknown.
 func TestDecodeEngineCrash(t *testing.T) {
-	t.Run("crash", func(t *testing.T) { decodeEngineEnds(t, (*bed).crash) })
+	t.Run("crash", func(t *testing.T) { testDecodeEngineCrash(t, (*bed).crash) })
 	t.Run("SIGKILL", func(t *testing.T) {
-		decodeEngineEnds(t, func(b *bed, id ident.UpstreamID) { assert.NilError(b.t, b.Upstreams[id].Kill()) })
+		testDecodeEngineCrash(t, func(b *bed, id ident.UpstreamID) { assert.NilError(b.t, b.Upstreams[id].Kill()) })
 	})
 }
 
-func decodeEngineEnds(t *testing.T, end func(*bed, ident.UpstreamID)) {
+func testDecodeEngineCrash(t *testing.T, end func(*bed, ident.UpstreamID)) {
 	b := newBed(t)
 	const tokens = 250
 	var reviews, triages []*pending
 	for i := range b.Instances {
-		reviews = append(reviews, b.stream(review(b.Instances[i], 500, tokens)))
-		triages = append(triages, b.stream(triage(b.Instances[i], 500, tokens)))
+		reviews = append(reviews, b.startStream(review(b.Instances[i], 500, tokens)))
+		triages = append(triages, b.startStream(triage(b.Instances[i], 500, tokens)))
 	}
-	victim := b.holderOf(triages[0].id, decodeA, decodeB)
+	victim := b.decodingEngine(triages[0].id, decodeA, decodeB)
 	onVictim := map[string]bool{}
-	for _, q := range b.engine(victim).Requests {
+	for _, q := range b.engineReport(victim).Requests {
 		onVictim[q.CorrelationID] = q.DecodeRuns > q.Completed
 	}
 	end(b, victim)
 
 	for _, p := range reviews {
-		b.whole(p)
+		b.requireComplete(p)
 	}
 	for _, p := range triages {
-		r := b.done(p)
+		r := b.await(p)
 		if !onVictim[p.id] {
 			assert.Assert(t, r.Complete(), "%s: %s", p.id, describe(r))
 			continue
@@ -61,13 +61,13 @@
 			return err == nil, "no answer"
 		})
 	}
-	b.nothingHeld()
-	ran := b.ran()
+	b.awaitNothingHeld()
+	ran := b.runs()
 	for _, p := range triages {
 		assert.Assert(t, ran.Request(p.id).DecodeRuns <= 1, p.id)
 	}
 	for _, in := range b.Instances {
-		b.whole(b.complete(review(in, 200, 20)))
+		b.requireComplete(b.startCompletion(review(in, 200, 20)))
 	}
 }
 
@@ -76,7 +76,7 @@
 // must get its complete answer.
 func TestPrefillEngineCrash(t *testing.T) {
 	b := newBed(t)
-	b.engineFaults(control.EngineFaults{SlowFactor: 5000}, prefillA)
+	b.setEngineFaults(control.EngineFaults{SlowFactor: 5000}, prefillA)
 	prefillEngineCrash(b)
 }
 
@@ -84,24 +84,24 @@
 // engine has refused the requests before.
 func TestPrefillEngineCrashAfterRefusal(t *testing.T) {
 	b := newBed(t)
-	b.engineFaults(control.EngineFaults{SlowFactor: 5000}, prefillA)
-	b.engineFaults(control.EngineFaults{Refuse: true}, prefillB)
+	b.setEngineFaults(control.EngineFaults{SlowFactor: 5000}, prefillA)
+	b.setEngineFaults(control.EngineFaults{Refuse: true}, prefillB)
 	prefillEngineCrash(b)
 }
 
 func prefillEngineCrash(b *bed) {
 	var sent []*pending
 	for _, in := range b.Instances {
-		sent = append(sent, b.complete(review(in, 300, 50)), b.complete(triage(in, 300, 50)))
+		sent = append(sent, b.startCompletion(review(in, 300, 50)), b.startCompletion(triage(in, 300, 50)))
 	}
-	b.inStage("prefill", 1, prefillA)
-	b.engineFaults(control.EngineFaults{}, prefillA, prefillB)
+	b.awaitStage("prefill", 1, prefillA)
+	b.setEngineFaults(control.EngineFaults{}, prefillA, prefillB)
 	b.crash(prefillA)
 	for _, p := range sent {
-		b.whole(p)
+		b.requireComplete(p)
 	}
-	b.nothingHeld()
-	ran := b.ran()
+	b.awaitNothingHeld()
+	ran := b.runs()
 	for _, p := range sent {
 		assert.Equal(b.t, ran.Request(p.id).DecodeRuns, 1, p.id)
 	}
@@ -124,22 +124,22 @@
 		{"runs and fails", control.ServiceFaults{ErrorRate: 1}, api.Unknown, 1},
 		{"refuses", control.ServiceFaults{Refuse: true}, api.NotRun, 0},
 	} {
-		b.serviceFaults(c.faults)
+		b.setServiceFaults(c.faults)
 		call := order(in)
-		r := b.done(b.serve(call))
+		r := b.await(b.startServiceCall(call))
 		assert.Equal(t, r.Outcome, c.outcome, "%s: %s", c.name, describe(r))
-		assert.Equal(t, b.ran().Request(call.RequestID).ServiceRuns, c.runs, c.name)
+		assert.Equal(t, b.runs().Request(call.RequestID).ServiceRuns, c.runs, c.name)
 	}
-	b.serviceFaults(control.ServiceFaults{DelayMS: slowCalls.Milliseconds()})
-	call := b.serve(order(in))
-	b.running(1)
+	b.setServiceFaults(control.ServiceFaults{DelayMS: slowCallTime.Milliseconds()})
+	call := b.startServiceCall(order(in))
+	b.awaitServiceCalls(1)
 	for _, id := range []ident.UpstreamID{serviceA, serviceB} {
 		b.crash(id)
 	}
-	r := b.done(call)
+	r := b.await(call)
 	assert.Equal(t, r.Outcome, api.Unknown, describe(r))
-	assert.Equal(t, b.ran().Request(call.id).ServiceRuns, 1)
+	assert.Equal(t, b.runs().Request(call.id).ServiceRuns, 1)
 
-	b.serviceFaults(control.ServiceFaults{})
-	b.whole(b.serve(lookup(in)))
+	b.setServiceFaults(control.ServiceFaults{})
+	b.requireComplete(b.startServiceCall(lookup(in)))
 }
--- a/e2e/entry_frozen_test.go
+++ b/e2e/entry_frozen_test.go
@@ -27,38 +27,38 @@
 // answers.
 func TestFrozenEntryIsNotRobbed(t *testing.T) {
 	t.Run("the entry alone", func(t *testing.T) {
-		frozenEntryIsNotRobbed(t, shortFreeze, func(in *testbed.Instance) []*testbed.Process {
+		testFrozenEntry(t, shortFreeze, func(in *testbed.Instance) []*testbed.Process {
 			return []*testbed.Process{in.Entry}
 		})
 	})
 	t.Run("with its agent", func(t *testing.T) {
-		frozenEntryIsNotRobbed(t, freezeTime, func(in *testbed.Instance) []*testbed.Process {
+		testFrozenEntry(t, freezeTime, func(in *testbed.Instance) []*testbed.Process {
 			return []*testbed.Process{in.Entry, in.Agent}
 		})
 	})
 }
 
-func frozenEntryIsNotRobbed(t *testing.T, pause time.Duration, frozen func(*testbed.Instance) []*testbed.Process) {
+func testFrozenEntry(t *testing.T, pause time.Duration, frozen func(*testbed.Instance) []*testbed.Process) {
 	b := newBed(t)
 	victim := b.Instances[0]
-	b.serviceFaults(control.ServiceFaults{DelayMS: slowCalls.Milliseconds()})
+	b.setServiceFaults(control.ServiceFaults{DelayMS: slowCallTime.Milliseconds()})
 
 	// Some streams end during the pause, the others continue after it.
 	var streams []*pending
-	onward := int((pause + 2*time.Second) / decodeStep)
-	for _, tokens := range []int{200, 200, onward, onward} {
-		streams = append(streams, b.stream(review(victim, 200, tokens)), b.stream(triage(victim, 200, tokens)))
+	longTokens := int((pause + 2*time.Second) / decodeStep)
+	for _, tokens := range []int{200, 200, longTokens, longTokens} {
+		streams = append(streams, b.startStream(review(victim, 200, tokens)), b.startStream(triage(victim, 200, tokens)))
 	}
 	var orders []*client.ServiceCall
 	var calls []*pending
 	for _, in := range b.Instances {
-		call := b.ticketed(order(victim))
+		call := b.withTicket(order(victim))
 		call.Target = in.Callers
 		orders = append(orders, call)
-		calls = append(calls, b.serve(call))
+		calls = append(calls, b.startServiceCall(call))
 	}
-	bare := b.serve(order(victim))
-	b.running(len(orders) + 1)
+	withoutTicket := b.startServiceCall(order(victim))
+	b.awaitServiceCalls(len(orders) + 1)
 
 	for _, p := range frozen(victim) {
 		assert.NilError(t, p.Freeze())
@@ -68,32 +68,32 @@
 	for _, call := range orders {
 		retry := *call
 		retry.Target = b.Instances[1].Callers
-		again = append(again, b.serve(&retry))
+		again = append(again, b.startServiceCall(&retry))
 	}
 	b.wait(pause)
 	for _, p := range frozen(victim) {
 		assert.NilError(t, p.Thaw())
 	}
 
-	for _, p := range append(streams, bare) {
-		b.whole(p)
+	for _, p := range append(streams, withoutTicket) {
+		b.requireComplete(p)
 	}
 	for _, p := range calls {
-		b.whole(p)
+		b.requireComplete(p)
 	}
 	for _, p := range again {
-		r := b.done(p)
+		r := b.await(p)
 		assert.Assert(t, r.Complete() || r.Outcome == api.Unknown, "%s: %s", p.id, describe(r))
 	}
-	b.nothingHeld()
-	ran := b.ran()
+	b.awaitNothingHeld()
+	ran := b.runs()
 	for _, p := range streams {
 		assert.Equal(t, ran.Request(p.id).DecodeRuns, 1, p.id)
 	}
 	for _, call := range orders {
 		assert.Equal(t, ran.KeyRuns(call.IdempotencyKey), 1, call.RequestID)
 	}
-	assert.Equal(t, ran.Request(bare.id).ServiceRuns, 1)
+	assert.Equal(t, ran.Request(withoutTicket.id).ServiceRuns, 1)
 }
 
 // TestFrozenEntryUnderTraffic freezes the instances one after the other under
@@ -108,5 +108,5 @@
 		assert.NilError(t, in.Entry.Thaw())
 	}
 	b.wait(time.Second)
-	b.check(tr.stop(), true)
+	b.requireGuarantees(tr.stop(), true)
 }
--- a/e2e/entry_killed_test.go
+++ b/e2e/entry_killed_test.go
@@ -13,13 +13,13 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// slowCalls is the duration of service calls that must still be running when a
+// slowCallTime is the duration of service calls that must still be running when a
 // failure is injected.
-const slowCalls = 4 * time.Second
+const slowCallTime = 4 * time.Second
 
-// endless is the number of output tokens of an answer that does not end during a
-// test.
-const endless = 20_000
+// endlessTokens is the number of output tokens of an answer that does not end
+// during a test.
+const endlessTokens = 20_000
 
 // TestKilledEntryRunsNoOrderTwice verifies "An order, confirmation or dispatch
 // marked as not repeatable runs at most once" and "When we are told not run, the
@@ -28,25 +28,25 @@
 func TestKilledEntryRunsNoOrderTwice(t *testing.T) {
 	b := newBed(t)
 	victim := b.Instances[0]
-	b.serviceFaults(control.ServiceFaults{DelayMS: slowCalls.Milliseconds()})
+	b.setServiceFaults(control.ServiceFaults{DelayMS: slowCallTime.Milliseconds()})
 
 	var calls []*client.ServiceCall
 	var sent []*pending
 	for _, in := range b.Instances {
 		// The victim issues the ticket of each call, whichever instance it is
 		// sent to.
-		call := b.ticketed(order(victim))
+		call := b.withTicket(order(victim))
 		call.Target = in.Callers
 		calls = append(calls, call)
-		sent = append(sent, b.serve(call))
+		sent = append(sent, b.startServiceCall(call))
 	}
-	b.running(len(calls))
-	unused := b.ticketed(order(victim))
+	b.awaitServiceCalls(len(calls))
+	unused := b.withTicket(order(victim))
 	assert.NilError(t, victim.Entry.Kill())
 
 	for i, p := range sent {
-		r := b.done(p)
-		assert.Assert(t, lost(r) || r.Outcome == api.Unknown, "%s: %s", p.id, describe(r))
+		r := b.await(p)
+		assert.Assert(t, connectionLost(r) || r.Outcome == api.Unknown, "%s: %s", p.id, describe(r))
 		if calls[i].Target != victim.Callers {
 			assert.Equal(t, r.Outcome, api.Unknown, "%s: %s", p.id, describe(r))
 		}
@@ -56,7 +56,7 @@
 			for _, in := range b.others(victim) {
 				again := *call
 				again.Target = in.Callers
-				r := b.done(b.serve(&again))
+				r := b.await(b.startServiceCall(&again))
 				assert.Equal(t, r.Outcome, api.Unknown, "%s: %s", call.RequestID, describe(r))
 			}
 		}
@@ -69,11 +69,11 @@
 	for _, call := range append(calls, unused) {
 		again := *call
 		again.Target = victim.Callers
-		r := b.done(b.serve(&again))
+		r := b.await(b.startServiceCall(&again))
 		assert.Equal(t, r.Outcome, api.Unknown, "%s: %s", call.RequestID, describe(r))
 	}
 
-	ran := b.ran()
+	ran := b.runs()
 	for _, call := range calls {
 		assert.Equal(t, ran.KeyRuns(call.IdempotencyKey), 1, call.RequestID)
 	}
@@ -101,29 +101,29 @@
 	// each time.
 	var sent []*pending
 	for _, refusing := range []ident.UpstreamID{decodeA, decodeB} {
-		b.engineFaults(control.EngineFaults{Refuse: true}, refusing)
-		sent = append(sent, b.stream(review(victim, 200, endless)), b.stream(triage(victim, 200, endless)))
-		b.engineFaults(control.EngineFaults{}, refusing)
+		b.setEngineFaults(control.EngineFaults{Refuse: true}, refusing)
+		sent = append(sent, b.startStream(review(victim, 200, endlessTokens)), b.startStream(triage(victim, 200, endlessTokens)))
+		b.setEngineFaults(control.EngineFaults{}, refusing)
 	}
-	assert.Equal(t, b.engine(decodeA).Held.Attempts, 2)
-	assert.Equal(t, b.engine(decodeB).Held.Attempts, 2)
+	assert.Equal(t, b.engineReport(decodeA).Held.Attempts, 2)
+	assert.Equal(t, b.engineReport(decodeB).Held.Attempts, 2)
 
 	began := time.Now()
 	assert.NilError(t, kill(b, victim))
 	for _, p := range sent {
-		assert.Assert(t, lost(b.done(p)), p.id)
+		assert.Assert(t, connectionLost(b.await(p)), p.id)
 	}
-	b.nothingHeld()
+	b.awaitNothingHeld()
 	t.Logf("everything released %v after the kill", time.Since(began).Round(100*time.Millisecond))
 	assert.Assert(t, time.Since(began) < deadline, "released only after the deadline")
 
-	ran := b.ran()
+	ran := b.runs()
 	for _, p := range sent {
 		assert.Equal(t, ran.Request(p.id).Completed, 0, "%s ran to its end", p.id)
 		assert.Equal(t, ran.Request(p.id).DecodeRuns, 1)
 	}
 	for _, in := range b.others(victim) {
-		b.whole(b.complete(review(in, 200, 20)))
+		b.requireComplete(b.startCompletion(review(in, 200, 20)))
 	}
 }
 
@@ -141,7 +141,7 @@
 		assert.NilError(t, b.WaitReady(b.ctx, victim))
 	}
 	b.wait(time.Second)
-	b.check(tr.stop(), true)
+	b.requireGuarantees(tr.stop(), true)
 }
 
 // TestKilledDispatcherDuringPrefills kills two instances at a time during prefills
@@ -153,25 +153,25 @@
 	for _, victims := range [][]*testbed.Instance{b.Instances[:2], b.Instances[2:]} {
 		// One second per 500 tokens, so that the prefills are still running when
 		// the victims are killed.
-		b.engineFaults(control.EngineFaults{SlowFactor: 200}, prefillA, prefillB)
+		b.setEngineFaults(control.EngineFaults{SlowFactor: 200}, prefillA, prefillB)
 		var sent []*pending
 		for _, in := range b.Instances {
 			if in != victims[0] && in != victims[1] {
-				sent = append(sent, b.complete(review(in, 1500, 20)), b.complete(review(in, 1500, 20)))
+				sent = append(sent, b.startCompletion(review(in, 1500, 20)), b.startCompletion(review(in, 1500, 20)))
 			}
 		}
-		b.inStage("prefill", 2, prefillA, prefillB)
+		b.awaitStage("prefill", 2, prefillA, prefillB)
 		for _, in := range victims {
 			assert.NilError(t, in.Entry.Kill())
 		}
-		b.engineFaults(control.EngineFaults{}, prefillA, prefillB)
+		b.setEngineFaults(control.EngineFaults{}, prefillA, prefillB)
 		for _, p := range sent {
-			b.whole(p)
+			b.requireComplete(p)
 		}
 		for _, in := range victims {
 			assert.NilError(t, b.StartEntry(in))
 			assert.NilError(t, b.WaitReady(b.ctx, in))
 		}
 	}
-	b.nothingHeld()
+	b.awaitNothingHeld()
 }
--- a/e2e/entry_restart_test.go
+++ b/e2e/entry_restart_test.go
@@ -23,13 +23,13 @@
 	assert.NilError(t, b.StartEntry(in))
 	var sent []*pending
 	for range firstRequests {
-		sent = append(sent, b.complete(triage(in, 200, 100)))
+		sent = append(sent, b.startCompletion(triage(in, 200, 100)))
 		b.wait(5 * time.Millisecond)
 	}
 	taken := 0
 	for _, p := range sent {
-		r := b.done(p)
-		if lost(r) || r.Outcome == api.NotRun {
+		r := b.await(p)
+		if connectionLost(r) || r.Outcome == api.NotRun {
 			continue
 		}
 		taken++
--- a/e2e/fleet_alone_test.go
+++ b/e2e/fleet_alone_test.go
@@ -9,9 +9,10 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// alone waits until instances that are cut off give complete answers to a batch of
-// concurrent requests, so that none of them is lost on its way to the other side.
-func (b *bed) alone(calls func(*testbed.Instance) *pending, list ...*testbed.Instance) {
+// awaitOwnZoneService waits until instances that are cut off give complete
+// answers to a batch of concurrent requests, so that none of them is lost on its
+// way to the other side.
+func (b *bed) awaitOwnZoneService(calls func(*testbed.Instance) *pending, list ...*testbed.Instance) {
 	b.t.Helper()
 	const each = 5
 	began := time.Now()
@@ -24,7 +25,7 @@
 		}
 		whole, last := 0, ""
 		for _, p := range sent {
-			if r := b.done(p); r.Complete() {
+			if r := b.await(p); r.Complete() {
 				whole++
 			} else {
 				last = p.id + ": " + describe(r)
@@ -41,13 +42,13 @@
 func TestZoneCutOffServesAlone(t *testing.T) {
 	orders := func(b *bed) func(*testbed.Instance) *pending {
 		return func(in *testbed.Instance) *pending {
-			var call *client.ServiceCall = b.ticketed(order(in))
-			call.Deadline = patience
-			return b.serve(call)
+			var call *client.ServiceCall = b.withTicket(order(in))
+			call.Deadline = shortDeadline
+			return b.startServiceCall(call)
 		}
 	}
 	reviews := func(b *bed) func(*testbed.Instance) *pending {
-		return func(in *testbed.Instance) *pending { return b.complete(review(in, 50, 5)) }
+		return func(in *testbed.Instance) *pending { return b.startCompletion(review(in, 50, 5)) }
 	}
 	for _, c := range []struct {
 		name  string
@@ -56,8 +57,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t, withRelays)
 			b.CutOff(hallB)
-			b.alone(c.calls(b), b.in(hallA)...)
-			b.alone(c.calls(b), b.in(hallB)...)
+			b.awaitOwnZoneService(c.calls(b), b.instancesIn(hallA)...)
+			b.awaitOwnZoneService(c.calls(b), b.instancesIn(hallB)...)
 		})
 	}
 }
--- a/e2e/fleet_bed_test.go
+++ b/e2e/fleet_bed_test.go
@@ -17,8 +17,8 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// force is the version and digest of the bundle that an agent has in force.
-type force struct {
+// bundleState is the version and digest of the bundle that an agent has in force.
+type bundleState struct {
 	version uint64
 	digest  string
 }
@@ -30,7 +30,7 @@
 	ended    sync.WaitGroup
 
 	mu      sync.Mutex
-	agents  map[ident.InstanceID][]force
+	agents  map[ident.InstanceID][]bundleState
 	entries map[ident.InstanceID][]uint64
 }
 
@@ -38,7 +38,7 @@
 func (b *bed) watchBundles() *watcher {
 	w := &watcher{
 		b: b, stopping: make(chan struct{}),
-		agents: map[ident.InstanceID][]force{}, entries: map[ident.InstanceID][]uint64{},
+		agents: map[ident.InstanceID][]bundleState{}, entries: map[ident.InstanceID][]uint64{},
 	}
 	w.ended.Go(w.run)
 	return w
@@ -46,26 +46,26 @@
 
 func (w *watcher) run() {
 	for {
-		w.note(w.b.look())
+		w.record(w.b.fleetStatus())
 		select {
 		case <-w.stopping:
 			return
 		case <-w.b.ctx.Done():
 			return
 		default:
-			w.b.wait(poll)
+			w.b.wait(pollInterval)
 		}
 	}
 }
 
-// note records the bundles that differ from the last ones seen. It ignores version
-// 0, which a process has when it has just started.
-func (w *watcher) note(f *console.Fleet) {
+// record records the bundles that differ from the last ones seen. It ignores
+// version 0, which a process has when it has just started.
+func (w *watcher) record(f *console.Fleet) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range f.Agents {
 		s := &f.Agents[i]
-		now := force{version: s.Bundle.Version, digest: s.Bundle.Digest}
+		now := bundleState{version: s.Bundle.Version, digest: s.Bundle.Digest}
 		seen := w.agents[s.Instance]
 		if now.version > 0 && (len(seen) == 0 || seen[len(seen)-1] != now) {
 			w.agents[s.Instance] = append(seen, now)
@@ -77,9 +77,10 @@
 	}
 }
 
-// neverBack stops the watcher and fails the test if an instance ever reverted to
-// an older version, or changed from one bundle to another of the same version.
-func (w *watcher) neverBack() {
+// requireNoRevert stops the watcher and fails the test if an instance ever
+// reverted to an older version, or changed from one bundle to another of the
+// same version.
+func (w *watcher) requireNoRevert() {
 	w.b.t.Helper()
 	close(w.stopping)
 	w.ended.Wait()
@@ -96,17 +97,17 @@
 	}
 }
 
-// inForce waits until the agents and entries of instances have a version in force,
-// and logs the time until each was first seen to have it.
-func (b *bed) inForce(version uint64, list ...*testbed.Instance) {
+// awaitVersion waits until the agents and entries of instances have a version in
+// force, and logs the time until each was first seen to have it.
+func (b *bed) awaitVersion(version uint64, list ...*testbed.Instance) {
 	b.t.Helper()
 	began := time.Now()
 	since := map[ident.InstanceID]time.Duration{}
 	b.eventually(fmt.Sprintf("version %d to be in force", version), func() (bool, string) {
-		f := b.look()
+		f := b.fleetStatus()
 		lacks := ""
 		for _, in := range list {
-			switch s := status(f, in.ID); {
+			switch s := findStatus(f, in.ID); {
 			case s == nil:
 				lacks = string(in.ID) + " does not answer"
 			case s.Bundle.Version != version || s.Entry.BundleVersion != version:
@@ -120,16 +121,16 @@
 	b.t.Logf("version %d in force after %v", version, since)
 }
 
-// answers sends requests to each instance and fails the test unless the answers
-// are complete and name the given bundle version. The version is not checked for
-// calls with tickets, whose answers do not name one.
-func (b *bed) answers(version uint64, list ...*testbed.Instance) {
+// requireAnswers sends requests to each instance and fails the test unless the
+// answers are complete and name the given bundle version. The version is not
+// checked for calls with tickets, whose answers do not name one.
+func (b *bed) requireAnswers(version uint64, list ...*testbed.Instance) {
 	b.t.Helper()
 	for _, in := range list {
-		b.whole(b.serve(b.ticketed(order(in))))
-		sent := []*pending{b.complete(review(in, 200, 10)), b.serve(lookup(in))}
+		b.requireComplete(b.startServiceCall(b.withTicket(order(in))))
+		sent := []*pending{b.startCompletion(review(in, 200, 10)), b.startServiceCall(lookup(in))}
 		for _, p := range sent {
-			r := b.done(p)
+			r := b.await(p)
 			assert.Assert(b.t, r.Complete(), "%s: %s", p.id, describe(r))
 			assert.Equal(b.t, r.BundleVersion, strconv.FormatUint(version, 10), "%s at %s", p.id, in.ID)
 		}
@@ -164,7 +165,7 @@
 // if the agent does not answer.
 func (b *bed) status(in *testbed.Instance) *wire.Status {
 	b.t.Helper()
-	s := status(b.look(), in.ID)
+	s := findStatus(b.fleetStatus(), in.ID)
 	assert.Assert(b.t, s != nil, "the agent of %s does not answer", in.ID)
 	return s
 }
--- a/e2e/fleet_bundles_test.go
+++ b/e2e/fleet_bundles_test.go
@@ -17,8 +17,8 @@
 	assert.NilError(b.t, b.WaitReady(b.ctx, in))
 }
 
-// platformMode changes how the platform behaves.
-func (b *bed) platformMode(m control.PlatformMode) {
+// setPlatformMode changes how the platform behaves.
+func (b *bed) setPlatformMode(m control.PlatformMode) {
 	b.t.Helper()
 	assert.NilError(b.t, b.Operators.Platform.SetMode(b.ctx, m))
 }
@@ -30,29 +30,29 @@
 func TestBundleOverPlatformOutage(t *testing.T) {
 	b := newBed(t)
 	w := b.watchBundles()
-	b.inForce(1, b.Instances...)
+	b.awaitVersion(1, b.Instances...)
 	old := b.platformIndex()
 	assert.Equal(t, b.roll(), uint64(2))
-	b.inForce(2, b.Instances...)
-	b.answers(2, b.Instances...)
+	b.awaitVersion(2, b.Instances...)
+	b.requireAnswers(2, b.Instances...)
 
 	t.Log("the platform is down")
-	b.platformMode(control.PlatformMode{Mode: control.ModeDown})
-	b.answers(2, b.Instances...)
+	b.setPlatformMode(control.PlatformMode{Mode: control.ModeDown})
+	b.requireAnswers(2, b.Instances...)
 	b.restart(b.Instances[0])
-	b.inForce(2, b.Instances...)
-	b.answers(2, b.Instances...)
+	b.awaitVersion(2, b.Instances...)
+	b.requireAnswers(2, b.Instances...)
 
 	t.Log("the platform is stale")
-	b.platformMode(control.PlatformMode{Mode: control.ModeStale, StaleIndex: old})
+	b.setPlatformMode(control.PlatformMode{Mode: control.ModeStale, StaleIndex: old})
 	b.restart(b.Instances[1])
-	b.inForce(2, b.Instances...)
-	b.answers(2, b.Instances...)
+	b.awaitVersion(2, b.Instances...)
+	b.requireAnswers(2, b.Instances...)
 
 	t.Log("the platform is up")
-	b.platformMode(control.PlatformMode{Mode: control.ModeUp})
+	b.setPlatformMode(control.PlatformMode{Mode: control.ModeUp})
 	assert.Equal(t, b.roll(), uint64(3))
-	b.inForce(3, b.Instances...)
-	b.answers(3, b.Instances...)
-	w.neverBack()
+	b.awaitVersion(3, b.Instances...)
+	b.requireAnswers(3, b.Instances...)
+	w.requireNoRevert()
 }
--- a/e2e/fleet_cut_test.go
+++ b/e2e/fleet_cut_test.go
@@ -12,38 +12,38 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// patience is the deadline of calls that may depend on the other side of a network
-// partition.
-const patience = 5 * time.Second
+// shortDeadline is the deadline of calls that may depend on the other side of a
+// network partition.
+const shortDeadline = 5 * time.Second
 
-// present sends orders again with their tickets, each to all the given instances.
-// The calls have short deadlines. It fails the test unless each call gets a
-// complete answer or outcome unknown in time.
-func (b *bed) present(calls []*client.ServiceCall, list ...*testbed.Instance) {
+// retryWithTickets sends orders again with their tickets, each to all the given
+// instances. The calls have short deadlines. It fails the test unless each call
+// gets a complete answer or outcome unknown in time.
+func (b *bed) retryWithTickets(calls []*client.ServiceCall, list ...*testbed.Instance) {
 	b.t.Helper()
 	var sent []*pending
 	for _, call := range calls {
 		for _, in := range list {
 			again := *call
 			again.Target = in.Callers
-			again.Deadline = patience
-			sent = append(sent, b.serve(&again))
+			again.Deadline = shortDeadline
+			sent = append(sent, b.startServiceCall(&again))
 		}
 	}
 	began := time.Now()
 	for _, p := range sent {
-		b.wholeOrUnknown(p)
+		b.requireCompleteOrUnknown(p)
 	}
 	took := time.Since(began)
 	b.t.Logf("%d retries with tickets answered in %v", len(sent), took.Round(100*time.Millisecond))
-	assert.Assert(b.t, took < soon, "answers came long after the deadlines")
+	assert.Assert(b.t, took < waitLimit, "answers came long after the deadlines")
 }
 
-// wholeOrUnknown waits for the end of a call and fails the test unless its answer
-// is complete or its outcome is unknown.
-func (b *bed) wholeOrUnknown(p *pending) {
+// requireCompleteOrUnknown waits for the end of a call and fails the test unless
+// its answer is complete or its outcome is unknown.
+func (b *bed) requireCompleteOrUnknown(p *pending) {
 	b.t.Helper()
-	r := b.done(p)
+	r := b.await(p)
 	assert.Assert(b.t, r.Complete() || r.Outcome == api.Unknown, "%s: %s", p.id, describe(r))
 }
 
@@ -54,20 +54,20 @@
 func TestBundleWhileZoneCutOff(t *testing.T) {
 	b := newBed(t, withRelays)
 	w := b.watchBundles()
-	b.inForce(1, b.Instances...)
-	near, far := b.in(hallA), b.in(hallB)
+	b.awaitVersion(1, b.Instances...)
+	near, far := b.instancesIn(hallA), b.instancesIn(hallB)
 
 	b.CutOff(hallB)
 	assert.Equal(t, b.roll(), uint64(2))
-	b.inForce(2, near...)
+	b.awaitVersion(2, near...)
 	for _, in := range far {
 		assert.Equal(t, b.status(in).Bundle.Version, uint64(1))
 		assert.Assert(t, b.ready(in))
 	}
 	b.Rejoin(hallB)
-	b.inForce(2, b.Instances...)
-	b.answers(2, b.Instances...)
-	w.neverBack()
+	b.awaitVersion(2, b.Instances...)
+	b.requireAnswers(2, b.Instances...)
+	w.requireNoRevert()
 }
 
 // TestTicketsWhileZoneCutOff verifies "An order, confirmation or dispatch marked
@@ -77,29 +77,29 @@
 // unknown.
 func TestTicketsWhileZoneCutOff(t *testing.T) {
 	b := newBed(t, withRelays)
-	b.serviceFaults(control.ServiceFaults{DelayMS: slowCalls.Milliseconds()})
-	near, far := b.in(hallA), b.in(hallB)
+	b.setServiceFaults(control.ServiceFaults{DelayMS: slowCallTime.Milliseconds()})
+	near, far := b.instancesIn(hallA), b.instancesIn(hallB)
 	var orders []*client.ServiceCall
 	var sent []*pending
 	for _, executor := range b.Instances {
 		for _, in := range b.Instances {
-			call := b.ticketed(order(executor))
+			call := b.withTicket(order(executor))
 			call.Target = in.Callers
 			orders = append(orders, call)
-			sent = append(sent, b.serve(call))
+			sent = append(sent, b.startServiceCall(call))
 		}
 	}
-	b.running(len(orders))
-	all := append(orders, b.ticketed(order(near[0])), b.ticketed(order(far[0])))
+	b.awaitServiceCalls(len(orders))
+	all := append(orders, b.withTicket(order(near[0])), b.withTicket(order(far[0])))
 
 	b.CutOff(hallB)
-	b.present(all, near[1], far[1])
+	b.retryWithTickets(all, near[1], far[1])
 	b.Rejoin(hallB)
 	for _, p := range sent {
-		b.wholeOrUnknown(p)
+		b.requireCompleteOrUnknown(p)
 	}
-	b.present(all, b.Instances...)
-	ran := b.ran()
+	b.retryWithTickets(all, b.Instances...)
+	ran := b.runs()
 	for _, call := range orders {
 		assert.Equal(t, ran.KeyRuns(call.IdempotencyKey), 1, call.RequestID)
 	}
--- a/e2e/fleet_leaving_test.go
+++ b/e2e/fleet_leaving_test.go
@@ -12,9 +12,9 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// taken counts the work that was sent to the upstreams of a zone: accepted is what
-// engines accepted and services ran, refused is what either refused.
-func (b *bed) taken(zone ident.Zone) (accepted, refused int) {
+// workSent counts the work that was sent to the upstreams of a zone: accepted is
+// what engines accepted and services ran, refused is what either refused.
+func (b *bed) workSent(zone ident.Zone) (accepted, refused int) {
 	b.t.Helper()
 	r := b.reports()
 	for _, e := range r.Engines {
@@ -39,17 +39,18 @@
 // someWork is the amount of work after which upstreams count as receiving traffic.
 const someWork = 20
 
-// sentNone waits until the upstreams of the staying zone were sent enough work, and
-// reports whether those of the leaving zone were sent none in the meantime.
-func (b *bed) sentNone(leaving, staying ident.Zone) (ok bool, why string) {
+// sentNoWork waits until the upstreams of the staying zone were sent enough
+// work, and reports whether those of the leaving zone were sent none in the
+// meantime.
+func (b *bed) sentNoWork(leaving, staying ident.Zone) (ok bool, why string) {
 	b.t.Helper()
-	accepted, refused := b.taken(leaving)
-	before, _ := b.taken(staying)
+	accepted, refused := b.workSent(leaving)
+	before, _ := b.workSent(staying)
 	b.eventually("work at the other upstreams", func() (bool, string) {
-		now, _ := b.taken(staying)
+		now, _ := b.workSent(staying)
 		return now-before >= enough, fmt.Sprintf("%d sent", now-before)
 	})
-	acceptedNow, refusedNow := b.taken(leaving)
+	acceptedNow, refusedNow := b.workSent(leaving)
 	more, no := acceptedNow-accepted, refusedNow-refused
 	return more == 0 && no == 0, fmt.Sprintf("accepted %d more, refused %d", more, no)
 }
@@ -65,8 +66,8 @@
 	})
 	t.Run("draining by themselves", func(t *testing.T) {
 		leavingUpstreams(t, func(b *bed) {
-			b.engineFaults(control.EngineFaults{Draining: true}, prefillB, decodeB)
-			slow := control.ServiceFaults{Draining: true, DelayMS: slowCalls.Milliseconds()}
+			b.setEngineFaults(control.EngineFaults{Draining: true}, prefillB, decodeB)
+			slow := control.ServiceFaults{Draining: true, DelayMS: slowCallTime.Milliseconds()}
 			assert.NilError(b.t, b.upstream(serviceB).SetServiceFaults(b.ctx, slow))
 		})
 	})
@@ -74,60 +75,60 @@
 
 func leavingUpstreams(t *testing.T, leave func(*bed)) {
 	b := newBed(t)
-	streams, orders, calls := b.inFlightAt(decodeB, serviceB)
+	streams, orders, calls := b.startInFlightAt(decodeB, serviceB)
 	tr := b.startTraffic(b.CallerAddresses())
 	b.eventually("traffic at the leaving upstreams", func() (bool, string) {
-		accepted, _ := b.taken(hallB)
+		accepted, _ := b.workSent(hallB)
 		return accepted > someWork, fmt.Sprintf("%d accepted", accepted)
 	})
 
 	leave(b)
 	began := time.Now()
-	b.eventually("the end of new work", func() (bool, string) { return b.sentNone(hallB, hallA) })
+	b.eventually("the end of new work", func() (bool, string) { return b.sentNoWork(hallB, hallA) })
 	t.Logf("no new work (against %d at the other upstreams) after %v", enough, time.Since(began).Round(100*time.Millisecond))
-	ok, why := b.sentNone(hallB, hallA)
+	ok, why := b.sentNoWork(hallB, hallA)
 	assert.Assert(t, ok, why)
 
 	for _, p := range append(streams, calls...) {
-		b.whole(p)
+		b.requireComplete(p)
 	}
-	b.nothingRanTwice(streams, orders)
-	outcomes := b.check(tr.stop(), true)
+	b.requireRanOnce(streams, orders)
+	outcomes := b.requireGuarantees(tr.stop(), true)
 	assert.Equal(t, len(outcomes), 1, "%v", outcomes)
 }
 
-// inFlightAt starts streams on one engine and calls with tickets on one service,
-// and returns once they run there.
-func (b *bed) inFlightAt(decode, service ident.UpstreamID) (streams []*pending, orders []*client.ServiceCall, calls []*pending) {
+// startInFlightAt starts streams on one engine and calls with tickets on one
+// service, and returns once they run there.
+func (b *bed) startInFlightAt(decode, service ident.UpstreamID) (streams []*pending, orders []*client.ServiceCall, calls []*pending) {
 	b.t.Helper()
 	const tokens = 1000
 	other := map[ident.UpstreamID]ident.UpstreamID{
 		decodeA: decodeB, decodeB: decodeA, serviceA: serviceB, serviceB: serviceA,
 	}
-	b.engineFaults(control.EngineFaults{Refuse: true}, other[decode])
+	b.setEngineFaults(control.EngineFaults{Refuse: true}, other[decode])
 	for _, in := range b.Instances {
-		streams = append(streams, b.stream(review(in, 200, tokens)))
+		streams = append(streams, b.startStream(review(in, 200, tokens)))
 	}
-	b.engineFaults(control.EngineFaults{}, other[decode])
-	assert.Equal(b.t, b.engine(decode).Held.Attempts, len(streams))
+	b.setEngineFaults(control.EngineFaults{}, other[decode])
+	assert.Equal(b.t, b.engineReport(decode).Held.Attempts, len(streams))
 
-	b.serviceFaults(control.ServiceFaults{DelayMS: slowCalls.Milliseconds()})
+	b.setServiceFaults(control.ServiceFaults{DelayMS: slowCallTime.Milliseconds()})
 	assert.NilError(b.t, b.upstream(other[service]).SetServiceFaults(b.ctx, control.ServiceFaults{Refuse: true}))
 	for _, in := range b.Instances {
-		call := b.ticketed(order(in))
+		call := b.withTicket(order(in))
 		orders = append(orders, call)
-		calls = append(calls, b.serve(call))
+		calls = append(calls, b.startServiceCall(call))
 	}
-	b.running(len(calls))
+	b.awaitServiceCalls(len(calls))
 	assert.NilError(b.t, b.upstream(other[service]).SetServiceFaults(b.ctx, control.ServiceFaults{}))
 	return streams, orders, calls
 }
 
-// nothingRanTwice fails the test unless each stream and each order ran exactly
+// requireRanOnce fails the test unless each stream and each order ran exactly
 // once.
-func (b *bed) nothingRanTwice(streams []*pending, orders []*client.ServiceCall) {
+func (b *bed) requireRanOnce(streams []*pending, orders []*client.ServiceCall) {
 	b.t.Helper()
-	ran := b.ran()
+	ran := b.runs()
 	for _, p := range streams {
 		assert.Equal(b.t, ran.Request(p.id).DecodeRuns, 1, p.id)
 	}
--- a/e2e/fleet_race_test.go
+++ b/e2e/fleet_race_test.go
@@ -63,21 +63,21 @@
 	put(configservice.KeyRoll, signed.Encode())
 }
 
-// rivalOf returns a copy of the content with a different queue limit.
-func rivalOf(c *config.Content) *config.Content {
+// differingContent returns a copy of the content with a different queue limit.
+func differingContent(c *config.Content) *config.Content {
 	rival := *c
 	rival.Policy.QueueLimit++
 	return &rival
 }
 
-// alarmed waits until the agents of all instances raise an alarm of one of the
+// awaitAlarm waits until the agents of all instances raise an alarm of one of the
 // given types.
-func (b *bed) alarmed(types ...ledger.AlarmType) {
+func (b *bed) awaitAlarm(types ...ledger.AlarmType) {
 	b.t.Helper()
 	b.eventually("an alarm", func() (bool, string) {
-		f := b.look()
+		f := b.fleetStatus()
 		for _, in := range b.Instances {
-			s := status(f, in.ID)
+			s := findStatus(f, in.ID)
 			if s == nil {
 				return false, string(in.ID) + " does not answer"
 			}
@@ -107,26 +107,26 @@
 	b := newBed(t)
 	s := b.signer()
 	w := b.watchBundles()
-	b.inForce(1, b.Instances...)
+	b.awaitVersion(1, b.Instances...)
 
 	content := b.Deployment.Content
 	base := s.sign(bundle.Draft{Content: content})
 	one := s.sign(bundle.Draft{Previous: base.head, Content: content})
-	two := s.sign(bundle.Draft{Previous: base.head, Content: rivalOf(content)})
+	two := s.sign(bundle.Draft{Previous: base.head, Content: differingContent(content)})
 	assert.Equal(t, one.head.Ref().Version, two.head.Ref().Version)
 	assert.Assert(t, one.head.Ref() != two.head.Ref())
 
 	s.publish(one, base.head, first)
 	if !sameTime {
-		b.inForce(2, b.Instances...)
+		b.awaitVersion(2, b.Instances...)
 	}
 	s.publish(two, base.head, second)
-	b.inForce(2, b.Instances...)
-	b.answers(2, b.Instances...)
+	b.awaitVersion(2, b.Instances...)
+	b.requireAnswers(2, b.Instances...)
 	// When both are published at the same time, instances may not see the first
 	// one at all.
 	if !sameTime {
-		b.alarmed(ledger.AlarmSplitVersion, ledger.AlarmSplitRoll)
+		b.awaitAlarm(ledger.AlarmSplitVersion, ledger.AlarmSplitRoll)
 		assert.DeepEqual(t, b.digests(), []string{one.head.Ref().Digest.String()})
 	}
 
@@ -135,16 +135,16 @@
 		Supersedes: []bundle.Digest{two.head.Ref().Digest},
 	})
 	s.publish(next, one.head, second+1)
-	b.inForce(3, b.Instances...)
-	b.answers(3, b.Instances...)
+	b.awaitVersion(3, b.Instances...)
+	b.requireAnswers(3, b.Instances...)
 	assert.DeepEqual(t, b.digests(), []string{next.head.Ref().Digest.String()})
-	w.neverBack()
+	w.requireNoRevert()
 }
 
 // digests returns the distinct digests of the bundles in force on the instances.
 func (b *bed) digests() []string {
 	var list []string
-	f := b.look()
+	f := b.fleetStatus()
 	for i := range f.Agents {
 		if d := f.Agents[i].Bundle.Digest; !slices.Contains(list, d) {
 			list = append(list, d)
--- a/e2e/fleet_replaced_test.go
+++ b/e2e/fleet_replaced_test.go
@@ -20,18 +20,18 @@
 	b := newBed(t, withRelays)
 	w := b.watchBundles()
 	assert.Equal(t, b.roll(), uint64(2))
-	b.inForce(2, b.Instances...)
-	far := b.in(hallB)
+	b.awaitVersion(2, b.Instances...)
+	far := b.instancesIn(hallB)
 
 	b.CutOff(hallB)
 	for _, in := range far {
 		b.restart(in)
-		b.inForce(2, in)
+		b.awaitVersion(2, in)
 	}
-	b.alone(func(in *testbed.Instance) *pending { return b.complete(review(in, 50, 5)) }, far...)
+	b.awaitOwnZoneService(func(in *testbed.Instance) *pending { return b.startCompletion(review(in, 50, 5)) }, far...)
 
 	assert.Equal(t, b.roll(), uint64(3))
-	b.inForce(3, b.in(hallA)...)
+	b.awaitVersion(3, b.instancesIn(hallA)...)
 	for _, in := range far {
 		assert.NilError(t, b.KillInstance(in))
 	}
@@ -40,17 +40,17 @@
 	}
 	for _, in := range far {
 		b.eventually("an answer from "+string(in.ID), func() (bool, string) {
-			s := status(b.look(), in.ID)
+			s := findStatus(b.fleetStatus(), in.ID)
 			return s != nil && s.Entry.Answers, "its agent or entry does not answer"
 		})
 		assert.Equal(t, b.status(in).Bundle.Version, uint64(0))
 		assert.Assert(t, !b.ready(in))
-		r := b.done(b.complete(review(in, 50, 5)))
+		r := b.await(b.startCompletion(review(in, 50, 5)))
 		assert.Equal(t, r.Outcome, api.NotRun, describe(r))
 	}
 
 	b.Rejoin(hallB)
-	b.inForce(3, b.Instances...)
-	b.answers(3, b.Instances...)
-	w.neverBack()
+	b.awaitVersion(3, b.Instances...)
+	b.requireAnswers(3, b.Instances...)
+	w.requireNoRevert()
 }
--- a/e2e/fleet_stop_test.go
+++ b/e2e/fleet_stop_test.go
@@ -44,8 +44,8 @@
 	tr := b.startTraffic(b.CallerAddresses())
 	const tokens = 700
 	streams := []*pending{
-		b.stream(review(victim, 200, tokens)), b.stream(triage(victim, 200, tokens)),
-		b.stream(review(victim, 2000, tokens)), b.stream(triage(victim, 2000, tokens)),
+		b.startStream(review(victim, 200, tokens)), b.startStream(triage(victim, 200, tokens)),
+		b.startStream(review(victim, 2000, tokens)), b.startStream(triage(victim, 2000, tokens)),
 	}
 	assert.Assert(t, b.ready(victim))
 	assert.NilError(t, victim.Entry.Terminate())
@@ -53,15 +53,15 @@
 
 	refused := b.refusedAfterUnready(victim)
 	for _, p := range streams {
-		b.whole(p)
+		b.requireComplete(p)
 	}
-	assert.NilError(t, victim.Entry.WaitExit(soon))
-	assert.NilError(t, victim.Agent.WaitExit(soon))
+	assert.NilError(t, victim.Entry.WaitExit(waitLimit))
+	assert.NilError(t, victim.Agent.WaitExit(waitLimit))
 
-	b.answers(1, b.others(victim)...)
-	b.check(tr.stop(), true)
-	b.nothingHeld()
-	ran := b.ran()
+	b.requireAnswers(1, b.others(victim)...)
+	b.requireGuarantees(tr.stop(), true)
+	b.awaitNothingHeld()
+	ran := b.runs()
 	assert.Assert(t, !ran.Request(refused).Ran(), refused)
 	for _, p := range streams {
 		assert.Equal(t, ran.Request(p.id).DecodeRuns, 1, p.id)
@@ -75,7 +75,7 @@
 	b.t.Helper()
 	var refused string
 	b.eventually("the refusal of a new request", func() (bool, string) {
-		refused = newID("late")
+		refused = newRequestID("late")
 		resp := b.do(http.MethodPost, "http://"+victim.Callers+"/services/preorder/late", refused)
 		if resp.StatusCode == http.StatusOK {
 			return false, "requests are still accepted"
--- a/e2e/flood_test.go
+++ b/e2e/flood_test.go
@@ -23,13 +23,13 @@
 	// refused lists the IDs of the requests that were refused by the limit, with
 	// outcome not-run.
 	refused []string
-	// others lists the results that are neither such a refusal nor a complete
-	// answer.
-	others []*client.Result
-	// to lists the instances that the requests are sent to.
-	to       []*testbed.Instance
-	stopping chan struct{}
-	ended    sync.WaitGroup
+	// otherFailures lists the results that are neither such a refusal nor a
+	// complete answer.
+	otherFailures []*client.Result
+	// instances lists the instances that the requests are sent to.
+	instances []*testbed.Instance
+	stopping  chan struct{}
+	ended     sync.WaitGroup
 }
 
 // floodPause is the interval between two requests to an instance.
@@ -37,7 +37,7 @@
 
 // startFlood starts a flood of the given instances.
 func (b *bed) startFlood(to []*testbed.Instance, send func(*testbed.Instance) *pending) *flood {
-	f := &flood{b: b, send: send, to: to, stopping: make(chan struct{})}
+	f := &flood{b: b, send: send, instances: to, stopping: make(chan struct{})}
 	f.ended.Go(f.run)
 	return f
 }
@@ -65,14 +65,14 @@
 func (f *flood) targets() []*testbed.Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.to
+	return f.instances
 }
 
-// aim sets the instances that all further requests are sent to.
-func (f *flood) aim(list []*testbed.Instance) {
+// setInstances sets the instances that all further requests are sent to.
+func (f *flood) setInstances(list []*testbed.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.to = list
+	f.instances = list
 }
 
 // collect classifies the requests that have ended and removes them from open.
@@ -83,7 +83,7 @@
 	for _, p := range f.open {
 		select {
 		case r := <-p.result:
-			f.sort(p, r)
+			f.classify(p, r)
 		default:
 			open = append(open, p)
 		}
@@ -91,22 +91,22 @@
 	f.open = open
 }
 
-func (f *flood) sort(p *pending, r *client.Result) {
+func (f *flood) classify(p *pending, r *client.Result) {
 	switch {
 	case r.Complete():
 	case r.Outcome == api.NotRun && r.Problem != nil && r.Problem.Type == api.ProblemLimit:
 		f.refused = append(f.refused, p.id)
 	default:
-		f.others = append(f.others, r)
+		f.otherFailures = append(f.otherFailures, r)
 	}
 }
 
-// leave cancels the open calls by closing their connections.
-func (f *flood) leave() {
+// cancelOpen cancels the open calls by closing their connections.
+func (f *flood) cancelOpen() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.open {
-		p.leave()
+		p.cancel()
 	}
 }
 
@@ -116,21 +116,21 @@
 	f.b.t.Helper()
 	close(f.stopping)
 	f.ended.Wait()
-	f.leave()
+	f.cancelOpen()
 	f.collect()
 	assert.Assert(f.b.t, len(f.refused) > 0, "no request was refused")
-	ran := f.b.ran()
+	ran := f.b.runs()
 	for _, id := range f.refused {
 		assert.Assert(f.b.t, !ran.Request(id).Ran(), "%s was refused by the limit, but ran", id)
 	}
-	f.b.t.Logf("%d refused by the limit, %d other failures", len(f.refused), len(f.others))
-	for _, r := range f.others[:min(len(f.others), 5)] {
+	f.b.t.Logf("%d refused by the limit, %d other failures", len(f.refused), len(f.otherFailures))
+	for _, r := range f.otherFailures[:min(len(f.otherFailures), 5)] {
 		f.b.t.Log(describe(r))
 	}
 }
 
-// of returns the call with the given workspace.
-func of(w ident.Workspace, call client.Call) client.Call {
+// withWorkspace returns the call with the given workspace.
+func withWorkspace(w ident.Workspace, call client.Call) client.Call {
 	call.Workspace = w
 	return call
 }
--- a/e2e/judge_test.go
+++ b/e2e/judge_test.go
@@ -16,16 +16,16 @@
 	return control.Client{Address: b.Addresses[id]}
 }
 
-// engineFaults sets the faults of stand-in engines.
-func (b *bed) engineFaults(f control.EngineFaults, ids ...ident.UpstreamID) {
+// setEngineFaults sets the faults of stand-in engines.
+func (b *bed) setEngineFaults(f control.EngineFaults, ids ...ident.UpstreamID) {
 	b.t.Helper()
 	for _, id := range ids {
 		assert.NilError(b.t, b.upstream(id).SetEngineFaults(b.ctx, f))
 	}
 }
 
-// serviceFaults sets the faults of all stand-in services.
-func (b *bed) serviceFaults(f control.ServiceFaults) {
+// setServiceFaults sets the faults of all stand-in services.
+func (b *bed) setServiceFaults(f control.ServiceFaults) {
 	b.t.Helper()
 	for _, id := range []ident.UpstreamID{serviceA, serviceB} {
 		assert.NilError(b.t, b.upstream(id).SetServiceFaults(b.ctx, f))
@@ -40,23 +40,23 @@
 	return got
 }
 
-// ran returns the runs that the stand-ins report, by request.
-func (b *bed) ran() *judge.Index {
+// runs returns the runs that the stand-ins report, by request.
+func (b *bed) runs() *judge.Index {
 	b.t.Helper()
 	r := b.reports()
 	return judge.NewIndex(r.Engines, r.Services)
 }
 
-// engine returns the report of one engine.
-func (b *bed) engine(id ident.UpstreamID) judge.Engine {
+// engineReport returns the report of one engine.
+func (b *bed) engineReport(id ident.UpstreamID) judge.Engine {
 	b.t.Helper()
 	e, err := b.upstream(id).Engine(b.ctx)
 	assert.NilError(b.t, err)
 	return e
 }
 
-// nothingHeld waits until no engine holds an attempt or a piece of KV memory.
-func (b *bed) nothingHeld() {
+// awaitNothingHeld waits until no engine holds an attempt or a piece of KV memory.
+func (b *bed) awaitNothingHeld() {
 	b.t.Helper()
 	b.eventually("engines to release all attempts and pieces", func() (bool, string) {
 		held := b.reports().Held()
@@ -64,8 +64,9 @@
 	})
 }
 
-// running waits until the services run at least the given number of calls.
-func (b *bed) running(calls int) {
+// awaitServiceCalls waits until the services run at least the given number of
+// calls.
+func (b *bed) awaitServiceCalls(calls int) {
 	b.t.Helper()
 	b.eventually("service calls to run", func() (bool, string) {
 		n := 0
@@ -76,20 +77,20 @@
 	})
 }
 
-// generating waits until an engine decodes a request.
-func (b *bed) generating(id string) {
+// awaitDecode waits until an engine decodes a request.
+func (b *bed) awaitDecode(id string) {
 	b.t.Helper()
 	b.eventually("an engine to decode "+id, func() (bool, string) {
-		runs := b.ran().Request(id)
+		runs := b.runs().Request(id)
 		return runs.DecodeRuns > 0, fmt.Sprintf("%+v", runs)
 	})
 }
 
-// holderOf returns which of the given engines is decoding a request.
-func (b *bed) holderOf(id string, engines ...ident.UpstreamID) ident.UpstreamID {
+// decodingEngine returns which of the given engines is decoding a request.
+func (b *bed) decodingEngine(id string, engines ...ident.UpstreamID) ident.UpstreamID {
 	b.t.Helper()
 	for _, e := range engines {
-		for _, q := range b.engine(e).Requests {
+		for _, q := range b.engineReport(e).Requests {
 			if q.CorrelationID == id && q.DecodeRuns > q.Completed {
 				return e
 			}
--- a/e2e/limits_test.go
+++ b/e2e/limits_test.go
@@ -18,36 +18,37 @@
 	fewConcurrency  = 8
 	fewZonePart     = fewConcurrency / 2
 	fewInstancePart = fewConcurrency / 4
-	// fewAlone is what one instance can use while the others are idle: its own
-	// part, and its neighbour's except for the one slot that is never lent.
-	fewAlone = 2*fewInstancePart - 1
+	// fewSingleInstance is what one instance can use while the others are idle:
+	// its own part, and its neighbour's except for the one slot that is never
+	// lent.
+	fewSingleInstance = 2*fewInstancePart - 1
 
 	pacedRate  = 20.0
 	pacedBurst = 8.0
 	// pacedInstancePart is the part of the rate of each instance.
 	pacedInstancePart = pacedRate / 4
-	// pacedStart is the number of tokens in an instance's bucket when the instance
-	// starts.
-	pacedStart = 1.0
+	// pacedInitialTokens is the number of tokens in an instance's bucket when
+	// the instance starts.
+	pacedInitialTokens = 1.0
 )
 
-// inUse returns the number of attempts of streams that decode engines hold.
-func (b *bed) inUse(engines ...ident.UpstreamID) int {
+// heldStreams returns the number of attempts of streams that decode engines hold.
+func (b *bed) heldStreams(engines ...ident.UpstreamID) int {
 	b.t.Helper()
 	n := 0
 	for _, id := range engines {
-		n += b.engine(id).Held.Attempts
+		n += b.engineReport(id).Held.Attempts
 	}
 	return n
 }
 
-// filled waits until engines hold exactly the wanted number of streams under a
-// flood. It fails the test if they hold more than most before that or during the
-// refusals that follow.
-func (b *bed) filled(f *flood, want, most int, engines ...ident.UpstreamID) {
+// awaitStreams waits until engines hold exactly the wanted number of streams
+// under a flood. It fails the test if they hold more than most before that or
+// during the refusals that follow.
+func (b *bed) awaitStreams(f *flood, want, most int, engines ...ident.UpstreamID) {
 	b.t.Helper()
 	b.eventually(fmt.Sprintf("%d streams on %v", want, engines), func() (bool, string) {
-		n := b.inUse(engines...)
+		n := b.heldStreams(engines...)
 		assert.Assert(b.t, n <= most, "%d streams on %v, limit is %d", n, engines, most)
 		return n == want, fmt.Sprintf("%d streams; %d refusals", n, len(f.refusals()))
 	})
@@ -55,7 +56,7 @@
 	// admitted.
 	before := len(f.refusals())
 	b.eventually("further refusals", func() (bool, string) {
-		n := b.inUse(engines...)
+		n := b.heldStreams(engines...)
 		assert.Assert(b.t, n <= most, "%d streams on %v, limit is %d", n, engines, most)
 		return len(f.refusals()) > before+enough, "too few refusals"
 	})
@@ -71,9 +72,9 @@
 // floodOfStreams starts a flood of endless streams of workspace "few".
 func (b *bed) floodOfStreams(to []*testbed.Instance) *flood {
 	return b.startFlood(to, func(in *testbed.Instance) *pending {
-		call := review(in, 50, endless)
-		call.Call = of("few", call.Call)
-		return b.complete(call)
+		call := review(in, 50, endlessTokens)
+		call.Call = withWorkspace("few", call.Call)
+		return b.startCompletion(call)
 	})
 }
 
@@ -85,33 +86,33 @@
 	b := newBed(t)
 	f := b.floodOfStreams(b.Instances[:1])
 	t.Log("one instance alone")
-	b.filled(f, fewAlone, fewAlone, decodeA, decodeB)
+	b.awaitStreams(f, fewSingleInstance, fewSingleInstance, decodeA, decodeB)
 	t.Log("all instances")
-	f.aim(b.Instances)
-	b.filled(f, fewConcurrency, fewConcurrency, decodeA, decodeB)
+	f.setInstances(b.Instances)
+	b.awaitStreams(f, fewConcurrency, fewConcurrency, decodeA, decodeB)
 
 	t.Log("an instance is killed")
 	// The victim is an instance that borrows nothing: it uses only its own part.
-	victim := b.in(hallB)[1]
-	f.aim(b.others(victim))
+	victim := b.instancesIn(hallB)[1]
+	f.setInstances(b.others(victim))
 	assert.NilError(t, b.KillInstance(victim))
 	// The victim's streams count until its peers have released them.
 	b.eventually("the other instances to use the victim's part", func() (bool, string) {
-		n := b.inUse(decodeA, decodeB)
+		n := b.heldStreams(decodeA, decodeB)
 		assert.Assert(t, n <= fewConcurrency+fewInstancePart, "%d streams", n)
-		mine := b.heldFor(victim.ID, decodeA, decodeB)
+		mine := b.heldByInstance(victim.ID, decodeA, decodeB)
 		return mine == 0 && n == fewConcurrency, fmt.Sprintf("%d streams, %d of them the victim's", n, mine)
 	})
-	b.filled(f, fewConcurrency, fewConcurrency, decodeA, decodeB)
+	b.awaitStreams(f, fewConcurrency, fewConcurrency, decodeA, decodeB)
 	f.stop()
 }
 
-// heldFor returns the number of an instance's attempts that engines hold.
-func (b *bed) heldFor(owner ident.InstanceID, engines ...ident.UpstreamID) int {
+// heldByInstance returns the number of an instance's attempts that engines hold.
+func (b *bed) heldByInstance(owner ident.InstanceID, engines ...ident.UpstreamID) int {
 	b.t.Helper()
 	n := 0
 	for _, id := range engines {
-		for _, q := range b.heldBy(id).Requests {
+		for _, q := range b.heldRequestsOf(id).Requests {
 			if a, err := ident.ParseAttemptID(q.ID); err == nil && a.Instance == owner {
 				n++
 			}
@@ -120,53 +121,53 @@
 	return n
 }
 
-// rateWatch compares the number of calls of workspace "paced" that services ran
+// rateCheck compares the number of calls of workspace "paced" that services ran
 // with the workspace's rate limit.
-type rateWatch struct {
+type rateCheck struct {
 	b     *bed
 	began time.Time
-	// lives is the number of instance starts. missing is the time at which an
+	// starts is the number of instance starts. killedAt is the time at which an
 	// instance was killed, or zero if none was.
-	lives   int
-	missing time.Time
+	starts   int
+	killedAt time.Time
 }
 
 // floodOfCalls starts a flood of calls of workspace "paced".
-func (b *bed) floodOfCalls() (*flood, *rateWatch) {
-	w := &rateWatch{b: b, began: time.Now(), lives: len(b.Instances)}
+func (b *bed) floodOfCalls() (*flood, *rateCheck) {
+	w := &rateCheck{b: b, began: time.Now(), starts: len(b.Instances)}
 	return b.startFlood(b.Instances, func(in *testbed.Instance) *pending {
 		call := order(in)
-		call.Call = of("paced", call.Call)
-		call.Deadline = patience
-		return b.serve(call)
+		call.Call = withWorkspace("paced", call.Call)
+		call.Deadline = shortDeadline
+		return b.startServiceCall(call)
 	}), w
 }
 
 // allowed returns how many calls may have run by now. Once an instance was
 // killed, the part of the rate of an instance that is missing from a peer's view
 // is added.
-func (w *rateWatch) allowed() float64 {
-	n := pacedRate*time.Since(w.began).Seconds() + pacedBurst + pacedStart*float64(w.lives)
-	if !w.missing.IsZero() {
-		n += pacedInstancePart * time.Since(w.missing).Seconds()
+func (w *rateCheck) allowed() float64 {
+	n := pacedRate*time.Since(w.began).Seconds() + pacedBurst + pacedInitialTokens*float64(w.starts)
+	if !w.killedAt.IsZero() {
+		n += pacedInstancePart * time.Since(w.killedAt).Seconds()
 	}
 	return n
 }
 
-// grown waits until each of the given services ran the given number of further
+// awaitRuns waits until each of the given services ran the given number of further
 // calls. It fails the test if all services together ran more than allowed.
-func (w *rateWatch) grown(by int, services ...ident.UpstreamID) {
+func (w *rateCheck) awaitRuns(by int, services ...ident.UpstreamID) {
 	w.b.t.Helper()
 	from := map[ident.UpstreamID]int{}
 	for _, id := range services {
-		from[id] = w.b.runsOf(id)
+		from[id] = w.b.serviceRuns(id)
 	}
 	w.b.eventually(fmt.Sprintf("%d more calls at %v", by, services), func() (bool, string) {
-		all := w.b.runsOf(serviceA) + w.b.runsOf(serviceB)
+		all := w.b.serviceRuns(serviceA) + w.b.serviceRuns(serviceB)
 		allowed := w.allowed()
 		assert.Assert(w.b.t, float64(all) <= allowed, "%d calls ran, limit is %.1f", all, allowed)
 		for _, id := range services {
-			if n := w.b.runsOf(id) - from[id]; n < by {
+			if n := w.b.serviceRuns(id) - from[id]; n < by {
 				return false, fmt.Sprintf("%s ran %d", id, n)
 			}
 		}
@@ -180,19 +181,19 @@
 func TestRateLimitAcrossInstances(t *testing.T) {
 	b := newBed(t)
 	f, w := b.floodOfCalls()
-	w.grown(enough, serviceA, serviceB)
+	w.awaitRuns(enough, serviceA, serviceB)
 
 	t.Log("an instance is killed")
 	victim := b.Instances[0]
 	assert.NilError(t, b.KillInstance(victim))
-	w.missing = time.Now()
-	w.grown(someWork, serviceA, serviceB)
+	w.killedAt = time.Now()
+	w.awaitRuns(someWork, serviceA, serviceB)
 
 	t.Log("the instance is replaced")
-	w.lives++
+	w.starts++
 	assert.NilError(t, b.StartInstance(victim))
 	assert.NilError(t, b.WaitReady(b.ctx, victim))
-	w.grown(someWork, serviceA, serviceB)
+	w.awaitRuns(someWork, serviceA, serviceB)
 	f.stop()
 }
 
@@ -205,15 +206,15 @@
 	b.CutOff(hallB)
 	calls, w := b.floodOfCalls()
 	streams := b.floodOfStreams(b.Instances)
-	b.filled(streams, fewZonePart, fewZonePart, decodeA)
-	b.filled(streams, fewZonePart, fewZonePart, decodeB)
-	w.grown(enough, serviceA, serviceB)
+	b.awaitStreams(streams, fewZonePart, fewZonePart, decodeA)
+	b.awaitStreams(streams, fewZonePart, fewZonePart, decodeB)
+	w.awaitRuns(enough, serviceA, serviceB)
 	calls.stop()
 	streams.stop()
 }
 
-// runsOf returns how many calls a service ran.
-func (b *bed) runsOf(id ident.UpstreamID) int {
+// serviceRuns returns how many calls a service ran.
+func (b *bed) serviceRuns(id ident.UpstreamID) int {
 	b.t.Helper()
 	s, err := b.upstream(id).Service(b.ctx)
 	assert.NilError(b.t, err)
--- a/e2e/orders_test.go
+++ b/e2e/orders_test.go
@@ -45,8 +45,8 @@
 	return &next
 }
 
-// runWeights waits until all engines run the given version of the models.
-func (b *bed) runWeights(version string) {
+// awaitWeights waits until all engines run the given version of the models.
+func (b *bed) awaitWeights(version string) {
 	b.t.Helper()
 	b.eventually("all engines to run "+version, func() (bool, string) {
 		for _, id := range engineIDs {
@@ -66,19 +66,19 @@
 func TestFrozenInstanceOrdersNothingOld(t *testing.T) {
 	b := newBed(t)
 	w := b.watchBundles()
-	b.inForce(1, b.Instances...)
-	victim := b.in(hallB)[0]
+	b.awaitVersion(1, b.Instances...)
+	victim := b.instancesIn(hallB)[0]
 	assert.NilError(t, victim.Entry.Freeze())
 	assert.NilError(t, victim.Agent.Freeze())
 	assert.NilError(t, b.Operators.Publish(b.ctx, withWeights(b.Deployment.Content, "v2")))
 	assert.NilError(t, b.Operators.RollAll(b.ctx))
-	b.inForce(2, b.others(victim)...)
+	b.awaitVersion(2, b.others(victim)...)
 	began := time.Now()
-	b.runWeights("v2")
+	b.awaitWeights("v2")
 	t.Logf("all engines run the new weights after %v", time.Since(began).Round(100*time.Millisecond))
 	assert.NilError(t, victim.Entry.Thaw())
 	assert.NilError(t, victim.Agent.Thaw())
-	b.inForce(2, b.Instances...)
+	b.awaitVersion(2, b.Instances...)
 	// Leaves time for the resumed agent to send a stale order.
 	b.wait(2 * time.Second)
 
@@ -90,7 +90,7 @@
 		}
 		assert.Equal(t, highest, uint64(2), id)
 	}
-	b.runWeights("v2")
-	w.neverBack()
-	b.answers(2, b.Instances...)
+	b.awaitWeights("v2")
+	w.requireNoRevert()
+	b.requireAnswers(2, b.Instances...)
 }
--- a/e2e/status_test.go
+++ b/e2e/status_test.go
@@ -15,12 +15,12 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// lookLimit is the time limit for reading the status of all agents.
-const lookLimit = 3 * time.Second
+// fleetStatusLimit is the time limit for reading the status of all agents.
+const fleetStatusLimit = 3 * time.Second
 
-// look reads the status of the agents of all instances. Tests use it to wait until
-// the fleet knows something, never to check what ran.
-func (b *bed) look() *console.Fleet {
+// fleetStatus reads the status of the agents of all instances. Tests use it to
+// wait until the fleet knows something, never to check what ran.
+func (b *bed) fleetStatus() *console.Fleet {
 	pool := peer.NewPool(peer.Config{
 		Self:  peer.Identity{Instance: testbed.OperatorName, Incarnation: ident.NewIncarnation(time.Now()), Zone: "operators"},
 		Allow: func(peer.Identity) bool { return true },
@@ -29,7 +29,7 @@
 	defer pool.Close()
 	// Not the test's context, which may be cancelled when keepLogs reads the status
 	// after a failure.
-	ctx, cancel := context.WithTimeout(context.Background(), lookLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), fleetStatusLimit)
 	defer cancel()
 	var addresses []string
 	for _, in := range b.Instances {
@@ -38,9 +38,9 @@
 	return console.Look(ctx, pool, addresses)
 }
 
-// status returns the status of an instance's agent, or nil if the agent did not
+// findStatus returns the status of an instance's agent, or nil if the agent did not
 // answer.
-func status(f *console.Fleet, id ident.InstanceID) *wire.Status {
+func findStatus(f *console.Fleet, id ident.InstanceID) *wire.Status {
 	for i := range f.Agents {
 		if f.Agents[i].Instance == id {
 			return &f.Agents[i]
@@ -61,6 +61,6 @@
 	f, err := os.Create(filepath.Join(kept, "fleet.txt"))
 	assert.NilError(b.t, err)
 	defer func() { _ = f.Close() }()
-	assert.NilError(b.t, b.look().Write(f))
+	assert.NilError(b.t, b.fleetStatus().Write(f))
 	b.t.Logf("logs kept in %s", kept)
 }
--- a/e2e/tls_test.go
+++ b/e2e/tls_test.go
@@ -45,14 +45,14 @@
 	return b, authority, files
 }
 
-// forwarded sends an order with a ticket of one instance to another, and fails the
-// test unless the answer is complete and the order ran once.
-func (b *bed) forwarded(executor, to *testbed.Instance) {
+// requireForwarded sends an order with a ticket of one instance to another, and
+// fails the test unless the answer is complete and the order ran once.
+func (b *bed) requireForwarded(executor, to *testbed.Instance) {
 	b.t.Helper()
-	call := b.ticketed(order(executor))
+	call := b.withTicket(order(executor))
 	call.Target = to.Callers
-	b.whole(b.serve(call))
-	assert.Equal(b.t, b.ran().KeyRuns(call.IdempotencyKey), 1, call.RequestID)
+	b.requireComplete(b.startServiceCall(call))
+	assert.Equal(b.t, b.runs().KeyRuns(call.IdempotencyKey), 1, call.RequestID)
 }
 
 // TestFleetWithTLS runs a fleet with TLS towards callers, between entries, between
@@ -64,14 +64,14 @@
 // also takes effect without a restart.
 func TestFleetWithTLS(t *testing.T) {
 	b, authority, files := newTLSBed(t)
-	b.inForce(1, b.Instances...)
-	b.answers(1, b.Instances...)
+	b.awaitVersion(1, b.Instances...)
+	b.requireAnswers(1, b.Instances...)
 	for i, in := range b.Instances {
-		b.forwarded(in, b.Instances[(i+1)%len(b.Instances)])
+		b.requireForwarded(in, b.Instances[(i+1)%len(b.Instances)])
 	}
 	assert.Equal(t, b.roll(), uint64(2))
-	b.inForce(2, b.Instances...)
-	b.refusesPlainText(b.Instances[0])
+	b.awaitVersion(2, b.Instances...)
+	b.requirePlainTextRefused(b.Instances[0])
 
 	t.Log("an instance with another instance's certificate")
 	victim, peer := b.Instances[3], b.Instances[0]
@@ -87,34 +87,35 @@
 		reachable := b.reachable(peer, victim.ID)
 		return !reachable, "its peer reports it as reachable"
 	})
-	b.answers(2, b.others(victim)...)
+	b.requireAnswers(2, b.others(victim)...)
 
 	t.Log("the right certificate, and a renewed certificate towards callers")
-	before := b.serial(peer, files.Client)
+	before := b.certificateSerial(peer, files.Client)
 	authority.Write(files.Callers[peer.ID], callersName)
 	authority.Write(files.Peers[victim.ID], string(victim.ID))
 	b.eventually("the renewed certificate", func() (bool, string) {
-		return b.serial(peer, files.Client) != before, before
+		return b.certificateSerial(peer, files.Client) != before, before
 	})
 	b.eventually("the victim to be reachable", func() (bool, string) {
 		return b.reachable(peer, victim.ID), "its peer reports it as unreachable"
 	})
 	assert.NilError(t, b.WaitReady(b.ctx, victim))
-	b.inForce(2, b.Instances...)
-	b.answers(2, b.Instances...)
-	b.forwarded(victim, peer)
-	b.forwarded(peer, victim)
+	b.awaitVersion(2, b.Instances...)
+	b.requireAnswers(2, b.Instances...)
+	b.requireForwarded(victim, peer)
+	b.requireForwarded(peer, victim)
 }
 
-// refusesPlainText fails the test if an instance serves a request without TLS.
-func (b *bed) refusesPlainText(in *testbed.Instance) {
+// requirePlainTextRefused fails the test if an instance serves a request without
+// TLS.
+func (b *bed) requirePlainTextRefused(in *testbed.Instance) {
 	b.t.Helper()
 	plain := client.New()
 	defer plain.Close()
 	call := order(in)
 	r := plain.CallService(b.ctx, call)
 	assert.Assert(b.t, !r.Complete() && r.Outcome != api.Complete, "%s", describe(r))
-	assert.Assert(b.t, !b.ran().Request(call.RequestID).Ran(), call.RequestID)
+	assert.Assert(b.t, !b.runs().Request(call.RequestID).Ran(), call.RequestID)
 }
 
 // logged reports whether the entry or the agent of an instance has logged a text.
@@ -143,9 +144,9 @@
 	return false
 }
 
-// serial returns the serial number of the certificate that an instance presents to
-// callers.
-func (b *bed) serial(in *testbed.Instance, config *tls.Config) string {
+// certificateSerial returns the serial number of the certificate that an
+// instance presents to callers.
+func (b *bed) certificateSerial(in *testbed.Instance, config *tls.Config) string {
 	b.t.Helper()
 	dialer := &tls.Dialer{Config: config}
 	conn, err := dialer.DialContext(b.ctx, "tcp", in.Callers)
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -49,7 +49,7 @@
 	defer tick.Stop()
 	for {
 		o.Seed++
-		o.RunID = newID("traffic")
+		o.RunID = newRequestID("traffic")
 		slice := o
 		slices.Go(func() {
 			records := runner.Run(ctx, slice)
@@ -75,14 +75,14 @@
 	return <-tr.records
 }
 
-// check fails the test if the stand-ins' reports contradict the callers' records,
-// and returns the number of requests with each outcome.
-func (b *bed) check(records []runner.Record, allReport bool) map[api.Outcome]int {
+// requireGuarantees fails the test if the stand-ins' reports contradict the
+// callers' records, and returns the number of requests with each outcome.
+func (b *bed) requireGuarantees(records []runner.Record, allReport bool) map[api.Outcome]int {
 	b.t.Helper()
-	reports, err := referee.FetchQuiet(b.ctx, b.JudgeAddresses(), soon)
+	reports, err := referee.FetchQuiet(b.ctx, b.JudgeAddresses(), waitLimit)
 	assert.NilError(b.t, err)
 	v := referee.Judge(records, reports, allReport)
-	assert.Equal(b.t, v.Unseen, 0)
+	assert.Equal(b.t, v.Unrecorded, 0)
 	assert.Assert(b.t, !v.Broken(), "%+v", v)
 	outcomes := map[api.Outcome]int{}
 	for i := range records {
@@ -99,6 +99,6 @@
 	b := newBed(t)
 	tr := b.startTraffic(b.CallerAddresses())
 	b.wait(2 * time.Second)
-	outcomes := b.check(tr.stop(), true)
+	outcomes := b.requireGuarantees(tr.stop(), true)
 	assert.Equal(t, len(outcomes), 1, "%v", outcomes)
 }
--- a/e2e/transfer_test.go
+++ b/e2e/transfer_test.go
@@ -15,26 +15,26 @@
 // them. Nothing may stay held.
 func TestStalledTransfersOfOneEngine(t *testing.T) {
 	b := newBed(t)
-	b.engineFaults(control.EngineFaults{StallTransfers: true}, prefillA)
+	b.setEngineFaults(control.EngineFaults{StallTransfers: true}, prefillA)
 	// Makes all requests start at the engine that stalls.
-	b.engineFaults(control.EngineFaults{Refuse: true}, prefillB)
+	b.setEngineFaults(control.EngineFaults{Refuse: true}, prefillB)
 	var reviews, triages []*pending
 	for _, in := range b.Instances {
-		reviews = append(reviews, b.complete(review(in, 1000, 50)))
-		triages = append(triages, b.complete(triage(in, 1000, 50)))
+		reviews = append(reviews, b.startCompletion(review(in, 1000, 50)))
+		triages = append(triages, b.startCompletion(triage(in, 1000, 50)))
 	}
-	b.inStage("receiving", 1, decodeA, decodeB)
-	b.engineFaults(control.EngineFaults{}, prefillB)
+	b.awaitStage("receiving", 1, decodeA, decodeB)
+	b.setEngineFaults(control.EngineFaults{}, prefillB)
 	for _, p := range triages {
-		r := b.done(p)
+		r := b.await(p)
 		assert.Check(t, r.Complete() || r.Outcome == api.Unknown, "%s: %s", p.id, describe(r))
 	}
 	for _, p := range reviews {
-		r := b.done(p)
+		r := b.await(p)
 		assert.Check(t, r.Complete(), "%s: %s", p.id, describe(r))
 	}
-	b.nothingHeld()
-	ran := b.ran()
+	b.awaitNothingHeld()
+	ran := b.runs()
 	for _, p := range append(reviews, triages...) {
 		assert.Check(t, ran.Request(p.id).Completed <= 1, p.id)
 	}
@@ -45,24 +45,24 @@
 // transfers work again, requests must get complete answers.
 func TestStalledTransfersEverywhere(t *testing.T) {
 	b := newBed(t)
-	b.engineFaults(control.EngineFaults{StallTransfers: true}, prefillA, prefillB)
+	b.setEngineFaults(control.EngineFaults{StallTransfers: true}, prefillA, prefillB)
 	var sent []*pending
 	for _, in := range b.Instances {
-		sent = append(sent, b.complete(review(in, 1000, 50)), b.complete(triage(in, 1000, 50)))
+		sent = append(sent, b.startCompletion(review(in, 1000, 50)), b.startCompletion(triage(in, 1000, 50)))
 	}
 	results := map[string]api.Outcome{}
 	for _, p := range sent {
-		r := b.done(p)
+		r := b.await(p)
 		assert.Assert(t, !r.Complete(), "%s: %s", p.id, describe(r))
 		results[p.id] = r.Outcome
 	}
-	b.nothingHeld()
-	ran := b.ran()
+	b.awaitNothingHeld()
+	ran := b.runs()
 	for id, outcome := range results {
 		assert.Assert(t, outcome == api.Unknown || !ran.Request(id).Ran(), "%s: %s, %+v", id, outcome, ran.Request(id))
 	}
-	b.engineFaults(control.EngineFaults{}, prefillA, prefillB)
+	b.setEngineFaults(control.EngineFaults{}, prefillA, prefillB)
 	for _, in := range b.Instances {
-		b.whole(b.complete(review(in, 200, 20)))
+		b.requireComplete(b.startCompletion(review(in, 200, 20)))
 	}
 }
--- a/e2e/two_faults_test.go
+++ b/e2e/two_faults_test.go
@@ -17,15 +17,15 @@
 func TestEntryKilledWhilePlatformIsDown(t *testing.T) {
 	b := newBed(t)
 	assert.Equal(t, b.roll(), uint64(2))
-	b.inForce(2, b.Instances...)
+	b.awaitVersion(2, b.Instances...)
 	victim := b.Instances[3]
-	tr := b.startTraffic(callers(b.others(victim)))
-	sent := []*pending{b.stream(review(victim, 200, endless)), b.stream(triage(victim, 200, endless))}
+	tr := b.startTraffic(callerAddresses(b.others(victim)))
+	sent := []*pending{b.startStream(review(victim, 200, endlessTokens)), b.startStream(triage(victim, 200, endlessTokens))}
 
-	b.platformMode(control.PlatformMode{Mode: control.ModeDown, DownBy: control.DownByHang})
+	b.setPlatformMode(control.PlatformMode{Mode: control.ModeDown, DownBy: control.DownByHang})
 	assert.NilError(t, victim.Entry.Kill())
 	for _, p := range sent {
-		assert.Assert(t, lost(b.done(p)), p.id)
+		assert.Assert(t, connectionLost(b.await(p)), p.id)
 	}
 	b.eventually("the release of the streams", func() (bool, string) {
 		for _, e := range b.reports().Engines {
@@ -41,9 +41,9 @@
 	})
 	assert.NilError(t, b.StartEntry(victim))
 	assert.NilError(t, b.WaitReady(b.ctx, victim))
-	b.inForce(2, b.Instances...)
-	b.answers(2, victim)
-	b.check(tr.stop(), true)
+	b.awaitVersion(2, b.Instances...)
+	b.requireAnswers(2, victim)
+	b.requireGuarantees(tr.stop(), true)
 }
 
 // TestEngineCrashWhileAgentIsFrozen freezes the agent of an instance and crashes
@@ -52,27 +52,27 @@
 func TestEngineCrashWhileAgentIsFrozen(t *testing.T) {
 	b := newBed(t)
 	victim := b.Instances[0]
-	streams := []*pending{b.stream(review(victim, 200, 300)), b.stream(review(victim, 200, 300))}
-	once := b.stream(triage(victim, 200, 300))
+	streams := []*pending{b.startStream(review(victim, 200, 300)), b.startStream(review(victim, 200, 300))}
+	once := b.startStream(triage(victim, 200, 300))
 	assert.NilError(t, victim.Agent.Freeze())
-	engine := b.holderOf(once.id, decodeA, decodeB)
+	engine := b.decodingEngine(once.id, decodeA, decodeB)
 	b.crash(engine)
 
 	for _, p := range streams {
-		b.whole(p)
+		b.requireComplete(p)
 	}
-	r := b.done(once)
+	r := b.await(once)
 	assert.Equal(t, r.Outcome, api.Unknown, "%s: %s", once.id, describe(r))
 	for range 3 {
-		b.whole(b.complete(review(victim, 200, 20)))
-		b.whole(b.serve(b.ticketed(order(victim))))
+		b.requireComplete(b.startCompletion(review(victim, 200, 20)))
+		b.requireComplete(b.startServiceCall(b.withTicket(order(victim))))
 	}
 	assert.NilError(t, victim.Agent.Thaw())
-	b.nothingHeld()
-	ran := b.ran()
+	b.awaitNothingHeld()
+	ran := b.runs()
 	assert.Equal(t, ran.Request(once.id).DecodeRuns, 1)
 	for _, in := range b.Instances {
-		b.whole(b.complete(review(in, 200, 20)))
+		b.requireComplete(b.startCompletion(review(in, 200, 20)))
 	}
 }
 
@@ -83,17 +83,17 @@
 	b := newBed(t)
 	w := b.watchBundles()
 	tr := b.startTraffic(b.CallerAddresses())
-	b.platformMode(control.PlatformMode{
+	b.setPlatformMode(control.PlatformMode{
 		Mode: control.ModeFlapping, DownBy: control.DownByClose, Seed: 1, MeanUpMS: 300, MeanDownMS: 700,
 	})
 	for range 2 {
 		version := b.roll()
-		b.inForce(version, b.Instances...)
+		b.awaitVersion(version, b.Instances...)
 	}
 	b.restart(b.Instances[2])
 	version := b.roll()
-	b.inForce(version, b.Instances...)
+	b.awaitVersion(version, b.Instances...)
 	b.wait(time.Second)
-	b.check(tr.stop(), true)
-	w.neverBack()
+	b.requireGuarantees(tr.stop(), true)
+	w.requireNoRevert()
 }
--- a/load/client/client.go
+++ b/load/client/client.go
@@ -103,10 +103,10 @@
 func (e *ConnError) Unwrap() error { return e.Err }
 
 // ProtocolError reports an answer that violates the callers' protocol.
-type ProtocolError struct{ Wrong string }
+type ProtocolError struct{ Detail string }
 
 // Error implements error.
-func (e *ProtocolError) Error() string { return "protocol: " + e.Wrong }
+func (e *ProtocolError) Error() string { return "protocol: " + e.Detail }
 
 // WrongAnswerError reports an answer that is incomplete or belongs to another
 // call.
@@ -134,13 +134,13 @@
 	req.Header.Set("Content-Type", contentType)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, &ConnError{Sent: !isDial(err), Err: err}
+		return nil, &ConnError{Sent: !isDialError(err), Err: err}
 	}
 	return resp, nil
 }
 
-// isDial reports whether the connection could not be established.
-func isDial(err error) bool {
+// isDialError reports whether the connection could not be established.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
@@ -167,8 +167,8 @@
 	}
 }
 
-// head sets the status and the fields that the response headers carry.
-func (r *Result) head(resp *http.Response) {
+// readHeaders sets the status and the fields that the response headers carry.
+func (r *Result) readHeaders(resp *http.Response) {
 	r.Status = resp.StatusCode
 	r.Outcome = api.Outcome(resp.Header.Get(api.HeaderOutcome))
 	r.Instance = resp.Header.Get(api.HeaderInstance)
--- a/load/client/client_test.go
+++ b/load/client/client_test.go
@@ -22,12 +22,12 @@
 		as      any
 		outcome api.Outcome
 	}{
-		"whole":           {behaves, nil, api.Complete},
+		"whole":           {noFault, nil, api.Complete},
 		"token missing":   {dropsToken, &wrong, api.Complete},
 		"token swapped":   {swapsToken, &wrong, api.Complete},
-		"broken off":      {breaksOff, &conn, ""},
+		"broken off":      {truncatesStream, &conn, ""},
 		"no outcome":      {noOutcome, &protocol, ""},
-		"after the end":   {talksOn, &protocol, api.Complete},
+		"after the end":   {sendsAfterEnd, &protocol, api.Complete},
 		"fails midway":    {failsMidway, nil, api.Unknown},
 		"refused at once": {refuses, nil, api.NotRun},
 	} {
@@ -42,7 +42,7 @@
 			} else {
 				assert.Assert(t, errors.As(got.Err, tc.as), "%T %v", got.Err, got.Err)
 			}
-			assert.Equal(t, got.Complete(), tc.m == behaves)
+			assert.Equal(t, got.Complete(), tc.m == noFault)
 			assert.Assert(t, !got.Done.Before(got.First))
 		})
 	}
@@ -58,8 +58,8 @@
 		as      any
 		outcome api.Outcome
 	}{
-		"right":      {behaves, nil, api.Complete},
-		"another's":  {mixesUp, &wrong, api.Complete},
+		"right":      {noFault, nil, api.Complete},
+		"another's":  {answersOtherCall, &wrong, api.Complete},
 		"no outcome": {noOutcome, &protocol, ""},
 		"refused":    {refuses, nil, api.Unknown},
 	} {
@@ -81,7 +81,7 @@
 func TestTicket(t *testing.T) {
 	c := New()
 	defer c.Close()
-	got, err := c.Ticket(context.Background(), Call{Target: fakeInstance(t, behaves)})
+	got, err := c.Ticket(context.Background(), Call{Target: fakeInstance(t, noFault)})
 	assert.NilError(t, err)
 	assert.Equal(t, got, "t-1")
 
--- a/load/client/complete.go
+++ b/load/client/complete.go
@@ -48,7 +48,7 @@
 		return r.finish()
 	}
 	defer func() { _ = resp.Body.Close() }()
-	r.head(resp)
+	r.readHeaders(resp)
 	if resp.StatusCode != http.StatusOK {
 		r.Err = r.readProblem(resp)
 		return r.finish()
@@ -70,8 +70,8 @@
 	}
 }
 
-// saw counts an output token received at the given time.
-func (r *Result) saw(now time.Time) {
+// countToken counts an output token received at the given time.
+func (r *Result) countToken(now time.Time) {
 	if r.Tokens == 0 {
 		r.First = now
 	}
--- a/load/client/direct.go
+++ b/load/client/direct.go
@@ -28,14 +28,14 @@
 	KV json.RawMessage `json:"kv_transfer_params"`
 }
 
-// prefillAnswer holds the field that is read from a prefill engine's response.
-type prefillAnswer struct {
+// prefillResponse holds the field that is read from a prefill engine's response.
+type prefillResponse struct {
 	KV json.RawMessage `json:"kv_transfer_params"`
 }
 
-// wantKV tells a prefill engine to keep the KV cache for transfer to a decode
-// engine.
-const wantKV = `{"do_remote_decode":true,"do_remote_prefill":false}`
+// prefillKVParams tells a prefill engine to keep the KV cache for transfer to a
+// decode engine.
+const prefillKVParams = `{"do_remote_decode":true,"do_remote_prefill":false}`
 
 // CompleteDirect calls the prefill engine and the decode engine, and checks the
 // answer.
@@ -55,7 +55,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	r.Status = resp.StatusCode
 	if resp.StatusCode != http.StatusOK {
-		r.Err = &ProtocolError{Wrong: "the decode engine answered " + resp.Status}
+		r.Err = &ProtocolError{Detail: "the decode engine answered " + resp.Status}
 		return r.finish()
 	}
 	// Engines send no outcome: a stream that ends without an error is complete.
@@ -76,18 +76,18 @@
 // prefillDirect calls the prefill engine and returns the KV transfer parameters
 // of its response.
 func (c *Client) prefillDirect(ctx context.Context, d *Direct) (json.RawMessage, error) {
-	body, _ := json.Marshal(directBody{completionBody: d.body(1, false), KV: json.RawMessage(wantKV)})
+	body, _ := json.Marshal(directBody{completionBody: d.body(1, false), KV: json.RawMessage(prefillKVParams)})
 	resp, err := c.postEngine(ctx, d.Prefill, d.Attempt+"-prefill", body)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, &ProtocolError{Wrong: "the prefill engine answered " + resp.Status}
+		return nil, &ProtocolError{Detail: "the prefill engine answered " + resp.Status}
 	}
-	var got prefillAnswer
+	var got prefillResponse
 	if err := json.NewDecoder(resp.Body).Decode(&got); err != nil {
-		return nil, &ProtocolError{Wrong: "a prefill answer that is no JSON: " + err.Error()}
+		return nil, &ProtocolError{Detail: "a prefill answer that is no JSON: " + err.Error()}
 	}
 	return got.KV, nil
 }
--- a/load/client/fake_test.go
+++ b/load/client/fake_test.go
@@ -17,15 +17,15 @@
 type misbehaviour int
 
 const (
-	behaves misbehaviour = iota
+	noFault misbehaviour = iota
 	dropsToken
 	swapsToken
-	breaksOff
+	truncatesStream
 	noOutcome
 	failsMidway
-	mixesUp
+	answersOtherCall
 	refuses
-	talksOn
+	sendsAfterEnd
 )
 
 // fakeInstance starts a server that answers as an entry instance does, apart
@@ -33,8 +33,8 @@
 func fakeInstance(t *testing.T, m misbehaviour) string {
 	t.Helper()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { complete(w, r, m) })
-	mux.HandleFunc("POST /services/", func(w http.ResponseWriter, r *http.Request) { serve(w, r, m) })
+	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { serveCompletion(w, r, m) })
+	mux.HandleFunc("POST /services/", func(w http.ResponseWriter, r *http.Request) { serveService(w, r, m) })
 	mux.HandleFunc("POST /v1/tickets", func(w http.ResponseWriter, _ *http.Request) {
 		if m == refuses {
 			_ = api.NewProblem(api.ProblemStopping, api.NotRun, "").Write(w)
@@ -48,7 +48,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func complete(w http.ResponseWriter, r *http.Request, m misbehaviour) {
+func serveCompletion(w http.ResponseWriter, r *http.Request, m misbehaviour) {
 	if m == refuses {
 		_ = api.NewProblem(api.ProblemOverloaded, api.NotRun, "full").RetryAfter(1500).Write(w)
 		return
@@ -65,7 +65,7 @@
 			continue
 		case m == swapsToken:
 			token = p.Token(2)
-		case m == breaksOff:
+		case m == truncatesStream:
 			return
 		case m == failsMidway:
 			text, _ := json.Marshal(api.NewProblem(api.ProblemUpstreamFailed, api.Unknown, "lost"))
@@ -78,18 +78,18 @@
 		_, _ = io.WriteString(w, ": "+api.HeaderOutcome+": complete\n")
 	}
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
-	if m == talksOn {
+	if m == sendsAfterEnd {
 		_, _ = io.WriteString(w, "data: {\"choices\":[{\"text\":\"x\"}]}\n\n")
 	}
 }
 
-func serve(w http.ResponseWriter, r *http.Request, m misbehaviour) {
+func serveService(w http.ResponseWriter, r *http.Request, m misbehaviour) {
 	if m == refuses {
 		_ = api.NewProblem(api.ProblemTicketReused, api.Unknown, "").Write(w)
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
-	if m == mixesUp {
+	if m == answersOtherCall {
 		body = []byte("another's")
 	}
 	if m != noOutcome {
--- a/load/client/problem.go
+++ b/load/client/problem.go
@@ -27,7 +27,7 @@
 func (r *Result) setProblem(data []byte) error {
 	var p api.Problem
 	if err := json.Unmarshal(data, &p); err != nil {
-		return &ProtocolError{Wrong: "a failure that is no problem document: " + err.Error()}
+		return &ProtocolError{Detail: "a failure that is no problem document: " + err.Error()}
 	}
 	r.Problem = &p
 	r.Outcome = p.Outcome
@@ -35,6 +35,6 @@
 	case api.NotRun, api.Unknown:
 		return nil
 	default:
-		return &ProtocolError{Wrong: "a problem document with outcome " + string(p.Outcome)}
+		return &ProtocolError{Detail: "a problem document with outcome " + string(p.Outcome)}
 	}
 }
--- a/load/client/service.go
+++ b/load/client/service.go
@@ -39,7 +39,7 @@
 		return r.finish()
 	}
 	defer func() { _ = resp.Body.Close() }()
-	r.head(resp)
+	r.readHeaders(resp)
 	if resp.Header.Get("Content-Type") == api.ProblemContentType {
 		r.Err = r.readProblem(resp)
 		return r.finish()
@@ -50,18 +50,18 @@
 	case err != nil:
 		r.Err = &ConnError{Sent: true, Err: err}
 	case r.Outcome == "":
-		r.Err = &ProtocolError{Wrong: "an answer without an outcome"}
+		r.Err = &ProtocolError{Detail: "an answer without an outcome"}
 	case resp.StatusCode == http.StatusOK:
 		r.Err = call.check(data)
 	}
 	return r
 }
 
-// MixedUpError reports a service's answer that belongs to another call.
-type MixedUpError struct{ Want, Got string }
+// MismatchError reports a service's answer that belongs to another call.
+type MismatchError struct{ Want, Got string }
 
 // Error implements error.
-func (e *MixedUpError) Error() string { return fmt.Sprintf("want %s, got %s", e.Want, e.Got) }
+func (e *MismatchError) Error() string { return fmt.Sprintf("want %s, got %s", e.Want, e.Got) }
 
 // check returns a *WrongAnswerError if the answer belongs to another call. Calls
 // are told apart by their bodies, which should therefore be unique.
@@ -72,7 +72,7 @@
 	}
 	want := serviceAnswer{Service: c.Service, Path: c.Path, Echo: c.Body}
 	if got != want {
-		return &WrongAnswerError{Err: &MixedUpError{Want: fmt.Sprintf("%+v", want), Got: fmt.Sprintf("%+v", got)}}
+		return &WrongAnswerError{Err: &MismatchError{Want: fmt.Sprintf("%+v", want), Got: fmt.Sprintf("%+v", got)}}
 	}
 	return nil
 }
--- a/load/client/stream.go
+++ b/load/client/stream.go
@@ -16,14 +16,14 @@
 	dataPrefix    = []byte("data: ")
 	errorEvent    = []byte("event: error")
 	commentPrefix = []byte(": ")
-	endMark       = []byte("[DONE]")
+	endMarker     = []byte("[DONE]")
 )
 
-// maxEvent is the maximum length of a line of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxLine is the maximum length of a line of a stream, in bytes.
+const maxLine = 1 << 20
 
-// startEvent is the initial size of a stream's line buffer, in bytes.
-const startEvent = 2 << 10
+// initialLine is the initial size of a stream's line buffer, in bytes.
+const initialLine = 2 << 10
 
 // chunk holds the fields that are read from a chunk of a streamed completion.
 type chunk struct {
@@ -47,7 +47,7 @@
 // lost and a *ProtocolError if the stream is invalid.
 func (s *stream) read(resp *http.Response) error {
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 0, startEvent), maxEvent)
+	lines.Buffer(make([]byte, 0, initialLine), maxLine)
 	for lines.Scan() {
 		if err := s.line(lines.Bytes()); err != nil {
 			return err
@@ -59,19 +59,19 @@
 	if outcome := resp.Trailer.Get(api.HeaderOutcome); outcome != "" {
 		s.result.Outcome = api.Outcome(outcome)
 	}
-	return s.judge()
+	return s.checkEnd()
 }
 
-// judge checks that the stream ended with an end marker and an outcome, or with
+// checkEnd checks that the stream ended with an end marker and an outcome, or with
 // a problem document.
-func (s *stream) judge() error {
+func (s *stream) checkEnd() error {
 	switch {
 	case s.result.Problem != nil:
 		return nil
 	case !s.ended:
-		return &ConnError{Sent: true, Err: &ProtocolError{Wrong: "the stream broke off"}}
+		return &ConnError{Sent: true, Err: &ProtocolError{Detail: "the stream broke off"}}
 	case s.result.Outcome == "":
-		return &ProtocolError{Wrong: "an answer without an outcome"}
+		return &ProtocolError{Detail: "an answer without an outcome"}
 	default:
 		return nil
 	}
@@ -92,10 +92,10 @@
 	case !ok:
 		return nil
 	case s.ended:
-		return &ProtocolError{Wrong: "output after the end mark"}
+		return &ProtocolError{Detail: "output after the end mark"}
 	case s.failed:
 		return s.result.setProblem(data)
-	case bytes.Equal(data, endMark):
+	case bytes.Equal(data, endMarker):
 		s.ended = true
 		return nil
 	default:
@@ -116,12 +116,12 @@
 func (s *stream) chunk(data []byte) error {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
-		return &ProtocolError{Wrong: "a chunk that is no JSON: " + err.Error()}
+		return &ProtocolError{Detail: "a chunk that is no JSON: " + err.Error()}
 	}
 	for _, choice := range c.Choices {
 		if text := choice.Text + choice.Delta.Content; text != "" {
 			s.text.WriteString(text)
-			s.result.saw(time.Now())
+			s.result.countToken(time.Now())
 		}
 	}
 	return nil
--- a/load/client/ticket.go
+++ b/load/client/ticket.go
@@ -35,7 +35,7 @@
 		return "", &ConnError{Sent: true, Err: err}
 	}
 	if err := json.Unmarshal(data, &got); err != nil || got.Ticket == "" {
-		return "", &ProtocolError{Wrong: "an answer without a ticket"}
+		return "", &ProtocolError{Detail: "an answer without a ticket"}
 	}
 	return got.Ticket, nil
 }
--- a/load/referee/referee.go
+++ b/load/referee/referee.go
@@ -39,9 +39,9 @@
 	Services []judge.Service
 }
 
-// either has the fields of an engine's and of a service's report. Service is set
-// only in a service's report.
-type either struct {
+// combinedReport has the fields of an engine's and of a service's report.
+// Service is set only in a service's report.
+type combinedReport struct {
 	judge.Engine
 	Service       *string       `json:"service"`
 	Runs          int           `json:"runs"`
@@ -72,7 +72,7 @@
 }
 
 // fetch reads the report of one stand-in.
-func fetch(ctx context.Context, address string) (*either, error) {
+func fetch(ctx context.Context, address string) (*combinedReport, error) {
 	url := "http://" + address + control.PathJudge
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -86,7 +86,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, &StatusError{Status: resp.StatusCode}
 	}
-	var got either
+	var got combinedReport
 	if err := json.NewDecoder(resp.Body).Decode(&got); err != nil {
 		return nil, err
 	}
@@ -141,9 +141,9 @@
 	// computed repeatedly.
 	PromptComputed int `json:"prompt_computed"`
 	PromptWasted   int `json:"prompt_wasted"`
-	// Unseen counts the correlation IDs and keys that the stand-ins did not record
+	// Unrecorded counts the correlation IDs and keys that the stand-ins did not record
 	// because their record limits were reached.
-	Unseen int `json:"unseen"`
+	Unrecorded int `json:"unseen"`
 	// partial is true if reports of some upstreams are missing.
 	partial bool
 }
@@ -192,7 +192,7 @@
 	if rec.NotRun && q.serviceRuns+q.engineRuns > 0 {
 		v.FalseNotRun = append(v.FalseNotRun, rec.ID)
 	}
-	if rec.Outcome == "complete" && !rec.Wrong && q.serviceRuns+q.engineRuns == 0 && v.Unseen == 0 && !v.partial {
+	if rec.Outcome == "complete" && !rec.Wrong && q.serviceRuns+q.engineRuns == 0 && v.Unrecorded == 0 && !v.partial {
 		v.NeverRan = append(v.NeverRan, rec.ID)
 	}
 	if rec.Wrong {
@@ -201,11 +201,11 @@
 }
 
 // byRequest sums up the reports by request ID, and adds what the stand-ins did not
-// record to v.Unseen.
+// record to v.Unrecorded.
 func (r *Reports) byRequest(v *Verdict) map[string]request {
 	ran := map[string]request{}
 	for _, e := range r.Engines {
-		v.Unseen += e.Dropped
+		v.Unrecorded += e.Dropped
 		for _, q := range e.Requests {
 			sum := ran[q.CorrelationID]
 			sum.engineRuns += q.PrefillRuns + q.DecodeRuns
@@ -216,7 +216,7 @@
 	}
 	byKey := map[string]int{}
 	for _, s := range r.Services {
-		v.Unseen += s.Dropped
+		v.Unrecorded += s.Dropped
 		for _, n := range s.ByCorrelation {
 			sum := ran[n.Name]
 			sum.serviceRuns += n.N
--- a/load/workload/arrival.go
+++ b/load/workload/arrival.go
@@ -58,7 +58,7 @@
 func NewGenerator(spec *Spec, rate float64, seed uint64) *Generator {
 	g := &Generator{spec: spec, rate: rate, rng: rand.New(rand.NewPCG(seed, streamArrivals))}
 	if spec.Bursts.Factor > 1 {
-		g.phaseEnd = g.exponential(spec.Bursts.Off)
+		g.phaseEnd = g.drawExponential(spec.Bursts.Off)
 	}
 	return g
 }
@@ -66,13 +66,13 @@
 // Next returns the next arrival.
 func (g *Generator) Next() Arrival {
 	g.advance()
-	kind := &g.spec.Kinds[g.pick(len(g.spec.Kinds), func(i int) float64 { return g.spec.Kinds[i].Share })]
-	space := g.pick(len(g.spec.Workspaces), func(i int) float64 { return g.spec.Workspaces[i].Share })
+	kind := &g.spec.Kinds[g.drawIndex(len(g.spec.Kinds), func(i int) float64 { return g.spec.Kinds[i].Share })]
+	workspace := g.drawIndex(len(g.spec.Workspaces), func(i int) float64 { return g.spec.Workspaces[i].Share })
 	a := Arrival{
 		Number:    g.count,
 		At:        g.now,
 		Kind:      kind,
-		Workspace: g.spec.Workspaces[space].Name,
+		Workspace: g.spec.Workspaces[workspace].Name,
 		Family:    NoFamily,
 	}
 	g.count++
@@ -88,8 +88,8 @@
 	if k.Model == "" {
 		return
 	}
-	a.PromptTokens = g.length(k.Prompt)
-	a.OutputTokens = g.length(k.Output)
+	a.PromptTokens = g.drawLength(k.Prompt)
+	a.OutputTokens = g.drawLength(k.Output)
 	if k.Families.Count > 0 && g.rng.Float64() < k.Families.Share {
 		a.Family = g.rng.IntN(k.Families.Count)
 	}
@@ -101,15 +101,15 @@
 	leaves := g.rng.Float64() < a.Kind.CancelShare
 	when := g.rng.Float64()
 	if leaves {
-		a.CancelAfter = 1 + time.Duration(when*float64(a.Kind.expected(a.OutputTokens)))
+		a.CancelAfter = 1 + time.Duration(when*float64(a.Kind.expectedDuration(a.OutputTokens)))
 	}
 	a.Retries = g.rng.Float64() < g.spec.Caller.RetryShare
 	a.Seed = g.rng.Uint64()
 }
 
-// expected returns the approximate duration of an answer that just meets its
-// targets.
-func (k *Kind) expected(outputTokens int) time.Duration {
+// expectedDuration returns the approximate duration of an answer that just meets
+// its targets.
+func (k *Kind) expectedDuration(outputTokens int) time.Duration {
 	return k.FirstOutput + time.Duration(outputTokens)*k.Pace
 }
 
@@ -117,15 +117,15 @@
 func (g *Generator) advance() {
 	b := g.spec.Bursts
 	if b.Factor <= 1 {
-		g.now += g.gap(1)
+		g.now += g.drawGap(1)
 		return
 	}
 	for {
-		factor := b.quietFactor()
+		factor := b.offFactor()
 		if g.burst {
 			factor = b.Factor
 		}
-		next := g.now + g.gap(factor)
+		next := g.now + g.drawGap(factor)
 		if next < g.phaseEnd {
 			g.now = next
 			return
@@ -138,38 +138,38 @@
 		if g.burst {
 			length = b.On
 		}
-		g.phaseEnd += g.exponential(length)
+		g.phaseEnd += g.drawExponential(length)
 	}
 }
 
-// quietFactor returns the rate between bursts that keeps the mean rate, as a
+// offFactor returns the rate between bursts that keeps the mean rate, as a
 // multiple of the mean rate.
-func (b Bursts) quietFactor() float64 {
+func (b Bursts) offFactor() float64 {
 	on, off := b.On.Seconds(), b.Off.Seconds()
 	return (on + off - b.Factor*on) / off
 }
 
-// gap draws the time to the next arrival at a multiple of the mean rate.
-func (g *Generator) gap(factor float64) time.Duration {
+// drawGap draws the time to the next arrival at a multiple of the mean rate.
+func (g *Generator) drawGap(factor float64) time.Duration {
 	if factor <= 0 {
 		return math.MaxInt64 / 4
 	}
-	return g.exponential(time.Duration(float64(time.Second) / (g.rate * factor)))
+	return g.drawExponential(time.Duration(float64(time.Second) / (g.rate * factor)))
 }
 
-// exponential draws a duration with the given mean.
-func (g *Generator) exponential(mean time.Duration) time.Duration {
+// drawExponential draws a duration with the given mean.
+func (g *Generator) drawExponential(mean time.Duration) time.Duration {
 	return time.Duration(g.rng.ExpFloat64() * float64(mean))
 }
 
-// length draws a length in tokens.
-func (g *Generator) length(l Lengths) int {
+// drawLength draws a length in tokens.
+func (g *Generator) drawLength(l Lengths) int {
 	n := float64(l.Median) * math.Exp(g.rng.NormFloat64()*l.Sigma)
 	return min(max(int(n), l.Min), l.Max)
 }
 
-// pick draws an index below n with probability proportional to its weight.
-func (g *Generator) pick(n int, weight func(int) float64) int {
+// drawIndex draws an index below n with probability proportional to its weight.
+func (g *Generator) drawIndex(n int, weight func(int) float64) int {
 	total := 0.0
 	for i := range n {
 		total += weight(i)
--- a/load/workload/spec.go
+++ b/load/workload/spec.go
@@ -112,12 +112,12 @@
 type SpecError struct {
 	// Field is the name of the invalid field.
 	Field string
-	// Wrong describes what is wrong with the field.
-	Wrong string
+	// Detail describes what is wrong with the field.
+	Detail string
 }
 
 // Error implements error.
-func (e *SpecError) Error() string { return fmt.Sprintf("workload: %s %s", e.Field, e.Wrong) }
+func (e *SpecError) Error() string { return fmt.Sprintf("workload: %s %s", e.Field, e.Detail) }
 
 // Parse decodes and validates a workload file. Errors are those of the YAML
 // decoder or a *SpecError.
@@ -136,10 +136,10 @@
 // *SpecError.
 func (s *Spec) check() error {
 	if len(s.Workspaces) == 0 {
-		return &SpecError{Field: "workspaces", Wrong: "is empty"}
+		return &SpecError{Field: "workspaces", Detail: "is empty"}
 	}
 	if len(s.Kinds) == 0 {
-		return &SpecError{Field: "kinds", Wrong: "is empty"}
+		return &SpecError{Field: "kinds", Detail: "is empty"}
 	}
 	for i := range s.Kinds {
 		if err := s.Kinds[i].check(); err != nil {
@@ -150,8 +150,8 @@
 		}
 	}
 	b := s.Bursts
-	if b.Factor > 1 && (b.On <= 0 || b.Off <= 0 || b.quietFactor() < 0) {
-		return &SpecError{Field: "bursts", Wrong: "need on and off, and factor*on at most on+off"}
+	if b.Factor > 1 && (b.On <= 0 || b.Off <= 0 || b.offFactor() < 0) {
+		return &SpecError{Field: "bursts", Detail: "need on and off, and factor*on at most on+off"}
 	}
 	return nil
 }
@@ -160,20 +160,20 @@
 func (k *Kind) check() error {
 	field := "kind " + k.Name
 	if (k.Model == "") == (k.Service == "") {
-		return &SpecError{Field: field, Wrong: "must name either a model or a service"}
+		return &SpecError{Field: field, Detail: "must name either a model or a service"}
 	}
 	if k.Share <= 0 || k.Deadline <= 0 {
-		return &SpecError{Field: field, Wrong: "needs a share and a deadline above 0"}
+		return &SpecError{Field: field, Detail: "needs a share and a deadline above 0"}
 	}
 	if k.Model == "" {
 		return nil
 	}
 	if k.FirstOutput <= 0 || k.Pace <= 0 {
-		return &SpecError{Field: field, Wrong: "needs first_output and pace above 0"}
+		return &SpecError{Field: field, Detail: "needs first_output and pace above 0"}
 	}
 	for _, l := range []Lengths{k.Prompt, k.Output} {
 		if l.Min < 1 || l.Median < l.Min || l.Max < l.Median {
-			return &SpecError{Field: field, Wrong: "needs lengths with 1 <= min <= median <= max"}
+			return &SpecError{Field: field, Detail: "needs lengths with 1 <= min <= median <= max"}
 		}
 	}
 	return nil
--- a/load/workload/workload_test.go
+++ b/load/workload/workload_test.go
@@ -139,14 +139,14 @@
 	for i := range textual {
 		assert.Equal(t, len(textual[i]), len(synthetic[i]))
 	}
-	assert.Equal(t, common(textual[0], textual[1]), 2)
-	assert.Equal(t, common(synthetic[0], synthetic[1]), 2)
-	assert.Equal(t, common(textual[0], textual[2]), 0)
-	assert.Equal(t, common(synthetic[0], synthetic[2]), 0)
+	assert.Equal(t, commonPrefix(textual[0], textual[1]), 2)
+	assert.Equal(t, commonPrefix(synthetic[0], synthetic[1]), 2)
+	assert.Equal(t, commonPrefix(textual[0], textual[2]), 0)
+	assert.Equal(t, commonPrefix(synthetic[0], synthetic[2]), 0)
 }
 
-// common returns the length of the common prefix of two slices.
-func common[T comparable](x, y []T) int {
+// commonPrefix returns the length of the common prefix of two slices.
+func commonPrefix[T comparable](x, y []T) int {
 	n := 0
 	for n < min(len(x), len(y)) && x[n] == y[n] {
 		n++
@@ -157,14 +157,14 @@
 func TestCancelsFallWithinTheExpectedAnswer(t *testing.T) {
 	spec := example(t, "coastline")
 	g := NewGenerator(spec, 20, 5)
-	leaving := 0
+	cancelled := 0
 	for range 5000 {
 		a := g.Next()
 		if a.CancelAfter == 0 {
 			continue
 		}
-		leaving++
-		assert.Assert(t, a.CancelAfter <= a.Kind.expected(a.OutputTokens)+time.Nanosecond)
+		cancelled++
+		assert.Assert(t, a.CancelAfter <= a.Kind.expectedDuration(a.OutputTokens)+time.Nanosecond)
 	}
-	assert.Assert(t, leaving > 0)
+	assert.Assert(t, cancelled > 0)
 }
