--- a/e2e/fleet_bed_test.go
+++ b/e2e/fleet_bed_test.go
@@ -17,28 +17,28 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// force is the bundle that an instance's agent has in force.
-type force struct {
+// bundleState is the version and digest of the bundle that an agent has in force.
+type bundleState struct {
 	version uint64
 	digest  string
 }
 
-// watcher remembers every change of the bundles in force that it sees.
+// watcher records every change that it observes of the bundles in force.
 type watcher struct {
 	b        *bed
 	stopping chan struct{}
 	ended    sync.WaitGroup
 
 	mu      sync.Mutex
-	agents  map[ident.InstanceID][]force
+	agents  map[ident.InstanceID][]bundleState
 	entries map[ident.InstanceID][]uint64
 }
 
-// watchBundles looks at all agents until the watcher is stopped.
+// watchBundles starts a watcher that polls all agents until it is stopped.
 func (b *bed) watchBundles() *watcher {
 	w := &watcher{
 		b: b, stopping: make(chan struct{}),
-		agents: map[ident.InstanceID][]force{}, entries: map[ident.InstanceID][]uint64{},
+		agents: map[ident.InstanceID][]bundleState{}, entries: map[ident.InstanceID][]uint64{},
 	}
 	w.ended.Go(w.run)
 	return w
@@ -46,26 +46,26 @@
 
 func (w *watcher) run() {
 	for {
-		w.note(w.b.look())
+		w.record(w.b.fleetStatus())
 		select {
 		case <-w.stopping:
 			return
 		case <-w.b.ctx.Done():
 			return
 		default:
-			w.b.wait(poll)
+			w.b.wait(pollInterval)
 		}
 	}
 }
 
-// note adds what differs from the look before. Version 0 is that of a process
-// that has just started.
-func (w *watcher) note(f *console.Fleet) {
+// record records the bundles that differ from the last ones seen. It ignores
+// version 0, which a process has when it has just started.
+func (w *watcher) record(f *console.Fleet) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range f.Agents {
 		s := &f.Agents[i]
-		now := force{version: s.Bundle.Version, digest: s.Bundle.Digest}
+		now := bundleState{version: s.Bundle.Version, digest: s.Bundle.Digest}
 		seen := w.agents[s.Instance]
 		if now.version > 0 && (len(seen) == 0 || seen[len(seen)-1] != now) {
 			w.agents[s.Instance] = append(seen, now)
@@ -77,15 +77,16 @@
 	}
 }
 
-// neverBack stops the watcher. It fails the test if an instance ever went back
-// to an older version, or from one bundle of a version to another.
-func (w *watcher) neverBack() {
+// requireNoRevert stops the watcher and fails the test if an instance ever
+// reverted to an older version, or changed from one bundle to another of the
+// same version.
+func (w *watcher) requireNoRevert() {
 	w.b.t.Helper()
 	close(w.stopping)
 	w.ended.Wait()
 	for _, in := range w.b.Instances {
 		seen := w.agents[in.ID]
-		assert.Assert(w.b.t, len(seen) > 0, "%s was never seen", in.ID)
+		assert.Assert(w.b.t, len(seen) > 0, "%s: no bundle was ever in force", in.ID)
 		for i := 1; i < len(seen); i++ {
 			assert.Assert(w.b.t, seen[i].version > seen[i-1].version, "%s: %v", in.ID, seen)
 		}
@@ -96,21 +97,21 @@
 	}
 }
 
-// inForce waits until agents and entries of instances have a version in force, and
-// logs when each was first seen to have it.
-func (b *bed) inForce(version uint64, list ...*testbed.Instance) {
+// awaitVersion waits until the agents and entries of instances have a version in
+// force, and logs the time until each was first seen to have it.
+func (b *bed) awaitVersion(version uint64, list ...*testbed.Instance) {
 	b.t.Helper()
 	began := time.Now()
 	since := map[ident.InstanceID]time.Duration{}
-	b.eventually(fmt.Sprintf("version %d in force", version), func() (bool, string) {
-		f := b.look()
+	b.eventually(fmt.Sprintf("version %d to be in force", version), func() (bool, string) {
+		f := b.fleetStatus()
 		lacks := ""
 		for _, in := range list {
-			switch s := status(f, in.ID); {
+			switch s := findStatus(f, in.ID); {
 			case s == nil:
 				lacks = string(in.ID) + " does not answer"
 			case s.Bundle.Version != version || s.Entry.BundleVersion != version:
-				lacks = fmt.Sprintf("%s has %d, its entry %d", in.ID, s.Bundle.Version, s.Entry.BundleVersion)
+				lacks = fmt.Sprintf("%s has version %d, its entry %d", in.ID, s.Bundle.Version, s.Entry.BundleVersion)
 			case since[in.ID] == 0:
 				since[in.ID] = time.Since(began).Round(time.Millisecond)
 			}
@@ -120,23 +121,24 @@
 	b.t.Logf("version %d in force after %v", version, since)
 }
 
-// answers makes requests to each instance and fails the test unless the answers
-// are whole and say that they were decided under a version. The answers to calls
-// with tickets do not name their version.
-func (b *bed) answers(version uint64, list ...*testbed.Instance) {
+// requireAnswers sends requests to each instance and fails the test unless the
+// answers are complete and name the given bundle version. The version is not
+// checked for calls with tickets, whose answers do not name one.
+func (b *bed) requireAnswers(version uint64, list ...*testbed.Instance) {
 	b.t.Helper()
 	for _, in := range list {
-		b.whole(b.serve(b.ticketed(order(in))))
-		sent := []*pending{b.complete(review(in, 200, 10)), b.serve(lookup(in))}
+		b.requireComplete(b.startServiceCall(b.withTicket(order(in))))
+		sent := []*pending{b.startCompletion(review(in, 200, 10)), b.startServiceCall(lookup(in))}
 		for _, p := range sent {
-			r := b.done(p)
+			r := b.await(p)
 			assert.Assert(b.t, r.Complete(), "%s: %s", p.id, describe(r))
 			assert.Equal(b.t, r.BundleVersion, strconv.FormatUint(version, 10), "%s at %s", p.id, in.ID)
 		}
 	}
 }
 
-// roll publishes the next version with the same content and rolls it to all.
+// roll publishes the next version with the same content, rolls it to all instances
+// and returns its number.
 func (b *bed) roll() uint64 {
 	b.t.Helper()
 	assert.NilError(b.t, b.Operators.Publish(b.ctx, b.Deployment.Content))
@@ -144,8 +146,8 @@
 	return b.Operators.Version()
 }
 
-// platformIndex is the index of the platform's last write to the current roll,
-// by which a snapshot that is stale later is named.
+// platformIndex returns the platform's index of the current roll. It identifies
+// the state that the platform serves in a later stale mode.
 func (b *bed) platformIndex() uint64 {
 	b.t.Helper()
 	url := "http://" + b.Platform.Address + "/v1/keys/" + configservice.KeyRoll
@@ -159,10 +161,11 @@
 	return index
 }
 
-// status asks an instance's agent what it believes.
+// status returns the status that an instance's agent reports, and fails the test
+// if the agent does not answer.
 func (b *bed) status(in *testbed.Instance) *wire.Status {
 	b.t.Helper()
-	s := status(b.look(), in.ID)
+	s := findStatus(b.fleetStatus(), in.ID)
 	assert.Assert(b.t, s != nil, "the agent of %s does not answer", in.ID)
 	return s
 }
--- a/e2e/status_test.go
+++ b/e2e/status_test.go
@@ -15,20 +15,21 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// lookLimit bounds one look at the agents.
-const lookLimit = 3 * time.Second
+// fleetStatusLimit is the time limit for reading the status of all agents.
+const fleetStatusLimit = 3 * time.Second
 
-// look asks the agents of all instances what they believe. It is for waiting
-// until something is known, never for a verdict on what ran.
-func (b *bed) look() *console.Fleet {
+// fleetStatus reads the status of the agents of all instances. Tests use it to
+// wait until the fleet knows something, never to check what ran.
+func (b *bed) fleetStatus() *console.Fleet {
 	pool := peer.NewPool(peer.Config{
 		Self:  peer.Identity{Instance: testbed.OperatorName, Incarnation: ident.NewIncarnation(time.Now()), Zone: "operators"},
 		Allow: func(peer.Identity) bool { return true },
 		TLS:   b.identity,
 	})
 	defer pool.Close()
-	// Also for the report of a test that has failed.
-	ctx, cancel := context.WithTimeout(context.Background(), lookLimit)
+	// Not the test's context, which may be cancelled when keepLogs reads the status
+	// after a failure.
+	ctx, cancel := context.WithTimeout(context.Background(), fleetStatusLimit)
 	defer cancel()
 	var addresses []string
 	for _, in := range b.Instances {
@@ -37,8 +38,9 @@
 	return console.QueryFleet(ctx, pool, addresses)
 }
 
-// status returns what an instance's agent says, nil if it does not answer.
-func status(f *console.Fleet, id ident.InstanceID) *wire.Status {
+// findStatus returns the status of an instance's agent, or nil if the agent did not
+// answer.
+func findStatus(f *console.Fleet, id ident.InstanceID) *wire.Status {
 	for i := range f.Agents {
 		if f.Agents[i].Instance == id {
 			return &f.Agents[i]
@@ -47,8 +49,8 @@
 	return nil
 }
 
-// keepLogs keeps the logs of a failed test, with what the agents believe at its
-// end.
+// keepLogs copies the logs of a failed test to out/e2e, and the status of all
+// agents at its end.
 func (b *bed) keepLogs(dir string) {
 	if !b.t.Failed() {
 		return
@@ -59,6 +61,6 @@
 	f, err := os.Create(filepath.Join(kept, "fleet.txt"))
 	assert.NilError(b.t, err)
 	defer func() { _ = f.Close() }()
-	assert.NilError(b.t, b.look().Write(f))
-	b.t.Logf("logs are in %s", kept)
+	assert.NilError(b.t, b.fleetStatus().Write(f))
+	b.t.Logf("logs kept in %s", kept)
 }
