--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -92,7 +92,7 @@
 		f.within(8*time.Second, "version 1 in force", versionInForce(nodes, 1))
 		f.publish(nil)
 		f.within(2*time.Second, "version 2 in force", versionInForce(nodes, 2))
-		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeDown, DownBy: control.DownByClose}))
+		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeDown, DownBehavior: control.DownByClose}))
 		time.Sleep(time.Minute)
 		assert.Assert(t, versionInForce(nodes, 2)())
 		assert.NilError(t, f.platform.SetMode(control.PlatformMode{Mode: control.ModeStale, StaleIndex: old}))
--- a/cmd/wardspool-load/run.go
+++ b/cmd/wardspool-load/run.go
@@ -78,7 +78,7 @@
 	// The command's context is not used, so that an interrupted run is checked too.
 	ctx, cancel := context.WithTimeout(context.Background(), c.Quiesce+time.Minute)
 	defer cancel()
-	reports, err := referee.FetchQuiet(ctx, c.Judge, c.Quiesce)
+	reports, err := referee.FetchIdle(ctx, c.Judge, c.Quiesce)
 	if err != nil {
 		return oops.In("judge").Wrap(err)
 	}
@@ -93,7 +93,7 @@
 	if err := os.WriteFile(filepath.Join(c.Out, "verdict.json"), append(data, '\n'), 0o644); err != nil {
 		return oops.In("judge").Wrap(err)
 	}
-	if v.Broken() {
+	if v.Violated() {
 		return &GuaranteeError{Verdict: v}
 	}
 	return nil
--- a/e2e/engine_crash_test.go
+++ b/e2e/engine_crash_test.go
@@ -119,8 +119,8 @@
 		outcome api.Outcome
 		runs    int
 	}{
-		{"dies before the run", control.ServiceFaults{DieBeforeRun: true}, api.Unknown, 0},
-		{"dies after the run", control.ServiceFaults{DieAfterRun: true}, api.Unknown, 1},
+		{"dies before the run", control.ServiceFaults{CloseBeforeRun: true}, api.Unknown, 0},
+		{"dies after the run", control.ServiceFaults{CloseAfterRun: true}, api.Unknown, 1},
 		{"runs and fails", control.ServiceFaults{ErrorRate: 1}, api.Unknown, 1},
 		{"refuses", control.ServiceFaults{Refuse: true}, api.NotRun, 0},
 	} {
--- a/e2e/fleet_alone_test.go
+++ b/e2e/fleet_alone_test.go
@@ -56,7 +56,7 @@
 	}{{"orders", orders}, {"reviews", reviews}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t, withRelays)
-			b.CutOff(hallB)
+			b.IsolateZone(hallB)
 			b.awaitOwnZoneService(c.calls(b), b.instancesIn(hallA)...)
 			b.awaitOwnZoneService(c.calls(b), b.instancesIn(hallB)...)
 		})
--- a/e2e/fleet_cut_test.go
+++ b/e2e/fleet_cut_test.go
@@ -57,14 +57,14 @@
 	b.awaitVersion(1, b.Instances...)
 	near, far := b.instancesIn(hallA), b.instancesIn(hallB)
 
-	b.CutOff(hallB)
+	b.IsolateZone(hallB)
 	assert.Equal(t, b.roll(), uint64(2))
 	b.awaitVersion(2, near...)
 	for _, in := range far {
 		assert.Equal(t, b.status(in).Bundle.Version, uint64(1))
 		assert.Assert(t, b.ready(in))
 	}
-	b.Rejoin(hallB)
+	b.ReconnectZone(hallB)
 	b.awaitVersion(2, b.Instances...)
 	b.requireAnswers(2, b.Instances...)
 	w.requireNoRevert()
@@ -92,9 +92,9 @@
 	b.awaitServiceCalls(len(orders))
 	all := append(orders, b.withTicket(order(near[0])), b.withTicket(order(far[0])))
 
-	b.CutOff(hallB)
+	b.IsolateZone(hallB)
 	b.retryWithTickets(all, near[1], far[1])
-	b.Rejoin(hallB)
+	b.ReconnectZone(hallB)
 	for _, p := range sent {
 		b.requireCompleteOrUnknown(p)
 	}
--- a/e2e/fleet_replaced_test.go
+++ b/e2e/fleet_replaced_test.go
@@ -23,7 +23,7 @@
 	b.awaitVersion(2, b.Instances...)
 	far := b.instancesIn(hallB)
 
-	b.CutOff(hallB)
+	b.IsolateZone(hallB)
 	for _, in := range far {
 		b.restart(in)
 		b.awaitVersion(2, in)
@@ -49,7 +49,7 @@
 		assert.Equal(t, r.Outcome, api.NotRun, describe(r))
 	}
 
-	b.Rejoin(hallB)
+	b.ReconnectZone(hallB)
 	b.awaitVersion(3, b.Instances...)
 	b.requireAnswers(3, b.Instances...)
 	w.requireNoRevert()
--- a/e2e/judge_test.go
+++ b/e2e/judge_test.go
@@ -35,7 +35,7 @@
 // reports reads the reports of all stand-ins.
 func (b *bed) reports() *referee.Reports {
 	b.t.Helper()
-	got, err := referee.Fetch(b.ctx, b.JudgeAddresses())
+	got, err := referee.Fetch(b.ctx, b.UpstreamAddresses())
 	assert.NilError(b.t, err)
 	return got
 }
--- a/e2e/limits_test.go
+++ b/e2e/limits_test.go
@@ -203,7 +203,7 @@
 // concurrency, and both sides together run no more calls than the rate allows.
 func TestZoneCutOffKeepsItsLimits(t *testing.T) {
 	b := newBed(t, withRelays)
-	b.CutOff(hallB)
+	b.IsolateZone(hallB)
 	calls, w := b.floodOfCalls()
 	streams := b.floodOfStreams(b.Instances)
 	b.awaitStreams(streams, fewZonePart, fewZonePart, decodeA)
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -79,11 +79,11 @@
 // callers' records, and returns the number of requests with each outcome.
 func (b *bed) requireGuarantees(records []runner.Record, allReport bool) map[api.Outcome]int {
 	b.t.Helper()
-	reports, err := referee.FetchQuiet(b.ctx, b.JudgeAddresses(), waitLimit)
+	reports, err := referee.FetchIdle(b.ctx, b.UpstreamAddresses(), waitLimit)
 	assert.NilError(b.t, err)
 	v := referee.Judge(records, reports, allReport)
 	assert.Equal(b.t, v.Unrecorded, 0)
-	assert.Assert(b.t, !v.Broken(), "%+v", v)
+	assert.Assert(b.t, !v.Violated(), "%+v", v)
 	outcomes := map[api.Outcome]int{}
 	for i := range records {
 		outcomes[records[i].Outcome]++
--- a/e2e/two_faults_test.go
+++ b/e2e/two_faults_test.go
@@ -22,7 +22,7 @@
 	tr := b.startTraffic(callerAddresses(b.others(victim)))
 	sent := []*pending{b.startStream(review(victim, 200, endlessTokens)), b.startStream(triage(victim, 200, endlessTokens))}
 
-	b.setPlatformMode(control.PlatformMode{Mode: control.ModeDown, DownBy: control.DownByHang})
+	b.setPlatformMode(control.PlatformMode{Mode: control.ModeDown, DownBehavior: control.DownByHang})
 	assert.NilError(t, victim.Entry.Kill())
 	for _, p := range sent {
 		assert.Assert(t, connectionLost(b.await(p)), p.id)
@@ -84,7 +84,7 @@
 	w := b.watchBundles()
 	tr := b.startTraffic(b.CallerAddresses())
 	b.setPlatformMode(control.PlatformMode{
-		Mode: control.ModeFlapping, DownBy: control.DownByClose, Seed: 1, MeanUpMS: 300, MeanDownMS: 700,
+		Mode: control.ModeFlapping, DownBehavior: control.DownByClose, Seed: 1, MeanUpMS: 300, MeanDownMS: 700,
 	})
 	for range 2 {
 		version := b.roll()
--- a/entry/failure_test.go
+++ b/entry/failure_test.go
@@ -193,8 +193,8 @@
 		outcome api.Outcome
 		runs    int
 	}{
-		{"order: service fails before the run", "order", control.ServiceFaults{DieBeforeRun: true}, 502, api.Unknown, 0},
-		{"order: service fails after the run", "order", control.ServiceFaults{DieAfterRun: true}, 502, api.Unknown, 1},
+		{"order: service fails before the run", "order", control.ServiceFaults{CloseBeforeRun: true}, 502, api.Unknown, 0},
+		{"order: service fails after the run", "order", control.ServiceFaults{CloseAfterRun: true}, 502, api.Unknown, 1},
 		{"order: service answers an error", "order", control.ServiceFaults{ErrorRate: 1}, 502, api.Unknown, 1},
 		{"order: service refuses", "order", control.ServiceFaults{Refuse: true}, 503, api.NotRun, 0},
 		{"lookup: service is draining", "lookup", control.ServiceFaults{Draining: true}, 503, api.NotRun, 0},
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -126,7 +126,7 @@
 	resp, body := b.do(http.MethodPut, "/services/desk/orders/7%2F8?x=1", `{"qty":2}`,
 		api.HeaderRequestID, "caller-1", "X-Custom", "kept")
 	assert.Equal(t, resp.StatusCode, http.StatusOK, body)
-	var got service.Answer
+	var got service.CallResponse
 	assert.NilError(t, json.Unmarshal([]byte(body), &got))
 	assert.Equal(t, got.Method, http.MethodPut)
 	assert.Equal(t, got.Path, "/orders/7/8")
--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -228,7 +228,7 @@
 		r.MaxOutputTokens = c.w.declared(l)
 	}
 	if r.Route == config.RouteModel {
-		r.Blocks = a.Blocks(c.w.content.Models[0].PieceTokens)
+		r.Blocks = a.BlockHashes(c.w.content.Models[0].PieceTokens)
 		r.FirstOutputBy = epoch.Add(c.w.clock.now + a.Kind.FirstOutput)
 	}
 	return r
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -111,9 +111,9 @@
 
 func init() { current.Store(New(systemClock(unix.CLOCK_MONOTONIC), systemClock(unix.CLOCK_BOOTTIME))) }
 
-// Use replaces the process-wide clock in tests. It returns a function that restores the
+// Replace replaces the process-wide clock in tests. It returns a function that restores the
 // previous clock.
-func Use(c *Clock) (undo func()) {
+func Replace(c *Clock) (undo func()) {
 	before := current.Swap(c)
 	return func() { current.Store(before) }
 }
--- a/internal/testclock/testclock.go
+++ b/internal/testclock/testclock.go
@@ -21,7 +21,7 @@
 // Use installs a new Clock as the process-wide clock until the test ends.
 func Use(t testing.TB) *Clock {
 	c := &Clock{start: time.Now()}
-	t.Cleanup(clock.Use(clock.New(c.monotonic, c.boottime)))
+	t.Cleanup(clock.Replace(clock.New(c.monotonic, c.boottime)))
 	return c
 }
 
--- a/load/agreement/faults.go
+++ b/load/agreement/faults.go
@@ -60,9 +60,9 @@
 		return b.freezeInstance(ctx, fleet)
 	case experiment.FaultZoneCut:
 		zone := b.example.Zones[0]
-		fleet.CutOff(zone)
+		fleet.IsolateZone(zone)
 		pause.For(ctx, cutTime)
-		fleet.Rejoin(zone)
+		fleet.ReconnectZone(zone)
 		return nil
 	default:
 		return &UnknownFaultError{Fault: string(f)}
--- a/load/agreement/processes.go
+++ b/load/agreement/processes.go
@@ -50,7 +50,7 @@
 	if err := runner.SaveRecords(filepath.Join(dir, "requests.json"), records); err != nil {
 		return nil, oops.Wrap(err)
 	}
-	reports, err := referee.FetchQuiet(ctx, fleet.JudgeAddresses(), releaseTimeout)
+	reports, err := referee.FetchIdle(ctx, fleet.UpstreamAddresses(), releaseTimeout)
 	if err != nil {
 		return nil, oops.Wrap(err)
 	}
--- a/load/client/fake_test.go
+++ b/load/client/fake_test.go
@@ -56,7 +56,7 @@
 	var body completionBody
 	_ = json.NewDecoder(r.Body).Decode(&body)
 	w.Header().Set("Content-Type", "text/event-stream")
-	p := answer.Of(body.Prompt)
+	p := answer.NewPrompt(body.Prompt)
 	for i := range body.MaxTokens {
 		token := p.Token(i)
 		switch {
--- a/load/overhead/rig/processes.go
+++ b/load/overhead/rig/processes.go
@@ -125,7 +125,7 @@
 
 // startEngine starts a stand-in engine.
 func (f *fleet) startEngine(id, address, role string) error {
-	p, err := testbed.StartWith(nil, id, address, f.dir, testbed.ProgramsIn(f.cli.Bin).Standin,
+	p, err := testbed.StartProcess(nil, id, address, f.dir, testbed.ProgramsIn(f.cli.Bin).Standin,
 		"engine", "--listen", address, "--id", id, "--role", role, "--model", model,
 		"--slots", strconv.Itoa(f.cli.Slots), "--pieces", strconv.Itoa(pieces),
 		"--piece-tokens", strconv.Itoa(pieceTokens),
@@ -156,7 +156,7 @@
 		env = append(env, "GOMAXPROCS="+strconv.Itoa(f.cli.Cores))
 	}
 	var err error
-	f.entry, err = testbed.StartWith(env, "entry", address, f.dir,
+	f.entry, err = testbed.StartProcess(env, "entry", address, f.dir,
 		testbed.ProgramsIn(f.cli.Bin).Entry, "--settings", settings)
 	if err != nil {
 		return err
--- a/load/referee/referee.go
+++ b/load/referee/referee.go
@@ -103,12 +103,12 @@
 	return sum
 }
 
-// quiescePoll is the interval at which FetchQuiet polls the stand-ins.
+// quiescePoll is the interval at which FetchIdle polls the stand-ins.
 const quiescePoll = 200 * time.Millisecond
 
-// FetchQuiet polls the reports until the engines hold no attempts or the time
+// FetchIdle polls the reports until the engines hold no attempts or the time
 // limit expires, and returns the last reports.
-func FetchQuiet(ctx context.Context, addresses []string, within time.Duration) (*Reports, error) {
+func FetchIdle(ctx context.Context, addresses []string, within time.Duration) (*Reports, error) {
 	deadline := time.Now().Add(within)
 	for {
 		got, err := Fetch(ctx, addresses)
@@ -148,8 +148,8 @@
 	partial bool
 }
 
-// Broken reports whether any guarantee was violated.
-func (v *Verdict) Broken() bool {
+// Violated reports whether any guarantee was violated.
+func (v *Verdict) Violated() bool {
 	return len(v.Duplicates)+len(v.FalseNotRun)+len(v.NeverRan)+len(v.Wrong)+v.Leaked.Attempts > 0
 }
 
@@ -192,10 +192,10 @@
 	if rec.NotRun && q.serviceRuns+q.engineRuns > 0 {
 		v.FalseNotRun = append(v.FalseNotRun, rec.ID)
 	}
-	if rec.Outcome == "complete" && !rec.Wrong && q.serviceRuns+q.engineRuns == 0 && v.Unrecorded == 0 && !v.partial {
+	if rec.Outcome == "complete" && !rec.InvalidAnswer && q.serviceRuns+q.engineRuns == 0 && v.Unrecorded == 0 && !v.partial {
 		v.NeverRan = append(v.NeverRan, rec.ID)
 	}
-	if rec.Wrong {
+	if rec.InvalidAnswer {
 		v.Wrong = append(v.Wrong, rec.ID)
 	}
 }
--- a/load/referee/referee_test.go
+++ b/load/referee/referee_test.go
@@ -36,7 +36,7 @@
 		{ID: "lied-about", Outcome: api.NotRun, NotRun: true},
 		{ID: "truly-refused", Outcome: api.NotRun, NotRun: true},
 		{ID: "invented", Outcome: api.Complete},
-		{ID: "garbled", Outcome: api.Complete, Wrong: true},
+		{ID: "garbled", Outcome: api.Complete, InvalidAnswer: true},
 	}
 	v := Judge(records, reports, true)
 	assert.DeepEqual(t, v.Duplicates, []string{"ordered-twice", "keyed-twice"})
@@ -45,13 +45,13 @@
 	assert.DeepEqual(t, v.Wrong, []string{"garbled"})
 	assert.Equal(t, v.PromptComputed, 500)
 	assert.Equal(t, v.PromptWasted, 200)
-	assert.Assert(t, v.Broken())
+	assert.Assert(t, v.Violated())
 }
 
 func TestJudgeLeak(t *testing.T) {
 	held := judge.Engine{Held: judge.Held{Attempts: 1, Pieces: 3}}
-	assert.Assert(t, Judge(nil, &Reports{Engines: []judge.Engine{held}}, true).Broken())
-	assert.Assert(t, !Judge(nil, &Reports{}, true).Broken())
+	assert.Assert(t, Judge(nil, &Reports{Engines: []judge.Engine{held}}, true).Violated())
+	assert.Assert(t, !Judge(nil, &Reports{}, true).Violated())
 }
 
 func TestFetch(t *testing.T) {
@@ -64,7 +64,7 @@
 	}
 	engine := serve(judge.Engine{ID: "e", Held: judge.Held{Attempts: 2}}, http.StatusOK)
 	service := serve(judge.Service{ID: "s", Service: "billing", Runs: 3}, http.StatusOK)
-	got, err := FetchQuiet(context.Background(), []string{engine, service}, 0)
+	got, err := FetchIdle(context.Background(), []string{engine, service}, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(got.Engines), 1)
 	assert.Equal(t, got.Held().Attempts, 2)
--- a/load/runner/record.go
+++ b/load/runner/record.go
@@ -30,19 +30,19 @@
 	// Sendings counts how often the request was sent, Refusals the sendings answered
 	// "not-run", Broken those whose connection broke after the request may have been
 	// sent.
-	Sendings int `json:"sendings"`
-	Refusals int `json:"refusals,omitempty"`
-	Broken   int `json:"broken,omitempty"`
-	// Unsent counts the sendings whose connection could not be established.
-	Unsent         int `json:"unsent,omitempty"`
-	TicketFailures int `json:"ticket_failures,omitempty"`
+	Sendings          int `json:"sendings"`
+	Refusals          int `json:"refusals,omitempty"`
+	BrokenConnections int `json:"broken,omitempty"`
+	// FailedConnections counts the sendings whose connection could not be established.
+	FailedConnections int `json:"unsent,omitempty"`
+	TicketFailures    int `json:"ticket_failures,omitempty"`
 	// Cancelled reports that the caller cancelled the request.
 	Cancelled bool `json:"cancelled,omitempty"`
-	// Wrong reports an answer that was incomplete, belonged to another request or
+	// InvalidAnswer reports an answer that was incomplete, belonged to another request or
 	// violated the callers' protocol.
-	Wrong   bool    `json:"wrong,omitempty"`
-	FirstMS float64 `json:"first_ms,omitempty"`
-	DoneMS  float64 `json:"done_ms,omitempty"`
+	InvalidAnswer bool    `json:"wrong,omitempty"`
+	FirstMS       float64 `json:"first_ms,omitempty"`
+	DoneMS        float64 `json:"done_ms,omitempty"`
 	// PaceMS is the mean time between output tokens.
 	PaceMS float64 `json:"pace_ms,omitempty"`
 	Tokens int     `json:"tokens,omitempty"`
@@ -68,7 +68,7 @@
 	if got.Outcome == api.NotRun {
 		r.Refusals++
 	}
-	r.NotRun = r.Refusals > 0 && r.Refusals+r.Unsent == r.Sendings
+	r.NotRun = r.Refusals > 0 && r.Refusals+r.FailedConnections == r.Sendings
 }
 
 // addError classifies and counts the error of a sending.
@@ -79,21 +79,21 @@
 	r.Error = got.Err.Error()
 	var conn *client.ConnError
 	if !errors.As(got.Err, &conn) {
-		r.Wrong = true
+		r.InvalidAnswer = true
 		return
 	}
 	r.Outcome = ""
 	if conn.Sent {
-		r.Broken++
+		r.BrokenConnections++
 		return
 	}
-	r.Unsent++
+	r.FailedConnections++
 }
 
 // Good reports whether the request was answered completely and within its latency
 // targets.
 func (r *Record) Good(k *workload.Kind) bool {
-	if r.Outcome != api.Complete || r.Wrong || r.Status/100 != 2 || r.Cancelled {
+	if r.Outcome != api.Complete || r.InvalidAnswer || r.Status/100 != 2 || r.Cancelled {
 		return false
 	}
 	if r.FirstMS > milliseconds(k.FirstOutput) {
--- a/load/runner/runner_test.go
+++ b/load/runner/runner_test.go
@@ -123,7 +123,7 @@
 	s.dropAfterRun = true
 	for _, r := range runWorkload(t, s) {
 		assert.Equal(t, r.Outcome, api.Complete, "%+v", r)
-		assert.Equal(t, r.Broken, 1)
+		assert.Equal(t, r.BrokenConnections, 1)
 		if !r.Repeatable {
 			assert.Equal(t, s.runs[r.ID], 1, "%+v", r)
 		}
@@ -147,8 +147,8 @@
 		{ID: "2", Kind: "order", Outcome: api.Complete, Status: 200, FirstMS: 6000, DoneMS: 6001},
 		{ID: "3", Kind: "order", Outcome: api.NotRun, NotRun: true, Sendings: 1},
 		{ID: "4", Kind: "look", Outcome: api.Unknown, Sendings: 1},
-		{ID: "5", Kind: "look", Cancelled: true, Broken: 1, Sendings: 1},
-		{ID: "6", Kind: "look", Outcome: api.Complete, Status: 200, Wrong: true, Sendings: 1},
+		{ID: "5", Kind: "look", Cancelled: true, BrokenConnections: 1, Sendings: 1},
+		{ID: "6", Kind: "look", Outcome: api.Complete, Status: 200, InvalidAnswer: true, Sendings: 1},
 	}
 	list := Summarize(spec, records)
 	total := list[len(list)-1]
--- a/load/runner/summary.go
+++ b/load/runner/summary.go
@@ -68,16 +68,16 @@
 	if good {
 		s.Good++
 	}
-	if r.Wrong {
+	if r.InvalidAnswer {
 		s.Wrong++
 	}
 	switch {
-	case r.Outcome == api.Complete && !r.Wrong:
+	case r.Outcome == api.Complete && !r.InvalidAnswer:
 		s.Complete++
 		s.record(r)
 	case r.Cancelled:
 		s.Cancelled++
-	case r.NotRun || r.Sendings == r.Unsent:
+	case r.NotRun || r.Sendings == r.FailedConnections:
 		s.Refused++
 	default:
 		s.Unknown++
--- a/load/workload/prompt.go
+++ b/load/workload/prompt.go
@@ -48,11 +48,11 @@
 	return b
 }
 
-// Blocks returns synthetic hashes of the prompt's blocks, one for each whole
+// BlockHashes returns synthetic hashes of the prompt's blocks, one for each whole
 // piece. Like the hashes of tokens.BlockHashes, they are equal in two prompts
 // exactly as far as the texts are equal from the start, but no text is generated
 // for them.
-func (a *Arrival) Blocks(pieceTokens int) []uint64 {
+func (a *Arrival) BlockHashes(pieceTokens int) []uint64 {
 	shared := a.PrefixTokens() / pieceTokens
 	blocks := make([]uint64, a.PromptTokens/pieceTokens)
 	for i := range blocks {
--- a/load/workload/workload_test.go
+++ b/load/workload/workload_test.go
@@ -135,7 +135,7 @@
 		tokens.BlockHashes(b.Prompt(), tokens.PieceTokens),
 		tokens.BlockHashes(own.Prompt(), tokens.PieceTokens),
 	}
-	synthetic := [][]uint64{a.Blocks(tokens.PieceTokens), b.Blocks(tokens.PieceTokens), own.Blocks(tokens.PieceTokens)}
+	synthetic := [][]uint64{a.BlockHashes(tokens.PieceTokens), b.BlockHashes(tokens.PieceTokens), own.BlockHashes(tokens.PieceTokens)}
 	for i := range textual {
 		assert.Equal(t, len(textual[i]), len(synthetic[i]))
 	}
--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -18,9 +18,9 @@
 // Prompt is the hash of a prompt. It determines the answer.
 type Prompt uint64
 
-// Of returns the Prompt of a prompt's text. For a chat, the text is the result
+// NewPrompt returns the Prompt of a prompt's text. For a chat, the text is the result
 // of tokens.FlattenChat for its messages.
-func Of(prompt string) Prompt { return Prompt(xxhash.Sum64String(prompt)) }
+func NewPrompt(prompt string) Prompt { return Prompt(xxhash.Sum64String(prompt)) }
 
 // Token returns the token at a zero-based offset: "t<offset>-<4 hex digits> ".
 func (p Prompt) Token(offset int) string {
@@ -52,7 +52,7 @@
 
 // Expected returns the complete answer of n tokens to a prompt.
 func Expected(prompt string, n int) string {
-	p := Of(prompt)
+	p := NewPrompt(prompt)
 	var b []byte
 	for i := range n {
 		b = p.AppendToken(b, i)
@@ -79,7 +79,7 @@
 // Check returns nil if got is the complete answer of n tokens to prompt, else a
 // *MismatchError.
 func Check(prompt, got string, n int) error {
-	p := Of(prompt)
+	p := NewPrompt(prompt)
 	for i := range n {
 		want := p.Token(i)
 		rest, ok := strings.CutPrefix(got, want)
--- a/standin/answer/answer_test.go
+++ b/standin/answer/answer_test.go
@@ -19,7 +19,7 @@
 		assert.NilError(t, Check(prompt, whole, n))
 		rest := ""
 		for i := cut; i < n; i++ {
-			rest += Of(prompt).Token(i)
+			rest += NewPrompt(prompt).Token(i)
 		}
 		assert.Equal(t, Expected(prompt, cut)+rest, whole)
 	})
@@ -27,7 +27,7 @@
 
 func TestCheckFindsFaults(t *testing.T) {
 	whole := Expected("p", 5)
-	third := Of("p").Token(2)
+	third := NewPrompt("p").Token(2)
 	tests := []struct {
 		name   string
 		got    string
@@ -39,7 +39,7 @@
 		{"other prompt", Expected("q", 5), 0},
 		{"token twice", Expected("p", 3) + third + whole[len(Expected("p", 3)):], 3},
 		{"token lost", Expected("p", 2) + whole[len(Expected("p", 3)):], 2},
-		{"crossed", Expected("p", 3) + Of("q").Token(3) + Of("q").Token(4), 3},
+		{"crossed", Expected("p", 3) + NewPrompt("q").Token(3) + NewPrompt("q").Token(4), 3},
 	}
 	for _, tt := range tests {
 		var mismatch *MismatchError
--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -48,10 +48,10 @@
 // ServiceFaults are the faults of a stand-in plain service. The zero value has no
 // faults.
 type ServiceFaults struct {
-	// DieBeforeRun closes the connection instead of running the call.
-	DieBeforeRun bool `json:"die_before_run"`
-	// DieAfterRun runs the call, then closes the connection without a response.
-	DieAfterRun bool `json:"die_after_run"`
+	// CloseBeforeRun closes the connection instead of running the call.
+	CloseBeforeRun bool `json:"die_before_run"`
+	// CloseAfterRun runs the call, then closes the connection without a response.
+	CloseAfterRun bool `json:"die_after_run"`
 	// DelayMS is added to the duration of every call, in milliseconds.
 	DelayMS int64 `json:"delay_ms"`
 	// ErrorRate is the fraction of calls, 0 to 1, that run and then fail with status 500.
@@ -69,7 +69,7 @@
 const (
 	// ModeUp serves the written values, delayed by the lags.
 	ModeUp Mode = "up"
-	// ModeDown serves no reads; DownBy selects how they fail.
+	// ModeDown serves no reads; DownBehavior selects how they fail.
 	ModeDown Mode = "down"
 	// ModeStale serves an older snapshot, with the indexes it had.
 	ModeStale Mode = "stale"
@@ -77,25 +77,25 @@
 	ModeFlapping Mode = "flapping"
 )
 
-// DownBy selects how reads fail while the stand-in platform is down.
-type DownBy string
+// DownBehavior selects how reads fail while the stand-in platform is down.
+type DownBehavior string
 
 // The ways in which reads fail.
 const (
 	// DownByStatus responds with status 503. It is the default.
-	DownByStatus DownBy = "status"
+	DownByStatus DownBehavior = "status"
 	// DownByClose closes connections without a response.
-	DownByClose DownBy = "close"
+	DownByClose DownBehavior = "close"
 	// DownByHang sends no response until the reader disconnects or the mode changes; it
 	// then closes the connection.
-	DownByHang DownBy = "hang"
+	DownByHang DownBehavior = "hang"
 )
 
 // PlatformMode is a Mode of the stand-in platform with its parameters.
 type PlatformMode struct {
 	Mode Mode `json:"mode"`
-	// DownBy applies to ModeDown and ModeFlapping.
-	DownBy DownBy `json:"down_by,omitempty"`
+	// DownBehavior applies to ModeDown and ModeFlapping.
+	DownBehavior DownBehavior `json:"down_by,omitempty"`
 	// StaleIndex is the index of the snapshot that ModeStale serves. Default: the
 	// latest index when the mode is set.
 	StaleIndex uint64 `json:"stale_index,omitempty"`
@@ -133,17 +133,17 @@
 	return fmt.Sprintf("control: %s cannot be %q", e.Field, e.Value)
 }
 
-// Validate returns an *InvalidError if Mode or DownBy is unknown.
+// Validate returns an *InvalidError if Mode or DownBehavior is unknown.
 func (m PlatformMode) Validate() error {
 	switch m.Mode {
 	case ModeUp, ModeDown, ModeStale, ModeFlapping:
 	default:
 		return &InvalidError{Field: "mode", Value: string(m.Mode)}
 	}
-	switch m.DownBy {
+	switch m.DownBehavior {
 	case "", DownByStatus, DownByClose, DownByHang:
 		return nil
 	default:
-		return &InvalidError{Field: "down_by", Value: string(m.DownBy)}
+		return &InvalidError{Field: "down_by", Value: string(m.DownBehavior)}
 	}
 }
--- a/standin/control/http.go
+++ b/standin/control/http.go
@@ -13,8 +13,8 @@
 // OpenAI-compatible engines.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
-	// Highest is the highest fencing number seen; it is set for CodeStaleFence only.
-	Highest uint64 `json:"highest,omitempty"`
+	// HighestFence is the highest fencing number seen; it is set for CodeStaleFence only.
+	HighestFence uint64 `json:"highest,omitempty"`
 }
 
 // ErrorDetail describes the error.
@@ -115,6 +115,6 @@
 	return true
 }
 
-// Drop aborts the handler without a response and closes the connection. It panics with
+// AbortConnection aborts the handler without a response and closes the connection. It panics with
 // http.ErrAbortHandler.
-func Drop() { panic(http.ErrAbortHandler) }
+func AbortConnection() { panic(http.ErrAbortHandler) }
--- a/standin/engine/abort_test.go
+++ b/standin/engine/abort_test.go
@@ -26,7 +26,7 @@
 			assert.Equal(t, got.Error.Code, control.CodeAbortedEarly)
 			assert.Assert(t, got.Error.Code.Attested())
 		}
-		totals := b.engines[prefillA].Judge().Totals
+		totals := b.engines[prefillA].JudgeReport().Totals
 		assert.Equal(t, totals.Accepted, 0)
 		assert.Equal(t, totals.AbortedEarly, 2)
 	})
@@ -50,7 +50,7 @@
 				b.postAsync(prefillRequest(prefillA, "a1", "r1", makePrompt("p", 40)))
 				time.Sleep(tt.after)
 				assertAborted(t, b, tt.engine, "a1", tt.stage)
-				assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptWasted, tt.wasted)
+				assert.Equal(t, b.engines[prefillA].JudgeReport().Totals.PromptWasted, tt.wasted)
 			})
 		})
 	}
@@ -70,7 +70,7 @@
 		assert.Assert(t, b.abort(prefillA, "a2"))
 		assert.Equal(t, (<-refused).Error.Code, control.CodeAborted)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptComputed, 40)
+		assert.Equal(t, b.engines[prefillA].JudgeReport().Totals.PromptComputed, 40)
 	})
 }
 
@@ -90,8 +90,8 @@
 				time.Sleep(time.Second) // until the prefill result has expired
 				synctest.Wait()
 				b.assertHeld(prefillA, 0, 0)
-				assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptWasted, 40)
-				assert.Equal(t, b.engines[decodeA].Judge().Totals.DecodeRuns, 0)
+				assert.Equal(t, b.engines[prefillA].JudgeReport().Totals.PromptWasted, 40)
+				assert.Equal(t, b.engines[decodeA].JudgeReport().Totals.DecodeRuns, 0)
 			})
 		})
 	}
@@ -111,7 +111,7 @@
 		assert.Equal(t, got.code, control.CodeAborted)
 		assert.NilError(t, answer.Check(prompt, got.text, 3))
 		time.Sleep(time.Second)
-		assert.Equal(t, b.engines[decodeA].Judge().Totals.Generated, 3)
+		assert.Equal(t, b.engines[decodeA].JudgeReport().Totals.Generated, 3)
 	})
 }
 
@@ -141,7 +141,7 @@
 		cancel()
 		time.Sleep(time.Second)
 		synctest.Wait()
-		assert.Equal(t, b.engines[decodeA].Judge().Totals.Completed, 1)
+		assert.Equal(t, b.engines[decodeA].JudgeReport().Totals.Completed, 1)
 	})
 }
 
@@ -178,7 +178,7 @@
 	wasted, computed := 0, 0
 	for id, e := range b.engines {
 		b.assertHeld(id, 0, 0)
-		report := e.Judge()
+		report := e.JudgeReport()
 		reports = append(reports, report)
 		wasted += report.Totals.PromptWasted
 		computed += report.Totals.PromptComputed
--- a/standin/engine/admit.go
+++ b/standin/engine/admit.go
@@ -33,7 +33,7 @@
 		model:       req.Model,
 		priority:    req.Priority,
 		receivedAt:  time.Now(),
-		prompt:      answer.Of(prompt),
+		prompt:      answer.NewPrompt(prompt),
 		from:        req.ContinueFrom,
 		next:        req.ContinueFrom,
 		to:          cmp.Or(req.MaxTokens, req.MaxCompletionTokens, defaultMaxTokens),
--- a/standin/engine/admit_test.go
+++ b/standin/engine/admit_test.go
@@ -50,7 +50,7 @@
 				assert.Assert(t, tt.code.Attested())
 				assert.Assert(t, resp.Header.Get(HeaderLoad) != "")
 				time.Sleep(time.Second)
-				report := b.engines[tt.request.engine].Judge()
+				report := b.engines[tt.request.engine].JudgeReport()
 				assert.Equal(t, report.Totals.Accepted, 0)
 				assert.Equal(t, report.Totals.PromptComputed, 0)
 				assert.Equal(t, report.Totals.Generated, 0)
@@ -115,6 +115,6 @@
 			resp := b.post(b.t.Context(), a)
 			assert.Equal(t, readJSON[control.ErrorBody](t, resp, 409).Error.Code, control.CodeDuplicate)
 		}
-		assert.Equal(t, b.engines[decodeA].Judge().Totals.DecodeRuns, 1)
+		assert.Equal(t, b.engines[decodeA].JudgeReport().Totals.DecodeRuns, 1)
 	})
 }
--- a/standin/engine/bench_test.go
+++ b/standin/engine/bench_test.go
@@ -188,7 +188,7 @@
 // assertHeld asserts the numbers of attempts and pieces that an engine holds.
 func (b *testBed) assertHeld(engine string, attempts, pieces int) {
 	b.t.Helper()
-	report := b.engines[engine].Judge()
+	report := b.engines[engine].JudgeReport()
 	assert.Equal(b.t, report.Held.Attempts, attempts, engine)
 	assert.Equal(b.t, report.Held.Pieces, pieces, engine)
 }
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -101,7 +101,7 @@
 		select {
 		case <-rd.changed:
 		case <-rd.replaced:
-			control.Drop()
+			control.AbortConnection()
 		case <-r.Context().Done():
 			return
 		}
--- a/standin/engine/faults_test.go
+++ b/standin/engine/faults_test.go
@@ -20,7 +20,7 @@
 		assert.Equal(t, got.complete, false)
 		assert.NilError(t, answer.Check(makePrompt("p", 10), got.text, 3))
 		b.assertHeld(decodeA, 0, 0)
-		totals := b.engines[decodeA].Judge().Totals
+		totals := b.engines[decodeA].JudgeReport().Totals
 		assert.Equal(t, totals.Completed, 0)
 		assert.Equal(t, totals.Failed, 1)
 	})
@@ -57,7 +57,7 @@
 func TestCrashLosesAllButTheJudge(t *testing.T) {
 	withTestBed(t, nil, func(t *testing.T, b *testBed) {
 		kv := b.prefill(prefillA, "a1", "r1", makePrompt("p", 40))
-		before := b.engines[prefillA].Judge()
+		before := b.engines[prefillA].JudgeReport()
 		b.engines[prefillA].Crash(time.Second)
 		synctest.Wait()
 		b.assertHeld(prefillA, 0, 0)
@@ -67,12 +67,12 @@
 
 		resp := b.post(b.t.Context(), decodeRequest(decodeA, "a3", "r1", makePrompt("p", 40), 5, kv))
 		assert.Equal(t, readJSON[control.ErrorBody](t, resp, 409).Error.Code, control.CodeKVMissing)
-		after := b.engines[prefillA].Judge()
+		after := b.engines[prefillA].JudgeReport()
 		assert.Assert(t, after.Incarnation > before.Incarnation)
 		assert.Equal(t, after.Totals.PromptComputed, 40)
 		assert.Equal(t, after.Totals.PromptWasted, 40)
 		b.prefill(prefillA, "a1", "r1", makePrompt("p", 40)) // the ID is unknown to the new incarnation
-		assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptComputed, 80)
+		assert.Equal(t, b.engines[prefillA].JudgeReport().Totals.PromptComputed, 80)
 	})
 }
 
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -42,14 +42,14 @@
 		connected := e.connected
 		e.mu.Unlock()
 		if connected.Err() != nil {
-			control.Drop()
+			control.AbortConnection()
 		}
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		defer context.AfterFunc(connected, cancel)()
 		next.ServeHTTP(w, r.WithContext(ctx))
 		if connected.Err() != nil {
-			control.Drop()
+			control.AbortConnection()
 		}
 	})
 }
--- a/standin/engine/judge.go
+++ b/standin/engine/judge.go
@@ -12,7 +12,7 @@
 // serveJudge handles GET /judge. With ?correlation=ID the report includes only
 // that request's record, with a non-empty ?summary no records.
 func (e *Engine) serveJudge(w http.ResponseWriter, r *http.Request) {
-	report := e.Judge()
+	report := e.JudgeReport()
 	query := r.URL.Query()
 	if query.Get("summary") != "" {
 		report.Requests = []judge.Request{}
@@ -25,9 +25,9 @@
 	control.WriteJSON(w, http.StatusOK, report)
 }
 
-// Judge reports the work that the engine really did and the resources that it
+// JudgeReport reports the work that the engine really did and the resources that it
 // holds now.
-func (e *Engine) Judge() judge.Engine {
+func (e *Engine) JudgeReport() judge.Engine {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := e.activeAttempts()
--- a/standin/engine/kv_test.go
+++ b/standin/engine/kv_test.go
@@ -30,8 +30,8 @@
 		}
 		// The second pull used no bandwidth of the link either.
 		assert.Equal(t, <-elapsed, 40*time.Millisecond+5*10*time.Millisecond)
-		assert.Equal(t, b.engines[decodeA].Judge().Totals.Completed, 1)
-		assert.Equal(t, b.engines[decodeB].Judge().Totals.DecodeRuns, 0)
+		assert.Equal(t, b.engines[decodeA].JudgeReport().Totals.Completed, 1)
+		assert.Equal(t, b.engines[decodeB].JudgeReport().Totals.DecodeRuns, 0)
 	})
 }
 
@@ -70,7 +70,7 @@
 		e := b.engines[decodeA]
 		a := &attempt{id: "a2", correlation: "r1", pullParams: params, stage: StageEnded, to: 5}
 		e.pullKV(b.t.Context(), a)
-		assert.Equal(t, b.engines[prefillA].Judge().Totals.PromptWasted, 0)
-		assert.Equal(t, e.Judge().Totals.PromptWasted, 40)
+		assert.Equal(t, b.engines[prefillA].JudgeReport().Totals.PromptWasted, 0)
+		assert.Equal(t, e.JudgeReport().Totals.PromptWasted, 40)
 	})
 }
--- a/standin/engine/loopback_test.go
+++ b/standin/engine/loopback_test.go
@@ -73,7 +73,7 @@
 	}
 	assert.NilError(t, stream.Err())
 	assert.NilError(t, answer.Check(prompt, text, 5))
-	assert.Equal(t, decode.Judge().Totals.PromptComputed, 0) // the KV was transferred
+	assert.Equal(t, decode.JudgeReport().Totals.PromptComputed, 0) // the KV was transferred
 }
 
 // rawJSON is JSON text that is marshaled verbatim.
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -82,7 +82,7 @@
 	if e.cfg.ChecksFencing && order.Fence < p.highest {
 		body := control.NewError(http.StatusConflict, control.CodeStaleFence,
 			fmt.Sprintf("fence %d is older than %d", order.Fence, p.highest))
-		body.Highest = p.highest
+		body.HighestFence = p.highest
 		e.mu.Unlock()
 		control.WriteJSON(w, http.StatusConflict, body)
 		return
@@ -145,7 +145,7 @@
 		Models:        p.models,
 		Adapters:      p.adapters,
 		Version:       p.version,
-		Highest:       p.highest,
+		HighestFence:  p.highest,
 		ChecksFencing: e.cfg.ChecksFencing,
 		Loading:       p.loading,
 		Applied:       p.applied,
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -36,7 +36,7 @@
 			if checks {
 				got := readJSON[control.ErrorBody](t, old, http.StatusConflict)
 				assert.Equal(t, got.Error.Code, control.CodeStaleFence)
-				assert.Equal(t, got.Highest, uint64(7))
+				assert.Equal(t, got.HighestFence, uint64(7))
 			} else {
 				readJSON[OrdersResponse](t, old, 200)
 			}
@@ -44,7 +44,7 @@
 			time.Sleep(time.Second)
 			synctest.Wait()
 			got := b.orders(decodeA)
-			assert.Equal(t, got.Highest, uint64(7))
+			assert.Equal(t, got.HighestFence, uint64(7))
 			assert.DeepEqual(t, got.Models, []string{"m", "o"})
 			assert.Equal(t, got.ChecksFencing, checks)
 		})
--- a/standin/engine/resume_test.go
+++ b/standin/engine/resume_test.go
@@ -40,7 +40,7 @@
 		last := readStream(t, b.resume(decodeA, "a1", "a1:19"), 0)
 		assert.Assert(t, last.complete)
 		assert.Equal(t, last.text, "")
-		assert.Equal(t, b.engines[decodeA].Judge().Totals.Generated, 20)
+		assert.Equal(t, b.engines[decodeA].JudgeReport().Totals.Generated, 20)
 
 		time.Sleep(DefaultRetention)
 		b.drain(b.post(b.t.Context(), decodeRequest(decodeA, "a2", "r2", prompt, 1, nil))) // admission drops expired attempts
@@ -107,7 +107,7 @@
 				synctest.Wait()
 				var reports []judge.Engine
 				for _, e := range b.engines {
-					reports = append(reports, e.Judge())
+					reports = append(reports, e.JudgeReport())
 				}
 				assert.DeepEqual(t, judge.Merge(reports), judge.Summary{
 					Requests: 1, Completed: 1, PromptComputed: 83, PromptWasted: 40, Generated: 8,
--- a/standin/engine/session_test.go
+++ b/standin/engine/session_test.go
@@ -33,7 +33,7 @@
 
 		b.assertHeld(prefillA, 0, 0)
 		b.assertHeld(decodeA, 0, 0)
-		summary := judge.Merge([]judge.Engine{b.engines[prefillA].Judge(), b.engines[decodeA].Judge()})
+		summary := judge.Merge([]judge.Engine{b.engines[prefillA].JudgeReport(), b.engines[decodeA].JudgeReport()})
 		assert.DeepEqual(t, summary, judge.Summary{
 			Requests: 1, Completed: 1, PromptComputed: 40, Generated: 5,
 		})
@@ -102,7 +102,7 @@
 		got := readJSON[CompletionResponse](t, resp, http.StatusOK)
 		assert.Equal(t, time.Since(start), 5*time.Millisecond)
 		assert.Equal(t, got.Usage.PromptTokensDetails.CachedTokens, 40)
-		totals := b.engines[prefillA].Judge().Totals
+		totals := b.engines[prefillA].JudgeReport().Totals
 		assert.Equal(t, totals.PromptComputed, 50)
 		assert.Equal(t, totals.PromptCached, 40)
 	})
@@ -123,10 +123,10 @@
 		got := readJSON[control.ErrorBody](t, resp, http.StatusConflict)
 		assert.Equal(t, got.Error.Code, control.CodeKVMissing)
 		b.assertHeld(decodeA, 0, 0)
-		totals := b.engines[prefillA].Judge().Totals
+		totals := b.engines[prefillA].JudgeReport().Totals
 		assert.Equal(t, totals.Evicted, 1)
 		assert.Equal(t, totals.PromptWasted, 40)
-		assert.Equal(t, b.engines[decodeA].Judge().Totals.DecodeRuns, 0)
+		assert.Equal(t, b.engines[decodeA].JudgeReport().Totals.DecodeRuns, 0)
 	})
 }
 
@@ -181,9 +181,9 @@
 		}
 		time.Sleep(9 * time.Millisecond) // the next step starts at 15 ms
 		synctest.Wait()
-		assert.Equal(t, b.engines[decodeA].Judge().Totals.PrefillRuns, 5)
+		assert.Equal(t, b.engines[decodeA].JudgeReport().Totals.PrefillRuns, 5)
 		time.Sleep(14 * time.Millisecond) // duration of a step and four prompt tokens
 		synctest.Wait()
-		assert.Equal(t, b.engines[decodeA].Judge().Totals.DecodeRuns, 5)
+		assert.Equal(t, b.engines[decodeA].JudgeReport().Totals.DecodeRuns, 5)
 	})
 }
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -126,7 +126,7 @@
 		select {
 		case <-rd.changed:
 		case <-rd.replaced:
-			control.Drop()
+			control.AbortConnection()
 		case <-r.Context().Done():
 			return
 		}
@@ -233,7 +233,7 @@
 	default:
 		// Send the generated tokens first, as an engine does that fails later.
 		_ = s.flush()
-		control.Drop()
+		control.AbortConnection()
 	}
 	// Ignore the error: the reader has disconnected, which doesn't affect the
 	// attempt.
--- a/standin/engine/wire.go
+++ b/standin/engine/wire.go
@@ -212,8 +212,8 @@
 	Models   []string    `json:"models"`
 	Adapters []string    `json:"adapters"`
 	Version  string      `json:"version"`
-	// Highest is the highest fencing number seen.
-	Highest       uint64 `json:"highest"`
+	// HighestFence is the highest fencing number seen.
+	HighestFence  uint64 `json:"highest"`
 	ChecksFencing bool   `json:"checks_fencing"`
 	// Loading is the order being applied, nil if none.
 	Loading *Order `json:"loading,omitempty"`
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -116,19 +116,19 @@
 // serveDown responds, or does not respond, as the platform does while it is down.
 func (p *Platform) serveDown(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	by := p.mode.DownBy
+	by := p.mode.DownBehavior
 	changed := p.changed
 	p.mu.Unlock()
 	switch by {
 	case control.DownByClose:
-		control.Drop()
+		control.AbortConnection()
 	case control.DownByHang:
 		select {
 		case <-changed:
 		case <-r.Context().Done():
 		case <-p.ctx.Done():
 		}
-		control.Drop()
+		control.AbortConnection()
 	default:
 		control.WriteError(w, http.StatusServiceUnavailable, control.CodeUnavailable, "the platform is down")
 	}
--- a/standin/platform/mode_test.go
+++ b/standin/platform/mode_test.go
@@ -111,7 +111,7 @@
 func TestBadModes(t *testing.T) {
 	p := New(Config{})
 	defer p.Close()
-	for _, m := range []control.PlatformMode{{}, {Mode: "odd"}, {Mode: control.ModeDown, DownBy: "odd"}} {
+	for _, m := range []control.PlatformMode{{}, {Mode: "odd"}, {Mode: control.ModeDown, DownBehavior: "odd"}} {
 		var invalid *control.InvalidError
 		assert.Assert(t, errors.As(p.SetMode(m), &invalid))
 	}
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -98,7 +98,7 @@
 		{"appears", "/v1/keys/new?index=0&wait=10s", func(p *Platform) { p.Put("new", []byte("n")) },
 			time.Second, result{status: 200, index: "2", body: "n"}},
 		{"down", "/v1/keys/k?index=1&wait=10s", func(p *Platform) {
-			_ = p.SetMode(control.PlatformMode{Mode: control.ModeDown, DownBy: control.DownByClose})
+			_ = p.SetMode(control.PlatformMode{Mode: control.ModeDown, DownBehavior: control.DownByClose})
 		}, time.Second, result{dropped: true}},
 	}
 	for _, tt := range tests {
--- a/standin/platform/watch.go
+++ b/standin/platform/watch.go
@@ -81,7 +81,7 @@
 	s, ok := p.await(r, q)
 	switch {
 	case !ok:
-		control.Drop()
+		control.AbortConnection()
 	case s.down:
 		p.serveDown(w, r)
 	case q.blocking && s.version.index <= q.index && s.version.index > 0:
--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -23,8 +23,8 @@
 // maxBody is the maximum size of the body of a call, in bytes.
 const maxBody = 1 << 20
 
-// Answer is the JSON response to a call that ran.
-type Answer struct {
+// CallResponse is the JSON response to a call that ran.
+type CallResponse struct {
 	Service string `json:"service"`
 	// RunNumber is the number of the run on this upstream, counted from 1.
 	RunNumber int    `json:"run_number"`
@@ -61,7 +61,7 @@
 // write sends the refusal as the response.
 func (r *refusal) write(w http.ResponseWriter) {
 	body := control.NewError(r.status, r.code, r.message)
-	body.Highest = r.highest
+	body.HighestFence = r.highest
 	control.WriteJSON(w, r.status, body)
 }
 
--- a/standin/service/http.go
+++ b/standin/service/http.go
@@ -30,7 +30,7 @@
 	dead := s.connected.Err() != nil
 	s.mu.Unlock()
 	if dead {
-		control.Drop()
+		control.AbortConnection()
 	}
 	w.WriteHeader(http.StatusOK)
 }
--- a/standin/service/run.go
+++ b/standin/service/run.go
@@ -43,7 +43,7 @@
 	p := s.decide(c)
 	switch {
 	case p.closeConnection:
-		control.Drop()
+		control.AbortConnection()
 	case p.refusal != nil:
 		p.refusal.write(w)
 	case p.stored != nil:
@@ -58,7 +58,7 @@
 func (s *Service) decide(c call) decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.DieBeforeRun || s.connected.Err() != nil {
+	if s.faults.CloseBeforeRun || s.connected.Err() != nil {
 		return decision{closeConnection: true}
 	}
 	if s.cfg.Deduplicates && c.key != "" {
@@ -110,7 +110,7 @@
 		number:           s.runs,
 		delay:            s.cfg.Delay + time.Duration(s.faults.DelayMS)*time.Millisecond,
 		fails:            s.faults.ErrorRate > 0 && s.random.Float64() < s.faults.ErrorRate,
-		closesConnection: s.faults.DieAfterRun,
+		closesConnection: s.faults.CloseAfterRun,
 		crashed:          s.connected.Done(),
 	}
 	if s.cfg.Deduplicates && c.key != "" {
@@ -134,7 +134,7 @@
 	s.running--
 	s.mu.Unlock()
 	if crashed {
-		control.Drop()
+		control.AbortConnection()
 	}
 	status, answer := r.answer(s.cfg.Service)
 	if r.store != nil {
@@ -143,7 +143,7 @@
 		close(r.store.done)
 	}
 	if r.closesConnection {
-		control.Drop()
+		control.AbortConnection()
 	}
 	write(w, status, answer)
 }
@@ -159,12 +159,12 @@
 }
 
 // answer returns the status and the response to the run's call.
-func (r *run) answer(service string) (int, Answer) {
+func (r *run) answer(service string) (int, CallResponse) {
 	status := http.StatusOK
 	if r.fails {
 		status = http.StatusInternalServerError
 	}
-	return status, Answer{
+	return status, CallResponse{
 		Service:       service,
 		RunNumber:     r.number,
 		Method:        r.call.method,
@@ -183,7 +183,7 @@
 	select {
 	case <-first.done:
 	case <-crashed:
-		control.Drop()
+		control.AbortConnection()
 	case <-r.Context().Done():
 		return
 	}
@@ -193,7 +193,7 @@
 }
 
 // write sends the response of a run, or an error response if the run failed.
-func write(w http.ResponseWriter, status int, answer Answer) {
+func write(w http.ResponseWriter, status int, answer CallResponse) {
 	if status != http.StatusOK {
 		control.WriteError(w, status, control.CodeInternal, "the call ran and failed")
 		return
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -69,7 +69,7 @@
 type storedAnswer struct {
 	done   chan struct{}
 	status int
-	answer Answer
+	answer CallResponse
 }
 
 // New returns a stand-in service. The caller must Close it.
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -21,7 +21,7 @@
 type result struct {
 	dropped bool
 	status  int
-	answer  Answer
+	answer  CallResponse
 	failure control.ErrorBody
 }
 
@@ -64,7 +64,7 @@
 		start := time.Now()
 		got := do(t, s, "x", HeaderAttempt, "a1", HeaderCorrelation, "r1", HeaderKey, "k1")
 		assert.Equal(t, time.Since(start), 20*time.Millisecond)
-		assert.DeepEqual(t, got.answer, Answer{
+		assert.DeepEqual(t, got.answer, CallResponse{
 			Service: "billing", RunNumber: 1, Method: http.MethodPost, Path: "/lookup", Echo: "x",
 			AttemptID: "a1", CorrelationID: "r1",
 		})
@@ -118,7 +118,7 @@
 			if checks {
 				assert.Equal(t, old.status, http.StatusConflict)
 				assert.Equal(t, old.failure.Error.Code, control.CodeStaleFence)
-				assert.Equal(t, old.failure.Highest, uint64(7))
+				assert.Equal(t, old.failure.HighestFence, uint64(7))
 			} else {
 				assert.Equal(t, old.status, http.StatusOK)
 			}
@@ -138,8 +138,8 @@
 		runs    int
 	}{
 		{"none", control.ServiceFaults{}, false, 200, 1},
-		{"before", control.ServiceFaults{DieBeforeRun: true}, true, 0, 0},
-		{"after", control.ServiceFaults{DieAfterRun: true}, true, 0, 1},
+		{"before", control.ServiceFaults{CloseBeforeRun: true}, true, 0, 0},
+		{"after", control.ServiceFaults{CloseAfterRun: true}, true, 0, 1},
 		{"error", control.ServiceFaults{ErrorRate: 1}, false, 500, 1},
 		{"refuse", control.ServiceFaults{Refuse: true}, false, 503, 0},
 		{"draining", control.ServiceFaults{Draining: true}, false, 503, 0},
--- a/testbed/demo/example.go
+++ b/testbed/demo/example.go
@@ -144,7 +144,7 @@
 		"--targets", strings.Join(r.fleet.CallerAddresses(), ","),
 		"--rate", offeredRate[r.name],
 		"--duration", r.flags.Duration.String(),
-		"--judge", strings.Join(r.fleet.JudgeAddresses(), ","),
+		"--judge", strings.Join(r.fleet.UpstreamAddresses(), ","),
 		"--out", r.dir)
 	var table, progress bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &table, &progress
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -54,7 +54,7 @@
 	Addresses  map[ident.UpstreamID]string
 	// Platform and Operators are nil in a static fleet.
 	Platform  *Process
-	Operators *Operators
+	Operators *BundlePublisher
 
 	options  Options
 	programs Programs
@@ -229,9 +229,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// JudgeAddresses lists the addresses of the stand-in upstreams, which record what
+// UpstreamAddresses lists the addresses of the stand-in upstreams, which record what
 // actually ran.
-func (f *Fleet) JudgeAddresses() []string {
+func (f *Fleet) UpstreamAddresses() []string {
 	var list []string
 	for _, u := range f.Deployment.Content.Upstreams {
 		list = append(list, f.Addresses[u.ID])
--- a/testbed/network.go
+++ b/testbed/network.go
@@ -36,11 +36,11 @@
 // Heal ends a partition made by Cut. Bytes held back meanwhile are then delivered.
 func (f *Fleet) Heal(a, b ident.Zone) { f.cuts.set(a, b, false) }
 
-// CutOff partitions a zone from all other zones and from the platform.
-func (f *Fleet) CutOff(zone ident.Zone) { f.forOtherZones(zone, f.Cut) }
+// IsolateZone partitions a zone from all other zones and from the platform.
+func (f *Fleet) IsolateZone(zone ident.Zone) { f.forOtherZones(zone, f.Cut) }
 
-// Rejoin ends the partition made by CutOff.
-func (f *Fleet) Rejoin(zone ident.Zone) { f.forOtherZones(zone, f.Heal) }
+// ReconnectZone ends the partition made by IsolateZone.
+func (f *Fleet) ReconnectZone(zone ident.Zone) { f.forOtherZones(zone, f.Heal) }
 
 func (f *Fleet) forOtherZones(zone ident.Zone, do func(a, b ident.Zone)) {
 	for _, other := range append([]ident.Zone{PlatformZone}, f.Deployment.Zones...) {
--- a/testbed/operators.go
+++ b/testbed/operators.go
@@ -11,9 +11,9 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// Operators signs and publishes bundles, as a deployment's operators do with
+// BundlePublisher signs and publishes bundles, as a deployment's operators do with
 // wardspoolctl and the platform's own tools.
-type Operators struct {
+type BundlePublisher struct {
 	// Platform is the stand-in platform to which bundles are published.
 	Platform control.Client
 
@@ -25,23 +25,23 @@
 
 // NewOperators returns operators whose signing key is derived from seed, so that
 // it is reproducible.
-func NewOperators(platformAddress, seed string) *Operators {
+func NewOperators(platformAddress, seed string) *BundlePublisher {
 	digest := bundle.DigestOf([]byte(seed))
-	return &Operators{
+	return &BundlePublisher{
 		Platform: control.Client{Address: platformAddress},
 		key:      ed25519.NewKeyFromSeed(digest[:]),
 	}
 }
 
 // Approvers returns the approver set that instances are to trust.
-func (o *Operators) Approvers() bundle.Approvers {
+func (o *BundlePublisher) Approvers() bundle.Approvers {
 	var key bundle.PublicKey
 	copy(key[:], o.key.Public().(ed25519.PublicKey))
 	return bundle.Approvers{Epoch: 1, Quorum: 1, Keys: []bundle.Approver{{Name: "ada", Key: key}}}
 }
 
 // Version returns the newest published version, 0 if there is none.
-func (o *Operators) Version() uint64 {
+func (o *BundlePublisher) Version() uint64 {
 	if o.head == nil {
 		return 0
 	}
@@ -50,7 +50,7 @@
 
 // Publish builds, signs and publishes the next version. No instance applies it
 // before it is rolled.
-func (o *Operators) Publish(ctx context.Context, c *config.Content) error {
+func (o *BundlePublisher) Publish(ctx context.Context, c *config.Content) error {
 	head, parts, err := bundle.Build(bundle.Draft{Previous: o.head, Content: c, Approvers: o.Approvers()})
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 }
 
 // RollAll rolls the newest version out to every instance.
-func (o *Operators) RollAll(ctx context.Context) error {
+func (o *BundlePublisher) RollAll(ctx context.Context) error {
 	if err := o.roll(ctx, bundle.Roll{Stage: bundle.StageAll}); err != nil {
 		return err
 	}
@@ -79,11 +79,11 @@
 }
 
 // RollZones rolls the newest version out to the given zones.
-func (o *Operators) RollZones(ctx context.Context, zones ...ident.Zone) error {
+func (o *BundlePublisher) RollZones(ctx context.Context, zones ...ident.Zone) error {
 	return o.roll(ctx, bundle.Roll{Stage: bundle.StageCanary, Zones: zones, Share: bundle.FullShare})
 }
 
-func (o *Operators) roll(ctx context.Context, r bundle.Roll) error {
+func (o *BundlePublisher) roll(ctx context.Context, r bundle.Roll) error {
 	o.sequence++
 	r.Format = bundle.Format
 	r.Sequence = o.sequence
--- a/testbed/process.go
+++ b/testbed/process.go
@@ -53,12 +53,12 @@
 
 // start runs a program and keeps its output in memory and in a log file.
 func start(name, address, logDir, program string, args ...string) (*Process, error) {
-	return StartWith(nil, name, address, logDir, program, args...)
+	return StartProcess(nil, name, address, logDir, program, args...)
 }
 
-// StartWith runs a program like those of a fleet, with additional environment
+// StartProcess runs a program like those of a fleet, with additional environment
 // variables ("NAME=value"). Errors are *ProcessError.
-func StartWith(env []string, name, address, logDir, program string, args ...string) (*Process, error) {
+func StartProcess(env []string, name, address, logDir, program string, args ...string) (*Process, error) {
 	logFile, err := os.Create(filepath.Join(logDir, name+".log"))
 	if err != nil {
 		return nil, &ProcessError{Name: name, Op: "start", Err: err}
