--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -11,46 +11,47 @@
 	"github.com/wardspool/wardspool/load/workload"
 )
 
-// logical is one request as its caller means it; it may be sent several times.
+// logical is one request from the caller's point of view. It may be submitted
+// several times.
 type logical struct {
 	arrival workload.Arrival
 	at      time.Duration
 	subs    []*submission
-	// gone says that the caller left or its deadline passed.
+	// gone is set when the caller disconnected or its deadline passed.
 	gone      bool
 	cancelled bool
 	finished  bool
 	doneAt    time.Duration
-	// runs counts the plain service calls that ran.
+	// runs counts the executions of a plain service call.
 	runs int
-	// computed sums the prompt tokens computed; largestUsed is the most that
-	// one run computed and a decode used.
+	// computed is the total number of prompt tokens computed; largestUsed is the
+	// most that one run computed and a decode used.
 	computed, largestUsed int
 }
 
-// last is the latest submission.
+// last returns the latest submission.
 func (l *logical) last() *submission { return l.subs[len(l.subs)-1] }
 
-// submission is one sending of a request to one instance.
+// submission is one transmission of a logical request to one instance.
 type submission struct {
 	logical *logical
-	// sentAt is when the caller sent it.
+	// sentAt is the time at which the caller sent the submission.
 	sentAt  time.Duration
 	request *kernel.Request
 	to      *life
-	// attempts lists all that was sent to upstreams.
+	// attempts lists everything that was sent to upstreams for the submission.
 	attempts  []*attempt
 	delivered int
 	first     time.Duration
 	hasFirst  bool
 	answered  bool
 	outcome   api.Outcome
-	// over is when nobody waited any more.
+	// over is set once nobody waits for the submission any more.
 	over   bool
 	overAt time.Duration
 }
 
-// sawFirst notes when the caller got its first output.
+// sawFirst records the time at which the caller got its first output.
 func (s *submission) sawFirst(at time.Duration) {
 	if !s.hasFirst {
 		s.hasFirst = true
@@ -58,10 +59,10 @@
 	}
 }
 
-// whole reports whether all output was delivered.
+// whole reports whether the complete output was delivered.
 func (s *submission) whole() bool { return s.delivered == s.logical.arrival.OutputTokens }
 
-// end notes that nobody waits for the submission any more.
+// end marks the submission as one that nobody waits for any more.
 func (s *submission) end(now time.Duration) {
 	if !s.over {
 		s.over = true
@@ -69,50 +70,53 @@
 	}
 }
 
-// callers offers the workload and reacts to answers.
+// callers generates the workload and handles answers the way callers do.
 type callers struct {
 	w *world
-	// capacity is in requests a second.
+	// capacity is in requests per second.
 	capacity float64
 	logicals []*logical
 	next     int
 	sent     int
 }
 
-// blindRetryAfter is when callers that ignore Retry-After come back.
+// blindRetryAfter is the retry delay of callers that ignore Retry-After, and of
+// callers that were not connected to any instance.
 const blindRetryAfter = 100 * time.Millisecond
 
-// balancerLag is when the platform's balancer stops using a dead or frozen
-// instance.
+// balancerLag is the time after which the platform's load balancer stops routing
+// to a dead or frozen instance.
 const balancerLag = time.Second
 
-// patience is how long after its deadline a caller still takes an answer.
+// patience is how long after its deadline a caller still accepts an answer.
 const patience = 50 * time.Millisecond
 
-// A surge adds to the load for a while.
+// Parameters of a surge, a temporary increase of the load.
 const (
 	surgeLoad   = 1.5
 	surgeLength = 30 * time.Second
-	// surgeNumbers is what the numbers of a surge's arrivals start from.
+	// surgeNumbers is the offset of the arrival numbers of a surge, so that they
+	// don't collide with those of the regular load.
 	surgeNumbers = 1 << 24
 )
 
 func newCallers(w *world, capacity float64) *callers { return &callers{w: w, capacity: capacity} }
 
-// start begins the cell's usual load.
+// start schedules the regular load of the cell.
 func (c *callers) start() {
 	g := workload.NewGenerator(c.w.spec, c.capacity*c.w.cell.Load, c.w.cell.Seed)
 	c.scheduleNext(g, 0, 0, c.w.cell.Warmup+c.w.cell.Duration)
 }
 
-// surge adds what is missing to surgeLoad from now on.
+// surge raises the load from the cell's to surgeLoad, starting now.
 func (c *callers) surge() {
 	g := workload.NewGenerator(c.w.spec, c.capacity*(surgeLoad-c.w.cell.Load), ^c.w.cell.Seed)
 	end := min(c.w.clock.now+surgeLength, c.w.cell.Warmup+c.w.cell.Duration)
 	c.scheduleNext(g, surgeNumbers, c.w.clock.now, end)
 }
 
-// scheduleNext has a generator's arrivals sent one after the other.
+// scheduleNext schedules the next arrival of a generator, which then schedules
+// the one after it.
 func (c *callers) scheduleNext(g *workload.Generator, first int, start, end time.Duration) {
 	a := g.Next()
 	a.Number += first
@@ -126,7 +130,7 @@
 	})
 }
 
-// arrive sends a new request.
+// arrive sends a new request and schedules the end of its caller's wait.
 func (c *callers) arrive(a workload.Arrival) {
 	l := &logical{arrival: a, at: c.w.clock.now}
 	c.logicals = append(c.logicals, l)
@@ -137,7 +141,8 @@
 	c.w.clock.after(a.Kind.Deadline+patience, func() { c.leave(l, false) })
 }
 
-// leave ends a caller's wait.
+// leave ends a caller's wait, because it cancelled or because its deadline
+// passed.
 func (c *callers) leave(l *logical, cancelled bool) {
 	if l.finished {
 		return
@@ -146,7 +151,7 @@
 	l.doneAt = c.w.clock.now
 	sub := l.last()
 	if sub.over {
-		// It was refused and waited to be sent again.
+		// The request was refused and is waiting to be sent again.
 		return
 	}
 	l.gone, l.cancelled = true, cancelled
@@ -161,7 +166,7 @@
 	})
 }
 
-// send sends a request to the next instance of the balancer.
+// send submits a request through the load balancer.
 func (c *callers) send(l *logical) {
 	c.sent++
 	sub := &submission{logical: l, sentAt: c.w.clock.now}
@@ -177,11 +182,11 @@
 	})
 }
 
-// deliver hands a submission to an instance.
+// deliver passes a submission to the instance that the load balancer selects.
 func (c *callers) deliver(sub *submission) {
 	inst := c.balance()
 	if inst == nil || inst.life.dead {
-		// Nothing was sent, so the caller may well send it again.
+		// Nothing was sent, so the caller can safely retry.
 		sub.end(c.w.clock.now)
 		sub.outcome = api.NotRun
 		c.w.clock.after(c.w.clientDelay()+blindRetryAfter, func() { c.again(sub.logical) })
@@ -192,7 +197,8 @@
 	inst.life.receive(kernel.Arrive{Request: sub.request})
 }
 
-// balance is the platform's balancer: in turn, without those it knows are down.
+// balance simulates the platform's load balancer: round robin over the instances
+// that it doesn't know to be down.
 func (c *callers) balance() *instance {
 	for range c.w.instances {
 		inst := c.w.instances[c.next%len(c.w.instances)]
@@ -207,7 +213,7 @@
 	return nil
 }
 
-// request describes a submission to the kernel.
+// request builds the kernel's description of a submission.
 func (c *callers) request(l *logical, number int) *kernel.Request {
 	a := l.arrival
 	r := &kernel.Request{
@@ -234,7 +240,7 @@
 	return r
 }
 
-// priority is a kind's priority in the bundle.
+// priority returns the priority of a kind in the bundle.
 func (w *world) priority(kind string) int {
 	for _, k := range w.content.Kinds {
 		if k.Name == kind {
@@ -244,7 +250,7 @@
 	return 0
 }
 
-// answered reacts to a final answer.
+// answered handles a final answer and retries if the caller's policy allows it.
 func (c *callers) answered(sub *submission, a kernel.Answer) {
 	l := sub.logical
 	if l.finished {
@@ -265,10 +271,10 @@
 	c.w.clock.after(wait, func() { c.again(l) })
 }
 
-// broken reacts to a connection that broke when its instance died. A request
-// that may not run twice is not sent again: its ticket names the dead instance
-// as its only executor. Callers of the naive policy have no tickets and send
-// it again all the same.
+// broken handles a connection that was lost because its instance died. A request
+// that is not repeatable is not sent again, because its ticket names the dead
+// instance as its only executor. Callers of the naive policy have no tickets and
+// retry regardless.
 func (c *callers) broken(sub *submission) {
 	l := sub.logical
 	if l.finished {
@@ -283,7 +289,7 @@
 	c.again(l)
 }
 
-// again sends a request once more, if its caller still waits.
+// again submits a request once more if its caller still waits.
 func (c *callers) again(l *logical) {
 	if l.finished {
 		return
--- a/experiment/capacity.go
+++ b/experiment/capacity.go
@@ -8,34 +8,37 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// capacitySample is how many arrivals the means of a workload are taken over.
+// capacitySample is the number of arrivals over which the means of a workload
+// are taken.
 const capacitySample = 20_000
 
-// capacitySeed is the seed of those arrivals; no run uses it.
+// capacitySeed is the seed of those arrivals. No run uses it.
 const capacitySeed = 1 << 40
 
-// Capacity is the highest rate of requests of a workload that its engines can
-// serve, and what bounds it.
+// Capacity is the highest request rate of a workload that a deployment's engines
+// can sustain, and the limits that determine it.
 type Capacity struct {
-	// Requests is the capacity in requests a second of all kinds.
+	// Requests is the capacity in requests per second over all kinds.
 	Requests float64
-	// Prefill, Decode and Link are the bounds of each part in model requests
-	// a second; ModelShare is the model requests' share of all.
+	// Prefill, Decode and Link are the limits of each part in model requests per
+	// second; ModelShare is the fraction of all requests that are model
+	// requests.
 	Prefill, Decode, Link float64
 	ModelShare            float64
-	// Batch is the number of requests that a decode engine runs when its slots
-	// or its memory are full.
+	// Batch is the number of requests that a decode engine runs concurrently
+	// when its slots or its memory are full.
 	Batch float64
 }
 
-// Capacity returns the load at which an ideal scheduler saturates the tightest
-// part of the deployment, by the performance model and a sample of the
-// workload:
+// Capacity returns the load at which an ideal scheduler saturates the bottleneck
+// of the deployment, according to the performance model and a sample of the
+// workload. It assumes for each part:
 //
-//   - prefill: all prefill engines compute all the time, and nothing comes from
-//     a prefix cache;
-//   - decode: every slot, or all memory if that is less, is always in use, from
-//     the start of a transfer to the last token, at the pace of a full batch;
+//   - prefill: all prefill engines compute all the time, without prefix cache
+//     hits;
+//   - decode: all slots, or all memory if it is the tighter limit, are always in
+//     use, from the start of a transfer to the last token, at the speed of a
+//     full batch;
 //   - link: all prefill engines send all the time.
 func (d *Deployment) Capacity() Capacity {
 	s := d.sample()
@@ -58,10 +61,10 @@
 
 func (d *Deployment) capacity() float64 { return d.Capacity().Requests }
 
-// sample is the model requests of a sample of a workload.
+// sample holds the model requests in a sample of a workload.
 type sample struct {
 	modelShare float64
-	// prompt is the mean prompt length.
+	// prompt is the mean prompt length in tokens.
 	prompt   float64
 	arrivals []workload.Arrival
 }
@@ -84,12 +87,14 @@
 	return s
 }
 
-// saturateRounds is how often saturate improves its guess of the batch.
+// saturateRounds is the number of iterations in which saturate refines its
+// estimate of the batch size.
 const saturateRounds = 8
 
-// saturate returns how many requests a full decode engine runs on average and
-// how long each holds its place, in seconds. Memory is weighed by the time for
-// which it is held: long prompts with long answers count twice.
+// saturate returns the mean number of requests that a full decode engine runs
+// and how long each of them occupies its slot, in seconds. Memory use is
+// weighted by how long it is held, so a long prompt with a long answer counts
+// for both its size and its duration.
 func (s *sample) saturate(p perf.Params) (batch, hold float64) {
 	batch = float64(p.Slots)
 	for range saturateRounds {
--- a/experiment/cell.go
+++ b/experiment/cell.go
@@ -8,49 +8,52 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// Cell is one run of the experiment.
+// Cell holds the parameters of one run of the experiment.
 type Cell struct {
 	Deployment string
 	// Instances is the number of entry instances.
 	Instances int
 	Policy    PolicyName
-	// Load is the rate of requests as a share of Capacity.
+	// Load is the request rate as a fraction of Capacity.
 	Load  float64
 	Fault Fault
 	Seed  uint64
-	// Warmup is the time before the measured arrivals, Duration theirs.
+	// Warmup is the time before measurement starts; Duration is the time for
+	// which arrivals are measured.
 	Warmup, Duration time.Duration
-	// Jitter is the most that is added to a message's delay.
+	// Jitter is the upper bound of the random delay added to a message.
 	Jitter time.Duration
-	// LoadLag is the age of load reports on arrival.
+	// LoadLag is the age of a load report on arrival.
 	LoadLag time.Duration
 }
 
-// blind reports whether the cell's callers send again without tickets, and at
-// once.
+// blind reports whether the cell's callers retry immediately and without
+// tickets.
 func (c Cell) blind() bool { return c.Policy == PolicyNaive }
 
-// Result is what came of a cell. Requests are counted if they were offered in
-// the measured time; one that was sent again counts once.
+// Result is the outcome of a cell. Requests are counted if they were offered in
+// the measured time. A request that was sent again counts once.
 type Result struct {
 	Cell Cell
-	// Models counts the model requests, which are those with both targets.
+	// Models counts the model requests, the only ones that have both latency
+	// targets.
 	Models Count
-	// ByKind counts the requests of each kind, plain services too.
+	// ByKind counts the requests of each kind, including plain services.
 	ByKind map[string]*Count
 	// Timeline counts the model requests by the TimelineStep in which they
-	// arrived, from the end of the warm-up on.
+	// arrived, starting at the end of the warm-up.
 	Timeline []Count
-	// PromptComputed and PromptWasted are in tokens over the whole run.
+	// PromptComputed and PromptWasted are in tokens and cover the whole run.
 	PromptComputed, PromptWasted int
-	// WastedCancelled, WastedEvicted and WastedKilled are parts of it; the rest
-	// was computed again for a decode that was lost.
+	// WastedCancelled, WastedEvicted and WastedKilled break PromptWasted down by
+	// cause. The remainder was computed again for a decode that was lost.
 	WastedCancelled, WastedEvicted, WastedKilled int
 	FirstOutputP95, PaceP95                      time.Duration
-	// DecodeBusy is the mean share of decode slots or memory in use, PrefillBusy
-	// that of prefill engines that compute, in the measured time.
+	// DecodeBusy is the mean fraction of decode slots or memory in use,
+	// PrefillBusy the mean fraction of prefill engines that are computing, both
+	// over the measured time.
 	DecodeBusy, PrefillBusy float64
-	// Sent counts submissions, retries included.
+	// Sent counts submissions, including retries.
 	Sent         int
 	PeerMessages int
 	// Broken counts violations by kind.
@@ -58,32 +61,37 @@
 	Violations []Violation
 }
 
-// TimelineStep is the length of a part of Result.Timeline.
+// TimelineStep is the length of one interval of Result.Timeline.
 const TimelineStep = 5 * time.Second
 
-// Count counts requests by what came of them.
+// Count counts requests by outcome.
 type Count struct {
 	Offered int
-	// Good counts those answered whole and within their targets from when they
-	// first arrived, GoodResent those within their targets from when they were
-	// last sent, Complete those answered whole.
+	// Good counts the requests answered completely and within their targets,
+	// measured from their first arrival. GoodResent measures the targets from
+	// the latest submission instead. Complete counts all complete answers,
+	// whether or not within target.
 	Good, GoodResent, Complete int
-	// Refused counts those whose last answer was "not-run", Unknown those of
-	// which the caller doesn't know, Cancelled those whose caller left.
+	// Refused counts the requests whose last answer was "not-run", Unknown those
+	// whose outcome the caller doesn't know, Cancelled those whose caller
+	// cancelled.
 	Refused, Unknown, Cancelled int
 }
 
-// Duplicates counts the requests that ran twice and must not.
+// Duplicates returns the number of requests that ran twice although they are not
+// repeatable.
 func (r *Result) Duplicates() int { return r.Broken[RanTwice] }
 
-// Leaks counts the attempts whose memory was held for nobody.
+// Leaks returns the number of attempts whose engine memory was held after nobody
+// waited for them.
 func (r *Result) Leaks() int { return r.Broken[Leaked] }
 
 // Run runs one cell of a deployment. Errors are of type *PolicyError or
 // *FaultError, or those of kernel.New.
 func Run(cell Cell, d *Deployment) (*Result, error) { return run(cell, d, nil) }
 
-// RunTraced is Run; it also passes each event, action and violation to trace.
+// RunTraced runs a cell like Run and passes each event, action and violation to
+// trace.
 func RunTraced(cell Cell, d *Deployment, trace func(line string)) (*Result, error) {
 	return run(cell, d, trace)
 }
@@ -100,7 +108,7 @@
 	return w.result(), nil
 }
 
-// result sums up a finished run.
+// result summarizes a finished run.
 func (w *world) result() *Result {
 	r := &Result{
 		Cell: w.cell, ByKind: map[string]*Count{},
@@ -133,7 +141,7 @@
 	return r
 }
 
-// count adds one measured request.
+// count adds one request of the measured time.
 func (r *Result) count(l *logical) {
 	kind := r.ByKind[l.arrival.Kind.Name]
 	if kind == nil {
@@ -147,7 +155,7 @@
 	}
 }
 
-// add counts one request.
+// add counts one request by its outcome.
 func (c *Count) add(l *logical) {
 	c.Offered++
 	switch {
--- a/experiment/clock.go
+++ b/experiment/clock.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// epoch is the time at which every run starts.
+// epoch is the time of day at which every run starts.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// clock runs functions in the order of virtual time. Functions due at the same
-// time run in the order in which they were added.
+// clock executes functions in the order of virtual time. Functions due at the
+// same time run in the order in which they were added.
 type clock struct {
 	now   time.Duration
 	queue eventQueue
 	added uint64
 }
 
-// event is a function that is due at a time.
+// event is a function scheduled for a point in virtual time.
 type event struct {
 	at    time.Duration
 	order uint64
 	do    func()
 }
 
-// time returns the present as a time of day.
+// time returns the current virtual time as a time of day.
 func (c *clock) time() time.Time { return epoch.Add(c.now) }
 
-// at runs do at a time, which must not lie in the past.
+// at schedules do for a point in virtual time. A time in the past is treated as
+// now.
 func (c *clock) at(at time.Duration, do func()) {
 	c.added++
 	heap.Push(&c.queue, event{at: max(at, c.now), order: c.added, do: do})
 }
 
-// after runs do after a delay.
+// after schedules do for the end of a delay.
 func (c *clock) after(delay time.Duration, do func()) { c.at(c.now+delay, do) }
 
-// run runs everything that is due up to a time and leaves the clock there.
+// run executes everything that is due up to a time and sets the clock to that
+// time.
 func (c *clock) run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(event)
--- a/experiment/decode.go
+++ b/experiment/decode.go
@@ -7,15 +7,15 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// decodeEngine imports prefill results into slots and generates one token for
-// each of its running attempts a step.
+// decodeEngine simulates a decode engine: it imports prefill results into slots
+// and generates one token per step for each running attempt.
 type decodeEngine struct {
 	upstream
 	w      *world
 	params perf.Params
 
-	// held lists the attempts with a slot, in order of arrival; running marks
-	// those whose KV cache has arrived.
+	// held lists the attempts that occupy a slot, in order of arrival; running
+	// marks those whose KV cache has arrived.
 	held       []*attempt
 	running    map[ident.AttemptID]bool
 	piecesUsed int
@@ -26,12 +26,14 @@
 	return &decodeEngine{upstream: u, w: w, params: p, running: map[ident.AttemptID]bool{}}
 }
 
-// pieces is the memory an attempt takes when its answer is as long as it may be.
+// pieces returns the memory that an attempt reserves, assuming the longest
+// answer it is allowed.
 func (a *attempt) pieces(p perf.Params) int {
 	return p.PiecesFor(a.sub.request.PromptTokens + a.sub.request.MaxOutputTokens)
 }
 
-// refusal is an attested refusal.
+// refusal builds a failure by which an upstream attests that it did not run the
+// attempt.
 func refusal(a *attempt, code kernel.FailureCode) *kernel.AttemptFailed {
 	return &kernel.AttemptFailed{
 		Attempt:  a.id,
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// source finds the prefill engine that holds an attempt's KV cache.
+// source returns the prefill engine that holds an attempt's KV cache.
 func (e *decodeEngine) source(a *attempt) (*prefillEngine, bool) {
 	if a.kv == nil {
 		return nil, false
@@ -77,8 +79,8 @@
 	return p, ok
 }
 
-// imported starts the generation, or fails the attempt if its KV cache was
-// lost on the way.
+// imported starts generation, or fails the attempt if its KV cache was lost in
+// transfer.
 func (e *decodeEngine) imported(a *attempt, sent bool) {
 	if !sent {
 		e.release(a)
@@ -91,7 +93,7 @@
 	e.startStep()
 }
 
-// startStep begins the next step if there is anything to generate.
+// startStep schedules the next step if there is anything to generate.
 func (e *decodeEngine) startStep() {
 	if e.stepping || len(e.running) == 0 {
 		return
@@ -116,7 +118,7 @@
 	})
 }
 
-// token adds one token to an attempt's answer.
+// token generates the next token of an attempt.
 func (e *decodeEngine) token(a *attempt) {
 	if a.over {
 		return
@@ -183,7 +185,7 @@
 	}
 }
 
-// fill is the share of the slots or of the memory in use, whichever is more.
+// fill returns the fraction of slots or of memory in use, whichever is higher.
 func (e *decodeEngine) fill() float64 {
 	slots := float64(len(e.held)) / float64(e.params.Slots)
 	return max(slots, float64(e.piecesUsed)/float64(e.params.Pieces))
--- a/experiment/deployment.go
+++ b/experiment/deployment.go
@@ -14,14 +14,14 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// PolicyName names what decides in a run.
+// PolicyName identifies the policy that makes the decisions in a run.
 type PolicyName string
 
-// The policies that are no file in policies/. A name that starts with
-// PolicySlots is the current policy with another slot policy, for example
-// "slots.shares".
+// Policies that are not a file in policies/. A name that starts with PolicySlots
+// is the current policy with another slot policy, for example "slots.shares".
 const (
-	// PolicyIdeal has a perfect view, one queue for all and no message delay.
+	// PolicyIdeal is a scheduler with a perfect view, one global queue and no
+	// message delay.
 	PolicyIdeal PolicyName = "ideal"
 	// PolicyCurrent is the policy of the deployment's bundle.
 	PolicyCurrent PolicyName = "current"
@@ -34,18 +34,18 @@
 //go:embed policies/*.yaml
 var policyFiles embed.FS
 
-// Deployment is one user's bundle and workload, and where its zones are.
+// Deployment is one user's bundle and workload with the layout of its zones.
 type Deployment struct {
 	Name string
-	// Content is the bundle's; its policy is PolicyCurrent.
+	// Content is the content of the bundle; its policy is PolicyCurrent.
 	Content *config.Content
 	Spec    *workload.Spec
 	Zones   []ident.Zone
-	// CrossZone is the one-way time between two zones.
+	// CrossZone is the one-way network delay between two zones.
 	CrossZone time.Duration
 }
 
-// PolicyError reports a policy that the experiment doesn't have.
+// PolicyError reports a policy that doesn't exist or that the kernel rejects.
 type PolicyError struct {
 	Name PolicyName
 	Err  error
@@ -66,26 +66,26 @@
 // Error implements error.
 func (e *DeploymentError) Error() string { return fmt.Sprintf("deployment %s: %s", e.Name, e.Wrong) }
 
-// Times between zones of the users whose deployments are known.
+// One-way delays between zones of the known deployments.
 var crossZoneTimes = map[string]time.Duration{
 	"coastline": 500 * time.Microsecond,
 	"lagos":     1500 * time.Microsecond,
 }
 
-// NewDeployment joins a bundle's content and a workload. The zone of an
-// upstream is what its ID starts with, up to its role or service. Errors are
-// of type *DeploymentError.
+// NewDeployment combines a bundle's content and a workload. The zone of an
+// upstream is the part of its ID before its role or service. Errors are of type
+// *DeploymentError.
 func NewDeployment(content *config.Content, spec *workload.Spec) (*Deployment, error) {
 	d := &Deployment{Name: content.Deployment, Content: content, Spec: spec}
 	if spec.Deployment != content.Deployment {
-		return nil, &DeploymentError{Name: d.Name, Wrong: "the workload is for " + spec.Deployment}
+		return nil, &DeploymentError{Name: d.Name, Wrong: "workload belongs to deployment " + spec.Deployment}
 	}
 	if len(content.Models) != 1 {
-		return nil, &DeploymentError{Name: d.Name, Wrong: "the experiment needs exactly one model"}
+		return nil, &DeploymentError{Name: d.Name, Wrong: "bundle must define exactly one model"}
 	}
 	cross, known := crossZoneTimes[d.Name]
 	if !known {
-		return nil, &DeploymentError{Name: d.Name, Wrong: "the times between its zones are not known"}
+		return nil, &DeploymentError{Name: d.Name, Wrong: "cross-zone delay unknown"}
 	}
 	d.CrossZone = cross
 	seen := map[ident.Zone]bool{}
@@ -98,7 +98,7 @@
 	return d, nil
 }
 
-// zoneOf finds an upstream's zone by its name.
+// zoneOf derives an upstream's zone from its ID.
 func (d *Deployment) zoneOf(id ident.UpstreamID) ident.Zone {
 	for _, u := range d.Content.Upstreams {
 		if u.ID != id {
@@ -114,7 +114,7 @@
 	return ""
 }
 
-// zones lists the zones of the world's back ends, in the bundle's order.
+// zones lists the zones of the simulated upstreams, in the bundle's order.
 func (w *world) zones() []ident.Zone {
 	var zones []ident.Zone
 	seen := map[ident.Zone]bool{}
@@ -127,7 +127,8 @@
 	return zones
 }
 
-// policyContent returns the bundle's content with the named policy.
+// policyContent returns the bundle's content with its policy replaced by the
+// named one.
 func (d *Deployment) policyContent(name PolicyName) (*config.Content, error) {
 	content := *d.Content
 	switch {
@@ -151,7 +152,7 @@
 func PolicyVersions() []PolicyName {
 	entries, err := policyFiles.ReadDir("policies")
 	if err != nil {
-		// The directory is part of the program.
+		// Cannot happen: the directory is embedded in the binary.
 		return nil
 	}
 	var names []PolicyName
--- a/experiment/digest.go
+++ b/experiment/digest.go
@@ -10,17 +10,18 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// pivot is a table with one cell for each pair of a row and a column.
+// pivot describes a table with one cell for each pair of a row and a column.
 type pivot struct {
 	title string
-	// row and column name a summary's place; an empty row leaves it out.
+	// row and column return the labels under which a summary appears; an empty
+	// row label leaves it out.
 	row    func(*Summary) string
 	column func(*Summary) string
 	cell   func(*Summary) string
 }
 
 // WriteDigest writes the tables of docs/measurements.md in Markdown. Errors are
-// the writer's or of type *report.RowError.
+// those of the writer or of type *report.RowError.
 func WriteDigest(w io.Writer, list []*Summary, surges []*Timeline) error {
 	for _, p := range pivots {
 		if _, err := fmt.Fprintf(w, "### %s\n\n", p.title); err != nil {
@@ -40,7 +41,7 @@
 	return writeSurgeDigest(w, surges)
 }
 
-// pivots are the tables of the digest.
+// pivots lists the tables of the digest.
 var pivots = []pivot{
 	{
 		title:  "Goodput by load, as a share of the model requests offered (least to greatest over the seeds)",
@@ -106,7 +107,6 @@
 	return s.Deployment + " " + string(s.Policy)
 }
 
-// percent formats a share as a percentage.
 func percent(share float64) string { return report.Fixed(share*100, 2) + "%" }
 
 // table fills the pivot; rows and columns are in order of appearance.
@@ -139,7 +139,7 @@
 	return t, nil
 }
 
-// Parts of a surge's run, in seconds since the end of the warm-up.
+// Phases of a run with a surge, in seconds since the end of the warm-up.
 const (
 	surgeStarts = float64(matrixDuration/3) / float64(time.Second)
 	surgeEnds   = surgeStarts + float64(surgeLength)/float64(time.Second)
@@ -168,7 +168,7 @@
 	return t.WriteMarkdown(w)
 }
 
-// between sums up the parts that start in a range of seconds.
+// between summarizes the intervals that start within a range of seconds.
 func (t *Timeline) between(from, to float64) string {
 	var offered, good, n float64
 	for _, p := range t.Parts {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -16,7 +16,7 @@
 	_ "github.com/wardspool/wardspool/plugins/standard"
 )
 
-// deployment loads one of the examples.
+// deployment loads one of the example deployments.
 func deployment(t testing.TB, name string) *Deployment {
 	t.Helper()
 	dir := filepath.Join("..", "examples", name)
@@ -49,16 +49,16 @@
 		r, err := Run(cell, d)
 		assert.NilError(t, err)
 		share := float64(r.Models.Good) / float64(r.Models.Offered)
-		assert.Assert(t, share > 0.95, "%s: %.3f", name, share)
+		assert.Assert(t, share > 0.95, "%s: good share %.3f", name, share)
 		assert.Equal(t, len(r.Violations), 0, "%v", r.Violations)
 		assert.Assert(t, r.PromptWasted*100 < r.PromptComputed)
 	}
 }
 
-// TestCapacityIsWhereTheIdealSaturates shows that the ideal completes about as
-// much as Capacity says when twice as much is offered. Lagos' long prompts need
-// many pieces at once, so that some memory is always left over: the ideal gets
-// to 0.86 there.
+// TestCapacityIsWhereTheIdealSaturates guards against a wrong capacity model:
+// offered twice the capacity, the ideal scheduler must complete about as much as
+// Capacity says. It reaches 0.86 of it for lagos, whose long prompts need many
+// pieces at once, so that some memory is always left over.
 func TestCapacityIsWhereTheIdealSaturates(t *testing.T) {
 	for _, name := range []string{"coastline", "lagos"} {
 		d := deployment(t, name)
@@ -70,7 +70,7 @@
 		served := float64(r.Models.Complete) / cell.Duration.Seconds()
 		t.Logf("%s: %.2f of %.2f model requests a second", name, served, k.Requests*k.ModelShare)
 		ratio := served / (k.Requests * k.ModelShare)
-		assert.Assert(t, ratio > 0.8 && ratio < 1.1, "%s: %.3f", name, ratio)
+		assert.Assert(t, ratio > 0.8 && ratio < 1.1, "%s: served/capacity %.3f", name, ratio)
 	}
 }
 
@@ -134,7 +134,8 @@
 	assert.NilError(t, SavePlots(filepath.Join(t.TempDir(), "plot"), list, surges))
 }
 
-// TestMatrixIsWhole checks that the matrix has what is asked of it.
+// TestMatrixIsWhole checks that the matrix has every required combination of
+// policy, load and fault for each seed.
 func TestMatrixIsWhole(t *testing.T) {
 	d := deployment(t, "lagos")
 	have := map[group]int{}
--- a/experiment/fault.go
+++ b/experiment/fault.go
@@ -10,44 +10,47 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Fault names what goes wrong in a run. Several are joined by "+". Each happens
-// at a third of the measured time, or as long after the start of the run as
-// follows its name, for example "decode_kill@12s+zone_cut@15s".
+// Fault names the faults injected in a run, joined by "+". Each is injected
+// after a third of the measured time, or at the offset from the start of the run
+// that follows its name, for example "decode_kill@12s+zone_cut@15s".
 type Fault string
 
-// The faults.
+// The faults that a Cell can name.
 const (
 	FaultNone Fault = "none"
-	// FaultInstanceKill kills an entry instance; it is replaced later.
+	// FaultInstanceKill kills an entry instance, which restarts after
+	// killLength.
 	FaultInstanceKill Fault = "instance_kill"
-	// FaultInstanceFreeze stops an entry instance, which wakes late with an
-	// old view.
+	// FaultInstanceFreeze pauses an entry instance, which resumes with a stale
+	// view.
 	FaultInstanceFreeze Fault = "instance_freeze"
-	// FaultDecodeKill kills a decode engine; it is replaced later.
+	// FaultDecodeKill kills a decode engine, which restarts after killLength.
 	FaultDecodeKill Fault = "decode_kill"
-	// FaultPrefillKill kills a prefill engine; it is replaced later.
+	// FaultPrefillKill kills a prefill engine, which restarts after killLength.
 	FaultPrefillKill Fault = "prefill_kill"
-	// FaultServiceKill kills a plain service; it is replaced later.
+	// FaultServiceKill kills a plain service, which restarts after killLength.
 	FaultServiceKill Fault = "service_kill"
-	// FaultTransferStall stops all transfers out of a prefill engine.
+	// FaultTransferStall stops all KV transfers out of a prefill engine.
 	FaultTransferStall Fault = "transfer_stall"
-	// FaultZoneCut separates a zone from the others.
+	// FaultZoneCut partitions a zone from the others.
 	FaultZoneCut Fault = "zone_cut"
-	// FaultPeerCut separates one instance from its peers, but from nothing else.
+	// FaultPeerCut partitions one instance from its peers, but from nothing
+	// else.
 	FaultPeerCut Fault = "peer_cut"
-	// FaultSurge raises the load to surgeLoad for a while.
+	// FaultSurge raises the load to surgeLoad for surgeLength.
 	FaultSurge Fault = "surge"
-	// FaultPlatformDown keeps the platform's list as it was.
+	// FaultPlatformDown stops updates of the platform's list of running
+	// processes.
 	FaultPlatformDown Fault = "platform_down"
 )
 
-// SingleFaults lists the faults that can happen alone.
+// SingleFaults lists the faults that the matrix injects alone.
 var SingleFaults = []Fault{
 	FaultInstanceKill, FaultInstanceFreeze, FaultDecodeKill, FaultPrefillKill,
 	FaultServiceKill, FaultTransferStall, FaultZoneCut, FaultPeerCut, FaultPlatformDown,
 }
 
-// DoubleFaults lists the pairs of faults that the matrix runs.
+// DoubleFaults lists the pairs of faults that the matrix injects together.
 var DoubleFaults = []Fault{
 	FaultInstanceKill + "+" + FaultDecodeKill,
 	FaultInstanceFreeze + "+" + FaultZoneCut,
@@ -55,7 +58,7 @@
 	FaultTransferStall + "+" + FaultPeerCut,
 }
 
-// Lengths of the faults.
+// Durations of the faults.
 const (
 	killLength  = 8 * time.Second
 	freezeTime  = 6 * time.Second
@@ -63,8 +66,8 @@
 	cutLength   = 10 * time.Second
 )
 
-// scheduleFaults plans the cell's faults. It returns a *FaultError if it doesn't
-// know one of them.
+// scheduleFaults schedules the cell's faults. It returns a *FaultError if one of
+// them doesn't exist.
 func (w *world) scheduleFaults() error {
 	for _, part := range strings.Split(string(w.cell.Fault), "+") {
 		name, after, timed := strings.Cut(part, "@")
@@ -85,13 +88,13 @@
 	return nil
 }
 
-// FaultError reports a fault that the experiment doesn't have.
+// FaultError reports a fault that doesn't exist or that has an invalid offset.
 type FaultError struct{ Fault Fault }
 
 // Error implements error.
 func (e *FaultError) Error() string { return fmt.Sprintf("no fault %q", string(e.Fault)) }
 
-// bringAbout makes one fault happen now.
+// bringAbout injects one fault now.
 func (w *world) bringAbout(f Fault) {
 	switch f {
 	case FaultInstanceKill:
@@ -122,9 +125,9 @@
 	}
 }
 
-// withInstance does something to the instance that has received most peer
-// messages, on which the others depend most, or to one drawn at random if there
-// were none. The ideal has no instance that could fail.
+// withInstance applies a fault to the instance that has received the most peer
+// messages, since the others depend on it most, or to a random one if there were
+// none. The ideal scheduler has no instance that could fail.
 func (w *world) withInstance(do func(*instance)) {
 	if len(w.instances) == 0 {
 		return
@@ -138,7 +141,7 @@
 	do(chosen)
 }
 
-// pick draws an upstream of a role.
+// pick returns a random upstream of a role.
 func (w *world) pick(role config.Role) backend {
 	var list []backend
 	for _, id := range w.order {
@@ -149,7 +152,8 @@
 	return list[w.rng.IntN(len(list))]
 }
 
-// killInstance ends an instance's life and starts the next one later.
+// killInstance kills an instance's process and starts a new one after
+// killLength.
 func (w *world) killInstance(inst *instance) {
 	l := inst.life
 	if l.dead {
@@ -174,7 +178,7 @@
 	})
 }
 
-// freezeInstance stops a process and lets it run on later.
+// freezeInstance pauses an instance's process for freezeTime.
 func (w *world) freezeInstance(inst *instance) {
 	l := inst.life
 	if l.dead || l.frozen {
@@ -185,8 +189,8 @@
 	w.clock.after(freezeTime, func() { w.thaw(l) })
 }
 
-// thaw lets a process run on: it meets what arrived meanwhile, with a view as
-// old as its sleep.
+// thaw resumes a paused process. It first handles what arrived meanwhile, with
+// the view that it had when it was paused.
 func (w *world) thaw(l *life) {
 	if l.dead {
 		return
@@ -203,7 +207,7 @@
 	w.viewsChange()
 }
 
-// killUpstream kills a back end and starts its next life later.
+// killUpstream kills an upstream and restarts it after killLength.
 func (w *world) killUpstream(b backend) {
 	if !b.base().alive {
 		return
@@ -216,7 +220,7 @@
 	})
 }
 
-// stallTransfers stops the link of one prefill engine for a while.
+// stallTransfers stalls the link of one prefill engine for stallLength.
 func (w *world) stallTransfers() {
 	e, ok := w.pick(config.RolePrefill).(*prefillEngine)
 	if !ok {
@@ -226,8 +230,8 @@
 	w.clock.after(stallLength, func() { e.setStalled(false) })
 }
 
-// cutZone separates one zone from the others for a while. It doesn't touch the
-// ideal, which is everywhere at once.
+// cutZone partitions one zone from the others for cutLength. It doesn't affect
+// the ideal scheduler, which has no location.
 func (w *world) cutZone() {
 	if w.ideal != nil {
 		return
@@ -248,7 +252,8 @@
 	})
 }
 
-// breakAcrossCuts breaks what is in flight between zones now separated.
+// breakAcrossCuts interrupts transfers and streams between zones that are now
+// partitioned.
 func (w *world) breakAcrossCuts() {
 	for _, id := range w.order {
 		if e, ok := w.backends[id].(*prefillEngine); ok {
@@ -265,7 +270,7 @@
 	}
 }
 
-// cutPeer separates one instance from its peers for a while.
+// cutPeer partitions one instance from its peers for cutLength.
 func (w *world) cutPeer(inst *instance) {
 	w.net.isolated[inst.id] = true
 	w.viewsChange()
--- a/experiment/feeds.go
+++ b/experiment/feeds.go
@@ -7,24 +7,26 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// How load reports and cache events lag.
+// Timing and loss of load reports and cache events.
 const (
-	// loadPeriod is the time between two load reports of an upstream.
+	// loadPeriod is the interval between two load reports of an upstream.
 	loadPeriod = 500 * time.Millisecond
-	// usualLoadLag is the age of a report on arrival.
+	// usualLoadLag is the default age of a load report on arrival.
 	usualLoadLag = 500 * time.Millisecond
 	// cacheLag is the age of a cache event on arrival.
 	cacheLag = 500 * time.Millisecond
-	// cacheLoss is the share of cache events that are never published.
+	// cacheLoss is the fraction of cache events that are lost before
+	// publication.
 	cacheLoss = 0.05
-	// resyncAfter is when a reader has noticed the gap and read the whole cache.
+	// resyncAfter is the time that a reader needs to notice a gap in the events
+	// and to read the whole cache.
 	resyncAfter = time.Second
 )
 
-// feeds brings load reports and cache events to the instances.
+// feeds delivers load reports and cache events to the instances.
 type feeds struct{ w *world }
 
-// start begins the load reports, each upstream's at its own phase.
+// start schedules the load reports, with a different phase for each upstream.
 func (f *feeds) start() {
 	if f.w.ideal != nil {
 		return
@@ -35,7 +37,8 @@
 	}
 }
 
-// reportLoad reports one upstream's load now and comes back for the next.
+// reportLoad publishes the current load of one upstream and schedules the next
+// report.
 func (f *feeds) reportLoad(b backend) {
 	f.w.clock.after(loadPeriod, func() { f.reportLoad(b) })
 	if b.base().alive {
@@ -43,7 +46,7 @@
 	}
 }
 
-// publish brings an event to all instances that can reach its upstream.
+// publish delivers an event to all instances that can reach its upstream.
 func (f *feeds) publish(b backend, lag time.Duration, ev kernel.Event) {
 	f.w.clock.after(lag, func() {
 		for _, inst := range f.w.instances {
@@ -54,8 +57,8 @@
 	})
 }
 
-// cacheChanged publishes a change of a prefix cache, or loses it and has the
-// readers read the whole cache later.
+// cacheChanged publishes a change of a prefix cache. If the event is lost, the
+// readers read the whole cache later instead.
 func (f *feeds) cacheChanged(e *prefillEngine, added, evicted []tokens.BlockHash) {
 	if f.w.ideal != nil || len(added)+len(evicted) == 0 {
 		return
--- a/experiment/ideal.go
+++ b/experiment/ideal.go
@@ -10,28 +10,30 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// ideal takes the place of all entry instances: it sees the true state of every
-// upstream without delay, keeps one queue in deadline order, knows how long
-// each answer will be, and hands a prompt to a prefill engine only when the
-// engine is idle and a decode slot will be free for the result. It shares no
-// code with the kernel, so that it does not move when the kernel does.
+// ideal is an upper bound for the entry instances, which it replaces. It sees
+// the true state of every upstream without delay, keeps one queue in deadline
+// order, knows the length of each answer in advance, and starts a prefill only
+// when the engine is idle and a decode slot will be free for the result. It
+// shares no code with the kernel, so that changes of the kernel don't move the
+// baseline.
 type ideal struct {
 	w        *world
 	sequence uint64
 	queue    []*submission
 	subs     map[ident.RequestID]*submission
 	attempts map[ident.AttemptID]*attempt
-	// planned lists prompts in prefill or waiting for their slot, by decode
-	// engine.
+	// planned lists, by decode engine, the prompts that are in prefill or
+	// waiting for their slot.
 	planned map[ident.UpstreamID][]*attempt
 	target  map[*attempt]ident.UpstreamID
 	// ready lists finished prefills whose slot is not free yet.
 	ready []*attempt
-	// ticking is true while a look at the queue is due.
+	// ticking is true while a check of the queue is scheduled.
 	ticking bool
 }
 
-// idealTick is how often the queue is looked at when nothing else happens.
+// idealTick is the interval at which the queue is checked when nothing else
+// happens.
 const idealTick = 5 * time.Millisecond
 
 func newIdeal(w *world) *ideal {
@@ -46,7 +48,7 @@
 
 func (i *ideal) place() ident.Zone { return "" }
 
-// arrive takes a submission in.
+// arrive queues a new submission.
 func (i *ideal) arrive(sub *submission) {
 	i.subs[sub.request.ID] = sub
 	i.enqueue(sub)
@@ -58,7 +60,7 @@
 	sort.SliceStable(i.queue, func(a, b int) bool { return i.due(i.queue[a]).Before(i.due(i.queue[b])) })
 }
 
-// due orders the queue.
+// due returns the time by which the queue is ordered.
 func (i *ideal) due(sub *submission) time.Time {
 	if sub.request.Route == config.RouteService {
 		return sub.request.Arrived
@@ -83,7 +85,7 @@
 	i.schedule()
 }
 
-// gone releases all of a caller that left.
+// gone releases everything held for a caller that left.
 func (i *ideal) gone(sub *submission) {
 	for n, q := range i.queue {
 		if q == sub {
@@ -100,7 +102,7 @@
 	i.answer(sub, api.Unknown)
 }
 
-// answer gives the final answer, once.
+// answer gives the final answer once; later calls have no effect.
 func (i *ideal) answer(sub *submission, outcome api.Outcome) {
 	if sub.answered {
 		return
@@ -110,13 +112,14 @@
 	sub.end(i.w.clock.now)
 	a := kernel.Answer{Request: sub.request.ID, Outcome: outcome}
 	if outcome != api.Complete {
-		// It knows when coming back cannot help, so its callers don't.
+		// The ideal scheduler refuses only what a retry cannot save, so its
+		// callers don't retry.
 		a.Problem = api.NewProblem(api.ProblemInfeasible, outcome, "")
 	}
 	i.w.callers.answered(sub, a)
 }
 
-// failed starts again with what was lost.
+// failed queues a submission again after one of its attempts failed.
 func (i *ideal) failed(a *attempt, e kernel.AttemptFailed) {
 	sub := a.sub
 	i.unplan(a)
@@ -134,7 +137,7 @@
 	i.enqueue(sub)
 }
 
-// schedule starts all that can be started now.
+// schedule starts everything that can start now.
 func (i *ideal) schedule() {
 	i.startReady()
 	waiting := i.queue
@@ -150,7 +153,7 @@
 	i.tick()
 }
 
-// tick looks at the queue again soon if something waits.
+// tick schedules another check of the queue if anything is waiting.
 func (i *ideal) tick() {
 	if i.ticking || len(i.queue)+len(i.ready) == 0 {
 		return
@@ -186,8 +189,8 @@
 	}
 }
 
-// start starts a waiting submission, or refuses it if it is too late. It
-// returns false if the submission has to wait.
+// start starts a queued submission, or refuses it if it would miss its target.
+// It returns false if the submission has to wait.
 func (i *ideal) start(sub *submission) bool {
 	if sub.request.Route == config.RouteService {
 		return i.startService(sub)
@@ -211,8 +214,9 @@
 	return true
 }
 
-// refuseLate refuses a submission that would not meet its target if it took
-// that long from now; output already delivered is not given up.
+// refuseLate refuses a submission that would miss its target if it needed that
+// long from now. A submission that has already delivered output is never
+// refused.
 func (i *ideal) refuseLate(sub *submission, need time.Duration) bool {
 	if sub.delivered > 0 || !i.w.clock.time().Add(need).After(sub.request.FirstOutputBy) {
 		return false
@@ -227,7 +231,7 @@
 	return true
 }
 
-// startService calls the least loaded runner that lives.
+// startService calls the least loaded live runner of the service.
 func (i *ideal) startService(sub *submission) bool {
 	var best *serviceRunner
 	for _, id := range i.w.order {
@@ -246,7 +250,7 @@
 	return true
 }
 
-// send hands an attempt to its upstream.
+// send sends an attempt to its upstream.
 func (i *ideal) send(a *attempt, to ident.UpstreamID) {
 	i.sequence++
 	a.id = ident.AttemptID{Instance: "ideal", Sequence: i.sequence, Deadline: a.sub.request.Deadline}
@@ -257,7 +261,7 @@
 	i.w.arrive(a)
 }
 
-// unplan forgets the slot that was planned for a prefill.
+// unplan releases the decode slot planned for a prefill.
 func (i *ideal) unplan(a *attempt) {
 	id, ok := i.target[a]
 	if !ok {
--- a/experiment/idealchoice.go
+++ b/experiment/idealchoice.go
@@ -6,8 +6,9 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// bestPrefill is the idle prefill engine that computes the prompt soonest, and
-// the least time that any living engine would need.
+// bestPrefill returns the idle prefill engine that would compute the prompt
+// fastest, with the time it needs. If none is idle, it returns nil and the least
+// time that any live engine would need.
 func (i *ideal) bestPrefill(a *attempt) (*prefillEngine, time.Duration) {
 	var best *prefillEngine
 	least := time.Duration(-1)
@@ -32,7 +33,8 @@
 	return best, bestTook
 }
 
-// freeDecode is the decode engine that will have most room after a time.
+// freeDecode returns the decode engine that will have the most free slots after
+// a time, or nil if none will have room.
 func (i *ideal) freeDecode(a *attempt, after time.Duration) *decodeEngine {
 	var best *decodeEngine
 	most := 0
@@ -48,8 +50,8 @@
 	return best
 }
 
-// roomAfter is how many slots an engine will have after a time, 0 if there will
-// be no memory.
+// roomAfter returns the number of slots that an engine will have free after a
+// time, or 0 if it will lack the memory.
 func (i *ideal) roomAfter(d *decodeEngine, a *attempt, after time.Duration) int {
 	slots, pieces := d.params.Slots, d.params.Pieces
 	step := d.params.StepTime(len(d.held))
@@ -76,7 +78,8 @@
 		d.piecesUsed+a.pieces(d.params) <= d.params.Pieces
 }
 
-// otherDecode finds a decode engine with room in place of a dead one.
+// otherDecode returns a decode engine with room to replace a dead one, or the
+// dead one if there is none.
 func (i *ideal) otherDecode(a *attempt, dead ident.UpstreamID) ident.UpstreamID {
 	for _, id := range i.w.order {
 		if d, ok := i.w.backends[id].(*decodeEngine); ok && i.fits(d, a) {
--- a/experiment/instance.go
+++ b/experiment/instance.go
@@ -10,24 +10,24 @@
 	"github.com/wardspool/wardspool/kernel/prefix"
 )
 
-// instance is the place of one entry instance; its lives follow one another.
+// instance is one entry instance. Its processes succeed one another in life.
 type instance struct {
 	id   ident.InstanceID
 	zone ident.Zone
-	// life is the present or last life.
+	// life is the current or last process.
 	life   *life
 	downAt time.Duration
-	// peerMessages counts those received.
+	// peerMessages counts the peer messages received.
 	peerMessages int
 }
 
-// owner is who sent an attempt and is told what becomes of it.
+// owner is the sender of an attempt, which is notified of its progress.
 type owner interface {
 	receive(ev kernel.Event)
 	place() ident.Zone
 }
 
-// life is one run of an instance's process: a kernel and the driver around it.
+// life is one process of an instance: a kernel and the driver around it.
 type life struct {
 	w           *world
 	inst        *instance
@@ -37,12 +37,12 @@
 
 	frozen   bool
 	frozenAt time.Duration
-	// inbox holds what arrived while frozen.
+	// inbox holds the events that arrived while frozen.
 	inbox []kernel.Event
 
 	subs     map[ident.RequestID]*submission
 	attempts map[ident.AttemptID]*attempt
-	// armed is when the kernel's next tick is due, 0 if none is.
+	// armed is the time of the kernel's next scheduled tick, 0 if there is none.
 	armed   time.Duration
 	actions []kernel.Action
 	view    *kernel.View
@@ -51,7 +51,7 @@
 // tickResolution is the resolution of the driver's timer.
 const tickResolution = time.Millisecond
 
-// start begins a new life of an instance.
+// start starts a new process of an instance.
 func (w *world) start(inst *instance) error {
 	incarnation := ident.NewIncarnation(w.clock.time())
 	k, err := kernel.New(kernel.Options{
@@ -75,20 +75,23 @@
 
 func (l *life) place() ident.Zone { return l.inst.zone }
 
-// receive hands an event to the kernel, or keeps it until the process wakes.
+// receive passes an event to the kernel, or queues it while the process is
+// frozen.
 func (l *life) receive(ev kernel.Event) {
 	switch {
 	case l.dead:
 	case !l.frozen:
 		l.step(ev)
 	case isState(ev):
-		// The agent that tells of it is frozen as well.
+		// Dropped: the agent in the instance that delivers state is frozen as
+		// well.
 	default:
 		l.inbox = append(l.inbox, ev)
 	}
 }
 
-// isState reports whether an event brings news of the fleet, not of a request.
+// isState reports whether an event describes the state of the fleet rather than
+// a request.
 func isState(ev kernel.Event) bool {
 	switch ev.(type) {
 	case kernel.ViewChanged, kernel.LoadReported, kernel.CacheChanged:
@@ -98,7 +101,7 @@
 	}
 }
 
-// step runs the kernel on one event and carries out what it says.
+// step runs the kernel on one event and carries out the actions it returns.
 func (l *life) step(ev kernel.Event) {
 	l.observe(ev)
 	l.actions = append(l.actions[:0], l.kernel.Step(l.w.clock.time(), ev)...)
@@ -114,7 +117,8 @@
 	l.arm()
 }
 
-// observe notes what the caller sees of an event.
+// observe records the view that an event brings and the first output that the
+// caller sees.
 func (l *life) observe(ev kernel.Event) {
 	l.w.judge.note(l.inst.id, ev)
 	if v, ok := ev.(kernel.ViewChanged); ok {
@@ -194,7 +198,7 @@
 	l.w.send(a)
 }
 
-// reattachAfter reads on in a stream after a wait, unless this life ended
+// reattachAfter resumes reading a stream after a wait, unless this process ended
 // meanwhile.
 func (l *life) reattachAfter(wait time.Duration, a *attempt) {
 	if wait == 0 {
@@ -208,7 +212,7 @@
 	})
 }
 
-// reattach reads on in an attempt's stream.
+// reattach resumes reading an attempt's stream.
 func (l *life) reattach(a *attempt) {
 	up := a.upstream.base()
 	delay := l.w.delay(l.inst.zone, up.zone)
@@ -236,7 +240,7 @@
 	})
 }
 
-// lost reports a stream that could not be read on.
+// lost reports a stream that could not be resumed.
 func (l *life) lost(a *attempt) {
 	a.sub.delivered = a.offset()
 	l.receive(kernel.AttemptFailed{
@@ -247,7 +251,7 @@
 	})
 }
 
-// answer gives a caller its final answer.
+// answer delivers the final answer to a caller.
 func (l *life) answer(a kernel.Answer) {
 	sub := l.subs[a.Request]
 	if sub == nil || sub.answered {
--- a/experiment/judge.go
+++ b/experiment/judge.go
@@ -9,28 +9,29 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// ViolationKind names a broken promise.
+// ViolationKind names a guarantee of the system that was violated.
 type ViolationKind string
 
 // The kinds of violation.
 const (
-	// RanTwice: a request that is not repeatable ran twice.
+	// RanTwice means that a request that is not repeatable ran twice.
 	RanTwice ViolationKind = "ran_twice"
-	// FalseNotRun: a request answered "not-run" did run.
+	// FalseNotRun means that a request answered "not-run" did run.
 	FalseNotRun ViolationKind = "false_not_run"
-	// AnsweredTwice: a second final answer, or one that nobody asked for.
+	// AnsweredTwice means a second final answer, or one to an unknown request.
 	AnsweredTwice ViolationKind = "answered_twice"
-	// Unanswered: no final answer by the deadline.
+	// Unanswered means that there was no final answer by the deadline.
 	Unanswered ViolationKind = "unanswered"
-	// NotWhole: an answer said to be complete that is not.
+	// NotWhole means that an answer was reported complete but is truncated.
 	NotWhole ViolationKind = "not_whole"
-	// BrokenStream: a decode that repeats or skips output.
+	// BrokenStream means that a decode repeats or skips output.
 	BrokenStream ViolationKind = "broken_stream"
-	// Leaked: engine memory held for nobody.
+	// Leaked means that engine memory was held although nobody waited for the
+	// request.
 	Leaked ViolationKind = "leaked"
 )
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
 	// At is the virtual time since the start of the run.
 	At      time.Duration
@@ -44,7 +45,7 @@
 	return fmt.Sprintf("%s %s %s: %s", v.At, v.Kind, v.Request, v.Detail)
 }
 
-// wasteCause says why prompt work was thrown away.
+// wasteCause is the reason why computed prompt tokens were discarded.
 type wasteCause int
 
 const (
@@ -54,37 +55,40 @@
 	wasteCauses
 )
 
-// Times the judge allows.
+// Tolerances of the leak check.
 const (
-	// leakGrace is how long memory may be held for a request that is over.
+	// leakGrace is how long memory may be held for a request that nobody waits
+	// for.
 	leakGrace = 6 * time.Second
-	// leakCheckPeriod is the time between two looks at the engines.
+	// leakCheckPeriod is the interval between two checks of the engines.
 	leakCheckPeriod = time.Second
 )
 
-// maxViolations bounds the violations that are kept.
+// maxViolations limits the number of violations that are kept in detail.
 const maxViolations = 100
 
-// judge counts what really happened.
+// judge checks the guarantees of a run and accounts for the work done. Unlike
+// the kernels it sees the true state of all engines.
 type judge struct {
 	w          *world
 	violations []Violation
 	counts     map[ViolationKind]int
-	// prompt is all prompt work, in tokens; byCause the part of it that was
-	// thrown away by what ended it. Work done again is only in the judgement
-	// by request.
+	// prompt is the total number of prompt tokens computed; byCause is the part
+	// that was discarded, by cause. Tokens that were computed again are only
+	// visible in the accounting per request.
 	prompt       int
 	byCause      [wasteCauses]int
 	peerMessages int
 	leaked       map[*attempt]bool
-	// samples counts looks at the engines in the measured time; decodeBusy and
-	// prefillBusy sum up their occupied shares.
+	// samples counts the samples taken in the measured time; decodeBusy and
+	// prefillBusy are the sums of the utilization in them.
 	samples                 int
 	decodeBusy, prefillBusy float64
-	// rejected is the kernel's refusal of the policy.
+	// rejected is the error with which a kernel rejected the policy, or with
+	// which an instance could not be restarted.
 	rejected error
 	trace    func(line string)
-	// watch, if set, sees each event and action of an instance.
+	// watch, if set, receives each event and action of an instance.
 	watch func(id ident.InstanceID, what any)
 }
 
@@ -93,7 +97,8 @@
 	j.w.clock.after(leakCheckPeriod, j.checkLeaks)
 }
 
-// note passes on an event or an action of an instance to the trace.
+// note passes an event or an action of an instance to the watch function and the
+// trace.
 func (j *judge) note(id ident.InstanceID, what any) {
 	if j.watch != nil {
 		j.watch(id, what)
@@ -103,7 +108,7 @@
 	}
 }
 
-// violate notes a broken promise.
+// violate records a violation.
 func (j *judge) violate(kind ViolationKind, id ident.RequestID, detail string) {
 	if j.counts == nil {
 		j.counts = map[ViolationKind]int{}
@@ -117,22 +122,22 @@
 	}
 }
 
-// computed notes prompt work.
+// computed accounts for prompt tokens that were computed.
 func (j *judge) computed(a *attempt, tokens int) {
 	j.prompt += tokens
 	a.sub.logical.computed += tokens
 }
 
-// used notes that a decode imported a prefill result.
+// used records that a decode imported a prefill result.
 func (j *judge) used(a *attempt) {
 	l := a.sub.logical
 	l.largestUsed = max(l.largestUsed, a.computed)
 }
 
-// wasted notes prompt work that no decode used.
+// wasted accounts for prompt tokens that no decode used.
 func (j *judge) wasted(a *attempt, cause wasteCause) { j.byCause[cause] += a.computed }
 
-// serviceRan notes that a plain service call ran.
+// serviceRan records that a plain service call ran.
 func (j *judge) serviceRan(a *attempt) {
 	l := a.sub.logical
 	l.runs++
@@ -141,7 +146,8 @@
 	}
 }
 
-// checkLeaks looks for memory held for requests that are over.
+// checkLeaks looks for memory held for requests that nobody waits for. It is
+// lenient for leakGrace after a fault has ended.
 func (j *judge) checkLeaks() {
 	j.w.clock.after(leakCheckPeriod, j.checkLeaks)
 	j.sample()
@@ -160,7 +166,7 @@
 	}
 }
 
-// sample looks at how busy the engines are, in the measured time.
+// sample measures the utilization of the engines, within the measured time.
 func (j *judge) sample() {
 	now := j.w.clock.now
 	if now < j.w.cell.Warmup || now > j.w.cell.Warmup+j.w.cell.Duration {
@@ -185,8 +191,9 @@
 }
 
 // reachable reports whether the attempt could have been released: by its owner
-// or, if that is dead, by others who can know it. Without the platform's list a
-// dead instance cannot be told from one that is cut off or paused.
+// or, if the owner is dead, by another instance that can know of it. Without the
+// platform's list a dead instance cannot be told from a partitioned or paused
+// one.
 func (j *judge) reachable(a *attempt) bool {
 	l, ok := a.owner.(*life)
 	if !ok {
@@ -198,7 +205,7 @@
 	return !l.frozen && j.w.net.connected(l.inst.zone, a.upstream.base().zone)
 }
 
-// finish judges what can only be judged at the end.
+// finish checks what can only be checked at the end of the run.
 func (j *judge) finish() {
 	for _, l := range j.w.callers.logicals {
 		for _, sub := range l.subs {
@@ -217,13 +224,14 @@
 		}
 	}
 	if sub.to != nil && !sub.to.dead && !sub.answered {
-		// The run goes on for long after the last deadline.
+		// The run continues long after the last deadline, so an answer is
+		// missing for good.
 		j.violate(Unanswered, sub.request.ID, "")
 	}
 }
 
-// good reports whether a request was answered whole and within its targets,
-// counted from a time: its arrival, or its latest sending.
+// good reports whether a request was answered completely and within its targets,
+// measured from a given time: its arrival or its latest submission.
 func (l *logical) good(since time.Duration) bool {
 	if !l.complete() {
 		return false
@@ -235,12 +243,12 @@
 	return l.last().first-since <= k.FirstOutput && l.pace() <= k.Pace
 }
 
-// complete reports whether the caller got a whole answer.
+// complete reports whether the caller got a complete answer.
 func (l *logical) complete() bool {
 	return l.finished && !l.gone && l.last().outcome == api.Complete
 }
 
-// pace is the mean time between the output tokens that the caller got.
+// pace returns the mean time between the output tokens that the caller got.
 func (l *logical) pace() time.Duration {
 	sub := l.last()
 	gaps := l.arrival.OutputTokens - 1
--- a/experiment/main_test.go
+++ b/experiment/main_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestMain makes the random tests the same on every run; flags of the command
-// line still prevail, for example -rapid.seed and -rapid.checks.
+// TestMain fixes the seed and the number of checks of the property-based tests,
+// so that every run is the same. Command line flags such as -rapid.seed and
+// -rapid.checks take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "40"} {
 		if err := flag.Set(name, value); err != nil {
--- a/experiment/matrix.go
+++ b/experiment/matrix.go
@@ -9,28 +9,31 @@
 	"github.com/wardspool/wardspool/plugin"
 )
 
-// Times of the matrix's cells.
+// Durations of the matrix's cells.
 const (
 	matrixWarmup   = 10 * time.Second
 	matrixDuration = 90 * time.Second
 	quickDuration  = 60 * time.Second
 )
 
-// usualInstances is the number of entry instances that each user has today.
+// usualInstances is the default number of entry instances, which is what each
+// user has today.
 const usualInstances = 8
 
-// Loads are the loads of the matrix, as shares of capacity.
+// Loads lists the loads of the matrix, as fractions of capacity.
 var Loads = []float64{0.5, 0.8, 1.0, 1.2, 1.5}
 
-// slotPolicies are compared with each other at slotInstances.
+// slotPolicies lists the slot policies that are compared with each other, at
+// each number of slotInstances.
 var slotPolicies = []PolicyName{"slots.lease", "slots.dispatch", "slots.shares", "slots.probe", "slots.none"}
 
 var slotInstances = []int{2, 8, 24}
 
-// slotFaults are those that hit the instance which grants most.
+// slotFaults lists the faults that hit the instance that grants the most slots.
 var slotFaults = []Fault{FaultNone, FaultInstanceKill, FaultInstanceFreeze, FaultPeerCut}
 
-// QuickCells is a small matrix for tuning: one seed, three loads, no faults.
+// QuickCells returns a small matrix for tuning: one seed, three loads, no
+// faults.
 func QuickCells(deployments []*Deployment) []Cell {
 	var cells []Cell
 	for _, d := range deployments {
@@ -45,8 +48,8 @@
 	return cells
 }
 
-// FullCells is the whole matrix with the given number of seeds: each policy at
-// each load and with a surge; naive, current and ideal with each fault at
+// FullCells returns the whole matrix with the given number of seeds: each policy
+// at each load and with a surge; naive, current and ideal with each fault at
 // capacity; each slot policy at each number of instances. All cells of one seed
 // come before those of the next.
 func FullCells(deployments []*Deployment, seeds int) []Cell {
@@ -62,7 +65,7 @@
 	return cells
 }
 
-// policies lists the policies of the matrix, the weakest first.
+// policies lists the policies of the matrix, from the weakest to the strongest.
 func policies() []PolicyName {
 	list := append([]PolicyName{PolicyNaive}, PolicyVersions()...)
 	return append(list, PolicyCurrent, PolicyIdeal)
@@ -113,7 +116,7 @@
 	return cells
 }
 
-// linked keeps the slot policies that this binary has.
+// linked returns those of the slot policies that are registered in this binary.
 func linked(names []PolicyName) []PolicyName {
 	var have []PolicyName
 	for _, id := range plugin.InNamespace("slots") {
@@ -124,7 +127,7 @@
 	return have
 }
 
-// NewCell returns a cell with the usual number of instances and times.
+// NewCell returns a cell with the default number of instances and durations.
 func NewCell(d *Deployment, p PolicyName, load float64, f Fault, seed uint64) Cell {
 	return Cell{
 		Deployment: d.Name,
@@ -139,10 +142,10 @@
 	}
 }
 
-// RunAll runs cells in parallel by the given number of workers and returns the
+// RunAll runs cells on the given number of parallel workers and returns the
 // results in the cells' order. After each cell it calls progress, from one
-// goroutine at a time. Cells that have not begun when the context ends are left
-// out. It returns the first error of Run in the cells' order.
+// goroutine at a time. Cells that have not started when the context ends are
+// left out. It returns the first error of Run in the cells' order.
 func RunAll(ctx context.Context, cells []Cell, deployments []*Deployment, workers int, progress func(done int, r *Result)) ([]*Result, error) {
 	m := matrixRun{
 		cells: cells, byName: map[string]*Deployment{}, progress: progress,
@@ -171,7 +174,7 @@
 	return m.collect()
 }
 
-// matrixRun is one run of a matrix.
+// matrixRun is the state of one call of RunAll.
 type matrixRun struct {
 	cells    []Cell
 	byName   map[string]*Deployment
@@ -183,7 +186,6 @@
 	errs    []error
 }
 
-// run runs one cell.
 func (m *matrixRun) run(i int) {
 	r, err := Run(m.cells[i], m.byName[m.cells[i].Deployment])
 	m.mu.Lock()
--- a/experiment/network.go
+++ b/experiment/network.go
@@ -6,19 +6,21 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// Times of the network and of those who wait at its ends.
+// Network delays and connection time-outs.
 const (
-	// sameZoneDelay is the one-way time within an availability zone.
+	// sameZoneDelay is the one-way delay within an availability zone.
 	sameZoneDelay = 100 * time.Microsecond
-	// clientDelay is the one-way time between a caller and an instance.
+	// clientDelay is the one-way delay between a caller and an instance.
 	clientDelay = 3 * time.Millisecond
-	// dialTimeout is how long a connection attempt into a cut lasts.
+	// dialTimeout is the time after which a connection attempt across a network
+	// partition fails.
 	dialTimeout = 500 * time.Millisecond
-	// streamTimeout is how long a silent connection is waited on.
+	// streamTimeout is the time after which a silent connection is considered
+	// lost.
 	streamTimeout = 2 * time.Second
 )
 
-// zonePair names two zones, in alphabetical order.
+// zonePair is an unordered pair of zones, stored in alphabetical order.
 type zonePair struct{ a, b ident.Zone }
 
 func pairOf(a, b ident.Zone) zonePair {
@@ -28,13 +30,13 @@
 	return zonePair{a, b}
 }
 
-// network says who can reach whom and how long it takes.
+// network models connectivity and delays between zones and instances.
 type network struct {
 	crossZone time.Duration
-	// cut lists the pairs of zones that are separated.
+	// cut contains the pairs of zones that are partitioned.
 	cut map[zonePair]bool
-	// isolated lists instances that cannot reach their peers, nor be reached
-	// by them, but everything else.
+	// isolated contains the instances that are partitioned from their peers, but
+	// from nothing else.
 	isolated map[ident.InstanceID]bool
 }
 
@@ -46,7 +48,7 @@
 	}
 }
 
-// delay is the one-way time between two zones.
+// delay returns the one-way delay between two zones.
 func (n *network) delay(a, b ident.Zone) time.Duration {
 	if a == b {
 		return sameZoneDelay
@@ -54,10 +56,10 @@
 	return n.crossZone
 }
 
-// connected reports whether two zones reach each other.
+// connected reports whether two zones can reach each other.
 func (n *network) connected(a, b ident.Zone) bool { return !n.cut[pairOf(a, b)] }
 
-// peers reports whether two instances reach each other.
+// peers reports whether two instances can reach each other.
 func (n *network) peers(a, b *instance) bool {
 	return n.connected(a.zone, b.zone) && !n.isolated[a.id] && !n.isolated[b.id]
 }
--- a/experiment/overstate_test.go
+++ b/experiment/overstate_test.go
@@ -12,19 +12,21 @@
 )
 
 const (
-	// overstatement is how much longer an overstating caller says its output
-	// will be.
+	// overstatement is the factor by which an overstating caller multiplies its
+	// output length.
 	overstatement = 8
-	// overstateSeeds is the number of runs that are added up.
+	// overstateSeeds is the number of runs whose counts are added up.
 	overstateSeeds = 12
-	// overstateMargin is the share of the offered requests by which two sums
-	// may differ by chance: about three standard errors of such a sum.
+	// overstateMargin is the difference between two sums that may arise by
+	// chance, as a fraction of the offered requests: about three standard errors
+	// of such a sum.
 	overstateMargin = 0.02
 )
 
-// TestOverstatingCallersGainNothing has all callers of one workspace state eight
-// times the output length that they need, at 1.5 times the capacity, where a gain
-// would show. They have no more good answers by it than by the truth.
+// TestOverstatingCallersGainNothing guards against rewarding overstated output
+// lengths. All callers of one workspace declare eight times the output length
+// that they need, at 1.5 times the capacity, where an advantage would show. They
+// must not get more good answers than with true lengths.
 func TestOverstatingCallersGainNothing(t *testing.T) {
 	for _, c := range []struct {
 		deployment string
@@ -35,16 +37,16 @@
 			d := deployment(t, c.deployment)
 			honest := goodOf(t, d, c.workspace, 1)
 			overstated := goodOf(t, d, c.workspace, overstatement)
-			t.Logf("good: %d honest, %d overstated, of %d", honest.Good, overstated.Good, honest.Offered)
+			t.Logf("good answers: %d with true lengths, %d with overstated lengths, of %d offered", honest.Good, overstated.Good, honest.Offered)
 			assert.Equal(t, honest.Offered, overstated.Offered)
 			gain := float64(overstated.Good-honest.Good) / float64(honest.Offered)
-			assert.Assert(t, gain <= overstateMargin, "%.3f more of the offered requests", gain)
+			assert.Assert(t, gain <= overstateMargin, "overstating raised the share of good answers by %.3f", gain)
 		})
 	}
 }
 
-// goodOf adds up what came of a workspace's model requests over some seeds, when
-// it states its output lengths times a factor.
+// goodOf adds up the outcomes of a workspace's model requests over some seeds,
+// when it declares its output lengths multiplied by a factor.
 func goodOf(t *testing.T, d *Deployment, workspace ident.Workspace, factor int) Count {
 	t.Helper()
 	var sum Count
@@ -70,7 +72,8 @@
 	return sum
 }
 
-// overstatingWorld is a run in which one workspace states wrong output lengths.
+// overstatingWorld sets up a run in which one workspace declares wrong output
+// lengths.
 func overstatingWorld(d *Deployment, workspace ident.Workspace, factor int, seed uint64) (*world, error) {
 	cell := NewCell(d, PolicyCurrent, 1.5, FaultNone, seed)
 	cell.Duration = 30 * time.Second
--- a/experiment/plots.go
+++ b/experiment/plots.go
@@ -4,10 +4,10 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// plotColumns is the number of diagrams beside each other.
+// plotColumns is the number of panels in a row.
 const plotColumns = 2
 
-// SavePlots draws goodput and wasted prefill over load for each deployment, and
+// SavePlots plots goodput and wasted prefill over load for each deployment, and
 // the surges, and writes base.svg and base.png. Errors are those of
 // report.SavePanels.
 func SavePlots(base string, list []*Summary, surges []*Timeline) error {
@@ -38,7 +38,8 @@
 	return report.SavePanels(base, plotColumns, panels)
 }
 
-// loadsOf counts the loads at which a deployment was run without faults.
+// loadsOf returns the number of loads at which a deployment was run without
+// faults.
 func loadsOf(list []*Summary, deployment string) int {
 	loads := map[float64]bool{}
 	for _, s := range list {
@@ -49,8 +50,8 @@
 	return len(loads)
 }
 
-// panel draws one value over load, a line for each policy that was run at more
-// than one load.
+// panel plots one value over load, with a line for each policy that was run at
+// more than one load.
 func panel(list []*Summary, deployment, title, yLabel string, value func(*Summary) float64) report.Panel {
 	p := report.Panel{
 		Title: deployment + ": " + title, XLabel: "load, as a share of capacity", YLabel: yLabel,
--- a/experiment/prefill.go
+++ b/experiment/prefill.go
@@ -11,8 +11,9 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// prefillEngine computes one prompt at a time, by priority and then in order of
-// arrival, holds each result for a while and sends it over its link.
+// prefillEngine simulates a prefill engine: it computes one prompt at a time, by
+// priority and then in order of arrival, keeps each result for its lifetime and
+// sends it over its link.
 type prefillEngine struct {
 	upstream
 	w      *world
@@ -21,7 +22,8 @@
 
 	queue   []*attempt
 	current *attempt
-	// startedAt and todo describe the prompt being computed.
+	// startedAt and todo describe the prompt being computed; todo is its number
+	// of uncached tokens.
 	startedAt time.Duration
 	todo      int
 	held      map[ident.AttemptID]*attempt
@@ -41,7 +43,7 @@
 	return e
 }
 
-// reset empties everything but the prefix cache.
+// reset clears everything but the prefix cache.
 func (e *prefillEngine) reset() {
 	e.queue, e.current = nil, nil
 	e.held = map[ident.AttemptID]*attempt{}
@@ -61,7 +63,8 @@
 	return nil
 }
 
-// startNext begins to compute the first prompt of the queue.
+// startNext starts computing the first prompt of the queue if the engine is
+// idle.
 func (e *prefillEngine) startNext() {
 	if e.current != nil || len(e.queue) == 0 {
 		return
@@ -81,11 +84,12 @@
 	})
 }
 
-// promptTokens is the length of the prompt with the output to continue from.
+// promptTokens returns the length of the prompt plus the output to continue
+// from.
 func (a *attempt) promptTokens() int { return a.sub.request.PromptTokens + a.from }
 
-// blocks are the hashes of the prompt's pieces. Output to continue from is
-// never found in a cache.
+// blocks returns the block hashes of the prompt. Output to continue from is
+// never in a prefix cache.
 func (a *attempt) blocks() []tokens.BlockHash {
 	blocks := make([]tokens.BlockHash, len(a.sub.request.Blocks))
 	for i, b := range a.sub.request.Blocks {
@@ -94,7 +98,7 @@
 	return blocks
 }
 
-// finish holds the result of a prompt and reports it.
+// finish stores the result of a prompt and reports it.
 func (e *prefillEngine) finish(a *attempt) {
 	now := e.w.clock.now
 	e.current = nil
@@ -119,7 +123,7 @@
 	e.startNext()
 }
 
-// drop ends an attempt whose result was not used.
+// drop discards a result that was not used.
 func (e *prefillEngine) drop(a *attempt, cause wasteCause) {
 	delete(e.held, a.id)
 	a.over = true
@@ -155,7 +159,8 @@
 	}
 }
 
-// abandonCurrent stops computing; what was computed is wasted.
+// abandonCurrent stops the current computation; what was computed so far is
+// wasted.
 func (e *prefillEngine) abandonCurrent(cause wasteCause) {
 	a := e.current
 	e.current = nil
--- a/experiment/promises_test.go
+++ b/experiment/promises_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestPromisesHold runs short cells with random loads, faults, delays and
-// numbers of instances, and checks that the judge finds nothing.
+// numbers of instances, and checks that no guarantee is violated.
 func TestPromisesHold(t *testing.T) {
 	deployments := []*Deployment{deployment(t, "coastline"), deployment(t, "lagos")}
 	rapid.Check(t, func(t *rapid.T) {
@@ -52,8 +52,9 @@
 	return Fault(strings.Join(parts, "+"))
 }
 
-// TestJudgeSeesBrokenPromises shows for each kind of violation that the judge
-// finds it when the kernel's actions are tampered with.
+// TestJudgeSeesBrokenPromises guards against a judge that misses violations: it
+// tampers with the kernel's actions and checks, for each kind of violation, that
+// the judge detects it.
 func TestJudgeSeesBrokenPromises(t *testing.T) {
 	forged := 0
 	for name, tc := range map[string]struct {
@@ -117,13 +118,13 @@
 			assert.NilError(t, err)
 			w.tamper = tc.tamper
 			assert.NilError(t, w.run())
-			assert.Assert(t, w.judge.counts[tc.want] > 0, "%v", w.judge.counts)
+			assert.Assert(t, w.judge.counts[tc.want] > 0, "violations found: %v", w.judge.counts)
 		})
 	}
 }
 
-// TestNaiveRunsOrdersTwice shows that the faults do endanger the promises: a
-// policy that tries again blindly breaks them.
+// TestNaiveRunsOrdersTwice shows that the faults put the guarantees at risk: a
+// policy that retries blindly violates them, and the current one doesn't.
 func TestNaiveRunsOrdersTwice(t *testing.T) {
 	d := deployment(t, "coastline")
 	var kills []string
@@ -143,7 +144,7 @@
 	assert.Equal(t, r.Duplicates(), 0)
 }
 
-// TestRunsRepeat shows that a cell's result depends on nothing else.
+// TestRunsRepeat checks that a cell's result depends on the cell only.
 func TestRunsRepeat(t *testing.T) {
 	d := deployment(t, "lagos")
 	cell := NewCell(d, PolicyCurrent, 1.0, FaultInstanceKill+"+"+FaultZoneCut, 7)
--- a/experiment/service.go
+++ b/experiment/service.go
@@ -8,14 +8,14 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Durations of a plain service call, drawn evenly.
+// Bounds of the uniformly distributed duration of a plain service call.
 const (
 	serviceTimeMin = 20 * time.Millisecond
 	serviceTimeMax = 80 * time.Millisecond
 )
 
-// serviceRunner runs plain service calls. Like the services of both examples
-// it neither deduplicates calls nor can it stop one.
+// serviceRunner simulates a plain service. Like the services of both examples,
+// it neither deduplicates calls nor can it stop a running one.
 type serviceRunner struct {
 	upstream
 	w       *world
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// cancel does nothing: a call that runs cannot be undone.
+// cancel does nothing: a running call cannot be undone.
 func (s *serviceRunner) cancel(ident.AttemptID) {}
 
 func (s *serviceRunner) kill() {
@@ -63,5 +63,5 @@
 	return kernel.Load{At: s.w.clock.time(), Running: len(s.running)}
 }
 
-// heldAttempts is empty: services hold no engine memory.
+// heldAttempts returns nothing, because services hold no engine memory.
 func (s *serviceRunner) heldAttempts() []*attempt { return nil }
--- a/experiment/session_test.go
+++ b/experiment/session_test.go
@@ -14,24 +14,26 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Times of the things that happen in a whole session. The killed instance comes
-// back after killLength, the cut heals after cutLength.
+// Times of the events in a session. The killed instance restarts after
+// killLength, the partition ends after cutLength.
 const (
 	sessionKill   = 2 * time.Second
 	sessionCut    = 5 * time.Second
 	sessionRoll   = 7 * time.Second
 	sessionLength = 17 * time.Second
-	// rollStep is the time between two instances that get a rolled bundle.
+	// rollStep is the interval at which the instances get the new bundle one
+	// after the other.
 	rollStep = 50 * time.Millisecond
 )
 
-// wholeSession is a session of a whole example deployment: its usual mixed
-// traffic at a share of its capacity, a kill, a cut and a roll.
+// wholeSession is a session of a complete example deployment: its usual mixed
+// traffic at a fraction of its capacity, a kill, a network partition and a
+// bundle rollout.
 type wholeSession struct {
 	deployment string
 	load       float64
 	seed       uint64
-	// bounded is the workspace whose limit the rolled bundle lowers.
+	// bounded is the workspace whose rate limit the new bundle lowers.
 	bounded ident.Workspace
 }
 
@@ -40,9 +42,9 @@
 	{deployment: "lagos", load: 0.12, seed: 27, bounded: "supplier-ikeja"},
 }
 
-// TestWholeSessions compares what happens in whole sessions of both examples
-// with golden files: each decision with where, why and under which version, each
-// answer, each cancel.
+// TestWholeSessions compares the events of complete sessions of both examples
+// with golden files: each decision with its place, reason and bundle version,
+// each answer and each cancel.
 func TestWholeSessions(t *testing.T) {
 	for _, s := range wholeSessions {
 		t.Run(s.deployment, func(t *testing.T) {
@@ -51,18 +53,18 @@
 	}
 }
 
-// TestWholeSessionsRepeat shows that a session depends on nothing but its seed.
+// TestWholeSessionsRepeat checks that a session depends on its seed only.
 func TestWholeSessionsRepeat(t *testing.T) {
 	for _, s := range wholeSessions {
 		assert.Equal(t, s.run(t), s.run(t), s.deployment)
 	}
 }
 
-// transcript writes down what happens in a world.
+// transcript records the events in a world.
 type transcript struct {
 	w     *world
 	lines []string
-	// cancelled are the attempts whose first cancel is written down.
+	// cancelled contains the attempts whose first cancel is recorded.
 	cancelled map[ident.AttemptID]bool
 }
 
@@ -71,7 +73,7 @@
 	tr.lines = append(tr.lines, at+fmt.Sprintf(format, args...))
 }
 
-// run plays the session and returns its transcript.
+// run runs the session and returns its transcript.
 func (s wholeSession) run(t *testing.T) string {
 	t.Helper()
 	d := deployment(t, s.deployment)
@@ -89,7 +91,7 @@
 	return strings.Join(tr.lines, "\n") + "\n" + w.summary()
 }
 
-// kill kills the instance on which the others depend most.
+// kill kills the instance that the others depend on most.
 func (tr *transcript) kill() {
 	tr.w.withInstance(func(inst *instance) {
 		tr.add("%-20s KILLED, in flight:%s", inst.id, inst.life.inFlight())
@@ -98,7 +100,7 @@
 	})
 }
 
-// inFlight lists the requests that an instance has taken and not answered.
+// inFlight lists the requests that an instance has accepted and not answered.
 func (l *life) inFlight() string {
 	list := ""
 	for _, id := range sortedKeys(l.subs) {
@@ -109,7 +111,7 @@
 	return list
 }
 
-// cut separates one zone from the others.
+// cut partitions one zone from the others.
 func (tr *transcript) cut() {
 	tr.w.cutZone()
 	lone := tr.w.lone()
@@ -117,8 +119,9 @@
 	tr.w.clock.after(cutLength, func() { tr.add("%-20s REJOINED", lone) })
 }
 
-// roll brings version 2, by which one workspace has almost no rate, to one
-// instance after the other, and to those in a zone cut off when that is over.
+// roll distributes version 2, in which one workspace has almost no rate, to one
+// instance after the other, and to those in the partitioned zone once the
+// partition has ended.
 func (tr *transcript) roll(bounded ident.Workspace) {
 	w := tr.w
 	w.content, w.version = withRate(w.content, bounded), w.version+1
@@ -138,7 +141,7 @@
 	}
 }
 
-// lone is the zone that is cut off from all others.
+// lone returns the zone that is partitioned from all others.
 func (w *world) lone() ident.Zone {
 	for _, zone := range w.zones() {
 		cuts := 0
@@ -154,7 +157,8 @@
 	return ""
 }
 
-// withRate is content like another, in which one workspace has almost no rate.
+// withRate returns a copy of the content in which one workspace has almost no
+// rate.
 func withRate(c *config.Content, bounded ident.Workspace) *config.Content {
 	next := *c
 	next.Workspaces = append([]config.Workspace(nil), c.Workspaces...)
@@ -167,10 +171,10 @@
 	return &next
 }
 
-// note writes down what an instance decides and what it answers. Left out are its
-// messages to peers, the records of asks for slots, which each model request has,
-// repetitions of a cancel, and the answers that are whole: a record says so, and
-// the judge would tell if there were none.
+// note records an instance's decisions and answers. It leaves out messages to
+// peers, the records of asks for slots, which each model request has, repeated
+// cancels, and complete answers, which appear in a record and whose absence the
+// judge would report.
 func (tr *transcript) note(id ident.InstanceID, what any) {
 	switch a := what.(type) {
 	case kernel.Log:
@@ -193,13 +197,13 @@
 	}
 }
 
-// shortAttempt names an attempt without its incarnation and deadline, which are
-// times.
+// shortAttempt formats an attempt ID without its incarnation and deadline, which
+// are times.
 func shortAttempt(id ident.AttemptID) string {
 	return fmt.Sprintf("attempt %d of %s", id.Sequence, id.Instance)
 }
 
-// describeRecord writes a decision in one line.
+// describeRecord formats a decision in one line.
 func describeRecord(r *kernel.Record) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-6s %-9s %s, %s of %s, v%d", r.Request, r.Step, r.Reason, r.Kind, r.Workspace, r.BundleVersion)
@@ -225,7 +229,7 @@
 	return b.String()
 }
 
-// summary counts what came of the requests, by kind.
+// summary counts the outcomes of the requests, by kind.
 func (w *world) summary() string {
 	var b strings.Builder
 	r := w.result()
--- a/experiment/sorted.go
+++ b/experiment/sorted.go
@@ -8,13 +8,14 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// sortedKeys lists a map's keys in order, for loops whose effects must not
+// sortedKeys returns a map's keys in order, for loops whose effects must not
 // depend on map order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
 
-// sortedAttempts lists a map's keys by instance, incarnation and sequence.
+// sortedAttempts returns a map's keys ordered by instance, incarnation and
+// sequence.
 func sortedAttempts(m map[ident.AttemptID]*attempt) []ident.AttemptID {
 	return slices.SortedFunc(maps.Keys(m), func(a, b ident.AttemptID) int {
 		return cmp.Or(
--- a/experiment/summary.go
+++ b/experiment/summary.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// group identifies the runs that differ by their seed only.
+// group identifies runs that differ only in their seed.
 type group struct {
 	deployment string
 	policy     PolicyName
@@ -16,8 +16,8 @@
 	fault      Fault
 }
 
-// label names a deployment; a number of instances other than the usual one is
-// part of it.
+// label returns the deployment's name, with the number of instances appended if
+// it is not the default.
 func (c Cell) label() string {
 	if c.Instances == usualInstances {
 		return c.Deployment
@@ -29,7 +29,7 @@
 	return group{deployment: c.label(), policy: c.Policy, load: c.Load, fault: c.Fault}
 }
 
-// Summary is the mean over the seeds of one group of runs, and their spread.
+// Summary holds the means and spreads of one group of runs over their seeds.
 type Summary struct {
 	Deployment string
 	Policy     PolicyName
@@ -37,20 +37,22 @@
 	Fault      Fault
 	Seeds      int
 	Offered    float64
-	// Shares of the model requests offered. GoodputResent counts the targets
-	// of requests that were sent again from when they were last sent.
+	// Goodput, GoodputResent, Refused and Unknown are fractions of the model
+	// requests offered. GoodputResent measures the targets of a request from its
+	// latest submission.
 	Goodput, GoodputResent, Refused, Unknown Spread
-	// Waste is the share of the prompt tokens computed that were thrown away.
+	// Waste is the fraction of the computed prompt tokens that were discarded.
 	Waste                 Spread
 	FirstOutputP95Seconds Spread
 	PaceP95Seconds        Spread
-	// DecodeBusy and PrefillBusy are shares of slots and of engines in use.
+	// DecodeBusy and PrefillBusy are the fractions of decode slots or memory and
+	// of prefill engines in use.
 	DecodeBusy, PrefillBusy Spread
-	// Duplicates, Leaked and Violations are sums over the seeds.
+	// Duplicates, Leaked and Violations are totals over the seeds.
 	Duplicates, Leaked, Violations int
 }
 
-// Spread is a mean with its least and greatest value.
+// Spread is a mean with its minimum and maximum.
 type Spread struct {
 	Mean, Min, Max float64
 	n              int
@@ -66,7 +68,8 @@
 	s.Max = math.Max(s.Max, v)
 }
 
-// Summarize groups results by all but their seeds, in order of appearance.
+// Summarize groups results that differ only in their seed, in order of
+// appearance.
 func Summarize(results []*Result) []*Summary {
 	var list []*Summary
 	index := map[group]*Summary{}
@@ -104,7 +107,7 @@
 	}
 }
 
-// Precision of the tables.
+// Decimal places in the tables.
 const (
 	shareDecimals  = 4
 	offeredDigits  = 1
@@ -115,7 +118,7 @@
 	return report.Fixed(seconds*float64(time.Second/time.Millisecond), millisDecimals)
 }
 
-// Table returns the summaries' means, one row each.
+// Table returns a table of the summaries' means, one row each.
 func Table(list []*Summary) (*report.Table, error) {
 	t := report.NewTable("deployment", "policy", "load", "fault", "offered", "goodput_share",
 		"wasted_prefill_share", "refused_share", "unknown_share", "first_output_p95_ms",
@@ -137,7 +140,7 @@
 	return t, nil
 }
 
-// SpreadTable returns least and greatest values over the seeds.
+// SpreadTable returns a table of the minima and maxima over the seeds.
 func SpreadTable(list []*Summary) (*report.Table, error) {
 	t := report.NewTable("deployment", "policy", "load", "fault", "seeds",
 		"goodput_share_min", "goodput_share_max",
@@ -168,7 +171,7 @@
 	return t, nil
 }
 
-// KindTable returns one row for each kind of request in each run.
+// KindTable returns a table with one row for each kind of request in each run.
 func KindTable(results []*Result) (*report.Table, error) {
 	t := report.NewTable("deployment", "policy", "load", "fault", "seed", "kind",
 		"offered", "good", "complete", "refused", "unknown", "cancelled")
--- a/experiment/surge.go
+++ b/experiment/surge.go
@@ -4,22 +4,23 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// Timeline is what became of the model requests over time, as the mean of runs
-// that differ by their seed only.
+// Timeline shows the outcome of the model requests over time, as the mean of
+// runs that differ only in their seed.
 type Timeline struct {
 	Deployment string
 	Policy     PolicyName
-	// Parts are TimelineStep long each.
+	// Parts are consecutive intervals, each TimelineStep long.
 	Parts []TimelinePart
 }
 
-// TimelinePart sums up the model requests that arrived in one part of a run.
+// TimelinePart summarizes the model requests that arrived in one interval of a
+// run.
 type TimelinePart struct {
 	// Start is in seconds since the end of the warm-up.
 	Start float64
-	// Offered and Good are in requests a second.
+	// Offered and Good are in requests per second.
 	Offered, Good float64
-	// GoodShare and RefusedShare are shares of those offered.
+	// GoodShare and RefusedShare are fractions of the requests offered.
 	GoodShare, RefusedShare float64
 }
 
@@ -48,7 +49,7 @@
 	return list
 }
 
-// timelineParts sums up runs of equal length.
+// timelineParts combines runs of equal length.
 func timelineParts(runs []*Result) []TimelinePart {
 	sums := make([]Count, len(runs[0].Timeline))
 	for _, r := range runs {
@@ -76,7 +77,7 @@
 	return parts
 }
 
-// SurgeTable returns one row for each part of each timeline.
+// SurgeTable returns a table with one row for each interval of each timeline.
 func SurgeTable(list []*Timeline) (*report.Table, error) {
 	t := report.NewTable("deployment", "policy", "arrived_s", "offered_per_s", "goodput_per_s", "goodput_share", "refused_share")
 	for _, line := range list {
@@ -92,7 +93,7 @@
 	return t, nil
 }
 
-// surgePanel draws the timelines of one deployment.
+// surgePanel plots the timelines of one deployment.
 func surgePanel(list []*Timeline, deployment string) report.Panel {
 	p := report.Panel{
 		Title:  deployment + ": surge from 0.8 to 1.5 and back",
--- a/experiment/transfer.go
+++ b/experiment/transfer.go
@@ -5,16 +5,17 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// transfer is a KV cache on its way to a decode engine.
+// transfer is a KV cache in transfer to a decode engine.
 type transfer struct {
 	a *attempt
-	// to is the receiving decode attempt; done tells it whether all was sent.
+	// to is the receiving decode attempt; done tells it whether the transfer
+	// completed.
 	to   *attempt
 	done func(sent bool)
 }
 
-// pull sends a held result to a decode engine; done is called at the end. It
-// returns false if there is no such result.
+// pull starts the transfer of a held result to a decode engine and calls done at
+// its end. It returns false if the engine doesn't hold the result.
 func (e *prefillEngine) pull(a, to *attempt, done func(sent bool)) bool {
 	if !e.alive || e.held[a.id] != a {
 		return false
@@ -36,7 +37,8 @@
 	return true
 }
 
-// settle completes the transfers that are done and comes back for the next.
+// settle completes the transfers that have finished and schedules itself for the
+// end of the next one.
 func (e *prefillEngine) settle() {
 	for _, id := range e.link.Finished(e.w.clock.now) {
 		t := e.flows[id]
@@ -58,7 +60,7 @@
 	})
 }
 
-// setStalled stops or resumes the progress of all transfers.
+// setStalled stalls or resumes all transfers.
 func (e *prefillEngine) setStalled(stalled bool) {
 	e.stalled = stalled
 	rate := e.params.LinkBytesPerSecond
@@ -74,7 +76,7 @@
 	e.settle()
 }
 
-// stallCut stops the transfers into zones that are now cut off.
+// stallCut stalls the transfers into zones that are now partitioned.
 func (e *prefillEngine) stallCut() {
 	for _, id := range sortedKeys(e.flows) {
 		if e.w.net.connected(e.zone, e.flows[id].to.upstream.base().zone) {
@@ -86,8 +88,9 @@
 	e.settle()
 }
 
-// watchStall reports a transfer that made no progress for too long to the
-// instance that waits for its output. Both engines go on holding it.
+// watchStall reports a transfer that has made no progress for the policy's
+// TransferStall to the owner of the receiving attempt. Both engines keep holding
+// it.
 func (e *prefillEngine) watchStall(id perf.FlowID) {
 	t := e.flows[id]
 	e.w.clock.after(e.w.content.Policy.TransferStall, func() {
@@ -104,7 +107,7 @@
 	})
 }
 
-// giveUp ends a transfer whose receiver is gone; the result is held again until
+// giveUp ends a transfer whose receiver is gone. The result is held again until
 // its lifetime ends.
 func (e *prefillEngine) giveUp(to *attempt) {
 	for _, id := range sortedKeys(e.flows) {
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -8,24 +8,26 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// upstream is what every fake back end has.
+// upstream is the state common to all simulated upstreams.
 type upstream struct {
 	spec        config.Upstream
 	zone        ident.Zone
 	incarnation ident.Incarnation
 	alive       bool
-	// downAt is when it last died.
+	// downAt is the time at which it last died.
 	downAt time.Duration
 }
 
-// backend is a fake back end of any role.
+// backend is a simulated upstream of any role.
 type backend interface {
 	base() *upstream
-	// accept takes an attempt in. It returns a failure if it refuses.
+	// accept takes an attempt in, or returns the failure with which it refuses
+	// it.
 	accept(a *attempt) *kernel.AttemptFailed
-	// cancel releases what is held for an attempt.
+	// cancel releases everything held for an attempt.
 	cancel(id ident.AttemptID)
-	// kill loses everything; attempts that were not done are reported broken.
+	// kill discards all state; attempts that were not done are reported as
+	// broken.
 	kill()
 	load() kernel.Load
 	// heldAttempts lists the attempts that hold memory.
@@ -34,7 +36,7 @@
 
 func (u *upstream) base() *upstream { return u }
 
-// markDead notes the death; revive begins the next life.
+// markDead marks the upstream as dead; revive restarts it in a new incarnation.
 func (u *upstream) markDead(now time.Duration) {
 	u.alive = false
 	u.downAt = now
@@ -45,36 +47,37 @@
 	u.incarnation++
 }
 
-// attempt is one stage of a submission on a back end, as the driver that sent
-// it and the back end that runs it share it.
+// attempt is one stage of a submission on an upstream. It is shared by the
+// driver that sent it and the upstream that runs it.
 type attempt struct {
 	id    ident.AttemptID
 	sub   *submission
 	owner owner
-	// upstream is the back end that it was sent to, in its life at that time.
+	// upstream is the upstream that it was sent to, incarnation the upstream's
+	// incarnation at that time.
 	upstream    backend
 	incarnation ident.Incarnation
 	role        config.Role
 	kv          *attempt
 	from        int
-	// generated is the next token, for decodes.
+	// generated is the offset of the next token, for decodes.
 	generated int
-	// unread is true while the connection to its owner is broken; received is
-	// then what arrived before.
+	// unread is true while the connection to the owner is broken; received is
+	// then the offset up to which output had arrived.
 	unread   bool
 	received int
-	// ran says that the back end began to work on it.
+	// ran is set once the upstream has started work on it.
 	ran bool
-	// computed counts the prompt tokens that were computed, for prefills;
-	// used says that a decode imported the result.
+	// computed is the number of prompt tokens computed, for prefills; used is
+	// set once a decode has imported the result.
 	computed int
 	used     bool
-	// prefilled is when the prefill's result was ready.
+	// prefilled is the time at which the prefill's result was ready.
 	prefilled time.Duration
 	over      bool
 }
 
-// offset is how many tokens have reached the owner.
+// offset returns how many tokens have reached the owner.
 func (a *attempt) offset() int {
 	if a.unread {
 		return a.received
@@ -82,7 +85,7 @@
 	return max(a.generated, a.from)
 }
 
-// breakOff notes that the connection between back end and owner is broken.
+// breakOff marks the connection between upstream and owner as broken.
 func (a *attempt) breakOff() {
 	a.received = a.offset()
 	a.unread = true
--- a/experiment/view.go
+++ b/experiment/view.go
@@ -7,18 +7,20 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// How fast instances learn of changes.
+// Delays after which instances learn of changes.
 const (
-	// heartbeatLag is when missing or returning heartbeats are noticed.
+	// heartbeatLag is the time after which missing or returning heartbeats are
+	// noticed.
 	heartbeatLag = time.Second
-	// platformLag is when the platform's list shows a death.
+	// platformLag is the time after which the platform's list shows a death.
 	platformLag = 3 * time.Second
-	// sweepPeriod is how often instances look for leftovers of dead peers.
+	// sweepPeriod is the interval at which instances look for attempts left by
+	// dead peers.
 	sweepPeriod = time.Second
 )
 
-// viewsChange has all instances look at the fleet again once they can have
-// noticed what has just changed.
+// viewsChange schedules new views for all instances at the times at which they
+// can have noticed the latest change.
 func (w *world) viewsChange() {
 	for _, lag := range []time.Duration{heartbeatLag, platformLag} {
 		w.clock.after(lag+time.Millisecond, func() {
@@ -29,12 +31,12 @@
 	}
 }
 
-// refresh gives one instance a new view.
+// refresh sends one instance a new view.
 func (w *world) refresh(l *life) {
 	l.receive(kernel.ViewChanged{View: w.viewOf(l.inst)})
 }
 
-// viewOf is what an instance knows of the fleet now.
+// viewOf builds an instance's current view of the fleet.
 func (w *world) viewOf(inst *instance) *kernel.View {
 	w.viewVersion++
 	v := &kernel.View{Version: w.viewVersion, Trusted: true}
@@ -55,7 +57,7 @@
 	return v
 }
 
-// incarnationSeen is an instance's incarnation as far as it is known.
+// incarnationSeen returns the last known incarnation of an instance.
 func (w *world) incarnationSeen(other *instance) ident.Incarnation {
 	if other.life == nil {
 		return ident.NewIncarnation(w.clock.time())
@@ -90,7 +92,7 @@
 	}
 }
 
-// lifeAfter is what is believed a time after a death.
+// lifeAfter returns the liveness that is assumed at a given time after a death.
 func (w *world) lifeAfter(since time.Duration) kernel.Liveness {
 	switch {
 	case since >= platformLag && !w.platformDown:
@@ -102,8 +104,8 @@
 	}
 }
 
-// sweep has the instances cancel what dead peers left on the upstreams that
-// they reach, and comes back.
+// sweep makes the instances cancel what dead peers left on the upstreams that
+// they can reach, and schedules itself again.
 func (w *world) sweep() {
 	w.clock.after(sweepPeriod, w.sweep)
 	for _, inst := range w.instances {
@@ -120,8 +122,8 @@
 	}
 }
 
-// sweepUpstream cancels the attempts of owners that an instance knows to be
-// dead in the incarnation that sent them.
+// sweepUpstream cancels the attempts whose owner an instance knows to be dead in
+// the incarnation that sent them.
 func (w *world) sweepUpstream(l *life, b backend) {
 	for _, a := range b.heldAttempts() {
 		for _, other := range l.view.Instances {
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -11,12 +11,12 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// world is everything that one run consists of.
+// world is the complete state of one run.
 type world struct {
 	cell  Cell
 	clock clock
 	rng   *rand.Rand
-	// content is that of the bundle in force, version its number.
+	// content is the content of the active bundle, version its version.
 	content *config.Content
 	version uint64
 	spec    *workload.Spec
@@ -24,33 +24,36 @@
 	judge   *judge
 	feeds   *feeds
 	callers *callers
-	// ideal is set where it takes the place of the instances.
+	// ideal, if set, replaces the instances.
 	ideal     *ideal
 	instances []*instance
 	backends  map[ident.UpstreamID]backend
-	// order lists the back ends as the bundle does.
+	// order lists the upstreams in the bundle's order.
 	order []ident.UpstreamID
-	// prefills finds prefill attempts by the handle of their result.
+	// prefills maps the handle of a prefill result to its attempt.
 	prefills map[string]*attempt
-	// tombstones are the attempts whose cancel came before them.
+	// tombstones marks attempts that were cancelled, so that one that arrives
+	// after its cancel is rejected.
 	tombstones map[ident.AttemptID]bool
-	// platformDown says that the platform's list is not updated.
+	// platformDown is set while the platform's list is not updated.
 	platformDown bool
-	// disturbedAt is when a partition or freeze last ended.
+	// disturbedAt is the time at which a partition, a freeze or an outage of the
+	// platform's list last ended.
 	disturbedAt time.Duration
 	viewVersion uint64
-	// tamper, if set, replaces the actions of the kernels: tests show by it
-	// that the judge sees what it should.
+	// tamper, if set, replaces the actions of the kernels. Tests use it to show
+	// that the judge detects violations.
 	tamper func(kernel.Action) []kernel.Action
-	// declared, if set, is the output length that a caller states in place of
-	// the true one.
+	// declared, if set, returns the output length that a caller declares in
+	// place of the true one.
 	declared func(l *logical) int
 }
 
-// streamWorld tells the world's random stream from others of one seed.
+// streamWorld separates the random stream of the world from others with the same
+// seed.
 const streamWorld = 0x776f726c64
 
-// newWorld builds a run from its cell.
+// newWorld sets up the run of a cell.
 func newWorld(cell Cell, d *Deployment) (*world, error) {
 	content, err := d.policyContent(cell.Policy)
 	if err != nil {
@@ -80,7 +83,7 @@
 	return w, w.addInstances(d)
 }
 
-// addBackend adds the fake of one upstream.
+// addBackend adds the simulation of one upstream.
 func (w *world) addBackend(d *Deployment, spec config.Upstream) {
 	u := upstream{spec: spec, zone: d.zoneOf(spec.ID), incarnation: 1, alive: true}
 	params := engineParams(w.content, spec)
@@ -97,7 +100,7 @@
 	w.order = append(w.order, spec.ID)
 }
 
-// engineParams describes an engine to the performance model.
+// engineParams returns an engine's parameters for the performance model.
 func engineParams(c *config.Content, spec config.Upstream) perf.Params {
 	p := perf.Params{
 		Slots:                  spec.Slots,
@@ -118,7 +121,7 @@
 	return p
 }
 
-// addInstances starts the entry instances, spread over the zones.
+// addInstances starts the entry instances, distributed over the zones.
 func (w *world) addInstances(d *Deployment) error {
 	for i := range w.cell.Instances {
 		zone := d.Zones[i%len(d.Zones)]
@@ -142,7 +145,8 @@
 	return nil
 }
 
-// delay is the one-way time between two zones; the ideal has none.
+// delay returns the one-way delay between two zones; it is 0 for the ideal
+// scheduler.
 func (w *world) delay(a, b ident.Zone) time.Duration {
 	if w.ideal != nil {
 		return 0
@@ -150,7 +154,8 @@
 	return w.net.delay(a, b)
 }
 
-// clientDelay is the one-way time to a caller; the ideal has none.
+// clientDelay returns the one-way delay to a caller; it is 0 for the ideal
+// scheduler.
 func (w *world) clientDelay() time.Duration {
 	if w.ideal != nil {
 		return 0
@@ -158,7 +163,8 @@
 	return clientDelay
 }
 
-// jitter draws what is added to a message's delay, so that messages cross.
+// jitter returns a random addition to a message's delay, so that messages can
+// overtake each other.
 func (w *world) jitter() time.Duration {
 	if w.cell.Jitter == 0 {
 		return 0
@@ -166,7 +172,7 @@
 	return time.Duration(w.rng.Int64N(int64(w.cell.Jitter)))
 }
 
-// send brings an attempt to its upstream.
+// send sends an attempt to its upstream.
 func (w *world) send(a *attempt) {
 	if a.role == config.RolePrefill {
 		w.prefills[a.id.String()] = a
@@ -184,7 +190,8 @@
 	w.clock.after(delay+w.jitter(), func() {
 		switch {
 		case a.unread:
-			// A cut came between; the owner learns of it by its timeout.
+			// The zones were partitioned meanwhile; the owner learns of it by
+			// its time-out.
 		case !up.alive:
 			w.clock.after(delay, func() { a.owner.receive(notSent) })
 		default:
@@ -193,7 +200,7 @@
 	})
 }
 
-// arrive hands an attempt to its upstream.
+// arrive passes an attempt to its upstream.
 func (w *world) arrive(a *attempt) {
 	a.incarnation = a.upstream.base().incarnation
 	if w.tombstones[a.id] {
@@ -205,8 +212,8 @@
 	}
 }
 
-// report brings news of an attempt to its owner, with the upstream's load
-// where the response has headers for it.
+// report delivers an event about an attempt to its owner, preceded by the
+// upstream's load where the response has headers for it.
 func (w *world) report(a *attempt, ev kernel.Event) {
 	up := a.upstream.base()
 	load := kernel.LoadReported{Upstream: up.spec.ID, Load: a.upstream.load()}
@@ -224,7 +231,7 @@
 	})
 }
 
-// note keeps how much of its answer the submission has.
+// note records how much of its output the submission has received.
 func (a *attempt) note(ev kernel.Event) {
 	switch e := ev.(type) {
 	case kernel.AttemptDone:
@@ -239,7 +246,8 @@
 	w.breakOff(a, w.delay(a.upstream.base().zone, a.owner.place()))
 }
 
-// breakOff breaks the connection of an attempt; its owner notices after a time.
+// breakOff breaks the connection of an attempt; its owner notices after the
+// given time.
 func (w *world) breakOff(a *attempt, noticed time.Duration) {
 	if a.unread {
 		return
@@ -257,7 +265,7 @@
 	})
 }
 
-// cancel brings a cancel to an upstream and its answer back.
+// cancel sends a cancel to an upstream and returns its response.
 func (w *world) cancel(from *life, id ident.AttemptID, to ident.UpstreamID) {
 	b := w.backends[to]
 	up := b.base()
@@ -278,8 +286,8 @@
 	})
 }
 
-// run runs the whole cell. It returns a *FaultError if there is no such fault,
-// and a *PolicyError if the kernel doesn't take the policy.
+// run runs the cell to its end. It returns a *FaultError if a fault doesn't
+// exist, and a *PolicyError if the kernel rejects the policy.
 func (w *world) run() error {
 	if err := w.scheduleFaults(); err != nil {
 		return err
@@ -298,6 +306,6 @@
 	return nil
 }
 
-// drainTime is how long a run goes on after the last arrival: the longest
-// deadline and the time in which everything held must be released.
+// drainTime is how long a run continues after the last arrival: the longest
+// deadline plus the time within which everything held must be released.
 const drainTime = 60*time.Second + leakGrace + 5*time.Second
