--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -11,62 +11,62 @@
 	"github.com/wardspool/wardspool/load/workload"
 )
 
-// logical is one request from the caller's point of view. It may be submitted
-// several times.
-type logical struct {
+// logicalRequest is one request from the caller's point of view. It may be
+// submitted several times.
+type logicalRequest struct {
 	arrival workload.Arrival
 	at      time.Duration
 	subs    []*submission
-	// gone is set when the caller disconnected or its deadline passed.
-	gone      bool
+	// abandoned is set when the caller disconnected or its deadline passed.
+	abandoned bool
 	cancelled bool
 	finished  bool
 	doneAt    time.Duration
-	// runs counts the executions of a plain service call.
-	runs int
-	// computed is the total number of prompt tokens computed; largestUsed is the
-	// most that one run computed and a decode used.
-	computed, largestUsed int
+	// serviceRuns counts the executions of a plain service call.
+	serviceRuns int
+	// computedTokens is the total number of prompt tokens computed;
+	// largestUsedTokens is the most that one run computed and a decode used.
+	computedTokens, largestUsedTokens int
 }
 
 // last returns the latest submission.
-func (l *logical) last() *submission { return l.subs[len(l.subs)-1] }
+func (l *logicalRequest) last() *submission { return l.subs[len(l.subs)-1] }
 
 // submission is one transmission of a logical request to one instance.
 type submission struct {
-	logical *logical
+	logical *logicalRequest
 	// sentAt is the time at which the caller sent the submission.
 	sentAt  time.Duration
 	request *kernel.Request
-	to      *life
+	process *process
 	// attempts lists everything that was sent to upstreams for the submission.
-	attempts  []*attempt
-	delivered int
-	first     time.Duration
-	hasFirst  bool
-	answered  bool
-	outcome   api.Outcome
-	// over is set once nobody waits for the submission any more.
-	over   bool
-	overAt time.Duration
+	attempts       []*attempt
+	delivered      int
+	firstOutputAt  time.Duration
+	hasFirstOutput bool
+	answered       bool
+	outcome        api.Outcome
+	// closed is set once nobody waits for the submission any more.
+	closed   bool
+	closedAt time.Duration
 }
 
-// sawFirst records the time at which the caller got its first output.
-func (s *submission) sawFirst(at time.Duration) {
-	if !s.hasFirst {
-		s.hasFirst = true
-		s.first = at
+// recordFirstOutput records the time at which the caller got its first output.
+func (s *submission) recordFirstOutput(at time.Duration) {
+	if !s.hasFirstOutput {
+		s.hasFirstOutput = true
+		s.firstOutputAt = at
 	}
 }
 
-// whole reports whether the complete output was delivered.
-func (s *submission) whole() bool { return s.delivered == s.logical.arrival.OutputTokens }
+// fullyDelivered reports whether the complete output was delivered.
+func (s *submission) fullyDelivered() bool { return s.delivered == s.logical.arrival.OutputTokens }
 
-// end marks the submission as one that nobody waits for any more.
-func (s *submission) end(now time.Duration) {
-	if !s.over {
-		s.over = true
-		s.overAt = now
+// close marks the submission as one that nobody waits for any more.
+func (s *submission) close(now time.Duration) {
+	if !s.closed {
+		s.closed = true
+		s.closedAt = now
 	}
 }
 
@@ -75,29 +75,29 @@
 	w *world
 	// capacity is in requests per second.
 	capacity float64
-	logicals []*logical
+	logicals []*logicalRequest
 	next     int
 	sent     int
 }
 
-// blindRetryAfter is the retry delay of callers that ignore Retry-After, and of
+// naiveRetryDelay is the retry delay of callers that ignore Retry-After, and of
 // callers that were not connected to any instance.
-const blindRetryAfter = 100 * time.Millisecond
+const naiveRetryDelay = 100 * time.Millisecond
 
-// balancerLag is the time after which the platform's load balancer stops routing
-// to a dead or frozen instance.
-const balancerLag = time.Second
+// balancerDetectionDelay is the time after which the platform's load balancer
+// stops routing to a dead or frozen instance.
+const balancerDetectionDelay = time.Second
 
-// patience is how long after its deadline a caller still accepts an answer.
-const patience = 50 * time.Millisecond
+// answerGrace is how long after its deadline a caller still accepts an answer.
+const answerGrace = 50 * time.Millisecond
 
 // Parameters of a surge, a temporary increase of the load.
 const (
 	surgeLoad   = 1.5
 	surgeLength = 30 * time.Second
-	// surgeNumbers is the offset of the arrival numbers of a surge, so that they
-	// don't collide with those of the regular load.
-	surgeNumbers = 1 << 24
+	// surgeFirstNumber is the offset of the arrival numbers of a surge, so that
+	// they don't collide with those of the regular load.
+	surgeFirstNumber = 1 << 24
 )
 
 func newCallers(w *world, capacity float64) *callers { return &callers{w: w, capacity: capacity} }
@@ -108,11 +108,11 @@
 	c.scheduleNext(g, 0, 0, c.w.cell.Warmup+c.w.cell.Duration)
 }
 
-// surge raises the load from the cell's to surgeLoad, starting now.
-func (c *callers) surge() {
+// startSurge raises the load from the cell's to surgeLoad, starting now.
+func (c *callers) startSurge() {
 	g := workload.NewGenerator(c.w.spec, c.capacity*(surgeLoad-c.w.cell.Load), ^c.w.cell.Seed)
 	end := min(c.w.clock.now+surgeLength, c.w.cell.Warmup+c.w.cell.Duration)
-	c.scheduleNext(g, surgeNumbers, c.w.clock.now, end)
+	c.scheduleNext(g, surgeFirstNumber, c.w.clock.now, end)
 }
 
 // scheduleNext schedules the next arrival of a generator, which then schedules
@@ -132,42 +132,42 @@
 
 // arrive sends a new request and schedules the end of its caller's wait.
 func (c *callers) arrive(a workload.Arrival) {
-	l := &logical{arrival: a, at: c.w.clock.now}
+	l := &logicalRequest{arrival: a, at: c.w.clock.now}
 	c.logicals = append(c.logicals, l)
 	c.send(l)
 	if a.CancelAfter > 0 {
-		c.w.clock.after(a.CancelAfter, func() { c.leave(l, true) })
+		c.w.clock.after(a.CancelAfter, func() { c.stopWaiting(l, true) })
 	}
-	c.w.clock.after(a.Kind.Deadline+patience, func() { c.leave(l, false) })
+	c.w.clock.after(a.Kind.Deadline+answerGrace, func() { c.stopWaiting(l, false) })
 }
 
-// leave ends a caller's wait, because it cancelled or because its deadline
+// stopWaiting ends a caller's wait, because it cancelled or because its deadline
 // passed.
-func (c *callers) leave(l *logical, cancelled bool) {
+func (c *callers) stopWaiting(l *logicalRequest, cancelled bool) {
 	if l.finished {
 		return
 	}
 	l.finished = true
 	l.doneAt = c.w.clock.now
 	sub := l.last()
-	if sub.over {
+	if sub.closed {
 		// The request was refused and is waiting to be sent again.
 		return
 	}
-	l.gone, l.cancelled = true, cancelled
-	sub.end(c.w.clock.now)
+	l.abandoned, l.cancelled = true, cancelled
+	sub.close(c.w.clock.now)
 	gone := kernel.CallerGone{Request: sub.request.ID}
 	c.w.clock.after(c.w.clientDelay(), func() {
 		if c.w.ideal != nil {
 			c.w.ideal.receive(gone)
 			return
 		}
-		sub.to.receive(gone)
+		sub.process.receive(gone)
 	})
 }
 
 // send submits a request through the load balancer.
-func (c *callers) send(l *logical) {
+func (c *callers) send(l *logicalRequest) {
 	c.sent++
 	sub := &submission{logical: l, sentAt: c.w.clock.now}
 	sub.request = c.request(l, len(l.subs))
@@ -184,28 +184,28 @@
 
 // deliver passes a submission to the instance that the load balancer selects.
 func (c *callers) deliver(sub *submission) {
-	inst := c.balance()
-	if inst == nil || inst.life.dead {
+	inst := c.selectInstance()
+	if inst == nil || inst.process.dead {
 		// Nothing was sent, so the caller can safely retry.
-		sub.end(c.w.clock.now)
+		sub.close(c.w.clock.now)
 		sub.outcome = api.NotRun
-		c.w.clock.after(c.w.clientDelay()+blindRetryAfter, func() { c.again(sub.logical) })
+		c.w.clock.after(c.w.clientDelay()+naiveRetryDelay, func() { c.resend(sub.logical) })
 		return
 	}
-	sub.to = inst.life
-	inst.life.subs[sub.request.ID] = sub
-	inst.life.receive(kernel.Arrive{Request: sub.request})
+	sub.process = inst.process
+	inst.process.subs[sub.request.ID] = sub
+	inst.process.receive(kernel.Arrive{Request: sub.request})
 }
 
-// balance simulates the platform's load balancer: round robin over the instances
-// that it doesn't know to be down.
-func (c *callers) balance() *instance {
+// selectInstance simulates the platform's load balancer: round robin over the
+// instances that it doesn't know to be down.
+func (c *callers) selectInstance() *instance {
 	for range c.w.instances {
 		inst := c.w.instances[c.next%len(c.w.instances)]
 		c.next++
-		l := inst.life
-		down := l.dead && c.w.clock.now-inst.downAt >= balancerLag
-		stuck := l.frozen && c.w.clock.now-l.frozenAt >= balancerLag
+		p := inst.process
+		down := p.dead && c.w.clock.now-inst.downAt >= balancerDetectionDelay
+		stuck := p.frozen && c.w.clock.now-p.frozenAt >= balancerDetectionDelay
 		if !down && !stuck {
 			return inst
 		}
@@ -214,7 +214,7 @@
 }
 
 // request builds the kernel's description of a submission.
-func (c *callers) request(l *logical, number int) *kernel.Request {
+func (c *callers) request(l *logicalRequest, number int) *kernel.Request {
 	a := l.arrival
 	r := &kernel.Request{
 		ID:              ident.RequestID("r" + strconv.Itoa(a.Number) + "-" + strconv.Itoa(number)),
@@ -230,8 +230,8 @@
 		Deadline:        epoch.Add(l.at + a.Kind.Deadline),
 		Priority:        c.w.priority(a.Kind.Name),
 	}
-	if c.w.declared != nil {
-		r.MaxOutputTokens = c.w.declared(l)
+	if c.w.declaredOutput != nil {
+		r.MaxOutputTokens = c.w.declaredOutput(l)
 	}
 	if r.Route == config.RouteModel {
 		r.Blocks = a.Blocks(c.w.content.Models[0].PieceTokens)
@@ -250,47 +250,48 @@
 	return 0
 }
 
-// answered handles a final answer and retries if the caller's policy allows it.
-func (c *callers) answered(sub *submission, a kernel.Answer) {
+// handleAnswer handles a final answer and retries if the caller's policy allows
+// it.
+func (c *callers) handleAnswer(sub *submission, a kernel.Answer) {
 	l := sub.logical
 	if l.finished {
 		return
 	}
 	l.doneAt = c.w.clock.now
-	blind := c.w.cell.blind()
+	blind := c.w.cell.retriesBlindly()
 	retry := a.Outcome == api.NotRun && a.Problem.RetryAfterMS > 0
 	retry = retry || (a.Outcome == api.Unknown && blind)
 	if !retry || !l.arrival.Retries || len(l.subs) > c.w.spec.Caller.MaxRetries {
 		l.finished = true
 		return
 	}
-	wait := blindRetryAfter
+	wait := naiveRetryDelay
 	if !blind {
 		wait = time.Duration(a.Problem.RetryAfterMS) * time.Millisecond
 	}
-	c.w.clock.after(wait, func() { c.again(l) })
+	c.w.clock.after(wait, func() { c.resend(l) })
 }
 
-// broken handles a connection that was lost because its instance died. A request
-// that is not repeatable is not sent again, because its ticket names the dead
-// instance as its only executor. Callers of the naive policy have no tickets and
-// retry regardless.
-func (c *callers) broken(sub *submission) {
+// handleBrokenConnection handles a connection that was lost because its instance
+// died. A request that is not repeatable is not sent again, because its ticket
+// names the dead instance as its only executor. Callers of the naive policy have
+// no tickets and retry regardless.
+func (c *callers) handleBrokenConnection(sub *submission) {
 	l := sub.logical
 	if l.finished {
 		return
 	}
 	sub.outcome = api.Unknown
-	if !l.arrival.Kind.Repeatable && !c.w.cell.blind() {
+	if !l.arrival.Kind.Repeatable && !c.w.cell.retriesBlindly() {
 		l.finished = true
 		l.doneAt = c.w.clock.now
 		return
 	}
-	c.again(l)
+	c.resend(l)
 }
 
-// again submits a request once more if its caller still waits.
-func (c *callers) again(l *logical) {
+// resend submits a request once more if its caller still waits.
+func (c *callers) resend(l *logicalRequest) {
 	if l.finished {
 		return
 	}
--- a/experiment/capacity.go
+++ b/experiment/capacity.go
@@ -47,10 +47,10 @@
 		p := engineParams(d.Content, u)
 		switch u.Role {
 		case config.RolePrefill:
-			c.Prefill += p.PrefillTokensPerSecond / s.prompt
-			c.Link += p.LinkBytesPerSecond / (s.prompt * float64(p.KVBytesPerToken))
+			c.Prefill += p.PrefillTokensPerSecond / s.meanPromptTokens
+			c.Link += p.LinkBytesPerSecond / (s.meanPromptTokens * float64(p.KVBytesPerToken))
 		case config.RoleDecode:
-			batch, hold := s.saturate(p)
+			batch, hold := s.fullBatch(p)
 			c.Decode += batch / hold
 			c.Batch = math.Min(c.Batch, batch)
 		}
@@ -64,9 +64,9 @@
 // sample holds the model requests in a sample of a workload.
 type sample struct {
 	modelShare float64
-	// prompt is the mean prompt length in tokens.
-	prompt   float64
-	arrivals []workload.Arrival
+	// meanPromptTokens is the mean prompt length in tokens.
+	meanPromptTokens float64
+	arrivals         []workload.Arrival
 }
 
 // sample draws a sample of the workload.
@@ -79,25 +79,25 @@
 			continue
 		}
 		s.arrivals = append(s.arrivals, a)
-		s.prompt += float64(a.PromptTokens)
+		s.meanPromptTokens += float64(a.PromptTokens)
 	}
 	n := float64(len(s.arrivals))
 	s.modelShare = n / capacitySample
-	s.prompt /= n
+	s.meanPromptTokens /= n
 	return s
 }
 
-// saturateRounds is the number of iterations in which saturate refines its
+// fullBatchRounds is the number of iterations in which fullBatch refines its
 // estimate of the batch size.
-const saturateRounds = 8
+const fullBatchRounds = 8
 
-// saturate returns the mean number of requests that a full decode engine runs
+// fullBatch returns the mean number of requests that a full decode engine runs
 // and how long each of them occupies its slot, in seconds. Memory use is
 // weighted by how long it is held, so a long prompt with a long answer counts
 // for both its size and its duration.
-func (s *sample) saturate(p perf.Params) (batch, hold float64) {
+func (s *sample) fullBatch(p perf.Params) (batch, hold float64) {
 	batch = float64(p.Slots)
-	for range saturateRounds {
+	for range fullBatchRounds {
 		step := p.DecodeStep.Seconds() + (batch-1)*p.DecodeStepPerRequest.Seconds()
 		var held, pieceSeconds float64
 		for i := range s.arrivals {
--- a/experiment/cell.go
+++ b/experiment/cell.go
@@ -27,9 +27,9 @@
 	LoadLag time.Duration
 }
 
-// blind reports whether the cell's callers retry immediately and without
+// retriesBlindly reports whether the cell's callers retry immediately and without
 // tickets.
-func (c Cell) blind() bool { return c.Policy == PolicyNaive }
+func (c Cell) retriesBlindly() bool { return c.Policy == PolicyNaive }
 
 // Result is the outcome of a cell. Requests are counted if they were offered in
 // the measured time. A request that was sent again counts once.
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w.judge.trace = trace
+	w.checker.trace = trace
 	if err := w.run(); err != nil {
 		return nil, err
 	}
@@ -113,26 +113,26 @@
 	r := &Result{
 		Cell: w.cell, ByKind: map[string]*Count{},
 		Timeline:        make([]Count, w.cell.Duration/TimelineStep+1),
-		PromptComputed:  w.judge.prompt,
-		WastedCancelled: w.judge.byCause[wasteCancelled],
-		WastedEvicted:   w.judge.byCause[wasteEvicted],
-		WastedKilled:    w.judge.byCause[wasteKilled],
+		PromptComputed:  w.checker.promptTokens,
+		WastedCancelled: w.checker.wastedTokens[wasteCancelled],
+		WastedEvicted:   w.checker.wastedTokens[wasteEvicted],
+		WastedKilled:    w.checker.wastedTokens[wasteKilled],
 		Sent:            w.callers.sent,
-		DecodeBusy:      w.judge.decodeBusy / float64(max(w.judge.samples, 1)),
-		PrefillBusy:     w.judge.prefillBusy / float64(max(w.judge.samples, 1)),
-		PeerMessages:    w.judge.peerMessages,
-		Broken:          w.judge.counts,
-		Violations:      w.judge.violations,
+		DecodeBusy:      w.checker.decodeBusy / float64(max(w.checker.samples, 1)),
+		PrefillBusy:     w.checker.prefillBusy / float64(max(w.checker.samples, 1)),
+		PeerMessages:    w.checker.peerMessages,
+		Broken:          w.checker.violationCounts,
+		Violations:      w.checker.violations,
 	}
 	first, pace := report.NewHist(), report.NewHist()
 	for _, l := range w.callers.logicals {
-		r.PromptWasted += l.computed - l.largestUsed
+		r.PromptWasted += l.computedTokens - l.largestUsedTokens
 		if l.at < w.cell.Warmup {
 			continue
 		}
 		r.count(l)
 		if l.complete() && l.arrival.Kind.Route() == config.RouteModel {
-			first.Record(l.last().first - l.at)
+			first.Record(l.last().firstOutputAt - l.at)
 			pace.Record(l.pace())
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 // count adds one request of the measured time.
-func (r *Result) count(l *logical) {
+func (r *Result) count(l *logicalRequest) {
 	kind := r.ByKind[l.arrival.Kind.Name]
 	if kind == nil {
 		kind = &Count{}
@@ -156,14 +156,14 @@
 }
 
 // add counts one request by its outcome.
-func (c *Count) add(l *logical) {
+func (c *Count) add(l *logicalRequest) {
 	c.Offered++
 	switch {
 	case l.cancelled:
 		c.Cancelled++
 	case l.complete():
 		c.Complete++
-	case l.finished && !l.gone && l.last().outcome == api.NotRun:
+	case l.finished && !l.abandoned && l.last().outcome == api.NotRun:
 		c.Refused++
 	default:
 		c.Unknown++
--- a/experiment/clock.go
+++ b/experiment/clock.go
@@ -20,7 +20,7 @@
 type event struct {
 	at    time.Duration
 	order uint64
-	do    func()
+	run   func()
 }
 
 // time returns the current virtual time as a time of day.
@@ -30,7 +30,7 @@
 // now.
 func (c *clock) at(at time.Duration, do func()) {
 	c.added++
-	heap.Push(&c.queue, event{at: max(at, c.now), order: c.added, do: do})
+	heap.Push(&c.queue, event{at: max(at, c.now), order: c.added, run: do})
 }
 
 // after schedules do for the end of a delay.
@@ -42,7 +42,7 @@
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
-		e.do()
+		e.run()
 	}
 	c.now = until
 }
--- a/experiment/decode.go
+++ b/experiment/decode.go
@@ -26,46 +26,46 @@
 	return &decodeEngine{upstream: u, w: w, params: p, running: map[ident.AttemptID]bool{}}
 }
 
-// pieces returns the memory that an attempt reserves, assuming the longest
-// answer it is allowed.
-func (a *attempt) pieces(p perf.Params) int {
+// reservedPieces returns the memory that an attempt reserves, assuming the
+// longest answer it is allowed.
+func (a *attempt) reservedPieces(p perf.Params) int {
 	return p.PiecesFor(a.sub.request.PromptTokens + a.sub.request.MaxOutputTokens)
 }
 
-// refusal builds a failure by which an upstream attests that it did not run the
-// attempt.
-func refusal(a *attempt, code kernel.FailureCode) *kernel.AttemptFailed {
+// newRefusal builds a failure by which an upstream attests that it did not run
+// the attempt.
+func newRefusal(a *attempt, code kernel.FailureCode) *kernel.AttemptFailed {
 	return &kernel.AttemptFailed{
 		Attempt:  a.id,
 		Evidence: kernel.Refused,
 		Code:     code,
-		Offset:   a.from,
+		Offset:   a.startOffset,
 	}
 }
 
 func (e *decodeEngine) accept(a *attempt) *kernel.AttemptFailed {
 	if a.role != config.RoleDecode {
-		return refusal(a, kernel.FailureModel)
+		return newRefusal(a, kernel.FailureModel)
 	}
 	full := len(e.held) >= e.params.Slots
-	if full || e.piecesUsed+a.pieces(e.params) > e.params.Pieces {
-		return refusal(a, kernel.FailureCapacity)
+	if full || e.piecesUsed+a.reservedPieces(e.params) > e.params.Pieces {
+		return newRefusal(a, kernel.FailureCapacity)
 	}
 	source, ok := e.source(a)
 	if !ok {
-		return refusal(a, kernel.FailureKVMissing)
+		return newRefusal(a, kernel.FailureKVMissing)
 	}
 	e.held = append(e.held, a)
-	e.piecesUsed += a.pieces(e.params)
-	life := e.incarnation
-	pulled := source.pull(a.kv, a, func(sent bool) {
-		if e.incarnation == life && !a.over {
-			e.imported(a, sent)
+	e.piecesUsed += a.reservedPieces(e.params)
+	incarnation := e.incarnation
+	pulled := source.startTransfer(a.kv, a, func(sent bool) {
+		if e.incarnation == incarnation && !a.ended {
+			e.completeImport(a, sent)
 		}
 	})
 	if !pulled {
 		e.release(a)
-		return refusal(a, kernel.FailureKVMissing)
+		return newRefusal(a, kernel.FailureKVMissing)
 	}
 	return nil
 }
@@ -79,16 +79,16 @@
 	return p, ok
 }
 
-// imported starts generation, or fails the attempt if its KV cache was lost in
-// transfer.
-func (e *decodeEngine) imported(a *attempt, sent bool) {
+// completeImport starts generation, or fails the attempt if its KV cache was
+// lost in transfer.
+func (e *decodeEngine) completeImport(a *attempt, sent bool) {
 	if !sent {
 		e.release(a)
-		e.w.report(a, *refusal(a, kernel.FailureKVMissing))
+		e.w.report(a, *newRefusal(a, kernel.FailureKVMissing))
 		return
 	}
-	a.ran = true
-	a.generated = a.from
+	a.started = true
+	a.generated = a.startOffset
 	e.running[a.id] = true
 	e.startStep()
 }
@@ -105,26 +105,26 @@
 			batch = append(batch, a)
 		}
 	}
-	life := e.incarnation
+	incarnation := e.incarnation
 	e.w.clock.after(e.params.StepTime(len(batch)), func() {
-		if e.incarnation != life || !e.alive {
+		if e.incarnation != incarnation || !e.alive {
 			return
 		}
 		e.stepping = false
 		for _, a := range batch {
-			e.token(a)
+			e.generateToken(a)
 		}
 		e.startStep()
 	})
 }
 
-// token generates the next token of an attempt.
-func (e *decodeEngine) token(a *attempt) {
-	if a.over {
+// generateToken generates the next token of an attempt.
+func (e *decodeEngine) generateToken(a *attempt) {
+	if a.ended {
 		return
 	}
 	a.generated++
-	if a.generated == a.from+1 {
+	if a.generated == a.startOffset+1 {
 		e.w.report(a, kernel.FirstOutput{Attempt: a.id})
 	}
 	if a.generated >= a.sub.logical.arrival.OutputTokens {
@@ -140,11 +140,11 @@
 			continue
 		}
 		e.held = append(e.held[:i:i], e.held[i+1:]...)
-		e.piecesUsed -= a.pieces(e.params)
+		e.piecesUsed -= a.reservedPieces(e.params)
 		break
 	}
 	delete(e.running, a.id)
-	a.over = true
+	a.ended = true
 }
 
 func (e *decodeEngine) cancel(id ident.AttemptID) {
@@ -155,7 +155,7 @@
 		importing := !e.running[id]
 		e.release(a)
 		if p, ok := e.source(a); ok && importing {
-			p.giveUp(a)
+			p.abortTransfer(a)
 		}
 		return
 	}
@@ -167,9 +167,9 @@
 	clear(e.running)
 	e.markDead(e.w.clock.now)
 	for _, a := range lost {
-		a.over = true
+		a.ended = true
 		if p, ok := e.source(a); ok {
-			p.giveUp(a)
+			p.abortTransfer(a)
 		}
 		e.w.reportBroken(a)
 	}
@@ -185,8 +185,9 @@
 	}
 }
 
-// fill returns the fraction of slots or of memory in use, whichever is higher.
-func (e *decodeEngine) fill() float64 {
+// utilization returns the fraction of slots or of memory in use, whichever is
+// higher.
+func (e *decodeEngine) utilization() float64 {
 	slots := float64(len(e.held)) / float64(e.params.Slots)
 	return max(slots, float64(e.piecesUsed)/float64(e.params.Pieces))
 }
--- a/experiment/deployment.go
+++ b/experiment/deployment.go
@@ -59,15 +59,15 @@
 
 // DeploymentError reports a bundle and a workload that cannot be run together.
 type DeploymentError struct {
-	Name  string
-	Wrong string
+	Name   string
+	Reason string
 }
 
 // Error implements error.
-func (e *DeploymentError) Error() string { return fmt.Sprintf("deployment %s: %s", e.Name, e.Wrong) }
+func (e *DeploymentError) Error() string { return fmt.Sprintf("deployment %s: %s", e.Name, e.Reason) }
 
 // One-way delays between zones of the known deployments.
-var crossZoneTimes = map[string]time.Duration{
+var crossZoneDelays = map[string]time.Duration{
 	"coastline": 500 * time.Microsecond,
 	"lagos":     1500 * time.Microsecond,
 }
@@ -78,14 +78,14 @@
 func NewDeployment(content *config.Content, spec *workload.Spec) (*Deployment, error) {
 	d := &Deployment{Name: content.Deployment, Content: content, Spec: spec}
 	if spec.Deployment != content.Deployment {
-		return nil, &DeploymentError{Name: d.Name, Wrong: "workload belongs to deployment " + spec.Deployment}
+		return nil, &DeploymentError{Name: d.Name, Reason: "workload belongs to deployment " + spec.Deployment}
 	}
 	if len(content.Models) != 1 {
-		return nil, &DeploymentError{Name: d.Name, Wrong: "bundle must define exactly one model"}
+		return nil, &DeploymentError{Name: d.Name, Reason: "bundle must define exactly one model"}
 	}
-	cross, known := crossZoneTimes[d.Name]
+	cross, known := crossZoneDelays[d.Name]
 	if !known {
-		return nil, &DeploymentError{Name: d.Name, Wrong: "cross-zone delay unknown"}
+		return nil, &DeploymentError{Name: d.Name, Reason: "cross-zone delay unknown"}
 	}
 	d.CrossZone = cross
 	seen := map[ident.Zone]bool{}
@@ -118,7 +118,7 @@
 func (w *world) zones() []ident.Zone {
 	var zones []ident.Zone
 	seen := map[ident.Zone]bool{}
-	for _, id := range w.order {
+	for _, id := range w.upstreamOrder {
 		if z := w.backends[id].base().zone; !seen[z] {
 			seen[z] = true
 			zones = append(zones, z)
--- a/experiment/fault.go
+++ b/experiment/fault.go
@@ -60,10 +60,10 @@
 
 // Durations of the faults.
 const (
-	killLength  = 8 * time.Second
-	freezeTime  = 6 * time.Second
-	stallLength = 5 * time.Second
-	cutLength   = 10 * time.Second
+	killLength   = 8 * time.Second
+	freezeLength = 6 * time.Second
+	stallLength  = 5 * time.Second
+	cutLength    = 10 * time.Second
 )
 
 // scheduleFaults schedules the cell's faults. It returns a *FaultError if one of
@@ -83,7 +83,7 @@
 			}
 			at = offset
 		}
-		w.clock.at(at, func() { w.bringAbout(f) })
+		w.clock.at(at, func() { w.inject(f) })
 	}
 	return nil
 }
@@ -94,13 +94,13 @@
 // Error implements error.
 func (e *FaultError) Error() string { return fmt.Sprintf("no fault %q", string(e.Fault)) }
 
-// bringAbout injects one fault now.
-func (w *world) bringAbout(f Fault) {
+// inject makes one fault happen now.
+func (w *world) inject(f Fault) {
 	switch f {
 	case FaultInstanceKill:
-		w.withInstance(w.killInstance)
+		w.withTargetInstance(w.killInstance)
 	case FaultInstanceFreeze:
-		w.withInstance(w.freezeInstance)
+		w.withTargetInstance(w.freezeInstance)
 	case FaultDecodeKill:
 		w.killUpstream(w.pick(config.RoleDecode))
 	case FaultPrefillKill:
@@ -112,23 +112,23 @@
 	case FaultZoneCut:
 		w.cutZone()
 	case FaultPeerCut:
-		w.withInstance(w.cutPeer)
+		w.withTargetInstance(w.cutPeer)
 	case FaultSurge:
-		w.callers.surge()
+		w.callers.startSurge()
 	case FaultPlatformDown:
 		w.platformDown = true
 		w.clock.after(2*cutLength, func() {
 			w.platformDown = false
-			w.disturbedAt = w.clock.now
-			w.viewsChange()
+			w.recoveredAt = w.clock.now
+			w.scheduleViewRefresh()
 		})
 	}
 }
 
-// withInstance applies a fault to the instance that has received the most peer
-// messages, since the others depend on it most, or to a random one if there were
-// none. The ideal scheduler has no instance that could fail.
-func (w *world) withInstance(do func(*instance)) {
+// withTargetInstance applies a fault to the instance that has received the most
+// peer messages, since the others depend on it most, or to a random one if there
+// were none. The ideal scheduler has no instance that could fail.
+func (w *world) withTargetInstance(do func(*instance)) {
 	if len(w.instances) == 0 {
 		return
 	}
@@ -144,7 +144,7 @@
 // pick returns a random upstream of a role.
 func (w *world) pick(role config.Role) backend {
 	var list []backend
-	for _, id := range w.order {
+	for _, id := range w.upstreamOrder {
 		if w.backends[id].base().spec.Role == role {
 			list = append(list, w.backends[id])
 		}
@@ -155,56 +155,56 @@
 // killInstance kills an instance's process and starts a new one after
 // killLength.
 func (w *world) killInstance(inst *instance) {
-	l := inst.life
-	if l.dead {
+	p := inst.process
+	if p.dead {
 		return
 	}
-	l.dead = true
+	p.dead = true
 	inst.downAt = w.clock.now
-	for _, id := range sortedKeys(l.subs) {
-		sub := l.subs[id]
-		if sub.over {
+	for _, id := range sortedKeys(p.subs) {
+		sub := p.subs[id]
+		if sub.closed {
 			continue
 		}
-		sub.end(w.clock.now)
-		w.clock.after(w.clientDelay(), func() { w.callers.broken(sub) })
+		sub.close(w.clock.now)
+		w.clock.after(w.clientDelay(), func() { w.callers.handleBrokenConnection(sub) })
 	}
-	w.viewsChange()
+	w.scheduleViewRefresh()
 	w.clock.after(killLength, func() {
-		if err := w.start(inst); err != nil {
-			w.judge.rejected = err
+		if err := w.startProcess(inst); err != nil {
+			w.checker.rejected = err
 		}
-		w.viewsChange()
+		w.scheduleViewRefresh()
 	})
 }
 
-// freezeInstance pauses an instance's process for freezeTime.
+// freezeInstance pauses an instance's process for freezeLength.
 func (w *world) freezeInstance(inst *instance) {
-	l := inst.life
-	if l.dead || l.frozen {
+	p := inst.process
+	if p.dead || p.frozen {
 		return
 	}
-	l.frozen, l.frozenAt = true, w.clock.now
-	w.viewsChange()
-	w.clock.after(freezeTime, func() { w.thaw(l) })
+	p.frozen, p.frozenAt = true, w.clock.now
+	w.scheduleViewRefresh()
+	w.clock.after(freezeLength, func() { w.resume(p) })
 }
 
-// thaw resumes a paused process. It first handles what arrived meanwhile, with
-// the view that it had when it was paused.
-func (w *world) thaw(l *life) {
-	if l.dead {
+// resume lets a paused process continue. It first handles what arrived
+// meanwhile, with the view that it had when it was paused.
+func (w *world) resume(p *process) {
+	if p.dead {
 		return
 	}
-	l.frozen = false
-	w.disturbedAt = w.clock.now
-	inbox := l.inbox
-	l.inbox = nil
-	l.step(kernel.Paused{Gap: w.clock.now - l.frozenAt})
+	p.frozen = false
+	w.recoveredAt = w.clock.now
+	inbox := p.inbox
+	p.inbox = nil
+	p.step(kernel.Paused{Gap: w.clock.now - p.frozenAt})
 	for _, ev := range inbox {
-		l.step(ev)
+		p.step(ev)
 	}
-	w.clock.after(heartbeatLag/2, func() { w.refresh(l) })
-	w.viewsChange()
+	w.clock.after(heartbeatLag/2, func() { w.refreshView(p) })
+	w.scheduleViewRefresh()
 }
 
 // killUpstream kills an upstream and restarts it after killLength.
@@ -213,10 +213,10 @@
 		return
 	}
 	b.kill()
-	w.viewsChange()
+	w.scheduleViewRefresh()
 	w.clock.after(killLength, func() {
-		b.base().revive()
-		w.viewsChange()
+		b.base().restart()
+		w.scheduleViewRefresh()
 	})
 }
 
@@ -237,34 +237,34 @@
 		return
 	}
 	zones := w.zones()
-	lone := zones[w.rng.IntN(len(zones))]
+	isolated := zones[w.rng.IntN(len(zones))]
 	for _, z := range zones {
-		if z != lone {
-			w.net.cut[pairOf(lone, z)] = true
+		if z != isolated {
+			w.net.partitioned[newZonePair(isolated, z)] = true
 		}
 	}
-	w.breakAcrossCuts()
-	w.viewsChange()
+	w.breakPartitioned()
+	w.scheduleViewRefresh()
 	w.clock.after(cutLength, func() {
-		clear(w.net.cut)
-		w.disturbedAt = w.clock.now
-		w.viewsChange()
+		clear(w.net.partitioned)
+		w.recoveredAt = w.clock.now
+		w.scheduleViewRefresh()
 	})
 }
 
-// breakAcrossCuts interrupts transfers and streams between zones that are now
+// breakPartitioned interrupts transfers and streams between zones that are now
 // partitioned.
-func (w *world) breakAcrossCuts() {
-	for _, id := range w.order {
+func (w *world) breakPartitioned() {
+	for _, id := range w.upstreamOrder {
 		if e, ok := w.backends[id].(*prefillEngine); ok {
-			e.stallCut()
+			e.stallPartitioned()
 		}
 	}
 	for _, inst := range w.instances {
-		for _, id := range sortedAttempts(inst.life.attempts) {
-			a := inst.life.attempts[id]
-			if !a.over && !w.net.connected(inst.zone, a.upstream.base().zone) {
-				w.breakOff(a, streamTimeout)
+		for _, id := range sortedAttempts(inst.process.attempts) {
+			a := inst.process.attempts[id]
+			if !a.ended && !w.net.connected(inst.zone, a.upstream.base().zone) {
+				w.breakConnection(a, streamTimeout)
 			}
 		}
 	}
@@ -273,10 +273,10 @@
 // cutPeer partitions one instance from its peers for cutLength.
 func (w *world) cutPeer(inst *instance) {
 	w.net.isolated[inst.id] = true
-	w.viewsChange()
+	w.scheduleViewRefresh()
 	w.clock.after(cutLength, func() {
 		delete(w.net.isolated, inst.id)
-		w.disturbedAt = w.clock.now
-		w.viewsChange()
+		w.recoveredAt = w.clock.now
+		w.scheduleViewRefresh()
 	})
 }
--- a/experiment/feeds.go
+++ b/experiment/feeds.go
@@ -11,8 +11,8 @@
 const (
 	// loadPeriod is the interval between two load reports of an upstream.
 	loadPeriod = 500 * time.Millisecond
-	// usualLoadLag is the default age of a load report on arrival.
-	usualLoadLag = 500 * time.Millisecond
+	// defaultLoadLag is the default age of a load report on arrival.
+	defaultLoadLag = 500 * time.Millisecond
 	// cacheLag is the age of a cache event on arrival.
 	cacheLag = 500 * time.Millisecond
 	// cacheLoss is the fraction of cache events that are lost before
@@ -31,8 +31,8 @@
 	if f.w.ideal != nil {
 		return
 	}
-	for i, id := range f.w.order {
-		phase := loadPeriod * time.Duration(i) / time.Duration(len(f.w.order))
+	for i, id := range f.w.upstreamOrder {
+		phase := loadPeriod * time.Duration(i) / time.Duration(len(f.w.upstreamOrder))
 		f.w.clock.at(phase, func() { f.reportLoad(f.w.backends[id]) })
 	}
 }
@@ -51,7 +51,7 @@
 	f.w.clock.after(lag, func() {
 		for _, inst := range f.w.instances {
 			if f.w.net.connected(inst.zone, b.base().zone) {
-				inst.life.receive(ev)
+				inst.process.receive(ev)
 			}
 		}
 	})
@@ -66,8 +66,8 @@
 	if f.w.rng.Float64() >= cacheLoss {
 		f.publish(e, cacheLag, kernel.CacheChanged{
 			Upstream: e.spec.ID,
-			Stored:   plainHashes(added),
-			Removed:  plainHashes(evicted),
+			Stored:   toUint64s(added),
+			Removed:  toUint64s(evicted),
 		})
 		return
 	}
@@ -75,12 +75,12 @@
 		f.publish(e, 0, kernel.CacheChanged{
 			Upstream: e.spec.ID,
 			Cleared:  true,
-			Stored:   plainHashes(e.cache.Hashes()),
+			Stored:   toUint64s(e.cache.Hashes()),
 		})
 	})
 }
 
-func plainHashes(hashes []tokens.BlockHash) []uint64 {
+func toUint64s(hashes []tokens.BlockHash) []uint64 {
 	plain := make([]uint64, len(hashes))
 	for i, h := range hashes {
 		plain[i] = uint64(h)
--- a/experiment/ideal.go
+++ b/experiment/ideal.go
@@ -10,58 +10,58 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// ideal is an upper bound for the entry instances, which it replaces. It sees
-// the true state of every upstream without delay, keeps one queue in deadline
-// order, knows the length of each answer in advance, and starts a prefill only
-// when the engine is idle and a decode slot will be free for the result. It
-// shares no code with the kernel, so that changes of the kernel don't move the
-// baseline.
-type ideal struct {
-	w        *world
-	sequence uint64
-	queue    []*submission
-	subs     map[ident.RequestID]*submission
-	attempts map[ident.AttemptID]*attempt
+// idealScheduler is an upper bound for the entry instances, which it replaces.
+// It sees the true state of every upstream without delay, keeps one queue in
+// deadline order, knows the length of each answer in advance, and starts a
+// prefill only when the engine is idle and a decode slot will be free for the
+// result. It shares no code with the kernel, so that changes of the kernel don't
+// move the baseline.
+type idealScheduler struct {
+	w            *world
+	lastSequence uint64
+	queue        []*submission
+	subs         map[ident.RequestID]*submission
+	attempts     map[ident.AttemptID]*attempt
 	// planned lists, by decode engine, the prompts that are in prefill or
 	// waiting for their slot.
-	planned map[ident.UpstreamID][]*attempt
-	target  map[*attempt]ident.UpstreamID
-	// ready lists finished prefills whose slot is not free yet.
-	ready []*attempt
-	// ticking is true while a check of the queue is scheduled.
-	ticking bool
+	planned       map[ident.UpstreamID][]*attempt
+	plannedDecode map[*attempt]ident.UpstreamID
+	// awaitingSlot lists finished prefills whose slot is not free yet.
+	awaitingSlot []*attempt
+	// tickScheduled is true while a check of the queue is scheduled.
+	tickScheduled bool
 }
 
 // idealTick is the interval at which the queue is checked when nothing else
 // happens.
 const idealTick = 5 * time.Millisecond
 
-func newIdeal(w *world) *ideal {
-	return &ideal{
-		w:        w,
-		subs:     map[ident.RequestID]*submission{},
-		attempts: map[ident.AttemptID]*attempt{},
-		planned:  map[ident.UpstreamID][]*attempt{},
-		target:   map[*attempt]ident.UpstreamID{},
+func newIdeal(w *world) *idealScheduler {
+	return &idealScheduler{
+		w:             w,
+		subs:          map[ident.RequestID]*submission{},
+		attempts:      map[ident.AttemptID]*attempt{},
+		planned:       map[ident.UpstreamID][]*attempt{},
+		plannedDecode: map[*attempt]ident.UpstreamID{},
 	}
 }
 
-func (i *ideal) place() ident.Zone { return "" }
+func (i *idealScheduler) location() ident.Zone { return "" }
 
 // arrive queues a new submission.
-func (i *ideal) arrive(sub *submission) {
+func (i *idealScheduler) arrive(sub *submission) {
 	i.subs[sub.request.ID] = sub
 	i.enqueue(sub)
 	i.schedule()
 }
 
-func (i *ideal) enqueue(sub *submission) {
+func (i *idealScheduler) enqueue(sub *submission) {
 	i.queue = append(i.queue, sub)
-	sort.SliceStable(i.queue, func(a, b int) bool { return i.due(i.queue[a]).Before(i.due(i.queue[b])) })
+	sort.SliceStable(i.queue, func(a, b int) bool { return i.dueTime(i.queue[a]).Before(i.dueTime(i.queue[b])) })
 }
 
-// due returns the time by which the queue is ordered.
-func (i *ideal) due(sub *submission) time.Time {
+// dueTime returns the time by which the queue is ordered.
+func (i *idealScheduler) dueTime(sub *submission) time.Time {
 	if sub.request.Route == config.RouteService {
 		return sub.request.Arrived
 	}
@@ -69,24 +69,24 @@
 }
 
 // receive implements owner.
-func (i *ideal) receive(ev kernel.Event) {
+func (i *idealScheduler) receive(ev kernel.Event) {
 	switch e := ev.(type) {
 	case kernel.CallerGone:
-		i.gone(i.subs[e.Request])
+		i.handleCallerGone(i.subs[e.Request])
 	case kernel.PrefillDone:
-		i.ready = append(i.ready, i.attempts[e.Attempt])
+		i.awaitingSlot = append(i.awaitingSlot, i.attempts[e.Attempt])
 	case kernel.FirstOutput:
-		i.attempts[e.Attempt].sub.sawFirst(i.w.clock.now)
+		i.attempts[e.Attempt].sub.recordFirstOutput(i.w.clock.now)
 	case kernel.AttemptDone:
 		i.answer(i.attempts[e.Attempt].sub, api.Complete)
 	case kernel.AttemptFailed:
-		i.failed(i.attempts[e.Attempt], e)
+		i.handleFailure(i.attempts[e.Attempt], e)
 	}
 	i.schedule()
 }
 
-// gone releases everything held for a caller that left.
-func (i *ideal) gone(sub *submission) {
+// handleCallerGone releases everything held for a caller that left.
+func (i *idealScheduler) handleCallerGone(sub *submission) {
 	for n, q := range i.queue {
 		if q == sub {
 			i.queue = append(i.queue[:n:n], i.queue[n+1:]...)
@@ -94,8 +94,8 @@
 		}
 	}
 	for _, a := range sub.attempts {
-		i.unplan(a)
-		if !a.over {
+		i.removePlanned(a)
+		if !a.ended {
 			a.upstream.cancel(a.id)
 		}
 	}
@@ -103,27 +103,27 @@
 }
 
 // answer gives the final answer once; later calls have no effect.
-func (i *ideal) answer(sub *submission, outcome api.Outcome) {
+func (i *idealScheduler) answer(sub *submission, outcome api.Outcome) {
 	if sub.answered {
 		return
 	}
 	sub.answered = true
 	sub.outcome = outcome
-	sub.end(i.w.clock.now)
+	sub.close(i.w.clock.now)
 	a := kernel.Answer{Request: sub.request.ID, Outcome: outcome}
 	if outcome != api.Complete {
 		// The ideal scheduler refuses only what a retry cannot save, so its
 		// callers don't retry.
 		a.Problem = api.NewProblem(api.ProblemInfeasible, outcome, "")
 	}
-	i.w.callers.answered(sub, a)
+	i.w.callers.handleAnswer(sub, a)
 }
 
-// failed queues a submission again after one of its attempts failed.
-func (i *ideal) failed(a *attempt, e kernel.AttemptFailed) {
+// handleFailure queues a submission again after one of its attempts failed.
+func (i *idealScheduler) handleFailure(a *attempt, e kernel.AttemptFailed) {
 	sub := a.sub
-	i.unplan(a)
-	if !a.over {
+	i.removePlanned(a)
+	if !a.ended {
 		a.upstream.cancel(a.id)
 	}
 	if sub.answered {
@@ -138,7 +138,7 @@
 }
 
 // schedule starts everything that can start now.
-func (i *ideal) schedule() {
+func (i *idealScheduler) schedule() {
 	i.startReady()
 	waiting := i.queue
 	i.queue = nil
@@ -150,29 +150,29 @@
 			i.queue = append(i.queue, waiting[n])
 		}
 	}
-	i.tick()
+	i.scheduleTick()
 }
 
-// tick schedules another check of the queue if anything is waiting.
-func (i *ideal) tick() {
-	if i.ticking || len(i.queue)+len(i.ready) == 0 {
+// scheduleTick schedules another check of the queue if anything is waiting.
+func (i *idealScheduler) scheduleTick() {
+	if i.tickScheduled || len(i.queue)+len(i.awaitingSlot) == 0 {
 		return
 	}
-	i.ticking = true
+	i.tickScheduled = true
 	i.w.clock.after(idealTick, func() {
-		i.ticking = false
+		i.tickScheduled = false
 		i.schedule()
 	})
 }
 
 // startReady starts the decodes of finished prefills whose slot is free.
-func (i *ideal) startReady() {
-	waiting := i.ready
-	i.ready = nil
+func (i *idealScheduler) startReady() {
+	waiting := i.awaitingSlot
+	i.awaitingSlot = nil
 	for _, a := range waiting {
-		to := i.target[a]
-		if a.over || a.sub.answered {
-			i.unplan(a)
+		to := i.plannedDecode[a]
+		if a.ended || a.sub.answered {
+			i.removePlanned(a)
 			continue
 		}
 		d := i.w.backends[to].(*decodeEngine)
@@ -181,21 +181,21 @@
 			d = i.w.backends[to].(*decodeEngine)
 		}
 		if !i.fits(d, a) {
-			i.ready = append(i.ready, a)
+			i.awaitingSlot = append(i.awaitingSlot, a)
 			continue
 		}
-		i.unplan(a)
-		i.send(&attempt{sub: a.sub, role: config.RoleDecode, kv: a, from: a.from, generated: a.from}, to)
+		i.removePlanned(a)
+		i.send(&attempt{sub: a.sub, role: config.RoleDecode, kv: a, startOffset: a.startOffset, generated: a.startOffset}, to)
 	}
 }
 
 // start starts a queued submission, or refuses it if it would miss its target.
 // It returns false if the submission has to wait.
-func (i *ideal) start(sub *submission) bool {
+func (i *idealScheduler) start(sub *submission) bool {
 	if sub.request.Route == config.RouteService {
 		return i.startService(sub)
 	}
-	a := &attempt{sub: sub, role: config.RolePrefill, from: sub.delivered}
+	a := &attempt{sub: sub, role: config.RolePrefill, startOffset: sub.delivered}
 	best, took := i.bestPrefill(a)
 	if best == nil {
 		return i.refuseLate(sub, took)
@@ -209,7 +209,7 @@
 		return true
 	}
 	i.send(a, best.spec.ID)
-	i.target[a] = free.spec.ID
+	i.plannedDecode[a] = free.spec.ID
 	i.planned[free.spec.ID] = append(i.planned[free.spec.ID], a)
 	return true
 }
@@ -217,13 +217,13 @@
 // refuseLate refuses a submission that would miss its target if it needed that
 // long from now. A submission that has already delivered output is never
 // refused.
-func (i *ideal) refuseLate(sub *submission, need time.Duration) bool {
+func (i *idealScheduler) refuseLate(sub *submission, need time.Duration) bool {
 	if sub.delivered > 0 || !i.w.clock.time().Add(need).After(sub.request.FirstOutputBy) {
 		return false
 	}
 	outcome := api.NotRun
 	for _, a := range sub.attempts {
-		if a.ran {
+		if a.started {
 			outcome = api.Unknown
 		}
 	}
@@ -232,9 +232,9 @@
 }
 
 // startService calls the least loaded live runner of the service.
-func (i *ideal) startService(sub *submission) bool {
+func (i *idealScheduler) startService(sub *submission) bool {
 	var best *serviceRunner
-	for _, id := range i.w.order {
+	for _, id := range i.w.upstreamOrder {
 		s, ok := i.w.backends[id].(*serviceRunner)
 		if !ok || !s.alive || s.spec.Service != sub.request.Service {
 			continue
@@ -251,9 +251,9 @@
 }
 
 // send sends an attempt to its upstream.
-func (i *ideal) send(a *attempt, to ident.UpstreamID) {
-	i.sequence++
-	a.id = ident.AttemptID{Instance: "ideal", Sequence: i.sequence, Deadline: a.sub.request.Deadline}
+func (i *idealScheduler) send(a *attempt, to ident.UpstreamID) {
+	i.lastSequence++
+	a.id = ident.AttemptID{Instance: "ideal", Sequence: i.lastSequence, Deadline: a.sub.request.Deadline}
 	a.owner = i
 	a.upstream = i.w.backends[to]
 	a.sub.attempts = append(a.sub.attempts, a)
@@ -261,13 +261,13 @@
 	i.w.arrive(a)
 }
 
-// unplan releases the decode slot planned for a prefill.
-func (i *ideal) unplan(a *attempt) {
-	id, ok := i.target[a]
+// removePlanned releases the decode slot planned for a prefill.
+func (i *idealScheduler) removePlanned(a *attempt) {
+	id, ok := i.plannedDecode[a]
 	if !ok {
 		return
 	}
-	delete(i.target, a)
+	delete(i.plannedDecode, a)
 	list := i.planned[id]
 	for n, p := range list {
 		if p == a {
--- a/experiment/idealchoice.go
+++ b/experiment/idealchoice.go
@@ -9,11 +9,11 @@
 // bestPrefill returns the idle prefill engine that would compute the prompt
 // fastest, with the time it needs. If none is idle, it returns nil and the least
 // time that any live engine would need.
-func (i *ideal) bestPrefill(a *attempt) (*prefillEngine, time.Duration) {
+func (i *idealScheduler) bestPrefill(a *attempt) (*prefillEngine, time.Duration) {
 	var best *prefillEngine
 	least := time.Duration(-1)
 	bestTook := time.Duration(0)
-	for _, id := range i.w.order {
+	for _, id := range i.w.upstreamOrder {
 		e, ok := i.w.backends[id].(*prefillEngine)
 		if !ok || !e.alive || e.stalled {
 			continue
@@ -35,10 +35,10 @@
 
 // freeDecode returns the decode engine that will have the most free slots after
 // a time, or nil if none will have room.
-func (i *ideal) freeDecode(a *attempt, after time.Duration) *decodeEngine {
+func (i *idealScheduler) freeDecode(a *attempt, after time.Duration) *decodeEngine {
 	var best *decodeEngine
 	most := 0
-	for _, id := range i.w.order {
+	for _, id := range i.w.upstreamOrder {
 		d, ok := i.w.backends[id].(*decodeEngine)
 		if !ok || !d.alive {
 			continue
@@ -52,36 +52,36 @@
 
 // roomAfter returns the number of slots that an engine will have free after a
 // time, or 0 if it will lack the memory.
-func (i *ideal) roomAfter(d *decodeEngine, a *attempt, after time.Duration) int {
+func (i *idealScheduler) roomAfter(d *decodeEngine, a *attempt, after time.Duration) int {
 	slots, pieces := d.params.Slots, d.params.Pieces
 	step := d.params.StepTime(len(d.held))
 	for _, h := range d.held {
 		left := time.Duration(h.sub.logical.arrival.OutputTokens-h.generated+1) * step
 		if left > after {
 			slots--
-			pieces -= h.pieces(d.params)
+			pieces -= h.reservedPieces(d.params)
 		}
 	}
 	for _, p := range i.planned[d.spec.ID] {
 		slots--
-		pieces -= p.pieces(d.params)
+		pieces -= p.reservedPieces(d.params)
 	}
-	if pieces < a.pieces(d.params) {
+	if pieces < a.reservedPieces(d.params) {
 		return 0
 	}
 	return max(slots, 0)
 }
 
 // fits reports whether a decode engine has room now.
-func (i *ideal) fits(d *decodeEngine, a *attempt) bool {
+func (i *idealScheduler) fits(d *decodeEngine, a *attempt) bool {
 	return d.alive && len(d.held) < d.params.Slots &&
-		d.piecesUsed+a.pieces(d.params) <= d.params.Pieces
+		d.piecesUsed+a.reservedPieces(d.params) <= d.params.Pieces
 }
 
 // otherDecode returns a decode engine with room to replace a dead one, or the
 // dead one if there is none.
-func (i *ideal) otherDecode(a *attempt, dead ident.UpstreamID) ident.UpstreamID {
-	for _, id := range i.w.order {
+func (i *idealScheduler) otherDecode(a *attempt, dead ident.UpstreamID) ident.UpstreamID {
+	for _, id := range i.w.upstreamOrder {
 		if d, ok := i.w.backends[id].(*decodeEngine); ok && i.fits(d, a) {
 			return id
 		}
--- a/experiment/judge.go
+++ b/experiment/judge.go
@@ -22,10 +22,10 @@
 	AnsweredTwice ViolationKind = "answered_twice"
 	// Unanswered means that there was no final answer by the deadline.
 	Unanswered ViolationKind = "unanswered"
-	// NotWhole means that an answer was reported complete but is truncated.
-	NotWhole ViolationKind = "not_whole"
-	// BrokenStream means that a decode repeats or skips output.
-	BrokenStream ViolationKind = "broken_stream"
+	// Incomplete means that an answer was reported complete but is truncated.
+	Incomplete ViolationKind = "not_whole"
+	// Discontinuous means that a decode repeats or skips output.
+	Discontinuous ViolationKind = "broken_stream"
 	// Leaked means that engine memory was held although nobody waited for the
 	// request.
 	Leaked ViolationKind = "leaked"
@@ -52,7 +52,7 @@
 	wasteCancelled wasteCause = iota
 	wasteEvicted
 	wasteKilled
-	wasteCauses
+	wasteCauseCount
 )
 
 // Tolerances of the leak check.
@@ -64,22 +64,22 @@
 	leakCheckPeriod = time.Second
 )
 
-// maxViolations limits the number of violations that are kept in detail.
-const maxViolations = 100
+// maxKeptViolations limits the number of violations that are kept in detail.
+const maxKeptViolations = 100
 
-// judge checks the guarantees of a run and accounts for the work done. Unlike
-// the kernels it sees the true state of all engines.
-type judge struct {
-	w          *world
-	violations []Violation
-	counts     map[ViolationKind]int
-	// prompt is the total number of prompt tokens computed; byCause is the part
-	// that was discarded, by cause. Tokens that were computed again are only
-	// visible in the accounting per request.
-	prompt       int
-	byCause      [wasteCauses]int
-	peerMessages int
-	leaked       map[*attempt]bool
+// checker verifies the guarantees of a run and accounts for the work done.
+// Unlike the kernels it sees the true state of all engines.
+type checker struct {
+	w               *world
+	violations      []Violation
+	violationCounts map[ViolationKind]int
+	// promptTokens is the total number of prompt tokens computed; wastedTokens
+	// is the part that was discarded, by cause. Tokens that were computed again
+	// are only visible in the accounting per request.
+	promptTokens  int
+	wastedTokens  [wasteCauseCount]int
+	peerMessages  int
+	reportedLeaks map[*attempt]bool
 	// samples counts the samples taken in the measured time; decodeBusy and
 	// prefillBusy are the sums of the utilization in them.
 	samples                 int
@@ -88,96 +88,96 @@
 	// which an instance could not be restarted.
 	rejected error
 	trace    func(line string)
-	// watch, if set, receives each event and action of an instance.
-	watch func(id ident.InstanceID, what any)
+	// observer, if set, receives each event and action of an instance.
+	observer func(id ident.InstanceID, what any)
 }
 
-func (j *judge) start() {
-	j.leaked = map[*attempt]bool{}
-	j.w.clock.after(leakCheckPeriod, j.checkLeaks)
+func (c *checker) start() {
+	c.reportedLeaks = map[*attempt]bool{}
+	c.w.clock.after(leakCheckPeriod, c.checkLeaks)
 }
 
-// note passes an event or an action of an instance to the watch function and the
+// record passes an event or an action of an instance to the observer and the
 // trace.
-func (j *judge) note(id ident.InstanceID, what any) {
-	if j.watch != nil {
-		j.watch(id, what)
+func (c *checker) record(id ident.InstanceID, what any) {
+	if c.observer != nil {
+		c.observer(id, what)
 	}
-	if j.trace != nil {
-		j.trace(fmt.Sprintf("%s %s %T%+v", j.w.clock.now, id, what, what))
+	if c.trace != nil {
+		c.trace(fmt.Sprintf("%s %s %T%+v", c.w.clock.now, id, what, what))
 	}
 }
 
-// violate records a violation.
-func (j *judge) violate(kind ViolationKind, id ident.RequestID, detail string) {
-	if j.counts == nil {
-		j.counts = map[ViolationKind]int{}
+// addViolation records a violation.
+func (c *checker) addViolation(kind ViolationKind, id ident.RequestID, detail string) {
+	if c.violationCounts == nil {
+		c.violationCounts = map[ViolationKind]int{}
 	}
-	j.counts[kind]++
-	if len(j.violations) < maxViolations {
-		j.violations = append(j.violations, Violation{At: j.w.clock.now, Kind: kind, Request: id, Detail: detail})
+	c.violationCounts[kind]++
+	if len(c.violations) < maxKeptViolations {
+		c.violations = append(c.violations, Violation{At: c.w.clock.now, Kind: kind, Request: id, Detail: detail})
 	}
-	if j.trace != nil {
-		j.trace(fmt.Sprintf("%s VIOLATION %s %s: %s", j.w.clock.now, kind, id, detail))
+	if c.trace != nil {
+		c.trace(fmt.Sprintf("%s VIOLATION %s %s: %s", c.w.clock.now, kind, id, detail))
 	}
 }
 
-// computed accounts for prompt tokens that were computed.
-func (j *judge) computed(a *attempt, tokens int) {
-	j.prompt += tokens
-	a.sub.logical.computed += tokens
+// addComputed accounts for prompt tokens that were computed.
+func (c *checker) addComputed(a *attempt, tokens int) {
+	c.promptTokens += tokens
+	a.sub.logical.computedTokens += tokens
 }
 
-// used records that a decode imported a prefill result.
-func (j *judge) used(a *attempt) {
+// markUsed records that a decode imported a prefill result.
+func (c *checker) markUsed(a *attempt) {
 	l := a.sub.logical
-	l.largestUsed = max(l.largestUsed, a.computed)
+	l.largestUsedTokens = max(l.largestUsedTokens, a.computedTokens)
 }
 
-// wasted accounts for prompt tokens that no decode used.
-func (j *judge) wasted(a *attempt, cause wasteCause) { j.byCause[cause] += a.computed }
+// addWasted accounts for prompt tokens that no decode used.
+func (c *checker) addWasted(a *attempt, cause wasteCause) { c.wastedTokens[cause] += a.computedTokens }
 
-// serviceRan records that a plain service call ran.
-func (j *judge) serviceRan(a *attempt) {
+// addServiceRun records that a plain service call ran.
+func (c *checker) addServiceRun(a *attempt) {
 	l := a.sub.logical
-	l.runs++
-	if l.runs > 1 && !l.arrival.Kind.Repeatable {
-		j.violate(RanTwice, a.sub.request.ID, "")
+	l.serviceRuns++
+	if l.serviceRuns > 1 && !l.arrival.Kind.Repeatable {
+		c.addViolation(RanTwice, a.sub.request.ID, "")
 	}
 }
 
 // checkLeaks looks for memory held for requests that nobody waits for. It is
 // lenient for leakGrace after a fault has ended.
-func (j *judge) checkLeaks() {
-	j.w.clock.after(leakCheckPeriod, j.checkLeaks)
-	j.sample()
-	settled := j.w.clock.now - leakGrace
-	if j.w.disturbedAt > settled {
+func (c *checker) checkLeaks() {
+	c.w.clock.after(leakCheckPeriod, c.checkLeaks)
+	c.sample()
+	settled := c.w.clock.now - leakGrace
+	if c.w.recoveredAt > settled {
 		return
 	}
-	for _, id := range j.w.order {
-		b := j.w.backends[id]
+	for _, id := range c.w.upstreamOrder {
+		b := c.w.backends[id]
 		for _, a := range b.heldAttempts() {
-			if a.sub.over && a.sub.overAt < settled && !j.leaked[a] && j.reachable(a) {
-				j.leaked[a] = true
-				j.violate(Leaked, a.sub.request.ID, fmt.Sprintf("%s holds %s attempt %s", id, a.role, a.id))
+			if a.sub.closed && a.sub.closedAt < settled && !c.reportedLeaks[a] && c.reachable(a) {
+				c.reportedLeaks[a] = true
+				c.addViolation(Leaked, a.sub.request.ID, fmt.Sprintf("%s holds %s attempt %s", id, a.role, a.id))
 			}
 		}
 	}
 }
 
 // sample measures the utilization of the engines, within the measured time.
-func (j *judge) sample() {
-	now := j.w.clock.now
-	if now < j.w.cell.Warmup || now > j.w.cell.Warmup+j.w.cell.Duration {
+func (c *checker) sample() {
+	now := c.w.clock.now
+	if now < c.w.cell.Warmup || now > c.w.cell.Warmup+c.w.cell.Duration {
 		return
 	}
 	var full, decodes, busy, prefills float64
-	for _, id := range j.w.order {
-		switch b := j.w.backends[id].(type) {
+	for _, id := range c.w.upstreamOrder {
+		switch b := c.w.backends[id].(type) {
 		case *decodeEngine:
 			decodes++
-			full += b.fill()
+			full += b.utilization()
 		case *prefillEngine:
 			prefills++
 			if b.current != nil {
@@ -185,54 +185,54 @@
 			}
 		}
 	}
-	j.samples++
-	j.decodeBusy += full / max(decodes, 1)
-	j.prefillBusy += busy / max(prefills, 1)
+	c.samples++
+	c.decodeBusy += full / max(decodes, 1)
+	c.prefillBusy += busy / max(prefills, 1)
 }
 
 // reachable reports whether the attempt could have been released: by its owner
 // or, if the owner is dead, by another instance that can know of it. Without the
 // platform's list a dead instance cannot be told from a partitioned or paused
 // one.
-func (j *judge) reachable(a *attempt) bool {
-	l, ok := a.owner.(*life)
+func (c *checker) reachable(a *attempt) bool {
+	p, ok := a.owner.(*process)
 	if !ok {
 		return true
 	}
-	if l.dead && j.w.platformDown {
+	if p.dead && c.w.platformDown {
 		return false
 	}
-	return !l.frozen && j.w.net.connected(l.inst.zone, a.upstream.base().zone)
+	return !p.frozen && c.w.net.connected(p.inst.zone, a.upstream.base().zone)
 }
 
-// finish checks what can only be checked at the end of the run.
-func (j *judge) finish() {
-	for _, l := range j.w.callers.logicals {
+// checkFinal checks what can only be checked at the end of the run.
+func (c *checker) checkFinal() {
+	for _, l := range c.w.callers.logicals {
 		for _, sub := range l.subs {
-			j.judgeSubmission(sub)
+			c.checkSubmission(sub)
 		}
 	}
 }
 
-func (j *judge) judgeSubmission(sub *submission) {
+func (c *checker) checkSubmission(sub *submission) {
 	if sub.answered && sub.outcome == api.NotRun {
 		for _, a := range sub.attempts {
-			if a.ran {
-				j.violate(FalseNotRun, sub.request.ID, fmt.Sprintf("%s attempt %s ran", a.role, a.id))
+			if a.started {
+				c.addViolation(FalseNotRun, sub.request.ID, fmt.Sprintf("%s attempt %s ran", a.role, a.id))
 				break
 			}
 		}
 	}
-	if sub.to != nil && !sub.to.dead && !sub.answered {
+	if sub.process != nil && !sub.process.dead && !sub.answered {
 		// The run continues long after the last deadline, so an answer is
 		// missing for good.
-		j.violate(Unanswered, sub.request.ID, "")
+		c.addViolation(Unanswered, sub.request.ID, "")
 	}
 }
 
 // good reports whether a request was answered completely and within its targets,
 // measured from a given time: its arrival or its latest submission.
-func (l *logical) good(since time.Duration) bool {
+func (l *logicalRequest) good(since time.Duration) bool {
 	if !l.complete() {
 		return false
 	}
@@ -240,20 +240,20 @@
 	if k.Route() == config.RouteService {
 		return l.doneAt-since <= k.FirstOutput
 	}
-	return l.last().first-since <= k.FirstOutput && l.pace() <= k.Pace
+	return l.last().firstOutputAt-since <= k.FirstOutput && l.pace() <= k.Pace
 }
 
 // complete reports whether the caller got a complete answer.
-func (l *logical) complete() bool {
-	return l.finished && !l.gone && l.last().outcome == api.Complete
+func (l *logicalRequest) complete() bool {
+	return l.finished && !l.abandoned && l.last().outcome == api.Complete
 }
 
 // pace returns the mean time between the output tokens that the caller got.
-func (l *logical) pace() time.Duration {
+func (l *logicalRequest) pace() time.Duration {
 	sub := l.last()
 	gaps := l.arrival.OutputTokens - 1
 	if gaps < 1 {
 		return 0
 	}
-	return (l.doneAt - sub.first) / time.Duration(gaps)
+	return (l.doneAt - sub.firstOutputAt) / time.Duration(gaps)
 }
--- a/experiment/matrix.go
+++ b/experiment/matrix.go
@@ -16,9 +16,9 @@
 	quickDuration  = 60 * time.Second
 )
 
-// usualInstances is the default number of entry instances, which is what each
+// defaultInstances is the default number of entry instances, which is what each
 // user has today.
-const usualInstances = 8
+const defaultInstances = 8
 
 // Loads lists the loads of the matrix, as fractions of capacity.
 var Loads = []float64{0.5, 0.8, 1.0, 1.2, 1.5}
@@ -94,7 +94,7 @@
 func slotCells(d *Deployment, seed uint64) []Cell {
 	var cells []Cell
 	for _, n := range slotInstances {
-		for _, p := range linked(slotPolicies) {
+		for _, p := range registered(slotPolicies) {
 			for _, f := range slotFaults {
 				c := NewCell(d, p, 1.0, f, seed)
 				c.Instances = n
@@ -116,8 +116,9 @@
 	return cells
 }
 
-// linked returns those of the slot policies that are registered in this binary.
-func linked(names []PolicyName) []PolicyName {
+// registered returns those of the slot policies that are registered in this
+// binary.
+func registered(names []PolicyName) []PolicyName {
 	var have []PolicyName
 	for _, id := range plugin.InNamespace("slots") {
 		if name := PolicyName(id); slices.Contains(names, name) {
@@ -131,14 +132,14 @@
 func NewCell(d *Deployment, p PolicyName, load float64, f Fault, seed uint64) Cell {
 	return Cell{
 		Deployment: d.Name,
-		Instances:  usualInstances,
+		Instances:  defaultInstances,
 		Policy:     p,
 		Load:       load,
 		Fault:      f,
 		Seed:       seed,
 		Warmup:     matrixWarmup,
 		Duration:   matrixDuration,
-		LoadLag:    usualLoadLag,
+		LoadLag:    defaultLoadLag,
 	}
 }
 
--- a/experiment/network.go
+++ b/experiment/network.go
@@ -23,7 +23,7 @@
 // zonePair is an unordered pair of zones, stored in alphabetical order.
 type zonePair struct{ a, b ident.Zone }
 
-func pairOf(a, b ident.Zone) zonePair {
+func newZonePair(a, b ident.Zone) zonePair {
 	if b < a {
 		a, b = b, a
 	}
@@ -33,8 +33,8 @@
 // network models connectivity and delays between zones and instances.
 type network struct {
 	crossZone time.Duration
-	// cut contains the pairs of zones that are partitioned.
-	cut map[zonePair]bool
+	// partitioned contains the pairs of zones that are partitioned.
+	partitioned map[zonePair]bool
 	// isolated contains the instances that are partitioned from their peers, but
 	// from nothing else.
 	isolated map[ident.InstanceID]bool
@@ -42,9 +42,9 @@
 
 func newNetwork(crossZone time.Duration) *network {
 	return &network{
-		crossZone: crossZone,
-		cut:       map[zonePair]bool{},
-		isolated:  map[ident.InstanceID]bool{},
+		crossZone:   crossZone,
+		partitioned: map[zonePair]bool{},
+		isolated:    map[ident.InstanceID]bool{},
 	}
 }
 
@@ -57,9 +57,9 @@
 }
 
 // connected reports whether two zones can reach each other.
-func (n *network) connected(a, b ident.Zone) bool { return !n.cut[pairOf(a, b)] }
+func (n *network) connected(a, b ident.Zone) bool { return !n.partitioned[newZonePair(a, b)] }
 
-// peers reports whether two instances can reach each other.
-func (n *network) peers(a, b *instance) bool {
+// peersConnected reports whether two instances can reach each other.
+func (n *network) peersConnected(a, b *instance) bool {
 	return n.connected(a.zone, b.zone) && !n.isolated[a.id] && !n.isolated[b.id]
 }
--- a/experiment/overstate_test.go
+++ b/experiment/overstate_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// overstatement is the factor by which an overstating caller multiplies its
-	// output length.
-	overstatement = 8
+	// overstatementFactor is the factor by which an overstating caller
+	// multiplies its output length.
+	overstatementFactor = 8
 	// overstateSeeds is the number of runs whose counts are added up.
 	overstateSeeds = 12
 	// overstateMargin is the difference between two sums that may arise by
@@ -35,8 +35,8 @@
 		t.Run(c.deployment, func(t *testing.T) {
 			t.Parallel()
 			d := deployment(t, c.deployment)
-			honest := goodOf(t, d, c.workspace, 1)
-			overstated := goodOf(t, d, c.workspace, overstatement)
+			honest := countOutcomes(t, d, c.workspace, 1)
+			overstated := countOutcomes(t, d, c.workspace, overstatementFactor)
 			t.Logf("good answers: %d with true lengths, %d with overstated lengths, of %d offered", honest.Good, overstated.Good, honest.Offered)
 			assert.Equal(t, honest.Offered, overstated.Offered)
 			gain := float64(overstated.Good-honest.Good) / float64(honest.Offered)
@@ -45,9 +45,9 @@
 	}
 }
 
-// goodOf adds up the outcomes of a workspace's model requests over some seeds,
-// when it declares its output lengths multiplied by a factor.
-func goodOf(t *testing.T, d *Deployment, workspace ident.Workspace, factor int) Count {
+// countOutcomes adds up the outcomes of a workspace's model requests over some
+// seeds, when it declares its output lengths multiplied by a factor.
+func countOutcomes(t *testing.T, d *Deployment, workspace ident.Workspace, factor int) Count {
 	t.Helper()
 	var sum Count
 	var mu sync.Mutex
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w.declared = func(l *logical) int {
+	w.declaredOutput = func(l *logicalRequest) int {
 		if l.arrival.Workspace == workspace {
 			return l.arrival.OutputTokens * factor
 		}
--- a/experiment/plots.go
+++ b/experiment/plots.go
@@ -14,7 +14,7 @@
 	var deployments []string
 	seen := map[string]bool{}
 	for _, s := range list {
-		if s.Fault == FaultNone && !seen[s.Deployment] && loadsOf(list, s.Deployment) > 1 {
+		if s.Fault == FaultNone && !seen[s.Deployment] && loadCount(list, s.Deployment) > 1 {
 			seen[s.Deployment] = true
 			deployments = append(deployments, s.Deployment)
 		}
@@ -38,9 +38,9 @@
 	return report.SavePanels(base, plotColumns, panels)
 }
 
-// loadsOf returns the number of loads at which a deployment was run without
+// loadCount returns the number of loads at which a deployment was run without
 // faults.
-func loadsOf(list []*Summary, deployment string) int {
+func loadCount(list []*Summary, deployment string) int {
 	loads := map[float64]bool{}
 	for _, s := range list {
 		if s.Deployment == deployment && s.Fault == FaultNone {
--- a/experiment/prefill.go
+++ b/experiment/prefill.go
@@ -22,11 +22,10 @@
 
 	queue   []*attempt
 	current *attempt
-	// startedAt and todo describe the prompt being computed; todo is its number
-	// of uncached tokens.
-	startedAt time.Duration
-	todo      int
-	held      map[ident.AttemptID]*attempt
+	// startedAt and uncachedTokens describe the prompt being computed.
+	startedAt      time.Duration
+	uncachedTokens int
+	held           map[ident.AttemptID]*attempt
 
 	link     *perf.Link
 	stalled  bool
@@ -53,7 +52,7 @@
 
 func (e *prefillEngine) accept(a *attempt) *kernel.AttemptFailed {
 	if a.role != config.RolePrefill {
-		return refusal(a, kernel.FailureModel)
+		return newRefusal(a, kernel.FailureModel)
 	}
 	e.queue = append(e.queue, a)
 	sort.SliceStable(e.queue, func(i, j int) bool {
@@ -71,22 +70,22 @@
 	}
 	a := e.queue[0]
 	e.queue = e.queue[1:]
-	a.ran = true
+	a.started = true
 	e.current = a
 	e.startedAt = e.w.clock.now
 	length := a.promptTokens()
-	e.todo = e.params.Uncached(length, e.cache.Match(a.blocks()))
-	life := e.incarnation
-	e.w.clock.after(e.params.PrefillDuration(e.todo), func() {
-		if e.current == a && e.incarnation == life {
-			e.finish(a)
+	e.uncachedTokens = e.params.Uncached(length, e.cache.Match(a.blocks()))
+	incarnation := e.incarnation
+	e.w.clock.after(e.params.PrefillDuration(e.uncachedTokens), func() {
+		if e.current == a && e.incarnation == incarnation {
+			e.completeCurrent(a)
 		}
 	})
 }
 
 // promptTokens returns the length of the prompt plus the output to continue
 // from.
-func (a *attempt) promptTokens() int { return a.sub.request.PromptTokens + a.from }
+func (a *attempt) promptTokens() int { return a.sub.request.PromptTokens + a.startOffset }
 
 // blocks returns the block hashes of the prompt. Output to continue from is
 // never in a prefix cache.
@@ -98,43 +97,43 @@
 	return blocks
 }
 
-// finish stores the result of a prompt and reports it.
-func (e *prefillEngine) finish(a *attempt) {
+// completeCurrent stores the result of a prompt and reports it.
+func (e *prefillEngine) completeCurrent(a *attempt) {
 	now := e.w.clock.now
 	e.current = nil
-	a.computed = e.todo
-	a.prefilled = now
-	e.w.judge.computed(a, e.todo)
+	a.computedTokens = e.uncachedTokens
+	a.prefilledAt = now
+	e.w.checker.addComputed(a, e.uncachedTokens)
 	e.held[a.id] = a
 	added, evicted := e.cache.Insert(a.blocks())
 	e.w.feeds.cacheChanged(e, added, evicted)
-	cached := a.promptTokens() - e.todo
+	cached := a.promptTokens() - e.uncachedTokens
 	e.w.report(a, kernel.PrefillDone{
 		Attempt:      a.id,
 		KV:           kernel.KVHandle{Engine: e.spec.ID, Params: []byte(a.id.String())},
 		CachedTokens: cached,
 	})
-	life := e.incarnation
+	incarnation := e.incarnation
 	e.w.clock.after(e.params.KVLifetime, func() {
-		if e.incarnation == life && e.held[a.id] == a {
-			e.drop(a, wasteEvicted)
+		if e.incarnation == incarnation && e.held[a.id] == a {
+			e.discard(a, wasteEvicted)
 		}
 	})
 	e.startNext()
 }
 
-// drop discards a result that was not used.
-func (e *prefillEngine) drop(a *attempt, cause wasteCause) {
+// discard drops a result that was not used.
+func (e *prefillEngine) discard(a *attempt, cause wasteCause) {
 	delete(e.held, a.id)
-	a.over = true
-	e.w.judge.wasted(a, cause)
+	a.ended = true
+	e.w.checker.addWasted(a, cause)
 }
 
 func (e *prefillEngine) cancel(id ident.AttemptID) {
 	for i, a := range e.queue {
 		if a.id == id {
 			e.queue = append(e.queue[:i:i], e.queue[i+1:]...)
-			a.over = true
+			a.ended = true
 			return
 		}
 	}
@@ -144,18 +143,18 @@
 		return
 	}
 	if a, ok := e.held[id]; ok {
-		e.drop(a, wasteCancelled)
+		e.discard(a, wasteCancelled)
 		return
 	}
 	for _, flow := range sortedKeys(e.flows) {
 		t := e.flows[flow]
-		if t.a.id != id {
+		if t.prefill.id != id {
 			continue
 		}
 		e.removeFlow(flow)
-		e.drop(t.a, wasteCancelled)
+		e.discard(t.prefill, wasteCancelled)
 		t.done(false)
-		e.settle()
+		e.completeTransfers()
 	}
 }
 
@@ -165,10 +164,10 @@
 	a := e.current
 	e.current = nil
 	spent := (e.w.clock.now - e.startedAt).Seconds() * e.params.PrefillTokensPerSecond
-	a.computed = min(int(spent), e.todo)
-	a.over = true
-	e.w.judge.computed(a, a.computed)
-	e.w.judge.wasted(a, cause)
+	a.computedTokens = min(int(spent), e.uncachedTokens)
+	a.ended = true
+	e.w.checker.addComputed(a, a.computedTokens)
+	e.w.checker.addWasted(a, cause)
 }
 
 func (e *prefillEngine) kill() {
@@ -178,7 +177,7 @@
 		e.abandonCurrent(wasteKilled)
 	}
 	for _, id := range sortedAttempts(e.held) {
-		e.drop(e.held[id], wasteKilled)
+		e.discard(e.held[id], wasteKilled)
 	}
 	flows := e.flows
 	e.reset()
@@ -186,12 +185,12 @@
 	e.markDead(e.w.clock.now)
 	for _, id := range sortedKeys(flows) {
 		t := flows[id]
-		t.a.over = true
-		e.w.judge.wasted(t.a, wasteKilled)
+		t.prefill.ended = true
+		e.w.checker.addWasted(t.prefill, wasteKilled)
 		t.done(false)
 	}
 	for _, a := range lost {
-		a.over = true
+		a.ended = true
 		e.w.reportBroken(a)
 	}
 }
@@ -204,7 +203,7 @@
 	if e.current != nil {
 		l.Running = 1
 		spent := (e.w.clock.now - e.startedAt).Seconds() * e.params.PrefillTokensPerSecond
-		l.QueuedTokens += max(e.todo-int(spent), 0)
+		l.QueuedTokens += max(e.uncachedTokens-int(spent), 0)
 	}
 	for _, a := range e.heldAttempts() {
 		l.PiecesUsed += e.params.PiecesFor(a.promptTokens())
@@ -222,7 +221,7 @@
 		list = append(list, e.held[id])
 	}
 	for _, id := range sortedKeys(e.flows) {
-		list = append(list, e.flows[id].a)
+		list = append(list, e.flows[id].prefill)
 	}
 	return list
 }
--- a/experiment/promises_test.go
+++ b/experiment/promises_test.go
@@ -52,9 +52,9 @@
 	return Fault(strings.Join(parts, "+"))
 }
 
-// TestJudgeSeesBrokenPromises guards against a judge that misses violations: it
-// tampers with the kernel's actions and checks, for each kind of violation, that
-// the judge detects it.
+// TestJudgeSeesBrokenPromises guards against a checker that misses violations:
+// it tampers with the kernel's actions and checks, for each kind of violation,
+// that the checker detects it.
 func TestJudgeSeesBrokenPromises(t *testing.T) {
 	forged := 0
 	for name, tc := range map[string]struct {
@@ -102,23 +102,23 @@
 				return []kernel.Action{d, kernel.Answer{Request: d.Request, Outcome: api.Complete}}
 			}
 			return []kernel.Action{a}
-		}, NotWhole},
+		}, Incomplete},
 		"decode from elsewhere": {FaultNone, func(a kernel.Action) []kernel.Action {
 			if d, ok := a.(kernel.StartDecode); ok {
 				d.ContinueFrom++
 				return []kernel.Action{d}
 			}
 			return []kernel.Action{a}
-		}, BrokenStream},
+		}, Discontinuous},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := deployment(t, "coastline")
 			cell := NewCell(d, PolicyCurrent, 0.8, tc.fault, 1)
 			w, err := newWorld(cell, d)
 			assert.NilError(t, err)
-			w.tamper = tc.tamper
+			w.replaceActions = tc.tamper
 			assert.NilError(t, w.run())
-			assert.Assert(t, w.judge.counts[tc.want] > 0, "violations found: %v", w.judge.counts)
+			assert.Assert(t, w.checker.violationCounts[tc.want] > 0, "violations found: %v", w.checker.violationCounts)
 		})
 	}
 }
--- a/experiment/service.go
+++ b/experiment/service.go
@@ -28,19 +28,19 @@
 
 func (s *serviceRunner) accept(a *attempt) *kernel.AttemptFailed {
 	if a.role != config.RoleService {
-		return refusal(a, kernel.FailureModel)
+		return newRefusal(a, kernel.FailureModel)
 	}
-	a.ran = true
+	a.started = true
 	s.running[a.id] = a
-	s.w.judge.serviceRan(a)
+	s.w.checker.addServiceRun(a)
 	spread := s.w.rng.Int64N(int64(serviceTimeMax - serviceTimeMin))
-	life := s.incarnation
+	incarnation := s.incarnation
 	s.w.clock.after(serviceTimeMin+time.Duration(spread), func() {
-		if s.incarnation != life || s.running[a.id] != a {
+		if s.incarnation != incarnation || s.running[a.id] != a {
 			return
 		}
 		delete(s.running, a.id)
-		a.over = true
+		a.ended = true
 		s.w.report(a, kernel.AttemptDone{Attempt: a.id})
 	})
 	return nil
@@ -54,7 +54,7 @@
 	s.running = map[ident.AttemptID]*attempt{}
 	s.markDead(s.w.clock.now)
 	for _, id := range sortedAttempts(lost) {
-		lost[id].over = true
+		lost[id].ended = true
 		s.w.reportBroken(lost[id])
 	}
 }
--- a/experiment/session_test.go
+++ b/experiment/session_test.go
@@ -17,36 +17,36 @@
 // Times of the events in a session. The killed instance restarts after
 // killLength, the partition ends after cutLength.
 const (
-	sessionKill   = 2 * time.Second
-	sessionCut    = 5 * time.Second
-	sessionRoll   = 7 * time.Second
-	sessionLength = 17 * time.Second
-	// rollStep is the interval at which the instances get the new bundle one
-	// after the other.
-	rollStep = 50 * time.Millisecond
+	sessionKill    = 2 * time.Second
+	sessionCut     = 5 * time.Second
+	sessionRollout = 7 * time.Second
+	sessionLength  = 17 * time.Second
+	// rolloutInterval is the interval at which the instances get the new bundle
+	// one after the other.
+	rolloutInterval = 50 * time.Millisecond
 )
 
-// wholeSession is a session of a complete example deployment: its usual mixed
+// session describes a run of a complete example deployment: its usual mixed
 // traffic at a fraction of its capacity, a kill, a network partition and a
 // bundle rollout.
-type wholeSession struct {
+type session struct {
 	deployment string
 	load       float64
 	seed       uint64
-	// bounded is the workspace whose rate limit the new bundle lowers.
-	bounded ident.Workspace
+	// limited is the workspace whose rate limit the new bundle lowers.
+	limited ident.Workspace
 }
 
-var wholeSessions = []wholeSession{
-	{deployment: "coastline", load: 0.06, seed: 4, bounded: "franchise-north"},
-	{deployment: "lagos", load: 0.12, seed: 27, bounded: "supplier-ikeja"},
+var sessions = []session{
+	{deployment: "coastline", load: 0.06, seed: 4, limited: "franchise-north"},
+	{deployment: "lagos", load: 0.12, seed: 27, limited: "supplier-ikeja"},
 }
 
 // TestWholeSessions compares the events of complete sessions of both examples
 // with golden files: each decision with its place, reason and bundle version,
 // each answer and each cancel.
 func TestWholeSessions(t *testing.T) {
-	for _, s := range wholeSessions {
+	for _, s := range sessions {
 		t.Run(s.deployment, func(t *testing.T) {
 			golden.Assert(t, s.run(t), "session_"+s.deployment+".golden")
 		})
@@ -55,7 +55,7 @@
 
 // TestWholeSessionsRepeat checks that a session depends on its seed only.
 func TestWholeSessionsRepeat(t *testing.T) {
-	for _, s := range wholeSessions {
+	for _, s := range sessions {
 		assert.Equal(t, s.run(t), s.run(t), s.deployment)
 	}
 }
@@ -74,7 +74,7 @@
 }
 
 // run runs the session and returns its transcript.
-func (s wholeSession) run(t *testing.T) string {
+func (s session) run(t *testing.T) string {
 	t.Helper()
 	d := deployment(t, s.deployment)
 	cell := NewCell(d, PolicyCurrent, s.load, FaultNone, s.seed)
@@ -82,29 +82,29 @@
 	w, err := newWorld(cell, d)
 	assert.NilError(t, err)
 	tr := &transcript{w: w, cancelled: map[ident.AttemptID]bool{}}
-	w.judge.watch = tr.note
+	w.checker.observer = tr.record
 	w.clock.at(sessionKill, tr.kill)
 	w.clock.at(sessionCut, tr.cut)
-	w.clock.at(sessionRoll, func() { tr.roll(s.bounded) })
+	w.clock.at(sessionRollout, func() { tr.rollOut(s.limited) })
 	assert.NilError(t, w.run())
-	assert.Equal(t, len(w.judge.violations), 0, "%v", w.judge.violations)
+	assert.Equal(t, len(w.checker.violations), 0, "%v", w.checker.violations)
 	return strings.Join(tr.lines, "\n") + "\n" + w.summary()
 }
 
 // kill kills the instance that the others depend on most.
 func (tr *transcript) kill() {
-	tr.w.withInstance(func(inst *instance) {
-		tr.add("%-20s KILLED, in flight:%s", inst.id, inst.life.inFlight())
+	tr.w.withTargetInstance(func(inst *instance) {
+		tr.add("%-20s KILLED, in flight:%s", inst.id, inst.process.inFlight())
 		tr.w.killInstance(inst)
 		tr.w.clock.after(killLength, func() { tr.add("%-20s STARTED", inst.id) })
 	})
 }
 
 // inFlight lists the requests that an instance has accepted and not answered.
-func (l *life) inFlight() string {
+func (p *process) inFlight() string {
 	list := ""
-	for _, id := range sortedKeys(l.subs) {
-		if !l.subs[id].over {
+	for _, id := range sortedKeys(p.subs) {
+		if !p.subs[id].closed {
 			list += " " + string(id)
 		}
 	}
@@ -114,35 +114,35 @@
 // cut partitions one zone from the others.
 func (tr *transcript) cut() {
 	tr.w.cutZone()
-	lone := tr.w.lone()
-	tr.add("%-20s CUT OFF from the other zones", lone)
-	tr.w.clock.after(cutLength, func() { tr.add("%-20s REJOINED", lone) })
+	isolated := tr.w.isolatedZone()
+	tr.add("%-20s CUT OFF from the other zones", isolated)
+	tr.w.clock.after(cutLength, func() { tr.add("%-20s REJOINED", isolated) })
 }
 
-// roll distributes version 2, in which one workspace has almost no rate, to one
-// instance after the other, and to those in the partitioned zone once the
+// rollOut distributes version 2, in which one workspace has almost no rate, to
+// one instance after the other, and to those in the partitioned zone once the
 // partition has ended.
-func (tr *transcript) roll(bounded ident.Workspace) {
+func (tr *transcript) rollOut(limited ident.Workspace) {
 	w := tr.w
-	w.content, w.version = withRate(w.content, bounded), w.version+1
-	lone := w.lone()
+	w.content, w.version = withRate(w.content, limited), w.version+1
+	isolated := w.isolatedZone()
 	for i, inst := range w.instances {
-		at := time.Duration(i) * rollStep
-		if inst.zone == lone {
-			at += sessionCut + cutLength - sessionRoll
+		at := time.Duration(i) * rolloutInterval
+		if inst.zone == isolated {
+			at += sessionCut + cutLength - sessionRollout
 		}
 		w.clock.after(at, func() {
-			if inst.life.dead {
+			if inst.process.dead {
 				return
 			}
 			tr.add("%-20s ROLLED to version %d", inst.id, w.version)
-			inst.life.receive(kernel.Configured{Version: w.version, Content: w.content})
+			inst.process.receive(kernel.Configured{Version: w.version, Content: w.content})
 		})
 	}
 }
 
-// lone returns the zone that is partitioned from all others.
-func (w *world) lone() ident.Zone {
+// isolatedZone returns the zone that is partitioned from all others.
+func (w *world) isolatedZone() ident.Zone {
 	for _, zone := range w.zones() {
 		cuts := 0
 		for _, other := range w.zones() {
@@ -159,11 +159,11 @@
 
 // withRate returns a copy of the content in which one workspace has almost no
 // rate.
-func withRate(c *config.Content, bounded ident.Workspace) *config.Content {
+func withRate(c *config.Content, limited ident.Workspace) *config.Content {
 	next := *c
 	next.Workspaces = append([]config.Workspace(nil), c.Workspaces...)
 	for i := range next.Workspaces {
-		if next.Workspaces[i].Name == bounded {
+		if next.Workspaces[i].Name == limited {
 			next.Workspaces[i].RatePerSecond = 0.1
 			next.Workspaces[i].Burst = 1
 		}
@@ -171,11 +171,11 @@
 	return &next
 }
 
-// note records an instance's decisions and answers. It leaves out messages to
+// record adds an instance's decisions and answers. It leaves out messages to
 // peers, the records of asks for slots, which each model request has, repeated
 // cancels, and complete answers, which appear in a record and whose absence the
-// judge would report.
-func (tr *transcript) note(id ident.InstanceID, what any) {
+// checker would report.
+func (tr *transcript) record(id ident.InstanceID, what any) {
 	switch a := what.(type) {
 	case kernel.Log:
 		if a.Record.Reason != kernel.ReasonSlotPending {
--- a/experiment/summary.go
+++ b/experiment/summary.go
@@ -19,7 +19,7 @@
 // label returns the deployment's name, with the number of instances appended if
 // it is not the default.
 func (c Cell) label() string {
-	if c.Instances == usualInstances {
+	if c.Instances == defaultInstances {
 		return c.Deployment
 	}
 	return c.Deployment + "-" + strconv.Itoa(c.Instances)
--- a/experiment/transfer.go
+++ b/experiment/transfer.go
@@ -7,45 +7,45 @@
 
 // transfer is a KV cache in transfer to a decode engine.
 type transfer struct {
-	a *attempt
-	// to is the receiving decode attempt; done tells it whether the transfer
-	// completed.
-	to   *attempt
-	done func(sent bool)
+	prefill *attempt
+	// receiver is the decode attempt that gets it; done tells it whether the
+	// transfer completed.
+	receiver *attempt
+	done     func(sent bool)
 }
 
-// pull starts the transfer of a held result to a decode engine and calls done at
-// its end. It returns false if the engine doesn't hold the result.
-func (e *prefillEngine) pull(a, to *attempt, done func(sent bool)) bool {
+// startTransfer starts the transfer of a held result to a decode engine and
+// calls done at its end. It returns false if the engine doesn't hold the result.
+func (e *prefillEngine) startTransfer(a, to *attempt, done func(sent bool)) bool {
 	if !e.alive || e.held[a.id] != a {
 		return false
 	}
 	delete(e.held, a.id)
 	e.nextFlow++
 	id := e.nextFlow
-	t := &transfer{a: a, to: to, done: done}
+	t := &transfer{prefill: a, receiver: to, done: done}
 	e.flows[id] = t
 	if !e.w.net.connected(e.zone, to.upstream.base().zone) {
-		e.watchStall(id)
+		e.scheduleStallReport(id)
 		return true
 	}
 	e.link.Add(e.w.clock.now, id, e.params.TransferBytes(a.promptTokens()))
 	if e.stalled {
-		e.watchStall(id)
+		e.scheduleStallReport(id)
 	}
-	e.settle()
+	e.completeTransfers()
 	return true
 }
 
-// settle completes the transfers that have finished and schedules itself for the
-// end of the next one.
-func (e *prefillEngine) settle() {
+// completeTransfers completes the transfers that have finished and schedules
+// itself for the end of the next one.
+func (e *prefillEngine) completeTransfers() {
 	for _, id := range e.link.Finished(e.w.clock.now) {
 		t := e.flows[id]
 		delete(e.flows, id)
-		t.a.over = true
-		t.a.used = true
-		e.w.judge.used(t.a)
+		t.prefill.ended = true
+		t.prefill.used = true
+		e.w.checker.markUsed(t.prefill)
 		t.done(true)
 	}
 	next, ok := e.link.Next()
@@ -55,7 +55,7 @@
 	link := e.link
 	e.w.clock.at(next, func() {
 		if e.link == link {
-			e.settle()
+			e.completeTransfers()
 		}
 	})
 }
@@ -70,66 +70,66 @@
 	e.link.SetRate(e.w.clock.now, rate)
 	for _, id := range sortedKeys(e.flows) {
 		if stalled {
-			e.watchStall(id)
+			e.scheduleStallReport(id)
 		}
 	}
-	e.settle()
+	e.completeTransfers()
 }
 
-// stallCut stalls the transfers into zones that are now partitioned.
-func (e *prefillEngine) stallCut() {
+// stallPartitioned stalls the transfers into zones that are now partitioned.
+func (e *prefillEngine) stallPartitioned() {
 	for _, id := range sortedKeys(e.flows) {
-		if e.w.net.connected(e.zone, e.flows[id].to.upstream.base().zone) {
+		if e.w.net.connected(e.zone, e.flows[id].receiver.upstream.base().zone) {
 			continue
 		}
 		e.link.Remove(e.w.clock.now, id)
-		e.watchStall(id)
+		e.scheduleStallReport(id)
 	}
-	e.settle()
+	e.completeTransfers()
 }
 
-// watchStall reports a transfer that has made no progress for the policy's
-// TransferStall to the owner of the receiving attempt. Both engines keep holding
-// it.
-func (e *prefillEngine) watchStall(id perf.FlowID) {
+// scheduleStallReport reports a transfer that has made no progress for the
+// policy's TransferStall to the owner of the receiving attempt. Both engines
+// keep holding it.
+func (e *prefillEngine) scheduleStallReport(id perf.FlowID) {
 	t := e.flows[id]
 	e.w.clock.after(e.w.content.Policy.TransferStall, func() {
-		cut := !e.w.net.connected(e.zone, t.to.upstream.base().zone)
-		if e.flows[id] != t || t.to.over || !(e.stalled || cut) {
+		cut := !e.w.net.connected(e.zone, t.receiver.upstream.base().zone)
+		if e.flows[id] != t || t.receiver.ended || !(e.stalled || cut) {
 			return
 		}
-		e.w.report(t.to, kernel.AttemptFailed{
-			Attempt:  t.to.id,
+		e.w.report(t.receiver, kernel.AttemptFailed{
+			Attempt:  t.receiver.id,
 			Evidence: kernel.Ambiguous,
 			Code:     kernel.FailureStalled,
-			Offset:   t.to.offset(),
+			Offset:   t.receiver.offset(),
 		})
 	})
 }
 
-// giveUp ends a transfer whose receiver is gone. The result is held again until
-// its lifetime ends.
-func (e *prefillEngine) giveUp(to *attempt) {
+// abortTransfer ends a transfer whose receiver is gone. The result is held again
+// until its lifetime ends.
+func (e *prefillEngine) abortTransfer(to *attempt) {
 	for _, id := range sortedKeys(e.flows) {
 		t := e.flows[id]
-		if t.to != to {
+		if t.receiver != to {
 			continue
 		}
 		e.removeFlow(id)
-		if e.w.clock.now-t.a.prefilled >= e.params.KVLifetime {
-			e.drop(t.a, wasteEvicted)
+		if e.w.clock.now-t.prefill.prefilledAt >= e.params.KVLifetime {
+			e.discard(t.prefill, wasteEvicted)
 			continue
 		}
-		e.held[t.a.id] = t.a
-		life := e.incarnation
-		left := t.a.prefilled + e.params.KVLifetime - e.w.clock.now
+		e.held[t.prefill.id] = t.prefill
+		incarnation := e.incarnation
+		left := t.prefill.prefilledAt + e.params.KVLifetime - e.w.clock.now
 		e.w.clock.after(left, func() {
-			if e.incarnation == life && e.held[t.a.id] == t.a {
-				e.drop(t.a, wasteEvicted)
+			if e.incarnation == incarnation && e.held[t.prefill.id] == t.prefill {
+				e.discard(t.prefill, wasteEvicted)
 			}
 		})
 	}
-	e.settle()
+	e.completeTransfers()
 }
 
 func (e *prefillEngine) removeFlow(id perf.FlowID) {
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -36,13 +36,13 @@
 
 func (u *upstream) base() *upstream { return u }
 
-// markDead marks the upstream as dead; revive restarts it in a new incarnation.
+// markDead marks the upstream as dead; restart revives it in a new incarnation.
 func (u *upstream) markDead(now time.Duration) {
 	u.alive = false
 	u.downAt = now
 }
 
-func (u *upstream) revive() {
+func (u *upstream) restart() {
 	u.alive = true
 	u.incarnation++
 }
@@ -59,34 +59,34 @@
 	incarnation ident.Incarnation
 	role        config.Role
 	kv          *attempt
-	from        int
+	startOffset int
 	// generated is the offset of the next token, for decodes.
 	generated int
-	// unread is true while the connection to the owner is broken; received is
-	// then the offset up to which output had arrived.
-	unread   bool
-	received int
-	// ran is set once the upstream has started work on it.
-	ran bool
-	// computed is the number of prompt tokens computed, for prefills; used is
-	// set once a decode has imported the result.
-	computed int
-	used     bool
-	// prefilled is the time at which the prefill's result was ready.
-	prefilled time.Duration
-	over      bool
+	// disconnected is true while the connection to the owner is broken;
+	// receivedTokens is then the offset up to which output had arrived.
+	disconnected   bool
+	receivedTokens int
+	// started is set once the upstream has started work on it.
+	started bool
+	// computedTokens is the number of prompt tokens computed, for prefills; used
+	// is set once a decode has imported the result.
+	computedTokens int
+	used           bool
+	// prefilledAt is the time at which the prefill's result was ready.
+	prefilledAt time.Duration
+	ended       bool
 }
 
 // offset returns how many tokens have reached the owner.
 func (a *attempt) offset() int {
-	if a.unread {
-		return a.received
+	if a.disconnected {
+		return a.receivedTokens
 	}
-	return max(a.generated, a.from)
+	return max(a.generated, a.startOffset)
 }
 
-// breakOff marks the connection between upstream and owner as broken.
-func (a *attempt) breakOff() {
-	a.received = a.offset()
-	a.unread = true
+// disconnect marks the connection between upstream and owner as broken.
+func (a *attempt) disconnect() {
+	a.receivedTokens = a.offset()
+	a.disconnected = true
 }
--- a/experiment/view.go
+++ b/experiment/view.go
@@ -19,21 +19,21 @@
 	sweepPeriod = time.Second
 )
 
-// viewsChange schedules new views for all instances at the times at which they
-// can have noticed the latest change.
-func (w *world) viewsChange() {
+// scheduleViewRefresh schedules new views for all instances at the times at
+// which they can have noticed the latest change.
+func (w *world) scheduleViewRefresh() {
 	for _, lag := range []time.Duration{heartbeatLag, platformLag} {
 		w.clock.after(lag+time.Millisecond, func() {
 			for _, inst := range w.instances {
-				w.refresh(inst.life)
+				w.refreshView(inst.process)
 			}
 		})
 	}
 }
 
-// refresh sends one instance a new view.
-func (w *world) refresh(l *life) {
-	l.receive(kernel.ViewChanged{View: w.viewOf(l.inst)})
+// refreshView sends one instance a new view.
+func (w *world) refreshView(p *process) {
+	p.receive(kernel.ViewChanged{View: w.viewOf(p.inst)})
 }
 
 // viewOf builds an instance's current view of the fleet.
@@ -43,48 +43,48 @@
 	for _, other := range w.instances {
 		v.Instances = append(v.Instances, kernel.Instance{
 			ID: other.id, Zone: other.zone,
-			Incarnation: w.incarnationSeen(other),
-			Liveness:    w.lifeOfInstance(inst, other),
+			Incarnation: w.knownIncarnation(other),
+			Liveness:    w.instanceLiveness(inst, other),
 		})
 	}
-	for _, id := range w.order {
+	for _, id := range w.upstreamOrder {
 		b := w.backends[id].base()
 		v.Upstreams = append(v.Upstreams, kernel.Upstream{
 			ID: id, Zone: b.zone, Incarnation: b.incarnation, Spec: b.spec,
-			Liveness: w.lifeOfUpstream(inst, b),
+			Liveness: w.upstreamLiveness(inst, b),
 		})
 	}
 	return v
 }
 
-// incarnationSeen returns the last known incarnation of an instance.
-func (w *world) incarnationSeen(other *instance) ident.Incarnation {
-	if other.life == nil {
+// knownIncarnation returns the last known incarnation of an instance.
+func (w *world) knownIncarnation(other *instance) ident.Incarnation {
+	if other.process == nil {
 		return ident.NewIncarnation(w.clock.time())
 	}
-	return other.life.incarnation
+	return other.process.incarnation
 }
 
-func (w *world) lifeOfInstance(viewer, other *instance) kernel.Liveness {
+func (w *world) instanceLiveness(viewer, other *instance) kernel.Liveness {
 	now := w.clock.now
 	switch {
-	case viewer == other || other.life == nil:
+	case viewer == other || other.process == nil:
 		return kernel.Live
-	case other.life.dead:
-		return w.lifeAfter(now - other.downAt)
-	case !w.net.peers(viewer, other):
+	case other.process.dead:
+		return w.livenessAfterDeath(now - other.downAt)
+	case !w.net.peersConnected(viewer, other):
 		return kernel.Unreachable
-	case other.life.frozen && now-other.life.frozenAt >= heartbeatLag:
+	case other.process.frozen && now-other.process.frozenAt >= heartbeatLag:
 		return kernel.Unreachable
 	default:
 		return kernel.Live
 	}
 }
 
-func (w *world) lifeOfUpstream(viewer *instance, u *upstream) kernel.Liveness {
+func (w *world) upstreamLiveness(viewer *instance, u *upstream) kernel.Liveness {
 	switch {
 	case !u.alive:
-		return w.lifeAfter(w.clock.now - u.downAt)
+		return w.livenessAfterDeath(w.clock.now - u.downAt)
 	case !w.net.connected(viewer.zone, u.zone):
 		return kernel.Unreachable
 	default:
@@ -92,8 +92,9 @@
 	}
 }
 
-// lifeAfter returns the liveness that is assumed at a given time after a death.
-func (w *world) lifeAfter(since time.Duration) kernel.Liveness {
+// livenessAfterDeath returns the liveness that is assumed at a given time after
+// a death.
+func (w *world) livenessAfterDeath(since time.Duration) kernel.Liveness {
 	switch {
 	case since >= platformLag && !w.platformDown:
 		return kernel.Dead
@@ -109,14 +110,14 @@
 func (w *world) sweep() {
 	w.clock.after(sweepPeriod, w.sweep)
 	for _, inst := range w.instances {
-		l := inst.life
-		if l.dead || l.frozen || l.view == nil {
+		p := inst.process
+		if p.dead || p.frozen || p.view == nil {
 			continue
 		}
-		for _, id := range w.order {
+		for _, id := range w.upstreamOrder {
 			b := w.backends[id]
 			if b.base().alive && w.net.connected(inst.zone, b.base().zone) {
-				w.sweepUpstream(l, b)
+				w.sweepUpstream(p, b)
 			}
 		}
 	}
@@ -124,9 +125,9 @@
 
 // sweepUpstream cancels the attempts whose owner an instance knows to be dead in
 // the incarnation that sent them.
-func (w *world) sweepUpstream(l *life, b backend) {
+func (w *world) sweepUpstream(p *process, b backend) {
 	for _, a := range b.heldAttempts() {
-		for _, other := range l.view.Instances {
+		for _, other := range p.view.Instances {
 			if other.ID != a.id.Instance {
 				continue
 			}
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -21,32 +21,32 @@
 	version uint64
 	spec    *workload.Spec
 	net     *network
-	judge   *judge
+	checker *checker
 	feeds   *feeds
 	callers *callers
 	// ideal, if set, replaces the instances.
-	ideal     *ideal
+	ideal     *idealScheduler
 	instances []*instance
 	backends  map[ident.UpstreamID]backend
-	// order lists the upstreams in the bundle's order.
-	order []ident.UpstreamID
-	// prefills maps the handle of a prefill result to its attempt.
-	prefills map[string]*attempt
-	// tombstones marks attempts that were cancelled, so that one that arrives
-	// after its cancel is rejected.
-	tombstones map[ident.AttemptID]bool
+	// upstreamOrder lists the upstreams in the bundle's order.
+	upstreamOrder []ident.UpstreamID
+	// prefillsByHandle maps the handle of a prefill result to its attempt.
+	prefillsByHandle map[string]*attempt
+	// cancelled contains the attempts that were cancelled, so that one that
+	// arrives after its cancel is rejected.
+	cancelled map[ident.AttemptID]bool
 	// platformDown is set while the platform's list is not updated.
 	platformDown bool
-	// disturbedAt is the time at which a partition, a freeze or an outage of the
+	// recoveredAt is the time at which a partition, a freeze or an outage of the
 	// platform's list last ended.
-	disturbedAt time.Duration
+	recoveredAt time.Duration
 	viewVersion uint64
-	// tamper, if set, replaces the actions of the kernels. Tests use it to show
-	// that the judge detects violations.
-	tamper func(kernel.Action) []kernel.Action
-	// declared, if set, returns the output length that a caller declares in
+	// replaceActions, if set, replaces the actions of the kernels. Tests use it
+	// to show that the checker detects violations.
+	replaceActions func(kernel.Action) []kernel.Action
+	// declaredOutput, if set, returns the output length that a caller declares in
 	// place of the true one.
-	declared func(l *logical) int
+	declaredOutput func(l *logicalRequest) int
 }
 
 // streamWorld separates the random stream of the world from others with the same
@@ -60,17 +60,17 @@
 		return nil, err
 	}
 	w := &world{
-		cell:       cell,
-		rng:        rand.New(rand.NewPCG(cell.Seed, streamWorld)),
-		content:    content,
-		version:    1,
-		spec:       d.Spec,
-		net:        newNetwork(d.CrossZone),
-		backends:   map[ident.UpstreamID]backend{},
-		prefills:   map[string]*attempt{},
-		tombstones: map[ident.AttemptID]bool{},
+		cell:             cell,
+		rng:              rand.New(rand.NewPCG(cell.Seed, streamWorld)),
+		content:          content,
+		version:          1,
+		spec:             d.Spec,
+		net:              newNetwork(d.CrossZone),
+		backends:         map[ident.UpstreamID]backend{},
+		prefillsByHandle: map[string]*attempt{},
+		cancelled:        map[ident.AttemptID]bool{},
 	}
-	w.judge = &judge{w: w}
+	w.checker = &checker{w: w}
 	w.feeds = &feeds{w: w}
 	w.callers = newCallers(w, d.capacity())
 	for _, spec := range content.Upstreams {
@@ -97,7 +97,7 @@
 		b = newServiceRunner(w, u)
 	}
 	w.backends[spec.ID] = b
-	w.order = append(w.order, spec.ID)
+	w.upstreamOrder = append(w.upstreamOrder, spec.ID)
 }
 
 // engineParams returns an engine's parameters for the performance model.
@@ -129,7 +129,7 @@
 		w.instances = append(w.instances, &instance{id: id, zone: zone})
 	}
 	for _, inst := range w.instances {
-		if err := w.start(inst); err != nil {
+		if err := w.startProcess(inst); err != nil {
 			return err
 		}
 	}
@@ -175,12 +175,12 @@
 // send sends an attempt to its upstream.
 func (w *world) send(a *attempt) {
 	if a.role == config.RolePrefill {
-		w.prefills[a.id.String()] = a
+		w.prefillsByHandle[a.id.String()] = a
 	}
 	up := a.upstream.base()
-	from := a.owner.place()
+	from := a.owner.location()
 	notSent := kernel.AttemptFailed{
-		Attempt: a.id, Evidence: kernel.NotSent, Code: kernel.FailureConnect, Offset: a.from,
+		Attempt: a.id, Evidence: kernel.NotSent, Code: kernel.FailureConnect, Offset: a.startOffset,
 	}
 	if !w.net.connected(from, up.zone) {
 		w.clock.after(dialTimeout, func() { a.owner.receive(notSent) })
@@ -189,7 +189,7 @@
 	delay := w.delay(from, up.zone)
 	w.clock.after(delay+w.jitter(), func() {
 		switch {
-		case a.unread:
+		case a.disconnected:
 			// The zones were partitioned meanwhile; the owner learns of it by
 			// its time-out.
 		case !up.alive:
@@ -203,8 +203,8 @@
 // arrive passes an attempt to its upstream.
 func (w *world) arrive(a *attempt) {
 	a.incarnation = a.upstream.base().incarnation
-	if w.tombstones[a.id] {
-		w.report(a, *refusal(a, kernel.FailureRejected))
+	if w.cancelled[a.id] {
+		w.report(a, *newRefusal(a, kernel.FailureRejected))
 		return
 	}
 	if failure := a.upstream.accept(a); failure != nil {
@@ -219,20 +219,20 @@
 	load := kernel.LoadReported{Upstream: up.spec.ID, Load: a.upstream.load()}
 	_, done := ev.(kernel.AttemptDone)
 	inBand := !done || a.role == config.RoleService
-	w.clock.after(w.delay(up.zone, a.owner.place()), func() {
-		if a.unread {
+	w.clock.after(w.delay(up.zone, a.owner.location()), func() {
+		if a.disconnected {
 			return
 		}
 		if inBand {
 			a.owner.receive(load)
 		}
-		a.note(ev)
+		a.recordProgress(ev)
 		a.owner.receive(ev)
 	})
 }
 
-// note records how much of its output the submission has received.
-func (a *attempt) note(ev kernel.Event) {
+// recordProgress records how much of its output the submission has received.
+func (a *attempt) recordProgress(ev kernel.Event) {
 	switch e := ev.(type) {
 	case kernel.AttemptDone:
 		a.sub.delivered = e.Tokens
@@ -243,30 +243,30 @@
 
 // reportBroken tells an attempt's owner that the connection broke.
 func (w *world) reportBroken(a *attempt) {
-	w.breakOff(a, w.delay(a.upstream.base().zone, a.owner.place()))
+	w.breakConnection(a, w.delay(a.upstream.base().zone, a.owner.location()))
 }
 
-// breakOff breaks the connection of an attempt; its owner notices after the
-// given time.
-func (w *world) breakOff(a *attempt, noticed time.Duration) {
-	if a.unread {
+// breakConnection breaks the connection of an attempt; its owner notices after
+// the given time.
+func (w *world) breakConnection(a *attempt, noticed time.Duration) {
+	if a.disconnected {
 		return
 	}
-	a.breakOff()
+	a.disconnect()
 	failed := kernel.AttemptFailed{
 		Attempt:  a.id,
 		Evidence: kernel.Ambiguous,
 		Code:     kernel.FailureBroken,
-		Offset:   a.received,
+		Offset:   a.receivedTokens,
 	}
 	w.clock.after(noticed, func() {
-		a.sub.delivered = max(a.sub.delivered, a.received)
+		a.sub.delivered = max(a.sub.delivered, a.receivedTokens)
 		a.owner.receive(failed)
 	})
 }
 
 // cancel sends a cancel to an upstream and returns its response.
-func (w *world) cancel(from *life, id ident.AttemptID, to ident.UpstreamID) {
+func (w *world) cancel(from *process, id ident.AttemptID, to ident.UpstreamID) {
 	b := w.backends[to]
 	up := b.base()
 	failed := func() { from.receive(kernel.CancelFailed{Attempt: id}) }
@@ -280,7 +280,7 @@
 			w.clock.after(delay, failed)
 			return
 		}
-		w.tombstones[id] = true
+		w.cancelled[id] = true
 		b.cancel(id)
 		w.clock.after(delay, func() { from.receive(kernel.CancelAcked{Attempt: id}) })
 	})
@@ -294,14 +294,14 @@
 	}
 	w.feeds.start()
 	w.callers.start()
-	w.judge.start()
-	if w.ideal == nil && !w.cell.blind() {
+	w.checker.start()
+	if w.ideal == nil && !w.cell.retriesBlindly() {
 		w.sweep()
 	}
 	w.clock.run(w.cell.Warmup + w.cell.Duration + drainTime)
-	w.judge.finish()
-	if w.judge.rejected != nil {
-		return &PolicyError{Name: w.cell.Policy, Err: w.judge.rejected}
+	w.checker.checkFinal()
+	if w.checker.rejected != nil {
+		return &PolicyError{Name: w.cell.Policy, Err: w.checker.rejected}
 	}
 	return nil
 }
