--- a/experiment/idealchoice.go
+++ b/experiment/idealchoice.go
@@ -6,13 +6,14 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// bestPrefill is the idle prefill engine that computes the prompt soonest, and
-// the least time that any living engine would need.
-func (i *ideal) bestPrefill(a *attempt) (*prefillEngine, time.Duration) {
+// bestPrefill returns the idle prefill engine that would compute the prompt
+// fastest, with the time it needs. If none is idle, it returns nil and the least
+// time that any live engine would need.
+func (i *idealScheduler) bestPrefill(a *attempt) (*prefillEngine, time.Duration) {
 	var best *prefillEngine
 	least := time.Duration(-1)
 	bestTook := time.Duration(0)
-	for _, id := range i.w.order {
+	for _, id := range i.w.upstreamOrder {
 		e, ok := i.w.backends[id].(*prefillEngine)
 		if !ok || !e.alive || e.stalled {
 			continue
@@ -32,11 +33,12 @@
 	return best, bestTook
 }
 
-// freeDecode is the decode engine that will have most room after a time.
-func (i *ideal) freeDecode(a *attempt, after time.Duration) *decodeEngine {
+// freeDecode returns the decode engine that will have the most free slots after
+// a time, or nil if none will have room.
+func (i *idealScheduler) freeDecode(a *attempt, after time.Duration) *decodeEngine {
 	var best *decodeEngine
 	most := 0
-	for _, id := range i.w.order {
+	for _, id := range i.w.upstreamOrder {
 		d, ok := i.w.backends[id].(*decodeEngine)
 		if !ok || !d.alive {
 			continue
@@ -48,37 +50,38 @@
 	return best
 }
 
-// roomAfter is how many slots an engine will have after a time, 0 if there will
-// be no memory.
-func (i *ideal) roomAfter(d *decodeEngine, a *attempt, after time.Duration) int {
+// roomAfter returns the number of slots that an engine will have free after a
+// time, or 0 if it will lack the memory.
+func (i *idealScheduler) roomAfter(d *decodeEngine, a *attempt, after time.Duration) int {
 	slots, pieces := d.params.Slots, d.params.Pieces
 	step := d.params.StepTime(len(d.held))
 	for _, h := range d.held {
 		left := time.Duration(h.sub.logical.arrival.OutputTokens-h.generated+1) * step
 		if left > after {
 			slots--
-			pieces -= h.pieces(d.params)
+			pieces -= h.reservedPieces(d.params)
 		}
 	}
 	for _, p := range i.planned[d.spec.ID] {
 		slots--
-		pieces -= p.pieces(d.params)
+		pieces -= p.reservedPieces(d.params)
 	}
-	if pieces < a.pieces(d.params) {
+	if pieces < a.reservedPieces(d.params) {
 		return 0
 	}
 	return max(slots, 0)
 }
 
 // fits reports whether a decode engine has room now.
-func (i *ideal) fits(d *decodeEngine, a *attempt) bool {
+func (i *idealScheduler) fits(d *decodeEngine, a *attempt) bool {
 	return d.alive && len(d.held) < d.params.Slots &&
-		d.piecesUsed+a.pieces(d.params) <= d.params.Pieces
+		d.piecesUsed+a.reservedPieces(d.params) <= d.params.Pieces
 }
 
-// otherDecode finds a decode engine with room in place of a dead one.
-func (i *ideal) otherDecode(a *attempt, dead ident.UpstreamID) ident.UpstreamID {
-	for _, id := range i.w.order {
+// otherDecode returns a decode engine with room to replace a dead one, or the
+// dead one if there is none.
+func (i *idealScheduler) otherDecode(a *attempt, dead ident.UpstreamID) ident.UpstreamID {
+	for _, id := range i.w.upstreamOrder {
 		if d, ok := i.w.backends[id].(*decodeEngine); ok && i.fits(d, a) {
 			return id
 		}
--- a/experiment/judge.go
+++ b/experiment/judge.go
@@ -9,28 +9,29 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// ViolationKind names a broken promise.
+// ViolationKind names a guarantee of the system that was violated.
 type ViolationKind string
 
 // The kinds of violation.
 const (
-	// RanTwice: a request that is not repeatable ran twice.
+	// RanTwice means that a request that is not repeatable ran twice.
 	RanTwice ViolationKind = "ran_twice"
-	// FalseNotRun: a request answered "not-run" did run.
+	// FalseNotRun means that a request answered "not-run" did run.
 	FalseNotRun ViolationKind = "false_not_run"
-	// AnsweredTwice: a second final answer, or one that nobody asked for.
+	// AnsweredTwice means a second final answer, or one to an unknown request.
 	AnsweredTwice ViolationKind = "answered_twice"
-	// Unanswered: no final answer by the deadline.
+	// Unanswered means that there was no final answer by the deadline.
 	Unanswered ViolationKind = "unanswered"
-	// NotWhole: an answer said to be complete that is not.
-	NotWhole ViolationKind = "not_whole"
-	// BrokenStream: a decode that repeats or skips output.
-	BrokenStream ViolationKind = "broken_stream"
-	// Leaked: engine memory held for nobody.
+	// Incomplete means that an answer was reported complete but is truncated.
+	Incomplete ViolationKind = "not_whole"
+	// Discontinuous means that a decode repeats or skips output.
+	Discontinuous ViolationKind = "broken_stream"
+	// Leaked means that engine memory was held although nobody waited for the
+	// request.
 	Leaked ViolationKind = "leaked"
 )
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
 	// At is the virtual time since the start of the run.
 	At      time.Duration
@@ -44,134 +45,139 @@
 	return fmt.Sprintf("%s %s %s: %s", v.At, v.Kind, v.Request, v.Detail)
 }
 
-// wasteCause says why prompt work was thrown away.
+// wasteCause is the reason why computed prompt tokens were discarded.
 type wasteCause int
 
 const (
 	wasteCancelled wasteCause = iota
 	wasteEvicted
 	wasteKilled
-	wasteCauses
+	wasteCauseCount
 )
 
-// Times the judge allows.
+// Tolerances of the leak check.
 const (
-	// leakGrace is how long memory may be held for a request that is over.
+	// leakGrace is how long memory may be held for a request that nobody waits
+	// for.
 	leakGrace = 6 * time.Second
-	// leakCheckPeriod is the time between two looks at the engines.
+	// leakCheckPeriod is the interval between two checks of the engines.
 	leakCheckPeriod = time.Second
 )
 
-// maxViolations bounds the violations that are kept.
-const maxViolations = 100
-
-// judge counts what really happened.
-type judge struct {
-	w          *world
-	violations []Violation
-	counts     map[ViolationKind]int
-	// prompt is all prompt work, in tokens; byCause the part of it that was
-	// thrown away by what ended it. Work done again is only in the judgement
-	// by request.
-	prompt       int
-	byCause      [wasteCauses]int
-	peerMessages int
-	leaked       map[*attempt]bool
-	// samples counts looks at the engines in the measured time; decodeBusy and
-	// prefillBusy sum up their occupied shares.
+// maxKeptViolations limits the number of violations that are kept in detail.
+const maxKeptViolations = 100
+
+// checker verifies the guarantees of a run and accounts for the work done.
+// Unlike the kernels it sees the true state of all engines.
+type checker struct {
+	w               *world
+	violations      []Violation
+	violationCounts map[ViolationKind]int
+	// promptTokens is the total number of prompt tokens computed; wastedTokens
+	// is the part that was discarded, by cause. Tokens that were computed again
+	// are only visible in the accounting per request.
+	promptTokens  int
+	wastedTokens  [wasteCauseCount]int
+	peerMessages  int
+	reportedLeaks map[*attempt]bool
+	// samples counts the samples taken in the measured time; decodeBusy and
+	// prefillBusy are the sums of the utilization in them.
 	samples                 int
 	decodeBusy, prefillBusy float64
-	// rejected is the kernel's refusal of the policy.
+	// rejected is the error with which a kernel rejected the policy, or with
+	// which an instance could not be restarted.
 	rejected error
 	trace    func(line string)
-	// watch, if set, sees each event and action of an instance.
-	watch func(id ident.InstanceID, what any)
+	// observer, if set, receives each event and action of an instance.
+	observer func(id ident.InstanceID, what any)
 }
 
-func (j *judge) start() {
-	j.leaked = map[*attempt]bool{}
-	j.w.clock.after(leakCheckPeriod, j.checkLeaks)
+func (c *checker) start() {
+	c.reportedLeaks = map[*attempt]bool{}
+	c.w.clock.after(leakCheckPeriod, c.checkLeaks)
 }
 
-// note passes on an event or an action of an instance to the trace.
-func (j *judge) note(id ident.InstanceID, what any) {
-	if j.watch != nil {
-		j.watch(id, what)
+// record passes an event or an action of an instance to the observer and the
+// trace.
+func (c *checker) record(id ident.InstanceID, what any) {
+	if c.observer != nil {
+		c.observer(id, what)
 	}
-	if j.trace != nil {
-		j.trace(fmt.Sprintf("%s %s %T%+v", j.w.clock.now, id, what, what))
+	if c.trace != nil {
+		c.trace(fmt.Sprintf("%s %s %T%+v", c.w.clock.now, id, what, what))
 	}
 }
 
-// violate notes a broken promise.
-func (j *judge) violate(kind ViolationKind, id ident.RequestID, detail string) {
-	if j.counts == nil {
-		j.counts = map[ViolationKind]int{}
+// addViolation records a violation.
+func (c *checker) addViolation(kind ViolationKind, id ident.RequestID, detail string) {
+	if c.violationCounts == nil {
+		c.violationCounts = map[ViolationKind]int{}
 	}
-	j.counts[kind]++
-	if len(j.violations) < maxViolations {
-		j.violations = append(j.violations, Violation{At: j.w.clock.now, Kind: kind, Request: id, Detail: detail})
+	c.violationCounts[kind]++
+	if len(c.violations) < maxKeptViolations {
+		c.violations = append(c.violations, Violation{At: c.w.clock.now, Kind: kind, Request: id, Detail: detail})
 	}
-	if j.trace != nil {
-		j.trace(fmt.Sprintf("%s VIOLATION %s %s: %s", j.w.clock.now, kind, id, detail))
+	if c.trace != nil {
+		c.trace(fmt.Sprintf("%s VIOLATION %s %s: %s", c.w.clock.now, kind, id, detail))
 	}
 }
 
-// computed notes prompt work.
-func (j *judge) computed(a *attempt, tokens int) {
-	j.prompt += tokens
-	a.sub.logical.computed += tokens
+// addComputed accounts for prompt tokens that were computed.
+func (c *checker) addComputed(a *attempt, tokens int) {
+	c.promptTokens += tokens
+	a.sub.logical.computedTokens += tokens
 }
 
-// used notes that a decode imported a prefill result.
-func (j *judge) used(a *attempt) {
+// markUsed records that a decode imported a prefill result.
+func (c *checker) markUsed(a *attempt) {
 	l := a.sub.logical
-	l.largestUsed = max(l.largestUsed, a.computed)
+	l.largestUsedTokens = max(l.largestUsedTokens, a.computedTokens)
 }
 
-// wasted notes prompt work that no decode used.
-func (j *judge) wasted(a *attempt, cause wasteCause) { j.byCause[cause] += a.computed }
+// addWasted accounts for prompt tokens that no decode used.
+func (c *checker) addWasted(a *attempt, cause wasteCause) { c.wastedTokens[cause] += a.computedTokens }
 
-// serviceRan notes that a plain service call ran.
-func (j *judge) serviceRan(a *attempt) {
+// addServiceRun records that a plain service call ran.
+func (c *checker) addServiceRun(a *attempt) {
 	l := a.sub.logical
-	l.runs++
-	if l.runs > 1 && !l.arrival.Kind.Repeatable {
-		j.violate(RanTwice, a.sub.request.ID, "")
+	l.serviceRuns++
+	if l.serviceRuns > 1 && !l.arrival.Kind.Repeatable {
+		c.addViolation(RanTwice, a.sub.request.ID, "")
 	}
 }
 
-// checkLeaks looks for memory held for requests that are over.
-func (j *judge) checkLeaks() {
-	j.w.clock.after(leakCheckPeriod, j.checkLeaks)
-	j.sample()
-	settled := j.w.clock.now - leakGrace
-	if j.w.disturbedAt > settled {
+// checkLeaks looks for memory held for requests that nobody waits for. It is
+// lenient for leakGrace after a fault has ended.
+func (c *checker) checkLeaks() {
+	c.w.clock.after(leakCheckPeriod, c.checkLeaks)
+	c.sample()
+	settled := c.w.clock.now - leakGrace
+	if c.w.recoveredAt > settled {
 		return
 	}
-	for _, id := range j.w.order {
-		b := j.w.backends[id]
+	for _, id := range c.w.upstreamOrder {
+		b := c.w.backends[id]
 		for _, a := range b.heldAttempts() {
-			if a.sub.over && a.sub.overAt < settled && !j.leaked[a] && j.reachable(a) {
-				j.leaked[a] = true
-				j.violate(Leaked, a.sub.request.ID, fmt.Sprintf("%s holds %s attempt %s", id, a.role, a.id))
+			if a.sub.closed && a.sub.closedAt < settled && !c.reportedLeaks[a] && c.reachable(a) {
+				c.reportedLeaks[a] = true
+				c.addViolation(Leaked, a.sub.request.ID, fmt.Sprintf("%s holds %s attempt %s", id, a.role, a.id))
 			}
 		}
 	}
 }
 
-// sample looks at how busy the engines are, in the measured time.
-func (j *judge) sample() {
-	now := j.w.clock.now
-	if now < j.w.cell.Warmup || now > j.w.cell.Warmup+j.w.cell.Duration {
+// sample measures the utilization of the engines, within the measured time.
+func (c *checker) sample() {
+	now := c.w.clock.now
+	if now < c.w.cell.Warmup || now > c.w.cell.Warmup+c.w.cell.Duration {
 		return
 	}
 	var full, decodes, busy, prefills float64
-	for _, id := range j.w.order {
-		switch b := j.w.backends[id].(type) {
+	for _, id := range c.w.upstreamOrder {
+		switch b := c.w.backends[id].(type) {
 		case *decodeEngine:
 			decodes++
-			full += b.fill()
+			full += b.utilization()
 		case *prefillEngine:
 			prefills++
 			if b.current != nil {
@@ -179,52 +185,54 @@
 			}
 		}
 	}
-	j.samples++
-	j.decodeBusy += full / max(decodes, 1)
-	j.prefillBusy += busy / max(prefills, 1)
+	c.samples++
+	c.decodeBusy += full / max(decodes, 1)
+	c.prefillBusy += busy / max(prefills, 1)
 }
 
 // reachable reports whether the attempt could have been released: by its owner
-// or, if that is dead, by others who can know it. Without the platform's list a
-// dead instance cannot be told from one that is cut off or paused.
-func (j *judge) reachable(a *attempt) bool {
-	l, ok := a.owner.(*life)
+// or, if the owner is dead, by another instance that can know of it. Without the
+// platform's list a dead instance cannot be told from a partitioned or paused
+// one.
+func (c *checker) reachable(a *attempt) bool {
+	p, ok := a.owner.(*process)
 	if !ok {
 		return true
 	}
-	if l.dead && j.w.platformDown {
+	if p.dead && c.w.platformDown {
 		return false
 	}
-	return !l.frozen && j.w.net.connected(l.inst.zone, a.upstream.base().zone)
+	return !p.frozen && c.w.net.connected(p.inst.zone, a.upstream.base().zone)
 }
 
-// finish judges what can only be judged at the end.
-func (j *judge) finish() {
-	for _, l := range j.w.callers.logicals {
+// checkFinal checks what can only be checked at the end of the run.
+func (c *checker) checkFinal() {
+	for _, l := range c.w.callers.logicals {
 		for _, sub := range l.subs {
-			j.judgeSubmission(sub)
+			c.checkSubmission(sub)
 		}
 	}
 }
 
-func (j *judge) judgeSubmission(sub *submission) {
+func (c *checker) checkSubmission(sub *submission) {
 	if sub.answered && sub.outcome == api.NotRun {
 		for _, a := range sub.attempts {
-			if a.ran {
-				j.violate(FalseNotRun, sub.request.ID, fmt.Sprintf("%s attempt %s ran", a.role, a.id))
+			if a.started {
+				c.addViolation(FalseNotRun, sub.request.ID, fmt.Sprintf("%s attempt %s ran", a.role, a.id))
 				break
 			}
 		}
 	}
-	if sub.to != nil && !sub.to.dead && !sub.answered {
-		// The run goes on for long after the last deadline.
-		j.violate(Unanswered, sub.request.ID, "")
+	if sub.process != nil && !sub.process.dead && !sub.answered {
+		// The run continues long after the last deadline, so an answer is
+		// missing for good.
+		c.addViolation(Unanswered, sub.request.ID, "")
 	}
 }
 
-// good reports whether a request was answered whole and within its targets,
-// counted from a time: its arrival, or its latest sending.
-func (l *logical) good(since time.Duration) bool {
+// good reports whether a request was answered completely and within its targets,
+// measured from a given time: its arrival or its latest submission.
+func (l *logicalRequest) good(since time.Duration) bool {
 	if !l.complete() {
 		return false
 	}
@@ -232,20 +240,20 @@
 	if k.Route() == config.RouteService {
 		return l.doneAt-since <= k.FirstOutput
 	}
-	return l.last().first-since <= k.FirstOutput && l.pace() <= k.Pace
+	return l.last().firstOutputAt-since <= k.FirstOutput && l.pace() <= k.Pace
 }
 
-// complete reports whether the caller got a whole answer.
-func (l *logical) complete() bool {
-	return l.finished && !l.gone && l.last().outcome == api.Complete
+// complete reports whether the caller got a complete answer.
+func (l *logicalRequest) complete() bool {
+	return l.finished && !l.abandoned && l.last().outcome == api.Complete
 }
 
-// pace is the mean time between the output tokens that the caller got.
-func (l *logical) pace() time.Duration {
+// pace returns the mean time between the output tokens that the caller got.
+func (l *logicalRequest) pace() time.Duration {
 	sub := l.last()
 	gaps := l.arrival.OutputTokens - 1
 	if gaps < 1 {
 		return 0
 	}
-	return (l.doneAt - sub.first) / time.Duration(gaps)
+	return (l.doneAt - sub.firstOutputAt) / time.Duration(gaps)
 }
--- a/experiment/session_test.go
+++ b/experiment/session_test.go
@@ -14,55 +14,57 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Times of the things that happen in a whole session. The killed instance comes
-// back after killLength, the cut heals after cutLength.
+// Times of the events in a session. The killed instance restarts after
+// killLength, the partition ends after cutLength.
 const (
-	sessionKill   = 2 * time.Second
-	sessionCut    = 5 * time.Second
-	sessionRoll   = 7 * time.Second
-	sessionLength = 17 * time.Second
-	// rollStep is the time between two instances that get a rolled bundle.
-	rollStep = 50 * time.Millisecond
+	sessionKill    = 2 * time.Second
+	sessionCut     = 5 * time.Second
+	sessionRollout = 7 * time.Second
+	sessionLength  = 17 * time.Second
+	// rolloutInterval is the interval at which the instances get the new bundle
+	// one after the other.
+	rolloutInterval = 50 * time.Millisecond
 )
 
-// wholeSession is a session of a whole example deployment: its usual mixed
-// traffic at a share of its capacity, a kill, a cut and a roll.
-type wholeSession struct {
+// session describes a run of a complete example deployment: its usual mixed
+// traffic at a fraction of its capacity, a kill, a network partition and a
+// bundle rollout.
+type session struct {
 	deployment string
 	load       float64
 	seed       uint64
-	// bounded is the workspace whose limit the rolled bundle lowers.
-	bounded ident.Workspace
+	// limited is the workspace whose rate limit the new bundle lowers.
+	limited ident.Workspace
 }
 
-var wholeSessions = []wholeSession{
-	{deployment: "coastline", load: 0.06, seed: 4, bounded: "franchise-north"},
-	{deployment: "lagos", load: 0.12, seed: 27, bounded: "supplier-ikeja"},
+var sessions = []session{
+	{deployment: "coastline", load: 0.06, seed: 4, limited: "franchise-north"},
+	{deployment: "lagos", load: 0.12, seed: 27, limited: "supplier-ikeja"},
 }
 
-// TestWholeSessions compares what happens in whole sessions of both examples
-// with golden files: each decision with where, why and under which version, each
-// answer, each cancel.
+// TestWholeSessions compares the events of complete sessions of both examples
+// with golden files: each decision with its place, reason and bundle version,
+// each answer and each cancel.
 func TestWholeSessions(t *testing.T) {
-	for _, s := range wholeSessions {
+	for _, s := range sessions {
 		t.Run(s.deployment, func(t *testing.T) {
 			golden.Assert(t, s.run(t), "session_"+s.deployment+".golden")
 		})
 	}
 }
 
-// TestWholeSessionsRepeat shows that a session depends on nothing but its seed.
+// TestWholeSessionsRepeat checks that a session depends on its seed only.
 func TestWholeSessionsRepeat(t *testing.T) {
-	for _, s := range wholeSessions {
+	for _, s := range sessions {
 		assert.Equal(t, s.run(t), s.run(t), s.deployment)
 	}
 }
 
-// transcript writes down what happens in a world.
+// transcript records the events in a world.
 type transcript struct {
 	w     *world
 	lines []string
-	// cancelled are the attempts whose first cancel is written down.
+	// cancelled contains the attempts whose first cancel is recorded.
 	cancelled map[ident.AttemptID]bool
 }
 
@@ -71,8 +73,8 @@
 	tr.lines = append(tr.lines, at+fmt.Sprintf(format, args...))
 }
 
-// run plays the session and returns its transcript.
-func (s wholeSession) run(t *testing.T) string {
+// run runs the session and returns its transcript.
+func (s session) run(t *testing.T) string {
 	t.Helper()
 	d := deployment(t, s.deployment)
 	cell := NewCell(d, PolicyCurrent, s.load, FaultNone, s.seed)
@@ -80,66 +82,67 @@
 	w, err := newWorld(cell, d)
 	assert.NilError(t, err)
 	tr := &transcript{w: w, cancelled: map[ident.AttemptID]bool{}}
-	w.judge.watch = tr.note
+	w.checker.observer = tr.record
 	w.clock.at(sessionKill, tr.kill)
 	w.clock.at(sessionCut, tr.cut)
-	w.clock.at(sessionRoll, func() { tr.roll(s.bounded) })
+	w.clock.at(sessionRollout, func() { tr.rollOut(s.limited) })
 	assert.NilError(t, w.run())
-	assert.Equal(t, len(w.judge.violations), 0, "%v", w.judge.violations)
+	assert.Equal(t, len(w.checker.violations), 0, "%v", w.checker.violations)
 	return strings.Join(tr.lines, "\n") + "\n" + w.summary()
 }
 
-// kill kills the instance on which the others depend most.
+// kill kills the instance that the others depend on most.
 func (tr *transcript) kill() {
-	tr.w.withInstance(func(inst *instance) {
-		tr.add("%-20s KILLED, in flight:%s", inst.id, inst.life.inFlight())
+	tr.w.withTargetInstance(func(inst *instance) {
+		tr.add("%-20s KILLED, in flight:%s", inst.id, inst.process.inFlight())
 		tr.w.killInstance(inst)
 		tr.w.clock.after(killLength, func() { tr.add("%-20s STARTED", inst.id) })
 	})
 }
 
-// inFlight lists the requests that an instance has taken and not answered.
-func (l *life) inFlight() string {
+// inFlight lists the requests that an instance has accepted and not answered.
+func (p *process) inFlight() string {
 	list := ""
-	for _, id := range sortedKeys(l.subs) {
-		if !l.subs[id].over {
+	for _, id := range sortedKeys(p.subs) {
+		if !p.subs[id].closed {
 			list += " " + string(id)
 		}
 	}
 	return list
 }
 
-// cut separates one zone from the others.
+// cut partitions one zone from the others.
 func (tr *transcript) cut() {
 	tr.w.cutZone()
-	lone := tr.w.lone()
-	tr.add("%-20s CUT OFF from the other zones", lone)
-	tr.w.clock.after(cutLength, func() { tr.add("%-20s REJOINED", lone) })
+	isolated := tr.w.isolatedZone()
+	tr.add("%-20s CUT OFF from the other zones", isolated)
+	tr.w.clock.after(cutLength, func() { tr.add("%-20s REJOINED", isolated) })
 }
 
-// roll brings version 2, by which one workspace has almost no rate, to one
-// instance after the other, and to those in a zone cut off when that is over.
-func (tr *transcript) roll(bounded ident.Workspace) {
+// rollOut distributes version 2, in which one workspace has almost no rate, to
+// one instance after the other, and to those in the partitioned zone once the
+// partition has ended.
+func (tr *transcript) rollOut(limited ident.Workspace) {
 	w := tr.w
-	w.content, w.version = withRate(w.content, bounded), w.version+1
-	lone := w.lone()
+	w.content, w.version = withRate(w.content, limited), w.version+1
+	isolated := w.isolatedZone()
 	for i, inst := range w.instances {
-		at := time.Duration(i) * rollStep
-		if inst.zone == lone {
-			at += sessionCut + cutLength - sessionRoll
+		at := time.Duration(i) * rolloutInterval
+		if inst.zone == isolated {
+			at += sessionCut + cutLength - sessionRollout
 		}
 		w.clock.after(at, func() {
-			if inst.life.dead {
+			if inst.process.dead {
 				return
 			}
 			tr.add("%-20s ROLLED to version %d", inst.id, w.version)
-			inst.life.receive(kernel.Configured{Version: w.version, Content: w.content})
+			inst.process.receive(kernel.Configured{Version: w.version, Content: w.content})
 		})
 	}
 }
 
-// lone is the zone that is cut off from all others.
-func (w *world) lone() ident.Zone {
+// isolatedZone returns the zone that is partitioned from all others.
+func (w *world) isolatedZone() ident.Zone {
 	for _, zone := range w.zones() {
 		cuts := 0
 		for _, other := range w.zones() {
@@ -154,12 +157,13 @@
 	return ""
 }
 
-// withRate is content like another, in which one workspace has almost no rate.
-func withRate(c *config.Content, bounded ident.Workspace) *config.Content {
+// withRate returns a copy of the content in which one workspace has almost no
+// rate.
+func withRate(c *config.Content, limited ident.Workspace) *config.Content {
 	next := *c
 	next.Workspaces = append([]config.Workspace(nil), c.Workspaces...)
 	for i := range next.Workspaces {
-		if next.Workspaces[i].Name == bounded {
+		if next.Workspaces[i].Name == limited {
 			next.Workspaces[i].RatePerSecond = 0.1
 			next.Workspaces[i].Burst = 1
 		}
@@ -167,11 +171,11 @@
 	return &next
 }
 
-// note writes down what an instance decides and what it answers. Left out are its
-// messages to peers, the records of asks for slots, which each model request has,
-// repetitions of a cancel, and the answers that are whole: a record says so, and
-// the judge would tell if there were none.
-func (tr *transcript) note(id ident.InstanceID, what any) {
+// record adds an instance's decisions and answers. It leaves out messages to
+// peers, the records of asks for slots, which each model request has, repeated
+// cancels, and complete answers, which appear in a record and whose absence the
+// checker would report.
+func (tr *transcript) record(id ident.InstanceID, what any) {
 	switch a := what.(type) {
 	case kernel.Log:
 		if a.Record.Reason != kernel.ReasonSlotPending {
@@ -193,13 +197,13 @@
 	}
 }
 
-// shortAttempt names an attempt without its incarnation and deadline, which are
-// times.
+// shortAttempt formats an attempt ID without its incarnation and deadline, which
+// are times.
 func shortAttempt(id ident.AttemptID) string {
 	return fmt.Sprintf("attempt %d of %s", id.Sequence, id.Instance)
 }
 
-// describeRecord writes a decision in one line.
+// describeRecord formats a decision in one line.
 func describeRecord(r *kernel.Record) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-6s %-9s %s, %s of %s, v%d", r.Request, r.Step, r.Reason, r.Kind, r.Workspace, r.BundleVersion)
@@ -225,7 +229,7 @@
 	return b.String()
 }
 
-// summary counts what came of the requests, by kind.
+// summary counts the outcomes of the requests, by kind.
 func (w *world) summary() string {
 	var b strings.Builder
 	r := w.result()
