--- a/adapter/roundtrip/conn.go
+++ b/adapter/roundtrip/conn.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// conn is a connection to an upstream. One request at a time uses it.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
-	net   net.Conn
-	addr  string
-	idle  *idlePool
-	since time.Time
-	// limited bounds what is read of the response's head.
+	net       net.Conn
+	addr      string
+	idle      *idlePool
+	idleSince time.Time
+	// limited limits the number of bytes read for the response head.
 	limited io.LimitedReader
 	buf     *bufio.Reader
 
-	// ending is closed when the request's writer has ended; sent and writeErr
-	// are final then.
-	ending   chan struct{}
-	sent     bool
-	writeErr error
-	// stop ends the watch over the request's context and reports whether the
-	// context did not end before.
+	// writeDone is closed when the goroutine that writes the request has finished.
+	// From then on, sent and writeErr don't change.
+	writeDone chan struct{}
+	sent      bool
+	writeErr  error
+	// stop unregisters the function that closes the connection at the end of the
+	// request's context. It returns false if the context ended before.
 	stop func() bool
 }
 
@@ -39,71 +39,74 @@
 	return c
 }
 
-// exchange sends a request and reads the head of its response. The request is
-// written in a goroutine of its own, which ends with the request's last byte,
-// since an upstream may answer before it has read all.
-func (c *conn) exchange(ctx context.Context, req *http.Request, m matching) (*http.Response, error) {
-	c.ending = make(chan struct{})
+// exchange sends a request and reads the head of its response. A separate
+// goroutine writes the request, since an upstream may respond before it has read
+// all of it; the goroutine ends after the last byte of the request.
+func (c *conn) exchange(ctx context.Context, req *http.Request, m responseFilter) (*http.Response, error) {
+	c.writeDone = make(chan struct{})
 	c.sent, c.writeErr = false, nil
-	// Closing the connection wakes whoever reads or writes.
+	// Closing the connection unblocks pending reads and writes.
 	c.stop = context.AfterFunc(ctx, func() { _ = c.net.Close() })
 	go c.write(req)
-	resp, err := c.readOwn(asked(req), m)
+	resp, err := c.readMatchingResponse(responseRequest(req), m)
 	if err != nil {
 		return nil, err
 	}
-	resp.Body = &answerBody{ctx: ctx, conn: c, body: resp.Body, reusable: !resp.Close}
+	resp.Body = &responseBody{ctx: ctx, conn: c, body: resp.Body, reusable: !resp.Close}
 	return resp, nil
 }
 
-// asked returns what is needed of a request to read its response, nil for most.
-// The response refers to it, so that the memory of the request that was sent
-// would be held as long as a stream is open.
-func asked(req *http.Request) *http.Request {
+// responseRequest returns the request to pass to http.ReadResponse: one with only
+// the method for HEAD, nil (which means GET) for all others. The response keeps a
+// reference to it; passing the original would keep the request's memory in use as
+// long as a stream is open.
+func responseRequest(req *http.Request) *http.Request {
 	if req.Method != http.MethodHead {
 		return nil
 	}
 	return &http.Request{Method: req.Method}
 }
 
-// writers are buffers for writing requests, which take no longer than that.
-var writers = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
+// writerPool holds unused write buffers, which a connection needs only while it
+// writes a request.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriter(nil) }}
 
-// write writes a request.
+// write writes a request to the connection and records the outcome in sent and
+// writeErr.
 func (c *conn) write(req *http.Request) {
-	defer close(c.ending)
-	w := writers.Get().(*bufio.Writer)
-	w.Reset(noting{c})
+	defer close(c.writeDone)
+	w := writerPool.Get().(*bufio.Writer)
+	w.Reset(sendRecorder{c})
 	c.writeErr = req.Write(w)
 	if c.writeErr == nil {
 		c.writeErr = w.Flush()
 	}
 	w.Reset(nil)
-	writers.Put(w)
+	writerPool.Put(w)
 	c.afterWrite()
 }
 
-// answerGrace is how long to wait for the answer of an upstream that stopped
-// reading the request.
-const answerGrace = 100 * time.Millisecond
+// earlyResponseTimeout is how long to wait for the response of an upstream that
+// closed its end before it had read the whole request.
+const earlyResponseTimeout = 100 * time.Millisecond
 
-// afterWrite wakes the reader when the request broke off: at once if none of it
-// went out.
+// afterWrite unblocks the reader of the response if writing the request failed:
+// at once if no byte was sent, else after earlyResponseTimeout.
 func (c *conn) afterWrite() {
 	switch {
 	case c.writeErr == nil:
 	case c.sent:
-		_ = c.net.SetReadDeadline(time.Now().Add(answerGrace))
+		_ = c.net.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 	default:
 		_ = c.net.Close()
 	}
 }
 
-// noting writes to a connection and notes whether a byte went out.
-type noting struct{ c *conn }
+// sendRecorder writes to a connection and records in conn.sent that a byte was sent.
+type sendRecorder struct{ c *conn }
 
 // Write implements io.Writer.
-func (n noting) Write(p []byte) (int, error) {
+func (n sendRecorder) Write(p []byte) (int, error) {
 	count, err := n.c.net.Write(p)
 	if count > 0 {
 		n.c.sent = true
@@ -111,54 +114,57 @@
 	return count, err
 }
 
-// matching tells a request's own response from late second ones to earlier
-// requests.
-type matching struct {
-	// own is nil to take any response.
-	own func(*http.Response) bool
-	// strays is how many other responses are skipped.
-	strays int
+// responseFilter distinguishes the response to a request from late duplicate responses
+// to earlier requests.
+type responseFilter struct {
+	// accepts reports whether a response belongs to the request; nil accepts any
+	// response.
+	accepts func(*http.Response) bool
+	// maxSkipped is the maximum number of other responses to skip.
+	maxSkipped int
 }
 
-// StrayError reports a connection that brought only responses to other requests.
-type StrayError struct{}
+// MismatchedResponseError reports a connection that delivered only responses to
+// other requests.
+type MismatchedResponseError struct{}
 
 // Error implements error.
-func (*StrayError) Error() string { return "the response belongs to another request" }
+func (*MismatchedResponseError) Error() string { return "the response belongs to another request" }
 
-// maxStrayBytes bounds the body of a response that is skipped.
-const maxStrayBytes = 1 << 20
+// maxSkippedBytes limits how much of a skipped response's body is read.
+const maxSkippedBytes = 1 << 20
 
-// readOwn reads the head of the request's own response.
-func (c *conn) readOwn(req *http.Request, m matching) (*http.Response, error) {
+// readMatchingResponse reads the head of the response that m accepts and skips
+// the others.
+func (c *conn) readMatchingResponse(req *http.Request, m responseFilter) (*http.Response, error) {
 	for skipped := 0; ; skipped++ {
 		resp, err := c.readHead(req)
 		if err != nil {
 			return nil, err
 		}
-		if m.own == nil || m.own(resp) {
+		if m.accepts == nil || m.accepts(resp) {
 			return resp, nil
 		}
-		if skipped >= m.strays || resp.Close {
-			return nil, &StrayError{}
+		if skipped >= m.maxSkipped || resp.Close {
+			return nil, &MismatchedResponseError{}
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBytes)); err != nil {
-			return nil, cut(err)
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes)); err != nil {
+			return nil, unexpectedEOF(err)
 		}
 	}
 }
 
-// maxInterim is how many interim responses (status 1xx) are skipped.
+// maxInterim is the maximum number of interim responses (status 1xx) to skip.
 const maxInterim = 5
 
-// readHead reads the response's head and skips interim responses.
+// readHead reads the head of a final response and skips interim responses.
 func (c *conn) readHead(req *http.Request) (*http.Response, error) {
 	c.limited.N = maxResponseHeaderBytes
 	defer func() { c.limited.N = math.MaxInt64 }()
 	for interim := 0; ; interim++ {
 		resp, err := http.ReadResponse(c.buf, req)
 		if err != nil {
-			return nil, cut(err)
+			return nil, unexpectedEOF(err)
 		}
 		if !isInterim(resp.StatusCode) || interim == maxInterim {
 			return resp, nil
@@ -166,55 +172,60 @@
 	}
 }
 
-// isInterim reports whether another response follows the one with this status.
+// isInterim reports whether a response with this status is followed by another
+// one to the same request.
 func isInterim(status int) bool {
 	return status >= 100 && status < 200 && status != http.StatusSwitchingProtocols
 }
 
-// cut names the end of a response inside its head.
-func cut(err error) error {
+// unexpectedEOF converts io.EOF, which here means a truncated response, to
+// io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// abandon closes the connection and reports whether a byte of its request went
-// out, and what broke the request off, nil if it went out whole. Nothing goes
-// out afterwards.
+// abandon closes the connection and waits for the writer to finish, so that no
+// byte is sent afterwards. It reports whether any byte of the request was sent,
+// and the error that interrupted writing, nil if the request was sent in full.
 func (c *conn) abandon() (sent bool, writeErr error) {
 	c.stop()
 	_ = c.net.Close()
-	<-c.ending
+	<-c.writeDone
 	return c.sent, c.writeErr
 }
 
-// release ends a request whose response was read to its end.
+// release returns the connection to the idle pool at the end of a request, or
+// closes it if it can't carry another one.
 func (c *conn) release(reusable bool) {
-	if !reusable || !c.written() || !c.stop() || c.buf.Buffered() > 0 {
+	if !reusable || !c.writeCompleted() || !c.stop() || c.buf.Buffered() > 0 {
 		c.abandon()
 		return
 	}
 	c.idle.put(c)
 }
 
-// writeGrace is how long to wait, after the response, for the request's writer
-// to end. It is about to, unless the upstream does not read the request.
-const writeGrace = 50 * time.Millisecond
+// writeCompletionTimeout is how long to wait, after the response, for the
+// goroutine that writes the request. It is about to finish, unless the upstream
+// does not read the request.
+const writeCompletionTimeout = 50 * time.Millisecond
 
-// written reports whether the whole request was written.
-func (c *conn) written() bool {
+// writeCompleted reports whether the whole request was written. It waits up to
+// writeCompletionTimeout.
+func (c *conn) writeCompleted() bool {
 	select {
-	case <-c.ending:
+	case <-c.writeDone:
 		return c.writeErr == nil
 	default:
 	}
-	late := time.NewTimer(writeGrace)
-	defer late.Stop()
+	timer := time.NewTimer(writeCompletionTimeout)
+	defer timer.Stop()
 	select {
-	case <-c.ending:
+	case <-c.writeDone:
 		return c.writeErr == nil
-	case <-late.C:
+	case <-timer.C:
 		return false
 	}
 }
--- a/adapter/roundtrip/conn_test.go
+++ b/adapter/roundtrip/conn_test.go
@@ -18,15 +18,15 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// half is a connection whose writes fail after some bytes.
-type half struct {
+// failingConn is a connection whose writes fail after a number of bytes.
+type failingConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
-func (h *half) Write(p []byte) (int, error) {
-	n := min(len(p), h.left)
-	h.left -= n
+func (h *failingConn) Write(p []byte) (int, error) {
+	n := min(len(p), h.remaining)
+	h.remaining -= n
 	if n < len(p) {
 		return n, io.ErrClosedPipe
 	}
@@ -34,42 +34,44 @@
 	return n, err
 }
 
-// SyscallConn lets the pool look at the connection.
-func (h *half) SyscallConn() (syscall.RawConn, error) { return h.Conn.(syscall.Conn).SyscallConn() }
+// SyscallConn implements syscall.Conn, which the idle pool needs for its check.
+func (h *failingConn) SyscallConn() (syscall.RawConn, error) {
+	return h.Conn.(syscall.Conn).SyscallConn()
+}
 
-// TestEvidenceOfBrokenWrites: an attempt is proven unsent only if no byte went
-// out, on a new connection as on one that was used before.
+// TestEvidenceOfBrokenWrites checks that a failed request is reported as not sent
+// only if no byte was written, on a new connection and on a reused one.
 func TestEvidenceOfBrokenWrites(t *testing.T) {
 	for _, used := range []bool{false, true} {
 		for left, want := range map[int]kernel.Evidence{0: kernel.NotSent, 1: kernel.Ambiguous, 150: kernel.Ambiguous} {
-			s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
+			s := serve(t, func(_ int64, c net.Conn) bool { return respondOK(c) })
 			c := New(Options{})
-			plain := c.dial
-			h := &half{left: left}
+			dial := c.dial
+			h := &failingConn{remaining: left}
 			c.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				var err error
-				h.Conn, err = plain(ctx, addr)
+				h.Conn, err = dial(ctx, addr)
 				return h, err
 			}
 			body := []byte(strings.Repeat("x", 64<<10))
 			if used {
-				h.left = 1 << 20
+				h.remaining = 1 << 20
 				assert.NilError(t, send(t, c, t.Context(), "POST", s.address, body))
-				h.left = left
+				h.remaining = left
 			}
-			assert.Equal(t, evidence(t, send(t, c, t.Context(), "POST", s.address, body)), want, "used %v, %d bytes", used, left)
+			assert.Equal(t, evidence(t, send(t, c, t.Context(), "POST", s.address, body)), want, "reused connection %v, write fails after %d bytes", used, left)
 			c.Close()
 			assert.Equal(t, s.accepted(t), int64(1))
 		}
 	}
 }
 
-// TestEndedIdleConnectionIsNotUsed: the upstream closed the connection after
-// its answer, before the next request, which goes out on a new one.
+// TestEndedIdleConnectionIsNotUsed checks that, if the upstream closes the
+// connection after its response, the next request is sent on a new one.
 func TestEndedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	s := serve(t, func(_ int64, c net.Conn) bool {
-		ok(c)
+		respondOK(c)
 		_ = c.Close()
 		closed <- struct{}{}
 		return false
@@ -83,6 +85,8 @@
 	assert.Equal(t, s.conns.Load(), int64(2))
 }
 
+// TestConnectionsAreKept checks that a connection is reused after responses of
+// each form whose end is known.
 func TestConnectionsAreKept(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -105,6 +109,9 @@
 	}
 }
 
+// TestConnectionsAreNotKept checks that a connection is closed if the response's
+// headers or HTTP version require it, and if bytes follow the response, as the
+// next request would take them for its response.
 func TestConnectionsAreNotKept(t *testing.T) {
 	for name, answer := range map[string]string{
 		"close":     "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
@@ -127,8 +134,8 @@
 	}
 }
 
-// TestHeadHasNoBody: the length in the answer to HEAD is that of a body which
-// does not come.
+// TestHeadHasNoBody checks that the response to HEAD is read without a body,
+// though it carries a Content-Length.
 func TestHeadHasNoBody(t *testing.T) {
 	s := serve(t, func(_ int64, c net.Conn) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
@@ -142,9 +149,10 @@
 	assert.Equal(t, s.conns.Load(), int64(1))
 }
 
-// TestUnreadBodyCostsTheConnection closes a body before its end.
+// TestUnreadBodyCostsTheConnection checks that closing a body before its end
+// closes the connection.
 func TestUnreadBodyCostsTheConnection(t *testing.T) {
-	s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
+	s := serve(t, func(_ int64, c net.Conn) bool { return respondOK(c) })
 	c := New(Options{})
 	defer c.Close()
 	for range 2 {
@@ -158,8 +166,8 @@
 	assert.Equal(t, s.conns.Load(), int64(2))
 }
 
-// TestBodyEndsWithItsContext: a stream that says no more ends when nobody wants
-// it, with the context's error.
+// TestBodyEndsWithItsContext checks that reading a stream on which nothing arrives
+// fails with the context's error once the context is cancelled.
 func TestBodyEndsWithItsContext(t *testing.T) {
 	s := serve(t, func(_ int64, c net.Conn) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
@@ -181,15 +189,15 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// TestAnswerBeforeTheRequestIsRead has an upstream answer at the head of a body
-// that it never reads.
+// TestAnswerBeforeTheRequestIsRead checks that a response is returned though the
+// upstream never reads the request's body, and that the connection is not reused.
 func TestAnswerBeforeTheRequestIsRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
-	enough, done := make(chan struct{}), make(chan struct{})
+	release, done := make(chan struct{}), make(chan struct{})
 	defer func() { <-done }()
-	defer close(enough)
+	defer close(release)
 	go func() {
 		defer close(done)
 		nc, err := l.Accept()
@@ -197,9 +205,9 @@
 			return
 		}
 		defer nc.Close()
-		ok(nc)
+		respondOK(nc)
 		_, _ = io.ReadFull(nc, make([]byte, 100))
-		<-enough
+		<-release
 	}()
 	c := New(Options{})
 	defer c.Close()
@@ -217,11 +225,12 @@
 	assert.Equal(t, evidence(t, send(t, c, t.Context(), "POST", s.address, []byte("x"))), kernel.Ambiguous)
 }
 
-// TestIdleConnectionsEndInASuspension: the sweep's timer stood still with the machine, and the
-// upstream has closed its end long ago, which may not have arrived.
+// TestIdleConnectionsEndInASuspension checks that a connection past its idle timeout is not used
+// after the machine was suspended. The timer did not run meanwhile, and the FIN of an upstream that
+// has closed its end may not have arrived.
 func TestIdleConnectionsEndInASuspension(t *testing.T) {
 	machine := testclock.Use(t)
-	s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
+	s := serve(t, func(_ int64, c net.Conn) bool { return respondOK(c) })
 	c := New(Options{IdleTimeout: time.Hour})
 	defer c.Close()
 	assert.NilError(t, send(t, c, t.Context(), "POST", s.address, []byte("x")))
@@ -236,16 +245,16 @@
 }
 
 func TestIdleConnectionsEnd(t *testing.T) {
-	s := serve(t, func(_ int64, c net.Conn) bool { return ok(c) })
+	s := serve(t, func(_ int64, c net.Conn) bool { return respondOK(c) })
 	c := New(Options{IdleTimeout: time.Hour, IdlePerUpstream: 1})
 	defer c.Close()
 	assert.NilError(t, send(t, c, t.Context(), "POST", s.address, []byte("x")))
 	assert.Equal(t, len(c.idle.conns[s.address]), 1)
-	assert.Equal(t, len(c.idle.overdue(time.Now().Add(59*time.Minute))), 0)
-	late := c.idle.overdue(time.Now().Add(time.Hour))
-	assert.Equal(t, len(late), 1)
+	assert.Equal(t, len(c.idle.takeExpired(time.Now().Add(59*time.Minute))), 0)
+	expired := c.idle.takeExpired(time.Now().Add(time.Hour))
+	assert.Equal(t, len(expired), 1)
 	assert.Equal(t, len(c.idle.conns), 0)
-	c.idle.put(late[0])
-	c.idle.put(newConn(late[0].net, s.address, c.idle, 16))
-	assert.Equal(t, len(c.idle.conns[s.address]), 1, "IdlePerUpstream bounds them")
+	c.idle.put(expired[0])
+	c.idle.put(newConn(expired[0].net, s.address, c.idle, 16))
+	assert.Equal(t, len(c.idle.conns[s.address]), 1, "more idle connections than IdlePerUpstream")
 }
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -9,17 +9,18 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Change is one field that differs between two contents. Entries of lists are
-// matched by name, so that moving one is no change but for kinds, the first of
-// which is the default.
+// Change is a field that differs between two contents. List entries are matched
+// by name, so moving an entry is not a change. The order of kinds is compared
+// separately, because the first kind is the default.
 type Change struct {
-	// Path names the field, for example "workspaces[estates].weight".
+	// Path identifies the field, for example "workspaces[estates].weight".
 	Path string
-	// Before and After are the values as text; empty where there is none.
+	// Before and After are the formatted values, empty if the field is absent.
 	Before, After string
 }
 
-// String renders the change as a line that begins with "+", "-" or "~".
+// String formats the change as a line that starts with "+" for an added, "-" for
+// a removed and "~" for a changed field.
 func (c Change) String() string {
 	switch {
 	case c.Before == "":
@@ -31,39 +32,39 @@
 	}
 }
 
-// Diff lists what changes from one content to another: first what is changed or
-// removed, in the order of before, then what is new.
+// Diff returns the changes from one content to another: first the changed and
+// removed fields, in the order of before, then the added fields.
 func Diff(before, after *config.Content) []Change {
 	a, b := flatten(before), flatten(after)
-	was, is := a.byPath(), b.byPath()
+	oldValues, newValues := a.byPath(), b.byPath()
 	var changes []Change
 	for _, f := range a.fields {
-		if is[f.path] != f.value {
-			changes = append(changes, Change{Path: f.path, Before: f.value, After: is[f.path]})
+		if newValues[f.path] != f.value {
+			changes = append(changes, Change{Path: f.path, Before: f.value, After: newValues[f.path]})
 		}
 	}
 	for _, f := range b.fields {
-		if _, there := was[f.path]; !there {
+		if _, ok := oldValues[f.path]; !ok {
 			changes = append(changes, Change{Path: f.path, After: f.value})
 		}
 	}
 	return changes
 }
 
-// field is one leaf of a content with its value as text.
+// field is a scalar, or a list of scalars, of a content with its formatted value.
 type field struct{ path, value string }
 
-// flattener lists the leaves of a content that are not zero.
+// flattener collects the non-zero fields of a content by reflection.
 type flattener struct{ fields []field }
 
 func flatten(c *config.Content) *flattener {
 	f := &flattener{}
-	f.structure("", reflect.ValueOf(*c))
+	f.addStruct("", reflect.ValueOf(*c))
 	names := make([]string, len(c.Kinds))
 	for i, k := range c.Kinds {
 		names[i] = k.Name
 	}
-	f.add("order of kinds", strings.Join(names, ", "))
+	f.addField("order of kinds", strings.Join(names, ", "))
 	return f
 }
 
@@ -75,44 +76,44 @@
 	return m
 }
 
-func (f *flattener) add(path, value string) {
+func (f *flattener) addField(path, value string) {
 	f.fields = append(f.fields, field{path: path, value: value})
 }
 
-func (f *flattener) structure(path string, v reflect.Value) {
+func (f *flattener) addStruct(path string, v reflect.Value) {
 	for i := range v.NumField() {
-		f.value(joinPath(path, yamlKey(v.Type().Field(i))), v.Field(i))
+		f.addValue(joinPath(path, yamlKey(v.Type().Field(i))), v.Field(i))
 	}
 }
 
-func (f *flattener) value(path string, v reflect.Value) {
+func (f *flattener) addValue(path string, v reflect.Value) {
 	switch {
 	case v.IsZero():
 	case v.Kind() == reflect.Struct:
-		f.structure(path, v)
+		f.addStruct(path, v)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
 		for i := range v.Len() {
 			entry := v.Index(i)
-			// The first field of every entry is its name.
+			// The first field of each entry type is its name.
 			name := fmt.Sprint(entry.Field(0).Interface())
-			f.structure(fmt.Sprintf("%s[%s]", path, name), entry)
+			f.addStruct(fmt.Sprintf("%s[%s]", path, name), entry)
 		}
 	case v.Kind() == reflect.Slice:
-		f.add(path, joinValues(v))
+		f.addField(path, joinValues(v))
 	default:
-		f.add(path, text(v))
+		f.addField(path, formatValue(v))
 	}
 }
 
 func joinValues(v reflect.Value) string {
 	values := make([]string, v.Len())
 	for i := range values {
-		values[i] = text(v.Index(i))
+		values[i] = formatValue(v.Index(i))
 	}
 	return strings.Join(values, ", ")
 }
 
-func text(v reflect.Value) string {
+func formatValue(v reflect.Value) string {
 	if d, ok := v.Interface().(time.Duration); ok {
 		return d.String()
 	}
--- a/bundle/ledger/floor.go
+++ b/bundle/ledger/floor.go
@@ -7,25 +7,26 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// answer is what the ledger holds of one source of the roster.
+// answer is the state of the floor query to one source of the roster.
 type answer struct {
 	source   Source
 	askedAt  time.Time
 	answered bool
-	// vouches says that the source can know the floor: a ready peer, or a
-	// platform that holds a roll.
-	vouches bool
+	// authoritative is set if the source can know the floor: a ready peer, or the
+	// platform if it has a roll.
+	authoritative bool
 	// inForce and fence are as in FloorReport.
 	inForce bundle.Ref
 	fence   uint64
 }
 
-// floorState is how far a starting or rechecking instance has come in learning
+// floorState is the progress of a starting or rechecking instance in determining
 // the floor.
 type floorState struct {
 	status Status
 	since  time.Time
-	// round numbers the times that the instance began to ask.
+	// round counts the query rounds, so that reports of earlier ones are
+	// recognised.
 	round uint64
 	// answers holds one entry for each source of the roster.
 	answers []answer
@@ -35,8 +36,8 @@
 	return floorState{status: status, since: now}
 }
 
-// recheck makes an instance that was paused ask anew: what it was told may be
-// long out of date.
+// recheck starts a new query round after the process was paused, since the
+// answers received before may be long out of date.
 func (l *Ledger) recheck() {
 	status := StatusStarting
 	if l.floor.status != StatusStarting {
@@ -45,7 +46,7 @@
 	sources, round := l.rosterSources(), l.floor.round
 	l.floor = newFloorState(status, l.now)
 	l.floor.round = round + 1
-	Roster{Sources: sources}.apply(l)
+	SourceSet{Sources: sources}.apply(l)
 	l.parts.since = l.now
 }
 
@@ -57,9 +58,10 @@
 	return sources
 }
 
-// apply implements Event. A peer that answered a starting instance and goes stays
-// on its roster: what it had in force is part of the floor.
-func (e Roster) apply(l *Ledger) {
+// apply implements Event. While the instance is starting, a peer that has
+// answered is kept even if the new roster omits it: the bundle that it had in
+// force is part of the floor.
+func (e SourceSet) apply(l *Ledger) {
 	answers := make([]answer, 0, len(e.Sources))
 	if l.floor.status == StatusStarting {
 		for _, a := range l.floor.answers {
@@ -86,19 +88,19 @@
 	return &f.answers[i]
 }
 
-// apply implements Event. A report whose roll cannot be verified is no answer:
-// what it knows is not known here.
+// apply implements Event. A report whose roll cannot be verified does not count
+// as an answer, since what its source knows remains unknown.
 func (e FloorReport) apply(l *Ledger) {
 	usable := true
 	if e.Roll != nil {
-		usable = l.takeRoll(e.From, e.Roll)
+		usable = l.processRoll(e.From, e.Roll)
 	}
 	a := l.floor.find(e.From)
 	if a == nil || e.Round != l.floor.round {
 		return
 	}
 	a.answered = usable
-	a.vouches = (e.From.Kind == SourcePeer && e.Ready) || (e.From.Kind == SourcePlatform && e.Roll != nil)
+	a.authoritative = (e.From.Kind == SourcePeer && e.Ready) || (e.From.Kind == SourcePlatform && e.Roll != nil)
 	a.inForce = e.InForce
 	a.fence = e.Fence
 }
@@ -110,8 +112,9 @@
 	}
 }
 
-// ask asks the sources that have not answered, each once per RetryInterval.
-func (l *Ledger) ask() {
+// querySources queries the sources that have not answered, each once per
+// RetryInterval.
+func (l *Ledger) querySources() {
 	if l.floor.status == StatusReady {
 		return
 	}
@@ -120,29 +123,29 @@
 		due := a.askedAt.IsZero() || l.now.Sub(a.askedAt) >= l.settings.RetryInterval
 		if !a.answered && due {
 			a.askedAt = l.now
-			l.act(AskFloor{From: a.source, Round: l.floor.round})
+			l.emit(QueryFloor{From: a.source, Round: l.floor.round})
 		}
 	}
 }
 
-// timedOut reports whether the sources had their time to answer.
+// timedOut reports whether StartTimeout has passed since the query round began.
 func (l *Ledger) timedOut() bool {
 	return l.now.Sub(l.floor.since) >= l.settings.StartTimeout
 }
 
-// settled reports whether the ledger may act on what it knows: always once
-// ready, and before that when it has learned the floor as far as it can.
-func (l *Ledger) settled() bool {
-	if l.floor.status == StatusReady || !l.on(guardAnswers) {
+// floorDetermined reports whether the ledger may put a bundle into force: always
+// when ready, and otherwise once the floor is known as far as it can be.
+func (l *Ledger) floorDetermined() bool {
+	if l.floor.status == StatusReady || !l.enabled(guardAnswers) {
 		return true
 	}
 	if !l.floor.complete() && !l.timedOut() {
 		return false
 	}
-	if l.on(guardEvidence) && !l.evidence() {
+	if l.enabled(guardAuthoritative) && !l.hasAuthoritativeSource() {
 		return false
 	}
-	return !l.on(guardFence) || l.fence() <= l.targetVersion()
+	return !l.enabled(guardFence) || l.highestFence() <= l.targetVersion()
 }
 
 // complete reports whether every source has answered.
@@ -150,17 +153,18 @@
 	return len(f.answers) > 0 && !slices.ContainsFunc(f.answers, func(a answer) bool { return !a.answered })
 }
 
-// evidence reports whether the ledger heard from someone who can know the floor.
-// An instance that was ready is such evidence itself.
-func (l *Ledger) evidence() bool {
+// hasAuthoritativeSource reports whether a source that can know the floor has
+// answered. An instance that was ready before knows the floor itself, and one
+// with IsolatedServePreload does without such a source after StartTimeout.
+func (l *Ledger) hasAuthoritativeSource() bool {
 	if l.floor.status == StatusRechecking || (l.settings.Isolated == IsolatedServePreload && l.timedOut()) {
 		return true
 	}
-	return slices.ContainsFunc(l.floor.answers, func(a answer) bool { return a.answered && a.vouches })
+	return slices.ContainsFunc(l.floor.answers, func(a answer) bool { return a.answered && a.authoritative })
 }
 
-// fence returns the highest fencing number that an upstream has seen.
-func (l *Ledger) fence() uint64 {
+// highestFence returns the highest fencing number that an upstream has reported.
+func (l *Ledger) highestFence() uint64 {
 	var highest uint64
 	for _, a := range l.floor.answers {
 		if a.source.Kind == SourceUpstream {
@@ -177,15 +181,17 @@
 	return l.roll.Roll.Target.Version
 }
 
-// standsIn reports whether the roll's base may stand in for a target that covers
-// this starting instance and cannot be had: its parts are missing for too long,
-// and everyone was asked and nobody has it in force. It was published by halves.
-func (l *Ledger) standsIn() bool {
+// baseReplacesTarget reports whether this starting instance may use the roll's base in
+// place of a target that covers it but is incomplete. This is so if parts of the
+// target have been missing for PartsTimeout, and every source has answered and
+// none reports the target's version or a higher one: the target was then
+// published only in part.
+func (l *Ledger) baseReplacesTarget() bool {
 	target := l.roll.Roll.Target
 	if l.floor.status != StatusStarting || l.roll.Roll.Base.IsZero() || !l.floor.complete() {
 		return false
 	}
-	if !l.parts.lacks(target) || l.now.Sub(l.parts.since) < l.settings.PartsTimeout {
+	if !l.parts.isIncomplete(target) || l.now.Sub(l.parts.since) < l.settings.PartsTimeout {
 		return false
 	}
 	return !slices.ContainsFunc(l.floor.answers, func(a answer) bool {
@@ -193,8 +199,8 @@
 	})
 }
 
-// becomeReady declares the instance ready once the assigned bundle, or a higher
-// one, is in force.
+// becomeReady makes the instance ready once the assigned bundle or a higher
+// version is in force.
 func (l *Ledger) becomeReady() {
 	if l.floor.status == StatusReady || l.inForce == nil {
 		return
@@ -210,26 +216,26 @@
 		}
 	}
 	l.clearAlarms(func(a Alarm) bool {
-		return a.Type == AlarmIsolated || a.Type == AlarmFloorAbove || a.Type == AlarmNothingRolled
+		return a.Type == AlarmIsolated || a.Type == AlarmFloorAbove || a.Type == AlarmNoRoll
 	})
-	l.act(Ready{InForce: l.inForceRef, Unconfirmed: unconfirmed})
-	l.act(Announce{Summary: l.Summary()})
+	l.emit(Ready{InForce: l.inForceRef, Unconfirmed: unconfirmed})
+	l.emit(Announce{Summary: l.Summary()})
 }
 
-// watchTimeouts raises the alarms of an instance that waits for too long.
+// watchTimeouts raises the alarms for waits that exceed their timeouts.
 func (l *Ledger) watchTimeouts() {
-	if len(l.parts.lacking) > 0 && l.now.Sub(l.parts.since) >= l.settings.PartsTimeout {
-		l.alarm(Alarm{Type: AlarmHalfPublished, Ref: l.parts.lacking[0]})
+	if len(l.parts.incomplete) > 0 && l.now.Sub(l.parts.since) >= l.settings.PartsTimeout {
+		l.alarm(Alarm{Type: AlarmIncompletelyPublished, Ref: l.parts.incomplete[0]})
 	}
 	if l.floor.status != StatusStarting || !l.timedOut() {
 		return
 	}
-	switch fence := l.fence(); {
+	switch fence := l.highestFence(); {
 	case fence > l.targetVersion():
 		l.alarm(Alarm{Type: AlarmFloorAbove, Number: fence})
 	case l.roll == nil && slices.ContainsFunc(l.floor.answers, func(a answer) bool { return a.answered }):
-		l.alarm(Alarm{Type: AlarmNothingRolled})
-	case !l.evidence():
+		l.alarm(Alarm{Type: AlarmNoRoll})
+	case !l.hasAuthoritativeSource():
 		l.alarm(Alarm{Type: AlarmIsolated})
 	}
 }
--- a/bundle/ledger/ledger_test.go
+++ b/bundle/ledger/ledger_test.go
@@ -19,19 +19,20 @@
 	assert.Assert(t, errors.As(err, &bad))
 }
 
-// started returns a session with roll 1 and its parts preloaded and nobody
-// asked yet.
+// started returns a session with roll 1 and its parts preloaded, and no source
+// has answered yet.
 func started(t *testing.T, d *documents, s Settings, roster ...Source) *session {
 	t.Helper()
 	x := newSession(t, d.publisher, s, roster...)
-	x.step("preload", RollSeen{From: preload, Roll: d.first})
+	x.step("preload", RollReceived{From: preload, Roll: d.first})
 	for x.ledger.Missing() > 0 {
-		x.step("preload", PartsSeen{From: preload, Parts: d.publisher.give(x.ledger.parts.missing)})
+		x.step("preload", PartsReceived{From: preload, Parts: d.publisher.partsFor(x.ledger.parts.missing)})
 	}
 	return x
 }
 
-// What makes a starting instance ready, and what does not.
+// The combinations of answers, timeouts and settings under which a starting
+// instance becomes ready, and the alarms under which it does not.
 func TestReadiness(t *testing.T) {
 	d := newDocuments(t)
 	second := d.publisher.all(2, d.v2, d.v1, "ada", "ben")
@@ -56,19 +57,19 @@
 		alarm    AlarmType
 	}{
 		{name: "everyone answered", roster: noUpstream, events: []Event{platform1, fromOther}, ready: true},
-		{name: "a peer is still out", roster: noUpstream, events: []Event{platform1}},
-		{name: "a peer is out for long", roster: noUpstream, events: []Event{platform1}, timeout: true, ready: true},
-		{name: "the platform is out for long", roster: noUpstream, events: []Event{fromOther}, timeout: true, ready: true},
+		{name: "a peer has not answered yet", roster: noUpstream, events: []Event{platform1}},
+		{name: "a peer did not answer within the timeout", roster: noUpstream, events: []Event{platform1}, timeout: true, ready: true},
+		{name: "the platform did not answer within the timeout", roster: noUpstream, events: []Event{fromOther}, timeout: true, ready: true},
 		{name: "nobody answers", roster: noUpstream, timeout: true, alarm: AlarmIsolated},
 		{name: "nobody answers, serve the preload", roster: noUpstream, isolated: serve, timeout: true, ready: true},
-		{name: "peers start too", roster: noUpstream, events: []Event{starting}, timeout: true, alarm: AlarmIsolated},
+		{name: "all peers are starting", roster: noUpstream, events: []Event{starting}, timeout: true, alarm: AlarmIsolated},
 		{name: "no roster", timeout: true, alarm: AlarmIsolated},
 		{name: "the platform lost its roll", roster: noUpstream, events: []Event{noRoll}, timeout: true, alarm: AlarmIsolated},
 		{name: "a roll that cannot be verified is no answer", roster: noUpstream,
 			events: []Event{platform1, FloorReport{From: other, Ready: true, Roll: unverifiable}}},
 		{name: "an answer of another round", roster: noUpstream,
 			events: []Event{platform1, FloorReport{From: other, Round: 7, Ready: true, Roll: d.first}}},
-		{name: "an answer of someone not asked", roster: []Source{platform},
+		{name: "an answer of a source not on the roster", roster: []Source{platform},
 			events: []Event{FloorReport{From: other, Ready: true, Roll: d.first}}},
 		{name: "an upstream saw this version", roster: everyone,
 			events: []Event{platform1, fromOther, FloorReport{From: engine, Fence: 1}}, ready: true},
@@ -77,7 +78,7 @@
 		{name: "an upstream saw a higher version, serve the preload", roster: everyone, isolated: serve, timeout: true,
 			events: []Event{FloorReport{From: engine, Fence: 2}}, alarm: AlarmFloorAbove},
 		{name: "an upstream that left the roster does not count", roster: everyone, timeout: true, ready: true,
-			events: []Event{platform1, FloorReport{From: engine, Fence: 2}, Roster{Sources: noUpstream}}},
+			events: []Event{platform1, FloorReport{From: engine, Fence: 2}, SourceSet{Sources: noUpstream}}},
 		{name: "the assigned version's parts are missing", roster: noUpstream, timeout: true,
 			events: []Event{platform1, FloorReport{From: other, Ready: true, Roll: second}}},
 	}
@@ -96,52 +97,54 @@
 			if tc.alarm != "" {
 				alarms := s.ledger.Alarms()
 				assert.Equal(t, alarms[len(alarms)-1].Type, tc.alarm)
-				assert.Assert(t, tc.alarm.Step() != "")
+				assert.Assert(t, tc.alarm.Remedy() != "")
 			}
 		})
 	}
 }
 
-// The limit that docs/design/bundles.md states: where all instances are replaced
-// at once, the platform is stale and no upstream checks fencing numbers, nothing
-// remembers the version that was in force.
+// Documents a known limitation that docs/design/bundles.md states: if all
+// instances are replaced at once while the platform is stale and no upstream
+// checks fencing numbers, no source knows the version that was in force, and the
+// replacements become ready with an older one.
 func TestLimitNothingRemembers(t *testing.T) {
 	d := newDocuments(t)
 	first := ready(t, d)
-	first.step("roll 2", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
-	first.parts(platform)
+	first.step("roll 2", RollReceived{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
+	first.supplyParts(platform)
 	assert.Equal(t, first.inForce(), uint64(2))
 	replacement := ready(t, d)
 	assert.Equal(t, replacement.inForce(), uint64(1))
 	assert.Equal(t, replacement.ledger.Status(), StatusReady)
 }
 
-// Parts that are not missing are dropped: nobody can fill the memory of an
-// instance with them.
+// Parts that are not missing are discarded, so that a peer cannot exhaust an
+// instance's memory with them.
 func TestUnwantedPartsAreDropped(t *testing.T) {
 	s := ready(t, newDocuments(t))
 	before := s.ledger.parts.have.Len()
 	junk := bundle.Part{Bytes: []byte("junk")}
 	junk.Digest = bundle.DigestOf(junk.Bytes)
-	s.step("junk", PartsSeen{From: peer("entry-9"), Parts: []bundle.Part{junk}})
+	s.step("junk", PartsReceived{From: peer("entry-9"), Parts: []bundle.Part{junk}})
 	assert.Equal(t, s.ledger.parts.have.Len(), before)
 }
 
-// Parts that no bundle needs any longer are dropped too.
+// Parts that no bundle needs any more are removed.
 func TestOldPartsAreDropped(t *testing.T) {
 	d := newDocuments(t)
 	s := ready(t, d)
 	head, base, sequence := d.v2, d.v1, uint64(2)
 	for queue := 300; queue < 310; queue++ {
-		s.step("roll", RollSeen{From: platform, Roll: d.publisher.all(sequence, head, base, "ada", "ben")})
-		s.parts(platform)
+		s.step("roll", RollReceived{From: platform, Roll: d.publisher.all(sequence, head, base, "ada", "ben")})
+		s.supplyParts(platform)
 		base, sequence = head, sequence+1
 		head = d.publisher.build(base, queue, firstSet, "ada", "ben")
 	}
-	// The policy part differs in each version: the newest and its base are kept.
+	// The policy part differs in each version. Only the parts of the newest version
+	// and its base are kept.
 	wanted := map[bundle.Digest]bool{}
 	for _, h := range []*bundle.Head{&s.ledger.roll.Target, s.ledger.roll.Base} {
-		digests, err := bundle.Wanted(&h.Manifest, s.ledger.parts.have)
+		digests, err := bundle.ReferencedParts(&h.Manifest, s.ledger.parts.have)
 		assert.NilError(t, err)
 		for _, digest := range digests {
 			wanted[digest] = true
@@ -150,21 +153,21 @@
 	assert.Equal(t, s.ledger.parts.have.Len(), len(wanted))
 }
 
-// A signed bundle whose content an instance does not accept stays out of force,
-// and the next one is taken.
+// A signed bundle whose content fails validation on the instance is not put into
+// force, and does not prevent the next one from being put into force.
 func TestInvalidContentStaysOut(t *testing.T) {
 	d := newDocuments(t)
 	s := ready(t, d)
 	s.ledger.checker.assemble = func(*bundle.Manifest, bundle.PartSource) (*config.Content, error) {
 		return nil, &bundle.FindingsError{}
 	}
-	s.step("roll 2", RollSeen{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
-	s.parts(platform)
+	s.step("roll 2", RollReceived{From: platform, Roll: d.publisher.all(2, d.v2, d.v1, "ada", "ben")})
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(1))
 	assert.Equal(t, s.ledger.Alarms()[0].Type, AlarmInvalidContent)
 	s.ledger.checker = newChecker()
-	s.step("roll 3", RollSeen{From: platform, Roll: d.publisher.all(3, d.v3, d.v2, "ada", "ben")})
-	s.parts(platform)
+	s.step("roll 3", RollReceived{From: platform, Roll: d.publisher.all(3, d.v3, d.v2, "ada", "ben")})
+	s.supplyParts(platform)
 	assert.Equal(t, s.inForce(), uint64(3))
 	assert.Equal(t, len(s.ledger.Alarms()), 0)
 }
@@ -172,7 +175,7 @@
 func TestAlarmsAreBounded(t *testing.T) {
 	s := ready(t, newDocuments(t))
 	for i := range 2 * maxAlarms {
-		s.step("junk", Garbled{From: peer(time.Duration(i).String()), Err: &bundle.CanonicalError{}})
+		s.step("junk", Undecodable{From: peer(time.Duration(i).String()), Err: &bundle.CanonicalError{}})
 	}
 	assert.Equal(t, len(s.ledger.Alarms()), maxAlarms)
 }
--- a/bundle/ledger/parts.go
+++ b/bundle/ledger/parts.go
@@ -8,50 +8,55 @@
 )
 
 const (
-	// MaxFetchParts bounds the parts that one FetchParts asks for.
+	// MaxFetchParts bounds the parts requested by one FetchParts.
 	MaxFetchParts = 64
-	// maxBackoff is how often the interval between fetches doubles.
-	maxBackoff = 3
-	// maxHolders bounds the sources remembered for a fetch.
+	// maxBackoffDoublings is how many times the interval between fetches may double.
+	maxBackoffDoublings = 3
+	// maxHolders bounds the sources that are recorded as having the parts.
 	maxHolders = 8
 )
 
-// partState holds the parts and what is missing of the bundles wanted.
+// partState holds the available parts and tracks those that the wanted bundles
+// still lack.
 type partState struct {
 	have *bundle.PartSet
-	// holders are sources that may have the parts, the likeliest last, and whole
-	// the peers among them that said they have all.
-	holders []Source
-	whole   []Source
-	// stale says that missing must be found anew.
+	// holders are sources that may have the parts, the most likely last;
+	// completePeers are the peers among them that announced that they have all
+	// parts.
+	holders       []Source
+	completePeers []Source
+	// stale is set if missing and incomplete must be computed again.
 	stale bool
-	// missing lists the parts to fetch, and lacking the bundles they are of.
-	missing []bundle.Digest
-	lacking []bundle.Ref
-	// since is when parts of the roll's bundles began to be missing.
+	// missing lists the parts to fetch, and incomplete the bundles that need
+	// them.
+	missing    []bundle.Digest
+	incomplete []bundle.Ref
+	// since is when the wait for missing parts began or last made progress;
+	// PartsTimeout counts from it.
 	since time.Time
-	// fetchedAt is the time of the last fetch, and tries counts fetches without
-	// progress since.
+	// fetchedAt is the time of the last fetch, and fetches the number of fetches
+	// since the last progress.
 	fetchedAt time.Time
-	tries     int
+	fetches   int
 }
 
-// lacks reports whether parts of a bundle are missing.
-func (p *partState) lacks(ref bundle.Ref) bool { return slices.Contains(p.lacking, ref) }
+// isIncomplete reports whether any part of a bundle is missing.
+func (p *partState) isIncomplete(ref bundle.Ref) bool { return slices.Contains(p.incomplete, ref) }
 
-// addWhole remembers a peer that said it has all parts of the newest roll. It
-// reports whether that is news.
-func (p *partState) addWhole(s Source) bool {
-	if slices.Contains(p.whole, s) || len(p.whole) == maxHolders {
+// addCompletePeer records a peer that announced that it has all parts of the newest
+// roll's target. It reports whether the peer was added.
+func (p *partState) addCompletePeer(s Source) bool {
+	if slices.Contains(p.completePeers, s) || len(p.completePeers) == maxHolders {
 		return false
 	}
-	p.whole = append(slices.Clip(p.whole), s)
+	p.completePeers = append(slices.Clip(p.completePeers), s)
 	p.holders = slices.DeleteFunc(slices.Clone(p.holders), func(h Source) bool { return h == s })
 	p.addHolder(s)
 	return true
 }
 
-// addHolder remembers a source that may have the parts. Upstreams have none.
+// addHolder records a source that may have the parts. Upstreams and the preload
+// cannot be asked for parts.
 func (p *partState) addHolder(s Source) {
 	if s.Kind == SourceUpstream || s.Kind == SourcePreload || slices.Contains(p.holders, s) {
 		return
@@ -62,18 +67,19 @@
 	p.holders = append(slices.Clip(p.holders), s)
 }
 
-// restart begins the fetch for a new roll, which a source gave.
-func (p *partState) restart(now time.Time, from Source) {
-	p.holders, p.whole = nil, nil
+// reset resets the fetch state for a new roll, which came from the given
+// source.
+func (p *partState) reset(now time.Time, from Source) {
+	p.holders, p.completePeers = nil, nil
 	p.addHolder(from)
 	p.stale = true
 	p.since = now
 	p.fetchedAt = time.Time{}
-	p.tries = 0
+	p.fetches = 0
 }
 
-// wantedHeads lists the bundles whose parts the instance wants: first the one
-// assigned to it, then those that it may need next or that peers may ask it for.
+// wantedHeads lists the bundles whose parts the instance fetches: first the one
+// assigned to it, then those that it may need next or that peers may request.
 func (l *Ledger) wantedHeads() []*bundle.Head {
 	var heads []*bundle.Head
 	if l.roll != nil {
@@ -86,47 +92,48 @@
 		heads = append(heads, l.next)
 	}
 	if l.roll != nil && l.roll.Base != nil && l.floor.status == StatusStarting {
-		// The base may have to stand in for the target.
+		// The base may have to replace an incomplete target.
 		heads = append(heads, l.roll.Base)
 	}
 	return heads
 }
 
-// whole reports whether the instance has every part of the newest roll's target.
-func (l *Ledger) whole() bool {
-	return l.roll != nil && !l.parts.stale && !l.parts.lacks(l.roll.Roll.Target)
+// targetComplete reports whether the instance has every part of the newest roll's
+// target.
+func (l *Ledger) targetComplete() bool {
+	return l.roll != nil && !l.parts.stale && !l.parts.isIncomplete(l.roll.Roll.Target)
 }
 
-// findMissing brings the list of missing parts up to date, and tells peers when
-// the newest roll's target is whole.
-func (l *Ledger) findMissing() {
+// updateMissing updates the list of missing parts, and announces to peers when all
+// parts of the newest roll's target have become present.
+func (l *Ledger) updateMissing() {
 	if !l.parts.stale {
 		return
 	}
-	was := l.whole()
+	before := l.targetComplete()
 	l.parts.stale = false
-	l.parts.missing, l.parts.lacking = nil, nil
+	l.parts.missing, l.parts.incomplete = nil, nil
 	for _, head := range l.wantedHeads() {
-		l.findMissingOf(head)
+		l.addMissing(head)
 	}
 	if len(l.parts.missing) == 0 {
-		l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmHalfPublished })
+		l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmIncompletelyPublished })
 	}
-	if !was && l.whole() {
-		l.act(Announce{Summary: l.Summary()})
+	if !before && l.targetComplete() {
+		l.emit(Announce{Summary: l.Summary()})
 	}
 }
 
-// findMissingOf adds one bundle's missing parts to the list.
-func (l *Ledger) findMissingOf(head *bundle.Head) {
+// addMissing adds the missing parts of one bundle to the list.
+func (l *Ledger) addMissing(head *bundle.Head) {
 	missing, err := l.checker.missing(&head.Manifest, l.parts.have)
 	if err != nil {
-		l.spoiled = head.Ref()
-		l.alarm(Alarm{Type: AlarmInvalidContent, Ref: l.spoiled, Err: err})
+		l.invalidRef = head.Ref()
+		l.alarm(Alarm{Type: AlarmInvalidContent, Ref: l.invalidRef, Err: err})
 		return
 	}
 	if len(missing) > 0 {
-		l.parts.lacking = append(l.parts.lacking, head.Ref())
+		l.parts.incomplete = append(l.parts.incomplete, head.Ref())
 	}
 	for _, d := range missing {
 		if !slices.Contains(l.parts.missing, d) {
@@ -135,8 +142,9 @@
 	}
 }
 
-// fetchSources lists whom to ask for parts: the platform last, since its reads
-// are few for all instances together.
+// fetchSources lists the sources to fetch parts from, the preferred one last. The
+// platform comes first unless it is a holder itself, so that it is tried last:
+// all instances together share its limited rate of reads.
 func (l *Ledger) fetchSources() []Source {
 	platform := Source{Kind: SourcePlatform}
 	if l.floor.find(platform) == nil || slices.Contains(l.parts.holders, platform) {
@@ -145,40 +153,40 @@
 	return append([]Source{platform}, l.parts.holders...)
 }
 
-// fetch asks for missing parts: at once after progress, and otherwise again
-// after ever longer intervals, from one holder after the other.
+// fetch requests missing parts: immediately after progress, and otherwise at
+// exponentially growing intervals, from the holders in turn.
 func (l *Ledger) fetch() {
 	p := &l.parts
 	holders := l.fetchSources()
 	if len(p.missing) == 0 || len(holders) == 0 {
 		return
 	}
-	interval := l.settings.RetryInterval << min(p.tries, maxBackoff)
+	interval := l.settings.RetryInterval << min(p.fetches, maxBackoffDoublings)
 	if !p.fetchedAt.IsZero() && l.now.Sub(p.fetchedAt) < interval {
 		return
 	}
 	n := min(len(p.missing), MaxFetchParts)
-	// The likeliest holder first.
-	from := holders[len(holders)-1-p.tries%len(holders)]
-	l.act(FetchParts{From: from, Digests: slices.Clone(p.missing[:n])})
+	// Start with the most likely holder.
+	from := holders[len(holders)-1-p.fetches%len(holders)]
+	l.emit(FetchParts{From: from, Digests: slices.Clone(p.missing[:n])})
 	p.fetchedAt = l.now
-	p.tries++
+	p.fetches++
 }
 
-// apply implements Event. Parts that are not missing are dropped, so that nobody
-// can fill an instance's memory.
-func (e PartsSeen) apply(l *Ledger) {
+// apply implements Event. Parts that are not missing are discarded, so that a
+// peer cannot exhaust the instance's memory.
+func (e PartsReceived) apply(l *Ledger) {
 	progress := false
 	for added := true; added; {
 		added = false
-		l.findMissing()
+		l.updateMissing()
 		for _, part := range e.Parts {
 			if !slices.Contains(l.parts.missing, part.Digest) {
 				continue
 			}
 			if err := l.parts.have.Add(part); err != nil {
 				l.refuse(e.From, err)
-				l.alarm(Alarm{Type: AlarmGarbled, From: e.From, Document: DocumentPart, Err: err})
+				l.alarm(Alarm{Type: AlarmUndecodable, From: e.From, Document: DocumentPart, Err: err})
 				return
 			}
 			added, progress = true, true
@@ -186,13 +194,14 @@
 		}
 	}
 	if progress {
-		l.gave(e.From, DocumentPart)
-		l.parts.fetchedAt, l.parts.tries = time.Time{}, 0
+		l.clearGarbled(e.From, DocumentPart)
+		l.parts.fetchedAt, l.parts.fetches = time.Time{}, 0
 		l.parts.since = l.now
 	}
 }
 
-// prune drops parts that neither the bundle in force nor a wanted one needs.
+// prune removes the parts that are needed neither by the bundle in force nor by a
+// wanted bundle nor by the roll's base.
 func (l *Ledger) prune() {
 	heads := append(l.wantedHeads(), l.inForce)
 	if l.roll.Base != nil {
@@ -200,13 +209,14 @@
 	}
 	keep := map[bundle.Digest]bool{}
 	for _, head := range heads {
-		// A malformed part was reported by findMissing; what is known counts.
-		wanted, _ := l.checker.memo.Wanted(&head.Manifest, l.parts.have)
+		// updateMissing has already reported malformed parts; keep the digests found
+		// before the error.
+		wanted, _ := l.checker.memo.ReferencedParts(&head.Manifest, l.parts.have)
 		for _, d := range wanted {
 			keep[d] = true
 		}
 	}
 	needed := func(d bundle.Digest) bool { return keep[d] }
-	l.parts.have.Keep(needed)
-	l.checker.memo.Keep(needed)
+	l.parts.have.Retain(needed)
+	l.checker.memo.Retain(needed)
 }
--- a/bundle/memo.go
+++ b/bundle/memo.go
@@ -6,61 +6,62 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// Memo remembers what decoding parts gave, by digest, so that a bundle of which
-// few parts changed costs the decoding of these few. It may be used with any
-// sources that give a digest's own bytes only, as PartSet does. The nil Memo
-// remembers nothing: it is the plain walk that the tests compare with.
+// PartCache caches decoded parts by digest, so that for a new bundle version only the
+// changed parts have to be decoded. It does not verify digests: every source that
+// it is used with must return bytes that match the requested digest, as PartSet
+// does. A nil PartCache is valid and caches nothing; tests compare against it.
 //
-// Contents assembled by one Memo share memory: callers must not change them. A
-// Memo is not safe for concurrent use.
-type Memo struct {
-	forms  map[Digest]form
+// Contents assembled by the same PartCache share memory and must not be modified. A PartCache
+// is not safe for concurrent use.
+type PartCache struct {
+	infos  map[Digest]partInfo
 	leaves map[leafKey]*config.Content
 }
 
-// form is what a walk needs to know of a decoded part.
-type form struct {
+// partInfo holds the structure of a decoded part, as far as a walk needs it.
+type partInfo struct {
 	level    int
 	children []Digest
 }
 
-// leafKey names a leaf in a section: the same bytes could stand in two.
+// leafKey identifies a leaf within a section. Two sections may contain a leaf with
+// the same bytes, which decode to entries of different types.
 type leafKey struct {
 	section SectionName
 	digest  Digest
 }
 
-// NewMemo returns a Memo that knows nothing yet.
-func NewMemo() *Memo {
-	return &Memo{forms: map[Digest]form{}, leaves: map[leafKey]*config.Content{}}
+// NewPartCache returns an empty Memo.
+func NewPartCache() *PartCache {
+	return &PartCache{infos: map[Digest]partInfo{}, leaves: map[leafKey]*config.Content{}}
 }
 
-// MissingParts is the function MissingParts, without decoding a part twice.
-func (m *Memo) MissingParts(f *Manifest, source PartSource) ([]Digest, error) {
+// MissingParts is like the function MissingParts, but decodes each part only once.
+func (m *PartCache) MissingParts(f *Manifest, source PartSource) ([]Digest, error) {
 	w, err := walkParts(f, source, m)
 	return w.missing, err
 }
 
-// Wanted is the function Wanted, without decoding a part twice.
-func (m *Memo) Wanted(f *Manifest, source PartSource) ([]Digest, error) {
+// ReferencedParts is like the function ReferencedParts, but decodes each part only once.
+func (m *PartCache) ReferencedParts(f *Manifest, source PartSource) ([]Digest, error) {
 	w, err := walkParts(f, source, m)
-	list := make([]Digest, 0, len(w.wanted))
-	for d := range w.wanted {
+	list := make([]Digest, 0, len(w.referenced))
+	for d := range w.referenced {
 		list = append(list, d)
 	}
 	return list, err
 }
 
-// Assemble is the function Assemble, without decoding a leaf twice. The content
-// must not be changed.
-func (m *Memo) Assemble(f *Manifest, source PartSource) (*config.Content, error) {
+// Assemble is like the function Assemble, but decodes each leaf of a list section
+// only once. The returned content must not be modified.
+func (m *PartCache) Assemble(f *Manifest, source PartSource) (*config.Content, error) {
 	if missing, err := m.MissingParts(f, source); err != nil {
 		return nil, err
 	} else if len(missing) > 0 {
 		return nil, &MissingPartsError{Digests: missing}
 	}
 	var c config.Content
-	w := &treeWalk{source: source, memo: m, wanted: map[Digest]bool{}}
+	w := &treeWalk{source: source, memo: m, referenced: map[Digest]bool{}}
 	for _, s := range f.Sections {
 		if err := w.walk(s.Name, s.Root, -1, &c); err != nil {
 			return nil, err
@@ -72,43 +73,44 @@
 	return &c, nil
 }
 
-// Keep forgets every part that keep does not hold.
-func (m *Memo) Keep(keep func(Digest) bool) {
+// Retain evicts every part for which keep returns false.
+func (m *PartCache) Retain(keep func(Digest) bool) {
 	if m == nil {
 		return
 	}
-	maps.DeleteFunc(m.forms, func(d Digest, _ form) bool { return !keep(d) })
+	maps.DeleteFunc(m.infos, func(d Digest, _ partInfo) bool { return !keep(d) })
 	maps.DeleteFunc(m.leaves, func(k leafKey, _ *config.Content) bool { return !keep(k.digest) })
 }
 
-// form decodes a part unless its form is known.
-func (m *Memo) form(d Digest, b []byte) (form, error) {
+// partInfo returns the structure of a part. It decodes the part if it is not
+// cached.
+func (m *PartCache) partInfo(d Digest, b []byte) (partInfo, error) {
 	if m != nil {
-		if f, ok := m.forms[d]; ok {
+		if f, ok := m.infos[d]; ok {
 			return f, nil
 		}
 	}
 	n, err := decodeNode(b)
 	if err != nil {
-		return form{}, err
+		return partInfo{}, err
 	}
-	f := form{level: n.Level, children: n.Children}
+	f := partInfo{level: n.Level, children: n.Children}
 	if m != nil {
-		m.forms[d] = f
+		m.infos[d] = f
 	}
 	return f, nil
 }
 
-// addLeaf adds a leaf's entries to c.
-func (m *Memo) addLeaf(c *config.Content, section SectionName, d Digest, b []byte) error {
-	if m == nil || !section.list() {
-		return readLeaf(c, section, b)
+// addLeaf adds the entries of a leaf to c. It decodes the leaf if it is not cached.
+func (m *PartCache) addLeaf(c *config.Content, section SectionName, d Digest, b []byte) error {
+	if m == nil || !section.isList() {
+		return decodeLeaf(c, section, b)
 	}
 	key := leafKey{section: section, digest: d}
 	leaf, known := m.leaves[key]
 	if !known {
 		leaf = new(config.Content)
-		if err := readLeaf(leaf, section, b); err != nil {
+		if err := decodeLeaf(leaf, section, b); err != nil {
 			return err
 		}
 		m.leaves[key] = leaf
@@ -121,19 +123,20 @@
 	return nil
 }
 
-// list reports whether the section is a list, to which each leaf adds entries of
-// its own. Entries of the others are read one over the other.
-func (n SectionName) list() bool { return n != SectionDeployment && n != SectionPolicy }
+// isList reports whether the section is a list, to which each leaf appends entries.
+// Each of the other sections is a single value that every entry decodes into, so
+// their leaves cannot be cached separately.
+func (n SectionName) isList() bool { return n != SectionDeployment && n != SectionPolicy }
 
-// readLeaf decodes a leaf's entries into c.
-func readLeaf(c *config.Content, section SectionName, b []byte) error {
+// decodeLeaf decodes the entries of a leaf into c.
+func decodeLeaf(c *config.Content, section SectionName, b []byte) error {
 	n, err := decodeNode(b)
 	if err != nil {
 		return err
 	}
-	each := sectionReader(c, section)
+	decodeEntry := entryDecoder(c, section)
 	for _, entry := range n.Entries {
-		if err := each(entry); err != nil {
+		if err := decodeEntry(entry); err != nil {
 			return err
 		}
 	}
--- a/bundle/roll_test.go
+++ b/bundle/roll_test.go
@@ -27,27 +27,27 @@
 }
 
 func TestVerifyRoll(t *testing.T) {
-	heads := chain(t)
+	heads := rotationChain(t)
 	all := Roll{Sequence: 1, Stage: StageAll}
-	var few *TooFewSignaturesError
+	var tooFew *TooFewSignaturesError
 	assert.NilError(t, VerifyRoll(testRoll(t, all, heads[0], nil, "ada", "ben"), oldSet))
-	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[0], nil, "ada"), oldSet), &few))
+	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[0], nil, "ada"), oldSet), &tooFew))
 
-	// The version that rotates is rolled by the approvers it names: those it
-	// replaces may be the reason for it.
-	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[1], heads[0], "ada", "ben"), oldSet), &few))
+	// A roll of the version that replaces the approvers must be signed by the new
+	// approvers: distrust of the old ones may be the reason for the rotation.
+	assert.Assert(t, errors.As(VerifyRoll(testRoll(t, all, heads[1], heads[0], "ada", "ben"), oldSet), &tooFew))
 	rotating := testRoll(t, all, heads[1], heads[0], "dan", "eve")
 	assert.NilError(t, VerifyRoll(rotating, oldSet))
 	assert.NilError(t, VerifyRoll(rotating, newSet))
 
-	// A signature on a manifest is none on a roll.
+	// A signature on a manifest must not be valid for a roll.
 	forged := testRoll(t, all, heads[0], nil)
 	forged.Signatures = heads[0].Signatures
-	assert.Assert(t, errors.As(VerifyRoll(forged, oldSet), &few))
+	assert.Assert(t, errors.As(VerifyRoll(forged, oldSet), &tooFew))
 }
 
 func TestRollStructure(t *testing.T) {
-	heads := chain(t)
+	heads := rotationChain(t)
 	good := func() *SignedRoll {
 		return testRoll(t, Roll{Sequence: 3, Stage: StageCanary, Share: 100, Zones: []ident.Zone{"hall-a"}}, heads[1], heads[0])
 	}
@@ -118,8 +118,8 @@
 	}
 }
 
-// Widening a canary's share only adds instances, and the share comes out about
-// right over many instances.
+// Widening the share of a canary must only add instances, and the fraction of
+// instances covered must be close to the share.
 func TestShareOnlyGrows(t *testing.T) {
 	target := Ref{Version: 9}
 	covered := 0
@@ -135,7 +135,7 @@
 				covered++
 			}
 		}
-		assert.Assert(t, before, "a full share covers everyone")
+		assert.Assert(t, before, "a full share must cover every instance")
 	}
-	assert.Assert(t, covered > 150 && covered < 250, "covered %d of 2000 at a share of 100", covered)
+	assert.Assert(t, covered > 150 && covered < 250, "covered %d of 2000 instances at a share of 100, want 151 to 249", covered)
 }
--- a/bundle/source.go
+++ b/bundle/source.go
@@ -17,82 +17,83 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// MaxSourceBytes bounds a YAML source file.
+// MaxSourceBytes is the maximum size of a YAML source file.
 const MaxSourceBytes = 4 << 20
 
-// maxSourceDepth bounds how deep a source may nest, in brackets and block
-// indicators. The schema needs seven; the parser recurses, so the depth is
-// bounded before it runs.
+// maxSourceDepth is the maximum nesting depth of a source, in brackets and block
+// indicators. The schema needs seven levels. The YAML parser is recursive, so the
+// depth is checked before it runs.
 const maxSourceDepth = 32
 
-// ParseSource reads a bundle's YAML source and checks it as a whole. It returns
-// every fault it finds, with the position of each; the content is nil if there
-// is one. The name is used in findings only.
+// ParseSource parses and validates the YAML source of a bundle. It returns all
+// findings with their positions, sorted; the content is nil if there are any. The
+// name is used only in findings.
 func ParseSource(name string, b []byte) (*config.Content, Findings) {
-	w := &walker{positions: map[string]position{}}
-	content := w.read(b)
+	dec := &sourceDecoder{positions: map[string]position{}}
+	content := dec.decode(b)
 	if content != nil {
-		w.addChecks(Check(content))
+		dec.addChecks(Check(content))
 	}
-	w.locate(name)
-	if len(w.findings) > 0 {
-		return nil, w.findings
+	dec.setPositions(name)
+	if len(dec.findings) > 0 {
+		return nil, dec.findings
 	}
 	return content, nil
 }
 
-// read decodes the source. It returns nil if there is no tree to walk.
-func (w *walker) read(b []byte) *config.Content {
+// decode decodes the source. It returns nil if the source can't be parsed.
+func (dec *sourceDecoder) decode(b []byte) *config.Content {
 	if len(b) > MaxSourceBytes {
-		w.add("", RuleSize, fmt.Sprintf("the source has %d bytes", len(b)), fmt.Sprintf("at most %d", MaxSourceBytes))
+		dec.add("", RuleSize, fmt.Sprintf("the source has %d bytes", len(b)), fmt.Sprintf("at most %d", MaxSourceBytes))
 		return nil
 	}
-	root, ok := w.parse(b)
+	root, ok := dec.parse(b)
 	if !ok {
 		return nil
 	}
-	w.positions[""] = position{line: 1, column: 1}
+	dec.positions[""] = position{line: 1, column: 1}
 	var content config.Content
-	w.value("", root, reflect.ValueOf(&content).Elem())
+	dec.decodeValue("", root, reflect.ValueOf(&content).Elem())
 	return &content
 }
 
-// parse returns the root of the source's only document.
-func (w *walker) parse(b []byte) (ast.Node, bool) {
+// parse returns the root of the YAML document. A source must contain exactly one.
+func (dec *sourceDecoder) parse(b []byte) (ast.Node, bool) {
 	tokens := lexer.Tokenize(string(b))
-	if at, deep := tooDeep(tokens); deep {
-		w.positions[""] = at
-		w.add("", RuleSize, "the source nests too deep", fmt.Sprintf("at most %d levels", maxSourceDepth))
+	if at, deep := exceedsDepth(tokens); deep {
+		dec.positions[""] = at
+		dec.add("", RuleSize, "the source nests too deep", fmt.Sprintf("at most %d levels", maxSourceDepth))
 		return nil, false
 	}
 	file, err := parser.Parse(tokens, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		w.addSyntax(err)
+		dec.addSyntax(err)
 		return nil, false
 	}
 	docs := slices.DeleteFunc(file.Docs, func(d *ast.DocumentNode) bool { return d.Body == nil })
 	if len(docs) != 1 {
-		w.add("", RuleSyntax, fmt.Sprintf("the source holds %d YAML documents", len(docs)), "one bundle is one document")
+		dec.add("", RuleSyntax, fmt.Sprintf("the source holds %d YAML documents", len(docs)), "one bundle is one document")
 		return nil, false
 	}
 	return docs[0].Body, true
 }
 
-// addSyntax reports what the YAML parser said.
-func (w *walker) addSyntax(err error) {
-	wrong := err.Error()
+// addSyntax adds a finding for an error of the YAML parser.
+func (dec *sourceDecoder) addSyntax(err error) {
+	problem := err.Error()
 	var located yaml.Error
 	if errors.As(err, &located) {
-		wrong = located.GetMessage()
-		w.positions[""] = tokenPosition(located.GetToken())
+		problem = located.GetMessage()
+		dec.positions[""] = tokenPosition(located.GetToken())
 	}
-	w.add("", RuleSyntax, "not YAML: "+wrong, "see examples/ for the form")
+	dec.add("", RuleSyntax, "not YAML: "+problem, "see examples/ for the form")
 }
 
-// tooDeep reports whether the source nests deeper than maxSourceDepth, and
-// where. Flow brackets nest until closed; block sequences nest by their dashes
-// and block mappings by the columns of their keys.
-func tooDeep(tokens token.Tokens) (position, bool) {
+// exceedsDepth reports whether the nesting depth of the source exceeds
+// maxSourceDepth, and the position where it does. Flow collections nest by their
+// brackets, block sequences by the columns of their dashes, and block mappings by
+// those of their keys.
+func exceedsDepth(tokens token.Tokens) (position, bool) {
 	flow := 0
 	var columns []int
 	for _, t := range tokens {
@@ -111,8 +112,8 @@
 	return position{}, false
 }
 
-// pushColumn adds an indicator's column to the stack of open blocks, closing
-// those that stood at or right of it.
+// pushColumn pushes the column of an indicator on the stack of open blocks, after
+// removing the blocks at the same column or to the right of it.
 func pushColumn(columns []int, column int) []int {
 	for len(columns) > 0 && columns[len(columns)-1] >= column {
 		columns = columns[:len(columns)-1]
@@ -120,7 +121,7 @@
 	return append(columns, column)
 }
 
-// position is a place in the source, counted from 1.
+// position is a 1-based position in the source.
 type position struct{ line, column int }
 
 func tokenPosition(t *token.Token) position {
@@ -130,29 +131,30 @@
 	return position{line: t.Position.Line, column: t.Position.Column}
 }
 
-// addChecks adds the faults that Check found, except at fields that are already
-// reported: a value that could not be read is not also out of range.
-func (w *walker) addChecks(found Findings) {
+// addChecks adds the findings of Check, except for fields that already have one
+// and fields inside them: a value that could not be decoded must not be reported as
+// out of range as well.
+func (dec *sourceDecoder) addChecks(found Findings) {
 	reported := map[string]bool{}
-	for _, f := range w.findings {
+	for _, f := range dec.findings {
 		reported[f.Path] = true
 	}
 	for _, f := range found {
-		if !underReported(reported, f.Path) {
-			w.findings = append(w.findings, f)
+		if !isReported(reported, f.Path) {
+			dec.findings = append(dec.findings, f)
 		}
 	}
 }
 
-// underReported reports whether path or a field that holds it is in reported.
-func underReported(reported map[string]bool, path string) bool {
+// isReported reports whether path or one of its parents is in reported.
+func isReported(reported map[string]bool, path string) bool {
 	for path != "" && !reported[path] {
 		path = parentPath(path)
 	}
 	return reported[path]
 }
 
-// parentPath drops the last field or index of a path.
+// parentPath removes the last field or index from a path.
 func parentPath(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
@@ -161,25 +163,27 @@
 	return path[:i]
 }
 
-// locate fills in where each finding is and sorts them by position.
-func (w *walker) locate(file string) {
-	for i := range w.findings {
-		f := &w.findings[i]
+// setPositions sets the file and position of each finding, and sorts the findings
+// by position.
+func (dec *sourceDecoder) setPositions(file string) {
+	for i := range dec.findings {
+		f := &dec.findings[i]
 		f.File = file
 		if f.Line == 0 {
-			at := w.nearest(f.Path)
+			at := dec.nearestPosition(f.Path)
 			f.Line, f.Column = at.line, at.column
 		}
 	}
-	slices.SortStableFunc(w.findings, func(a, b Finding) int {
+	slices.SortStableFunc(dec.findings, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
 }
 
-// nearest returns the position of path, or of the nearest field that holds it.
-func (w *walker) nearest(path string) position {
+// nearestPosition returns the position of path, or of its nearest parent with a
+// position.
+func (dec *sourceDecoder) nearestPosition(path string) position {
 	for {
-		if at, ok := w.positions[path]; ok {
+		if at, ok := dec.positions[path]; ok {
 			return at
 		}
 		if path == "" {
--- a/cmd/wardspool-load/experiment.go
+++ b/cmd/wardspool-load/experiment.go
@@ -15,7 +15,8 @@
 	"github.com/wardspool/wardspool/report"
 )
 
-// experimentCmd runs the matrix, a quick part of it or one cell.
+// experimentCmd is the subcommand "experiment". It runs the full matrix of cells,
+// a quick subset of it, or the cells that the flags select.
 type experimentCmd struct {
 	Out      string   `help:"Directory of the CSV files and plots." default:"out"`
 	Examples string   `help:"Directory of the deployments: a folder each with bundle.yaml and workload.yaml." default:"examples"`
@@ -24,17 +25,17 @@
 	Quick    bool     `help:"One seed, loads 0.8, 1.0 and 1.5, no faults, nothing written."`
 	Only     []string `help:"Deployments to run." default:"coastline,lagos"`
 
-	Policy []string      `help:"Run these policies only: naive, current, ideal, v1, slots.lease and so on." placeholder:"NAME"`
-	Load   []float64     `help:"Run these loads only, as shares of capacity." placeholder:"SHARE"`
-	Fault  []string      `help:"Run these faults only; none is no fault." placeholder:"NAME"`
-	Seed   uint64        `help:"First seed." default:"1"`
-	Length time.Duration `help:"Measured time of each cell, in virtual time." placeholder:"DURATION"`
-	Warmup time.Duration `help:"Time before the measured one, in virtual time." default:"10s"`
-	Lag    time.Duration `help:"Age of load reports on arrival." default:"500ms" name:"load-lag"`
-	Jitter time.Duration `help:"Most that is added to a message's delay, at random." placeholder:"DURATION"`
-	Count  int           `help:"Number of entry instances, with --policy, --load or --fault." default:"8" name:"instances"`
-	Budget time.Duration `help:"Begin no more cells after this time; what is left out is said." default:"9m30s"`
-	Trace  string        `help:"Write every event and action of the only cell chosen to this file." placeholder:"FILE"`
+	Policy    []string      `help:"Run these policies only: naive, current, ideal, v1, slots.lease and so on." placeholder:"NAME"`
+	Load      []float64     `help:"Run these loads only, as shares of capacity." placeholder:"SHARE"`
+	Fault     []string      `help:"Run these faults only; none is no fault." placeholder:"NAME"`
+	Seed      uint64        `help:"First seed." default:"1"`
+	Length    time.Duration `help:"Measured time of each cell, in virtual time." placeholder:"DURATION"`
+	Warmup    time.Duration `help:"Time before the measured one, in virtual time." default:"10s"`
+	LoadLag   time.Duration `help:"Age of load reports on arrival." default:"500ms" name:"load-lag"`
+	Jitter    time.Duration `help:"Most that is added to a message's delay, at random." placeholder:"DURATION"`
+	Instances int           `help:"Number of entry instances, with --policy, --load or --fault." default:"8" name:"instances"`
+	Budget    time.Duration `help:"Begin no more cells after this time; what is left out is said." default:"9m30s"`
+	Trace     string        `help:"Write every event and action of the only cell chosen to this file." placeholder:"FILE"`
 }
 
 // Run implements the subcommand.
@@ -68,8 +69,8 @@
 	return nil
 }
 
-// PartialError reports that the time was up before all cells had run; the
-// results of those that ran are written.
+// PartialError reports that the time budget was used up before all cells had run.
+// The results of the cells that ran are written.
 type PartialError struct{ Ran, Cells int }
 
 // Error implements error.
@@ -77,7 +78,7 @@
 	return fmt.Sprintf("partial: %d of %d cells ran before the time was up", e.Ran, e.Cells)
 }
 
-// deployments loads the examples.
+// deployments loads the deployments that --only names.
 func (c *experimentCmd) deployments() ([]*experiment.Deployment, error) {
 	var list []*experiment.Deployment
 	for _, name := range c.Only {
@@ -90,7 +91,7 @@
 	return list, nil
 }
 
-// loadDeployment reads one folder.
+// loadDeployment reads a deployment from its directory.
 func loadDeployment(dir string) (*experiment.Deployment, error) {
 	path := filepath.Join(dir, "bundle.yaml")
 	source, err := os.ReadFile(path)
@@ -120,13 +121,13 @@
 	return spec, oops.In("workload").With("file", path).Wrap(err)
 }
 
-// cells chooses what to run.
+// cells returns the cells to run.
 func (c *experimentCmd) cells(deployments []*experiment.Deployment) []experiment.Cell {
 	chosen := len(c.Policy)+len(c.Load)+len(c.Fault) > 0
 	var cells []experiment.Cell
 	switch {
 	case chosen:
-		cells = c.chosenCells(deployments)
+		cells = c.selectedCells(deployments)
 	case c.Quick:
 		cells = experiment.QuickCells(deployments)
 	default:
@@ -135,7 +136,7 @@
 	for i := range cells {
 		cells[i].Warmup = c.Warmup
 		cells[i].Jitter = c.Jitter
-		cells[i].LoadLag = c.Lag
+		cells[i].LoadLag = c.LoadLag
 		if c.Length > 0 {
 			cells[i].Duration = c.Length
 		}
@@ -143,8 +144,9 @@
 	return cells
 }
 
-// chosenCells crosses what the flags name.
-func (c *experimentCmd) chosenCells(deployments []*experiment.Deployment) []experiment.Cell {
+// selectedCells returns a cell for each combination of the values that the flags
+// select.
+func (c *experimentCmd) selectedCells(deployments []*experiment.Deployment) []experiment.Cell {
 	policies := orDefault(c.Policy, []string{string(experiment.PolicyCurrent)})
 	loads := orDefault(c.Load, []float64{1.0})
 	faults := orDefault(c.Fault, []string{string(experiment.FaultNone)})
@@ -155,7 +157,7 @@
 				for _, f := range faults {
 					for n := range c.Seeds {
 						cell := experiment.NewCell(d, experiment.PolicyName(p), load, experiment.Fault(f), c.Seed+uint64(n))
-						cell.Instances = c.Count
+						cell.Instances = c.Instances
 						cells = append(cells, cell)
 					}
 				}
@@ -165,7 +167,7 @@
 	return cells
 }
 
-// orDefault returns list, or what stands for an empty one.
+// orDefault returns list, or otherwise if list is empty.
 func orDefault[T any](list, otherwise []T) []T {
 	if len(list) == 0 {
 		return otherwise
@@ -173,6 +175,7 @@
 	return list
 }
 
+// printCapacity prints the capacity of each deployment and what it follows from.
 func printCapacity(deployments []*experiment.Deployment) {
 	for _, d := range deployments {
 		k := d.Capacity()
@@ -182,10 +185,12 @@
 	}
 }
 
-// progressEvery is the number of cells between two progress lines.
+// progressEvery is the number of cells from one progress line to the next.
 const progressEvery = 25
 
-// progress prints violations at once and a line now and then.
+// progress prints the violations of a cell, and a progress line every
+// progressEvery cells. Those of the naive policy are left out: it retries requests
+// that may have run, so it is expected to violate the guarantees.
 func (c *experimentCmd) progress(done, total int, started time.Time, r *experiment.Result) {
 	if len(r.Violations) > 0 && r.Cell.Policy != experiment.PolicyNaive {
 		fmt.Printf("broken: %s %s load %.1f fault %s seed %d instances %d: %v; first: %s\n",
@@ -197,7 +202,7 @@
 	}
 }
 
-// trace runs one cell with a trace.
+// trace runs the first cell and writes its trace to a file.
 func (c *experimentCmd) trace(cells []experiment.Cell, deployments []*experiment.Deployment) error {
 	f, err := os.Create(c.Trace)
 	if err != nil {
@@ -221,7 +226,8 @@
 	return nil
 }
 
-// print writes the table of means to standard output.
+// print writes the table of means to standard output; with --quick, it has
+// further columns.
 func (c *experimentCmd) print(results []*experiment.Result) error {
 	list := experiment.Summarize(results)
 	table, err := experiment.Table(list)
@@ -240,7 +246,8 @@
 	return table.WriteText(os.Stdout)
 }
 
-// write prints the table and writes the files of a full run.
+// write prints the table and, without --quick, writes the CSV files, the plots and
+// the digest.
 func (c *experimentCmd) write(results []*experiment.Result) error {
 	if err := c.print(results); err != nil || c.Quick {
 		return err
@@ -268,7 +275,7 @@
 	return experiment.SavePlots(filepath.Join(c.Out, "experiment"), list, surges)
 }
 
-// writeDigest writes the tables of docs/measurements.md.
+// writeDigest writes the Markdown tables for docs/measurements.md.
 func (c *experimentCmd) writeDigest(list []*experiment.Summary, surges []*experiment.Timeline) error {
 	f, err := os.Create(filepath.Join(c.Out, "experiment.md"))
 	if err != nil {
--- a/cmd/wardspoolctl/ask.go
+++ b/cmd/wardspoolctl/ask.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// askFlags say which entry instances to ask, and as whom.
-type askFlags struct {
+// queryFlags are the flags of commands that query entry instances.
+type queryFlags struct {
 	Instances []string `required:"" placeholder:"IP:PORT" help:"Operators' addresses of the entry instances to ask (operators.listen in their settings), separated by commas."`
 	operatorFlags
 	Timeout time.Duration `default:"3s" help:"How long to wait for answers."`
 }
 
-// askExit ends the program with a code after its output was printed.
-type askExit struct{ Code int }
+// exitCodeError makes the program exit with Code without printing an error, as the
+// output was printed already.
+type exitCodeError struct{ Code int }
 
 // Error implements error.
-func (e *askExit) Error() string { return fmt.Sprintf("exit code %d", e.Code) }
+func (e *exitCodeError) Error() string { return fmt.Sprintf("exit code %d", e.Code) }
 
-// ExitCode tells kong the program's exit code.
-func (e *askExit) ExitCode() int { return e.Code }
+// ExitCode implements kong.ExitCoder.
+func (e *exitCodeError) ExitCode() int { return e.Code }
 
-// answer is what the instances said, in a form for people.
-type answer interface{ Write(w io.Writer) error }
+// report is the combined result of a query, which can be written as tables.
+type report interface{ Write(w io.Writer) error }
 
-// printAnswer prints tables or JSON.
-func printAnswer(a answer, asJSON bool) error {
+// printReport writes a report to standard output, as tables or as JSON.
+func printReport(r report, asJSON bool) error {
 	if asJSON {
-		return json.NewEncoder(os.Stdout).Encode(a)
+		return json.NewEncoder(os.Stdout).Encode(r)
 	}
-	return a.Write(os.Stdout)
+	return r.Write(os.Stdout)
 }
--- a/cmd/wardspoolctl/explain.go
+++ b/cmd/wardspoolctl/explain.go
@@ -10,11 +10,11 @@
 // explainCmd is the subcommand "explain".
 type explainCmd struct {
 	Request string `arg:"" help:"Request ID, as in the answer's X-Request-Id header."`
-	askFlags
+	queryFlags
 	JSON bool `name:"json" help:"Print JSON in place of a table."`
 }
 
-// Help is shown by "explain --help".
+// Help returns the text that "explain --help" adds.
 func (explainCmd) Help() string {
 	return `Asks running entry instances live why a request went where it did, why it
 waited and why it was refused. Each line is one decision:
@@ -28,11 +28,11 @@
 
 // Exit codes of explain.
 const (
-	exitNotFound  = 1
-	exitUnreached = 2
+	exitNotFound    = 1
+	exitUnreachable = 2
 )
 
-// Run asks the instances and prints what they know.
+// Run queries the instances for the decisions on a request and prints them.
 func (c *explainCmd) Run(ctx context.Context) error {
 	pool, err := c.pool()
 	if err != nil {
@@ -42,15 +42,15 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	e := console.Explain(ctx, pool, c.Instances, ident.RequestID(c.Request))
-	if err := printAnswer(&e, c.JSON); err != nil {
+	if err := printReport(&e, c.JSON); err != nil {
 		return err
 	}
 	switch {
 	case len(e.Found) > 0:
 		return nil
-	case len(e.Unreached) > 0:
-		return &askExit{Code: exitUnreached}
+	case len(e.Unreachable) > 0:
+		return &exitCodeError{Code: exitUnreachable}
 	default:
-		return &askExit{Code: exitNotFound}
+		return &exitCodeError{Code: exitNotFound}
 	}
 }
--- a/cmd/wardspoolctl/fleet.go
+++ b/cmd/wardspoolctl/fleet.go
@@ -20,7 +20,7 @@
 	JSON    bool          `name:"json" help:"Print one JSON object a look in place of tables."`
 }
 
-// Help is shown by "fleet --help".
+// Help returns the text that "fleet --help" adds.
 func (fleetCmd) Help() string {
 	return `Shows, for each agent asked: the bundle version in force on it and on its entry,
 the newest roll it knows, alarms with the step to take, whom it sees and whom it
@@ -40,7 +40,7 @@
 	exitNoAnswers = 2
 )
 
-// Run looks once, or until the user stops it.
+// Run queries the agents once or, with --watch, until the user interrupts it.
 func (c *fleetCmd) Run(ctx context.Context) error {
 	pool, err := c.pool()
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 	defer pool.Close()
 	for {
-		f, err := c.look(ctx, pool)
+		f, err := c.poll(ctx, pool)
 		if err != nil {
 			return err
 		}
@@ -63,25 +63,25 @@
 	}
 }
 
-// look takes one look and prints it.
-func (c *fleetCmd) look(ctx context.Context, pool *peer.Pool) (*console.Fleet, error) {
+// poll queries all agents once and prints the result.
+func (c *fleetCmd) poll(ctx context.Context, pool *peer.Pool) (*console.Fleet, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	f := console.Look(ctx, pool, c.Agents)
+	f := console.QueryFleet(ctx, pool, c.Agents)
 	if c.Watch && !c.JSON {
 		fmt.Fprint(os.Stdout, clearScreen)
 	}
-	return f, printAnswer(f, c.JSON)
+	return f, printReport(f, c.JSON)
 }
 
-// fleetExit turns what was seen into the exit code.
+// fleetExit returns the error that sets the exit code for a result.
 func fleetExit(f *console.Fleet) error {
-	if len(f.Unreached) > 0 {
-		return &askExit{Code: exitNoAnswers}
+	if len(f.Unreachable) > 0 {
+		return &exitCodeError{Code: exitNoAnswers}
 	}
 	for _, s := range f.Agents {
 		if len(s.Alarms) > 0 {
-			return &askExit{Code: exitAlarm}
+			return &exitCodeError{Code: exitAlarm}
 		}
 	}
 	return nil
--- a/cmd/wardspoolctl/limits.go
+++ b/cmd/wardspoolctl/limits.go
@@ -13,10 +13,10 @@
 
 // limitsCmd is the subcommand "limits".
 type limitsCmd struct {
-	instanceArgs `embed:""`
+	instanceFlags `embed:""`
 }
 
-// Help is shown by "limits --help".
+// Help returns the text that "limits --help" adds.
 func (limitsCmd) Help() string {
 	return `Shows the limit of each workspace, and since the instances asked have started: what their
 callers were granted of it, refused, and gave back for requests that did not run, all in the
@@ -29,30 +29,31 @@
 Exit codes: 0, or 2 if an instance gave no answer.`
 }
 
-// limitRow is a workspace's limit over the instances that were asked.
+// limitRow is a workspace's limit, with its use summed over the instances queried. Accounts is the
+// number of them that hold an account, and Level the sum of these accounts' levels.
 type limitRow struct {
 	limit.Status
 	Accounts int `json:"accounts"`
 }
 
-// limitsAnswer is what the instances said.
-type limitsAnswer struct {
-	Workspaces []limitRow `json:"workspaces"`
-	Unreached  []string   `json:"unreached"`
+// limitsReport is the combined result of all instances.
+type limitsReport struct {
+	Workspaces  []limitRow `json:"workspaces"`
+	Unreachable []string   `json:"unreached"`
 }
 
-// Run asks the instances and prints what they say.
+// Run queries the instances and prints the combined result.
 func (c *limitsCmd) Run(ctx context.Context) error {
 	a := c.collect(ctx)
-	return c.finish(a, a.Unreached)
+	return c.print(a, a.Unreachable)
 }
 
-// collect asks the instances and adds up what they say.
-func (c *limitsCmd) collect(ctx context.Context) *limitsAnswer {
-	a := &limitsAnswer{Workspaces: []limitRow{}}
+// collect queries the instances and adds up their figures.
+func (c *limitsCmd) collect(ctx context.Context) *limitsReport {
+	a := &limitsReport{Workspaces: []limitRow{}}
 	rows := map[string]*limitRow{}
-	a.Unreached = askInstances(ctx, &c.instanceArgs, "/limits", func(said []limit.Status) {
-		for _, s := range said {
+	a.Unreachable = queryInstances(ctx, &c.instanceFlags, "/limits", func(statuses []limit.Status) {
+		for _, s := range statuses {
 			if rows[s.Workspace] == nil {
 				rows[s.Workspace] = &limitRow{Status: limit.Status{Workspace: s.Workspace, Rate: s.Rate, Burst: s.Burst, Unit: s.Unit}}
 			}
@@ -68,7 +69,7 @@
 	return a
 }
 
-// add adds what one instance says.
+// add adds the figures of one instance.
 func (r *limitRow) add(s limit.Status) {
 	r.Granted += s.Granted
 	r.Refused += s.Refused
@@ -79,14 +80,14 @@
 	}
 }
 
-// Write implements answer.
-func (a *limitsAnswer) Write(out io.Writer) error {
+// Write implements report.
+func (a *limitsReport) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WORKSPACE\tUNIT\tRATE/S\tBURST\tLEFT\tACCOUNTS\tGRANTED\tREFUSED\tRETURNED")
 	for _, r := range a.Workspaces {
 		fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%d\t%.0f\t%.0f\t%.0f\n",
 			r.Workspace, r.Unit, r.Rate, r.Burst, r.Level, r.Accounts, r.Granted, r.Refused, r.Returned)
 	}
-	writeUnreached(w, a.Unreached)
+	writeUnreachable(w, a.Unreachable)
 	return w.Flush()
 }
--- a/cmd/wardspoolctl/run.go
+++ b/cmd/wardspoolctl/run.go
@@ -10,13 +10,12 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes that all commands share. Commands that ask instances have further
-// ones, which their help names.
+// Exit codes of all commands. Commands that query instances have additional ones,
+// listed in their help.
 const (
-	// exitRefused means that something was checked and refused, or could not be
-	// read.
+	// exitRefused means that an input was refused or could not be read.
 	exitRefused = 1
-	// exitUsage means that the command line is wrong.
+	// exitUsage means that the command line is invalid.
 	exitUsage = 2
 )
 
@@ -26,6 +25,7 @@
 	Out, Err io.Writer
 }
 
+// description is the first part of the help text.
 const description = `Make, check, sign, roll and pack wardspool's configuration bundles, and ask
 running instances what they do.
 
@@ -44,13 +44,14 @@
 Exit codes: 0 done, 1 findings or refused, 2 wrong usage; commands that ask
 instances have their own. docs/operators/bundles.md is the long form.`
 
-// exited carries the exit code of --help and --version out of the parser.
-type exited struct{ code int }
+// parserExit is the value of the panic that ends the parser after --help or --version;
+// kong expects its exit function not to return.
+type parserExit struct{ code int }
 
-// run runs the program and returns its exit code.
+// run parses the command line, runs the command and returns the exit code.
 func run(ctx context.Context, args []string, s streams) (code int) {
 	defer func() {
-		if e, ok := recover().(exited); ok {
+		if e, ok := recover().(parserExit); ok {
 			code = e.code
 		}
 	}()
@@ -60,7 +61,7 @@
 		kong.Description(description),
 		kong.Vars{"version": version()},
 		kong.Writers(s.Out, s.Err),
-		kong.Exit(func(code int) { panic(exited{code: code}) }),
+		kong.Exit(func(code int) { panic(parserExit{code: code}) }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
 		kong.BindTo(ctx, (*context.Context)(nil)),
 		kong.Bind(s),
@@ -73,12 +74,12 @@
 		fmt.Fprintf(s.Err, "wardspoolctl: %v; see wardspoolctl --help\n", err)
 		return exitUsage
 	}
-	return finish(command.Run(), s)
+	return reportError(command.Run(), s)
 }
 
-// finish reports a command's error and returns the exit code.
-func finish(err error, s streams) int {
-	var silent *askExit
+// reportError prints a command's error and returns the exit code.
+func reportError(err error, s streams) int {
+	var silent *exitCodeError
 	var coded kong.ExitCoder
 	switch {
 	case err == nil:
@@ -93,7 +94,7 @@
 	return exitRefused
 }
 
-// version returns the version that the build recorded.
+// version returns the module version in the build information.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/configservice/stale.go
+++ b/configservice/stale.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// checkFresh notes the index of a value, or reports that a newer one was seen.
+// checkFresh records the index of a value. It returns a *StaleError if a higher
+// index was seen before.
 func (c *Client) checkFresh(key string, v Value) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -14,12 +15,13 @@
 		return staleError(key, s, v)
 	}
 	if !ok || v.Index > s.index {
-		c.seen[key] = sighting{index: v.Index, at: time.Now()}
+		c.seen[key] = seenIndex{index: v.Index, at: time.Now()}
 	}
 	return nil
 }
 
-// checkUnchanged reports a 304 whose index is lower than one seen.
+// checkUnchanged returns a *StaleError for a 304 response whose index is lower
+// than one seen before.
 func (c *Client) checkUnchanged(key string, resp *http.Response) error {
 	index, ok := readIndex(resp.Header)
 	if !ok {
@@ -33,16 +35,17 @@
 	return nil
 }
 
-// staleError describes a value older than the one sighted.
-func staleError(key string, s sighting, v Value) error {
+// staleError returns the error for a value older than the newest one seen.
+func staleError(key string, s seenIndex, v Value) error {
 	return &StaleError{Key: key, Seen: s.index, Got: v, Age: time.Since(s.at)}
 }
 
-// noteIndex raises the highest index seen, as known from elsewhere.
-func (c *Client) noteIndex(key string, index uint64) {
+// raiseIndex raises the highest index seen to one that the caller of Watch
+// already has.
+func (c *Client) raiseIndex(key string, index uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s, ok := c.seen[key]; index > 0 && (!ok || index > s.index) {
-		c.seen[key] = sighting{index: index, at: time.Now()}
+		c.seen[key] = seenIndex{index: index, at: time.Now()}
 	}
 }
--- a/experiment/fault.go
+++ b/experiment/fault.go
@@ -10,44 +10,47 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Fault names what goes wrong in a run. Several are joined by "+". Each happens
-// at a third of the measured time, or as long after the start of the run as
-// follows its name, for example "decode_kill@12s+zone_cut@15s".
+// Fault names the faults injected in a run, joined by "+". Each is injected
+// after a third of the measured time, or at the offset from the start of the run
+// that follows its name, for example "decode_kill@12s+zone_cut@15s".
 type Fault string
 
-// The faults.
+// The faults that a Cell can name.
 const (
 	FaultNone Fault = "none"
-	// FaultInstanceKill kills an entry instance; it is replaced later.
+	// FaultInstanceKill kills an entry instance, which restarts after
+	// killLength.
 	FaultInstanceKill Fault = "instance_kill"
-	// FaultInstanceFreeze stops an entry instance, which wakes late with an
-	// old view.
+	// FaultInstanceFreeze pauses an entry instance, which resumes with a stale
+	// view.
 	FaultInstanceFreeze Fault = "instance_freeze"
-	// FaultDecodeKill kills a decode engine; it is replaced later.
+	// FaultDecodeKill kills a decode engine, which restarts after killLength.
 	FaultDecodeKill Fault = "decode_kill"
-	// FaultPrefillKill kills a prefill engine; it is replaced later.
+	// FaultPrefillKill kills a prefill engine, which restarts after killLength.
 	FaultPrefillKill Fault = "prefill_kill"
-	// FaultServiceKill kills a plain service; it is replaced later.
+	// FaultServiceKill kills a plain service, which restarts after killLength.
 	FaultServiceKill Fault = "service_kill"
-	// FaultTransferStall stops all transfers out of a prefill engine.
+	// FaultTransferStall stops all KV transfers out of a prefill engine.
 	FaultTransferStall Fault = "transfer_stall"
-	// FaultZoneCut separates a zone from the others.
+	// FaultZoneCut partitions a zone from the others.
 	FaultZoneCut Fault = "zone_cut"
-	// FaultPeerCut separates one instance from its peers, but from nothing else.
+	// FaultPeerCut partitions one instance from its peers, but from nothing
+	// else.
 	FaultPeerCut Fault = "peer_cut"
-	// FaultSurge raises the load to surgeLoad for a while.
+	// FaultSurge raises the load to surgeLoad for surgeLength.
 	FaultSurge Fault = "surge"
-	// FaultPlatformDown keeps the platform's list as it was.
+	// FaultPlatformDown stops updates of the platform's list of running
+	// processes.
 	FaultPlatformDown Fault = "platform_down"
 )
 
-// SingleFaults lists the faults that can happen alone.
+// SingleFaults lists the faults that the matrix injects alone.
 var SingleFaults = []Fault{
 	FaultInstanceKill, FaultInstanceFreeze, FaultDecodeKill, FaultPrefillKill,
 	FaultServiceKill, FaultTransferStall, FaultZoneCut, FaultPeerCut, FaultPlatformDown,
 }
 
-// DoubleFaults lists the pairs of faults that the matrix runs.
+// DoubleFaults lists the pairs of faults that the matrix injects together.
 var DoubleFaults = []Fault{
 	FaultInstanceKill + "+" + FaultDecodeKill,
 	FaultInstanceFreeze + "+" + FaultZoneCut,
@@ -55,16 +58,16 @@
 	FaultTransferStall + "+" + FaultPeerCut,
 }
 
-// Lengths of the faults.
+// Durations of the faults.
 const (
-	killLength  = 8 * time.Second
-	freezeTime  = 6 * time.Second
-	stallLength = 5 * time.Second
-	cutLength   = 10 * time.Second
+	killLength   = 8 * time.Second
+	freezeLength = 6 * time.Second
+	stallLength  = 5 * time.Second
+	cutLength    = 10 * time.Second
 )
 
-// scheduleFaults plans the cell's faults. It returns a *FaultError if it doesn't
-// know one of them.
+// scheduleFaults schedules the cell's faults. It returns a *FaultError if one of
+// them doesn't exist.
 func (w *world) scheduleFaults() error {
 	for _, part := range strings.Split(string(w.cell.Fault), "+") {
 		name, after, timed := strings.Cut(part, "@")
@@ -80,24 +83,24 @@
 			}
 			at = offset
 		}
-		w.clock.at(at, func() { w.bringAbout(f) })
+		w.clock.at(at, func() { w.inject(f) })
 	}
 	return nil
 }
 
-// FaultError reports a fault that the experiment doesn't have.
+// FaultError reports a fault that doesn't exist or that has an invalid offset.
 type FaultError struct{ Fault Fault }
 
 // Error implements error.
 func (e *FaultError) Error() string { return fmt.Sprintf("no fault %q", string(e.Fault)) }
 
-// bringAbout makes one fault happen now.
-func (w *world) bringAbout(f Fault) {
+// inject makes one fault happen now.
+func (w *world) inject(f Fault) {
 	switch f {
 	case FaultInstanceKill:
-		w.withInstance(w.killInstance)
+		w.withTargetInstance(w.killInstance)
 	case FaultInstanceFreeze:
-		w.withInstance(w.freezeInstance)
+		w.withTargetInstance(w.freezeInstance)
 	case FaultDecodeKill:
 		w.killUpstream(w.pick(config.RoleDecode))
 	case FaultPrefillKill:
@@ -109,23 +112,23 @@
 	case FaultZoneCut:
 		w.cutZone()
 	case FaultPeerCut:
-		w.withInstance(w.cutPeer)
+		w.withTargetInstance(w.cutPeer)
 	case FaultSurge:
-		w.callers.surge()
+		w.callers.startSurge()
 	case FaultPlatformDown:
 		w.platformDown = true
 		w.clock.after(2*cutLength, func() {
 			w.platformDown = false
-			w.disturbedAt = w.clock.now
-			w.viewsChange()
+			w.recoveredAt = w.clock.now
+			w.scheduleViewRefresh()
 		})
 	}
 }
 
-// withInstance does something to the instance that has received most peer
-// messages, on which the others depend most, or to one drawn at random if there
-// were none. The ideal has no instance that could fail.
-func (w *world) withInstance(do func(*instance)) {
+// withTargetInstance applies a fault to the instance that has received the most
+// peer messages, since the others depend on it most, or to a random one if there
+// were none. The ideal scheduler has no instance that could fail.
+func (w *world) withTargetInstance(do func(*instance)) {
 	if len(w.instances) == 0 {
 		return
 	}
@@ -138,10 +141,10 @@
 	do(chosen)
 }
 
-// pick draws an upstream of a role.
+// pick returns a random upstream of a role.
 func (w *world) pick(role config.Role) backend {
 	var list []backend
-	for _, id := range w.order {
+	for _, id := range w.upstreamOrder {
 		if w.backends[id].base().spec.Role == role {
 			list = append(list, w.backends[id])
 		}
@@ -149,74 +152,75 @@
 	return list[w.rng.IntN(len(list))]
 }
 
-// killInstance ends an instance's life and starts the next one later.
+// killInstance kills an instance's process and starts a new one after
+// killLength.
 func (w *world) killInstance(inst *instance) {
-	l := inst.life
-	if l.dead {
+	p := inst.process
+	if p.dead {
 		return
 	}
-	l.dead = true
+	p.dead = true
 	inst.downAt = w.clock.now
-	for _, id := range sortedKeys(l.subs) {
-		sub := l.subs[id]
-		if sub.over {
+	for _, id := range sortedKeys(p.subs) {
+		sub := p.subs[id]
+		if sub.closed {
 			continue
 		}
-		sub.end(w.clock.now)
-		w.clock.after(w.clientDelay(), func() { w.callers.broken(sub) })
+		sub.close(w.clock.now)
+		w.clock.after(w.clientDelay(), func() { w.callers.handleBrokenConnection(sub) })
 	}
-	w.viewsChange()
+	w.scheduleViewRefresh()
 	w.clock.after(killLength, func() {
-		if err := w.start(inst); err != nil {
-			w.judge.rejected = err
+		if err := w.startProcess(inst); err != nil {
+			w.checker.rejected = err
 		}
-		w.viewsChange()
+		w.scheduleViewRefresh()
 	})
 }
 
-// freezeInstance stops a process and lets it run on later.
+// freezeInstance pauses an instance's process for freezeLength.
 func (w *world) freezeInstance(inst *instance) {
-	l := inst.life
-	if l.dead || l.frozen {
+	p := inst.process
+	if p.dead || p.frozen {
 		return
 	}
-	l.frozen, l.frozenAt = true, w.clock.now
-	w.viewsChange()
-	w.clock.after(freezeTime, func() { w.thaw(l) })
+	p.frozen, p.frozenAt = true, w.clock.now
+	w.scheduleViewRefresh()
+	w.clock.after(freezeLength, func() { w.resume(p) })
 }
 
-// thaw lets a process run on: it meets what arrived meanwhile, with a view as
-// old as its sleep.
-func (w *world) thaw(l *life) {
-	if l.dead {
+// resume lets a paused process continue. It first handles what arrived
+// meanwhile, with the view that it had when it was paused.
+func (w *world) resume(p *process) {
+	if p.dead {
 		return
 	}
-	l.frozen = false
-	w.disturbedAt = w.clock.now
-	inbox := l.inbox
-	l.inbox = nil
-	l.step(kernel.Paused{Gap: w.clock.now - l.frozenAt})
+	p.frozen = false
+	w.recoveredAt = w.clock.now
+	inbox := p.inbox
+	p.inbox = nil
+	p.step(kernel.Paused{Gap: w.clock.now - p.frozenAt})
 	for _, ev := range inbox {
-		l.step(ev)
+		p.step(ev)
 	}
-	w.clock.after(heartbeatLag/2, func() { w.refresh(l) })
-	w.viewsChange()
+	w.clock.after(heartbeatLag/2, func() { w.refreshView(p) })
+	w.scheduleViewRefresh()
 }
 
-// killUpstream kills a back end and starts its next life later.
+// killUpstream kills an upstream and restarts it after killLength.
 func (w *world) killUpstream(b backend) {
 	if !b.base().alive {
 		return
 	}
 	b.kill()
-	w.viewsChange()
+	w.scheduleViewRefresh()
 	w.clock.after(killLength, func() {
-		b.base().revive()
-		w.viewsChange()
+		b.base().restart()
+		w.scheduleViewRefresh()
 	})
 }
 
-// stallTransfers stops the link of one prefill engine for a while.
+// stallTransfers stalls the link of one prefill engine for stallLength.
 func (w *world) stallTransfers() {
 	e, ok := w.pick(config.RolePrefill).(*prefillEngine)
 	if !ok {
@@ -226,52 +230,53 @@
 	w.clock.after(stallLength, func() { e.setStalled(false) })
 }
 
-// cutZone separates one zone from the others for a while. It doesn't touch the
-// ideal, which is everywhere at once.
+// cutZone partitions one zone from the others for cutLength. It doesn't affect
+// the ideal scheduler, which has no location.
 func (w *world) cutZone() {
 	if w.ideal != nil {
 		return
 	}
 	zones := w.zones()
-	lone := zones[w.rng.IntN(len(zones))]
+	isolated := zones[w.rng.IntN(len(zones))]
 	for _, z := range zones {
-		if z != lone {
-			w.net.cut[pairOf(lone, z)] = true
+		if z != isolated {
+			w.net.partitioned[newZonePair(isolated, z)] = true
 		}
 	}
-	w.breakAcrossCuts()
-	w.viewsChange()
+	w.breakPartitioned()
+	w.scheduleViewRefresh()
 	w.clock.after(cutLength, func() {
-		clear(w.net.cut)
-		w.disturbedAt = w.clock.now
-		w.viewsChange()
+		clear(w.net.partitioned)
+		w.recoveredAt = w.clock.now
+		w.scheduleViewRefresh()
 	})
 }
 
-// breakAcrossCuts breaks what is in flight between zones now separated.
-func (w *world) breakAcrossCuts() {
-	for _, id := range w.order {
+// breakPartitioned interrupts transfers and streams between zones that are now
+// partitioned.
+func (w *world) breakPartitioned() {
+	for _, id := range w.upstreamOrder {
 		if e, ok := w.backends[id].(*prefillEngine); ok {
-			e.stallCut()
+			e.stallPartitioned()
 		}
 	}
 	for _, inst := range w.instances {
-		for _, id := range sortedAttempts(inst.life.attempts) {
-			a := inst.life.attempts[id]
-			if !a.over && !w.net.connected(inst.zone, a.upstream.base().zone) {
-				w.breakOff(a, streamTimeout)
+		for _, id := range sortedAttempts(inst.process.attempts) {
+			a := inst.process.attempts[id]
+			if !a.ended && !w.net.connected(inst.zone, a.upstream.base().zone) {
+				w.breakConnection(a, streamTimeout)
 			}
 		}
 	}
 }
 
-// cutPeer separates one instance from its peers for a while.
+// cutPeer partitions one instance from its peers for cutLength.
 func (w *world) cutPeer(inst *instance) {
 	w.net.isolated[inst.id] = true
-	w.viewsChange()
+	w.scheduleViewRefresh()
 	w.clock.after(cutLength, func() {
 		delete(w.net.isolated, inst.id)
-		w.disturbedAt = w.clock.now
-		w.viewsChange()
+		w.recoveredAt = w.clock.now
+		w.scheduleViewRefresh()
 	})
 }
--- a/experiment/prefill.go
+++ b/experiment/prefill.go
@@ -11,8 +11,9 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// prefillEngine computes one prompt at a time, by priority and then in order of
-// arrival, holds each result for a while and sends it over its link.
+// prefillEngine simulates a prefill engine: it computes one prompt at a time, by
+// priority and then in order of arrival, keeps each result for its lifetime and
+// sends it over its link.
 type prefillEngine struct {
 	upstream
 	w      *world
@@ -21,10 +22,10 @@
 
 	queue   []*attempt
 	current *attempt
-	// startedAt and todo describe the prompt being computed.
-	startedAt time.Duration
-	todo      int
-	held      map[ident.AttemptID]*attempt
+	// startedAt and uncachedTokens describe the prompt being computed.
+	startedAt      time.Duration
+	uncachedTokens int
+	held           map[ident.AttemptID]*attempt
 
 	link     *perf.Link
 	stalled  bool
@@ -41,7 +42,7 @@
 	return e
 }
 
-// reset empties everything but the prefix cache.
+// reset clears everything but the prefix cache.
 func (e *prefillEngine) reset() {
 	e.queue, e.current = nil, nil
 	e.held = map[ident.AttemptID]*attempt{}
@@ -51,7 +52,7 @@
 
 func (e *prefillEngine) accept(a *attempt) *kernel.AttemptFailed {
 	if a.role != config.RolePrefill {
-		return refusal(a, kernel.FailureModel)
+		return newRefusal(a, kernel.FailureModel)
 	}
 	e.queue = append(e.queue, a)
 	sort.SliceStable(e.queue, func(i, j int) bool {
@@ -61,31 +62,33 @@
 	return nil
 }
 
-// startNext begins to compute the first prompt of the queue.
+// startNext starts computing the first prompt of the queue if the engine is
+// idle.
 func (e *prefillEngine) startNext() {
 	if e.current != nil || len(e.queue) == 0 {
 		return
 	}
 	a := e.queue[0]
 	e.queue = e.queue[1:]
-	a.ran = true
+	a.started = true
 	e.current = a
 	e.startedAt = e.w.clock.now
 	length := a.promptTokens()
-	e.todo = e.params.Uncached(length, e.cache.Match(a.blocks()))
-	life := e.incarnation
-	e.w.clock.after(e.params.PrefillDuration(e.todo), func() {
-		if e.current == a && e.incarnation == life {
-			e.finish(a)
+	e.uncachedTokens = e.params.Uncached(length, e.cache.Match(a.blocks()))
+	incarnation := e.incarnation
+	e.w.clock.after(e.params.PrefillDuration(e.uncachedTokens), func() {
+		if e.current == a && e.incarnation == incarnation {
+			e.completeCurrent(a)
 		}
 	})
 }
 
-// promptTokens is the length of the prompt with the output to continue from.
-func (a *attempt) promptTokens() int { return a.sub.request.PromptTokens + a.from }
+// promptTokens returns the length of the prompt plus the output to continue
+// from.
+func (a *attempt) promptTokens() int { return a.sub.request.PromptTokens + a.startOffset }
 
-// blocks are the hashes of the prompt's pieces. Output to continue from is
-// never found in a cache.
+// blocks returns the block hashes of the prompt. Output to continue from is
+// never in a prefix cache.
 func (a *attempt) blocks() []tokens.BlockHash {
 	blocks := make([]tokens.BlockHash, len(a.sub.request.Blocks))
 	for i, b := range a.sub.request.Blocks {
@@ -94,43 +97,43 @@
 	return blocks
 }
 
-// finish holds the result of a prompt and reports it.
-func (e *prefillEngine) finish(a *attempt) {
+// completeCurrent stores the result of a prompt and reports it.
+func (e *prefillEngine) completeCurrent(a *attempt) {
 	now := e.w.clock.now
 	e.current = nil
-	a.computed = e.todo
-	a.prefilled = now
-	e.w.judge.computed(a, e.todo)
+	a.computedTokens = e.uncachedTokens
+	a.prefilledAt = now
+	e.w.checker.addComputed(a, e.uncachedTokens)
 	e.held[a.id] = a
 	added, evicted := e.cache.Insert(a.blocks())
 	e.w.feeds.cacheChanged(e, added, evicted)
-	cached := a.promptTokens() - e.todo
+	cached := a.promptTokens() - e.uncachedTokens
 	e.w.report(a, kernel.PrefillDone{
 		Attempt:      a.id,
 		KV:           kernel.KVHandle{Engine: e.spec.ID, Params: []byte(a.id.String())},
 		CachedTokens: cached,
 	})
-	life := e.incarnation
+	incarnation := e.incarnation
 	e.w.clock.after(e.params.KVLifetime, func() {
-		if e.incarnation == life && e.held[a.id] == a {
-			e.drop(a, wasteEvicted)
+		if e.incarnation == incarnation && e.held[a.id] == a {
+			e.discard(a, wasteEvicted)
 		}
 	})
 	e.startNext()
 }
 
-// drop ends an attempt whose result was not used.
-func (e *prefillEngine) drop(a *attempt, cause wasteCause) {
+// discard drops a result that was not used.
+func (e *prefillEngine) discard(a *attempt, cause wasteCause) {
 	delete(e.held, a.id)
-	a.over = true
-	e.w.judge.wasted(a, cause)
+	a.ended = true
+	e.w.checker.addWasted(a, cause)
 }
 
 func (e *prefillEngine) cancel(id ident.AttemptID) {
 	for i, a := range e.queue {
 		if a.id == id {
 			e.queue = append(e.queue[:i:i], e.queue[i+1:]...)
-			a.over = true
+			a.ended = true
 			return
 		}
 	}
@@ -140,30 +143,31 @@
 		return
 	}
 	if a, ok := e.held[id]; ok {
-		e.drop(a, wasteCancelled)
+		e.discard(a, wasteCancelled)
 		return
 	}
 	for _, flow := range sortedKeys(e.flows) {
 		t := e.flows[flow]
-		if t.a.id != id {
+		if t.prefill.id != id {
 			continue
 		}
 		e.removeFlow(flow)
-		e.drop(t.a, wasteCancelled)
+		e.discard(t.prefill, wasteCancelled)
 		t.done(false)
-		e.settle()
+		e.completeTransfers()
 	}
 }
 
-// abandonCurrent stops computing; what was computed is wasted.
+// abandonCurrent stops the current computation; what was computed so far is
+// wasted.
 func (e *prefillEngine) abandonCurrent(cause wasteCause) {
 	a := e.current
 	e.current = nil
 	spent := (e.w.clock.now - e.startedAt).Seconds() * e.params.PrefillTokensPerSecond
-	a.computed = min(int(spent), e.todo)
-	a.over = true
-	e.w.judge.computed(a, a.computed)
-	e.w.judge.wasted(a, cause)
+	a.computedTokens = min(int(spent), e.uncachedTokens)
+	a.ended = true
+	e.w.checker.addComputed(a, a.computedTokens)
+	e.w.checker.addWasted(a, cause)
 }
 
 func (e *prefillEngine) kill() {
@@ -173,7 +177,7 @@
 		e.abandonCurrent(wasteKilled)
 	}
 	for _, id := range sortedAttempts(e.held) {
-		e.drop(e.held[id], wasteKilled)
+		e.discard(e.held[id], wasteKilled)
 	}
 	flows := e.flows
 	e.reset()
@@ -181,12 +185,12 @@
 	e.markDead(e.w.clock.now)
 	for _, id := range sortedKeys(flows) {
 		t := flows[id]
-		t.a.over = true
-		e.w.judge.wasted(t.a, wasteKilled)
+		t.prefill.ended = true
+		e.w.checker.addWasted(t.prefill, wasteKilled)
 		t.done(false)
 	}
 	for _, a := range lost {
-		a.over = true
+		a.ended = true
 		e.w.reportBroken(a)
 	}
 }
@@ -199,7 +203,7 @@
 	if e.current != nil {
 		l.Running = 1
 		spent := (e.w.clock.now - e.startedAt).Seconds() * e.params.PrefillTokensPerSecond
-		l.QueuedTokens += max(e.todo-int(spent), 0)
+		l.QueuedTokens += max(e.uncachedTokens-int(spent), 0)
 	}
 	for _, a := range e.heldAttempts() {
 		l.PiecesUsed += e.params.PiecesFor(a.promptTokens())
@@ -217,7 +221,7 @@
 		list = append(list, e.held[id])
 	}
 	for _, id := range sortedKeys(e.flows) {
-		list = append(list, e.flows[id].a)
+		list = append(list, e.flows[id].prefill)
 	}
 	return list
 }
--- a/experiment/service.go
+++ b/experiment/service.go
@@ -8,14 +8,14 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Durations of a plain service call, drawn evenly.
+// Bounds of the uniformly distributed duration of a plain service call.
 const (
 	serviceTimeMin = 20 * time.Millisecond
 	serviceTimeMax = 80 * time.Millisecond
 )
 
-// serviceRunner runs plain service calls. Like the services of both examples
-// it neither deduplicates calls nor can it stop one.
+// serviceRunner simulates a plain service. Like the services of both examples,
+// it neither deduplicates calls nor can it stop a running one.
 type serviceRunner struct {
 	upstream
 	w       *world
@@ -28,25 +28,25 @@
 
 func (s *serviceRunner) accept(a *attempt) *kernel.AttemptFailed {
 	if a.role != config.RoleService {
-		return refusal(a, kernel.FailureModel)
+		return newRefusal(a, kernel.FailureModel)
 	}
-	a.ran = true
+	a.started = true
 	s.running[a.id] = a
-	s.w.judge.serviceRan(a)
+	s.w.checker.addServiceRun(a)
 	spread := s.w.rng.Int64N(int64(serviceTimeMax - serviceTimeMin))
-	life := s.incarnation
+	incarnation := s.incarnation
 	s.w.clock.after(serviceTimeMin+time.Duration(spread), func() {
-		if s.incarnation != life || s.running[a.id] != a {
+		if s.incarnation != incarnation || s.running[a.id] != a {
 			return
 		}
 		delete(s.running, a.id)
-		a.over = true
+		a.ended = true
 		s.w.report(a, kernel.AttemptDone{Attempt: a.id})
 	})
 	return nil
 }
 
-// cancel does nothing: a call that runs cannot be undone.
+// cancel does nothing: a running call cannot be undone.
 func (s *serviceRunner) cancel(ident.AttemptID) {}
 
 func (s *serviceRunner) kill() {
@@ -54,7 +54,7 @@
 	s.running = map[ident.AttemptID]*attempt{}
 	s.markDead(s.w.clock.now)
 	for _, id := range sortedAttempts(lost) {
-		lost[id].over = true
+		lost[id].ended = true
 		s.w.reportBroken(lost[id])
 	}
 }
@@ -63,5 +63,5 @@
 	return kernel.Load{At: s.w.clock.time(), Running: len(s.running)}
 }
 
-// heldAttempts is empty: services hold no engine memory.
+// heldAttempts returns nothing, because services hold no engine memory.
 func (s *serviceRunner) heldAttempts() []*attempt { return nil }
--- a/experiment/view.go
+++ b/experiment/view.go
@@ -7,82 +7,84 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// How fast instances learn of changes.
+// Delays after which instances learn of changes.
 const (
-	// heartbeatLag is when missing or returning heartbeats are noticed.
+	// heartbeatLag is the time after which missing or returning heartbeats are
+	// noticed.
 	heartbeatLag = time.Second
-	// platformLag is when the platform's list shows a death.
+	// platformLag is the time after which the platform's list shows a death.
 	platformLag = 3 * time.Second
-	// sweepPeriod is how often instances look for leftovers of dead peers.
+	// sweepPeriod is the interval at which instances look for attempts left by
+	// dead peers.
 	sweepPeriod = time.Second
 )
 
-// viewsChange has all instances look at the fleet again once they can have
-// noticed what has just changed.
-func (w *world) viewsChange() {
+// scheduleViewRefresh schedules new views for all instances at the times at
+// which they can have noticed the latest change.
+func (w *world) scheduleViewRefresh() {
 	for _, lag := range []time.Duration{heartbeatLag, platformLag} {
 		w.clock.after(lag+time.Millisecond, func() {
 			for _, inst := range w.instances {
-				w.refresh(inst.life)
+				w.refreshView(inst.process)
 			}
 		})
 	}
 }
 
-// refresh gives one instance a new view.
-func (w *world) refresh(l *life) {
-	l.receive(kernel.ViewChanged{View: w.viewOf(l.inst)})
+// refreshView sends one instance a new view.
+func (w *world) refreshView(p *process) {
+	p.receive(kernel.ViewChanged{View: w.viewOf(p.inst)})
 }
 
-// viewOf is what an instance knows of the fleet now.
+// viewOf builds an instance's current view of the fleet.
 func (w *world) viewOf(inst *instance) *kernel.View {
 	w.viewVersion++
 	v := &kernel.View{Version: w.viewVersion, Trusted: true}
 	for _, other := range w.instances {
 		v.Instances = append(v.Instances, kernel.Instance{
 			ID: other.id, Zone: other.zone,
-			Incarnation: w.incarnationSeen(other),
-			Liveness:    w.lifeOfInstance(inst, other),
+			Incarnation: w.knownIncarnation(other),
+			Liveness:    w.instanceLiveness(inst, other),
 		})
 	}
-	for _, id := range w.order {
+	for _, id := range w.upstreamOrder {
 		b := w.backends[id].base()
 		v.Upstreams = append(v.Upstreams, kernel.Upstream{
 			ID: id, Zone: b.zone, Incarnation: b.incarnation, Spec: b.spec,
-			Liveness: w.lifeOfUpstream(inst, b),
+			Liveness: w.upstreamLiveness(inst, b),
 		})
 	}
 	return v
 }
 
-// incarnationSeen is an instance's incarnation as far as it is known.
-func (w *world) incarnationSeen(other *instance) ident.Incarnation {
-	if other.life == nil {
+// knownIncarnation returns the last known incarnation of an instance.
+func (w *world) knownIncarnation(other *instance) ident.Incarnation {
+	if other.process == nil {
 		return ident.NewIncarnation(w.clock.time())
 	}
-	return other.life.incarnation
+	return other.process.incarnation
 }
 
-func (w *world) lifeOfInstance(viewer, other *instance) kernel.Liveness {
+func (w *world) instanceLiveness(viewer, other *instance) kernel.Liveness {
 	now := w.clock.now
 	switch {
-	case viewer == other || other.life == nil:
+	case viewer == other || other.process == nil:
 		return kernel.Live
-	case other.life.dead:
-		return w.lifeAfter(now - other.downAt)
-	case !w.net.peers(viewer, other):
+	case other.process.dead:
+		return w.livenessAfterDeath(now - other.downAt)
+	case !w.net.peersConnected(viewer, other):
 		return kernel.Unreachable
-	case other.life.frozen && now-other.life.frozenAt >= heartbeatLag:
+	case other.process.frozen && now-other.process.frozenAt >= heartbeatLag:
 		return kernel.Unreachable
 	default:
 		return kernel.Live
 	}
 }
 
-func (w *world) lifeOfUpstream(viewer *instance, u *upstream) kernel.Liveness {
+func (w *world) upstreamLiveness(viewer *instance, u *upstream) kernel.Liveness {
 	switch {
 	case !u.alive:
-		return w.lifeAfter(w.clock.now - u.downAt)
+		return w.livenessAfterDeath(w.clock.now - u.downAt)
 	case !w.net.connected(viewer.zone, u.zone):
 		return kernel.Unreachable
 	default:
@@ -90,8 +92,9 @@
 	}
 }
 
-// lifeAfter is what is believed a time after a death.
-func (w *world) lifeAfter(since time.Duration) kernel.Liveness {
+// livenessAfterDeath returns the liveness that is assumed at a given time after
+// a death.
+func (w *world) livenessAfterDeath(since time.Duration) kernel.Liveness {
 	switch {
 	case since >= platformLag && !w.platformDown:
 		return kernel.Dead
@@ -102,29 +105,29 @@
 	}
 }
 
-// sweep has the instances cancel what dead peers left on the upstreams that
-// they reach, and comes back.
+// sweep makes the instances cancel what dead peers left on the upstreams that
+// they can reach, and schedules itself again.
 func (w *world) sweep() {
 	w.clock.after(sweepPeriod, w.sweep)
 	for _, inst := range w.instances {
-		l := inst.life
-		if l.dead || l.frozen || l.view == nil {
+		p := inst.process
+		if p.dead || p.frozen || p.view == nil {
 			continue
 		}
-		for _, id := range w.order {
+		for _, id := range w.upstreamOrder {
 			b := w.backends[id]
 			if b.base().alive && w.net.connected(inst.zone, b.base().zone) {
-				w.sweepUpstream(l, b)
+				w.sweepUpstream(p, b)
 			}
 		}
 	}
 }
 
-// sweepUpstream cancels the attempts of owners that an instance knows to be
-// dead in the incarnation that sent them.
-func (w *world) sweepUpstream(l *life, b backend) {
+// sweepUpstream cancels the attempts whose owner an instance knows to be dead in
+// the incarnation that sent them.
+func (w *world) sweepUpstream(p *process, b backend) {
 	for _, a := range b.heldAttempts() {
-		for _, other := range l.view.Instances {
+		for _, other := range p.view.Instances {
 			if other.ID != a.id.Instance {
 				continue
 			}
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -11,63 +11,66 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// world is everything that one run consists of.
+// world is the complete state of one run.
 type world struct {
 	cell  Cell
 	clock clock
 	rng   *rand.Rand
-	// content is that of the bundle in force, version its number.
+	// content is the content of the active bundle, version its version.
 	content *config.Content
 	version uint64
 	spec    *workload.Spec
 	net     *network
-	judge   *judge
+	checker *checker
 	feeds   *feeds
 	callers *callers
-	// ideal is set where it takes the place of the instances.
-	ideal     *ideal
+	// ideal, if set, replaces the instances.
+	ideal     *idealScheduler
 	instances []*instance
 	backends  map[ident.UpstreamID]backend
-	// order lists the back ends as the bundle does.
-	order []ident.UpstreamID
-	// prefills finds prefill attempts by the handle of their result.
-	prefills map[string]*attempt
-	// tombstones are the attempts whose cancel came before them.
-	tombstones map[ident.AttemptID]bool
-	// platformDown says that the platform's list is not updated.
+	// upstreamOrder lists the upstreams in the bundle's order.
+	upstreamOrder []ident.UpstreamID
+	// prefillsByHandle maps the handle of a prefill result to its attempt.
+	prefillsByHandle map[string]*attempt
+	// cancelled contains the attempts that were cancelled, so that one that
+	// arrives after its cancel is rejected.
+	cancelled map[ident.AttemptID]bool
+	// platformDown is set while the platform's list is not updated.
 	platformDown bool
-	// disturbedAt is when a partition or freeze last ended.
-	disturbedAt time.Duration
+	// recoveredAt is the time at which a partition, a freeze or an outage of the
+	// platform's list last ended.
+	recoveredAt time.Duration
 	viewVersion uint64
-	// tamper, if set, replaces the actions of the kernels: tests show by it
-	// that the judge sees what it should.
-	tamper func(kernel.Action) []kernel.Action
-	// declared, if set, is the output length that a caller states in place of
-	// the true one.
-	declared func(l *logical) int
+	// replaceActions, if set, replaces the actions of the kernels. Tests use it
+	// to show that the checker detects violations.
+	replaceActions func(kernel.Action) []kernel.Action
+	// declaredOutput, if set, returns the output length that a caller declares in
+	// place of the true one.
+	declaredOutput func(l *logicalRequest) int
 }
 
-// streamWorld tells the world's random stream from others of one seed.
+// streamWorld separates the random stream of the world from others with the same
+// seed.
 const streamWorld = 0x776f726c64
 
-// newWorld builds a run from its cell.
+// newWorld sets up the run of a cell.
 func newWorld(cell Cell, d *Deployment) (*world, error) {
 	content, err := d.policyContent(cell.Policy)
 	if err != nil {
 		return nil, err
 	}
 	w := &world{
-		cell:       cell,
-		rng:        rand.New(rand.NewPCG(cell.Seed, streamWorld)),
-		content:    content,
-		version:    1,
-		spec:       d.Spec,
-		net:        newNetwork(d.CrossZone),
-		backends:   map[ident.UpstreamID]backend{},
-		prefills:   map[string]*attempt{},
-		tombstones: map[ident.AttemptID]bool{},
+		cell:             cell,
+		rng:              rand.New(rand.NewPCG(cell.Seed, streamWorld)),
+		content:          content,
+		version:          1,
+		spec:             d.Spec,
+		net:              newNetwork(d.CrossZone),
+		backends:         map[ident.UpstreamID]backend{},
+		prefillsByHandle: map[string]*attempt{},
+		cancelled:        map[ident.AttemptID]bool{},
 	}
-	w.judge = &judge{w: w}
+	w.checker = &checker{w: w}
 	w.feeds = &feeds{w: w}
 	w.callers = newCallers(w, d.capacity())
 	for _, spec := range content.Upstreams {
@@ -80,7 +83,7 @@
 	return w, w.addInstances(d)
 }
 
-// addBackend adds the fake of one upstream.
+// addBackend adds the simulation of one upstream.
 func (w *world) addBackend(d *Deployment, spec config.Upstream) {
 	u := upstream{spec: spec, zone: d.zoneOf(spec.ID), incarnation: 1, alive: true}
 	params := engineParams(w.content, spec)
@@ -94,10 +97,10 @@
 		b = newServiceRunner(w, u)
 	}
 	w.backends[spec.ID] = b
-	w.order = append(w.order, spec.ID)
+	w.upstreamOrder = append(w.upstreamOrder, spec.ID)
 }
 
-// engineParams describes an engine to the performance model.
+// engineParams returns an engine's parameters for the performance model.
 func engineParams(c *config.Content, spec config.Upstream) perf.Params {
 	p := perf.Params{
 		Slots:                  spec.Slots,
@@ -118,7 +121,7 @@
 	return p
 }
 
-// addInstances starts the entry instances, spread over the zones.
+// addInstances starts the entry instances, distributed over the zones.
 func (w *world) addInstances(d *Deployment) error {
 	for i := range w.cell.Instances {
 		zone := d.Zones[i%len(d.Zones)]
@@ -126,7 +129,7 @@
 		w.instances = append(w.instances, &instance{id: id, zone: zone})
 	}
 	for _, inst := range w.instances {
-		if err := w.start(inst); err != nil {
+		if err := w.startProcess(inst); err != nil {
 			return err
 		}
 	}
@@ -142,7 +145,8 @@
 	return nil
 }
 
-// delay is the one-way time between two zones; the ideal has none.
+// delay returns the one-way delay between two zones; it is 0 for the ideal
+// scheduler.
 func (w *world) delay(a, b ident.Zone) time.Duration {
 	if w.ideal != nil {
 		return 0
@@ -150,7 +154,8 @@
 	return w.net.delay(a, b)
 }
 
-// clientDelay is the one-way time to a caller; the ideal has none.
+// clientDelay returns the one-way delay to a caller; it is 0 for the ideal
+// scheduler.
 func (w *world) clientDelay() time.Duration {
 	if w.ideal != nil {
 		return 0
@@ -158,7 +163,8 @@
 	return clientDelay
 }
 
-// jitter draws what is added to a message's delay, so that messages cross.
+// jitter returns a random addition to a message's delay, so that messages can
+// overtake each other.
 func (w *world) jitter() time.Duration {
 	if w.cell.Jitter == 0 {
 		return 0
@@ -166,15 +172,15 @@
 	return time.Duration(w.rng.Int64N(int64(w.cell.Jitter)))
 }
 
-// send brings an attempt to its upstream.
+// send sends an attempt to its upstream.
 func (w *world) send(a *attempt) {
 	if a.role == config.RolePrefill {
-		w.prefills[a.id.String()] = a
+		w.prefillsByHandle[a.id.String()] = a
 	}
 	up := a.upstream.base()
-	from := a.owner.place()
+	from := a.owner.location()
 	notSent := kernel.AttemptFailed{
-		Attempt: a.id, Evidence: kernel.NotSent, Code: kernel.FailureConnect, Offset: a.from,
+		Attempt: a.id, Evidence: kernel.NotSent, Code: kernel.FailureConnect, Offset: a.startOffset,
 	}
 	if !w.net.connected(from, up.zone) {
 		w.clock.after(dialTimeout, func() { a.owner.receive(notSent) })
@@ -183,8 +189,9 @@
 	delay := w.delay(from, up.zone)
 	w.clock.after(delay+w.jitter(), func() {
 		switch {
-		case a.unread:
-			// A cut came between; the owner learns of it by its timeout.
+		case a.disconnected:
+			// The zones were partitioned meanwhile; the owner learns of it by
+			// its time-out.
 		case !up.alive:
 			w.clock.after(delay, func() { a.owner.receive(notSent) })
 		default:
@@ -193,11 +200,11 @@
 	})
 }
 
-// arrive hands an attempt to its upstream.
+// arrive passes an attempt to its upstream.
 func (w *world) arrive(a *attempt) {
 	a.incarnation = a.upstream.base().incarnation
-	if w.tombstones[a.id] {
-		w.report(a, *refusal(a, kernel.FailureRejected))
+	if w.cancelled[a.id] {
+		w.report(a, *newRefusal(a, kernel.FailureRejected))
 		return
 	}
 	if failure := a.upstream.accept(a); failure != nil {
@@ -205,27 +212,27 @@
 	}
 }
 
-// report brings news of an attempt to its owner, with the upstream's load
-// where the response has headers for it.
+// report delivers an event about an attempt to its owner, preceded by the
+// upstream's load where the response has headers for it.
 func (w *world) report(a *attempt, ev kernel.Event) {
 	up := a.upstream.base()
 	load := kernel.LoadReported{Upstream: up.spec.ID, Load: a.upstream.load()}
 	_, done := ev.(kernel.AttemptDone)
 	inBand := !done || a.role == config.RoleService
-	w.clock.after(w.delay(up.zone, a.owner.place()), func() {
-		if a.unread {
+	w.clock.after(w.delay(up.zone, a.owner.location()), func() {
+		if a.disconnected {
 			return
 		}
 		if inBand {
 			a.owner.receive(load)
 		}
-		a.note(ev)
+		a.recordProgress(ev)
 		a.owner.receive(ev)
 	})
 }
 
-// note keeps how much of its answer the submission has.
-func (a *attempt) note(ev kernel.Event) {
+// recordProgress records how much of its output the submission has received.
+func (a *attempt) recordProgress(ev kernel.Event) {
 	switch e := ev.(type) {
 	case kernel.AttemptDone:
 		a.sub.delivered = e.Tokens
@@ -236,29 +243,30 @@
 
 // reportBroken tells an attempt's owner that the connection broke.
 func (w *world) reportBroken(a *attempt) {
-	w.breakOff(a, w.delay(a.upstream.base().zone, a.owner.place()))
+	w.breakConnection(a, w.delay(a.upstream.base().zone, a.owner.location()))
 }
 
-// breakOff breaks the connection of an attempt; its owner notices after a time.
-func (w *world) breakOff(a *attempt, noticed time.Duration) {
-	if a.unread {
+// breakConnection breaks the connection of an attempt; its owner notices after
+// the given time.
+func (w *world) breakConnection(a *attempt, noticed time.Duration) {
+	if a.disconnected {
 		return
 	}
-	a.breakOff()
+	a.disconnect()
 	failed := kernel.AttemptFailed{
 		Attempt:  a.id,
 		Evidence: kernel.Ambiguous,
 		Code:     kernel.FailureBroken,
-		Offset:   a.received,
+		Offset:   a.receivedTokens,
 	}
 	w.clock.after(noticed, func() {
-		a.sub.delivered = max(a.sub.delivered, a.received)
+		a.sub.delivered = max(a.sub.delivered, a.receivedTokens)
 		a.owner.receive(failed)
 	})
 }
 
-// cancel brings a cancel to an upstream and its answer back.
-func (w *world) cancel(from *life, id ident.AttemptID, to ident.UpstreamID) {
+// cancel sends a cancel to an upstream and returns its response.
+func (w *world) cancel(from *process, id ident.AttemptID, to ident.UpstreamID) {
 	b := w.backends[to]
 	up := b.base()
 	failed := func() { from.receive(kernel.CancelFailed{Attempt: id}) }
@@ -272,32 +280,32 @@
 			w.clock.after(delay, failed)
 			return
 		}
-		w.tombstones[id] = true
+		w.cancelled[id] = true
 		b.cancel(id)
 		w.clock.after(delay, func() { from.receive(kernel.CancelAcked{Attempt: id}) })
 	})
 }
 
-// run runs the whole cell. It returns a *FaultError if there is no such fault,
-// and a *PolicyError if the kernel doesn't take the policy.
+// run runs the cell to its end. It returns a *FaultError if a fault doesn't
+// exist, and a *PolicyError if the kernel rejects the policy.
 func (w *world) run() error {
 	if err := w.scheduleFaults(); err != nil {
 		return err
 	}
 	w.feeds.start()
 	w.callers.start()
-	w.judge.start()
-	if w.ideal == nil && !w.cell.blind() {
+	w.checker.start()
+	if w.ideal == nil && !w.cell.retriesBlindly() {
 		w.sweep()
 	}
 	w.clock.run(w.cell.Warmup + w.cell.Duration + drainTime)
-	w.judge.finish()
-	if w.judge.rejected != nil {
-		return &PolicyError{Name: w.cell.Policy, Err: w.judge.rejected}
+	w.checker.checkFinal()
+	if w.checker.rejected != nil {
+		return &PolicyError{Name: w.cell.Policy, Err: w.checker.rejected}
 	}
 	return nil
 }
 
-// drainTime is how long a run goes on after the last arrival: the longest
-// deadline and the time in which everything held must be released.
+// drainTime is how long a run continues after the last arrival: the longest
+// deadline plus the time within which everything held must be released.
 const drainTime = 60*time.Second + leakGrace + 5*time.Second
--- a/internal/capacity/publish.go
+++ b/internal/capacity/publish.go
@@ -15,39 +15,39 @@
 	"github.com/wardspool/wardspool/testbed"
 )
 
-// modelName is the model of the Coastline example, which all engines run.
+// modelName is the model of the Coastline example. All engines run it.
 const modelName = "manifest-reader"
 
-// publisher plays the operators: it builds, signs and publishes bundles.
+// publisher acts as the operators: it builds, signs and publishes bundles.
 type publisher struct {
-	bed       *bed
-	private   ed25519.PrivateKey
-	key       bundle.PublicKey
-	approvers bundle.Approvers
-	content   *config.Content
-	head      *bundle.Head
-	sequence  uint64
-	published map[bundle.Digest][]byte
-	// roll is the one published last.
+	fleet      *fleet
+	privateKey ed25519.PrivateKey
+	publicKey  bundle.PublicKey
+	approvers  bundle.Approvers
+	content    *config.Content
+	head       *bundle.Head
+	sequence   uint64
+	published  map[bundle.Digest][]byte
+	// roll is the encoded roll published last.
 	roll []byte
 }
 
-// newPublisher makes a publisher with content of the size asked for.
-func newPublisher(b *bed) (*publisher, error) {
+// newPublisher returns a publisher whose bundle content has the configured size.
+func newPublisher(b *fleet) (*publisher, error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
 		return nil, err
 	}
-	p := &publisher{bed: b, private: private, published: map[bundle.Digest][]byte{}}
-	copy(p.key[:], public)
-	p.approvers = bundle.Approvers{Epoch: 1, Quorum: 1, Keys: []bundle.Approver{{Name: "ada", Key: p.key}}}
-	p.content, err = content(b)
+	p := &publisher{fleet: b, privateKey: private, published: map[bundle.Digest][]byte{}}
+	copy(p.publicKey[:], public)
+	p.approvers = bundle.Approvers{Epoch: 1, Quorum: 1, Keys: []bundle.Approver{{Name: "ada", Key: p.publicKey}}}
+	p.content, err = exampleContent(b)
 	return p, err
 }
 
-// content returns the Coastline example with as many workspaces and upstreams as
-// asked for; the running ones come first.
-func content(b *bed) (*config.Content, error) {
+// exampleContent returns the Coastline example, extended to the configured number of
+// workspaces and upstreams. Running upstreams come first.
+func exampleContent(b *fleet) (*config.Content, error) {
 	root, err := testbed.ModuleRoot()
 	if err != nil {
 		return nil, err
@@ -67,12 +67,12 @@
 			RatePerSecond: 20, Burst: 40, Concurrency: 100, Models: []string{modelName},
 		})
 	}
-	declare(c, b)
+	addUpstreams(c, b)
 	return c, nil
 }
 
-// declare adds the running engines and as many more as asked for.
-func declare(c *config.Content, b *bed) {
+// addUpstreams adds the running engines, then more upstreams up to the configured number.
+func addUpstreams(c *config.Content, b *fleet) {
 	sample := map[config.Role]config.Upstream{}
 	for _, u := range c.Upstreams {
 		sample[u.Role] = u
@@ -89,32 +89,32 @@
 	}
 }
 
-// put publishes a value as JSON.
+// put publishes a value as a JSON document under key.
 func (p *publisher) put(key string, v any) error {
 	doc, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	p.bed.platform.Put(key, doc)
+	p.fleet.platform.Put(key, doc)
 	return nil
 }
 
-// publish builds the next version, in which one workspace differs, publishes it
-// and rolls it to all.
+// publish builds and publishes the next version, which changes one workspace, and
+// rolls it out to all instances.
 func (p *publisher) publish() error {
 	p.content.Workspaces[len(p.content.Workspaces)-1].Burst++
 	h, parts, err := bundle.Build(bundle.Draft{Previous: p.head, Content: p.content, Approvers: p.approvers})
 	if err != nil {
 		return err
 	}
-	h.AddSignature(bundle.Sign(p.private, &h.Manifest))
+	h.AddSignature(bundle.Sign(p.privateKey, &h.Manifest))
 	for _, d := range parts.Digests() {
 		if b, _ := parts.Part(d); p.published[d] == nil {
-			p.bed.platform.Put(configservice.KeyBundleParts+d.String(), b)
+			p.fleet.platform.Put(configservice.KeyBundleParts+d.String(), b)
 			p.published[d] = b
 		}
 	}
-	p.bed.platform.Put(configservice.KeyBundleHead, h.Encode())
+	p.fleet.platform.Put(configservice.KeyBundleHead, h.Encode())
 	p.sequence++
 	r := &bundle.SignedRoll{
 		Roll:   bundle.Roll{Format: bundle.Format, Sequence: p.sequence, Target: h.Ref(), Stage: bundle.StageAll},
@@ -123,23 +123,23 @@
 	if p.head != nil {
 		r.Roll.Base = p.head.Ref()
 	}
-	r.AddSignature(bundle.SignRoll(p.private, &r.Roll))
+	r.AddSignature(bundle.SignRoll(p.privateKey, &r.Roll))
 	p.roll = r.Encode()
-	p.bed.platform.Put(configservice.KeyRoll, p.roll)
+	p.fleet.platform.Put(configservice.KeyRoll, p.roll)
 	p.head = h
 	return nil
 }
 
-// givenBytes bounds the parts of one answer, as agents do.
-const givenBytes = 128 << 10
+// maxPartsBytes bounds the size of the parts in one reply, as agents do.
+const maxPartsBytes = 128 << 10
 
-// give returns parts, as many as fit.
-func (p *publisher) give(r wire.PartsRequest) wire.Parts {
+// partsReply returns the requested parts, as many as fit into one reply.
+func (p *publisher) partsReply(r wire.PartsRequest) wire.Parts {
 	var out wire.Parts
 	size := 0
 	for _, d := range r.Digests {
 		b := p.published[d]
-		if size += len(b); b == nil || size > givenBytes && len(out.Parts) > 0 {
+		if size += len(b); b == nil || size > maxPartsBytes && len(out.Parts) > 0 {
 			break
 		}
 		out.Parts = append(out.Parts, wire.Part{Digest: d, Bytes: b})
--- a/standin/engine/bench_test.go
+++ b/standin/engine/bench_test.go
@@ -20,7 +20,7 @@
 	"github.com/wardspool/wardspool/standin/perf"
 )
 
-// Names of the engines of a bench.
+// IDs of the engines of a testBed.
 const (
 	prefillA = "pf-a"
 	prefillB = "pf-b"
@@ -28,15 +28,17 @@
 	decodeB  = "dc-b"
 )
 
-// bench is two prefill and two decode engines that reach each other in process.
-type bench struct {
+// testBed holds two prefill and two decode engines that are connected in
+// process.
+type testBed struct {
 	t       *testing.T
 	engines map[string]*Engine
 	client  *http.Client
 }
 
-// testPerf are round numbers: 10 tokens a piece, 1 ms a prefill token, 1 ms of
-// transfer a token, and steps of 10 ms plus 1 ms for each further request.
+// testPerf returns parameters with round numbers: 10 tokens per piece, 1 ms per
+// prefill token, 1 ms per transferred token, and decode steps of 10 ms plus 1 ms
+// for each further request.
 func testPerf() perf.Params {
 	return perf.Params{
 		Slots:                  2,
@@ -53,10 +55,11 @@
 	}
 }
 
-// inBench runs a test in a bubble with a fake clock.
-func inBench(t *testing.T, change func(*Config), test func(t *testing.T, b *bench)) {
+// withTestBed runs a test with a new testBed in a synctest bubble, which has a
+// fake clock.
+func withTestBed(t *testing.T, change func(*Config), test func(t *testing.T, b *testBed)) {
 	bubble.Test(t, func(t *testing.T) {
-		b := newBench(t, change)
+		b := newTestBed(t, change)
 		defer func() {
 			for _, e := range b.engines {
 				e.Close()
@@ -66,9 +69,9 @@
 	})
 }
 
-func newBench(t *testing.T, change func(*Config)) *bench {
+func newTestBed(t *testing.T, change func(*Config)) *testBed {
 	transport := &inproc{byHost: map[string]http.Handler{}}
-	b := &bench{t: t, engines: map[string]*Engine{}, client: &http.Client{Transport: transport}}
+	b := &testBed{t: t, engines: map[string]*Engine{}, client: &http.Client{Transport: transport}}
 	for _, id := range []string{prefillA, prefillB, decodeA, decodeB} {
 		cfg := Config{
 			ID: ident.UpstreamID(id), Role: config.RoleDecode, Models: []string{"m"}, Version: "v1",
@@ -88,16 +91,16 @@
 	return b
 }
 
-// ask is a request to an engine.
-type ask struct {
+// testRequest is a completion request to an engine.
+type testRequest struct {
 	engine, attempt, correlation string
 	path                         string // default: /v1/completions
 	body                         CompletionRequest
 	header                       http.Header
 }
 
-// send sends a request and returns the response, nil if the connection closed.
-func (b *bench) send(ctx context.Context, method, host, path string, header http.Header, body any) *http.Response {
+// send sends a request and returns the response, or nil if the request failed.
+func (b *testBed) send(ctx context.Context, method, host, path string, header http.Header, body any) *http.Response {
 	b.t.Helper()
 	text, err := json.Marshal(body)
 	assert.NilError(b.t, err)
@@ -113,8 +116,8 @@
 	return resp
 }
 
-// post asks an engine for a completion.
-func (b *bench) post(ctx context.Context, a ask) *http.Response {
+// post sends a completion request to an engine.
+func (b *testBed) post(ctx context.Context, a testRequest) *http.Response {
 	b.t.Helper()
 	if a.path == "" {
 		a.path = "/v1/completions"
@@ -130,21 +133,21 @@
 	return b.send(ctx, http.MethodPost, a.engine, a.path, a.header, a.body)
 }
 
-// drain reads a response to its end, whatever it is.
-func (b *bench) drain(resp *http.Response) {
+// drain reads a response to its end and closes it; resp may be nil.
+func (b *testBed) drain(resp *http.Response) {
 	if resp != nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
 }
 
-// begin asks an engine for a completion without waiting for it.
-func (b *bench) begin(a ask) {
+// postAsync sends a completion request without waiting for the response.
+func (b *testBed) postAsync(a testRequest) {
 	go func() { b.drain(b.post(b.t.Context(), a)) }()
 }
 
-// read decodes a JSON response with the given status and closes it.
-func read[T any](t *testing.T, resp *http.Response, status int) T {
+// readJSON asserts the status of a JSON response, decodes and closes it.
+func readJSON[T any](t *testing.T, resp *http.Response, status int) T {
 	t.Helper()
 	assert.Assert(t, resp != nil, "connection closed")
 	defer func() { _ = resp.Body.Close() }()
@@ -157,35 +160,35 @@
 }
 
 // prefill runs a prefill and returns its KV-transfer parameters.
-func (b *bench) prefill(engine, attempt, correlation, prompt string) *KVTransferParams {
+func (b *testBed) prefill(engine, attempt, correlation, prompt string) *KVTransferParams {
 	b.t.Helper()
-	resp := b.post(b.t.Context(), prefillAsk(engine, attempt, correlation, prompt))
-	return read[CompletionResponse](b.t, resp, http.StatusOK).KVTransferParams
+	resp := b.post(b.t.Context(), prefillRequest(engine, attempt, correlation, prompt))
+	return readJSON[CompletionResponse](b.t, resp, http.StatusOK).KVTransferParams
 }
 
-func prefillAsk(engine, attempt, correlation, prompt string) ask {
-	return ask{engine: engine, attempt: attempt, correlation: correlation, body: CompletionRequest{
+func prefillRequest(engine, attempt, correlation, prompt string) testRequest {
+	return testRequest{engine: engine, attempt: attempt, correlation: correlation, body: CompletionRequest{
 		Prompt: prompt, MaxTokens: 1, KVTransferParams: &KVTransferParams{DoRemoteDecode: true},
 	}}
 }
 
-func decodeAsk(engine, attempt, correlation, prompt string, n int, kv *KVTransferParams) ask {
-	return ask{engine: engine, attempt: attempt, correlation: correlation, body: CompletionRequest{
+func decodeRequest(engine, attempt, correlation, prompt string, n int, kv *KVTransferParams) testRequest {
+	return testRequest{engine: engine, attempt: attempt, correlation: correlation, body: CompletionRequest{
 		Prompt: prompt, MaxTokens: n, Stream: true, KVTransferParams: kv,
 	}}
 }
 
 // abort aborts an attempt and returns whether something was released.
-func (b *bench) abort(engine, attempt string) bool {
+func (b *testBed) abort(engine, attempt string) bool {
 	b.t.Helper()
 	resp := b.send(b.t.Context(), http.MethodPost, engine, "/abort_request", nil, AbortRequest{RID: attempt})
-	return read[AbortResponse](b.t, resp, http.StatusOK).Released
+	return readJSON[AbortResponse](b.t, resp, http.StatusOK).Released
 }
 
-// held asserts what an engine holds.
-func (b *bench) held(engine string, attempts, pieces int) {
+// assertHeld asserts the numbers of attempts and pieces that an engine holds.
+func (b *testBed) assertHeld(engine string, attempts, pieces int) {
 	b.t.Helper()
-	report := b.engines[engine].Judge()
+	report := b.engines[engine].JudgeReport()
 	assert.Equal(b.t, report.Held.Attempts, attempts, engine)
 	assert.Equal(b.t, report.Held.Pieces, pieces, engine)
 }
@@ -193,7 +196,7 @@
 // event is one server-sent event.
 type event struct{ id, data string }
 
-// nextEvent reads one event; it returns false at the end of the stream.
+// nextEvent reads the next event, or returns false at the end of the stream.
 func nextEvent(r *bufio.Reader) (event, bool) {
 	var out event
 	for {
@@ -212,22 +215,23 @@
 	}
 }
 
-// streamed is what a stream gave.
-type streamed struct {
-	text  string
-	last  string // ID of the last event with one
-	whole bool
-	usage *Usage
-	code  control.Code
+// streamResult is the content received from a stream.
+type streamResult struct {
+	text        string
+	lastEventID string // of the last event with an ID
+	complete    bool
+	usage       *Usage
+	code        control.Code
 }
 
-// collect reads a stream up to its end, or up to limit tokens if positive.
-func collect(t *testing.T, resp *http.Response, limit int) streamed {
+// readStream reads a stream to its end, or up to limit tokens if limit is
+// positive.
+func readStream(t *testing.T, resp *http.Response, limit int) streamResult {
 	t.Helper()
 	assert.Assert(t, resp != nil, "connection closed")
 	defer func() { _ = resp.Body.Close() }()
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
-	var out streamed
+	var out streamResult
 	r := bufio.NewReader(resp.Body)
 	for n := 0; limit == 0 || n < limit; {
 		e, ok := nextEvent(r)
@@ -235,7 +239,7 @@
 			return out
 		}
 		if e.data == "[DONE]" {
-			out.whole = true
+			out.complete = true
 			return out
 		}
 		n += out.add(t, e)
@@ -243,8 +247,8 @@
 	return out
 }
 
-// add takes in one event and returns how many tokens it had.
-func (s *streamed) add(t *testing.T, e event) int {
+// add adds an event to the content and returns its number of tokens.
+func (s *streamResult) add(t *testing.T, e event) int {
 	t.Helper()
 	var failed control.ErrorBody
 	assert.NilError(t, json.Unmarshal([]byte(e.data), &failed))
@@ -265,12 +269,12 @@
 		}
 	}
 	if e.id != "" {
-		s.last = e.id
+		s.lastEventID = e.id
 	}
 	return len(c.Choices)
 }
 
-// words makes a prompt of n tokens that begins with the given word.
-func words(first string, n int) string {
+// makePrompt returns a prompt of n tokens that starts with the given word.
+func makePrompt(first string, n int) string {
 	return first + strings.Repeat(" w", n-1)
 }
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -8,7 +8,7 @@
 	"github.com/wardspool/wardspool/tokens"
 )
 
-// format is the shape of an answer: of a completion or of a chat.
+// format is the response format: completion or chat completion.
 type format int
 
 const (
@@ -25,28 +25,28 @@
 	roleAssistant    = "assistant"
 )
 
-// serveCompletion answers POST /v1/completions.
+// serveCompletion handles POST /v1/completions.
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var req CompletionRequest
 	if control.ReadJSON(w, r, &req) {
-		e.serveModel(w, r, req, req.Prompt, formatCompletion)
+		e.serveInference(w, r, req, req.Prompt, formatCompletion)
 	}
 }
 
-// serveChat answers POST /v1/chat/completions.
+// serveChat handles POST /v1/chat/completions.
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	var req CompletionRequest
 	if control.ReadJSON(w, r, &req) {
-		e.serveModel(w, r, req, tokens.FlattenChat(req.Messages), formatChat)
+		e.serveInference(w, r, req, tokens.FlattenChat(req.Messages), formatChat)
 	}
 }
 
-// serveModel takes in a request for the model and answers it. The request goes
-// on if its caller leaves.
-func (e *Engine) serveModel(w http.ResponseWriter, r *http.Request, req CompletionRequest, prompt string, form format) {
+// serveInference admits a request for the model and answers it. If the caller
+// disconnects, the attempt continues.
+func (e *Engine) serveInference(w http.ResponseWriter, r *http.Request, req CompletionRequest, prompt string, form format) {
 	a, f := e.newAttempt(r, req, prompt)
 	if f == nil {
-		a.form = form
+		a.format = form
 		f = e.admit(a)
 	}
 	if f != nil {
@@ -62,13 +62,13 @@
 	case a.prefillOnly:
 		e.answerPrefill(w, a)
 	case req.Stream:
-		e.stream(w, r, a, a.from)
+		e.streamAnswer(w, r, a, a.from)
 	default:
-		e.answerWhole(w, r, a)
+		e.answerUnstreamed(w, r, a)
 	}
 }
 
-// answerPrefill answers a prefill with the parameters of its KV transfer.
+// answerPrefill answers a prefill request with its KV-transfer parameters.
 func (e *Engine) answerPrefill(w http.ResponseWriter, a *attempt) {
 	e.mu.Lock()
 	failed := a.failure
@@ -83,13 +83,14 @@
 	control.WriteJSON(w, http.StatusOK, out)
 }
 
-// answerWhole waits for the end of a generation and answers with all of it.
-func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, a *attempt) {
+// answerUnstreamed waits for the end of a generation and sends its complete
+// text.
+func (e *Engine) answerUnstreamed(w http.ResponseWriter, r *http.Request, a *attempt) {
 	rd := e.attach(a)
 	defer e.detach(a, rd)
 	for {
 		p := e.progress(a)
-		if p.over {
+		if p.ended {
 			if p.failure != nil {
 				p.failure.write(w)
 				return
@@ -100,7 +101,7 @@
 		select {
 		case <-rd.changed:
 		case <-rd.replaced:
-			control.Drop()
+			control.AbortConnection()
 		case <-r.Context().Done():
 			return
 		}
@@ -116,18 +117,18 @@
 	return b.String()
 }
 
-// response returns a whole answer with the given text of n tokens.
+// response returns a complete answer with the given text of n tokens.
 func (a *attempt) response(text string, n int) CompletionResponse {
 	out := CompletionResponse{
 		ID:      a.id,
 		Object:  objectCompletion,
-		Created: a.since.Unix(),
+		Created: a.receivedAt.Unix(),
 		Model:   a.model,
 		Usage:   a.usage(n),
 	}
 	finish := finishLength
 	choice := Choice{FinishReason: &finish}
-	if a.form == formatChat {
+	if a.format == formatChat {
 		out.Object = objectChat
 		choice.Message = &tokens.Message{Role: roleAssistant, Content: text}
 	} else {
@@ -137,7 +138,7 @@
 	return out
 }
 
-// usage counts the prompt and n tokens of the answer.
+// usage returns the token counts of the prompt and n tokens of the answer.
 func (a *attempt) usage(n int) *Usage {
 	return &Usage{
 		PromptTokens:        a.promptTokens,
--- a/standin/engine/inproc_test.go
+++ b/standin/engine/inproc_test.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// inproc is an http.RoundTripper that calls handlers directly, by host, so that
-// whole sessions run without sockets inside a synctest bubble.
+// inproc is an http.RoundTripper that calls the handler of a host directly, so
+// that complete sessions run inside a synctest bubble without sockets.
 type inproc struct{ byHost map[string]http.Handler }
 
 // RoundTrip implements http.RoundTripper.
@@ -19,7 +19,7 @@
 	}
 	ctx, cancel := context.WithCancel(req.Context())
 	body, pipe := io.Pipe()
-	w := &inprocWriter{header: http.Header{}, pipe: pipe, head: make(chan struct{})}
+	w := &inprocWriter{header: http.Header{}, pipe: pipe, headerWritten: make(chan struct{})}
 	inner := req.Clone(ctx)
 	if inner.Body == nil {
 		inner.Body = http.NoBody
@@ -37,7 +37,7 @@
 		_ = pipe.Close()
 	}()
 	select {
-	case <-w.head:
+	case <-w.headerWritten:
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
 	}
@@ -52,12 +52,12 @@
 	}, nil
 }
 
-// refusedError reports a host that nobody serves.
+// refusedError reports a host that has no handler.
 type refusedError struct{ host string }
 
 func (e *refusedError) Error() string { return "connection refused: " + e.host }
 
-// inprocBody ends the handler's context when the reader closes it.
+// inprocBody is a response body that cancels the handler's context on Close.
 type inprocBody struct {
 	*io.PipeReader
 	cancel func()
@@ -68,15 +68,16 @@
 	return b.PipeReader.Close()
 }
 
-// inprocWriter hands the handler's output to the reader.
+// inprocWriter is a ResponseWriter that pipes the handler's output to the reader
+// of the response.
 type inprocWriter struct {
-	header  http.Header
-	sent    http.Header
-	status  int
-	pipe    *io.PipeWriter
-	once    sync.Once
-	head    chan struct{}
-	aborted bool
+	header        http.Header
+	sent          http.Header
+	status        int
+	pipe          *io.PipeWriter
+	once          sync.Once
+	headerWritten chan struct{}
+	aborted       bool
 }
 
 func (w *inprocWriter) Header() http.Header { return w.header }
@@ -85,7 +86,7 @@
 	w.once.Do(func() {
 		w.status = status
 		w.sent = w.header.Clone()
-		close(w.head)
+		close(w.headerWritten)
 	})
 }
 
@@ -99,11 +100,11 @@
 
 func (w *inprocWriter) Flush() {}
 
-// abort ends the exchange like a closed connection.
+// abort ends the response as a closed connection does.
 func (w *inprocWriter) abort() {
 	w.once.Do(func() {
 		w.aborted = true
-		close(w.head)
+		close(w.headerWritten)
 	})
 	_ = w.pipe.CloseWithError(io.ErrUnexpectedEOF)
 }
--- a/standin/engine/judge.go
+++ b/standin/engine/judge.go
@@ -9,10 +9,10 @@
 	"github.com/wardspool/wardspool/standin/judge"
 )
 
-// serveJudge answers GET /judge. With ?correlation=ID it reports that request
-// alone, with ?summary=1 none.
+// serveJudge handles GET /judge. With ?correlation=ID the report includes only
+// that request's record, with a non-empty ?summary no records.
 func (e *Engine) serveJudge(w http.ResponseWriter, r *http.Request) {
-	report := e.Judge()
+	report := e.JudgeReport()
 	query := r.URL.Query()
 	if query.Get("summary") != "" {
 		report.Requests = []judge.Request{}
@@ -25,35 +25,37 @@
 	control.WriteJSON(w, http.StatusOK, report)
 }
 
-// Judge reports what the engine really did and what it holds now.
-func (e *Engine) Judge() judge.Engine {
+// JudgeReport reports the work that the engine really did and the resources that it
+// holds now.
+func (e *Engine) JudgeReport() judge.Engine {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	held := e.held()
+	held := e.activeAttempts()
 	report := judge.Engine{
 		ID:          e.cfg.ID,
-		Incarnation: e.life.incarnation,
+		Incarnation: e.state.incarnation,
 		Totals:      e.ledger.totals,
-		Held:        judge.Held{Attempts: len(held), Pieces: e.life.piecesUsed},
+		Held:        judge.Held{Attempts: len(held), Pieces: e.state.piecesUsed},
 		Requests:    e.ledger.report(held),
-		Dropped:     e.ledger.overflow,
+		Dropped:     e.ledger.unrecorded,
 	}
 	return report
 }
 
-// held returns the attempts that have not ended, in order of arrival.
-func (e *Engine) held() []*attempt {
+// activeAttempts returns the attempts that have not ended, in order of arrival.
+func (e *Engine) activeAttempts() []*attempt {
 	var out []*attempt
-	for _, a := range e.life.attempts {
+	for _, a := range e.state.attempts {
 		if a.running() {
 			out = append(out, a)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].order < out[j].order })
+	sort.Slice(out, func(i, j int) bool { return out[i].arrival < out[j].arrival })
 	return out
 }
 
-// report returns the records with what the running generations did so far.
+// report returns the records, including the tokens that the given running
+// attempts have generated so far.
 func (l *ledger) report(running []*attempt) []judge.Request {
 	soFar := make(map[string][]judge.Range)
 	for _, a := range running {
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -8,22 +8,22 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// Sampling of load reports.
+// Parameters of load report sampling.
 const (
-	// samplesPerLag is how many reports are made within the lag.
+	// samplesPerLag is the number of reports made within the lag.
 	samplesPerLag = 5
-	// minSampleInterval bounds the cost of sampling.
+	// minSampleInterval limits the cost of sampling if the lag is short.
 	minSampleInterval = 20 * time.Millisecond
 )
 
-// loadHistory is the load reports younger than the lag, and one that is older,
-// in order. seq counts all reports ever made.
+// loadHistory holds the load reports younger than the lag and the latest one
+// that is at least as old as the lag, oldest first. seq counts all reports made.
 type loadHistory struct {
 	seq     uint64
 	reports []LoadReport
 }
 
-// sampleLoads makes load reports until the engine is closed.
+// sampleLoads samples the load periodically until the engine is closed.
 func (e *Engine) sampleLoads() {
 	ticker := time.NewTicker(max(e.cfg.LoadLag/samplesPerLag, minSampleInterval))
 	defer ticker.Stop()
@@ -37,11 +37,11 @@
 	}
 }
 
-// sampleLoad adds a load report to the history.
+// sampleLoad adds a load report to the history and drops outdated ones.
 func (e *Engine) sampleLoad() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h := &e.life.loads
+	h := &e.state.loads
 	h.reports = append(h.reports, e.loadReport())
 	limit := time.Now().Add(-e.cfg.LoadLag).UnixMilli()
 	for len(h.reports) > 1 && h.reports[1].AtMS <= limit {
@@ -49,46 +49,46 @@
 	}
 }
 
-// loadReport makes a report of the present load.
+// loadReport returns a report of the current load. The caller holds the mutex.
 func (e *Engine) loadReport() LoadReport {
-	l := e.life
-	l.loads.seq++
+	state := e.state
+	state.loads.seq++
 	return LoadReport{
-		Seq:           l.loads.seq,
+		Seq:           state.loads.seq,
 		AtMS:          time.Now().UnixMilli(),
-		Incarnation:   l.incarnation,
+		Incarnation:   state.incarnation,
 		Role:          e.role(),
-		Models:        l.placement.servedModels(),
-		Running:       e.runningCount(),
-		Waiting:       l.queue.len(),
+		Models:        state.placement.servedModels(),
+		Running:       e.runningAttempts(),
+		Waiting:       state.queue.len(),
 		Slots:         e.cfg.Perf.Slots,
-		WaitingTokens: l.queue.tokens,
-		PiecesUsed:    l.piecesUsed,
+		WaitingTokens: state.queue.tokens,
+		PiecesUsed:    state.piecesUsed,
 		PiecesTotal:   e.cfg.Perf.Pieces,
 		Draining:      e.faults.Draining,
 	}
 }
 
-// runningCount is the number of attempts with a slot, or on a prefill engine
-// of those being computed.
-func (e *Engine) runningCount() int {
+// runningAttempts returns the number of attempts with a slot; on a prefill
+// engine, the number of prefills being computed.
+func (e *Engine) runningAttempts() int {
 	if e.role() == config.RolePrefill {
-		return e.life.prefilling
+		return e.state.prefilling
 	}
-	return e.life.slotsUsed
+	return e.state.slotsUsed
 }
 
-// serveLoad answers GET /load with a report as old as the lag. The first
-// reports of a life are younger, for want of older ones.
+// serveLoad handles GET /load. The report is as old as the lag, or younger if
+// the incarnation is younger than the lag.
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	control.WriteJSON(w, http.StatusOK, e.laggingLoad())
+	control.WriteJSON(w, http.StatusOK, e.delayedLoad())
 }
 
-// laggingLoad returns the report to publish now.
-func (e *Engine) laggingLoad() LoadReport {
+// delayedLoad returns the load report that GET /load returns now.
+func (e *Engine) delayedLoad() LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h := &e.life.loads
+	h := &e.state.loads
 	if e.cfg.LoadLag <= 0 || len(h.reports) == 0 {
 		return e.loadReport()
 	}
@@ -102,7 +102,7 @@
 	return out
 }
 
-// loadMetrics returns the fresh values for the ORCA header.
+// loadMetrics returns the current values for the ORCA header.
 func (e *Engine) loadMetrics() LoadMetrics {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -10,11 +10,11 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// maxHistory bounds the orders that GET /v1/orders lists.
+// maxHistory is the maximum number of orders that GET /v1/orders lists.
 const maxHistory = 64
 
-// placement is what the engine runs and the orders that made it so. It is
-// guarded by the engine's mutex.
+// placement is the engine's role, models, adapters and version, with the orders
+// that set them. The engine's mutex guards it.
 type placement struct {
 	role     config.Role
 	models   []string
@@ -22,15 +22,16 @@
 	version  string
 
 	highest uint64
-	// loading is the order that is being carried out, nil if none.
+	// loading is the order that is being applied, nil if none.
 	loading *Order
 	timer   *time.Timer
 	applied int
 	history []AppliedOrder
 }
 
-// servedModels returns the models for which work is taken: while an order is
-// carried out, those that stay.
+// servedModels returns the models for which the engine accepts requests. While
+// an order is being applied, these are the models that it keeps; there are none
+// if it changes the role or the version.
 func (p *placement) servedModels() []string {
 	if p.loading == nil {
 		return p.models
@@ -43,7 +44,8 @@
 	})
 }
 
-// target returns the order that describes what is in force or on its way.
+// target returns the order being applied or, if there is none, an order that
+// describes the current placement.
 func (p *placement) target() Order {
 	if p.loading != nil {
 		return *p.loading
@@ -51,20 +53,21 @@
 	return Order{Role: p.role, Models: p.models, Adapters: p.adapters, Version: p.version}
 }
 
-// sameContent reports whether two orders ask for the same.
-func (o Order) sameContent(other Order) bool {
+// samePlacement reports whether two orders specify the same placement. It
+// ignores the fencing numbers.
+func (o Order) samePlacement(other Order) bool {
 	return o.Role == other.Role && o.Version == other.Version &&
 		slices.Equal(o.Models, other.Models) && slices.Equal(o.Adapters, other.Adapters)
 }
 
-// close stops the order being carried out.
+// close stops the timer of the order being applied.
 func (p *placement) close() {
 	if p.timer != nil {
 		p.timer.Stop()
 	}
 }
 
-// servePostOrder answers POST /v1/orders.
+// servePostOrder handles POST /v1/orders.
 func (e *Engine) servePostOrder(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if !control.ReadJSON(w, r, &order) {
@@ -75,25 +78,26 @@
 		return
 	}
 	e.mu.Lock()
-	p := &e.life.placement
+	p := &e.state.placement
 	if e.cfg.ChecksFencing && order.Fence < p.highest {
 		body := control.NewError(http.StatusConflict, control.CodeStaleFence,
 			fmt.Sprintf("fence %d is older than %d", order.Fence, p.highest))
-		body.Highest = p.highest
+		body.HighestFence = p.highest
 		e.mu.Unlock()
 		control.WriteJSON(w, http.StatusConflict, body)
 		return
 	}
-	e.take(order)
-	out := e.orders()
+	e.acceptOrder(order)
+	out := e.ordersResponse()
 	e.mu.Unlock()
 	control.WriteJSON(w, http.StatusOK, out)
 }
 
-// take begins to carry out an order.
-func (e *Engine) take(order Order) {
-	p := &e.life.placement
-	changed := !order.sameContent(p.target())
+// acceptOrder records an order and starts applying it, unless it specifies the
+// placement that is current or being applied.
+func (e *Engine) acceptOrder(order Order) {
+	p := &e.state.placement
+	changed := !order.samePlacement(p.target())
 	p.highest = max(p.highest, order.Fence)
 	p.applied++
 	p.history = append(p.history, AppliedOrder{Order: order, AtMS: time.Now().UnixMilli(), Changed: changed})
@@ -105,42 +109,43 @@
 	}
 	p.close()
 	p.loading = &order
-	p.timer = time.AfterFunc(e.cfg.LoadWeights, func() { e.loaded(&order) })
+	p.timer = time.AfterFunc(e.cfg.LoadWeights, func() { e.applyOrder(&order) })
 }
 
-// loaded puts an order in force, unless another has taken its place. Running
-// generations go on; the prefix cache is of no more use.
-func (e *Engine) loaded(order *Order) {
+// applyOrder makes an order's placement current, unless a later order has
+// replaced it. Running generations continue. The prefix cache is cleared,
+// because its blocks belong to the former placement.
+func (e *Engine) applyOrder(order *Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p := &e.life.placement
+	p := &e.state.placement
 	if p.loading != order {
 		return
 	}
 	p.loading = nil
 	p.role, p.models, p.adapters, p.version = order.Role, order.Models, order.Adapters, order.Version
 	e.clearCache()
-	e.poke()
+	e.wakeLoop()
 }
 
-// serveGetOrders answers GET /v1/orders.
+// serveGetOrders handles GET /v1/orders.
 func (e *Engine) serveGetOrders(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	out := e.orders()
+	out := e.ordersResponse()
 	e.mu.Unlock()
 	control.WriteJSON(w, http.StatusOK, out)
 }
 
-// orders describes the placement.
-func (e *Engine) orders() OrdersResponse {
-	p := &e.life.placement
+// ordersResponse returns the placement and the latest orders.
+func (e *Engine) ordersResponse() OrdersResponse {
+	p := &e.state.placement
 	return OrdersResponse{
-		Incarnation:   e.life.incarnation,
+		Incarnation:   e.state.incarnation,
 		Role:          p.role,
 		Models:        p.models,
 		Adapters:      p.adapters,
 		Version:       p.version,
-		Highest:       p.highest,
+		HighestFence:  p.highest,
 		ChecksFencing: e.cfg.ChecksFencing,
 		Loading:       p.loading,
 		Applied:       p.applied,
--- a/standin/platform/watch.go
+++ b/standin/platform/watch.go
@@ -10,19 +10,19 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// watch is a read of one key that may wait for a newer value.
+// watch is a read of one key that optionally waits for a newer value.
 type watch struct {
 	key    string
 	reader string
-	// blocking is true if the reader gave an index: then the watch waits until
-	// the key's index is above it.
+	// blocking is true if the reader gave an index. The watch then waits until the key
+	// has a higher one.
 	blocking bool
 	index    uint64
 	wait     time.Duration
 }
 
-// readWatch reads the query of a read. It returns false if it is malformed.
-func readWatch(r *http.Request) (watch, bool) {
+// parseWatch parses the query of a read. It returns false if the query is malformed.
+func parseWatch(r *http.Request) (watch, bool) {
 	out := watch{key: mux.Vars(r)["key"], reader: r.Header.Get(HeaderReader)}
 	query := r.URL.Query()
 	var err error
@@ -41,38 +41,39 @@
 	return out, true
 }
 
-// sight is what a watch sees at one time.
-type sight struct {
+// observation is the state of a key and the platform as a watch sees it at one time.
+type observation struct {
 	version version
 	down    bool
-	// next is when the sight may change by time alone, zero if it won't.
+	// next is when the state may change without a write or a change of mode, because of
+	// a lag or the flapping schedule; zero if it won't.
 	next time.Time
-	// changed is closed when something is written or the mode changes.
+	// changed is closed on the next write or change of mode.
 	changed chan struct{}
 }
 
-// look returns what a key's reader sees now.
-func (p *Platform) look(key string) sight {
+// observe returns the current state of a key for a reader.
+func (p *Platform) observe(key string) observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	var s sight
-	var flaps time.Time
-	s.down, flaps = p.down(now)
+	var s observation
+	var flapTime time.Time
+	s.down, flapTime = p.down(now)
 	s.version, s.next = p.store.get(key, p.view(now))
-	if s.next.IsZero() || !flaps.IsZero() && flaps.Before(s.next) {
-		s.next = flaps
+	if s.next.IsZero() || !flapTime.IsZero() && flapTime.Before(s.next) {
+		s.next = flapTime
 	}
 	s.changed = p.changed
 	return s
 }
 
-// serveGet answers GET /v1/keys/{key}.
+// serveGet handles GET /v1/keys/{key}.
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
-	if !p.enter(w, r) {
+	if !p.admit(w, r) {
 		return
 	}
-	q, ok := readWatch(r)
+	q, ok := parseWatch(r)
 	if !ok {
 		control.WriteError(w, http.StatusBadRequest, control.CodeInvalid, "index must be a number and wait a duration")
 		return
@@ -80,47 +81,47 @@
 	s, ok := p.await(r, q)
 	switch {
 	case !ok:
-		control.Drop()
+		control.AbortConnection()
 	case s.down:
-		p.playDown(w, r)
+		p.serveDown(w, r)
 	case q.blocking && s.version.index <= q.index && s.version.index > 0:
 		w.Header().Set(HeaderIndex, strconv.FormatUint(s.version.index, 10))
 		w.WriteHeader(http.StatusNotModified)
 	default:
-		p.answer(w, q, s.version)
+		p.writeValue(w, q, s.version)
 	}
 }
 
-// await waits until the watch has something to tell, or its time is over. It
-// returns false if the reader has left or the platform is closed.
-func (p *Platform) await(r *http.Request, q watch) (sight, bool) {
+// await waits until the key has a newer value, the platform is down, or the watch has timed
+// out. It returns false if the reader has disconnected or the platform is closed.
+func (p *Platform) await(r *http.Request, q watch) (observation, bool) {
 	deadline := time.NewTimer(q.wait)
 	defer deadline.Stop()
-	p.count(1)
-	defer p.count(-1)
+	p.addWaiting(1)
+	defer p.addWaiting(-1)
 	for {
-		s := p.look(q.key)
+		s := p.observe(q.key)
 		if !q.blocking || s.down || s.version.index > q.index || q.wait <= 0 {
 			return s, true
 		}
-		turn := time.NewTimer(untilOr(s.next, maxWait))
+		wake := time.NewTimer(untilOr(s.next, maxWait))
 		select {
 		case <-s.changed:
-		case <-turn.C:
+		case <-wake.C:
 		case <-deadline.C:
 			q.wait = 0
 		case <-r.Context().Done():
-			turn.Stop()
-			return sight{}, false
+			wake.Stop()
+			return observation{}, false
 		case <-p.ctx.Done():
-			turn.Stop()
-			return sight{}, false
+			wake.Stop()
+			return observation{}, false
 		}
-		turn.Stop()
+		wake.Stop()
 	}
 }
 
-// untilOr returns the time until t, or otherwise if t is zero.
+// untilOr returns the time until t, or the value of otherwise if t is zero.
 func untilOr(t time.Time, otherwise time.Duration) time.Duration {
 	if t.IsZero() {
 		return otherwise
@@ -128,15 +129,15 @@
 	return time.Until(t)
 }
 
-// count adds to the number of reads and watches being served.
-func (p *Platform) count(n int) {
+// addWaiting adds n to the number of reads and watches in progress.
+func (p *Platform) addWaiting(n int) {
 	p.mu.Lock()
 	p.waiting += n
 	p.mu.Unlock()
 }
 
-// answer sends a value, or 404 if the key has none.
-func (p *Platform) answer(w http.ResponseWriter, q watch, v version) {
+// writeValue sends the value of a version, or status 404 if it has none.
+func (p *Platform) writeValue(w http.ResponseWriter, q watch, v version) {
 	if v.index > 0 {
 		w.Header().Set(HeaderIndex, strconv.FormatUint(v.index, 10))
 	}
@@ -145,10 +146,10 @@
 		return
 	}
 	p.mu.Lock()
-	p.meter.sent(q.reader, len(v.value))
+	p.meter.addBytes(q.reader, len(v.value))
 	p.mu.Unlock()
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(v.value)))
-	// A reader that has left is not the stand-in's concern.
+	// The error is ignored: the reader may have disconnected.
 	_, _ = w.Write(v.value)
 }
--- a/standin/service/run.go
+++ b/standin/service/run.go
@@ -7,74 +7,75 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// plan is what the service does with a call.
-type plan struct {
-	// die closes the connection without running the call.
-	die     bool
-	refusal *refusal
-	// first is the stored answer to the call's idempotency key, which may
-	// still be on its way.
-	first *stored
-	// run is the run that the call starts.
+// decision is how the service handles a call.
+type decision struct {
+	// closeConnection closes the connection without running the call.
+	closeConnection bool
+	refusal         *refusal
+	// stored is the stored response to the call's idempotency key. Its run may still be
+	// in progress.
+	stored *storedAnswer
+	// run is the run that the call started.
 	run *run
 }
 
-// run is one run of a call.
+// run is the execution of one call.
 type run struct {
 	call   call
 	number int
 	delay  time.Duration
 	fails  bool
-	// dies closes the connection in place of answering.
-	dies bool
-	// keep is where the answer is stored, nil if it isn't.
-	keep *stored
-	// over is done when the service crashes.
-	over <-chan struct{}
+	// closesConnection closes the connection after the run instead of responding.
+	closesConnection bool
+	// store receives the response for later calls; nil if it is not stored.
+	store *storedAnswer
+	// crashed is closed when the service crashes.
+	crashed <-chan struct{}
 }
 
-// serveCall runs a call, unless it is refused or answered from the store.
+// serveCall runs a call, unless it is refused or has a stored response.
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	c, bad := readCall(w, r)
+	c, bad := parseCall(w, r)
 	if bad != nil {
 		bad.write(w)
 		return
 	}
 	p := s.decide(c)
 	switch {
-	case p.die:
-		control.Drop()
+	case p.closeConnection:
+		control.AbortConnection()
 	case p.refusal != nil:
 		p.refusal.write(w)
-	case p.first != nil:
-		s.replay(w, r, p.first)
+	case p.stored != nil:
+		s.replay(w, r, p.stored)
 	default:
 		s.execute(w, p.run)
 	}
 }
 
-// decide returns what to do with a call, and counts a run as begun.
-func (s *Service) decide(c call) plan {
+// decide returns what to do with a call. If the call is to run, its run is counted as
+// started.
+func (s *Service) decide(c call) decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.DieBeforeRun || s.connected.Err() != nil {
-		return plan{die: true}
+	if s.faults.CloseBeforeRun || s.connected.Err() != nil {
+		return decision{closeConnection: true}
 	}
 	if s.cfg.Deduplicates && c.key != "" {
 		if first := s.answers[c.key]; first != nil {
 			s.replays++
-			return plan{first: first}
+			return decision{stored: first}
 		}
 	}
-	if bad := s.refusal(c); bad != nil {
+	if bad := s.checkRefusal(c); bad != nil {
 		s.refused++
-		return plan{refusal: bad}
+		return decision{refusal: bad}
 	}
-	return plan{run: s.begin(c)}
+	return decision{run: s.startRun(c)}
 }
 
-// refusal returns why the service won't run a call, nil if it will.
-func (s *Service) refusal(c call) *refusal {
+// checkRefusal returns the reason why the service refuses a call, or nil if it accepts it.
+func (s *Service) checkRefusal(c call) *refusal {
 	unavailable := http.StatusServiceUnavailable
 	switch {
 	case s.faults.Draining:
@@ -97,57 +98,58 @@
 	}
 }
 
-// begin counts a run and returns it.
-func (s *Service) begin(c call) *run {
+// startRun returns a new run of a call and counts it.
+func (s *Service) startRun(c call) *run {
 	s.runs++
 	s.running++
 	s.byCorrelation.add(c.correlation)
 	s.byKey.add(c.key)
 	s.highest = max(s.highest, c.fence)
 	out := &run{
-		call:   c,
-		number: s.runs,
-		delay:  s.cfg.Delay + time.Duration(s.faults.DelayMS)*time.Millisecond,
-		fails:  s.faults.ErrorRate > 0 && s.random.Float64() < s.faults.ErrorRate,
-		dies:   s.faults.DieAfterRun,
-		over:   s.connected.Done(),
+		call:             c,
+		number:           s.runs,
+		delay:            s.cfg.Delay + time.Duration(s.faults.DelayMS)*time.Millisecond,
+		fails:            s.faults.ErrorRate > 0 && s.random.Float64() < s.faults.ErrorRate,
+		closesConnection: s.faults.CloseAfterRun,
+		crashed:          s.connected.Done(),
 	}
 	if s.cfg.Deduplicates && c.key != "" {
-		out.keep = &stored{done: make(chan struct{})}
-		s.answers[c.key] = out.keep
+		out.store = &storedAnswer{done: make(chan struct{})}
+		s.answers[c.key] = out.store
 	}
 	return out
 }
 
-// execute takes a run's time and answers. The run goes on if its caller leaves.
+// execute waits for the duration of a run and responds. The run continues if its caller
+// disconnects.
 func (s *Service) execute(w http.ResponseWriter, r *run) {
 	timer := time.NewTimer(r.delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-r.over:
+	case <-r.crashed:
 	}
-	crashed := isDone(r.over)
+	crashed := isClosed(r.crashed)
 	s.mu.Lock()
 	s.running--
 	s.mu.Unlock()
 	if crashed {
-		control.Drop()
+		control.AbortConnection()
 	}
 	status, answer := r.answer(s.cfg.Service)
-	if r.keep != nil {
-		r.keep.status = status
-		r.keep.answer = answer
-		close(r.keep.done)
+	if r.store != nil {
+		r.store.status = status
+		r.store.answer = answer
+		close(r.store.done)
 	}
-	if r.dies {
-		control.Drop()
+	if r.closesConnection {
+		control.AbortConnection()
 	}
 	write(w, status, answer)
 }
 
-// isDone reports whether a channel is closed.
-func isDone(c <-chan struct{}) bool {
+// isClosed reports whether a channel is closed.
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -156,13 +158,13 @@
 	}
 }
 
-// answer returns the answer to the run's call.
-func (r *run) answer(service string) (int, Answer) {
+// answer returns the status and the response to the run's call.
+func (r *run) answer(service string) (int, CallResponse) {
 	status := http.StatusOK
 	if r.fails {
 		status = http.StatusInternalServerError
 	}
-	return status, Answer{
+	return status, CallResponse{
 		Service:       service,
 		RunNumber:     r.number,
 		Method:        r.call.method,
@@ -173,15 +175,15 @@
 	}
 }
 
-// replay answers with the stored answer, when it is there.
-func (s *Service) replay(w http.ResponseWriter, r *http.Request, first *stored) {
+// replay waits for the stored response and sends it.
+func (s *Service) replay(w http.ResponseWriter, r *http.Request, first *storedAnswer) {
 	s.mu.Lock()
-	over := s.connected.Done()
+	crashed := s.connected.Done()
 	s.mu.Unlock()
 	select {
 	case <-first.done:
-	case <-over:
-		control.Drop()
+	case <-crashed:
+		control.AbortConnection()
 	case <-r.Context().Done():
 		return
 	}
@@ -190,8 +192,8 @@
 	write(w, first.status, answer)
 }
 
-// write sends an answer, or the error that a failed run answers.
-func write(w http.ResponseWriter, status int, answer Answer) {
+// write sends the response of a run, or an error response if the run failed.
+func write(w http.ResponseWriter, status int, answer CallResponse) {
 	if status != http.StatusOK {
 		control.WriteError(w, status, control.CodeInternal, "the call ran and failed")
 		return
--- a/testbed/operators.go
+++ b/testbed/operators.go
@@ -11,10 +11,10 @@
 	"github.com/wardspool/wardspool/standin/control"
 )
 
-// Operators sign and publish bundles, as a deployment's operators do with
+// BundlePublisher signs and publishes bundles, as a deployment's operators do with
 // wardspoolctl and the platform's own tools.
-type Operators struct {
-	// Platform is where they publish.
+type BundlePublisher struct {
+	// Platform is the stand-in platform to which bundles are published.
 	Platform control.Client
 
 	key      ed25519.PrivateKey
@@ -23,34 +23,34 @@
 	sequence uint64
 }
 
-// NewOperators returns operators with a key of their own; seed makes it
-// repeatable.
-func NewOperators(platformAddress, seed string) *Operators {
+// NewOperators returns operators whose signing key is derived from seed, so that
+// it is reproducible.
+func NewOperators(platformAddress, seed string) *BundlePublisher {
 	digest := bundle.DigestOf([]byte(seed))
-	return &Operators{
+	return &BundlePublisher{
 		Platform: control.Client{Address: platformAddress},
 		key:      ed25519.NewKeyFromSeed(digest[:]),
 	}
 }
 
-// Approvers is the approver set that instances are to trust.
-func (o *Operators) Approvers() bundle.Approvers {
+// Approvers returns the approver set that instances are to trust.
+func (o *BundlePublisher) Approvers() bundle.Approvers {
 	var key bundle.PublicKey
 	copy(key[:], o.key.Public().(ed25519.PublicKey))
 	return bundle.Approvers{Epoch: 1, Quorum: 1, Keys: []bundle.Approver{{Name: "ada", Key: key}}}
 }
 
-// Version is the newest version that was published.
-func (o *Operators) Version() uint64 {
+// Version returns the newest published version, 0 if there is none.
+func (o *BundlePublisher) Version() uint64 {
 	if o.head == nil {
 		return 0
 	}
 	return o.head.Manifest.Version
 }
 
-// Publish builds, signs and publishes the next version. No instance takes it
-// into force before it is rolled.
-func (o *Operators) Publish(ctx context.Context, c *config.Content) error {
+// Publish builds, signs and publishes the next version. No instance applies it
+// before it is rolled.
+func (o *BundlePublisher) Publish(ctx context.Context, c *config.Content) error {
 	head, parts, err := bundle.Build(bundle.Draft{Previous: o.head, Content: c, Approvers: o.Approvers()})
 	if err != nil {
 		return err
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// RollAll rolls the newest version to every instance.
-func (o *Operators) RollAll(ctx context.Context) error {
+// RollAll rolls the newest version out to every instance.
+func (o *BundlePublisher) RollAll(ctx context.Context) error {
 	if err := o.roll(ctx, bundle.Roll{Stage: bundle.StageAll}); err != nil {
 		return err
 	}
@@ -78,12 +78,12 @@
 	return nil
 }
 
-// RollZones rolls the newest version to some zones.
-func (o *Operators) RollZones(ctx context.Context, zones ...ident.Zone) error {
+// RollZones rolls the newest version out to the given zones.
+func (o *BundlePublisher) RollZones(ctx context.Context, zones ...ident.Zone) error {
 	return o.roll(ctx, bundle.Roll{Stage: bundle.StageCanary, Zones: zones, Share: bundle.FullShare})
 }
 
-func (o *Operators) roll(ctx context.Context, r bundle.Roll) error {
+func (o *BundlePublisher) roll(ctx context.Context, r bundle.Roll) error {
 	o.sequence++
 	r.Format = bundle.Format
 	r.Sequence = o.sequence
--- a/ticket/fleet_test.go
+++ b/ticket/fleet_test.go
@@ -19,12 +19,12 @@
 type node struct {
 	exec        *Executor
 	skew        time.Duration
-	frozen      bool
+	paused      bool
 	down        bool
-	frozenSince time.Time
+	pausedSince time.Time
 }
 
-// message is a presentation under way, to an entry instance or, forwarded, to
+// message is a presentation in transit, to an entry instance or, if forwarded, to
 // the executor.
 type message struct {
 	at        int
@@ -32,14 +32,14 @@
 	forwarded bool
 }
 
-// call is one body presented with one ticket.
+// call is a body that is presented with a ticket.
 type call struct {
 	ticket Ticket
 	digest Digest
 }
 
 // fleet simulates entry instances as their drivers run them. Messages may be
-// delayed, lost and duplicated, and views are as old as can be.
+// delayed, lost and duplicated, and views may be arbitrarily stale.
 type fleet struct {
 	t        *rapid.T
 	now      time.Time
@@ -48,10 +48,11 @@
 	messages []message
 	tickets  []Ticket
 	running  []call
-	// runs counts runs that happened or may have, by ticket and by call.
-	runs      map[Ticket]int
-	callRuns  map[call]int
-	toldUnrun map[call]bool
+	// runs and callRuns count the runs that happened or may have happened, by
+	// ticket and by call.
+	runs       map[Ticket]int
+	callRuns   map[call]int
+	toldNotRun map[call]bool
 }
 
 func instanceID(i int) ident.InstanceID { return ident.InstanceID(fmt.Sprintf("n%d", i)) }
@@ -59,10 +60,10 @@
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{
 		t: t, now: testStart, cut: map[[2]int]bool{},
-		runs: map[Ticket]int{}, callRuns: map[call]int{}, toldUnrun: map[call]bool{},
+		runs: map[Ticket]int{}, callRuns: map[call]int{}, toldNotRun: map[call]bool{},
 	}
 	for i := range fleetSize {
-		life := Life{Instance: instanceID(i), Incarnation: 1}
+		life := Process{Instance: instanceID(i), Incarnation: 1}
 		f.nodes = append(f.nodes, &node{exec: NewExecutor(life, testLimits())})
 	}
 	return f
@@ -77,17 +78,17 @@
 	return rapid.IntRange(0, n-1).Draw(f.t, what)
 }
 
-// drawNode draws an instance that runs.
-func (f *fleet) drawNode() int {
+// drawRunning draws a running instance.
+func (f *fleet) drawRunning() int {
 	i := f.draw(fleetSize, "node")
-	if f.nodes[i].frozen || f.nodes[i].down {
-		f.t.Skip("the instance does not run")
+	if f.nodes[i].paused || f.nodes[i].down {
+		f.t.Skip("the instance is down or paused")
 	}
 	return i
 }
 
 func (f *fleet) issue() {
-	i := f.drawNode()
+	i := f.drawRunning()
 	if tk, p := f.nodes[i].exec.Issue(f.clock(i), "w"); p == nil {
 		f.tickets = append(f.tickets, tk)
 	}
@@ -95,23 +96,23 @@
 
 func (f *fleet) present() {
 	tk := f.tickets[f.draw(len(f.tickets), "ticket")]
-	d := []Digest{orderOne, orderTwo}[f.draw(2, "body")]
+	d := []Digest{digestOne, digestTwo}[f.draw(2, "body")]
 	f.messages = append(f.messages, message{at: f.draw(fleetSize, "at"), call: call{tk, d}})
 }
 
-// deliver hands a message over; a duplicate of it may stay under way.
+// deliver delivers a message; a duplicate of it may remain in transit.
 func (f *fleet) deliver() {
 	k := f.draw(len(f.messages), "message")
 	m := f.messages[k]
 	n := f.nodes[m.at]
-	if n.frozen {
-		f.t.Skip("the instance is frozen")
+	if n.paused {
+		f.t.Skip("the instance is paused")
 	}
 	if f.draw(4, "duplicate") > 0 {
 		f.messages = append(f.messages[:k], f.messages[k+1:]...)
 	}
 	if n.down {
-		f.tell(m.call, UnreachableProblem().Outcome)
+		f.recordOutcome(m.call, UnreachableProblem().Outcome)
 		return
 	}
 	if m.forwarded {
@@ -122,23 +123,23 @@
 }
 
 func (f *fleet) route(m message) {
-	d := Route(m.call.ticket, f.nodes[m.at].exec.Life(), f.view())
+	d := Route(m.call.ticket, f.nodes[m.at].exec.Process(), f.view())
 	switch d.Destination {
-	case Here:
+	case Local:
 		f.presentAt(m.at, m.call)
-	case Nowhere:
-		f.tell(m.call, d.Problem.Outcome)
+	case Reject:
+		f.recordOutcome(m.call, d.Problem.Outcome)
 	case Forward:
 		to := f.nodeOf(d.To)
 		if f.cut[[2]int{m.at, to}] {
-			f.tell(m.call, UnreachableProblem().Outcome)
+			f.recordOutcome(m.call, UnreachableProblem().Outcome)
 			return
 		}
 		f.messages = append(f.messages, message{at: to, call: m.call, forwarded: true})
 	}
 }
 
-// view returns a view that may be wrong in every point.
+// view returns a view in which any instance may be missing or have a wrong state.
 func (f *fleet) view() *kernel.View {
 	v := &kernel.View{}
 	for i := range f.nodes {
@@ -173,32 +174,32 @@
 		f.callRuns[c]++
 	case Replay:
 		assert.Equal(f.t, string(v.Result.Body), fmt.Sprint(c.digest[0]))
-		f.tell(c, v.Result.Outcome)
+		f.recordOutcome(c, v.Result.Outcome)
 	case Refuse:
-		f.tell(c, v.Problem.Outcome)
+		f.recordOutcome(c, v.Problem.Outcome)
 	}
 }
 
-func (f *fleet) tell(c call, o api.Outcome) {
+func (f *fleet) recordOutcome(c call, o api.Outcome) {
 	if o == api.NotRun {
-		f.toldUnrun[c] = true
+		f.toldNotRun[c] = true
 	}
 }
 
-// finish ends a running call, at its executor if that still lives.
+// finish ends a running call and reports it to its executor if that still runs.
 func (f *fleet) finish() {
 	k := f.draw(len(f.running), "running")
 	c := f.running[k]
 	i := f.nodeOf(c.ticket.Executor.Instance)
 	f.running = append(f.running[:k], f.running[k+1:]...)
-	if n := f.nodes[i]; n.down || n.exec.Life() != c.ticket.Executor {
+	if n := f.nodes[i]; n.down || n.exec.Process() != c.ticket.Executor {
 		return
 	}
 	o := []api.Outcome{api.Complete, api.NotRun, api.Unknown}[f.draw(3, "outcome")]
 	if o == api.NotRun {
 		f.runs[c.ticket]--
 		f.callRuns[c]--
-		f.tell(c, o)
+		f.recordOutcome(c, o)
 	}
 	r := Result{Outcome: o, Body: fmt.Append(nil, c.digest[0])}
 	assert.NilError(f.t, f.nodes[i].exec.Finish(f.clock(i), c.ticket, r))
@@ -210,31 +211,32 @@
 	}
 }
 
-// restart begins a new life, whose incarnation may be that of the last one.
+// restart starts a new executor, whose incarnation may equal that of the last
+// one.
 func (f *fleet) restart() {
 	n := f.nodes[f.draw(fleetSize, "node")]
 	if !n.down && f.draw(3, "at once") > 0 {
-		f.t.Skip("it runs")
+		f.t.Skip("the instance is not down")
 	}
-	life := n.exec.Life()
+	life := n.exec.Process()
 	life.Nonce++
 	life.Incarnation += ident.Incarnation(f.draw(2, "step"))
 	*n = node{exec: NewExecutor(life, testLimits()), skew: n.skew}
 }
 
-func (f *fleet) freeze() {
-	n := f.nodes[f.drawNode()]
-	n.frozen, n.frozenSince = true, f.now
+func (f *fleet) pause() {
+	n := f.nodes[f.drawRunning()]
+	n.paused, n.pausedSince = true, f.now
 }
 
-func (f *fleet) thaw() {
+func (f *fleet) resume() {
 	i := f.draw(fleetSize, "node")
 	n := f.nodes[i]
-	if !n.frozen {
-		f.t.Skip("not frozen")
+	if !n.paused {
+		f.t.Skip("the instance is not paused")
 	}
-	n.frozen = false
-	n.exec.Paused(f.clock(i), f.now.Sub(n.frozenSince))
+	n.paused = false
+	n.exec.Paused(f.clock(i), f.now.Sub(n.pausedSince))
 }
 
 func (f *fleet) wait() { f.now = f.now.Add(time.Duration(f.draw(30, "seconds")) * time.Second) }
@@ -244,7 +246,7 @@
 }
 
 func (f *fleet) sweep() {
-	i := f.drawNode()
+	i := f.drawRunning()
 	f.nodes[i].exec.Sweep(f.clock(i))
 }
 
@@ -257,13 +259,14 @@
 	for tk, n := range f.runs {
 		assert.Assert(t, n <= 1, "ticket %v ran %d times", tk, n)
 	}
-	for c := range f.toldUnrun {
-		assert.Equal(t, f.callRuns[c], 0, "told not-run, but ran: %v", c.ticket)
+	for c := range f.toldNotRun {
+		assert.Equal(t, f.callRuns[c], 0, "answered not-run, but the call ran: %v", c.ticket)
 	}
 }
 
-// TestFleet lets callers retry anywhere while instances die, freeze, restart
-// and are cut off and clocks jump.
+// TestFleet checks that no call runs twice and no call that ran is reported as
+// not-run, while callers retry at any instance, instances die, pause, restart and
+// are partitioned, and clocks jump.
 func TestFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
@@ -279,8 +282,8 @@
 		add("finish", 3, f.finish)
 		add("restart", 1, f.restart)
 		add("kill", 1, f.kill)
-		add("freeze", 1, f.freeze)
-		add("thaw", 2, f.thaw)
+		add("freeze", 1, f.pause)
+		add("thaw", 2, f.resume)
 		add("wait", 1, f.wait)
 		add("step clock", 1, f.stepClock)
 		add("sweep", 1, f.sweep)
