--- a/agent/agent.go
+++ b/agent/agent.go
@@ -101,9 +101,9 @@
 	orders          orderState
 	view            *membership.View
 	viewDirty       bool
-	// rosterUpdatedAt is when the ledger last got the list of sources to query.
-	rosterUpdatedAt time.Time
-	inForceAt       time.Time
+	// sourceSetUpdatedAt is when the ledger last got the list of sources to query.
+	sourceSetUpdatedAt time.Time
+	inForceAt          time.Time
 }
 
 // New creates an agent from validated settings. Errors are those of
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -212,7 +212,7 @@
 			a.refreshView()
 			b.ReportAllocs()
 			for b.Loop() {
-				a.updateRoster()
+				a.updateSourceSet()
 			}
 		})
 	}
--- a/agent/bundles.go
+++ b/agent/bundles.go
@@ -24,7 +24,7 @@
 	from := eventSource(e)
 	for _, act := range a.ledger.Step(a.now, e) {
 		if _, announce := act.(ledger.Announce); announce {
-			a.scheduleNews(from.Kind == ledger.SourcePeer)
+			a.scheduleRevisions(from.Kind == ledger.SourcePeer)
 			continue
 		}
 		a.execute(act)
@@ -94,27 +94,28 @@
 	a.viewDirty = true
 }
 
-// readyRosterInterval is the time between two updates of the roster while the
-// ledger is ready. The ledger queries no source then and needs the roster only as
-// the first one after a pause; after a pause it is rebuilt within a second.
-const readyRosterInterval = 10 * time.Second
+// readySourceSetInterval is the time between two updates of the source set while
+// the ledger is ready. The ledger queries no source then; it uses the source set
+// only in the first query round after a pause, and a new one follows within a
+// second.
+const readySourceSetInterval = 10 * time.Second
 
-// rosterDue reports whether the ledger's roster has to be updated.
-func (a *Agent) rosterDue() bool {
-	return a.ledger.Status() != ledger.StatusReady || a.now.Sub(a.rosterUpdatedAt) >= readyRosterInterval
+// sourceSetDue reports whether the ledger's source set has to be updated.
+func (a *Agent) sourceSetDue() bool {
+	return a.ledger.Status() != ledger.StatusReady || a.now.Sub(a.sourceSetUpdatedAt) >= readySourceSetInterval
 }
 
-// updateRoster passes the ledger the sources to query for the floor: the
+// updateSourceSet passes the ledger the sources to query for the floor: the
 // platform, the live peers of the zone, a few peers of each other zone and,
 // during the start, the zone's engines, some of which check fencing numbers.
 //
-// It does nothing until the lists are known. The roster would be incomplete, and
+// It does nothing until the lists are known. The set would be incomplete, and
 // a stale platform alone could then count as all sources that know the floor.
-func (a *Agent) updateRoster() {
+func (a *Agent) updateSourceSet() {
 	if a.awaitsLists() {
 		return
 	}
-	a.rosterUpdatedAt = a.now
+	a.sourceSetUpdatedAt = a.now
 	sources := []ledger.Source{platformSource}
 	zones := map[ident.Zone][]ident.InstanceID{}
 	v := a.currentView()
--- a/agent/heartbeats.go
+++ b/agent/heartbeats.go
@@ -21,12 +21,13 @@
 	peerFrame = 2 << 20
 	// peerBackoff limits the delay between attempts to connect to one address.
 	peerBackoff = time.Second
-	// minNewsGap is the minimum time between two exchanges with one partner that
-	// only serve to propagate news.
-	minNewsGap = 100 * time.Millisecond
-	// newsJitter limits the random delay before news received from a peer is
-	// propagated: most partners have it by then and need no exchange.
-	newsJitter = 300 * time.Millisecond
+	// minRevisionsGap is the minimum time between two exchanges with one partner that
+	// only serve to propagate revisions.
+	minRevisionsGap = 100 * time.Millisecond
+	// revisionsJitter limits the random delay before revisions received
+	// from a peer are propagated: most partners have them by then and need no
+	// exchange.
+	revisionsJitter = 300 * time.Millisecond
 	// partnerIntervals is the number of heartbeat intervals without an exchange
 	// after which an instance no longer counts as a partner.
 	partnerIntervals = 4
@@ -34,17 +35,18 @@
 
 // partner is an instance with which heartbeats are exchanged.
 type partner struct {
-	// newsMark is the fingerprint of the partner's news in its last heartbeat.
-	newsMark uint64
+	// fingerprint is the fingerprint of the partner's revisions as of its last
+	// heartbeat.
+	fingerprint uint64
 	// lastAt is the time of the last exchange, sentAt that of the last exchange
 	// started by this instance.
 	lastAt time.Time
 	sentAt time.Time
 	// busy is set while an exchange started by this instance is in progress.
 	busy bool
-	// newsDueAt is when news is due to be sent to the partner, the zero time if
-	// there is none.
-	newsDueAt time.Time
+	// revisionsDueAt is when revisions are due to be sent to the partner, the
+	// zero time if there are none.
+	revisionsDueAt time.Time
 }
 
 // partnerOf returns the state of a partner, creating it if there is none.
@@ -57,9 +59,9 @@
 	return p
 }
 
-// news returns the newest document versions known to this instance, which its
+// revisions returns the newest document versions known to this instance, which its
 // peers should have too.
-func (a *Agent) news() wire.Revisions {
+func (a *Agent) revisions() wire.Revisions {
 	s := a.ledger.Summary()
 	return wire.Revisions{
 		RollSequence: s.RollSequence, RollDigest: s.RollDigest, Newest: s.Newest,
@@ -69,13 +71,13 @@
 
 // composeHeartbeat returns the heartbeat to send to a peer.
 func (a *Agent) composeHeartbeat(to ident.InstanceID) wire.Heartbeat {
-	n := a.news()
-	hb := wire.Heartbeat{Heartbeat: a.machine.Heartbeat(a.now, to), Fingerprint: n.Fingerprint()}
+	r := a.revisions()
+	hb := wire.Heartbeat{Heartbeat: a.machine.Heartbeat(a.now, to), Fingerprint: r.Fingerprint()}
 	if ref, _, ok := a.ledger.InForce(); ok {
 		hb.Version = ref.Version
 	}
-	if a.partnerOf(to).newsMark != hb.Fingerprint {
-		hb.Revisions = &n
+	if a.partnerOf(to).fingerprint != hb.Fingerprint {
+		hb.Revisions = &r
 	}
 	if !a.platform.lastSeen.IsZero() {
 		hb.PlatformAge = int(a.now.Sub(a.platform.lastSeen)/time.Second) + 1
@@ -83,7 +85,7 @@
 	return hb
 }
 
-// sendHeartbeats sends the heartbeats, probes and news that are due.
+// sendHeartbeats sends the heartbeats, probes and revisions that are due.
 func (a *Agent) sendHeartbeats() {
 	if !a.machine.NextDue(a.now).After(a.now) {
 		for _, d := range a.machine.Due(a.now) {
@@ -94,37 +96,37 @@
 			a.startExchange(d.To)
 		}
 	}
-	a.sendNews()
+	a.sendRevisions()
 }
 
-// scheduleNews schedules news for all partners: immediately if it came from the
-// platform, with jitter if a peer relayed it.
-func (a *Agent) scheduleNews(relayed bool) {
+// scheduleRevisions schedules sending the revisions to all partners: immediately
+// if they came from the platform, with jitter if a peer relayed them.
+func (a *Agent) scheduleRevisions(relayed bool) {
 	at := a.now
 	if relayed {
-		at = at.Add(a.random.N(newsJitter))
+		at = at.Add(a.random.N(revisionsJitter))
 	}
 	for _, p := range a.partners {
-		if p.newsDueAt.IsZero() || at.Before(p.newsDueAt) {
-			p.newsDueAt = at
+		if p.revisionsDueAt.IsZero() || at.Before(p.revisionsDueAt) {
+			p.revisionsDueAt = at
 		}
 	}
 }
 
-// sendNews starts exchanges with the partners for which news is due.
-func (a *Agent) sendNews() {
+// sendRevisions starts exchanges with the partners for which revisions are due.
+func (a *Agent) sendRevisions() {
 	limit := a.now.Add(-partnerIntervals * a.machine.Interval())
-	mark := uint64(0)
+	fingerprint := uint64(0)
 	for id, p := range a.partners {
-		if p.newsDueAt.IsZero() || a.now.Before(p.newsDueAt) || a.now.Sub(p.sentAt) < minNewsGap {
+		if p.revisionsDueAt.IsZero() || a.now.Before(p.revisionsDueAt) || a.now.Sub(p.sentAt) < minRevisionsGap {
 			continue
 		}
-		if mark == 0 {
-			n := a.news()
-			mark = n.Fingerprint()
+		if fingerprint == 0 {
+			r := a.revisions()
+			fingerprint = r.Fingerprint()
 		}
-		p.newsDueAt = time.Time{}
-		if p.newsMark != mark && p.lastAt.After(limit) {
+		p.revisionsDueAt = time.Time{}
+		if p.fingerprint != fingerprint && p.lastAt.After(limit) {
 			a.startExchange(id)
 		}
 	}
@@ -195,7 +197,7 @@
 // known.
 func (a *Agent) applyHeartbeat(from ident.InstanceID, started time.Time, hb *wire.Heartbeat) {
 	p := a.partnerOf(from)
-	p.newsMark, p.lastAt = hb.Fingerprint, a.now
+	p.fingerprint, p.lastAt = hb.Fingerprint, a.now
 	if hb.PlatformAge > 0 {
 		seen := a.now.Add(-time.Duration(hb.PlatformAge) * time.Second)
 		if seen.After(a.platform.lastSeen) {
--- a/agent/lists.go
+++ b/agent/lists.go
@@ -60,8 +60,8 @@
 	*a.directory.lists.of(key) = l
 	a.platform.indexes[key] = max(a.platform.indexes[key], l.index)
 	a.refreshView()
-	a.updateRoster()
-	a.scheduleNews(relayed)
+	a.updateSourceSet()
+	a.scheduleRevisions(relayed)
 }
 
 // applyList decodes a list and passes it to the membership machine. It returns
--- a/agent/loads.go
+++ b/agent/loads.go
@@ -15,13 +15,13 @@
 	upstreamTimeout = 2 * time.Second
 	// retryMin and retryMax limit the time between attempts to reach an upstream
 	// that is not considered alive; it doubles with each attempt. Instances that
-	// gather the upstream's load for their zone use the shorter limits
+	// poll an upstream's load for their zone use the shorter limits
 	// gatherRetryMin and gatherRetryMax, since the others learn from them that it
 	// has recovered.
-	retryMin       = 2 * time.Second
-	retryMax       = 30 * time.Second
-	gatherRetryMin = 500 * time.Millisecond
-	gatherRetryMax = 2 * time.Second
+	retryMin     = 2 * time.Second
+	retryMax     = 30 * time.Second
+	zoneRetryMin = 500 * time.Millisecond
+	zoneRetryMax = 2 * time.Second
 	// assumedPollBytes is the assumed cost of a read until enough reads were
 	// measured.
 	assumedPollBytes = 900
@@ -31,14 +31,14 @@
 // read; a change of the view triggers one immediately.
 const assignInterval = 5 * time.Second
 
-// loadState is the loop's state of gathering upstreams' state.
+// loadState is the loop's state of polling the upstreams.
 type loadState struct {
 	polls map[ident.UpstreamID]*poll
 	// assignedAt is the time of the last assignment.
 	assignedAt time.Time
-	// gathered is the number of upstreams whose load this instance gathers for
+	// polled is the number of upstreams whose load this instance polls for
 	// its zone.
-	gathered int
+	polled int
 	// specs are the upstreams that the bundle in force declares, by ID.
 	specs map[ident.UpstreamID]*config.Upstream
 	// incarnations are the upstreams' known incarnations as of the last view.
@@ -51,9 +51,9 @@
 	// lastReadAt is when the last read was started.
 	lastReadAt time.Time
 	busy       bool
-	// gathers is set if this instance reads the upstream for its zone. Otherwise
+	// forZone is set if this instance reads the upstream for its zone. Otherwise
 	// it reads the upstream because it doubts that the upstream is alive.
-	gathers bool
+	forZone bool
 	backoff time.Duration
 }
 
@@ -67,16 +67,16 @@
 // recordIncarnations records new incarnations of upstreams.
 func (a *Agent) recordIncarnations() {
 	old := a.loads.incarnations
-	lives := make(map[ident.UpstreamID]knownIncarnation, len(a.view.Upstreams))
+	incarnations := make(map[ident.UpstreamID]knownIncarnation, len(a.view.Upstreams))
 	for i := range a.view.Upstreams {
 		u := &a.view.Upstreams[i]
 		l, ok := old[u.ID]
 		if !ok || l.incarnation != u.Incarnation {
 			l = knownIncarnation{incarnation: u.Incarnation, since: a.now}
 		}
-		lives[u.ID] = l
+		incarnations[u.ID] = l
 	}
-	a.loads.incarnations = lives
+	a.loads.incarnations = incarnations
 }
 
 // sameIncarnation reports whether an observation of an upstream at the given time
@@ -88,29 +88,29 @@
 }
 
 // assignLoads selects the upstreams whose state this instance reads: those that
-// it gathers for its zone, and those that it does not consider alive. Each such
+// it polls for its zone, and those that it does not consider alive. Each such
 // instance must read the latter itself, since no work is sent to them that could
 // show their recovery.
 func (a *Agent) assignLoads() {
 	a.loads.assignedAt = a.now
-	gathers := a.machine.PolledUpstreams(a.now)
-	next := make(map[ident.UpstreamID]*poll, len(gathers))
-	for _, id := range gathers {
+	polled := a.machine.PolledUpstreams(a.now)
+	next := make(map[ident.UpstreamID]*poll, len(polled))
+	for _, id := range polled {
 		if _, listed := a.directory.upstreams[id]; !listed {
 			continue
 		}
 		p := a.pollOf(id)
-		p.gathers = true
+		p.forZone = true
 		next[id] = p
 	}
-	a.loads.gathered = len(next)
+	a.loads.polled = len(next)
 	for i := range a.currentView().Upstreams {
 		u := &a.view.Upstreams[i]
 		if next[u.ID] != nil || !u.Listed || u.State <= membership.Suspect {
 			continue
 		}
 		p := a.pollOf(u.ID)
-		p.gathers = false
+		p.forZone = false
 		next[u.ID] = p
 	}
 	a.loads.polls = next
@@ -131,7 +131,7 @@
 	if n := a.counters.LoadPolls - a.counters.LoadPollsFailed; n > minMeasuredPolls {
 		bytes = float64(a.engines.Meter().Total()) / float64(n)
 	}
-	seconds := bytes * float64(a.loads.gathered) / float64(a.settings.Loads.Budget)
+	seconds := bytes * float64(a.loads.polled) / float64(a.settings.Loads.Budget)
 	return max(a.settings.Loads.Interval, time.Duration(seconds*float64(time.Second)))
 }
 
@@ -202,8 +202,8 @@
 	}
 	a.machine.UpstreamFailed(a.now, started, id, kind)
 	minBackoff, maxBackoff := retryMin, retryMax
-	if p.gathers {
-		minBackoff, maxBackoff = gatherRetryMin, gatherRetryMax
+	if p.forZone {
+		minBackoff, maxBackoff = zoneRetryMin, zoneRetryMax
 	}
 	p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
 	p.nextAt = a.now.Add(p.backoff)
--- a/agent/loop.go
+++ b/agent/loop.go
@@ -104,8 +104,8 @@
 // everySecond does the periodic work that needs no finer resolution.
 func (a *Agent) everySecond() {
 	a.stepLedger(tickEvent)
-	if a.rosterDue() {
-		a.updateRoster()
+	if a.sourceSetDue() {
+		a.updateSourceSet()
 	}
 	a.startFallback()
 	a.electReaders()
--- a/agent/parts.go
+++ b/agent/parts.go
@@ -188,10 +188,10 @@
 	if len(tried) >= maxPeersTried {
 		return ledger.Source{}, false
 	}
-	n := a.news()
-	mark := n.Fingerprint()
+	r := a.revisions()
+	fingerprint := r.Fingerprint()
 	for id, p := range a.partners {
-		if from := peerSource(id); p.newsMark == mark && !slices.Contains(tried, from) {
+		if from := peerSource(id); p.fingerprint == fingerprint && !slices.Contains(tried, from) {
 			return from, true
 		}
 	}
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -143,7 +143,7 @@
 func (a *Agent) start() {
 	a.loadPreload()
 	a.refreshPlatform()
-	a.updateRoster()
+	a.updateSourceSet()
 }
 
 // mayServe reports whether the entry may serve.
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -88,8 +88,8 @@
 	Readers int `yaml:"readers"`
 	// Wait is the duration of one long poll of a watch.
 	Wait time.Duration `yaml:"wait"`
-	// FallbackAfter is the time without news of the platform, direct or through
-	// peers, after which this instance reads the platform itself.
+	// FallbackAfter is the time without a response of the platform, to this
+	// instance or to peers, after which this instance reads the platform itself.
 	FallbackAfter time.Duration `yaml:"fallback_after"`
 }
 
--- a/agent/source.go
+++ b/agent/source.go
@@ -26,8 +26,8 @@
 	// readTimeout is the maximum age of a value delivered by a watch, in addition
 	// to the wait of its poll.
 	readTimeout = configservice.DefaultTimeout
-	// startRetry is the time between attempts of an instance that has had no news
-	// of the platform yet.
+	// startRetry is the time between attempts of an instance that knows of no
+	// response of the platform yet.
 	startRetry = 3 * time.Second
 )
 
@@ -38,7 +38,7 @@
 	// indexes are the highest indexes seen by this instance, by key.
 	indexes map[string]uint64
 	// lastSeen is the last time at which the platform is known to have responded,
-	// to this instance or to one whose heartbeat told of it; the zero time means
+	// to this instance or to one whose heartbeat reported it; the zero time means
 	// never.
 	lastSeen time.Time
 	// responding is set if the last read by this instance got a response.
@@ -106,9 +106,9 @@
 	a.recordResponses()
 }
 
-// isFallbackReader reports whether this instance watches a key because there was
-// no news of the platform: the roll first, the other keys once the platform has
-// responded.
+// isFallbackReader reports whether this instance watches a key because no
+// response of the platform was known: the roll first, the other keys once the
+// platform has responded.
 func (a *Agent) isFallbackReader(key string) bool {
 	return a.now.Before(a.platform.fallbackUntil) && (key == configservice.KeyRoll || a.platform.responding)
 }
@@ -166,8 +166,8 @@
 	})
 }
 
-// startFallback watches the platform for a while if there has been no news of it
-// for long. A watch from the known indexes costs only the calls if nothing has
+// startFallback watches the platform for a while if no response of it has been
+// known for long. A watch from the known indexes costs only the calls if nothing has
 // changed.
 func (a *Agent) startFallback() {
 	s := &a.platform
--- a/agent/upstreams_test.go
+++ b/agent/upstreams_test.go
@@ -69,8 +69,8 @@
 func upstreamIs(nodes []*node, id ident.UpstreamID, want kernel.Liveness) func() bool {
 	return func() bool {
 		list := livenessAt(nodes, id)
-		for _, life := range list {
-			if life != want {
+		for _, liveness := range list {
+			if liveness != want {
 				return false
 			}
 		}
@@ -141,11 +141,11 @@
 		time.Sleep(time.Minute)
 		assert.Assert(t, upstreamIs(nodes, "desk-1", kernel.Dead)())
 		f.serve("10.0.1.9:8000", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
-		// Instances that do not gather its load consider it suspect again after
+		// Instances that do not poll its load consider it suspect again after
 		// 10 s, and suspects get work.
 		f.within(retryMax+5*time.Second, "service gets work", func() bool {
-			for _, life := range livenessAt(nodes, "desk-1") {
-				if life > kernel.Suspect {
+			for _, liveness := range livenessAt(nodes, "desk-1") {
+				if liveness > kernel.Suspect {
 					return false
 				}
 			}
@@ -270,9 +270,9 @@
 			defer close(stopped)
 			nodes[0].stopAgent()
 		}()
-		is := func(life kernel.Liveness) func() bool {
+		is := func(liveness kernel.Liveness) func() bool {
 			return func() bool {
-				return nodes[1].entry.instance("hall-a-1").Liveness == life && nodes[2].entry.instance("hall-a-1").Liveness == life
+				return nodes[1].entry.instance("hall-a-1").Liveness == liveness && nodes[2].entry.instance("hall-a-1").Liveness == liveness
 			}
 		}
 		f.within(3*time.Second, "leaving", is(kernel.Leaving))
--- a/agent/views.go
+++ b/agent/views.go
@@ -24,7 +24,7 @@
 }
 
 // viewInterval returns the minimum time between two refreshes of the view after
-// ordinary news; the cost of a refresh grows with the fleet.
+// ordinary changes; the cost of a refresh grows with the fleet.
 func (a *Agent) viewInterval() time.Duration {
 	entries := len(a.view.Instances) + len(a.view.Upstreams)
 	return tickInterval + viewPerEntry*time.Duration(entries)
@@ -99,11 +99,11 @@
 // upstreamLiveness returns the liveness of an upstream. One that the platform no
 // longer lists gets no new work, but may be listed again.
 func upstreamLiveness(u *membership.Upstream) kernel.Liveness {
-	life := membership.LivenessOf(u.State, u.Leaving)
+	liveness := membership.LivenessOf(u.State, u.Leaving)
 	if !u.Listed {
-		return max(life, kernel.Unreachable)
+		return max(liveness, kernel.Unreachable)
 	}
-	return life
+	return liveness
 }
 
 // feedView returns the view in the feed's form.
--- a/agent/views_test.go
+++ b/agent/views_test.go
@@ -45,10 +45,10 @@
 // ready.
 func TestAnsweredPeersStayOnTheRoster(t *testing.T) {
 	a := benchAgent(t, 3, 0)
-	gone := ledger.FloorReport{From: peerSource("i-009"), Ready: true}
-	a.reportRoll(gone, nil)
+	report := ledger.FloorReport{From: peerSource("i-009"), Ready: true}
+	a.reportRoll(report, nil)
 	got := a.addFloorReporters([]ledger.Source{platformSource})
-	assert.DeepEqual(t, got, []ledger.Source{platformSource, gone.From})
+	assert.DeepEqual(t, got, []ledger.Source{platformSource, report.From})
 }
 
 // TestUnlistedUpstream checks that an upstream that the platform no longer lists
@@ -93,7 +93,7 @@
 }
 
 // TestFallback checks that other instances read the platform themselves if the
-// zone's readers have had no news of it for long.
+// zone's readers have had no response of it for long.
 func TestFallback(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.startFleet(8, "hall-a")
--- a/agent/wire/wire.go
+++ b/agent/wire/wire.go
@@ -21,17 +21,17 @@
 	// MethodProbe is called on entries only to check that they reply; an entry
 	// need not implement it.
 	MethodProbe = "fleet.probe"
-	// MethodRoll and MethodManifest take Nothing and return a Document: the
+	// MethodRoll and MethodManifest take Empty and return a Document: the
 	// newest signed roll and the newest signed bundle head.
 	MethodRoll     = "bundle.roll"
 	MethodManifest = "bundle.manifest"
 	// MethodParts takes a PartsRequest and returns Parts.
 	MethodParts = "bundle.parts"
-	// MethodFloor takes Nothing and returns a Floor.
+	// MethodFloor takes Empty and returns a Floor.
 	MethodFloor = "bundle.floor"
-	// MethodInForce takes Nothing and returns an InForce.
+	// MethodInForce takes Empty and returns an InForce.
 	MethodInForce = "bundle.in_force"
-	// MethodStatus takes Nothing and returns a Status.
+	// MethodStatus takes Empty and returns a Status.
 	MethodStatus = "agent.status"
 )
 
@@ -41,11 +41,11 @@
 // Heartbeat is a heartbeat of package membership with the fields that agents add.
 type Heartbeat struct {
 	membership.Heartbeat
-	// Fingerprint is the sender's News.Fingerprint. Partners with equal marks have the same
-	// bundles and lists.
+	// Fingerprint is the sender's Revisions.Fingerprint. Partners with equal
+	// fingerprints have the same bundles and lists.
 	Fingerprint uint64 `json:"k"`
-	// Revisions is set if the receiver's mark, as last known to the sender, differs
-	// from Mark.
+	// Revisions is set if the receiver's fingerprint, as last known to the sender,
+	// differs from Fingerprint.
 	Revisions *Revisions `json:"n,omitempty"`
 	// Version is the bundle version in force on the sender, 0 if there is none.
 	Version uint64 `json:"v,omitempty"`
@@ -67,23 +67,23 @@
 	Upstreams uint64 `json:"upstreams,omitempty"`
 }
 
-// Fingerprint returns a hash of the news, for comparison with that of a partner.
-func (n *Revisions) Fingerprint() uint64 {
+// Fingerprint returns a hash of the revisions, for comparison with that of a partner.
+func (r *Revisions) Fingerprint() uint64 {
 	h := xxhash.New()
 	var b [8]byte
-	for _, v := range []uint64{n.RollSequence, n.Newest.Version, n.Instances, n.Upstreams} {
+	for _, v := range []uint64{r.RollSequence, r.Newest.Version, r.Instances, r.Upstreams} {
 		binary.BigEndian.PutUint64(b[:], v)
 		// Write of xxhash.Digest never returns an error.
 		_, _ = h.Write(b[:])
 	}
-	_, _ = h.Write(n.RollDigest[:])
-	_, _ = h.Write(n.Newest.Digest[:])
+	_, _ = h.Write(r.RollDigest[:])
+	_, _ = h.Write(r.Newest.Digest[:])
 	return h.Sum64()
 }
 
-// Summary returns the part of the news that the ledger uses.
-func (n *Revisions) Summary() ledger.Summary {
-	return ledger.Summary{RollSequence: n.RollSequence, RollDigest: n.RollDigest, Newest: n.Newest}
+// Summary returns the part of the revisions that the ledger uses.
+func (r *Revisions) Summary() ledger.Summary {
+	return ledger.Summary{RollSequence: r.RollSequence, RollDigest: r.RollDigest, Newest: r.Newest}
 }
 
 // Document is a document in canonical form, empty if there is none.
--- a/assign/assign_test.go
+++ b/assign/assign_test.go
@@ -10,11 +10,11 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// view returns a view with one instance for each of lives and 20 upstreams, all
+// view returns a view with one instance for each given liveness and 20 upstreams, all
 // in one zone.
-func view(lives ...kernel.Liveness) *kernel.View {
+func view(liveness ...kernel.Liveness) *kernel.View {
 	v := &kernel.View{}
-	for i, l := range lives {
+	for i, l := range liveness {
 		v.Instances = append(v.Instances, kernel.Instance{ID: ident.InstanceID(fmt.Sprintf("n%d", i)), Zone: "hall-a", Liveness: l})
 	}
 	for i := range 20 {
--- a/bundle/assemble.go
+++ b/bundle/assemble.go
@@ -39,7 +39,7 @@
 // to its leaves.
 type treeWalk struct {
 	source  PartSource
-	memo    *PartCache
+	cache   *PartCache
 	missing []Digest
 	// referenced holds the digest of every part reached, present or missing.
 	referenced map[Digest]bool
@@ -56,8 +56,8 @@
 	return (*PartCache)(nil).MissingParts(m, source)
 }
 
-// ReferencedParts lists every part of a bundle that can be reached through the parts that
-// source has, whether the part itself is present or missing.
+// ReferencedParts lists every part of a bundle that can be reached through the
+// parts that source has, whether the part itself is present or missing.
 func ReferencedParts(m *Manifest, source PartSource) ([]Digest, error) {
 	return (*PartCache)(nil).ReferencedParts(m, source)
 }
@@ -69,8 +69,8 @@
 	return (*PartCache)(nil).Assemble(m, source)
 }
 
-func walkParts(m *Manifest, source PartSource, memo *PartCache) (*treeWalk, error) {
-	w := &treeWalk{source: source, memo: memo, referenced: map[Digest]bool{}}
+func walkParts(m *Manifest, source PartSource, cache *PartCache) (*treeWalk, error) {
+	w := &treeWalk{source: source, cache: cache, referenced: map[Digest]bool{}}
 	for _, s := range m.Sections {
 		if err := w.walk(s.Name, s.Root, -1, nil); err != nil {
 			return w, err
@@ -94,7 +94,7 @@
 	w.referenced[d] = true
 	f, err := w.partInfo(d, b, level)
 	if err == nil && f.level == 0 && c != nil {
-		err = w.memo.addLeaf(c, section, d, b)
+		err = w.cache.addLeaf(c, section, d, b)
 	}
 	if err != nil {
 		return &PartError{Section: section, Digest: d, Err: err}
@@ -120,7 +120,7 @@
 	if w.bytes > MaxContentBytes {
 		return partInfo{}, &SizeError{What: "bytes of content", Size: w.bytes, Limit: MaxContentBytes}
 	}
-	f, err := w.memo.partInfo(d, b)
+	f, err := w.cache.partInfo(d, b)
 	if err == nil && level >= 0 && f.level != level {
 		err = &StructureError{What: "part", Reason: fmt.Sprintf("level is %d, must be %d", f.level, level)}
 	}
--- a/bundle/ledger/alarm.go
+++ b/bundle/ledger/alarm.go
@@ -127,9 +127,9 @@
 	l.alarms = slices.DeleteFunc(l.alarms, answered)
 }
 
-// clearGarbled clears the AlarmGarbled of a source that has now sent a readable
+// clearUndecodable clears the AlarmUndecodable of a source that has now sent a readable
 // document of the same kind.
-func (l *Ledger) clearGarbled(from Source, d Document) {
+func (l *Ledger) clearUndecodable(from Source, d Document) {
 	l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmUndecodable && a.From == from && a.Document == d })
 }
 
--- a/bundle/ledger/alarms_test.go
+++ b/bundle/ledger/alarms_test.go
@@ -37,14 +37,14 @@
 }
 
 // The bundle that a peer had in force is part of a starting instance's floor even
-// after the peer has left the roster. Otherwise the instance would serve the
+// after the peer has left the source set. Otherwise the instance would serve the
 // roll's base although a peer was ready with the target.
 func TestFloorOfAPeerThatLeft(t *testing.T) {
 	d := newDocuments(t)
 	s := started(t, d, testSettings("entry-1", "hall-a"), platform, peer("entry-2"))
 	second := d.publisher.all(2, d.v2, d.v1, "ada", "ben")
 	s.step("entry-2 has version 2 in force", FloorReport{From: peer("entry-2"), Ready: true, InForce: d.v2.Ref(), Roll: second})
-	s.step("entry-2 left the roster", SourceSet{Sources: []Source{platform}})
+	s.step("entry-2 left the source set", SourceSet{Sources: []Source{platform}})
 	s.step("the platform has roll 2 and not its parts", FloorReport{From: platform, Roll: second})
 	s.wait(time.Minute)
 	assert.Equal(t, s.ledger.Status(), StatusStarting)
@@ -52,11 +52,11 @@
 	s.supplyParts(platform)
 	assert.Equal(t, s.ledger.Status(), StatusReady)
 	assert.Equal(t, s.inForce(), uint64(2))
-	s.step("the roster", SourceSet{Sources: []Source{platform}})
-	assert.Equal(t, len(s.ledger.floor.answers), 1, "sources not on the roster are kept after the instance became ready")
+	s.step("the source set", SourceSet{Sources: []Source{platform}})
+	assert.Equal(t, len(s.ledger.floor.answers), 1, "sources outside the source set are kept after the instance became ready")
 }
 
-// AlarmGarbled is cleared when the same source sends a readable document of the
+// AlarmUndecodable is cleared when the same source sends a readable document of the
 // same kind, and not by documents of another source or kind.
 func TestGarbledGoes(t *testing.T) {
 	d := newDocuments(t)
--- a/bundle/ledger/documents.go
+++ b/bundle/ledger/documents.go
@@ -45,7 +45,7 @@
 
 // apply implements Event.
 func (e HeadReceived) apply(l *Ledger) {
-	l.clearGarbled(e.From, DocumentHead)
+	l.clearUndecodable(e.From, DocumentHead)
 	ref := e.Head.Ref()
 	if l.known(ref) {
 		l.parts.addHolder(e.From)
@@ -124,7 +124,7 @@
 // processRoll accepts or rejects a roll. It returns false only if the roll cannot
 // be verified but may be newer than the ledger's.
 func (l *Ledger) processRoll(from Source, s *bundle.SignedRoll) bool {
-	l.clearGarbled(from, DocumentRoll)
+	l.clearUndecodable(from, DocumentRoll)
 	if l.roll != nil && l.rollDigest == s.Roll.Digest() {
 		l.parts.addHolder(from)
 		return true
--- a/bundle/ledger/event.go
+++ b/bundle/ledger/event.go
@@ -74,15 +74,15 @@
 )
 
 // SourceSet lists the sources that a starting instance must query for the floor;
-// answers of other sources are ignored. It replaces the previous roster. It
+// answers of other sources are ignored. It replaces the previous set and
 // should list every live peer of the instance's own zone, a few of each other
 // zone, and the zone's upstreams that check fencing numbers.
 type SourceSet struct{ Sources []Source }
 
-// FloorReport is a source's answer to AskFloor.
+// FloorReport is a source's answer to QueryFloor.
 type FloorReport struct {
 	From Source
-	// Round is the Round of the AskFloor. Reports of earlier rounds are ignored,
+	// Round is the Round of the QueryFloor. Reports of earlier rounds are ignored,
 	// since they may have been queued while the process was paused.
 	Round uint64
 	// Ready reports that a peer is ready; it is ignored for other sources.
--- a/bundle/ledger/floor.go
+++ b/bundle/ledger/floor.go
@@ -7,7 +7,7 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// answer is the state of the floor query to one source of the roster.
+// answer is the state of the floor query to one source of the source set.
 type answer struct {
 	source   Source
 	askedAt  time.Time
@@ -28,7 +28,7 @@
 	// round counts the query rounds, so that reports of earlier ones are
 	// recognised.
 	round uint64
-	// answers holds one entry for each source of the roster.
+	// answers holds one entry for each source of the source set.
 	answers []answer
 }
 
@@ -43,14 +43,14 @@
 	if l.floor.status != StatusStarting {
 		status = StatusRechecking
 	}
-	sources, round := l.rosterSources(), l.floor.round
+	sources, round := l.sourceSet(), l.floor.round
 	l.floor = newFloorState(status, l.now)
 	l.floor.round = round + 1
 	SourceSet{Sources: sources}.apply(l)
 	l.parts.since = l.now
 }
 
-func (l *Ledger) rosterSources() []Source {
+func (l *Ledger) sourceSet() []Source {
 	sources := make([]Source, len(l.floor.answers))
 	for i, a := range l.floor.answers {
 		sources[i] = a.source
@@ -59,7 +59,7 @@
 }
 
 // apply implements Event. While the instance is starting, a peer that has
-// answered is kept even if the new roster omits it: the bundle that it had in
+// answered is kept even if the new set omits it: the bundle that it had in
 // force is part of the floor.
 func (e SourceSet) apply(l *Ledger) {
 	answers := make([]answer, 0, len(e.Sources))
@@ -182,10 +182,10 @@
 }
 
 // baseReplacesTarget reports whether this starting instance may use the roll's base in
-// place of a target that covers it but is incomplete. This is so if parts of the
-// target have been missing for PartsTimeout, and every source has answered and
-// none reports the target's version or a higher one: the target was then
-// published only in part.
+// place of a target that covers it but is incomplete. It may if parts of the
+// target have been missing for PartsTimeout, every source has answered, and none
+// reports the target's version or a higher one: the publication of the target was
+// then interrupted.
 func (l *Ledger) baseReplacesTarget() bool {
 	target := l.roll.Roll.Target
 	if l.floor.status != StatusStarting || l.roll.Roll.Base.IsZero() || !l.floor.complete() {
--- a/bundle/ledger/guard.go
+++ b/bundle/ledger/guard.go
@@ -51,14 +51,14 @@
 	roll     func(*bundle.SignedRoll, bundle.Approvers) error
 	missing  func(*bundle.Manifest, bundle.PartSource) ([]bundle.Digest, error)
 	assemble func(*bundle.Manifest, bundle.PartSource) (*config.Content, error)
-	// memo caches the work of missing and assemble.
-	memo *bundle.PartCache
+	// partCache caches the work of missing and assemble.
+	partCache *bundle.PartCache
 }
 
 func newChecker() checker {
-	memo := bundle.NewPartCache()
+	partCache := bundle.NewPartCache()
 	return checker{
 		head: bundle.Verify, roll: bundle.VerifyRoll,
-		missing: memo.MissingParts, assemble: memo.Assemble, memo: memo,
+		missing: partCache.MissingParts, assemble: partCache.Assemble, partCache: partCache,
 	}
 }
--- a/bundle/ledger/ledger_test.go
+++ b/bundle/ledger/ledger_test.go
@@ -21,9 +21,9 @@
 
 // started returns a session with roll 1 and its parts preloaded, and no source
 // has answered yet.
-func started(t *testing.T, d *documents, s Settings, roster ...Source) *session {
+func started(t *testing.T, d *documents, s Settings, sources ...Source) *session {
 	t.Helper()
-	x := newSession(t, d.publisher, s, roster...)
+	x := newSession(t, d.publisher, s, sources...)
 	x.step("preload", RollReceived{From: preload, Roll: d.first})
 	for x.ledger.Missing() > 0 {
 		x.step("preload", PartsReceived{From: preload, Parts: d.publisher.partsFor(x.ledger.parts.missing)})
@@ -49,44 +49,44 @@
 	)
 	tests := []struct {
 		name     string
-		roster   []Source
+		sources  []Source
 		isolated IsolatedPolicy
 		events   []Event
 		timeout  bool
 		ready    bool
 		alarm    AlarmType
 	}{
-		{name: "everyone answered", roster: noUpstream, events: []Event{platform1, fromOther}, ready: true},
-		{name: "a peer has not answered yet", roster: noUpstream, events: []Event{platform1}},
-		{name: "a peer did not answer within the timeout", roster: noUpstream, events: []Event{platform1}, timeout: true, ready: true},
-		{name: "the platform did not answer within the timeout", roster: noUpstream, events: []Event{fromOther}, timeout: true, ready: true},
-		{name: "nobody answers", roster: noUpstream, timeout: true, alarm: AlarmIsolated},
-		{name: "nobody answers, serve the preload", roster: noUpstream, isolated: serve, timeout: true, ready: true},
-		{name: "all peers are starting", roster: noUpstream, events: []Event{starting}, timeout: true, alarm: AlarmIsolated},
+		{name: "everyone answered", sources: noUpstream, events: []Event{platform1, fromOther}, ready: true},
+		{name: "a peer has not answered yet", sources: noUpstream, events: []Event{platform1}},
+		{name: "a peer did not answer within the timeout", sources: noUpstream, events: []Event{platform1}, timeout: true, ready: true},
+		{name: "the platform did not answer within the timeout", sources: noUpstream, events: []Event{fromOther}, timeout: true, ready: true},
+		{name: "nobody answers", sources: noUpstream, timeout: true, alarm: AlarmIsolated},
+		{name: "nobody answers, serve the preload", sources: noUpstream, isolated: serve, timeout: true, ready: true},
+		{name: "all peers are starting", sources: noUpstream, events: []Event{starting}, timeout: true, alarm: AlarmIsolated},
 		{name: "no roster", timeout: true, alarm: AlarmIsolated},
-		{name: "the platform lost its roll", roster: noUpstream, events: []Event{noRoll}, timeout: true, alarm: AlarmIsolated},
-		{name: "a roll that cannot be verified is no answer", roster: noUpstream,
+		{name: "the platform lost its roll", sources: noUpstream, events: []Event{noRoll}, timeout: true, alarm: AlarmIsolated},
+		{name: "a roll that cannot be verified is no answer", sources: noUpstream,
 			events: []Event{platform1, FloorReport{From: other, Ready: true, Roll: unverifiable}}},
-		{name: "an answer of another round", roster: noUpstream,
+		{name: "an answer of another round", sources: noUpstream,
 			events: []Event{platform1, FloorReport{From: other, Round: 7, Ready: true, Roll: d.first}}},
-		{name: "an answer of a source not on the roster", roster: []Source{platform},
+		{name: "an answer of a source outside the source set", sources: []Source{platform},
 			events: []Event{FloorReport{From: other, Ready: true, Roll: d.first}}},
-		{name: "an upstream saw this version", roster: everyone,
+		{name: "an upstream saw this version", sources: everyone,
 			events: []Event{platform1, fromOther, FloorReport{From: engine, Fence: 1}}, ready: true},
-		{name: "an upstream saw a higher version", roster: everyone, timeout: true, alarm: AlarmFloorAbove,
+		{name: "an upstream saw a higher version", sources: everyone, timeout: true, alarm: AlarmFloorAbove,
 			events: []Event{platform1, fromOther, FloorReport{From: engine, Fence: 2}}},
-		{name: "an upstream saw a higher version, serve the preload", roster: everyone, isolated: serve, timeout: true,
+		{name: "an upstream saw a higher version, serve the preload", sources: everyone, isolated: serve, timeout: true,
 			events: []Event{FloorReport{From: engine, Fence: 2}}, alarm: AlarmFloorAbove},
-		{name: "an upstream that left the roster does not count", roster: everyone, timeout: true, ready: true,
+		{name: "an upstream that left the source set does not count", sources: everyone, timeout: true, ready: true,
 			events: []Event{platform1, FloorReport{From: engine, Fence: 2}, SourceSet{Sources: noUpstream}}},
-		{name: "the assigned version's parts are missing", roster: noUpstream, timeout: true,
+		{name: "the assigned version's parts are missing", sources: noUpstream, timeout: true,
 			events: []Event{platform1, FloorReport{From: other, Ready: true, Roll: second}}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			settings := testSettings("entry-1", "hall-a")
 			settings.Isolated = tc.isolated
-			s := started(t, d, settings, tc.roster...)
+			s := started(t, d, settings, tc.sources...)
 			for _, e := range tc.events {
 				s.step("event", e)
 			}
@@ -142,15 +142,15 @@
 	}
 	// The policy part differs in each version. Only the parts of the newest version
 	// and its base are kept.
-	wanted := map[bundle.Digest]bool{}
+	referenced := map[bundle.Digest]bool{}
 	for _, h := range []*bundle.Head{&s.ledger.roll.Target, s.ledger.roll.Base} {
 		digests, err := bundle.ReferencedParts(&h.Manifest, s.ledger.parts.have)
 		assert.NilError(t, err)
 		for _, digest := range digests {
-			wanted[digest] = true
+			referenced[digest] = true
 		}
 	}
-	assert.Equal(t, s.ledger.parts.have.Len(), len(wanted))
+	assert.Equal(t, s.ledger.parts.have.Len(), len(referenced))
 }
 
 // A signed bundle whose content fails validation on the instance is not put into
--- a/bundle/ledger/model_test.go
+++ b/bundle/ledger/model_test.go
@@ -136,7 +136,7 @@
 	if m.preload != nil {
 		l.Step(v.now, RollReceived{From: preload, Roll: m.preload})
 	}
-	l.Step(v.now, SourceSet{Sources: m.roster(i)})
+	l.Step(v.now, SourceSet{Sources: m.sourceSet(i)})
 	return v
 }
 
@@ -144,7 +144,7 @@
 
 func (m *model) hasFencing(i int) bool { return m.fencing && m.zones[i] == m.zones[0] }
 
-func (m *model) roster(i int) []Source {
+func (m *model) sourceSet(i int) []Source {
 	sources := []Source{platform}
 	for j := range m.zones {
 		if j != i {
--- a/bundle/ledger/parts.go
+++ b/bundle/ledger/parts.go
@@ -16,7 +16,7 @@
 	maxHolders = 8
 )
 
-// partState holds the available parts and tracks those that the wanted bundles
+// partState holds the available parts and tracks those that the required bundles
 // still lack.
 type partState struct {
 	have *bundle.PartSet
@@ -78,9 +78,9 @@
 	p.fetches = 0
 }
 
-// wantedHeads lists the bundles whose parts the instance fetches: first the one
+// requiredHeads lists the bundles whose parts the instance fetches: first the one
 // assigned to it, then those that it may need next or that peers may request.
-func (l *Ledger) wantedHeads() []*bundle.Head {
+func (l *Ledger) requiredHeads() []*bundle.Head {
 	var heads []*bundle.Head
 	if l.roll != nil {
 		if head, ok := l.roll.Head(l.assigned()); ok {
@@ -113,7 +113,7 @@
 	before := l.targetComplete()
 	l.parts.stale = false
 	l.parts.missing, l.parts.incomplete = nil, nil
-	for _, head := range l.wantedHeads() {
+	for _, head := range l.requiredHeads() {
 		l.addMissing(head)
 	}
 	if len(l.parts.missing) == 0 {
@@ -194,16 +194,16 @@
 		}
 	}
 	if progress {
-		l.clearGarbled(e.From, DocumentPart)
+		l.clearUndecodable(e.From, DocumentPart)
 		l.parts.fetchedAt, l.parts.fetches = time.Time{}, 0
 		l.parts.since = l.now
 	}
 }
 
 // prune removes the parts that are needed neither by the bundle in force nor by a
-// wanted bundle nor by the roll's base.
+// required bundle nor by the roll's base.
 func (l *Ledger) prune() {
-	heads := append(l.wantedHeads(), l.inForce)
+	heads := append(l.requiredHeads(), l.inForce)
 	if l.roll.Base != nil {
 		heads = append(heads, l.roll.Base)
 	}
@@ -211,12 +211,12 @@
 	for _, head := range heads {
 		// updateMissing has already reported malformed parts; keep the digests found
 		// before the error.
-		wanted, _ := l.checker.memo.ReferencedParts(&head.Manifest, l.parts.have)
-		for _, d := range wanted {
+		referenced, _ := l.checker.partCache.ReferencedParts(&head.Manifest, l.parts.have)
+		for _, d := range referenced {
 			keep[d] = true
 		}
 	}
 	needed := func(d bundle.Digest) bool { return keep[d] }
 	l.parts.have.Retain(needed)
-	l.checker.memo.Retain(needed)
+	l.checker.partCache.Retain(needed)
 }
--- a/bundle/ledger/session_test.go
+++ b/bundle/ledger/session_test.go
@@ -23,12 +23,12 @@
 	fetched []bundle.Digest
 }
 
-func newSession(t testing.TB, p *publisher, settings Settings, roster ...Source) *session {
+func newSession(t testing.TB, p *publisher, settings Settings, sources ...Source) *session {
 	t.Helper()
 	l, err := New(settings, epoch)
 	assert.NilError(t, err)
 	s := &session{t: t, publisher: p, ledger: l, now: epoch}
-	s.step("the roster", SourceSet{Sources: roster})
+	s.step("the source set", SourceSet{Sources: sources})
 	return s
 }
 
--- a/bundle/ledger/status.go
+++ b/bundle/ledger/status.go
@@ -34,7 +34,7 @@
 	return s
 }
 
-// Report returns the instance's answer to a peer's AskFloor.
+// Report returns the instance's answer to a peer's QueryFloor.
 func (l *Ledger) Report() FloorReport {
 	return FloorReport{
 		From:  Source{Kind: SourcePeer, Name: string(l.settings.Instance)},
--- a/bundle/memo.go
+++ b/bundle/memo.go
@@ -6,13 +6,13 @@
 	"github.com/wardspool/wardspool/config"
 )
 
-// PartCache caches decoded parts by digest, so that for a new bundle version only the
-// changed parts have to be decoded. It does not verify digests: every source that
-// it is used with must return bytes that match the requested digest, as PartSet
-// does. A nil PartCache is valid and caches nothing; tests compare against it.
+// PartCache caches decoded parts by digest, so that for a new bundle version only
+// the changed parts have to be decoded. It does not verify digests: every source
+// that it is used with must return bytes that match the requested digest, as
+// PartSet does. A nil PartCache is valid and caches nothing; tests compare against it.
 //
-// Contents assembled by the same PartCache share memory and must not be modified. A PartCache
-// is not safe for concurrent use.
+// Contents assembled by the same PartCache share memory and must not be modified.
+// A PartCache is not safe for concurrent use.
 type PartCache struct {
 	infos  map[Digest]partInfo
 	leaves map[leafKey]*config.Content
@@ -31,20 +31,20 @@
 	digest  Digest
 }
 
-// NewPartCache returns an empty Memo.
+// NewPartCache returns an empty PartCache.
 func NewPartCache() *PartCache {
 	return &PartCache{infos: map[Digest]partInfo{}, leaves: map[leafKey]*config.Content{}}
 }
 
 // MissingParts is like the function MissingParts, but decodes each part only once.
-func (m *PartCache) MissingParts(f *Manifest, source PartSource) ([]Digest, error) {
-	w, err := walkParts(f, source, m)
+func (p *PartCache) MissingParts(f *Manifest, source PartSource) ([]Digest, error) {
+	w, err := walkParts(f, source, p)
 	return w.missing, err
 }
 
 // ReferencedParts is like the function ReferencedParts, but decodes each part only once.
-func (m *PartCache) ReferencedParts(f *Manifest, source PartSource) ([]Digest, error) {
-	w, err := walkParts(f, source, m)
+func (p *PartCache) ReferencedParts(f *Manifest, source PartSource) ([]Digest, error) {
+	w, err := walkParts(f, source, p)
 	list := make([]Digest, 0, len(w.referenced))
 	for d := range w.referenced {
 		list = append(list, d)
@@ -54,14 +54,14 @@
 
 // Assemble is like the function Assemble, but decodes each leaf of a list section
 // only once. The returned content must not be modified.
-func (m *PartCache) Assemble(f *Manifest, source PartSource) (*config.Content, error) {
-	if missing, err := m.MissingParts(f, source); err != nil {
+func (p *PartCache) Assemble(f *Manifest, source PartSource) (*config.Content, error) {
+	if missing, err := p.MissingParts(f, source); err != nil {
 		return nil, err
 	} else if len(missing) > 0 {
 		return nil, &MissingPartsError{Digests: missing}
 	}
 	var c config.Content
-	w := &treeWalk{source: source, memo: m, referenced: map[Digest]bool{}}
+	w := &treeWalk{source: source, cache: p, referenced: map[Digest]bool{}}
 	for _, s := range f.Sections {
 		if err := w.walk(s.Name, s.Root, -1, &c); err != nil {
 			return nil, err
@@ -74,19 +74,19 @@
 }
 
 // Retain evicts every part for which keep returns false.
-func (m *PartCache) Retain(keep func(Digest) bool) {
-	if m == nil {
+func (p *PartCache) Retain(keep func(Digest) bool) {
+	if p == nil {
 		return
 	}
-	maps.DeleteFunc(m.infos, func(d Digest, _ partInfo) bool { return !keep(d) })
-	maps.DeleteFunc(m.leaves, func(k leafKey, _ *config.Content) bool { return !keep(k.digest) })
+	maps.DeleteFunc(p.infos, func(d Digest, _ partInfo) bool { return !keep(d) })
+	maps.DeleteFunc(p.leaves, func(k leafKey, _ *config.Content) bool { return !keep(k.digest) })
 }
 
 // partInfo returns the structure of a part. It decodes the part if it is not
 // cached.
-func (m *PartCache) partInfo(d Digest, b []byte) (partInfo, error) {
-	if m != nil {
-		if f, ok := m.infos[d]; ok {
+func (p *PartCache) partInfo(d Digest, b []byte) (partInfo, error) {
+	if p != nil {
+		if f, ok := p.infos[d]; ok {
 			return f, nil
 		}
 	}
@@ -95,25 +95,25 @@
 		return partInfo{}, err
 	}
 	f := partInfo{level: n.Level, children: n.Children}
-	if m != nil {
-		m.infos[d] = f
+	if p != nil {
+		p.infos[d] = f
 	}
 	return f, nil
 }
 
 // addLeaf adds the entries of a leaf to c. It decodes the leaf if it is not cached.
-func (m *PartCache) addLeaf(c *config.Content, section SectionName, d Digest, b []byte) error {
-	if m == nil || !section.isList() {
+func (p *PartCache) addLeaf(c *config.Content, section SectionName, d Digest, b []byte) error {
+	if p == nil || !section.isList() {
 		return decodeLeaf(c, section, b)
 	}
 	key := leafKey{section: section, digest: d}
-	leaf, known := m.leaves[key]
+	leaf, known := p.leaves[key]
 	if !known {
 		leaf = new(config.Content)
 		if err := decodeLeaf(leaf, section, b); err != nil {
 			return err
 		}
-		m.leaves[key] = leaf
+		p.leaves[key] = leaf
 	}
 	c.Kinds = append(c.Kinds, leaf.Kinds...)
 	c.Models = append(c.Models, leaf.Models...)
--- a/bundle/memo_test.go
+++ b/bundle/memo_test.go
@@ -24,21 +24,21 @@
 	assert.Equal(t, errors.As(got, &size), errors.As(want, &size))
 }
 
-// assertSameResults asserts that a Memo gives the same results as the functions
+// assertSameResults asserts that a PartCache gives the same results as the functions
 // without a cache.
-func assertSameResults(t assert.TestingT, memo *PartCache, m *Manifest, have *PartSet) {
-	missing, err := memo.MissingParts(m, have)
+func assertSameResults(t assert.TestingT, cache *PartCache, m *Manifest, have *PartSet) {
+	missing, err := cache.MissingParts(m, have)
 	plainMissing, plainErr := MissingParts(m, have)
 	assert.DeepEqual(t, missing, plainMissing)
 	assertSameError(t, err, plainErr)
-	wanted, err := memo.ReferencedParts(m, have)
-	plainWanted, plainErr := ReferencedParts(m, have)
+	referenced, err := cache.ReferencedParts(m, have)
+	plainReferenced, plainErr := ReferencedParts(m, have)
 	byBytes := func(a, b Digest) int { return slices.Compare(a[:], b[:]) }
-	slices.SortFunc(wanted, byBytes)
-	slices.SortFunc(plainWanted, byBytes)
-	assert.DeepEqual(t, wanted, plainWanted)
+	slices.SortFunc(referenced, byBytes)
+	slices.SortFunc(plainReferenced, byBytes)
+	assert.DeepEqual(t, referenced, plainReferenced)
 	assertSameError(t, err, plainErr)
-	content, err := memo.Assemble(m, have)
+	content, err := cache.Assemble(m, have)
 	plainContent, plainErr := Assemble(m, have)
 	assert.DeepEqual(t, content, plainContent)
 	assertSameError(t, err, plainErr)
@@ -54,12 +54,12 @@
 }
 
 // For any sequence of versions, with parts that are lost, evicted, malformed or in
-// the wrong place, a Memo must give the same results as decoding without a cache.
+// the wrong place, a PartCache must give the same results as decoding without one.
 // A stale or wrongly keyed cache entry would make them differ.
 func TestMemoIsThePlainWalk(t *testing.T) {
 	start := mediumContent(t)
 	rapid.Check(t, func(t *rapid.T) {
-		memo, have := NewPartCache(), &PartSet{}
+		cache, have := NewPartCache(), &PartSet{}
 		c := *start
 		for range rapid.IntRange(1, 4).Draw(t, "versions") {
 			c.Workspaces = slices.Clone(c.Workspaces)
@@ -78,17 +78,17 @@
 					have.put(b)
 				}
 			}
-			assertSameResults(t, memo, &m, have)
+			assertSameResults(t, cache, &m, have)
 			for _, d := range parts.Digests() {
 				b, _ := parts.Part(d)
 				have.put(b)
 			}
-			assertSameResults(t, memo, &m, have)
+			assertSameResults(t, cache, &m, have)
 			some := rapid.IntRange(0, 255).Draw(t, "kept")
 			keep := func(d Digest) bool { return int(d[0]) >= some }
 			have.Retain(keep)
-			memo.Retain(keep)
-			assertSameResults(t, memo, &m, have)
+			cache.Retain(keep)
+			assertSameResults(t, cache, &m, have)
 		}
 	})
 }
@@ -174,25 +174,25 @@
 }
 
 // BenchmarkAssemble measures assembling and validating a bundle of 3,405 workspaces
-// and 612 upstreams in which one workspace changed, with and without a Memo.
+// and 612 upstreams in which one workspace changed, with and without a PartCache.
 func BenchmarkAssemble(b *testing.B) {
 	b.Run("plain", func(b *testing.B) {
 		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := Assemble(m, s); return err })
 	})
 	b.Run("memo", func(b *testing.B) {
-		memo := NewPartCache()
-		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := memo.Assemble(m, s); return err })
+		cache := NewPartCache()
+		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := cache.Assemble(m, s); return err })
 	})
 }
 
 // BenchmarkMissingParts measures MissingParts when no part is missing, with and
-// without a Memo.
+// without a PartCache.
 func BenchmarkMissingParts(b *testing.B) {
 	b.Run("plain", func(b *testing.B) {
 		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := MissingParts(m, s); return err })
 	})
 	b.Run("memo", func(b *testing.B) {
-		memo := NewPartCache()
-		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := memo.MissingParts(m, s); return err })
+		cache := NewPartCache()
+		benchmarkVersions(b, func(m *Manifest, s PartSource) error { _, err := cache.MissingParts(m, s); return err })
 	})
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -41,13 +41,13 @@
 	recorder     *recorder
 	driver       *driver.Driver
 	front        *front.Front
-	// desk is nil if no ticket keys are configured.
-	desk     *tickets.Dispatcher
-	book     *peering.AddressBook
-	views    peering.ViewCache
-	contents peering.ContentCache
-	pool     *peer.Pool
-	servers  servers
+	// dispatcher is nil if no ticket keys are configured.
+	dispatcher   *tickets.Dispatcher
+	addresses    *peering.AddressBook
+	viewCache    peering.ViewCache
+	contentCache peering.ContentCache
+	pool         *peer.Pool
+	servers      servers
 
 	// catalog describes the bundle version in force; it is nil before the first one.
 	catalog atomic.Pointer[intake.Catalog]
@@ -93,10 +93,10 @@
 	scope, closer := metrics.NewScope(reporter, "wardspool_entry")
 	e.closeMetrics = closer.Close
 	e.recorder = newRecorder(log, scope, s.ExplainRecords)
-	e.book = peering.NewAddressBook(knownPeers(s.Peers.Known))
-	e.pool = peer.NewPool(e.peerConfig(e.book.Known))
+	e.addresses = peering.NewAddressBook(knownPeers(s.Peers.Known))
+	e.pool = peer.NewPool(e.peerConfig(e.addresses.Known))
 	e.driver = e.newDriver(k)
-	if e.desk, err = newDesk(&s.Tickets, e.self, e.book, e.pool, e.recorder); err != nil {
+	if e.dispatcher, err = newDispatcher(&s.Tickets, e.self, e.addresses, e.pool, e.recorder); err != nil {
 		return nil, oops.In("entry").Wrapf(err, "load the ticket keys")
 	}
 	e.front = e.newFront(reporter)
@@ -109,7 +109,7 @@
 		Kernel:       k,
 		Engine:       e.engine,
 		Service:      e.service,
-		Peers:        peering.NewSender(e.book, e.pool),
+		Peers:        peering.NewSender(e.addresses, e.pool),
 		Observer:     e.recorder,
 		Log:          e.log,
 		PauseAfter:   e.settings.PauseAfter,
@@ -118,23 +118,23 @@
 	})
 }
 
-// newFront returns the HTTP interface, connected to the ticket desk if there is one.
+// newFront returns the HTTP interface, connected to the ticket dispatcher if there is one.
 func (e *Entry) newFront(reporter *metrics.Reporter) *front.Front {
 	options := front.Options{
 		Instance: e.self.Instance,
 		Limits:   e.settings.Callers.Limits.limits(),
 		Submit:   inFlightCounter{e},
 		Catalog:  e.catalog.Load,
-		Ready:    e.unready,
+		Ready:    e.notReadyReason,
 		Metrics:  reporter,
 		Log:      e.log,
 	}
-	if e.desk == nil {
+	if e.dispatcher == nil {
 		return front.New(options)
 	}
-	options.Tickets = e.desk
+	options.Tickets = e.dispatcher
 	f := front.New(options)
-	e.desk.SetRunner(f.RunTicket)
+	e.dispatcher.SetRunner(f.RunTicket)
 	return f
 }
 
@@ -194,8 +194,8 @@
 	return c.e.driver.Submit(ctx, ex)
 }
 
-// unready returns why the instance is not ready, or front.IsReady.
-func (e *Entry) unready() front.NotReadyReason {
+// notReadyReason returns why the instance is not ready, or front.IsReady.
+func (e *Entry) notReadyReason() front.NotReadyReason {
 	switch {
 	case e.stopping.Load():
 		return front.Stopping
@@ -219,8 +219,8 @@
 // onPause handles a pause of the process that the driver detected.
 func (e *Entry) onPause(gap time.Duration) {
 	e.recorder.counters.pauses.Inc(1)
-	if e.desk != nil {
-		e.desk.Paused(gap)
+	if e.dispatcher != nil {
+		e.dispatcher.Paused(gap)
 	}
 	if e.settings.Static != nil {
 		// Without an agent nothing else refreshes the view. The driver calls this from
--- a/entry/feed.go
+++ b/entry/feed.go
@@ -9,7 +9,7 @@
 	"github.com/wardspool/wardspool/peer"
 )
 
-// Update implements peering.FeedTaker: it applies what the agent sends and replies
+// Update implements peering.FeedHandler: it applies what the agent sends and replies
 // with the evidence that live traffic gave about upstreams and peers since the last
 // call.
 func (e *Entry) Update(_ context.Context, u feed.Update) (feed.Reply, error) {
@@ -18,13 +18,13 @@
 		e.driver.Post(kernel.Paused{Gap: time.Duration(u.PauseMS) * time.Millisecond})
 	}
 	if u.View != nil {
-		if view, addresses, ok := e.views.Apply(u.View, now); ok {
-			e.book.Replace(addresses)
+		if view, addresses, ok := e.viewCache.Apply(u.View, now); ok {
+			e.addresses.Replace(addresses)
 			e.driver.Post(kernel.ViewChanged{View: view})
 		}
 	}
 	if u.Bundle != nil {
-		if content := e.contents.Apply(u.Bundle); content != nil {
+		if content := e.contentCache.Apply(u.Bundle); content != nil {
 			e.driver.Post(kernel.Configured{Version: u.Bundle.Version, Content: content})
 		}
 	}
@@ -43,8 +43,8 @@
 func (e *Entry) reply(now time.Time) feed.Reply {
 	r := feed.Reply{
 		Incarnation: e.self.Incarnation,
-		View:        e.views.Number(),
-		Base:        e.contents.Digest(),
+		View:        e.viewCache.Number(),
+		Base:        e.contentCache.Digest(),
 		Stopping:    e.notReady.Load(),
 		InFlight:    int(e.inFlight.Load()),
 		Evidence:    e.recorder.evidence.Take(now),
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -42,10 +42,10 @@
 
 // testFront is a Front that listens on a local port, with a fake submitter.
 type testFront struct {
-	front   *Front
-	submit  *fakeSubmitter
-	address string
-	unready NotReadyReason
+	front          *Front
+	submit         *fakeSubmitter
+	address        string
+	notReadyReason NotReadyReason
 }
 
 // newTestFront starts a testFront. change modifies its options.
@@ -61,7 +61,7 @@
 	o := Options{
 		Instance: "e-1", Limits: DefaultLimits(), Submit: r.submit,
 		Catalog: func() *intake.Catalog { return catalog },
-		Ready:   func() NotReadyReason { return r.unready },
+		Ready:   func() NotReadyReason { return r.notReadyReason },
 		Metrics: http.NotFoundHandler(),
 		Log:     slog.New(slog.DiscardHandler),
 	}
@@ -266,7 +266,7 @@
 	} {
 		t.Run(string(c.unready), func(t *testing.T) {
 			r := newTestFront(t, nil)
-			r.unready = c.unready
+			r.notReadyReason = c.unready
 			probe, _ := r.sendRaw(t, "GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n")
 			assert.Equal(t, probe.StatusCode, c.probe)
 			alive, _ := r.sendRaw(t, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/entry/front/options.go
+++ b/entry/front/options.go
@@ -80,7 +80,7 @@
 // NotReadyReason is the reason why an instance should get no new requests.
 type NotReadyReason string
 
-// Values of Unready.
+// Values of NotReadyReason.
 const (
 	// IsReady means that the instance accepts requests.
 	IsReady NotReadyReason = ""
--- a/entry/front/ticket.go
+++ b/entry/front/ticket.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/ticket"
 )
 
-// Tickets issues tickets and runs calls that carry one. *tickets.Desk
+// Tickets issues tickets and runs calls that carry one. *tickets.Dispatcher
 // implements it.
 type Tickets interface {
 	Issue(w ident.Workspace) (text string, expires time.Time, problem *api.Problem)
--- a/entry/peering/book.go
+++ b/entry/peering/book.go
@@ -16,8 +16,8 @@
 	return fmt.Sprintf("no address is known for instance %q", e.Instance)
 }
 
-// AddressBook holds the addresses of the other instances: those of the settings and those
-// of the agent's newest view. It is safe for concurrent use.
+// AddressBook holds the addresses of the other instances: those of the settings
+// and those of the agent's newest view. It is safe for concurrent use.
 type AddressBook struct {
 	settings map[ident.InstanceID]string
 
@@ -25,7 +25,7 @@
 	view map[ident.InstanceID]string
 }
 
-// NewAddressBook returns a Book with the addresses of the settings.
+// NewAddressBook returns an AddressBook with the addresses of the settings.
 func NewAddressBook(settings map[ident.InstanceID]string) *AddressBook {
 	return &AddressBook{settings: settings}
 }
--- a/entry/peering/kernel.go
+++ b/entry/peering/kernel.go
@@ -21,18 +21,20 @@
 // Sender sends messages to the kernels of other instances. It implements
 // driver.PeerSender.
 type Sender struct {
-	book *AddressBook
-	pool *peer.Pool
+	addresses *AddressBook
+	pool      *peer.Pool
 }
 
-// NewSender returns a Sender that takes addresses from book and connections from
+// NewSender returns a Sender that looks up addresses and takes connections from
 // pool.
-func NewSender(book *AddressBook, pool *peer.Pool) *Sender { return &Sender{book: book, pool: pool} }
+func NewSender(addresses *AddressBook, pool *peer.Pool) *Sender {
+	return &Sender{addresses: addresses, pool: pool}
+}
 
 // Send sends a message at most once. Its errors are *UnknownPeerError,
 // *kernel.MessageBodyError and *peer.CallError.
 func (s *Sender) Send(ctx context.Context, to ident.InstanceID, m kernel.PeerMessage) error {
-	addr, err := s.book.Address(to)
+	addr, err := s.addresses.Address(to)
 	if err != nil {
 		return err
 	}
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -77,7 +77,7 @@
 	}
 	e.servers.callers = limitConnections(l, e.settings.Callers.Limits.Connections)
 	e.servers.http = e.front.Server()
-	e.servers.peers, err = e.listen(e.settings.Peers.Listen, e.peerConfig(e.book.Known))
+	e.servers.peers, err = e.listen(e.settings.Peers.Listen, e.peerConfig(e.addresses.Known))
 	if err != nil {
 		return oops.In("entry").Wrapf(err, "listen for peers")
 	}
@@ -97,8 +97,8 @@
 func (e *Entry) registerMethods() {
 	if s := e.servers.peers; s != nil {
 		peering.HandleKernel(s.server, e.driver.Post)
-		if e.desk != nil {
-			tickets.Handle(s.server, e.desk)
+		if e.dispatcher != nil {
+			tickets.Handle(s.server, e.dispatcher)
 		}
 	}
 	if s := e.servers.feed; s != nil {
@@ -182,8 +182,8 @@
 	}
 	stopErr := e.stop(err == nil)
 	stopRun()
-	if e.desk != nil {
-		e.desk.Wait()
+	if e.dispatcher != nil {
+		e.dispatcher.Wait()
 	}
 	running.Wait()
 	return errors.Join(err, stopErr, e.releaseResources())
@@ -221,8 +221,8 @@
 	e.stopping.Store(true)
 	e.front.Close()
 	e.driver.Post(kernel.Stop{})
-	if e.desk != nil {
-		e.desk.Stop()
+	if e.dispatcher != nil {
+		e.dispatcher.Stop()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.Stop.Timeout)
 	defer cancel()
--- a/entry/stats/stats.go
+++ b/entry/stats/stats.go
@@ -67,7 +67,7 @@
 	versions map[uint64]*version
 }
 
-// New returns an empty Tally.
+// New returns an empty Collector.
 func New() *Collector { return &Collector{versions: map[uint64]*version{}} }
 
 // version returns the counts of a bundle version and creates them if necessary. The
--- a/entry/tickets.go
+++ b/entry/tickets.go
@@ -35,9 +35,9 @@
 	return ticket.NewCodec(keys...)
 }
 
-// newDesk returns the ticket desk of an instance, nil if no ticket keys are
-// configured.
-func newDesk(t *TicketSettings, self kernel.Self, book *peering.AddressBook, pool *peer.Pool, r *recorder) (*tickets.Dispatcher, error) {
+// newDispatcher returns the ticket dispatcher of an instance, nil if no ticket
+// keys are configured.
+func newDispatcher(t *TicketSettings, self kernel.Self, addresses *peering.AddressBook, pool *peer.Pool, r *recorder) (*tickets.Dispatcher, error) {
 	codec, err := t.codec()
 	if err != nil || codec == nil {
 		return nil, err
@@ -55,7 +55,7 @@
 		},
 		Limits:  limits,
 		Codec:   codec,
-		Forward: tickets.NewPeers(book, pool),
+		Forward: tickets.NewPeers(addresses, pool),
 		Observe: r.Presented,
 		Log:     r.log,
 	}), nil
--- a/entry/tickets/desk.go
+++ b/entry/tickets/desk.go
@@ -74,8 +74,8 @@
 	Problem *api.Problem   `json:"problem,omitempty"`
 }
 
-// Dispatcher executes the calls of tickets issued by this instance and forwards the
-// calls of other instances' tickets. It is safe for concurrent use.
+// Dispatcher executes the calls of tickets issued by this instance and forwards
+// the calls of other instances' tickets. It is safe for concurrent use.
 type Dispatcher struct {
 	codec   *ticket.Codec
 	forward Forwarder
@@ -109,8 +109,8 @@
 	Log     *slog.Logger
 }
 
-// New returns a desk for a new life (incarnation) of an instance. SetRunner
-// must be called before the first call arrives.
+// New returns the dispatcher of a newly started process. SetRunner must be called
+// before the first call arrives.
 func New(o Options) *Dispatcher {
 	return &Dispatcher{
 		codec:    o.Codec,
@@ -155,7 +155,7 @@
 		return Reply{Problem: ticket.InvalidProblem(err)}
 	}
 	c.Run = RunID(c.Ticket)
-	switch route := ticket.Route(t, d.life(), d.view(t)); route.Destination {
+	switch route := ticket.Route(t, d.process(), d.view(t)); route.Destination {
 	case ticket.Local:
 		return d.present(ctx, t, c)
 	case ticket.Forward:
@@ -178,7 +178,7 @@
 	return d.present(ctx, t, c)
 }
 
-func (d *Dispatcher) life() ticket.Process {
+func (d *Dispatcher) process() ticket.Process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.executor.Process()
--- a/entry/tickets/desk_test.go
+++ b/entry/tickets/desk_test.go
@@ -17,11 +17,11 @@
 	"github.com/wardspool/wardspool/ticket"
 )
 
-// fakeForwarder is a Forwarder that forwards to a desk in the same process.
+// fakeForwarder is a Forwarder that forwards to a Dispatcher in the same process.
 type fakeForwarder struct {
-	known bool
-	desk  *Dispatcher
-	err   error
+	known      bool
+	dispatcher *Dispatcher
+	err        error
 }
 
 func (f *fakeForwarder) Known(ident.InstanceID) bool { return f.known }
@@ -30,11 +30,11 @@
 	if f.err != nil {
 		return nil, f.err
 	}
-	r := f.desk.ExecuteHere(ctx, c)
+	r := f.dispatcher.ExecuteHere(ctx, c)
 	return &r, nil
 }
 
-func newTestDesk(t *testing.T, instance ident.InstanceID, f Forwarder) *Dispatcher {
+func newTestDispatcher(t *testing.T, instance ident.InstanceID, f Forwarder) *Dispatcher {
 	t.Helper()
 	codec, err := ticket.NewCodec(ticket.Key{ID: "k", Secret: bytes.Repeat([]byte("s"), 32)})
 	assert.NilError(t, err)
@@ -56,7 +56,7 @@
 // that started it leaves while another one still waits.
 func TestCallGoesOnWhileAnyoneWaits(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		d := newTestDesk(t, "a", nil)
+		d := newTestDispatcher(t, "a", nil)
 		cancelled := 0
 		d.SetRunner(func(ctx context.Context, _ *Call) ticket.Result {
 			select {
@@ -98,7 +98,7 @@
 // TestResultIsKept: a call that was answered with "not-run" must not run on a
 // later presentation.
 func TestResultIsKept(t *testing.T) {
-	d := newTestDesk(t, "a", nil)
+	d := newTestDispatcher(t, "a", nil)
 	runs := 0
 	d.SetRunner(func(context.Context, *Call) ticket.Result {
 		runs++
@@ -113,10 +113,10 @@
 }
 
 func TestForward(t *testing.T) {
-	a := newTestDesk(t, "a", nil)
+	a := newTestDispatcher(t, "a", nil)
 	a.SetRunner(func(context.Context, *Call) ticket.Result { return ticket.Result{Outcome: api.Complete, Status: 200} })
-	f := &fakeForwarder{known: true, desk: a}
-	b := newTestDesk(t, "b", f)
+	f := &fakeForwarder{known: true, dispatcher: a}
+	b := newTestDispatcher(t, "b", f)
 	c := issueCall(t, a)
 	assert.Equal(t, b.Execute(t.Context(), c).Result.Outcome, api.Complete)
 
@@ -148,10 +148,10 @@
 // is unknown.
 func TestForwardEndsWithTheDeadline(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		c := issueCall(t, newTestDesk(t, "a", nil))
+		c := issueCall(t, newTestDispatcher(t, "a", nil))
 		c.Wait = 5 * time.Second
 		began := time.Now()
-		r := newTestDesk(t, "b", unreachableForwarder{}).Execute(t.Context(), c)
+		r := newTestDispatcher(t, "b", unreachableForwarder{}).Execute(t.Context(), c)
 		assert.Equal(t, r.Problem.Outcome, api.Unknown)
 		assert.Equal(t, time.Since(began), c.Wait+answerMargin)
 	})
@@ -161,7 +161,7 @@
 // own deadline, while the call that it waits for has a later one and continues.
 func TestSecondPresentationEndsWithItsDeadline(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		d := newTestDesk(t, "a", nil)
+		d := newTestDispatcher(t, "a", nil)
 		d.SetRunner(func(context.Context, *Call) ticket.Result {
 			time.Sleep(30 * time.Second)
 			return ticket.Result{Outcome: api.Complete, Status: 200}
@@ -182,7 +182,7 @@
 }
 
 func TestPauseAndStop(t *testing.T) {
-	d := newTestDesk(t, "a", nil)
+	d := newTestDispatcher(t, "a", nil)
 	c := issueCall(t, d)
 	d.Paused(time.Hour)
 	assert.Equal(t, d.Execute(t.Context(), c).Problem.Type, api.ProblemTicketExpired)
--- a/entry/tickets/forward.go
+++ b/entry/tickets/forward.go
@@ -15,26 +15,26 @@
 // Peers forwards calls to other instances over JSON-RPC 2.0. It implements
 // Forwarder.
 type Peers struct {
-	book *peering.AddressBook
-	pool *peer.Pool
+	addresses *peering.AddressBook
+	pool      *peer.Pool
 }
 
-// NewPeers returns a forwarder that looks up addresses in book and takes
-// connections from pool.
-func NewPeers(book *peering.AddressBook, pool *peer.Pool) *Peers {
-	return &Peers{book: book, pool: pool}
+// NewPeers returns a forwarder that looks up addresses and takes connections
+// from pool.
+func NewPeers(addresses *peering.AddressBook, pool *peer.Pool) *Peers {
+	return &Peers{addresses: addresses, pool: pool}
 }
 
 // Known implements Forwarder.
 func (p *Peers) Known(id ident.InstanceID) bool {
-	_, err := p.book.Address(id)
+	_, err := p.addresses.Address(id)
 	return err == nil
 }
 
 // Forward implements Forwarder. Errors are *peering.UnknownPeerError and
 // *peer.CallError.
 func (p *Peers) Forward(ctx context.Context, to ident.InstanceID, c *Call) (*Reply, error) {
-	addr, err := p.book.Address(to)
+	addr, err := p.addresses.Address(to)
 	if err != nil {
 		return nil, err
 	}
--- a/gateway/fleet/messages.go
+++ b/gateway/fleet/messages.go
@@ -45,7 +45,7 @@
 	// Memory is the forecast of the memory that the requests hold at a decode engine, in tokens,
 	// at fixed time steps from the heartbeat.
 	Memory []int `json:"m,omitempty"`
-	// UnaccountedMemory is the unaccounted memory of the engine, in tokens: the use that it reported to
+	// UnaccountedMemory is the engine's unaccounted memory, in tokens: the use that it reported to
 	// the instance beyond that of all known requests.
 	UnaccountedMemory int `json:"u,omitempty"`
 	// ThroughputBucket is the recent throughput of a prefill engine as a 1-based bucket of
--- a/gateway/fleet/tokens.go
+++ b/gateway/fleet/tokens.go
@@ -118,7 +118,7 @@
 	// Wait is the time after which a refused caller may retry; 0 if its request exceeds what the
 	// limit can ever allow.
 	Wait time.Duration
-	// Owner is the instance that decided, empty if this instance decided by itself. Level is the
+	// Owner is the instance that decided, empty if this instance decided by itself. Balance is the
 	// number of tokens left in the account.
 	Owner   ident.InstanceID
 	Balance float64
--- a/kernel/joint.go
+++ b/kernel/joint.go
@@ -36,7 +36,7 @@
 	Joint(model string) bool
 	// Place requests a placement. The policy answers by calling a method of
 	// JointHost.
-	Place(ask PlacementRequest)
+	Place(request PlacementRequest)
 	// Computed reports that the reservation's prefill is done. If the placement
 	// named no decode engine, the policy answers by calling a method of
 	// JointHost.
--- a/kernel/plugins.go
+++ b/kernel/plugins.go
@@ -160,7 +160,7 @@
 // SlotAnswer is a slot policy's immediate answer to a slot request.
 type SlotAnswer struct {
 	Result SlotResult
-	// RetryAt is, for SlotNone, the time at which a slot may become free. The
+	// RetryAt is, for SlotUnavailable, the time at which a slot may become free. The
 	// zero time means that it is not known.
 	RetryAt time.Time
 }
@@ -180,7 +180,7 @@
 	plugin.Plugin
 	Attacher
 	// Reserve requests a slot.
-	Reserve(ask SlotRequest) SlotAnswer
+	Reserve(request SlotRequest) SlotAnswer
 	// Release gives a reservation back or withdraws a pending one. It is
 	// idempotent.
 	Release(reservation ident.AttemptID)
--- a/kernel/session_test.go
+++ b/kernel/session_test.go
@@ -102,19 +102,19 @@
 		s.advance(21 * time.Second)
 	}},
 	{"no_upstream_then_refused_late", func(s *session) {
-		s.setLife("d1", kernel.Dead)
-		s.setLife("d2", kernel.Leaving)
+		s.setLiveness("d1", kernel.Dead)
+		s.setLiveness("d2", kernel.Leaving)
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.advance(3 * time.Second)
 	}},
 	{"stop_refuses_waiting_finishes_running", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("running")})
-		s.setLife("d1", kernel.Leaving)
-		s.setLife("d2", kernel.Leaving)
+		s.setLiveness("d1", kernel.Leaving)
+		s.setLiveness("d2", kernel.Leaving)
 		s.step(kernel.Arrive{Request: s.review("waiting")})
 		s.step(kernel.Stop{})
 		s.step(kernel.Arrive{Request: s.confirm("late")})
-		s.setLife("d2", kernel.Live)
+		s.setLiveness("d2", kernel.Live)
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -123,14 +123,14 @@
 		s.step(kernel.Paused{Gap: 10 * time.Second})
 		s.step(kernel.Arrive{Request: s.confirm("c1")})
 		s.advance(100 * time.Millisecond)
-		s.setLife("s1", kernel.Dead)
+		s.setLiveness("s1", kernel.Dead)
 		s.step(kernel.AttemptDone{Attempt: s.service})
 	}},
 	{"prefill_engine_dies_while_decoding", func(s *session) {
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		used := s.prefill
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
-		s.setLife("p1", kernel.Dead)
+		s.setLiveness("p1", kernel.Dead)
 		s.step(kernel.AttemptFailed{Attempt: used, Upstream: "p1", Evidence: kernel.Ambiguous, Code: kernel.FailureBroken})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
 		s.step(kernel.AttemptDone{Attempt: s.decode})
@@ -139,9 +139,9 @@
 		s.step(kernel.Arrive{Request: s.review("r1")})
 		s.step(kernel.PrefillDone{Attempt: s.prefill, KV: kvFrom("p1")})
 		s.step(kernel.FirstOutput{Attempt: s.decode})
-		s.setLife("d1", kernel.Dead)
-		s.setLife("d2", kernel.Dead)
-		s.setLife("d1", kernel.Live)
+		s.setLiveness("d1", kernel.Dead)
+		s.setLiveness("d2", kernel.Dead)
+		s.setLiveness("d1", kernel.Live)
 		s.step(kernel.AttemptFailed{Attempt: s.decode, Evidence: kernel.Ambiguous, Code: kernel.FailureBroken, Offset: 12})
 		s.advance(time.Second)
 	}},
@@ -213,7 +213,7 @@
 // that answers other requests meanwhile is not ejected.
 func TestSilentServiceIsEjected(t *testing.T) {
 	s := newSession(t)
-	s.setLife("s2", kernel.Dead)
+	s.setLiveness("s2", kernel.Dead)
 	for i := range 3 {
 		s.step(kernel.Arrive{Request: s.confirm(fmt.Sprintf("c%d", i))})
 		s.advance(6 * time.Second)
@@ -223,7 +223,7 @@
 	assert.Assert(t, s.service.IsZero(), "a service that answers no request was called again:\n%s", s.transcript())
 
 	slow := newSession(t)
-	slow.setLife("s2", kernel.Dead)
+	slow.setLiveness("s2", kernel.Dead)
 	for i := range 5 {
 		slow.step(kernel.Arrive{Request: slow.confirm(fmt.Sprintf("lost%d", i))})
 		slow.step(kernel.Arrive{Request: slow.confirm(fmt.Sprintf("good%d", i))})
--- a/kernel/view.go
+++ b/kernel/view.go
@@ -40,8 +40,8 @@
 	QueuedTokens int
 }
 
-// LocalLoad is the load that this instance itself has in flight on an upstream. Unlike
-// Load, it is always up to date.
+// LocalLoad is the load that this instance itself has in flight on an upstream.
+// Unlike Load, it is always up to date.
 type LocalLoad struct {
 	// Requests is the number of attempts in flight.
 	Requests int
--- a/kernel/world_test.go
+++ b/kernel/world_test.go
@@ -195,14 +195,14 @@
 
 func (s *session) transcript() string { return strings.Join(s.lines, "\n") + "\n" }
 
-// setLife sets the Life of one upstream in a new view.
-func (s *session) setLife(id ident.UpstreamID, life kernel.Liveness) {
+// setLiveness sets the Liveness of one upstream in a new view.
+func (s *session) setLiveness(id ident.UpstreamID, liveness kernel.Liveness) {
 	v := *s.view
 	v.Version++
 	v.Upstreams = append([]kernel.Upstream(nil), v.Upstreams...)
 	for i := range v.Upstreams {
 		if v.Upstreams[i].ID == id {
-			v.Upstreams[i].Liveness = life
+			v.Upstreams[i].Liveness = liveness
 		}
 	}
 	s.view = &v
--- a/membership/heartbeat.go
+++ b/membership/heartbeat.go
@@ -143,7 +143,7 @@
 	x.digest = hb.Digest
 	x.partnerInterval = min(time.Duration(hb.WaitMS)*time.Millisecond, maxWait)
 	m.merge(at, x, memberRecord{
-		incarnation: hb.Incarnation, leaving: hb.Leaving, gone: hb.Gone, hasStamp: hb.Stamp > 0, stamp: hb.Stamp,
+		incarnation: hb.Incarnation, leaving: hb.Leaving, ended: hb.Gone, hasStamp: hb.Stamp > 0, stamp: hb.Stamp,
 	})
 	for _, r := range members {
 		x.noteKnownRecord(r.key, r.incarnation, r.stamp)
--- a/membership/leaving_test.go
+++ b/membership/leaving_test.go
@@ -40,12 +40,12 @@
 			receiveFromOther(t, m, sec, Heartbeat{Upstreams: d.Append(nil)})
 		},
 	}
-	for name, mark := range sources {
+	for name, record := range sources {
 		t.Run(name, func(t *testing.T) {
 			m := newMachineWithPeer()
 			m.ApplyUpstreamList(timeAt(0), timeAt(0), 2, listUpstreamAs(ListedUpstream{Incarnation: 7}))
 			assert.Assert(t, !upstreamView(m, 0).Leaving)
-			mark(t, m)
+			record(t, m)
 			assert.Assert(t, upstreamView(m, sec).Leaving)
 			for i, index := range []uint64{1, 5, 6, 90} {
 				d := time.Duration(i+2) * sec
--- a/membership/list.go
+++ b/membership/list.go
@@ -151,7 +151,7 @@
 }
 
 // ApplyUpstreamList applies the platform's list of upstreams in the same way as
-// Instances.
+// ApplyInstanceList.
 func (m *Machine) ApplyUpstreamList(now, started time.Time, index uint64, list []ListedUpstream) bool {
 	at := m.advanceTo(now)
 	if index < m.lists.upstreams {
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -78,7 +78,7 @@
 // machine's time.
 func (m *Machine) sinceEpoch(t time.Time) time.Duration { return t.Sub(m.epoch) }
 
-// SetSelf sets the state of this instance's own entry process. Leaving and Gone
+// SetSelf sets the state of this instance's own entry process. Leaving and Ended
 // are sticky for an incarnation.
 func (m *Machine) SetSelf(now time.Time, s SelfState) {
 	at := m.advanceTo(now)
--- a/membership/member.go
+++ b/membership/member.go
@@ -41,7 +41,7 @@
 type incarnationFacts struct {
 	incarnation ident.Incarnation
 	leaving     bool
-	gone        bool
+	ended       bool
 	clock       livenessClock
 	// missingAfter is 1 more than the highest stamp after which a peer of the
 	// instance's zone reports no evidence of liveness, or a refused connection.
@@ -163,7 +163,7 @@
 type memberRecord struct {
 	incarnation ident.Incarnation
 	leaving     bool
-	gone        bool
+	ended       bool
 	missing     bool
 	hasStamp    bool
 	stamp       Stamp
@@ -183,9 +183,9 @@
 	}
 	isNew := old != 0 && r.incarnation > old
 	l := &m.facts
-	isNew = isNew || r.leaving && !l.leaving || r.gone && !l.gone
+	isNew = isNew || r.leaving && !l.leaving || r.ended && !l.ended
 	l.leaving = l.leaving || r.leaving
-	l.gone = l.gone || r.gone
+	l.ended = l.ended || r.ended
 	if r.hasStamp {
 		l.clock.observe(now, r.stamp, r.age)
 	}
@@ -250,7 +250,7 @@
 		age = min(age, now-t.zoneLastLiveAt)
 	}
 	switch {
-	case l.gone:
+	case l.ended:
 		return Dead
 	case l.refusedSince(now) && now-l.lastLiveAt(now) >= t.deadGrace:
 		return Dead
--- a/membership/pack.go
+++ b/membership/pack.go
@@ -46,7 +46,7 @@
 // Flags of packed records.
 const (
 	flagLeaving = 1 << iota
-	flagGone
+	flagEnded
 	flagMissing
 	flagStamp
 	flagReport
@@ -75,7 +75,7 @@
 func appendMember(dst []byte, r keyedRecord) []byte {
 	var flags byte
 	setFlag(&flags, flagLeaving, r.leaving)
-	setFlag(&flags, flagGone, r.gone)
+	setFlag(&flags, flagEnded, r.ended)
 	setFlag(&flags, flagMissing, r.missing)
 	setFlag(&flags, flagStamp, r.hasStamp)
 	dst = append48(dst, uint64(r.key))
@@ -95,7 +95,7 @@
 		records = append(records, keyedRecord{key: recordKey(read48(block)), memberRecord: memberRecord{
 			incarnation: ident.Incarnation(read48(block[6:])),
 			leaving:     flags&flagLeaving != 0,
-			gone:        flags&flagGone != 0,
+			ended:       flags&flagEnded != 0,
 			missing:     flags&flagMissing != 0,
 			hasStamp:    flags&flagStamp != 0,
 			age:         time.Duration(block[13]) * memberAgeUnit,
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -37,7 +37,7 @@
 	r := keyedRecord{key: keyOf(string(rapid.SampledFrom(subjects).Draw(t, "subject")))}
 	r.incarnation = ident.Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation"))
 	r.leaving = rapid.Bool().Draw(t, "leaving")
-	r.gone = rapid.IntRange(0, 4).Draw(t, "gone") == 0
+	r.ended = rapid.IntRange(0, 4).Draw(t, "gone") == 0
 	r.missing = rapid.IntRange(0, 4).Draw(t, "missing") == 0
 	r.hasStamp = rapid.Bool().Draw(t, "has stamp")
 	if r.hasStamp {
@@ -95,7 +95,7 @@
 	var out []stickyFacts
 	for _, id := range subjects {
 		l := &m.members[id].facts
-		out = append(out, stickyFacts{Incarnation: l.incarnation, Leaving: l.leaving, Gone: l.gone, Stamp: l.clock.stamp, Missing: l.missingAfter})
+		out = append(out, stickyFacts{Incarnation: l.incarnation, Leaving: l.leaving, Gone: l.ended, Stamp: l.clock.stamp, Missing: l.missingAfter})
 	}
 	for _, id := range backends {
 		u := m.upstreams[id]
@@ -164,7 +164,7 @@
 	assert.Assert(t, after.Report.Sequence >= before.Report.Sequence, "a newer report was replaced by an older one")
 }
 
-// TestOldMessagesRaiseNobody lets an instance become silent and then delivers
+// TestOldMessagesRaiseNobody lets an instance become unresponsive and then delivers
 // earlier messages about it: whatever their delay, number and age, they must
 // not make it alive again.
 func TestOldMessagesRaiseNobody(t *testing.T) {
--- a/membership/upstream.go
+++ b/membership/upstream.go
@@ -72,8 +72,8 @@
 	reachedAt time.Duration
 	failedAt  time.Duration
 	failKind  FailKind
-	// silentSince is the first failure after the last evidence of liveness.
-	silentSince time.Duration
+	// unresponsiveSince is the first failure after the last evidence of liveness.
+	unresponsiveSince time.Duration
 
 	// Dissemination. urgentSends is the number of further messages that carry
 	// the upstream's facts ahead of the schedule.
@@ -164,7 +164,7 @@
 // recordFailure records a failure to reach the upstream.
 func (u *upstream) recordFailure(at time.Duration, kind FailKind) {
 	if at > u.lastLiveAt() && u.failedAt <= u.lastLiveAt() {
-		u.silentSince = at
+		u.unresponsiveSince = at
 	}
 	if at > u.failedAt || at == u.failedAt && kind == FailRefused {
 		u.failedAt, u.failKind = at, kind
--- a/membership/view.go
+++ b/membership/view.go
@@ -186,7 +186,7 @@
 	sum := stickyHash(keyOf(string(m.self.Instance)), uint64(m.selfState.Incarnation), m.selfState.Leaving, m.selfState.Ended)
 	for _, x := range m.sortedMembers {
 		if x.zone == m.self.Zone && x.facts.incarnation != 0 {
-			sum ^= stickyHash(x.key, uint64(x.facts.incarnation), x.facts.leaving, x.facts.gone)
+			sum ^= stickyHash(x.key, uint64(x.facts.incarnation), x.facts.leaving, x.facts.ended)
 		}
 	}
 	for _, u := range m.sortedUpstreams {
@@ -199,7 +199,7 @@
 
 // stickyHash hashes the sticky facts of one process. The digest is the
 // exclusive or of all hashes, so that their order has no effect.
-func stickyHash(key recordKey, inc uint64, leaving, gone bool) uint64 {
+func stickyHash(key recordKey, inc uint64, leaving, ended bool) uint64 {
 	if inc == 0 {
 		return 0
 	}
@@ -207,7 +207,7 @@
 	binary.BigEndian.PutUint64(b[:], uint64(key))
 	binary.BigEndian.PutUint64(b[8:], inc)
 	setFlag(&b[16], flagLeaving, leaving)
-	setFlag(&b[16], flagGone, gone)
+	setFlag(&b[16], flagEnded, ended)
 	return xxhash.Sum64(b[:])
 }
 
--- a/membership/window.go
+++ b/membership/window.go
@@ -84,7 +84,7 @@
 		rank = remoteNeverSentLag
 	case !ok || t.incarnation < l.incarnation:
 		rank = neverSentLag
-	case l.leaving || l.gone || l.reportedMissing() || m.considersMissing(now, x):
+	case l.leaving || l.ended || l.reportedMissing() || m.considersMissing(now, x):
 		// Facts that stop work are repeated, since an answer may have been
 		// lost.
 		rank = now - t.sentAt
@@ -118,7 +118,7 @@
 	r := memberRecord{
 		incarnation: l.incarnation,
 		leaving:     l.leaving,
-		gone:        l.gone,
+		ended:       l.ended,
 		missing:     l.reportedMissing() || m.considersMissing(now, x),
 	}
 	if at, ok := l.clock.latestAt(now); ok {
--- a/membership/zonedoubt.go
+++ b/membership/zonedoubt.go
@@ -6,16 +6,17 @@
 	"github.com/wardspool/wardspool/ident"
 )
 
-// minSilentUpstreams is how many upstreams of another zone must be silent
-// before the whole zone is considered unreachable.
-const minSilentUpstreams = 2
+// minUnresponsiveUpstreams is how many upstreams of another zone must be
+// unresponsive before the whole zone is considered unreachable.
+const minUnresponsiveUpstreams = 2
 
 // zoneEvidence is what this instance's own calls show about another zone.
 type zoneEvidence struct {
-	// silent is the number of upstreams that do not answer; silentSince is the
-	// earliest time at which one of them stopped answering.
-	silent      int
-	silentSince time.Duration
+	// unresponsive is the number of upstreams that do not answer;
+	// unresponsiveSince is the earliest time at which one of them stopped
+	// answering.
+	unresponsive      int
+	unresponsiveSince time.Duration
 	// lastLiveAt is the last evidence of liveness of any of the zone's
 	// upstreams.
 	lastLiveAt time.Duration
@@ -37,13 +38,13 @@
 		}
 		d := evidence[u.zone]
 		if d == nil {
-			d = &zoneEvidence{silentSince: -never, lastLiveAt: never}
+			d = &zoneEvidence{unresponsiveSince: -never, lastLiveAt: never}
 			evidence[u.zone] = d
 		}
 		d.lastLiveAt = max(d.lastLiveAt, u.lastLiveAt())
 		if u.failedAt > u.lastLiveAt() && u.failKind != FailRefused {
-			d.silent++
-			d.silentSince = min(d.silentSince, u.silentSince)
+			d.unresponsive++
+			d.unresponsiveSince = min(d.unresponsiveSince, u.unresponsiveSince)
 		}
 	}
 	return evidence
@@ -53,5 +54,5 @@
 // unreachable.
 func (z evidenceByZone) zoneUnreachable(u *upstream) bool {
 	d := z[u.zone]
-	return d != nil && d.silent >= minSilentUpstreams && d.lastLiveAt < d.silentSince
+	return d != nil && d.unresponsive >= minUnresponsiveUpstreams && d.lastLiveAt < d.unresponsiveSince
 }
--- a/peer/hello_test.go
+++ b/peer/hello_test.go
@@ -173,7 +173,7 @@
 }
 
 // TestSilentServerIsToldApart checks that a process that is paused while its
-// kernel still accepts connections is reported as DialSilent.
+// kernel still accepts connections is reported as DialHelloTimeout.
 func TestSilentServerIsToldApart(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
--- a/plugins/slots/compare/run.go
+++ b/plugins/slots/compare/run.go
@@ -232,20 +232,20 @@
 
 // updateOtherViews sets v's state in the views of all other instances, in each
 // after its own random delay.
-func (r *run) updateOtherViews(v *client, life kernel.Liveness, after time.Duration) {
+func (r *run) updateOtherViews(v *client, liveness kernel.Liveness, after time.Duration) {
 	for _, c := range r.clients {
 		if c != v {
-			r.world.After(r.spread(after), func() { c.node.SetLivenessInView(v.node, life) })
+			r.world.After(r.spread(after), func() { c.node.SetLivenessInView(v.node, liveness) })
 		}
 	}
 }
 
 // updateOwnView sets the state of all other instances in v's view, each after
 // its own random delay.
-func (r *run) updateOwnView(v *client, life kernel.Liveness, after time.Duration) {
+func (r *run) updateOwnView(v *client, liveness kernel.Liveness, after time.Duration) {
 	for _, c := range r.clients {
 		if c != v {
-			r.world.After(r.spread(after), func() { v.node.SetLivenessInView(c.node, life) })
+			r.world.After(r.spread(after), func() { v.node.SetLivenessInView(c.node, liveness) })
 		}
 	}
 }
--- a/plugins/slots/dispatch/avoid_test.go
+++ b/plugins/slots/dispatch/avoid_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := settledBed(1, 3, 20, 200)
+			b := settledTestBed(1, 3, 20, 200)
 			h := b.holderNode()
 			id := h.place(5*time.Second, tt.avoid...)
 			b.run(10 * time.Millisecond)
--- a/plugins/slots/dispatch/bed_test.go
+++ b/plugins/slots/dispatch/bed_test.go
@@ -24,7 +24,7 @@
 
 // node is one instance: a policy and the host that it uses.
 type node struct {
-	bed     *testBed
+	testBed *testBed
 	self    kernel.Self
 	policy  *Policy
 	view    *kernel.View
@@ -92,7 +92,7 @@
 	zone map[string]ident.Zone
 }
 
-// newTestBed returns a bed with the given number of instances, two prefill
+// newTestBed returns a test bed with the given number of instances, two prefill
 // engines (p1, p2) and two decode engines (d1, d2), which have the given numbers
 // of slots and memory pieces each.
 func newTestBed(seed uint64, instances, slots, pieces int) *testBed {
@@ -110,7 +110,7 @@
 		b.content.Upstreams = append(b.content.Upstreams, u)
 	}
 	for i := range instances {
-		n := &node{bed: b, answers: map[ident.AttemptID][]answer{}, retryDelays: map[ident.AttemptID]time.Duration{}}
+		n := &node{testBed: b, answers: map[ident.AttemptID][]answer{}, retryDelays: map[ident.AttemptID]time.Duration{}}
 		n.self = kernel.Self{Instance: ident.InstanceID(fmt.Sprintf("e%d", i+1)), Incarnation: 1, Zone: "z"}
 		b.nodes = append(b.nodes, n)
 	}
@@ -125,22 +125,22 @@
 	n.policy = &Policy{}
 	n.setView(1, nil)
 	n.policy.Attach(n)
-	n.policy.Configure(n.bed.content)
+	n.policy.Configure(n.testBed.content)
 }
 
 // setView sets the node's view. The listed instances are dead in it, all others
 // live.
 func (n *node) setView(version uint64, dead map[ident.InstanceID]bool) {
 	v := &kernel.View{Version: version, Trusted: true}
-	for _, other := range n.bed.nodes {
-		life := kernel.Live
+	for _, other := range n.testBed.nodes {
+		liveness := kernel.Live
 		if dead[other.self.Instance] {
-			life = kernel.Dead
+			liveness = kernel.Dead
 		}
-		v.Instances = append(v.Instances, kernel.Instance{ID: other.self.Instance, Zone: other.self.Zone, Incarnation: other.self.Incarnation, Liveness: life})
+		v.Instances = append(v.Instances, kernel.Instance{ID: other.self.Instance, Zone: other.self.Zone, Incarnation: other.self.Incarnation, Liveness: liveness})
 	}
-	for i, u := range n.bed.content.Upstreams {
-		v.Upstreams = append(v.Upstreams, kernel.Upstream{Index: i, ID: u.ID, Zone: n.bed.zoneOf(string(u.ID)), Incarnation: 1, Liveness: kernel.Live, Spec: u})
+	for i, u := range n.testBed.content.Upstreams {
+		v.Upstreams = append(v.Upstreams, kernel.Upstream{Index: i, ID: u.ID, Zone: n.testBed.zoneOf(string(u.ID)), Incarnation: 1, Liveness: kernel.Live, Spec: u})
 	}
 	n.view = v
 }
@@ -153,14 +153,14 @@
 }
 
 // The methods below implement kernel.JointHost.
-func (n *node) Now() time.Time                           { return n.bed.now }
+func (n *node) Now() time.Time                           { return n.testBed.now }
 func (n *node) Self() kernel.Self                        { return n.self }
 func (n *node) View() *kernel.View                       { return n.view }
-func (n *node) Content() *config.Content                 { return n.bed.content }
-func (n *node) Rand() *rand.Rand                         { return n.bed.rand }
+func (n *node) Content() *config.Content                 { return n.testBed.content }
+func (n *node) Rand() *rand.Rand                         { return n.testBed.rand }
 func (n *node) QueueLength() int                         { return 0 }
 func (n *node) Prefix() kernel.PrefixStore               { return nil }
-func (n *node) Model(string) *config.Model               { return &n.bed.content.Models[0] }
+func (n *node) Model(string) *config.Model               { return &n.testBed.content.Models[0] }
 func (n *node) Estimate(*kernel.Request) kernel.Estimate { return kernel.Estimate{} }
 
 func (n *node) Upstream(id ident.UpstreamID) *kernel.Upstream {
@@ -195,7 +195,7 @@
 // that are cut off, and to a dead node, the message fails, of which the sender
 // is notified.
 func (n *node) Send(to ident.InstanceID, m kernel.PeerMessage) {
-	b := n.bed
+	b := n.testBed
 	for _, other := range b.nodes {
 		if other.self.Instance != to {
 			continue
@@ -266,7 +266,7 @@
 
 func (n *node) wakeIfDue() {
 	t, ok := n.policy.NextWake()
-	if ok && !n.dead && !n.frozen && !t.After(n.bed.now) {
+	if ok && !n.dead && !n.frozen && !t.After(n.testBed.now) {
 		n.policy.Wake()
 	}
 }
@@ -291,7 +291,7 @@
 	inbox := n.inbox
 	n.inbox = nil
 	for _, d := range inbox {
-		n.bed.deliver(d)
+		n.testBed.deliver(d)
 	}
 }
 
@@ -300,13 +300,13 @@
 func (n *node) place(due time.Duration, avoid ...ident.UpstreamID) ident.AttemptID {
 	n.seq++
 	id := ident.AttemptID{Instance: n.self.Instance, Incarnation: n.self.Incarnation, Sequence: n.seq,
-		Deadline: n.bed.now.Add(20 * time.Second)}
+		Deadline: n.testBed.now.Add(20 * time.Second)}
 	n.policy.Place(kernel.PlacementRequest{
 		Reservation: id,
 		Pieces:      4,
 		Avoid:       avoid,
 		Request: &kernel.Request{ID: ident.RequestID(id.String()), Model: testModel, Workspace: "w",
-			PromptTokens: 4000, MaxOutputTokens: 100, FirstOutputBy: n.bed.now.Add(due), Deadline: id.Deadline},
+			PromptTokens: 4000, MaxOutputTokens: 100, FirstOutputBy: n.testBed.now.Add(due), Deadline: id.Deadline},
 	})
 	return id
 }
--- a/plugins/slots/dispatch/bench_test.go
+++ b/plugins/slots/dispatch/bench_test.go
@@ -11,7 +11,7 @@
 	const apart = 200 * time.Microsecond
 	for name, queue := range map[string]int{"10": 10, "100": 100, "1000": 1000} {
 		b.Run(name, func(b *testing.B) {
-			bed := settledBed(1, 2, 20, 200)
+			bed := settledTestBed(1, 2, 20, 200)
 			d := bed.dispatcherNode()
 			for range queue {
 				d.place(time.Hour)
--- a/plugins/slots/dispatch/dispatch_test.go
+++ b/plugins/slots/dispatch/dispatch_test.go
@@ -11,9 +11,9 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// settledBed returns a testBed in which the dispatcher's take-over margin has
+// settledTestBed returns a testBed in which the dispatcher's take-over margin has
 // expired.
-func settledBed(seed uint64, instances, slots, pieces int) *testBed {
+func settledTestBed(seed uint64, instances, slots, pieces int) *testBed {
 	b := newTestBed(seed, instances, slots, pieces)
 	h := b.holderNode()
 	h.policy.Release(h.place(time.Minute))
@@ -22,7 +22,7 @@
 }
 
 func TestPlacedThenDecodeNamedAfterPrefill(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h := b.holderNode()
 	id := h.place(2 * time.Second)
 	b.run(10 * time.Millisecond)
@@ -34,7 +34,7 @@
 }
 
 func TestPrefillEnginesAreFedOnePromptAhead(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h := b.holderNode()
 	var ids []ident.AttemptID
 	for range 6 {
@@ -54,7 +54,7 @@
 // slots are in use for longer than the request's target allows. Its result would
 // be evicted unused.
 func TestNoPrefillWithoutASlot(t *testing.T) {
-	b := settledBed(1, 2, 1, 200)
+	b := settledTestBed(1, 2, 1, 200)
 	h := b.holderNode()
 	first, second := h.place(time.Second), h.place(time.Second)
 	b.run(250 * time.Millisecond)
@@ -71,7 +71,7 @@
 // TestLateAskIsRefusedAtOnce checks that a request which cannot meet its target
 // is refused immediately rather than after waiting in the queue.
 func TestLateAskIsRefusedAtOnce(t *testing.T) {
-	b := settledBed(1, 2, 20, 200)
+	b := settledTestBed(1, 2, 20, 200)
 	h := b.holderNode()
 	for range 12 {
 		h.place(10 * time.Second)
@@ -84,7 +84,7 @@
 }
 
 func TestReleaseWithdrawsAnAskInTheQueue(t *testing.T) {
-	b := settledBed(1, 2, 20, 200)
+	b := settledTestBed(1, 2, 20, 200)
 	h := b.holderNode()
 	var ids []ident.AttemptID
 	for range 5 {
@@ -112,7 +112,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := settledBed(1, 3, 20, 200)
+			b := settledTestBed(1, 3, 20, 200)
 			h, d := b.holderNode(), b.dispatcherNode()
 			fail(b, d)
 			id := h.place(2 * time.Second)
@@ -139,7 +139,7 @@
 // TestQueuedAskMovesToTheNewDispatcher checks that requests queued at a
 // dispatcher that dies are answered by the next one.
 func TestQueuedAskMovesToTheNewDispatcher(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	var ids []ident.AttemptID
 	for range 6 {
@@ -160,7 +160,7 @@
 // TestDeadHoldersPlacementsEnd checks that placements end as soon as their
 // holder is dead in the dispatcher's view.
 func TestDeadHoldersPlacementsEnd(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	id := h.place(2 * time.Second)
 	b.run(10 * time.Millisecond)
@@ -178,7 +178,7 @@
 // holder that does not run is kept until the deadline of its request and ends
 // then, since the release never arrives.
 func TestFrozenHoldersPlacementLastsToItsDeadline(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	id := h.place(2 * time.Second)
 	b.run(10 * time.Millisecond)
@@ -194,7 +194,7 @@
 // TestLostReleaseIsHealedByRenewal checks that a placement whose release was
 // lost ends after the holder's next renewals, which no longer list it.
 func TestLostReleaseIsHealedByRenewal(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	kept := h.place(2 * time.Second)
 	lost := h.place(2 * time.Second)
@@ -213,7 +213,7 @@
 // queue, neither placed nor refused, while no decode slot is expected before the
 // KV cache of its prefill would be evicted.
 func TestSlotComesLate(t *testing.T) {
-	b := settledBed(1, 2, 1, 200)
+	b := settledTestBed(1, 2, 1, 200)
 	h := b.holderNode()
 	for range 2 {
 		id := h.place(time.Second)
@@ -228,7 +228,7 @@
 }
 
 func TestLostAskIsRepeated(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h := b.holderNode()
 	b.loss = 1
 	id := h.place(2 * time.Second)
@@ -241,7 +241,7 @@
 // pastUseRetention is not used to subtract slots. Otherwise an engine whose
 // reports stop would look full forever.
 func TestOldLoadReportDoesNotHoldSlots(t *testing.T) {
-	b := settledBed(1, 2, 2, 200)
+	b := settledTestBed(1, 2, 2, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	reported := b.now
 	for i := range d.view.Upstreams {
@@ -262,7 +262,7 @@
 // they exceed the free slots but their target allows waiting until slots are
 // released.
 func TestBurstOnIdleEnginesWaitsItsTurn(t *testing.T) {
-	b := settledBed(1, 2, 2, 200)
+	b := settledTestBed(1, 2, 2, 200)
 	h := b.holderNode()
 	var ids []ident.AttemptID
 	for range 12 {
@@ -277,7 +277,7 @@
 // TestComeBackIsBounded checks the upper limit of the retry delay for a request
 // that no engine can ever serve.
 func TestComeBackIsBounded(t *testing.T) {
-	b := settledBed(1, 2, 2, 2)
+	b := settledTestBed(1, 2, 2, 2)
 	h := b.holderNode()
 	id := h.place(time.Second)
 	b.run(50 * time.Millisecond)
@@ -289,7 +289,7 @@
 // does not say how their speed depends on load. Each engine must get an equal
 // share of the decodes rather than the first engine all of them.
 func TestEqualEnginesShareDecodes(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h := b.holderNode()
 	got := map[ident.UpstreamID]int{}
 	for range 8 {
--- a/plugins/slots/dispatch/lapse_test.go
+++ b/plugins/slots/dispatch/lapse_test.go
@@ -15,7 +15,7 @@
 // scheduling pass.
 func makeHolderUnreachable(t *testing.T, running int) (b *testBed, lost, other *node) {
 	t.Helper()
-	b = settledBed(1, 3, 2, 200)
+	b = settledTestBed(1, 3, 2, 200)
 	lost = b.holderNode()
 	d := b.dispatcherNode()
 	id := lost.place(2 * time.Second)
@@ -86,7 +86,7 @@
 // unreachable holder that has no decode engine ends when its prefill should be
 // done. The holder cannot be told a decode engine, so no slot needs to be kept.
 func TestUnfinishedPlacementsOfACutOffHolderLapse(t *testing.T) {
-	b := settledBed(1, 3, 2, 200)
+	b := settledTestBed(1, 3, 2, 200)
 	lost, d := b.holderNode(), b.dispatcherNode()
 	lost.place(2 * time.Second)
 	b.run(10 * time.Millisecond)
--- a/plugins/slots/dispatch/takeover_test.go
+++ b/plugins/slots/dispatch/takeover_test.go
@@ -21,7 +21,7 @@
 	} {
 		for i := range 2 {
 			t.Run(name, func(t *testing.T) {
-				b := settledBed(1, 3, 20, 200)
+				b := settledTestBed(1, 3, 20, 200)
 				d := b.dispatcherNode()
 				h := b.liveNodesExcept(d)[i]
 				id := h.place(10 * time.Second)
@@ -67,7 +67,7 @@
 // engine. The holder's renewal then lists the placement without a decode engine.
 // The dispatcher must keep its choice and repeat the message.
 func TestLostDecodeIsRepeatedAfterARenewal(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	id := h.place(2 * time.Second)
 	b.run(200 * time.Millisecond)
@@ -84,7 +84,7 @@
 // which the new dispatcher learns later by a renewal. The dispatcher must count
 // it as one request, not two.
 func TestNewDispatcherKnowsHowLongSlotsAreUsed(t *testing.T) {
-	b := settledBed(1, 3, 2, 200)
+	b := settledTestBed(1, 3, 2, 200)
 	h := b.holderNode()
 	id := h.place(2 * time.Second)
 	b.run(250 * time.Millisecond)
@@ -110,7 +110,7 @@
 // others while its view still shows them as live. The holder must become its own
 // dispatcher, and use the common one again after the cut is healed.
 func TestInstanceThatReachesNobodyDispatchesByItself(t *testing.T) {
-	b := settledBed(1, 4, 20, 200)
+	b := settledTestBed(1, 4, 20, 200)
 	h := b.holderNode()
 	for _, n := range b.nodes {
 		b.cut[[2]ident.InstanceID{h.self.Instance, n.self.Instance}] = true
@@ -129,7 +129,7 @@
 // to a new dispatcher releases it at the old one. Otherwise the old dispatcher
 // would keep a slot for it.
 func TestPlacementsFollowTheDispatcher(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	id := h.place(2 * time.Second)
 	b.run(10 * time.Millisecond)
@@ -153,7 +153,7 @@
 // static share.
 func TestLeavingInstanceAloneUsesItsShare(t *testing.T) {
 	const slots = 4
-	b := settledBed(1, 3, slots, 200)
+	b := settledTestBed(1, 3, slots, 200)
 	h := b.holderNode()
 	h.setView(2, map[ident.InstanceID]bool{"e1": true, "e2": true, "e3": true})
 	for i := range h.view.Instances {
--- a/plugins/slots/dispatch/transfer_test.go
+++ b/plugins/slots/dispatch/transfer_test.go
@@ -13,9 +13,9 @@
 func (n *node) startDecode(t *testing.T) ident.AttemptID {
 	t.Helper()
 	id := n.place(5 * time.Second)
-	n.bed.run(20 * time.Millisecond)
+	n.testBed.run(20 * time.Millisecond)
 	n.policy.Computed(id)
-	n.bed.run(20 * time.Millisecond)
+	n.testBed.run(20 * time.Millisecond)
 	assert.Equal(t, n.last(id).kind, "decode")
 	n.policy.Started(id)
 	return id
@@ -26,7 +26,7 @@
 // the transfer of a placement in use for a long time succeeded. A recent
 // placement is reported only when it is released.
 func TestDispatcherHearsOfStalledTransfers(t *testing.T) {
-	b := settledBed(1, 3, 20, 200)
+	b := settledTestBed(1, 3, 20, 200)
 	h, d := b.holderNode(), b.dispatcherNode()
 	good := h.startDecode(t)
 	b.run(2 * defaultTransferStall)
--- a/plugins/slots/lease/bed_test.go
+++ b/plugins/slots/lease/bed_test.go
@@ -6,19 +6,19 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// bed is a simulated system (see slottest) whose instances use this policy.
-type bed struct{ *slottest.TestBed }
+// testBed is a simulated system (see slottest) whose instances use this policy.
+type testBed struct{ *slottest.TestBed }
 
-// newBed creates a bed. Zero settings are replaced by the defaults.
-func newBed(o slottest.Options, settings Settings) *bed {
+// newTestBed creates a test bed. Zero settings are replaced by the defaults.
+func newTestBed(o slottest.Options, settings Settings) *testBed {
 	o.Policy = func() kernel.SlotPolicy { return &Policy{Settings: settings} }
-	return &bed{slottest.NewTestBed(o)}
+	return &testBed{slottest.NewTestBed(o)}
 }
 
 func policyOf(n *slottest.Node) *Policy { return n.Policy.(*Policy) }
 
 // grantor returns the node that is the engine's grantor according to n's view.
-func (b *bed) grantor(n *slottest.Node, e *slottest.Engine) *slottest.Node {
+func (b *testBed) grantor(n *slottest.Node, e *slottest.Engine) *slottest.Node {
 	var id ident.InstanceID
 	n.Do(func() {
 		p := policyOf(n)
--- a/plugins/slots/lease/bench_test.go
+++ b/plugins/slots/lease/bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// benchBed returns a bed with 24 instances, of which the first has a load report
-// for each engine. All engines but the middle one are reported full.
-func benchBed(engines int) *bed {
-	b := newBed(slottest.Options{Seed: 1, Instances: 24, Engines: engines, Slots: 20, Pieces: 200}, Settings{})
+// benchTestBed returns a test bed with 24 instances, of which the first has a load
+// report for each engine. All engines but the middle one are reported full.
+func benchTestBed(engines int) *testBed {
+	b := newTestBed(slottest.Options{Seed: 1, Instances: 24, Engines: engines, Slots: 20, Pieces: 200}, Settings{})
 	b.Run(2 * time.Second)
 	for _, n := range b.Nodes[:1] {
 		for i, e := range b.Engines {
@@ -31,7 +31,7 @@
 // and at another instance, which sends an Ask and a Release.
 func BenchmarkReserve(b *testing.B) {
 	for _, engines := range []int{9, 100, 600} {
-		bed := benchBed(engines)
+		bed := benchTestBed(engines)
 		e := bed.Engines[engines/2]
 		grantor := bed.grantor(bed.Nodes[0], e)
 		b.Run(fmt.Sprintf("grantor/%d", engines), func(b *testing.B) { benchReserve(b, grantor, e) })
@@ -48,12 +48,12 @@
 func benchReserve(b *testing.B, n *slottest.Node, e *slottest.Engine) {
 	n.Silent = true
 	defer func() { n.Silent = false }()
-	ask := kernel.SlotRequest{Upstream: e.ID, Pieces: 3, Lead: 300 * time.Millisecond, OutputTokens: 400}
+	request := kernel.SlotRequest{Upstream: e.ID, Pieces: 3, Lead: 300 * time.Millisecond, OutputTokens: 400}
 	b.ReportAllocs()
 	for b.Loop() {
-		ask.Reservation = n.Reservation(time.Minute)
-		n.Policy.Reserve(ask)
-		n.Policy.Release(ask.Reservation)
+		request.Reservation = n.Reservation(time.Minute)
+		n.Policy.Reserve(request)
+		n.Policy.Release(request.Reservation)
 	}
 }
 
@@ -61,7 +61,7 @@
 // as the kernel makes them for each placement decision.
 func BenchmarkAvailability(b *testing.B) {
 	for _, engines := range []int{9, 100, 600} {
-		bed := benchBed(engines)
+		bed := benchTestBed(engines)
 		n := bed.Nodes[0]
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			b.ReportAllocs()
@@ -77,7 +77,7 @@
 // BenchmarkAsk measures how a grantor handles an Ask and the Release that
 // follows it.
 func BenchmarkAsk(b *testing.B) {
-	bed := benchBed(9)
+	bed := benchTestBed(9)
 	e := bed.Engines[0]
 	g := bed.grantor(bed.Nodes[0], e)
 	holder := without(bed.Nodes, g)[0]
--- a/plugins/slots/lease/grantor.go
+++ b/plugins/slots/lease/grantor.go
@@ -66,43 +66,43 @@
 	return known
 }
 
-// verdict is a grantor's decision on an ask.
-type verdict int
+// decision is a grantor's decision on an ask.
+type decision int
 
 const (
-	verdictGranted verdict = iota + 1
-	verdictQueued
-	verdictDenied
+	decisionGranted decision = iota + 1
+	decisionQueued
+	decisionDenied
 )
 
 // decide grants, queues or denies an ask. A repeated ask for a reservation that
-// is already leased or queued gets the same verdict again.
-func (p *Policy) decide(l *ledger, u *kernel.Upstream, holder ident.InstanceID, ask Ask) verdict {
+// is already leased or queued gets the same decision again.
+func (p *Policy) decide(l *ledger, u *kernel.Upstream, holder ident.InstanceID, ask Ask) decision {
 	key := ask.Reservation.Key()
 	if l.find(key) >= 0 {
-		return verdictGranted
+		return decisionGranted
 	}
 	if l.queue.find(key) >= 0 {
-		return verdictQueued
+		return decisionQueued
 	}
 	now := p.host.Now()
 	l.observeAsk(&ask)
 	w := waitingAsk{ask: ask, key: key, holder: holder, dueAt: dueTime(ask, now), waitEnd: now.Add(p.QueueWait)}
 	if p.canGrant(l, u, &w) && len(l.queue) == 0 {
 		p.recordLease(l, u, &w)
-		return verdictGranted
+		return decisionGranted
 	}
 	if ask.NoWait || !p.enqueue(l, w) {
-		return verdictDenied
+		return decisionDenied
 	}
 	p.serveQueue(l, u)
 	if l.find(key) >= 0 {
-		return verdictGranted
+		return decisionGranted
 	}
 	if l.queue.find(key) < 0 {
-		return verdictDenied
+		return decisionDenied
 	}
-	return verdictQueued
+	return decisionQueued
 }
 
 // dueTime returns when the ask's first output is due. This is the reservation's
--- a/plugins/slots/lease/lease_test.go
+++ b/plugins/slots/lease/lease_test.go
@@ -10,10 +10,10 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// newThreeNodeBed returns a bed with three instances and one engine of four
+// newThreeNodeBed returns a test bed with three instances and one engine of four
 // slots.
-func newThreeNodeBed(settings Settings) *bed {
-	b := newBed(slottest.Options{
+func newThreeNodeBed(settings Settings) *testBed {
+	b := newTestBed(slottest.Options{
 		Seed: 1, Instances: 3, Engines: 1, Slots: 4, Pieces: 100,
 		LoadEvery: 500 * time.Millisecond, LoadLag: 200 * time.Millisecond,
 	}, settings)
@@ -42,7 +42,7 @@
 
 // assertIdle checks that no instance holds a slot, has an open or queued ask or
 // has a lease in a ledger.
-func assertIdle(t assert.TestingT, b *bed) {
+func assertIdle(t assert.TestingT, b *testBed) {
 	for _, n := range b.Nodes {
 		if n.Killed() {
 			continue
--- a/plugins/slots/lease/message_test.go
+++ b/plugins/slots/lease/message_test.go
@@ -12,7 +12,7 @@
 )
 
 // grantorAndHolder returns the first engine's grantor and another instance.
-func grantorAndHolder(b *bed) (grantor, holder *slottest.Node) {
+func grantorAndHolder(b *testBed) (grantor, holder *slottest.Node) {
 	grantor = b.grantor(b.Nodes[0], b.Engines[0])
 	return grantor, without(b.Nodes, grantor)[0]
 }
@@ -21,7 +21,7 @@
 func ledgerAt(n *slottest.Node) *ledger { return policyOf(n).grantor.ledgers[0] }
 
 // setLossy sets whether the network loses all messages or none.
-func setLossy(b *bed, all bool) {
+func setLossy(b *testBed, all bool) {
 	n := slottest.Network{Delay: time.Millisecond}
 	if all {
 		n.Loss = 1
@@ -104,8 +104,8 @@
 	first := policyOf(holder).holder.holds[slotkit.KeyOf(u.ID)].seq
 	b.Run(10 * time.Millisecond)
 	b.Withdraw(u)
-	ask := kernel.SlotRequest{Reservation: u.ID, Upstream: e.ID, FirstOutputBy: b.Now().Add(5 * time.Second)}
-	holder.Do(func() { holder.Policy.Reserve(ask) })
+	request := kernel.SlotRequest{Reservation: u.ID, Upstream: e.ID, FirstOutputBy: b.Now().Add(5 * time.Second)}
+	holder.Do(func() { holder.Policy.Reserve(request) })
 	holder.Do(func() {
 		policyOf(holder).Receive(g.ID(), &Deny{Reservation: slotkit.Reservation(u.ID), Upstream: e.ID, Seq: first})
 	})
@@ -170,7 +170,7 @@
 }
 
 func TestDoubledMessages(t *testing.T) {
-	b := newBed(slottest.Options{
+	b := newTestBed(slottest.Options{
 		Seed: 1, Instances: 3, Engines: 1, Slots: 4, Pieces: 100,
 		Network: slottest.Network{Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Duplicate: 1},
 	}, Settings{})
--- a/plugins/slots/lease/queue_test.go
+++ b/plugins/slots/lease/queue_test.go
@@ -12,7 +12,7 @@
 )
 
 // fillEngine makes the first engine's grantor reserve all of the engine's slots.
-func fillEngine(b *bed, hold time.Duration) {
+func fillEngine(b *testBed, hold time.Duration) {
 	g := b.grantor(b.Nodes[0], b.Engines[0])
 	for range b.Engines[0].Slots {
 		b.Reserve(g, b.Engines[0], time.Millisecond, hold)
@@ -22,7 +22,7 @@
 
 // askFor makes an instance other than the grantor reserve a slot of the first
 // engine. due is the time from now until the first output is due.
-func (b *bed) askFor(due time.Duration, pieces int) *slottest.Use {
+func (b *testBed) askFor(due time.Duration, pieces int) *slottest.Use {
 	_, holder := grantorAndHolder(b)
 	u := &slottest.Use{
 		Node: holder, Engine: b.Engines[0], Lead: 10 * time.Millisecond, Hold: time.Minute,
@@ -117,7 +117,7 @@
 	l := ledgerAt(g)
 	ask := Ask{Reservation: slotkit.Reservation(holder.Reservation(time.Second)), Upstream: b.Engines[0].ID, Seq: 1000, NoWait: true}
 	g.Do(func() {
-		assert.Equal(t, policyOf(g).decide(l, g.Upstream(l.upstream), holder.ID(), ask), verdictDenied)
+		assert.Equal(t, policyOf(g).decide(l, g.Upstream(l.upstream), holder.ID(), ask), decisionDenied)
 	})
 	assert.Equal(t, len(l.queue), 0)
 }
--- a/plugins/slots/lease/rapid_test.go
+++ b/plugins/slots/lease/rapid_test.go
@@ -15,7 +15,7 @@
 // machine is the state machine of the property tests. It performs random
 // sequences of reservations and faults and checks invariants after each step.
 type machine struct {
-	*bed
+	*testBed
 	t      *rapid.T
 	frozen map[*slottest.Node]bool
 	// everFrozen are the nodes that have been frozen at some time.
@@ -33,7 +33,7 @@
 		t:          t,
 		frozen:     map[*slottest.Node]bool{},
 		everFrozen: map[*slottest.Node]bool{},
-		bed: newBed(slottest.Options{
+		testBed: newTestBed(slottest.Options{
 			Seed: rapid.Uint64().Draw(t, "seed"), Instances: 4, Engines: 2, Slots: 5, Pieces: 8, Zones: 2,
 			Network: network, LoadEvery: 500 * time.Millisecond, LoadLag: 300 * time.Millisecond,
 		}, Settings{}),
@@ -243,7 +243,7 @@
 	if m.faults > 0 {
 		m.Run(30 * time.Second)
 	}
-	assertIdle(t, m.bed)
+	assertIdle(t, m.testBed)
 	m.checkBurst(t)
 }
 
@@ -260,7 +260,7 @@
 	}
 	m.Run(2 * time.Second)
 	assert.Equal(t, m.Refused, refused)
-	assertIdle(t, m.bed)
+	assertIdle(t, m.testBed)
 }
 
 func (m *machine) actions(faults bool) map[string]func(*rapid.T) {
--- a/plugins/slots/lease/receive.go
+++ b/plugins/slots/lease/receive.go
@@ -57,11 +57,11 @@
 		return
 	}
 	switch p.decide(l, u, from, ask) {
-	case verdictGranted:
+	case decisionGranted:
 		p.host.Send(from, &Grant{Reservation: ask.Reservation, Upstream: ask.Upstream, Free: p.free(l, u)})
-	case verdictQueued:
+	case decisionQueued:
 		p.host.Send(from, &Queued{Reservation: ask.Reservation, Upstream: ask.Upstream, Seq: ask.Seq, NextFree: millis(l.wait())})
-	case verdictDenied:
+	case decisionDenied:
 		p.host.Send(from, p.denyMessage(l, ask, p.denyRetryDelay(l, ask)))
 	}
 }
--- a/plugins/slots/lease/reserve.go
+++ b/plugins/slots/lease/reserve.go
@@ -12,17 +12,17 @@
 const retryUnusable = 500 * time.Millisecond
 
 // Reserve implements kernel.SlotPolicy.
-func (p *Policy) Reserve(ask kernel.SlotRequest) kernel.SlotAnswer {
+func (p *Policy) Reserve(request kernel.SlotRequest) kernel.SlotAnswer {
 	p.updateView()
-	if h := p.holder.holds[slotkit.KeyOf(ask.Reservation)]; h != nil {
+	if h := p.holder.holds[slotkit.KeyOf(request.Reservation)]; h != nil {
 		return answerFor(h)
 	}
 	now := p.host.Now()
-	u := p.host.Upstream(ask.Upstream)
+	u := p.host.Upstream(request.Upstream)
 	if !slotkit.Usable(u) {
 		return noSlot(now.Add(retryUnusable))
 	}
-	h := p.newHold(ask, now)
+	h := p.newHold(request, now)
 	grantor := p.roster.Grantor(u)
 	switch {
 	case slotkit.Slots(u) == 0:
@@ -56,25 +56,25 @@
 }
 
 // newHold creates the record of a reservation that the kernel requests.
-func (p *Policy) newHold(ask kernel.SlotRequest, now time.Time) *hold {
+func (p *Policy) newHold(request kernel.SlotRequest, now time.Time) *hold {
 	wire := Ask{
-		Reservation: slotkit.Reservation(ask.Reservation),
-		Upstream:    ask.Upstream,
-		Pieces:      ask.Pieces,
-		Lead:        millis(ask.Lead),
+		Reservation: slotkit.Reservation(request.Reservation),
+		Upstream:    request.Upstream,
+		Pieces:      request.Pieces,
+		Lead:        millis(request.Lead),
 	}
-	if !ask.FirstOutputBy.IsZero() {
-		wire.FirstOutputBy = ask.FirstOutputBy.UnixMilli()
+	if !request.FirstOutputBy.IsZero() {
+		wire.FirstOutputBy = request.FirstOutputBy.UnixMilli()
 	}
 	return &hold{
-		key:         slotkit.KeyOf(ask.Reservation),
-		id:          ask.Reservation,
-		upstream:    ask.Upstream,
+		key:         slotkit.KeyOf(request.Reservation),
+		id:          request.Reservation,
+		upstream:    request.Upstream,
 		ask:         wire,
 		state:       stateAsked,
 		requestedAt: now,
 		askedAt:     now,
-		usedAt:      now.Add(ask.Lead),
+		usedAt:      now.Add(request.Lead),
 	}
 }
 
@@ -86,13 +86,13 @@
 	h.ask.Seq = h.seq
 	h.timeoutAt = h.askedAt.Add(p.QueueWait + p.AskTimeout)
 	switch p.decide(l, u, p.self(), h.ask) {
-	case verdictGranted:
+	case decisionGranted:
 		h.state = stateHeld
 		p.holder.add(h)
-	case verdictQueued:
+	case decisionQueued:
 		h.state = stateQueued
 		p.holder.add(h)
-	case verdictDenied:
+	case decisionDenied:
 		return noSlot(p.host.Now().Add(p.queueRetryDelay(l)))
 	}
 	return answerFor(h)
--- a/plugins/slots/lease/view.go
+++ b/plugins/slots/lease/view.go
@@ -214,11 +214,11 @@
 	h.state = stateQueued
 	h.timeoutAt = p.host.Now().Add(p.QueueWait + p.AskTimeout)
 	switch p.decide(l, u, p.self(), h.ask) {
-	case verdictGranted:
+	case decisionGranted:
 		p.granted(h.key)
-	case verdictDenied:
+	case decisionDenied:
 		p.denied(h.key, p.host.Now().Add(p.queueRetryDelay(l)))
-	case verdictQueued:
+	case decisionQueued:
 	}
 }
 
--- a/plugins/slots/lease/view_test.go
+++ b/plugins/slots/lease/view_test.go
@@ -15,7 +15,7 @@
 // have sent it their leases. Otherwise it would lease slots that its predecessor
 // has already leased.
 func TestNewGrantorWaitsForHolders(t *testing.T) {
-	b := newBed(slottest.Options{
+	b := newTestBed(slottest.Options{
 		Seed: 1, Instances: 3, Engines: 1, Slots: 6,
 		LoadEvery: 100 * time.Millisecond, LoadLag: 50 * time.Millisecond,
 	}, Settings{})
@@ -59,7 +59,7 @@
 // sees the other's requests in the engine's load report. After the views agree
 // again, no request is refused.
 func TestTwoGrantors(t *testing.T) {
-	b := newBed(slottest.Options{
+	b := newTestBed(slottest.Options{
 		Seed: 1, Instances: 2, Engines: 1, Slots: 20,
 		LoadEvery: 200 * time.Millisecond, LoadLag: 200 * time.Millisecond,
 	}, Settings{})
--- a/plugins/slots/probe/probe.go
+++ b/plugins/slots/probe/probe.go
@@ -43,16 +43,16 @@
 
 // Reserve implements kernel.SlotPolicy. It grants or denies the slot
 // immediately.
-func (p *Policy) Reserve(ask kernel.SlotRequest) kernel.SlotAnswer {
-	key := slotkit.KeyOf(ask.Reservation)
+func (p *Policy) Reserve(request kernel.SlotRequest) kernel.SlotAnswer {
+	key := slotkit.KeyOf(request.Reservation)
 	if p.uses[key] != nil {
 		return kernel.SlotAnswer{Result: kernel.SlotReserved}
 	}
-	u := p.host.Upstream(ask.Upstream)
-	if !slotkit.Usable(u) || p.freeSlots(u) <= 0 || !p.hasMemory(u, ask.Pieces) {
-		return kernel.SlotAnswer{Result: kernel.SlotUnavailable, RetryAt: p.retryAt(ask.Upstream)}
+	u := p.host.Upstream(request.Upstream)
+	if !slotkit.Usable(u) || p.freeSlots(u) <= 0 || !p.hasMemory(u, request.Pieces) {
+		return kernel.SlotAnswer{Result: kernel.SlotUnavailable, RetryAt: p.retryAt(request.Upstream)}
 	}
-	p.uses[key] = &slotUse{upstream: ask.Upstream, pieces: ask.Pieces}
+	p.uses[key] = &slotUse{upstream: request.Upstream, pieces: request.Pieces}
 	return kernel.SlotAnswer{Result: kernel.SlotReserved}
 }
 
--- a/plugins/slots/probe/probe_test.go
+++ b/plugins/slots/probe/probe_test.go
@@ -10,10 +10,10 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// newBed returns a bed of two instances and the given number of engines, which
+// newTestBed returns a test bed of two instances and the given number of engines, which
 // have 4 slots and 40 pieces of memory each and send no load reports by
 // themselves.
-func newBed(engines int) *slottest.TestBed {
+func newTestBed(engines int) *slottest.TestBed {
 	b := slottest.NewTestBed(slottest.Options{
 		Seed: 1, Instances: 2, Engines: engines, Slots: 4, Pieces: 40,
 		Policy: func() kernel.SlotPolicy { return &Policy{} },
@@ -32,7 +32,7 @@
 // subtracted exactly once: by its own count before a load report includes them,
 // and by the report afterwards.
 func TestOwnUsesCountBeforeTheLoadShowsThem(t *testing.T) {
-	b := newBed(1)
+	b := newTestBed(1)
 	n, e := b.Nodes[0], b.Engines[0]
 	assert.Equal(t, free(b, n), 3, "four slots less the margin")
 	b.Reserve(n, e, time.Millisecond, time.Second)
@@ -47,7 +47,7 @@
 }
 
 func TestOthersShowInTheLoad(t *testing.T) {
-	b := newBed(1)
+	b := newTestBed(1)
 	e := b.Engines[0]
 	for range 3 {
 		b.Reserve(b.Nodes[1], e, time.Millisecond, time.Second)
@@ -61,7 +61,7 @@
 }
 
 func TestRefusalsBackOff(t *testing.T) {
-	b := newBed(1)
+	b := newTestBed(1)
 	n, e := b.Nodes[0], b.Engines[0]
 	n.Policy.Refused(e.ID)
 	assert.Equal(t, free(b, n), 0)
@@ -75,7 +75,7 @@
 // TestSampleShowsFewEngines checks that only defaultChoices of the free engines
 // are reported as free at one time, and that over time each engine is.
 func TestSampleShowsFewEngines(t *testing.T) {
-	b := newBed(6)
+	b := newTestBed(6)
 	n := b.Nodes[0]
 	shown := func() (count int) {
 		for _, e := range b.Engines {
@@ -99,7 +99,7 @@
 }
 
 func TestMemoryIsCounted(t *testing.T) {
-	b := newBed(1)
+	b := newTestBed(1)
 	u := &slottest.Use{Node: b.Nodes[0], Engine: b.Engines[0], Lead: time.Second, Hold: time.Second, Pieces: 30}
 	b.StartUse(u)
 	assert.Assert(t, u.Granted)
@@ -109,7 +109,7 @@
 }
 
 func TestNothingIsLeftOver(t *testing.T) {
-	b := newBed(2)
+	b := newTestBed(2)
 	for range 20 {
 		for _, n := range b.Nodes {
 			b.Reserve(n, b.Engines[0], 10*time.Millisecond, 100*time.Millisecond)
--- a/plugins/slots/shares/reserve.go
+++ b/plugins/slots/shares/reserve.go
@@ -47,18 +47,18 @@
 )
 
 // Reserve implements kernel.SlotPolicy.
-func (p *Policy) Reserve(ask kernel.SlotRequest) kernel.SlotAnswer {
+func (p *Policy) Reserve(request kernel.SlotRequest) kernel.SlotAnswer {
 	p.updateView()
-	key := slotkit.KeyOf(ask.Reservation)
+	key := slotkit.KeyOf(request.Reservation)
 	if h := p.holds[key]; h != nil {
 		return answerFor(h)
 	}
 	now := p.host.Now()
-	u := p.host.Upstream(ask.Upstream)
+	u := p.host.Upstream(request.Upstream)
 	if !slotkit.Usable(u) {
 		return kernel.SlotAnswer{Result: kernel.SlotUnavailable, RetryAt: now.Add(retryDelay)}
 	}
-	h := &hold{key: key, id: ask.Reservation, upstream: ask.Upstream, dueAt: ask.FirstOutputBy, denyAt: now.Add(p.Wait)}
+	h := &hold{key: key, id: request.Reservation, upstream: request.Upstream, dueAt: request.FirstOutputBy, denyAt: now.Add(p.Wait)}
 	e := p.engineOf(u.ID)
 	switch {
 	case p.free(e, u) > 0 || slotkit.Slots(u) == 0:
--- a/plugins/slots/shares/shares_test.go
+++ b/plugins/slots/shares/shares_test.go
@@ -12,9 +12,9 @@
 	"github.com/wardspool/wardspool/plugins/slots/slottest"
 )
 
-// newBed returns a simulated system (see slottest) with three instances and one
+// newTestBed returns a simulated system (see slottest) with three instances and one
 // engine of six slots, so that each instance's share is two slots.
-func newBed(seed uint64, network slottest.Network) *slottest.TestBed {
+func newTestBed(seed uint64, network slottest.Network) *slottest.TestBed {
 	b := slottest.NewTestBed(slottest.Options{
 		Seed: seed, Instances: 3, Engines: 1, Slots: 6, Network: network,
 		Policy: func() kernel.SlotPolicy { return &Policy{} },
@@ -44,7 +44,7 @@
 }
 
 func TestOwnShareNeedsNoMessage(t *testing.T) {
-	b := newBed(1, slottest.Network{})
+	b := newTestBed(1, slottest.Network{})
 	for _, n := range b.Nodes {
 		for range 2 {
 			assert.Assert(t, b.Reserve(n, b.Engines[0], time.Millisecond, time.Second).Granted)
@@ -56,7 +56,7 @@
 }
 
 func TestIdleSlotsAreLentAndComeBack(t *testing.T) {
-	b := newBed(1, slottest.Network{})
+	b := newTestBed(1, slottest.Network{})
 	e := b.Engines[0]
 	for range 6 {
 		b.Reserve(b.Nodes[0], e, time.Millisecond, 500*time.Millisecond)
@@ -74,7 +74,7 @@
 }
 
 func TestNothingToBorrow(t *testing.T) {
-	b := newBed(1, slottest.Network{})
+	b := newTestBed(1, slottest.Network{})
 	for _, n := range b.Nodes {
 		for range 2 {
 			b.Reserve(n, b.Engines[0], time.Millisecond, time.Minute)
@@ -86,7 +86,7 @@
 }
 
 func TestBorrowerDead(t *testing.T) {
-	b := newBed(1, slottest.Network{})
+	b := newTestBed(1, slottest.Network{})
 	for range 6 {
 		b.Reserve(b.Nodes[0], b.Engines[0], time.Millisecond, time.Second)
 	}
@@ -98,7 +98,7 @@
 }
 
 func TestLenderFrozen(t *testing.T) {
-	b := newBed(1, slottest.Network{})
+	b := newTestBed(1, slottest.Network{})
 	b.Nodes[1].Freeze()
 	b.Nodes[2].Freeze()
 	for range 2 {
@@ -112,7 +112,7 @@
 // TestRefusalIsHeeded checks that no slot of an engine that refused a request is
 // shown as free for a while.
 func TestRefusalIsHeeded(t *testing.T) {
-	b := newBed(1, slottest.Network{})
+	b := newTestBed(1, slottest.Network{})
 	n := b.Nodes[0]
 	n.Do(func() { n.Policy.Refused(b.Engines[0].ID) })
 	assert.Equal(t, n.Policy.Availability(n.Upstream(b.Engines[0].ID)).Free, 0)
@@ -123,7 +123,7 @@
 // runSession makes random reservations, calls check after each of them, and
 // checks that no reservation waited longer than allowed.
 func runSession(t *rapid.T, network slottest.Network, check func(b *slottest.TestBed)) *slottest.TestBed {
-	b := newBed(rapid.Uint64().Draw(t, "seed"), network)
+	b := newTestBed(rapid.Uint64().Draw(t, "seed"), network)
 	millis := func(name string, hi int) time.Duration {
 		return time.Duration(rapid.IntRange(1, hi).Draw(t, name)) * time.Millisecond
 	}
--- a/plugins/slots/slottest/bed.go
+++ b/plugins/slots/slottest/bed.go
@@ -8,9 +8,9 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// Use is one use of a slot in a test, from its reservation to its release. Ask
+// Use is one use of a slot in a test, from its reservation to its release. StartUse
 // reads Node, Engine, Lead, Hold, Pieces and Due; the other fields are set by
-// the Bed.
+// the TestBed.
 type Use struct {
 	Node   *Node
 	Engine *Engine
@@ -54,8 +54,8 @@
 	retryDelay = 100 * time.Millisecond
 )
 
-// NewTestBed returns a bed with the given options. The message delay defaults to one
-// millisecond.
+// NewTestBed returns a test bed with the given options. The message delay defaults
+// to one millisecond.
 func NewTestBed(o Options) *TestBed {
 	if o.Network.Delay == 0 {
 		o.Network.Delay = time.Millisecond
@@ -191,11 +191,12 @@
 	return n
 }
 
-// SetLivenessInAllViews sets the life of one node in the views of all other nodes.
-func (b *TestBed) SetLivenessInAllViews(other *Node, life kernel.Liveness) {
+// SetLivenessInAllViews sets the liveness of one node in the views of all
+// other nodes.
+func (b *TestBed) SetLivenessInAllViews(other *Node, liveness kernel.Liveness) {
 	for _, n := range b.Nodes {
 		if n != other {
-			n.SetLivenessInView(other, life)
+			n.SetLivenessInView(other, liveness)
 		}
 	}
 }
--- a/plugins/slots/slottest/node.go
+++ b/plugins/slots/slottest/node.go
@@ -196,12 +196,12 @@
 	n.runEvent(func() {})
 }
 
-// SetLivenessInView sets the life of another node in this node's view.
-func (n *Node) SetLivenessInView(other *Node, life kernel.Liveness) {
+// SetLivenessInView sets the liveness of another node in this node's view.
+func (n *Node) SetLivenessInView(other *Node, liveness kernel.Liveness) {
 	n.ChangeView(func(v *kernel.View) {
 		for i := range v.Instances {
 			if v.Instances[i].ID == other.ID() {
-				v.Instances[i].Liveness = life
+				v.Instances[i].Liveness = liveness
 				v.Instances[i].Incarnation = other.self.Incarnation
 			}
 		}
--- a/ticket/executor.go
+++ b/ticket/executor.go
@@ -46,7 +46,7 @@
 // lifetime of tickets. Whether a call runs twice never depends on a clock. An
 // Executor is not safe for concurrent use.
 type Executor struct {
-	life             Process
+	process          Process
 	limits           Limits
 	nextSequence     uint64
 	stopping         bool
@@ -61,9 +61,9 @@
 
 // NewExecutor returns the executor of a newly started process, without any
 // tickets.
-func NewExecutor(life Process, limits Limits) *Executor {
+func NewExecutor(process Process, limits Limits) *Executor {
 	return &Executor{
-		life:             life,
+		process:          process,
 		limits:           limits,
 		entries:          make(map[uint64]*entry),
 		workspaceTickets: make(map[ident.Workspace]int),
@@ -71,8 +71,8 @@
 	}
 }
 
-// Process returns the life that the executor's tickets name.
-func (e *Executor) Process() Process { return e.life }
+// Process returns the process that the executor's tickets name.
+func (e *Executor) Process() Process { return e.process }
 
 // Issue returns a new ticket, or the reason why there is none. The memory for the
 // ticket's whole lifetime is reserved here, so that its use never fails for lack
@@ -86,7 +86,7 @@
 	}
 	expires := now.Add(e.limits.Lifetime)
 	t := Ticket{
-		Executor: e.life,
+		Executor: e.process,
 		Sequence: e.nextSequence,
 		Issued:   toMilliseconds(now),
 		Expires:  toMilliseconds(expires),
@@ -121,8 +121,8 @@
 
 // Present decides on a call that carries the ticket.
 func (e *Executor) Present(now time.Time, t Ticket, d Digest) Verdict {
-	if t.Executor != e.life {
-		return Verdict{Action: Refuse, Problem: otherExecutorProblem(t, e.life)}
+	if t.Executor != e.process {
+		return Verdict{Action: Refuse, Problem: otherExecutorProblem(t, e.process)}
 	}
 	en := e.entries[t.Sequence]
 	if en == nil {
@@ -173,9 +173,9 @@
 	return Verdict{Action: Replay, Result: &en.result}
 }
 
-// RemoveWaiter reports that a presentation that was told to run or join no longer waits,
-// and returns the number of those that still do. The running call has no caller
-// left only if it returns 0.
+// RemoveWaiter reports that a presentation that was told to run or join no
+// longer waits, and returns the number of those that still do. The running call
+// has no caller left only if it returns 0.
 func (e *Executor) RemoveWaiter(t Ticket) int {
 	en := e.find(t)
 	if en == nil || en.state != StateRunning {
@@ -212,7 +212,7 @@
 
 // find returns the entry of the ticket, or nil if there is none.
 func (e *Executor) find(t Ticket) *entry {
-	if t.Executor != e.life {
+	if t.Executor != e.process {
 		return nil
 	}
 	return e.entries[t.Sequence]
--- a/ticket/executor_test.go
+++ b/ticket/executor_test.go
@@ -14,7 +14,7 @@
 
 var (
 	testStart = time.UnixMilli(1764684000000)
-	lifeA     = Process{Instance: "a", Incarnation: 10, Nonce: 1}
+	processA  = Process{Instance: "a", Incarnation: 10, Nonce: 1}
 	digestOne = (&Call{Body: []byte("one")}).Digest()
 	digestTwo = (&Call{Body: []byte("two")}).Digest()
 )
@@ -45,7 +45,7 @@
 }
 
 func TestPresentRunsOnceThenJoinsThenReplays(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	tk := issue(t, e, testStart)
 	assert.Equal(t, e.Present(testStart, tk, digestOne).Action, Run)
 	assert.Equal(t, e.Present(testStart, tk, digestOne).Action, Join)
@@ -61,7 +61,7 @@
 }
 
 func TestLeaveCountsToTheLastWaiter(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	tk := issue(t, e, testStart)
 	e.Present(testStart, tk, digestOne)
 	e.Present(testStart, tk, digestOne)
@@ -71,7 +71,7 @@
 }
 
 func TestNotRunResultUsesTheTicketUp(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	tk := issue(t, e, testStart)
 	e.Present(testStart, tk, digestOne)
 	assert.NilError(t, e.Finish(testStart, tk, Result{Outcome: api.NotRun}))
@@ -81,7 +81,7 @@
 }
 
 func TestFinishWithoutOutcomeIsUnknown(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	tk := issue(t, e, testStart)
 	e.Present(testStart, tk, digestOne)
 	assert.NilError(t, e.Finish(testStart, tk, Result{}))
@@ -89,7 +89,7 @@
 }
 
 func TestAnswersAreBounded(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	var tks []Ticket
 	for _, body := range []string{"ten bytes.", "five.", "eleven bytes"} {
 		tk := issue(t, e, testStart)
@@ -112,7 +112,7 @@
 }
 
 func TestIssueRefusesRatherThanForget(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	for range 3 {
 		e.Present(testStart, issue(t, e, testStart), digestOne)
 	}
@@ -127,7 +127,7 @@
 }
 
 func TestExpiredUnusedIsNotRunForGood(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	tk := issue(t, e, testStart)
 	expired := testStart.Add(time.Minute)
 	checkRefused(t, e.Present(expired, tk, digestOne), api.ProblemTicketExpired, api.NotRun)
@@ -138,7 +138,7 @@
 }
 
 func TestSweepKeepsRunningAndLateCalls(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	tk := issue(t, e, testStart)
 	e.Present(testStart, tk, digestOne)
 	late := testStart.Add(time.Hour)
@@ -156,7 +156,7 @@
 }
 
 func TestSweepAfterTheClockWasSetBack(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	issue(t, e, testStart.Add(time.Hour)) // its later release time delays the next ticket's release
 	tk := issue(t, e, testStart)
 	e.Present(testStart, tk, digestOne)
@@ -167,7 +167,7 @@
 }
 
 func TestPauseVoidsTicketsThatMayHaveExpired(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	near := issue(t, e, testStart)
 	used := issue(t, e, testStart)
 	far := issue(t, e, testStart.Add(30*time.Second))
@@ -180,7 +180,7 @@
 }
 
 func TestStopStartsNothing(t *testing.T) {
-	e := NewExecutor(lifeA, testLimits())
+	e := NewExecutor(processA, testLimits())
 	used, fresh := issue(t, e, testStart), issue(t, e, testStart)
 	e.Present(testStart, used, digestOne)
 	e.Stop()
@@ -192,15 +192,15 @@
 }
 
 func TestTicketsOfOtherLivesNeverRun(t *testing.T) {
-	tk := issue(t, NewExecutor(lifeA, testLimits()), testStart)
-	for name, life := range map[string]Process{
+	tk := issue(t, NewExecutor(processA, testLimits()), testStart)
+	for name, process := range map[string]Process{
 		"restarted":                 {Instance: "a", Incarnation: 11, Nonce: 2},
 		"same incarnation":          {Instance: "a", Incarnation: 10, Nonce: 2},
 		"replaced, not noticed yet": {Instance: "a", Incarnation: 9, Nonce: 2},
 		"another instance":          {Instance: "b", Incarnation: 10, Nonce: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := NewExecutor(life, testLimits())
+			e := NewExecutor(process, testLimits())
 			issue(t, e, testStart) // has the same sequence
 			checkRefused(t, e.Present(testStart, tk, digestOne), api.ProblemExecutorGone, api.Unknown)
 		})
@@ -208,7 +208,7 @@
 }
 
 func TestRoute(t *testing.T) {
-	tk := Ticket{Executor: lifeA}
+	tk := Ticket{Executor: processA}
 	other := Process{Instance: "b", Incarnation: 1}
 	view := func(inc uint64, l kernel.Liveness) *kernel.View {
 		return &kernel.View{Instances: []kernel.Instance{{ID: "b"}, {ID: "a", Incarnation: ident.Incarnation(inc), Liveness: l}}}
@@ -219,7 +219,7 @@
 		want  Destination
 		retry bool
 	}{
-		"own":                           {lifeA, nil, Local, false},
+		"own":                           {processA, nil, Local, false},
 		"restarted here":                {Process{"a", 11, 2}, view(11, kernel.Live), Reject, false},
 		"replaced, not noticed yet":     {Process{"a", 9, 2}, view(9, kernel.Live), Reject, true},
 		"live":                          {other, view(10, kernel.Live), Forward, false},
@@ -276,7 +276,7 @@
 func BenchmarkCycle(b *testing.B) {
 	limits := DefaultLimits()
 	limits.TicketsPerWorkspace = limits.Tickets
-	e, c, now := NewExecutor(lifeA, limits), testCodec(b, "a1"), testStart
+	e, c, now := NewExecutor(processA, limits), testCodec(b, "a1"), testStart
 	step := (limits.Lifetime + limits.Retention) / 10_000
 	b.ReportAllocs()
 	for b.Loop() {
--- a/ticket/exhaustive_test.go
+++ b/ticket/exhaustive_test.go
@@ -28,7 +28,7 @@
 
 func newExecutorModel() *executorModel {
 	m := &executorModel{now: testStart, mayHaveRun: map[Digest]bool{}, notRun: map[Digest]bool{}}
-	m.exec = NewExecutor(lifeA, testLimits())
+	m.exec = NewExecutor(processA, testLimits())
 	m.ticket, _ = m.exec.Issue(m.now, "w")
 	return m
 }
@@ -85,7 +85,7 @@
 	} else {
 		m.mayHaveRun[d] = true
 	}
-	if m.exec.Process() == lifeA {
+	if m.exec.Process() == processA {
 		err := m.exec.Finish(m.now, m.ticket, Result{Outcome: o, Body: fmt.Append(nil, d)})
 		m.check(err == nil, "finish failed: the ticket of a running call was forgotten")
 	}
--- a/ticket/fleet_test.go
+++ b/ticket/fleet_test.go
@@ -63,8 +63,8 @@
 		runs: map[Ticket]int{}, callRuns: map[call]int{}, toldNotRun: map[call]bool{},
 	}
 	for i := range fleetSize {
-		life := Process{Instance: instanceID(i), Incarnation: 1}
-		f.nodes = append(f.nodes, &node{exec: NewExecutor(life, testLimits())})
+		process := Process{Instance: instanceID(i), Incarnation: 1}
+		f.nodes = append(f.nodes, &node{exec: NewExecutor(process, testLimits())})
 	}
 	return f
 }
@@ -218,10 +218,10 @@
 	if !n.down && f.draw(3, "at once") > 0 {
 		f.t.Skip("the instance is not down")
 	}
-	life := n.exec.Process()
-	life.Nonce++
-	life.Incarnation += ident.Incarnation(f.draw(2, "step"))
-	*n = node{exec: NewExecutor(life, testLimits()), skew: n.skew}
+	process := n.exec.Process()
+	process.Nonce++
+	process.Incarnation += ident.Incarnation(f.draw(2, "step"))
+	*n = node{exec: NewExecutor(process, testLimits()), skew: n.skew}
 }
 
 func (f *fleet) pause() {
--- a/ticket/route.go
+++ b/ticket/route.go
@@ -32,7 +32,7 @@
 	Destination Destination
 	// To is set for Forward.
 	To ident.InstanceID
-	// Problem is set for Nowhere.
+	// Problem is set for Reject.
 	Problem *api.Problem
 }
 
@@ -64,7 +64,7 @@
 	return in.Liveness == kernel.Dead && in.Incarnation == t.Executor.Incarnation
 }
 
-// otherExecutorProblem returns the answer of one life to a ticket of another.
+// otherExecutorProblem returns the answer of one process to a ticket of another.
 func otherExecutorProblem(t Ticket, self Process) *api.Problem {
 	if t.Executor.Instance == self.Instance && t.Executor.Incarnation <= self.Incarnation {
 		return GoneProblem()
