--- a/agent/stop.go
+++ b/agent/stop.go
@@ -55,8 +55,8 @@
 // and is not stopping.
 func (a *Agent) entryEndedOrResumed() bool { return a.feed.ended || a.entryContinues() }
 
-// entryContinues reports whether the entry responds and is not stopping, so that
-// an earlier lack of responses was temporary.
+// entryContinues reports whether the entry responds and is not stopping. An
+// earlier lack of responses was then temporary.
 func (a *Agent) entryContinues() bool { return a.feed.responding && !a.feed.reply.Stopping }
 
 // partnersNotified reports whether all partners got the newest state and no
--- a/bundle/ledger/model_test.go
+++ b/bundle/ledger/model_test.go
@@ -203,7 +203,7 @@
 }
 
 // peerReads lists the transitions in which instance i receives the report of j:
-// immediately, or with delayed set late and more than once.
+// immediately or, if delayed is set, late and possibly more than once.
 func (m *model) peerReads(w *modelState, i, j int) []modelcheck.Step[*modelState] {
 	report := w.incarnations[j].ledger.Report()
 	if !m.delayed {
--- a/bundle/signedroll.go
+++ b/bundle/signedroll.go
@@ -41,11 +41,11 @@
 	return countSignatures(a, purposeRoll, s.Roll.Digest(), s.Signatures)
 }
 
-// VerifyRoll verifies a signed roll: a chain of rotations leads from the trusted
-// approvers to its target, and a quorum of the approvers that the target names
-// signed the roll. The signatures of the base are not verified, because they may be
-// from approvers that this instance never knew. The signatures on the roll cover
-// the digest of the base.
+// VerifyRoll verifies a signed roll: a chain of rotations must lead from the
+// trusted approvers to its target, and a quorum of the approvers that the
+// target names must have signed the roll. The signatures of the base are not
+// verified, because they may be from approvers that this instance never knew.
+// The signatures on the roll cover the digest of the base.
 func VerifyRoll(s *SignedRoll, trusted Approvers) error {
 	if err := Verify(&s.Target, trusted); err != nil {
 		return err
--- a/membership/absence_test.go
+++ b/membership/absence_test.go
@@ -110,9 +110,9 @@
 	assert.Assert(t, m.upstreams["dc-1"].urgentSends > 0)
 }
 
-// TestContradictedMissingIsNotSaidAtOnceAgain guards against an instance that
-// alone can't reach an engine having the mark sent through the whole fleet
-// again and again: repeated marks back off.
+// TestContradictedMissingIsNotSaidAtOnceAgain guards against an instance
+// that alone can't reach an engine and reports it missing to the whole fleet again
+// and again: repeated reports back off.
 func TestContradictedMissingIsNotSaidAtOnceAgain(t *testing.T) {
 	m := newMachineWithPeer()
 	said := 0
--- a/membership/config.go
+++ b/membership/config.go
@@ -43,8 +43,9 @@
 	// upstream is suspect.
 	UpstreamFresh time.Duration
 	// ListLag is the maximum lag of the platform's lists. A list that marks an
-	// ID as leaving without naming the incarnation applies to an incarnation
-	// for good only if that has been known for at least this long.
+	// ID as leaving without naming the incarnation makes an incarnation leave
+	// for good only if this instance has known that incarnation for at least
+	// this long.
 	ListLag time.Duration
 	// TrustTimeout limits how long a view is distrusted after a pause.
 	TrustTimeout time.Duration
--- a/membership/evidence.go
+++ b/membership/evidence.go
@@ -75,8 +75,8 @@
 	return u.zone == m.self.Zone && now-u.lastLiveAt() >= m.cfg.UpstreamGrace && now >= u.missingAllowedAt
 }
 
-// Limits of the time until an instance that has not reached an upstream itself
-// since may report it missing again.
+// Limits of the time between two reports of this instance that an upstream is
+// missing, as long as it has not reached the upstream itself in between.
 const (
 	missingBackoffMin = 2 * time.Second
 	missingBackoffMax = time.Minute
--- a/membership/member.go
+++ b/membership/member.go
@@ -75,8 +75,8 @@
 	// knownSince is when the instance became known.
 	knownSince time.Duration
 
-	// agentAnsweredAt is when its agent last answered; failedAt is when a call
-	// to either process last failed, and failKind how.
+	// agentAnsweredAt is when its agent last answered. failedAt is when a call
+	// to either process last failed, and failKind the kind of that failure.
 	agentAnsweredAt time.Duration
 	failedAt        time.Duration
 	failKind        FailKind
--- a/ticket/digest.go
+++ b/ticket/digest.go
@@ -22,7 +22,7 @@
 }
 
 // Digest returns the call's digest. It covers the workspace, so that no caller
-// gets the answer to another customer's call.
+// gets the answer to another workspace's call.
 func (c *Call) Digest() Digest {
 	h := sha256.New()
 	var length [8]byte
