--- a/cmd/wardspool-load/experiment.go
+++ b/cmd/wardspool-load/experiment.go
@@ -195,7 +195,7 @@
 	if len(r.Violations) > 0 && r.Cell.Policy != experiment.PolicyNaive {
 		fmt.Printf("broken: %s %s load %.1f fault %s seed %d instances %d: %v; first: %s\n",
 			r.Cell.Deployment, r.Cell.Policy, r.Cell.Load, r.Cell.Fault, r.Cell.Seed,
-			r.Cell.Instances, r.Broken, r.Violations[0])
+			r.Cell.Instances, r.ViolationCounts, r.Violations[0])
 	}
 	if done%progressEvery == 0 || done == total {
 		fmt.Printf("%4d of %d cells, %s\n", done, total, time.Since(started).Round(time.Second))
--- a/experiment/cell.go
+++ b/experiment/cell.go
@@ -56,8 +56,8 @@
 	// Sent counts submissions, including retries.
 	Sent         int
 	PeerMessages int
-	// Broken counts violations by kind.
-	Broken     map[ViolationKind]int
+	// ViolationCounts counts violations by kind.
+	ViolationCounts     map[ViolationKind]int
 	Violations []Violation
 }
 
@@ -80,11 +80,11 @@
 
 // Duplicates returns the number of requests that ran twice although they are not
 // repeatable.
-func (r *Result) Duplicates() int { return r.Broken[RanTwice] }
+func (r *Result) Duplicates() int { return r.ViolationCounts[RanTwice] }
 
 // Leaks returns the number of attempts whose engine memory was held after nobody
 // waited for them.
-func (r *Result) Leaks() int { return r.Broken[Leaked] }
+func (r *Result) Leaks() int { return r.ViolationCounts[Leaked] }
 
 // Run runs one cell of a deployment. Errors are of type *PolicyError or
 // *FaultError, or those of kernel.New.
@@ -121,7 +121,7 @@
 		DecodeBusy:      w.checker.decodeBusy / float64(max(w.checker.samples, 1)),
 		PrefillBusy:     w.checker.prefillBusy / float64(max(w.checker.samples, 1)),
 		PeerMessages:    w.checker.peerMessages,
-		Broken:          w.checker.violationCounts,
+		ViolationCounts:          w.checker.violationCounts,
 		Violations:      w.checker.violations,
 	}
 	first, pace := report.NewHist(), report.NewHist()
--- a/experiment/summary.go
+++ b/experiment/summary.go
@@ -102,7 +102,7 @@
 	s.PrefillBusy.add(r.PrefillBusy)
 	s.Duplicates += r.Duplicates()
 	s.Leaked += r.Leaks()
-	for _, n := range r.Broken {
+	for _, n := range r.ViolationCounts {
 		s.Violations += n
 	}
 }
--- a/load/agreement/main.go
+++ b/load/agreement/main.go
@@ -135,7 +135,7 @@
 func virtualRow(r *experiment.Result) []string {
 	m, offered := r.Models, float64(r.Models.Offered)
 	others := -r.Duplicates() - r.Leaks()
-	for _, n := range r.Broken {
+	for _, n := range r.ViolationCounts {
 		others += n
 	}
 	return []string{
