--- a/experiment/cell.go
+++ b/experiment/cell.go
@@ -57,8 +57,8 @@
 	Sent         int
 	PeerMessages int
 	// ViolationCounts counts violations by kind.
-	ViolationCounts     map[ViolationKind]int
-	Violations []Violation
+	ViolationCounts map[ViolationKind]int
+	Violations      []Violation
 }
 
 // TimelineStep is the length of one interval of Result.Timeline.
@@ -121,7 +121,7 @@
 		DecodeBusy:      w.checker.decodeBusy / float64(max(w.checker.samples, 1)),
 		PrefillBusy:     w.checker.prefillBusy / float64(max(w.checker.samples, 1)),
 		PeerMessages:    w.checker.peerMessages,
-		ViolationCounts:          w.checker.violationCounts,
+		ViolationCounts: w.checker.violationCounts,
 		Violations:      w.checker.violations,
 	}
 	first, pace := report.NewHist(), report.NewHist()
