--- a/agent/changes_test.go
+++ b/agent/changes_test.go
@@ -85,9 +85,10 @@
 
 func (*lostError) Error() string { return "lost" }
 
-// TestChangesMakeTheWhole checks that after any changes and losses, three
-// delivered updates bring the entry to the state that full views would have given
-// it: one to detect a new entry, one full view and one with changes.
+// TestChangesMakeTheWhole checks that after any sequence of changes and lost
+// messages, three delivered updates bring the entry to the state that full views
+// would have given it: one to detect a new entry, one full view and one with
+// changes.
 func TestChangesMakeTheWhole(outer *testing.T) {
 	rapid.Check(outer, func(t *rapid.T) {
 		r := &feedSimulation{T: t, agent: benchAgent(outer, 5, 0), views: &peering.ViewCache{}, incarnation: 1, index: 10}
--- a/agent/loads.go
+++ b/agent/loads.go
@@ -13,11 +13,10 @@
 // Limits of reading upstreams' state.
 const (
 	upstreamTimeout = 2 * time.Second
-	// retryMin and retryMax limit the time between attempts to reach an upstream
-	// that is not considered alive; it doubles with each attempt. Instances that
-	// poll an upstream's load for their zone use the shorter limits
-	// gatherRetryMin and gatherRetryMax, since the others learn from them that it
-	// has recovered.
+	// retryMin and retryMax limit the time from a failed read of an upstream to
+	// the next attempt; it doubles with each failure. Instances that poll an
+	// upstream's load for their zone use the shorter limits zoneRetryMin and
+	// zoneRetryMax, since the others learn from them that it has recovered.
 	retryMin     = 2 * time.Second
 	retryMax     = 30 * time.Second
 	zoneRetryMin = 500 * time.Millisecond
@@ -52,7 +51,7 @@
 	lastReadAt time.Time
 	busy       bool
 	// forZone is set if this instance reads the upstream for its zone. Otherwise
-	// it reads the upstream because it doubts that the upstream is alive.
+	// it reads the upstream because the upstream's state is worse than suspect.
 	forZone bool
 	backoff time.Duration
 }
@@ -88,9 +87,8 @@
 }
 
 // assignLoads selects the upstreams whose state this instance reads: those that
-// it polls for its zone, and those that it does not consider alive. Each such
-// instance must read the latter itself, since no work is sent to them that could
-// show their recovery.
+// it polls for its zone, and those whose state is worse than suspect. It reads the
+// latter itself, because it sends them no work that could show their recovery.
 func (a *Agent) assignLoads() {
 	a.loads.assignedAt = a.now
 	polled := a.machine.PolledUpstreams(a.now)
--- a/agent/rolltime_test.go
+++ b/agent/rolltime_test.go
@@ -51,8 +51,8 @@
 
 // TestTimeToInForce measures how long the protocol takes until a version that
 // changes one workspace is in force on every entry. Time is virtual: processors
-// and the network take none of it, so the times consist of rounds, pauses and
-// retries alone.
+// and the network take none of it, so the times consist only of message rounds,
+// waits between them and retries.
 func TestTimeToInForce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("pf-1", "hall-0", config.RolePrefill)
--- a/agent/views.go
+++ b/agent/views.go
@@ -48,8 +48,8 @@
 }
 
 // viewFingerprint returns a fingerprint of a view without loads and ages. Suspect
-// counts as alive: both states get work, and without heartbeats for a while many
-// processes are suspect.
+// counts as alive: both states get work, and many processes become suspect when
+// there have been no heartbeats for a while.
 func viewFingerprint(v *membership.View) uint64 {
 	h := xxhash.New()
 	number := func(n uint64) {
--- a/agent/views_test.go
+++ b/agent/views_test.go
@@ -31,8 +31,8 @@
 	assert.Equal(t, incarnationFor("numbered", 6), ident.Incarnation(6))
 }
 
-// TestSupersededOrdersNothing checks that an instance does not act on its view if
-// another process has taken over its name.
+// TestSupersededOrdersNothing checks that an instance does not trust its view if a
+// peer knows a higher incarnation of it.
 func TestSupersededOrdersNothing(t *testing.T) {
 	a := &Agent{view: &membership.View{Trusted: true}}
 	assert.Assert(t, a.kernelView().Trusted)
@@ -52,7 +52,7 @@
 }
 
 // TestUnlistedUpstream checks that an upstream that the platform no longer lists
-// gets no new work, and gets it again once it is listed again.
+// gets no new work until it is listed again.
 func TestUnlistedUpstream(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -93,7 +93,7 @@
 }
 
 // TestFallback checks that other instances read the platform themselves if the
-// zone's readers have had no response of it for long.
+// zone's readers have had no response from it for a long time.
 func TestFallback(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.startFleet(8, "hall-a")
--- a/entry/driver/exchange.go
+++ b/entry/driver/exchange.go
@@ -48,9 +48,9 @@
 }
 
 // Submit passes a request to the kernel and waits for its final answer. When
-// ctx ends, the kernel is told that the caller is gone, and Submit still waits
-// for the answer. Nothing is written to the exchange's output after Submit
-// returns.
+// ctx ends, the kernel is notified that the caller has disconnected, and Submit
+// still waits for the answer. Nothing is written to the exchange's output after
+// Submit returns.
 func (d *Driver) Submit(ctx context.Context, ex *Exchange) Result {
 	ex.result = make(chan Result, 1)
 	ex.live = map[*attempt]struct{}{}
--- a/entry/driver/gate.go
+++ b/entry/driver/gate.go
@@ -7,10 +7,10 @@
 )
 
 // pauseGate detects pauses of the process and delays new attempts until the
-// kernel was told about the pause. A gap is measured on both the monotonic and
-// the wall clock, because the monotonic clock does not advance while the
-// machine is suspended. A forward step of the wall clock is therefore treated
-// as a pause, which costs no more than a refresh.
+// kernel has been notified of the pause. A gap is measured on both the
+// monotonic and the wall clock, because the monotonic clock does not advance
+// while the machine is suspended. A forward step of the wall clock is therefore
+// treated as a pause, which costs no more than a refresh.
 type pauseGate struct {
 	after time.Duration
 
--- a/entry/fed_test.go
+++ b/entry/fed_test.go
@@ -331,8 +331,8 @@
 }
 
 // TestRejected checks that an entry that lacks a plug-in of a bundle version reports the
-// rejection to its agent and keeps deciding under the version before, and that it stops
-// reporting it once a higher version is in force.
+// rejection to its agent and keeps using the previous version, and that it stops reporting the
+// rejection once a higher version is in force.
 func TestRejected(t *testing.T) {
 	f := newTestFleet(t)
 	f.makeAllReady()
--- a/entry/front/ticket.go
+++ b/entry/front/ticket.go
@@ -85,7 +85,7 @@
 	f.fail(w, c, ticket.RequiredProblem())
 }
 
-// executeTicket has a call run by its ticket's executor and writes the answer.
+// executeTicket asks the ticket's executor to run a call and writes the answer.
 func (f *Front) executeTicket(ctx context.Context, w http.ResponseWriter, c *call) {
 	if f.opts.Tickets == nil {
 		f.fail(w, c, ticketsNotConfigured())
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -47,7 +47,7 @@
 	// PauseAfter is the gap in execution from which the process counts as paused.
 	PauseAfter time.Duration `yaml:"pause_after"`
 
-	// Static replaces the agent in tests and for first steps; it is nil in production.
+	// Static replaces the agent in tests and trial set-ups; it is nil in production.
 	Static *StaticSettings `yaml:"static"`
 }
 
@@ -124,7 +124,8 @@
 	Secret string `yaml:"secret"`
 }
 
-// StaticSettings describe a fixed fleet without an agent, for tests and first steps.
+// StaticSettings describe a fixed fleet without an agent, for tests and for trying out an
+// entry.
 type StaticSettings struct {
 	// Bundle is the path of a bundle source in YAML, relative to the working directory.
 	Bundle string `yaml:"bundle"`
--- a/entry/tickets/desk.go
+++ b/entry/tickets/desk.go
@@ -143,10 +143,10 @@
 // is still accepted: a running call ends by its own deadline.
 const answerMargin = time.Second
 
-// Execute has a call run by its ticket's executor, which may be another
-// instance. It waits no longer than answerMargin beyond the caller's deadline:
-// an executor behind a network partition does not answer, and a call started by
-// another presentation may have a later deadline.
+// Execute asks the ticket's executor, which may be another instance, to run the
+// call, and returns the reply. It waits no longer than answerMargin beyond the
+// caller's deadline: an executor behind a network partition does not answer, and
+// a call started by another presentation may have a later deadline.
 func (d *Dispatcher) Execute(ctx context.Context, c *Call) Reply {
 	ctx, stop := context.WithTimeout(ctx, c.Wait+answerMargin)
 	defer stop()
@@ -185,7 +185,7 @@
 }
 
 // view returns a view that tells ticket.Route whether the executor's address is
-// known. The agents' opinion on the executor's liveness is left out: only the
+// known. The executor's liveness as seen by the agents is left out: only the
 // executor itself can give a better answer than "unknown".
 func (d *Dispatcher) view(t ticket.Ticket) *kernel.View {
 	v := &kernel.View{}
@@ -257,8 +257,8 @@
 	close(j.done)
 }
 
-// awaitJob waits for the end of a call that is running at this instance. If the
-// last waiting presentation leaves, the call is cancelled.
+// awaitJob waits for the end of a call that is running at this instance. The call
+// is cancelled when the last presentation stops waiting.
 func (d *Dispatcher) awaitJob(ctx context.Context, t ticket.Ticket, j *job) Reply {
 	select {
 	case <-j.done:
--- a/entry/tickets/desk_test.go
+++ b/entry/tickets/desk_test.go
@@ -53,7 +53,7 @@
 }
 
 // TestCallGoesOnWhileAnyoneWaits: a call is not cancelled when the presentation
-// that started it leaves while another one still waits.
+// that started it stops waiting while another one still waits.
 func TestCallGoesOnWhileAnyoneWaits(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(t, "a", nil)
@@ -82,7 +82,7 @@
 		d.Wait()
 		assert.Equal(t, cancelled, 0)
 
-		// The call is cancelled when the last presentation leaves.
+		// The call is cancelled when the last presentation stops waiting.
 		c = issueCall(t, d)
 		third, leaveThird := context.WithCancel(t.Context())
 		go func() { replies <- d.Execute(third, c) }()
--- a/membership/absence_test.go
+++ b/membership/absence_test.go
@@ -99,8 +99,9 @@
 	}
 }
 
-// TestWhoKnowsOfALaterReportSaysSo has a peer report an engine missing after an
-// older report than this instance has: this instance must send the newer one.
+// TestWhoKnowsOfALaterReportSaysSo has a peer report an engine missing since a
+// report that is older than the one this instance has: this instance must send
+// the newer report.
 func TestWhoKnowsOfALaterReportSaysSo(t *testing.T) {
 	m := newMachineWithPeer()
 	m.UpstreamReport(timeAt(0), timeAt(0), "dc-1", Report{Incarnation: 5, Sequence: 7})
@@ -110,9 +111,9 @@
 	assert.Assert(t, m.upstreams["dc-1"].urgentSends > 0)
 }
 
-// TestContradictedMissingIsNotSaidAtOnceAgain guards against an instance
-// that alone can't reach an engine and reports it missing to the whole fleet again
-// and again: repeated reports back off.
+// TestContradictedMissingIsNotSaidAtOnceAgain guards against a flood of reports
+// from the only instance that cannot reach an engine: without a backoff it would
+// report the engine missing to the whole fleet again and again.
 func TestContradictedMissingIsNotSaidAtOnceAgain(t *testing.T) {
 	m := newMachineWithPeer()
 	said := 0
--- a/membership/due.go
+++ b/membership/due.go
@@ -170,9 +170,10 @@
 	x.dueAt = min(x.dueAt, max(now, x.triedAt+gap))
 }
 
-// AllPartnersNotified reports whether each partner was sent a heartbeat after the last new
-// sticky fact. A process that is about to end has to wait for it: the exchange
-// with a partner that was called just before becomes due a moment later.
+// AllPartnersNotified reports whether each partner was sent a heartbeat after
+// the last new sticky fact. A process that is about to end has to wait until it
+// returns true: the exchange with a partner that was called just before becomes
+// due a moment later.
 func (m *Machine) AllPartnersNotified(now time.Time) bool {
 	for _, id := range m.partners(m.advanceTo(now)) {
 		if m.members[id].factsSent < m.factCount {
--- a/membership/evidence.go
+++ b/membership/evidence.go
@@ -7,8 +7,8 @@
 )
 
 // PeerAnswered records that a call to an instance's entry succeeded at the
-// given time. A connection alone does not count: the kernel accepts on behalf
-// of a paused process.
+// given time. A connection alone does not count: the operating system accepts
+// connections on behalf of a paused process.
 func (m *Machine) PeerAnswered(now, at time.Time, id ident.InstanceID) {
 	m.advanceTo(now)
 	if x, ok := m.members[id]; ok {
--- a/membership/heartbeat.go
+++ b/membership/heartbeat.go
@@ -97,8 +97,8 @@
 	return m.Heartbeat(now, from), nil
 }
 
-// HeartbeatAnswered processes the answer to a heartbeat that was sent at the given time.
-// Errors are those of Receive.
+// HeartbeatAnswered processes the answer to a heartbeat that was sent at the
+// given time. Errors are those of Receive.
 func (m *Machine) HeartbeatAnswered(now, started time.Time, from ident.InstanceID, hb Heartbeat) error {
 	factsBefore := m.factCount
 	if err := m.mergeHeartbeat(now, from, hb); err != nil {
@@ -173,8 +173,8 @@
 	m.merge(now, x, r.memberRecord)
 	l := &x.facts
 	if r.missing && r.incarnation == l.incarnation && !l.reportedMissing() && x.urgentSends == 0 {
-		// This instance has later evidence of liveness, which whoever reports
-		// the instance missing lacks.
+		// This instance has later evidence of liveness, which the instance that
+		// reports the other one missing lacks.
 		x.urgentSends = m.urgentSendCount()
 	}
 }
@@ -206,8 +206,8 @@
 		m.disseminate(now, &u.urgentSends)
 	}
 	if d.Missing && !u.markedAbsent() && u.urgentSends == 0 {
-		// This instance has a later report, which whoever reports the upstream
-		// missing lacks.
+		// This instance has a later report, which the instance that reports the
+		// upstream missing lacks.
 		u.urgentSends = m.urgentSendCount()
 	}
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -19,10 +19,10 @@
 	// FailTimeout means that nothing answered in time, or that there was no
 	// network route.
 	FailTimeout FailKind = iota
-	// FailRefused means that the remote kernel refused the connection.
+	// FailRefused means that the remote host refused the connection.
 	FailRefused
-	// FailNoResponse means that the remote kernel accepted the connection and the
-	// process did not answer.
+	// FailNoResponse means that the remote operating system accepted the
+	// connection and the process did not answer.
 	FailNoResponse
 )
 
--- a/membership/partners.go
+++ b/membership/partners.go
@@ -191,8 +191,9 @@
 	}
 }
 
-// PolledUpstreams returns the upstreams of the own zone whose load this instance polls,
-// sorted: each is polled by a few instances, chosen by rendezvous hashing.
+// PolledUpstreams returns the upstreams of the own zone whose load this
+// instance polls, sorted. Each upstream is polled by a few instances, chosen by
+// rendezvous hashing.
 func (m *Machine) PolledUpstreams(now time.Time) []ident.UpstreamID {
 	zones, _ := m.liveByZone(m.advanceTo(now))
 	own := zones[m.self.Zone]
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -31,8 +31,8 @@
 
 // drawRecord draws what a message may state about a subject. A mark is part of
 // an incarnation's history: in operation every message from some stamp on
-// carries it. Here marks are drawn independently of the stamp, which allows
-// more orders.
+// carries it. Here marks are drawn independently of the stamp, so that more
+// orders of messages are tested.
 func drawRecord(t *rapid.T) keyedRecord {
 	r := keyedRecord{key: keyOf(string(rapid.SampledFrom(subjects).Draw(t, "subject")))}
 	r.incarnation = ident.Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation"))
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -136,9 +136,9 @@
 	f.runUntil(time.Minute, func() bool { return f.allOthers(victim, func(x Instance) bool { return x.State == Alive }) })
 }
 
-// TestCutZoneHeals cuts one zone off. Both sides must stay alive to themselves
-// and consider the other unreachable but not dead, and the network partition
-// must heal without the platform.
+// TestCutZoneHeals cuts one zone off. Each side must consider its own instances
+// alive and those of the other side unreachable but not dead. When the network
+// partition ends, both must recover without the platform.
 func TestCutZoneHeals(t *testing.T) {
 	f := newDefaultFleet(t)
 	f.settle()
@@ -179,9 +179,9 @@
 }
 
 func TestTrustAfterAPause(t *testing.T) {
-	// With its zone gone and the platform down, a resumed instance trusts its
-	// view only after the timeout. A list read after the pause makes that
-	// earlier, one read before the pause does not.
+	// If the rest of its zone and the platform are down, a resumed instance
+	// trusts its view only after the timeout. A list read after the pause
+	// restores trust earlier; one read before the pause does not.
 	f := newFleet(t, Config{}, 3)
 	f.settle()
 	n := f.nodes[0]
@@ -262,9 +262,9 @@
 	assert.Assert(t, n.machine.Trusted(f.now))
 }
 
-// TestRefusalIsNews has one instance see a refused connection of another: the
-// rest of the zone must probe it at once and consider it dead before their own
-// exchanges with it would be due.
+// TestRefusalIsNews has an instance refuse a connection from one peer: the rest
+// of the zone must probe the instance at once and consider it dead before their
+// own exchanges with it would be due.
 func TestRefusalIsNews(t *testing.T) {
 	f := newDefaultFleet(t)
 	f.settle()
--- a/membership/state.go
+++ b/membership/state.go
@@ -15,11 +15,11 @@
 	// Unreachable means that there has been no evidence of liveness for long.
 	// The process may still run behind a network partition.
 	Unreachable
-	// Unresponsive means that the kernel answers and the process does not. The
-	// process may be paused, in which case it still has its requests when it
-	// continues.
+	// Unresponsive means that the host's operating system accepts connections
+	// and the process does not answer. The process may be paused, in which case
+	// it still has its requests when it continues.
 	Unresponsive
-	// Dead means that the process is known not to run: its kernel refuses
+	// Dead means that the process is known not to run: its host refuses
 	// connections, or its own agent reported its end.
 	Dead
 )
--- a/membership/trust.go
+++ b/membership/trust.go
@@ -44,9 +44,9 @@
 	return 2*reached > len(t.peers)
 }
 
-// RecordPause records that the process did not run for the duration gap until now.
-// The view is distrusted from then on, and exchanges with all partners become
-// due.
+// RecordPause records that the process did not run for the duration gap until
+// now. The view is distrusted from then on, and exchanges with all partners
+// become due.
 func (m *Machine) RecordPause(now time.Time, gap time.Duration) {
 	at := m.advanceTo(now)
 	before := at - gap
--- a/peer/dialerror.go
+++ b/peer/dialerror.go
@@ -15,16 +15,16 @@
 const (
 	// DialOther is any failure that has no more specific kind.
 	DialOther DialKind = iota
-	// DialRefused means that the remote kernel refused the connection: no process
+	// DialRefused means that the remote host refused the connection: no process
 	// listens on the address.
 	DialRefused
 	// DialTimeout means that the connection attempt timed out.
 	DialTimeout
 	// DialUnreachable means that there is no route to the host or network.
 	DialUnreachable
-	// DialHelloTimeout means that the remote kernel accepted the connection, but the
-	// process did not complete the TLS handshake and the hello in time. The
-	// process may be paused.
+	// DialHelloTimeout means that the remote operating system accepted the
+	// connection, but the process did not complete the TLS handshake and the
+	// hello in time. The process may be paused.
 	DialHelloTimeout
 )
 
--- a/peer/hello_test.go
+++ b/peer/hello_test.go
@@ -90,8 +90,9 @@
 	assert.NilError(t, s.Shutdown(context.Background()))
 }
 
-// TestPoolChecksTheServer checks that the dialling side rejects servers of another
-// version or not allowed, and passes on a server's refusal.
+// TestPoolChecksTheServer checks that the dialling side rejects servers that use
+// another protocol version or are not allowed, and returns a server's refusal to
+// the caller.
 func TestPoolChecksTheServer(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -172,8 +173,8 @@
 	})
 }
 
-// TestSilentServerIsToldApart checks that a process that is paused while its
-// kernel still accepts connections is reported as DialHelloTimeout.
+// TestSilentServerIsToldApart checks that a paused process, for which the
+// operating system still accepts connections, is reported as DialHelloTimeout.
 func TestSilentServerIsToldApart(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
