--- a/e2e/status_test.go
+++ b/e2e/status_test.go
@@ -19,7 +19,7 @@
 const fleetStatusLimit = 3 * time.Second
 
 // fleetStatus reads the status of the agents of all instances. Tests use it to
-// wait until the fleet knows something, never to check what ran.
+// wait until the instances have noticed a change, never to check what ran.
 func (b *bed) fleetStatus() *console.Fleet {
 	pool := peer.NewPool(peer.Config{
 		Self:  peer.Identity{Instance: testbed.OperatorName, Incarnation: ident.NewIncarnation(time.Now()), Zone: "operators"},
--- a/experiment/judge.go
+++ b/experiment/judge.go
@@ -191,9 +191,9 @@
 }
 
 // reachable reports whether the attempt could have been released: by its owner
-// or, if the owner is dead, by another instance that can know of it. Without the
-// platform's list a dead instance cannot be told from a partitioned or paused
-// one.
+// or, if the owner has crashed, by another instance that can know of it. Without
+// the platform's list a crashed instance cannot be distinguished from a
+// partitioned or paused one.
 func (c *checker) reachable(a *attempt) bool {
 	p, ok := a.owner.(*process)
 	if !ok {
--- a/experiment/session_test.go
+++ b/experiment/session_test.go
@@ -171,10 +171,10 @@
 	return &next
 }
 
-// record adds an instance's decisions and answers. It leaves out messages to
-// peers, the records of asks for slots, which each model request has, repeated
-// cancels, and complete answers, which appear in a record and whose absence the
-// checker would report.
+// record adds an instance's decisions, cancels and answers. It leaves out
+// messages to peers, the records of pending slot requests, of which each model
+// request has one, repeated cancels, and complete answers, which appear in a
+// decision record and whose absence the checker would report.
 func (tr *transcript) record(id ident.InstanceID, what any) {
 	switch a := what.(type) {
 	case kernel.Log:
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -14,7 +14,7 @@
 	zone        ident.Zone
 	incarnation ident.Incarnation
 	alive       bool
-	// downAt is the time at which it last died.
+	// downAt is the time at which it was last killed.
 	downAt time.Duration
 }
 
--- a/experiment/view.go
+++ b/experiment/view.go
@@ -12,7 +12,8 @@
 	// heartbeatLag is the time after which missing or returning heartbeats are
 	// noticed.
 	heartbeatLag = time.Second
-	// platformLag is the time after which the platform's list shows a death.
+	// platformLag is the time after which the platform's list shows that a
+	// process has ended.
 	platformLag = 3 * time.Second
 	// sweepPeriod is the interval at which instances look for attempts left by
 	// dead peers.
--- a/gateway/carry/carry.go
+++ b/gateway/carry/carry.go
@@ -40,8 +40,8 @@
 	// RegionOf returns the region of a zone, or "" if the zone has none.
 	RegionOf func(ident.Zone) ident.Region
 	Log      *slog.Logger
-	// Register records under which contents upstreams crashed. Trials grants permission to send
-	// a suspect content. NotifyPeers notifies the other instances of
+	// Register records the contents that upstreams were processing when they crashed. Trials
+	// grants permission to send a suspect content. NotifyPeers notifies the other instances of
 	// new crash records in the register.
 	Register    *quarantine.Register
 	Trials      Trials
@@ -287,7 +287,7 @@
 
 // readResponse reads a complete response. If the body cannot be read, a success or a failure
 // reported by the upstream becomes a failed attempt. The other verdicts do not depend on the
-// body; in particular, a refusal still attests that the request did not run.
+// body; in particular, a refusal remains proof that the request did not run.
 func readResponse(ctx context.Context, resp *http.Response, v dialect.Verdict, account *memory.Account) *attempt {
 	body, err := readResponseBody(ctx, resp, account)
 	if err != nil && (v == dialect.Success || v == dialect.Failure) {
@@ -323,8 +323,8 @@
 		c.o.Scheduler.RecordReplacement(u)
 		log.Warn("upstream replaced", "upstream", u.ID, "address", u.Address)
 	case a.err == nil && a.verdict == dialect.WrongUpstream:
-		// An engine gives the same verdict after it has changed its stage; a probe finds out
-		// which it is.
+		// An engine gives the same verdict whether it was replaced or has changed its stage. A
+		// probe finds out which is the case.
 		c.recordFailure(u, schedule.Misdirected, a.err, took, log)
 	case a.err != nil && adapter.AsCallError(a.err).Evidence == kernel.NotSent:
 		c.recordFailure(u, ClassifyUnreachable(a.err), a.err, took, log)
--- a/gateway/carry/caution.go
+++ b/gateway/carry/caution.go
@@ -10,8 +10,8 @@
 )
 
 // trialRetryAfter is the Retry-After of a request whose content is on trial in another attempt. A
-// crash shows by the time of the first event, and therefore within a latency objective of about
-// one second.
+// crash is noticed by the time of the first event, and therefore within a latency objective of
+// about one second.
 const trialRetryAfter = time.Second
 
 // Trials grants permission to send suspect contents, to one attempt at a time across all
--- a/gateway/carry/failover.go
+++ b/gateway/carry/failover.go
@@ -13,7 +13,7 @@
 )
 
 // searchInterval is the interval between two searches for an engine with capacity. Engines that
-// were full are asked again after as long.
+// were full are asked again after the same interval.
 const searchInterval = 60 * time.Millisecond
 
 // standby holds a placement that was reserved for a stream while the stream still runs
--- a/gateway/carry/guard.go
+++ b/gateway/carry/guard.go
@@ -10,8 +10,8 @@
 	"github.com/wardspool/wardspool/kernel"
 )
 
-// stallFactor is the time that a running stream may send nothing before its engine is asked for
-// a sign of life, as a multiple of the route's pace objective.
+// stallFactor is the time for which a running stream may deliver nothing before the liveness of
+// its engine is checked, as a multiple of the route's pace objective.
 const stallFactor = 2
 
 // timerNotStarted is the initial delay of a timer that has not been started yet.
@@ -19,8 +19,8 @@
 
 // watchdog monitors an engine to which a request was sent. It cancels the request's context when
 // a newer incarnation of the engine appears. If nothing arrives for a time, it checks whether
-// the engine is alive. If the engine does not answer, the context is canceled too; for a stream
-// that has delivered events only if another engine was reserved for it.
+// the engine is alive. If the engine does not answer, the context is canceled too, but that of a
+// stream that has delivered events only if another engine was reserved for it.
 type watchdog struct {
 	// ctx is the context of the request. cancel cancels it with an *UnresponsiveError.
 	ctx      context.Context
@@ -28,13 +28,13 @@
 	stop     func()
 	timer    *time.Timer
 	interval time.Duration
-	// signsOfLife counts the signs of life.
+	// signsOfLife counts the calls of heard.
 	signsOfLife atomic.Uint64
 }
 
 // newWatchdog returns a watchdog for a request to an engine. It checks the engine when nothing
-// has arrived for the given time, and with a failover again each time that nothing has arrived
-// for as long.
+// has arrived for the given time. If the run continues after a check and f is not nil, it checks
+// again when nothing has arrived for as long again.
 func (s *stream) newWatchdog(ctx context.Context, u dialect.Upstream, after time.Duration, f *failover) *watchdog {
 	watched, cancel, end := s.c.inFlight.track(ctx, u)
 	wd := &watchdog{ctx: watched, cancel: cancel, interval: after}
@@ -53,9 +53,10 @@
 }
 
 // streamWatchdog returns the watchdog for a running stream. The engine is checked only if the
-// stream may continue elsewhere; a stream that may run at most once is left alone while its
-// engine lives. Without the check, a stream that crosses a network partition between zones stalls
-// until its caller disconnects, and the callers of all such streams retry at the same moment.
+// stream may continue elsewhere; a stream that may run at most once is canceled only if its
+// engine restarts. Without the check, a stream that crosses a network partition between zones
+// stalls until its caller disconnects, and the callers of all such streams retry at the same
+// moment.
 func (s *stream) streamWatchdog(ctx context.Context, u dialect.Upstream) *watchdog {
 	after := stallFactor * s.j.Route.PaceObjective
 	if !s.j.Route.Repeatable() || after <= 0 {
@@ -65,13 +66,13 @@
 	return s.newWatchdog(ctx, u, after, s.newFailover(u))
 }
 
-// heard records a sign of life and restarts the timer.
+// heard records that the engine has sent something and restarts the timer.
 func (wd *watchdog) heard() {
 	wd.signsOfLife.Add(1)
 	wd.resetTimer()
 }
 
-// resetTimer restarts the timer for the next sign of life.
+// resetTimer restarts the timer unless the request has been canceled.
 func (wd *watchdog) resetTimer() {
 	if wd.timer != nil && wd.ctx.Err() == nil {
 		wd.timer.Reset(wd.interval)
@@ -79,8 +80,8 @@
 }
 
 // attemptError returns the *UnresponsiveError for which the attempt was canceled, otherwise err.
-// The result keeps the evidence of err on whether the request was sent: the unanswered liveness
-// check was a separate call and says nothing about that.
+// The result keeps the evidence of err on whether the request was sent, because the unanswered
+// liveness check was a separate call and is no evidence of that.
 func (wd *watchdog) attemptError(err error) error {
 	silent := unresponsiveCause(wd.ctx)
 	if err == nil || silent == nil {
--- a/gateway/carry/migrate.go
+++ b/gateway/carry/migrate.go
@@ -287,8 +287,8 @@
 // continueStopped continues a stopped stream from its KV cache. This counts as the same run.
 //
 // The instance itself ended a working run, so a single rejection must not end the response: the
-// engine where the stream was stopped is asked too, also if the destination's response was lost. A
-// handle can be used only once, so the stream cannot continue twice.
+// engine where the stream was stopped is asked too, even if the destination's response was lost.
+// A handle can be used only once, so the stream cannot continue twice.
 func (s *stream) continueStopped(ctx context.Context, p *placement, cont *continuation) (*Response, bool, error) {
 	var err error
 	reason := CutByMigration
--- a/gateway/carry/prefill.go
+++ b/gateway/carry/prefill.go
@@ -110,9 +110,9 @@
 	return h, err
 }
 
-// prefillTimeout returns the time limit of a prefill that starts now. An engine that is alive
-// gets all the time in which the first event can still be on time. Canceling earlier discards
-// its work, and another engine has to start over.
+// prefillTimeout returns the time limit of a prefill that starts at start. A responsive engine
+// gets at least the time in which the first event can still be on time, because canceling
+// earlier discards its work and makes another engine start over.
 func (s *stream) prefillTimeout(start time.Time, expected time.Duration) time.Duration {
 	first := s.c.o.Scheduler.FirstEvent(s.j.Service.Name)
 	onTime := s.j.Arrived.Add(s.j.Route.Objective - first).Sub(start)
--- a/gateway/carry/reserve.go
+++ b/gateway/carry/reserve.go
@@ -41,7 +41,7 @@
 // tooLate reports whether the first event could not be on time even if the request got its
 // placement now. For a resumed stream it reports whether the stream has waited too long since it
 // joined the queue at since. A stream that is under way is never refused: its caller is still
-// reading, and could only be told by closing the connection.
+// reading, and the only way to report a refusal would be to close the connection.
 func (s *stream) tooLate(now, since time.Time) bool {
 	if s.headSent {
 		return false
--- a/gateway/carry/sound_test.go
+++ b/gateway/carry/sound_test.go
@@ -140,8 +140,9 @@
 // TestSilentEngineKeepsItsStreamWhileThereIsNoOther guards against a connection that is closed
 // about 800 ms after the last event although the engine was only slow, or its path lost packets.
 // There was no event for 600 ms and no answer to a liveness check for 200 ms, and the run was
-// canceled before another engine and the sends to it were requested. If none had room or the
-// retry budget was exhausted, the response was lost although its engine was still running it.
+// canceled before another engine was reserved and the retry budget was asked for the sends to it.
+// If none had room or the budget was exhausted, the response was lost although its engine was
+// still running it.
 //
 // The logs showed an UnresponsiveError, then `not sent again` and the closed connection: 37 and
 // 39 times under two loads with network cuts between zones, 8 times and once under two others.
--- a/gateway/carry/stream.go
+++ b/gateway/carry/stream.go
@@ -35,7 +35,7 @@
 	// instance's queue, where it holds no memory of a decode engine.
 	maxPrefillQueueShare = 0.4
 	// resumeWaitShare is the share of its remaining time that a resumed stream waits for
-	// capacity. It is late already, and a refusal would end it for good.
+	// capacity. It is late already, and a refusal would end it permanently.
 	resumeWaitShare = 0.25
 	// defaultOutputTokens is the assumed output length, in tokens, of requests for which the
 	// caller gives no estimate, unless the caller's limit is lower.
@@ -249,10 +249,10 @@
 	sendsFullRestart = 2
 )
 
-// mayRestart reports whether another pair of engines may be tried after a failure that left the
-// request not run or that may be repeated. sends is the number of sends that this takes. A
-// request that may have crashed its engine is not sent to the next one here: its caller is told
-// and decides.
+// mayRestart reports whether another pair of engines may be tried after a failure. The caller has
+// checked that the request did not run or may run again. sends is the number of sends that the
+// restart takes. A request that may have crashed its engine is not sent to another one: it fails,
+// and the client decides whether to retry.
 func (s *stream) mayRestart(ctx context.Context, err error, sends int) bool {
 	if ctx.Err() != nil || s.starts >= maxStarts || s.crashGuard.crashedEarly {
 		return false
--- a/gateway/carry/stream_test.go
+++ b/gateway/carry/stream_test.go
@@ -325,8 +325,9 @@
 	assert.Equal(t, env.d.count("do y"), 10)
 }
 
-// TestLivingPrefillEngineIsLeftItsTime checks that a prefill is not canceled as long as the
-// first event can be on time, and later still if the engine is expected to take longer.
+// TestLivingPrefillEngineIsLeftItsTime checks that a prefill is not canceled while the first
+// event can still be on time, and that the limit is later if the engine is expected to take
+// longer.
 func TestLivingPrefillEngineIsLeftItsTime(t *testing.T) {
 	env := newStreamEnv(t)
 	s := &stream{c: env.Forwarder, j: job(singleRun), log: env.o.Log}
@@ -338,8 +339,9 @@
 }
 
 // TestEngineThatFailsAtOnceIsNoSink guards against an engine that answers streams with errors of
-// its own and attracts the others: it holds nothing, so it always has the most free memory.
-// Every stream that came while others ran was sent to it; now at most two of twenty are.
+// its own and thereby attracts more: it holds nothing, so it always has the most free memory.
+// Without the guard, every stream that arrives while others run is sent to it; with it, at most
+// two of twenty are.
 func TestEngineThatFailsAtOnceIsNoSink(t *testing.T) {
 	env := newStreamEnv(t)
 	env.d.do["d1"] = []reply{{verdict: dialect.Failure, status: 500, body: "failed"}}
--- a/gateway/carry/watch.go
+++ b/gateway/carry/watch.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// livenessDelayFactor is the time that a prefill may take before the engine is checked for a
-	// sign of life, as a multiple of the expected time; at least minLivenessDelay. A network
-	// partition or a crash is then detected after about 350 ms, while a busy engine is not mistaken
-	// for a dead one and ejected.
+	// livenessDelayFactor is the time that a prefill may take before the engine's liveness is
+	// checked, as a multiple of the expected time; at least minLivenessDelay. A network partition
+	// or a crash is then detected after about 350 ms, while a busy engine is not mistaken for one
+	// that has failed and ejected.
 	livenessDelayFactor = 2
 	minLivenessDelay    = 150 * time.Millisecond
 	// livenessTimeout limits the check. Engines answer it in a few ms, however busy they are.
@@ -38,7 +38,7 @@
 // Unwrap returns the error of the liveness check.
 func (e *UnresponsiveError) Unwrap() error { return e.Err }
 
-// checkLiveness requests a sign of life from an engine. It cancels the context of the watchdog
+// checkLiveness checks whether an engine is alive. It cancels the context of the watchdog
 // with an *UnresponsiveError if the engine has crashed, or if it does not answer and the run is
 // canceled in favor of another engine. It reports whether the run continues.
 func (s *stream) checkLiveness(u dialect.Upstream, wd *watchdog, f *failover) bool {
--- a/kernel/mute_test.go
+++ b/kernel/mute_test.go
@@ -39,7 +39,7 @@
 	return kernel.Availability{}
 }
 
-// TestSlotNeverNamed checks that a finished prefill is given up once its KV cache
+// TestSlotNeverNamed checks that a finished prefill is abandoned once its KV cache
 // can no longer be imported, even if the slot policy never answers. Without this,
 // the request would wait until its deadline.
 func TestSlotNeverNamed(t *testing.T) {
--- a/kernel/stalls.go
+++ b/kernel/stalls.go
@@ -94,7 +94,7 @@
 }
 
 // engine returns the record of an engine, creating it if there is none, and
-// extends it back to the time began.
+// sets its earliest time to began if that is earlier.
 func (b *stallTracker) engine(id ident.UpstreamID, began time.Time) *engineStalls {
 	e := b.engines[id]
 	if e == nil {
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -231,7 +231,8 @@
 	case p.failure == &failureAborted:
 		s.addData(control.NewError(p.failure.status, p.failure.code, p.failure.message))
 	default:
-		// Send the generated tokens first, as an engine does that fails later.
+		// Send the generated tokens first, as a real engine would have done
+		// before it failed.
 		_ = s.flush()
 		control.AbortConnection()
 	}
