--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -1,7 +1,7 @@
 // Package adapter defines the interfaces through which an entry instance calls
 // its upstreams. Engines and plain services are called through plug-ins in the
 // namespaces "engine" and "service"; package adapter/roundtrip provides them with
-// an HTTP client whose errors tell whether a failed request may have executed.
+// an HTTP client whose errors state whether a failed request may have executed.
 package adapter
 
 import (
--- a/bundle/ledger/alarm.go
+++ b/bundle/ledger/alarm.go
@@ -7,8 +7,8 @@
 	"github.com/wardspool/wardspool/bundle"
 )
 
-// AlarmType identifies a condition that needs an operator. Each type has one
-// remedy, returned by Step.
+// AlarmType identifies a condition that an operator must resolve. Each type has
+// one remedy, returned by Remedy.
 type AlarmType string
 
 // The alarm types.
@@ -34,8 +34,8 @@
 	// AlarmEntryRejects reports a bundle in force that the instance's entry
 	// cannot run; the entry continues with the previous version.
 	AlarmEntryRejects AlarmType = "entry-rejects"
-	// AlarmIncompletelyPublished reports a bundle named by a roll, parts of which no source
-	// provides.
+	// AlarmIncompletelyPublished reports a bundle that a roll names and some of
+	// whose parts no source provides.
 	AlarmIncompletelyPublished AlarmType = "half-published"
 	// AlarmFloorAbove reports an upstream's fencing number that is higher than
 	// every bundle version that this starting instance could find.
@@ -102,9 +102,9 @@
 	return text + "; step: " + a.Type.Remedy()
 }
 
-// maxAlarms bounds the active alarms above which no further unsigned ones are
-// raised: anyone can cause those by sending arbitrary bytes. The other types
-// need the signatures of a quorum.
+// maxAlarms is the number of active alarms from which on no unsigned ones are
+// raised: anyone can cause unsigned alarms by sending arbitrary bytes. The other
+// types need the signatures of a quorum.
 const maxAlarms = 64
 
 // unsigned reports whether an unsigned document can raise the alarm.
@@ -127,8 +127,8 @@
 	l.alarms = slices.DeleteFunc(l.alarms, answered)
 }
 
-// clearUndecodable clears the AlarmUndecodable of a source that has now sent a readable
-// document of the same kind.
+// clearUndecodable clears the AlarmUndecodable of a source that has now sent a
+// decodable document of the same kind.
 func (l *Ledger) clearUndecodable(from Source, d Document) {
 	l.clearAlarms(func(a Alarm) bool { return a.Type == AlarmUndecodable && a.From == from && a.Document == d })
 }
--- a/bundle/ledger/alarms_test.go
+++ b/bundle/ledger/alarms_test.go
@@ -56,7 +56,7 @@
 	assert.Equal(t, len(s.ledger.floor.answers), 1, "sources outside the source set are kept after the instance became ready")
 }
 
-// AlarmUndecodable is cleared when the same source sends a readable document of the
+// AlarmUndecodable is cleared when the same source sends a decodable document of the
 // same kind, and not by documents of another source or kind.
 func TestGarbledGoes(t *testing.T) {
 	d := newDocuments(t)
--- a/bundle/ledger/ledger_test.go
+++ b/bundle/ledger/ledger_test.go
@@ -19,8 +19,8 @@
 	assert.Assert(t, errors.As(err, &bad))
 }
 
-// started returns a session with roll 1 and its parts preloaded, and no source
-// has answered yet.
+// started returns a session in which roll 1 and its parts are preloaded and no
+// source has answered yet.
 func started(t *testing.T, d *documents, s Settings, sources ...Source) *session {
 	t.Helper()
 	x := newSession(t, d.publisher, s, sources...)
@@ -63,7 +63,7 @@
 		{name: "nobody answers", sources: noUpstream, timeout: true, alarm: AlarmIsolated},
 		{name: "nobody answers, serve the preload", sources: noUpstream, isolated: serve, timeout: true, ready: true},
 		{name: "all peers are starting", sources: noUpstream, events: []Event{starting}, timeout: true, alarm: AlarmIsolated},
-		{name: "no roster", timeout: true, alarm: AlarmIsolated},
+		{name: "no source set", timeout: true, alarm: AlarmIsolated},
 		{name: "the platform lost its roll", sources: noUpstream, events: []Event{noRoll}, timeout: true, alarm: AlarmIsolated},
 		{name: "a roll that cannot be verified is no answer", sources: noUpstream,
 			events: []Event{platform1, FloorReport{From: other, Ready: true, Roll: unverifiable}}},
--- a/bundle/ledger/modelstate_test.go
+++ b/bundle/ledger/modelstate_test.go
@@ -87,7 +87,7 @@
 }
 
 // modelChecker caches the costly document checks. Parts are not modelled: every
-// instance has those of every bundle.
+// instance has all parts of every bundle.
 func modelChecker(parts bundle.PartSource) checker {
 	real := newChecker()
 	errs := map[string]error{}
--- a/bundle/ledger/session_test.go
+++ b/bundle/ledger/session_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// wait advances the time in steps too short to be taken for a pause.
+// wait advances the time in steps shorter than PauseThreshold.
 func (s *session) wait(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(time.Second)
--- a/bundle/ledger/settings.go
+++ b/bundle/ledger/settings.go
@@ -46,8 +46,9 @@
 	RetryInterval time.Duration
 	// PartsTimeout is how long parts may be missing before an alarm is raised.
 	PartsTimeout time.Duration
-	// PauseThreshold is the interval between two steps from which on the process is
-	// taken to have been paused. The caller must call Step more often than that.
+	// PauseThreshold is the shortest interval between two steps after which the
+	// process is assumed to have been paused. The caller must call Step more often
+	// than that.
 	PauseThreshold time.Duration
 }
 
--- a/cmd/wardspool-load/experiment.go
+++ b/cmd/wardspool-load/experiment.go
@@ -175,7 +175,8 @@
 	return list
 }
 
-// printCapacity prints the capacity of each deployment and what it follows from.
+// printCapacity prints the capacity of each deployment and the bounds that it is
+// derived from.
 func printCapacity(deployments []*experiment.Deployment) {
 	for _, d := range deployments {
 		k := d.Capacity()
--- a/cmd/wardspoolctl/limits_test.go
+++ b/cmd/wardspoolctl/limits_test.go
@@ -45,7 +45,8 @@
 	assert.Equal(t, text.String(), want)
 }
 
-// TestLimitsNameWhoDidNotAnswer checks that the exit code tells that an instance did not respond.
+// TestLimitsNameWhoDidNotAnswer checks that the exit code indicates that an instance did not
+// respond.
 func TestLimitsNameWhoDidNotAnswer(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
--- a/cmd/wardspoolctl/quarantine_test.go
+++ b/cmd/wardspoolctl/quarantine_test.go
@@ -43,8 +43,8 @@
 	assert.Equal(t, text.String(), want)
 }
 
-// TestQuarantineNamesWhoDidNotAnswer checks that an instance that did not respond is listed with the
-// reason and sets the exit code.
+// TestQuarantineNamesWhoDidNotAnswer checks that an instance that did not respond is listed with
+// the reason and sets the exit code.
 func TestQuarantineNamesWhoDidNotAnswer(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
--- a/cmd/wardspoolctl/tls.go
+++ b/cmd/wardspoolctl/tls.go
@@ -35,8 +35,7 @@
 
 // pool returns a connection pool with the operator's identity. It accepts any peer
 // identity, since the operator gave the addresses; the instances decide which
-// operators they accept. Errors are of type
-// *certificateError.
+// operators they accept. Errors are of type *certificateError.
 func (f *operatorFlags) pool() (*peer.Pool, error) {
 	c := peer.Config{
 		Self: peer.Identity{
--- a/configservice/watch_test.go
+++ b/configservice/watch_test.go
@@ -50,7 +50,8 @@
 	return s.index, s.changed, s.fail
 }
 
-// roundTrip implements transport: a long poll for an index above the given one.
+// roundTrip is a fakeTransport that answers a long poll for an index above the
+// given one.
 func (s *fakeService) roundTrip(r *http.Request) (*http.Response, error) {
 	s.mu.Lock()
 	s.calls++
--- a/leftover/fleet_test.go
+++ b/leftover/fleet_test.go
@@ -134,7 +134,7 @@
 
 func (f *fleet) resume() { f.processes[f.draw(fleetSize)].paused = false }
 
-// poll makes an agent take a view, read the engine and order releases.
+// poll makes an agent update its view, read the engine and order releases.
 func (f *fleet) poll() { f.stepAgent(f.running()) }
 
 func (f *fleet) stepAgent(p *process) {
--- a/metrics/render.go
+++ b/metrics/render.go
@@ -6,8 +6,8 @@
 
 // Render returns the metrics that fill reports, in the Prometheus text format. It
 // is for programs that store their counts elsewhere: fill is called once and must
-// add each counter's total. Errors from tally are ignored: they are those of the
-// reporter, which has none.
+// add each counter's total. Errors from tally are ignored: they come from the
+// reporter, which returns none.
 func Render(prefix string, fill func(tally.Scope)) string {
 	r := NewReporter()
 	scope, closer := newScope(r, prefix, onlyOnClose)
--- a/orders/planner_test.go
+++ b/orders/planner_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// adoptOnOthers gives all agents but one a view in which that one is unreachable,
-// and a bundle.
+// adoptOnOthers puts a bundle version in force at all agents but one, and gives
+// them a view in which that one is unreachable.
 func (z *zone) adoptOnOthers(a *agent, version uint64) {
 	without := *z.view
 	without.Instances = slices.Clone(z.view.Instances)
--- a/process/process.go
+++ b/process/process.go
@@ -98,7 +98,7 @@
 }
 
 // run serves until ctx is cancelled and reloads the settings on each value from hangups. Errors
-// in the initial settings are printed to errOut, as is the log if p.Output is nil.
+// in the initial settings are printed to errOut, as is the log if p.LogOutput is nil.
 func (p Program[S]) run(ctx context.Context, file string, hangups <-chan os.Signal, errOut io.Writer) ExitCode {
 	data, s, err := settings.Read[S](file)
 	if err != nil {
--- a/ticket/executor.go
+++ b/ticket/executor.go
@@ -9,10 +9,11 @@
 
 // Limits bound an executor's memory. All must be positive.
 type Limits struct {
-	// Tickets is the number of tickets that are kept at once, used or not. When
-	// it is reached, no ticket is issued: a used ticket is never forgotten early.
+	// Tickets is the maximum number of tickets that are kept at once, used or
+	// not. When it is reached, no ticket is issued: a used ticket is never
+	// forgotten early.
 	Tickets int
-	// TicketsPerWorkspace is the number of tickets of one workspace, so that no
+	// TicketsPerWorkspace is the maximum number for one workspace, so that no
 	// workspace can keep others from getting tickets.
 	TicketsPerWorkspace int
 	// AnswerBytes is the size of the largest answer that is kept for replay.
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -23,7 +23,8 @@
 	// Sequence is the number of the ticket among those of its executor.
 	Sequence uint64
 	// Issued and Expires are in whole milliseconds of the executor's wall clock.
-	// They only inform the caller: the executor judges expiry by its own memory.
+	// They only inform the caller: the executor decides on expiry by the times in
+	// its own entry for the ticket.
 	Issued  time.Time
 	Expires time.Time
 }
--- a/tlsconf/reloader.go
+++ b/tlsconf/reloader.go
@@ -76,8 +76,8 @@
 	size     int64
 }
 
-// stat returns the current state of the files. A file that can't be examined has the
-// zero stamp; reading it returns the error.
+// stat returns the current state of the files. A file for which os.Stat fails has the
+// zero fileState; the error is returned when the file is read.
 func (s Settings) stat() fileStates {
 	var f fileStates
 	for i, name := range []string{s.Cert, s.Key, s.CA} {
