--- a/internal/capacity/bed.go
+++ b/internal/capacity/bed.go
@@ -53,7 +53,7 @@
 // upstreamsPerAgent is the planned ratio of upstreams to instances, about 600 to 410.
 const upstreamsPerAgent = 1.5
 
-// maxNetwork is the largest value of bed.network.
+// maxNetwork is the largest value of fleet.network.
 const maxNetwork = 250
 
 // ip returns the i-th instance's IP address. Each instance has its own address, so
@@ -127,7 +127,7 @@
 	return l.Addr().String(), nil
 }
 
-// serveOn serves h on l until the bed is closed.
+// serveOn serves h on l until the fleet is closed.
 func (b *fleet) serveOn(l net.Listener, h http.Handler) {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	go func() { _ = srv.Serve(l) }()
@@ -246,7 +246,8 @@
 	mu          sync.Mutex
 	incarnation ident.Incarnation
 	version     uint64
-	// view is the number of the latest view received, base the digest of the latest bundle.
+	// view is the number of the latest view received, bundleDigest the digest of the
+	// latest bundle.
 	view         uint64
 	bundleDigest string
 	// receivedAt holds the time at which each bundle version was received.
--- a/internal/capacity/simulated.go
+++ b/internal/capacity/simulated.go
@@ -16,7 +16,7 @@
 )
 
 // simulation runs simulated instances in this process, so that a few real agents
-// see a fleet of full size. Each simulated instance has its own membership machine.
+// see a fleet of full size. Each simulated instance has its own membership state machine.
 // Simulated instances exchange heartbeats with each other in memory, and with the
 // real agents over the network.
 type simulation struct {
@@ -199,7 +199,8 @@
 func (s *simulation) exchange(now time.Time, x, to *simulatedInstance) {
 	answer, err := to.machine.Receive(now, x.id, x.machine.Heartbeat(now, to.id))
 	if err == nil {
-		// The error is ignored: a machine accepts every heartbeat that another composes.
+		// The error is ignored: a membership state machine accepts every heartbeat that
+		// another one composes.
 		_ = x.machine.HeartbeatAnswered(now, now, to.id, answer)
 	}
 }
--- a/internal/mutate/mutation.go
+++ b/internal/mutate/mutation.go
@@ -72,7 +72,7 @@
 	return list, nil
 }
 
-// selectMutations returns the mutations whose name contains only.
+// selectMutations returns the mutations whose name contains the string only.
 func selectMutations(all []Mutation, only string) []Mutation {
 	var out []Mutation
 	for _, m := range all {
--- a/internal/mutate/run.go
+++ b/internal/mutate/run.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// copyModule copies the files to dir that git tracks or that are untracked but not
+// copyModule copies to dir the files that git tracks and the untracked files that are not
 // ignored.
 func copyModule(ctx context.Context, dir string) error {
 	out, err := exec.CommandContext(ctx, "git", "ls-files", "-co", "--exclude-standard").Output()
--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -22,7 +22,8 @@
 // Totals are the counters over all requests of an engine. Prompt tokens include the output
 // tokens that a resumed generation prefills again.
 type Totals struct {
-	// Accepted counts accepted attempts, Refused counts attested refusals.
+	// Accepted counts accepted attempts, Refused counts refusals with an error code that
+	// guarantees that nothing ran (control.Code.Attested).
 	Accepted int `json:"accepted"`
 	Refused  int `json:"refused"`
 	// PrefillRuns and DecodeRuns count runs that started to compute.
@@ -94,8 +95,9 @@
 type Service struct {
 	ID      ident.UpstreamID `json:"id"`
 	Service string           `json:"service"`
-	// Runs counts calls that ran, Refused counts attested refusals, and Replayed
-	// counts calls that got the stored response of their idempotency key.
+	// Runs counts calls that ran, Refused counts refusals that guarantee that the call did
+	// not run, and Replayed counts calls that got the stored response of their
+	// idempotency key.
 	Runs     int `json:"runs"`
 	Refused  int `json:"refused"`
 	Replayed int `json:"replayed"`
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -118,7 +118,7 @@
 
 // Crash simulates a killed process: it closes every connection without a response and
 // discards the stored responses and the highest fencing token. The counters of the report
-// are kept. The service accepts calls again after the time down.
+// are kept. The service accepts calls again once the duration down has passed.
 func (s *Service) Crash(down time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/testbed/operators.go
+++ b/testbed/operators.go
@@ -23,7 +23,7 @@
 	sequence uint64
 }
 
-// NewOperators returns operators whose signing key is derived from seed, so that
+// NewOperators returns a BundlePublisher whose signing key is derived from seed, so that
 // it is reproducible.
 func NewOperators(platformAddress, seed string) *BundlePublisher {
 	digest := bundle.DigestOf([]byte(seed))
