--- a/testbed/operators.go
+++ b/testbed/operators.go
@@ -23,9 +23,9 @@
 	sequence uint64
 }
 
-// NewOperators returns a BundlePublisher whose signing key is derived from seed, so that
+// NewBundlePublisher returns a BundlePublisher whose signing key is derived from seed, so that
 // it is reproducible.
-func NewOperators(platformAddress, seed string) *BundlePublisher {
+func NewBundlePublisher(platformAddress, seed string) *BundlePublisher {
 	digest := bundle.DigestOf([]byte(seed))
 	return &BundlePublisher{
 		Platform: control.Client{Address: platformAddress},
--- a/testbed/platform.go
+++ b/testbed/platform.go
@@ -29,7 +29,7 @@
 	if err := f.waitHTTP(ctx, f.Platform, "http://"+address+"/v1/keys?prefix=none"); err != nil {
 		return err
 	}
-	f.Operators = NewOperators(address, "testbed "+f.Deployment.Name)
+	f.Operators = NewBundlePublisher(address, "testbed "+f.Deployment.Name)
 	if err := f.PublishLists(ctx); err != nil {
 		return err
 	}
