--- a/agent/bundles.go
+++ b/agent/bundles.go
@@ -96,8 +96,8 @@
 
 // readySourceSetInterval is the time between two updates of the source set while
 // the ledger is ready. The ledger queries no source then; it uses the source set
-// only in the first query round after a pause, and a new one follows within a
-// second.
+// only in the first query round after a pause, and the set is updated within a
+// second after that.
 const readySourceSetInterval = 10 * time.Second
 
 // sourceSetDue reports whether the ledger's source set has to be updated.
@@ -109,8 +109,9 @@
 // platform, the live peers of the zone, a few peers of each other zone and,
 // during the start, the zone's engines, some of which check fencing numbers.
 //
-// It does nothing until the lists are known. The set would be incomplete, and
-// a stale platform alone could then count as all sources that know the floor.
+// It does nothing until the lists are known or listsTimeout has passed. Without
+// the lists the set would be incomplete, and a stale platform alone could count
+// as all sources that know the floor.
 func (a *Agent) updateSourceSet() {
 	if a.awaitsLists() {
 		return
--- a/gateway/carry/kept.go
+++ b/gateway/carry/kept.go
@@ -18,14 +18,14 @@
 	// cacheListTimeout limits the retrieval of a cache list, which takes up to 20 ms.
 	cacheListTimeout = 80 * time.Millisecond
 	// maxAskedAcrossZones is the largest number of decode engines for which all of them are
-	// asked. If there are more, only those of the instance's own zone are asked, where most
-	// streams run, because each list delays an engine.
+	// asked. Because each list delays an engine, only those of the instance's own zone, where
+	// most streams run, are asked if there are more.
 	maxAskedAcrossZones = 12
 	// maxCacheLists limits the number of lists that are kept, including those of engines that are
 	// gone.
 	maxCacheLists = 1024
 	// cacheHolderWait is how long a resumed stream waits for capacity at the engine that holds
-	// its KV cache, before that is recomputed elsewhere: 7,000 tokens on average.
+	// its KV cache, before the cache is recomputed elsewhere: 7,000 tokens on average.
 	cacheHolderWait = 500 * time.Millisecond
 )
 
@@ -80,9 +80,9 @@
 }
 
 // findCacheHolder asks decode engines how much of the stream's KV cache they hold. A caller may
-// resume at any instance, which does not know where the stream ran. Without asking, prompt and
-// output were recomputed: 1,000,000 tokens on a day on which all of 62 instances lost power. It
-// returns nil if no engine holds any of it.
+// resume at any instance, which does not know where the stream ran. Before engines were asked,
+// prompt and output were recomputed: 1,000,000 tokens on a day when all 62 instances lost power.
+// findCacheHolder returns nil if no engine holds any of the cache.
 func (s *stream) findCacheHolder(ctx context.Context) *cacheHolder {
 	if s.j.Call.LastPromptPart == "" {
 		return nil
--- a/membership/list.go
+++ b/membership/list.go
@@ -143,9 +143,10 @@
 }
 
 // listApplies reports whether a list that marks an ID as leaving without naming
-// the incarnation applies to the incarnation that was learned at the given
-// time. A younger incarnation may have replaced the one that the lagging list
-// refers to; it gets no new work only as long as the newest list marks the ID.
+// the incarnation applies to inc, which was learned at the time learned. It does
+// if that was at least ListLag ago. A younger incarnation may have replaced the
+// one that the lagging list refers to; it gets no new work only as long as the
+// newest list marks the ID.
 func (m *Machine) listApplies(now time.Duration, inc ident.Incarnation, learned time.Duration) bool {
 	return inc != 0 && now-learned >= m.cfg.ListLag
 }
--- a/ticket/route.go
+++ b/ticket/route.go
@@ -36,7 +36,7 @@
 	Problem *api.Problem
 }
 
-// Route decides where a call with a ticket is sent that arrived at this instance.
+// Route decides where a call with a ticket that arrived at this instance is sent.
 // A stale view does no harm: only the executor itself can run the call.
 func Route(t Ticket, self Process, v *kernel.View) Decision {
 	if t.Executor == self {
--- a/ticket/sweep.go
+++ b/ticket/sweep.go
@@ -19,8 +19,8 @@
 	return e.sweepExpired(now) + e.sweepLate(now)
 }
 
-// sweepExpired forgets tickets by their expiry, except those whose call ends
-// later.
+// sweepExpired forgets tickets whose retention after expiry is over, except those
+// whose call is still running or ended after the expiry.
 func (e *Executor) sweepExpired(now time.Time) int {
 	return e.byExpiry.sweep(now, func(r retentionEnd) bool {
 		en := e.entries[r.sequence]
