--- a/agent/views_test.go
+++ b/agent/views_test.go
@@ -31,8 +31,8 @@
 	assert.Equal(t, incarnationFor("numbered", 6), ident.Incarnation(6))
 }
 
-// TestSupersededOrdersNothing checks that an instance does not act on its view if
-// another process has taken over its name.
+// TestSupersededOrdersNothing checks that an instance does not trust its view if a
+// peer knows a higher incarnation of it.
 func TestSupersededOrdersNothing(t *testing.T) {
 	a := &Agent{view: &membership.View{Trusted: true}}
 	assert.Assert(t, a.kernelView().Trusted)
@@ -45,14 +45,14 @@
 // ready.
 func TestAnsweredPeersStayOnTheRoster(t *testing.T) {
 	a := benchAgent(t, 3, 0)
-	gone := ledger.FloorReport{From: peerSource("i-009"), Ready: true}
-	a.reportRoll(gone, nil)
+	report := ledger.FloorReport{From: peerSource("i-009"), Ready: true}
+	a.reportRoll(report, nil)
 	got := a.addFloorReporters([]ledger.Source{platformSource})
-	assert.DeepEqual(t, got, []ledger.Source{platformSource, gone.From})
+	assert.DeepEqual(t, got, []ledger.Source{platformSource, report.From})
 }
 
 // TestUnlistedUpstream checks that an upstream that the platform no longer lists
-// gets no new work, and gets it again once it is listed again.
+// gets no new work until it is listed again.
 func TestUnlistedUpstream(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.addEngine("dc-1", "hall-a", config.RoleDecode)
@@ -93,7 +93,7 @@
 }
 
 // TestFallback checks that other instances read the platform themselves if the
-// zone's readers have had no news of it for long.
+// zone's readers have had no response from it for a long time.
 func TestFallback(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		nodes := f.startFleet(8, "hall-a")
--- a/bundle/ledger/session_test.go
+++ b/bundle/ledger/session_test.go
@@ -23,12 +23,12 @@
 	fetched []bundle.Digest
 }
 
-func newSession(t testing.TB, p *publisher, settings Settings, roster ...Source) *session {
+func newSession(t testing.TB, p *publisher, settings Settings, sources ...Source) *session {
 	t.Helper()
 	l, err := New(settings, epoch)
 	assert.NilError(t, err)
 	s := &session{t: t, publisher: p, ledger: l, now: epoch}
-	s.step("the roster", SourceSet{Sources: roster})
+	s.step("the source set", SourceSet{Sources: sources})
 	return s
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// wait advances the time in steps too short to be taken for a pause.
+// wait advances the time in steps shorter than PauseThreshold.
 func (s *session) wait(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(time.Second)
--- a/entry/front/ticket.go
+++ b/entry/front/ticket.go
@@ -14,7 +14,7 @@
 	"github.com/wardspool/wardspool/ticket"
 )
 
-// Tickets issues tickets and runs calls that carry one. *tickets.Desk
+// Tickets issues tickets and runs calls that carry one. *tickets.Dispatcher
 // implements it.
 type Tickets interface {
 	Issue(w ident.Workspace) (text string, expires time.Time, problem *api.Problem)
@@ -85,7 +85,7 @@
 	f.fail(w, c, ticket.RequiredProblem())
 }
 
-// executeTicket has a call run by its ticket's executor and writes the answer.
+// executeTicket asks the ticket's executor to run a call and writes the answer.
 func (f *Front) executeTicket(ctx context.Context, w http.ResponseWriter, c *call) {
 	if f.opts.Tickets == nil {
 		f.fail(w, c, ticketsNotConfigured())
--- a/entry/tickets/desk.go
+++ b/entry/tickets/desk.go
@@ -74,8 +74,8 @@
 	Problem *api.Problem   `json:"problem,omitempty"`
 }
 
-// Dispatcher executes the calls of tickets issued by this instance and forwards the
-// calls of other instances' tickets. It is safe for concurrent use.
+// Dispatcher executes the calls of tickets issued by this instance and forwards
+// the calls of other instances' tickets. It is safe for concurrent use.
 type Dispatcher struct {
 	codec   *ticket.Codec
 	forward Forwarder
@@ -109,8 +109,8 @@
 	Log     *slog.Logger
 }
 
-// New returns a desk for a new life (incarnation) of an instance. SetRunner
-// must be called before the first call arrives.
+// New returns the dispatcher of a newly started process. SetRunner must be called
+// before the first call arrives.
 func New(o Options) *Dispatcher {
 	return &Dispatcher{
 		codec:    o.Codec,
@@ -143,10 +143,10 @@
 // is still accepted: a running call ends by its own deadline.
 const answerMargin = time.Second
 
-// Execute has a call run by its ticket's executor, which may be another
-// instance. It waits no longer than answerMargin beyond the caller's deadline:
-// an executor behind a network partition does not answer, and a call started by
-// another presentation may have a later deadline.
+// Execute asks the ticket's executor, which may be another instance, to run the
+// call, and returns the reply. It waits no longer than answerMargin beyond the
+// caller's deadline: an executor behind a network partition does not answer, and
+// a call started by another presentation may have a later deadline.
 func (d *Dispatcher) Execute(ctx context.Context, c *Call) Reply {
 	ctx, stop := context.WithTimeout(ctx, c.Wait+answerMargin)
 	defer stop()
@@ -155,7 +155,7 @@
 		return Reply{Problem: ticket.InvalidProblem(err)}
 	}
 	c.Run = RunID(c.Ticket)
-	switch route := ticket.Route(t, d.life(), d.view(t)); route.Destination {
+	switch route := ticket.Route(t, d.process(), d.view(t)); route.Destination {
 	case ticket.Local:
 		return d.present(ctx, t, c)
 	case ticket.Forward:
@@ -178,14 +178,14 @@
 	return d.present(ctx, t, c)
 }
 
-func (d *Dispatcher) life() ticket.Process {
+func (d *Dispatcher) process() ticket.Process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.executor.Process()
 }
 
 // view returns a view that tells ticket.Route whether the executor's address is
-// known. The agents' opinion on the executor's liveness is left out: only the
+// known. The executor's liveness as seen by the agents is left out: only the
 // executor itself can give a better answer than "unknown".
 func (d *Dispatcher) view(t ticket.Ticket) *kernel.View {
 	v := &kernel.View{}
@@ -257,8 +257,8 @@
 	close(j.done)
 }
 
-// awaitJob waits for the end of a call that is running at this instance. If the
-// last waiting presentation leaves, the call is cancelled.
+// awaitJob waits for the end of a call that is running at this instance. The call
+// is cancelled when the last presentation stops waiting.
 func (d *Dispatcher) awaitJob(ctx context.Context, t ticket.Ticket, j *job) Reply {
 	select {
 	case <-j.done:
--- a/membership/member.go
+++ b/membership/member.go
@@ -19,10 +19,10 @@
 	// FailTimeout means that nothing answered in time, or that there was no
 	// network route.
 	FailTimeout FailKind = iota
-	// FailRefused means that the remote kernel refused the connection.
+	// FailRefused means that the remote host refused the connection.
 	FailRefused
-	// FailNoResponse means that the remote kernel accepted the connection and the
-	// process did not answer.
+	// FailNoResponse means that the remote operating system accepted the
+	// connection and the process did not answer.
 	FailNoResponse
 )
 
@@ -41,7 +41,7 @@
 type incarnationFacts struct {
 	incarnation ident.Incarnation
 	leaving     bool
-	gone        bool
+	ended       bool
 	clock       livenessClock
 	// missingAfter is 1 more than the highest stamp after which a peer of the
 	// instance's zone reports no evidence of liveness, or a refused connection.
@@ -75,8 +75,8 @@
 	// knownSince is when the instance became known.
 	knownSince time.Duration
 
-	// agentAnsweredAt is when its agent last answered; failedAt is when a call
-	// to either process last failed, and failKind how.
+	// agentAnsweredAt is when its agent last answered. failedAt is when a call
+	// to either process last failed, and failKind the kind of that failure.
 	agentAnsweredAt time.Duration
 	failedAt        time.Duration
 	failKind        FailKind
@@ -163,7 +163,7 @@
 type memberRecord struct {
 	incarnation ident.Incarnation
 	leaving     bool
-	gone        bool
+	ended       bool
 	missing     bool
 	hasStamp    bool
 	stamp       Stamp
@@ -183,9 +183,9 @@
 	}
 	isNew := old != 0 && r.incarnation > old
 	l := &m.facts
-	isNew = isNew || r.leaving && !l.leaving || r.gone && !l.gone
+	isNew = isNew || r.leaving && !l.leaving || r.ended && !l.ended
 	l.leaving = l.leaving || r.leaving
-	l.gone = l.gone || r.gone
+	l.ended = l.ended || r.ended
 	if r.hasStamp {
 		l.clock.observe(now, r.stamp, r.age)
 	}
@@ -250,7 +250,7 @@
 		age = min(age, now-t.zoneLastLiveAt)
 	}
 	switch {
-	case l.gone:
+	case l.ended:
 		return Dead
 	case l.refusedSince(now) && now-l.lastLiveAt(now) >= t.deadGrace:
 		return Dead
--- a/ticket/route.go
+++ b/ticket/route.go
@@ -32,11 +32,11 @@
 	Destination Destination
 	// To is set for Forward.
 	To ident.InstanceID
-	// Problem is set for Nowhere.
+	// Problem is set for Reject.
 	Problem *api.Problem
 }
 
-// Route decides where a call with a ticket is sent that arrived at this instance.
+// Route decides where a call with a ticket that arrived at this instance is sent.
 // A stale view does no harm: only the executor itself can run the call.
 func Route(t Ticket, self Process, v *kernel.View) Decision {
 	if t.Executor == self {
@@ -64,7 +64,7 @@
 	return in.Liveness == kernel.Dead && in.Incarnation == t.Executor.Incarnation
 }
 
-// otherExecutorProblem returns the answer of one life to a ticket of another.
+// otherExecutorProblem returns the answer of one process to a ticket of another.
 func otherExecutorProblem(t Ticket, self Process) *api.Problem {
 	if t.Executor.Instance == self.Instance && t.Executor.Incarnation <= self.Incarnation {
 		return GoneProblem()
